--- /dev/null
+++ b/policy/characterization_test.go
@@ -0,0 +1,563 @@
+package policy_test
+
+import (
+	"bytes"
+	"container/heap"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"gannetspur/policy"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+const (
+	characterizationEvents     = 6000 // events handled in each scenario
+	characterizationCheckpoint = 250  // events between two lines of the golden file
+	characterizationState      = 10   // events between two looks at all that was learned
+)
+
+// scenario is one deployment that the characterization test plays.
+type scenario struct {
+	name     string
+	settings policy.Settings
+	engines  int
+	rate     float64 // arrivals a second
+	speed    float64 // work done a second on one idle core, in seconds
+	faults   float64 // share of attempts that end in something other than an answer
+	estimate bool    // arrivals carry estimates of work and memory
+}
+
+// TestDecisionsAreUnchanged plays generated events in a closed loop (attempts,
+// notes and timers follow the actions) and compares a digest of all actions and,
+// every ten events, of all that the gateway has learned, bit for bit, with the one of
+// the golden file. A change of any decision, of the order of random draws or of a
+// floating-point operation shows as a difference.
+// The texts of log actions are left out.
+func TestDecisionsAreUnchanged(t *testing.T) {
+	var got bytes.Buffer
+	for _, s := range scenarios() {
+		playScenario(t, s, &got)
+	}
+	path := filepath.Join("testdata", "decisions.golden")
+	if *update {
+		if err := os.WriteFile(path, got.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := bytes.Split(got.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
+	for i := range min(len(gotLines), len(wantLines)) {
+		if !bytes.Equal(gotLines[i], wantLines[i]) {
+			t.Fatalf("line %d: got  %s\nwant %s", i+1, gotLines[i], wantLines[i])
+		}
+	}
+	if len(gotLines) != len(wantLines) {
+		t.Fatalf("%d lines, want %d", len(gotLines), len(wantLines))
+	}
+}
+
+func scenarios() []scenario {
+	plain := characterizationSettings()
+	quotas := characterizationSettings()
+	quotas.Tenants = []policy.Tenant{{Name: "north", Quota: 40, Share: 0.6}, {Name: "south", Quota: 15, Share: 0.4}}
+	quotas.OverShare = 0.2
+	quotas.Short = policy.ShortTrim
+	paging := characterizationSettings()
+	paging.Short, paging.CostTold, paging.LoadTold = policy.ShortSwap, true, true
+	paging.PriorityHeeds = true
+	paging.Limits.Cancel, paging.Limits.Tries = false, 3
+	probing := characterizationSettings()
+	probing.LoadTold, probing.ListAsked, probing.Limits.Probes = true, true, true
+	probing.GrantsHeeded, probing.PriorityHeeds, probing.MostGrant = true, true, 0.5
+	silent := characterizationSettings()
+	silent.NoteEvery, silent.LoadTold = 0, true
+	rationed := characterizationSettings()
+	rationed.Rules.LookBack, rationed.Rules.ExtraFree, rationed.Rules.ExtraShare = 2*time.Second, 3, 0.1
+	rationed.Limits.ComeBack = false
+	crowd := characterizationSettings()
+	crowd.Gateways, crowd.LoadTold, crowd.CostTold, crowd.Short = 60, true, true, policy.ShortSwap
+	copies := characterizationSettings()
+	copies.Limits.Copies, copies.Gateways, copies.GrantsHeeded = true, 1, true
+	return []scenario{
+		{name: "plain", settings: plain, engines: 6, rate: 60, speed: 1, faults: 0.02},
+		{name: "tenants", settings: quotas, engines: 5, rate: 90, speed: 1, faults: 0.05, estimate: true},
+		{name: "paging", settings: paging, engines: 8, rate: 50, speed: 0.7, faults: 0.1},
+		{name: "probing", settings: probing, engines: 6, rate: 70, speed: 1, faults: 0.05, estimate: true},
+		{name: "no-notes", settings: silent, engines: 5, rate: 60, speed: 0.8, faults: 0.1},
+		{name: "rationed", settings: rationed, engines: 4, rate: 60, speed: 1, faults: 0.3},
+		{name: "many-gateways", settings: crowd, engines: 12, rate: 12, speed: 1, faults: 0.1},
+		{name: "copies", settings: copies, engines: 5, rate: 80, speed: 0.8, faults: 0.15, estimate: true},
+	}
+}
+
+func characterizationSettings() policy.Settings {
+	const second, msec = time.Second, time.Millisecond
+	return policy.Settings{
+		Gateways: 3, Zone: "a", NoteEvery: 500 * msec, Round: 5 * msec,
+		Kinds: []policy.Kind{{Name: "small", Cores: 4, MemoryMB: 4096}, {Name: "large", Cores: 8, MemoryMB: 8192}},
+		Classes: []policy.Class{
+			{Name: "lookup", Aim: 300 * msec, Stretch: 1.5, Deadline: 2 * second, Worth: 1, Threads: 1, Effect: policy.Safe},
+			{Name: "report", Aim: 3 * second, Stretch: 2.5, Deadline: 15 * second, Worth: 10, LateShare: 0.3, Threads: 3, Effect: policy.Safe},
+			{Name: "write", Aim: second, Deadline: 6 * second, Worth: 5, Threads: 2, Effect: policy.Unsafe},
+			{Name: "keyed", Aim: second, Deadline: 6 * second, Worth: 5, Threads: 2, Effect: policy.Keyed, Group: policy.GroupCell, Window: 2 * second},
+			{Name: "keyed-zone", Aim: second, Deadline: 6 * second, Worth: 2, Threads: 1, Effect: policy.Keyed, Group: policy.GroupZone, Window: second},
+			{Name: "keyed-all", Aim: second, Deadline: 6 * second, Worth: 2, Threads: 1, Effect: policy.Keyed, Group: policy.GroupAll, Window: second},
+			{Name: "ordered", Aim: second, Deadline: 6 * second, Worth: 1, Threads: 1, Effect: policy.Safe, InOrder: true},
+			{Name: "ordered-write", Aim: second, Deadline: 6 * second, Worth: 3, Threads: 1, Effect: policy.Unsafe, InOrder: true},
+			{Name: "load", Aim: 4 * second, Deadline: 12 * second, Worth: 4, Threads: 2, Effect: policy.Safe, Load: true},
+			{Name: "reader", Aim: second, Deadline: 5 * second, Worth: 2, Threads: 1, Effect: policy.Safe, WaitsOnLoad: true},
+			{Name: "stream", Aim: 2 * second, Deadline: 8 * second, Worth: 2, Threads: 1, Effect: policy.Safe, Stream: true},
+			{Name: "placed", Aim: second, Deadline: 5 * second, Worth: 1, Threads: 1, Effect: policy.Safe, Zones: []string{"b"}, Kinds: []string{"large"}},
+		},
+		Rules: policy.Rules{
+			AnswerSlack: 20 * msec, DrainGrace: 500 * msec, ColdStart: 0.3, ColdFor: 10 * second,
+			TipMultiple: 2.5, TipFor: 3 * second, Settle: 700 * msec, AskListWithin: second,
+		},
+		Limits: policy.Limits{Tries: 3, Cancel: true, ComeBack: true, MostComeBack: 2 * second, ConnectWithin: 200 * msec},
+	}
+}
+
+// workOfClass is the mean work of a query of a class.
+var workOfClass = map[string]time.Duration{
+	"lookup": 80 * time.Millisecond, "report": 2 * time.Second, "write": 300 * time.Millisecond,
+	"keyed": 250 * time.Millisecond, "keyed-zone": 150 * time.Millisecond, "keyed-all": 150 * time.Millisecond,
+	"ordered": 100 * time.Millisecond, "ordered-write": 120 * time.Millisecond, "load": time.Second,
+	"reader": 200 * time.Millisecond, "stream": 400 * time.Millisecond, "placed": 150 * time.Millisecond,
+}
+
+// scheduled is an event that is due at an instant; apply may change the player first.
+type scheduled struct {
+	at       time.Duration
+	sequence int
+	event    policy.Event
+	apply    func() policy.Event // in place of event; nil from it: nothing is due any more
+}
+
+type schedule []scheduled
+
+func (s schedule) Len() int { return len(s) }
+func (s schedule) Less(i, j int) bool {
+	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].sequence < s[j].sequence
+}
+func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s *schedule) Push(x any)   { *s = append(*s, x.(scheduled)) }
+func (s *schedule) Pop() any {
+	last := (*s)[len(*s)-1]
+	*s = (*s)[:len(*s)-1]
+	return last
+}
+
+// fakeEngine is an engine of the generated surroundings.
+type fakeEngine struct {
+	entry     policy.Engine
+	attempts  int
+	slowdown  float64
+	hangsTill time.Duration
+}
+
+// fakeQuery is a query of the generated surroundings and its attempts.
+type fakeQuery struct {
+	arrive   policy.Arrive
+	work     time.Duration
+	attempts []*fakeAttempt
+	answered bool
+}
+
+type fakeAttempt struct {
+	engine *fakeEngine
+	sent   time.Duration
+	ended  bool
+}
+
+// player plays one scenario against a gateway.
+type player struct {
+	scenario
+	gateway *policy.Gateway
+	random  *rand.Rand
+	now     time.Duration
+	queue   schedule
+	pushed  int
+	engines []*fakeEngine
+	byID    map[string]*fakeEngine
+	queries map[uint64]*fakeQuery
+	last    uint64
+	handled int
+	counts  [10]int
+	digest  *digestWriter
+}
+
+func playScenario(t *testing.T, s scenario, out *bytes.Buffer) {
+	t.Helper()
+	gateway, err := policy.New(s.settings, 42)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := &player{
+		scenario: s, gateway: gateway, random: rand.New(rand.NewPCG(7, uint64(len(s.name)))), now: time.Minute,
+		byID: map[string]*fakeEngine{}, queries: map[uint64]*fakeQuery{}, digest: newDigestWriter(),
+	}
+	p.handle(p.firstList())
+	p.in(0, p.nextArrival)
+	p.in(time.Second, p.nextListEvent)
+	for p.handled < characterizationEvents && len(p.queue) > 0 {
+		due := heap.Pop(&p.queue).(scheduled)
+		p.now = max(p.now, due.at)
+		event := due.event
+		if due.apply != nil {
+			event = due.apply()
+		}
+		if event == nil {
+			continue
+		}
+		p.handle(event)
+		if p.handled%characterizationCheckpoint == 0 {
+			fmt.Fprintf(out, "%s %d %v %016x\n", s.name, p.handled, p.counts, p.digest.hash.Sum64())
+		}
+	}
+	if p.handled < characterizationEvents {
+		t.Fatalf("%s: only %d events", s.name, p.handled)
+	}
+}
+
+func (p *player) push(after time.Duration, s scheduled) {
+	p.pushed++
+	s.at, s.sequence = p.now+after, p.pushed
+	heap.Push(&p.queue, s)
+}
+
+func (p *player) in(after time.Duration, apply func() policy.Event) {
+	p.push(after, scheduled{apply: apply})
+}
+
+func (p *player) event(after time.Duration, event policy.Event) {
+	p.push(after, scheduled{event: event})
+}
+
+func (p *player) handle(event policy.Event) {
+	p.handled++
+	for _, action := range p.gateway.Handle(p.now, event, nil) {
+		p.perform(action)
+	}
+	if p.handled%characterizationState == 0 {
+		for _, figure := range p.gateway.LearnedState() {
+			p.digest.float(figure)
+		}
+	}
+}
+
+// firstList names the engines of the start: half of them long started.
+func (p *player) firstList() policy.Event {
+	for range p.scenario.engines {
+		p.addEngine(len(p.engines)%2 == 0)
+	}
+	return p.wholeList(policy.ListCached)
+}
+
+func (p *player) addEngine(fresh bool) *fakeEngine {
+	n := len(p.engines)
+	e := &fakeEngine{slowdown: 0.8 + 0.4*p.random.Float64(), entry: policy.Engine{
+		ID: fmt.Sprintf("s-%08x", n*2654435761), Zone: []string{"a", "b"}[n%2], Kind: []string{"large", "small", "large"}[n%3],
+		Cell: int64(n % 3), State: policy.EngineLive, Started: p.now, Fresh: fresh,
+	}}
+	p.engines = append(p.engines, e)
+	p.byID[e.entry.ID] = e
+	return e
+}
+
+func (p *player) wholeList(mode policy.ListMode) policy.Event {
+	list := policy.Engines{Mode: mode}
+	for _, e := range p.engines {
+		if e.entry.State != policy.EngineGone {
+			list.Engines = append(list.Engines, e.entry)
+		}
+	}
+	return list
+}
+
+// nextListEvent changes an engine (drain, end, return, hang, slowdown) and tells of it.
+func (p *player) nextListEvent() policy.Event {
+	p.in(time.Duration(200+p.random.IntN(1500))*time.Millisecond, p.nextListEvent)
+	e := p.engines[p.random.IntN(len(p.engines))]
+	switch p.random.IntN(8) {
+	case 0:
+		e.hangsTill = p.now + 4*time.Second
+		return nil
+	case 1:
+		e.slowdown = 0.5 + 3*p.random.Float64()
+		return nil
+	case 2:
+		return p.wholeList(policy.ListFull)
+	case 3:
+		return policy.Engines{Mode: policy.ListFailed}
+	case 4:
+		e.entry.State = policy.EngineDraining
+	case 5:
+		e.entry.State = policy.EngineGone
+		if p.random.IntN(2) == 0 {
+			replacement := p.addEngine(true)
+			return policy.Engines{Mode: policy.ListChanges, Engines: []policy.Engine{e.entry, replacement.entry}}
+		}
+	default:
+		if e.entry.State != policy.EngineLive {
+			e.entry.State, e.entry.Fresh, e.entry.Started = policy.EngineLive, true, p.now
+		}
+	}
+	return policy.Engines{Mode: policy.ListChanges, Engines: []policy.Engine{e.entry}}
+}
+
+func (p *player) nextArrival() policy.Event {
+	rate := p.rate
+	if int(p.now/(5*time.Second))%3 == 2 { // a burst
+		rate *= 2
+	}
+	p.in(time.Duration(p.random.ExpFloat64()/rate*float64(time.Second)), p.nextArrival)
+	p.last++
+	class := p.class()
+	q := &fakeQuery{work: time.Duration(float64(workOfClass[class.Name]) * (0.3 + p.random.ExpFloat64()))}
+	q.arrive = policy.Arrive{
+		Query: p.last, Class: class.Name, Set: int64(math.Sqrt(float64(p.random.IntN(400)))),
+		Deadline: p.now + time.Duration((0.8+0.2*p.random.Float64())*float64(class.Deadline)),
+		Tenant:   []string{"north", "south", "stranger", ""}[p.random.IntN(4)], Repeat: p.random.IntN(9) == 0,
+	}
+	if class.InOrder && p.random.IntN(8) > 0 {
+		q.arrive.Key = fmt.Sprint("key-", p.random.IntN(4))
+	}
+	if p.estimate {
+		q.arrive.Work = time.Duration(float64(q.work) * (0.5 + p.random.Float64()))
+		q.arrive.MemoryMB = 20 + 200*p.random.Float64()
+	}
+	if p.random.IntN(200) == 0 {
+		q.arrive.Class = "no such class"
+	}
+	p.queries[p.last] = q
+	if p.random.IntN(25) == 0 {
+		id := p.last
+		p.in(time.Duration(p.random.IntN(1500))*time.Millisecond, func() policy.Event {
+			q.answered = true
+			return policy.Gone{Query: id}
+		})
+	}
+	return q.arrive
+}
+
+func (p *player) class() policy.Class {
+	if p.random.IntN(2) == 0 {
+		return p.settings.Classes[0]
+	}
+	return p.settings.Classes[p.random.IntN(len(p.settings.Classes))]
+}
+
+// perform carries out an action as the surroundings do, and writes it to the digest.
+func (p *player) perform(action policy.Action) {
+	switch a := action.(type) {
+	case policy.Send:
+		p.record(0, a.Query, a.Engine, a.Within)
+		p.send(a)
+	case policy.Grant:
+		p.record(1, a.Query, a.MemoryMB, a.Priority)
+	case policy.Cancel:
+		p.record(2, a.Query, a.Attempt)
+		p.in(time.Millisecond, func() policy.Event { return p.end(a.Query, a.Attempt, policy.Cancelled) })
+	case policy.Probe:
+		p.record(3, a.Engine)
+		p.event(2*time.Millisecond, policy.Probed{Engine: a.Engine, Result: policy.Served, Load: p.load(p.byID[a.Engine])})
+	case policy.Refuse:
+		p.record(4, a.Query, a.ComeBack, int(a.Why))
+		p.answered(a.Query)
+	case policy.Fail:
+		p.record(5, a.Query)
+		p.answered(a.Query)
+	case policy.Wake:
+		p.record(6, a.After, a.Token)
+		p.event(a.After, policy.Timer{Token: a.Token})
+	case policy.Subscribe:
+		p.record(7)
+		p.in(30*time.Millisecond, func() policy.Event { return p.wholeList(policy.ListFull) })
+	case policy.Log:
+		p.record(8)
+	default:
+		p.record(9)
+	}
+}
+
+func (p *player) record(kind int, values ...any) {
+	p.counts[kind]++
+	p.digest.write(kind, p.now, values)
+}
+
+func (p *player) answered(query uint64) {
+	if q := p.queries[query]; q != nil {
+		q.answered = true
+	}
+}
+
+func (p *player) send(send policy.Send) {
+	q, e := p.queries[send.Query], p.byID[send.Engine]
+	a := &fakeAttempt{engine: e, sent: p.now}
+	n := len(q.attempts)
+	q.attempts = append(q.attempts, a)
+	e.attempts++
+	end := func(after time.Duration, result policy.Result) {
+		p.in(after, func() policy.Event { return p.end(send.Query, n, result) })
+	}
+	end(send.Within, policy.TimedOut)
+	took := p.duration(q, e)
+	switch {
+	case e.entry.State == policy.EngineGone:
+		end(time.Millisecond, policy.NoConnection)
+		return
+	case p.now < e.hangsTill:
+		return
+	case e.attempts > 40:
+		end(time.Millisecond, policy.Full)
+		return
+	case p.random.Float64() < p.faults:
+		results := []policy.Result{
+			policy.Failed, policy.Full, policy.NoConnection, policy.Lost, policy.Unknown, policy.NotSent, policy.TimedOut,
+		}
+		if k := p.random.IntN(len(results) + 1); k < len(results) {
+			end(time.Duration(float64(took)*p.random.Float64()), results[k])
+		}
+		return
+	}
+	end(took, policy.Served)
+	p.notes(q, n, took)
+}
+
+// duration is how long an engine takes for a query, given what it holds.
+func (p *player) duration(q *fakeQuery, e *fakeEngine) time.Duration {
+	crowding := 1 + float64(e.attempts*e.attempts)/100
+	return time.Duration(float64(q.work)*crowding*e.slowdown/p.speed) + time.Millisecond
+}
+
+// notes tells of an attempt while it runs: progress, now and then a wait or a spill.
+func (p *player) notes(q *fakeQuery, n int, took time.Duration) {
+	id := q.arrive.Query
+	if p.settings.Classes[0].Name != q.arrive.Class && p.random.IntN(3) == 0 {
+		p.event(took/3, policy.Began{Query: id, Attempt: n})
+	}
+	if p.settings.NoteEvery == 0 {
+		return
+	}
+	for at := p.settings.NoteEvery; at < took; at += p.settings.NoteEvery {
+		note := policy.Note{Query: id, Attempt: n, Kind: policy.NoteProgress, Value: float64(at) / float64(took)}
+		switch p.random.IntN(12) {
+		case 0:
+			note.Kind, note.Value = policy.NoteSpill, 100*p.random.Float64()
+		case 1:
+			note.Kind = policy.NoteWaitMemory
+		case 2:
+			note.Kind = policy.NoteWaitLoad
+		case 3:
+			continue
+		}
+		p.event(at, note)
+	}
+}
+
+// end ends an attempt unless it has ended; nil where it has.
+func (p *player) end(query uint64, n int, result policy.Result) policy.Event {
+	q := p.queries[query]
+	if n >= len(q.attempts) || q.attempts[n].ended {
+		return nil
+	}
+	a := q.attempts[n]
+	a.ended = true
+	a.engine.attempts--
+	outcome := policy.Outcome{Query: query, Attempt: n, Result: result, Elapsed: p.now - a.sent, Load: policy.Load{Busy: -1, Held: -1}}
+	if result == policy.Served {
+		q.answered = true
+		outcome.Work, outcome.MemoryMB = q.work, 30+100*p.random.Float64()
+		if !p.settings.CostTold {
+			outcome.Work, outcome.MemoryMB = 0, 0
+		}
+	}
+	if result == policy.Served || result == policy.Failed {
+		outcome.Load = p.load(a.engine)
+	}
+	outcome.Final = q.answered
+	return outcome
+}
+
+func (p *player) load(e *fakeEngine) policy.Load {
+	held := float64(e.attempts)
+	return policy.Load{
+		Told: p.settings.LoadTold, Busy: min(held/8, 1), Held: held * (0.9 + 0.2*p.random.Float64()),
+		Waiting: max(held-8, 0), Memory: held / 6, Disks: min(held/10, 1),
+	}
+}
+
+// digestWriter hashes actions in a form that doesn't depend on Go names.
+type digestWriter struct {
+	hash interface {
+		Write([]byte) (int, error)
+		Sum64() uint64
+	}
+}
+
+func newDigestWriter() *digestWriter { return &digestWriter{hash: fnv.New64a()} }
+
+func (d *digestWriter) write(kind int, now time.Duration, values []any) {
+	b := binary.BigEndian.AppendUint64([]byte{byte(kind)}, uint64(now))
+	for _, value := range values {
+		switch v := value.(type) {
+		case uint64:
+			b = binary.BigEndian.AppendUint64(b, v)
+		case int:
+			b = binary.BigEndian.AppendUint64(b, uint64(v))
+		case time.Duration:
+			b = binary.BigEndian.AppendUint64(b, uint64(v))
+		case float64:
+			b = binary.BigEndian.AppendUint64(b, math.Float64bits(v))
+		case string:
+			b = append(append(b, v...), 0)
+		default:
+			panic(fmt.Sprintf("no digest of %T", value))
+		}
+	}
+	d.hash.Write(b)
+}
+
+func (d *digestWriter) float(value float64) {
+	var b [8]byte
+	binary.BigEndian.PutUint64(b[:], math.Float64bits(value))
+	d.hash.Write(b[:])
+}
+
+// BenchmarkDecision measures one arrival with its outcome at a gateway of 40 engines.
+func BenchmarkDecision(b *testing.B) {
+	settings := characterizationSettings()
+	gateway, err := policy.New(settings, 1)
+	if err != nil {
+		b.Fatal(err)
+	}
+	now := time.Minute
+	list := policy.Engines{Mode: policy.ListFull}
+	for i := range 40 {
+		list.Engines = append(list.Engines, policy.Engine{ID: fmt.Sprint("engine-", i), Zone: "a", Kind: "large", State: policy.EngineLive})
+	}
+	actions := gateway.Handle(now, list, nil)
+	b.ReportAllocs()
+	b.ResetTimer()
+	for i := range b.N {
+		now += time.Millisecond
+		id := uint64(i + 1)
+		actions = gateway.Handle(now, policy.Arrive{Query: id, Class: "lookup", Set: int64(i % 20), Deadline: now + time.Second}, actions[:0])
+		actions = gateway.Handle(now, policy.Outcome{Query: id, Result: policy.Served, Elapsed: 90 * time.Millisecond, Final: true}, actions[:0])
+		if i%100 == 0 {
+			actions = gateway.Handle(now, policy.Timer{}, actions[:0])
+		}
+	}
+}
