--- /dev/null
+++ b/internal/shape/stored_test.go
@@ -0,0 +1,136 @@
+package shape
+
+import (
+	"bytes"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	decide "gannetspur/internal/decide/shape"
+	"gannetspur/internal/lab/traffic"
+	"gannetspur/internal/sqltext"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+	"github.com/klauspost/compress/zstd"
+)
+
+var update = flag.Bool("update", false, "write the golden texts anew; the snapshot is never written")
+
+const (
+	storedSnapshot = "testdata/learned.shapes"
+	storedGolden   = "testdata/learned.golden"
+	storedProbes   = "../lab/traffic/testdata/season-seed7-100.traffic"
+)
+
+// describeEstimate writes every figure of an estimate to its last digit.
+func describeEstimate(e decide.Estimate) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "known=%v work=%v spread=%v memory-mb=%v class=%d", e.Known, e.Work, e.Spread, e.MemoryMB, e.Class)
+	for _, v := range []decide.Voice{e.Record, e.Like, e.Prior, e.Hint, e.Key} {
+		fmt.Fprintf(&b, " [%v %v %v %v]", v.Mid, v.Dev, v.N, v.Weight)
+	}
+	return b.String()
+}
+
+// probes are the statements whose estimates are compared.
+func probes(t *testing.T) (all []traffic.Record) {
+	t.Helper()
+	raw, err := os.ReadFile(storedProbes)
+	if err != nil {
+		t.Fatal(err)
+	}
+	reader, err := traffic.NewReader(bytes.NewReader(raw))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer reader.Close()
+	for {
+		var r traffic.Record
+		if err := reader.Next(&r); errors.Is(err, io.EOF) {
+			break
+		} else if err != nil {
+			t.Fatal(err)
+		}
+		all = append(all, r)
+	}
+	for _, value := range []string{"hot", "cold", "never-seen"} {
+		all = append(all, traffic.Record{Statement: "SELECT a FROM stock_1.parts WHERE part = '" + value + "'"})
+	}
+	return all
+}
+
+// A snapshot that an earlier version wrote gives the estimates that it gave then, to the
+// last digit.
+func TestStoredSnapshot(t *testing.T) {
+	snap, err := ReadSnapshot(storedSnapshot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := Restore(Options{Decide: decide.Config{Classes: []decide.Class{{Name: "lookup", UpTo: 800}, {Name: "report"}}}, Bytes: 256 << 10}, snap)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	fmt.Fprintf(&out, "layout=%d keys=%x shapes=%d cut=%d held=%d\n", snap.Layout, snap.Keys, len(snap.Shapes), snap.Cut, b.Len())
+	for i, r := range probes(t) {
+		binds := &sqltext.Binds{Values: r.Values, Formats: r.Formats, Types: r.Types}
+		x := b.Estimate(b.Read(r.Statement), binds, -1, Hint{Work: r.HintWork, MemoryMB: r.HintMB})
+		fmt.Fprintf(&out, "%d held=%v %s\n", i, x.kept != nil, describeEstimate(x.Estimate))
+	}
+	if *update {
+		if err := os.WriteFile(storedGolden, []byte(out.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(storedGolden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(want), out.String()); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// item reads the CBOR item of an encoded snapshot without any type of this program.
+func item(t *testing.T, encoded []byte) (v any) {
+	t.Helper()
+	dec, err := zstd.NewReader(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer dec.Close()
+	plain, err := dec.DecodeAll(encoded[snapshotHead:], nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cbor.Unmarshal(plain, &v); err != nil {
+		t.Fatal(err)
+	}
+	return v
+}
+
+// A stored snapshot that is read and written again is the same item: no name in it has
+// changed, none is missing and none is new.
+func TestStoredSnapshotNames(t *testing.T) {
+	raw, err := os.ReadFile(storedSnapshot)
+	if err != nil {
+		t.Fatal(err)
+	}
+	snap, err := DecodeSnapshot(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := snap.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(item(t, raw), item(t, again)) {
+		t.Error("the snapshot written again is another item")
+	}
+}
