--- /dev/null
+++ b/internal/config/stored_test.go
@@ -0,0 +1,175 @@
+package config
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+	"time"
+
+	"gannetspur/internal/core"
+	"gannetspur/policy"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+const wholePostgres = `
+listen = "127.0.0.1:1"
+settings = "s.json"
+memory_mb = 2
+sockets = 3
+most_clients = 4
+default_class = "five"
+write_class = "six"
+read_only_functions = ["seven"]
+user = "eight"
+database = "nine"
+connect_timeout_ms = 10.5
+idle_close_ms = 11.5
+[[statement]]
+starts = "twelve"
+class = "thirteen"
+key = 14
+read_only = true
+[consul]
+address = "fifteen"
+service = "sixteen"
+token = "seventeen"
+zone = "eighteen"
+kind = "nineteen"
+[shapes]
+enabled = true
+memory_kb = 20
+hysteresis = 21.5
+correct_estimates = true
+snapshot = "twenty-two"
+snapshot_every_s = 23.5
+[[shapes.class]]
+name = "twenty-four"
+up_to_ms = 25.5
+`
+
+// Every key of a deploy file reaches its field.
+func TestDeployKeys(t *testing.T) {
+	var got Postgres
+	c := &checker{file: "whole"}
+	if !decodeTOML(c, []byte(wholePostgres), &got) || c.err() != nil {
+		t.Fatal(c.err())
+	}
+	want := Postgres{
+		Listen: "127.0.0.1:1", Settings: "s.json", MemoryMB: 2, Sockets: 3, MostClients: 4,
+		DefaultClass: "five", WriteClass: "six", ReadOnly: []string{"seven"}, User: "eight", Database: "nine",
+		ConnectWithin: 10.5, IdleClose: 11.5,
+		Statements: []Statement{{Starts: "twelve", Class: "thirteen", Key: 14, ReadOnly: true}},
+		Consul:     Consul{Address: "fifteen", Service: "sixteen", Token: "seventeen", Zone: "eighteen", Kind: "nineteen"},
+		Shapes: Shapes{
+			Enabled: true, MemoryKB: 20, Hysteresis: 21.5, Correct: true, Snapshot: "twenty-two", SnapshotEvery: 23.5,
+			Classes: []ShapeClass{{Name: "twenty-four", UpTo: 25.5}},
+		},
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// Keys are read in capitals too, and one that is not known is a fault with its line.
+func TestDeployKeysOfOtherSpelling(t *testing.T) {
+	var got Postgres
+	c := &checker{file: "f"}
+	if !decodeTOML(c, []byte("Listen = \"a\"\nUSER = \"b\"\n[CONSUL]\nToken = \"c\"\n"), &got) || c.err() != nil {
+		t.Fatal(c.err())
+	}
+	if diff := cmp.Diff(Postgres{Listen: "a", User: "b", Consul: Consul{Token: "c"}}, got); diff != "" {
+		t.Error(diff)
+	}
+	decodeTOML(c, []byte("listen = \"a\"\nsite = 1\n"), &got)
+	if err := c.err(); err == nil || err.Error() != "f:2: site: there is no such field" {
+		t.Errorf("an unknown key: %v", err)
+	}
+}
+
+const wholeSettings = `{"balancers": 1, "zone": "z", "unknown": 0, "over-share-worth": 2, "membership-mode": "on_request", "round-ms": 3,
+"kinds": ["k"], "zones": ["z"], "projects": [{"name": "p", "quota-per-s": 4, "share": 5}],
+"classes": [{"name": "c", "aim-ms": 6, "aim-stretch": 7, "hard-limit-ms": 8, "effect": "idempotency_key", "group": "zone",
+ "importance": 9, "late-share": 10, "streamed": true, "window-ms": 11, "in-order": true, "runs-in": ["r"], "kinds-open": ["o"]}],
+"goal": {"whole": 12, "worst-class": 13, "worst-tenant": 14, "worst-window": 15},
+"costs": {"cross-zone": 16, "waste": 17, "late-fail": 18, "probe": 19},
+"report": {"how": "told", "names": ["n"]},
+"contract": {"answer-slack-ms": 20, "ask-within-ms": 21, "cold-ms": 22, "fall-ms": 23, "start-capacity": 24, "stop-sending-within-ms": 25,
+ "tip-multiple": 26, "settle-after-doubt-ms": 27, "extra-free": 28, "resend-ratio": 29, "look-back-ms": 30},
+"limits": {"cancel": true, "may-probe": true, "connect-timeout-ms": 31, "idle-close-ms": 32, "max-streams": 33, "max-retry-after-ms": 34,
+ "most-tries": 35, "retry-after": true, "second-copies": true},
+"extra": {"cores-by-kind": [36], "memory-by-kind-mb": [37], "grant-cap": 38, "grants-count": true, "is-load": [true], "parallelism": [39],
+ "takes-priority": true, "tells-cost": true, "tells-every-ms": 40, "when-short": "swap", "yields-to-loads": [true]}}`
+
+// wholeSite is what wholeSettings says.
+func wholeSite() Site {
+	const ms = time.Millisecond
+	return Site{
+		Policy: policy.Settings{
+			Gateways: 1, Zone: "z", OverShare: 2, ListAsked: true, Round: 3 * ms,
+			Kinds:   []policy.Kind{{Name: "k", Cores: 36, MemoryMB: 37}},
+			Tenants: []policy.Tenant{{Name: "p", Quota: 4, Share: 5}},
+			Classes: []policy.Class{{
+				Name: "c", Aim: 6 * ms, Stretch: 7, Deadline: 8 * ms, Effect: policy.Keyed, Group: policy.GroupZone, Worth: 9, LateShare: 10,
+				Stream: true, Window: 11 * ms, InOrder: true, Zones: []string{"r"}, Kinds: []string{"o"}, Load: true, Threads: 39, WaitsOnLoad: true,
+			}},
+			Goal:   policy.Goal{Whole: 12, WorstClass: 13, WorstTenant: 14, WorstWindow: 15},
+			Prices: policy.Prices{CrossZone: 16, Waste: 17, LateFail: 18, Probe: 19},
+			Rules: policy.Rules{
+				AnswerSlack: 20 * ms, AskListWithin: 21 * ms, ColdFor: 22 * ms, TipFor: 23 * ms, ColdStart: 24, DrainGrace: 25 * ms,
+				TipMultiple: 26, Settle: 27 * ms, ExtraFree: 28, ExtraShare: 29, LookBack: 30 * ms,
+			},
+			Limits: policy.Limits{
+				Cancel: true, Probes: true, ConnectWithin: 31 * ms, MostComeBack: 34 * ms, Tries: 35, ComeBack: true, Copies: true,
+			},
+			LoadTold: true, MostGrant: 38, GrantsHeeded: true, PriorityHeeds: true, CostTold: true, NoteEvery: 40 * ms, Short: policy.ShortSwap,
+		},
+		Reports: []string{"n"}, Zones: []string{"z"}, Kinds: []string{"k"}, MaxStreams: 33, ConnectTimeout: 31 * ms, IdleClose: 32 * ms, NoteEvery: 40 * ms,
+	}
+}
+
+// Every key of the settings object reaches its setting, in small letters or capitals.
+func TestSettingsKeys(t *testing.T) {
+	for _, text := range []string{wholeSettings, strings.NewReplacer(`"balancers"`, `"Balancers"`, `"whole"`, `"WHOLE"`).Replace(wholeSettings)} {
+		var got Site
+		if err := json.Unmarshal([]byte(text), &got); err != nil {
+			t.Fatal(err)
+		}
+		if diff := cmp.Diff(wholeSite(), got); diff != "" {
+			t.Error(diff)
+		}
+	}
+}
+
+// Faults name the settings' keys as the file spells them.
+func TestSettingsFaultsNameKeys(t *testing.T) {
+	for key, text := range map[string]string{
+		"balancers": `{"balancers": "x"}`, "classes.name": `{"classes": [{"name": 1}]}`, "projects.share": `{"projects": [{"share": "x"}]}`,
+		"goal.whole": `{"goal": {"whole": "x"}}`, "report.how": `{"report": {"how": 1}}`, "limits.cancel": `{"limits": {"cancel": 1}}`,
+	} {
+		var s Site
+		err := json.Unmarshal([]byte(text), &s)
+		if field, _ := splitField(err); !strings.EqualFold(field, key) {
+			t.Errorf("%s: %v", key, err)
+		}
+	}
+}
+
+// Every key of the platform's configuration reaches its field.
+func TestConfigurationKeys(t *testing.T) {
+	got, err := Parse([]byte(`{"name": "n", "listen": "127.0.0.1:1", "seed": "ff", "limits": {"memory_mb": 2, "sockets": 3}, "bus": "127.0.0.1:4",
+"known": {"offset": 5, "batch": [{"offset": 6, "topology": {"all": true, "targets": [{"uid": "u", "endpoint": "127.0.0.1:7", "az": "a",
+"model": "m", "pod_group": 8, "state": "terminating", "boot_ms": 9}]}}]}, "settings": ` + wholeSettings + `}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	engine := core.Engine{Addr: "127.0.0.1:7", Engine: policy.Engine{ID: "u", Zone: "a", Kind: "m", Cell: 8, State: policy.EngineDraining}}
+	engine.Started, engine.Fresh = 9*time.Millisecond, true
+	want := &Config{
+		Name: "n", Listen: "127.0.0.1:1", Seed: 255, MemoryMB: 2, Sockets: 3, Bus: "127.0.0.1:4", Offset: 6,
+		Known: []Event{{Whole: true, Engines: []core.Engine{engine}}}, Site: wholeSite(),
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+}
