--- a/cmd/ringlab/main.go
+++ b/cmd/ringlab/main.go
@@ -11,9 +11,9 @@
 )
 
 type cli struct {
-	Traffic trafficCommand `cmd:"" help:"Recorded traffic: make it, look at it, sum it up."`
-	Shapes  shapesCommand  `cmd:"" help:"Judge the classifier of statements, and flood its cache."`
-	Try     tryCommand     `cmd:"" help:"Start emulated engines, a bus, a Consul stand-in and both fronts on loopback, until Ctrl-C."`
+	Traffic trafficCommand `name:"traffic" cmd:"" help:"Recorded traffic: make it, look at it, sum it up."`
+	Shapes  shapesCommand  `name:"shapes" cmd:"" help:"Judge the classifier of statements, and flood its cache."`
+	Try     tryCommand     `name:"try" cmd:"" help:"Start emulated engines, a bus, a Consul stand-in and both fronts on loopback, until Ctrl-C."`
 }
 
 func main() {
--- a/cmd/ringlab/shapes.go
+++ b/cmd/ringlab/shapes.go
@@ -19,18 +19,18 @@
 )
 
 type shapesCommand struct {
-	Evaluate evaluateCommand `cmd:"" help:"Judge classes and estimates on recorded traffic, with each part switched off in turn."`
-	Flood    floodCommand    `cmd:"" help:"Flood the cache with shapes that come once while others recur."`
-	Cost     costCommand     `cmd:"" help:"Measure the CPU that reading shapes adds to a request through the PostgreSQL front."`
+	Evaluate evaluateCommand `name:"evaluate" cmd:"" help:"Judge classes and estimates on recorded traffic, with each part switched off in turn."`
+	Flood    floodCommand    `name:"flood" cmd:"" help:"Flood the cache with shapes that come once while others recur."`
+	Cost     costCommand     `name:"cost" cmd:"" help:"Measure the CPU that reading shapes adds to a request through the PostgreSQL front."`
 }
 
 type evaluateCommand struct {
 	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; without any, worlds are made from the seeds."`
-	Seeds  []uint64 `default:"1,2,3,4,5" help:"Of worlds that are made here."`
-	Number int      `default:"20000" help:"Statements of each such world."`
-	Train  float64  `default:"0.5" help:"Share of the records that is not judged."`
-	Kbytes int      `default:"2048" help:"Bound of the cache."`
-	Out    string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-evaluate.*."`
+	Seeds  []uint64 `name:"seeds" default:"1,2,3,4,5" help:"Of worlds that are made here."`
+	Number int      `name:"number" default:"20000" help:"Statements of each such world."`
+	Train  float64  `name:"train" default:"0.5" help:"Share of the records that is not judged."`
+	Kbytes int      `name:"kbytes" default:"2048" help:"Bound of the cache."`
+	Out    string   `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-evaluate.*."`
 }
 
 // medians of the results of one variant over all files, with the spread.
@@ -134,12 +134,12 @@
 }
 
 type floodCommand struct {
-	Seeds     []uint64 `default:"1,2,3,4,5" help:"One run each."`
-	Recurring int      `default:"200" help:"Shapes that come again."`
-	OneOff    int      `default:"1000000" help:"Shapes that come once."`
-	Share     float64  `default:"0.2" help:"Of statements that are of recurring shapes."`
-	Kbytes    int      `default:"1024" help:"Bound of the cache."`
-	Out       string   `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-flood.*."`
+	Seeds     []uint64 `name:"seeds" default:"1,2,3,4,5" help:"One run each."`
+	Recurring int      `name:"recurring" default:"200" help:"Shapes that come again."`
+	OneOff    int      `name:"one-off" default:"1000000" help:"Shapes that come once."`
+	Share     float64  `name:"share" default:"0.2" help:"Of statements that are of recurring shapes."`
+	Kbytes    int      `name:"kbytes" default:"1024" help:"Bound of the cache."`
+	Out       string   `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-flood.*."`
 }
 
 func (c *floodCommand) Run() error {
@@ -170,13 +170,13 @@
 }
 
 type costCommand struct {
-	Ringwood string `placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
-	Clients  int    `default:"8" help:"Connections."`
-	Requests int    `default:"40000" help:"Of each round."`
-	Rounds   int    `default:"5" help:"Pairs of rounds, without and with."`
-	Prepared bool   `help:"Statements are prepared once and bound again, in place of a Query each."`
-	Seed     uint64 `default:"1" help:"Of the statements."`
-	Out      string `placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-cost-query.* or shapes-cost-prepared.*."`
+	Ringwood string `name:"ringwood" placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
+	Clients  int    `name:"clients" default:"8" help:"Connections."`
+	Requests int    `name:"requests" default:"40000" help:"Of each round."`
+	Rounds   int    `name:"rounds" default:"5" help:"Pairs of rounds, without and with."`
+	Prepared bool   `name:"prepared" help:"Statements are prepared once and bound again, in place of a Query each."`
+	Seed     uint64 `name:"seed" default:"1" help:"Of the statements."`
+	Out      string `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-cost-query.* or shapes-cost-prepared.*."`
 }
 
 func (c *costCommand) Run() error {
--- a/cmd/ringlab/traffic.go
+++ b/cmd/ringlab/traffic.go
@@ -20,23 +20,23 @@
 )
 
 type trafficCommand struct {
-	Generate generateCommand `cmd:"" help:"Write a file of seeded traffic on the model of the register."`
-	Show     showCommand     `cmd:"" help:"Print records."`
-	Stats    statsCommand    `cmd:"" help:"Sum a file up."`
+	Generate generateCommand `name:"generate" cmd:"" help:"Write a file of seeded traffic on the model of the register."`
+	Show     showCommand     `name:"show" cmd:"" help:"Print records."`
+	Stats    statsCommand    `name:"stats" cmd:"" help:"Sum a file up."`
 }
 
 // world are the flags that make a world of the model.
 type world struct {
-	Seed        uint64  `default:"1" help:"Of everything that is drawn."`
-	Number      int     `default:"20000" help:"How many statements."`
-	Templates   int     `default:"200" help:"Shapes that recur."`
-	OneOff      float64 `default:"0.05" help:"Share of statements whose shape never comes again."`
-	Hard        float64 `default:"0.04" help:"Share of lookups whose values make them broad reports."`
-	Writes      float64 `default:"0.02" help:"Share of statements that write and are no loads."`
-	DriftAt     float64 `default:"0.6" help:"When the table of orders has grown, as a share of the statements; 0: never."`
-	Drift       float64 `default:"3" help:"And by which factor."`
-	HintNoise   float64 `default:"0.7" help:"Scatter of the clients' estimates, of the natural logarithm."`
-	HintMissing float64 `default:"0.15" help:"Share of statements without one."`
+	Seed        uint64  `name:"seed" default:"1" help:"Of everything that is drawn."`
+	Number      int     `name:"number" default:"20000" help:"How many statements."`
+	Templates   int     `name:"templates" default:"200" help:"Shapes that recur."`
+	OneOff      float64 `name:"one-off" default:"0.05" help:"Share of statements whose shape never comes again."`
+	Hard        float64 `name:"hard" default:"0.04" help:"Share of lookups whose values make them broad reports."`
+	Writes      float64 `name:"writes" default:"0.02" help:"Share of statements that write and are no loads."`
+	DriftAt     float64 `name:"drift-at" default:"0.6" help:"When the table of orders has grown, as a share of the statements; 0: never."`
+	Drift       float64 `name:"drift" default:"3" help:"And by which factor."`
+	HintNoise   float64 `name:"hint-noise" default:"0.7" help:"Scatter of the clients' estimates, of the natural logarithm."`
+	HintMissing float64 `name:"hint-missing" default:"0.15" help:"Share of statements without one."`
 }
 
 func (w world) options() register.Options {
@@ -48,9 +48,9 @@
 
 type generateCommand struct {
 	world
-	File  string  `arg:"" help:"The file to write."`
-	Rate  float64 `default:"99" help:"Statements a second on average."`
-	Comes string  `enum:"poisson,bursts,season" default:"season" help:"How they come: ${enum}."`
+	File  string  `name:"file" arg:"" help:"The file to write."`
+	Rate  float64 `name:"rate" default:"99" help:"Statements a second on average."`
+	Comes string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"How they come: ${enum}."`
 }
 
 func (c *generateCommand) Run() (err error) {
@@ -104,10 +104,10 @@
 }
 
 type showCommand struct {
-	File string `arg:"" help:"The file."`
-	From int    `default:"0" help:"The first record to print, from 0."`
-	Most int    `default:"20" help:"How many."`
-	Hard bool   `help:"Only the hard cases."`
+	File string `name:"file" arg:"" help:"The file."`
+	From int    `name:"from" default:"0" help:"The first record to print, from 0."`
+	Most int    `name:"most" default:"20" help:"How many."`
+	Hard bool   `name:"hard" help:"Only the hard cases."`
 }
 
 func (c *showCommand) Run() error {
@@ -134,7 +134,7 @@
 }
 
 type statsCommand struct {
-	File string `arg:"" help:"The file."`
+	File string `name:"file" arg:"" help:"The file."`
 }
 
 func (c *statsCommand) Run() error {
--- a/cmd/ringwood/completion.go
+++ b/cmd/ringwood/completion.go
@@ -8,7 +8,7 @@
 )
 
 type completionCommand struct {
-	Shell string `arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
+	Shell string `name:"shell" arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
 }
 
 // Run prints a script made from the grammar, so that it can't fall behind it.
--- a/cmd/ringwood/main.go
+++ b/cmd/ringwood/main.go
@@ -21,20 +21,20 @@
 
 // cli is the grammar of the command line.
 type cli struct {
-	LogFormat string `enum:"auto,json,text" default:"auto" help:"How events are logged: ${enum}; auto is text on a terminal, else JSON."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"From which level on events are logged: ${enum}."`
+	LogFormat string `name:"log-format" enum:"auto,json,text" default:"auto" help:"How events are logged: ${enum}; auto is text on a terminal, else JSON."`
+	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" help:"From which level on events are logged: ${enum}."`
 
-	Serve      serveCommand      `cmd:"" default:"withargs" help:"Serve. This is what ringwood does without a command."`
-	Check      checkCommand      `cmd:"" help:"Read settings and deploy files and name every fault in them."`
-	Shapes     shapesCommand     `cmd:"" help:"What is known of the shapes of statements."`
-	Completion completionCommand `cmd:"" help:"Print a script that completes commands and flags in a shell."`
-	Version    versionCommand    `cmd:"" help:"Print the version."`
+	Serve      serveCommand      `name:"serve" cmd:"" default:"withargs" help:"Serve. This is what ringwood does without a command."`
+	Check      checkCommand      `name:"check" cmd:"" help:"Read settings and deploy files and name every fault in them."`
+	Shapes     shapesCommand     `name:"shapes" cmd:"" help:"What is known of the shapes of statements."`
+	Completion completionCommand `name:"completion" cmd:"" help:"Print a script that completes commands and flags in a shell."`
+	Version    versionCommand    `name:"version" cmd:"" help:"Print the version."`
 }
 
 type serveCommand struct {
-	Config   string `env:"LB_CONFIG" placeholder:"FILE" help:"The platform's configuration, as JSON."`
-	Postgres string `placeholder:"FILE" help:"Serve the PostgreSQL wire protocol as this deploy file says, in place of the platform's."`
-	Shapes   string `placeholder:"FILE" help:"Estimate by the shapes of statements as this file says; of the platform's front. The PostgreSQL front has [shapes] in its deploy file."`
+	Config   string `name:"config" env:"LB_CONFIG" placeholder:"FILE" help:"The platform's configuration, as JSON."`
+	Postgres string `name:"postgres" placeholder:"FILE" help:"Serve the PostgreSQL wire protocol as this deploy file says, in place of the platform's."`
+	Shapes   string `name:"shapes" placeholder:"FILE" help:"Estimate by the shapes of statements as this file says; of the platform's front. The PostgreSQL front has [shapes] in its deploy file."`
 }
 
 func (c *serveCommand) Run(all *cli) error {
--- a/cmd/ringwood/shapes.go
+++ b/cmd/ringwood/shapes.go
@@ -15,19 +15,19 @@
 )
 
 type shapesCommand struct {
-	Explain explainCommand `cmd:"" help:"Show how a statement is read, classed and costed, and why."`
-	Top     topCommand     `cmd:"" help:"List the shapes of a snapshot that take the most work."`
-	Diff    diffCommand    `cmd:"" help:"List the shapes whose cost differs most between two snapshots."`
+	Explain explainCommand `name:"explain" cmd:"" help:"Show how a statement is read, classed and costed, and why."`
+	Top     topCommand     `name:"top" cmd:"" help:"List the shapes of a snapshot that take the most work."`
+	Diff    diffCommand    `name:"diff" cmd:"" help:"List the shapes whose cost differs most between two snapshots."`
 }
 
 type explainCommand struct {
-	SQL      string    `arg:"" help:"The statement."`
-	Bind     []string  `sep:"none" placeholder:"VALUE" help:"A bound value as text, in order; NULL is null. May be given again."`
-	Snapshot string    `placeholder:"FILE" help:"What is known; without it, only what the text shows."`
-	Hint     float64   `placeholder:"MS" help:"The client's estimate of the work."`
-	Known    int       `default:"-1" help:"Place of the class that is known already, from 0; -1: none."`
-	Bounds   []float64 `default:"800" help:"Where one class of reading statements ends and the next begins, in ms."`
-	Readers  []string  `help:"Functions that only read, beside PostgreSQL's own."`
+	SQL      string    `name:"sql" arg:"" help:"The statement."`
+	Bind     []string  `name:"bind" sep:"none" placeholder:"VALUE" help:"A bound value as text, in order; NULL is null. May be given again."`
+	Snapshot string    `name:"snapshot" placeholder:"FILE" help:"What is known; without it, only what the text shows."`
+	Hint     float64   `name:"hint" placeholder:"MS" help:"The client's estimate of the work."`
+	Known    int       `name:"known" default:"-1" help:"Place of the class that is known already, from 0; -1: none."`
+	Bounds   []float64 `name:"bounds" default:"800" help:"Where one class of reading statements ends and the next begins, in ms."`
+	Readers  []string  `name:"readers" help:"Functions that only read, beside PostgreSQL's own."`
 }
 
 // Run prints what a gateway would make of the statement.
@@ -128,8 +128,8 @@
 }
 
 type topCommand struct {
-	Snapshot string `arg:"" help:"The file."`
-	Most     int    `default:"20" help:"How many."`
+	Snapshot string `name:"snapshot" arg:"" help:"The file."`
+	Most     int    `name:"most" default:"20" help:"How many."`
 }
 
 // Run lists shapes by the work that all their executions took together.
@@ -181,10 +181,10 @@
 }
 
 type diffCommand struct {
-	Old  string  `arg:"" help:"The older file."`
-	New  string  `arg:"" help:"The newer file."`
-	Most int     `default:"20" help:"How many."`
-	Over float64 `default:"1.5" help:"The least factor between the two that is told."`
+	Old  string  `name:"old" arg:"" help:"The older file."`
+	New  string  `name:"new" arg:"" help:"The newer file."`
+	Most int     `name:"most" default:"20" help:"How many."`
+	Over float64 `name:"over" default:"1.5" help:"The least factor between the two that is told."`
 }
 
 // Run lists what has changed, what has come and what has gone.
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -13,35 +13,41 @@
 
 // Postgres is the deploy file of the second front.
 type Postgres struct {
-	Listen        string      // where clients connect; "": the front is off
-	Settings      string      // the settings, as JSON, in a file beside this one
+	Listen        string      `toml:"listen"`   // where clients connect; "": the front is off
+	Settings      string      `toml:"settings"` // the settings, as JSON, in a file beside this one
 	MemoryMB      int         `toml:"memory_mb"`
-	Sockets       int         // descriptor limit
+	Sockets       int         `toml:"sockets"` // descriptor limit
 	MostClients   int         `toml:"most_clients"`
 	DefaultClass  string      `toml:"default_class"`
 	WriteClass    string      `toml:"write_class"`         // of what may write and has no class of its own; "": the first that runs once at most
 	ReadOnly      []string    `toml:"read_only_functions"` // names, with their schema where they need one
 	Statements    []Statement `toml:"statement"`
-	User          string      // that engines are told
-	Database      string
-	ConnectWithin float64 `toml:"connect_timeout_ms"`
-	IdleClose     float64 `toml:"idle_close_ms"`
-	Consul        Consul
-	Shapes        Shapes
-	Site          Site `toml:"-"`
+	User          string      `toml:"user"` // that engines are told
+	Database      string      `toml:"database"`
+	ConnectWithin float64     `toml:"connect_timeout_ms"`
+	IdleClose     float64     `toml:"idle_close_ms"`
+	Consul        Consul      `toml:"consul"`
+	Shapes        Shapes      `toml:"shapes"`
+	Site          Site        `toml:"-"`
 }
 
 // Statement gives a class to statements that begin with some words, and names
 // the parameter that holds their key.
 type Statement struct {
-	Starts   string
-	Class    string
-	Key      int
-	ReadOnly bool `toml:"read_only"`
+	Starts   string `toml:"starts"`
+	Class    string `toml:"class"`
+	Key      int    `toml:"key"`
+	ReadOnly bool   `toml:"read_only"`
 }
 
 // Consul is where the roster of engines is read.
-type Consul struct{ Address, Service, Token, Zone, Kind string }
+type Consul struct {
+	Address string `toml:"address"`
+	Service string `toml:"service"`
+	Token   string `toml:"token"`
+	Zone    string `toml:"zone"`
+	Kind    string `toml:"kind"`
+}
 
 // LoadPostgres reads the deploy file of the second front, and the settings that it names.
 // Its error tells of all faults, each with its file, line and field (see FaultsOf).
--- a/internal/config/profile.go
+++ b/internal/config/profile.go
@@ -47,15 +47,15 @@
 
 // profile is the settings object of INIT; keys that it does not name are skipped.
 type profile struct {
-	Balancers int
-	Zone      string
+	Balancers int    `json:"balancers"`
+	Zone      string `json:"zone"`
 	Classes   []struct {
-		Name      string
-		Aim       float64 `json:"aim-ms"`
-		Stretch   float64 `json:"aim-stretch"`
-		Hard      float64 `json:"hard-limit-ms"`
-		Effect    string
-		Group     string
+		Name      string   `json:"name"`
+		Aim       float64  `json:"aim-ms"`
+		Stretch   float64  `json:"aim-stretch"`
+		Hard      float64  `json:"hard-limit-ms"`
+		Effect    string   `json:"effect"`
+		Group     string   `json:"group"`
 		Worth     float64  `json:"importance"`
 		Late      float64  `json:"late-share"`
 		Streamed  bool     `json:"streamed"`
@@ -63,33 +63,33 @@
 		InOrder   bool     `json:"in-order"`
 		RunsIn    []string `json:"runs-in"`
 		KindsOpen []string `json:"kinds-open"`
-	}
-	Kinds    []string
-	Zones    []string
+	} `json:"classes"`
+	Kinds    []string `json:"kinds"`
+	Zones    []string `json:"zones"`
 	Projects []struct {
-		Name  string
+		Name  string  `json:"name"`
 		Quota float64 `json:"quota-per-s"`
-		Share float64
-	}
+		Share float64 `json:"share"`
+	} `json:"projects"`
 	OverShare float64 `json:"over-share-worth"`
 	Mode      string  `json:"membership-mode"`
 	Round     float64 `json:"round-ms"`
 	Goal      struct {
-		Whole       float64
+		Whole       float64 `json:"whole"`
 		WorstClass  float64 `json:"worst-class"`
 		WorstTenant float64 `json:"worst-tenant"`
 		WorstWindow float64 `json:"worst-window"`
-	}
+	} `json:"goal"`
 	Costs struct {
 		CrossZone float64 `json:"cross-zone"`
-		Waste     float64
+		Waste     float64 `json:"waste"`
 		LateFail  float64 `json:"late-fail"`
-		Probe     float64
-	}
+		Probe     float64 `json:"probe"`
+	} `json:"costs"`
 	Report struct {
-		How   string
-		Names []string
-	}
+		How   string   `json:"how"`
+		Names []string `json:"names"`
+	} `json:"report"`
 	Contract struct {
 		Slack      float64 `json:"answer-slack-ms"`
 		Ask        float64 `json:"ask-within-ms"`
@@ -102,9 +102,9 @@
 		ExtraFree  float64 `json:"extra-free"`
 		ExtraShare float64 `json:"resend-ratio"`
 		LookBack   float64 `json:"look-back-ms"`
-	}
+	} `json:"contract"`
 	Limits struct {
-		Cancel    bool
+		Cancel    bool    `json:"cancel"`
 		Probes    bool    `json:"may-probe"`
 		Connect   float64 `json:"connect-timeout-ms"`
 		IdleClose float64 `json:"idle-close-ms"`
@@ -113,7 +113,7 @@
 		Tries     int     `json:"most-tries"`
 		ComeBack  bool    `json:"retry-after"`
 		Copies    bool    `json:"second-copies"`
-	}
+	} `json:"limits"`
 	Extra struct {
 		Cores     []float64 `json:"cores-by-kind"`
 		Memory    []float64 `json:"memory-by-kind-mb"`
@@ -126,7 +126,7 @@
 		Tells     float64   `json:"tells-every-ms"`
 		Short     string    `json:"when-short"`
 		Yields    []bool    `json:"yields-to-loads"`
-	}
+	} `json:"extra"`
 }
 
 var effects = map[string]policy.Effect{
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -13,18 +13,18 @@
 // Shapes says how statements are classed and costed by their shape: the table [shapes]
 // of the PostgreSQL front's deploy file, or a file of its own for the platform's front.
 type Shapes struct {
-	Enabled       bool         // off: classes and estimates are what clients and rules say
+	Enabled       bool         `toml:"enabled"`           // off: classes and estimates are what clients and rules say
 	MemoryKB      int          `toml:"memory_kb"`         // of records and their upkeep, 64 to a quarter of memory_mb; usual: 2048
 	Hysteresis    float64      `toml:"hysteresis"`        // factor past the bound of a class before a shape changes over, 1 to 10; usual: 1.3
 	Correct       bool         `toml:"correct_estimates"` // what is expected goes to the decisions in place of the client's estimate
-	Snapshot      string       // file that what was learned survives a restart in; "": none
-	SnapshotEvery float64      `toml:"snapshot_every_s"` // 10 to 86400; usual: 300
-	Classes       []ShapeClass `toml:"class"`            // of reading statements, the cheapest first; none: classes are not decided
+	Snapshot      string       `toml:"snapshot"`          // file that what was learned survives a restart in; "": none
+	SnapshotEvery float64      `toml:"snapshot_every_s"`  // 10 to 86400; usual: 300
+	Classes       []ShapeClass `toml:"class"`             // of reading statements, the cheapest first; none: classes are not decided
 }
 
 // ShapeClass is a class that reading statements are sorted into.
 type ShapeClass struct {
-	Name string
+	Name string  `toml:"name"`
 	UpTo float64 `toml:"up_to_ms"` // expected time; the last class has none
 }
 
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -149,7 +149,7 @@
 	} {
 		var s Site
 		err := json.Unmarshal([]byte(text), &s)
-		if field, _ := splitField(err); !strings.EqualFold(field, key) {
+		if field, _ := splitField(err); field != key {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
--- a/internal/decide/shape/heavy.go
+++ b/internal/decide/shape/heavy.go
@@ -6,7 +6,7 @@
 // value that is new costs a bounded time. Keys are seeded hashes: an outsider can't
 // choose which values meet in a set.
 type heavy struct {
-	Sets [heavySets][heavyWays]heavyKey
+	Sets [heavySets][heavyWays]heavyKey `cbor:"Sets"`
 }
 
 const (
@@ -17,11 +17,12 @@
 )
 
 type heavyKey struct {
-	Key    uint64
-	Count  uint32
-	Offset Track // of the cost: from the estimate, or, of values that look alike, from what the shape usually costs
+	Key    uint64 `cbor:"Key"`
+	Count  uint32 `cbor:"Count"`
+	Offset Track  `cbor:"Offset"` // of the cost: from the estimate, or, of values that look alike, from what the shape usually costs
 	// Of values that look alike: the errors that these two voices made on them.
-	Prior, Hint Track
+	Prior Track `cbor:"Prior"`
+	Hint  Track `cbor:"Hint"`
 }
 
 // telling tells whether enough is known of the value to correct by it.
--- a/internal/decide/shape/prior.go
+++ b/internal/decide/shape/prior.go
@@ -42,10 +42,10 @@
 // squares with forgetting (Haykin, "Adaptive Filter Theory", chapter on RLS), with
 // errors clipped so that one voice moves little.
 type prior struct {
-	W     vector
-	P     [dims][dims]float64
-	N     int
-	Track Track // of its own errors
+	W     vector              `cbor:"W"`
+	P     [dims][dims]float64 `cbor:"P"`
+	N     int                 `cbor:"N"`
+	Track Track               `cbor:"Track"` // of its own errors
 }
 
 const (
--- a/internal/decide/shape/shape.go
+++ b/internal/decide/shape/shape.go
@@ -82,22 +82,22 @@
 
 // Entry is what is kept of one shape. Its size does not depend on the shape.
 type Entry struct {
-	Seen    uint32 // executions, saturating
-	All     Track  // of the cost, whatever the values
-	Offset  Track  // of the cost against the prior
-	Usual   Track  // of what the prior says of its executions
-	Hint    Track  // of the cost against the hint
-	Memory  Track  // of the memory against its hint
-	Buckets [mostBuckets]Bucket
+	Seen    uint32              `cbor:"Seen"`   // executions, saturating
+	All     Track               `cbor:"All"`    // of the cost, whatever the values
+	Offset  Track               `cbor:"Offset"` // of the cost against the prior
+	Usual   Track               `cbor:"Usual"`  // of what the prior says of its executions
+	Hint    Track               `cbor:"Hint"`   // of the cost against the hint
+	Memory  Track               `cbor:"Memory"` // of the memory against its hint
+	Buckets [mostBuckets]Bucket `cbor:"Buckets"`
 }
 
 // Bucket is the record of the executions of one shape whose values look alike.
 type Bucket struct {
-	Key    uint32
-	Used   uint32 // Seen of the entry when it was last used
-	Work   Track
-	Memory Track
-	Class  uint8 // 1 and up: place of the class last decided; 0: none yet
+	Key    uint32 `cbor:"Key"`
+	Used   uint32 `cbor:"Used"` // Seen of the entry when it was last used
+	Work   Track  `cbor:"Work"`
+	Memory Track  `cbor:"Memory"`
+	Class  uint8  `cbor:"Class"` // 1 and up: place of the class last decided; 0: none yet
 }
 
 // Query is one execution as the decision sees it.
@@ -144,15 +144,22 @@
 
 // state is what a model has learned, but for its prior.
 type state struct {
-	All   [knownClasses]common // by known class, for shapes without a record
-	Heavy heavy                // values that come often
-	Like  heavy                // values that look alike
-	Fresh [3]fresh             // errors on values new to a shape, by how strange these are
+	All   [knownClasses]common `cbor:"All"`   // by known class, for shapes without a record
+	Heavy heavy                `cbor:"Heavy"` // values that come often
+	Like  heavy                `cbor:"Like"`  // values that look alike
+	Fresh [3]fresh             `cbor:"Fresh"` // errors on values new to a shape, by how strange these are
 }
 
-type common struct{ Hint, HintMB, Memory Track }
+type common struct {
+	Hint   Track `cbor:"Hint"`
+	HintMB Track `cbor:"HintMB"`
+	Memory Track `cbor:"Memory"`
+}
 
-type fresh struct{ Prior, Hint Track }
+type fresh struct {
+	Prior Track `cbor:"Prior"`
+	Hint  Track `cbor:"Hint"`
+}
 
 // strangeness sorts how far the prior finds an execution from the shape's usual ones.
 func strangeness(unusual float64) int {
--- a/internal/decide/shape/state.go
+++ b/internal/decide/shape/state.go
@@ -10,8 +10,8 @@
 // State is what a model has learned, in a form that can be written down. Its layout goes
 // with Layout: one of another layout can't be taken.
 type State struct {
-	Prior  prior
-	Common state
+	Prior  prior `cbor:"Prior"`
+	Common state `cbor:"Common"`
 }
 
 // Layout changes whenever what a State or an Entry holds changes its meaning.
--- a/internal/decide/shape/track.go
+++ b/internal/decide/shape/track.go
@@ -10,10 +10,10 @@
 // one side raises the step, as a CUSUM chart would (Page, "Continuous Inspection
 // Schemes", 1954).
 type Track struct {
-	Mid float32 // log2
-	Dev float32 // mean distance from it, in powers of two
-	N   float32 // values seen, at most trackMost
-	Run int8    // errors in a row on one side; the sign is the side's
+	Mid float32 `cbor:"Mid"` // log2
+	Dev float32 `cbor:"Dev"` // mean distance from it, in powers of two
+	N   float32 `cbor:"N"`   // values seen, at most trackMost
+	Run int8    `cbor:"Run"` // errors in a row on one side; the sign is the side's
 }
 
 const (
--- a/internal/lab/emul/emul.go
+++ b/internal/lab/emul/emul.go
@@ -67,14 +67,24 @@
 // knows the only index waits until its time is over, as the API's blocking queries do.
 func Consul(service string, instances []Instance) http.Handler {
 	type entry struct {
-		Node, Address, Datacenter, ServiceID string
-		ServicePort                          int
+		Node        string `json:"Node"`
+		Address     string `json:"Address"`
+		Datacenter  string `json:"Datacenter"`
+		ServiceID   string `json:"ServiceID"`
+		ServicePort int    `json:"ServicePort"`
+	}
+	type check struct {
+		CheckID string `json:"CheckID"`
+		Status  string `json:"Status"`
 	}
-	type check struct{ CheckID, Status string }
 	type health struct {
-		Node    struct{ Node string }
-		Service struct{ ID string }
-		Checks  []check
+		Node struct {
+			Node string `json:"Node"`
+		} `json:"Node"`
+		Service struct {
+			ID string `json:"ID"`
+		} `json:"Service"`
+		Checks []check `json:"Checks"`
 	}
 	var catalogue []entry
 	var checks []health
--- a/internal/lab/traffic/generate.go
+++ b/internal/lab/traffic/generate.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	t, err := NewWriter(w, Head{Seed: opts.Seed, Model: fmt.Sprintf("%+v", opts), Rate: rate, Comes: string(how), Number: number})
+	t, err := NewWriter(w, Head{Seed: opts.Seed, Model: modelOptions(opts), Rate: rate, Comes: string(how), Number: number})
 	if err != nil {
 		return err
 	}
@@ -106,6 +106,13 @@
 	return t.Close()
 }
 
+// modelOptions writes the options as the head of a file holds them. The names are part
+// of the format, whatever the fields are called.
+func modelOptions(o register.Options) string {
+	return fmt.Sprintf("{Seed:%v Templates:%v OneOff:%v Hard:%v Writes:%v DriftAt:%v Drift:%v HintNoise:%v HintMissing:%v}",
+		o.Seed, o.Templates, o.OneOff, o.Hard, o.Writes, o.DriftAt, o.Drift, o.HintNoise, o.HintMissing)
+}
+
 // FromAsked turns a statement of the model into a record.
 func FromAsked(q register.Asked) Record {
 	return Record{
--- a/internal/roster/consul/consul.go
+++ b/internal/roster/consul/consul.go
@@ -140,21 +140,29 @@
 
 // registration is what is read of one element of the catalogue's answer.
 type registration struct {
-	Node, Address, Datacenter string
-	NodeMeta                  map[string]string
-	ServiceID, ServiceAddress string
-	ServicePort               int
-	ServiceMeta               map[string]string
+	Node           string            `json:"Node"`
+	Address        string            `json:"Address"`
+	Datacenter     string            `json:"Datacenter"`
+	NodeMeta       map[string]string `json:"NodeMeta"`
+	ServiceID      string            `json:"ServiceID"`
+	ServiceAddress string            `json:"ServiceAddress"`
+	ServicePort    int               `json:"ServicePort"`
+	ServiceMeta    map[string]string `json:"ServiceMeta"`
 }
 
 // entry is what is read of one element of the health API's answer.
 type entry struct {
-	Node    struct{ Node string }
+	Node struct {
+		Node string `json:"Node"`
+	} `json:"Node"`
 	Service struct {
-		ID   string
-		Meta map[string]string
-	}
-	Checks []struct{ CheckID, Status string }
+		ID   string            `json:"ID"`
+		Meta map[string]string `json:"Meta"`
+	} `json:"Service"`
+	Checks []struct {
+		CheckID string `json:"CheckID"`
+		Status  string `json:"Status"`
+	} `json:"Checks"`
 }
 
 // ask makes one blocking query and reads the answer into list.
