--- /dev/null
+++ b/internal/stories/golden_test.go
@@ -0,0 +1,122 @@
+package stories
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"testing"
+)
+
+// update has the golden files written from what the front ends answer now.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// longRun is the least number of equal bytes in a row that a transcript abbreviates.
+const longRun = 40
+
+// transcript records the bytes of an exchange, for comparison with a golden file. Each
+// line holds the name of the connection, the direction and a quoted piece of the stream.
+type transcript struct {
+	t    *testing.T
+	text strings.Builder
+}
+
+func newTranscript(t *testing.T) *transcript { return &transcript{t: t} }
+
+// add records one piece; a run of one byte is written as its length and the byte.
+func (tr *transcript) add(connection, direction string, piece []byte) {
+	fmt.Fprintf(&tr.text, "%s%s", connection, direction)
+	for len(piece) > 0 {
+		plain, run := splitAtRun(piece)
+		if len(plain) > 0 {
+			fmt.Fprintf(&tr.text, " %q", plain)
+		}
+		if run > 0 {
+			fmt.Fprintf(&tr.text, " %d*%q", run, piece[len(plain):len(plain)+1])
+		}
+		piece = piece[len(plain)+run:]
+	}
+	tr.text.WriteByte('\n')
+}
+
+// splitAtRun gives what stands before the first long run of one byte, and the run's length.
+func splitAtRun(piece []byte) (plain []byte, run int) {
+	start := 0
+	for i := range piece {
+		if piece[i] != piece[start] {
+			start = i
+		}
+		if i-start+1 < longRun {
+			continue
+		}
+		end := i + 1
+		for end < len(piece) && piece[end] == piece[start] {
+			end++
+		}
+		return piece[:start], end - start
+	}
+	return piece, 0
+}
+
+// lines records text line by line.
+func (tr *transcript) lines(connection, direction string, text []byte) {
+	for line := range bytes.Lines(text) {
+		tr.add(connection, direction, line)
+	}
+}
+
+// event records what is no piece of a stream.
+func (tr *transcript) event(connection, what string) {
+	fmt.Fprintf(&tr.text, "%s# %s\n", connection, what)
+}
+
+// compare holds the transcript against its golden file.
+func (tr *transcript) compare(name string) {
+	tr.t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	got := tr.text.String()
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			tr.t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			tr.t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		tr.t.Fatal(err)
+	}
+	same(tr.t, path, got, string(want))
+}
+
+// closeWrite half-closes a connection, so that its peer ends it too.
+func closeWrite(t *testing.T, c net.Conn) {
+	t.Helper()
+	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// readToEnd reads until the peer ends the connection.
+func readToEnd(t *testing.T, r io.Reader) []byte {
+	t.Helper()
+	rest, err := io.ReadAll(r)
+	if err != nil {
+		t.Fatalf("after %q: %v", rest, err)
+	}
+	return rest
+}
+
+// awaitSent waits until so many attempts have gone to engines.
+func (g *gateway) awaitSent(n int64) {
+	for g.count("sent.") < n {
+		runtime.Gosched()
+	}
+}
