--- a/internal/stories/peers_test.go
+++ b/internal/stories/peers_test.go
@@ -43,6 +43,8 @@
 	// mostLinks bounds the connections to engines, streams the requests on one.
 	mostLinks, streams int
 	pgwire             pgwire.Options
+	drain              func() // begins a planned stop of the front
+	closeListener      func()
 }
 
 // newGateway reads the settings of the deploy folder; change may change them.
@@ -72,6 +74,9 @@
 	done := make(chan struct{})
 	go func() { g.loop.Run(); close(done) }()
 	g.t.Cleanup(func() {
+		if g.closeListener != nil {
+			g.closeListener() // its descriptor is one of the process, whose number is bounded
+		}
 		g.loop.Post(g.loop.Stop)
 		<-done
 		g.balance()
@@ -131,7 +136,7 @@
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	g.addr, g.rest = f.Addr(), f
+	g.addr, g.rest, g.drain, g.closeListener = f.Addr(), f, f.Drain, f.CloseListener
 	g.run()
 	g.roster(policy.EngineLive, engines...)
 	return g
@@ -156,7 +161,7 @@
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	g.addr = f.Addr()
+	g.addr, g.drain, g.closeListener = f.Addr(), f.Drain, f.CloseListener
 	g.run()
 	g.roster(policy.EngineLive, engines...)
 	return g
