--- a/internal/stories/peers_test.go
+++ b/internal/stories/peers_test.go
@@ -31,7 +31,7 @@
 
 // gateway is a program in the test's own process.
 type gateway struct {
-	t       *testing.T
+	t       testing.TB
 	loop    *netio.Loop
 	core    *core.Core
 	stats   *stats.Counters
@@ -48,7 +48,7 @@
 }
 
 // newGateway reads the settings of the deploy folder; change may change them.
-func newGateway(t *testing.T, change func(*policy.Settings)) *gateway {
+func newGateway(t testing.TB, change func(*policy.Settings)) *gateway {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/postgres-settings.json")
 	if err != nil {
@@ -118,7 +118,7 @@
 }
 
 // platform starts the platform's front with engines at the addresses.
-func platform(t *testing.T, engines ...string) *gateway {
+func platform(t testing.TB, engines ...string) *gateway {
 	t.Helper()
 	return newGateway(t, nil).platform(engines...)
 }
@@ -188,7 +188,7 @@
 	return ln.Addr().String()
 }
 
-func dial(t *testing.T, addr string) net.Conn {
+func dial(t testing.TB, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
