--- a/internal/stories/peers_test.go
+++ b/internal/stories/peers_test.go
@@ -31,7 +31,7 @@
 
 // gateway is a program in the test's own process.
 type gateway struct {
-	t       *testing.T
+	t       testing.TB
 	loop    *netio.Loop
 	core    *core.Core
 	stats   *stats.Counters
@@ -43,10 +43,12 @@
 	// mostLinks bounds the connections to engines, streams the requests on one.
 	mostLinks, streams int
 	pgwire             pgwire.Options
+	drain              func() // begins a planned stop of the front
+	closeListener      func()
 }
 
 // newGateway reads the settings of the deploy folder; change may change them.
-func newGateway(t *testing.T, change func(*policy.Settings)) *gateway {
+func newGateway(t testing.TB, change func(*policy.Settings)) *gateway {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/postgres-settings.json")
 	if err != nil {
@@ -72,6 +74,9 @@
 	done := make(chan struct{})
 	go func() { g.loop.Run(); close(done) }()
 	g.t.Cleanup(func() {
+		if g.closeListener != nil {
+			g.closeListener() // its descriptor is one of the process, whose number is bounded
+		}
 		g.loop.Post(g.loop.Stop)
 		<-done
 		g.balance()
@@ -113,7 +118,7 @@
 }
 
 // platform starts the platform's front with engines at the addresses.
-func platform(t *testing.T, engines ...string) *gateway {
+func platform(t testing.TB, engines ...string) *gateway {
 	t.Helper()
 	return newGateway(t, nil).platform(engines...)
 }
@@ -131,7 +136,7 @@
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	g.addr, g.rest = f.Addr(), f
+	g.addr, g.rest, g.drain, g.closeListener = f.Addr(), f, f.Drain, f.CloseListener
 	g.run()
 	g.roster(policy.EngineLive, engines...)
 	return g
@@ -156,7 +161,7 @@
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	g.addr = f.Addr()
+	g.addr, g.drain, g.closeListener = f.Addr(), f.Drain, f.CloseListener
 	g.run()
 	g.roster(policy.EngineLive, engines...)
 	return g
@@ -183,7 +188,7 @@
 	return ln.Addr().String()
 }
 
-func dial(t *testing.T, addr string) net.Conn {
+func dial(t testing.TB, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
