--- a/internal/engine/lines/parse_test.go
+++ b/internal/engine/lines/parse_test.go
@@ -1,6 +1,10 @@
 package lines
 
-import "testing"
+import (
+	"testing"
+
+	"gannetspur/policy"
+)
 
 // Whatever an engine sends, an answer lies within it.
 func FuzzParse(f *testing.F) {
@@ -14,3 +18,26 @@
 		note(a.fields)
 	})
 }
+
+// Each note of a TELL has its own meaning to the decisions; what is no note has none.
+func TestNotesByTheirFields(t *testing.T) {
+	for fields, want := range map[string]struct {
+		kind  policy.NoteKind
+		value float64
+		ok    bool
+	}{
+		"res=p,num=0.5": {policy.NoteProgress, 0.5, true},
+		"res=s,num=64":  {policy.NoteSpill, 64, true},
+		"res=w,num=1":   {policy.NoteWaitMemory, 1, true},
+		"res=w,num=2":   {policy.NoteWaitLoad, 2, true},
+		"res=?,num=1":   {},
+		"res=p":         {},
+		"num=1":         {},
+		"-":             {},
+	} {
+		kind, value, ok := note(fields)
+		if kind != want.kind || value != want.value || ok != want.ok {
+			t.Errorf("%s: read %v %v %v, want %v", fields, kind, value, ok, want)
+		}
+	}
+}
