--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -16,6 +16,7 @@
 // loses a line: such a golden file would still match.
 var goldenBatches = map[string][]string{
 	"queries":   {"ALLOT", "FORWARD", "ABORT_ATTEMPT", "SLEEP", "DROP_REQUEST"},
+	"loads":     {"ALLOT", "FORWARD", "SLEEP"},
 	"keys":      {"FORWARD", "SAY_NO", "DROP_REQUEST", "SLEEP"},
 	"discovery": {"LISTEN", "FORWARD", "SAY_NO", "SLEEP"},
 	"faults":    {"ASK_LOAD", "SAY_LOG", "FORWARD", "SLEEP"},
