--- a/cmd/ringlab/flags_test.go
+++ b/cmd/flaxlab/flags_test.go
@@ -31,12 +31,12 @@
 
 // Commands, flags and arguments keep their names.
 func TestCommandLineNames(t *testing.T) {
-	parser, err := kong.New(&cli{}, kong.Name("ringlab"))
+	parser, err := kong.New(&cli{}, kong.Name("flaxlab"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	grammar(&got, parser.Model.Node, "ringlab")
+	grammar(&got, parser.Model.Node, "flaxlab")
 	if *update {
 		if err := os.WriteFile(flagsGolden, []byte(got.String()), 0o644); err != nil {
 			t.Fatal(err)
--- a/cmd/ringlab/main.go
+++ b/cmd/flaxlab/main.go
@@ -1,4 +1,4 @@
-// Command ringlab is the laboratory: it makes traffic whose truth is known, judges the
+// Command flaxlab is the laboratory: it makes traffic whose truth is known, judges the
 // gateway's parts on it, and sets up a gateway with emulated surroundings to try. Nothing
 // of it is needed to serve.
 package main
@@ -18,10 +18,10 @@
 
 func main() {
 	var c cli
-	ctx := kong.Parse(&c, kong.Name("ringlab"), kong.UsageOnError(),
-		kong.Description("The laboratory of ringwood: traffic, models and measurements on this machine's loopback."))
+	ctx := kong.Parse(&c, kong.Name("flaxlab"), kong.UsageOnError(),
+		kong.Description("The laboratory of flaxrelay: traffic, models and measurements on this machine's loopback."))
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "ringlab:", err)
+		fmt.Fprintln(os.Stderr, "flaxlab:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/ringlab/shapes.go
+++ b/cmd/flaxlab/shapes.go
@@ -9,11 +9,11 @@
 	"slices"
 	"time"
 
-	"gannetspur/internal/lab/register"
-	"gannetspur/internal/lab/report"
-	"gannetspur/internal/lab/rig"
-	"gannetspur/internal/lab/shapes"
-	"gannetspur/internal/lab/traffic"
+	"flaxrelay/internal/lab/experiment"
+	"flaxrelay/internal/lab/harness"
+	"flaxrelay/internal/lab/report"
+	"flaxrelay/internal/lab/traffic"
+	"flaxrelay/internal/lab/workload"
 
 	"gonum.org/v1/gonum/stat"
 )
@@ -34,7 +34,7 @@
 }
 
 // medians of the results of one variant over all files, with the spread.
-func spread(results []shapes.Result, of func(shapes.Result) float64) string {
+func spread(results []experiment.Result, of func(experiment.Result) float64) string {
 	x := make([]float64, len(results))
 	for i, r := range results {
 		x[i] = of(r)
@@ -51,7 +51,7 @@
 		if err != nil {
 			return err
 		}
-		all, head, err := shapes.Records(bufio.NewReader(f))
+		all, head, err := experiment.Records(bufio.NewReader(f))
 		f.Close()
 		if err != nil {
 			return fmt.Errorf("%s: %w", path, err)
@@ -60,18 +60,18 @@
 	}
 	if len(c.Files) == 0 {
 		for _, seed := range c.Seeds {
-			worlds, seeds = append(worlds, shapes.Generated(register.Defaults(seed), c.Number)), append(seeds, seed)
+			worlds, seeds = append(worlds, experiment.Generated(workload.Defaults(seed), c.Number)), append(seeds, seed)
 		}
 	}
 	t := report.Table{Columns: []string{"variant", "class right by count", "by worth", "hard cases alone", "writes taken as reads", "median error", "p90 error"}}
 	raw := report.Table{Columns: []string{"variant", "seed", "judged", "by_count", "by_worth", "hard", "hard_judged", "writes_safe", "writes_seen", "reads_denied",
 		"median", "p90", "hint_median", "hint_p90", "mean_median", "mean_p90", "hint_class", "shapes", "bytes", "hit_rate"}}
 	chart := report.Bars{Title: "Classes right, median of the seeds", Axis: "share", Series: []string{"by count", "by worth", "hard cases"}, Values: make([][]float64, 3)}
-	var first []shapes.Result
-	for _, v := range shapes.Variants() {
-		var results []shapes.Result
+	var first []experiment.Result
+	for _, v := range experiment.Variants() {
+		var results []experiment.Result
 		for i, w := range worlds {
-			r, err := shapes.Evaluate(w, v, shapes.Options{Train: c.Train, Bytes: c.Kbytes << 10})
+			r, err := experiment.Evaluate(w, v, experiment.Options{Train: c.Train, Bytes: c.Kbytes << 10})
 			if err != nil {
 				return err
 			}
@@ -86,11 +86,11 @@
 		for _, r := range results {
 			safe, seen = safe+r.WritesSafe, seen+r.WritesSeen
 		}
-		figures := []func(shapes.Result) float64{
-			func(r shapes.Result) float64 { return r.ByCount }, func(r shapes.Result) float64 { return r.ByWorth }, func(r shapes.Result) float64 { return r.Hard },
+		figures := []func(experiment.Result) float64{
+			func(r experiment.Result) float64 { return r.ByCount }, func(r experiment.Result) float64 { return r.ByWorth }, func(r experiment.Result) float64 { return r.Hard },
 		}
 		t.Add(v.Name, spread(results, figures[0]), spread(results, figures[1]), spread(results, figures[2]), fmt.Sprintf("%d of %d", safe, seen),
-			spread(results, func(r shapes.Result) float64 { return r.Median }), spread(results, func(r shapes.Result) float64 { return r.P90 }))
+			spread(results, func(r experiment.Result) float64 { return r.Median }), spread(results, func(r experiment.Result) float64 { return r.P90 }))
 		chart.Groups = append(chart.Groups, v.Name)
 		for i, f := range figures {
 			x := make([]float64, len(results))
@@ -101,10 +101,10 @@
 			chart.Values[i] = append(chart.Values[i], stat.Quantile(0.5, stat.Empirical, x, nil))
 		}
 	}
-	t.Add("the client's hint", spread(first, func(r shapes.Result) float64 { return r.HintClass }), "", "", "",
-		spread(first, func(r shapes.Result) float64 { return r.HintMedian }), spread(first, func(r shapes.Result) float64 { return r.HintP90 }))
+	t.Add("the client's hint", spread(first, func(r experiment.Result) float64 { return r.HintClass }), "", "", "",
+		spread(first, func(r experiment.Result) float64 { return r.HintMedian }), spread(first, func(r experiment.Result) float64 { return r.HintP90 }))
 	t.Add("mean of the true class", "", "", "", "",
-		spread(first, func(r shapes.Result) float64 { return r.MeanMedian }), spread(first, func(r shapes.Result) float64 { return r.MeanP90 }))
+		spread(first, func(r experiment.Result) float64 { return r.MeanMedian }), spread(first, func(r experiment.Result) float64 { return r.MeanP90 }))
 	return keep(c.Out, "shapes-evaluate", &t, &raw, chart.SVG)
 }
 
@@ -149,7 +149,7 @@
 	for _, name := range []string{"w-tinylfu", "lru", "2q"} {
 		var hits, held, counted, heap, rss []float64
 		for _, seed := range c.Seeds {
-			r, err := shapes.Flood(name, shapes.FloodOptions{Seed: seed, Recurring: c.Recurring, OneOff: c.OneOff, Share: c.Share, Bytes: c.Kbytes << 10})
+			r, err := experiment.Flood(name, experiment.FloodOptions{Seed: seed, Recurring: c.Recurring, OneOff: c.OneOff, Share: c.Share, Bytes: c.Kbytes << 10})
 			if err != nil {
 				return err
 			}
@@ -170,7 +170,7 @@
 }
 
 type costCommand struct {
-	Ringwood string `name:"ringwood" placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
+	Flaxrelay string `name:"flaxrelay" placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
 	Clients  int    `name:"clients" default:"8" help:"Connections."`
 	Requests int    `name:"requests" default:"40000" help:"Of each round."`
 	Rounds   int    `name:"rounds" default:"5" help:"Pairs of rounds, without and with."`
@@ -182,18 +182,18 @@
 func (c *costCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Minute)
 	defer cancel()
-	program := c.Ringwood
+	program := c.Flaxrelay
 	if program == "" {
-		dir, err := os.MkdirTemp("", "ringlab-")
+		dir, err := os.MkdirTemp("", "flaxlab-")
 		if err != nil {
 			return err
 		}
 		defer os.RemoveAll(dir)
-		if program, err = rig.Build(ctx, ".", dir); err != nil {
+		if program, err = harness.Build(ctx, ".", dir); err != nil {
 			return err
 		}
 	}
-	without, with, err := shapes.Cost(ctx, shapes.CostOptions{
+	without, with, err := experiment.Cost(ctx, experiment.CostOptions{
 		Root: ".", Program: program, Clients: c.Clients, Requests: c.Requests, Rounds: c.Rounds, Seed: c.Seed, Prepared: c.Prepared,
 	})
 	if err != nil {
@@ -207,7 +207,7 @@
 		ratios = append(ratios, with[i].CPU/without[i].CPU)
 		chart.Groups = append(chart.Groups, fmt.Sprintf("pair %d", i+1))
 	}
-	for i, rounds := range [][]shapes.CostRound{without, with} {
+	for i, rounds := range [][]experiment.CostRound{without, with} {
 		var cpu, rate, kb []float64
 		for j, r := range rounds {
 			raw.Add(chart.Series[i], j+1, fmt.Sprintf("%.2f", r.CPU), fmt.Sprintf("%.0f", r.Rate), r.KB)
--- a/cmd/ringlab/traffic.go
+++ b/cmd/flaxlab/traffic.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"gannetspur/internal/lab/register"
-	"gannetspur/internal/lab/traffic"
+	"flaxrelay/internal/lab/traffic"
+	"flaxrelay/internal/lab/workload"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/vbauerster/mpb/v8"
@@ -39,8 +39,8 @@
 	HintMissing float64 `name:"hint-missing" default:"0.15" help:"Share of statements without one."`
 }
 
-func (w world) options() register.Options {
-	return register.Options{
+func (w world) options() workload.Options {
+	return workload.Options{
 		Seed: w.Seed, Templates: w.Templates, OneOff: w.OneOff, Hard: w.Hard, Writes: w.Writes,
 		DriftAt: w.DriftAt, Drift: w.Drift, HintNoise: w.HintNoise, HintMissing: w.HintMissing,
 	}
--- a/cmd/ringlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -10,13 +10,13 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/lab/emul"
-	"gannetspur/internal/lab/rig"
-	"gannetspur/internal/logs"
+	"flaxrelay/internal/lab/fake"
+	"flaxrelay/internal/lab/harness"
+	"flaxrelay/internal/logging"
 )
 
 type tryCommand struct {
-	Ringwood string        `name:"ringwood" placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
+	Flaxrelay string        `name:"flaxrelay" placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
 	Engines  int           `name:"engines" default:"3" help:"Emulated engines of each wire, 1 to 16."`
 	HTTP     string        `name:"http" default:"127.0.0.1:9090" help:"Where the platform's front listens."`
 	Postgres string        `name:"postgres" default:"127.0.0.1:5433" help:"Where the PostgreSQL front listens."`
@@ -32,19 +32,19 @@
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, c.For)
 	defer cancel()
-	dir, err := os.MkdirTemp("", "ringlab-try-")
+	dir, err := os.MkdirTemp("", "flaxlab-try-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	program := c.Ringwood
+	program := c.Flaxrelay
 	if program == "" {
-		if program, err = rig.Build(ctx, ".", dir); err != nil {
+		if program, err = harness.Build(ctx, ".", dir); err != nil {
 			return err
 		}
 	}
-	r, err := rig.New(rig.Options{
-		Root: ".", Dir: dir, Engines: c.Engines, Work: emul.Plain, HTTP: c.HTTP, Postgres: c.Postgres, Shapes: true, Log: logs.Plain(os.Stdout),
+	r, err := harness.New(harness.Options{
+		Root: ".", Dir: dir, Engines: c.Engines, Work: fake.Plain, HTTP: c.HTTP, Postgres: c.Postgres, Shapes: true, Log: logging.Plain(os.Stdout),
 	})
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 	defer r.Close()
 	var ended [2]chan error
 	for i, args := range [][]string{{"serve", "--config", r.Config, "--shapes", r.Shapes}, {"serve", "--postgres", r.Deploy}} {
-		g, err := rig.Start(program, os.Stdout, append([]string{"--log-format=text"}, args...)...)
+		g, err := harness.Start(program, os.Stdout, append([]string{"--log-format=text"}, args...)...)
 		if err != nil {
 			return err
 		}
@@ -60,7 +60,7 @@
 		ended[i] = g.Ended
 	}
 	for _, addr := range []string{c.HTTP, c.Postgres} {
-		if err := rig.Up(ctx, addr); err != nil {
+		if err := harness.Up(ctx, addr); err != nil {
 			return err
 		}
 	}
--- a/cmd/ringlab/try_test.go
+++ b/cmd/flaxlab/try_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/lab/rig"
-	"gannetspur/internal/pgproto"
+	"flaxrelay/internal/lab/harness"
+	"flaxrelay/internal/pgproto"
 )
 
 // Both fronts come up with one command, answer what the page says to paste, and all of it
@@ -30,11 +30,11 @@
 		}
 		return
 	}
-	web, err := rig.Free()
+	web, err := harness.Free()
 	if err != nil {
 		t.Fatal(err)
 	}
-	pg, err := rig.Free()
+	pg, err := harness.Free()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	defer cancel()
 	defer p.Process.Kill()
 	for _, addr := range []string{web, pg} {
-		if err := rig.Up(ctx, addr); err != nil {
+		if err := harness.Up(ctx, addr); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/ringwood/check.go
+++ b/cmd/flaxrelay/check.go
@@ -6,7 +6,7 @@
 	"os"
 	"path/filepath"
 
-	"gannetspur/internal/config"
+	"flaxrelay/internal/config"
 )
 
 type checkCommand struct {
--- a/cmd/ringwood/completion.go
+++ b/cmd/flaxrelay/completion.go
@@ -34,7 +34,7 @@
 	if c.Shell == "zsh" {
 		fmt.Println("autoload -U +X bashcompinit && bashcompinit")
 	}
-	fmt.Printf(`_ringwood() {
+	fmt.Printf(`_flaxrelay() {
   local path="" word words="" i
   for ((i = 1; i < COMP_CWORD; i++)); do
     word="${COMP_WORDS[i]}"
@@ -44,7 +44,7 @@
 %s  esac
   COMPREPLY=($(compgen -W "$words" -- "${COMP_WORDS[COMP_CWORD]}"))
 }
-complete -o default -F _ringwood ringwood
+complete -o default -F _flaxrelay flaxrelay
 `, cases.String())
 	return nil
 }
--- a/cmd/ringwood/flags_test.go
+++ b/cmd/flaxrelay/flags_test.go
@@ -31,12 +31,12 @@
 
 // Commands, flags and arguments keep their names.
 func TestCommandLineNames(t *testing.T) {
-	parser, err := kong.New(&cli{}, kong.Name("ringwood"))
+	parser, err := kong.New(&cli{}, kong.Name("flaxrelay"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
-	grammar(&got, parser.Model.Node, "ringwood")
+	grammar(&got, parser.Model.Node, "flaxrelay")
 	if *update {
 		if err := os.WriteFile(flagsGolden, []byte(got.String()), 0o644); err != nil {
 			t.Fatal(err)
--- a/cmd/ringwood/main.go
+++ b/cmd/flaxrelay/main.go
@@ -1,4 +1,4 @@
-// Command ringwood is a front end: it takes requests of clients, has the policy
+// Command flaxrelay is a front end: it takes requests of clients, has the policy
 // module decide where each runs, and relays the answers.
 //
 // Without arguments it serves the platform's protocol as its configuration says
@@ -13,8 +13,8 @@
 	"os"
 	"runtime/debug"
 
-	"gannetspur/internal/config"
-	"gannetspur/internal/logs"
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/logging"
 
 	"github.com/alecthomas/kong"
 )
@@ -24,7 +24,7 @@
 	LogFormat string `name:"log-format" enum:"auto,json,text" default:"auto" help:"How events are logged: ${enum}; auto is text on a terminal, else JSON."`
 	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" help:"From which level on events are logged: ${enum}."`
 
-	Serve      serveCommand      `name:"serve" cmd:"" default:"withargs" help:"Serve. This is what ringwood does without a command."`
+	Serve      serveCommand      `name:"serve" cmd:"" default:"withargs" help:"Serve. This is what flaxrelay does without a command."`
 	Check      checkCommand      `name:"check" cmd:"" help:"Read settings and deploy files and name every fault in them."`
 	Shapes     shapesCommand     `name:"shapes" cmd:"" help:"What is known of the shapes of statements."`
 	Completion completionCommand `name:"completion" cmd:"" help:"Print a script that completes commands and flags in a shell."`
@@ -38,7 +38,7 @@
 }
 
 func (c *serveCommand) Run(all *cli) error {
-	log, err := logs.New(os.Stderr, logs.Options{Format: all.LogFormat, Level: all.LogLevel})
+	log, err := logging.New(os.Stderr, logging.Options{Format: all.LogFormat, Level: all.LogLevel})
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 			modified = ", changed since"
 		}
 	}
-	fmt.Printf("ringwood %s (%s%s), %s\n", info.Main.Version, revision, modified, info.GoVersion)
+	fmt.Printf("flaxrelay %s (%s%s), %s\n", info.Main.Version, revision, modified, info.GoVersion)
 	return nil
 }
 
@@ -86,17 +86,17 @@
 		args[i] = a
 	}
 	var c cli
-	parser, err := kong.New(&c, kong.Name("ringwood"), kong.UsageOnError(),
+	parser, err := kong.New(&c, kong.Name("flaxrelay"), kong.UsageOnError(),
 		kong.Description("A gateway between clients and query engines. It serves as $LB_CONFIG, --config or --postgres says."))
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "ringwood:", err)
+		fmt.Fprintln(os.Stderr, "flaxrelay:", err)
 		os.Exit(1)
 	}
 	ctx, err := parser.Parse(args)
 	parser.FatalIfErrorf(err)
 	if err := ctx.Run(&c, parser); err != nil {
 		if !errors.Is(err, errTold) {
-			fmt.Fprintln(os.Stderr, "ringwood:", err)
+			fmt.Fprintln(os.Stderr, "flaxrelay:", err)
 		}
 		os.Exit(1)
 	}
--- a/cmd/ringwood/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -116,7 +116,7 @@
 	p.end("count reload.failed 1")
 }
 
-// program is ringwood in a process of its own.
+// program is flaxrelay in a process of its own.
 type program struct {
 	t   *testing.T
 	cmd *exec.Cmd
--- a/cmd/ringwood/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -12,30 +12,30 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/config"
-	"gannetspur/internal/core"
-	"gannetspur/internal/engine/lines"
-	"gannetspur/internal/engine/pg"
-	"gannetspur/internal/front/pgwire"
-	"gannetspur/internal/front/rest"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/roster/bus"
-	"gannetspur/internal/roster/consul"
-	"gannetspur/internal/shape"
-	"gannetspur/internal/sqltext"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/discovery/consul"
+	"flaxrelay/internal/discovery/eventbus"
+	"flaxrelay/internal/engine/lineclient"
+	"flaxrelay/internal/engine/pgclient"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/frontend/httpserver"
+	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
+	"flaxrelay/policy"
 )
 
 // gateway is one front on a core of its own.
 type gateway struct {
-	loop     *netio.Loop
-	core     *core.Core
+	loop     *eventloop.Loop
+	core     *lifecycle.Core
 	front    front
-	counters *stats.Counters
+	counters *metrics.Counters
 	log      *slog.Logger
-	shapes   *shape.Service // nil: off
-	reload   func() error   // reads the file again; for the loop's goroutine
+	shapes   *stmtstats.Service // nil: off
+	reload   func() error       // reads the file again; for the loop's goroutine
 }
 
 // front is what a planned stop needs of a front.
@@ -59,7 +59,7 @@
 	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g := &gateway{counters: stats.New(), log: logger}
+	g := &gateway{counters: metrics.New(), log: logger}
 	var err error
 	switch {
 	case what.postgres != "":
@@ -111,7 +111,7 @@
 	if most := part(memoryMB, 4) >> 10; s.MemoryKB > most {
 		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", s.MemoryKB, most)
 	}
-	g.shapes, err = shape.NewService(shape.Settings{
+	g.shapes, err = stmtstats.NewService(stmtstats.Settings{
 		Decide: s.Decide(), Bytes: s.MemoryKB << 10, Correct: s.Correct, Snapshot: s.Snapshot, Every: s.Every(), WorkTold: workTold,
 	}, site.Policy.Classes, g.loop, g.counters, g.log)
 	if err == nil {
@@ -123,11 +123,11 @@
 // start makes the loop and the core.
 func (g *gateway) start(set policy.Settings, seed uint64, memoryMB, sockets int) (err error) {
 	limitResources(memoryMB)
-	if g.loop, err = netio.New(sockets); err != nil {
+	if g.loop, err = eventloop.New(sockets); err != nil {
 		return err
 	}
 	g.loop.Budget = int64(part(memoryMB, 6))
-	g.core, err = core.New(set, seed, g.loop, g.loop.Timers, g.counters, g.log)
+	g.core, err = lifecycle.New(set, seed, g.loop, g.loop.Timers, g.counters, g.log)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -149,7 +149,7 @@
 	if err := g.start(cfg.Site.Policy, cfg.Seed, cfg.MemoryMB, cfg.Sockets); err != nil {
 		return err
 	}
-	links := lines.New(g.loop, g.core, cfg.Site, g.counters, g.log)
+	links := lineclient.New(g.loop, g.core, cfg.Site, g.counters, g.log)
 	links.Most = mostLinks(cfg.Sockets)
 	g.core.SetLinks(links)
 	for _, ev := range cfg.Known {
@@ -160,7 +160,7 @@
 		g.core.Roster(mode, ev.Engines)
 	}
 	if cfg.Bus != "" {
-		follower := bus.New(g.loop, cfg.Bus, cfg.Offset, cfg.Site.Zones, cfg.Site.Kinds, g.core, g.counters, g.log)
+		follower := eventbus.New(g.loop, cfg.Bus, cfg.Offset, cfg.Site.Zones, cfg.Site.Kinds, g.core, g.counters, g.log)
 		if grace := cfg.Site.Policy.Rules.DrainGrace; grace > 0 {
 			follower.MostPause = grace / 2
 		}
@@ -186,7 +186,7 @@
 			return err
 		}
 	}
-	f := rest.New(g.loop, g.core, rest.Options{
+	f := httpserver.New(g.loop, g.core, httpserver.Options{
 		MostClients: mostClients(cfg.Sockets), MostHeld: part(cfg.MemoryMB, 8), Shapes: g.shapes,
 	}, g.counters)
 	g.front = f
@@ -202,7 +202,7 @@
 	if err := g.start(p.Site.Policy, uint64(os.Getpid()), p.MemoryMB, p.Sockets); err != nil {
 		return err
 	}
-	g.core.SetLinks(pg.New(g.loop, g.core, pg.Options{
+	g.core.SetLinks(pgclient.New(g.loop, g.core, pgclient.Options{
 		User: p.User, Database: p.Database,
 		ConnectTimeout: config.FromMS(p.ConnectWithin), IdleClose: config.FromMS(p.IdleClose),
 		MostHeld: part(p.MemoryMB, 4),
@@ -212,7 +212,7 @@
 	if err := g.learnShapes(&p.Shapes, p.MemoryMB, &p.Site, false); err != nil {
 		return err
 	}
-	f := pgwire.New(g.loop, g.core, g.frontOptions(p), g.counters)
+	f := pgserver.New(g.loop, g.core, g.frontOptions(p), g.counters)
 	g.front = f
 	g.reload = func() error {
 		next, err := config.LoadPostgres(path)
@@ -237,8 +237,8 @@
 	return f.Listen(p.Listen)
 }
 
-func (g *gateway) frontOptions(p *config.Postgres) pgwire.Options {
-	opts := pgwire.Options{
+func (g *gateway) frontOptions(p *config.Postgres) pgserver.Options {
+	opts := pgserver.Options{
 		DefaultClass: p.DefaultClass, WriteClass: p.WriteClass, ReadOnly: sqltext.Functions{}, MostClients: mostClients(p.Sockets), MostHeld: part(p.MemoryMB, 6),
 		Shapes: g.shapes,
 	}
@@ -249,7 +249,7 @@
 		opts.MostClients = min(opts.MostClients, p.MostClients)
 	}
 	for _, s := range p.Statements {
-		opts.Rules = append(opts.Rules, pgwire.Rule(s))
+		opts.Rules = append(opts.Rules, pgserver.Rule(s))
 	}
 	return opts
 }
@@ -287,7 +287,7 @@
 	if sockets <= 0 {
 		sockets = usualSockets
 	}
-	return max(sockets-mostClients(sockets)-rest.SpareClients-ownDescriptors, 4)
+	return max(sockets-mostClients(sockets)-httpserver.SpareClients-ownDescriptors, 4)
 }
 
 // limitResources keeps the garbage collector well under the memory limit. More
--- a/cmd/ringwood/shapes.go
+++ b/cmd/flaxrelay/shapes.go
@@ -9,9 +9,9 @@
 	"strings"
 	"text/tabwriter"
 
-	decide "gannetspur/internal/decide/shape"
-	"gannetspur/internal/shape"
-	"gannetspur/internal/sqltext"
+	decide "flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
 )
 
 type shapesCommand struct {
@@ -37,12 +37,12 @@
 		cfg.Classes = append(cfg.Classes, decide.Class{Name: fmt.Sprintf("class %d", i), UpTo: bound})
 	}
 	cfg.Classes = append(cfg.Classes, decide.Class{Name: fmt.Sprintf("class %d", len(c.Bounds))})
-	opts := shape.Options{Decide: cfg, Bytes: 64 << 20}
-	book, err := shape.New(opts)
+	opts := stmtstats.Options{Decide: cfg, Bytes: 64 << 20}
+	book, err := stmtstats.New(opts)
 	if err == nil && c.Snapshot != "" {
-		var snap *shape.Snapshot
-		if snap, err = shape.ReadSnapshot(c.Snapshot); err == nil {
-			book, err = shape.Restore(opts, snap)
+		var snap *stmtstats.Snapshot
+		if snap, err = stmtstats.ReadSnapshot(c.Snapshot); err == nil {
+			book, err = stmtstats.Restore(opts, snap)
 		}
 	}
 	if err != nil {
@@ -74,7 +74,7 @@
 	p := r.Profile(c.SQL, &binds, 0)
 	fmt.Fprintf(w, "profile\t%s\n", profile(&p))
 	s := book.Read(c.SQL)
-	x := book.Estimate(s, &binds, c.Known, shape.Hint{Work: c.Hint})
+	x := book.Estimate(s, &binds, c.Known, stmtstats.Hint{Work: c.Hint})
 	e := x.Estimate
 	if e.Known {
 		fmt.Fprintf(w, "expected\t%.4g ms, nine tenths under %.4g ms\n", e.Work, e.Work*e.Spread)
@@ -134,12 +134,12 @@
 
 // Run lists shapes by the work that all their executions took together.
 func (c *topCommand) Run() error {
-	snap, err := shape.ReadSnapshot(c.Snapshot)
+	snap, err := stmtstats.ReadSnapshot(c.Snapshot)
 	if err != nil {
 		return err
 	}
-	all := func(s *shape.Saved) float64 { return float64(s.Entry.Seen) * cost(s) }
-	slices.SortStableFunc(snap.Shapes, func(a, b shape.Saved) int { return compare(all(&b), all(&a)) })
+	all := func(s *stmtstats.Saved) float64 { return float64(s.Entry.Seen) * cost(s) }
+	slices.SortStableFunc(snap.Shapes, func(a, b stmtstats.Saved) int { return compare(all(&b), all(&a)) })
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "seen\twork ms\tprofiles\tshape\n")
 	for i := range snap.Shapes[:min(c.Most, len(snap.Shapes))] {
@@ -156,7 +156,7 @@
 	return w.Flush()
 }
 
-func cost(s *shape.Saved) float64 {
+func cost(s *stmtstats.Saved) float64 {
 	if s.Entry.All.N == 0 {
 		return 0
 	}
@@ -189,20 +189,20 @@
 
 // Run lists what has changed, what has come and what has gone.
 func (c *diffCommand) Run() error {
-	old, err := shape.ReadSnapshot(c.Old)
+	old, err := stmtstats.ReadSnapshot(c.Old)
 	if err != nil {
 		return err
 	}
-	now, err := shape.ReadSnapshot(c.New)
+	now, err := stmtstats.ReadSnapshot(c.New)
 	if err != nil {
 		return err
 	}
-	before := map[string]*shape.Saved{}
+	before := map[string]*stmtstats.Saved{}
 	for i := range old.Shapes {
 		before[old.Shapes[i].Norm] = &old.Shapes[i]
 	}
 	type change struct {
-		s        *shape.Saved
+		s        *stmtstats.Saved
 		was, is_ float64
 	}
 	var changes []change
--- a/cmd/ringwood/stop_test.go
+++ b/cmd/flaxrelay/stop_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/stats"
+	"flaxrelay/internal/metrics"
 )
 
 const call = "POST /rpc/lookup HTTP/1.1\r\nReq-Id: 9b1f03aa5c7e2d4%d\r\nReq-Wait-Ms: 6000\r\nContent-Length: 8\r\n\r\nSELECT 1"
@@ -79,7 +79,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g := &gateway{counters: stats.New(), log: slog.New(slog.DiscardHandler)}
+	g := &gateway{counters: metrics.New(), log: slog.New(slog.DiscardHandler)}
 	if err := g.platform(path, ""); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/policy"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
 )
 
 // Config is what one front end is told at its start.
@@ -33,7 +33,7 @@
 // Event is one change of the list of engines, or the whole of it.
 type Event struct {
 	Whole   bool
-	Engines []core.Engine
+	Engines []lifecycle.Engine
 }
 
 type file struct {
@@ -180,12 +180,12 @@
 	return nil
 }
 
-func (t *target) engine(k *checker, at string) core.Engine {
+func (t *target) engine(k *checker, at string) lifecycle.Engine {
 	state, ok := states[t.State]
 	k.must(ok, at+"state", "unknown value %q", t.State)
 	k.must(t.UID != "", at+"uid", "missing")
 	k.address(at+"endpoint", t.Endpoint)
-	e := core.Engine{Addr: t.Endpoint, Engine: policy.Engine{
+	e := lifecycle.Engine{Addr: t.Endpoint, Engine: policy.Engine{
 		ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.Group, State: state,
 	}}
 	e.Started, e.Fresh = started(t.Boot)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"gannetspur/policy"
+	"flaxrelay/policy"
 )
 
 // A configuration that can't be used is refused with the name of the field.
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"strings"
 
-	"gannetspur/internal/sqltext"
-	"gannetspur/policy"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/policy"
 )
 
 // Postgres is the deploy file of the second front.
--- a/internal/config/profile.go
+++ b/internal/config/profile.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"gannetspur/policy"
+	"flaxrelay/policy"
 )
 
 // FromMS turns fractional milliseconds, exact to the microsecond, into a duration.
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"time"
 
-	decide "gannetspur/internal/decide/shape"
-	"gannetspur/policy"
+	decide "flaxrelay/internal/decision/costmodel"
+	"flaxrelay/policy"
 )
 
 // Shapes says how statements are classed and costed by their shape: the table [shapes]
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/policy"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
 
 	"github.com/google/go-cmp/cmp"
 )
@@ -163,11 +163,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	engine := core.Engine{Addr: "127.0.0.1:7", Engine: policy.Engine{ID: "u", Zone: "a", Kind: "m", Cell: 8, State: policy.EngineDraining}}
+	engine := lifecycle.Engine{Addr: "127.0.0.1:7", Engine: policy.Engine{ID: "u", Zone: "a", Kind: "m", Cell: 8, State: policy.EngineDraining}}
 	engine.Started, engine.Fresh = 9*time.Millisecond, true
 	want := &Config{
 		Name: "n", Listen: "127.0.0.1:1", Seed: 255, MemoryMB: 2, Sockets: 3, Bus: "127.0.0.1:4", Offset: 6,
-		Known: []Event{{Whole: true, Engines: []core.Engine{engine}}}, Site: wholeSite(),
+		Known: []Event{{Whole: true, Engines: []lifecycle.Engine{engine}}}, Site: wholeSite(),
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
--- a/internal/decide/shape/heavy.go
+++ b/internal/decision/costmodel/heavy.go
@@ -1,4 +1,4 @@
-package shape
+package costmodel
 
 // heavy keeps the values that are asked for most, and how their cost differs, in
 // bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi, "Efficient Computation of
--- a/internal/decide/shape/prior.go
+++ b/internal/decision/costmodel/prior.go
@@ -1,9 +1,9 @@
-package shape
+package costmodel
 
 import (
 	"math"
 
-	"gannetspur/internal/sqltext"
+	"flaxrelay/internal/sqltext"
 )
 
 // dims is the number of features of the prior.
--- a/internal/decide/shape/shape.go
+++ b/internal/decision/costmodel/shape.go
@@ -1,4 +1,4 @@
-// Package shape decides what a statement is likely to cost, and of which class it is,
+// Package costmodel decides what a statement is likely to cost, and of which class it is,
 // from what executions of its shape have cost before. It is pure: no clock, no I/O, and
 // the same calls give the same results.
 //
@@ -15,14 +15,14 @@
 //
 // Work is in milliseconds on one core, memory in megabytes; within, both are powers of
 // two. Figures told by engines are not trusted one by one: see Track.
-package shape
+package costmodel
 
 import (
 	"fmt"
 	"math"
 	"strings"
 
-	"gannetspur/internal/sqltext"
+	"flaxrelay/internal/sqltext"
 )
 
 // Bounds of what a finished query may tell; what lies outside is no figure and is left
--- a/internal/decide/shape/shape_test.go
+++ b/internal/decision/costmodel/shape_test.go
@@ -1,11 +1,11 @@
-package shape
+package costmodel
 
 import (
 	"math"
 	"math/rand/v2"
 	"testing"
 
-	"gannetspur/internal/sqltext"
+	"flaxrelay/internal/sqltext"
 
 	"pgregory.net/rapid"
 )
--- a/internal/decide/shape/state.go
+++ b/internal/decision/costmodel/state.go
@@ -1,4 +1,4 @@
-package shape
+package costmodel
 
 import (
 	"errors"
--- a/internal/decide/handover/handover.go
+++ b/internal/decision/hotrestart/handover.go
@@ -1,4 +1,4 @@
-// Package handover decides how one process of ringwood gives its listener, its client
+// Package hotrestart decides how one process of flaxrelay gives its listener, its client
 // connections and its work to a newer one, and how it takes them back where that fails.
 // It is two state machines without I/O: Old and New take inputs (messages of the other,
 // news of connections, ticks) and return effects for their caller to carry out in order.
@@ -17,7 +17,7 @@
 // So no acknowledgement is needed: a connection belongs to the new process from the moment
 // the old one has sent it, and never to both. Requests in flight stay where they are until
 // they are answered; their connection is moved then.
-package handover
+package hotrestart
 
 import "time"
 
--- a/internal/decide/handover/old.go
+++ b/internal/decision/hotrestart/old.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"slices"
--- a/internal/roster/consul/consul.go
+++ b/internal/discovery/consul/consul.go
@@ -16,9 +16,9 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 // Roster is what is told of the engines.
 type Roster interface {
-	Roster(mode policy.ListMode, engines []core.Engine)
+	Roster(mode policy.ListMode, engines []lifecycle.Engine)
 }
 
 // Options come from the deploy file.
@@ -51,7 +51,7 @@
 type Follower struct {
 	post   func(func()) // to the goroutine that owns the roster
 	roster Roster
-	stats  *stats.Counters
+	stats  *metrics.Counters
 	log    *slog.Logger
 	client *http.Client
 
@@ -60,14 +60,14 @@
 	leave      context.CancelFunc // ends the present following
 	registered []registration
 	health     map[string]policy.EngineState
-	known      map[string]core.Engine // what was told last, by id
+	known      map[string]lifecycle.Engine // what was told last, by id
 }
 
 // New returns a follower whose news are told by way of post.
-func New(post func(func()), r Roster, counters *stats.Counters, l *slog.Logger) *Follower {
+func New(post func(func()), r Roster, counters *metrics.Counters, l *slog.Logger) *Follower {
 	return &Follower{
 		leave: func() {}, post: post, roster: r, stats: counters, log: l,
-		client: &http.Client{Transport: &http.Transport{Proxy: nil}}, known: map[string]core.Engine{},
+		client: &http.Client{Transport: &http.Transport{Proxy: nil}}, known: map[string]lifecycle.Engine{},
 	}
 }
 
@@ -201,8 +201,8 @@
 	return next, nil
 }
 
-func (f *Follower) engine(r *registration) core.Engine {
-	out := core.Engine{Addr: net.JoinHostPort(first(r.ServiceAddress, r.Address), strconv.Itoa(r.ServicePort))}
+func (f *Follower) engine(r *registration) lifecycle.Engine {
+	out := lifecycle.Engine{Addr: net.JoinHostPort(first(r.ServiceAddress, r.Address), strconv.Itoa(r.ServicePort))}
 	out.ID = r.Node + "/" + r.ServiceID // service ids are unique on a node only
 	out.Zone = first(r.ServiceMeta["zone"], r.NodeMeta["zone"], f.opts.Zone, r.Datacenter)
 	out.Kind = first(r.ServiceMeta["kind"], r.NodeMeta["kind"], f.opts.Kind)
@@ -246,8 +246,8 @@
 		return
 	}
 	f.stats.Add("consul.events")
-	now := map[string]core.Engine{}
-	var news []core.Engine
+	now := map[string]lifecycle.Engine{}
+	var news []lifecycle.Engine
 	for i := range f.registered {
 		r := &f.registered[i]
 		if r.ServiceID == "" || r.ServicePort < 1 || r.ServicePort > 65535 {
@@ -274,6 +274,6 @@
 	if len(news) == 0 {
 		return
 	}
-	slices.SortFunc(news, func(a, b core.Engine) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(news, func(a, b lifecycle.Engine) int { return strings.Compare(a.ID, b.ID) })
 	f.roster.Roster(policy.ListChanges, news)
 }
--- a/internal/roster/consul/consul_test.go
+++ b/internal/discovery/consul/consul_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
 
 	"github.com/google/go-cmp/cmp"
 )
@@ -22,7 +22,7 @@
 
 type recorder chan string
 
-func (r recorder) Roster(_ policy.ListMode, list []core.Engine) {
+func (r recorder) Roster(_ policy.ListMode, list []lifecycle.Engine) {
 	var words []string
 	for _, e := range list {
 		words = append(words, fmt.Sprintf("%s %s %s/%s %s", e.ID, e.Addr, e.Zone, e.Kind, states[e.State]))
@@ -95,7 +95,7 @@
 	news := make(recorder, 10)
 	var one sync.Mutex
 	post := func(f func()) { one.Lock(); defer one.Unlock(); f() }
-	counters := stats.New()
+	counters := metrics.New()
 	f := New(post, news, counters, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/roster/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/roster/consul"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/discovery/consul"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
 )
 
 var update = flag.Bool("update", false, "write the golden file anew")
@@ -36,7 +36,7 @@
 // events words what is told of the engines, one line each.
 type events chan string
 
-func (e events) Roster(mode policy.ListMode, list []core.Engine) {
+func (e events) Roster(mode policy.ListMode, list []lifecycle.Engine) {
 	text := fmt.Sprintf("= changes %t, of %d\n", mode == policy.ListChanges, len(list))
 	for _, one := range list {
 		text += fmt.Sprintf("= %s at %s, zone %q, kind %q, %s, late start %t at %v\n",
@@ -158,7 +158,7 @@
 	told := make(events, 10)
 	var owner sync.Mutex
 	post := func(f func()) { owner.Lock(); defer owner.Unlock(); f() }
-	follower := consul.New(post, told, stats.New(), slog.New(slog.DiscardHandler))
+	follower := consul.New(post, told, metrics.New(), slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	opts := consul.Options{Address: listener.Addr().String(), Service: "stock-engine", Token: "secret", Zone: "hall-a", Kind: "std-2"}
--- a/internal/roster/bus/bus.go
+++ b/internal/discovery/eventbus/bus.go
@@ -1,6 +1,6 @@
-// Package bus follows the platform's event bus, which tells of changes to the
+// Package eventbus follows the platform's event bus, which tells of changes to the
 // list of engines.
-package bus
+package eventbus
 
 import (
 	"encoding/binary"
@@ -10,11 +10,11 @@
 	"net/netip"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/timerqueue"
+	"flaxrelay/policy"
 )
 
 const (
@@ -30,7 +30,7 @@
 
 // Roster is what is told of the engines.
 type Roster interface {
-	Roster(mode policy.ListMode, engines []core.Engine)
+	Roster(mode policy.ListMode, engines []lifecycle.Engine)
 }
 
 // Follower keeps one connection to the bus.
@@ -40,20 +40,20 @@
 	// leaves to heed it. Set it before Start.
 	MostPause time.Duration
 
-	loop   *netio.Loop
+	loop   *eventloop.Loop
 	addr   string
 	last   uint64 // number of the last event taken
 	zones  []string
 	kinds  []string
 	roster Roster
-	stats  *stats.Counters
+	stats  *metrics.Counters
 	log    *slog.Logger
 
-	conn    *netio.Conn
+	conn    *eventloop.Conn
 	dialing func() // gives the latest dial up
 	tries   int    // dials begun
-	retry   *deadline.Entry
-	silence *deadline.Entry
+	retry   *timerqueue.Entry
+	silence *timerqueue.Entry
 	quiet   time.Duration // the most between two frames
 	pause   time.Duration
 	stopped bool
@@ -61,7 +61,7 @@
 
 // New returns a follower that goes on after the event numbered last. Zones and
 // kinds are the lists of the settings that records give places in.
-func New(loop *netio.Loop, addr string, last uint64, zones, kinds []string, r Roster, counters *stats.Counters, l *slog.Logger) *Follower {
+func New(loop *eventloop.Loop, addr string, last uint64, zones, kinds []string, r Roster, counters *metrics.Counters, l *slog.Logger) *Follower {
 	return &Follower{
 		loop: loop, addr: addr, last: last, zones: zones, kinds: kinds,
 		roster: r, stats: counters, log: l, quiet: maxSilence, pause: firstPause, MostPause: usualPause,
@@ -72,7 +72,7 @@
 func (f *Follower) Start() {
 	f.tries++
 	try := f.tries
-	f.dialing = f.loop.Dial(f.addr, dialWithin, maxFrame+headerLen, f, func(c *netio.Conn, err error) {
+	f.dialing = f.loop.Dial(f.addr, dialWithin, maxFrame+headerLen, f, func(c *eventloop.Conn, err error) {
 		switch {
 		case f.stopped || try != f.tries: // another dial is under way, or none is wanted
 			if err == nil {
@@ -150,7 +150,7 @@
 }
 
 // Data reads the frames that are whole.
-func (f *Follower) Data(c *netio.Conn, in *netio.Buffer) {
+func (f *Follower) Data(c *eventloop.Conn, in *eventloop.Buffer) {
 	for c == f.conn {
 		number, kind, payload, n, err := parse(in.Bytes())
 		if err == nil && n > 0 {
@@ -168,7 +168,7 @@
 }
 
 // Closed reconnects.
-func (f *Follower) Closed(c *netio.Conn, err error) {
+func (f *Follower) Closed(c *eventloop.Conn, err error) {
 	if c != f.conn {
 		return
 	}
@@ -223,17 +223,17 @@
 
 var recordStates = [...]policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineGone}
 
-func (f *Follower) records(b []byte) ([]core.Engine, error) {
+func (f *Follower) records(b []byte) ([]lifecycle.Engine, error) {
 	if len(b)%recordLen != 0 {
 		return nil, fmt.Errorf("%d bytes are no whole records", len(b))
 	}
-	list := make([]core.Engine, 0, len(b)/recordLen)
+	list := make([]lifecycle.Engine, 0, len(b)/recordLen)
 	for ; len(b) > 0; b = b[recordLen:] {
 		state, zone, kind := int(b[10]), int(b[11]), int(b[12])
 		if state >= len(recordStates) {
 			return nil, fmt.Errorf("unknown state %d", state)
 		}
-		e := core.Engine{
+		e := lifecycle.Engine{
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:])).String(),
 			Engine: policy.Engine{
 				ID:   fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b)),
--- a/internal/roster/bus/bus_test.go
+++ b/internal/discovery/eventbus/bus_test.go
@@ -1,4 +1,4 @@
-package bus
+package eventbus
 
 import (
 	"encoding/binary"
@@ -8,22 +8,22 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
 
 	"github.com/google/go-cmp/cmp"
 )
 
 type told struct {
 	mode policy.ListMode
-	list []core.Engine
+	list []lifecycle.Engine
 }
 
 type recorder chan told
 
-func (r recorder) Roster(mode policy.ListMode, list []core.Engine) { r <- told{mode, list} }
+func (r recorder) Roster(mode policy.ListMode, list []lifecycle.Engine) { r <- told{mode, list} }
 
 func frame(number uint64, kind byte, payload ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
@@ -68,12 +68,12 @@
 			}
 		}
 	}()
-	loop, err := netio.New(1024)
+	loop, err := eventloop.New(1024)
 	if err != nil {
 		t.Fatal(err)
 	}
 	news := make(recorder, 10)
-	f := New(loop, ln.Addr().String(), 3, []string{"a", "b"}, []string{"std"}, news, stats.New(), slog.New(slog.DiscardHandler))
+	f := New(loop, ln.Addr().String(), 3, []string{"a", "b"}, []string{"std"}, news, metrics.New(), slog.New(slog.DiscardHandler))
 	loop.Post(f.Start)
 	done := make(chan struct{})
 	go func() { loop.Run(); close(done) }()
@@ -87,10 +87,10 @@
 			t.Fatalf("told only %v", got)
 		}
 	}
-	one := core.Engine{Addr: "127.0.0.9:70", Engine: policy.Engine{ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineLive}}
-	two := core.Engine{Addr: "127.0.0.9:80", Engine: policy.Engine{ID: "s-00000008", Zone: "b", Kind: "std", Cell: 3,
+	one := lifecycle.Engine{Addr: "127.0.0.9:70", Engine: policy.Engine{ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineLive}}
+	two := lifecycle.Engine{Addr: "127.0.0.9:80", Engine: policy.Engine{ID: "s-00000008", Zone: "b", Kind: "std", Cell: 3,
 		State: policy.EngineDraining, Started: 5 * time.Second, Fresh: true}}
-	want := []told{{policy.ListFull, []core.Engine{one}}, {policy.ListChanges, []core.Engine{two}}}
+	want := []told{{policy.ListFull, []lifecycle.Engine{one}}, {policy.ListChanges, []lifecycle.Engine{two}}}
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
@@ -106,11 +106,11 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	loop, err := netio.New(1024)
+	loop, err := eventloop.New(1024)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := New(loop, ln.Addr().String(), 0, nil, nil, make(recorder, 1), stats.New(), slog.New(slog.DiscardHandler))
+	f := New(loop, ln.Addr().String(), 0, nil, nil, make(recorder, 1), metrics.New(), slog.New(slog.DiscardHandler))
 	f.quiet = 50 * time.Millisecond
 	loop.Post(f.Start)
 	done := make(chan struct{})
@@ -136,11 +136,11 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	loop, err := netio.New(1024)
+	loop, err := eventloop.New(1024)
 	if err != nil {
 		t.Fatal(err)
 	}
-	counters := stats.New()
+	counters := metrics.New()
 	f := New(loop, addr, 0, nil, nil, make(recorder, 1), counters, slog.New(slog.DiscardHandler))
 	loop.Post(f.Start)
 	done := make(chan struct{})
--- a/internal/roster/bus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -1,4 +1,4 @@
-package bus_test
+package eventbus_test
 
 import (
 	"bytes"
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/roster/bus"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/discovery/eventbus"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
 )
 
 var update = flag.Bool("update", false, "write the golden file anew")
@@ -34,7 +34,7 @@
 // events words what is told of the engines, one line each.
 type events chan string
 
-func (e events) Roster(mode policy.ListMode, list []core.Engine) {
+func (e events) Roster(mode policy.ListMode, list []lifecycle.Engine) {
 	text := fmt.Sprintf("= %s of %d\n", modes[mode], len(list))
 	for _, one := range list {
 		text += fmt.Sprintf("= %s at %s, zone %q, kind %q, cell %d, %s, late start %t at %v\n",
@@ -90,11 +90,11 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must(t, err)
 	defer listener.Close()
-	loop, err := netio.New(1024)
+	loop, err := eventloop.New(1024)
 	must(t, err)
 	told := make(events, 10)
 	zones, kinds := []string{"east", "west"}, []string{"std", "big"}
-	follower := bus.New(loop, listener.Addr().String(), 41, zones, kinds, told, stats.New(), slog.New(slog.DiscardHandler))
+	follower := eventbus.New(loop, listener.Addr().String(), 41, zones, kinds, told, metrics.New(), slog.New(slog.DiscardHandler))
 	loop.Post(follower.Start)
 	done := make(chan struct{})
 	go func() { loop.Run(); close(done) }()
--- a/internal/stories/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -1,4 +1,4 @@
-package stories
+package e2e
 
 import (
 	"bufio"
--- a/internal/stories/crossings_test.go
+++ b/internal/e2e/crossings_test.go
@@ -1,4 +1,4 @@
-package stories
+package e2e
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/policy"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
 )
 
 // arrive writes text and holds the loop until the poller has read it: what the loop
@@ -433,7 +433,7 @@
 		g.roster(policy.EngineLive, other)
 		if whole {
 			g.do(func() {
-				g.core.Roster(policy.ListFull, []core.Engine{{Addr: other, Engine: policy.Engine{ID: "e" + other, Zone: "hall-a", Kind: "std-8", State: policy.EngineLive}}})
+				g.core.Roster(policy.ListFull, []lifecycle.Engine{{Addr: other, Engine: policy.Engine{ID: "e" + other, Zone: "hall-a", Kind: "std-8", State: policy.EngineLive}}})
 			})
 		} else {
 			g.roster(policy.EngineDraining, late)
--- a/internal/stories/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -1,4 +1,4 @@
-package stories
+package e2e
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"gannetspur/policy"
+	"flaxrelay/policy"
 )
 
 // Two values of the HTTP front differ from run to run, and only these are replaced in the
--- a/internal/stories/golden_pgwire_test.go
+++ b/internal/e2e/golden_pgwire_test.go
@@ -1,4 +1,4 @@
-package stories
+package e2e
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"gannetspur/internal/pgproto"
+	"flaxrelay/internal/pgproto"
 )
 
 // Two values of the PostgreSQL front are drawn at random, and only these are replaced in
--- a/internal/stories/peers_test.go
+++ b/internal/e2e/peers_test.go
@@ -1,4 +1,4 @@
-package stories
+package e2e
 
 import (
 	"bufio"
@@ -14,16 +14,16 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/config"
-	"gannetspur/internal/core"
-	"gannetspur/internal/engine/lines"
-	"gannetspur/internal/engine/pg"
-	"gannetspur/internal/front/pgwire"
-	"gannetspur/internal/front/rest"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/pgproto"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/engine/lineclient"
+	"flaxrelay/internal/engine/pgclient"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/frontend/httpserver"
+	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/policy"
 )
 
 // patience bounds every wait, so that a story that goes wrong fails and ends.
@@ -32,17 +32,17 @@
 // gateway is a program in the test's own process.
 type gateway struct {
 	t       testing.TB
-	loop    *netio.Loop
-	core    *core.Core
-	stats   *stats.Counters
+	loop    *eventloop.Loop
+	core    *lifecycle.Core
+	stats   *metrics.Counters
 	site    config.Site
 	log     *slog.Logger
 	addr    string
-	rest    *rest.Front
-	options rest.Options
+	rest    *httpserver.Front
+	options httpserver.Options
 	// mostLinks bounds the connections to engines, streams the requests on one.
 	mostLinks, streams int
-	pgwire             pgwire.Options
+	pgwire             pgserver.Options
 	drain              func() // begins a planned stop of the front
 	closeListener      func()
 }
@@ -54,17 +54,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &gateway{t: t, stats: stats.New(), log: slog.New(slog.DiscardHandler)}
+	g := &gateway{t: t, stats: metrics.New(), log: slog.New(slog.DiscardHandler)}
 	if err := json.Unmarshal(raw, &g.site); err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
 		change(&g.site.Policy)
 	}
-	if g.loop, err = netio.New(1024); err != nil {
+	if g.loop, err = eventloop.New(1024); err != nil {
 		t.Fatal(err)
 	}
-	if g.core, err = core.New(g.site.Policy, 1, g.loop, g.loop.Timers, g.stats, g.log); err != nil {
+	if g.core, err = lifecycle.New(g.site.Policy, 1, g.loop, g.loop.Timers, g.stats, g.log); err != nil {
 		t.Fatal(err)
 	}
 	return g
@@ -110,9 +110,9 @@
 }
 
 func (g *gateway) roster(state policy.EngineState, addrs ...string) {
-	var list []core.Engine
+	var list []lifecycle.Engine
 	for _, a := range addrs {
-		list = append(list, core.Engine{Addr: a, Engine: policy.Engine{ID: "e" + a, Zone: "hall-a", Kind: "std-8", State: state}})
+		list = append(list, lifecycle.Engine{Addr: a, Engine: policy.Engine{ID: "e" + a, Zone: "hall-a", Kind: "std-8", State: state}})
 	}
 	g.do(func() { g.core.Roster(policy.ListChanges, list) })
 }
@@ -129,10 +129,10 @@
 	if g.site.MaxStreams = g.streams; g.streams == 0 {
 		g.site.MaxStreams = 32
 	}
-	links := lines.New(g.loop, g.core, g.site, g.stats, g.log)
+	links := lineclient.New(g.loop, g.core, g.site, g.stats, g.log)
 	links.Most = g.mostLinks
 	g.core.SetLinks(links)
-	f := rest.New(g.loop, g.core, g.options, g.stats)
+	f := httpserver.New(g.loop, g.core, g.options, g.stats)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -151,13 +151,13 @@
 func (g *gateway) postgres(engines ...string) *gateway {
 	t := g.t
 	t.Helper()
-	g.core.SetLinks(pg.New(g.loop, g.core, pg.Options{User: "ringwood", Database: "register"}, g.stats, g.log))
+	g.core.SetLinks(pgclient.New(g.loop, g.core, pgclient.Options{User: "ringwood", Database: "register"}, g.stats, g.log))
 	if g.pgwire.DefaultClass == "" {
-		g.pgwire = pgwire.Options{
-			DefaultClass: "lookup", WriteClass: "write", Rules: []pgwire.Rule{{Starts: "insert into", Class: "load", Key: 1}},
+		g.pgwire = pgserver.Options{
+			DefaultClass: "lookup", WriteClass: "write", Rules: []pgserver.Rule{{Starts: "insert into", Class: "load", Key: 1}},
 		}
 	}
-	f := pgwire.New(g.loop, g.core, g.pgwire, g.stats)
+	f := pgserver.New(g.loop, g.core, g.pgwire, g.stats)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/stories/platform_test.go
+++ b/internal/e2e/platform_test.go
@@ -1,4 +1,4 @@
-package stories
+package e2e
 
 import (
 	"bufio"
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/engine"
-	"gannetspur/policy"
+	"flaxrelay/internal/engine"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
 
 	"github.com/google/go-cmp/cmp"
 )
@@ -263,7 +263,7 @@
 // may say so.
 func TestEnds(t *testing.T) {
 	got := map[string]policy.Result{}
-	for e := core.EndUnknown; e <= core.EndIdle; e++ {
+	for e := lifecycle.EndUnknown; e <= lifecycle.EndIdle; e++ {
 		got[e.String()] = e.Result()
 	}
 	want := map[string]policy.Result{
@@ -284,7 +284,7 @@
 	var told []string
 	p := engine.NewPool[*fakeLink]()
 	entry := func(id string, state policy.EngineState, started time.Duration) {
-		p.Engine(core.Engine{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, Started: started}})
+		p.Engine(lifecycle.Engine{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, Started: started}})
 	}
 	entry("old", policy.EngineLive, 0)
 	p.Get("old").Links = append(p.Get("old").Links, &fakeLink{"old", &told})
@@ -467,7 +467,7 @@
 	k := httpConnect(t, g.addr)
 	k.call(post("lookup", ""))
 	g.do(func() {
-		g.core.Roster(policy.ListFull, []core.Engine{{Addr: two, Engine: policy.Engine{ID: "two", Zone: "hall-a", Kind: "std-8", State: policy.EngineLive}}})
+		g.core.Roster(policy.ListFull, []lifecycle.Engine{{Addr: two, Engine: policy.Engine{ID: "two", Zone: "hall-a", Kind: "std-8", State: policy.EngineLive}}})
 	})
 	for g.count("links.ended.idle") == 0 {
 		runtime.Gosched()
--- a/internal/stories/postgres_test.go
+++ b/internal/e2e/postgres_test.go
@@ -1,4 +1,4 @@
-package stories
+package e2e
 
 import (
 	"net"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/pgproto"
-	"gannetspur/policy"
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/policy"
 
 	"github.com/google/go-cmp/cmp"
 )
--- a/internal/stories/shapes_test.go
+++ b/internal/e2e/shapes_test.go
@@ -1,4 +1,4 @@
-package stories
+package e2e
 
 import (
 	"fmt"
@@ -7,22 +7,22 @@
 	"testing"
 	"time"
 
-	decide "gannetspur/internal/decide/shape"
-	"gannetspur/internal/front/pgwire"
-	"gannetspur/internal/shape"
+	decide "flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/internal/stmtstats"
 )
 
 // withShapes has a gateway learn shapes, before it serves.
-func withShapes(t *testing.T, g *gateway, set shape.Settings) *shape.Service {
+func withShapes(t *testing.T, g *gateway, set stmtstats.Settings) *stmtstats.Service {
 	t.Helper()
 	set.Bytes = 256 << 10
 	set.Decide = decide.Config{Classes: []decide.Class{{Name: "lookup", UpTo: 60}, {Name: "report"}}}
-	s, err := shape.NewService(set, g.site.Policy.Classes, g.loop, g.stats, g.log)
+	s, err := stmtstats.NewService(set, g.site.Policy.Classes, g.loop, g.stats, g.log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.core.SetLearner(s)
-	g.pgwire = pgwire.Options{DefaultClass: "lookup", WriteClass: "write", Shapes: s, Rules: []pgwire.Rule{{Starts: "insert into", Class: "load", Key: 1}}}
+	g.pgwire = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", Shapes: s, Rules: []pgserver.Rule{{Starts: "insert into", Class: "load", Key: 1}}}
 	return s
 }
 
@@ -37,7 +37,7 @@
 		return pgRows("a")
 	})
 	g := newGateway(t, nil)
-	withShapes(t, g, shape.Settings{})
+	withShapes(t, g, stmtstats.Settings{})
 	g.postgres(addr)
 	k := connect(t, g.addr)
 	const text = "SELECT part FROM stock_4.parts WHERE district = ANY($1)"
@@ -83,7 +83,7 @@
 	write(t, path, damaged)
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
-	s := withShapes(t, g, shape.Settings{Snapshot: path, Every: time.Hour})
+	s := withShapes(t, g, stmtstats.Settings{Snapshot: path, Every: time.Hour})
 	if n := g.stats.Get("shapes.snapshot-unusable"); n != 1 {
 		t.Errorf("%d snapshots found unusable, want 1", n)
 	}
@@ -99,7 +99,7 @@
 	g.do(s.Save)
 	for g.count("shapes.snapshots") == 0 {
 	}
-	snap, err := shape.ReadSnapshot(path)
+	snap, err := stmtstats.ReadSnapshot(path)
 	if err != nil || len(snap.Shapes) != 1 || snap.Shapes[0].Entry.Seen != 5 {
 		t.Errorf("%+v, %v", snap, err)
 	}
--- a/internal/stories/writes_test.go
+++ b/internal/e2e/writes_test.go
@@ -1,12 +1,12 @@
-package stories
+package e2e
 
 import (
 	"strings"
 	"testing"
 
-	"gannetspur/internal/front/pgwire"
-	"gannetspur/internal/pgproto"
-	"gannetspur/policy"
+	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/policy"
 )
 
 // An engine runs a statement and breaks the connection. What may write has run once,
@@ -55,13 +55,13 @@
 func TestSafeClassForWrites(t *testing.T) {
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
-	g.pgwire = pgwire.Options{
+	g.pgwire = pgserver.Options{
 		DefaultClass: "lookup", WriteClass: "write", ReadOnly: map[string]bool{"stock.price_of": true},
-		Rules: []pgwire.Rule{{Starts: "SELECT quiet", Class: "report", ReadOnly: true}, {Starts: "SELECT loud", Class: "report"}},
+		Rules: []pgserver.Rule{{Starts: "SELECT quiet", Class: "report", ReadOnly: true}, {Starts: "SELECT loud", Class: "report"}},
 	}
 	g.postgres(addr)
 	bare := newGateway(t, nil)
-	bare.pgwire = pgwire.Options{DefaultClass: "lookup"}
+	bare.pgwire = pgserver.Options{DefaultClass: "lookup"}
 	bare.postgres(addr)
 	for _, tt := range []struct {
 		g          *gateway
--- a/internal/engine/lines/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -1,4 +1,4 @@
-package lines_test
+package lineclient_test
 
 import (
 	"bufio"
@@ -15,13 +15,13 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/config"
-	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
-	"gannetspur/internal/engine/lines"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/engine/lineclient"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/timerqueue"
+	"flaxrelay/policy"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -46,10 +46,10 @@
 // far: `> ` by our side, `< ` by the engine, `= ` what our side made of it.
 type exchange struct {
 	t      *testing.T
-	loop   *netio.Loop
-	core   *core.Core
-	links  *lines.Links
-	stats  *stats.Counters
+	loop   *eventloop.Loop
+	core   *lifecycle.Core
+	links  *lineclient.Links
+	stats  *metrics.Counters
 	listen net.Listener
 	conn   net.Conn
 	in     *bufio.Reader
@@ -60,20 +60,20 @@
 
 func newExchange(t *testing.T, cancels bool) *exchange {
 	t.Helper()
-	x := &exchange{t: t, stats: stats.New(), seen: map[string]bool{}}
+	x := &exchange{t: t, stats: metrics.New(), seen: map[string]bool{}}
 	var site config.Site
 	x.must(json.Unmarshal(fmt.Appendf(nil, settings, cancels), &site))
 	var err error
 	x.listen, err = net.Listen("tcp", "127.0.0.1:0")
 	x.must(err)
 	t.Cleanup(func() { x.listen.Close() })
-	x.loop, err = netio.New(1024)
+	x.loop, err = eventloop.New(1024)
 	x.must(err)
 	discard := slog.New(slog.DiscardHandler)
-	x.core, err = core.New(site.Policy, 1, fixedClock{}, deadline.New(), x.stats, discard)
+	x.core, err = lifecycle.New(site.Policy, 1, fixedClock{}, timerqueue.New(), x.stats, discard)
 	x.must(err)
 	x.core.SetLearner(x)
-	x.links = lines.New(x.loop, x.core, site, x.stats, discard)
+	x.links = lineclient.New(x.loop, x.core, site, x.stats, discard)
 	x.core.SetLinks(x.links)
 	done := make(chan struct{})
 	go func() { x.loop.Run(); close(done) }()
@@ -97,14 +97,14 @@
 }
 
 func (x *exchange) engine(state policy.EngineState) {
-	entry := core.Engine{Addr: x.listen.Addr().String(), Engine: policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state}}
+	entry := lifecycle.Engine{Addr: x.listen.Addr().String(), Engine: policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state}}
 	x.do(func() { x.links.Engine(entry) })
 }
 
 // send begins an attempt and returns it.
-func (x *exchange) send(id, statement string, change func(*core.Attempt)) *core.Attempt {
-	request := &core.Request{ID: id, Class: "report", Statement: statement, Note: "noted"}
-	attempt := &core.Attempt{Request: request, Engine: engineID, Sent: fixedClock{}.Now(), Within: 1500 * time.Millisecond, Priority: 1}
+func (x *exchange) send(id, statement string, change func(*lifecycle.Attempt)) *lifecycle.Attempt {
+	request := &lifecycle.Request{ID: id, Class: "report", Statement: statement, Note: "noted"}
+	attempt := &lifecycle.Attempt{Request: request, Engine: engineID, Sent: fixedClock{}.Now(), Within: 1500 * time.Millisecond, Priority: 1}
 	if change != nil {
 		change(attempt)
 	}
@@ -151,7 +151,7 @@
 }
 
 // ended waits until the attempt is over, and notes how it ended and what was read.
-func (x *exchange) ended(a *core.Attempt) {
+func (x *exchange) ended(a *lifecycle.Attempt) {
 	x.t.Helper()
 	for by := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		over := false
@@ -177,17 +177,17 @@
 }
 
 // Served notes what came with a good end.
-func (x *exchange) Served(r *core.Request, rep core.Report, _ time.Duration) {
+func (x *exchange) Served(r *lifecycle.Request, rep lifecycle.Report, _ time.Duration) {
 	load := rep.Load
 	fmt.Fprintf(&x.served, "= served %s: work %v, memory %v MB, load told %t: busy %v held %v waiting %v memory %v disks %v\n",
 		r.ID, rep.Work, rep.MemoryMB, load.Told, load.Busy, load.Held, load.Waiting, load.Memory, load.Disks)
-	for n, page := range rep.Result.(lines.Rows) {
+	for n, page := range rep.Result.(lineclient.Rows) {
 		fmt.Fprintf(&x.served, "= page %d %q\n", n, page)
 	}
 }
 
-func (x *exchange) GivenUp(*core.Request, time.Duration) {}
-func (x *exchange) Over(*core.Request)                   {}
+func (x *exchange) GivenUp(*lifecycle.Request, time.Duration) {}
+func (x *exchange) Over(*lifecycle.Request)                   {}
 
 // closed takes the engine off the roster, which closes the idle connection, and notes
 // all that our side had still written: nothing is left out of the golden file.
@@ -237,13 +237,13 @@
 	"want": {false, func(x *exchange) {
 		plain := x.send(id, question, nil)
 		x.read()
-		full := x.send("00000000000000ff", "", func(a *core.Attempt) {
+		full := x.send("00000000000000ff", "", func(a *lifecycle.Attempt) {
 			a.Request.Token, a.MemoryMB, a.Priority, a.Within = "key-1", 96.75, 3, 250*time.Millisecond
 		})
 		x.read()
-		late := x.send("0000000000000100", "SELECT 1", func(a *core.Attempt) { a.Priority, a.Within = 0, 0 })
+		late := x.send("0000000000000100", "SELECT 1", func(a *lifecycle.Attempt) { a.Priority, a.Within = 0, 0 })
 		x.read()
-		for _, a := range []*core.Attempt{late, full, plain} { // in any order
+		for _, a := range []*lifecycle.Attempt{late, full, plain} { // in any order
 			x.write(a.Request.ID + " DONE batches=1 0\r\n\r\n")
 			x.ended(a)
 		}
--- a/internal/engine/lines/links.go
+++ b/internal/engine/lineclient/links.go
@@ -1,6 +1,6 @@
-// Package lines carries attempts to engines that speak the platform's line
+// Package lineclient carries attempts to engines that speak the platform's line
 // protocol: many requests on one connection, answers in any order.
-package lines
+package lineclient
 
 import (
 	"errors"
@@ -11,12 +11,12 @@
 	"time"
 	"unicode/utf8"
 
-	"gannetspur/internal/config"
-	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
-	"gannetspur/internal/engine"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/engine"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/timerqueue"
 )
 
 const (
@@ -46,17 +46,17 @@
 	// clients; 0: no bound. Past it an idle one goes. Set it before the first Send.
 	Most int
 
-	loop    *netio.Loop
-	core    *core.Core
+	loop    *eventloop.Loop
+	core    *lifecycle.Core
 	site    config.Site
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	log     *slog.Logger
 	engines *engine.Pool[*link]
 	open    map[*link]struct{} // that may take more, from their dials on
 }
 
 // New returns links that report to the core.
-func New(loop *netio.Loop, c *core.Core, site config.Site, counters *stats.Counters, l *slog.Logger) *Links {
+func New(loop *eventloop.Loop, c *lifecycle.Core, site config.Site, counters *metrics.Counters, l *slog.Logger) *Links {
 	site.MaxStreams = max(site.MaxStreams, 1)
 	if site.ConnectTimeout <= 0 {
 		site.ConnectTimeout = 250 * time.Millisecond
@@ -68,41 +68,41 @@
 type link struct {
 	all     *Links
 	engine  *engine.Engine[*link]
-	conn    *netio.Conn // nil until it is up
+	conn    *eventloop.Conn // nil until it is up
 	streams map[string]*stream
 	past    map[string]time.Duration // ids given up here, until then
 	oldest  []string                 // the same ids, oldest first
-	stall   *deadline.Entry          // ends the link in the middle of an answer
+	stall   *timerqueue.Entry        // ends the link in the middle of an answer
 	begun   time.Duration            // when the answer began of which a part is here; 0: none
 	retired bool                     // takes no more
 	used    time.Duration
-	end     core.End // why it is being closed from here
+	end     lifecycle.End // why it is being closed from here
 }
 
 // stream is one attempt on a link.
 type stream struct {
-	attempt *core.Attempt
+	attempt *lifecycle.Attempt
 	link    *link
 	written bool
 	pages   Rows
 	missing int // pages
 	size    int // of those that are here
-	report  core.Report
+	report  lifecycle.Report
 }
 
 // Engine takes an entry of the roster.
-func (ls *Links) Engine(e core.Engine) { ls.engines.Engine(e) }
+func (ls *Links) Engine(e lifecycle.Engine) { ls.engines.Engine(e) }
 
 // Send begins an attempt on a connection with room, or on a new one.
-func (ls *Links) Send(a *core.Attempt) {
+func (ls *Links) Send(a *lifecycle.Attempt) {
 	e := ls.engines.Get(a.Engine)
 	if e == nil {
-		ls.core.End(a, core.EndNoEngine, core.Report{})
+		ls.core.End(a, lifecycle.EndNoEngine, lifecycle.Report{})
 		return
 	}
 	l := room(e, a.Request.ID, ls.site.MaxStreams, ls.core.Now())
 	if l == nil && !ls.makeRoom() {
-		ls.core.End(a, core.EndNoDescriptor, core.Report{})
+		ls.core.End(a, lifecycle.EndNoDescriptor, lifecycle.Report{})
 		return
 	}
 	if l == nil {
@@ -153,13 +153,13 @@
 	e.Links = append(e.Links, l)
 	ls.open[l] = struct{}{}
 	ls.stats.Add("links.dialed")
-	ls.loop.Dial(e.Addr, ls.site.ConnectTimeout, maxBuffer, l, func(c *netio.Conn, err error) {
+	ls.loop.Dial(e.Addr, ls.site.ConnectTimeout, maxBuffer, l, func(c *eventloop.Conn, err error) {
 		if err == nil {
 			l.up(c)
 			return
 		}
 		end := engine.DialEnd(err)
-		if end != core.EndRefused {
+		if end != lifecycle.EndRefused {
 			ls.log.Warn("engine.unreachable", "engine", e.ID, "error", err)
 		}
 		l.lost(end)
@@ -167,7 +167,7 @@
 	return l
 }
 
-func (l *link) up(c *netio.Conn) {
+func (l *link) up(c *eventloop.Conn) {
 	l.conn = c
 	for _, s := range l.inOrder() {
 		if l.streams[s.attempt.Request.ID] == s { // not given up on word of another's end
@@ -222,7 +222,7 @@
 
 func (l *link) closeIfDone() {
 	if l.retired && l.conn != nil && len(l.streams) == 0 {
-		l.end = core.EndIdle
+		l.end = lifecycle.EndIdle
 		l.conn.Close()
 	}
 }
@@ -232,7 +232,7 @@
 	a := s.attempt
 	r := a.Request
 	if a.TooLate(s.link.all.core.Now()) {
-		s.link.finish(s, core.EndNotSent)
+		s.link.finish(s, lifecycle.EndNotSent)
 		return
 	}
 	stmt, _ := r.Statement.(string)
@@ -252,13 +252,13 @@
 	b = append(append(append(b, "\r\n"...), stmt...), "\r\n"...)
 	if s.written = s.link.conn.Write(b); !s.written {
 		s.link.retire()
-		s.link.finish(s, core.EndNotSent)
+		s.link.finish(s, lifecycle.EndNotSent)
 	}
 }
 
 // Drop gives an attempt up. Its engine is told where the settings permit a cancel; a
 // result that waits to be fetched is no work any more, and may be let go of anyway.
-func (ls *Links) Drop(a *core.Attempt) {
+func (ls *Links) Drop(a *lifecycle.Attempt) {
 	s, ok := a.Link.(*stream)
 	if !ok {
 		return
@@ -285,7 +285,7 @@
 }
 
 // Withdraw takes back an attempt whose connection is not up yet.
-func (ls *Links) Withdraw(a *core.Attempt) bool {
+func (ls *Links) Withdraw(a *lifecycle.Attempt) bool {
 	s, ok := a.Link.(*stream)
 	if !ok || s.written {
 		return false
@@ -304,16 +304,16 @@
 }
 
 // Hurry sets the priority of an attempt that is out.
-func (ls *Links) Hurry(a *core.Attempt, priority int) {
+func (ls *Links) Hurry(a *lifecycle.Attempt, priority int) {
 	if s, ok := a.Link.(*stream); ok && s.written && s.missing == 0 && s.link.conn != nil {
 		s.link.conn.Write([]byte("hurry " + a.Request.ID + " " + strconv.Itoa(priority) + "\r\n"))
 	}
 }
 
 // Data reads the answers that are whole.
-func (l *link) Data(_ *netio.Conn, in *netio.Buffer) {
+func (l *link) Data(_ *eventloop.Conn, in *eventloop.Buffer) {
 	now := l.all.loop.Now()
-	for l.end == core.EndUnknown {
+	for l.end == lifecycle.EndUnknown {
 		a, n, err := parse(in.Bytes())
 		if err == nil && n > 0 {
 			err = l.answer(a)
@@ -329,7 +329,7 @@
 		}
 	}
 	l.stall.Stop()
-	if in.Len() == 0 || l.end != core.EndUnknown {
+	if in.Len() == 0 || l.end != lifecycle.EndUnknown {
 		return
 	}
 	if l.begun == 0 {
@@ -343,11 +343,11 @@
 // spoilt ends the link, and with it all that is open on it: where one answer can't
 // be read, nothing tells where the next begins.
 func (l *link) spoilt(err error) {
-	if l.conn == nil || l.end != core.EndUnknown {
+	if l.conn == nil || l.end != lifecycle.EndUnknown {
 		return
 	}
 	l.all.log.Warn("engine.unreadable", "engine", l.engine.ID, "error", err)
-	l.end = core.EndGarbage
+	l.end = lifecycle.EndGarbage
 	l.retire()
 	l.conn.Abort()
 }
@@ -371,7 +371,7 @@
 	case "WAIT", "BROKE", "PAST":
 		end := ends[a.word]
 		if s.missing > 0 {
-			end = core.EndPagesLost
+			end = lifecycle.EndPagesLost
 		}
 		s.report.Load = gauges(a.fields)
 		l.finish(s, end)
@@ -408,7 +408,7 @@
 	s.pages[0] = append([]byte{}, a.body...)
 	s.missing = pages - 1
 	if s.missing == 0 {
-		l.finish(s, core.EndServed)
+		l.finish(s, lifecycle.EndServed)
 		return nil
 	}
 	var b []byte
@@ -437,7 +437,7 @@
 	s.pages[n] = append([]byte{}, a.body...)
 	if s.missing--; s.missing == 0 {
 		l.conn.Write([]byte("shut " + a.id + "\r\n"))
-		l.finish(s, core.EndServed)
+		l.finish(s, lifecycle.EndServed)
 	}
 	return nil
 }
@@ -468,10 +468,10 @@
 }
 
 // finish takes the stream off the link and ends its attempt.
-func (l *link) finish(s *stream, end core.End) {
+func (l *link) finish(s *stream, end lifecycle.End) {
 	delete(l.streams, s.attempt.Request.ID)
 	l.used = l.all.core.Now()
-	if end == core.EndServed {
+	if end == lifecycle.EndServed {
 		s.report.Result = s.pages
 	} else if s.written { // a second copy of this end, or a page, must not be taken for the next attempt's
 		l.pass(s.attempt.Request.ID)
@@ -481,18 +481,18 @@
 }
 
 // Closed ends all that was open on the link.
-func (l *link) Closed(*netio.Conn, error) {
+func (l *link) Closed(*eventloop.Conn, error) {
 	switch {
-	case l.end != core.EndUnknown:
+	case l.end != lifecycle.EndUnknown:
 	case len(l.streams) == 0:
-		l.end = core.EndIdle
+		l.end = lifecycle.EndIdle
 	default:
-		l.end = core.EndReset
+		l.end = lifecycle.EndReset
 	}
 	l.lost(l.end)
 }
 
-func (l *link) lost(end core.End) {
+func (l *link) lost(end lifecycle.End) {
 	l.retire()
 	l.conn = nil
 	l.stall.Stop()
@@ -503,6 +503,6 @@
 			continue
 		}
 		delete(l.streams, s.attempt.Request.ID)
-		l.all.core.End(s.attempt, end, core.Report{})
+		l.all.core.End(s.attempt, end, lifecycle.Report{})
 	}
 }
--- a/internal/engine/lines/parse.go
+++ b/internal/engine/lineclient/parse.go
@@ -1,4 +1,4 @@
-package lines
+package lineclient
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
-	"gannetspur/internal/core"
-	"gannetspur/policy"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
 )
 
 const (
@@ -133,4 +133,4 @@
 }
 
 // ends maps the words that end an attempt without a result.
-var ends = map[string]core.End{"WAIT": core.EndFull, "BROKE": core.EndError, "PAST": core.EndPast}
+var ends = map[string]lifecycle.End{"WAIT": lifecycle.EndFull, "BROKE": lifecycle.EndError, "PAST": lifecycle.EndPast}
--- a/internal/engine/lines/parse_test.go
+++ b/internal/engine/lineclient/parse_test.go
@@ -1,9 +1,9 @@
-package lines
+package lineclient
 
 import (
 	"testing"
 
-	"gannetspur/policy"
+	"flaxrelay/policy"
 )
 
 // Whatever an engine sends, an answer lies within it.
--- a/internal/engine/pg/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -1,4 +1,4 @@
-package pg_test
+package pgclient_test
 
 import (
 	"bufio"
@@ -16,14 +16,14 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/config"
-	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
-	"gannetspur/internal/engine/pg"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/pgproto"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/engine/pgclient"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/internal/timerqueue"
+	"flaxrelay/policy"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -48,10 +48,10 @@
 // written so far: `> ` by our side, `< ` by the engine, `= ` what our side made of it.
 type exchange struct {
 	t      *testing.T
-	loop   *netio.Loop
-	core   *core.Core
-	links  *pg.Links
-	stats  *stats.Counters
+	loop   *eventloop.Loop
+	core   *lifecycle.Core
+	links  *pgclient.Links
+	stats  *metrics.Counters
 	listen net.Listener
 	conn   net.Conn
 	in     *bufio.Reader
@@ -62,21 +62,21 @@
 
 func newExchange(t *testing.T) *exchange {
 	t.Helper()
-	x := &exchange{t: t, stats: stats.New(), seen: map[string]bool{}}
+	x := &exchange{t: t, stats: metrics.New(), seen: map[string]bool{}}
 	var site config.Site
 	x.must(json.Unmarshal([]byte(settings), &site))
 	var err error
 	x.listen, err = net.Listen("tcp", "127.0.0.1:0")
 	x.must(err)
 	t.Cleanup(func() { x.listen.Close() })
-	x.loop, err = netio.New(1024)
+	x.loop, err = eventloop.New(1024)
 	x.must(err)
 	discard := slog.New(slog.DiscardHandler)
-	x.core, err = core.New(site.Policy, 1, fixedClock{}, deadline.New(), x.stats, discard)
+	x.core, err = lifecycle.New(site.Policy, 1, fixedClock{}, timerqueue.New(), x.stats, discard)
 	x.must(err)
 	x.core.SetLearner(x)
-	options := pg.Options{User: "ringwood", Database: "register", ConnectTimeout: patience}
-	x.links = pg.New(x.loop, x.core, options, x.stats, discard)
+	options := pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: patience}
+	x.links = pgclient.New(x.loop, x.core, options, x.stats, discard)
 	x.core.SetLinks(x.links)
 	done := make(chan struct{})
 	go func() { x.loop.Run(); close(done) }()
@@ -100,7 +100,7 @@
 }
 
 func (x *exchange) engine(state policy.EngineState) {
-	entry := core.Engine{Addr: x.listen.Addr().String(), Engine: policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state}}
+	entry := lifecycle.Engine{Addr: x.listen.Addr().String(), Engine: policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state}}
 	x.do(func() { x.links.Engine(entry) })
 }
 
@@ -110,9 +110,9 @@
 }
 
 // send begins an attempt and returns it.
-func (x *exchange) send(class string, s *pgproto.Statement) *core.Attempt {
-	request := &core.Request{ID: "1", Class: class, Statement: s, Note: "noted"}
-	attempt := &core.Attempt{Request: request, Engine: engineID, Sent: fixedClock{}.Now(), Within: patience}
+func (x *exchange) send(class string, s *pgproto.Statement) *lifecycle.Attempt {
+	request := &lifecycle.Request{ID: "1", Class: class, Statement: s, Note: "noted"}
+	attempt := &lifecycle.Attempt{Request: request, Engine: engineID, Sent: fixedClock{}.Now(), Within: patience}
 	x.do(func() { x.links.Send(attempt) })
 	return attempt
 }
@@ -189,7 +189,7 @@
 }
 
 // ended waits until the attempt is over, and notes how it ended and what was read.
-func (x *exchange) ended(a *core.Attempt) {
+func (x *exchange) ended(a *lifecycle.Attempt) {
 	x.t.Helper()
 	for by := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		over := false
@@ -215,13 +215,13 @@
 }
 
 // Served notes what came with a good end.
-func (x *exchange) Served(_ *core.Request, rep core.Report, _ time.Duration) {
+func (x *exchange) Served(_ *lifecycle.Request, rep lifecycle.Report, _ time.Duration) {
 	r := rep.Result.(*pgproto.Result)
 	fmt.Fprintf(&x.served, "= parameters %q, fields %q, %d rows %q, tag %q, empty %t\n", r.Params, r.Fields, r.Count, r.Rows, r.Tag, r.Empty)
 }
 
-func (x *exchange) GivenUp(*core.Request, time.Duration) {}
-func (x *exchange) Over(*core.Request)                   {}
+func (x *exchange) GivenUp(*lifecycle.Request, time.Duration) {}
+func (x *exchange) Over(*lifecycle.Request)                   {}
 
 // closed takes the engine off the roster, which closes the idle connection, and notes
 // all that our side had still written: nothing is left out of the golden file.
--- a/internal/engine/pg/links.go
+++ b/internal/engine/pgclient/links.go
@@ -1,6 +1,6 @@
-// Package pg carries attempts to engines that speak the PostgreSQL wire protocol:
+// Package pgclient carries attempts to engines that speak the PostgreSQL wire protocol:
 // one attempt at a time on a connection, which is used again.
-package pg
+package pgclient
 
 import (
 	"errors"
@@ -9,13 +9,13 @@
 	"strconv"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
-	"gannetspur/internal/engine"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/pgproto"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/engine"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/internal/timerqueue"
+	"flaxrelay/policy"
 )
 
 const (
@@ -42,17 +42,17 @@
 
 // Links holds the connections to all engines.
 type Links struct {
-	loop    *netio.Loop
-	core    *core.Core
+	loop    *eventloop.Loop
+	core    *lifecycle.Core
 	opts    Options
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	log     *slog.Logger
 	engines *engine.Pool[*link]
 	size    int // of the rows on their way
 }
 
 // New returns links that report to the core.
-func New(loop *netio.Loop, c *core.Core, opts Options, counters *stats.Counters, l *slog.Logger) *Links {
+func New(loop *eventloop.Loop, c *lifecycle.Core, opts Options, counters *metrics.Counters, l *slog.Logger) *Links {
 	if opts.ConnectTimeout <= 0 {
 		opts.ConnectTimeout = time.Second
 	}
@@ -66,17 +66,17 @@
 type link struct {
 	all     *Links
 	engine  *engine.Engine[*link]
-	conn    *netio.Conn // nil until it is up
-	ready   bool        // its startup is over
+	conn    *eventloop.Conn // nil until it is up
+	ready   bool            // its startup is over
 	retired bool
 	used    time.Duration
-	stall   *deadline.Entry   // ends it in the middle of a message
-	end     core.End          // why it is being closed from here
+	stall   *timerqueue.Entry // ends it in the middle of a message
+	end     lifecycle.End     // why it is being closed from here
 	key     []byte            // process and secret, as a CancelRequest wants them
 	named   map[string]string // statements that stay prepared here: their names by text and types
 	last    int               // number of the last name given
 
-	attempt *core.Attempt
+	attempt *lifecycle.Attempt
 	written bool
 	using   string // text and types of the attempt's statement, where it has a name
 	parsing string // the name that this attempt's Parse gives
@@ -87,13 +87,13 @@
 }
 
 // Engine takes an entry of the roster.
-func (ls *Links) Engine(e core.Engine) { ls.engines.Engine(e) }
+func (ls *Links) Engine(e lifecycle.Engine) { ls.engines.Engine(e) }
 
 // Send begins an attempt on an idle connection, or on a new one.
-func (ls *Links) Send(a *core.Attempt) {
+func (ls *Links) Send(a *lifecycle.Attempt) {
 	e := ls.engines.Get(a.Engine)
 	if e == nil {
-		ls.core.End(a, core.EndNoEngine, core.Report{})
+		ls.core.End(a, lifecycle.EndNoEngine, lifecycle.Report{})
 		return
 	}
 	var l *link
@@ -118,7 +118,7 @@
 	e.Links = append(e.Links, l)
 	ls.stats.Add("links.dialed")
 	by := ls.loop.Now() + ls.opts.ConnectTimeout
-	ls.loop.Dial(e.Addr, ls.opts.ConnectTimeout, maxBuffer, l, func(c *netio.Conn, err error) {
+	ls.loop.Dial(e.Addr, ls.opts.ConnectTimeout, maxBuffer, l, func(c *eventloop.Conn, err error) {
 		if err != nil {
 			l.lost(engine.DialEnd(err))
 			return
@@ -131,7 +131,7 @@
 		c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(body, 0)))
 		ls.loop.Timers.Add(by, func() { // one that accepts and then says nothing
 			if !l.ready && l.conn != nil {
-				l.close(core.EndConnectTimeout)
+				l.close(lifecycle.EndConnectTimeout)
 			}
 		})
 	})
@@ -143,7 +143,7 @@
 func (l *link) write() {
 	s, ok := l.attempt.Request.Statement.(*pgproto.Statement)
 	if !ok || l.attempt.TooLate(l.all.core.Now()) {
-		l.finish(core.EndNotSent, core.Report{})
+		l.finish(lifecycle.EndNotSent, lifecycle.Report{})
 		return
 	}
 	l.written = true
@@ -189,7 +189,7 @@
 // Drop gives an attempt up. Where it was written, the engine is told on a
 // connection of its own, and the link is not used again: the word could arrive
 // late and end whatever ran there next.
-func (ls *Links) Drop(a *core.Attempt) {
+func (ls *Links) Drop(a *lifecycle.Attempt) {
 	l, ok := a.Link.(*link)
 	if !ok || l.attempt != a {
 		return
@@ -200,12 +200,12 @@
 	}
 	ls.stats.Add("links.cancelled")
 	l.retired = true
-	l.close(core.EndCancelled)
+	l.close(lifecycle.EndCancelled)
 	if l.key == nil {
 		return
 	}
 	key := l.key
-	ls.loop.Dial(l.engine.Addr, min(ls.opts.ConnectTimeout, cancelTime), maxBuffer, silent{}, func(c *netio.Conn, err error) {
+	ls.loop.Dial(l.engine.Addr, min(ls.opts.ConnectTimeout, cancelTime), maxBuffer, silent{}, func(c *eventloop.Conn, err error) {
 		if err == nil {
 			c.Write(pgproto.AppendStartup(nil, pgproto.CancelReq, key))
 			c.Close()
@@ -214,7 +214,7 @@
 }
 
 // Withdraw takes back an attempt whose connection is not ready yet.
-func (ls *Links) Withdraw(a *core.Attempt) bool {
+func (ls *Links) Withdraw(a *lifecycle.Attempt) bool {
 	l, ok := a.Link.(*link)
 	if !ok || l.attempt != a || l.written {
 		return false
@@ -225,22 +225,22 @@
 
 type silent struct{}
 
-func (silent) Data(_ *netio.Conn, in *netio.Buffer) { in.Consume(in.Len()) }
-func (silent) Closed(*netio.Conn, error)            {}
+func (silent) Data(_ *eventloop.Conn, in *eventloop.Buffer) { in.Consume(in.Len()) }
+func (silent) Closed(*eventloop.Conn, error)                {}
 
 // Hurry does nothing: this protocol knows no priority.
-func (ls *Links) Hurry(*core.Attempt, int) {}
+func (ls *Links) Hurry(*lifecycle.Attempt, int) {}
 
 // Retire has the link take no more.
 func (l *link) Retire() {
 	l.retired = true
 	if l.attempt == nil && l.conn != nil {
-		l.close(core.EndIdle)
+		l.close(lifecycle.EndIdle)
 	}
 }
 
-func (l *link) close(why core.End) {
-	if l.end == core.EndUnknown {
+func (l *link) close(why lifecycle.End) {
+	if l.end == lifecycle.EndUnknown {
 		l.end = why
 	}
 	l.retired = true
@@ -250,8 +250,8 @@
 }
 
 // Data reads the messages that are whole.
-func (l *link) Data(_ *netio.Conn, in *netio.Buffer) {
-	for l.end == core.EndUnknown {
+func (l *link) Data(_ *eventloop.Conn, in *eventloop.Buffer) {
+	for l.end == lifecycle.EndUnknown {
 		kind, body, n, err := pgproto.Next(in.Bytes(), maxMessage)
 		if err == nil && n > 0 {
 			err = l.message(kind, body, in.Bytes()[:n])
@@ -266,7 +266,7 @@
 		}
 	}
 	l.stall.Stop()
-	if in.Len() > 0 && l.end == core.EndUnknown {
+	if in.Len() > 0 && l.end == lifecycle.EndUnknown {
 		l.stall = l.all.loop.Timers.Add(l.all.loop.Now()+stallMost, func() {
 			l.spoilt(errors.New("a message stopped in the middle"))
 		})
@@ -275,11 +275,11 @@
 
 // spoilt ends the link on what can't be read, and what is open on it.
 func (l *link) spoilt(err error) {
-	if l.conn == nil || l.end != core.EndUnknown {
+	if l.conn == nil || l.end != lifecycle.EndUnknown {
 		return
 	}
 	l.all.log.Warn("engine.unreadable", "engine", l.engine.ID, "error", err)
-	l.close(core.EndGarbage)
+	l.close(lifecycle.EndGarbage)
 }
 
 func (l *link) message(kind byte, body, whole []byte) error {
@@ -369,7 +369,7 @@
 func (l *link) stop(code, text string) {
 	a := l.attempt
 	l.all.Drop(a)
-	l.all.core.End(a, core.EndTooLarge, core.Report{Detail: &pgproto.Error{Severity: "ERROR", Code: code, Message: text}})
+	l.all.core.End(a, lifecycle.EndTooLarge, lifecycle.Report{Detail: &pgproto.Error{Severity: "ERROR", Code: code, Message: text}})
 }
 
 // clear takes the link's attempt off it.
@@ -384,10 +384,10 @@
 func (l *link) fatal() {
 	end := errorEnd(l.failure.Code)
 	switch {
-	case !l.written && end != core.EndFull: // no word on the statement: it was not sent
-		end = core.EndRefused
-	case l.written && end != core.EndTimeout: // between a commit and its word anything may be true
-		end = core.EndError
+	case !l.written && end != lifecycle.EndFull: // no word on the statement: it was not sent
+		end = lifecycle.EndRefused
+	case l.written && end != lifecycle.EndTimeout: // between a commit and its word anything may be true
+		end = lifecycle.EndError
 	}
 	l.close(end)
 }
@@ -405,7 +405,7 @@
 		case l.attempt != nil:
 			l.write()
 		case l.retired:
-			l.close(core.EndIdle)
+			l.close(lifecycle.EndIdle)
 		}
 		return nil
 	}
@@ -415,11 +415,11 @@
 	s, _ := l.attempt.Request.Statement.(*pgproto.Statement)
 	switch {
 	case l.failure != nil && l.stale(l.failure.Code):
-		l.finish(core.EndNotSent, core.Report{})
+		l.finish(lifecycle.EndNotSent, lifecycle.Report{})
 	case l.failure != nil:
-		l.finish(l.errorEnd(s), core.Report{Detail: l.failure})
+		l.finish(l.errorEnd(s), lifecycle.Report{Detail: l.failure})
 	case l.whole || s.Describe && l.result.Params != nil:
-		l.finish(core.EndServed, core.Report{Result: l.result})
+		l.finish(lifecycle.EndServed, lifecycle.Report{Result: l.result})
 	default:
 		return errors.New("an answer without an end")
 	}
@@ -429,11 +429,11 @@
 // errorEnd sorts the error that ended the link's attempt. Of what runs once at most, an
 // engine that was short of something in the middle has done some of it for good where
 // that is outside its transaction (a sequence, say): no other is asked.
-func (l *link) errorEnd(s *pgproto.Statement) core.End {
+func (l *link) errorEnd(s *pgproto.Statement) lifecycle.End {
 	end := errorEnd(l.failure.Code)
 	class, _ := l.all.core.Class(l.attempt.Request.Class)
-	if end == core.EndFull && class.Effect == policy.Unsafe && !s.Describe {
-		return core.EndError
+	if end == lifecycle.EndFull && class.Effect == policy.Unsafe && !s.Describe {
+		return lifecycle.EndError
 	}
 	return end
 }
@@ -441,30 +441,30 @@
 // errorEnd sorts an engine's errors. What the engine is short of, or that it is
 // about to stop, is no answer to the statement: another engine may serve it. A
 // fault of the statement's own would be the same everywhere.
-func errorEnd(code string) core.End {
+func errorEnd(code string) lifecycle.End {
 	switch code[:2] {
 	case "53":
-		return core.EndFull
+		return lifecycle.EndFull
 	case "57":
 		switch code {
 		case "57P03", "57P01": // starting or stopping; a statement that ran is rolled back
-			return core.EndFull
+			return lifecycle.EndFull
 		case "57014":
-			return core.EndTimeout
+			return lifecycle.EndTimeout
 		}
-		return core.EndError
+		return lifecycle.EndError
 	case "08", "40", "58", "XX", "F0":
-		return core.EndError
+		return lifecycle.EndError
 	}
-	return core.EndRejected
+	return lifecycle.EndRejected
 }
 
-func (l *link) finish(end core.End, rep core.Report) {
+func (l *link) finish(end lifecycle.End, rep lifecycle.Report) {
 	a := l.attempt
 	l.clear()
 	l.used = l.all.core.Now()
 	if l.retired {
-		l.close(core.EndIdle)
+		l.close(lifecycle.EndIdle)
 	}
 	l.all.core.End(a, end, rep)
 }
@@ -477,7 +477,7 @@
 		switch {
 		case l.conn == nil:
 		case l.attempt == nil && l.all.core.Now() >= l.used+l.all.opts.IdleClose:
-			l.close(core.EndIdle)
+			l.close(lifecycle.EndIdle)
 		default:
 			if l.attempt != nil {
 				l.used = l.all.core.Now()
@@ -488,26 +488,26 @@
 }
 
 // Closed ends what was open on the link.
-func (l *link) Closed(*netio.Conn, error) {
+func (l *link) Closed(*eventloop.Conn, error) {
 	switch {
-	case l.end != core.EndUnknown:
+	case l.end != lifecycle.EndUnknown:
 	case l.attempt == nil:
-		l.end = core.EndIdle
+		l.end = lifecycle.EndIdle
 	case !l.written: // its startup was cut off: nothing of the attempt was sent
-		l.end = core.EndRefused
+		l.end = lifecycle.EndRefused
 	default:
-		l.end = core.EndReset
+		l.end = lifecycle.EndReset
 	}
 	l.lost(l.end)
 }
 
-func (l *link) lost(end core.End) {
+func (l *link) lost(end lifecycle.End) {
 	l.retired, l.conn, l.ready = true, nil, false
 	l.stall.Stop()
 	l.all.stats.Add("links.ended." + end.String())
 	l.engine.Remove(l)
 	if a := l.attempt; a != nil {
-		var rep core.Report
+		var rep lifecycle.Report
 		if l.failure != nil {
 			rep.Detail = l.failure
 		}
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/netio"
-	"gannetspur/policy"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
 )
 
 // Link is one connection to an engine, from the start of its dial.
@@ -37,7 +37,7 @@
 
 // Engine takes an entry of the roster. Links to an engine that has moved, has
 // started anew or is gone are retired.
-func (p *Pool[L]) Engine(e core.Engine) {
+func (p *Pool[L]) Engine(e lifecycle.Engine) {
 	old := p.engines[e.ID]
 	if old == nil {
 		if e.State != policy.EngineGone {
@@ -62,12 +62,12 @@
 }
 
 // DialEnd tells how a failed dial ends what waited for it.
-func DialEnd(err error) core.End {
+func DialEnd(err error) lifecycle.End {
 	switch {
-	case netio.Refused(err):
-		return core.EndRefused
-	case netio.NoDescriptor(err):
-		return core.EndNoDescriptor
+	case eventloop.Refused(err):
+		return lifecycle.EndRefused
+	case eventloop.NoDescriptor(err):
+		return lifecycle.EndNoDescriptor
 	}
-	return core.EndConnectTimeout
+	return lifecycle.EndConnectTimeout
 }
--- a/internal/netio/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -1,4 +1,4 @@
-package netio
+package eventloop
 
 // Buffer holds what was received and not yet parsed. It grows as needed and is
 // compacted in place, so that a connection needs no second one.
--- a/internal/netio/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
-// Package netio runs the sockets. One nbio poller reads into the buffer of each
+// Package eventloop runs the sockets. One nbio poller reads into the buffer of each
 // connection; everything else happens on the one goroutine that calls Run.
-package netio
+package eventloop
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/deadline"
+	"flaxrelay/internal/timerqueue"
 
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
@@ -60,7 +60,7 @@
 
 // Loop owns the sockets, the timers and the goroutine that all handlers run on.
 type Loop struct {
-	Timers *deadline.Queue
+	Timers *timerqueue.Queue
 	// Budget bounds what the buffers of all connections hold together, in bytes. Past
 	// it the next connection to take more than one read ends. Set it before Run.
 	Budget int64
@@ -87,11 +87,11 @@
 	}
 	now := time.Now()
 	l := &Loop{
-		Timers: deadline.New(), Budget: DefaultBudget, origin: now, unix: time.Duration(now.UnixNano()),
+		Timers: timerqueue.New(), Budget: DefaultBudget, origin: now, unix: time.Duration(now.UnixNano()),
 		wake: make(chan struct{}, 1), open: map[*Conn]struct{}{}, buf: make([]byte, readSize),
 	}
 	l.engine = nbio.NewEngine(nbio.Config{
-		Name: "ringwood", NPoller: 1, ReadBufferSize: readSize,
+		Name: "flaxrelay", NPoller: 1, ReadBufferSize: readSize,
 		MaxWriteBufferSize: MaxWrite, EpollMod: nbio.EPOLLET,
 	})
 	l.engine.OnOpen(func(*nbio.Conn) {})
--- a/internal/netio/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package netio
+package eventloop
 
 import (
 	"io"
--- a/internal/front/rest/crossing_test.go
+++ b/internal/frontend/httpserver/crossing_test.go
@@ -1,4 +1,4 @@
-package rest
+package httpserver
 
 import (
 	"encoding/json"
@@ -10,21 +10,21 @@
 	"testing"
 	"time"
 
-	"gannetspur/internal/config"
-	"gannetspur/internal/core"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
 )
 
 // noLinks leads to no engine.
 type noLinks struct{}
 
-func (noLinks) Send(*core.Attempt)          {}
-func (noLinks) Drop(*core.Attempt)          {}
-func (noLinks) Withdraw(*core.Attempt) bool { return false }
-func (noLinks) Hurry(*core.Attempt, int)    {}
-func (noLinks) Engine(core.Engine)          {}
+func (noLinks) Send(*lifecycle.Attempt)          {}
+func (noLinks) Drop(*lifecycle.Attempt)          {}
+func (noLinks) Withdraw(*lifecycle.Attempt) bool { return false }
+func (noLinks) Hurry(*lifecycle.Attempt, int)    {}
+func (noLinks) Engine(lifecycle.Engine)          {}
 
 // A client writes calls and goes before the first of them is looked at: none is taken.
 func TestClientGoesBehindItsCalls(t *testing.T) {
@@ -36,17 +36,17 @@
 	if err := json.Unmarshal(raw, &site); err != nil {
 		t.Fatal(err)
 	}
-	loop, err := netio.New(256)
+	loop, err := eventloop.New(256)
 	if err != nil {
 		t.Fatal(err)
 	}
-	counters := stats.New()
-	c, err := core.New(site.Policy, 1, loop, loop.Timers, counters, slog.New(slog.DiscardHandler))
+	counters := metrics.New()
+	c, err := lifecycle.New(site.Policy, 1, loop, loop.Timers, counters, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.SetLinks(noLinks{})
-	c.Roster(policy.ListFull, []core.Engine{{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: "e", State: policy.EngineLive}}})
+	c.Roster(policy.ListFull, []lifecycle.Engine{{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: "e", State: policy.EngineLive}}})
 	f := New(loop, c, Options{}, counters)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
--- a/internal/front/rest/parse.go
+++ b/internal/frontend/httpserver/parse.go
@@ -1,4 +1,4 @@
-package rest
+package httpserver
 
 import (
 	"bytes"
--- a/internal/front/rest/parse_test.go
+++ b/internal/frontend/httpserver/parse_test.go
@@ -1,10 +1,10 @@
-package rest
+package httpserver
 
 import (
 	"encoding/json"
 	"testing"
 
-	"gannetspur/internal/engine/lines"
+	"flaxrelay/internal/engine/lineclient"
 )
 
 // Whatever comes, a call lies within what came, and a longer input never turns a
@@ -30,7 +30,7 @@
 func FuzzEncode(f *testing.F) {
 	f.Add("a\t\"b\"\\\x01\nc\td\n")
 	f.Fuzz(func(t *testing.T, page string) {
-		if b := encode(lines.Rows{[]byte(page)}, "/more/x"); !json.Valid(b) {
+		if b := encode(lineclient.Rows{[]byte(page)}, "/more/x"); !json.Valid(b) {
 			t.Fatalf("%q", b)
 		}
 	})
--- a/internal/front/rest/rest.go
+++ b/internal/frontend/httpserver/rest.go
@@ -1,6 +1,6 @@
-// Package rest is the platform's front: HTTP/1.1 calls of clients, one at a time
+// Package httpserver is the platform's front: HTTP/1.1 calls of clients, one at a time
 // on a connection.
-package rest
+package httpserver
 
 import (
 	"bytes"
@@ -11,15 +11,15 @@
 	"time"
 	"unicode/utf8"
 
-	"gannetspur/internal/config"
-	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
-	"gannetspur/internal/engine/lines"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/shape"
-	"gannetspur/internal/sqltext"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/engine/lineclient"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
+	"flaxrelay/internal/timerqueue"
+	"flaxrelay/policy"
 )
 
 const (
@@ -46,18 +46,18 @@
 
 // Options bound what clients may take.
 type Options struct {
-	MostClients int            // connections at once; past that the longest idle ones are closed
-	MostHeld    int            // bytes of results that wait to be fetched
-	Shapes      *shape.Service // estimates by the shapes of statements; nil: off
-	CallWithin  time.Duration  // a connection's first call, and any that has begun, must be whole
+	MostClients int                // connections at once; past that the longest idle ones are closed
+	MostHeld    int                // bytes of results that wait to be fetched
+	Shapes      *stmtstats.Service // estimates by the shapes of statements; nil: off
+	CallWithin  time.Duration      // a connection's first call, and any that has begun, must be whole
 }
 
 // Front accepts clients.
 type Front struct {
-	loop  *netio.Loop
-	core  *core.Core
+	loop  *eventloop.Loop
+	core  *lifecycle.Core
 	opts  Options
-	stats *stats.Counters
+	stats *metrics.Counters
 	boot  string // tells paths of this start from those of others
 
 	listener net.Listener
@@ -72,13 +72,13 @@
 
 // held is a result of more than one page that the client has not fetched whole.
 type held struct {
-	pages []lines.Rows
+	pages []lineclient.Rows
 	size  int
 	whole bool // the last part was given at least once
 }
 
 // New returns a front that puts its requests to the core.
-func New(loop *netio.Loop, c *core.Core, opts Options, counters *stats.Counters) *Front {
+func New(loop *eventloop.Loop, c *lifecycle.Core, opts Options, counters *metrics.Counters) *Front {
 	if opts.MostClients <= 0 {
 		opts.MostClients = 512
 	}
@@ -96,7 +96,7 @@
 
 // Listen accepts at the address.
 func (f *Front) Listen(addr string) error {
-	ln, err := f.loop.Listen(addr, maxCall, f.opts.MostClients+SpareClients, func(c *netio.Conn) netio.Handler {
+	ln, err := f.loop.Listen(addr, maxCall, f.opts.MostClients+SpareClients, func(c *eventloop.Conn) eventloop.Handler {
 		f.stats.Add("rest.connections")
 		k := &conn{front: f, conn: c, used: f.loop.Now()}
 		f.conns[k] = struct{}{}
@@ -191,14 +191,14 @@
 // conn is one client connection.
 type conn struct {
 	front   *Front
-	conn    *netio.Conn
-	request *core.Request   // taken and not answered
-	used    time.Duration   // its latest call or answer
-	good    bool            // it has made a good call
-	due     *deadline.Entry // by when its call must be whole
-	further bool            // its latest answer named a further part
-	close   bool            // after the answer
-	ended   bool            // nothing more is read
+	conn    *eventloop.Conn
+	request *lifecycle.Request // taken and not answered
+	used    time.Duration      // its latest call or answer
+	good    bool               // it has made a good call
+	due     *timerqueue.Entry  // by when its call must be whole
+	further bool               // its latest answer named a further part
+	close   bool               // after the answer
+	ended   bool               // nothing more is read
 }
 
 // resting tells that nothing is open on the connection: no request, no result that is
@@ -215,7 +215,7 @@
 
 // Data reads calls until one waits for its answer. Of a client that has gone none is
 // taken: it may have left hundreds behind, each of which would be sent on.
-func (k *conn) Data(_ *netio.Conn, in *netio.Buffer) {
+func (k *conn) Data(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for k.request == nil && !k.ended {
 		if k.conn.Lost() {
 			in.Consume(in.Len())
@@ -271,7 +271,7 @@
 }
 
 // Closed tells the core that the client has stopped waiting.
-func (k *conn) Closed(_ *netio.Conn, _ error) {
+func (k *conn) Closed(_ *eventloop.Conn, _ error) {
 	k.ended = true
 	k.due.Stop()
 	delete(k.front.conns, k)
@@ -345,7 +345,7 @@
 		return bad("the statement is no text in UTF-8")
 	}
 	text := string(c.body)
-	r := &core.Request{
+	r := &lifecycle.Request{
 		ID: id, Class: name, Statement: text, Repeat: c.head["req-retry"] == "1", Client: k,
 		Tenant: c.head["req-owner"], Key: c.head["req-key"],
 		// From its last byte, not from its turn behind another call on the connection.
@@ -395,14 +395,14 @@
 }
 
 // Answer writes the final answer.
-func (k *conn) Answer(r *core.Request, a core.Answer) {
+func (k *conn) Answer(r *lifecycle.Request, a lifecycle.Answer) {
 	k.request, k.used = nil, k.front.loop.Now()
 	delete(k.front.ids, r.ID)
 	switch a.Verdict {
-	case core.Served:
-		rows, _ := a.Result.(lines.Rows)
+	case lifecycle.Served:
+		rows, _ := a.Result.(lineclient.Rows)
 		k.rows(r, rows)
-	case core.Refused:
+	case lifecycle.Refused:
 		k.write(503, a.ComeBack, []byte(`{"fault":"Busy"}`))
 	default:
 		k.write(500, 0, []byte(`{"fault":"Failed"}`))
@@ -415,7 +415,7 @@
 
 // rows writes the first part of a result and holds the rest for the client to
 // fetch; a small one goes whole.
-func (k *conn) rows(r *core.Request, rows lines.Rows) {
+func (k *conn) rows(r *lifecycle.Request, rows lineclient.Rows) {
 	f := k.front
 	parts := split(rows)
 	size := 0
@@ -435,7 +435,7 @@
 	k.write(200, 0, encode(parts[0], path+"/1"))
 }
 
-func split(rows lines.Rows) (parts []lines.Rows) {
+func split(rows lineclient.Rows) (parts []lineclient.Rows) {
 	size := 0
 	for _, p := range rows {
 		if len(parts) == 0 || size+len(p) > pagePart {
@@ -525,7 +525,7 @@
 }
 
 // encode writes rows of tab-separated columns as arrays of strings.
-func encode(rows lines.Rows, more string) []byte {
+func encode(rows lineclient.Rows, more string) []byte {
 	size := 64
 	for _, p := range rows {
 		size += len(p) + len(p)/2
--- a/internal/front/pgwire/bind_test.go
+++ b/internal/frontend/pgserver/bind_test.go
@@ -1,10 +1,10 @@
-package pgwire
+package pgserver
 
 import (
 	"encoding/binary"
 	"testing"
 
-	"gannetspur/internal/pgproto"
+	"flaxrelay/internal/pgproto"
 )
 
 // Whatever a client binds, its values lie within the message, and the formats of a
--- a/internal/front/pgwire/class.go
+++ b/internal/frontend/pgserver/class.go
@@ -1,14 +1,14 @@
-package pgwire
+package pgserver
 
 import (
 	"fmt"
 	"strconv"
 	"strings"
 
-	"gannetspur/internal/pgproto"
-	"gannetspur/internal/shape"
-	"gannetspur/internal/sqltext"
-	"gannetspur/policy"
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
+	"flaxrelay/policy"
 )
 
 // Rule gives a class to statements that begin with some words, and names the
@@ -31,7 +31,7 @@
 // these before the default. What the statement may do goes before all three: one that
 // may write is never given a class that is safe to repeat. Unless it is a keyed load it
 // has the class for writes, of which one attempt is made.
-func (f *Front) sort(query string, read *shape.Statement) (sorted, *pgproto.Error) {
+func (f *Front) sort(query string, read *stmtstats.Statement) (sorted, *pgproto.Error) {
 	name, key, readOnly, named := f.opts.DefaultClass, 0, false, false
 	for _, r := range f.opts.Rules {
 		if sqltext.Begins(query, r.Starts) {
@@ -110,7 +110,7 @@
 }
 
 // check refuses what is not supported, and tells whether the text is empty.
-func check(query string, read *shape.Statement) (empty bool, e *pgproto.Error) {
+func check(query string, read *stmtstats.Statement) (empty bool, e *pgproto.Error) {
 	var word string
 	var more bool
 	if read != nil {
--- a/internal/front/pgwire/extended.go
+++ b/internal/frontend/pgserver/extended.go
@@ -1,4 +1,4 @@
-package pgwire
+package pgserver
 
 import (
 	"bytes"
@@ -7,11 +7,11 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/pgproto"
-	"gannetspur/internal/shape"
-	"gannetspur/internal/sqltext"
-	"gannetspur/policy"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
+	"flaxrelay/policy"
 )
 
 func malformed(what string) *pgproto.Error { return fail("08P01", "malformed %s message", what) }
@@ -39,7 +39,7 @@
 }
 
 func (k *conn) prepare(query string, types []byte) (*statement, *pgproto.Error) {
-	var read *shape.Statement
+	var read *stmtstats.Statement
 	if shapes := k.front.opts.Shapes; shapes != nil {
 		read = shapes.Read(query, k.front.opts.ReadOnly)
 	}
@@ -391,7 +391,7 @@
 func (k *conn) ask(s *statement, want *pgproto.Statement, token string, binds *sqltext.Binds, served func(*pgproto.Result)) {
 	f := k.front
 	class := s.class
-	var sorted *shape.Execution
+	var sorted *stmtstats.Execution
 	if f.opts.Shapes != nil && s.read != nil && s.shape && !want.Describe {
 		if c, x, ok := f.opts.Shapes.Sort(s.read, binds); ok {
 			class, sorted = c, x
@@ -404,7 +404,7 @@
 	if k.timeout > 0 {
 		wait = k.timeout
 	}
-	r := &core.Request{
+	r := &lifecycle.Request{
 		ID: fmt.Sprintf("pg%d", k.process), Class: class.Name, Token: token, Statement: want,
 		Deadline: f.core.Now() + wait, Client: k,
 	}
@@ -420,9 +420,9 @@
 		}
 	}
 	k.request = r
-	k.then = func(a core.Answer) {
+	k.then = func(a lifecycle.Answer) {
 		res, ok := a.Result.(*pgproto.Result)
-		if a.Verdict == core.Served && ok {
+		if a.Verdict == lifecycle.Served && ok {
 			served(res)
 			return
 		}
@@ -432,7 +432,7 @@
 }
 
 // Answer takes the core's final answer.
-func (k *conn) Answer(_ *core.Request, a core.Answer) {
+func (k *conn) Answer(_ *lifecycle.Request, a lifecycle.Answer) {
 	then := k.then
 	k.request, k.then = nil, nil
 	if k.ended || then == nil {
@@ -444,7 +444,7 @@
 
 // answerError words a final answer that is no completion. Each kind has a code
 // of its own; an engine's word on the statement passes on unchanged.
-func answerError(a core.Answer) *pgproto.Error {
+func answerError(a lifecycle.Answer) *pgproto.Error {
 	e, _ := a.Detail.(*pgproto.Error)
 	switch {
 	case a.Doubt && e == nil: // also when its time is over: a time-out would say that nothing was done
@@ -453,7 +453,7 @@
 		return e
 	case a.Late:
 		return fail("57014", "canceling statement due to statement timeout")
-	case a.Verdict == core.Refused:
+	case a.Verdict == lifecycle.Refused:
 		e := fail("53000", "the engines are busy; the statement was refused, and trying again is harmless")
 		if a.ComeBack > 0 {
 			e.Hint = fmt.Sprintf("Try again in %d ms.", (a.ComeBack+time.Millisecond-1)/time.Millisecond)
--- a/internal/front/pgwire/front.go
+++ b/internal/frontend/pgserver/front.go
@@ -1,7 +1,7 @@
-// Package pgwire is the front for clients that speak the PostgreSQL wire protocol
+// Package pgserver is the front for clients that speak the PostgreSQL wire protocol
 // with extended queries. Each bound execution is one request to the core, with
 // one final answer: a completion or one ErrorResponse.
-package pgwire
+package pgserver
 
 import (
 	"crypto/rand"
@@ -15,13 +15,13 @@
 	"strings"
 	"time"
 
-	"gannetspur/internal/core"
-	"gannetspur/internal/deadline"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/pgproto"
-	"gannetspur/internal/shape"
-	"gannetspur/internal/sqltext"
-	"gannetspur/internal/stats"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
+	"flaxrelay/internal/timerqueue"
 )
 
 const (
@@ -48,17 +48,17 @@
 	WriteClass   string            // of what may write and has no class of its own; "": refused
 	ReadOnly     sqltext.Functions // that the operators know to read only
 	Rules        []Rule
-	Shapes       *shape.Service // classes and estimates by the shapes of statements; nil: off
-	MostClients  int            // connections at once; 0: no limit of its own
-	MostHeld     int            // bytes of rows in all open portals together
+	Shapes       *stmtstats.Service // classes and estimates by the shapes of statements; nil: off
+	MostClients  int                // connections at once; 0: no limit of its own
+	MostHeld     int                // bytes of rows in all open portals together
 }
 
 // Front accepts clients.
 type Front struct {
-	loop     *netio.Loop
-	core     *core.Core
+	loop     *eventloop.Loop
+	core     *lifecycle.Core
 	opts     Options
-	stats    *stats.Counters
+	stats    *metrics.Counters
 	listener net.Listener
 	conns    map[uint32]*conn // by the process number that each was told
 	last     uint32
@@ -67,7 +67,7 @@
 }
 
 // New returns a front that puts its requests to the core.
-func New(loop *netio.Loop, c *core.Core, opts Options, counters *stats.Counters) *Front {
+func New(loop *eventloop.Loop, c *lifecycle.Core, opts Options, counters *metrics.Counters) *Front {
 	f := &Front{loop: loop, core: c, stats: counters, conns: map[uint32]*conn{}}
 	f.SetOptions(opts)
 	return f
@@ -79,7 +79,7 @@
 	if most > 0 {
 		most += spareClients
 	}
-	ln, err := f.loop.Listen(addr, maxBuffer, most, func(c *netio.Conn) netio.Handler {
+	ln, err := f.loop.Listen(addr, maxBuffer, most, func(c *eventloop.Conn) eventloop.Handler {
 		f.stats.Add("pgwire.connections")
 		f.last++
 		k := &conn{front: f, conn: c, process: f.last, statements: map[string]*statement{}, portals: map[string]*portal{}}
@@ -133,8 +133,8 @@
 	query string
 	types []byte // as in Parse
 	empty bool
-	read  *shape.Statement // where shapes are read
-	known *pgproto.Result  // its description, once an engine gave it
+	read  *stmtstats.Statement // where shapes are read
+	known *pgproto.Result      // its description, once an engine gave it
 }
 
 type portal struct {
@@ -151,7 +151,7 @@
 // conn is one client connection.
 type conn struct {
 	front   *Front
-	conn    *netio.Conn
+	conn    *eventloop.Conn
 	process uint32
 	secret  [4]byte
 	started bool
@@ -160,18 +160,18 @@
 
 	statements map[string]*statement
 	portals    map[string]*portal
-	skip       bool            // after an error, to Sync
-	simple     bool            // the open request came by Query
-	describing string          // portal whose description waits for what follows
-	describe   bool            // and whether there is one
-	out        []byte          // answers not yet written
-	stall      *deadline.Entry // ends a connection in the middle of a message
-	request    *core.Request
-	then       func(core.Answer)
+	skip       bool              // after an error, to Sync
+	simple     bool              // the open request came by Query
+	describing string            // portal whose description waits for what follows
+	describe   bool              // and whether there is one
+	out        []byte            // answers not yet written
+	stall      *timerqueue.Entry // ends a connection in the middle of a message
+	request    *lifecycle.Request
+	then       func(lifecycle.Answer)
 }
 
 // Data reads messages until one waits for its answer.
-func (k *conn) Data(_ *netio.Conn, in *netio.Buffer) {
+func (k *conn) Data(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for k.request == nil && !k.ended {
 		if k.conn.Pending() > slowReader {
 			k.conn.WhenWritten(k.conn.Again)
@@ -220,7 +220,7 @@
 
 // Closed tells the core that the client has stopped waiting. What it sent ahead
 // and was not taken yet is dropped with the connection.
-func (k *conn) Closed(_ *netio.Conn, _ error) {
+func (k *conn) Closed(_ *eventloop.Conn, _ error) {
 	k.ended = true
 	k.stall.Stop()
 	delete(k.front.conns, k.process)
--- a/internal/lab/shapes/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -1,4 +1,4 @@
-package shapes
+package experiment
 
 import (
 	"bufio"
@@ -16,9 +16,9 @@
 	"sync"
 	"time"
 
-	"gannetspur/internal/lab/register"
-	"gannetspur/internal/lab/rig"
-	"gannetspur/internal/pgproto"
+	"flaxrelay/internal/lab/harness"
+	"flaxrelay/internal/lab/workload"
+	"flaxrelay/internal/pgproto"
 )
 
 // CostOptions say how to measure what reading shapes costs the gateway.
@@ -61,9 +61,9 @@
 const mostPrepared = 200
 
 // lookups are reading statements of the model, with their values written out or bound.
-func lookups(seed uint64, n int, bound bool) []register.Asked {
-	w := register.New(register.Options{Seed: seed, Templates: 200}, n)
-	var texts []register.Asked
+func lookups(seed uint64, n int, bound bool) []workload.Asked {
+	w := workload.New(workload.Options{Seed: seed, Templates: 200}, n)
+	var texts []workload.Asked
 	distinct := map[string]bool{}
 	for len(texts) < n {
 		a := w.Next()
@@ -78,7 +78,7 @@
 
 // messages are what a client sends for one statement: a Query, or a Bind of a statement
 // that it prepares where it has not yet.
-func messages(out []byte, a *register.Asked, named map[string]string) []byte {
+func messages(out []byte, a *workload.Asked, named map[string]string) []byte {
 	if len(a.Values) == 0 {
 		return pgproto.Append(out, 'Q', pgproto.Str(a.Statement))
 	}
@@ -102,17 +102,17 @@
 	return pgproto.Append(pgproto.Append(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 }
 
-func costRound(ctx context.Context, opts CostOptions, texts []register.Asked, on bool) (res CostRound, err error) {
-	dir, err := os.MkdirTemp("", "ringlab-cost-")
+func costRound(ctx context.Context, opts CostOptions, texts []workload.Asked, on bool) (res CostRound, err error) {
+	dir, err := os.MkdirTemp("", "flaxlab-cost-")
 	if err != nil {
 		return res, err
 	}
 	defer os.RemoveAll(dir)
-	addr, err := rig.Free()
+	addr, err := harness.Free()
 	if err != nil {
 		return res, err
 	}
-	r, err := rig.New(rig.Options{
+	r, err := harness.New(harness.Options{
 		Root: opts.Root, Dir: dir, Engines: 2, HTTP: "127.0.0.1:0", Postgres: addr, Shapes: on, Log: slog.New(slog.DiscardHandler),
 		Work: func(string) (time.Duration, float64) { return 0, 1 },
 	})
@@ -125,12 +125,12 @@
 		return res, err
 	}
 	defer log.Close()
-	g, err := rig.Start(opts.Program, log, "serve", "--postgres", r.Deploy)
+	g, err := harness.Start(opts.Program, log, "serve", "--postgres", r.Deploy)
 	if err != nil {
 		return res, err
 	}
 	defer g.Stop()
-	if err := rig.Up(ctx, addr); err != nil {
+	if err := harness.Up(ctx, addr); err != nil {
 		return res, err
 	}
 	if err := ask(ctx, addr, texts, opts.Clients, opts.Requests/5); err != nil { // warm
@@ -157,7 +157,7 @@
 
 // ask has clients send statements one after the other. Refusals are waited out at the
 // start, while no engine is known yet.
-func ask(ctx context.Context, addr string, texts []register.Asked, clients, requests int) error {
+func ask(ctx context.Context, addr string, texts []workload.Asked, clients, requests int) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, clients)
 	for i := range clients {
@@ -176,7 +176,7 @@
 	return all
 }
 
-func askOne(ctx context.Context, addr string, texts []register.Asked, from, requests int) error {
+func askOne(ctx context.Context, addr string, texts []workload.Asked, from, requests int) error {
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
--- a/internal/lab/shapes/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -1,6 +1,6 @@
-// Package shapes judges the classifier of statements on recorded traffic, whose truth is
+// Package experiment judges the classifier of statements on recorded traffic, whose truth is
 // known, and floods its cache.
-package shapes
+package experiment
 
 import (
 	"errors"
@@ -8,11 +8,11 @@
 	"math"
 	"slices"
 
-	decide "gannetspur/internal/decide/shape"
-	"gannetspur/internal/lab/register"
-	"gannetspur/internal/lab/traffic"
-	"gannetspur/internal/shape"
-	"gannetspur/internal/sqltext"
+	decide "flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/lab/traffic"
+	"flaxrelay/internal/lab/workload"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
 
 	"gonum.org/v1/gonum/stat"
 )
@@ -25,7 +25,7 @@
 
 // Classes are those that statements are judged by.
 func Classes() []decide.Class {
-	return []decide.Class{{Name: "lookup", UpTo: register.BroadAt}, {Name: "report"}}
+	return []decide.Class{{Name: "lookup", UpTo: workload.BroadAt}, {Name: "report"}}
 }
 
 // Variants are the whole classifier, and each part switched off in turn.
@@ -96,7 +96,7 @@
 // Evaluate plays records through a variant, in order and as a gateway would: estimate,
 // then learn what the execution has cost.
 func Evaluate(records []traffic.Record, v Variant, opts Options) (Result, error) {
-	book, err := shape.New(shape.Options{Decide: v.Config, Bytes: opts.Bytes})
+	book, err := stmtstats.New(stmtstats.Options{Decide: v.Config, Bytes: opts.Bytes})
 	if err != nil {
 		return Result{}, err
 	}
@@ -111,7 +111,7 @@
 		effect := sqltext.EffectOf(r.Statement, nil).Effect
 		s := book.Read(r.Statement)
 		binds := sqltext.Binds{Values: r.Values, Formats: r.Formats, Types: r.Types}
-		x := book.Estimate(s, &binds, -1, shape.Hint{Work: r.HintWork, MemoryMB: r.HintMB})
+		x := book.Estimate(s, &binds, -1, stmtstats.Hint{Work: r.HintWork, MemoryMB: r.HintMB})
 		got := "write"
 		switch {
 		case r.Class == "load" && r.Key > 0: // the rule for INSERT INTO names the class and the key
@@ -154,7 +154,7 @@
 				hints = append(hints, math.Abs(math.Log2(r.HintWork/r.Work)))
 				hinted++
 				said := "lookup"
-				if r.HintWork > register.BroadAt {
+				if r.HintWork > workload.BroadAt {
 					said = "report"
 				}
 				if r.Class == "load" || said == r.Class {
@@ -193,8 +193,8 @@
 }
 
 // Generated makes the records of a world in memory.
-func Generated(opts register.Options, number int) []traffic.Record {
-	w := register.New(opts, number)
+func Generated(opts workload.Options, number int) []traffic.Record {
+	w := workload.New(opts, number)
 	all := make([]traffic.Record, number)
 	for i := range all {
 		all[i] = traffic.FromAsked(w.Next())
--- a/internal/lab/shapes/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -1,15 +1,15 @@
-package shapes
+package experiment
 
 import (
 	"testing"
 
-	"gannetspur/internal/lab/register"
+	"flaxrelay/internal/lab/workload"
 )
 
 // On traffic whose truth is known the classifier keeps what the product promises of it,
 // and each part that is switched off is missed somewhere.
 func TestEvaluate(t *testing.T) {
-	records := Generated(register.Defaults(1), 12000)
+	records := Generated(workload.Defaults(1), 12000)
 	results := map[string]Result{}
 	for _, v := range Variants() {
 		res, err := Evaluate(records, v, Options{Train: 0.5, Bytes: 2 << 20})
--- a/internal/lab/shapes/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -1,4 +1,4 @@
-package shapes
+package experiment
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
-	decide "gannetspur/internal/decide/shape"
-	"gannetspur/internal/shape"
+	decide "flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/stmtstats"
 )
 
 // FloodOptions say how a cache is flooded with shapes that never come again while others
@@ -35,7 +35,7 @@
 }
 
 // Caches are the ways to hold shapes that are measured side by side.
-var Caches = map[string]func(int) (shape.Cache, error){"w-tinylfu": shape.NewTinyLFU, "lru": shape.NewLRU, "2q": shape.New2Q}
+var Caches = map[string]func(int) (stmtstats.Cache, error){"w-tinylfu": stmtstats.NewTinyLFU, "lru": stmtstats.NewLRU, "2q": stmtstats.New2Q}
 
 // Flood plays statements past one cache.
 func Flood(name string, opts FloodOptions) (FloodResult, error) {
@@ -48,7 +48,7 @@
 	if err != nil {
 		return FloodResult{}, err
 	}
-	book, err := shape.New(shape.Options{Decide: decide.Config{}, Cache: cache})
+	book, err := stmtstats.New(stmtstats.Options{Decide: decide.Config{}, Cache: cache})
 	if err != nil {
 		return FloodResult{}, err
 	}
@@ -67,7 +67,7 @@
 		}
 		s := book.Read(text)
 		had := book.Stats.Hits
-		x := book.Estimate(s, nil, -1, shape.Hint{})
+		x := book.Estimate(s, nil, -1, stmtstats.Hint{})
 		if recurring && i >= total/2 {
 			res.Asked++
 			if book.Stats.Hits > had {
--- a/internal/lab/emul/emul.go
+++ b/internal/lab/fake/emul.go
@@ -1,6 +1,6 @@
-// Package emul stands in for the systems that ringwood works with, from their published
+// Package fake stands in for the systems that flaxrelay works with, from their published
 // protocols: engines of both wires, the event bus, and Consul's catalogue and health API.
-package emul
+package fake
 
 import (
 	"encoding/binary"
--- a/internal/lab/emul/lines.go
+++ b/internal/lab/fake/lines.go
@@ -1,4 +1,4 @@
-package emul
+package fake
 
 import (
 	"bufio"
--- a/internal/lab/emul/pg.go
+++ b/internal/lab/fake/pg.go
@@ -1,4 +1,4 @@
-package emul
+package fake
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"gannetspur/internal/pgproto"
+	"flaxrelay/internal/pgproto"
 )
 
 var columns = append([]byte{0, 1}, append([]byte("asked\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0)...)
--- a/internal/lab/link/link.go
+++ b/internal/lab/faultproxy/link.go
@@ -1,7 +1,7 @@
-// Package link is a loopback relay that does to a connection what networks do: delay with
+// Package faultproxy is a loopback relay that does to a connection what networks do: delay with
 // jitter, a bandwidth, silence, a cut, a reset, a half-close, garbage, lost replies. What
 // it does and when follows a schedule and a seed, so that a run can be played again.
-package link
+package faultproxy
 
 import (
 	"errors"
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/faultproxy/link_test.go
@@ -1,4 +1,4 @@
-package link
+package faultproxy
 
 import (
 	"bytes"
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/harness/rig.go
@@ -1,6 +1,6 @@
-// Package rig sets up ringwood with emulated surroundings on loopback addresses: engines,
+// Package harness sets up flaxrelay with emulated surroundings on loopback addresses: engines,
 // event bus, catalogue, the files that name them, and the gateway's own processes.
-package rig
+package harness
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"gannetspur/internal/lab/emul"
+	"flaxrelay/internal/lab/fake"
 )
 
 // Options say what to set up.
@@ -26,7 +26,7 @@
 	Root     string // the repository, whose deploy files are taken
 	Dir      string // for files
 	Engines  int    // of each wire
-	Work     emul.Work
+	Work     fake.Work
 	HTTP     string // where the platform's front listens
 	Postgres string // where the PostgreSQL front listens
 	Shapes   bool   // in the PostgreSQL front's file
@@ -47,7 +47,7 @@
 }
 
 func (r *Rig) listen() (net.Listener, error) {
-	ln, err := emul.Listen("127.0.0.1:0")
+	ln, err := fake.Listen("127.0.0.1:0")
 	if err == nil {
 		r.listeners = append(r.listeners, ln)
 	}
@@ -72,32 +72,32 @@
 		}
 	}()
 	var targets []target
-	var instances []emul.Instance
+	var instances []fake.Instance
 	for i := range opts.Engines {
 		ln, err := r.listen()
 		if err != nil {
 			return nil, err
 		}
 		name := fmt.Sprintf("s-%08x", i+1)
-		go emul.Lines(ln, opts.Work, opts.Log.With("engine", name))
+		go fake.Lines(ln, opts.Work, opts.Log.With("engine", name))
 		targets = append(targets, target{name, ln.Addr().String(), "hall-a", "std-8", "in_service"})
 		if ln, err = r.listen(); err != nil {
 			return nil, err
 		}
 		name = fmt.Sprintf("engine-%d", i+1)
-		go emul.Postgres(ln, opts.Work, opts.Log.With("engine", name))
-		instances = append(instances, emul.Instance{ID: name, Addr: ln.Addr().(*net.TCPAddr)})
+		go fake.Postgres(ln, opts.Work, opts.Log.With("engine", name))
+		instances = append(instances, fake.Instance{ID: name, Addr: ln.Addr().(*net.TCPAddr)})
 	}
 	bus, err := r.listen()
 	if err != nil {
 		return nil, err
 	}
-	go emul.Bus(bus, 1)
+	go fake.Bus(bus, 1)
 	agent, err := r.listen()
 	if err != nil {
 		return nil, err
 	}
-	go func() { _ = http.Serve(agent, emul.Consul("stock-engine", instances)) }() // it ends with its listener
+	go func() { _ = http.Serve(agent, fake.Consul("stock-engine", instances)) }() // it ends with its listener
 	return r, r.write(opts, targets, bus.Addr().String(), agent.Addr().String())
 }
 
@@ -137,24 +137,24 @@
 	return nil
 }
 
-// Build builds ringwood into a folder and returns its path.
+// Build builds flaxrelay into a folder and returns its path.
 func Build(ctx context.Context, root, dir string) (string, error) {
-	program := filepath.Join(dir, "ringwood")
-	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/ringwood")
+	program := filepath.Join(dir, "flaxrelay")
+	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/flaxrelay")
 	build.Dir, build.Stderr = root, os.Stderr
 	if err := build.Run(); err != nil {
-		return "", fmt.Errorf("build of ringwood (start this from the repository's root, or name a program): %w", err)
+		return "", fmt.Errorf("build of flaxrelay (start this from the repository's root, or name a program): %w", err)
 	}
 	return program, nil
 }
 
-// Gateway is one process of ringwood.
+// Gateway is one process of flaxrelay.
 type Gateway struct {
 	Process *os.Process
 	Ended   chan error // gets the process's end, once
 }
 
-// Start starts ringwood.
+// Start starts flaxrelay.
 func Start(program string, out io.Writer, args ...string) (*Gateway, error) {
 	p := exec.Command(program, args...)
 	p.Stdout, p.Stderr = out, out
@@ -195,7 +195,7 @@
 
 // Free is a loopback address that nobody listens at just now.
 func Free() (string, error) {
-	ln, err := emul.Listen("127.0.0.1:0")
+	ln, err := fake.Listen("127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/traffic/generate.go
+++ b/internal/lab/traffic/generate.go
@@ -6,7 +6,7 @@
 	"math"
 	"math/rand/v2"
 
-	"gannetspur/internal/lab/register"
+	"flaxrelay/internal/lab/workload"
 
 	"gonum.org/v1/gonum/stat/distuv"
 )
@@ -83,7 +83,7 @@
 }
 
 // Generate writes so many statements of a world.
-func Generate(w io.Writer, opts register.Options, number int, rate float64, how Comes, progress func(int)) error {
+func Generate(w io.Writer, opts workload.Options, number int, rate float64, how Comes, progress func(int)) error {
 	a, err := newArrivals(how, rate, number, opts.Seed)
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	world := register.New(opts, number)
+	world := workload.New(opts, number)
 	for i := range number {
 		r := FromAsked(world.Next())
 		r.At = a.next()
@@ -108,13 +108,13 @@
 
 // modelOptions writes the options as the head of a file holds them. The names are part
 // of the format, whatever the fields are called.
-func modelOptions(o register.Options) string {
+func modelOptions(o workload.Options) string {
 	return fmt.Sprintf("{Seed:%v Templates:%v OneOff:%v Hard:%v Writes:%v DriftAt:%v Drift:%v HintNoise:%v HintMissing:%v}",
 		o.Seed, o.Templates, o.OneOff, o.Hard, o.Writes, o.DriftAt, o.Drift, o.HintNoise, o.HintMissing)
 }
 
 // FromAsked turns a statement of the model into a record.
-func FromAsked(q register.Asked) Record {
+func FromAsked(q workload.Asked) Record {
 	return Record{
 		Statement: q.Statement, Values: q.Values, Formats: q.Formats, Types: q.Types, HintWork: q.HintWork, HintMB: q.HintMB, Key: q.Key,
 		Class: q.Class, Hard: q.Hard, Template: q.Template, Work: q.Work, MemoryMB: q.MemoryMB, Worth: q.Worth,
--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/lab/traffic/traffic_test.go
@@ -6,14 +6,14 @@
 	"io"
 	"testing"
 
-	"gannetspur/internal/lab/register"
+	"flaxrelay/internal/lab/workload"
 
 	"github.com/google/go-cmp/cmp"
 )
 
 func generate(t testing.TB, how Comes, number int) []byte {
 	var b bytes.Buffer
-	if err := Generate(&b, register.Defaults(7), number, 99, how, nil); err != nil {
+	if err := Generate(&b, workload.Defaults(7), number, 99, how, nil); err != nil {
 		t.Fatal(err)
 	}
 	return b.Bytes()
@@ -45,7 +45,7 @@
 		if !errors.Is(err, io.EOF) || len(all) != 3000 {
 			t.Fatalf("%s: %d records, %v", how, len(all), err)
 		}
-		world := register.New(register.Defaults(7), 3000)
+		world := workload.New(workload.Defaults(7), 3000)
 		last := int64(0)
 		for i := range all {
 			want := FromAsked(world.Next())
--- a/internal/lab/register/register.go
+++ b/internal/lab/workload/register.go
@@ -1,9 +1,9 @@
-// Package register models the Board's register and the programs that ask it: districts,
+// Package workload models the Board's register and the programs that ask it: districts,
 // wholesalers, parts of very different popularity, ten years of days, and what each
 // statement truly costs there. The cost comes from what a statement means (how many rows
 // it reaches, by which way, and what is done with them), never from its text: nothing
-// that ringwood's classifier looks at has a part in it.
-package register
+// that flaxrelay's classifier looks at has a part in it.
+package workload
 
 import (
 	"math"
--- a/internal/lab/register/templates.go
+++ b/internal/lab/workload/templates.go
@@ -1,4 +1,4 @@
-package register
+package workload
 
 import (
 	"encoding/binary"
--- /dev/null
+++ b/internal/layering/layering_test.go
@@ -0,0 +1,144 @@
+// Package layering holds the test of the import graph between the packages of
+// this module.
+package layering
+
+import (
+	"bytes"
+	"io/fs"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+const (
+	modulePrefix   = "flaxrelay/"
+	labPrefix      = "internal/lab/"
+	decisionPrefix = "internal/decision/"
+	repositoryRoot = "../.."
+)
+
+// layers lists path prefixes of packages from the top layer down. A package may
+// import packages of its own layer and of the layers below it; packages of one
+// layer that need each other stand together.
+var layers = [][]string{
+	{"cmd/"},
+	{"internal/frontend/", "internal/simprotocol"},
+	{"internal/engine"},
+	{"internal/stmtstats"},
+	{"internal/discovery/", "internal/config"},
+	{"internal/lifecycle", "internal/eventloop"},
+	{decisionPrefix},
+	{"policy", "internal/sqltext", "internal/pgproto", "internal/timerqueue", "internal/metrics", "internal/logging"},
+}
+
+// testOnlyPackages hold nothing but tests and belong to no layer.
+var testOnlyPackages = []string{"internal/e2e", "internal/layering"}
+
+// layerOf returns the index of the package's layer, counted from the top, or -1.
+func layerOf(pkg string) int {
+	return slices.IndexFunc(layers, func(prefixes []string) bool {
+		return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(pkg, prefix) })
+	})
+}
+
+func goList(t *testing.T, args ...string) []string {
+	t.Helper()
+	cmd := exec.Command("go", append([]string{"list"}, args...)...)
+	cmd.Dir = repositoryRoot
+	out, err := cmd.Output()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.Split(strings.TrimSpace(string(out)), "\n")
+}
+
+// impureImports are packages that a decision package must not import: they do
+// I/O, log, or draw random numbers.
+var impureImports = []string{
+	"net", "os", "syscall", "log", "log/slog", "math/rand", "math/rand/v2", "io", "hash/maphash",
+}
+
+// TestImports checks that imports point downwards only, that decision packages
+// are free of I/O and randomness, and that no lab package is linked into a
+// program that serves requests.
+func TestImports(t *testing.T) {
+	for _, line := range goList(t, "-f", "{{.ImportPath}}: {{join .Imports \" \"}}", "./...") {
+		pkg, imports, _ := strings.Cut(line, ": ")
+		pkg = strings.TrimPrefix(pkg, modulePrefix)
+		if layerOf(pkg) < 0 && !strings.HasPrefix(pkg, labPrefix) && !slices.Contains(testOnlyPackages, pkg) {
+			t.Errorf("%s belongs to no layer", pkg)
+		}
+		for _, path := range strings.Fields(imports) {
+			checkImport(t, pkg, path)
+		}
+	}
+}
+
+func checkImport(t *testing.T, pkg, path string) {
+	t.Helper()
+	if strings.HasPrefix(pkg, decisionPrefix) && slices.Contains(impureImports, path) {
+		t.Errorf("%s imports %s: decisions do no I/O and draw no random numbers", pkg, path)
+	}
+	imported, internal := strings.CutPrefix(path, modulePrefix)
+	if !internal {
+		return
+	}
+	lab, layer := strings.HasPrefix(pkg, labPrefix), layerOf(pkg)
+	switch {
+	case strings.HasPrefix(imported, labPrefix) && !lab && pkg != "cmd/flaxlab":
+		t.Errorf("%s imports %s: lab packages are not for serving", pkg, imported)
+	case lab && strings.HasPrefix(imported, "cmd/"):
+		t.Errorf("%s imports %s", pkg, imported)
+	case !lab && layer >= 0 && layerOf(imported) >= 0 && layerOf(imported) < layer:
+		t.Errorf("%s imports %s, which belongs to a higher layer", pkg, imported)
+	}
+}
+
+// TestDependencies checks the transitive dependencies of decisions and of the
+// programs that serve requests.
+func TestDependencies(t *testing.T) {
+	for _, dependency := range goList(t, "-deps", "./"+decisionPrefix+"...") {
+		if slices.Contains([]string{"net", "log", "os/exec", "net/http"}, dependency) {
+			t.Errorf("decision packages depend on %s", dependency)
+		}
+	}
+	for _, dependency := range goList(t, "-deps", "./cmd/flaxrelay", "./cmd/simadapter") {
+		if strings.HasPrefix(dependency, modulePrefix+labPrefix) || strings.HasPrefix(dependency, "gonum.org/") {
+			t.Errorf("a serving program depends on %s", dependency)
+		}
+	}
+}
+
+// clockOrGoroutine matches a read of the clock and the start of a goroutine.
+var clockOrGoroutine = regexp.MustCompile(`time\.(Now|Since|After|Sleep|Tick)|\bgo func`)
+
+// TestDecisionsReadNoClock checks that decision packages read no clock and start
+// no goroutine.
+func TestDecisionsReadNoClock(t *testing.T) {
+	for _, dir := range []string{decisionPrefix, "policy"} {
+		files := 0
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, dir), func(path string, _ fs.DirEntry, err error) error {
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			files++
+			text, err := os.ReadFile(path)
+			for number, line := range bytes.Split(text, []byte("\n")) {
+				if clockOrGoroutine.Match(line) {
+					t.Errorf("%s:%d: %s", path, number+1, line)
+				}
+			}
+			return err
+		})
+		if err != nil {
+			t.Error(err)
+		}
+		if files == 0 {
+			t.Errorf("%s holds no Go files", dir)
+		}
+	}
+}
--- a/internal/core/admit.go
+++ b/internal/lifecycle/admit.go
@@ -1,6 +1,6 @@
-package core
+package lifecycle
 
-import "gannetspur/policy"
+import "flaxrelay/policy"
 
 // admit puts a request before the module, which sends or refuses it.
 func (c *Core) admit(r *Request) {
--- a/internal/core/book.go
+++ b/internal/lifecycle/book.go
@@ -1,6 +1,6 @@
-package core
+package lifecycle
 
-import "gannetspur/policy"
+import "flaxrelay/policy"
 
 // End ends an attempt. The first call counts; a late answer after a time-out or
 // a cancel is passed by.
--- a/internal/core/core.go
+++ b/internal/lifecycle/core.go
@@ -1,9 +1,9 @@
-// Package core takes requests through their life: take in, admit, route, send,
+// Package lifecycle takes requests through their life: take in, admit, route, send,
 // relay, book. It knows no wire: fronts, engine links and the roster meet it
 // through the interfaces of this file. Decisions are the policy module's.
 //
 // A Core belongs to one goroutine, which also owns the Gateway in it.
-package core
+package lifecycle
 
 import (
 	"cmp"
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
-	"gannetspur/internal/deadline"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/timerqueue"
+	"flaxrelay/policy"
 )
 
 // Clock tells module time, which never goes back.
@@ -83,7 +83,7 @@
 	ended    bool
 	neverRan bool          // its end proves it
 	notAfter time.Duration // it may not be written later; 0: no such limit
-	timer    *deadline.Entry
+	timer    *timerqueue.Entry
 }
 
 // TooLate tells that the attempt may no longer be written: an earlier one may have
@@ -115,10 +115,10 @@
 type Core struct {
 	gateway *policy.Gateway
 	clock   Clock
-	timers  *deadline.Queue
+	timers  *timerqueue.Queue
 	links   Links
 	learner Learner // nil: nobody
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	log     *slog.Logger
 	round   time.Duration
 	coldFor time.Duration // after its start an engine counts as cold
@@ -135,7 +135,7 @@
 }
 
 // New returns a core for the settings. SetLinks must follow before any event.
-func New(set policy.Settings, seed uint64, clock Clock, timers *deadline.Queue, counters *stats.Counters, l *slog.Logger) (*Core, error) {
+func New(set policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, l *slog.Logger) (*Core, error) {
 	g, err := policy.New(set, seed)
 	if err != nil {
 		return nil, err
--- a/internal/core/end.go
+++ b/internal/lifecycle/end.go
@@ -1,6 +1,6 @@
-package core
+package lifecycle
 
-import "gannetspur/policy"
+import "flaxrelay/policy"
 
 // End is how a connection or an attempt ended: every way there is.
 type End uint8
--- a/internal/core/relay.go
+++ b/internal/lifecycle/relay.go
@@ -1,10 +1,10 @@
-package core
+package lifecycle
 
 import (
 	"slices"
 	"time"
 
-	"gannetspur/policy"
+	"flaxrelay/policy"
 )
 
 // Verdict is the kind of a final answer.
--- a/internal/core/route.go
+++ b/internal/lifecycle/route.go
@@ -1,6 +1,6 @@
-package core
+package lifecycle
 
-import "gannetspur/policy"
+import "flaxrelay/policy"
 
 // route carries out one action of the module. Actions on what is over are
 // passed by, as the module may not know yet.
--- a/internal/core/send.go
+++ b/internal/lifecycle/send.go
@@ -1,9 +1,9 @@
-package core
+package lifecycle
 
 import (
 	"time"
 
-	"gannetspur/policy"
+	"flaxrelay/policy"
 )
 
 // windowMargin is how long before the end of a key's window the last repeat is
--- a/internal/core/takein.go
+++ b/internal/lifecycle/takein.go
@@ -1,4 +1,4 @@
-package core
+package lifecycle
 
 // Take accepts a request whose last byte has come. From here on one final answer
 // is owed. The answer may be given before Take returns.
--- a/internal/logs/logs.go
+++ b/internal/logging/logs.go
@@ -1,6 +1,6 @@
-// Package logs makes the program's logger: events with stable names and keys, in colours
+// Package logging makes the program's logger: events with stable names and keys, in colours
 // on a terminal and as JSON elsewhere, with a bound on how often one event is written.
-package logs
+package logging
 
 import (
 	"context"
--- a/internal/logs/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
--- a/internal/stats/stats.go
+++ b/internal/metrics/stats.go
@@ -1,5 +1,5 @@
-// Package stats counts what the program takes in, sends and answers.
-package stats
+// Package metrics counts what the program takes in, sends and answers.
+package metrics
 
 import (
 	"fmt"
--- a/internal/stats/stats_test.go
+++ b/internal/metrics/stats_test.go
@@ -1,4 +1,4 @@
-package stats
+package metrics
 
 import (
 	"testing"
--- a/internal/wire/codec.go
+++ b/internal/simprotocol/codec.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"gannetspur/internal/config"
-	"gannetspur/policy"
+	"flaxrelay/internal/config"
+	"flaxrelay/policy"
 )
 
 type duration = time.Duration
--- a/internal/wire/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
--- a/internal/wire/host.go
+++ b/internal/simprotocol/host.go
@@ -1,6 +1,6 @@
-// Package wire speaks the line protocol of the bench: batches of events in,
+// Package simprotocol speaks the line protocol of the bench: batches of events in,
 // actions out, for many gateways in one process. It holds no decisions.
-package wire
+package simprotocol
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"fmt"
 	"io"
 
-	"gannetspur/internal/config"
-	"gannetspur/policy"
+	"flaxrelay/internal/config"
+	"flaxrelay/policy"
 )
 
 const maxLine = 256 << 20
--- a/internal/shape/cache.go
+++ b/internal/stmtstats/cache.go
@@ -1,10 +1,10 @@
-package shape
+package stmtstats
 
 import (
 	"fmt"
 	"unsafe"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "flaxrelay/internal/decision/costmodel"
 
 	lru "github.com/hashicorp/golang-lru/v2"
 	"github.com/maypok86/otter/v2"
--- a/internal/shape/service.go
+++ b/internal/stmtstats/service.go
@@ -1,4 +1,4 @@
-package shape
+package stmtstats
 
 import (
 	"errors"
@@ -7,12 +7,12 @@
 	"os"
 	"time"
 
-	"gannetspur/internal/core"
-	decide "gannetspur/internal/decide/shape"
-	"gannetspur/internal/netio"
-	"gannetspur/internal/sqltext"
-	"gannetspur/internal/stats"
-	"gannetspur/policy"
+	decide "flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/policy"
 )
 
 // Settings are those of a deploy file.
@@ -33,8 +33,8 @@
 	places  map[string]int // of the classes of the settings
 	reading []policy.Class // that shapes are sorted into
 	threads map[string]float64
-	loop    *netio.Loop
-	stats   *stats.Counters
+	loop    *eventloop.Loop
+	stats   *metrics.Counters
 	log     *slog.Logger
 	writing bool
 
@@ -57,7 +57,7 @@
 }
 
 // Over takes a request's execution back.
-func (s *Service) Over(r *core.Request) {
+func (s *Service) Over(r *lifecycle.Request) {
 	x, ok := r.Note.(*Execution)
 	if !ok {
 		return
@@ -71,7 +71,7 @@
 
 // NewService returns a service that goes on from the snapshot, where there is one. One
 // that can't be used is named in the log and put aside as FILE.unusable.
-func NewService(set Settings, classes []policy.Class, loop *netio.Loop, counters *stats.Counters, log *slog.Logger) (*Service, error) {
+func NewService(set Settings, classes []policy.Class, loop *eventloop.Loop, counters *metrics.Counters, log *slog.Logger) (*Service, error) {
 	s := &Service{set: set, places: map[string]int{}, threads: map[string]float64{}, loop: loop, stats: counters, log: log}
 	for i, c := range classes {
 		s.places[c.Name] = i
@@ -146,19 +146,19 @@
 
 // Expect estimates a request of a class that is already known, and puts the estimate into
 // it where the settings say so.
-func (s *Service) Expect(r *core.Request, st *Statement, binds *sqltext.Binds) {
+func (s *Service) Expect(r *lifecycle.Request, st *Statement, binds *sqltext.Binds) {
 	s.expect(r, s.execution(), st, binds)
 }
 
 // ExpectText reads a text for one request of a class that is already known.
-func (s *Service) ExpectText(r *core.Request, text string) {
+func (s *Service) ExpectText(r *lifecycle.Request, text string) {
 	x := s.execution()
 	s.book.readInto(&x.own, text)
 	r.Set, _ = x.own.Group()
 	s.expect(r, x, &x.own, nil)
 }
 
-func (s *Service) expect(r *core.Request, x *Execution, st *Statement, binds *sqltext.Binds) {
+func (s *Service) expect(r *lifecycle.Request, x *Execution, st *Statement, binds *sqltext.Binds) {
 	place, ok := s.places[r.Class]
 	if !ok {
 		place = -1
@@ -172,7 +172,7 @@
 	s.put(r, x, threads)
 }
 
-func (s *Service) put(r *core.Request, x *Execution, threads float64) {
+func (s *Service) put(r *lifecycle.Request, x *Execution, threads float64) {
 	r.Note = x
 	if !s.set.Correct || !x.Estimate.Known {
 		return
@@ -196,21 +196,21 @@
 
 // Sorted puts what Sort found into the request. Where engines tell no work, times stand
 // for it, and the decisions take the work of all threads.
-func (s *Service) Sorted(r *core.Request, x *Execution) { s.put(r, x, s.threads[r.Class]) }
+func (s *Service) Sorted(r *lifecycle.Request, x *Execution) { s.put(r, x, s.threads[r.Class]) }
 
 // Served learns what a request has cost. It is the core's Learner.
-func (s *Service) Served(r *core.Request, rep core.Report, elapsed time.Duration) {
+func (s *Service) Served(r *lifecycle.Request, rep lifecycle.Report, elapsed time.Duration) {
 	s.learn(r, decide.Truth{Work: told(rep.Work, elapsed), MemoryMB: rep.MemoryMB})
 }
 
 // GivenUp learns that a request would have cost more than it was let have.
-func (s *Service) GivenUp(r *core.Request, elapsed time.Duration) {
+func (s *Service) GivenUp(r *lifecycle.Request, elapsed time.Duration) {
 	if !s.set.WorkTold { // on a crowded engine a time says little of the work
 		s.learn(r, decide.Truth{Work: told(0, elapsed), AtLeast: true})
 	}
 }
 
-func (s *Service) learn(r *core.Request, t decide.Truth) {
+func (s *Service) learn(r *lifecycle.Request, t decide.Truth) {
 	if x, ok := r.Note.(*Execution); ok {
 		s.book.Learn(x, t)
 	}
--- a/internal/shape/shape.go
+++ b/internal/stmtstats/shape.go
@@ -1,16 +1,16 @@
-// Package shape keeps what is known of the shapes of statements: it reads statements
+// Package stmtstats keeps what is known of the shapes of statements: it reads statements
 // for the fronts, holds the records of recurring shapes within a number of bytes, asks
-// internal/decide/shape what executions cost and of which class they are, and writes
+// internal/decision/costmodel what executions cost and of which class they are, and writes
 // snapshots. What it knows is for estimates and classes alone: what a statement may do
 // is sqltext's word and nothing here softens it.
-package shape
+package stmtstats
 
 import (
 	"fmt"
 	"math/rand/v2"
 
-	decide "gannetspur/internal/decide/shape"
-	"gannetspur/internal/sqltext"
+	decide "flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/sqltext"
 )
 
 // Options say what a book may use.
--- a/internal/shape/shape_test.go
+++ b/internal/stmtstats/shape_test.go
@@ -1,4 +1,4 @@
-package shape
+package stmtstats
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "flaxrelay/internal/decision/costmodel"
 )
 
 func book(t *testing.T) *Book {
--- a/internal/shape/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -1,4 +1,4 @@
-package shape
+package stmtstats
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"os"
 	"path/filepath"
 
-	decide "gannetspur/internal/decide/shape"
+	decide "flaxrelay/internal/decision/costmodel"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
--- a/internal/shape/stored_test.go
+++ b/internal/stmtstats/stored_test.go
@@ -1,4 +1,4 @@
-package shape
+package stmtstats
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 	"strings"
 	"testing"
 
-	decide "gannetspur/internal/decide/shape"
-	"gannetspur/internal/lab/traffic"
-	"gannetspur/internal/sqltext"
+	decide "flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/lab/traffic"
+	"flaxrelay/internal/sqltext"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/google/go-cmp/cmp"
--- a/internal/deadline/deadline.go
+++ b/internal/timerqueue/deadline.go
@@ -1,6 +1,6 @@
-// Package deadline keeps every deadline and timer of the program in one sorted
+// Package timerqueue keeps every deadline and timer of the program in one sorted
 // structure, which its owner sweeps each turn. It is not safe for concurrent use.
-package deadline
+package timerqueue
 
 import (
 	"time"
--- a/internal/deadline/deadline_test.go
+++ b/internal/timerqueue/deadline_test.go
@@ -1,4 +1,4 @@
-package deadline
+package timerqueue
 
 import (
 	"testing"
--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"gannetspur/policy"
+	"flaxrelay/policy"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"gannetspur/policy"
+	"flaxrelay/policy"
 )
 
 // A front embeds one Gateway, hands it what happens and does what it says.
