--- a/cmd/flaxlab/shapes.go
+++ b/cmd/flaxlab/shapes.go
@@ -171,12 +171,12 @@
 
 type costCommand struct {
 	Flaxrelay string `name:"flaxrelay" placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
-	Clients  int    `name:"clients" default:"8" help:"Connections."`
-	Requests int    `name:"requests" default:"40000" help:"Of each round."`
-	Rounds   int    `name:"rounds" default:"5" help:"Pairs of rounds, without and with."`
-	Prepared bool   `name:"prepared" help:"Statements are prepared once and bound again, in place of a Query each."`
-	Seed     uint64 `name:"seed" default:"1" help:"Of the statements."`
-	Out      string `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-cost-query.* or shapes-cost-prepared.*."`
+	Clients   int    `name:"clients" default:"8" help:"Connections."`
+	Requests  int    `name:"requests" default:"40000" help:"Of each round."`
+	Rounds    int    `name:"rounds" default:"5" help:"Pairs of rounds, without and with."`
+	Prepared  bool   `name:"prepared" help:"Statements are prepared once and bound again, in place of a Query each."`
+	Seed      uint64 `name:"seed" default:"1" help:"Of the statements."`
+	Out       string `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-cost-query.* or shapes-cost-prepared.*."`
 }
 
 func (c *costCommand) Run() error {
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -17,10 +17,10 @@
 
 type tryCommand struct {
 	Flaxrelay string        `name:"flaxrelay" placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
-	Engines  int           `name:"engines" default:"3" help:"Emulated engines of each wire, 1 to 16."`
-	HTTP     string        `name:"http" default:"127.0.0.1:9090" help:"Where the platform's front listens."`
-	Postgres string        `name:"postgres" default:"127.0.0.1:5433" help:"Where the PostgreSQL front listens."`
-	For      time.Duration `name:"for" default:"1h" help:"Stop by itself after so long."`
+	Engines   int           `name:"engines" default:"3" help:"Emulated engines of each wire, 1 to 16."`
+	HTTP      string        `name:"http" default:"127.0.0.1:9090" help:"Where the platform's front listens."`
+	Postgres  string        `name:"postgres" default:"127.0.0.1:5433" help:"Where the PostgreSQL front listens."`
+	For       time.Duration `name:"for" default:"1h" help:"Stop by itself after so long."`
 }
 
 // Run starts everything, prints lines to paste, and stops on Ctrl-C or once a part ends.
--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -17,7 +17,7 @@
 func (c *checkCommand) Run() error {
 	bad := 0
 	for _, path := range c.Files {
-		faults := config.FaultsOf(c.check(path))
+		faults := config.FieldErrorsOf(c.check(path))
 		for _, f := range faults {
 			fmt.Println(f.Error())
 		}
@@ -39,7 +39,7 @@
 func (c *checkCommand) check(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return config.Fault{File: path, Want: err.Error()}
+		return config.FieldError{File: path, Problem: err.Error()}
 	}
 	switch {
 	case filepath.Ext(path) == ".json" && bytes.Contains(raw, []byte(`"settings"`)):
@@ -51,7 +51,7 @@
 	case filepath.Ext(path) == ".toml":
 		_, err = config.LoadShapes(path)
 	default:
-		err = config.Fault{File: path, Want: "no .json and no .toml: what it is can't be told"}
+		err = config.FieldError{File: path, Problem: "no .json and no .toml: what it is can't be told"}
 	}
 	return err
 }
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -43,8 +43,8 @@
 		return err
 	}
 	if err := run(serving{config: c.Config, postgres: c.Postgres, shapes: c.Shapes}, log); err != nil {
-		for _, f := range config.FaultsOf(err) {
-			log.Error("cannot serve", "file", f.File, "line", f.Line, "field", f.Field, "error", f.Want)
+		for _, f := range config.FieldErrorsOf(err) {
+			log.Error("cannot serve", "file", f.File, "line", f.Line, "field", f.Field, "error", f.Problem)
 		}
 		return errTold
 	}
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -30,7 +30,7 @@
 // gateway is one front on a core of its own.
 type gateway struct {
 	loop     *eventloop.Loop
-	core     *lifecycle.Core
+	core     *lifecycle.Dispatcher
 	front    front
 	counters *metrics.Counters
 	log      *slog.Logger
@@ -77,7 +77,7 @@
 		return nil
 	}
 	logger.Info("serving", "addr", g.front.Addr())
-	g.loop.Timers.Add(g.loop.Now()+tellEvery, g.tell)
+	g.loop.Timers.Schedule(g.loop.Now()+tellEvery, g.tell)
 	go g.signals(told)
 	g.loop.Run()
 	g.print()
@@ -92,7 +92,7 @@
 	if gained := g.counters.Changes(); len(gained) > 0 {
 		g.log.Info("counts", gained...)
 	}
-	g.loop.Timers.Add(g.loop.Now()+tellEvery, g.tell)
+	g.loop.Timers.Schedule(g.loop.Now()+tellEvery, g.tell)
 }
 
 // print writes the counters.
@@ -115,7 +115,7 @@
 		Decide: s.Decide(), Bytes: s.MemoryKB << 10, Correct: s.Correct, Snapshot: s.Snapshot, Every: s.Every(), WorkTold: workTold,
 	}, site.Policy.Classes, g.loop, g.counters, g.log)
 	if err == nil {
-		g.core.SetLearner(g.shapes)
+		g.core.SetCostObserver(g.shapes)
 	}
 	return err
 }
@@ -126,7 +126,7 @@
 	if g.loop, err = eventloop.New(sockets); err != nil {
 		return err
 	}
-	g.loop.Budget = int64(part(memoryMB, 6))
+	g.loop.BufferBudget = int64(part(memoryMB, 6))
 	g.core, err = lifecycle.New(set, seed, g.loop, g.loop.Timers, g.counters, g.log)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
@@ -146,34 +146,34 @@
 	if cfg.Listen == "" {
 		return errors.New("configuration: listen: missing")
 	}
-	if err := g.start(cfg.Site.Policy, cfg.Seed, cfg.MemoryMB, cfg.Sockets); err != nil {
+	if err := g.start(cfg.Site.Policy, cfg.Seed, cfg.MemoryMB, cfg.MaxDescriptors); err != nil {
 		return err
 	}
 	links := lineclient.New(g.loop, g.core, cfg.Site, g.counters, g.log)
-	links.Most = mostLinks(cfg.Sockets)
-	g.core.SetLinks(links)
-	for _, ev := range cfg.Known {
-		mode := policy.ListChanges
-		if ev.Whole {
-			mode = policy.ListFull
+	links.MaxConnections = mostLinks(cfg.MaxDescriptors)
+	g.core.SetEngineClient(links)
+	for _, ev := range cfg.InitialEvents {
+		mode := policy.UpdateDelta
+		if ev.Full {
+			mode = policy.UpdateFull
 		}
-		g.core.Roster(mode, ev.Engines)
+		g.core.UpdateEndpoints(mode, ev.Engines)
 	}
-	if cfg.Bus != "" {
-		follower := eventbus.New(g.loop, cfg.Bus, cfg.Offset, cfg.Site.Zones, cfg.Site.Kinds, g.core, g.counters, g.log)
+	if cfg.EventBus != "" {
+		follower := eventbus.New(g.loop, cfg.EventBus, cfg.LastEvent, cfg.Site.Zones, cfg.Site.Kinds, g.core, g.counters, g.log)
 		if grace := cfg.Site.Policy.Rules.DrainGrace; grace > 0 {
-			follower.MostPause = grace / 2
+			follower.MaxBackoff = grace / 2
 		}
 		follower.Start()
 		g.reload = func() error {
 			next, err := config.Load(path)
-			if err == nil && next.Bus == "" {
+			if err == nil && next.EventBus == "" {
 				err = errors.New("configuration: bus: missing")
 			}
 			if err != nil {
 				return err
 			}
-			follower.Move(next.Bus)
+			follower.MoveTo(next.EventBus)
 			return nil
 		}
 	}
@@ -182,12 +182,12 @@
 		if err != nil {
 			return err
 		}
-		if err := g.learnShapes(s, cfg.MemoryMB, &cfg.Site, cfg.Site.Policy.CostTold); err != nil {
+		if err := g.learnShapes(s, cfg.MemoryMB, &cfg.Site, cfg.Site.Policy.ReportsCost); err != nil {
 			return err
 		}
 	}
 	f := httpserver.New(g.loop, g.core, httpserver.Options{
-		MostClients: mostClients(cfg.Sockets), MostHeld: part(cfg.MemoryMB, 8), Shapes: g.shapes,
+		MaxClients: mostClients(cfg.MaxDescriptors), MaxHeldBytes: part(cfg.MemoryMB, 8), Estimator: g.shapes,
 	}, g.counters)
 	g.front = f
 	return f.Listen(cfg.Listen)
@@ -202,13 +202,13 @@
 	if err := g.start(p.Site.Policy, uint64(os.Getpid()), p.MemoryMB, p.Sockets); err != nil {
 		return err
 	}
-	g.core.SetLinks(pgclient.New(g.loop, g.core, pgclient.Options{
+	g.core.SetEngineClient(pgclient.New(g.loop, g.core, pgclient.Options{
 		User: p.User, Database: p.Database,
-		ConnectTimeout: config.FromMS(p.ConnectWithin), IdleClose: config.FromMS(p.IdleClose),
-		MostHeld: part(p.MemoryMB, 4),
+		ConnectTimeout: config.FromMilliseconds(p.ConnectWithin), IdleClose: config.FromMilliseconds(p.IdleClose),
+		MaxBufferedBytes: part(p.MemoryMB, 4),
 	}, g.counters, g.log))
 	follower := consul.New(g.loop.Post, g.core, g.counters, g.log)
-	follower.Follow(ctx, consul.Options(p.Consul))
+	follower.Watch(ctx, consul.Options(p.Consul))
 	if err := g.learnShapes(&p.Shapes, p.MemoryMB, &p.Site, false); err != nil {
 		return err
 	}
@@ -229,7 +229,7 @@
 		}
 		f.SetOptions(g.frontOptions(next))
 		if next.Consul != p.Consul {
-			follower.Follow(ctx, consul.Options(next.Consul))
+			follower.Watch(ctx, consul.Options(next.Consul))
 		}
 		p = next
 		return nil
@@ -239,14 +239,14 @@
 
 func (g *gateway) frontOptions(p *config.Postgres) pgserver.Options {
 	opts := pgserver.Options{
-		DefaultClass: p.DefaultClass, WriteClass: p.WriteClass, ReadOnly: sqltext.Functions{}, MostClients: mostClients(p.Sockets), MostHeld: part(p.MemoryMB, 6),
-		Shapes: g.shapes,
+		DefaultClass: p.DefaultClass, WriteClass: p.WriteClass, ReadOnly: sqltext.Functions{}, MaxClients: mostClients(p.Sockets), MaxHeldBytes: part(p.MemoryMB, 6),
+		Estimator: g.shapes,
 	}
 	for _, name := range p.ReadOnly {
 		opts.ReadOnly[name] = true
 	}
 	if p.MostClients > 0 {
-		opts.MostClients = min(opts.MostClients, p.MostClients)
+		opts.MaxClients = min(opts.MaxClients, p.MostClients)
 	}
 	for _, s := range p.Statements {
 		opts.Rules = append(opts.Rules, pgserver.Rule(s))
--- a/cmd/flaxrelay/stop.go
+++ b/cmd/flaxrelay/stop.go
@@ -25,18 +25,18 @@
 	if g.shapes != nil {
 		g.shapes.Save() // now, as the end waits for nothing; what is learned until then is lost
 	}
-	g.loop.Timers.Add(at+stopListening, g.front.CloseListener)
-	g.loop.Timers.Add(at+stopReading, g.front.Drain)
-	g.loop.Timers.Add(at+waiting, g.core.AnswerAll)
+	g.loop.Timers.Schedule(at+stopListening, g.front.CloseListener)
+	g.loop.Timers.Schedule(at+stopReading, g.front.Drain)
+	g.loop.Timers.Schedule(at+waiting, g.core.CompleteAll)
 	var poll func()
 	poll = func() {
 		now := g.loop.Now()
-		done := now >= at+stopReading && g.front.Idle() && g.core.Unanswered() == 0
+		done := now >= at+stopReading && g.front.Idle() && g.core.Pending() == 0
 		if done || now >= at+waiting+lastWrites {
-			g.loop.Timers.Add(now+lastWrites, g.loop.Stop)
+			g.loop.Timers.Schedule(now+lastWrites, g.loop.Stop)
 			return
 		}
-		g.loop.Timers.Add(now+stopPoll, poll)
+		g.loop.Timers.Schedule(now+stopPoll, poll)
 	}
 	poll()
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,21 +19,21 @@
 
 // Config is what one front end is told at its start.
 type Config struct {
-	Name     string
-	Listen   string
-	Seed     uint64
-	MemoryMB int
-	Sockets  int
-	Bus      string
-	Offset   uint64  // of the last known event
-	Known    []Event // the roster's events up to now
-	Site     Site
+	Name           string
+	Listen         string
+	Seed           uint64
+	MemoryMB       int
+	MaxDescriptors int
+	EventBus       string
+	LastEvent      uint64  // of the last known event
+	InitialEvents  []Event // the roster's events up to now
+	Site           Site
 }
 
 // Event is one change of the list of engines, or the whole of it.
 type Event struct {
-	Whole   bool
-	Engines []lifecycle.Engine
+	Full    bool
+	Engines []lifecycle.Endpoint
 }
 
 type file struct {
@@ -69,7 +69,7 @@
 }
 
 var states = map[string]policy.EngineState{
-	"in_service": policy.EngineLive, "terminating": policy.EngineDraining, "terminated": policy.EngineGone,
+	"in_service": policy.EngineReady, "terminating": policy.EngineDraining, "terminated": policy.EngineRemoved,
 }
 
 // Load reads the file at the path. Its error tells of all faults, each with its line and
@@ -106,8 +106,8 @@
 		}
 	}
 	c := &Config{
-		Name: f.Name, Listen: f.Listen, MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets),
-		Bus: f.Bus, Offset: f.Known.Offset,
+		Name: f.Name, Listen: f.Listen, MemoryMB: int(f.Limits.MemoryMB), MaxDescriptors: int(f.Limits.Sockets),
+		EventBus: f.Bus, LastEvent: f.Known.Offset,
 	}
 	if f.Seed != "" {
 		seed, err := strconv.ParseUint(f.Seed, 16, 64)
@@ -115,19 +115,19 @@
 		c.Seed = seed
 	}
 	for i, b := range f.Known.Batch {
-		ev := Event{Whole: b.Topology.All}
+		ev := Event{Full: b.Topology.All}
 		for j, t := range b.Topology.Targets {
 			ev.Engines = append(ev.Engines, t.engine(k, fmt.Sprintf("known.batch[%d].topology.targets[%d].", i, j)))
 		}
-		c.Offset = max(c.Offset, b.Offset)
-		c.Known = append(c.Known, ev)
+		c.LastEvent = max(c.LastEvent, b.Offset)
+		c.InitialEvents = append(c.InitialEvents, ev)
 	}
 	if f.Settings == nil {
 		k.add("settings", "missing")
 		return nil, k.err()
 	}
 	c.Site = *f.Settings
-	k.must(c.Site.Policy.Gateways >= 1, "settings.balancers", "not at least 1")
+	k.must(c.Site.Policy.Replicas >= 1, "settings.balancers", "not at least 1")
 	k.must(len(c.Site.Policy.Classes) > 0, "settings.classes", "none")
 	if err := k.err(); err != nil {
 		return nil, err
@@ -180,15 +180,15 @@
 	return nil
 }
 
-func (t *target) engine(k *checker, at string) lifecycle.Engine {
+func (t *target) engine(k *checker, at string) lifecycle.Endpoint {
 	state, ok := states[t.State]
 	k.must(ok, at+"state", "unknown value %q", t.State)
 	k.must(t.UID != "", at+"uid", "missing")
 	k.address(at+"endpoint", t.Endpoint)
-	e := lifecycle.Engine{Addr: t.Endpoint, Engine: policy.Engine{
+	e := lifecycle.Endpoint{Address: t.Endpoint, Engine: policy.Engine{
 		ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.Group, State: state,
 	}}
-	e.Started, e.Fresh = started(t.Boot)
+	e.StartedAt, e.StartKnown = started(t.Boot)
 	return e
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e := c.Known[0].Engines[0]; e.ID != "s-00000001" || e.State != policy.EngineLive || e.Fresh || c.Offset != 1 {
+	if e := c.InitialEvents[0].Engines[0]; e.ID != "s-00000001" || e.State != policy.EngineReady || e.StartKnown || c.LastEvent != 1 {
 		t.Errorf("read %+v", c)
 	}
 }
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -13,28 +13,28 @@
 )
 
 // Fault is one thing that is wrong with a file of settings.
-type Fault struct {
-	File  string
-	Line  int    // from 1; 0: the field is missing or its place is not known
-	Field string // as in statement[0].class
-	Want  string // what is wrong with it, and what is wanted
+type FieldError struct {
+	File    string
+	Line    int    // from 1; 0: the field is missing or its place is not known
+	Field   string // as in statement[0].class
+	Problem string // what is wrong with it, and what is wanted
 }
 
-func (f Fault) Error() string {
+func (f FieldError) Error() string {
 	at := f.File
 	if f.Line > 0 {
 		at += ":" + strconv.Itoa(f.Line)
 	}
 	if f.Field == "" {
-		return at + ": " + f.Want
+		return at + ": " + f.Problem
 	}
-	return at + ": " + f.Field + ": " + f.Want
+	return at + ": " + f.Field + ": " + f.Problem
 }
 
 // Faults are all that one pass found.
-type Faults []Fault
+type FieldErrors []FieldError
 
-func (f Faults) Error() string {
+func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
 		lines[i] = one.Error()
@@ -43,29 +43,29 @@
 }
 
 // FaultsOf are the faults that an error tells of.
-func FaultsOf(err error) Faults {
-	var all Faults
-	var one Fault
+func FieldErrorsOf(err error) FieldErrors {
+	var all FieldErrors
+	var one FieldError
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &all):
 		return all
 	case errors.As(err, &one):
-		return Faults{one}
+		return FieldErrors{one}
 	}
-	return Faults{{Want: err.Error()}}
+	return FieldErrors{{Problem: err.Error()}}
 }
 
 // checker collects the faults of one file.
 type checker struct {
 	file   string
 	locate func(field string) int
-	faults Faults
+	faults FieldErrors
 }
 
 func (c *checker) add(field, format string, args ...any) {
-	f := Fault{File: c.file, Field: field, Want: fmt.Sprintf(format, args...)}
+	f := FieldError{File: c.file, Field: field, Problem: fmt.Sprintf(format, args...)}
 	if c.locate != nil {
 		f.Line = c.locate(field)
 	}
@@ -96,12 +96,12 @@
 	c.locate = func(field string) int { return tomlLine(raw, field) }
 	meta, err := toml.Decode(string(raw), into)
 	if err != nil {
-		f := Fault{File: c.file, Want: err.Error()}
+		f := FieldError{File: c.file, Problem: err.Error()}
 		var p toml.ParseError
 		if errors.As(err, &p) {
-			f.Line, f.Field, f.Want = p.Position.Line, p.LastKey, p.Message
-			if f.Want == "" {
-				f.Want = err.Error()
+			f.Line, f.Field, f.Problem = p.Position.Line, p.LastKey, p.Message
+			if f.Problem == "" {
+				f.Problem = err.Error()
 			}
 		}
 		c.faults = append(c.faults, f)
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -105,13 +105,13 @@
 	classes := map[string]policy.Effect{}
 	for _, class := range p.Site.Policy.Classes {
 		classes[class.Name] = class.Effect
-		if p.WriteClass == "" && class.Effect == policy.Unsafe {
+		if p.WriteClass == "" && class.Effect == policy.NonIdempotent {
 			p.WriteClass = class.Name
 		}
 	}
 	_, ok := classes[p.DefaultClass]
 	c.must(ok, "default_class", "%q is no class of the settings", p.DefaultClass)
-	if e, ok := classes[p.WriteClass]; p.WriteClass != "" && (!ok || e != policy.Unsafe) {
+	if e, ok := classes[p.WriteClass]; p.WriteClass != "" && (!ok || e != policy.NonIdempotent) {
 		c.add("write_class", "%q is no class of the settings whose effect is non_idempotent", p.WriteClass)
 	}
 	for i, s := range p.Statements {
@@ -122,7 +122,7 @@
 		c.must(ok, at("class"), "%q is no class of the settings", s.Class)
 		c.must(s.Key >= 0 && s.Key <= 65535, at("key"), "%d is no parameter's number, 1 to 65535", s.Key)
 		c.must(!writes || !s.ReadOnly, at("read_only"), "%q writes", s.Starts)
-		c.must(!ok || !writes || effect != policy.Safe, at("class"), "%q writes, and class %q is safe to repeat", s.Starts, s.Class)
+		c.must(!ok || !writes || effect != policy.Idempotent, at("class"), "%q writes, and class %q is safe to repeat", s.Starts, s.Class)
 	}
 	p.Shapes.check(c, "shapes.", p.Site.Policy.Classes)
 }
--- a/internal/config/profile.go
+++ b/internal/config/profile.go
@@ -10,21 +10,21 @@
 )
 
 // FromMS turns fractional milliseconds, exact to the microsecond, into a duration.
-func FromMS(ms float64) time.Duration {
+func FromMilliseconds(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
 // Site is one deployment's settings: what the module is given, and what only
 // its surroundings need.
 type Site struct {
-	Policy         policy.Settings
-	Reports        []string // names of the load report's values, in order
-	Zones          []string // names by place
-	Kinds          []string
-	MaxStreams     int           // attempts on one connection at once
-	ConnectTimeout time.Duration // a connection not up by then has failed
-	IdleClose      time.Duration // engines close what is idle for this long
-	NoteEvery      time.Duration
+	Policy           policy.Settings
+	LoadFields       []string // names of the load report's values, in order
+	Zones            []string // names by place
+	Kinds            []string
+	MaxStreams       int           // attempts on one connection at once
+	ConnectTimeout   time.Duration // a connection not up by then has failed
+	IdleClose        time.Duration // engines close what is idle for this long
+	ProgressInterval time.Duration
 }
 
 // UnmarshalJSON reads the settings object of the simulator's first message.
@@ -38,9 +38,9 @@
 		return err
 	}
 	*s = Site{
-		Policy: set, Reports: p.Report.Names, Zones: p.Zones, Kinds: p.Kinds,
-		MaxStreams: p.Limits.Streams, ConnectTimeout: FromMS(p.Limits.Connect),
-		IdleClose: FromMS(p.Limits.IdleClose), NoteEvery: set.NoteEvery,
+		Policy: set, LoadFields: p.Report.Names, Zones: p.Zones, Kinds: p.Kinds,
+		MaxStreams: p.Limits.Streams, ConnectTimeout: FromMilliseconds(p.Limits.Connect),
+		IdleClose: FromMilliseconds(p.Limits.IdleClose), ProgressInterval: set.ProgressInterval,
 	}
 	return nil
 }
@@ -130,13 +130,13 @@
 }
 
 var effects = map[string]policy.Effect{
-	"read_like": policy.Safe, "idempotency_key": policy.Keyed, "non_idempotent": policy.Unsafe,
+	"read_like": policy.Idempotent, "idempotency_key": policy.IdempotentByKey, "non_idempotent": policy.NonIdempotent,
 }
 
-var groups = map[string]policy.Group{"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell, "": policy.GroupCell}
+var groups = map[string]policy.DedupScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell, "": policy.ScopeCell}
 
-var shorts = map[string]policy.MemoryShort{
-	"queue": policy.ShortWait, "trim": policy.ShortTrim, "swap": policy.ShortSwap, "": policy.ShortWait,
+var shorts = map[string]policy.MemoryShortage{
+	"queue": policy.ShortageQueue, "trim": policy.ShortageTrim, "swap": policy.ShortageSwap, "": policy.ShortageQueue,
 }
 
 // settings translates the wire's settings into the module's.
@@ -146,29 +146,29 @@
 		return policy.Settings{}, fmt.Errorf("extra.when-short: unknown value %q", p.Extra.Short)
 	}
 	s := policy.Settings{
-		Gateways: p.Balancers, Zone: p.Zone, OverShare: p.OverShare,
-		NoteEvery: FromMS(p.Extra.Tells), GrantsHeeded: p.Extra.Grants, PriorityHeeds: p.Extra.Priority,
-		MostGrant: p.Extra.GrantCap, Short: short, CostTold: p.Extra.TellsCost,
-		LoadTold:  len(p.Report.Names) > 0 && p.Report.How != "silent",
-		ListAsked: p.Mode == "on_request", Round: FromMS(p.Round),
+		Replicas: p.Balancers, Zone: p.Zone, OverQuotaWeight: p.OverShare,
+		ProgressInterval: FromMilliseconds(p.Extra.Tells), MemoryGrants: p.Extra.Grants, Priorities: p.Extra.Priority,
+		MaxGrantShare: p.Extra.GrantCap, Shortage: short, ReportsCost: p.Extra.TellsCost,
+		ReportsLoad:   len(p.Report.Names) > 0 && p.Report.How != "silent",
+		PullDiscovery: p.Mode == "on_request", TickInterval: FromMilliseconds(p.Round),
 		Rules: policy.Rules{
-			AnswerSlack: FromMS(p.Contract.Slack), DrainGrace: FromMS(p.Contract.Stop),
-			ColdStart: p.Contract.Start, ColdFor: FromMS(p.Contract.Cold),
-			TipMultiple: p.Contract.Tip, TipFor: FromMS(p.Contract.Fall),
-			Settle: FromMS(p.Contract.Settle), ExtraFree: p.Contract.ExtraFree,
-			ExtraShare: p.Contract.ExtraShare, LookBack: FromMS(p.Contract.LookBack),
-			AskListWithin: FromMS(p.Contract.Ask),
+			ResponseSlack: FromMilliseconds(p.Contract.Slack), DrainGrace: FromMilliseconds(p.Contract.Stop),
+			WarmupCapacity: p.Contract.Start, WarmupTime: FromMilliseconds(p.Contract.Cold),
+			OverloadFactor: p.Contract.Tip, OverloadWindow: FromMilliseconds(p.Contract.Fall),
+			OrderSettleTime: FromMilliseconds(p.Contract.Settle), RetryBudgetMin: p.Contract.ExtraFree,
+			RetryBudgetRatio: p.Contract.ExtraShare, RetryBudgetWindow: FromMilliseconds(p.Contract.LookBack),
+			ResubscribeWithin: FromMilliseconds(p.Contract.Ask),
 		},
 		Limits: policy.Limits{
-			Tries: p.Limits.Tries, Copies: p.Limits.Copies, Cancel: p.Limits.Cancel,
-			Probes:   p.Limits.Probes,
-			ComeBack: p.Limits.ComeBack, MostComeBack: FromMS(p.Limits.Most),
-			ConnectWithin: FromMS(p.Limits.Connect),
+			MaxAttempts: p.Limits.Tries, Hedging: p.Limits.Copies, Cancel: p.Limits.Cancel,
+			HealthChecks: p.Limits.Probes,
+			RetryAfter:   p.Limits.ComeBack, MaxRetryAfter: FromMilliseconds(p.Limits.Most),
+			ConnectTimeout: FromMilliseconds(p.Limits.Connect),
 		},
-		Goal: policy.Goal{Whole: p.Goal.Whole, WorstClass: p.Goal.WorstClass,
+		Goal: policy.Goal{Total: p.Goal.Whole, WorstClass: p.Goal.WorstClass,
 			WorstTenant: p.Goal.WorstTenant, WorstWindow: p.Goal.WorstWindow},
-		Prices: policy.Prices{CrossZone: p.Costs.CrossZone, Waste: p.Costs.Waste, LateFail: p.Costs.LateFail,
-			Probe: p.Costs.Probe},
+		Penalties: policy.Penalties{CrossZone: p.Costs.CrossZone, Waste: p.Costs.Waste, LateFail: p.Costs.LateFail,
+			HealthCheck: p.Costs.Probe},
 	}
 	for i, name := range p.Kinds {
 		s.Kinds = append(s.Kinds, policy.Kind{Name: name, Cores: at(p.Extra.Cores, i), MemoryMB: at(p.Extra.Memory, i)})
@@ -190,10 +190,10 @@
 			return fmt.Errorf("classes[%d].group: unknown value %q", i, c.Group)
 		}
 		s.Classes = append(s.Classes, policy.Class{
-			Name: c.Name, Aim: FromMS(c.Aim), Stretch: c.Stretch, Deadline: FromMS(c.Hard), Worth: c.Worth,
-			LateShare: c.Late, Threads: at(p.Extra.Threads, i), Effect: effect, Group: group,
-			Window: FromMS(c.Window), Stream: c.Streamed, InOrder: c.InOrder, Load: at(p.Extra.IsLoad, i),
-			WaitsOnLoad: at(p.Extra.Yields, i), Zones: c.RunsIn, Kinds: c.KindsOpen,
+			Name: c.Name, LatencyObjective: FromMilliseconds(c.Aim), ObjectiveStretch: c.Stretch, Deadline: FromMilliseconds(c.Hard), PriorityWeight: c.Worth,
+			LateWeight: c.Late, Threads: at(p.Extra.Threads, i), Effect: effect, DedupScope: group,
+			DedupWindow: FromMilliseconds(c.Window), Streaming: c.Streamed, Ordered: c.InOrder, BulkLoad: at(p.Extra.IsLoad, i),
+			BlockedByLoad: at(p.Extra.Yields, i), Zones: c.RunsIn, Kinds: c.KindsOpen,
 		})
 	}
 	return nil
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -64,7 +64,7 @@
 			}
 		}
 		c.must(found != nil, at+"name", "%q is no class of the settings", sc.Name)
-		c.must(found == nil || found.Effect == policy.Safe, at+"name", "class %q is not safe to repeat; statements that read are sorted here", sc.Name)
+		c.must(found == nil || found.Effect == policy.Idempotent, at+"name", "class %q is not safe to repeat; statements that read are sorted here", sc.Name)
 		last := i == len(s.Classes)-1
 		c.must(!last || sc.UpTo == 0, at+"up_to_ms", "the last class has no end")
 		c.must(last || sc.UpTo > 0 && (i == 0 || sc.UpTo > s.Classes[i-1].UpTo), at+"up_to_ms", "%g is not above the class before", sc.UpTo)
@@ -99,4 +99,4 @@
 }
 
 // Every is the time between snapshots.
-func (s *Shapes) Every() time.Duration { return FromMS(s.SnapshotEvery * 1000) }
+func (s *Shapes) Every() time.Duration { return FromMilliseconds(s.SnapshotEvery * 1000) }
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -106,25 +106,25 @@
 	const ms = time.Millisecond
 	return Site{
 		Policy: policy.Settings{
-			Gateways: 1, Zone: "z", OverShare: 2, ListAsked: true, Round: 3 * ms,
+			Replicas: 1, Zone: "z", OverQuotaWeight: 2, PullDiscovery: true, TickInterval: 3 * ms,
 			Kinds:   []policy.Kind{{Name: "k", Cores: 36, MemoryMB: 37}},
 			Tenants: []policy.Tenant{{Name: "p", Quota: 4, Share: 5}},
 			Classes: []policy.Class{{
-				Name: "c", Aim: 6 * ms, Stretch: 7, Deadline: 8 * ms, Effect: policy.Keyed, Group: policy.GroupZone, Worth: 9, LateShare: 10,
-				Stream: true, Window: 11 * ms, InOrder: true, Zones: []string{"r"}, Kinds: []string{"o"}, Load: true, Threads: 39, WaitsOnLoad: true,
+				Name: "c", LatencyObjective: 6 * ms, ObjectiveStretch: 7, Deadline: 8 * ms, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, PriorityWeight: 9, LateWeight: 10,
+				Streaming: true, DedupWindow: 11 * ms, Ordered: true, Zones: []string{"r"}, Kinds: []string{"o"}, BulkLoad: true, Threads: 39, BlockedByLoad: true,
 			}},
-			Goal:   policy.Goal{Whole: 12, WorstClass: 13, WorstTenant: 14, WorstWindow: 15},
-			Prices: policy.Prices{CrossZone: 16, Waste: 17, LateFail: 18, Probe: 19},
+			Goal:      policy.Goal{Total: 12, WorstClass: 13, WorstTenant: 14, WorstWindow: 15},
+			Penalties: policy.Penalties{CrossZone: 16, Waste: 17, LateFail: 18, HealthCheck: 19},
 			Rules: policy.Rules{
-				AnswerSlack: 20 * ms, AskListWithin: 21 * ms, ColdFor: 22 * ms, TipFor: 23 * ms, ColdStart: 24, DrainGrace: 25 * ms,
-				TipMultiple: 26, Settle: 27 * ms, ExtraFree: 28, ExtraShare: 29, LookBack: 30 * ms,
+				ResponseSlack: 20 * ms, ResubscribeWithin: 21 * ms, WarmupTime: 22 * ms, OverloadWindow: 23 * ms, WarmupCapacity: 24, DrainGrace: 25 * ms,
+				OverloadFactor: 26, OrderSettleTime: 27 * ms, RetryBudgetMin: 28, RetryBudgetRatio: 29, RetryBudgetWindow: 30 * ms,
 			},
 			Limits: policy.Limits{
-				Cancel: true, Probes: true, ConnectWithin: 31 * ms, MostComeBack: 34 * ms, Tries: 35, ComeBack: true, Copies: true,
+				Cancel: true, HealthChecks: true, ConnectTimeout: 31 * ms, MaxRetryAfter: 34 * ms, MaxAttempts: 35, RetryAfter: true, Hedging: true,
 			},
-			LoadTold: true, MostGrant: 38, GrantsHeeded: true, PriorityHeeds: true, CostTold: true, NoteEvery: 40 * ms, Short: policy.ShortSwap,
+			ReportsLoad: true, MaxGrantShare: 38, MemoryGrants: true, Priorities: true, ReportsCost: true, ProgressInterval: 40 * ms, Shortage: policy.ShortageSwap,
 		},
-		Reports: []string{"n"}, Zones: []string{"z"}, Kinds: []string{"k"}, MaxStreams: 33, ConnectTimeout: 31 * ms, IdleClose: 32 * ms, NoteEvery: 40 * ms,
+		LoadFields: []string{"n"}, Zones: []string{"z"}, Kinds: []string{"k"}, MaxStreams: 33, ConnectTimeout: 31 * ms, IdleClose: 32 * ms, ProgressInterval: 40 * ms,
 	}
 }
 
@@ -163,11 +163,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	engine := lifecycle.Engine{Addr: "127.0.0.1:7", Engine: policy.Engine{ID: "u", Zone: "a", Kind: "m", Cell: 8, State: policy.EngineDraining}}
-	engine.Started, engine.Fresh = 9*time.Millisecond, true
+	engine := lifecycle.Endpoint{Address: "127.0.0.1:7", Engine: policy.Engine{ID: "u", Zone: "a", Kind: "m", Cell: 8, State: policy.EngineDraining}}
+	engine.StartedAt, engine.StartKnown = 9*time.Millisecond, true
 	want := &Config{
-		Name: "n", Listen: "127.0.0.1:1", Seed: 255, MemoryMB: 2, Sockets: 3, Bus: "127.0.0.1:4", Offset: 6,
-		Known: []Event{{Whole: true, Engines: []lifecycle.Engine{engine}}}, Site: wholeSite(),
+		Name: "n", Listen: "127.0.0.1:1", Seed: 255, MemoryMB: 2, MaxDescriptors: 3, EventBus: "127.0.0.1:4", LastEvent: 6,
+		InitialEvents: []Event{{Full: true, Engines: []lifecycle.Endpoint{engine}}}, Site: wholeSite(),
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
--- a/internal/discovery/consul/consul.go
+++ b/internal/discovery/consul/consul.go
@@ -33,8 +33,8 @@
 )
 
 // Roster is what is told of the engines.
-type Roster interface {
-	Roster(mode policy.ListMode, engines []lifecycle.Engine)
+type EndpointSink interface {
+	UpdateEndpoints(mode policy.UpdateMode, engines []lifecycle.Endpoint)
 }
 
 // Options come from the deploy file.
@@ -48,9 +48,9 @@
 
 // Follower follows one service: the catalogue tells what is registered and where,
 // the health API whether it may be sent to.
-type Follower struct {
+type Watcher struct {
 	post   func(func()) // to the goroutine that owns the roster
-	roster Roster
+	roster EndpointSink
 	stats  *metrics.Counters
 	log    *slog.Logger
 	client *http.Client
@@ -60,14 +60,14 @@
 	leave      context.CancelFunc // ends the present following
 	registered []registration
 	health     map[string]policy.EngineState
-	known      map[string]lifecycle.Engine // what was told last, by id
+	known      map[string]lifecycle.Endpoint // what was told last, by id
 }
 
 // New returns a follower whose news are told by way of post.
-func New(post func(func()), r Roster, counters *metrics.Counters, l *slog.Logger) *Follower {
-	return &Follower{
+func New(post func(func()), r EndpointSink, counters *metrics.Counters, l *slog.Logger) *Watcher {
+	return &Watcher{
 		leave: func() {}, post: post, roster: r, stats: counters, log: l,
-		client: &http.Client{Transport: &http.Transport{Proxy: nil}}, known: map[string]lifecycle.Engine{},
+		client: &http.Client{Transport: &http.Transport{Proxy: nil}}, known: map[string]lifecycle.Endpoint{},
 	}
 }
 
@@ -75,7 +75,7 @@
 // context ends or Follow is called anew. What was told before holds until the new
 // lists are here: an engine that they lack is gone then. It is for the roster's
 // goroutine and does not block.
-func (f *Follower) Follow(ctx context.Context, opts Options) {
+func (f *Watcher) Watch(ctx context.Context, opts Options) {
 	f.leave()
 	ctx, f.leave = context.WithCancel(ctx)
 	f.client.CloseIdleConnections()
@@ -95,7 +95,7 @@
 
 // watch makes blocking queries on one path and has the news taken on the roster's
 // goroutine.
-func watch[T any](ctx context.Context, f *Follower, opts Options, path string, take func([]T)) {
+func watch[T any](ctx context.Context, f *Watcher, opts Options, path string, take func([]T)) {
 	index, pause := uint64(0), firstPause
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -166,7 +166,7 @@
 }
 
 // ask makes one blocking query and reads the answer into list.
-func (f *Follower) ask(ctx context.Context, opts Options, path string, index uint64, list any) (next uint64, err error) {
+func (f *Watcher) ask(ctx context.Context, opts Options, path string, index uint64, list any) (next uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, waitFor+waitExtra)
 	defer cancel()
 	u := url.URL{Scheme: "http", Host: opts.Address, Path: path + opts.Service,
@@ -201,13 +201,13 @@
 	return next, nil
 }
 
-func (f *Follower) engine(r *registration) lifecycle.Engine {
-	out := lifecycle.Engine{Addr: net.JoinHostPort(first(r.ServiceAddress, r.Address), strconv.Itoa(r.ServicePort))}
+func (f *Watcher) engine(r *registration) lifecycle.Endpoint {
+	out := lifecycle.Endpoint{Address: net.JoinHostPort(first(r.ServiceAddress, r.Address), strconv.Itoa(r.ServicePort))}
 	out.ID = r.Node + "/" + r.ServiceID // service ids are unique on a node only
 	out.Zone = first(r.ServiceMeta["zone"], r.NodeMeta["zone"], f.opts.Zone, r.Datacenter)
 	out.Kind = first(r.ServiceMeta["kind"], r.NodeMeta["kind"], f.opts.Kind)
 	if ms, err := strconv.ParseInt(r.ServiceMeta["boot_ms"], 10, 64); err == nil && ms > 0 && ms < 1<<43 {
-		out.Started, out.Fresh = time.Duration(ms)*time.Millisecond, true
+		out.StartedAt, out.StartKnown = time.Duration(ms)*time.Millisecond, true
 	}
 	return out
 }
@@ -215,7 +215,7 @@
 // state maps the checks: in maintenance it drains, and so does one whose metadata
 // say so; critical means that it can't be had; all else is ready.
 func (e *entry) state() policy.EngineState {
-	state := policy.EngineLive
+	state := policy.EngineReady
 	if e.Service.Meta["draining"] == "true" {
 		state = policy.EngineDraining
 	}
@@ -224,7 +224,7 @@
 		case c.CheckID == "_node_maintenance" || strings.HasPrefix(c.CheckID, "_service_maintenance"):
 			return policy.EngineDraining
 		case c.Status == "critical":
-			state = policy.EngineGone
+			state = policy.EngineRemoved
 		}
 	}
 	return state
@@ -241,13 +241,13 @@
 
 // merge tells what has changed. What is no longer registered is gone; what the
 // health API has not spoken of yet is not ready.
-func (f *Follower) merge() {
+func (f *Watcher) merge() {
 	if f.registered == nil || f.health == nil {
 		return
 	}
 	f.stats.Add("consul.events")
-	now := map[string]lifecycle.Engine{}
-	var news []lifecycle.Engine
+	now := map[string]lifecycle.Endpoint{}
+	var news []lifecycle.Endpoint
 	for i := range f.registered {
 		r := &f.registered[i]
 		if r.ServiceID == "" || r.ServicePort < 1 || r.ServicePort > 65535 {
@@ -265,8 +265,8 @@
 		}
 	}
 	for id, e := range f.known {
-		if _, ok := now[id]; !ok && e.State != policy.EngineGone {
-			e.State = policy.EngineGone
+		if _, ok := now[id]; !ok && e.State != policy.EngineRemoved {
+			e.State = policy.EngineRemoved
 			news = append(news, e)
 		}
 	}
@@ -274,6 +274,6 @@
 	if len(news) == 0 {
 		return
 	}
-	slices.SortFunc(news, func(a, b lifecycle.Engine) int { return strings.Compare(a.ID, b.ID) })
-	f.roster.Roster(policy.ListChanges, news)
+	slices.SortFunc(news, func(a, b lifecycle.Endpoint) int { return strings.Compare(a.ID, b.ID) })
+	f.roster.UpdateEndpoints(policy.UpdateDelta, news)
 }
--- a/internal/discovery/consul/consul_test.go
+++ b/internal/discovery/consul/consul_test.go
@@ -22,10 +22,10 @@
 
 type recorder chan string
 
-func (r recorder) Roster(_ policy.ListMode, list []lifecycle.Engine) {
+func (r recorder) UpdateEndpoints(_ policy.UpdateMode, list []lifecycle.Endpoint) {
 	var words []string
 	for _, e := range list {
-		words = append(words, fmt.Sprintf("%s %s %s/%s %s", e.ID, e.Addr, e.Zone, e.Kind, states[e.State]))
+		words = append(words, fmt.Sprintf("%s %s %s/%s %s", e.ID, e.Address, e.Zone, e.Kind, states[e.State]))
 	}
 	r <- strings.Join(words, "; ")
 }
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	opts := Options{Address: strings.TrimPrefix(srv.URL, "http://"), Service: "stock", Token: "tok", Zone: "hall-a"}
-	post(func() { f.Follow(ctx, opts) })
+	post(func() { f.Watch(ctx, opts) })
 	for _, step := range []struct {
 		change func()
 		want   string
--- a/internal/discovery/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -31,16 +31,16 @@
 	health     = "/v1/health/service/"
 )
 
-var states = map[policy.EngineState]string{policy.EngineLive: "ready", policy.EngineDraining: "draining", policy.EngineGone: "gone"}
+var states = map[policy.EngineState]string{policy.EngineReady: "ready", policy.EngineDraining: "draining", policy.EngineRemoved: "gone"}
 
 // events words what is told of the engines, one line each.
 type events chan string
 
-func (e events) Roster(mode policy.ListMode, list []lifecycle.Engine) {
-	text := fmt.Sprintf("= changes %t, of %d\n", mode == policy.ListChanges, len(list))
+func (e events) UpdateEndpoints(mode policy.UpdateMode, list []lifecycle.Endpoint) {
+	text := fmt.Sprintf("= changes %t, of %d\n", mode == policy.UpdateDelta, len(list))
 	for _, one := range list {
 		text += fmt.Sprintf("= %s at %s, zone %q, kind %q, %s, late start %t at %v\n",
-			one.ID, one.Addr, one.Zone, one.Kind, states[one.State], one.Fresh, one.Started)
+			one.ID, one.Address, one.Zone, one.Kind, states[one.State], one.StartKnown, one.StartedAt)
 	}
 	e <- text
 }
@@ -162,7 +162,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	opts := consul.Options{Address: listener.Addr().String(), Service: "stock-engine", Token: "secret", Zone: "hall-a", Kind: "std-2"}
-	post(func() { follower.Follow(ctx, opts) })
+	post(func() { follower.Watch(ctx, opts) })
 
 	var log bytes.Buffer
 	wait(t, a.asked[catalog])
--- a/internal/discovery/eventbus/bus.go
+++ b/internal/discovery/eventbus/bus.go
@@ -29,31 +29,31 @@
 )
 
 // Roster is what is told of the engines.
-type Roster interface {
-	Roster(mode policy.ListMode, engines []lifecycle.Engine)
+type EndpointSink interface {
+	UpdateEndpoints(mode policy.UpdateMode, engines []lifecycle.Endpoint)
 }
 
 // Follower keeps one connection to the bus.
-type Follower struct {
+type Watcher struct {
 	// MostPause is how long the bus may be back without being asked. What it has to tell
 	// counts as told from then on, so it has to be well under the time that a drain
 	// leaves to heed it. Set it before Start.
-	MostPause time.Duration
+	MaxBackoff time.Duration
 
 	loop   *eventloop.Loop
 	addr   string
 	last   uint64 // number of the last event taken
 	zones  []string
 	kinds  []string
-	roster Roster
+	roster EndpointSink
 	stats  *metrics.Counters
 	log    *slog.Logger
 
 	conn    *eventloop.Conn
 	dialing func() // gives the latest dial up
 	tries   int    // dials begun
-	retry   *timerqueue.Entry
-	silence *timerqueue.Entry
+	retry   *timerqueue.Timer
+	silence *timerqueue.Timer
 	quiet   time.Duration // the most between two frames
 	pause   time.Duration
 	stopped bool
@@ -61,15 +61,15 @@
 
 // New returns a follower that goes on after the event numbered last. Zones and
 // kinds are the lists of the settings that records give places in.
-func New(loop *eventloop.Loop, addr string, last uint64, zones, kinds []string, r Roster, counters *metrics.Counters, l *slog.Logger) *Follower {
-	return &Follower{
+func New(loop *eventloop.Loop, addr string, last uint64, zones, kinds []string, r EndpointSink, counters *metrics.Counters, l *slog.Logger) *Watcher {
+	return &Watcher{
 		loop: loop, addr: addr, last: last, zones: zones, kinds: kinds,
-		roster: r, stats: counters, log: l, quiet: maxSilence, pause: firstPause, MostPause: usualPause,
+		roster: r, stats: counters, log: l, quiet: maxSilence, pause: firstPause, MaxBackoff: usualPause,
 	}
 }
 
 // Start connects, and again whenever the connection ends or falls silent.
-func (f *Follower) Start() {
+func (f *Watcher) Start() {
 	f.tries++
 	try := f.tries
 	f.dialing = f.loop.Dial(f.addr, dialWithin, maxFrame+headerLen, f, func(c *eventloop.Conn, err error) {
@@ -91,7 +91,7 @@
 
 // Move goes over to the bus at another address, which goes on after the last event
 // taken. Where the address is the same, it connects anew only if it isn't connected.
-func (f *Follower) Move(addr string) {
+func (f *Watcher) MoveTo(addr string) {
 	if f.stopped || addr == f.addr && f.conn != nil {
 		return
 	}
@@ -102,13 +102,13 @@
 }
 
 // Stop ends the following.
-func (f *Follower) Stop() {
+func (f *Watcher) Stop() {
 	f.stopped = true
 	f.leave()
 }
 
 // leave lets go of the present bus: its connection, its dial and the next try.
-func (f *Follower) leave() {
+func (f *Watcher) leave() {
 	f.silence.Stop()
 	f.retry.Stop()
 	if f.dialing != nil {
@@ -122,35 +122,35 @@
 
 // listen waits for the next frame. Guards against a bus that vanishes without a
 // word: its connection would stay open for ever.
-func (f *Follower) listen() {
+func (f *Watcher) listen() {
 	f.silence.Stop()
-	f.silence = f.loop.Timers.Add(f.loop.Now()+f.quiet, func() {
+	f.silence = f.loop.Timers.Schedule(f.loop.Now()+f.quiet, func() {
 		if f.conn != nil {
 			f.drop(errors.New("no frame for too long"))
 		}
 	})
 }
 
-func (f *Follower) drop(err error) {
+func (f *Watcher) drop(err error) {
 	c := f.conn
 	f.conn = nil
 	c.Close()
 	f.again(err)
 }
 
-func (f *Follower) again(err error) {
+func (f *Watcher) again(err error) {
 	f.silence.Stop()
 	if f.stopped {
 		return
 	}
 	f.stats.Add("bus.reconnects")
 	f.log.Warn("bus.lost", "bus", f.addr, "error", err, "again_in", f.pause)
-	f.retry = f.loop.Timers.Add(f.loop.Now()+f.pause, f.Start)
-	f.pause = min(2*f.pause, f.MostPause)
+	f.retry = f.loop.Timers.Schedule(f.loop.Now()+f.pause, f.Start)
+	f.pause = min(2*f.pause, f.MaxBackoff)
 }
 
 // Data reads the frames that are whole.
-func (f *Follower) Data(c *eventloop.Conn, in *eventloop.Buffer) {
+func (f *Watcher) OnData(c *eventloop.Conn, in *eventloop.Buffer) {
 	for c == f.conn {
 		number, kind, payload, n, err := parse(in.Bytes())
 		if err == nil && n > 0 {
@@ -168,7 +168,7 @@
 }
 
 // Closed reconnects.
-func (f *Follower) Closed(c *eventloop.Conn, err error) {
+func (f *Watcher) OnClosed(c *eventloop.Conn, err error) {
 	if c != f.conn {
 		return
 	}
@@ -195,15 +195,15 @@
 	return binary.BigEndian.Uint64(b[4:]), b[12], b[13:n], n, nil
 }
 
-func (f *Follower) frame(number uint64, kind byte, payload []byte) error {
+func (f *Watcher) frame(number uint64, kind byte, payload []byte) error {
 	f.pause = firstPause
 	f.listen()
-	mode := policy.ListChanges
+	mode := policy.UpdateDelta
 	switch kind {
 	case 0:
 		return nil
 	case 1:
-		mode = policy.ListFull
+		mode = policy.UpdateFull
 	case 2:
 	default:
 		return fmt.Errorf("a frame of unknown kind %d", kind)
@@ -217,24 +217,24 @@
 	}
 	f.last = number
 	f.stats.Add("bus.events")
-	f.roster.Roster(mode, engines)
+	f.roster.UpdateEndpoints(mode, engines)
 	return nil
 }
 
-var recordStates = [...]policy.EngineState{policy.EngineLive, policy.EngineDraining, policy.EngineGone}
+var recordStates = [...]policy.EngineState{policy.EngineReady, policy.EngineDraining, policy.EngineRemoved}
 
-func (f *Follower) records(b []byte) ([]lifecycle.Engine, error) {
+func (f *Watcher) records(b []byte) ([]lifecycle.Endpoint, error) {
 	if len(b)%recordLen != 0 {
 		return nil, fmt.Errorf("%d bytes are no whole records", len(b))
 	}
-	list := make([]lifecycle.Engine, 0, len(b)/recordLen)
+	list := make([]lifecycle.Endpoint, 0, len(b)/recordLen)
 	for ; len(b) > 0; b = b[recordLen:] {
 		state, zone, kind := int(b[10]), int(b[11]), int(b[12])
 		if state >= len(recordStates) {
 			return nil, fmt.Errorf("unknown state %d", state)
 		}
-		e := lifecycle.Engine{
-			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:])).String(),
+		e := lifecycle.Endpoint{
+			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:])).String(),
 			Engine: policy.Engine{
 				ID:   fmt.Sprintf("s-%08x", binary.BigEndian.Uint32(b)),
 				Zone: place(f.zones, zone), Kind: place(f.kinds, kind),
@@ -242,7 +242,7 @@
 			},
 		}
 		if boot := binary.BigEndian.Uint64(b[19:]); boot > 0 && boot < 1<<43 {
-			e.Started, e.Fresh = time.Duration(boot)*time.Millisecond, true
+			e.StartedAt, e.StartKnown = time.Duration(boot)*time.Millisecond, true
 		}
 		list = append(list, e)
 	}
--- a/internal/discovery/eventbus/bus_test.go
+++ b/internal/discovery/eventbus/bus_test.go
@@ -17,13 +17,15 @@
 )
 
 type told struct {
-	mode policy.ListMode
-	list []lifecycle.Engine
+	mode policy.UpdateMode
+	list []lifecycle.Endpoint
 }
 
 type recorder chan told
 
-func (r recorder) Roster(mode policy.ListMode, list []lifecycle.Engine) { r <- told{mode, list} }
+func (r recorder) UpdateEndpoints(mode policy.UpdateMode, list []lifecycle.Endpoint) {
+	r <- told{mode, list}
+}
 
 func frame(number uint64, kind byte, payload ...byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
@@ -87,10 +89,10 @@
 			t.Fatalf("told only %v", got)
 		}
 	}
-	one := lifecycle.Engine{Addr: "127.0.0.9:70", Engine: policy.Engine{ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineLive}}
-	two := lifecycle.Engine{Addr: "127.0.0.9:80", Engine: policy.Engine{ID: "s-00000008", Zone: "b", Kind: "std", Cell: 3,
-		State: policy.EngineDraining, Started: 5 * time.Second, Fresh: true}}
-	want := []told{{policy.ListFull, []lifecycle.Engine{one}}, {policy.ListChanges, []lifecycle.Engine{two}}}
+	one := lifecycle.Endpoint{Address: "127.0.0.9:70", Engine: policy.Engine{ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineReady}}
+	two := lifecycle.Endpoint{Address: "127.0.0.9:80", Engine: policy.Engine{ID: "s-00000008", Zone: "b", Kind: "std", Cell: 3,
+		State: policy.EngineDraining, StartedAt: 5 * time.Second, StartKnown: true}}
+	want := []told{{policy.UpdateFull, []lifecycle.Endpoint{one}}, {policy.UpdateDelta, []lifecycle.Endpoint{two}}}
 	if diff := cmp.Diff(want, got, cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
@@ -167,7 +169,7 @@
 func FuzzParse(f *testing.F) {
 	f.Add(frame(4, 2, record(7, 70, 0, 0)...))
 	f.Add([]byte{0, 0, 0, 1, 0})
-	follower := &Follower{}
+	follower := &Watcher{}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		_, _, payload, n, err := parse(b)
 		if n > len(b) || err != nil && n != 0 {
--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -27,18 +27,18 @@
 )
 
 var (
-	modes  = map[policy.ListMode]string{policy.ListFull: "whole list", policy.ListChanges: "changes"}
-	states = map[policy.EngineState]string{policy.EngineLive: "ready", policy.EngineDraining: "draining", policy.EngineGone: "gone"}
+	modes  = map[policy.UpdateMode]string{policy.UpdateFull: "whole list", policy.UpdateDelta: "changes"}
+	states = map[policy.EngineState]string{policy.EngineReady: "ready", policy.EngineDraining: "draining", policy.EngineRemoved: "gone"}
 )
 
 // events words what is told of the engines, one line each.
 type events chan string
 
-func (e events) Roster(mode policy.ListMode, list []lifecycle.Engine) {
+func (e events) UpdateEndpoints(mode policy.UpdateMode, list []lifecycle.Endpoint) {
 	text := fmt.Sprintf("= %s of %d\n", modes[mode], len(list))
 	for _, one := range list {
 		text += fmt.Sprintf("= %s at %s, zone %q, kind %q, cell %d, %s, late start %t at %v\n",
-			one.ID, one.Addr, one.Zone, one.Kind, one.Cell, states[one.State], one.Fresh, one.Started)
+			one.ID, one.Address, one.Zone, one.Kind, one.Cell, states[one.State], one.StartKnown, one.StartedAt)
 	}
 	e <- text
 }
--- a/internal/e2e/crossings_test.go
+++ b/internal/e2e/crossings_test.go
@@ -20,11 +20,11 @@
 // does next on its own crosses with it.
 func (g *gateway) arrive(k *httpClient, text string) {
 	g.t.Helper()
-	before := g.loop.Buffered()
+	before := g.loop.BufferedBytes()
 	if _, err := io.WriteString(k.c, text); err != nil {
 		g.t.Error(err)
 	}
-	for g.loop.Buffered() < before+int64(len(text)) {
+	for g.loop.BufferedBytes() < before+int64(len(text)) {
 		runtime.Gosched()
 	}
 }
@@ -217,7 +217,7 @@
 	for _, head := range []string{"Req-Owner: north\r\n", ""} {
 		addr, _ := lineEngine(t, func(string) string { return "" })
 		g := newGateway(t, func(s *policy.Settings) {
-			s.Gateways = 1
+			s.Replicas = 1
 			s.Tenants = []policy.Tenant{{Name: "north", Quota: 500, Share: 1}}
 		}).platform(addr)
 		for n := range int64(80) {
@@ -257,7 +257,7 @@
 	})
 	g := newGateway(t, func(s *policy.Settings) {
 		for i := range s.Classes {
-			s.Classes[i].InOrder = true
+			s.Classes[i].Ordered = true
 		}
 	})
 	g.platform(addr)
@@ -312,7 +312,7 @@
 	})
 	g := newGateway(t, func(s *policy.Settings) {
 		for i := range s.Classes {
-			s.Classes[i].Effect = policy.Unsafe
+			s.Classes[i].Effect = policy.NonIdempotent
 		}
 	}).platform(addr)
 	k := httpConnect(t, g.addr)
@@ -379,7 +379,7 @@
 	g.platform()
 	k := httpConnect(t, g.addr)
 	turn := func(text string, addr string) string {
-		g.roster(policy.EngineLive, addr)
+		g.roster(policy.EngineReady, addr)
 		defer g.roster(policy.EngineDraining, addr)
 		got, _ := k.call(text)
 		return got
@@ -389,7 +389,7 @@
 	if n := g.count("links.closed-for-room"); n != 0 {
 		t.Errorf("%d closed while there was room", n)
 	}
-	g.roster(policy.EngineLive, hangs)
+	g.roster(policy.EngineReady, hangs)
 	for n := range 2 { // a connection each
 		open := httpConnect(t, g.addr)
 		_, _ = io.WriteString(open.c, strings.Replace(post("lookup", ""), id, fmt.Sprintf("%016x", n+1), 1))
@@ -430,10 +430,10 @@
 		for g.count("sent.") < 1 {
 			runtime.Gosched()
 		}
-		g.roster(policy.EngineLive, other)
+		g.roster(policy.EngineReady, other)
 		if whole {
 			g.do(func() {
-				g.core.Roster(policy.ListFull, []lifecycle.Engine{{Addr: other, Engine: policy.Engine{ID: "e" + other, Zone: "hall-a", Kind: "std-8", State: policy.EngineLive}}})
+				g.core.UpdateEndpoints(policy.UpdateFull, []lifecycle.Endpoint{{Address: other, Engine: policy.Engine{ID: "e" + other, Zone: "hall-a", Kind: "std-8", State: policy.EngineReady}}})
 			})
 		} else {
 			g.roster(policy.EngineDraining, late)
@@ -444,7 +444,7 @@
 			t.Errorf("whole list %v: %d attempts taken back, want 1", whole, n)
 		}
 		accept()
-		g.roster(policy.EngineGone, late)
+		g.roster(policy.EngineRemoved, late)
 		same(t, "the engine that drains heard", await(t, heard), "end")
 	}
 }
--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -194,7 +194,7 @@
 
 // Without leave to tell when to come back a refusal has no such field.
 func TestGoldenHTTPRefusedUnsaid(t *testing.T) {
-	g := newGateway(t, func(s *policy.Settings) { s.Limits.ComeBack = false })
+	g := newGateway(t, func(s *policy.Settings) { s.Limits.RetryAfter = false })
 	x := newTranscript(t).http("", g.platform().addr)
 	x.exchange(asking("lookup", "orders", ""))
 	x.hangUp()
--- a/internal/e2e/peers_test.go
+++ b/internal/e2e/peers_test.go
@@ -33,12 +33,12 @@
 type gateway struct {
 	t       testing.TB
 	loop    *eventloop.Loop
-	core    *lifecycle.Core
+	core    *lifecycle.Dispatcher
 	stats   *metrics.Counters
 	site    config.Site
 	log     *slog.Logger
 	addr    string
-	rest    *httpserver.Front
+	rest    *httpserver.Server
 	options httpserver.Options
 	// mostLinks bounds the connections to engines, streams the requests on one.
 	mostLinks, streams int
@@ -86,7 +86,7 @@
 // balance checks, at the end of every story, that each request taken had one final
 // answer or a client that left, and each attempt sent had one end.
 func (g *gateway) balance() {
-	if g.core.Unanswered() > 0 { // cut off by the end of the test
+	if g.core.Pending() > 0 { // cut off by the end of the test
 		return
 	}
 	if taken, over := g.stats.Sum("taken."), g.stats.Sum("answered.")+g.stats.Sum("gone."); taken != over {
@@ -110,11 +110,11 @@
 }
 
 func (g *gateway) roster(state policy.EngineState, addrs ...string) {
-	var list []lifecycle.Engine
+	var list []lifecycle.Endpoint
 	for _, a := range addrs {
-		list = append(list, lifecycle.Engine{Addr: a, Engine: policy.Engine{ID: "e" + a, Zone: "hall-a", Kind: "std-8", State: state}})
+		list = append(list, lifecycle.Endpoint{Address: a, Engine: policy.Engine{ID: "e" + a, Zone: "hall-a", Kind: "std-8", State: state}})
 	}
-	g.do(func() { g.core.Roster(policy.ListChanges, list) })
+	g.do(func() { g.core.UpdateEndpoints(policy.UpdateDelta, list) })
 }
 
 // platform starts the platform's front with engines at the addresses.
@@ -130,15 +130,15 @@
 		g.site.MaxStreams = 32
 	}
 	links := lineclient.New(g.loop, g.core, g.site, g.stats, g.log)
-	links.Most = g.mostLinks
-	g.core.SetLinks(links)
+	links.MaxConnections = g.mostLinks
+	g.core.SetEngineClient(links)
 	f := httpserver.New(g.loop, g.core, g.options, g.stats)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	g.addr, g.rest, g.drain, g.closeListener = f.Addr(), f, f.Drain, f.CloseListener
 	g.run()
-	g.roster(policy.EngineLive, engines...)
+	g.roster(policy.EngineReady, engines...)
 	return g
 }
 
@@ -151,7 +151,7 @@
 func (g *gateway) postgres(engines ...string) *gateway {
 	t := g.t
 	t.Helper()
-	g.core.SetLinks(pgclient.New(g.loop, g.core, pgclient.Options{User: "ringwood", Database: "register"}, g.stats, g.log))
+	g.core.SetEngineClient(pgclient.New(g.loop, g.core, pgclient.Options{User: "ringwood", Database: "register"}, g.stats, g.log))
 	if g.pgwire.DefaultClass == "" {
 		g.pgwire = pgserver.Options{
 			DefaultClass: "lookup", WriteClass: "write", Rules: []pgserver.Rule{{Starts: "insert into", Class: "load", Key: 1}},
@@ -163,7 +163,7 @@
 	}
 	g.addr, g.drain, g.closeListener = f.Addr(), f.Drain, f.CloseListener
 	g.run()
-	g.roster(policy.EngineLive, engines...)
+	g.roster(policy.EngineReady, engines...)
 	return g
 }
 
--- a/internal/e2e/platform_test.go
+++ b/internal/e2e/platform_test.go
@@ -175,7 +175,7 @@
 		t.Error("no attempt ended as refused")
 	}
 	addr, _ := lineEngine(t, func(line string) string { return done(line, "") })
-	g.roster(policy.EngineLive, addr)
+	g.roster(policy.EngineReady, addr)
 	got, _ = k.call(post("load", "Req-Token: k\r\n"))
 	same(t, "answer", got, `200 {"result":[]}`)
 }
@@ -263,15 +263,15 @@
 // may say so.
 func TestEnds(t *testing.T) {
 	got := map[string]policy.Result{}
-	for e := lifecycle.EndUnknown; e <= lifecycle.EndIdle; e++ {
+	for e := lifecycle.StatusUnknown; e <= lifecycle.StatusIdleClosed; e++ {
 		got[e.String()] = e.Result()
 	}
 	want := map[string]policy.Result{
-		"unknown": policy.Unknown, "served": policy.Served, "rejected": policy.NotSent, "too-large": policy.Served, "error": policy.Failed,
-		"full": policy.Full, "past": policy.NotSent, "pages-lost": policy.Failed, "timeout": policy.TimedOut,
-		"refused": policy.NoConnection, "connect-timeout": policy.NoConnection, "no-descriptor": policy.NotSent,
-		"no-engine": policy.NoConnection, "reset": policy.Lost, "garbage": policy.Unknown,
-		"cancelled": policy.Cancelled, "not-sent": policy.NotSent, "idle": policy.Unknown,
+		"unknown": policy.ResultUnknown, "served": policy.ResultServed, "rejected": policy.ResultNotSent, "too-large": policy.ResultServed, "error": policy.ResultFailed,
+		"full": policy.ResultOverloaded, "past": policy.ResultNotSent, "pages-lost": policy.ResultFailed, "timeout": policy.ResultTimedOut,
+		"refused": policy.ResultConnectFailed, "connect-timeout": policy.ResultConnectFailed, "no-descriptor": policy.ResultNotSent,
+		"no-engine": policy.ResultConnectFailed, "reset": policy.ResultConnectionLost, "garbage": policy.ResultUnknown,
+		"cancelled": policy.ResultCancelled, "not-sent": policy.ResultNotSent, "idle": policy.ResultUnknown,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
@@ -284,21 +284,21 @@
 	var told []string
 	p := engine.NewPool[*fakeLink]()
 	entry := func(id string, state policy.EngineState, started time.Duration) {
-		p.Engine(lifecycle.Engine{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, Started: started}})
+		p.Engine(lifecycle.Endpoint{Address: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, StartedAt: started}})
 	}
-	entry("old", policy.EngineLive, 0)
+	entry("old", policy.EngineReady, 0)
 	p.Get("old").Links = append(p.Get("old").Links, &fakeLink{"old", &told})
-	entry("new", policy.EngineLive, 0)
+	entry("new", policy.EngineReady, 0)
 	if p.Get("new") == p.Get("old") || len(p.Get("new").Links) != 0 {
 		t.Error("the new engine has the old one's links")
 	}
 	entry("old", policy.EngineDraining, 0)
-	entry("old", policy.EngineGone, 0)
+	entry("old", policy.EngineRemoved, 0)
 	if p.Get("old") != nil {
 		t.Error("the gone engine is still there")
 	}
 	p.Get("new").Links = append(p.Get("new").Links, &fakeLink{"new", &told})
-	entry("new", policy.EngineLive, time.Second)
+	entry("new", policy.EngineReady, time.Second)
 	same(t, "retired", strings.Join(told, " "), "old new")
 }
 
@@ -315,7 +315,7 @@
 func TestBadClients(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
 	g := newGateway(t, nil)
-	g.options.CallWithin = 100 * time.Millisecond
+	g.options.ReadTimeout = 100 * time.Millisecond
 	g.platform(addr)
 	open := httpConnect(t, g.addr)
 	_, _ = io.WriteString(open.c, post("lookup", ""))
@@ -371,7 +371,7 @@
 func TestRoomForClients(t *testing.T) {
 	addr, seen := lineEngine(t, func(string) string { return "" })
 	g := newGateway(t, nil)
-	g.options.MostClients, g.options.CallWithin = 4, time.Minute
+	g.options.MaxClients, g.options.ReadTimeout = 4, time.Minute
 	g.platform(addr)
 	const health = "GET /health HTTP/1.1\r\n\r\n"
 	open := httpConnect(t, g.addr)
@@ -467,7 +467,7 @@
 	k := httpConnect(t, g.addr)
 	k.call(post("lookup", ""))
 	g.do(func() {
-		g.core.Roster(policy.ListFull, []lifecycle.Engine{{Addr: two, Engine: policy.Engine{ID: "two", Zone: "hall-a", Kind: "std-8", State: policy.EngineLive}}})
+		g.core.UpdateEndpoints(policy.UpdateFull, []lifecycle.Endpoint{{Address: two, Engine: policy.Engine{ID: "two", Zone: "hall-a", Kind: "std-8", State: policy.EngineReady}}})
 	})
 	for g.count("links.ended.idle") == 0 {
 		runtime.Gosched()
--- a/internal/e2e/postgres_test.go
+++ b/internal/e2e/postgres_test.go
@@ -98,7 +98,7 @@
 	k.send(parse("", "SELECT part FROM stock_1.parts"), bind("p", ""), execute("p", 2), flush)
 	same(t, "first rows", k.until('s'), "1 2 D(a) D(b) s")
 	g.roster(policy.EngineDraining, first)
-	g.roster(policy.EngineLive, second)
+	g.roster(policy.EngineReady, second)
 	k.send(execute("p", 2), bind("q", ""), execute("q", 0), sync)
 	same(t, "rest, and new work", k.until('Z'), "D(c) C(SELECT 1) 2 D(elsewhere) C(SELECT 1) Z")
 	k.send(execute("p", 0), sync)
@@ -205,12 +205,12 @@
 		return pgError("XX000")
 	})
 	second, seen := slowPgEngine(t, 400*time.Millisecond, func(pgCall) []byte { return pgRows() })
-	g := newGateway(t, func(s *policy.Settings) { s.Classes[2].Window = 300 * time.Millisecond }).postgres(first)
+	g := newGateway(t, func(s *policy.Settings) { s.Classes[2].DedupWindow = 300 * time.Millisecond }).postgres(first)
 	k := connect(t, g.addr)
 	k.send(parse("", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "", "key"), execute("", 0), sync)
 	await(t, asked)
 	g.roster(policy.EngineDraining, first)
-	g.roster(policy.EngineLive, second)
+	g.roster(policy.EngineReady, second)
 	close(release)
 	same(t, "answer", k.until('Z'), "1 2 E(XX000) Z")
 	if n := g.count("ended.not-sent"); n != 1 {
@@ -288,12 +288,12 @@
 func TestBufferBudget(t *testing.T) {
 	addr, _ := pgEngine(t, func(pgCall) []byte { return pgRows("a") })
 	g := newGateway(t, nil)
-	g.loop.Budget = 400 << 10
+	g.loop.BufferBudget = 400 << 10
 	g.postgres(addr)
 	long := query("SELECT '" + strings.Repeat("x", 300<<10) + "'")
 	first := connect(t, g.addr)
 	first.send(long[:250<<10])
-	for g.loop.Buffered() < 250<<10 {
+	for g.loop.BufferedBytes() < 250<<10 {
 		runtime.Gosched()
 	}
 	second := connect(t, g.addr)
--- a/internal/e2e/shapes_test.go
+++ b/internal/e2e/shapes_test.go
@@ -21,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.core.SetLearner(s)
-	g.pgwire = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", Shapes: s, Rules: []pgserver.Rule{{Starts: "insert into", Class: "load", Key: 1}}}
+	g.core.SetCostObserver(s)
+	g.pgwire = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", Estimator: s, Rules: []pgserver.Rule{{Starts: "insert into", Class: "load", Key: 1}}}
 	return s
 }
 
--- a/internal/e2e/writes_test.go
+++ b/internal/e2e/writes_test.go
@@ -103,7 +103,7 @@
 		hang <- true
 		return nil
 	})
-	g := newGateway(t, func(s *policy.Settings) { s.Limits.Tries = 3 }).postgres(addr)
+	g := newGateway(t, func(s *policy.Settings) { s.Limits.MaxAttempts = 3 }).postgres(addr)
 	k := connect(t, g.addr, "statement_timeout", "300ms")
 	run := func(text string) string {
 		k.send(query(text))
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -47,8 +47,8 @@
 type exchange struct {
 	t      *testing.T
 	loop   *eventloop.Loop
-	core   *lifecycle.Core
-	links  *lineclient.Links
+	core   *lifecycle.Dispatcher
+	links  *lineclient.Client
 	stats  *metrics.Counters
 	listen net.Listener
 	conn   net.Conn
@@ -72,13 +72,13 @@
 	discard := slog.New(slog.DiscardHandler)
 	x.core, err = lifecycle.New(site.Policy, 1, fixedClock{}, timerqueue.New(), x.stats, discard)
 	x.must(err)
-	x.core.SetLearner(x)
+	x.core.SetCostObserver(x)
 	x.links = lineclient.New(x.loop, x.core, site, x.stats, discard)
-	x.core.SetLinks(x.links)
+	x.core.SetEngineClient(x.links)
 	done := make(chan struct{})
 	go func() { x.loop.Run(); close(done) }()
 	t.Cleanup(func() { x.loop.Post(x.loop.Stop); <-done })
-	x.engine(policy.EngineLive)
+	x.engine(policy.EngineReady)
 	return x
 }
 
@@ -97,18 +97,18 @@
 }
 
 func (x *exchange) engine(state policy.EngineState) {
-	entry := lifecycle.Engine{Addr: x.listen.Addr().String(), Engine: policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state}}
-	x.do(func() { x.links.Engine(entry) })
+	entry := lifecycle.Endpoint{Address: x.listen.Addr().String(), Engine: policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state}}
+	x.do(func() { x.links.UpdateEndpoint(entry) })
 }
 
 // send begins an attempt and returns it.
 func (x *exchange) send(id, statement string, change func(*lifecycle.Attempt)) *lifecycle.Attempt {
-	request := &lifecycle.Request{ID: id, Class: "report", Statement: statement, Note: "noted"}
-	attempt := &lifecycle.Attempt{Request: request, Engine: engineID, Sent: fixedClock{}.Now(), Within: 1500 * time.Millisecond, Priority: 1}
+	request := &lifecycle.Request{ID: id, Class: "report", Statement: statement, ObserverData: "noted"}
+	attempt := &lifecycle.Attempt{Request: request, Engine: engineID, StartedAt: fixedClock{}.Now(), Timeout: 1500 * time.Millisecond, Priority: 1}
 	if change != nil {
 		change(attempt)
 	}
-	x.do(func() { x.links.Send(attempt) })
+	x.do(func() { x.links.Start(attempt) })
 	if x.conn == nil {
 		x.accept()
 	}
@@ -177,22 +177,22 @@
 }
 
 // Served notes what came with a good end.
-func (x *exchange) Served(r *lifecycle.Request, rep lifecycle.Report, _ time.Duration) {
+func (x *exchange) ObserveServed(r *lifecycle.Request, rep lifecycle.AttemptReport, _ time.Duration) {
 	load := rep.Load
 	fmt.Fprintf(&x.served, "= served %s: work %v, memory %v MB, load told %t: busy %v held %v waiting %v memory %v disks %v\n",
-		r.ID, rep.Work, rep.MemoryMB, load.Told, load.Busy, load.Held, load.Waiting, load.Memory, load.Disks)
+		r.ID, rep.Work, rep.MemoryMB, load.Reported, load.CPUShare, load.InFlight, load.Queued, load.MemoryShare, load.DiskShare)
 	for n, page := range rep.Result.(lineclient.Rows) {
 		fmt.Fprintf(&x.served, "= page %d %q\n", n, page)
 	}
 }
 
-func (x *exchange) GivenUp(*lifecycle.Request, time.Duration) {}
-func (x *exchange) Over(*lifecycle.Request)                   {}
+func (x *exchange) ObserveTimeout(*lifecycle.Request, time.Duration) {}
+func (x *exchange) Release(*lifecycle.Request)                       {}
 
 // closed takes the engine off the roster, which closes the idle connection, and notes
 // all that our side had still written: nothing is left out of the golden file.
 func (x *exchange) closed() {
-	x.engine(policy.EngineGone)
+	x.engine(policy.EngineRemoved)
 	x.closedByItself()
 }
 
@@ -238,10 +238,10 @@
 		plain := x.send(id, question, nil)
 		x.read()
 		full := x.send("00000000000000ff", "", func(a *lifecycle.Attempt) {
-			a.Request.Token, a.MemoryMB, a.Priority, a.Within = "key-1", 96.75, 3, 250*time.Millisecond
+			a.Request.IdempotencyKey, a.MemoryMB, a.Priority, a.Timeout = "key-1", 96.75, 3, 250*time.Millisecond
 		})
 		x.read()
-		late := x.send("0000000000000100", "SELECT 1", func(a *lifecycle.Attempt) { a.Priority, a.Within = 0, 0 })
+		late := x.send("0000000000000100", "SELECT 1", func(a *lifecycle.Attempt) { a.Priority, a.Timeout = 0, 0 })
 		x.read()
 		for _, a := range []*lifecycle.Attempt{late, full, plain} { // in any order
 			x.write(a.Request.ID + " DONE batches=1 0\r\n\r\n")
@@ -252,14 +252,14 @@
 	"cancel-permitted": {true, func(x *exchange) {
 		a := x.send(id, question, nil)
 		x.read()
-		x.do(func() { x.links.Drop(a) })
+		x.do(func() { x.links.Abandon(a) })
 		x.read()
 		x.closed()
 	}},
 	"cancel-not-permitted": {false, func(x *exchange) {
 		a := x.send(id, question, nil)
 		x.read()
-		x.do(func() { x.links.Drop(a) })
+		x.do(func() { x.links.Abandon(a) })
 		x.closed()
 	}},
 	"cancel-between-pages": {false, func(x *exchange) { // what waits to be fetched may be let go of
@@ -267,7 +267,7 @@
 		x.read()
 		x.write(id + " DONE batches=2 6\r\na\tb\tc\n\r\n")
 		x.read()
-		x.do(func() { x.links.Drop(a) })
+		x.do(func() { x.links.Abandon(a) })
 		x.read()
 		x.closed()
 	}},
@@ -275,7 +275,7 @@
 		a := x.send(id, question, nil)
 		x.read()
 		for priority := range 4 {
-			x.do(func() { x.links.Hurry(a, priority) })
+			x.do(func() { x.links.SetPriority(a, priority) })
 			x.read()
 		}
 		x.write(id + " DONE batches=0 0\r\n\r\n")
--- a/internal/engine/lineclient/links.go
+++ b/internal/engine/lineclient/links.go
@@ -41,13 +41,13 @@
 type Rows [][]byte
 
 // Links holds the connections to all engines.
-type Links struct {
+type Client struct {
 	// Most bounds how many there are, so that they leave descriptors to the roster and to
 	// clients; 0: no bound. Past it an idle one goes. Set it before the first Send.
-	Most int
+	MaxConnections int
 
 	loop    *eventloop.Loop
-	core    *lifecycle.Core
+	core    *lifecycle.Dispatcher
 	site    config.Site
 	stats   *metrics.Counters
 	log     *slog.Logger
@@ -56,27 +56,27 @@
 }
 
 // New returns links that report to the core.
-func New(loop *eventloop.Loop, c *lifecycle.Core, site config.Site, counters *metrics.Counters, l *slog.Logger) *Links {
+func New(loop *eventloop.Loop, c *lifecycle.Dispatcher, site config.Site, counters *metrics.Counters, l *slog.Logger) *Client {
 	site.MaxStreams = max(site.MaxStreams, 1)
 	if site.ConnectTimeout <= 0 {
 		site.ConnectTimeout = 250 * time.Millisecond
 	}
-	return &Links{loop: loop, core: c, site: site, stats: counters, log: l, engines: engine.NewPool[*link](), open: map[*link]struct{}{}}
+	return &Client{loop: loop, core: c, site: site, stats: counters, log: l, engines: engine.NewPool[*link](), open: map[*link]struct{}{}}
 }
 
 // link is one connection, from the start of its dial.
 type link struct {
-	all     *Links
+	all     *Client
 	engine  *engine.Engine[*link]
 	conn    *eventloop.Conn // nil until it is up
 	streams map[string]*stream
 	past    map[string]time.Duration // ids given up here, until then
 	oldest  []string                 // the same ids, oldest first
-	stall   *timerqueue.Entry        // ends the link in the middle of an answer
+	stall   *timerqueue.Timer        // ends the link in the middle of an answer
 	begun   time.Duration            // when the answer began of which a part is here; 0: none
 	retired bool                     // takes no more
 	used    time.Duration
-	end     lifecycle.End // why it is being closed from here
+	end     lifecycle.AttemptStatus // why it is being closed from here
 }
 
 // stream is one attempt on a link.
@@ -87,29 +87,29 @@
 	pages   Rows
 	missing int // pages
 	size    int // of those that are here
-	report  lifecycle.Report
+	report  lifecycle.AttemptReport
 }
 
 // Engine takes an entry of the roster.
-func (ls *Links) Engine(e lifecycle.Engine) { ls.engines.Engine(e) }
+func (ls *Client) UpdateEndpoint(e lifecycle.Endpoint) { ls.engines.Engine(e) }
 
 // Send begins an attempt on a connection with room, or on a new one.
-func (ls *Links) Send(a *lifecycle.Attempt) {
+func (ls *Client) Start(a *lifecycle.Attempt) {
 	e := ls.engines.Get(a.Engine)
 	if e == nil {
-		ls.core.End(a, lifecycle.EndNoEngine, lifecycle.Report{})
+		ls.core.EndAttempt(a, lifecycle.StatusUnknownEngine, lifecycle.AttemptReport{})
 		return
 	}
 	l := room(e, a.Request.ID, ls.site.MaxStreams, ls.core.Now())
 	if l == nil && !ls.makeRoom() {
-		ls.core.End(a, lifecycle.EndNoDescriptor, lifecycle.Report{})
+		ls.core.EndAttempt(a, lifecycle.StatusNoDescriptor, lifecycle.AttemptReport{})
 		return
 	}
 	if l == nil {
 		l = ls.dial(e)
 	}
 	s := &stream{attempt: a, link: l}
-	a.Link = s
+	a.ClientData = s
 	l.streams[a.Request.ID] = s
 	l.used = ls.core.Now()
 	if l.conn != nil {
@@ -130,8 +130,8 @@
 
 // makeRoom tells whether there may be one more link, for which the one that has been idle
 // longest is closed where there are too many.
-func (ls *Links) makeRoom() bool {
-	if ls.Most <= 0 || len(ls.open) < ls.Most {
+func (ls *Client) makeRoom() bool {
+	if ls.MaxConnections <= 0 || len(ls.open) < ls.MaxConnections {
 		return true
 	}
 	var least *link
@@ -148,7 +148,7 @@
 	return true
 }
 
-func (ls *Links) dial(e *engine.Engine[*link]) *link {
+func (ls *Client) dial(e *engine.Engine[*link]) *link {
 	l := &link{all: ls, engine: e, streams: map[string]*stream{}, past: map[string]time.Duration{}}
 	e.Links = append(e.Links, l)
 	ls.open[l] = struct{}{}
@@ -158,8 +158,8 @@
 			l.up(c)
 			return
 		}
-		end := engine.DialEnd(err)
-		if end != lifecycle.EndRefused {
+		end := engine.DialStatus(err)
+		if end != lifecycle.StatusConnectionRefused {
 			ls.log.Warn("engine.unreachable", "engine", e.ID, "error", err)
 		}
 		l.lost(end)
@@ -184,7 +184,7 @@
 	for _, s := range l.streams {
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b *stream) int { return int(a.attempt.Sent - b.attempt.Sent) })
+	slices.SortFunc(list, func(a, b *stream) int { return int(a.attempt.StartedAt - b.attempt.StartedAt) })
 	return list
 }
 
@@ -195,7 +195,7 @@
 	if idle <= 0 {
 		return
 	}
-	l.all.loop.Timers.Add(max(l.used, l.all.core.Now()-idle)+idle, func() {
+	l.all.loop.Timers.Schedule(max(l.used, l.all.core.Now()-idle)+idle, func() {
 		switch {
 		case l.conn == nil:
 		case len(l.streams) == 0 && l.all.core.Now() >= l.used+idle:
@@ -222,7 +222,7 @@
 
 func (l *link) closeIfDone() {
 	if l.retired && l.conn != nil && len(l.streams) == 0 {
-		l.end = lifecycle.EndIdle
+		l.end = lifecycle.StatusIdleClosed
 		l.conn.Close()
 	}
 }
@@ -231,18 +231,18 @@
 func (s *stream) want() {
 	a := s.attempt
 	r := a.Request
-	if a.TooLate(s.link.all.core.Now()) {
-		s.link.finish(s, lifecycle.EndNotSent)
+	if a.DedupWindowClosed(s.link.all.core.Now()) {
+		s.link.finish(s, lifecycle.StatusNotSent)
 		return
 	}
 	stmt, _ := r.Statement.(string)
-	left := (a.Sent + a.Within - s.link.all.core.Now()).Milliseconds()
+	left := (a.StartedAt + a.Timeout - s.link.all.core.Now()).Milliseconds()
 	b := append(make([]byte, 0, 160+len(stmt)), "want "...)
 	b = append(append(b, r.ID...), " kind="...)
 	b = append(append(b, r.Class...), ",ms="...)
 	b = strconv.AppendInt(b, max(left, 1), 10)
-	if r.Token != "" {
-		b = append(append(b, ",token="...), r.Token...)
+	if r.IdempotencyKey != "" {
+		b = append(append(b, ",token="...), r.IdempotencyKey...)
 	}
 	if a.MemoryMB >= 1 {
 		b = strconv.AppendInt(append(b, ",mb="...), int64(a.MemoryMB), 10)
@@ -252,14 +252,14 @@
 	b = append(append(append(b, "\r\n"...), stmt...), "\r\n"...)
 	if s.written = s.link.conn.Write(b); !s.written {
 		s.link.retire()
-		s.link.finish(s, lifecycle.EndNotSent)
+		s.link.finish(s, lifecycle.StatusNotSent)
 	}
 }
 
 // Drop gives an attempt up. Its engine is told where the settings permit a cancel; a
 // result that waits to be fetched is no work any more, and may be let go of anyway.
-func (ls *Links) Drop(a *lifecycle.Attempt) {
-	s, ok := a.Link.(*stream)
+func (ls *Client) Abandon(a *lifecycle.Attempt) {
+	s, ok := a.ClientData.(*stream)
 	if !ok {
 		return
 	}
@@ -285,12 +285,12 @@
 }
 
 // Withdraw takes back an attempt whose connection is not up yet.
-func (ls *Links) Withdraw(a *lifecycle.Attempt) bool {
-	s, ok := a.Link.(*stream)
+func (ls *Client) Withdraw(a *lifecycle.Attempt) bool {
+	s, ok := a.ClientData.(*stream)
 	if !ok || s.written {
 		return false
 	}
-	ls.Drop(a)
+	ls.Abandon(a)
 	return true
 }
 
@@ -304,16 +304,16 @@
 }
 
 // Hurry sets the priority of an attempt that is out.
-func (ls *Links) Hurry(a *lifecycle.Attempt, priority int) {
-	if s, ok := a.Link.(*stream); ok && s.written && s.missing == 0 && s.link.conn != nil {
+func (ls *Client) SetPriority(a *lifecycle.Attempt, priority int) {
+	if s, ok := a.ClientData.(*stream); ok && s.written && s.missing == 0 && s.link.conn != nil {
 		s.link.conn.Write([]byte("hurry " + a.Request.ID + " " + strconv.Itoa(priority) + "\r\n"))
 	}
 }
 
 // Data reads the answers that are whole.
-func (l *link) Data(_ *eventloop.Conn, in *eventloop.Buffer) {
+func (l *link) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
 	now := l.all.loop.Now()
-	for l.end == lifecycle.EndUnknown {
+	for l.end == lifecycle.StatusUnknown {
 		a, n, err := parse(in.Bytes())
 		if err == nil && n > 0 {
 			err = l.answer(a)
@@ -329,13 +329,13 @@
 		}
 	}
 	l.stall.Stop()
-	if in.Len() == 0 || l.end != lifecycle.EndUnknown {
+	if in.Len() == 0 || l.end != lifecycle.StatusUnknown {
 		return
 	}
 	if l.begun == 0 {
 		l.begun = now
 	}
-	l.stall = l.all.loop.Timers.Add(min(now+stallMost, l.begun+wholeWithin), func() {
+	l.stall = l.all.loop.Timers.Schedule(min(now+stallMost, l.begun+wholeWithin), func() {
 		l.spoilt(errors.New("an answer stopped in the middle, or never ends"))
 	})
 }
@@ -343,11 +343,11 @@
 // spoilt ends the link, and with it all that is open on it: where one answer can't
 // be read, nothing tells where the next begins.
 func (l *link) spoilt(err error) {
-	if l.conn == nil || l.end != lifecycle.EndUnknown {
+	if l.conn == nil || l.end != lifecycle.StatusUnknown {
 		return
 	}
 	l.all.log.Warn("engine.unreadable", "engine", l.engine.ID, "error", err)
-	l.end = lifecycle.EndGarbage
+	l.end = lifecycle.StatusProtocolError
 	l.retire()
 	l.conn.Abort()
 }
@@ -362,7 +362,7 @@
 	switch a.word {
 	case "TELL":
 		if kind, value, ok := note(a.fields); ok {
-			l.all.core.Note(s.attempt, kind, value)
+			l.all.core.ReportProgress(s.attempt, kind, value)
 		}
 	case "DONE":
 		return l.done(s, a)
@@ -371,7 +371,7 @@
 	case "WAIT", "BROKE", "PAST":
 		end := ends[a.word]
 		if s.missing > 0 {
-			end = lifecycle.EndPagesLost
+			end = lifecycle.StatusPagesLost
 		}
 		s.report.Load = gauges(a.fields)
 		l.finish(s, end)
@@ -400,7 +400,7 @@
 		return errBody
 	}
 	work, _ := number(a.fields, "cpu")
-	s.report.Work = config.FromMS(max(work, 0))
+	s.report.Work = config.FromMilliseconds(max(work, 0))
 	s.report.MemoryMB, _ = number(a.fields, "used")
 	s.report.Load = gauges(a.fields)
 	s.pages = make(Rows, pages)
@@ -408,7 +408,7 @@
 	s.pages[0] = append([]byte{}, a.body...)
 	s.missing = pages - 1
 	if s.missing == 0 {
-		l.finish(s, lifecycle.EndServed)
+		l.finish(s, lifecycle.StatusServed)
 		return nil
 	}
 	var b []byte
@@ -437,7 +437,7 @@
 	s.pages[n] = append([]byte{}, a.body...)
 	if s.missing--; s.missing == 0 {
 		l.conn.Write([]byte("shut " + a.id + "\r\n"))
-		l.finish(s, lifecycle.EndServed)
+		l.finish(s, lifecycle.StatusServed)
 	}
 	return nil
 }
@@ -468,31 +468,31 @@
 }
 
 // finish takes the stream off the link and ends its attempt.
-func (l *link) finish(s *stream, end lifecycle.End) {
+func (l *link) finish(s *stream, end lifecycle.AttemptStatus) {
 	delete(l.streams, s.attempt.Request.ID)
 	l.used = l.all.core.Now()
-	if end == lifecycle.EndServed {
+	if end == lifecycle.StatusServed {
 		s.report.Result = s.pages
 	} else if s.written { // a second copy of this end, or a page, must not be taken for the next attempt's
 		l.pass(s.attempt.Request.ID)
 	}
-	l.all.core.End(s.attempt, end, s.report)
+	l.all.core.EndAttempt(s.attempt, end, s.report)
 	l.closeIfDone()
 }
 
 // Closed ends all that was open on the link.
-func (l *link) Closed(*eventloop.Conn, error) {
+func (l *link) OnClosed(*eventloop.Conn, error) {
 	switch {
-	case l.end != lifecycle.EndUnknown:
+	case l.end != lifecycle.StatusUnknown:
 	case len(l.streams) == 0:
-		l.end = lifecycle.EndIdle
+		l.end = lifecycle.StatusIdleClosed
 	default:
-		l.end = lifecycle.EndReset
+		l.end = lifecycle.StatusConnectionReset
 	}
 	l.lost(l.end)
 }
 
-func (l *link) lost(end lifecycle.End) {
+func (l *link) lost(end lifecycle.AttemptStatus) {
 	l.retire()
 	l.conn = nil
 	l.stall.Stop()
@@ -503,6 +503,6 @@
 			continue
 		}
 		delete(l.streams, s.attempt.Request.ID)
-		l.all.core.End(s.attempt, end, lifecycle.Report{})
+		l.all.core.EndAttempt(s.attempt, end, lifecycle.AttemptReport{})
 	}
 }
--- a/internal/engine/lineclient/parse.go
+++ b/internal/engine/lineclient/parse.go
@@ -84,8 +84,8 @@
 
 // gauges reads a load report. Engines name its values in the words of the
 // settings or in those of the wire.
-func gauges(list string) policy.Load {
-	l := policy.Load{Busy: -1, Held: -1, Waiting: -1, Memory: -1, Disks: -1}
+func gauges(list string) policy.LoadReport {
+	l := policy.LoadReport{CPUShare: -1, InFlight: -1, Queued: -1, MemoryShare: -1, DiskShare: -1}
 	text, ok := field(list, "gauges")
 	for ok && text != "" {
 		var one string
@@ -97,40 +97,40 @@
 		}
 		switch name {
 		case "util", "cpu":
-			l.Busy = v
+			l.CPUShare = v
 		case "inflight", "active":
-			l.Held = v
+			l.InFlight = v
 		case "queue", "waiting":
-			l.Waiting = v
+			l.Queued = v
 		case "x0":
-			l.Memory = v
+			l.MemoryShare = v
 		case "x1":
-			l.Disks = v
+			l.DiskShare = v
 		default:
 			continue
 		}
-		l.Told = true
+		l.Reported = true
 	}
 	return l
 }
 
 // note reads what a TELL says, if it says anything.
-func note(list string) (kind policy.NoteKind, value float64, ok bool) {
+func note(list string) (kind policy.ProgressKind, value float64, ok bool) {
 	what, _ := field(list, "res")
 	value, ok = number(list, "num")
 	switch {
 	case !ok:
 	case what == "p":
-		return policy.NoteProgress, value, true
+		return policy.ProgressFraction, value, true
 	case what == "s":
-		return policy.NoteSpill, value, true
+		return policy.ProgressSpilling, value, true
 	case what == "w" && value == 2:
-		return policy.NoteWaitLoad, value, true
+		return policy.ProgressAwaitingLoad, value, true
 	case what == "w":
-		return policy.NoteWaitMemory, value, true
+		return policy.ProgressAwaitingMemory, value, true
 	}
 	return 0, 0, false
 }
 
 // ends maps the words that end an attempt without a result.
-var ends = map[string]lifecycle.End{"WAIT": lifecycle.EndFull, "BROKE": lifecycle.EndError, "PAST": lifecycle.EndPast}
+var ends = map[string]lifecycle.AttemptStatus{"WAIT": lifecycle.StatusOverloaded, "BROKE": lifecycle.StatusEngineError, "PAST": lifecycle.StatusDeadlinePassed}
--- a/internal/engine/lineclient/parse_test.go
+++ b/internal/engine/lineclient/parse_test.go
@@ -22,14 +22,14 @@
 // Each note of a TELL has its own meaning to the decisions; what is no note has none.
 func TestNotesByTheirFields(t *testing.T) {
 	for fields, want := range map[string]struct {
-		kind  policy.NoteKind
+		kind  policy.ProgressKind
 		value float64
 		ok    bool
 	}{
-		"res=p,num=0.5": {policy.NoteProgress, 0.5, true},
-		"res=s,num=64":  {policy.NoteSpill, 64, true},
-		"res=w,num=1":   {policy.NoteWaitMemory, 1, true},
-		"res=w,num=2":   {policy.NoteWaitLoad, 2, true},
+		"res=p,num=0.5": {policy.ProgressFraction, 0.5, true},
+		"res=s,num=64":  {policy.ProgressSpilling, 64, true},
+		"res=w,num=1":   {policy.ProgressAwaitingMemory, 1, true},
+		"res=w,num=2":   {policy.ProgressAwaitingLoad, 2, true},
 		"res=?,num=1":   {},
 		"res=p":         {},
 		"num=1":         {},
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -49,8 +49,8 @@
 type exchange struct {
 	t      *testing.T
 	loop   *eventloop.Loop
-	core   *lifecycle.Core
-	links  *pgclient.Links
+	core   *lifecycle.Dispatcher
+	links  *pgclient.Client
 	stats  *metrics.Counters
 	listen net.Listener
 	conn   net.Conn
@@ -74,14 +74,14 @@
 	discard := slog.New(slog.DiscardHandler)
 	x.core, err = lifecycle.New(site.Policy, 1, fixedClock{}, timerqueue.New(), x.stats, discard)
 	x.must(err)
-	x.core.SetLearner(x)
+	x.core.SetCostObserver(x)
 	options := pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: patience}
 	x.links = pgclient.New(x.loop, x.core, options, x.stats, discard)
-	x.core.SetLinks(x.links)
+	x.core.SetEngineClient(x.links)
 	done := make(chan struct{})
 	go func() { x.loop.Run(); close(done) }()
 	t.Cleanup(func() { x.loop.Post(x.loop.Stop); <-done })
-	x.engine(policy.EngineLive)
+	x.engine(policy.EngineReady)
 	return x
 }
 
@@ -100,8 +100,8 @@
 }
 
 func (x *exchange) engine(state policy.EngineState) {
-	entry := lifecycle.Engine{Addr: x.listen.Addr().String(), Engine: policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state}}
-	x.do(func() { x.links.Engine(entry) })
+	entry := lifecycle.Endpoint{Address: x.listen.Addr().String(), Engine: policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state}}
+	x.do(func() { x.links.UpdateEndpoint(entry) })
 }
 
 func statement(query string) *pgproto.Statement {
@@ -111,9 +111,9 @@
 
 // send begins an attempt and returns it.
 func (x *exchange) send(class string, s *pgproto.Statement) *lifecycle.Attempt {
-	request := &lifecycle.Request{ID: "1", Class: class, Statement: s, Note: "noted"}
-	attempt := &lifecycle.Attempt{Request: request, Engine: engineID, Sent: fixedClock{}.Now(), Within: patience}
-	x.do(func() { x.links.Send(attempt) })
+	request := &lifecycle.Request{ID: "1", Class: class, Statement: s, ObserverData: "noted"}
+	attempt := &lifecycle.Attempt{Request: request, Engine: engineID, StartedAt: fixedClock{}.Now(), Timeout: patience}
+	x.do(func() { x.links.Start(attempt) })
 	return attempt
 }
 
@@ -215,19 +215,19 @@
 }
 
 // Served notes what came with a good end.
-func (x *exchange) Served(_ *lifecycle.Request, rep lifecycle.Report, _ time.Duration) {
+func (x *exchange) ObserveServed(_ *lifecycle.Request, rep lifecycle.AttemptReport, _ time.Duration) {
 	r := rep.Result.(*pgproto.Result)
 	fmt.Fprintf(&x.served, "= parameters %q, fields %q, %d rows %q, tag %q, empty %t\n", r.Params, r.Fields, r.Count, r.Rows, r.Tag, r.Empty)
 }
 
-func (x *exchange) GivenUp(*lifecycle.Request, time.Duration) {}
-func (x *exchange) Over(*lifecycle.Request)                   {}
+func (x *exchange) ObserveTimeout(*lifecycle.Request, time.Duration) {}
+func (x *exchange) Release(*lifecycle.Request)                       {}
 
 // closed takes the engine off the roster, which closes the idle connection, and notes
 // all that our side had still written: nothing is left out of the golden file.
 func (x *exchange) closed() {
 	x.t.Helper()
-	x.engine(policy.EngineGone)
+	x.engine(policy.EngineRemoved)
 	x.closedByItself()
 }
 
@@ -296,7 +296,7 @@
 		a := x.send("lookup", statement(question))
 		x.started()
 		x.batch()
-		x.do(func() { x.links.Drop(a) })
+		x.do(func() { x.links.Abandon(a) })
 		x.closedByItself()
 		x.accept() // the request to cancel, on a connection of its own
 		x.closedByItself()
@@ -312,7 +312,7 @@
 		x.accept()
 		x.write(authenticated, ready)
 		x.batch()
-		x.do(func() { x.links.Drop(a) })
+		x.do(func() { x.links.Abandon(a) })
 		x.closedByItself()
 		next := x.send("lookup", statement(question)) // its connection is the next there is
 		x.started()
--- a/internal/engine/pgclient/links.go
+++ b/internal/engine/pgclient/links.go
@@ -34,16 +34,16 @@
 
 // Options say how engines are spoken to.
 type Options struct {
-	User, Database string
-	ConnectTimeout time.Duration // for the connection and its startup together
-	IdleClose      time.Duration // 0: idle connections stay open
-	MostHeld       int           // bytes of rows of all results that are on their way
+	User, Database   string
+	ConnectTimeout   time.Duration // for the connection and its startup together
+	IdleClose        time.Duration // 0: idle connections stay open
+	MaxBufferedBytes int           // bytes of rows of all results that are on their way
 }
 
 // Links holds the connections to all engines.
-type Links struct {
+type Client struct {
 	loop    *eventloop.Loop
-	core    *lifecycle.Core
+	core    *lifecycle.Dispatcher
 	opts    Options
 	stats   *metrics.Counters
 	log     *slog.Logger
@@ -52,29 +52,29 @@
 }
 
 // New returns links that report to the core.
-func New(loop *eventloop.Loop, c *lifecycle.Core, opts Options, counters *metrics.Counters, l *slog.Logger) *Links {
+func New(loop *eventloop.Loop, c *lifecycle.Dispatcher, opts Options, counters *metrics.Counters, l *slog.Logger) *Client {
 	if opts.ConnectTimeout <= 0 {
 		opts.ConnectTimeout = time.Second
 	}
-	if opts.MostHeld <= 0 {
-		opts.MostHeld = usualHeld
+	if opts.MaxBufferedBytes <= 0 {
+		opts.MaxBufferedBytes = usualHeld
 	}
-	return &Links{loop: loop, core: c, opts: opts, stats: counters, log: l, engines: engine.NewPool[*link]()}
+	return &Client{loop: loop, core: c, opts: opts, stats: counters, log: l, engines: engine.NewPool[*link]()}
 }
 
 // link is one connection, from the start of its dial.
 type link struct {
-	all     *Links
+	all     *Client
 	engine  *engine.Engine[*link]
 	conn    *eventloop.Conn // nil until it is up
 	ready   bool            // its startup is over
 	retired bool
 	used    time.Duration
-	stall   *timerqueue.Entry // ends it in the middle of a message
-	end     lifecycle.End     // why it is being closed from here
-	key     []byte            // process and secret, as a CancelRequest wants them
-	named   map[string]string // statements that stay prepared here: their names by text and types
-	last    int               // number of the last name given
+	stall   *timerqueue.Timer       // ends it in the middle of a message
+	end     lifecycle.AttemptStatus // why it is being closed from here
+	key     []byte                  // process and secret, as a CancelRequest wants them
+	named   map[string]string       // statements that stay prepared here: their names by text and types
+	last    int                     // number of the last name given
 
 	attempt *lifecycle.Attempt
 	written bool
@@ -87,13 +87,13 @@
 }
 
 // Engine takes an entry of the roster.
-func (ls *Links) Engine(e lifecycle.Engine) { ls.engines.Engine(e) }
+func (ls *Client) UpdateEndpoint(e lifecycle.Endpoint) { ls.engines.Engine(e) }
 
 // Send begins an attempt on an idle connection, or on a new one.
-func (ls *Links) Send(a *lifecycle.Attempt) {
+func (ls *Client) Start(a *lifecycle.Attempt) {
 	e := ls.engines.Get(a.Engine)
 	if e == nil {
-		ls.core.End(a, lifecycle.EndNoEngine, lifecycle.Report{})
+		ls.core.EndAttempt(a, lifecycle.StatusUnknownEngine, lifecycle.AttemptReport{})
 		return
 	}
 	var l *link
@@ -107,20 +107,20 @@
 		l = ls.dial(e)
 	}
 	l.attempt, l.written, l.result, l.bound, l.whole, l.failure = a, false, &pgproto.Result{}, false, false, nil
-	a.Link = l
+	a.ClientData = l
 	if l.ready {
 		l.write()
 	}
 }
 
-func (ls *Links) dial(e *engine.Engine[*link]) *link {
+func (ls *Client) dial(e *engine.Engine[*link]) *link {
 	l := &link{all: ls, engine: e, named: map[string]string{}}
 	e.Links = append(e.Links, l)
 	ls.stats.Add("links.dialed")
 	by := ls.loop.Now() + ls.opts.ConnectTimeout
 	ls.loop.Dial(e.Addr, ls.opts.ConnectTimeout, maxBuffer, l, func(c *eventloop.Conn, err error) {
 		if err != nil {
-			l.lost(engine.DialEnd(err))
+			l.lost(engine.DialStatus(err))
 			return
 		}
 		l.conn = c
@@ -129,9 +129,9 @@
 			body = append(body, pgproto.Str(s)...)
 		}
 		c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(body, 0)))
-		ls.loop.Timers.Add(by, func() { // one that accepts and then says nothing
+		ls.loop.Timers.Schedule(by, func() { // one that accepts and then says nothing
 			if !l.ready && l.conn != nil {
-				l.close(lifecycle.EndConnectTimeout)
+				l.close(lifecycle.StatusConnectTimeout)
 			}
 		})
 	})
@@ -142,8 +142,8 @@
 // prepared it yet, bound, described and run.
 func (l *link) write() {
 	s, ok := l.attempt.Request.Statement.(*pgproto.Statement)
-	if !ok || l.attempt.TooLate(l.all.core.Now()) {
-		l.finish(lifecycle.EndNotSent, lifecycle.Report{})
+	if !ok || l.attempt.DedupWindowClosed(l.all.core.Now()) {
+		l.finish(lifecycle.StatusNotSent, lifecycle.AttemptReport{})
 		return
 	}
 	l.written = true
@@ -189,8 +189,8 @@
 // Drop gives an attempt up. Where it was written, the engine is told on a
 // connection of its own, and the link is not used again: the word could arrive
 // late and end whatever ran there next.
-func (ls *Links) Drop(a *lifecycle.Attempt) {
-	l, ok := a.Link.(*link)
+func (ls *Client) Abandon(a *lifecycle.Attempt) {
+	l, ok := a.ClientData.(*link)
 	if !ok || l.attempt != a {
 		return
 	}
@@ -200,7 +200,7 @@
 	}
 	ls.stats.Add("links.cancelled")
 	l.retired = true
-	l.close(lifecycle.EndCancelled)
+	l.close(lifecycle.StatusCancelled)
 	if l.key == nil {
 		return
 	}
@@ -214,8 +214,8 @@
 }
 
 // Withdraw takes back an attempt whose connection is not ready yet.
-func (ls *Links) Withdraw(a *lifecycle.Attempt) bool {
-	l, ok := a.Link.(*link)
+func (ls *Client) Withdraw(a *lifecycle.Attempt) bool {
+	l, ok := a.ClientData.(*link)
 	if !ok || l.attempt != a || l.written {
 		return false
 	}
@@ -225,22 +225,22 @@
 
 type silent struct{}
 
-func (silent) Data(_ *eventloop.Conn, in *eventloop.Buffer) { in.Consume(in.Len()) }
-func (silent) Closed(*eventloop.Conn, error)                {}
+func (silent) OnData(_ *eventloop.Conn, in *eventloop.Buffer) { in.Consume(in.Len()) }
+func (silent) OnClosed(*eventloop.Conn, error)                {}
 
 // Hurry does nothing: this protocol knows no priority.
-func (ls *Links) Hurry(*lifecycle.Attempt, int) {}
+func (ls *Client) SetPriority(*lifecycle.Attempt, int) {}
 
 // Retire has the link take no more.
 func (l *link) Retire() {
 	l.retired = true
 	if l.attempt == nil && l.conn != nil {
-		l.close(lifecycle.EndIdle)
+		l.close(lifecycle.StatusIdleClosed)
 	}
 }
 
-func (l *link) close(why lifecycle.End) {
-	if l.end == lifecycle.EndUnknown {
+func (l *link) close(why lifecycle.AttemptStatus) {
+	if l.end == lifecycle.StatusUnknown {
 		l.end = why
 	}
 	l.retired = true
@@ -250,8 +250,8 @@
 }
 
 // Data reads the messages that are whole.
-func (l *link) Data(_ *eventloop.Conn, in *eventloop.Buffer) {
-	for l.end == lifecycle.EndUnknown {
+func (l *link) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
+	for l.end == lifecycle.StatusUnknown {
 		kind, body, n, err := pgproto.Next(in.Bytes(), maxMessage)
 		if err == nil && n > 0 {
 			err = l.message(kind, body, in.Bytes()[:n])
@@ -266,8 +266,8 @@
 		}
 	}
 	l.stall.Stop()
-	if in.Len() > 0 && l.end == lifecycle.EndUnknown {
-		l.stall = l.all.loop.Timers.Add(l.all.loop.Now()+stallMost, func() {
+	if in.Len() > 0 && l.end == lifecycle.StatusUnknown {
+		l.stall = l.all.loop.Timers.Schedule(l.all.loop.Now()+stallMost, func() {
 			l.spoilt(errors.New("a message stopped in the middle"))
 		})
 	}
@@ -275,11 +275,11 @@
 
 // spoilt ends the link on what can't be read, and what is open on it.
 func (l *link) spoilt(err error) {
-	if l.conn == nil || l.end != lifecycle.EndUnknown {
+	if l.conn == nil || l.end != lifecycle.StatusUnknown {
 		return
 	}
 	l.all.log.Warn("engine.unreadable", "engine", l.engine.ID, "error", err)
-	l.close(lifecycle.EndGarbage)
+	l.close(lifecycle.StatusProtocolError)
 }
 
 func (l *link) message(kind byte, body, whole []byte) error {
@@ -344,7 +344,7 @@
 		case len(r.Rows)+len(whole) > MaxResult:
 			l.stop("54000", fmt.Sprintf("the result is larger than %d bytes", MaxResult))
 			return nil
-		case l.all.size+len(whole) > l.all.opts.MostHeld:
+		case l.all.size+len(whole) > l.all.opts.MaxBufferedBytes:
 			l.stop("53200", "the gateway holds too many results")
 			return nil
 		}
@@ -368,8 +368,8 @@
 // stop ends an attempt whose answer is still coming, and is too large.
 func (l *link) stop(code, text string) {
 	a := l.attempt
-	l.all.Drop(a)
-	l.all.core.End(a, lifecycle.EndTooLarge, lifecycle.Report{Detail: &pgproto.Error{Severity: "ERROR", Code: code, Message: text}})
+	l.all.Abandon(a)
+	l.all.core.EndAttempt(a, lifecycle.StatusResultTooLarge, lifecycle.AttemptReport{ErrorDetail: &pgproto.Error{Severity: "ERROR", Code: code, Message: text}})
 }
 
 // clear takes the link's attempt off it.
@@ -384,10 +384,10 @@
 func (l *link) fatal() {
 	end := errorEnd(l.failure.Code)
 	switch {
-	case !l.written && end != lifecycle.EndFull: // no word on the statement: it was not sent
-		end = lifecycle.EndRefused
-	case l.written && end != lifecycle.EndTimeout: // between a commit and its word anything may be true
-		end = lifecycle.EndError
+	case !l.written && end != lifecycle.StatusOverloaded: // no word on the statement: it was not sent
+		end = lifecycle.StatusConnectionRefused
+	case l.written && end != lifecycle.StatusTimeout: // between a commit and its word anything may be true
+		end = lifecycle.StatusEngineError
 	}
 	l.close(end)
 }
@@ -405,7 +405,7 @@
 		case l.attempt != nil:
 			l.write()
 		case l.retired:
-			l.close(lifecycle.EndIdle)
+			l.close(lifecycle.StatusIdleClosed)
 		}
 		return nil
 	}
@@ -415,11 +415,11 @@
 	s, _ := l.attempt.Request.Statement.(*pgproto.Statement)
 	switch {
 	case l.failure != nil && l.stale(l.failure.Code):
-		l.finish(lifecycle.EndNotSent, lifecycle.Report{})
+		l.finish(lifecycle.StatusNotSent, lifecycle.AttemptReport{})
 	case l.failure != nil:
-		l.finish(l.errorEnd(s), lifecycle.Report{Detail: l.failure})
+		l.finish(l.errorEnd(s), lifecycle.AttemptReport{ErrorDetail: l.failure})
 	case l.whole || s.Describe && l.result.Params != nil:
-		l.finish(lifecycle.EndServed, lifecycle.Report{Result: l.result})
+		l.finish(lifecycle.StatusServed, lifecycle.AttemptReport{Result: l.result})
 	default:
 		return errors.New("an answer without an end")
 	}
@@ -429,11 +429,11 @@
 // errorEnd sorts the error that ended the link's attempt. Of what runs once at most, an
 // engine that was short of something in the middle has done some of it for good where
 // that is outside its transaction (a sequence, say): no other is asked.
-func (l *link) errorEnd(s *pgproto.Statement) lifecycle.End {
+func (l *link) errorEnd(s *pgproto.Statement) lifecycle.AttemptStatus {
 	end := errorEnd(l.failure.Code)
 	class, _ := l.all.core.Class(l.attempt.Request.Class)
-	if end == lifecycle.EndFull && class.Effect == policy.Unsafe && !s.Describe {
-		return lifecycle.EndError
+	if end == lifecycle.StatusOverloaded && class.Effect == policy.NonIdempotent && !s.Describe {
+		return lifecycle.StatusEngineError
 	}
 	return end
 }
@@ -441,43 +441,43 @@
 // errorEnd sorts an engine's errors. What the engine is short of, or that it is
 // about to stop, is no answer to the statement: another engine may serve it. A
 // fault of the statement's own would be the same everywhere.
-func errorEnd(code string) lifecycle.End {
+func errorEnd(code string) lifecycle.AttemptStatus {
 	switch code[:2] {
 	case "53":
-		return lifecycle.EndFull
+		return lifecycle.StatusOverloaded
 	case "57":
 		switch code {
 		case "57P03", "57P01": // starting or stopping; a statement that ran is rolled back
-			return lifecycle.EndFull
+			return lifecycle.StatusOverloaded
 		case "57014":
-			return lifecycle.EndTimeout
+			return lifecycle.StatusTimeout
 		}
-		return lifecycle.EndError
+		return lifecycle.StatusEngineError
 	case "08", "40", "58", "XX", "F0":
-		return lifecycle.EndError
+		return lifecycle.StatusEngineError
 	}
-	return lifecycle.EndRejected
+	return lifecycle.StatusStatementRejected
 }
 
-func (l *link) finish(end lifecycle.End, rep lifecycle.Report) {
+func (l *link) finish(end lifecycle.AttemptStatus, rep lifecycle.AttemptReport) {
 	a := l.attempt
 	l.clear()
 	l.used = l.all.core.Now()
 	if l.retired {
-		l.close(lifecycle.EndIdle)
+		l.close(lifecycle.StatusIdleClosed)
 	}
-	l.all.core.End(a, end, rep)
+	l.all.core.EndAttempt(a, end, rep)
 }
 
 func (l *link) watchIdle() {
 	if l.all.opts.IdleClose <= 0 {
 		return
 	}
-	l.all.loop.Timers.Add(max(l.used, l.all.core.Now()-l.all.opts.IdleClose)+l.all.opts.IdleClose, func() {
+	l.all.loop.Timers.Schedule(max(l.used, l.all.core.Now()-l.all.opts.IdleClose)+l.all.opts.IdleClose, func() {
 		switch {
 		case l.conn == nil:
 		case l.attempt == nil && l.all.core.Now() >= l.used+l.all.opts.IdleClose:
-			l.close(lifecycle.EndIdle)
+			l.close(lifecycle.StatusIdleClosed)
 		default:
 			if l.attempt != nil {
 				l.used = l.all.core.Now()
@@ -488,30 +488,30 @@
 }
 
 // Closed ends what was open on the link.
-func (l *link) Closed(*eventloop.Conn, error) {
+func (l *link) OnClosed(*eventloop.Conn, error) {
 	switch {
-	case l.end != lifecycle.EndUnknown:
+	case l.end != lifecycle.StatusUnknown:
 	case l.attempt == nil:
-		l.end = lifecycle.EndIdle
+		l.end = lifecycle.StatusIdleClosed
 	case !l.written: // its startup was cut off: nothing of the attempt was sent
-		l.end = lifecycle.EndRefused
+		l.end = lifecycle.StatusConnectionRefused
 	default:
-		l.end = lifecycle.EndReset
+		l.end = lifecycle.StatusConnectionReset
 	}
 	l.lost(l.end)
 }
 
-func (l *link) lost(end lifecycle.End) {
+func (l *link) lost(end lifecycle.AttemptStatus) {
 	l.retired, l.conn, l.ready = true, nil, false
 	l.stall.Stop()
 	l.all.stats.Add("links.ended." + end.String())
 	l.engine.Remove(l)
 	if a := l.attempt; a != nil {
-		var rep lifecycle.Report
+		var rep lifecycle.AttemptReport
 		if l.failure != nil {
-			rep.Detail = l.failure
+			rep.ErrorDetail = l.failure
 		}
 		l.clear()
-		l.all.core.End(a, end, rep)
+		l.all.core.EndAttempt(a, end, rep)
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -19,10 +19,10 @@
 )
 
 // MaxWrite bounds what waits for a slow reader; past it the connection is closed.
-const MaxWrite = 8 << 20
+const MaxPendingWrite = 8 << 20
 
 // DefaultBudget is the Budget of a new loop.
-const DefaultBudget = 48 << 20
+const DefaultBufferBudget = 48 << 20
 
 // errBudget ends a connection that would take more than is left for all buffers.
 var errBudget = errors.New("the buffers of all connections are full")
@@ -52,10 +52,10 @@
 // Handler is told of one connection, on the loop's goroutine.
 type Handler interface {
 	// Data tells that the buffer has grown. What it leaves there is kept.
-	Data(c *Conn, in *Buffer)
+	OnData(c *Conn, in *Buffer)
 	// Closed tells that the connection has ended, once; err is nil where the
 	// peer or Close ended it in the usual way.
-	Closed(c *Conn, err error)
+	OnClosed(c *Conn, err error)
 }
 
 // Loop owns the sockets, the timers and the goroutine that all handlers run on.
@@ -63,7 +63,7 @@
 	Timers *timerqueue.Queue
 	// Budget bounds what the buffers of all connections hold together, in bytes. Past
 	// it the next connection to take more than one read ends. Set it before Run.
-	Budget int64
+	BufferBudget int64
 
 	origin time.Time
 	unix   time.Duration
@@ -87,12 +87,12 @@
 	}
 	now := time.Now()
 	l := &Loop{
-		Timers: timerqueue.New(), Budget: DefaultBudget, origin: now, unix: time.Duration(now.UnixNano()),
+		Timers: timerqueue.New(), BufferBudget: DefaultBufferBudget, origin: now, unix: time.Duration(now.UnixNano()),
 		wake: make(chan struct{}, 1), open: map[*Conn]struct{}{}, buf: make([]byte, readSize),
 	}
 	l.engine = nbio.NewEngine(nbio.Config{
 		Name: "flaxrelay", NPoller: 1, ReadBufferSize: readSize,
-		MaxWriteBufferSize: MaxWrite, EpollMod: nbio.EPOLLET,
+		MaxWriteBufferSize: MaxPendingWrite, EpollMod: nbio.EPOLLET,
 	})
 	l.engine.OnOpen(func(*nbio.Conn) {})
 	// Edge-triggered, so that what is not read for want of room raises no further event.
@@ -148,12 +148,12 @@
 			work[i] = nil
 		}
 		l.spare = work[:0]
-		l.Timers.Sweep(l.Now())
+		l.Timers.RunDue(l.Now())
 		if l.stop {
 			break
 		}
 		wait := time.Hour
-		if at, ok := l.Timers.Next(); ok {
+		if at, ok := l.Timers.NextDue(); ok {
 			wait = at - l.Now()
 		}
 		if wait <= 0 {
@@ -177,10 +177,10 @@
 func (l *Loop) Stop() { l.stop = true }
 
 // Buffered is what the buffers of all connections hold. It may be called from anywhere.
-func (l *Loop) Buffered() int64 { return l.filled.Load() }
+func (l *Loop) BufferedBytes() int64 { return l.filled.Load() }
 
 // Open is the number of open connections.
-func (l *Loop) Open() int { return len(l.open) }
+func (l *Loop) OpenConnections() int { return len(l.open) }
 
 // Listen accepts connections at the address until the returned listener is closed.
 // While most of them are open (0: no such limit) the next ones wait unaccepted.
@@ -231,7 +231,7 @@
 		if err == nil {
 			return nc
 		}
-		if !NoDescriptor(err) {
+		if !IsDescriptorExhausted(err) {
 			break
 		}
 		time.Sleep(acceptPause)
@@ -286,10 +286,10 @@
 
 // Refused tells whether a dial failed with word from the other side, or for want
 // of descriptors here, rather than in silence.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // NoDescriptor tells whether a dial failed because this process has none left.
-func NoDescriptor(err error) bool {
+func IsDescriptorExhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
@@ -341,7 +341,7 @@
 			c.lastRead.Store(int64(c.loop.Now()))
 			got = true
 			// Guards against many peers that each stop in the middle of a long message.
-			if c.loop.filled.Add(int64(n)) > c.loop.Budget && c.in.Len() > readSize {
+			if c.loop.filled.Add(int64(n)) > c.loop.BufferBudget && c.in.Len() > readSize {
 				c.shut.Store(true)
 				c.loop.filled.Add(-int64(c.in.Len())) // at once: others need the room
 				c.in = Buffer{}
@@ -376,7 +376,7 @@
 
 // Hold keeps what is read ahead small while the handler takes nothing, as a client's
 // open request is awaited. Again must be called after it is lifted.
-func (c *Conn) Hold(on bool) { c.held.Store(on) }
+func (c *Conn) LimitReadAhead(on bool) { c.held.Store(on) }
 
 func (c *Conn) data() {
 	c.mu.Lock()
@@ -387,7 +387,7 @@
 	case c.closing.Load(): // what crosses the close must not be acted on: its sender is told of the close alone
 		c.in.Consume(before)
 	default:
-		c.handler.Data(c, &c.in)
+		c.handler.OnData(c, &c.in)
 	}
 	c.loop.filled.Add(int64(c.in.Len() - before))
 	resume := c.paused && c.in.Len() < c.room()
@@ -401,7 +401,7 @@
 }
 
 // Again has Data called once more, for what an earlier call left in the buffer.
-func (c *Conn) Again() { c.loop.Post(c.data) }
+func (c *Conn) Redeliver() { c.loop.Post(c.data) }
 
 func (c *Conn) ended(err error) {
 	if c.over {
@@ -414,7 +414,7 @@
 	c.in = Buffer{}
 	c.mu.Unlock()
 	c.done()
-	c.handler.Closed(c, err)
+	c.handler.OnClosed(c, err)
 }
 
 // Write sends, or queues what the socket does not take at once. It is false where the
@@ -432,10 +432,10 @@
 }
 
 // Pending is the number of bytes that wait to be sent.
-func (c *Conn) Pending() int { return int(c.pending.Load()) }
+func (c *Conn) PendingWrite() int { return int(c.pending.Load()) }
 
 // WhenWritten has f called on a later turn, once nothing waits to be sent.
-func (c *Conn) WhenWritten(f func()) {
+func (c *Conn) OnFlushed(f func()) {
 	c.then = f
 	c.waiting.Store(true)
 	if c.pending.Load() == 0 {
@@ -466,8 +466,8 @@
 		c.halfClose()
 		return
 	}
-	c.WhenWritten(nil)
-	c.loop.Timers.Add(c.loop.Now()+lingerMost, c.Abort)
+	c.OnFlushed(nil)
+	c.loop.Timers.Schedule(c.loop.Now()+lingerMost, c.Abort)
 }
 
 // halfClose says that nothing more will be written, and leaves the peer a moment to say
@@ -477,7 +477,7 @@
 		c.Abort()
 		return
 	}
-	c.loop.Timers.Add(c.loop.Now()+lingerBad, c.Abort)
+	c.loop.Timers.Schedule(c.loop.Now()+lingerBad, c.Abort)
 }
 
 // closeWrite shuts the writing side. Under nbio's lock: the poller may be closing the
@@ -500,19 +500,19 @@
 
 // Finish ends the connection a moment after what was written has been sent, and
 // reads nothing more: its peer has time to read the last of it.
-func (c *Conn) Finish() {
+func (c *Conn) CloseAfterLinger() {
 	if c.over || c.closing.Swap(true) {
 		return
 	}
 	c.shut.Store(true)
-	c.loop.Timers.Add(c.loop.Now()+lingerBad, c.Abort)
+	c.loop.Timers.Schedule(c.loop.Now()+lingerBad, c.Abort)
 }
 
 // Abort ends the connection at once.
 func (c *Conn) Abort() { _ = c.nc.Close() }
 
 // Unread is the number of bytes received that the handler has left.
-func (c *Conn) Unread() int {
+func (c *Conn) UnreadBytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.in.Len()
@@ -520,10 +520,10 @@
 
 // Lost tells that the connection has ended, before Closed is told. What was read of it
 // until then is still handed on.
-func (c *Conn) Lost() bool { return c.lost.Load() }
+func (c *Conn) Disconnected() bool { return c.lost.Load() }
 
 // LastRead tells when the latest bytes were read.
-func (c *Conn) LastRead() time.Duration { return time.Duration(c.lastRead.Load()) }
+func (c *Conn) LastReadAt() time.Duration { return time.Duration(c.lastRead.Load()) }
 
 // RemoteAddr names the peer.
 func (c *Conn) RemoteAddr() string { return c.nc.RemoteAddr().String() }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -17,12 +17,12 @@
 	closed chan error
 }
 
-func (r *recorder) Data(_ *Conn, in *Buffer) {
+func (r *recorder) OnData(_ *Conn, in *Buffer) {
 	r.data = append(r.data, string(in.Bytes()))
 	in.Consume(in.Len())
 }
 
-func (r *recorder) Closed(_ *Conn, err error) { r.closed <- err }
+func (r *recorder) OnClosed(_ *Conn, err error) { r.closed <- err }
 
 // pair is a loop with one accepted connection, and its peer.
 func pair(t *testing.T) (l *Loop, r *recorder, peer *net.TCPConn) {
@@ -65,7 +65,7 @@
 	l, r, peer := pair(t)
 	do(l, func() {
 		_, _ = io.WriteString(peer, "a call")
-		for l.Buffered() == 0 { // the poller has it, and the handler can't be told yet
+		for l.BufferedBytes() == 0 { // the poller has it, and the handler can't be told yet
 			runtime.Gosched()
 		}
 		r.conn.Close()
@@ -79,7 +79,7 @@
 		if len(r.data) > 0 {
 			t.Errorf("told of %q after Close", r.data)
 		}
-		if n := l.Buffered(); n != 0 {
+		if n := l.BufferedBytes(); n != 0 {
 			t.Errorf("%d bytes still counted as held", n)
 		}
 	})
@@ -129,7 +129,7 @@
 	}
 	ended := make(chan struct{})
 	go func() { l.Run(); close(ended) }()
-	do(l, func() { l.Timers.Add(l.Now()+20*time.Millisecond, l.Stop) })
+	do(l, func() { l.Timers.Schedule(l.Now()+20*time.Millisecond, l.Stop) })
 	select {
 	case <-ended:
 	case <-time.After(patience):
--- a/internal/frontend/httpserver/crossing_test.go
+++ b/internal/frontend/httpserver/crossing_test.go
@@ -20,11 +20,11 @@
 // noLinks leads to no engine.
 type noLinks struct{}
 
-func (noLinks) Send(*lifecycle.Attempt)          {}
-func (noLinks) Drop(*lifecycle.Attempt)          {}
-func (noLinks) Withdraw(*lifecycle.Attempt) bool { return false }
-func (noLinks) Hurry(*lifecycle.Attempt, int)    {}
-func (noLinks) Engine(lifecycle.Engine)          {}
+func (noLinks) Start(*lifecycle.Attempt)            {}
+func (noLinks) Abandon(*lifecycle.Attempt)          {}
+func (noLinks) Withdraw(*lifecycle.Attempt) bool    { return false }
+func (noLinks) SetPriority(*lifecycle.Attempt, int) {}
+func (noLinks) UpdateEndpoint(lifecycle.Endpoint)   {}
 
 // A client writes calls and goes before the first of them is looked at: none is taken.
 func TestClientGoesBehindItsCalls(t *testing.T) {
@@ -45,8 +45,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetLinks(noLinks{})
-	c.Roster(policy.ListFull, []lifecycle.Engine{{Addr: "127.0.0.1:1", Engine: policy.Engine{ID: "e", State: policy.EngineLive}}})
+	c.SetEngineClient(noLinks{})
+	c.UpdateEndpoints(policy.UpdateFull, []lifecycle.Endpoint{{Address: "127.0.0.1:1", Engine: policy.Engine{ID: "e", State: policy.EngineReady}}})
 	f := New(loop, c, Options{}, counters)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 			t.Error(err)
 		}
 		peer.Close()
-		for by := time.Now().Add(10 * time.Second); !k.conn.Lost() && time.Now().Before(by); {
+		for by := time.Now().Add(10 * time.Second); !k.conn.Disconnected() && time.Now().Before(by); {
 			runtime.Gosched()
 		}
 	})
--- a/internal/frontend/httpserver/rest.go
+++ b/internal/frontend/httpserver/rest.go
@@ -46,16 +46,16 @@
 
 // Options bound what clients may take.
 type Options struct {
-	MostClients int                // connections at once; past that the longest idle ones are closed
-	MostHeld    int                // bytes of results that wait to be fetched
-	Shapes      *stmtstats.Service // estimates by the shapes of statements; nil: off
-	CallWithin  time.Duration      // a connection's first call, and any that has begun, must be whole
+	MaxClients   int                // connections at once; past that the longest idle ones are closed
+	MaxHeldBytes int                // bytes of results that wait to be fetched
+	Estimator    *stmtstats.Service // estimates by the shapes of statements; nil: off
+	ReadTimeout  time.Duration      // a connection's first call, and any that has begun, must be whole
 }
 
 // Front accepts clients.
-type Front struct {
+type Server struct {
 	loop  *eventloop.Loop
-	core  *lifecycle.Core
+	core  *lifecycle.Dispatcher
 	opts  Options
 	stats *metrics.Counters
 	boot  string // tells paths of this start from those of others
@@ -78,29 +78,29 @@
 }
 
 // New returns a front that puts its requests to the core.
-func New(loop *eventloop.Loop, c *lifecycle.Core, opts Options, counters *metrics.Counters) *Front {
-	if opts.MostClients <= 0 {
-		opts.MostClients = 512
+func New(loop *eventloop.Loop, c *lifecycle.Dispatcher, opts Options, counters *metrics.Counters) *Server {
+	if opts.MaxClients <= 0 {
+		opts.MaxClients = 512
 	}
-	if opts.MostHeld <= 0 {
-		opts.MostHeld = 16 << 20
+	if opts.MaxHeldBytes <= 0 {
+		opts.MaxHeldBytes = 16 << 20
 	}
-	if opts.CallWithin <= 0 {
-		opts.CallWithin = 2 * time.Second
+	if opts.ReadTimeout <= 0 {
+		opts.ReadTimeout = 2 * time.Second
 	}
-	return &Front{
+	return &Server{
 		loop: loop, core: c, opts: opts, stats: counters, boot: strconv.FormatInt(int64(c.Now()), 36),
 		conns: map[*conn]struct{}{}, ids: map[string]struct{}{}, held: map[string]*held{},
 	}
 }
 
 // Listen accepts at the address.
-func (f *Front) Listen(addr string) error {
-	ln, err := f.loop.Listen(addr, maxCall, f.opts.MostClients+SpareClients, func(c *eventloop.Conn) eventloop.Handler {
+func (f *Server) Listen(addr string) error {
+	ln, err := f.loop.Listen(addr, maxCall, f.opts.MaxClients+SpareClients, func(c *eventloop.Conn) eventloop.Handler {
 		f.stats.Add("rest.connections")
 		k := &conn{front: f, conn: c, used: f.loop.Now()}
 		f.conns[k] = struct{}{}
-		if len(f.conns) > f.opts.MostClients {
+		if len(f.conns) > f.opts.MaxClients {
 			f.makeRoom()
 		}
 		k.await()
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func (f *Front) sweepIdle() {
+func (f *Server) sweepIdle() {
 	now := f.loop.Now()
 	for k := range f.conns {
 		if k.resting() && now-k.used > idleMost {
@@ -122,7 +122,7 @@
 			k.shut()
 		}
 	}
-	f.loop.Timers.Add(now+idleMost/4, f.sweepIdle)
+	f.loop.Timers.Schedule(now+idleMost/4, f.sweepIdle)
 }
 
 // makeRoom closes the connections that are missed least while there are too many: the
@@ -130,7 +130,7 @@
 // clients that connect by the hundred, or ask once and stay: the others would find no
 // descriptor left. Where none can be closed yet it comes again: at the most
 // connections nothing more is accepted, so nothing else would call it.
-func (f *Front) makeRoom() {
+func (f *Server) makeRoom() {
 	for {
 		var least *conn
 		open, now := 0, f.loop.Now()
@@ -147,12 +147,12 @@
 			}
 		}
 		switch {
-		case open <= f.opts.MostClients:
+		case open <= f.opts.MaxClients:
 			return
 		case least == nil:
 			if !f.crowded {
 				f.crowded = true
-				f.loop.Timers.Add(now+silentLeast, func() { f.crowded = false; f.makeRoom() })
+				f.loop.Timers.Schedule(now+silentLeast, func() { f.crowded = false; f.makeRoom() })
 			}
 			return
 		}
@@ -162,14 +162,14 @@
 }
 
 // Addr is where clients connect.
-func (f *Front) Addr() string { return f.listener.Addr().String() }
+func (f *Server) Addr() string { return f.listener.Addr().String() }
 
 // CloseListener takes no new connections; those that are open go on.
-func (f *Front) CloseListener() { _ = f.listener.Close() }
+func (f *Server) CloseListener() { _ = f.listener.Close() }
 
 // Drain closes each connection as soon as nothing is open on it. A call that has
 // begun to come is taken once it is whole: await bounds the wait for it.
-func (f *Front) Drain() {
+func (f *Server) Drain() {
 	f.draining = true
 	for k := range f.conns {
 		if k.resting() {
@@ -179,7 +179,7 @@
 }
 
 // Idle tells whether all clients have had all of their answers.
-func (f *Front) Idle() bool {
+func (f *Server) Idle() bool {
 	for _, h := range f.held {
 		if !h.whole {
 			return false
@@ -190,12 +190,12 @@
 
 // conn is one client connection.
 type conn struct {
-	front   *Front
+	front   *Server
 	conn    *eventloop.Conn
 	request *lifecycle.Request // taken and not answered
 	used    time.Duration      // its latest call or answer
 	good    bool               // it has made a good call
-	due     *timerqueue.Entry  // by when its call must be whole
+	due     *timerqueue.Timer  // by when its call must be whole
 	further bool               // its latest answer named a further part
 	close   bool               // after the answer
 	ended   bool               // nothing more is read
@@ -204,7 +204,7 @@
 // resting tells that nothing is open on the connection: no request, no result that is
 // fetched part by part, and no call of which a part is here.
 func (k *conn) resting() bool {
-	return k.request == nil && !k.further && !k.ended && k.conn.Unread() == 0
+	return k.request == nil && !k.further && !k.ended && k.conn.UnreadBytes() == 0
 }
 
 // shut ends the connection from this side: what is read from now on is not acted on.
@@ -215,14 +215,14 @@
 
 // Data reads calls until one waits for its answer. Of a client that has gone none is
 // taken: it may have left hundreds behind, each of which would be sent on.
-func (k *conn) Data(_ *eventloop.Conn, in *eventloop.Buffer) {
+func (k *conn) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for k.request == nil && !k.ended {
-		if k.conn.Lost() {
+		if k.conn.Disconnected() {
 			in.Consume(in.Len())
 			return
 		}
-		if k.conn.Pending() > slowReader {
-			k.conn.WhenWritten(k.conn.Again)
+		if k.conn.PendingWrite() > slowReader {
+			k.conn.OnFlushed(k.conn.Redeliver)
 			return
 		}
 		c, n, bad := parse(in.Bytes())
@@ -251,18 +251,18 @@
 	case k.request == nil && k.due == nil && (in.Len() > 0 || !k.good):
 		k.await()
 	}
-	k.conn.Hold(k.request != nil)
+	k.conn.LimitReadAhead(k.request != nil)
 }
 
 // await has the connection closed unless a call is whole in time. Guards against
 // clients that connect and say nothing, or stop in the middle of a call.
 func (k *conn) await() {
-	k.due = k.front.loop.Timers.Add(k.front.loop.Now()+k.front.opts.CallWithin, func() {
+	k.due = k.front.loop.Timers.Schedule(k.front.loop.Now()+k.front.opts.ReadTimeout, func() {
 		if k.ended {
 			return
 		}
 		k.front.stats.Add("rest.too-slow")
-		if k.conn.Unread() == 0 {
+		if k.conn.UnreadBytes() == 0 {
 			k.shut()
 		} else {
 			k.refuse(&fault{408, "the call was not whole in time"})
@@ -271,7 +271,7 @@
 }
 
 // Closed tells the core that the client has stopped waiting.
-func (k *conn) Closed(_ *eventloop.Conn, _ error) {
+func (k *conn) OnClosed(_ *eventloop.Conn, _ error) {
 	k.ended = true
 	k.due.Stop()
 	delete(k.front.conns, k)
@@ -283,7 +283,7 @@
 	if r := k.request; r != nil {
 		k.request = nil
 		delete(k.front.ids, r.ID)
-		k.front.core.Gone(r)
+		k.front.core.ClientDisconnected(r)
 	}
 }
 
@@ -346,17 +346,17 @@
 	}
 	text := string(c.body)
 	r := &lifecycle.Request{
-		ID: id, Class: name, Statement: text, Repeat: c.head["req-retry"] == "1", Client: k,
-		Tenant: c.head["req-owner"], Key: c.head["req-key"],
+		ID: id, Class: name, Statement: text, ClientRetry: c.head["req-retry"] == "1", Client: k,
+		Tenant: c.head["req-owner"], OrderKey: c.head["req-key"],
 		// From its last byte, not from its turn behind another call on the connection.
-		Deadline: k.conn.LastRead() + config.FromMS(wait),
+		Deadline: k.conn.LastReadAt() + config.FromMilliseconds(wait),
 	}
 	var cost float64
 	for _, v := range []struct {
 		name string
 		to   *float64
 		most float64
-	}{{"Req-Cost", &cost, ms(mostWork)}, {"Req-Kb", &r.MemoryMB, mostMB}} {
+	}{{"Req-Cost", &cost, ms(mostWork)}, {"Req-Kb", &r.EstimatedMemoryMB, mostMB}} {
 		text, ok := c.head[strings.ToLower(v.name)]
 		if !ok {
 			continue
@@ -365,21 +365,21 @@
 			return bad("%s: not a number above 0, up to %.0f", v.name, v.most)
 		}
 	}
-	r.Work = config.FromMS(cost)
-	if class.Effect == policy.Keyed {
-		r.Token = c.head["req-token"]
-		if !isToken(r.Token) { // without its key nothing would drop a repeat
+	r.EstimatedWork = config.FromMilliseconds(cost)
+	if class.Effect == policy.IdempotentByKey {
+		r.IdempotencyKey = c.head["req-token"]
+		if !isToken(r.IdempotencyKey) { // without its key nothing would drop a repeat
 			return bad("Req-Token: missing or not of 1 to 64 letters, digits, - and _")
 		}
 	}
-	if s := f.opts.Shapes; s != nil {
+	if s := f.opts.Estimator; s != nil {
 		s.ExpectText(r, text)
 	} else {
-		r.Set, _ = sqltext.Group(text)
+		r.Dataset, _ = sqltext.Group(text)
 	}
 	k.request, k.good = r, true
 	f.ids[id] = struct{}{}
-	f.core.Take(r)
+	f.core.Accept(r)
 	return nil
 }
 
@@ -395,21 +395,21 @@
 }
 
 // Answer writes the final answer.
-func (k *conn) Answer(r *lifecycle.Request, a lifecycle.Answer) {
+func (k *conn) Respond(r *lifecycle.Request, a lifecycle.Response) {
 	k.request, k.used = nil, k.front.loop.Now()
 	delete(k.front.ids, r.ID)
 	switch a.Verdict {
-	case lifecycle.Served:
+	case lifecycle.VerdictServed:
 		rows, _ := a.Result.(lineclient.Rows)
 		k.rows(r, rows)
-	case lifecycle.Refused:
-		k.write(503, a.ComeBack, []byte(`{"fault":"Busy"}`))
+	case lifecycle.VerdictRejected:
+		k.write(503, a.RetryAfter, []byte(`{"fault":"Busy"}`))
 	default:
 		k.write(500, 0, []byte(`{"fault":"Failed"}`))
 	}
-	k.conn.Hold(false)
+	k.conn.LimitReadAhead(false)
 	if !k.ended {
-		k.conn.Again() // a further call may be in the buffer
+		k.conn.Redeliver() // a further call may be in the buffer
 	}
 }
 
@@ -422,7 +422,7 @@
 	for _, p := range rows {
 		size += len(p)
 	}
-	if len(parts) < 2 || f.heldSize+size > f.opts.MostHeld || f.draining {
+	if len(parts) < 2 || f.heldSize+size > f.opts.MaxHeldBytes || f.draining {
 		k.write(200, 0, encode(rows, ""))
 		return
 	}
@@ -430,7 +430,7 @@
 	path := fmt.Sprintf("/more/%s-%d", f.boot, f.seq)
 	f.held[path] = &held{pages: parts, size: size}
 	f.heldSize += size
-	f.loop.Timers.Add(r.Deadline+heldOver, func() { f.release(path) })
+	f.loop.Timers.Schedule(r.Deadline+heldOver, func() { f.release(path) })
 	k.further = true
 	k.write(200, 0, encode(parts[0], path+"/1"))
 }
@@ -469,7 +469,7 @@
 	k.write(200, 0, encode(h.pages[n], next))
 }
 
-func (f *Front) release(path string) bool {
+func (f *Server) release(path string) bool {
 	h := f.held[path]
 	if h == nil {
 		return false
@@ -517,7 +517,7 @@
 	if k.close {
 		k.ended = true
 		if status >= 400 && status < 500 {
-			k.conn.Finish()
+			k.conn.CloseAfterLinger()
 		} else {
 			k.conn.Close()
 		}
--- a/internal/frontend/pgserver/class.go
+++ b/internal/frontend/pgserver/class.go
@@ -31,7 +31,7 @@
 // these before the default. What the statement may do goes before all three: one that
 // may write is never given a class that is safe to repeat. Unless it is a keyed load it
 // has the class for writes, of which one attempt is made.
-func (f *Front) sort(query string, read *stmtstats.Statement) (sorted, *pgproto.Error) {
+func (f *Server) sort(query string, read *stmtstats.Statement) (sorted, *pgproto.Error) {
 	name, key, readOnly, named := f.opts.DefaultClass, 0, false, false
 	for _, r := range f.opts.Rules {
 		if sqltext.Begins(query, r.Starts) {
@@ -58,7 +58,7 @@
 	if !ok {
 		return sorted{}, fail("42704", "class %q is not known here", name)
 	}
-	if class.Effect != policy.Safe {
+	if class.Effect != policy.Idempotent {
 		return sorted{class: class, key: key}, nil
 	}
 	var effect sqltext.Verdict
@@ -77,7 +77,7 @@
 		return sorted{}, e
 	}
 	class, ok = f.core.Class(f.opts.WriteClass)
-	if !ok || class.Effect != policy.Unsafe {
+	if !ok || class.Effect != policy.NonIdempotent {
 		return sorted{}, fail("0A000", "the statement may write (%v), and this gateway has no class for writes", effect)
 	}
 	return sorted{class: class}, nil
@@ -86,7 +86,7 @@
 // keyOf reads the key of a load from the bound values. A load without one is
 // never sent: nothing would drop a repeat of it.
 func keyOf(s sorted, values [][]byte) (string, *pgproto.Error) {
-	if s.class.Effect != policy.Keyed {
+	if s.class.Effect != policy.IdempotentByKey {
 		return "", nil
 	}
 	switch {
--- a/internal/frontend/pgserver/extended.go
+++ b/internal/frontend/pgserver/extended.go
@@ -40,7 +40,7 @@
 
 func (k *conn) prepare(query string, types []byte) (*statement, *pgproto.Error) {
 	var read *stmtstats.Statement
-	if shapes := k.front.opts.Shapes; shapes != nil {
+	if shapes := k.front.opts.Estimator; shapes != nil {
 		read = shapes.Read(query, k.front.opts.ReadOnly)
 	}
 	empty, e := check(query, read)
@@ -297,7 +297,7 @@
 // nothing, and the batch fails.
 func (k *conn) hold(p *portal) {
 	f := k.front
-	if f.held+len(p.rest) > f.opts.MostHeld {
+	if f.held+len(p.rest) > f.opts.MaxHeldBytes {
 		p.rest = nil
 		k.failed(fail("53200", "open portals hold too many rows; fetch them, or ask for all at once"))
 		return
@@ -392,12 +392,12 @@
 	f := k.front
 	class := s.class
 	var sorted *stmtstats.Execution
-	if f.opts.Shapes != nil && s.read != nil && s.shape && !want.Describe {
-		if c, x, ok := f.opts.Shapes.Sort(s.read, binds); ok {
+	if f.opts.Estimator != nil && s.read != nil && s.shape && !want.Describe {
+		if c, x, ok := f.opts.Estimator.Sort(s.read, binds); ok {
 			class, sorted = c, x
 		}
 	}
-	if d, ok := f.core.Class(f.opts.DefaultClass); ok && want.Describe && d.Effect == policy.Safe {
+	if d, ok := f.core.Class(f.opts.DefaultClass); ok && want.Describe && d.Effect == policy.Idempotent {
 		class = d // a description runs nothing, whatever its statement would do
 	}
 	wait := class.Deadline
@@ -405,34 +405,34 @@
 		wait = k.timeout
 	}
 	r := &lifecycle.Request{
-		ID: fmt.Sprintf("pg%d", k.process), Class: class.Name, Token: token, Statement: want,
+		ID: fmt.Sprintf("pg%d", k.process), Class: class.Name, IdempotencyKey: token, Statement: want,
 		Deadline: f.core.Now() + wait, Client: k,
 	}
 	switch {
-	case s.read == nil || f.opts.Shapes == nil:
-		r.Set, _ = sqltext.Group(s.query)
+	case s.read == nil || f.opts.Estimator == nil:
+		r.Dataset, _ = sqltext.Group(s.query)
 	default:
-		r.Set, _ = s.read.Group()
+		r.Dataset, _ = s.read.Group()
 		if sorted != nil {
-			f.opts.Shapes.Sorted(r, sorted)
+			f.opts.Estimator.Sorted(r, sorted)
 		} else if !want.Describe {
-			f.opts.Shapes.Expect(r, s.read, binds)
+			f.opts.Estimator.Expect(r, s.read, binds)
 		}
 	}
 	k.request = r
-	k.then = func(a lifecycle.Answer) {
+	k.then = func(a lifecycle.Response) {
 		res, ok := a.Result.(*pgproto.Result)
-		if a.Verdict == lifecycle.Served && ok {
+		if a.Verdict == lifecycle.VerdictServed && ok {
 			served(res)
 			return
 		}
 		k.failed(answerError(a))
 	}
-	f.core.Take(r)
+	f.core.Accept(r)
 }
 
 // Answer takes the core's final answer.
-func (k *conn) Answer(_ *lifecycle.Request, a lifecycle.Answer) {
+func (k *conn) Respond(_ *lifecycle.Request, a lifecycle.Response) {
 	then := k.then
 	k.request, k.then = nil, nil
 	if k.ended || then == nil {
@@ -444,24 +444,24 @@
 
 // answerError words a final answer that is no completion. Each kind has a code
 // of its own; an engine's word on the statement passes on unchanged.
-func answerError(a lifecycle.Answer) *pgproto.Error {
-	e, _ := a.Detail.(*pgproto.Error)
+func answerError(a lifecycle.Response) *pgproto.Error {
+	e, _ := a.ErrorDetail.(*pgproto.Error)
 	switch {
-	case a.Doubt && e == nil: // also when its time is over: a time-out would say that nothing was done
+	case a.MayHaveRun && e == nil: // also when its time is over: a time-out would say that nothing was done
 		return inDoubt()
-	case a.Doubt:
+	case a.MayHaveRun:
 		return e
-	case a.Late:
+	case a.DeadlinePassed:
 		return fail("57014", "canceling statement due to statement timeout")
-	case a.Verdict == lifecycle.Refused:
+	case a.Verdict == lifecycle.VerdictRejected:
 		e := fail("53000", "the engines are busy; the statement was refused, and trying again is harmless")
-		if a.ComeBack > 0 {
-			e.Hint = fmt.Sprintf("Try again in %d ms.", (a.ComeBack+time.Millisecond-1)/time.Millisecond)
+		if a.RetryAfter > 0 {
+			e.Hint = fmt.Sprintf("Try again in %d ms.", (a.RetryAfter+time.Millisecond-1)/time.Millisecond)
 		}
 		return e
 	case e != nil:
 		return e
-	case a.Sent:
+	case a.Forwarded:
 		return inDoubt()
 	}
 	return fail("58000", "the statement could not be sent to any engine")
--- a/internal/frontend/pgserver/front.go
+++ b/internal/frontend/pgserver/front.go
@@ -48,15 +48,15 @@
 	WriteClass   string            // of what may write and has no class of its own; "": refused
 	ReadOnly     sqltext.Functions // that the operators know to read only
 	Rules        []Rule
-	Shapes       *stmtstats.Service // classes and estimates by the shapes of statements; nil: off
-	MostClients  int                // connections at once; 0: no limit of its own
-	MostHeld     int                // bytes of rows in all open portals together
+	Estimator    *stmtstats.Service // classes and estimates by the shapes of statements; nil: off
+	MaxClients   int                // connections at once; 0: no limit of its own
+	MaxHeldBytes int                // bytes of rows in all open portals together
 }
 
 // Front accepts clients.
-type Front struct {
+type Server struct {
 	loop     *eventloop.Loop
-	core     *lifecycle.Core
+	core     *lifecycle.Dispatcher
 	opts     Options
 	stats    *metrics.Counters
 	listener net.Listener
@@ -67,15 +67,15 @@
 }
 
 // New returns a front that puts its requests to the core.
-func New(loop *eventloop.Loop, c *lifecycle.Core, opts Options, counters *metrics.Counters) *Front {
-	f := &Front{loop: loop, core: c, stats: counters, conns: map[uint32]*conn{}}
+func New(loop *eventloop.Loop, c *lifecycle.Dispatcher, opts Options, counters *metrics.Counters) *Server {
+	f := &Server{loop: loop, core: c, stats: counters, conns: map[uint32]*conn{}}
 	f.SetOptions(opts)
 	return f
 }
 
 // Listen accepts at the address.
-func (f *Front) Listen(addr string) error {
-	most := f.opts.MostClients
+func (f *Server) Listen(addr string) error {
+	most := f.opts.MaxClients
 	if most > 0 {
 		most += spareClients
 	}
@@ -84,7 +84,7 @@
 		f.last++
 		k := &conn{front: f, conn: c, process: f.last, statements: map[string]*statement{}, portals: map[string]*portal{}}
 		f.conns[k.process] = k
-		f.loop.Timers.Add(f.loop.Now()+startupMost, func() {
+		f.loop.Timers.Schedule(f.loop.Now()+startupMost, func() {
 			if !k.started && !k.ended {
 				c.Close()
 			}
@@ -100,21 +100,21 @@
 
 // SetOptions changes the options, for statements prepared and clients that connect
 // from now on.
-func (f *Front) SetOptions(opts Options) {
-	if opts.MostHeld <= 0 {
-		opts.MostHeld = usualHeld
+func (f *Server) SetOptions(opts Options) {
+	if opts.MaxHeldBytes <= 0 {
+		opts.MaxHeldBytes = usualHeld
 	}
 	f.opts = opts
 }
 
 // Addr is where clients connect.
-func (f *Front) Addr() string { return f.listener.Addr().String() }
+func (f *Server) Addr() string { return f.listener.Addr().String() }
 
 // CloseListener takes no new connections; those that are open go on.
-func (f *Front) CloseListener() { _ = f.listener.Close() }
+func (f *Server) CloseListener() { _ = f.listener.Close() }
 
 // Drain closes each connection as soon as nothing is open on it.
-func (f *Front) Drain() {
+func (f *Server) Drain() {
 	f.draining = true
 	for _, k := range f.conns {
 		if k.request == nil {
@@ -124,7 +124,7 @@
 }
 
 // Idle tells whether no client is left.
-func (f *Front) Idle() bool { return len(f.conns) == 0 }
+func (f *Server) Idle() bool { return len(f.conns) == 0 }
 
 func stopping() *pgproto.Error { return fail("57P01", "the gateway is stopping") }
 
@@ -150,7 +150,7 @@
 
 // conn is one client connection.
 type conn struct {
-	front   *Front
+	front   *Server
 	conn    *eventloop.Conn
 	process uint32
 	secret  [4]byte
@@ -165,16 +165,16 @@
 	describing string            // portal whose description waits for what follows
 	describe   bool              // and whether there is one
 	out        []byte            // answers not yet written
-	stall      *timerqueue.Entry // ends a connection in the middle of a message
+	stall      *timerqueue.Timer // ends a connection in the middle of a message
 	request    *lifecycle.Request
-	then       func(lifecycle.Answer)
+	then       func(lifecycle.Response)
 }
 
 // Data reads messages until one waits for its answer.
-func (k *conn) Data(_ *eventloop.Conn, in *eventloop.Buffer) {
+func (k *conn) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for k.request == nil && !k.ended {
-		if k.conn.Pending() > slowReader {
-			k.conn.WhenWritten(k.conn.Again)
+		if k.conn.PendingWrite() > slowReader {
+			k.conn.OnFlushed(k.conn.Redeliver)
 			break
 		}
 		n, err := 0, error(nil)
@@ -198,13 +198,13 @@
 		in.Consume(n)
 	}
 	k.stall.Stop()
-	if k.request == nil && !k.ended && in.Len() > 0 && k.conn.Pending() <= slowReader {
-		k.stall = k.front.loop.Timers.Add(k.front.loop.Now()+stallMost, func() {
+	if k.request == nil && !k.ended && in.Len() > 0 && k.conn.PendingWrite() <= slowReader {
+		k.stall = k.front.loop.Timers.Schedule(k.front.loop.Now()+stallMost, func() {
 			k.front.stats.Add("pgwire.stalled")
 			k.fatal(fail("08P01", "a message stopped in the middle"))
 		})
 	}
-	k.conn.Hold(k.request != nil)
+	k.conn.LimitReadAhead(k.request != nil)
 	k.flush()
 }
 
@@ -220,14 +220,14 @@
 
 // Closed tells the core that the client has stopped waiting. What it sent ahead
 // and was not taken yet is dropped with the connection.
-func (k *conn) Closed(_ *eventloop.Conn, _ error) {
+func (k *conn) OnClosed(_ *eventloop.Conn, _ error) {
 	k.ended = true
 	k.stall.Stop()
 	delete(k.front.conns, k.process)
 	k.dropPortals()
 	if r := k.request; r != nil {
 		k.request, k.then = nil, nil
-		k.front.core.Gone(r)
+		k.front.core.ClientDisconnected(r)
 	}
 }
 
@@ -295,7 +295,7 @@
 		k.fatal(fail("28000", "no user name in the startup packet"))
 		return nil
 	}
-	if f := k.front; f.opts.MostClients > 0 && len(f.conns) > f.opts.MostClients {
+	if f := k.front; f.opts.MaxClients > 0 && len(f.conns) > f.opts.MaxClients {
 		k.fatal(fail("53300", "too many clients already"))
 		return nil
 	}
@@ -368,7 +368,7 @@
 }
 
 // cancel ends what is open on the connection that a CancelRequest names.
-func (f *Front) cancel(body []byte) {
+func (f *Server) cancel(body []byte) {
 	if len(body) != 8 {
 		return
 	}
@@ -380,10 +380,10 @@
 	r := k.request
 	k.request, k.then = nil, nil
 	e := fail("57014", "canceling statement due to user request")
-	if f.core.Doubt(r) {
+	if f.core.MayHaveRun(r) {
 		e = inDoubt()
 	}
-	f.core.Gone(r)
+	f.core.ClientDisconnected(r)
 	k.failed(e)
 	k.resume()
 }
@@ -398,9 +398,9 @@
 // resume goes on with what the client sent ahead.
 func (k *conn) resume() {
 	k.flush()
-	k.conn.Hold(false)
+	k.conn.LimitReadAhead(false)
 	if !k.ended {
-		k.conn.Again()
+		k.conn.Redeliver()
 	}
 }
 
--- a/internal/lifecycle/admit.go
+++ b/internal/lifecycle/admit.go
@@ -3,15 +3,15 @@
 import "flaxrelay/policy"
 
 // admit puts a request before the module, which sends or refuses it.
-func (c *Core) admit(r *Request) {
-	c.tell(policy.Arrive{
-		Query: r.query, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Set: r.Set, Deadline: r.Deadline,
-		Work: r.Work, MemoryMB: r.MemoryMB, Repeat: r.Repeat,
+func (c *Dispatcher) admit(r *Request) {
+	c.tell(policy.RequestArrived{
+		RequestID: r.query, Class: r.Class, Tenant: r.Tenant, OrderKey: r.OrderKey, Dataset: r.Dataset, Deadline: r.Deadline,
+		EstimatedWork: r.EstimatedWork, EstimatedMemoryMB: r.EstimatedMemoryMB, ClientRetry: r.ClientRetry,
 	})
 }
 
 // leave tells the module that a client is gone; it gives up what is out.
-func (c *Core) leave(r *Request) {
-	c.tell(policy.Gone{Query: r.query})
+func (c *Dispatcher) leave(r *Request) {
+	c.tell(policy.ClientDisconnected{RequestID: r.query})
 	c.forget(r)
 }
--- a/internal/lifecycle/book.go
+++ b/internal/lifecycle/book.go
@@ -4,69 +4,69 @@
 
 // End ends an attempt. The first call counts; a late answer after a time-out or
 // a cancel is passed by.
-func (c *Core) End(a *Attempt, end End, rep Report) {
+func (c *Dispatcher) EndAttempt(a *Attempt, end AttemptStatus, rep AttemptReport) {
 	if a.ended {
 		c.stats.Add("end-ignored." + end.String())
 		return
 	}
 	a.ended = true
 	a.timer.Stop()
-	a.Link = nil
+	a.ClientData = nil
 	r := a.Request
 	r.out--
 	switch end.Result() {
-	case policy.Full, policy.NoConnection, policy.NotSent:
+	case policy.ResultOverloaded, policy.ResultConnectFailed, policy.ResultNotSent:
 		a.neverRan = true
 	}
 	c.stats.Add("ended." + end.String())
-	if e := c.engines[a.Engine]; e.Fresh && a.Sent < e.Started+c.coldFor {
+	if e := c.engines[a.Engine]; e.StartKnown && a.StartedAt < e.StartedAt+c.coldFor {
 		c.stats.Add("ended-cold." + end.String())
 	}
 	// Of what may have run and is not safe to repeat, the word of an attempt that never
 	// ran says nothing: it must not stand for the one in doubt.
-	if !a.neverRan || rep.Detail != nil && !c.Doubt(r) {
-		r.detail = rep.Detail
+	if !a.neverRan || rep.ErrorDetail != nil && !c.MayHaveRun(r) {
+		r.detail = rep.ErrorDetail
 	}
-	if c.learner != nil && r.Note != nil {
-		switch elapsed := c.clock.Now() - a.Sent; end {
-		case EndServed:
-			c.learner.Served(r, rep, elapsed)
-		case EndTimeout:
-			c.learner.GivenUp(r, elapsed)
+	if c.learner != nil && r.ObserverData != nil {
+		switch elapsed := c.clock.Now() - a.StartedAt; end {
+		case StatusServed:
+			c.learner.ObserveServed(r, rep, elapsed)
+		case StatusTimeout:
+			c.learner.ObserveTimeout(r, elapsed)
 		}
 	}
 	switch end {
-	case EndServed:
-		c.final(r.query, Answer{Verdict: Served, Result: rep.Result})
-	case EndRejected, EndTooLarge: // another engine would say the same
-		c.final(r.query, Answer{Verdict: Failed})
+	case StatusServed:
+		c.final(r.query, Response{Verdict: VerdictServed, Result: rep.Result})
+	case StatusStatementRejected, StatusResultTooLarge: // another engine would say the same
+		c.final(r.query, Response{Verdict: VerdictFailed})
 	}
-	c.tell(policy.Outcome{
-		Query: r.query, Attempt: a.n, Result: end.Result(), Elapsed: c.clock.Now() - a.Sent,
-		Final: r.answered, Work: rep.Work, MemoryMB: rep.MemoryMB, Load: rep.Load,
+	c.tell(policy.AttemptEnded{
+		RequestID: r.query, Attempt: a.n, Result: end.Result(), Elapsed: c.clock.Now() - a.StartedAt,
+		Completed: r.answered, Work: rep.Work, MemoryMB: rep.MemoryMB, Load: rep.Load,
 	})
 	c.forget(r)
 }
 
 // Note tells of an attempt that is out.
-func (c *Core) Note(a *Attempt, kind policy.NoteKind, value float64) {
+func (c *Dispatcher) ReportProgress(a *Attempt, kind policy.ProgressKind, value float64) {
 	if a.ended {
 		return
 	}
 	c.stats.Add("notes")
-	c.tell(policy.Note{Query: a.Request.query, Attempt: a.n, Kind: kind, Value: value})
+	c.tell(policy.ProgressReported{RequestID: a.Request.query, Attempt: a.n, Kind: kind, Value: value})
 }
 
 // forget drops a request that is answered and has nothing out, once no event
 // waits: until then the module may still name it, and each send is owed an end.
-func (c *Core) forget(r *Request) {
+func (c *Dispatcher) forget(r *Request) {
 	switch {
 	case !r.answered || r.out > 0:
 	case c.busy:
 		c.over = append(c.over, r)
 	default:
-		if _, ok := c.requests[r.query]; ok && c.learner != nil && r.Note != nil {
-			c.learner.Over(r)
+		if _, ok := c.requests[r.query]; ok && c.learner != nil && r.ObserverData != nil {
+			c.learner.Release(r)
 		}
 		delete(c.requests, r.query)
 	}
--- a/internal/lifecycle/route.go
+++ b/internal/lifecycle/route.go
@@ -4,30 +4,30 @@
 
 // route carries out one action of the module. Actions on what is over are
 // passed by, as the module may not know yet.
-func (c *Core) route(action policy.Action) {
+func (c *Dispatcher) route(action policy.Action) {
 	switch a := action.(type) {
-	case policy.Send:
-		if r := c.requests[a.Query]; r != nil {
+	case policy.StartAttempt:
+		if r := c.requests[a.RequestID]; r != nil {
 			c.send(r, a)
 		}
-	case policy.Grant:
-		if r := c.requests[a.Query]; r != nil {
+	case policy.SetResources:
+		if r := c.requests[a.RequestID]; r != nil {
 			c.grant(r, a)
 		}
-	case policy.Cancel:
-		if r := c.requests[a.Query]; r != nil {
+	case policy.CancelAttempt:
+		if r := c.requests[a.RequestID]; r != nil {
 			c.cancel(r, a.Attempt)
 		}
-	case policy.Refuse:
-		c.stats.Add("refused." + a.Why.String())
-		c.final(a.Query, Answer{Verdict: Refused, ComeBack: a.ComeBack})
+	case policy.Reject:
+		c.stats.Add("refused." + a.Reason.String())
+		c.final(a.RequestID, Response{Verdict: VerdictRejected, RetryAfter: a.RetryAfter})
 	case policy.Fail:
-		c.final(a.Query, Answer{Verdict: Failed})
-	case policy.Wake:
-		c.timers.Add(c.clock.Now()+a.After, func() { c.tell(policy.Timer{Token: a.Token}) })
+		c.final(a.RequestID, Response{Verdict: VerdictFailed})
+	case policy.SetTimer:
+		c.timers.Schedule(c.clock.Now()+a.After, func() { c.tell(policy.TimerFired{Token: a.Token}) })
 	case policy.Log:
-		c.log.Info("policy", "says", a.Text)
-	case policy.Probe, policy.Subscribe:
+		c.log.Info("policy", "says", a.Message)
+	case policy.CheckHealth, policy.Subscribe:
 		// Neither is permitted where this program runs: engines are not probed,
 		// and the roster tells unasked.
 		c.stats.Add("policy.ignored")
--- a/internal/lifecycle/send.go
+++ b/internal/lifecycle/send.go
@@ -11,9 +11,9 @@
 const windowMargin = 50 * time.Millisecond
 
 // send begins an attempt. Every attempt ends once, in End, however its link fares.
-func (c *Core) send(r *Request, s policy.Send) {
+func (c *Dispatcher) send(r *Request, s policy.StartAttempt) {
 	a := &Attempt{
-		Request: r, Engine: s.Engine, Within: s.Within, Sent: c.clock.Now(),
+		Request: r, Engine: s.Engine, Timeout: s.Timeout, StartedAt: c.clock.Now(),
 		MemoryMB: r.grant, Priority: r.priority, n: len(r.tries),
 	}
 	a.notAfter = c.lastRepeat(r)
@@ -24,34 +24,34 @@
 		c.stats.Add("sent-again." + r.Class)
 	}
 	if r.answered { // the module asked before it heard that the client has left
-		c.End(a, EndNotSent, Report{})
+		c.EndAttempt(a, StatusNotSent, AttemptReport{})
 		return
 	}
-	a.timer = c.timers.Add(a.Sent+max(s.Within, time.Millisecond), func() {
-		c.links.Drop(a)
-		c.End(a, EndTimeout, Report{})
+	a.timer = c.timers.Schedule(a.StartedAt+max(s.Timeout, time.Millisecond), func() {
+		c.links.Abandon(a)
+		c.EndAttempt(a, StatusTimeout, AttemptReport{})
 	})
-	c.links.Send(a)
+	c.links.Start(a)
 }
 
 // lastRepeat is when a keyed request may be written again at the latest; 0 where
 // nothing of it may have run. The module holds the window too, but not the time
 // that a connection takes to come up: a repeat must not wait it out.
-func (c *Core) lastRepeat(r *Request) time.Duration {
+func (c *Dispatcher) lastRepeat(r *Request) time.Duration {
 	class := c.classes[r.Class]
-	if class.Effect != policy.Keyed {
+	if class.Effect != policy.IdempotentByKey {
 		return 0
 	}
 	for _, a := range r.tries {
 		if !a.neverRan {
-			return max(a.Sent+class.Window-windowMargin, 1)
+			return max(a.StartedAt+class.DedupWindow-windowMargin, 1)
 		}
 	}
 	return 0
 }
 
 // grant sets what the next sends get, and the priority of those that are out.
-func (c *Core) grant(r *Request, g policy.Grant) {
+func (c *Dispatcher) grant(r *Request, g policy.SetResources) {
 	r.grant = g.MemoryMB
 	if r.priority == g.Priority {
 		return
@@ -60,17 +60,17 @@
 	for _, a := range r.tries {
 		if !a.ended {
 			a.Priority = g.Priority
-			c.links.Hurry(a, g.Priority)
+			c.links.SetPriority(a, g.Priority)
 		}
 	}
 }
 
 // cancel gives one attempt up; an end that is on its way comes too late.
-func (c *Core) cancel(r *Request, n int) {
+func (c *Dispatcher) cancel(r *Request, n int) {
 	if n < 0 || n >= len(r.tries) || r.tries[n].ended {
 		return
 	}
 	a := r.tries[n]
-	c.links.Drop(a)
-	c.End(a, EndCancelled, Report{})
+	c.links.Abandon(a)
+	c.EndAttempt(a, StatusCancelled, AttemptReport{})
 }
--- a/internal/lifecycle/takein.go
+++ b/internal/lifecycle/takein.go
@@ -2,7 +2,7 @@
 
 // Take accepts a request whose last byte has come. From here on one final answer
 // is owed. The answer may be given before Take returns.
-func (c *Core) Take(r *Request) {
+func (c *Dispatcher) Accept(r *Request) {
 	c.last++
 	r.query = c.last // the client's own id may come twice
 	r.priority = 1
@@ -13,7 +13,7 @@
 }
 
 // Gone tells that the client has stopped waiting: nothing is owed any more.
-func (c *Core) Gone(r *Request) {
+func (c *Dispatcher) ClientDisconnected(r *Request) {
 	if r.answered || c.requests[r.query] != r {
 		return
 	}
@@ -25,12 +25,12 @@
 // close marks that nothing is owed any more. An attempt that still waits for its
 // connection must not begin for a client that has gone or has its answer; that needs no
 // leave to cancel, as its engine has heard nothing of it.
-func (c *Core) close(r *Request) {
+func (c *Dispatcher) close(r *Request) {
 	r.answered = true
 	c.unended--
 	for _, a := range r.tries {
 		if !a.ended && c.links.Withdraw(a) {
-			c.End(a, EndNotSent, Report{})
+			c.EndAttempt(a, StatusNotSent, AttemptReport{})
 		}
 	}
 }
--- a/internal/simprotocol/codec.go
+++ b/internal/simprotocol/codec.go
@@ -13,13 +13,13 @@
 type duration = time.Duration
 
 // The wire tells time in fractional milliseconds, exact to the microsecond.
-func fromMS(ms float64) duration { return config.FromMS(ms) }
+func fromMS(ms float64) duration { return config.FromMilliseconds(ms) }
 
 func toMS(d duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 var results = map[int64]policy.Result{
-	200: policy.Served, 502: policy.Failed, 429: policy.Full, 408: policy.TimedOut,
-	521: policy.NoConnection, 520: policy.Lost, 444: policy.Cancelled, 409: policy.NotSent,
+	200: policy.ResultServed, 502: policy.ResultFailed, 429: policy.ResultOverloaded, 408: policy.ResultTimedOut,
+	521: policy.ResultConnectFailed, 520: policy.ResultConnectionLost, 444: policy.ResultCancelled, 409: policy.ResultNotSent,
 }
 
 // decode turns one message into an event; nil for one that the module has no use for.
@@ -34,13 +34,13 @@
 	case "INTERIM":
 		return decodeNote(f)
 	case "HEAD_RECEIVED":
-		return policy.Began{Query: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt"))}
+		return policy.StreamStarted{RequestID: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt"))}
 	case "LAPSED":
-		return policy.Gone{Query: f.id(1, "xid")}
+		return policy.ClientDisconnected{RequestID: f.id(1, "xid")}
 	case "TICK_DUE":
-		return policy.Timer{Token: f.id(1, "nonce")}
+		return policy.TimerFired{Token: f.id(1, "nonce")}
 	case "PROBED":
-		return policy.Probed{Engine: f.text(1, "engine"), Result: results[f.integer(2, "rc")], Load: in.load(f, 4)}
+		return policy.HealthChecked{Engine: f.text(1, "engine"), Result: results[f.integer(2, "rc")], Load: in.load(f, 4)}
 	case "FROM_PEER":
 		return nil
 	}
@@ -49,16 +49,16 @@
 }
 
 func (h *Host) decodeList(f *fields) policy.Event {
-	var ev policy.Engines
+	var ev policy.EndpointsChanged
 	switch mode := f.text(1, "mode"); mode {
 	case "delta":
-		ev.Mode = policy.ListChanges
+		ev.Mode = policy.UpdateDelta
 	case "full":
-		ev.Mode = policy.ListFull
+		ev.Mode = policy.UpdateFull
 	case "cached":
-		ev.Mode = policy.ListCached
+		ev.Mode = policy.UpdateCached
 	case "failed":
-		ev.Mode = policy.ListFailed
+		ev.Mode = policy.UpdateFailed
 		return ev
 	default:
 		f.fault("mode", "unknown mode %q", mode)
@@ -74,20 +74,20 @@
 }
 
 func decodeArrive(f *fields) policy.Event {
-	ev := policy.Arrive{Query: f.id(1, "xid"), Class: f.text(6, "profile")}
+	ev := policy.RequestArrived{RequestID: f.id(1, "xid"), Class: f.text(6, "profile")}
 	var bits int64
 	var guess float64
-	f.get(2, "order-key", true, &ev.Key)
-	f.get(3, "est-memory-mb", true, &ev.MemoryMB)
+	f.get(2, "order-key", true, &ev.OrderKey)
+	f.get(3, "est-memory-mb", true, &ev.EstimatedMemoryMB)
 	f.get(4, "bits", true, &bits)
 	f.get(5, "guess-ms", true, &guess)
 	ev.Deadline = fromMS(f.float(7, "client-deadline-ms"))
 	f.name8(&ev.Tenant)
-	f.get(9, "schema-no", true, &ev.Set)
+	f.get(9, "schema-no", true, &ev.Dataset)
 	if bits&1 != 0 {
-		ev.Work = fromMS(guess)
+		ev.EstimatedWork = fromMS(guess)
 	}
-	ev.Repeat = bits&2 != 0
+	ev.ClientRetry = bits&2 != 0
 	return ev
 }
 
@@ -99,9 +99,9 @@
 }
 
 func decodeOutcome(in *instance, f *fields) policy.Event {
-	ev := policy.Outcome{
-		Query: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt")), Result: results[f.integer(4, "rc")],
-		Elapsed: fromMS(f.float(5, "rtt-ms")), Final: f.flag(6, "last"),
+	ev := policy.AttemptEnded{
+		RequestID: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt")), Result: results[f.integer(4, "rc")],
+		Elapsed: fromMS(f.float(5, "rtt-ms")), Completed: f.flag(6, "last"),
 	}
 	var note int64
 	f.get(7, "note", true, &note)
@@ -112,24 +112,24 @@
 }
 
 func decodeNote(f *fields) policy.Event {
-	ev := policy.Note{Query: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt")), Value: f.float(5, "value")}
+	ev := policy.ProgressReported{RequestID: f.id(1, "xid"), Attempt: int(f.integer(2, "attempt")), Value: f.float(5, "value")}
 	switch sort := f.integer(4, "sort"); {
 	case sort == 1:
-		ev.Kind = policy.NoteProgress
+		ev.Kind = policy.ProgressFraction
 	case sort == 2:
-		ev.Kind = policy.NoteSpill
+		ev.Kind = policy.ProgressSpilling
 	case sort == 3 && ev.Value == 2:
-		ev.Kind = policy.NoteWaitLoad
+		ev.Kind = policy.ProgressAwaitingLoad
 	case sort == 3:
-		ev.Kind = policy.NoteWaitMemory
+		ev.Kind = policy.ProgressAwaitingMemory
 	default:
 		f.fault("sort", "unknown sort %d", sort)
 	}
 	return ev
 }
 
-func (in *instance) load(f *fields, i int) policy.Load {
-	l := policy.Load{Busy: -1, Held: -1, Waiting: -1, Memory: -1, Disks: -1}
+func (in *instance) load(f *fields, i int) policy.LoadReport {
+	l := policy.LoadReport{CPUShare: -1, InFlight: -1, Queued: -1, MemoryShare: -1, DiskShare: -1}
 	var vals []float64
 	f.get(i, "usage", true, &vals)
 	if f.err == nil && vals != nil && len(vals) != len(in.reports) {
@@ -137,18 +137,18 @@
 		return l
 	}
 	for j, v := range vals {
-		l.Told = true
+		l.Reported = true
 		switch in.reports[j] {
 		case "cpu":
-			l.Busy = v
+			l.CPUShare = v
 		case "active":
-			l.Held = v
+			l.InFlight = v
 		case "waiting":
-			l.Waiting = v
+			l.Queued = v
 		case "x0":
-			l.Memory = v
+			l.MemoryShare = v
 		case "x1":
-			l.Disks = v
+			l.DiskShare = v
 		}
 	}
 	return l
@@ -180,24 +180,24 @@
 
 func encode(b []byte, who int64, a policy.Action) []byte {
 	switch a := a.(type) {
-	case policy.Send:
-		return line(b, "FORWARD", who).id(a.Query).str(a.Engine).float(toMS(a.Within)).end()
-	case policy.Grant:
-		return line(b, "ALLOT", who).id(a.Query).float(a.MemoryMB).num(int64(a.Priority)).end()
-	case policy.Cancel:
-		return line(b, "ABORT_ATTEMPT", who).id(a.Query).num(int64(a.Attempt)).end()
-	case policy.Probe:
+	case policy.StartAttempt:
+		return line(b, "FORWARD", who).id(a.RequestID).str(a.Engine).float(toMS(a.Timeout)).end()
+	case policy.SetResources:
+		return line(b, "ALLOT", who).id(a.RequestID).float(a.MemoryMB).num(int64(a.Priority)).end()
+	case policy.CancelAttempt:
+		return line(b, "ABORT_ATTEMPT", who).id(a.RequestID).num(int64(a.Attempt)).end()
+	case policy.CheckHealth:
 		return line(b, "ASK_LOAD", who).str(a.Engine).end()
-	case policy.Refuse:
-		return line(b, "SAY_NO", who).id(a.Query).float(toMS(a.ComeBack)).end()
+	case policy.Reject:
+		return line(b, "SAY_NO", who).id(a.RequestID).float(toMS(a.RetryAfter)).end()
 	case policy.Fail:
-		return line(b, "DROP_REQUEST", who).id(a.Query).end()
-	case policy.Wake:
+		return line(b, "DROP_REQUEST", who).id(a.RequestID).end()
+	case policy.SetTimer:
 		return line(b, "SLEEP", who).float(toMS(a.After)).id(a.Token).end()
 	case policy.Subscribe:
 		return append(line(b, "LISTEN", who), ",true]\n"...)
 	case policy.Log:
-		return line(b, "SAY_LOG", who).str(a.Text).end()
+		return line(b, "SAY_LOG", who).str(a.Message).end()
 	}
 	panic(fmt.Sprintf("wire: no line for action %T", a))
 }
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -24,7 +24,7 @@
 }
 
 type instance struct {
-	gateway *policy.Gateway
+	gateway *policy.Balancer
 	reports []string
 	// dead is set once the module has panicked; the day is over then.
 	dead bool
@@ -187,7 +187,7 @@
 		f.fault("profile-data", "%v", err)
 		return
 	}
-	h.gateways[who] = &instance{gateway: g, reports: s.Reports}
+	h.gateways[who] = &instance{gateway: g, reports: s.LoadFields}
 }
 
 func (h *Host) pool(f *fields) {
@@ -217,14 +217,14 @@
 	f.get(3, "cluster", true, &e.Cell)
 	var started float64
 	f.get(4, "last-start-ms", true, &started)
-	e.Started, e.Fresh = fromMS(started), started > 0
+	e.StartedAt, e.StartKnown = fromMS(started), started > 0
 	switch state := f.text(6, "availability"); state {
 	case "live":
-		e.State = policy.EngineLive
+		e.State = policy.EngineReady
 	case "quiescing":
 		e.State = policy.EngineDraining
 	case "dead":
-		e.State = policy.EngineGone
+		e.State = policy.EngineRemoved
 	default:
 		f.fault("availability", "unknown state %q", state)
 	}
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -57,12 +57,12 @@
 }
 
 // Over takes a request's execution back.
-func (s *Service) Over(r *lifecycle.Request) {
-	x, ok := r.Note.(*Execution)
+func (s *Service) Release(r *lifecycle.Request) {
+	x, ok := r.ObserverData.(*Execution)
 	if !ok {
 		return
 	}
-	r.Note = nil
+	r.ObserverData = nil
 	if len(s.free) < mostFree {
 		*x = Execution{}
 		s.free = append(s.free, x)
@@ -109,7 +109,7 @@
 }
 
 func (s *Service) later() {
-	s.loop.Timers.Add(s.loop.Now()+s.set.Every, func() {
+	s.loop.Timers.Schedule(s.loop.Now()+s.set.Every, func() {
 		s.Save()
 		s.later()
 	})
@@ -154,7 +154,7 @@
 func (s *Service) ExpectText(r *lifecycle.Request, text string) {
 	x := s.execution()
 	s.book.readInto(&x.own, text)
-	r.Set, _ = x.own.Group()
+	r.Dataset, _ = x.own.Group()
 	s.expect(r, x, &x.own, nil)
 }
 
@@ -163,7 +163,7 @@
 	if !ok {
 		place = -1
 	}
-	hint := Hint{Work: float64(r.Work) / float64(time.Millisecond), MemoryMB: r.MemoryMB}
+	hint := Hint{Work: float64(r.EstimatedWork) / float64(time.Millisecond), MemoryMB: r.EstimatedMemoryMB}
 	threads := 1.0
 	if !s.set.WorkTold {
 		threads = s.threads[r.Class]
@@ -173,14 +173,14 @@
 }
 
 func (s *Service) put(r *lifecycle.Request, x *Execution, threads float64) {
-	r.Note = x
+	r.ObserverData = x
 	if !s.set.Correct || !x.Estimate.Known {
 		return
 	}
 	s.corrected++
-	r.Work = time.Duration(x.Estimate.Work * threads * float64(time.Millisecond))
+	r.EstimatedWork = time.Duration(x.Estimate.Work * threads * float64(time.Millisecond))
 	if x.Estimate.MemoryMB > 0 {
-		r.MemoryMB = x.Estimate.MemoryMB
+		r.EstimatedMemoryMB = x.Estimate.MemoryMB
 	}
 }
 
@@ -199,19 +199,19 @@
 func (s *Service) Sorted(r *lifecycle.Request, x *Execution) { s.put(r, x, s.threads[r.Class]) }
 
 // Served learns what a request has cost. It is the core's Learner.
-func (s *Service) Served(r *lifecycle.Request, rep lifecycle.Report, elapsed time.Duration) {
+func (s *Service) ObserveServed(r *lifecycle.Request, rep lifecycle.AttemptReport, elapsed time.Duration) {
 	s.learn(r, decide.Truth{Work: told(rep.Work, elapsed), MemoryMB: rep.MemoryMB})
 }
 
 // GivenUp learns that a request would have cost more than it was let have.
-func (s *Service) GivenUp(r *lifecycle.Request, elapsed time.Duration) {
+func (s *Service) ObserveTimeout(r *lifecycle.Request, elapsed time.Duration) {
 	if !s.set.WorkTold { // on a crowded engine a time says little of the work
 		s.learn(r, decide.Truth{Work: told(0, elapsed), AtLeast: true})
 	}
 }
 
 func (s *Service) learn(r *lifecycle.Request, t decide.Truth) {
-	if x, ok := r.Note.(*Execution); ok {
+	if x, ok := r.ObserverData.(*Execution); ok {
 		s.book.Learn(x, t)
 	}
 }
--- a/internal/timerqueue/deadline.go
+++ b/internal/timerqueue/deadline.go
@@ -10,12 +10,12 @@
 
 // Queue holds what is due when, in order of time and then of adding.
 type Queue struct {
-	tree *btree.BTreeG[*Entry]
+	tree *btree.BTreeG[*Timer]
 	seq  uint64
 }
 
 // Entry is one deadline. Its zero value belongs to no queue.
-type Entry struct {
+type Timer struct {
 	at  time.Duration
 	seq uint64
 	run func()
@@ -24,7 +24,7 @@
 
 // New returns an empty queue.
 func New() *Queue {
-	return &Queue{tree: btree.NewG(16, func(a, b *Entry) bool {
+	return &Queue{tree: btree.NewG(16, func(a, b *Timer) bool {
 		if a.at != b.at {
 			return a.at < b.at
 		}
@@ -33,15 +33,15 @@
 }
 
 // Add has run called by the first Sweep at or after the instant.
-func (q *Queue) Add(at time.Duration, run func()) *Entry {
+func (q *Queue) Schedule(at time.Duration, run func()) *Timer {
 	q.seq++
-	e := &Entry{at: at, seq: q.seq, run: run, in: q}
+	e := &Timer{at: at, seq: q.seq, run: run, in: q}
 	q.tree.ReplaceOrInsert(e)
 	return e
 }
 
 // Stop takes the entry out. It may be called twice, after the entry ran, and on nil.
-func (e *Entry) Stop() {
+func (e *Timer) Stop() {
 	if e == nil || e.in == nil {
 		return
 	}
@@ -52,9 +52,9 @@
 // Sweep runs all that is due at the instant. What these calls add for the same
 // instant waits for the next sweep, so that one that re-arms itself cannot hold
 // the turn for ever.
-func (q *Queue) Sweep(now time.Duration) {
+func (q *Queue) RunDue(now time.Duration) {
 	last := q.seq
-	var later []*Entry
+	var later []*Timer
 	for {
 		e, ok := q.tree.Min()
 		if !ok || e.at > now {
@@ -77,7 +77,7 @@
 }
 
 // Next tells when the earliest entry is due.
-func (q *Queue) Next() (at time.Duration, ok bool) {
+func (q *Queue) NextDue() (at time.Duration, ok bool) {
 	e, ok := q.tree.Min()
 	if !ok {
 		return 0, false
--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -72,24 +72,24 @@
 	plain := characterizationSettings()
 	quotas := characterizationSettings()
 	quotas.Tenants = []policy.Tenant{{Name: "north", Quota: 40, Share: 0.6}, {Name: "south", Quota: 15, Share: 0.4}}
-	quotas.OverShare = 0.2
-	quotas.Short = policy.ShortTrim
+	quotas.OverQuotaWeight = 0.2
+	quotas.Shortage = policy.ShortageTrim
 	paging := characterizationSettings()
-	paging.Short, paging.CostTold, paging.LoadTold = policy.ShortSwap, true, true
-	paging.PriorityHeeds = true
-	paging.Limits.Cancel, paging.Limits.Tries = false, 3
+	paging.Shortage, paging.ReportsCost, paging.ReportsLoad = policy.ShortageSwap, true, true
+	paging.Priorities = true
+	paging.Limits.Cancel, paging.Limits.MaxAttempts = false, 3
 	probing := characterizationSettings()
-	probing.LoadTold, probing.ListAsked, probing.Limits.Probes = true, true, true
-	probing.GrantsHeeded, probing.PriorityHeeds, probing.MostGrant = true, true, 0.5
+	probing.ReportsLoad, probing.PullDiscovery, probing.Limits.HealthChecks = true, true, true
+	probing.MemoryGrants, probing.Priorities, probing.MaxGrantShare = true, true, 0.5
 	silent := characterizationSettings()
-	silent.NoteEvery, silent.LoadTold = 0, true
+	silent.ProgressInterval, silent.ReportsLoad = 0, true
 	rationed := characterizationSettings()
-	rationed.Rules.LookBack, rationed.Rules.ExtraFree, rationed.Rules.ExtraShare = 2*time.Second, 3, 0.1
-	rationed.Limits.ComeBack = false
+	rationed.Rules.RetryBudgetWindow, rationed.Rules.RetryBudgetMin, rationed.Rules.RetryBudgetRatio = 2*time.Second, 3, 0.1
+	rationed.Limits.RetryAfter = false
 	crowd := characterizationSettings()
-	crowd.Gateways, crowd.LoadTold, crowd.CostTold, crowd.Short = 60, true, true, policy.ShortSwap
+	crowd.Replicas, crowd.ReportsLoad, crowd.ReportsCost, crowd.Shortage = 60, true, true, policy.ShortageSwap
 	copies := characterizationSettings()
-	copies.Limits.Copies, copies.Gateways, copies.GrantsHeeded = true, 1, true
+	copies.Limits.Hedging, copies.Replicas, copies.MemoryGrants = true, 1, true
 	return []scenario{
 		{name: "plain", settings: plain, engines: 6, rate: 60, speed: 1, faults: 0.02},
 		{name: "tenants", settings: quotas, engines: 5, rate: 90, speed: 1, faults: 0.05, estimate: true},
@@ -105,27 +105,27 @@
 func characterizationSettings() policy.Settings {
 	const second, msec = time.Second, time.Millisecond
 	return policy.Settings{
-		Gateways: 3, Zone: "a", NoteEvery: 500 * msec, Round: 5 * msec,
+		Replicas: 3, Zone: "a", ProgressInterval: 500 * msec, TickInterval: 5 * msec,
 		Kinds: []policy.Kind{{Name: "small", Cores: 4, MemoryMB: 4096}, {Name: "large", Cores: 8, MemoryMB: 8192}},
 		Classes: []policy.Class{
-			{Name: "lookup", Aim: 300 * msec, Stretch: 1.5, Deadline: 2 * second, Worth: 1, Threads: 1, Effect: policy.Safe},
-			{Name: "report", Aim: 3 * second, Stretch: 2.5, Deadline: 15 * second, Worth: 10, LateShare: 0.3, Threads: 3, Effect: policy.Safe},
-			{Name: "write", Aim: second, Deadline: 6 * second, Worth: 5, Threads: 2, Effect: policy.Unsafe},
-			{Name: "keyed", Aim: second, Deadline: 6 * second, Worth: 5, Threads: 2, Effect: policy.Keyed, Group: policy.GroupCell, Window: 2 * second},
-			{Name: "keyed-zone", Aim: second, Deadline: 6 * second, Worth: 2, Threads: 1, Effect: policy.Keyed, Group: policy.GroupZone, Window: second},
-			{Name: "keyed-all", Aim: second, Deadline: 6 * second, Worth: 2, Threads: 1, Effect: policy.Keyed, Group: policy.GroupAll, Window: second},
-			{Name: "ordered", Aim: second, Deadline: 6 * second, Worth: 1, Threads: 1, Effect: policy.Safe, InOrder: true},
-			{Name: "ordered-write", Aim: second, Deadline: 6 * second, Worth: 3, Threads: 1, Effect: policy.Unsafe, InOrder: true},
-			{Name: "load", Aim: 4 * second, Deadline: 12 * second, Worth: 4, Threads: 2, Effect: policy.Safe, Load: true},
-			{Name: "reader", Aim: second, Deadline: 5 * second, Worth: 2, Threads: 1, Effect: policy.Safe, WaitsOnLoad: true},
-			{Name: "stream", Aim: 2 * second, Deadline: 8 * second, Worth: 2, Threads: 1, Effect: policy.Safe, Stream: true},
-			{Name: "placed", Aim: second, Deadline: 5 * second, Worth: 1, Threads: 1, Effect: policy.Safe, Zones: []string{"b"}, Kinds: []string{"large"}},
+			{Name: "lookup", LatencyObjective: 300 * msec, ObjectiveStretch: 1.5, Deadline: 2 * second, PriorityWeight: 1, Threads: 1, Effect: policy.Idempotent},
+			{Name: "report", LatencyObjective: 3 * second, ObjectiveStretch: 2.5, Deadline: 15 * second, PriorityWeight: 10, LateWeight: 0.3, Threads: 3, Effect: policy.Idempotent},
+			{Name: "write", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 5, Threads: 2, Effect: policy.NonIdempotent},
+			{Name: "keyed", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 5, Threads: 2, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeCell, DedupWindow: 2 * second},
+			{Name: "keyed-zone", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 2, Threads: 1, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, DedupWindow: second},
+			{Name: "keyed-all", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 2, Threads: 1, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, DedupWindow: second},
+			{Name: "ordered", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 1, Threads: 1, Effect: policy.Idempotent, Ordered: true},
+			{Name: "ordered-write", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 3, Threads: 1, Effect: policy.NonIdempotent, Ordered: true},
+			{Name: "load", LatencyObjective: 4 * second, Deadline: 12 * second, PriorityWeight: 4, Threads: 2, Effect: policy.Idempotent, BulkLoad: true},
+			{Name: "reader", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 2, Threads: 1, Effect: policy.Idempotent, BlockedByLoad: true},
+			{Name: "stream", LatencyObjective: 2 * second, Deadline: 8 * second, PriorityWeight: 2, Threads: 1, Effect: policy.Idempotent, Streaming: true},
+			{Name: "placed", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Threads: 1, Effect: policy.Idempotent, Zones: []string{"b"}, Kinds: []string{"large"}},
 		},
 		Rules: policy.Rules{
-			AnswerSlack: 20 * msec, DrainGrace: 500 * msec, ColdStart: 0.3, ColdFor: 10 * second,
-			TipMultiple: 2.5, TipFor: 3 * second, Settle: 700 * msec, AskListWithin: second,
+			ResponseSlack: 20 * msec, DrainGrace: 500 * msec, WarmupCapacity: 0.3, WarmupTime: 10 * second,
+			OverloadFactor: 2.5, OverloadWindow: 3 * second, OrderSettleTime: 700 * msec, ResubscribeWithin: second,
 		},
-		Limits: policy.Limits{Tries: 3, Cancel: true, ComeBack: true, MostComeBack: 2 * second, ConnectWithin: 200 * msec},
+		Limits: policy.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * second, ConnectTimeout: 200 * msec},
 	}
 }
 
@@ -169,7 +169,7 @@
 
 // fakeQuery is a query of the generated surroundings and its attempts.
 type fakeQuery struct {
-	arrive   policy.Arrive
+	arrive   policy.RequestArrived
 	work     time.Duration
 	attempts []*fakeAttempt
 	answered bool
@@ -184,7 +184,7 @@
 // player plays one scenario against a gateway.
 type player struct {
 	scenario
-	gateway *policy.Gateway
+	gateway *policy.Balancer
 	random  *rand.Rand
 	now     time.Duration
 	queue   schedule
@@ -262,24 +262,24 @@
 	for range p.scenario.engines {
 		p.addEngine(len(p.engines)%2 == 0)
 	}
-	return p.wholeList(policy.ListCached)
+	return p.wholeList(policy.UpdateCached)
 }
 
 func (p *player) addEngine(fresh bool) *fakeEngine {
 	n := len(p.engines)
 	e := &fakeEngine{slowdown: 0.8 + 0.4*p.random.Float64(), entry: policy.Engine{
 		ID: fmt.Sprintf("s-%08x", n*2654435761), Zone: []string{"a", "b"}[n%2], Kind: []string{"large", "small", "large"}[n%3],
-		Cell: int64(n % 3), State: policy.EngineLive, Started: p.now, Fresh: fresh,
+		Cell: int64(n % 3), State: policy.EngineReady, StartedAt: p.now, StartKnown: fresh,
 	}}
 	p.engines = append(p.engines, e)
 	p.byID[e.entry.ID] = e
 	return e
 }
 
-func (p *player) wholeList(mode policy.ListMode) policy.Event {
-	list := policy.Engines{Mode: mode}
+func (p *player) wholeList(mode policy.UpdateMode) policy.Event {
+	list := policy.EndpointsChanged{Mode: mode}
 	for _, e := range p.engines {
-		if e.entry.State != policy.EngineGone {
+		if e.entry.State != policy.EngineRemoved {
 			list.Engines = append(list.Engines, e.entry)
 		}
 	}
@@ -298,23 +298,23 @@
 		e.slowdown = 0.5 + 3*p.random.Float64()
 		return nil
 	case 2:
-		return p.wholeList(policy.ListFull)
+		return p.wholeList(policy.UpdateFull)
 	case 3:
-		return policy.Engines{Mode: policy.ListFailed}
+		return policy.EndpointsChanged{Mode: policy.UpdateFailed}
 	case 4:
 		e.entry.State = policy.EngineDraining
 	case 5:
-		e.entry.State = policy.EngineGone
+		e.entry.State = policy.EngineRemoved
 		if p.random.IntN(2) == 0 {
 			replacement := p.addEngine(true)
-			return policy.Engines{Mode: policy.ListChanges, Engines: []policy.Engine{e.entry, replacement.entry}}
+			return policy.EndpointsChanged{Mode: policy.UpdateDelta, Engines: []policy.Engine{e.entry, replacement.entry}}
 		}
 	default:
-		if e.entry.State != policy.EngineLive {
-			e.entry.State, e.entry.Fresh, e.entry.Started = policy.EngineLive, true, p.now
+		if e.entry.State != policy.EngineReady {
+			e.entry.State, e.entry.StartKnown, e.entry.StartedAt = policy.EngineReady, true, p.now
 		}
 	}
-	return policy.Engines{Mode: policy.ListChanges, Engines: []policy.Engine{e.entry}}
+	return policy.EndpointsChanged{Mode: policy.UpdateDelta, Engines: []policy.Engine{e.entry}}
 }
 
 func (p *player) nextArrival() policy.Event {
@@ -326,17 +326,17 @@
 	p.last++
 	class := p.class()
 	q := &fakeQuery{work: time.Duration(float64(workOfClass[class.Name]) * (0.3 + p.random.ExpFloat64()))}
-	q.arrive = policy.Arrive{
-		Query: p.last, Class: class.Name, Set: int64(math.Sqrt(float64(p.random.IntN(400)))),
+	q.arrive = policy.RequestArrived{
+		RequestID: p.last, Class: class.Name, Dataset: int64(math.Sqrt(float64(p.random.IntN(400)))),
 		Deadline: p.now + time.Duration((0.8+0.2*p.random.Float64())*float64(class.Deadline)),
-		Tenant:   []string{"north", "south", "stranger", ""}[p.random.IntN(4)], Repeat: p.random.IntN(9) == 0,
+		Tenant:   []string{"north", "south", "stranger", ""}[p.random.IntN(4)], ClientRetry: p.random.IntN(9) == 0,
 	}
-	if class.InOrder && p.random.IntN(8) > 0 {
-		q.arrive.Key = fmt.Sprint("key-", p.random.IntN(4))
+	if class.Ordered && p.random.IntN(8) > 0 {
+		q.arrive.OrderKey = fmt.Sprint("key-", p.random.IntN(4))
 	}
 	if p.estimate {
-		q.arrive.Work = time.Duration(float64(q.work) * (0.5 + p.random.Float64()))
-		q.arrive.MemoryMB = 20 + 200*p.random.Float64()
+		q.arrive.EstimatedWork = time.Duration(float64(q.work) * (0.5 + p.random.Float64()))
+		q.arrive.EstimatedMemoryMB = 20 + 200*p.random.Float64()
 	}
 	if p.random.IntN(200) == 0 {
 		q.arrive.Class = "no such class"
@@ -346,7 +346,7 @@
 		id := p.last
 		p.in(time.Duration(p.random.IntN(1500))*time.Millisecond, func() policy.Event {
 			q.answered = true
-			return policy.Gone{Query: id}
+			return policy.ClientDisconnected{RequestID: id}
 		})
 	}
 	return q.arrive
@@ -362,29 +362,29 @@
 // perform carries out an action as the surroundings do, and writes it to the digest.
 func (p *player) perform(action policy.Action) {
 	switch a := action.(type) {
-	case policy.Send:
-		p.record(0, a.Query, a.Engine, a.Within)
+	case policy.StartAttempt:
+		p.record(0, a.RequestID, a.Engine, a.Timeout)
 		p.send(a)
-	case policy.Grant:
-		p.record(1, a.Query, a.MemoryMB, a.Priority)
-	case policy.Cancel:
-		p.record(2, a.Query, a.Attempt)
-		p.in(time.Millisecond, func() policy.Event { return p.end(a.Query, a.Attempt, policy.Cancelled) })
-	case policy.Probe:
+	case policy.SetResources:
+		p.record(1, a.RequestID, a.MemoryMB, a.Priority)
+	case policy.CancelAttempt:
+		p.record(2, a.RequestID, a.Attempt)
+		p.in(time.Millisecond, func() policy.Event { return p.end(a.RequestID, a.Attempt, policy.ResultCancelled) })
+	case policy.CheckHealth:
 		p.record(3, a.Engine)
-		p.event(2*time.Millisecond, policy.Probed{Engine: a.Engine, Result: policy.Served, Load: p.load(p.byID[a.Engine])})
-	case policy.Refuse:
-		p.record(4, a.Query, a.ComeBack, int(a.Why))
-		p.answered(a.Query)
+		p.event(2*time.Millisecond, policy.HealthChecked{Engine: a.Engine, Result: policy.ResultServed, Load: p.load(p.byID[a.Engine])})
+	case policy.Reject:
+		p.record(4, a.RequestID, a.RetryAfter, int(a.Reason))
+		p.answered(a.RequestID)
 	case policy.Fail:
-		p.record(5, a.Query)
-		p.answered(a.Query)
-	case policy.Wake:
+		p.record(5, a.RequestID)
+		p.answered(a.RequestID)
+	case policy.SetTimer:
 		p.record(6, a.After, a.Token)
-		p.event(a.After, policy.Timer{Token: a.Token})
+		p.event(a.After, policy.TimerFired{Token: a.Token})
 	case policy.Subscribe:
 		p.record(7)
-		p.in(30*time.Millisecond, func() policy.Event { return p.wholeList(policy.ListFull) })
+		p.in(30*time.Millisecond, func() policy.Event { return p.wholeList(policy.UpdateFull) })
 	case policy.Log:
 		p.record(8)
 	default:
@@ -403,36 +403,36 @@
 	}
 }
 
-func (p *player) send(send policy.Send) {
-	q, e := p.queries[send.Query], p.byID[send.Engine]
+func (p *player) send(send policy.StartAttempt) {
+	q, e := p.queries[send.RequestID], p.byID[send.Engine]
 	a := &fakeAttempt{engine: e, sent: p.now}
 	n := len(q.attempts)
 	q.attempts = append(q.attempts, a)
 	e.attempts++
 	end := func(after time.Duration, result policy.Result) {
-		p.in(after, func() policy.Event { return p.end(send.Query, n, result) })
+		p.in(after, func() policy.Event { return p.end(send.RequestID, n, result) })
 	}
-	end(send.Within, policy.TimedOut)
+	end(send.Timeout, policy.ResultTimedOut)
 	took := p.duration(q, e)
 	switch {
-	case e.entry.State == policy.EngineGone:
-		end(time.Millisecond, policy.NoConnection)
+	case e.entry.State == policy.EngineRemoved:
+		end(time.Millisecond, policy.ResultConnectFailed)
 		return
 	case p.now < e.hangsTill:
 		return
 	case e.attempts > 40:
-		end(time.Millisecond, policy.Full)
+		end(time.Millisecond, policy.ResultOverloaded)
 		return
 	case p.random.Float64() < p.faults:
 		results := []policy.Result{
-			policy.Failed, policy.Full, policy.NoConnection, policy.Lost, policy.Unknown, policy.NotSent, policy.TimedOut,
+			policy.ResultFailed, policy.ResultOverloaded, policy.ResultConnectFailed, policy.ResultConnectionLost, policy.ResultUnknown, policy.ResultNotSent, policy.ResultTimedOut,
 		}
 		if k := p.random.IntN(len(results) + 1); k < len(results) {
 			end(time.Duration(float64(took)*p.random.Float64()), results[k])
 		}
 		return
 	}
-	end(took, policy.Served)
+	end(took, policy.ResultServed)
 	p.notes(q, n, took)
 }
 
@@ -444,22 +444,22 @@
 
 // notes tells of an attempt while it runs: progress, now and then a wait or a spill.
 func (p *player) notes(q *fakeQuery, n int, took time.Duration) {
-	id := q.arrive.Query
+	id := q.arrive.RequestID
 	if p.settings.Classes[0].Name != q.arrive.Class && p.random.IntN(3) == 0 {
-		p.event(took/3, policy.Began{Query: id, Attempt: n})
+		p.event(took/3, policy.StreamStarted{RequestID: id, Attempt: n})
 	}
-	if p.settings.NoteEvery == 0 {
+	if p.settings.ProgressInterval == 0 {
 		return
 	}
-	for at := p.settings.NoteEvery; at < took; at += p.settings.NoteEvery {
-		note := policy.Note{Query: id, Attempt: n, Kind: policy.NoteProgress, Value: float64(at) / float64(took)}
+	for at := p.settings.ProgressInterval; at < took; at += p.settings.ProgressInterval {
+		note := policy.ProgressReported{RequestID: id, Attempt: n, Kind: policy.ProgressFraction, Value: float64(at) / float64(took)}
 		switch p.random.IntN(12) {
 		case 0:
-			note.Kind, note.Value = policy.NoteSpill, 100*p.random.Float64()
+			note.Kind, note.Value = policy.ProgressSpilling, 100*p.random.Float64()
 		case 1:
-			note.Kind = policy.NoteWaitMemory
+			note.Kind = policy.ProgressAwaitingMemory
 		case 2:
-			note.Kind = policy.NoteWaitLoad
+			note.Kind = policy.ProgressAwaitingLoad
 		case 3:
 			continue
 		}
@@ -476,26 +476,26 @@
 	a := q.attempts[n]
 	a.ended = true
 	a.engine.attempts--
-	outcome := policy.Outcome{Query: query, Attempt: n, Result: result, Elapsed: p.now - a.sent, Load: policy.Load{Busy: -1, Held: -1}}
-	if result == policy.Served {
+	outcome := policy.AttemptEnded{RequestID: query, Attempt: n, Result: result, Elapsed: p.now - a.sent, Load: policy.LoadReport{CPUShare: -1, InFlight: -1}}
+	if result == policy.ResultServed {
 		q.answered = true
 		outcome.Work, outcome.MemoryMB = q.work, 30+100*p.random.Float64()
-		if !p.settings.CostTold {
+		if !p.settings.ReportsCost {
 			outcome.Work, outcome.MemoryMB = 0, 0
 		}
 	}
-	if result == policy.Served || result == policy.Failed {
+	if result == policy.ResultServed || result == policy.ResultFailed {
 		outcome.Load = p.load(a.engine)
 	}
-	outcome.Final = q.answered
+	outcome.Completed = q.answered
 	return outcome
 }
 
-func (p *player) load(e *fakeEngine) policy.Load {
+func (p *player) load(e *fakeEngine) policy.LoadReport {
 	held := float64(e.attempts)
-	return policy.Load{
-		Told: p.settings.LoadTold, Busy: min(held/8, 1), Held: held * (0.9 + 0.2*p.random.Float64()),
-		Waiting: max(held-8, 0), Memory: held / 6, Disks: min(held/10, 1),
+	return policy.LoadReport{
+		Reported: p.settings.ReportsLoad, CPUShare: min(held/8, 1), InFlight: held * (0.9 + 0.2*p.random.Float64()),
+		Queued: max(held-8, 0), MemoryShare: held / 6, DiskShare: min(held/10, 1),
 	}
 }
 
@@ -544,9 +544,9 @@
 		b.Fatal(err)
 	}
 	now := time.Minute
-	list := policy.Engines{Mode: policy.ListFull}
+	list := policy.EndpointsChanged{Mode: policy.UpdateFull}
 	for i := range 40 {
-		list.Engines = append(list.Engines, policy.Engine{ID: fmt.Sprint("engine-", i), Zone: "a", Kind: "large", State: policy.EngineLive})
+		list.Engines = append(list.Engines, policy.Engine{ID: fmt.Sprint("engine-", i), Zone: "a", Kind: "large", State: policy.EngineReady})
 	}
 	actions := gateway.Handle(now, list, nil)
 	b.ReportAllocs()
@@ -554,10 +554,10 @@
 	for i := range b.N {
 		now += time.Millisecond
 		id := uint64(i + 1)
-		actions = gateway.Handle(now, policy.Arrive{Query: id, Class: "lookup", Set: int64(i % 20), Deadline: now + time.Second}, actions[:0])
-		actions = gateway.Handle(now, policy.Outcome{Query: id, Result: policy.Served, Elapsed: 90 * time.Millisecond, Final: true}, actions[:0])
+		actions = gateway.Handle(now, policy.RequestArrived{RequestID: id, Class: "lookup", Dataset: int64(i % 20), Deadline: now + time.Second}, actions[:0])
+		actions = gateway.Handle(now, policy.AttemptEnded{RequestID: id, Result: policy.ResultServed, Elapsed: 90 * time.Millisecond, Completed: true}, actions[:0])
 		if i%100 == 0 {
-			actions = gateway.Handle(now, policy.Timer{}, actions[:0])
+			actions = gateway.Handle(now, policy.TimerFired{}, actions[:0])
 		}
 	}
 }
--- a/policy/check.go
+++ b/policy/check.go
@@ -8,8 +8,8 @@
 
 // check names the first field of the settings that no gateway can work with.
 func check(s *Settings) error {
-	if s.Gateways < 1 {
-		return fmt.Errorf("Gateways: %d is under 1", s.Gateways)
+	if s.Replicas < 1 {
+		return fmt.Errorf("Gateways: %d is under 1", s.Replicas)
 	}
 	if len(s.Classes) == 0 {
 		return errors.New("Classes: none")
@@ -18,27 +18,27 @@
 		switch {
 		case c.Name == "":
 			return fmt.Errorf("Classes[%d].Name: empty", i)
-		case c.Aim <= 0:
-			return fmt.Errorf("Classes[%d].Aim: %v is not above 0", i, c.Aim)
+		case c.LatencyObjective <= 0:
+			return fmt.Errorf("Classes[%d].Aim: %v is not above 0", i, c.LatencyObjective)
 		case c.Deadline <= 0:
 			return fmt.Errorf("Classes[%d].Deadline: %v is not above 0", i, c.Deadline)
 		case c.Threads < 0 || math.IsNaN(c.Threads) || math.IsInf(c.Threads, 0):
 			return fmt.Errorf("Classes[%d].Threads: %v is not a count", i, c.Threads)
-		case !(c.Worth >= 0) || math.IsInf(c.Worth, 0):
-			return fmt.Errorf("Classes[%d].Worth: %v is not a worth", i, c.Worth)
-		case c.Effect == Keyed && c.Window < 0:
-			return fmt.Errorf("Classes[%d].Window: %v is under 0", i, c.Window)
+		case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0):
+			return fmt.Errorf("Classes[%d].Worth: %v is not a worth", i, c.PriorityWeight)
+		case c.Effect == IdempotentByKey && c.DedupWindow < 0:
+			return fmt.Errorf("Classes[%d].Window: %v is under 0", i, c.DedupWindow)
 		}
 	}
 	switch {
-	case s.NoteEvery < 0:
-		return fmt.Errorf("NoteEvery: %v is under 0", s.NoteEvery)
-	case !(s.Rules.ExtraFree >= 0):
-		return fmt.Errorf("Rules.ExtraFree: %v is under 0", s.Rules.ExtraFree)
-	case !(s.Rules.ExtraShare >= 0):
-		return fmt.Errorf("Rules.ExtraShare: %v is under 0", s.Rules.ExtraShare)
-	case s.Rules.LookBack < 0:
-		return fmt.Errorf("Rules.LookBack: %v is under 0", s.Rules.LookBack)
+	case s.ProgressInterval < 0:
+		return fmt.Errorf("NoteEvery: %v is under 0", s.ProgressInterval)
+	case !(s.Rules.RetryBudgetMin >= 0):
+		return fmt.Errorf("Rules.ExtraFree: %v is under 0", s.Rules.RetryBudgetMin)
+	case !(s.Rules.RetryBudgetRatio >= 0):
+		return fmt.Errorf("Rules.ExtraShare: %v is under 0", s.Rules.RetryBudgetRatio)
+	case s.Rules.RetryBudgetWindow < 0:
+		return fmt.Errorf("Rules.LookBack: %v is under 0", s.Rules.RetryBudgetWindow)
 	}
 	return nil
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,13 +10,13 @@
 // A front embeds one Gateway, hands it what happens and does what it says.
 func Example() {
 	gateway, err := policy.New(policy.Settings{
-		Gateways: 1,
+		Replicas: 1,
 		Zone:     "a",
 		Kinds:    []policy.Kind{{Name: "small", Cores: 1}},
 		Classes: []policy.Class{{
-			Name: "lookup", Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1, Threads: 2, Effect: policy.Safe,
+			Name: "lookup", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, Threads: 2, Effect: policy.Idempotent,
 		}},
-		Limits: policy.Limits{Tries: 3, Cancel: true},
+		Limits: policy.Limits{MaxAttempts: 3, Cancel: true},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -25,21 +25,21 @@
 	clock := time.Hour
 	tell := func(ev policy.Event) {
 		for _, a := range gateway.Handle(clock, ev, nil) {
-			if _, timer := a.(policy.Wake); !timer {
+			if _, timer := a.(policy.SetTimer); !timer {
 				fmt.Printf("%T %+v\n", a, a)
 			}
 		}
 	}
-	tell(policy.Engines{Mode: policy.ListFull, Engines: []policy.Engine{
-		{ID: "engine-1", Zone: "a", Kind: "small", State: policy.EngineLive},
+	tell(policy.EndpointsChanged{Mode: policy.UpdateFull, Engines: []policy.Engine{
+		{ID: "engine-1", Zone: "a", Kind: "small", State: policy.EngineReady},
 	}})
-	tell(policy.Arrive{Query: 1, Class: "lookup", Deadline: clock + time.Second})
-	tell(policy.Arrive{Query: 2, Class: "lookup", Deadline: clock + time.Second})
+	tell(policy.RequestArrived{RequestID: 1, Class: "lookup", Deadline: clock + time.Second})
+	tell(policy.RequestArrived{RequestID: 2, Class: "lookup", Deadline: clock + time.Second})
 	clock += 50 * time.Millisecond
-	tell(policy.Outcome{Query: 1, Result: policy.Served, Elapsed: 50 * time.Millisecond, Final: true})
-	tell(policy.Arrive{Query: 3, Class: "lookup", Deadline: clock + time.Second})
+	tell(policy.AttemptEnded{RequestID: 1, Result: policy.ResultServed, Elapsed: 50 * time.Millisecond, Completed: true})
+	tell(policy.RequestArrived{RequestID: 3, Class: "lookup", Deadline: clock + time.Second})
 	// Output:
-	// policy.Send {Query:1 Engine:engine-1 Within:1s}
-	// policy.Refuse {Query:2 ComeBack:0s Why:bound}
-	// policy.Send {Query:3 Engine:engine-1 Within:1s}
+	// policy.StartAttempt {RequestID:1 Engine:engine-1 Timeout:1s}
+	// policy.Reject {RequestID:2 RetryAfter:0s Reason:bound}
+	// policy.StartAttempt {RequestID:3 Engine:engine-1 Timeout:1s}
 }
--- a/policy/export_test.go
+++ b/policy/export_test.go
@@ -2,7 +2,7 @@
 
 // LearnedState lists every figure that the gateway has learned, in a fixed
 // order, for the characterization test.
-func (g *Gateway) LearnedState() []float64 {
+func (g *Balancer) LearnedState() []float64 {
 	figures := []float64{g.quota, g.full, g.width, g.widest, g.setSum, g.dear, g.load, g.mine, g.theirs, g.tolds, g.rate}
 	figures = append(figures, g.fleet.figures()...)
 	for _, e := range g.engines {
