--- a/policy/policy.go
+++ b/policy/policy.go
@@ -51,28 +51,26 @@
 	coldCost    = 1.3                    // and each query counts this much over its expected work
 )
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-
 // New returns a gateway for the settings, or an error naming the field at fault.
-func New(s Settings, seed uint64) (*Gateway, error) {
+func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := check(&s); err != nil {
 		return nil, fmt.Errorf("policy: settings: %w", err)
 	}
-	g := &Gateway{set: s, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*class{},
+	g := &Balancer{set: s, rng: rand.New(rand.NewPCG(seed, seed)), classes: map[string]*class{},
 		tenants: map[string]*tenant{}, kinds: map[string]Kind{}, byID: map[string]*engine{},
 		queries: map[uint64]*query{}, lanes: map[string]*lane{},
 		sets:  map[int64]float64{},
-		quiet: time.Duration(quietNotes * float64(s.NoteEvery))}
+		quiet: time.Duration(quietNotes * float64(s.ProgressInterval))}
 	for _, c := range s.Classes {
 		if c.Threads <= 0 {
 			c.Threads = 1
 		}
-		usual := ms(c.Aim) / 3
+		usual := milliseconds(c.LatencyObjective) / 3
 		g.widest = max(g.widest, c.Threads)
 		g.classes[c.Name] = &class{Class: c, latency: usual, quick: usual, work: usual * c.Threads,
 			grant: 1, spread: 1 / spreads}
-		if s.NoteEvery == 0 {
-			g.quiet = max(g.quiet, c.Aim)
+		if s.ProgressInterval == 0 {
+			g.quiet = max(g.quiet, c.LatencyObjective)
 		}
 	}
 	for _, t := range s.Tenants {
@@ -82,67 +80,67 @@
 	for _, k := range s.Kinds {
 		g.kinds[k.Name] = k
 	}
-	g.rate = g.quota / float64(s.Gateways)
-	switch g.full = startCores; s.Short {
-	case ShortSwap:
+	g.rate = g.quota / float64(s.Replicas)
+	switch g.full = startCores; s.Shortage {
+	case ShortageSwap:
 		g.full *= swapCaution
-	case ShortWait: // the engine's line for memory holds an excess, by priority
+	case ShortageQueue: // the engine's line for memory holds an excess, by priority
 		g.full *= waitEase
 	}
 	return g, nil
 }
 
 // Handle takes one event and appends the actions that it leads to.
-func (g *Gateway) Handle(now time.Duration, ev Event, out []Action) []Action {
+func (g *Balancer) Handle(now time.Duration, ev Event, out []Action) []Action {
 	g.now, g.out = max(now, g.now), out
 	if !g.started {
 		g.started, g.born = true, now
-		g.act(Wake{After: period / ticks})
-		if g.set.ListAsked {
+		g.act(SetTimer{After: period / ticks})
+		if g.set.PullDiscovery {
 			g.act(Subscribe{})
 		}
 	}
 	switch ev := ev.(type) {
-	case Arrive:
+	case RequestArrived:
 		g.arrive(ev)
-	case Outcome:
+	case AttemptEnded:
 		g.outcome(ev)
-	case Probed:
+	case HealthChecked:
 		if e := g.byID[ev.Engine]; e != nil {
 			g.told(e, ev.Load)
 		}
-	case Note:
+	case ProgressReported:
 		g.note(ev)
-	case Began:
-		if a := g.attempt(ev.Query, ev.Attempt); a != nil {
+	case StreamStarted:
+		if a := g.attempt(ev.RequestID, ev.Attempt); a != nil {
 			a.stream, a.e.heard = true, g.now
 		}
-	case Gone:
-		if q := g.queries[ev.Query]; q != nil {
+	case ClientDisconnected:
+		if q := g.queries[ev.RequestID]; q != nil {
 			g.over(q)
 		}
-	case Timer:
+	case TimerFired:
 		g.timer(ev.Token)
-	case Engines:
+	case EndpointsChanged:
 		g.list(ev)
 	}
 	out, g.out = g.out, nil
 	return out
 }
 
-func (g *Gateway) act(a Action) { g.out = append(g.out, a) }
+func (g *Balancer) act(a Action) { g.out = append(g.out, a) }
 
 // timer runs the health check and the control loop (token 0) or ends a query
 // whose client is about to leave (token: its id and one).
-func (g *Gateway) timer(token uint64) {
+func (g *Balancer) timer(token uint64) {
 	if token != 0 {
 		q := g.queries[token-1]
 		if q != nil && !slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.stream && !a.ended }) {
-			g.giveUp(q, WhyTime)
+			g.giveUp(q, ReasonDeadline)
 		}
 		return
 	}
-	g.act(Wake{After: period / ticks})
+	g.act(SetTimer{After: period / ticks})
 	if g.now-g.ticking > 2*period/ticks {
 		g.awake = g.now
 	}
@@ -168,24 +166,25 @@
 
 // ---- The query's life ----
 
-func (g *Gateway) arrive(ev Arrive) {
-	if g.queries[ev.Query] != nil {
+func (g *Balancer) arrive(ev RequestArrived) {
+	if g.queries[ev.RequestID] != nil {
 		return
 	}
-	if !ev.Repeat {
+	if !ev.ClientRetry {
 		g.arrived++
 	}
-	if g.set.Rules.LookBack > 0 {
+	if g.set.Rules.RetryBudgetWindow > 0 {
 		g.taken = append(g.taken, g.now)
 	}
 	c := g.classes[ev.Class]
 	if c == nil { // nothing is known of what a repeat would do: nothing is sent
-		g.act(Refuse{Query: ev.Query, ComeBack: g.comeBack()})
+		g.act(Reject{RequestID: ev.RequestID, RetryAfter: g.comeBack()})
 		return
 	}
-	q := &query{id: ev.Query, class: c, key: ev.Key, set: ev.Set, memory: ev.MemoryMB, deadline: ev.Deadline}
+	q := &query{id: ev.RequestID, class: c, key: ev.OrderKey, set: ev.Dataset,
+		memory: ev.EstimatedMemoryMB, deadline: ev.Deadline}
 	q.work, q.weight = c.work, c.Threads
-	if w := ms(ev.Work); w > 0 {
+	if w := milliseconds(ev.EstimatedWork); w > 0 {
 		if c.guess == 0 {
 			c.guess = w
 		}
@@ -193,13 +192,13 @@
 		part := min(max(w/c.guess, 0.1), 30)
 		q.work, q.weight = c.work*part, c.Threads*min(max(part, 0.25), 2)
 	}
-	q.rank = math.Log2(max(c.Worth, 1e-9) / q.work)
+	q.rank = math.Log2(max(c.PriorityWeight, 1e-9) / q.work)
 	if g.dear == 0 {
 		g.dear = q.rank
 	}
 	g.dear += (q.rank - g.dear) / 50
 	q.rank -= g.dear
-	if q.part = 1; ev.Work > 0 { // a step is a quarter; without estimates all of a class would be shed
+	if q.part = 1; ev.EstimatedWork > 0 { // without estimates all of a class would be shed
 		q.part = min(max(1+q.rank/4, overShare), 2-overShare)
 	}
 	if q.open = 1; g.overShare(ev.Tenant) {
@@ -208,7 +207,7 @@
 	g.queries[q.id] = q
 	g.popular(q.set)
 	g.probe()
-	g.act(Wake{After: max(0, q.deadline-g.now-g.set.Round), Token: TimeUp(q.id).Token})
+	g.act(SetTimer{After: max(0, q.deadline-g.now-g.set.TickInterval), Token: DeadlineTimer(q.id).Token})
 	g.enter(q)
 	if g.turn(q) {
 		g.admit(q)
@@ -219,7 +218,7 @@
 
 // overShare takes one from the tenant's allowance: its quota, for this
 // gateway's part of all traffic. Unknown tenants count as beyond their share.
-func (g *Gateway) overShare(name string) bool {
+func (g *Balancer) overShare(name string) bool {
 	t := g.tenants[name]
 	if t == nil {
 		return len(g.tenants) > 0
@@ -236,8 +235,8 @@
 
 // share is this gateway's part of all traffic: equal, or as its own first tries
 // stand to the tenants' quotas.
-func (g *Gateway) share() float64 {
-	even := 1 / float64(g.set.Gateways)
+func (g *Balancer) share() float64 {
+	even := 1 / float64(g.set.Replicas)
 	if g.quota <= 0 { // what is out here, of what the engines tell that they hold
 		return min(max(g.mine/max(g.theirs, 1), even), 1)
 	}
@@ -245,7 +244,7 @@
 }
 
 // admit sends the query to an engine where it fits, or refuses it at once.
-func (g *Gateway) admit(q *query) {
+func (g *Balancer) admit(q *query) {
 	if e, why := g.choose(q); e != nil {
 		g.send(q, e)
 	} else {
@@ -254,38 +253,38 @@
 }
 
 // outcome ends an attempt and, where the client still waits, decides on another.
-func (g *Gateway) outcome(ev Outcome) {
-	a := g.attempt(ev.Query, ev.Attempt)
+func (g *Balancer) outcome(ev AttemptEnded) {
+	a := g.attempt(ev.RequestID, ev.Attempt)
 	if a == nil || a.ended {
 		return
 	}
 	q, e := a.q, a.e
 	a.ended = true
-	a.ran = ev.Result != Full && ev.Result != NoConnection && ev.Result != NotSent
+	a.ran = ev.Result != ResultOverloaded && ev.Result != ResultConnectFailed && ev.Result != ResultNotSent
 	g.drop(a)
 	g.learn(a, ev)
 	g.told(e, ev.Load)
 	switch ev.Result {
-	case TimedOut, Lost, Cancelled, Unknown: // it may run still
+	case ResultTimedOut, ResultConnectionLost, ResultCancelled, ResultUnknown: // it may run still
 		g.rest(q)
 	}
 	switch {
-	case ev.Final || q.done:
+	case ev.Completed || q.done:
 		g.over(q)
 	case q.outstanding(): // its outcome will decide
-	case ms(q.deadline-g.now) <= q.class.latency/4, q.errors() > 1: // too late for another, or in vain
-		g.giveUp(q, WhyVain)
+	case milliseconds(q.deadline-g.now) <= q.class.latency/4, q.errors() > 1: // too late, or in vain
+		g.giveUp(q, ReasonRetryFutile)
 	default:
 		g.admit(q)
 	}
 }
 
 // learn takes from an outcome what it tells of the class and the engine.
-func (g *Gateway) learn(a *attempt, ev Outcome) {
+func (g *Balancer) learn(a *attempt, ev AttemptEnded) {
 	c, e := a.q.class, a.e
 	switch ev.Result {
-	case Served:
-		took := ms(ev.Elapsed)
+	case ResultServed:
+		took := milliseconds(ev.Elapsed)
 		c.n++
 		slow := float64(min(10+c.n, 50)) // the first answers teach more
 		far := math.Abs(took*c.work/(c.latency*a.q.work) - 1)
@@ -295,8 +294,8 @@
 		e.answered(took/g.aim(a.q), took/c.quick)
 		g.fleet.answered(took/g.aim(a.q), took/c.quick)
 		if ev.Work > 0 {
-			c.work += (ms(ev.Work) - c.work) / slow
-		} else if !g.set.CostTold {
+			c.work += (milliseconds(ev.Work) - c.work) / slow
+		} else if !g.set.ReportsCost {
 			c.work += (took*c.Threads - c.work) / slow
 		}
 		if a.q.memory > 0 && ev.MemoryMB > c.grant*a.q.memory {
@@ -312,23 +311,23 @@
 				g.fault(b.e, faultStep/2, "it answers with errors")
 			}
 		}
-	case TimedOut:
-		e.answered(ms(ev.Elapsed)/g.aim(a.q), e.slow)
-		g.fleet.answered(ms(ev.Elapsed)/g.aim(a.q), g.fleet.slow)
-	case Full:
+	case ResultTimedOut:
+		e.answered(milliseconds(ev.Elapsed)/g.aim(a.q), e.slow)
+		g.fleet.answered(milliseconds(ev.Elapsed)/g.aim(a.q), g.fleet.slow)
+	case ResultOverloaded:
 		e.pressed = g.now + 4*period
 		e.heard = g.now
-	case NoConnection, Lost: // it may have restarted, seconds before the list tells
-		if g.now-e.lostAt >= period/ticks || ev.Result == NoConnection { // what ends together is one fault
+	case ResultConnectFailed, ResultConnectionLost: // it may have restarted, seconds before the list tells
+		if g.now-e.lostAt >= period/ticks || ev.Result == ResultConnectFailed { // together: one fault
 			g.fault(e, faultStep, "connections fail")
 		}
-		if e.lostAt = g.now; ev.Result == NoConnection {
+		if e.lostAt = g.now; ev.Result == ResultConnectFailed {
 			e.doubted = false
 		} else if !e.doubted {
 			e.doubted, e.coldWas = true, e.coldUntil
 		}
-		g.chill(e, max(e.coldUntil, g.now+g.set.Rules.ColdFor))
-	case Failed:
+		g.chill(e, max(e.coldUntil, g.now+g.set.Rules.WarmupTime))
+	case ResultFailed:
 		e.heard, a.erred = g.now, true
 	}
 }
@@ -336,19 +335,19 @@
 // told takes an engine's report: the level that all engines seem to stand at, as cores in
 // use or as threads held over a bound's start, of all gateways, or as memory granted where
 // that slows a whole engine once it runs out. Guards against filling an engine that pages.
-func (g *Gateway) told(e *engine, l Load) {
-	if !l.Told || !(max(l.Held, l.Busy) >= 0) {
+func (g *Balancer) told(e *engine, l LoadReport) {
+	if !l.Reported || !(max(l.InFlight, l.CPUShare) >= 0) {
 		return
 	}
-	e.load = g.full * l.Busy
-	if l.Held >= 0 { // busy cores say nothing of what waits
-		held := min(l.Held, mostHeld*e.cores)
+	e.load = g.full * l.CPUShare
+	if l.InFlight >= 0 { // busy cores say nothing of what waits
+		held := min(l.InFlight, mostHeld*e.cores)
 		g.tolds++
 		g.theirs += (held - g.theirs) / min(g.tolds, 40)
 		e.load = held * g.width / e.cores
 	}
-	if g.set.Short == ShortSwap {
-		e.load = max(e.load, g.full*l.Memory)
+	if g.set.Shortage == ShortageSwap {
+		e.load = max(e.load, g.full*l.MemoryShare)
 	}
 	e.toldAt, e.load = g.now, min(e.load, 2*g.full)
 	g.fleet.level += (e.load/g.full - g.fleet.level) / 5
@@ -357,90 +356,91 @@
 
 // probe asks an engine for its load with each query taken, seldomer while all are
 // idle: what one gateway sees of an engine in passing is seconds old.
-func (g *Gateway) probe() {
+func (g *Balancer) probe() {
 	busy := max(g.fleet.level, levelSlack) / (1 - levelSlack)
-	if !g.set.Limits.Probes || !g.set.LoadTold || len(g.engines) == 0 || g.rng.Float64() > busy {
+	if !g.set.Limits.HealthChecks || !g.set.ReportsLoad || len(g.engines) == 0 || g.rng.Float64() > busy {
 		return
 	}
-	if e := g.engines[g.rng.IntN(len(g.engines))]; e.state == EngineLive {
-		g.act(Probe{Engine: e.id})
+	if e := g.engines[g.rng.IntN(len(g.engines))]; e.state == EngineReady {
+		g.act(CheckHealth{Engine: e.id})
 	}
 }
 
 // relief is how far under the usual an engine's told load lies, in threads, less
 // the older the report: what other gateways hold there is not in our backlog.
-func (g *Gateway) relief(e *engine) float64 {
+func (g *Balancer) relief(e *engine) float64 {
 	return 0.25 * min(g.load-e.load, 0) * e.cores * math.Exp(-float64(g.now-e.toldAt)/float64(toldFor))
 }
 
 // aim is the class aim, stretched by the query's expected work, in ms.
-func (g *Gateway) aim(q *query) float64 {
+func (g *Balancer) aim(q *query) float64 {
 	c := q.class
-	return min(ms(c.Aim)+c.Stretch*q.work/c.Threads, ms(c.Deadline))
+	return min(milliseconds(c.LatencyObjective)+c.ObjectiveStretch*q.work/c.Threads, milliseconds(c.Deadline))
 }
 
 // note takes word of an attempt. Guards against bad plans and slow engines: an
 // attempt that is on its way to a multiple of its class's usual latency, or past
 // the deadline, is cancelled where another has time to finish.
-func (g *Gateway) note(ev Note) {
-	a := g.attempt(ev.Query, ev.Attempt)
+func (g *Balancer) note(ev ProgressReported) {
+	a := g.attempt(ev.RequestID, ev.Attempt)
 	if a == nil || a.ended {
 		return
 	}
 	a.heard, a.e.heard = g.now, g.now
-	a.waits = ev.Kind == NoteWaitMemory || ev.Kind == NoteWaitLoad
+	a.waits = ev.Kind == ProgressAwaitingMemory || ev.Kind == ProgressAwaitingLoad
 	g.spoke(a)
-	if ev.Kind == NoteWaitLoad {
-		a.e.heldSets[a.q.set] = g.now + 2*g.set.NoteEvery
+	if ev.Kind == ProgressAwaitingLoad {
+		a.e.heldSets[a.q.set] = g.now + 2*g.set.ProgressInterval
 	}
 	q := a.q
-	if c := q.class; ev.Kind == NoteSpill && !a.spilled && q.memory > 0 && !g.set.CostTold {
+	if c := q.class; ev.Kind == ProgressSpilling && !a.spilled && q.memory > 0 && !g.set.ReportsCost {
 		a.spilled = true
 		c.grant = max(c.grant*(1+grantCover/10), (c.grant+(a.grant+ev.Value)/q.memory)/2)
 	}
 	usual := q.class.latency * q.work / q.class.work
-	rest := ms(q.deadline - g.now)
-	if a.cancel || q.done || !g.set.Limits.Cancel || ev.Kind == NoteSpill {
+	rest := milliseconds(q.deadline - g.now)
+	if a.cancel || q.done || !g.set.Limits.Cancel || ev.Kind == ProgressSpilling {
 		return
 	}
-	if ev.Kind != NoteProgress { // it stands still; elsewhere it would run. A ration is for what fails,
+	if ev.Kind != ProgressFraction { // it stands still; elsewhere it would run. A ration is for what fails,
 		// and where memory is short on two engines, a third is no better
-		once := ev.Kind == NoteWaitLoad || len(q.tries) == 1
-		if once && g.set.Rules.LookBack == 0 && q.class.Effect == Safe && ms(g.now-a.sent)+usual < g.aim(q) {
+		once := ev.Kind == ProgressAwaitingLoad || len(q.tries) == 1
+		if once && g.set.Rules.RetryBudgetWindow == 0 && q.class.Effect == Idempotent &&
+			milliseconds(g.now-a.sent)+usual < g.aim(q) {
 			g.move(a)
 		}
 		return
 	}
 	done := min(max(ev.Value, 0.001), 1)
-	left := ms(g.now-a.sent) * (1 - done) / done
+	left := milliseconds(g.now-a.sent) * (1 - done) / done
 	late := left > rest
 	// A second attempt as slow as the first shows that the query itself is heavy;
 	// one whose fresh run would miss the aim too is left to finish.
-	slow := left > slowTimes*usual && ms(g.now-a.sent)+usual < g.aim(q)
+	slow := left > slowTimes*usual && milliseconds(g.now-a.sent)+usual < g.aim(q)
 	switch {
 	case len(q.tries) == 1 && (slow || late) && usual*1.5 < rest && g.move(a):
 		a.e.slow += (4*kneeTimes - a.e.slow) / 10 // the engine may be the cause
 	case left > hopeless*rest && g.mayRefuse(q): // it would hold its place to the deadline
-		g.giveUp(q, WhyVain)
+		g.giveUp(q, ReasonRetryFutile)
 	}
 }
 
 // move cancels an attempt where the rules leave its query another.
-func (g *Gateway) move(a *attempt) bool { return g.again(a.q) && g.cancel(a) }
+func (g *Balancer) move(a *attempt) bool { return g.again(a.q) && g.cancel(a) }
 
-func (g *Gateway) cancel(a *attempt) bool {
+func (g *Balancer) cancel(a *attempt) bool {
 	if a.cancel || a.ended || a.stream || !g.set.Limits.Cancel {
 		return false
 	}
 	a.cancel = true
-	g.act(Cancel{Query: a.q.id, Attempt: a.n})
+	g.act(CancelAttempt{RequestID: a.q.id, Attempt: a.n})
 	return true
 }
 
 // comeBack spreads the return of refused clients over the time they honour.
-func (g *Gateway) comeBack() time.Duration {
-	half := g.set.Limits.MostComeBack / 2
-	if !g.set.Limits.ComeBack || half <= 0 {
+func (g *Balancer) comeBack() time.Duration {
+	half := g.set.Limits.MaxRetryAfter / 2
+	if !g.set.Limits.RetryAfter || half <= 0 {
 		return 0
 	}
 	return half + time.Duration(g.rng.Int64N(int64(half)))
@@ -449,11 +449,11 @@
 // ---- The choice of engine ----
 
 // choose finds the roomiest engine where the query fits, or tells why there is none.
-func (g *Gateway) choose(q *query) (best *engine, why Why) {
+func (g *Balancer) choose(q *query) (best *engine, why RejectReason) {
 	if !g.open(q) {
-		return nil, WhyAll
+		return nil, ReasonFleetLimit
 	}
-	why = WhyNone
+	why = ReasonNoEndpoint
 	most, mark := math.Inf(-1), g.mark(q.set)
 	for _, e := range g.engines {
 		bound := g.limit(q, &e.loop)
@@ -467,7 +467,7 @@
 		room := bound - e.backlog + g.liking(q, e, affinity(e.hash, q.set) >= mark)
 		room += math.Log(1-g.rng.Float64()) * q.weight / e.cores // ties fall anywhere, by cores
 		room += g.relief(e) - e.faults*e.top
-		if g.now < e.begun+g.set.Rules.ColdFor { // its budget is the guard, and is lost if unused
+		if g.now < e.begun+g.set.Rules.WarmupTime { // its budget is the guard, and is lost if unused
 			room += 2 * q.weight
 		}
 		if slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.e == e }) {
@@ -484,25 +484,25 @@
 }
 
 // bar tells what keeps the query from the engine; 0: nothing.
-func (g *Gateway) bar(q *query, e *engine, bound float64) Why {
+func (g *Balancer) bar(q *query, e *engine, bound float64) RejectReason {
 	switch {
-	case e.state != EngineLive:
-		return WhyNone
+	case e.state != EngineReady:
+		return ReasonNoEndpoint
 	case e.suspected || g.mute(e, q.class):
-		return WhySuspect
+		return ReasonEjected
 	case !g.fits(q, &e.loop, bound):
-		return WhyBound
+		return ReasonEngineLimit
 	case !g.coldRoom(q, e):
-		return WhyCold
+		return ReasonSlowStart
 	case !g.maySend(q, e):
-		return WhyRules
+		return ReasonAttemptsExhausted
 	}
 	return 0
 }
 
 // fits is the paper's test; a query that outweighs the bound goes by chance where
 // this gateway holds nothing.
-func (g *Gateway) fits(q *query, l *loop, bound float64) bool {
+func (g *Balancer) fits(q *query, l *loop, bound float64) bool {
 	if l.backlog == 0 && q.weight > bound {
 		return g.rng.Float64() < bound/q.weight
 	}
@@ -510,8 +510,8 @@
 }
 
 // trial lets a suspect engine have one repeatable query now and then.
-func (g *Gateway) trial(q *query, e *engine) bool {
-	if q.class.Effect != Safe || len(e.out)+len(q.tries) > 0 || g.now < e.trialAt || !g.maySend(q, e) {
+func (g *Balancer) trial(q *query, e *engine) bool {
+	if q.class.Effect != Idempotent || len(e.out)+len(q.tries) > 0 || g.now < e.trialAt || !g.maySend(q, e) {
 		return false
 	}
 	e.trialAt = g.now + 2*g.quiet
@@ -520,7 +520,7 @@
 
 // limit is the part of a bound open to the query: less beyond its tenant's share and, of all
 // engines or of one under pressure, more the more it is worth for its estimated work.
-func (g *Gateway) limit(q *query, l *loop) float64 {
+func (g *Balancer) limit(q *query, l *loop) float64 {
 	switch {
 	case g.now < l.pressed:
 		return l.bound * q.open * q.part
@@ -532,23 +532,23 @@
 
 // open tells whether the query fits all engines together, by the same test.
 // Guards against overloads that no gateway sees at any one engine.
-func (g *Gateway) open(q *query) bool {
+func (g *Balancer) open(q *query) bool {
 	return g.fits(q, &g.fleet, g.limit(q, &g.fleet))
 }
 
 // liking breaks near-ties: engines of the gateway's own zone, and among these the
 // ones that all its gateways pick for the data set, so that each reads few sets.
-func (g *Gateway) liking(q *query, e *engine, near bool) float64 {
+func (g *Balancer) liking(q *query, e *engine, near bool) float64 {
 	like := 0.0
 	if e.zone == g.set.Zone {
 		like += q.weight
-		if near && q.class.Load {
+		if near && q.class.BulkLoad {
 			like -= q.weight // it would hold the readers up
 		} else if near {
 			like += q.weight
 		}
 	}
-	if (q.class.Load || q.class.WaitsOnLoad) && g.held(e, q.set) {
+	if (q.class.BulkLoad || q.class.BlockedByLoad) && g.held(e, q.set) {
 		like -= e.start
 	}
 	return like
@@ -557,10 +557,10 @@
 // mark is the least affinity to the data set that counts as near, among the live
 // engines of the zone: one engine, and more as the set's part of the traffic
 // stands to an engine's. Guards against a hot set crowding the same few engines.
-func (g *Gateway) mark(set int64) uint64 {
+func (g *Balancer) mark(set int64) uint64 {
 	g.order = g.order[:0]
 	for _, e := range g.engines {
-		if e.zone == g.set.Zone && e.state == EngineLive && !e.suspected {
+		if e.zone == g.set.Zone && e.state == EngineReady && !e.suspected {
 			g.order = append(g.order, affinity(e.hash, set))
 		}
 	}
@@ -574,7 +574,7 @@
 }
 
 // popular counts the data sets asked for, and forgets by halves.
-func (g *Gateway) popular(set int64) {
+func (g *Balancer) popular(set int64) {
 	g.sets[set]++
 	if g.setSum++; g.setSum < setMemory {
 		return
@@ -589,28 +589,23 @@
 
 // held tells whether a load holds the data set on the engine: one of ours that is
 // out, or one that a query of ours was lately seen to wait for.
-func (g *Gateway) held(e *engine, set int64) bool {
+func (g *Balancer) held(e *engine, set int64) bool {
 	return g.now < e.heldSets[set] || slices.ContainsFunc(e.out, func(a *attempt) bool {
-		return a.q.class.Load && a.q.set == set
+		return a.q.class.BulkLoad && a.q.set == set
 	})
 }
 
-// affinity is an order of the engines for a data set that all gateways share.
-func affinity(hash uint64, set int64) uint64 {
-	x := (hash ^ uint64(set)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
-	return (x ^ x>>29) * 0x94d049bb133111eb
-}
-
 // ---- The guards of the rules: every send and final answer passes here ----
 
 // again tells whether the rules leave the query another attempt once those
 // that are out have ended.
-func (g *Gateway) again(q *query) bool {
-	if q.done || len(q.tries) >= max(g.set.Limits.Tries, 1) || !g.rationed(q) {
+func (g *Balancer) again(q *query) bool {
+	if q.done || len(q.tries) >= max(g.set.Limits.MaxAttempts, 1) || !g.rationed(q) {
 		return false
 	}
 	for _, a := range q.tries {
-		if a.ran && (q.class.Effect == Unsafe || q.class.Effect == Keyed && g.now-a.sent >= q.class.Window) {
+		if a.ran && (q.class.Effect == NonIdempotent ||
+			q.class.Effect == IdempotentByKey && g.now-a.sent >= q.class.DedupWindow) {
 			return false
 		}
 	}
@@ -618,53 +613,54 @@
 }
 
 // maySend holds rules 1 to 7 for one send.
-func (g *Gateway) maySend(q *query, e *engine) bool {
-	if e.state != EngineLive || g.now >= q.deadline || !g.again(q) ||
+func (g *Balancer) maySend(q *query, e *engine) bool {
+	if e.state != EngineReady || g.now >= q.deadline || !g.again(q) ||
 		!among(q.class.Zones, e.zone) || !among(q.class.Kinds, e.kind) {
 		return false
 	}
 	for _, a := range q.tries {
-		if !a.ended && !g.set.Limits.Copies {
+		if !a.ended && !g.set.Limits.Hedging {
 			return false
 		}
-		if a.ran && q.class.Effect == Keyed && !sameGroup(q.class.Group, a.e, e) {
+		if a.ran && q.class.Effect == IdempotentByKey && !sameGroup(q.class.DedupScope, a.e, e) {
 			return false
 		}
 	}
 	return g.turn(q) && g.coldRoom(q, e)
 }
 
-func sameGroup(group Group, a, b *engine) bool {
-	return a == b || group == GroupAll || group == GroupZone && a.zone == b.zone ||
-		group == GroupCell && a.cell == b.cell
+func sameGroup(group DedupScope, a, b *engine) bool {
+	return a == b || group == ScopeAll || group == ScopeZone && a.zone == b.zone ||
+		group == ScopeCell && a.cell == b.cell
 }
 
 // among is rule 6, placement.
 func among(list []string, s string) bool { return len(list) == 0 || slices.Contains(list, s) }
 
 // rationed is rule 7, the budget of further attempts.
-func (g *Gateway) rationed(q *query) bool {
-	back := g.set.Rules.LookBack
+func (g *Balancer) rationed(q *query) bool {
+	back := g.set.Rules.RetryBudgetWindow
 	if len(q.tries) == 0 || back == 0 {
 		return true
 	}
 	g.forget()
-	return float64(len(g.extra)+1) <= g.set.Rules.ExtraFree+g.set.Rules.ExtraShare*float64(len(g.taken))
+	return float64(len(g.extra)+1) <=
+		g.set.Rules.RetryBudgetMin+g.set.Rules.RetryBudgetRatio*float64(len(g.taken))
 }
 
 // forget drops what was taken and sent again before the time that rule 7 looks back.
-func (g *Gateway) forget() {
-	back := g.now - g.set.Rules.LookBack
+func (g *Balancer) forget() {
+	back := g.now - g.set.Rules.RetryBudgetWindow
 	g.taken = slices.DeleteFunc(g.taken, func(at time.Duration) bool { return at <= back })
 	g.extra = slices.DeleteFunc(g.extra, func(at time.Duration) bool { return at < back })
 }
 
 // tidy drops what a gateway that runs for months would else keep for ever.
-func (g *Gateway) tidy() {
+func (g *Balancer) tidy() {
 	g.forget()
 	g.engines = slices.DeleteFunc(g.engines, func(e *engine) bool {
 		maps.DeleteFunc(e.heldSets, func(_ int64, until time.Duration) bool { return g.now >= until })
-		done := e.state == EngineGone && len(e.out) == 0 && g.now >= e.coldUntil
+		done := e.state == EngineRemoved && len(e.out) == 0 && g.now >= e.coldUntil
 		if done {
 			delete(g.byID, e.id)
 		}
@@ -677,8 +673,8 @@
 // gateway's part of what would push it over. A query of more than the part
 // goes once in the spans that pay for it, from a start drawn among these, so that
 // all gateways together keep to the sum.
-func (g *Gateway) coldRoom(q *query, e *engine) bool {
-	span := g.set.Rules.TipFor
+func (g *Balancer) coldRoom(q *query, e *engine) bool {
+	span := g.set.Rules.OverloadWindow
 	switch {
 	case g.now >= e.coldUntil || span <= 0:
 		return true
@@ -696,7 +692,7 @@
 // unbroken takes back that an engine may have restarted, on word of what was sent
 // after its connection broke and sooner than a process starts. Guards against
 // starving an engine of which only a connection was lost.
-func (g *Gateway) unbroken(a *attempt) {
+func (g *Balancer) unbroken(a *attempt) {
 	if e := a.e; e.doubted && a.sent > e.lostAt && g.now < e.lostAt+startLeast {
 		e.doubted, e.coldUntil = false, e.coldWas
 	}
@@ -704,14 +700,14 @@
 
 // warm is the part of its capacity that an engine has at the least: a fresh one
 // that held as much as a warm one would stand still under it.
-func (g *Gateway) warm(e *engine) float64 {
-	left := float64(e.coldUntil-g.now) / float64(max(g.set.Rules.ColdFor, 1))
-	return 1 - (1-g.set.Rules.ColdStart)*min(max(left, 0), 1)
+func (g *Balancer) warm(e *engine) float64 {
+	left := float64(e.coldUntil-g.now) / float64(max(g.set.Rules.WarmupTime, 1))
+	return 1 - (1-g.set.Rules.WarmupCapacity)*min(max(left, 0), 1)
 }
 
 // chill takes an engine as cold, with a new place in the line for wide queries
 // unless it is in one.
-func (g *Gateway) chill(e *engine, until time.Duration) {
+func (g *Balancer) chill(e *engine, until time.Duration) {
 	if g.now >= e.coldUntil {
 		e.coldNext, e.coldTold, e.draw = max(e.coldNext, g.now), g.now, g.rng.Float64()
 	}
@@ -720,20 +716,20 @@
 
 // coldPart is the work that this gateway may send a cold engine within a span, of what the
 // engine has grown to. How it grows is not told: it is taken to come late, as a square.
-func (g *Gateway) coldPart(e *engine) float64 {
-	r, grown := g.set.Rules, g.warm(e)-g.set.Rules.ColdStart
-	now := r.ColdStart + grown*grown/max(1-r.ColdStart, 1e-9)
-	return coldMargin * r.TipMultiple * now * e.cores * ms(r.TipFor) * g.share()
+func (g *Balancer) coldPart(e *engine) float64 {
+	r, grown := g.set.Rules, g.warm(e)-g.set.Rules.WarmupCapacity
+	now := r.WarmupCapacity + grown*grown/max(1-r.WarmupCapacity, 1e-9)
+	return coldMargin * r.OverloadFactor * now * e.cores * milliseconds(r.OverloadWindow) * g.share()
 }
 
 // send is the one place where a query goes out.
-func (g *Gateway) send(q *query, e *engine) {
+func (g *Balancer) send(q *query, e *engine) {
 	if !g.maySend(q, e) {
-		g.giveUp(q, WhyRules)
+		g.giveUp(q, ReasonAttemptsExhausted)
 		return
 	}
 	a := &attempt{q: q, n: len(q.tries), e: e, sent: g.now, heard: g.now, ran: true}
-	if a.n > 0 && g.set.Rules.LookBack > 0 {
+	if a.n > 0 && g.set.Rules.RetryBudgetWindow > 0 {
 		g.extra = append(g.extra, g.now)
 	}
 	q.tries = append(q.tries, a)
@@ -743,27 +739,27 @@
 	g.width += (q.weight - g.width) / 20
 	if g.now < e.coldUntil {
 		spans := coldCost * q.work / g.coldPart(e)
-		e.coldNext = max(e.coldNext, g.now) + time.Duration(spans*float64(g.set.Rules.TipFor))
+		e.coldNext = max(e.coldNext, g.now) + time.Duration(spans*float64(g.set.Rules.OverloadWindow))
 	}
-	grant := Grant{Query: q.id, Priority: 1}
-	if g.set.GrantsHeeded {
+	grant := SetResources{RequestID: q.id, Priority: 1}
+	if g.set.MemoryGrants {
 		grant.MemoryMB = math.Ceil(q.memory * q.class.grant)
 		a.grant = grant.MemoryMB
 	}
-	if g.set.PriorityHeeds {
+	if g.set.Priorities {
 		grant.Priority = g.priority(q)
 	}
-	if grant.MemoryMB > 0 || g.set.PriorityHeeds {
+	if grant.MemoryMB > 0 || g.set.Priorities {
 		g.act(grant)
 	}
-	g.act(Send{Query: q.id, Engine: e.id, Within: q.deadline - g.now})
+	g.act(StartAttempt{RequestID: q.id, Engine: e.id, Timeout: q.deadline - g.now})
 }
 
 // priority ranks a query by worth over expected work, against the usual: twice
 // the usual is one step. What is short and dear passes what is long, which loses
 // little by it. A load holds readers up, so it comes first.
-func (g *Gateway) priority(q *query) int {
-	if q.class.Load {
+func (g *Balancer) priority(q *query) int {
+	if q.class.BulkLoad {
 		return 3
 	}
 	return int(min(max(math.Round(usualRank+q.rank), 0), 3))
@@ -771,26 +767,27 @@
 
 // giveUp is the one place where a final answer is given: a refusal where the
 // rules allow it, a failure where an attempt may have run.
-func (g *Gateway) giveUp(q *query, why Why) {
+func (g *Balancer) giveUp(q *query, why RejectReason) {
 	if q.done {
 		return
 	}
 	if g.mayRefuse(q) {
-		g.act(Refuse{Query: q.id, ComeBack: g.comeBack(), Why: why})
+		g.act(Reject{RequestID: q.id, RetryAfter: g.comeBack(), Reason: why})
 	} else {
-		g.act(Fail{Query: q.id})
+		g.act(Fail{RequestID: q.id})
 	}
 	g.over(q)
 }
 
 // mayRefuse is rule 2 for answers: trying again must be harmless.
-func (g *Gateway) mayRefuse(q *query) bool {
-	return q.class.Effect == Safe || q.class.Effect == Keyed && q.class.Group == GroupAll ||
+func (g *Balancer) mayRefuse(q *query) bool {
+	return q.class.Effect == Idempotent ||
+		q.class.Effect == IdempotentByKey && q.class.DedupScope == ScopeAll ||
 		!slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.ran })
 }
 
 // over ends a query; it is kept while attempts are out, for the backlog and the order.
-func (g *Gateway) over(q *query) {
+func (g *Balancer) over(q *query) {
 	q.done = true
 	for _, a := range q.tries {
 		g.cancel(a)
@@ -802,8 +799,8 @@
 	g.leave(q)
 }
 
-func (g *Gateway) enter(q *query) {
-	if !q.class.InOrder || q.key == "" {
+func (g *Balancer) enter(q *query) {
+	if !q.class.Ordered || q.key == "" {
 		return
 	}
 	if g.lanes[q.key] == nil {
@@ -814,20 +811,20 @@
 
 // turn tells whether all earlier queries of the key are over and its rest too.
 // The rest does not delay further attempts of the query whose turn it is.
-func (g *Gateway) turn(q *query) bool {
+func (g *Balancer) turn(q *query) bool {
 	l := g.lanes[q.key]
-	return !q.class.InOrder || q.key == "" || l.line[0] == q && (g.now >= l.rest || len(q.tries) > 0)
+	return !q.class.Ordered || q.key == "" || l.line[0] == q && (g.now >= l.rest || len(q.tries) > 0)
 }
 
-func (g *Gateway) rest(q *query) {
-	if l := g.lanes[q.key]; l != nil && q.class.InOrder {
-		l.rest = max(l.rest, g.now+g.set.Rules.Settle+g.set.Round)
+func (g *Balancer) rest(q *query) {
+	if l := g.lanes[q.key]; l != nil && q.class.Ordered {
+		l.rest = max(l.rest, g.now+g.set.Rules.OrderSettleTime+g.set.TickInterval)
 	}
 }
 
-func (g *Gateway) leave(q *query) {
+func (g *Balancer) leave(q *query) {
 	l := g.lanes[q.key]
-	if !q.class.InOrder || q.key == "" || l == nil {
+	if !q.class.Ordered || q.key == "" || l == nil {
 		return
 	}
 	l.line = slices.DeleteFunc(l.line, func(o *query) bool { return o == q })
@@ -837,7 +834,7 @@
 }
 
 // pump admits held queries whose turn has come, in the order they were taken.
-func (g *Gateway) pump() {
+func (g *Balancer) pump() {
 	held := g.waiting
 	g.waiting = nil
 	for _, q := range held {
@@ -853,7 +850,7 @@
 
 // ---- Engine state: control loop, health, cold ramp, drain ----
 
-func (g *Gateway) drop(a *attempt) {
+func (g *Balancer) drop(a *attempt) {
 	a.e.out = slices.DeleteFunc(a.e.out, func(o *attempt) bool { return o == a })
 	a.e.backlog -= a.q.weight
 	if len(a.e.out) == 0 {
@@ -872,7 +869,7 @@
 }
 
 // control runs the paper's loop once.
-func (g *Gateway) control(l *loop) {
+func (g *Balancer) control(l *loop) {
 	if l.n == 0 {
 		return
 	}
@@ -897,13 +894,13 @@
 // and notes alike. Guards against hung engines and cut links. One attempt alone
 // must be quiet for twice as long. Time in which this gateway itself stood still
 // does not count: a pause of ours silences all engines at once.
-func (g *Gateway) watch(e *engine) {
+func (g *Balancer) watch(e *engine) {
 	if len(e.out) == 0 {
 		return
 	}
 	quiet := 0
 	for _, a := range slices.Clone(e.out) {
-		if g.set.NoteEvery == 0 {
+		if g.set.ProgressInterval == 0 {
 			g.overdue(a)
 		} else if !a.stream {
 			if g.now-max(a.heard, g.awake) > g.quiet {
@@ -916,7 +913,7 @@
 	if quiet >= 2 && silent > g.quiet || quiet == 1 && silent > 2*g.quiet {
 		g.suspect(e, "all attempts are silent")
 		for _, a := range e.out {
-			if a.q.class.Effect == Safe {
+			if a.q.class.Effect == Idempotent {
 				g.move(a)
 			}
 		}
@@ -927,27 +924,27 @@
 // has long told nothing of it. Guards against answers and pages that never arrive, and
 // against an engine where one class stands still while all else runs. What waits is
 // told of less often.
-func (g *Gateway) missed(a *attempt) {
+func (g *Balancer) missed(a *attempt) {
 	e, c, notes := a.e, a.q.class, lostNotes
 	if a.waits {
 		notes = waitNotes
 	}
 	silent := float64(g.now - max(a.heard, g.awake))
-	if a.missed || silent < notes*float64(g.set.NoteEvery) || g.now-e.heard > g.quiet {
+	if a.missed || silent < notes*float64(g.set.ProgressInterval) || g.now-e.heard > g.quiet {
 		return
 	}
 	a.missed = true
 	if e.lost[c]++; e.lost[c] >= muteAfter {
 		e.muteTill[c] = g.now + 2*g.quiet
 	}
-	if c.Effect != Unsafe {
+	if c.Effect != NonIdempotent {
 		g.move(a)
 	}
 }
 
 // mute tells whether a class stands still on the engine. After a while one query at a
 // time may find out.
-func (g *Gateway) mute(e *engine, c *class) bool {
+func (g *Balancer) mute(e *engine, c *class) bool {
 	return e.lost[c] >= muteAfter && (g.now < e.muteTill[c] ||
 		slices.ContainsFunc(e.out, func(a *attempt) bool {
 			return a.q.class == c && a.sent >= e.muteTill[c]
@@ -955,7 +952,7 @@
 }
 
 // spoke takes word of an attempt: its class doesn't stand still on the engine.
-func (g *Gateway) spoke(a *attempt) {
+func (g *Balancer) spoke(a *attempt) {
 	delete(a.e.lost, a.q.class)
 	g.trust(a.e)
 	g.unbroken(a)
@@ -964,16 +961,16 @@
 // overdue stands in for notes where there are none: an attempt out for longer than
 // its class's answers usually scatter is cancelled while a fresh run makes the aim.
 // Guards against answers that vanish, bad plans and hung engines.
-func (g *Gateway) overdue(a *attempt) {
-	q, out := a.q, ms(g.now-max(a.sent, g.awake))
+func (g *Balancer) overdue(a *attempt) {
+	q, out := a.q, milliseconds(g.now-max(a.sent, g.awake))
 	usual := q.class.latency * q.work / q.class.work
-	if out > usual*(1+spreads*q.class.spread) && q.class.Effect == Safe &&
-		ms(g.now-q.tries[0].sent)+usual < g.aim(q) && g.move(a) {
+	if out > usual*(1+spreads*q.class.spread) && q.class.Effect == Idempotent &&
+		milliseconds(g.now-q.tries[0].sent)+usual < g.aim(q) && g.move(a) {
 		g.fault(a.e, faultStep/4, "answers stay out")
 	}
 }
 
-func (g *Gateway) suspect(e *engine, why string) {
+func (g *Balancer) suspect(e *engine, why string) {
 	if !e.suspected {
 		e.suspected = true
 		e.trialAt = g.now + 2*g.quiet
@@ -984,7 +981,7 @@
 // fault counts an error or a failed connection. Guards against crashed engines
 // and against those that fail fast: holding nothing, they would look roomiest.
 // A share of faults is needed, so that a stray error condemns nobody.
-func (g *Gateway) fault(e *engine, part float64, why string) {
+func (g *Balancer) fault(e *engine, part float64, why string) {
 	e.faults += (1 - e.faults) * part
 	if e.faults > faultMost {
 		e.erring = true
@@ -994,7 +991,7 @@
 
 // trust ends suspicion on word from the engine; an erring one must serve first.
 // It comes back with a small bound, which the loop raises.
-func (g *Gateway) trust(e *engine) {
+func (g *Balancer) trust(e *engine) {
 	if e.suspected && !e.erring {
 		e.suspected = false
 		e.bound = max(floorShare, e.start/4)
@@ -1003,13 +1000,13 @@
 }
 
 // list takes the engine list or a change to it.
-func (g *Gateway) list(ev Engines) {
-	if ev.Mode == ListFailed && g.set.ListAsked {
+func (g *Balancer) list(ev EndpointsChanged) {
+	if ev.Mode == UpdateFailed && g.set.PullDiscovery {
 		g.act(Subscribe{})
 	}
-	if ev.Mode == ListFull || ev.Mode == ListCached {
+	if ev.Mode == UpdateFull || ev.Mode == UpdateCached {
 		for _, e := range g.engines {
-			e.state = EngineGone // unless it is named below
+			e.state = EngineRemoved // unless it is named below
 		}
 	}
 	for _, n := range ev.Engines {
@@ -1018,7 +1015,7 @@
 	g.scaleAll()
 }
 
-func (g *Gateway) entry(n Engine) {
+func (g *Balancer) entry(n Engine) {
 	e := g.byID[n.ID]
 	if e == nil {
 		e = &engine{id: n.ID, begun: math.MinInt64, heldSets: map[int64]time.Duration{},
@@ -1030,17 +1027,17 @@
 		g.engines = append(g.engines, e)
 		g.fresh(e, n)
 	}
-	if n.Fresh && n.Started > e.begun {
+	if n.StartKnown && n.StartedAt > e.begun {
 		g.fresh(e, n)
-		e.begun, e.doubted = n.Started, false
+		e.begun, e.doubted = n.StartedAt, false
 		e.coldUntil = 0 // a new line: the places in an earlier one have all passed
-		g.chill(e, n.Started+g.set.Rules.ColdFor)
+		g.chill(e, n.StartedAt+g.set.Rules.WarmupTime)
 	}
 	e.zone, e.kind, e.cell, e.state = n.Zone, n.Kind, n.Cell, n.State
 }
 
 // fresh gives an engine the loop's start values.
-func (g *Gateway) fresh(e *engine, n Engine) {
+func (g *Balancer) fresh(e *engine, n Engine) {
 	e.cores = max(g.kinds[n.Kind].Cores, 1) // an unknown kind is taken as the smallest
 	g.scale(e)
 	e.bound, e.alpha = e.start, 1/e.start
@@ -1049,7 +1046,7 @@
 }
 
 // scale sets the bound's start and top for this gateway's share of the traffic.
-func (g *Gateway) scale(e *engine) {
+func (g *Balancer) scale(e *engine) {
 	share := g.share()
 	e.faults -= e.faults / 40 // else what is avoided for its faults would be for ever
 	e.start = g.full * e.cores * share
@@ -1058,11 +1055,11 @@
 
 // scaleAll does the same for all engines together, with room for the chance in
 // the few queries that one gateway holds.
-func (g *Gateway) scaleAll() {
+func (g *Balancer) scaleAll() {
 	f, first := &g.fleet, g.fleet.start == 0
 	f.start = 0
 	for _, e := range g.engines {
-		if e.state == EngineLive && !e.suspected {
+		if e.state == EngineReady && !e.suspected {
 			f.start += e.start * g.warm(e)
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -15,32 +15,32 @@
 // rig drives one gateway and keeps what it did.
 type rig struct {
 	t   *testing.T
-	g   *Gateway
+	g   *Balancer
 	now time.Duration
 	out []Action
 }
 
 func settings() Settings {
 	return Settings{
-		Gateways: 2, Zone: "a", NoteEvery: 500 * msec, Round: 5 * msec,
+		Replicas: 2, Zone: "a", ProgressInterval: 500 * msec, TickInterval: 5 * msec,
 		Kinds: []Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
 		Classes: []Class{
-			{Name: "safe", Aim: 300 * msec, Deadline: 2 * time.Second, Worth: 1, Threads: 1, Effect: Safe},
-			{Name: "wide", Aim: 3 * time.Second, Deadline: 15 * time.Second, Worth: 9, Threads: 4, Effect: Safe},
-			{Name: "unsafe", Aim: time.Second, Deadline: 9 * time.Second, Worth: 5, Threads: 2, Effect: Unsafe},
-			{Name: "keyed", Aim: time.Second, Deadline: 9 * time.Second, Worth: 5, Threads: 2,
-				Effect: Keyed, Group: GroupCell, Window: time.Second},
-			{Name: "ordered", Aim: time.Second, Deadline: 9 * time.Second, Worth: 1, Threads: 1, Effect: Safe, InOrder: true},
-			{Name: "bound", Aim: time.Second, Deadline: 9 * time.Second, Worth: 1, Threads: 1, Effect: Safe, Zones: []string{"b"}},
+			{Name: "safe", LatencyObjective: 300 * msec, Deadline: 2 * time.Second, PriorityWeight: 1, Threads: 1, Effect: Idempotent},
+			{Name: "wide", LatencyObjective: 3 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 9, Threads: 4, Effect: Idempotent},
+			{Name: "unsafe", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 5, Threads: 2, Effect: NonIdempotent},
+			{Name: "keyed", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 5, Threads: 2,
+				Effect: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: time.Second},
+			{Name: "ordered", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Threads: 1, Effect: Idempotent, Ordered: true},
+			{Name: "bound", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Threads: 1, Effect: Idempotent, Zones: []string{"b"}},
 		},
-		Rules: Rules{AnswerSlack: 20 * msec, DrainGrace: time.Second, ColdStart: 0.3, ColdFor: 10 * time.Second,
-			TipMultiple: 3, TipFor: 2 * time.Second, Settle: 700 * msec},
-		Limits: Limits{Tries: 4, Cancel: true, ComeBack: true, MostComeBack: time.Second},
+		Rules: Rules{ResponseSlack: 20 * msec, DrainGrace: time.Second, WarmupCapacity: 0.3, WarmupTime: 10 * time.Second,
+			OverloadFactor: 3, OverloadWindow: 2 * time.Second, OrderSettleTime: 700 * msec},
+		Limits: Limits{MaxAttempts: 4, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
 	}
 }
 
 func live(id, zone string, cell int64) Engine {
-	return Engine{ID: id, Zone: zone, Kind: "k", Cell: cell, State: EngineLive}
+	return Engine{ID: id, Zone: zone, Kind: "k", Cell: cell, State: EngineReady}
 }
 
 func start(t *testing.T, s Settings, engines ...Engine) *rig {
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, g: g, now: time.Minute}
-	r.do(Engines{Mode: ListCached, Engines: engines})
+	r.do(EndpointsChanged{Mode: UpdateCached, Engines: engines})
 	return r
 }
 
@@ -64,22 +64,22 @@
 // ticks lets the gateway's timer run for a while and gathers what it does.
 func (r *rig) ticks(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
-		all = append(all, r.after(100*msec).do(Timer{})...)
+		all = append(all, r.after(100*msec).do(TimerFired{})...)
 	}
 	return all
 }
 
 func (r *rig) arrive(id uint64, class string) []Action {
-	return r.do(Arrive{Query: id, Class: class, Deadline: r.now + r.g.classes["unsafe"].Deadline})
+	return r.do(RequestArrived{RequestID: id, Class: class, Deadline: r.now + r.g.classes["unsafe"].Deadline})
 }
 
 func (r *rig) ends(id uint64, n int, res Result) []Action {
-	return r.do(Outcome{Query: id, Attempt: n, Result: res, Elapsed: 100 * msec, Final: res == Served})
+	return r.do(AttemptEnded{RequestID: id, Attempt: n, Result: res, Elapsed: 100 * msec, Completed: res == ResultServed})
 }
 
-func sends(out []Action) (list []Send) {
+func sends(out []Action) (list []StartAttempt) {
 	for _, a := range out {
-		if s, ok := a.(Send); ok {
+		if s, ok := a.(StartAttempt); ok {
 			list = append(list, s)
 		}
 	}
@@ -147,7 +147,7 @@
 			continue
 		}
 		for _, a := range out {
-			if no, ok := a.(Refuse); ok && no.ComeBack > 0 && no.ComeBack <= time.Second {
+			if no, ok := a.(Reject); ok && no.RetryAfter > 0 && no.RetryAfter <= time.Second {
 				return
 			}
 		}
@@ -157,12 +157,12 @@
 }
 
 func TestUnsafeIsSentAgainOnlyWhenItNeverRan(t *testing.T) {
-	for res, again := range map[Result]bool{Full: true, NoConnection: true, NotSent: true, Failed: false,
-		TimedOut: false, Lost: false, Cancelled: false, Unknown: false} {
+	for res, again := range map[Result]bool{ResultOverloaded: true, ResultConnectFailed: true, ResultNotSent: true, ResultFailed: false,
+		ResultTimedOut: false, ResultConnectionLost: false, ResultCancelled: false, ResultUnknown: false} {
 		r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
 		r.arrive(1, "unsafe")
 		out := r.ends(1, 0, res)
-		if (len(sends(out)) == 1) != again || has[Refuse](out) || has[Fail](out) == again {
+		if (len(sends(out)) == 1) != again || has[Reject](out) || has[Fail](out) == again {
 			t.Errorf("after result %d: %+v", res, out)
 		}
 	}
@@ -171,9 +171,9 @@
 func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 2))
 	first := sends(r.arrive(1, "keyed"))[0].Engine
-	r.wantSend(r.ends(1, 0, Failed), first)
+	r.wantSend(r.ends(1, 0, ResultFailed), first)
 	r.after(1100 * msec)
-	out := r.ends(1, 1, Failed)
+	out := r.ends(1, 1, ResultFailed)
 	if len(sends(out)) != 0 || !has[Fail](out) {
 		t.Fatalf("beyond the window: %+v", out)
 	}
@@ -183,9 +183,9 @@
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
 	e := live("e", "a", 1)
 	e.State = EngineDraining
-	r.do(Engines{Mode: ListChanges, Engines: []Engine{e}})
+	r.do(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{e}})
 	r.wantSend(r.arrive(1, "safe"), "f")
-	r.do(Engines{Mode: ListFull, Engines: []Engine{e}})
+	r.do(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{e}})
 	r.wantNoSend(r.arrive(2, "safe"))
 }
 
@@ -193,16 +193,16 @@
 	s := settings()
 	r := start(t, s, live("warm", "a", 1))
 	cold := live("cold", "a", 1)
-	cold.Started, cold.Fresh = r.now+5*time.Second, true
-	r.after(5 * time.Second).do(Engines{Mode: ListFull, Engines: []Engine{cold}})
+	cold.StartedAt, cold.StartKnown = r.now+5*time.Second, true
+	r.after(5 * time.Second).do(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{cold}})
 	work := 0.0
 	for id := uint64(1); id < 200; id++ {
 		for range sends(r.arrive(id, "safe")) {
 			work += r.g.classes["safe"].work
-			r.ends(id, 0, Served)
+			r.ends(id, 0, ResultServed)
 		}
 	}
-	if budget := s.Rules.TipMultiple * s.Rules.ColdStart * 8 * 2000 / 2; work == 0 || work > budget {
+	if budget := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 2; work == 0 || work > budget {
 		t.Fatalf("sent %v ms of work, want some and at most %v", work, budget)
 	}
 }
@@ -210,80 +210,80 @@
 func TestOrderHoldsUntilTheEarlierIsOverAndRested(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
 	ask := func(id uint64) []Action {
-		return r.do(Arrive{Query: id, Class: "ordered", Key: "x", Deadline: r.now + 5*time.Second})
+		return r.do(RequestArrived{RequestID: id, Class: "ordered", OrderKey: "x", Deadline: r.now + 5*time.Second})
 	}
 	r.wantSend(ask(1), "e")
 	r.wantNoSend(ask(2))
-	r.do(Gone{Query: 1})
-	r.wantNoSend(r.do(Timer{})) // its attempt is still out
-	r.ends(1, 0, Cancelled)
-	r.wantNoSend(r.after(500 * msec).do(Timer{}))
-	r.wantSend(r.after(300*msec).do(Timer{}), "e")
+	r.do(ClientDisconnected{RequestID: 1})
+	r.wantNoSend(r.do(TimerFired{})) // its attempt is still out
+	r.ends(1, 0, ResultCancelled)
+	r.wantNoSend(r.after(500 * msec).do(TimerFired{}))
+	r.wantSend(r.after(300*msec).do(TimerFired{}), "e")
 }
 
 func TestPlacementHoldsEvenWhenAllAllowedAreGone(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
 	r.wantNoSend(r.arrive(1, "bound"))
-	r.do(Engines{Mode: ListChanges, Engines: []Engine{live("f", "b", 1)}})
+	r.do(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{live("f", "b", 1)}})
 	r.wantSend(r.arrive(2, "bound"), "f")
-	r.wantSend(r.ends(2, 0, Failed), "f")
+	r.wantSend(r.ends(2, 0, ResultFailed), "f")
 }
 
 func TestFurtherAttemptsAreRationed(t *testing.T) {
 	s := settings()
-	s.Rules.LookBack, s.Rules.ExtraFree, s.Rules.ExtraShare = time.Second, 1, 0.1
+	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin, s.Rules.RetryBudgetRatio = time.Second, 1, 0.1
 	r := start(t, s, live("e", "a", 1), live("f", "a", 1))
 	r.arrive(1, "safe")
 	r.arrive(2, "safe")
-	r.wantSend(r.ends(1, 0, Full), "")
-	r.wantNoSend(r.ends(2, 0, Full))
+	r.wantSend(r.ends(1, 0, ResultOverloaded), "")
+	r.wantNoSend(r.ends(2, 0, ResultOverloaded))
 }
 
 func TestSilentEngineIsSuspectAndItsQueriesMove(t *testing.T) {
 	r := start(t, settings(), live("hung", "a", 1))
 	r.arrive(1, "wide")
 	r.arrive(2, "safe")
-	r.do(Engines{Mode: ListChanges, Engines: []Engine{live("good", "a", 1)}})
+	r.do(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{live("good", "a", 1)}})
 	out := r.ticks(1500 * msec)
-	if !has[Cancel](out) || !has[Log](out) {
+	if !has[CancelAttempt](out) || !has[Log](out) {
 		t.Fatalf("want cancels and a log line, got %+v", out)
 	}
 	r.wantNoSend(out) // never two attempts at once
-	r.wantSend(r.ends(1, 0, Cancelled), "good")
+	r.wantSend(r.ends(1, 0, ResultCancelled), "good")
 }
 
 func TestOneQuietAttemptDoesNotCondemnAnEngine(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
 	r.arrive(1, "wide")
-	if out := r.ticks(1500 * msec); has[Cancel](out) {
+	if out := r.ticks(1500 * msec); has[CancelAttempt](out) {
 		t.Fatalf("condemned on one attempt: %+v", out)
 	}
 }
 
 func TestBadPlanIsCancelledOnceThenLeft(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
-	r.do(Arrive{Query: 1, Class: "wide", Deadline: r.now + 15*time.Second})
+	r.do(RequestArrived{RequestID: 1, Class: "wide", Deadline: r.now + 15*time.Second})
 	r.after(time.Second)
-	if out := r.do(Note{Query: 1, Kind: NoteProgress, Value: 0.01}); !has[Cancel](out) {
+	if out := r.do(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.01}); !has[CancelAttempt](out) {
 		t.Fatalf("a hopeless attempt was left: %+v", out)
 	}
-	r.wantSend(r.ends(1, 0, Cancelled), "")
+	r.wantSend(r.ends(1, 0, ResultCancelled), "")
 	r.after(time.Second)
-	if out := r.do(Note{Query: 1, Attempt: 1, Kind: NoteProgress, Value: 0.15}); has[Cancel](out) {
+	if out := r.do(ProgressReported{RequestID: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.15}); has[CancelAttempt](out) {
 		t.Fatalf("a heavy query was cancelled twice: %+v", out)
 	}
 }
 
 func TestSettingsAtFaultAreNamed(t *testing.T) {
 	for want, spoil := range map[string]func(*Settings){
-		"Gateways":            func(s *Settings) { s.Gateways = 0 },
+		"Gateways":            func(s *Settings) { s.Replicas = 0 },
 		"Classes: none":       func(s *Settings) { s.Classes = nil },
-		"Classes[1].Aim":      func(s *Settings) { s.Classes[1].Aim = 0 },
+		"Classes[1].Aim":      func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
 		"Classes[2].Deadline": func(s *Settings) { s.Classes[2].Deadline = -1 },
-		"Rules.LookBack":      func(s *Settings) { s.Rules.LookBack = -1 },
-		"Rules.ExtraFree":     func(s *Settings) { s.Rules.ExtraFree = -1 },
-		"Rules.ExtraShare":    func(s *Settings) { s.Rules.ExtraShare = math.NaN() },
-		"Worth":               func(s *Settings) { s.Classes[0].Worth = math.NaN() },
+		"Rules.LookBack":      func(s *Settings) { s.Rules.RetryBudgetWindow = -1 },
+		"Rules.ExtraFree":     func(s *Settings) { s.Rules.RetryBudgetMin = -1 },
+		"Rules.ExtraShare":    func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() },
+		"Worth":               func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
 		"Classes[0].Threads":  func(s *Settings) { s.Classes[0].Threads = math.NaN() },
 	} {
 		s := settings()
@@ -316,17 +316,17 @@
 
 func TestGrantFollowsToldNeedOverABiasedEstimate(t *testing.T) {
 	s := settings()
-	s.GrantsHeeded, s.CostTold = true, true
+	s.MemoryGrants, s.ReportsCost = true, true
 	r := start(t, s, live("e", "a", 1))
 	var grant float64
 	for id := uint64(1); id < 60; id++ {
-		out := r.do(Arrive{Query: id, Class: "safe", MemoryMB: 100, Deadline: r.now + time.Second})
+		out := r.do(RequestArrived{RequestID: id, Class: "safe", EstimatedMemoryMB: 100, Deadline: r.now + time.Second})
 		for _, a := range out {
-			if g, ok := a.(Grant); ok {
+			if g, ok := a.(SetResources); ok {
 				grant = g.MemoryMB
 			}
 		}
-		r.do(Outcome{Query: id, Result: Served, Elapsed: 50 * msec, Final: true, MemoryMB: 50})
+		r.do(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true, MemoryMB: 50})
 	}
 	if grant < 45 || grant > 65 {
 		t.Fatalf("granted %v MB for an estimate of 100 that is twice the need", grant)
@@ -335,12 +335,12 @@
 
 func TestOwnPauseCondemnsNoEngine(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
-	r.do(Timer{})
+	r.do(TimerFired{})
 	for id := uint64(1); id < 4; id++ {
 		r.arrive(id, "wide")
 		r.arrive(id+10, "safe")
 	}
-	if out := r.after(3 * time.Second).do(Timer{}); has[Cancel](out) || has[Log](out) {
+	if out := r.after(3 * time.Second).do(TimerFired{}); has[CancelAttempt](out) || has[Log](out) {
 		t.Fatalf("a pause of the gateway was taken for silence of an engine: %+v", out)
 	}
 }
@@ -355,9 +355,9 @@
 			if q == nil {
 				break
 			}
-			res := Served
+			res := ResultServed
 			if q.tries[n].e.id == "bad" {
-				res = Failed
+				res = ResultFailed
 				sent++
 			}
 			r.ends(id, n, res)
@@ -373,11 +373,11 @@
 	s.Tenants = []Tenant{{Name: "t", Quota: 40, Share: 1}}
 	busy, idle := start(t, s, live("e", "a", 1)), start(t, s, live("e", "a", 1))
 	for id := uint64(1); id < 800; id++ {
-		busy.after(25 * msec).do(Arrive{Query: id, Class: "safe", Tenant: "t", Deadline: busy.now + time.Second})
-		busy.ends(id, 0, Served)
+		busy.after(25 * msec).do(RequestArrived{RequestID: id, Class: "safe", Tenant: "t", Deadline: busy.now + time.Second})
+		busy.ends(id, 0, ResultServed)
 		if id%4 == 0 {
-			busy.do(Timer{})
-			idle.after(100 * msec).do(Timer{})
+			busy.do(TimerFired{})
+			idle.after(100 * msec).do(TimerFired{})
 		}
 	}
 	b, i := busy.g.byID["e"].top, idle.g.byID["e"].top
@@ -395,8 +395,8 @@
 	serve := func(from uint64, took time.Duration) {
 		for id := from; id < from+200; id++ {
 			r.arrive(id, "safe")
-			r.do(Outcome{Query: id, Result: Served, Elapsed: took, Final: true})
-			r.after(20 * msec).do(Timer{})
+			r.do(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: took, Completed: true})
+			r.after(20 * msec).do(TimerFired{})
 		}
 	}
 	serve(1, 20*msec)
@@ -409,10 +409,10 @@
 
 func TestReadersKeepAwayFromASetUnderLoad(t *testing.T) {
 	s := settings()
-	s.Classes[2].Load, s.Classes[0].WaitsOnLoad = true, true
+	s.Classes[2].BulkLoad, s.Classes[0].BlockedByLoad = true, true
 	r := start(t, s, live("e", "a", 1), live("f", "a", 1))
 	ask := func(id uint64, class string) string {
-		out := r.do(Arrive{Query: id, Class: class, Set: 7, Deadline: r.now + 9*time.Second})
+		out := r.do(RequestArrived{RequestID: id, Class: class, Dataset: 7, Deadline: r.now + 9*time.Second})
 		return sends(out)[0].Engine
 	}
 	loading := ask(1, "unsafe")
@@ -426,19 +426,19 @@
 func TestHopelessQueryIsAnsweredEarly(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
 	r.arrive(1, "wide")
-	r.after(time.Second).do(Note{Query: 1, Kind: NoteProgress, Value: 0.01})
-	r.ends(1, 0, Cancelled)
-	out := r.after(time.Second).do(Note{Query: 1, Attempt: 1, Kind: NoteProgress, Value: 0.01})
-	if !has[Refuse](out) || !has[Cancel](out) {
+	r.after(time.Second).do(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.01})
+	r.ends(1, 0, ResultCancelled)
+	out := r.after(time.Second).do(ProgressReported{RequestID: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.01})
+	if !has[Reject](out) || !has[CancelAttempt](out) {
 		t.Fatalf("a second attempt far past the deadline was kept: %+v", out)
 	}
-	r.wantNoSend(r.ends(1, 1, Cancelled))
+	r.wantNoSend(r.ends(1, 1, ResultCancelled))
 }
 
 func TestLateQueryWhoseFreshRunIsLateTooFinishes(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
 	r.arrive(1, "safe")
-	if out := r.after(500 * msec).do(Note{Query: 1, Kind: NoteProgress, Value: 0.4}); has[Cancel](out) {
+	if out := r.after(500 * msec).do(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.4}); has[CancelAttempt](out) {
 		t.Fatalf("cancelled though no attempt is left: %+v", out)
 	}
 }
@@ -447,7 +447,7 @@
 // that the even part of an engine is far narrower than one query.
 func many(n int) (Settings, []Engine) {
 	s := settings()
-	s.Gateways = 200
+	s.Replicas = 200
 	list := make([]Engine, n)
 	for i := range list {
 		list[i] = live(fmt.Sprintf("e%02d", i), "a", 1)
@@ -477,8 +477,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Handle(0, Engines{Mode: ListFull, Engines: list}, nil)
-		out := g.Handle(0, Arrive{Query: 1, Class: "safe", Set: int64(seed), Deadline: time.Second}, nil)
+		g.Handle(0, EndpointsChanged{Mode: UpdateFull, Engines: list}, nil)
+		out := g.Handle(0, RequestArrived{RequestID: 1, Class: "safe", Dataset: int64(seed), Deadline: time.Second}, nil)
 		for _, a := range sends(out) {
 			met[a.Engine] = true
 		}
@@ -490,11 +490,11 @@
 
 func TestLittleTrafficIsNotTakenForExcess(t *testing.T) {
 	s := settings()
-	s.Gateways, s.Tenants = 200, []Tenant{{Name: "t", Quota: 100, Share: 1}}
+	s.Replicas, s.Tenants = 200, []Tenant{{Name: "t", Quota: 100, Share: 1}}
 	r := start(t, s, live("e", "a", 1))
 	over := 0
 	for id := uint64(1); id < 40; id++ { // one in two seconds, its even part
-		r.after(2 * time.Second).do(Timer{})
+		r.after(2 * time.Second).do(TimerFired{})
 		if r.g.overShare("t") {
 			over++
 		}
@@ -503,7 +503,7 @@
 		t.Fatalf("%d of 39 queries within the quota counted as beyond it", over)
 	}
 	for id := 0; id < 100; id++ {
-		if r.after(100 * msec).do(Timer{}); r.g.overShare("t") {
+		if r.after(100 * msec).do(TimerFired{}); r.g.overShare("t") {
 			over++
 		}
 	}
@@ -521,33 +521,33 @@
 		down := n < 0
 		n = max(n, -n)
 		s := settings()
-		s.Gateways = n
+		s.Replicas = n
 		cold := live("cold", "a", 1)
-		cold.Started, cold.Fresh = time.Minute, true
+		cold.StartedAt, cold.StartKnown = time.Minute, true
 		type sent struct {
 			at   time.Duration
 			work float64
 		}
 		var all []sent
-		gateways := make([]*Gateway, n)
+		gateways := make([]*Balancer, n)
 		for i := range gateways {
 			gateways[i], _ = New(s, uint64(i))
-			gateways[i].Handle(30*time.Second, Timer{}, nil)
+			gateways[i].Handle(30*time.Second, TimerFired{}, nil)
 			if down {
-				gateways[i].Handle(30*time.Second, Engines{Mode: ListFull, Engines: []Engine{live("cold", "a", 1)}}, nil)
-				gateways[i].Handle(51*time.Second, Arrive{Query: 1 << 40, Class: "safe", Deadline: 55 * time.Second}, nil)
-				gateways[i].Handle(51*time.Second, Outcome{Query: 1 << 40, Result: NoConnection}, nil)
+				gateways[i].Handle(30*time.Second, EndpointsChanged{Mode: UpdateFull, Engines: []Engine{live("cold", "a", 1)}}, nil)
+				gateways[i].Handle(51*time.Second, RequestArrived{RequestID: 1 << 40, Class: "safe", Deadline: 55 * time.Second}, nil)
+				gateways[i].Handle(51*time.Second, AttemptEnded{RequestID: 1 << 40, Result: ResultConnectFailed}, nil)
 			}
-			gateways[i].Handle(time.Minute, Engines{Mode: ListFull, Engines: []Engine{cold}}, nil)
+			gateways[i].Handle(time.Minute, EndpointsChanged{Mode: UpdateFull, Engines: []Engine{cold}}, nil)
 		}
 		id := uint64(0)
-		for now := time.Minute; now < time.Minute+s.Rules.ColdFor; now += 100 * msec {
+		for now := time.Minute; now < time.Minute+s.Rules.WarmupTime; now += 100 * msec {
 			for _, g := range gateways {
 				for _, class := range []string{"safe", "wide", "unsafe"} {
 					id++
-					for range sends(g.Handle(now, Arrive{Query: id, Class: class, Deadline: now + 9*time.Second}, nil)) {
+					for range sends(g.Handle(now, RequestArrived{RequestID: id, Class: class, Deadline: now + 9*time.Second}, nil)) {
 						all = append(all, sent{now, g.classes[class].work})
-						g.Handle(now, Outcome{Query: id, Result: Served, Elapsed: s.Classes[0].Aim, Final: true}, nil)
+						g.Handle(now, AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: s.Classes[0].LatencyObjective, Completed: true}, nil)
 					}
 				}
 			}
@@ -556,16 +556,16 @@
 		for i, from := range all {
 			sum := 0.0
 			for _, a := range all[i:] {
-				if a.at < from.at+s.Rules.TipFor {
+				if a.at < from.at+s.Rules.OverloadWindow {
 					sum += a.work
 				}
 			}
-			grown := float64(from.at-time.Minute) / float64(s.Rules.ColdFor) // late, as a square
-			capacity := s.Rules.ColdStart + (1-s.Rules.ColdStart)*grown*grown
+			grown := float64(from.at-time.Minute) / float64(s.Rules.WarmupTime) // late, as a square
+			capacity := s.Rules.WarmupCapacity + (1-s.Rules.WarmupCapacity)*grown*grown
 			most, total = max(most, sum/capacity), total+from.work
 		}
-		limit := s.Rules.TipMultiple * 8 * ms(s.Rules.TipFor)
-		if most > limit || total < 0.1*limit*s.Rules.ColdStart*float64(s.Rules.ColdFor/s.Rules.TipFor) {
+		limit := s.Rules.OverloadFactor * 8 * milliseconds(s.Rules.OverloadWindow)
+		if most > limit || total < 0.1*limit*s.Rules.WarmupCapacity*float64(s.Rules.WarmupTime/s.Rules.OverloadWindow) {
 			t.Errorf("%d gateways: %.0f ms of work within a span over the capacity, %.0f in all; the limit is %.0f", n, most, total, limit)
 		}
 	}
@@ -579,12 +579,12 @@
 	}{{"wide", 500 * msec, true}, {"wide", 2500 * msec, false}, {"unsafe", 500 * msec, false}} {
 		r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
 		first := sends(r.arrive(1, c.class))[0].Engine
-		out := r.after(c.after).do(Note{Query: 1, Kind: NoteWaitLoad})
-		if has[Cancel](out) != c.moves {
+		out := r.after(c.after).do(ProgressReported{RequestID: 1, Kind: ProgressAwaitingLoad})
+		if has[CancelAttempt](out) != c.moves {
 			t.Fatalf("%s after %v: %+v", c.class, c.after, out)
 		}
 		if c.moves {
-			if out = r.ends(1, 0, Cancelled); len(sends(out)) != 1 || sends(out)[0].Engine == first {
+			if out = r.ends(1, 0, ResultCancelled); len(sends(out)) != 1 || sends(out)[0].Engine == first {
 				t.Fatalf("it did not move from %s: %+v", first, out)
 			}
 		}
@@ -596,11 +596,11 @@
 func TestQueryThatWaitsForMemoryMovesOnce(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1), live("g", "a", 1))
 	r.arrive(1, "wide")
-	if out := r.do(Note{Query: 1, Kind: NoteWaitMemory}); !has[Cancel](out) {
+	if out := r.do(ProgressReported{RequestID: 1, Kind: ProgressAwaitingMemory}); !has[CancelAttempt](out) {
 		t.Fatalf("it did not move: %+v", out)
 	}
-	r.ends(1, 0, Cancelled)
-	if out := r.do(Note{Query: 1, Attempt: 1, Kind: NoteWaitMemory}); has[Cancel](out) {
+	r.ends(1, 0, ResultCancelled)
+	if out := r.do(ProgressReported{RequestID: 1, Attempt: 1, Kind: ProgressAwaitingMemory}); has[CancelAttempt](out) {
 		t.Fatalf("it moved again: %+v", out)
 	}
 }
@@ -611,7 +611,7 @@
 	free := r.g.fleet.top
 	for id := uint64(1); id < 20; id++ {
 		r.arrive(id, "safe")
-		r.do(Outcome{Query: id, Result: Served, Elapsed: 50 * msec, Final: true, Load: Load{Told: true, Busy: 1, Held: -1}})
+		r.do(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true, Load: LoadReport{Reported: true, CPUShare: 1, InFlight: -1}})
 	}
 	r.ticks(time.Second)
 	if got := r.g.fleet.top; got > capStarts*r.g.fleet.start+0.05*free {
@@ -624,11 +624,11 @@
 	met := map[string]int{}
 	for seed := uint64(1); seed < 90; seed++ {
 		g, _ := New(s, seed)
-		g.Handle(0, Engines{Mode: ListFull, Engines: list}, nil)
+		g.Handle(0, EndpointsChanged{Mode: UpdateFull, Engines: list}, nil)
 		for _, e := range g.engines {
 			e.top = 3 // under the weight of four
 		}
-		for _, a := range sends(g.Handle(0, Arrive{Query: 1, Class: "wide", Set: int64(seed), Deadline: time.Second}, nil)) {
+		for _, a := range sends(g.Handle(0, RequestArrived{RequestID: 1, Class: "wide", Dataset: int64(seed), Deadline: time.Second}, nil)) {
 			met[a.Engine]++
 		}
 	}
@@ -648,7 +648,7 @@
 	before := r.g.fleet.top
 	for id := uint64(1); id < 20; id++ {
 		r.arrive(id, "safe")
-		r.do(Outcome{Query: id, Result: Served, Elapsed: 50 * msec, Final: true, Load: Load{Told: true, Busy: 0.2, Held: -1}})
+		r.do(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true, Load: LoadReport{Reported: true, CPUShare: 0.2, InFlight: -1}})
 	}
 	if r.ticks(time.Second); r.g.fleet.top < 1.5*before {
 		t.Fatalf("top of all %v with every engine told idle, %v with nothing told", r.g.fleet.top, before)
@@ -658,17 +658,17 @@
 func TestFailedConnectionIsTakenForARestart(t *testing.T) {
 	s, list := many(1)
 	r := start(t, s, list...)
-	r.after(3 * time.Second).do(Timer{})
+	r.after(3 * time.Second).do(TimerFired{})
 	r.arrive(1, "safe")
-	r.ends(1, 0, Lost)
+	r.ends(1, 0, ResultConnectionLost)
 	work := 0.0
 	for id := uint64(2); id < 200; id++ { // all at once, to an engine that may be cold
 		for range sends(r.arrive(id, "safe")) {
 			work += r.g.classes["safe"].work
-			r.ends(id, 0, Served)
+			r.ends(id, 0, ResultServed)
 		}
 	}
-	if part := s.Rules.TipMultiple * s.Rules.ColdStart * 8 * 2000 / 200; work > part+r.g.classes["safe"].work {
+	if part := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 200; work > part+r.g.classes["safe"].work {
 		t.Fatalf("%v ms of work after a broken connection; this gateway's part of a cold budget is %v", work, part)
 	}
 }
@@ -681,9 +681,9 @@
 		result  Result
 		suspect bool
 		cold    bool
-	}{{Lost, false, false}, {NoConnection, true, true}} {
+	}{{ResultConnectionLost, false, false}, {ResultConnectFailed, true, true}} {
 		r := start(t, settings(), live("e", "a", 1))
-		r.after(3 * time.Second).do(Timer{})
+		r.after(3 * time.Second).do(TimerFired{})
 		for id := uint64(1); id <= 4; id++ {
 			r.arrive(id, "safe")
 		}
@@ -697,7 +697,7 @@
 		r.after(200 * msec)
 		for id := uint64(5); id < 9; id++ {
 			if out := r.arrive(id, "safe"); len(sends(out)) > 0 {
-				r.after(50 * msec).do(Note{Query: id, Kind: NoteProgress, Value: 0.5})
+				r.after(50 * msec).do(ProgressReported{RequestID: id, Kind: ProgressFraction, Value: 0.5})
 				break
 			}
 		}
@@ -713,8 +713,8 @@
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1), live("g", "a", 1))
 	for id := uint64(1); id < 20; id++ {
 		r.arrive(id, "safe")
-		r.ends(id, 0, Failed)
-		if out := r.ends(id, 1, Failed); len(sends(out)) > 0 || !has[Refuse](out) {
+		r.ends(id, 0, ResultFailed)
+		if out := r.ends(id, 1, ResultFailed); len(sends(out)) > 0 || !has[Reject](out) {
 			t.Fatalf("after two errors: %+v", out)
 		}
 	}
@@ -724,8 +724,8 @@
 		}
 	}
 	first := r.g.byID[sends(r.arrive(20, "safe"))[0].Engine]
-	r.ends(20, 0, Failed)
-	if r.ends(20, 1, Served); first.faults == 0 {
+	r.ends(20, 0, ResultFailed)
+	if r.ends(20, 1, ResultServed); first.faults == 0 {
 		t.Error("no fault for an error on what another engine served")
 	}
 }
@@ -739,17 +739,17 @@
 		waits, lost bool
 	}{{"safe", false, true}, {"keyed", false, true}, {"unsafe", false, false}, {"safe", true, false}} {
 		s := settings()
-		s.Classes[3].Window = 5 * time.Second
+		s.Classes[3].DedupWindow = 5 * time.Second
 		r := start(t, s, live("e", "a", 1))
 		r.arrive(1, c.class)
 		r.arrive(2, "unsafe")
 		if c.waits {
-			r.do(Note{Query: 1, Kind: NoteWaitMemory})
+			r.do(ProgressReported{RequestID: 1, Kind: ProgressAwaitingMemory})
 		}
 		moved := false
 		for range 8 {
-			r.do(Note{Query: 2, Kind: NoteWaitMemory})
-			moved = moved || has[Cancel](r.ticks(400*msec))
+			r.do(ProgressReported{RequestID: 2, Kind: ProgressAwaitingMemory})
+			moved = moved || has[CancelAttempt](r.ticks(400*msec))
 		}
 		if moved != c.lost {
 			t.Errorf("%s, waiting %v: tried again is %v", c.class, c.waits, moved)
@@ -769,10 +769,10 @@
 					n++
 				}
 			}
-			r.do(Gone{Query: id})
+			r.do(ClientDisconnected{RequestID: id})
 			for _, q := range r.g.queries {
 				if q.id == id {
-					r.ends(id, 0, Cancelled)
+					r.ends(id, 0, ResultCancelled)
 				}
 			}
 		}
@@ -783,7 +783,7 @@
 		if sends(r.arrive(id, "safe"))[0].Engine == "e" {
 			still[id] = true
 		} else {
-			r.ends(id, 0, Served)
+			r.ends(id, 0, ResultServed)
 		}
 	}
 	for range 4 {
@@ -798,7 +798,7 @@
 	}
 	other := live("f", "a", 1)
 	other.State = EngineDraining
-	r.do(Engines{Mode: ListChanges, Engines: []Engine{other}})
+	r.do(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{other}})
 	if n := to("unsafe"); n == 0 {
 		t.Error("none of the class that runs")
 	}
@@ -810,7 +810,7 @@
 		t.Error("no query was sent to find out, or more than one")
 	}
 	trial := e.out[len(e.out)-1]
-	r.do(Note{Query: trial.q.id, Attempt: trial.n, Kind: NoteProgress, Value: 0.5})
+	r.do(ProgressReported{RequestID: trial.q.id, Attempt: trial.n, Kind: ProgressFraction, Value: 0.5})
 	if r.g.mute(e, r.g.classes["safe"]) {
 		t.Error("mute after word of the class")
 	}
@@ -820,13 +820,13 @@
 	s, list := many(2)
 	for seed := uint64(1); seed < 60; seed++ {
 		g, _ := New(s, seed)
-		g.Handle(0, Engines{Mode: ListFull, Engines: list}, nil)
+		g.Handle(0, EndpointsChanged{Mode: UpdateFull, Engines: list}, nil)
 		near, far := g.engines[0], g.engines[1]
 		if affinity(near.hash, 7) < affinity(far.hash, 7) {
 			near, far = far, near
 		}
 		near.top, far.zone = 3.9, "b" // under the weight of four; near and in the own zone all the same
-		for _, a := range sends(g.Handle(0, Arrive{Query: 1, Class: "wide", Set: 7, Deadline: time.Second}, nil)) {
+		for _, a := range sends(g.Handle(0, RequestArrived{RequestID: 1, Class: "wide", Dataset: 7, Deadline: time.Second}, nil)) {
 			if a.Engine != far.id {
 				t.Fatalf("seed %d: sent by chance to %s while it fits at %s", seed, near.id, far.id)
 			}
@@ -836,23 +836,23 @@
 
 func TestNothingGrowsOverALongRun(t *testing.T) {
 	s := settings()
-	s.Classes[0].WaitsOnLoad = true
-	s.Rules.LookBack, s.Rules.ExtraFree, s.Rules.ExtraShare = time.Second, 3, 0.1
+	s.Classes[0].BlockedByLoad = true
+	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin, s.Rules.RetryBudgetRatio = time.Second, 3, 0.1
 	r := start(t, s)
 	for id := uint64(1); id < 5000; id++ {
 		gone, fresh := live(fmt.Sprintf("e%d", id-1), "a", 1), live(fmt.Sprintf("e%d", id), "a", 1)
-		gone.State = EngineGone
-		r.after(100 * msec).do(Engines{Mode: ListChanges, Engines: []Engine{gone, fresh}})
-		r.do(Arrive{Query: id, Class: "ordered", Key: fmt.Sprint("k", id), Set: int64(id), Deadline: r.now + time.Second})
-		r.do(Note{Query: id, Kind: NoteWaitLoad})
-		r.ends(id, 0, []Result{Served, Lost, Cancelled}[id%3])
+		gone.State = EngineRemoved
+		r.after(100 * msec).do(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{gone, fresh}})
+		r.do(RequestArrived{RequestID: id, Class: "ordered", OrderKey: fmt.Sprint("k", id), Dataset: int64(id), Deadline: r.now + time.Second})
+		r.do(ProgressReported{RequestID: id, Kind: ProgressAwaitingLoad})
+		r.ends(id, 0, []Result{ResultServed, ResultConnectionLost, ResultCancelled}[id%3])
 		if q := r.g.queries[id]; q != nil {
-			r.do(Gone{Query: id})
+			r.do(ClientDisconnected{RequestID: id})
 			for n := range q.tries {
-				r.ends(id, n, Cancelled)
+				r.ends(id, n, ResultCancelled)
 			}
 		}
-		r.do(Timer{})
+		r.do(TimerFired{})
 	}
 	g := r.g
 	held := 0
@@ -873,10 +873,10 @@
 	before := r.g.byID["e"].top
 	for id := uint64(1); id < 9; id++ { // none of them is ever answered
 		r.arrive(id, "wide")
-		r.after(500 * msec).do(Note{Query: id, Kind: NoteProgress, Value: 0.01})
-		r.ends(id, 0, Cancelled)
-		r.do(Gone{Query: id})
-		r.ends(id, 1, Cancelled)
+		r.after(500 * msec).do(ProgressReported{RequestID: id, Kind: ProgressFraction, Value: 0.01})
+		r.ends(id, 0, ResultCancelled)
+		r.do(ClientDisconnected{RequestID: id})
+		r.ends(id, 1, ResultCancelled)
 	}
 	if r.ticks(time.Second); r.g.byID["e"].top > 0.8*before {
 		t.Fatalf("top %v after eight attempts cancelled as slow, %v before", r.g.byID["e"].top, before)
@@ -885,30 +885,30 @@
 
 func TestOverdueAttemptIsTriedElsewhereWithoutNotes(t *testing.T) {
 	s := settings()
-	s.NoteEvery, s.Limits.Tries, s.Classes[1].Stretch = 0, 2, 2.5
+	s.ProgressInterval, s.Limits.MaxAttempts, s.Classes[1].ObjectiveStretch = 0, 2, 2.5
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
 	first := sends(r.arrive(1, "wide"))
 	if len(first) != 1 {
 		t.Fatalf("want one send, got %+v", r.out)
 	}
-	if out := r.ticks(1500 * msec); has[Cancel](out) {
+	if out := r.ticks(1500 * msec); has[CancelAttempt](out) {
 		t.Fatalf("cancelled within its usual scatter: %+v", out)
 	}
-	if out := r.ticks(700 * msec); !has[Cancel](out) { // usual 1 s, twice that is overdue; the aim is 5.5 s
+	if out := r.ticks(700 * msec); !has[CancelAttempt](out) { // usual 1 s, twice that is overdue; the aim is 5.5 s
 		t.Fatalf("an answer twice as late as usual was waited for: %+v", out)
 	}
-	again := sends(r.ends(1, 0, Cancelled))
+	again := sends(r.ends(1, 0, ResultCancelled))
 	if len(again) != 1 || again[0].Engine == first[0].Engine {
 		t.Fatalf("want a send to the other engine than %q, got %+v", first[0].Engine, again)
 	}
-	if out := r.ticks(5 * time.Second); has[Cancel](out) {
+	if out := r.ticks(5 * time.Second); has[CancelAttempt](out) {
 		t.Fatalf("cancelled though no attempt is left: %+v", out)
 	}
 }
 
-func grantOf(out []Action) (g Grant) {
+func grantOf(out []Action) (g SetResources) {
 	for _, a := range out {
-		if got, ok := a.(Grant); ok {
+		if got, ok := a.(SetResources); ok {
 			g = got
 		}
 	}
@@ -917,13 +917,13 @@
 
 func TestPriorityGoesByWorthOverWork(t *testing.T) {
 	s := settings()
-	s.PriorityHeeds = true
+	s.Priorities = true
 	r := start(t, s, live("e", "a", 1))
 	id := uint64(0)
 	rank := func(work time.Duration) int {
 		id++
-		out := r.do(Arrive{Query: id, Class: "safe", Work: work, Deadline: r.now + time.Second})
-		r.ends(id, 0, Served)
+		out := r.do(RequestArrived{RequestID: id, Class: "safe", EstimatedWork: work, Deadline: r.now + time.Second})
+		r.ends(id, 0, ResultServed)
 		return grantOf(out).Priority
 	}
 	for range 50 {
@@ -936,15 +936,15 @@
 
 func TestSpillNotesRaiseGrantsWhereCostIsUntold(t *testing.T) {
 	s := settings()
-	s.GrantsHeeded = true
+	s.MemoryGrants = true
 	r := start(t, s, live("e", "a", 1))
 	var grant float64
 	for id := uint64(1); id < 20; id++ { // each needs twice its estimate
-		grant = grantOf(r.do(Arrive{Query: id, Class: "safe", MemoryMB: 100, Deadline: r.now + time.Second})).MemoryMB
+		grant = grantOf(r.do(RequestArrived{RequestID: id, Class: "safe", EstimatedMemoryMB: 100, Deadline: r.now + time.Second})).MemoryMB
 		if grant < 200 {
-			r.do(Note{Query: id, Kind: NoteSpill, Value: 200 - grant})
+			r.do(ProgressReported{RequestID: id, Kind: ProgressSpilling, Value: 200 - grant})
 		}
-		r.ends(id, 0, Served)
+		r.ends(id, 0, ResultServed)
 	}
 	if grant < 180 || grant > 260 {
 		t.Fatalf("granted %v MB of the 200 that are needed", grant)
@@ -953,9 +953,9 @@
 
 func TestPartFollowsToldLoadWithoutTenants(t *testing.T) {
 	s := settings()
-	s.Gateways = 100
+	s.Replicas = 100
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
-	r.g.set.NoteEvery = time.Hour // nothing is silent here
+	r.g.set.ProgressInterval = time.Hour // nothing is silent here
 	r.g.quiet = time.Hour
 	for id := uint64(1); id <= 8; id++ {
 		r.arrive(id, "unsafe")
@@ -965,14 +965,14 @@
 		t.Fatalf("%v queries out, too few to test with", held)
 	}
 	for range 100 { // half of all that the two engines hold is ours
-		r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: 0.5, Held: held}})
+		r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: held}})
 		r.ticks(500 * msec)
 	}
 	if got := r.g.share(); got < 0.4 || got > 0.6 {
 		t.Fatalf("a part of %.2f where half of what the engines hold is ours", got)
 	}
 	for range 200 {
-		r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: 0.5, Held: held * 60}})
+		r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: held * 60}})
 	}
 	if got := r.g.share(); got < 0.01 || got > 0.011 {
 		t.Fatalf("a part of %v, under the equal one or over it", got)
@@ -982,33 +982,33 @@
 func TestProbesTellWhomToAvoid(t *testing.T) {
 	s := settings()
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
-	if out := r.arrive(1, "safe"); has[Probe](out) {
+	if out := r.arrive(1, "safe"); has[CheckHealth](out) {
 		t.Fatalf("a probe where none is permitted: %+v", out)
 	}
-	s.Limits.Probes, s.LoadTold = true, true
+	s.Limits.HealthChecks, s.ReportsLoad = true, true
 	r = start(t, s, live("e", "a", 1), live("f", "a", 2))
 	probes := 0
 	for id := uint64(1); id <= 40; id++ {
-		r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: 1, Held: 60}})
-		r.do(Probed{Engine: "f", Result: Served, Load: Load{Told: true, Busy: 0.1, Held: 2}})
-		r.do(Probed{Engine: "stranger", Result: Served, Load: Load{Told: true, Busy: 9, Held: 1e9}})
-		if has[Probe](r.arrive(id, "safe")) {
+		r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 1, InFlight: 60}})
+		r.do(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.1, InFlight: 2}})
+		r.do(HealthChecked{Engine: "stranger", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 9, InFlight: 1e9}})
+		if has[CheckHealth](r.arrive(id, "safe")) {
 			probes++
 		}
 		r.wantSend(r.out, "f")
-		r.ends(id, 0, Served)
+		r.ends(id, 0, ResultServed)
 	}
 	if probes < 28 {
 		t.Fatalf("%d probes with 40 queries taken while an engine is busy", probes)
 	}
 	probes = 0
 	for id := uint64(100); id < 200; id++ {
-		r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Held: 0}})
-		r.do(Probed{Engine: "f", Result: Served, Load: Load{Told: true, Held: 0}})
-		if has[Probe](r.arrive(id, "safe")) {
+		r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, InFlight: 0}})
+		r.do(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, InFlight: 0}})
+		if has[CheckHealth](r.arrive(id, "safe")) {
 			probes++
 		}
-		r.ends(id, 0, Served)
+		r.ends(id, 0, ResultServed)
 	}
 	if probes < 20 || probes > 70 { // some must go on: else nobody learns that load is back
 		t.Fatalf("%d probes with 100 queries taken while all are idle", probes)
@@ -1019,10 +1019,10 @@
 	s := settings()
 	r := start(t, s, live("e", "a", 1))
 	for id := uint64(1); id <= 100; id++ {
-		r.do(Arrive{Query: id, Class: "wide", Work: time.Millisecond, Deadline: r.now + 9*time.Second})
-		r.ends(id, 0, Served)
+		r.do(RequestArrived{RequestID: id, Class: "wide", EstimatedWork: time.Millisecond, Deadline: r.now + 9*time.Second})
+		r.ends(id, 0, ResultServed)
 	}
-	r.do(Arrive{Query: 200, Class: "wide", Work: time.Second, Deadline: r.now + 9*time.Second})
+	r.do(RequestArrived{RequestID: 200, Class: "wide", EstimatedWork: time.Second, Deadline: r.now + 9*time.Second})
 	if got, most := r.g.queries[200], 2*4.0; got == nil || got.weight > most {
 		t.Fatalf("a query of a thousand times the usual work should weigh %v at most: %+v", most, got)
 	}
@@ -1033,13 +1033,13 @@
 	id := uint64(0)
 	limit := func(class string, work time.Duration) float64 {
 		id++
-		r.do(Arrive{Query: id, Class: class, Work: work, Deadline: r.now + time.Second})
+		r.do(RequestArrived{RequestID: id, Class: class, EstimatedWork: work, Deadline: r.now + time.Second})
 		q := r.g.queries[id]
 		if q == nil {
 			t.Fatalf("query %d of %v refused by an idle gateway", id, work)
 		}
 		got := r.g.limit(q, &r.g.fleet)
-		r.ends(id, 0, Served)
+		r.ends(id, 0, ResultServed)
 		return got
 	}
 	for range 50 {
@@ -1053,7 +1053,7 @@
 		t.Fatalf("limit without an estimate %.1f, of a usual query %.1f", got, usual)
 	}
 	for range 50 { // a class of no worth must not spoil the usual
-		r.g.classes["safe"].Worth = 0
+		r.g.classes["safe"].PriorityWeight = 0
 		limit("safe", 100*msec)
 	}
 	if math.IsNaN(r.g.dear) || math.IsInf(r.g.dear, 0) {
@@ -1064,11 +1064,11 @@
 func TestRationIsNotSpentOnWhatWaits(t *testing.T) {
 	for _, back := range []time.Duration{0, 10 * time.Second} {
 		s := settings()
-		s.Rules.LookBack, s.Rules.ExtraFree = back, 5
+		s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin = back, 5
 		r := start(t, s, live("e", "a", 1), live("f", "a", 2))
 		r.arrive(1, "wide")
-		out := r.after(500 * msec).do(Note{Query: 1, Kind: NoteWaitMemory, Value: 1})
-		if moved := has[Cancel](out); moved != (back == 0) {
+		out := r.after(500 * msec).do(ProgressReported{RequestID: 1, Kind: ProgressAwaitingMemory, Value: 1})
+		if moved := has[CancelAttempt](out); moved != (back == 0) {
 			t.Errorf("look-back %v: moved is %v", back, moved)
 		}
 	}
@@ -1076,17 +1076,17 @@
 
 func TestOddReportsSpoilNothing(t *testing.T) {
 	s := settings()
-	s.Limits.Probes, s.LoadTold = true, true
+	s.Limits.HealthChecks, s.ReportsLoad = true, true
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
 	for id, odd := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
-		for _, load := range []Load{{Told: true, Busy: odd, Held: -1}, {Told: true, Busy: 0.5, Held: odd}, {Told: true, Busy: odd, Held: odd}} {
-			r.do(Probed{Engine: "e", Result: TimedOut, Load: load})
-			r.do(Probed{Engine: "e", Result: Served, Load: load})
-			r.do(Probed{Engine: "", Result: Served, Load: load})
+		for _, load := range []LoadReport{{Reported: true, CPUShare: odd, InFlight: -1}, {Reported: true, CPUShare: 0.5, InFlight: odd}, {Reported: true, CPUShare: odd, InFlight: odd}} {
+			r.do(HealthChecked{Engine: "e", Result: ResultTimedOut, Load: load})
+			r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: load})
+			r.do(HealthChecked{Engine: "", Result: ResultServed, Load: load})
 		}
-		r.after(20 * time.Second).do(Timer{})
+		r.after(20 * time.Second).do(TimerFired{})
 		r.wantSend(r.arrive(uint64(id+1), "safe"), "")
-		r.ends(uint64(id+1), 0, Served)
+		r.ends(uint64(id+1), 0, ResultServed)
 	}
 	for name, v := range map[string]float64{"level": r.g.fleet.level, "load": r.g.load, "theirs": r.g.theirs, "part": r.g.share()} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
@@ -1097,26 +1097,26 @@
 
 func TestRefusalTellsWhatKeptTheQuery(t *testing.T) {
 	cold := live("e", "a", 1)
-	cold.Fresh, cold.Started = true, time.Minute
+	cold.StartKnown, cold.StartedAt = true, time.Minute
 	gone := live("e", "a", 1)
 	gone.State = EngineDraining
 	for _, c := range []struct {
-		want   Why
+		want   RejectReason
 		engine Engine
-		set    func(g *Gateway, e *engine)
+		set    func(g *Balancer, e *engine)
 	}{
-		{WhyNone, gone, func(*Gateway, *engine) {}},
-		{WhyCold, cold, func(*Gateway, *engine) {}}, // the gateway itself has just started
-		{WhySuspect, live("e", "a", 1), func(g *Gateway, e *engine) { e.suspected, e.trialAt = true, time.Hour }},
-		{WhyBound, live("e", "a", 1), func(g *Gateway, e *engine) { e.backlog = 100 }},
-		{WhyAll, live("e", "a", 1), func(g *Gateway, e *engine) { g.fleet.backlog = 100 }},
+		{ReasonNoEndpoint, gone, func(*Balancer, *engine) {}},
+		{ReasonSlowStart, cold, func(*Balancer, *engine) {}}, // the gateway itself has just started
+		{ReasonEjected, live("e", "a", 1), func(g *Balancer, e *engine) { e.suspected, e.trialAt = true, time.Hour }},
+		{ReasonEngineLimit, live("e", "a", 1), func(g *Balancer, e *engine) { e.backlog = 100 }},
+		{ReasonFleetLimit, live("e", "a", 1), func(g *Balancer, e *engine) { g.fleet.backlog = 100 }},
 	} {
 		r := start(t, settings(), c.engine)
 		c.set(r.g, r.g.byID["e"])
-		why := WhyUnknown
+		why := ReasonUnknownClass
 		for _, a := range r.arrive(1, "safe") {
-			if no, ok := a.(Refuse); ok {
-				why = no.Why
+			if no, ok := a.(Reject); ok {
+				why = no.Reason
 			}
 		}
 		if why != c.want {
@@ -1142,7 +1142,7 @@
 		r.g.control(f)
 		f.bound = floorShare
 		f.backlog = 2
-		r.after(c.after).do(Gone{}) // nothing but the time
+		r.after(c.after).do(ClientDisconnected{}) // nothing but the time
 		if open := r.g.open(&query{class: r.g.classes["safe"], weight: 1, open: 1, part: 1}); open != c.open {
 			t.Errorf("latency %v of the aim, %v later: open is %v", c.latency, c.after, open)
 		}
@@ -1153,7 +1153,7 @@
 // are for that part, and until then it refuses what the engines have room for.
 func TestPartIsKnownFromTheFirstReports(t *testing.T) {
 	s := settings()
-	s.Gateways = 100
+	s.Replicas = 100
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
 	r.g.quiet = time.Hour
 	for id := uint64(1); id <= 4; id++ {
@@ -1162,7 +1162,7 @@
 	held := float64(len(r.g.queries))
 	for range 6 { // 3 s in which a fifth of what the two engines hold is ours
 		for range 10 {
-			r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: -1, Held: held * 2.5}})
+			r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: held * 2.5}})
 		}
 		r.ticks(500 * msec)
 	}
@@ -1175,22 +1175,22 @@
 // whatever it is sent makes that worse.
 func TestEngineThatHasGrantedItsMemoryIsAvoided(t *testing.T) {
 	for _, c := range []struct {
-		short MemoryShort
+		short MemoryShortage
 		avoid bool
-	}{{ShortSwap, true}, {ShortWait, false}} {
+	}{{ShortageSwap, true}, {ShortageQueue, false}} {
 		s := settings()
-		s.Short = c.short
+		s.Shortage = c.short
 		r := start(t, s, live("e", "a", 1), live("f", "a", 2))
 		to := map[string]int{}
 		for id := uint64(1); id <= 40; id++ {
 			for range 5 {
-				r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: -1, Held: 2, Memory: 1.5}})
-				r.do(Probed{Engine: "f", Result: Served, Load: Load{Told: true, Busy: -1, Held: 2, Memory: 0.3}})
+				r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2, MemoryShare: 1.5}})
+				r.do(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2, MemoryShare: 0.3}})
 			}
 			for _, a := range sends(r.arrive(id, "safe")) {
 				to[a.Engine]++
 			}
-			r.ends(id, 0, Served)
+			r.ends(id, 0, ResultServed)
 		}
 		if avoided := to["e"] == 0; avoided != c.avoid {
 			t.Errorf("short memory %v: sent %v", c.short, to)
@@ -1202,17 +1202,17 @@
 // grows with the engine: else a fleet that is half replaced stands idle while the rest jams.
 func TestColdBudgetFollowsTrafficAndWarmth(t *testing.T) {
 	s := settings()
-	s.Gateways = 100
+	s.Replicas = 100
 	cold := live("cold", "a", 1)
-	cold.Started, cold.Fresh = time.Minute, true
+	cold.StartedAt, cold.StartKnown = time.Minute, true
 	sent := func(mine float64, from time.Duration) (n int) {
 		r := start(t, s)
-		r.after(5 * time.Second).do(Engines{Mode: ListFull, Engines: []Engine{cold}})
+		r.after(5 * time.Second).do(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{cold}})
 		r.after(from - 5*time.Second)
 		for id := uint64(1); id <= 30; id++ {
 			r.g.mine, r.g.theirs = mine, 10 // of ten queries that an engine holds
 			n += len(sends(r.after(100*msec).arrive(id, "safe")))
-			r.ends(id, 0, Served)
+			r.ends(id, 0, ResultServed)
 		}
 		return n
 	}
@@ -1233,13 +1233,13 @@
 	to := map[string]int{}
 	for id := uint64(1); id <= 40; id++ {
 		for range 5 {
-			r.do(Probed{Engine: "e", Result: Served, Load: Load{Told: true, Busy: -1, Held: 30}})
-			r.do(Probed{Engine: "f", Result: Served, Load: Load{Told: true, Busy: -1, Held: 2}})
+			r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 30}})
+			r.do(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2}})
 		}
 		for _, a := range sends(r.after(4*time.Second).arrive(id, "safe")) {
 			to[a.Engine]++
 		}
-		r.ends(id, 0, Served)
+		r.ends(id, 0, ResultServed)
 	}
 	if to["e"] > to["f"]/8 {
 		t.Errorf("4 s after the reports, sent %v", to)
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -46,25 +46,25 @@
 func (m *model) apply(out []Action) {
 	for _, a := range out {
 		switch a := a.(type) {
-		case Send:
+		case StartAttempt:
 			m.send(a)
-		case Grant:
+		case SetResources:
 			if a.Priority < 0 || a.Priority > 3 || !(a.MemoryMB >= 0) {
-				m.fail("query %d: priority %d, grant %v", a.Query, a.Priority, a.MemoryMB)
+				m.fail("query %d: priority %d, grant %v", a.RequestID, a.Priority, a.MemoryMB)
 			}
-		case Probe:
-			if !m.s.Limits.Probes || m.state[a.Engine] != EngineLive {
+		case CheckHealth:
+			if !m.s.Limits.HealthChecks || m.state[a.Engine] != EngineReady {
 				m.fail("a probe of %s", a.Engine)
 			}
-		case Refuse:
-			q := m.end(a.Query)
+		case Reject:
+			q := m.end(a.RequestID)
 			for _, try := range q.tries {
-				if try.ran && (q.class.Effect == Unsafe || q.class.Effect == Keyed && q.class.Group != GroupAll) {
+				if try.ran && (q.class.Effect == NonIdempotent || q.class.Effect == IdempotentByKey && q.class.DedupScope != ScopeAll) {
 					m.fail("query %d refused though it may have run", q.id)
 				}
 			}
 		case Fail:
-			m.end(a.Query)
+			m.end(a.RequestID)
 		}
 	}
 }
@@ -78,39 +78,39 @@
 	return q
 }
 
-func (m *model) send(a Send) {
-	q := m.open[a.Query]
+func (m *model) send(a StartAttempt) {
+	q := m.open[a.RequestID]
 	if q == nil || q.over {
-		m.fail("query %d sent after its end", a.Query)
+		m.fail("query %d sent after its end", a.RequestID)
 	}
-	if m.state[a.Engine] != EngineLive {
-		m.fail("query %d sent to %s, which is not live", a.Query, a.Engine)
+	if m.state[a.Engine] != EngineReady {
+		m.fail("query %d sent to %s, which is not live", a.RequestID, a.Engine)
 	}
 	e := m.info[a.Engine]
 	if !among(q.class.Zones, e.Zone) {
-		m.fail("query %d sent out of its place", a.Query)
+		m.fail("query %d sent out of its place", a.RequestID)
 	}
 	for _, try := range q.tries {
 		if try.out {
-			m.fail("query %d has two attempts", a.Query)
+			m.fail("query %d has two attempts", a.RequestID)
 		}
-		if try.ran && q.class.Effect == Unsafe {
-			m.fail("unsafe query %d sent again", a.Query)
+		if try.ran && q.class.Effect == NonIdempotent {
+			m.fail("unsafe query %d sent again", a.RequestID)
 		}
-		if try.ran && q.class.Effect == Keyed && (m.info[try.engine].Cell != e.Cell || m.now-try.at > q.class.Window) {
-			m.fail("keyed query %d sent out of its group or window", a.Query)
+		if try.ran && q.class.Effect == IdempotentByKey && (m.info[try.engine].Cell != e.Cell || m.now-try.at > q.class.DedupWindow) {
+			m.fail("keyed query %d sent out of its group or window", a.RequestID)
 		}
 	}
 	m.order(q)
 	if len(q.tries) > 0 {
 		m.extra = append(m.extra, m.now)
-		if got, most := count(m.extra, m.now-m.s.Rules.LookBack),
-			m.s.Rules.ExtraFree+m.s.Rules.ExtraShare*float64(count(m.taken, m.now-m.s.Rules.LookBack)); float64(got) > most {
+		if got, most := count(m.extra, m.now-m.s.Rules.RetryBudgetWindow),
+			m.s.Rules.RetryBudgetMin+m.s.Rules.RetryBudgetRatio*float64(count(m.taken, m.now-m.s.Rules.RetryBudgetWindow)); float64(got) > most {
 			m.fail("%d further attempts, %v allowed", got, most)
 		}
 	}
-	if len(q.tries) >= m.s.Limits.Tries {
-		m.fail("query %d has too many attempts", a.Query)
+	if len(q.tries) >= m.s.Limits.MaxAttempts {
+		m.fail("query %d has too many attempts", a.RequestID)
 	}
 	q.tries = append(q.tries, seenTry{engine: a.Engine, at: m.now, out: true, ran: true})
 }
@@ -125,21 +125,21 @@
 }
 
 func (m *model) order(q *seen) {
-	if !q.class.InOrder {
+	if !q.class.Ordered {
 		return
 	}
 	for _, o := range m.all {
 		if o == q {
 			return
 		}
-		if !o.class.InOrder || o.key != q.key {
+		if !o.class.Ordered || o.key != q.key {
 			continue
 		}
 		if !o.over {
 			m.fail("query %d sent before query %d was over", q.id, o.id)
 		}
 		for _, try := range o.tries {
-			if try.out || try.doubt && m.now-try.ended < m.s.Rules.Settle {
+			if try.out || try.doubt && m.now-try.ended < m.s.Rules.OrderSettleTime {
 				m.fail("query %d sent while query %d may run", q.id, o.id)
 			}
 		}
@@ -156,10 +156,10 @@
 
 func play(t *testing.T, seed uint64) {
 	s := settings()
-	s.Rules.LookBack, s.Rules.ExtraFree, s.Rules.ExtraShare = 2*time.Second, 3, 0.2
+	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin, s.Rules.RetryBudgetRatio = 2*time.Second, 3, 0.2
 	if seed%2 == 0 { // no notes, told load: moves come in bursts, at ticks and after pauses
-		s.NoteEvery, s.PriorityHeeds, s.GrantsHeeded = 0, true, true
-		s.Limits.Probes, s.LoadTold = true, true
+		s.ProgressInterval, s.Priorities, s.MemoryGrants = 0, true, true
+		s.Limits.HealthChecks, s.ReportsLoad = true, true
 	}
 	g, err := New(s, seed)
 	if err != nil {
@@ -167,26 +167,26 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	m := &model{t: t, s: s, now: time.Minute, open: map[uint64]*seen{}, state: map[string]EngineState{}, info: map[string]Engine{}}
-	list := func(mode ListMode, engines ...Engine) {
-		if mode != ListChanges {
+	list := func(mode UpdateMode, engines ...Engine) {
+		if mode != UpdateDelta {
 			clear(m.state)
 		}
 		for _, e := range engines {
 			m.state[e.ID], m.info[e.ID] = e.State, e
 		}
-		m.apply(g.Handle(m.now, Engines{Mode: mode, Engines: engines}, nil))
+		m.apply(g.Handle(m.now, EndpointsChanged{Mode: mode, Engines: engines}, nil))
 	}
 	engine := func() Engine {
 		n := rng.IntN(5)
 		e := live(fmt.Sprintf("e%d", n), string(rune('a'+n%2)), int64(n%2))
 		e.State = EngineState(rng.IntN(3))
 		if rng.IntN(3) > 0 {
-			e.State = EngineLive
+			e.State = EngineReady
 		}
-		e.Fresh, e.Started = rng.IntN(4) == 0, m.now
+		e.StartKnown, e.StartedAt = rng.IntN(4) == 0, m.now
 		return e
 	}
-	list(ListCached, live("e0", "a", 0), live("e1", "b", 1))
+	list(UpdateCached, live("e0", "a", 0), live("e1", "b", 1))
 	next := uint64(1)
 	for step := 0; step < 1500; step++ {
 		m.now += time.Duration(rng.IntN(40)) * msec
@@ -198,54 +198,54 @@
 			c := s.Classes[rng.IntN(len(s.Classes))]
 			q := &seen{id: next, class: c, due: m.now + c.Deadline, key: string(rune('x' + rng.IntN(2)))}
 			m.open[next], m.all, m.taken = q, append(m.all, q), append(m.taken, m.now)
-			m.apply(g.Handle(m.now, Arrive{Query: next, Class: c.Name, Key: q.key, Deadline: q.due,
-				Work: time.Duration(rng.IntN(3000)) * msec, MemoryMB: rng.Float64() * 500}, nil))
+			m.apply(g.Handle(m.now, RequestArrived{RequestID: next, Class: c.Name, OrderKey: q.key, Deadline: q.due,
+				EstimatedWork: time.Duration(rng.IntN(3000)) * msec, EstimatedMemoryMB: rng.Float64() * 500}, nil))
 			next++
 		case k < 7 && len(m.all) > 0:
 			m.outcome(g, rng)
 		case k < 8:
-			m.apply(g.Handle(m.now, Timer{}, nil))
-			m.apply(g.Handle(m.now, Timer{Token: rng.Uint64N(next + 2)}, nil))
+			m.apply(g.Handle(m.now, TimerFired{}, nil))
+			m.apply(g.Handle(m.now, TimerFired{Token: rng.Uint64N(next + 2)}, nil))
 		case k < 9 && len(m.all) > 0:
 			q := m.all[rng.IntN(len(m.all))]
-			m.apply(g.Handle(m.now, Note{Query: q.id, Attempt: rng.IntN(3), Kind: NoteKind(rng.IntN(6)), Value: rng.Float64() / 9}, nil))
-			m.apply(g.Handle(m.now, Probed{Engine: fmt.Sprintf("e%d", rng.IntN(7)), Load: Load{Told: true, Held: rng.Float64()*900 - 9, Busy: 1}}, nil))
+			m.apply(g.Handle(m.now, ProgressReported{RequestID: q.id, Attempt: rng.IntN(3), Kind: ProgressKind(rng.IntN(6)), Value: rng.Float64() / 9}, nil))
+			m.apply(g.Handle(m.now, HealthChecked{Engine: fmt.Sprintf("e%d", rng.IntN(7)), Load: LoadReport{Reported: true, InFlight: rng.Float64()*900 - 9, CPUShare: 1}}, nil))
 		case rng.IntN(3) == 0:
-			list(ListFull, engine(), engine())
+			list(UpdateFull, engine(), engine())
 		default:
-			list(ListChanges, engine())
+			list(UpdateDelta, engine())
 		}
 	}
 	m.finish(g)
 }
 
 // outcome ends one attempt that is out, or repeats one that has ended.
-func (m *model) outcome(g *Gateway, rng *rand.Rand) {
+func (m *model) outcome(g *Balancer, rng *rand.Rand) {
 	q := m.all[rng.IntN(len(m.all))]
 	if len(q.tries) == 0 {
 		return
 	}
 	n := rng.IntN(len(q.tries))
 	try := &q.tries[n]
-	res := Result(rng.IntN(int(NotSent) + 1))
+	res := Result(rng.IntN(int(ResultNotSent) + 1))
 	if try.out {
 		try.out, try.ended = false, m.now
-		try.ran = res != Full && res != NoConnection && res != NotSent
-		try.doubt = res == TimedOut || res == Lost || res == Cancelled || res == Unknown
-		if res == Served {
+		try.ran = res != ResultOverloaded && res != ResultConnectFailed && res != ResultNotSent
+		try.doubt = res == ResultTimedOut || res == ResultConnectionLost || res == ResultCancelled || res == ResultUnknown
+		if res == ResultServed {
 			q.over = true
 		}
 	}
-	m.apply(g.Handle(m.now, Outcome{Query: q.id, Attempt: n, Result: res, Elapsed: m.now - try.at, Final: q.over}, nil))
+	m.apply(g.Handle(m.now, AttemptEnded{RequestID: q.id, Attempt: n, Result: res, Elapsed: m.now - try.at, Completed: q.over}, nil))
 }
 
 // finish lets all clients' times run out: each query must then be over.
-func (m *model) finish(g *Gateway) {
+func (m *model) finish(g *Balancer) {
 	for _, q := range m.all {
 		m.now = max(m.now, q.due)
 	}
 	for _, q := range m.all {
-		m.apply(g.Handle(m.now, Timer{Token: q.id + 1}, nil))
+		m.apply(g.Handle(m.now, TimerFired{Token: q.id + 1}, nil))
 		if !q.over {
 			m.fail("query %d has no final answer", q.id)
 		}
--- a/policy/state.go
+++ b/policy/state.go
@@ -27,7 +27,7 @@
 }
 
 // Gateway decides for one front. It is not safe for concurrent use.
-type Gateway struct {
+type Balancer struct {
 	set     Settings
 	classes map[string]*class
 	tenants map[string]*tenant
@@ -113,7 +113,7 @@
 	return slices.ContainsFunc(q.tries, func(a *attempt) bool { return !a.ended })
 }
 
-func (g *Gateway) attempt(id uint64, n int) *attempt {
+func (g *Balancer) attempt(id uint64, n int) *attempt {
 	q := g.queries[id]
 	if q == nil || n < 0 || n >= len(q.tries) {
 		return nil
