--- a/cmd/flaxrelay/descriptors_test.go
+++ b/cmd/flaxrelay/descriptors_test.go
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	p := startTest(t, "TestRosterKeepsItsDescriptors", path)
-	p.await("serving")
+	p.await("server.listening")
 	_, front, _ := strings.Cut(p.log.Text(), "addr=")
 	logged := make(chan struct{})
 	go func() { // the pipe must not fill
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -44,7 +44,7 @@
 	}
 	if err := run(serving{config: c.Config, postgres: c.Postgres, shapes: c.Shapes}, log); err != nil {
 		for _, f := range config.FieldErrorsOf(err) {
-			log.Error("cannot serve", "file", f.File, "line", f.Line, "field", f.Field, "error", f.Problem)
+			log.Error("server.start-failed", "file", f.File, "line", f.Line, "field", f.Field, "error", f.Problem)
 		}
 		return errTold
 	}
--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -75,7 +75,7 @@
 	}
 	write(path, config(one))
 	p := start(t, path+"|")
-	p.await("serving")
+	p.await("server.listening")
 	if got := <-toldOne; got != 1 {
 		t.Errorf("the first bus was told %d", got)
 	}
@@ -86,11 +86,11 @@
 	}
 	write(path, config(two))
 	p.signal(syscall.SIGHUP)
-	p.await("bus.moving")
+	p.await("eventbus.moved")
 	if got := <-toldTwo; got != 7 {
 		t.Errorf("the second bus was told %d, want the last event's number", got)
 	}
-	p.end("count reload.done 1")
+	p.end("count reload.completed 1")
 
 	deploy, err := os.ReadFile("../../deploy/postgres.toml")
 	if err != nil {
@@ -105,13 +105,13 @@
 	text := strings.NewReplacer("127.0.0.1:5433", "127.0.0.1:0", "127.0.0.1:8500", "127.0.0.1:1").Replace(string(deploy))
 	write(path, text)
 	p = start(t, "|"+path)
-	p.await("serving")
+	p.await("server.listening")
 	write(path, strings.Replace(text, `default_class = "lookup"`, `default_class = "odd"`, 1))
 	p.signal(syscall.SIGHUP)
 	p.await("default_class")
 	write(path, strings.Replace(text, "127.0.0.1:1", "127.0.0.1:2", 1))
 	p.signal(syscall.SIGHUP)
-	p.await("reload.done")
+	p.await("reload.completed")
 	p.await("consul=127.0.0.1:2") // where nobody listens
 	p.end("count reload.failed 1")
 }
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -73,10 +73,10 @@
 		return err
 	}
 	if g.front == nil {
-		logger.Info("off", "why", "the deploy file names no address to listen at")
+		logger.Info("server.disabled", "reason", "the deploy file names no address to listen at")
 		return nil
 	}
-	logger.Info("serving", "addr", g.front.Addr())
+	logger.Info("server.listening", "addr", g.front.Addr())
 	g.loop.Timers.Schedule(g.loop.Now()+tellEvery, g.tell)
 	go g.signals(told)
 	g.loop.Run()
@@ -90,7 +90,7 @@
 
 func (g *gateway) tell() {
 	if gained := g.counters.Changes(); len(gained) > 0 {
-		g.log.Info("counts", gained...)
+		g.log.Info("metrics.delta", gained...)
 	}
 	g.loop.Timers.Schedule(g.loop.Now()+tellEvery, g.tell)
 }
@@ -319,7 +319,7 @@
 // can't be used changes nothing.
 func (g *gateway) readAgain() {
 	if g.reload == nil {
-		g.log.Info("reload.nothing", "why", "the configuration names nothing that may change")
+		g.log.Info("reload.skipped", "reason", "the configuration names nothing that may change")
 		return
 	}
 	if err := g.reload(); err != nil {
@@ -327,6 +327,6 @@
 		g.log.Warn("reload.failed", "error", err, "then", "the old file holds")
 		return
 	}
-	g.counters.Add("reload.done")
-	g.log.Info("reload.done")
+	g.counters.Add("reload.completed")
+	g.log.Info("reload.completed")
 }
--- a/cmd/flaxrelay/stop.go
+++ b/cmd/flaxrelay/stop.go
@@ -21,7 +21,7 @@
 func (g *gateway) stop() {
 	at := g.loop.Now()
 	waiting := min(g.core.LongestDeadline(), longestHeld) + stopExtra - beforeKill
-	g.log.Info("stopping")
+	g.log.Info("shutdown.started")
 	if g.shapes != nil {
 		g.shapes.Save() // now, as the end waits for nothing; what is learned until then is lost
 	}
--- a/internal/discovery/consul/consul.go
+++ b/internal/discovery/consul/consul.go
@@ -106,7 +106,7 @@
 				return
 			}
 			f.post(func() { f.stats.Add("consul.errors") })
-			f.log.Warn("consul.failed", "consul", opts.Address, "path", path, "error", err, "again_in", pause)
+			f.log.Warn("consul.request-failed", "consul", opts.Address, "path", path, "error", err, "retry_in", pause)
 			sleep(ctx, pause)
 			pause = min(2*pause, mostPause)
 			index = 0 // what changed meanwhile comes at once
@@ -251,7 +251,7 @@
 	for i := range f.registered {
 		r := &f.registered[i]
 		if r.ServiceID == "" || r.ServicePort < 1 || r.ServicePort > 65535 {
-			f.log.Warn("consul.odd-registration", "consul", f.opts.Address, "why", "it has no id or no port, and is passed by")
+			f.log.Warn("consul.invalid-registration", "consul", f.opts.Address, "reason", "it has no id or no port, and is passed by")
 			continue
 		}
 		e := f.engine(r)
--- a/internal/discovery/eventbus/bus.go
+++ b/internal/discovery/eventbus/bus.go
@@ -95,7 +95,7 @@
 	if f.stopped || addr == f.addr && f.conn != nil {
 		return
 	}
-	f.log.Info("bus.moving", "from", f.addr, "to", addr, "after", f.last)
+	f.log.Info("eventbus.moved", "from", f.addr, "to", addr, "after", f.last)
 	f.leave()
 	f.addr, f.pause = addr, firstPause
 	f.Start()
@@ -143,8 +143,8 @@
 	if f.stopped {
 		return
 	}
-	f.stats.Add("bus.reconnects")
-	f.log.Warn("bus.lost", "bus", f.addr, "error", err, "again_in", f.pause)
+	f.stats.Add("eventbus.reconnects")
+	f.log.Warn("eventbus.disconnected", "bus", f.addr, "error", err, "retry_in", f.pause)
 	f.retry = f.loop.Timers.Schedule(f.loop.Now()+f.pause, f.Start)
 	f.pause = min(2*f.pause, f.MaxBackoff)
 }
@@ -216,7 +216,7 @@
 		return fmt.Errorf("event %d: %w", number, err)
 	}
 	f.last = number
-	f.stats.Add("bus.events")
+	f.stats.Add("eventbus.events")
 	f.roster.UpdateEndpoints(mode, engines)
 	return nil
 }
--- a/internal/discovery/eventbus/bus_test.go
+++ b/internal/discovery/eventbus/bus_test.go
@@ -150,7 +150,7 @@
 	defer func() { loop.Post(func() { f.Stop(); loop.Stop() }); <-done }()
 	for n, by := int64(0), time.Now().Add(10*time.Second); n < 8 && time.Now().Before(by); { // just refused, and patient by now
 		told := make(chan int64)
-		loop.Post(func() { told <- counters.Get("bus.reconnects") })
+		loop.Post(func() { told <- counters.Get("eventbus.reconnects") })
 		n = <-told
 	}
 	if ln, err = net.Listen("tcp", addr); err != nil {
--- a/internal/e2e/crossings_test.go
+++ b/internal/e2e/crossings_test.go
@@ -55,10 +55,10 @@
 	}
 	await(t, seen)
 	await(t, seen)
-	if n := g.count("sent."); n != 2 {
+	if n := g.count("attempts.started."); n != 2 {
 		t.Errorf("%d sent, want 2", n)
 	}
-	if n := g.count("gone."); n != 0 {
+	if n := g.count("requests.disconnected."); n != 0 {
 		t.Errorf("%d clients given up", n)
 	}
 }
@@ -125,16 +125,16 @@
 		g.platform(addr)
 		leaves, stays := httpConnect(t, g.addr), httpConnect(t, g.addr)
 		_, _ = io.WriteString(leaves.c, post("lookup", ""))
-		for g.count("sent.") < 1 {
+		for g.count("attempts.started.") < 1 {
 			runtime.Gosched()
 		}
 		const other = "0000000000000002"
 		_, _ = io.WriteString(stays.c, strings.NewReplacer(id, other, "2000", "8000").Replace(post("lookup", "")))
 		leaves.c.Close()
-		for g.count("gone.") < 1 {
+		for g.count("requests.disconnected.") < 1 {
 			runtime.Gosched()
 		}
-		if n := g.count("ended.not-sent"); n != 1 {
+		if n := g.count("attempts.ended.not-sent"); n != 1 {
 			t.Errorf("cancel %v: %d attempts taken back with their client, want 1", cancel, n)
 		}
 		accept()
@@ -161,7 +161,7 @@
 		if !strings.HasPrefix(got, "50") {
 			t.Errorf("cancel %v: the client was told %s", cancel, got)
 		}
-		for g.count("ended.") < 1 {
+		for g.count("attempts.ended.") < 1 {
 			runtime.Gosched()
 		}
 		got, _ = late.call(strings.Replace(post("lookup", ""), id, "0000000000000002", 1))
@@ -202,10 +202,10 @@
 	await(t, seen)
 	got, _ := httpConnect(t, g.addr).call(strings.Replace(post("lookup", ""), id, "0000000000000002", 1))
 	same(t, "another request", got, `200 {"result":[]}`)
-	if n := g.count("sent.lookup"); n != 3 {
+	if n := g.count("attempts.started.lookup"); n != 3 {
 		t.Errorf("%d attempts sent, want 2 of the first request and 1 of the other", n)
 	}
-	if n := g.count("ended.full"); n != 1 {
+	if n := g.count("attempts.ended.overloaded"); n != 1 {
 		t.Errorf("%d attempts ended as turned away, want 1", n)
 	}
 }
@@ -223,11 +223,11 @@
 		for n := range int64(80) {
 			k := httpConnect(t, g.addr)
 			_, _ = io.WriteString(k.c, strings.Replace(post("lookup", head), id, fmt.Sprintf("%016x", n+1), 1))
-			for g.count("taken.") <= n {
+			for g.count("requests.accepted.") <= n {
 				runtime.Gosched()
 			}
 		}
-		sent[head] = g.count("sent.")
+		sent[head] = g.count("attempts.started.")
 	}
 	if in, beyond := sent["Req-Owner: north\r\n"], sent[""]; 2*in < 3*beyond {
 		t.Errorf("%d sent within the share, %d beyond", in, beyond)
@@ -268,7 +268,7 @@
 		return k
 	}
 	taken := func(n int64) {
-		for g.count("taken.") < n {
+		for g.count("requests.accepted.") < n {
 			runtime.Gosched()
 		}
 	}
@@ -278,11 +278,11 @@
 	taken(2)
 	last := ask(three, "k")
 	taken(3)
-	if n := g.count("sent."); n != 1 {
+	if n := g.count("attempts.started."); n != 1 {
 		t.Errorf("%d sent while the first of the key runs, want 1", n)
 	}
 	leaves.c.Close()
-	for g.count("gone.") < 1 {
+	for g.count("requests.disconnected.") < 1 {
 		runtime.Gosched()
 	}
 	release <- one
@@ -326,7 +326,7 @@
 	})
 	got, _ = k.call("")
 	same(t, "the answer", got, `200 {"result":[]}`)
-	if n := g.count("ended.not-sent"); n != 1 {
+	if n := g.count("attempts.ended.not-sent"); n != 1 {
 		t.Errorf("%d attempts ended as not sent, want 1", n)
 	}
 }
@@ -361,7 +361,7 @@
 	k := httpConnect(t, g.addr)
 	got, _ := k.call(strings.Replace(post("lookup", ""), "2000", "8000", 1))
 	same(t, "answer", got, `200 {"result":[]}`)
-	if n := g.count("ended.garbage"); n != 1 {
+	if n := g.count("attempts.ended.protocol-error"); n != 1 {
 		t.Errorf("%d attempts ended with the connection, want 1", n)
 	}
 }
@@ -386,7 +386,7 @@
 	}
 	same(t, "first", turn(post("lookup", ""), one), `200 {"result":[]}`)
 	same(t, "second", turn(post("lookup", ""), two), `200 {"result":[]}`)
-	if n := g.count("links.closed-for-room"); n != 0 {
+	if n := g.count("engine-connections.evicted"); n != 0 {
 		t.Errorf("%d closed while there was room", n)
 	}
 	g.roster(policy.EngineReady, hangs)
@@ -396,12 +396,12 @@
 		await(t, seen)
 	}
 	g.roster(policy.EngineDraining, hangs)
-	if n := g.count("links.closed-for-room"); n != 2 {
+	if n := g.count("engine-connections.evicted"); n != 2 {
 		t.Errorf("%d idle connections closed for room, want 2", n)
 	}
-	dialed := g.count("links.dialed")
+	dialed := g.count("engine-connections.dialed")
 	same(t, "all at work", turn(post("lookup", ""), four), `503 {"fault":"Busy"}`)
-	if n := g.count("links.dialed"); n != dialed {
+	if n := g.count("engine-connections.dialed"); n != dialed {
 		t.Errorf("%d connections opened past the most", n-dialed)
 	}
 }
@@ -427,7 +427,7 @@
 		g.platform(late)
 		k := httpConnect(t, g.addr)
 		_, _ = io.WriteString(k.c, strings.Replace(post("lookup", ""), "2000", "8000", 1))
-		for g.count("sent.") < 1 {
+		for g.count("attempts.started.") < 1 {
 			runtime.Gosched()
 		}
 		g.roster(policy.EngineReady, other)
@@ -440,7 +440,7 @@
 		}
 		got, _ := k.call("")
 		same(t, "answer", got, `200 {"result":[]}`)
-		if n := g.count("ended.not-sent"); n != 1 {
+		if n := g.count("attempts.ended.not-sent"); n != 1 {
 			t.Errorf("whole list %v: %d attempts taken back, want 1", whole, n)
 		}
 		accept()
@@ -463,7 +463,7 @@
 	got, _ = k.call("")
 	same(t, "the second", got, `503 {"fault":"Busy"}`)
 	same(t, "the engine heard", await(t, seen)[:21], "want "+id)
-	if n := g.count("sent."); n != 1 {
+	if n := g.count("attempts.started."); n != 1 {
 		t.Errorf("%d sent, want the first alone", n)
 	}
 }
--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -272,7 +272,7 @@
 		x.closed()
 		x.compare("http/bad-" + name)
 	}
-	if n := g.count("taken."); n != 0 {
+	if n := g.count("requests.accepted."); n != 0 {
 		t.Errorf("%d requests taken, want none", n)
 	}
 }
--- a/internal/e2e/golden_test.go
+++ b/internal/e2e/golden_test.go
@@ -116,7 +116,7 @@
 
 // awaitSent waits until so many attempts have gone to engines.
 func (g *gateway) awaitSent(n int64) {
-	for g.count("sent.") < n {
+	for g.count("attempts.started.") < n {
 		runtime.Gosched()
 	}
 }
--- a/internal/e2e/peers_test.go
+++ b/internal/e2e/peers_test.go
@@ -89,10 +89,10 @@
 	if g.core.Pending() > 0 { // cut off by the end of the test
 		return
 	}
-	if taken, over := g.stats.Sum("taken."), g.stats.Sum("answered.")+g.stats.Sum("gone."); taken != over {
+	if taken, over := g.stats.Sum("requests.accepted."), g.stats.Sum("requests.completed.")+g.stats.Sum("requests.disconnected."); taken != over {
 		g.t.Errorf("%d requests taken, %d answered or gone", taken, over)
 	}
-	if sent, ended := g.stats.Sum("sent."), g.stats.Sum("ended."); sent != ended {
+	if sent, ended := g.stats.Sum("attempts.started."), g.stats.Sum("attempts.ended."); sent != ended {
 		g.t.Errorf("%d attempts sent, %d ended", sent, ended)
 	}
 }
--- a/internal/e2e/platform_test.go
+++ b/internal/e2e/platform_test.go
@@ -77,7 +77,7 @@
 			t.Errorf("engine was asked %q, without %q", line, part)
 		}
 	}
-	if n := g.count("notes"); n != 1 {
+	if n := g.count("attempts.progress"); n != 1 {
 		t.Errorf("%d notes, want 1", n)
 	}
 }
@@ -116,7 +116,7 @@
 	if rows := k.fetch(got); rows != 16000 {
 		t.Errorf("%d rows, want 16000", rows)
 	}
-	if n := g.count("sent."); n != 2 {
+	if n := g.count("attempts.started."); n != 2 {
 		t.Errorf("%d sent, want 2", n)
 	}
 	got, _ = k.call(post("report", "")) // one that the client gives up
@@ -171,7 +171,7 @@
 	if head.Get("Srv-Wait-Ms") == "" {
 		t.Error("a refusal without Srv-Wait-Ms")
 	}
-	if n := g.count("ended.refused"); n == 0 {
+	if n := g.count("attempts.ended.connection-refused"); n == 0 {
 		t.Error("no attempt ended as refused")
 	}
 	addr, _ := lineEngine(t, func(line string) string { return done(line, "") })
@@ -202,7 +202,7 @@
 	same(t, "engine heard", await(t, seen), "never_mind "+id)
 	got, _ := httpConnect(t, g.addr).call(post("lookup", ""))
 	same(t, "the next request of that id", got, `200 {"result":[["fresh","",""]]}`)
-	if n := g.count("links.dialed"); n != 2 {
+	if n := g.count("engine-connections.dialed"); n != 2 {
 		t.Errorf("%d connections, want 2: an id given up is not used again on its own", n)
 	}
 }
@@ -222,7 +222,7 @@
 		if !strings.HasPrefix(got, "503") && !strings.HasPrefix(got, "500") {
 			t.Errorf("%.20q: answer %s", text, got)
 		}
-		if n := g.count("ended.garbage"); n == 0 {
+		if n := g.count("attempts.ended.protocol-error"); n == 0 {
 			t.Errorf("%.20q: no attempt ended as garbage", text)
 		}
 	}
@@ -254,7 +254,7 @@
 		got, _ := httpConnect(t, g.addr).call(tt.text)
 		same(t, name, got[:3], tt.want)
 	}
-	if n := g.count("taken."); n != 0 {
+	if n := g.count("requests.accepted."); n != 0 {
 		t.Errorf("%d requests taken, want none", n)
 	}
 }
@@ -267,11 +267,11 @@
 		got[e.String()] = e.Result()
 	}
 	want := map[string]policy.Result{
-		"unknown": policy.ResultUnknown, "served": policy.ResultServed, "rejected": policy.ResultNotSent, "too-large": policy.ResultServed, "error": policy.ResultFailed,
-		"full": policy.ResultOverloaded, "past": policy.ResultNotSent, "pages-lost": policy.ResultFailed, "timeout": policy.ResultTimedOut,
-		"refused": policy.ResultConnectFailed, "connect-timeout": policy.ResultConnectFailed, "no-descriptor": policy.ResultNotSent,
-		"no-engine": policy.ResultConnectFailed, "reset": policy.ResultConnectionLost, "garbage": policy.ResultUnknown,
-		"cancelled": policy.ResultCancelled, "not-sent": policy.ResultNotSent, "idle": policy.ResultUnknown,
+		"unknown": policy.ResultUnknown, "served": policy.ResultServed, "statement-rejected": policy.ResultNotSent, "result-too-large": policy.ResultServed, "engine-error": policy.ResultFailed,
+		"overloaded": policy.ResultOverloaded, "deadline-passed": policy.ResultNotSent, "pages-lost": policy.ResultFailed, "timeout": policy.ResultTimedOut,
+		"connection-refused": policy.ResultConnectFailed, "connect-timeout": policy.ResultConnectFailed, "no-descriptor": policy.ResultNotSent,
+		"unknown-engine": policy.ResultConnectFailed, "connection-reset": policy.ResultConnectionLost, "protocol-error": policy.ResultUnknown,
+		"cancelled": policy.ResultCancelled, "not-sent": policy.ResultNotSent, "idle-closed": policy.ResultUnknown,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
@@ -356,7 +356,7 @@
 			t.Errorf("%s: %d answers", name, n)
 		}
 	}
-	if n := g.count("sent."); n != 1 {
+	if n := g.count("attempts.started."); n != 1 {
 		t.Errorf("%d sent, want only the open request", n)
 	}
 	_, _ = io.WriteString(open.c, "no call")
@@ -399,7 +399,7 @@
 		got, _ := k.call(health)
 		same(t, "one that was idle for less", got, "200 {}")
 	}
-	if n := g.count("gone."); n != 0 {
+	if n := g.count("requests.disconnected."); n != 0 {
 		t.Errorf("%d open requests were cut off", n)
 	}
 }
@@ -425,7 +425,7 @@
 		got, _ := k.call(strings.Replace(post("lookup", ""), id, fmt.Sprintf("%016x", n+1), 1))
 		same(t, "answer", got, `200 {"result":[["a","",""],["b","",""]]}`)
 	}
-	if n := g.count("links.dialed"); n != 1 {
+	if n := g.count("engine-connections.dialed"); n != 1 {
 		t.Errorf("%d connections, want 1", n)
 	}
 }
@@ -453,7 +453,7 @@
 	same(t, "the request whose answer stopped", got, `200 {"result":[]}`)
 	got, _ = one.call("")
 	same(t, "the other on that connection", got, `200 {"result":[]}`)
-	if n := g.count("ended.garbage"); n != 2 {
+	if n := g.count("attempts.ended.protocol-error"); n != 2 {
 		t.Errorf("%d attempts ended with the connection, want 2", n)
 	}
 }
@@ -469,7 +469,7 @@
 	g.do(func() {
 		g.core.UpdateEndpoints(policy.UpdateFull, []lifecycle.Endpoint{{Address: two, Engine: policy.Engine{ID: "two", Zone: "hall-a", Kind: "std-8", State: policy.EngineReady}}})
 	})
-	for g.count("links.ended.idle") == 0 {
+	for g.count("engine-connections.closed.idle-closed") == 0 {
 		runtime.Gosched()
 	}
 	got, _ := k.call(post("lookup", ""))
--- a/internal/e2e/postgres_test.go
+++ b/internal/e2e/postgres_test.go
@@ -44,7 +44,7 @@
 			t.Errorf("call %d to the engine: %+v", i, c)
 		}
 	}
-	if n := g.count("taken."); n != 3 {
+	if n := g.count("requests.accepted."); n != 3 {
 		t.Errorf("%d requests taken, want a description and two executions", n)
 	}
 }
@@ -83,7 +83,7 @@
 	}
 	k.c.Close()
 	same(t, "after the disconnection the engine heard", await(t, seen).query, "cancel")
-	if sent, gone := g.count("sent."), g.count("gone."); sent != 1 || gone != 1 {
+	if sent, gone := g.count("attempts.started."), g.count("requests.disconnected."); sent != 1 || gone != 1 {
 		t.Errorf("%d sent, %d gone, want one of each", sent, gone)
 	}
 }
@@ -103,7 +103,7 @@
 	same(t, "rest, and new work", k.until('Z'), "D(c) C(SELECT 1) 2 D(elsewhere) C(SELECT 1) Z")
 	k.send(execute("p", 0), sync)
 	same(t, "the portal after Sync", k.until('Z'), "E(34000) Z")
-	if n := g.count("sent."); n != 2 {
+	if n := g.count("attempts.started."); n != 2 {
 		t.Errorf("%d sent, want 2: a portal runs once", n)
 	}
 }
@@ -154,7 +154,7 @@
 				got += " " + k.until('Z')
 			}
 			same(t, "answer", got, tt.want)
-			if n := g.count("sent."); n != tt.sent {
+			if n := g.count("attempts.started."); n != tt.sent {
 				t.Errorf("%d sent, want %d", n, tt.sent)
 			}
 		})
@@ -190,7 +190,7 @@
 		}
 	}
 	same(t, "second send", binds[1], binds[0])
-	if n := g.count("sent."); n != 2 {
+	if n := g.count("attempts.started."); n != 2 {
 		t.Errorf("%d sent, want 2", n)
 	}
 }
@@ -213,7 +213,7 @@
 	g.roster(policy.EngineReady, second)
 	close(release)
 	same(t, "answer", k.until('Z'), "1 2 E(XX000) Z")
-	if n := g.count("ended.not-sent"); n != 1 {
+	if n := g.count("attempts.ended.not-sent"); n != 1 {
 		t.Errorf("%d attempts ended as not sent, want 1", n)
 	}
 	if n := len(seen); n != 0 {
@@ -239,7 +239,7 @@
 	same(t, "too much", k.until('Z'), "E(54000) Z")
 	terminate := pgproto.Append(nil, 'X')
 	k.send(query("SELECT x"), terminate)
-	for g.count("answered.served") == 0 { // by then all of it waits to be sent
+	for g.count("requests.completed.served") == 0 { // by then all of it waits to be sent
 		runtime.Gosched()
 	}
 	got := k.until(0)
@@ -270,7 +270,7 @@
 		_, err := k.c.Write(sync)
 		sent <- err
 	}()
-	for g.count("sent.") == 0 {
+	for g.count("attempts.started.") == 0 {
 		runtime.Gosched()
 	}
 	close(release)
@@ -324,7 +324,7 @@
 	}
 	same(t, "answer", k.until('Z'), "1 2 E(57014) Z")
 	same(t, "engine heard", await(t, seen).query, "cancel")
-	if n := g.count("pgwire.cancels"); n != 1 {
+	if n := g.count("postgres.cancel-requests"); n != 1 {
 		t.Errorf("%d cancels, want 1", n)
 	}
 }
@@ -369,7 +369,7 @@
 	same(t, "answer", k.until('Z'), "1 2 C(INSERT 0 1) Z")
 	same(t, "silent client", silent.until(0), "end")
 	same(t, "client that stopped", half.until(0), "E(08P01) end")
-	if n := g.count("ended.garbage"); n != 1 {
+	if n := g.count("attempts.ended.protocol-error"); n != 1 {
 		t.Errorf("%d attempts ended with a message that stopped, want 1", n)
 	}
 }
--- a/internal/e2e/shapes_test.go
+++ b/internal/e2e/shapes_test.go
@@ -53,24 +53,24 @@
 		ask("{d1,d2}")
 		ask(long)
 	}
-	before := g.count("taken.report")
+	before := g.count("requests.accepted.report")
 	for range 4 {
 		ask(long)
 		ask("{d3}")
 	}
-	if n := g.count("taken.report") - before; n != 4 {
+	if n := g.count("requests.accepted.report") - before; n != 4 {
 		t.Errorf("%d of 4 long lists were taken as reports", n)
 	}
-	before = g.count("taken.lookup")
+	before = g.count("requests.accepted.lookup")
 	k.send(query("/* class=lookup */ "+strings.Replace(text, "$1", "'"+long+"'", 1)), sync)
 	k.until('Z')
-	if n := g.count("taken.lookup") - before; n != 1 {
+	if n := g.count("requests.accepted.lookup") - before; n != 1 {
 		t.Errorf("%d taken as lookups by their comment, want 1", n)
 	}
 	k = connect(t, g.addr)
 	k.send(query("SELECT part FROM stock_4.parts WHERE district = ANY('{d1}') FOR UPDATE"))
 	k.until('Z')
-	if n := g.count("taken.write"); n != 1 {
+	if n := g.count("requests.accepted.write"); n != 1 {
 		t.Errorf("%d taken as writes, want 1", n)
 	}
 }
--- a/internal/e2e/writes_test.go
+++ b/internal/e2e/writes_test.go
@@ -81,7 +81,7 @@
 		k.send(query(tt.text))
 		same(t, tt.text, k.until('Z'), tt.want)
 	}
-	if n := g.count("taken.write"); n != 1 {
+	if n := g.count("requests.accepted.write"); n != 1 {
 		t.Errorf("%d taken as writes, want 1", n)
 	}
 }
@@ -113,7 +113,7 @@
 	same(t, "first", run("UPDATE odd SET a = 1"), "T D(a) C(SELECT 1) Z")
 	same(t, "not supported while it ran", run("UPDATE odd SET a = 1"), "E(0A000) Z")
 	same(t, "out of time", run("UPDATE x SET a = 1"), "E(40003) Z")
-	if n := g.count("sent."); n != 4 {
+	if n := g.count("attempts.started."); n != 4 {
 		t.Errorf("%d sent, want 4", n)
 	}
 	for len(hang) > 0 {
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -169,7 +169,7 @@
 		_, _ = x.served.WriteTo(&x.log)
 	})
 	for line := range strings.Lines(counts.String()) {
-		if strings.HasPrefix(line, "count ended.") && !x.seen[line] {
+		if strings.HasPrefix(line, "count attempts.ended.") && !x.seen[line] {
 			x.seen[line] = true
 			fmt.Fprintf(&x.log, "= %s", strings.TrimPrefix(line, "count "))
 		}
@@ -333,7 +333,7 @@
 		x.write(id + " DONE batches=1 0\r\n\r\n")
 		x.ended(a)
 		var notes int64
-		x.do(func() { notes = x.stats.Get("notes") })
+		x.do(func() { notes = x.stats.Get("attempts.progress") })
 		fmt.Fprintf(&x.log, "= %d notes\n", notes)
 		x.closed()
 	}},
--- a/internal/engine/lineclient/links.go
+++ b/internal/engine/lineclient/links.go
@@ -143,7 +143,7 @@
 	if least == nil {
 		return false
 	}
-	ls.stats.Add("links.closed-for-room")
+	ls.stats.Add("engine-connections.evicted")
 	least.Retire()
 	return true
 }
@@ -152,7 +152,7 @@
 	l := &link{all: ls, engine: e, streams: map[string]*stream{}, past: map[string]time.Duration{}}
 	e.Links = append(e.Links, l)
 	ls.open[l] = struct{}{}
-	ls.stats.Add("links.dialed")
+	ls.stats.Add("engine-connections.dialed")
 	ls.loop.Dial(e.Addr, ls.site.ConnectTimeout, maxBuffer, l, func(c *eventloop.Conn, err error) {
 		if err == nil {
 			l.up(c)
@@ -160,7 +160,7 @@
 		}
 		end := engine.DialStatus(err)
 		if end != lifecycle.StatusConnectionRefused {
-			ls.log.Warn("engine.unreachable", "engine", e.ID, "error", err)
+			ls.log.Warn("engine.connect-failed", "engine", e.ID, "error", err)
 		}
 		l.lost(end)
 	})
@@ -346,7 +346,7 @@
 	if l.conn == nil || l.end != lifecycle.StatusUnknown {
 		return
 	}
-	l.all.log.Warn("engine.unreadable", "engine", l.engine.ID, "error", err)
+	l.all.log.Warn("engine.protocol-error", "engine", l.engine.ID, "error", err)
 	l.end = lifecycle.StatusProtocolError
 	l.retire()
 	l.conn.Abort()
@@ -356,7 +356,7 @@
 func (l *link) answer(a answer) error {
 	s := l.streams[a.id]
 	if s == nil {
-		l.all.stats.Add("links.late-answer")
+		l.all.stats.Add("engine-connections.late-responses")
 		return nil
 	}
 	switch a.word {
@@ -387,7 +387,7 @@
 // serve the client.
 func (l *link) done(s *stream, a answer) error {
 	if s.pages != nil { // a second copy of an answer that is good
-		l.all.stats.Add("links.doubled-answer")
+		l.all.stats.Add("engine-connections.duplicate-responses")
 		return nil
 	}
 	text, _ := field(a.fields, "batches")
@@ -496,7 +496,7 @@
 	l.retire()
 	l.conn = nil
 	l.stall.Stop()
-	l.all.stats.Add("links.ended." + end.String())
+	l.all.stats.Add("engine-connections.closed." + end.String())
 	l.engine.Remove(l)
 	for _, s := range l.inOrder() {
 		if l.streams[s.attempt.Request.ID] != s { // given up on word of another's end
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -207,7 +207,7 @@
 		_, _ = x.served.WriteTo(&x.log)
 	})
 	for line := range strings.Lines(counts.String()) {
-		if strings.HasPrefix(line, "count ended.") && !x.seen[line] {
+		if strings.HasPrefix(line, "count attempts.ended.") && !x.seen[line] {
 			x.seen[line] = true
 			fmt.Fprintf(&x.log, "= %s", strings.TrimPrefix(line, "count "))
 		}
--- a/internal/engine/pgclient/links.go
+++ b/internal/engine/pgclient/links.go
@@ -116,7 +116,7 @@
 func (ls *Client) dial(e *engine.Engine[*link]) *link {
 	l := &link{all: ls, engine: e, named: map[string]string{}}
 	e.Links = append(e.Links, l)
-	ls.stats.Add("links.dialed")
+	ls.stats.Add("engine-connections.dialed")
 	by := ls.loop.Now() + ls.opts.ConnectTimeout
 	ls.loop.Dial(e.Addr, ls.opts.ConnectTimeout, maxBuffer, l, func(c *eventloop.Conn, err error) {
 		if err != nil {
@@ -198,7 +198,7 @@
 	if !l.written {
 		return
 	}
-	ls.stats.Add("links.cancelled")
+	ls.stats.Add("engine-connections.cancel-requests")
 	l.retired = true
 	l.close(lifecycle.StatusCancelled)
 	if l.key == nil {
@@ -278,7 +278,7 @@
 	if l.conn == nil || l.end != lifecycle.StatusUnknown {
 		return
 	}
-	l.all.log.Warn("engine.unreadable", "engine", l.engine.ID, "error", err)
+	l.all.log.Warn("engine.protocol-error", "engine", l.engine.ID, "error", err)
 	l.close(lifecycle.StatusProtocolError)
 }
 
@@ -504,7 +504,7 @@
 func (l *link) lost(end lifecycle.AttemptStatus) {
 	l.retired, l.conn, l.ready = true, nil, false
 	l.stall.Stop()
-	l.all.stats.Add("links.ended." + end.String())
+	l.all.stats.Add("engine-connections.closed." + end.String())
 	l.engine.Remove(l)
 	if a := l.attempt; a != nil {
 		var rep lifecycle.AttemptReport
--- a/internal/frontend/httpserver/crossing_test.go
+++ b/internal/frontend/httpserver/crossing_test.go
@@ -81,7 +81,7 @@
 	})
 	do(func() {}) // what the poller told of came before this
 	do(func() {
-		if n := counters.Sum("taken."); n != 0 {
+		if n := counters.Sum("requests.accepted."); n != 0 {
 			t.Errorf("%d calls of a client that has gone were taken", n)
 		}
 		if len(f.conns) != 0 {
--- a/internal/frontend/httpserver/rest.go
+++ b/internal/frontend/httpserver/rest.go
@@ -97,7 +97,7 @@
 // Listen accepts at the address.
 func (f *Server) Listen(addr string) error {
 	ln, err := f.loop.Listen(addr, maxCall, f.opts.MaxClients+SpareClients, func(c *eventloop.Conn) eventloop.Handler {
-		f.stats.Add("rest.connections")
+		f.stats.Add("http.connections")
 		k := &conn{front: f, conn: c, used: f.loop.Now()}
 		f.conns[k] = struct{}{}
 		if len(f.conns) > f.opts.MaxClients {
@@ -118,7 +118,7 @@
 	now := f.loop.Now()
 	for k := range f.conns {
 		if k.resting() && now-k.used > idleMost {
-			f.stats.Add("rest.idle-closed")
+			f.stats.Add("http.idle-closed")
 			k.shut()
 		}
 	}
@@ -156,7 +156,7 @@
 			}
 			return
 		}
-		f.stats.Add("rest.closed-for-room")
+		f.stats.Add("http.evicted")
 		least.shut()
 	}
 }
@@ -261,7 +261,7 @@
 		if k.ended {
 			return
 		}
-		k.front.stats.Add("rest.too-slow")
+		k.front.stats.Add("http.read-timeouts")
 		if k.conn.UnreadBytes() == 0 {
 			k.shut()
 		} else {
@@ -483,7 +483,7 @@
 // be read can't be trusted, and who sends bad calls without pause has to connect
 // for each.
 func (k *conn) refuse(bad *fault) {
-	k.front.stats.Add("rest.bad-calls")
+	k.front.stats.Add("http.bad-requests")
 	k.close = true
 	k.write(bad.status, 0, encodeFault(bad.text))
 }
--- a/internal/frontend/pgserver/class.go
+++ b/internal/frontend/pgserver/class.go
@@ -70,7 +70,7 @@
 	if effect.Effect == sqltext.Reads || effect.Effect == sqltext.Untold && readOnly {
 		return sorted{class: class, key: key, shape: !named}, nil
 	}
-	f.stats.Add("pgwire.may-write")
+	f.stats.Add("postgres.may-write")
 	if named {
 		e := fail("22023", "class %s is safe to repeat, and the statement may write (%v)", name, effect)
 		e.Hint = "Name no class, or one for writes or loads. Functions that only read belong in the gateway's read_only_functions."
--- a/internal/frontend/pgserver/front.go
+++ b/internal/frontend/pgserver/front.go
@@ -80,7 +80,7 @@
 		most += spareClients
 	}
 	ln, err := f.loop.Listen(addr, maxBuffer, most, func(c *eventloop.Conn) eventloop.Handler {
-		f.stats.Add("pgwire.connections")
+		f.stats.Add("postgres.connections")
 		f.last++
 		k := &conn{front: f, conn: c, process: f.last, statements: map[string]*statement{}, portals: map[string]*portal{}}
 		f.conns[k.process] = k
@@ -184,7 +184,7 @@
 			n, err = k.startup(in.Bytes())
 		}
 		if err != nil {
-			k.front.stats.Add("pgwire.malformed")
+			k.front.stats.Add("postgres.malformed")
 			var e *pgproto.Error
 			if !errors.As(err, &e) {
 				e = fail("08P01", "%v", err)
@@ -200,7 +200,7 @@
 	k.stall.Stop()
 	if k.request == nil && !k.ended && in.Len() > 0 && k.conn.PendingWrite() <= slowReader {
 		k.stall = k.front.loop.Timers.Schedule(k.front.loop.Now()+stallMost, func() {
-			k.front.stats.Add("pgwire.stalled")
+			k.front.stats.Add("postgres.stalled")
 			k.fatal(fail("08P01", "a message stopped in the middle"))
 		})
 	}
@@ -376,7 +376,7 @@
 	if k == nil || k.request == nil || subtle.ConstantTimeCompare(k.secret[:], body[4:]) != 1 {
 		return
 	}
-	f.stats.Add("pgwire.cancels")
+	f.stats.Add("postgres.cancel-requests")
 	r := k.request
 	k.request, k.then = nil, nil
 	e := fail("57014", "canceling statement due to user request")
@@ -414,7 +414,7 @@
 // failed answers with the one ErrorResponse of a message; what follows is
 // skipped to the next Sync, or, after a Query, nothing is.
 func (k *conn) failed(e *pgproto.Error) {
-	k.front.stats.Add("pgwire.errors." + e.Code)
+	k.front.stats.Add("postgres.errors." + e.Code)
 	k.out = pgproto.Append(k.out, 'E', e.Body())
 	if k.simple {
 		k.simple = false
--- a/internal/lifecycle/book.go
+++ b/internal/lifecycle/book.go
@@ -6,7 +6,7 @@
 // a cancel is passed by.
 func (c *Dispatcher) EndAttempt(a *Attempt, end AttemptStatus, rep AttemptReport) {
 	if a.ended {
-		c.stats.Add("end-ignored." + end.String())
+		c.stats.Add("attempts.late-end." + end.String())
 		return
 	}
 	a.ended = true
@@ -18,9 +18,9 @@
 	case policy.ResultOverloaded, policy.ResultConnectFailed, policy.ResultNotSent:
 		a.neverRan = true
 	}
-	c.stats.Add("ended." + end.String())
+	c.stats.Add("attempts.ended." + end.String())
 	if e := c.engines[a.Engine]; e.StartKnown && a.StartedAt < e.StartedAt+c.coldFor {
-		c.stats.Add("ended-cold." + end.String())
+		c.stats.Add("attempts.ended-warming." + end.String())
 	}
 	// Of what may have run and is not safe to repeat, the word of an attempt that never
 	// ran says nothing: it must not stand for the one in doubt.
@@ -53,7 +53,7 @@
 	if a.ended {
 		return
 	}
-	c.stats.Add("notes")
+	c.stats.Add("attempts.progress")
 	c.tell(policy.ProgressReported{RequestID: a.Request.query, Attempt: a.n, Kind: kind, Value: value})
 }
 
--- a/internal/lifecycle/core.go
+++ b/internal/lifecycle/core.go
@@ -180,7 +180,7 @@
 
 // Roster tells of the engine list, or of a change to it.
 func (c *Dispatcher) UpdateEndpoints(mode policy.UpdateMode, engines []Endpoint) {
-	c.stats.Add("roster.events")
+	c.stats.Add("discovery.updates")
 	ev := policy.EndpointsChanged{Mode: mode}
 	before := c.engines
 	if mode == policy.UpdateFull || mode == policy.UpdateCached {
--- a/internal/lifecycle/end.go
+++ b/internal/lifecycle/end.go
@@ -29,8 +29,9 @@
 )
 
 var endNames = [endCount]string{
-	"unknown", "served", "rejected", "too-large", "error", "full", "past", "pages-lost", "timeout", "refused", "connect-timeout",
-	"no-descriptor", "no-engine", "reset", "garbage", "cancelled", "not-sent", "idle",
+	"unknown", "served", "statement-rejected", "result-too-large", "engine-error", "overloaded", "deadline-passed",
+	"pages-lost", "timeout", "connection-refused", "connect-timeout", "no-descriptor", "unknown-engine",
+	"connection-reset", "protocol-error", "cancelled", "not-sent", "idle-closed",
 }
 
 func (e AttemptStatus) String() string {
--- a/internal/lifecycle/relay.go
+++ b/internal/lifecycle/relay.go
@@ -17,7 +17,7 @@
 	VerdictServed
 )
 
-var verdictNames = [...]string{"failed", "refused", "served"}
+var verdictNames = [...]string{"failed", "rejected", "served"}
 
 func (v Verdict) String() string { return verdictNames[v] }
 
@@ -41,9 +41,9 @@
 	a.DeadlinePassed = a.Verdict != VerdictServed && c.clock.Now() >= r.Deadline-c.round
 	a.MayHaveRun = c.MayHaveRun(r)
 	a.Forwarded, a.ErrorDetail = len(r.tries) > 0, r.detail
-	c.stats.Add("answered." + a.Verdict.String() + "." + r.Class)
+	c.stats.Add("requests.completed." + a.Verdict.String() + "." + r.Class)
 	if a.DeadlinePassed {
-		c.stats.Add("answered-late." + r.Class)
+		c.stats.Add("requests.completed-late." + r.Class)
 	}
 	c.close(r)
 	r.Client.Respond(r, a)
--- a/internal/lifecycle/route.go
+++ b/internal/lifecycle/route.go
@@ -19,17 +19,17 @@
 			c.cancel(r, a.Attempt)
 		}
 	case policy.Reject:
-		c.stats.Add("refused." + a.Reason.String())
+		c.stats.Add("rejections." + a.Reason.String())
 		c.final(a.RequestID, Response{Verdict: VerdictRejected, RetryAfter: a.RetryAfter})
 	case policy.Fail:
 		c.final(a.RequestID, Response{Verdict: VerdictFailed})
 	case policy.SetTimer:
 		c.timers.Schedule(c.clock.Now()+a.After, func() { c.tell(policy.TimerFired{Token: a.Token}) })
 	case policy.Log:
-		c.log.Info("policy", "says", a.Message)
+		c.log.Info("policy.message", "text", a.Message)
 	case policy.CheckHealth, policy.Subscribe:
 		// Neither is permitted where this program runs: engines are not probed,
 		// and the roster tells unasked.
-		c.stats.Add("policy.ignored")
+		c.stats.Add("policy.unsupported-actions")
 	}
 }
--- a/internal/lifecycle/send.go
+++ b/internal/lifecycle/send.go
@@ -19,9 +19,9 @@
 	a.notAfter = c.lastRepeat(r)
 	r.tries = append(r.tries, a)
 	r.out++
-	c.stats.Add("sent." + r.Class)
+	c.stats.Add("attempts.started." + r.Class)
 	if a.n > 0 {
-		c.stats.Add("sent-again." + r.Class)
+		c.stats.Add("attempts.retried." + r.Class)
 	}
 	if r.answered { // the module asked before it heard that the client has left
 		c.EndAttempt(a, StatusNotSent, AttemptReport{})
--- a/internal/lifecycle/takein.go
+++ b/internal/lifecycle/takein.go
@@ -8,7 +8,7 @@
 	r.priority = 1
 	c.requests[r.query] = r
 	c.unended++
-	c.stats.Add("taken." + r.Class)
+	c.stats.Add("requests.accepted." + r.Class)
 	c.admit(r)
 }
 
@@ -17,7 +17,7 @@
 	if r.answered || c.requests[r.query] != r {
 		return
 	}
-	c.stats.Add("gone." + r.Class)
+	c.stats.Add("requests.disconnected." + r.Class)
 	c.close(r)
 	c.leave(r)
 }
--- a/internal/logging/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -22,12 +22,12 @@
 			}
 		}
 	}
-	write(slog.LevelWarn, "engine.unreadable", 100)
+	write(slog.LevelWarn, "engine.protocol-error", 100)
 	write(slog.LevelInfo, "serving", 1)
 	write(slog.LevelError, "stopped", 5)
 	at = at.Add(time.Second)
-	write(slog.LevelWarn, "engine.unreadable", 2)
-	for words, want := range map[string]int{"engine.unreadable": 4, "serving": 1, "stopped": 5, "left_out=97": 1, "engine=e1": 10} {
+	write(slog.LevelWarn, "engine.protocol-error", 2)
+	for words, want := range map[string]int{"engine.protocol-error": 4, "serving": 1, "stopped": 5, "left_out=97": 1, "engine=e1": 10} {
 		if got := strings.Count(out.String(), words); got != want {
 			t.Errorf("%q stands %d times, want %d:\n%s", words, got, want, out.String())
 		}
--- a/policy/api.go
+++ b/policy/api.go
@@ -325,9 +325,12 @@
 	ReasonDeadline                              // its time is up
 )
 
-var whyNames = [...]string{"unknown", "none", "suspect", "rules", "bound", "cold", "all", "vain", "time"}
+var rejectReasonNames = [...]string{
+	"unknown-class", "no-endpoint", "ejected", "attempts-exhausted", "engine-limit", "slow-start", "fleet-limit",
+	"retry-futile", "deadline",
+}
 
-func (w RejectReason) String() string { return whyNames[w] }
+func (w RejectReason) String() string { return rejectReasonNames[w] }
 
 // Fail is a final answer that promises nothing.
 type Fail struct{ RequestID uint64 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -40,6 +40,6 @@
 	tell(policy.RequestArrived{RequestID: 3, Class: "lookup", Deadline: clock + time.Second})
 	// Output:
 	// policy.StartAttempt {RequestID:1 Engine:engine-1 Timeout:1s}
-	// policy.Reject {RequestID:2 RetryAfter:0s Reason:bound}
+	// policy.Reject {RequestID:2 RetryAfter:0s Reason:engine-limit}
 	// policy.StartAttempt {RequestID:3 Engine:engine-1 Timeout:1s}
 }
