--- /dev/null
+++ b/internal/engine/dial.go
@@ -0,0 +1,40 @@
+package engine
+
+import (
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+)
+
+// Dial starts a connection to the engine. The protocol's part is what embeds it.
+func (c *Connection[P]) Dial(client *Client[P], engine *Engine[P], protocol P) {
+	c.client, c.engine, c.protocol = client, engine, protocol
+	engine.Links = append(engine.Links, protocol)
+	client.accepting[c] = struct{}{}
+	client.Counters.Add("engine-connections.dialed")
+	client.Loop.Dial(engine.Addr, client.options.ConnectTimeout, client.options.ReadBufferBytes, c, c.dialed)
+}
+
+// dialed takes the outcome of the dial.
+func (c *Connection[P]) dialed(socket *eventloop.Conn, err error) {
+	if err == nil {
+		c.socket, c.state = socket, StateStartup
+		c.protocol.HandleConnected()
+		return
+	}
+	status := dialStatus(err)
+	if c.client.options.LogDialErrors && status != lifecycle.StatusConnectionRefused {
+		c.client.Log.Warn("engine.connect-failed", "engine", c.engine.ID, "error", err)
+	}
+	c.ended(status)
+}
+
+// dialStatus returns how a failed dial ends the attempts that waited for it.
+func dialStatus(err error) lifecycle.AttemptStatus {
+	switch {
+	case eventloop.IsConnectionRefused(err):
+		return lifecycle.StatusConnectionRefused
+	case eventloop.IsDescriptorExhausted(err):
+		return lifecycle.StatusNoDescriptor
+	}
+	return lifecycle.StatusConnectTimeout
+}
--- /dev/null
+++ b/internal/engine/lineclient/fields.go
@@ -0,0 +1,108 @@
+package lineclient
+
+import (
+	"math"
+	"strconv"
+	"strings"
+
+	"flaxrelay/policy"
+)
+
+// fieldList is the third word of a response's first line: name=value pairs with
+// commas between them, or "-" where there are none.
+type fieldList string
+
+// value returns the value of the first field of this name.
+func (f fieldList) value(name string) (value string, ok bool) {
+	rest := string(f)
+	for rest != "" && rest != "-" {
+		var field string
+		field, rest, _ = strings.Cut(rest, ",")
+		if key, found, _ := strings.Cut(field, "="); key == name {
+			return found, true
+		}
+	}
+	return "", false
+}
+
+// number returns a field's value as a finite number. Any other value counts as absent,
+// but is returned as it was parsed.
+func (f fieldList) number(name string) (number float64, ok bool) {
+	text, ok := f.value(name)
+	if !ok {
+		return 0, false
+	}
+	number, err := strconv.ParseFloat(text, 64)
+	return number, err == nil && isFinite(number)
+}
+
+func isFinite(number float64) bool { return !math.IsNaN(number) && !math.IsInf(number, 0) }
+
+// unreported is the value of a load that the engine does not report.
+const unreported = -1
+
+// loadReport reads the engine's load report. Engines name its values by the words of
+// the settings or by those of the wire.
+func (f fieldList) loadReport() policy.LoadReport {
+	report := policy.LoadReport{
+		CPUShare: unreported, InFlight: unreported, Queued: unreported, MemoryShare: unreported, DiskShare: unreported,
+	}
+	rest, _ := f.value("gauges")
+	for rest != "" {
+		var gauge string
+		gauge, rest, _ = strings.Cut(rest, ";")
+		name, text, _ := strings.Cut(gauge, ":")
+		value, err := strconv.ParseFloat(text, 64)
+		if err == nil && isFinite(value) && setLoad(&report, name, value) {
+			report.Reported = true
+		}
+	}
+	return report
+}
+
+// setLoad sets the load of this name, and reports whether there is one.
+func setLoad(report *policy.LoadReport, name string, value float64) bool {
+	switch name {
+	case "util", "cpu":
+		report.CPUShare = value
+	case "inflight", "active":
+		report.InFlight = value
+	case "queue", "waiting":
+		report.Queued = value
+	case "x0":
+		report.MemoryShare = value
+	case "x1":
+		report.DiskShare = value
+	default:
+		return false
+	}
+	return true
+}
+
+// The values of the field "res" of a progress response.
+const (
+	progressFraction = "p" // the fraction that is done
+	progressSpilling = "s" // the statement spills to disk
+	progressAwaiting = "w" // the statement waits for a resource
+)
+
+// awaitingLoad is the number of a wait for the load of data; any other is one for memory.
+const awaitingLoad = 2
+
+// progress reads what a progress response says, if it says anything.
+func (f fieldList) progress() (kind policy.ProgressKind, value float64, ok bool) {
+	resource, _ := f.value("res")
+	value, ok = f.number("num")
+	switch {
+	case !ok:
+	case resource == progressFraction:
+		return policy.ProgressFraction, value, true
+	case resource == progressSpilling:
+		return policy.ProgressSpilling, value, true
+	case resource == progressAwaiting && value == awaitingLoad:
+		return policy.ProgressAwaitingLoad, value, true
+	case resource == progressAwaiting:
+		return policy.ProgressAwaitingMemory, value, true
+	}
+	return 0, 0, false
+}
--- /dev/null
+++ b/internal/engine/lineclient/framing.go
@@ -0,0 +1,79 @@
+package lineclient
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+const (
+	// maxLineBytes bounds the first line of a response.
+	maxLineBytes = 2 << 10
+	// maxBodyBytes bounds a page, with a margin above what the protocol permits.
+	maxBodyBytes = 16 << 10
+	// wordsPerLine is the number of words of the first line: the request's id, the kind
+	// of the response, its fields and the length of its body.
+	wordsPerLine = 4
+)
+
+// response is one message of an engine.
+type response struct {
+	requestID string
+	word      string
+	fields    fieldList
+	body      []byte // within the read buffer
+}
+
+// errMalformedResponse is wrapped by the error of every response that can't be read.
+var errMalformedResponse = errors.New("malformed response")
+
+var (
+	errLine   = fmt.Errorf("%w: a line is too long or not ended by CR LF", errMalformedResponse)
+	errWords  = fmt.Errorf("%w: the first line does not have four words", errMalformedResponse)
+	errLength = fmt.Errorf("%w: the length is no number or too large", errMalformedResponse)
+	errBody   = fmt.Errorf("%w: the body is not followed by CR LF", errMalformedResponse)
+)
+
+// parseResponse reads the first response of b and returns its length, or 0 while it
+// is incomplete.
+func parseResponse(b []byte) (r response, length int, err error) {
+	line, complete, err := firstLine(b)
+	if err != nil || !complete {
+		return response{}, 0, err
+	}
+	words := strings.Split(string(line), " ")
+	if len(words) != wordsPerLine || words[0] == "" || words[1] == "" {
+		return response{}, 0, errWords
+	}
+	bodyLength, err := strconv.ParseUint(words[3], 10, 31)
+	if err != nil || bodyLength > maxBodyBytes {
+		return response{}, 0, errLength
+	}
+	bodyStart := len(line) + len(lineEnd)
+	bodyEnd := bodyStart + int(bodyLength)
+	length = bodyEnd + len(lineEnd)
+	if len(b) < length {
+		return response{}, 0, nil
+	}
+	if string(b[bodyEnd:length]) != lineEnd {
+		return response{}, 0, errBody
+	}
+	r = response{requestID: words[0], word: words[1], fields: fieldList(words[2]), body: b[bodyStart:bodyEnd]}
+	return r, length, nil
+}
+
+// firstLine returns the first line of b without its end, if all of it is there.
+func firstLine(b []byte) (line []byte, complete bool, err error) {
+	end := bytes.IndexByte(b[:min(len(b), maxLineBytes)], '\n')
+	switch {
+	case end < 0 && len(b) >= maxLineBytes:
+		return nil, false, errLine
+	case end < 0:
+		return nil, false, nil
+	case end == 0 || b[end-1] != '\r':
+		return nil, false, errLine
+	}
+	return b[:end-1], true, nil
+}
--- a/internal/engine/lineclient/parse_test.go
+++ b/internal/engine/lineclient/framing_test.go
@@ -10,12 +10,12 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("9b1f DONE batches=2,cpu=1.5,gauges=util:0.5;x 3\r\na\tb\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, n, err := parse(b)
+		a, n, err := parseResponse(b)
 		if n > len(b) || len(a.body) > n || err != nil && n != 0 {
 			t.Fatalf("%d of %d bytes, body %d, %v", n, len(b), len(a.body), err)
 		}
-		gauges(a.fields)
-		note(a.fields)
+		a.fields.loadReport()
+		a.fields.progress()
 	})
 }
 
@@ -35,7 +35,7 @@
 		"num=1":         {},
 		"-":             {},
 	} {
-		kind, value, ok := note(fields)
+		kind, value, ok := fieldList(fields).progress()
 		if kind != want.kind || value != want.value || ok != want.ok {
 			t.Errorf("%s: read %v %v %v, want %v", fields, kind, value, ok, want)
 		}
--- /dev/null
+++ b/internal/engine/lineclient/requests.go
@@ -0,0 +1,64 @@
+package lineclient
+
+import (
+	"strconv"
+	"time"
+
+	"flaxrelay/internal/lifecycle"
+)
+
+// The commands of the line protocol, each followed by the request's id.
+const (
+	commandExecute     = "want "
+	commandCancel      = "never_mind "
+	commandSetPriority = "hurry "
+	commandFetchPage   = "turn "
+	commandRelease     = "shut " // a result of several pages
+)
+
+const lineEnd = "\r\n"
+
+// executeCommandSize is the usual size of an execute command without its statement.
+const executeCommandSize = 160
+
+// executeCommand encodes an attempt's request with the time that it has left.
+func executeCommand(attempt *lifecycle.Attempt, now time.Duration) []byte {
+	request := attempt.Request
+	statement, _ := request.Statement.(string)
+	timeLeft := (attempt.StartedAt + attempt.Timeout - now).Milliseconds()
+	b := append(make([]byte, 0, executeCommandSize+len(statement)), commandExecute...)
+	b = append(append(b, request.ID...), " kind="...)
+	b = append(append(b, request.Class...), ",ms="...)
+	b = strconv.AppendInt(b, max(timeLeft, 1), 10)
+	if request.IdempotencyKey != "" {
+		b = append(append(b, ",token="...), request.IdempotencyKey...)
+	}
+	if attempt.MemoryMB >= 1 {
+		b = strconv.AppendInt(append(b, ",mb="...), int64(attempt.MemoryMB), 10)
+	}
+	b = strconv.AppendInt(append(b, ",nice="...), int64(attempt.Priority), 10)
+	b = strconv.AppendInt(append(b, ' '), int64(len(statement)), 10)
+	b = append(append(b, lineEnd...), statement...)
+	return append(b, lineEnd...)
+}
+
+// cancelCommand encodes the wish to end a request that may be running.
+func cancelCommand(id string) []byte { return []byte(commandCancel + id + lineEnd) }
+
+// releaseCommand encodes that no more pages of a result will be fetched.
+func releaseCommand(id string) []byte { return []byte(commandRelease + id + lineEnd) }
+
+// priorityCommand encodes a change of a request's priority.
+func priorityCommand(id string, priority int) []byte {
+	return []byte(commandSetPriority + id + " " + strconv.Itoa(priority) + lineEnd)
+}
+
+// fetchCommands encodes one command for each page of a result past the first.
+func fetchCommands(id string, pages int) []byte {
+	var b []byte
+	for page := 1; page < pages; page++ {
+		b = append(append(append(b, commandFetchPage...), id...), ' ')
+		b = append(strconv.AppendInt(b, int64(page), 10), lineEnd...)
+	}
+	return b
+}
--- /dev/null
+++ b/internal/engine/lineclient/stream.go
@@ -0,0 +1,34 @@
+package lineclient
+
+import (
+	"flaxrelay/internal/lifecycle"
+)
+
+// stream is one attempt on a connection, with the part of its result that has come.
+type stream struct {
+	attempt      *lifecycle.Attempt
+	conn         *connection
+	written      bool
+	pages        Rows // nil until the first page is here
+	missingPages int
+	resultBytes  int // of the pages that are here
+	report       lifecycle.AttemptReport
+}
+
+// fetchingPages reports whether the result is complete at the engine and some of its
+// pages are not here yet.
+func (s *stream) fetchingPages() bool { return s.missingPages > 0 }
+
+// writeRequest writes the attempt's request, or ends the attempt if that can't be done.
+func (s *stream) writeRequest() {
+	now := s.conn.client.shared.Dispatcher.Now()
+	if s.attempt.DedupWindowClosed(now) {
+		s.conn.finish(s, lifecycle.StatusNotSent)
+		return
+	}
+	s.written = s.conn.Write(executeCommand(s.attempt, now))
+	if !s.written {
+		s.conn.StopAccepting()
+		s.conn.finish(s, lifecycle.StatusNotSent)
+	}
+}
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -390,7 +390,8 @@
 	"unreadable": func(x *exchange) {
 		for _, answer := range [][]byte{
 			message('?', ""), message('G', "\x00\x00\x00"), message('Z', "T"), ready, message('C', "SELECT"), message('E', "x"),
-			{'D', 0, 0, 0, 3}, {'D', 0x7f, 0, 0, 0},
+			{'D', 0, 0, 0, 3},
+			{'D', 0x7f, 0, 0, 0},
 		} {
 			a := x.send("lookup", statement(question))
 			x.started()
--- /dev/null
+++ b/internal/engine/pgclient/messages.go
@@ -0,0 +1,85 @@
+package pgclient
+
+import (
+	"fmt"
+
+	"flaxrelay/internal/engine"
+	"flaxrelay/internal/pgproto"
+)
+
+// The kinds of the messages that this client sends.
+const (
+	kindParse    = 'P'
+	kindBind     = 'B'
+	kindDescribe = 'D'
+	kindExecute  = 'E'
+	kindSync     = 'S'
+)
+
+// The kinds of the messages that this client reads.
+const (
+	kindAuthentication       = 'R'
+	kindBackendKeyData       = 'K'
+	kindParameterStatus      = 'S'
+	kindNoticeResponse       = 'N'
+	kindNotificationResponse = 'A'
+	kindReadyForQuery        = 'Z'
+	kindErrorResponse        = 'E'
+	kindParseComplete        = '1'
+	kindBindComplete         = '2'
+	kindCloseComplete        = '3'
+	kindParameterDescription = 't'
+	kindRowDescription       = 'T'
+	kindNoData               = 'n'
+	kindDataRow              = 'D'
+	kindCommandComplete      = 'C'
+	kindEmptyQueryResponse   = 'I'
+)
+
+// HandleMessage takes the first message of in.
+func (c *connection) HandleMessage(in []byte) (length int, err error) {
+	kind, body, length, err := pgproto.Next(in, maxMessageBytes)
+	if err != nil {
+		return 0, fmt.Errorf("read a message: %w", err)
+	}
+	if length == 0 {
+		return 0, nil
+	}
+	return length, c.handle(kind, body, in[:length])
+}
+
+// handle takes one message; whole is the message with its kind and length.
+func (c *connection) handle(kind byte, body, whole []byte) error {
+	switch kind {
+	case kindNoticeResponse, kindParameterStatus, kindNotificationResponse:
+		return nil // of the engine's session, which no client owns
+	case kindErrorResponse:
+		return c.handleError(body)
+	case kindReadyForQuery:
+		return c.handleReady(body)
+	}
+	switch {
+	case c.State() == engine.StateStartup:
+		return c.handleStartup(kind, body)
+	case c.exchange.attempt == nil:
+		return &unexpectedMessageError{kind: kind, phase: phaseIdle}
+	}
+	return c.handleResponse(kind, body, whole)
+}
+
+// transactionIdle is the body of a ReadyForQuery outside a transaction.
+const transactionIdle = "I"
+
+// handleReady takes a ReadyForQuery: the startup or a response is over.
+func (c *connection) handleReady(body []byte) error {
+	switch {
+	case string(body) != transactionIdle:
+		return errOpenTransaction
+	case c.State() == engine.StateStartup:
+		c.completeStartup()
+		return nil
+	case c.exchange.attempt == nil:
+		return &unexpectedMessageError{kind: kindReadyForQuery, phase: phaseIdle}
+	}
+	return c.completeResponse()
+}
--- /dev/null
+++ b/internal/engine/pgclient/query.go
@@ -0,0 +1,34 @@
+package pgclient
+
+import (
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/pgproto"
+)
+
+// writeQuery sends the statement in one piece: parsed where this connection has not
+// prepared it yet, bound, described and executed.
+func (c *connection) writeQuery() {
+	attempt := c.exchange.attempt
+	statement, ok := attempt.Request.Statement.(*pgproto.Statement)
+	if !ok || attempt.DedupWindowClosed(c.client.shared.Dispatcher.Now()) {
+		c.finish(lifecycle.StatusNotSent, lifecycle.AttemptReport{})
+		return
+	}
+	c.exchange.written = true
+	name, query := c.prepare(statement)
+	if statement.Describe {
+		query = pgproto.Append(query, kindDescribe, []byte("S"), name)
+	} else {
+		query = appendExecution(query, name, statement.Bind)
+	}
+	c.Write(pgproto.Append(query, kindSync))
+}
+
+// appendExecution adds the messages that run a prepared statement once, with the
+// unnamed portal and without a limit of rows.
+func appendExecution(query, name, bind []byte) []byte {
+	const unnamedPortal, unlimitedRows = "\x00", 0
+	query = pgproto.Append(query, kindBind, []byte(unnamedPortal), name, bind)
+	query = pgproto.Append(query, kindDescribe, []byte("P"+unnamedPortal))
+	return pgproto.Append(query, kindExecute, []byte(unnamedPortal), pgproto.Int32(unlimitedRows))
+}
--- /dev/null
+++ b/internal/engine/pgclient/startup.go
@@ -0,0 +1,60 @@
+package pgclient
+
+import (
+	"flaxrelay/internal/engine"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/pgproto"
+)
+
+// applicationName is shown in the engine's own lists of sessions.
+const applicationName = "ringwood"
+
+// authenticationOK is the code of an Authentication message that asks for nothing.
+const authenticationOK = 0
+
+// HandleConnected sends the startup message.
+func (c *connection) HandleConnected() {
+	options := c.client.options
+	var parameters []byte
+	for _, text := range []string{"user", options.User, "database", options.Database, "application_name", applicationName} {
+		parameters = append(parameters, pgproto.Str(text)...)
+	}
+	c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(parameters, 0)))
+	c.client.shared.Loop.Timers.Schedule(c.startupDeadline, c.checkStartup)
+}
+
+// checkStartup closes the connection at the startup's deadline. Prevents waiting for
+// an engine that accepts connections and then sends nothing.
+func (c *connection) checkStartup() {
+	if c.State() == engine.StateStartup {
+		c.Close(lifecycle.StatusConnectTimeout)
+	}
+}
+
+// handleStartup takes one message of the startup.
+func (c *connection) handleStartup(kind byte, body []byte) error {
+	switch kind {
+	case kindAuthentication:
+		reader := pgproto.Reader{B: body}
+		if reader.Int32() != authenticationOK {
+			return errAuthentication
+		}
+	case kindBackendKeyData:
+		c.cancelKey = append([]byte{}, body...)
+	default:
+		return &unexpectedMessageError{kind: kind, phase: phaseStartup}
+	}
+	return nil
+}
+
+// completeStartup writes the query that waited for the startup.
+func (c *connection) completeStartup() {
+	c.MarkOpen()
+	c.MarkUsed()
+	c.WatchIdle()
+	if c.exchange.attempt != nil {
+		c.writeQuery()
+	} else {
+		c.closeIfDrained()
+	}
+}
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -1,73 +1,61 @@
-// Package engine keeps what all kinds of engine links share: which engines there
-// are, and which links lead to each.
 package engine
 
 import (
 	"slices"
 	"time"
 
-	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/policy"
 )
 
-// Link is one connection to an engine, from the start of its dial.
-type Connection interface {
+// Pooled is a connection that a Pool holds, from the start of its dial.
+type Pooled interface {
 	comparable
-	// Retire has the link take no more, and close once nothing is open on it.
+	// Retire has the connection accept no new attempts, and close once it has none in flight.
 	Retire()
 }
 
-// Pool holds the engines of the roster by id: a new engine may have the address
-// of a gone one.
-type Pool[L Connection] struct{ engines map[string]*Engine[L] }
+// Pool holds the engines of the endpoint list by id: a new engine may have the
+// address of a removed one. It belongs to the event loop's goroutine.
+type Pool[C Pooled] struct{ engines map[string]*Engine[C] }
 
-// Engine is one engine with its links.
-type Engine[L Connection] struct {
-	ID, Addr string
-	Links    []L
-	started  time.Duration
+// Engine is one engine of the endpoint list with its connections.
+type Engine[C Pooled] struct {
+	ID        string
+	Addr      string
+	Links     []C
+	startedAt time.Duration
 }
 
 // NewPool returns an empty pool.
-func NewPool[L Connection]() *Pool[L] { return &Pool[L]{engines: map[string]*Engine[L]{}} }
-
-// Get looks an engine up; nil if the roster has none of this id.
-func (p *Pool[L]) Get(id string) *Engine[L] { return p.engines[id] }
-
-// Engine takes an entry of the roster. Links to an engine that has moved, has
-// started anew or is gone are retired.
-func (p *Pool[L]) Engine(e lifecycle.Endpoint) {
-	old := p.engines[e.ID]
-	if old == nil {
-		if e.State != policy.EngineRemoved {
-			p.engines[e.ID] = &Engine[L]{ID: e.ID, Addr: e.Address, started: e.StartedAt}
+func NewPool[C Pooled]() *Pool[C] { return &Pool[C]{engines: map[string]*Engine[C]{}} }
+
+// Get returns the engine of this id, or nil if the endpoint list has none.
+func (p *Pool[C]) Get(id string) *Engine[C] { return p.engines[id] }
+
+// Engine applies an entry of the endpoint list. Connections to an engine that has
+// changed its address, has restarted or is removed are retired.
+func (p *Pool[C]) Engine(endpoint lifecycle.Endpoint) {
+	removed := endpoint.State == policy.EngineRemoved
+	known := p.engines[endpoint.ID]
+	if known == nil {
+		if !removed {
+			p.engines[endpoint.ID] = &Engine[C]{ID: endpoint.ID, Addr: endpoint.Address, startedAt: endpoint.StartedAt}
 		}
 		return
 	}
-	if e.State == policy.EngineRemoved || e.Address != old.Addr || e.StartedAt != old.started {
-		for _, l := range slices.Clone(old.Links) {
-			l.Retire()
+	if removed || endpoint.Address != known.Addr || endpoint.StartedAt != known.startedAt {
+		for _, connection := range slices.Clone(known.Links) {
+			connection.Retire()
 		}
 	}
-	old.Addr, old.started = e.Address, e.StartedAt
-	if e.State == policy.EngineRemoved {
-		delete(p.engines, e.ID)
+	known.Addr, known.startedAt = endpoint.Address, endpoint.StartedAt
+	if removed {
+		delete(p.engines, endpoint.ID)
 	}
 }
 
-// Remove takes a link out that has ended.
-func (e *Engine[L]) Remove(l L) {
-	e.Links = slices.DeleteFunc(e.Links, func(o L) bool { return o == l })
-}
-
-// DialEnd tells how a failed dial ends what waited for it.
-func DialStatus(err error) lifecycle.AttemptStatus {
-	switch {
-	case eventloop.IsConnectionRefused(err):
-		return lifecycle.StatusConnectionRefused
-	case eventloop.IsDescriptorExhausted(err):
-		return lifecycle.StatusNoDescriptor
-	}
-	return lifecycle.StatusConnectTimeout
+// remove takes out a connection that has ended.
+func (e *Engine[C]) remove(connection C) {
+	e.Links = slices.DeleteFunc(e.Links, func(other C) bool { return other == connection })
 }
