--- /dev/null
+++ b/internal/engine/connection_test.go
@@ -0,0 +1,221 @@
+package engine
+
+import (
+	"errors"
+	"log/slog"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
+)
+
+// fakeConnection is a connection of a protocol that has no messages.
+type fakeConnection struct {
+	Connection[*fakeConnection]
+
+	inFlight int
+	retired  bool
+	messages []string // what HandleMessage has taken, a line each
+	closed   chan lifecycle.AttemptStatus
+}
+
+// testTimeout bounds every wait.
+const testTimeout = 10 * time.Second
+
+var errFakeProtocol = errors.New("not a message")
+
+func (c *fakeConnection) Retire()          { c.retired = true }
+func (c *fakeConnection) HandleConnected() { c.MarkOpen() }
+func (c *fakeConnection) InFlight() int    { return c.inFlight }
+func (c *fakeConnection) ResetStatus() lifecycle.AttemptStatus {
+	return lifecycle.StatusConnectionReset
+}
+
+func (c *fakeConnection) HandleMessage(in []byte) (int, error) {
+	line, _, complete := strings.Cut(string(in), "\n")
+	switch {
+	case !complete:
+		return 0, nil
+	case line == "":
+		return 0, errFakeProtocol
+	}
+	c.messages = append(c.messages, line)
+	return len(line) + 1, nil
+}
+
+func (c *fakeConnection) HandleClosed(status lifecycle.AttemptStatus) { c.closed <- status }
+
+func newFakeClient() *Client[*fakeConnection] {
+	return NewClient[*fakeConnection](nil, nil, Options{}, metrics.New(), slog.New(slog.DiscardHandler))
+}
+
+// newFakeConnection returns a connection in the state, as its dial would leave it.
+func newFakeConnection(client *Client[*fakeConnection], state State) *fakeConnection {
+	c := &fakeConnection{closed: make(chan lifecycle.AttemptStatus, 1)}
+	c.client, c.engine, c.protocol, c.state = client, &Engine[*fakeConnection]{ID: "e1"}, c, state
+	c.engine.Links = append(c.engine.Links, c)
+	client.accepting[&c.Connection] = struct{}{}
+	return c
+}
+
+func listen(t *testing.T) *net.TCPListener {
+	t.Helper()
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	if err := listener.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	return listener
+}
+
+func TestMakeRoom_EvictsTheLeastRecentlyUsedIdleConnection(t *testing.T) {
+	client := newFakeClient()
+	dialing := newFakeConnection(client, StateDialing)
+	busy := newFakeConnection(client, StateOpen)
+	busy.inFlight = 1
+	recent := newFakeConnection(client, StateOpen)
+	recent.lastUsed = 2 * time.Second
+	leastRecent := newFakeConnection(client, StateOpen)
+	leastRecent.lastUsed = time.Second
+	if !client.MakeRoom(0) || !client.MakeRoom(5) || leastRecent.retired {
+		t.Error("a connection was evicted below the limit")
+	}
+	if !client.MakeRoom(4) || !leastRecent.retired || dialing.retired || busy.retired || recent.retired {
+		t.Error("the least recently used idle connection is not the one that was evicted")
+	}
+	recent.StopAccepting()
+	leastRecent.StopAccepting()
+	if client.MakeRoom(2) {
+		t.Error("there is room where no connection is idle")
+	}
+}
+
+func TestOnClosed_TellsWhoClosedTheConnection(t *testing.T) {
+	for name, test := range map[string]struct {
+		inFlight    int
+		closeStatus lifecycle.AttemptStatus
+		want        lifecycle.AttemptStatus
+	}{
+		"engine, idle":     {0, lifecycle.StatusUnknown, lifecycle.StatusIdleClosed},
+		"engine, in use":   {1, lifecycle.StatusUnknown, lifecycle.StatusConnectionReset},
+		"this side":        {1, lifecycle.StatusCancelled, lifecycle.StatusCancelled},
+		"this side, twice": {0, lifecycle.StatusProtocolError, lifecycle.StatusProtocolError},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client := newFakeClient()
+			c := newFakeConnection(client, StateOpen)
+			c.inFlight = test.inFlight
+			if test.closeStatus != lifecycle.StatusUnknown {
+				c.beginClose(test.closeStatus)
+				c.beginClose(lifecycle.StatusIdleClosed) // the first status stays
+			}
+			c.OnClosed(nil, nil)
+			if status := <-c.closed; status != test.want {
+				t.Errorf("closed with %v, want %v", status, test.want)
+			}
+			if c.State() != StateClosed || len(c.engine.Links) != 0 || len(client.accepting) != 0 {
+				t.Error("the connection is still held")
+			}
+			if client.Counters.Get("engine-connections.closed."+test.want.String()) != 1 {
+				t.Error("the end is not counted")
+			}
+		})
+	}
+}
+
+func TestPool_RetiresConnectionsOfAChangedEngine(t *testing.T) {
+	entry := lifecycle.Endpoint{Address: "127.0.0.1:1", Engine: policy.Engine{ID: "e1", State: policy.EngineReady}}
+	for name, test := range map[string]struct {
+		change  func(*lifecycle.Endpoint)
+		retired bool
+	}{
+		"nothing":   {func(*lifecycle.Endpoint) {}, false},
+		"draining":  {func(e *lifecycle.Endpoint) { e.State = policy.EngineDraining }, false},
+		"address":   {func(e *lifecycle.Endpoint) { e.Address = "127.0.0.1:2" }, true},
+		"restarted": {func(e *lifecycle.Endpoint) { e.StartedAt = time.Second }, true},
+		"removed":   {func(e *lifecycle.Endpoint) { e.State = policy.EngineRemoved }, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			pool := NewPool[*fakeConnection]()
+			pool.Engine(entry)
+			c := &fakeConnection{}
+			pool.Get("e1").Links = append(pool.Get("e1").Links, c)
+			changed := entry
+			test.change(&changed)
+			pool.Engine(changed)
+			if c.retired != test.retired {
+				t.Errorf("retired: %t, want %t", c.retired, test.retired)
+			}
+		})
+	}
+}
+
+// runLoop runs an event loop until the end of the test.
+func runLoop(t *testing.T) *eventloop.Loop {
+	t.Helper()
+	loop, err := eventloop.New(64)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stopped := make(chan struct{})
+	go func() {
+		loop.Run()
+		close(stopped)
+	}()
+	t.Cleanup(func() {
+		loop.Post(loop.Stop)
+		<-stopped
+	})
+	return loop
+}
+
+// TestConnection_EndsOnProtocolErrors plays an engine that sends two messages and then
+// one that can't be read, or not to its end in time.
+func TestConnection_EndsOnProtocolErrors(t *testing.T) {
+	for name, test := range map[string]struct {
+		last                         string
+		stallTimeout, messageTimeout time.Duration
+	}{
+		"malformed": {"\n", testTimeout, testTimeout},
+		"stalled":   {"thr", time.Millisecond, 0},
+		"too long":  {"thr", testTimeout, time.Millisecond},
+	} {
+		t.Run(name, func(t *testing.T) {
+			loop, listener := runLoop(t), listen(t)
+			options := Options{
+				ConnectTimeout: testTimeout, ReadBufferBytes: 1 << 10,
+				StallTimeout: test.stallTimeout, MessageTimeout: test.messageTimeout,
+			}
+			client := NewClient[*fakeConnection](loop, nil, options, metrics.New(), slog.New(slog.DiscardHandler))
+			c := &fakeConnection{inFlight: 1, closed: make(chan lifecycle.AttemptStatus, 1)}
+			loop.Post(func() { c.Dial(client, &Engine[*fakeConnection]{ID: "e1", Address: listener.Addr().String()}, c) })
+			peer, err := listener.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Cleanup(func() { _ = peer.Close() })
+			if _, err := peer.Write([]byte("one\ntwo\n" + test.last)); err != nil {
+				t.Fatal(err)
+			}
+			select {
+			case status := <-c.closed:
+				if status != lifecycle.StatusProtocolError {
+					t.Errorf("closed with %v, want %v", status, lifecycle.StatusProtocolError)
+				}
+			case <-time.After(testTimeout):
+				t.Fatal("the connection is not closed")
+			}
+			if got := strings.Join(c.messages, " "); got != "one two" {
+				t.Errorf("read %q, want %q", got, "one two")
+			}
+		})
+	}
+}
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -11,7 +11,7 @@
 	engine.Links = append(engine.Links, protocol)
 	client.accepting[c] = struct{}{}
 	client.Counters.Add("engine-connections.dialed")
-	client.Loop.Dial(engine.Addr, client.options.ConnectTimeout, client.options.ReadBufferBytes, c, c.dialed)
+	client.Loop.Dial(engine.Address, client.options.ConnectTimeout, client.options.ReadBufferBytes, c, c.dialed)
 }
 
 // dialed takes the outcome of the dial.
--- a/internal/engine/lineclient/framing_test.go
+++ b/internal/engine/lineclient/framing_test.go
@@ -1,26 +1,60 @@
 package lineclient
 
 import (
+	"errors"
+	"strings"
 	"testing"
 
 	"flaxrelay/policy"
 )
 
-// Whatever an engine sends, an answer lies within it.
+// FuzzParse checks that whatever an engine sends, a response lies within it, and that
+// every failure is told to be one of the engine's.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("9b1f DONE batches=2,cpu=1.5,gauges=util:0.5;x 3\r\na\tb\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, n, err := parseResponse(b)
-		if n > len(b) || len(a.body) > n || err != nil && n != 0 {
-			t.Fatalf("%d of %d bytes, body %d, %v", n, len(b), len(a.body), err)
+		r, length, err := parseResponse(b)
+		if length > len(b) || len(r.body) > length || err != nil && length != 0 {
+			t.Fatalf("%d of %d bytes, body %d, %v", length, len(b), len(r.body), err)
 		}
-		a.fields.loadReport()
-		a.fields.progress()
+		if err != nil && !errors.Is(err, errMalformedResponse) {
+			t.Fatalf("%v is no %v", err, errMalformedResponse)
+		}
+		r.fields.loadReport()
+		r.fields.progress()
 	})
 }
 
-// Each note of a TELL has its own meaning to the decisions; what is no note has none.
-func TestNotesByTheirFields(t *testing.T) {
+func TestParseResponse_TellsWhatIsMalformed(t *testing.T) {
+	for name, test := range map[string]struct {
+		in   string
+		want error
+	}{
+		"incomplete line":   {"9b1f DONE - ", nil},
+		"incomplete body":   {"9b1f DONE - 3\r\na\t", nil},
+		"line end":          {"9b1f DONE - 0\n", errLine},
+		"empty line":        {"\n", errLine},
+		"endless line":      {strings.Repeat("x", maxLineBytes), errLine},
+		"three words":       {"9b1f DONE -\r\n", errWords},
+		"no id":             {" DONE - 0\r\n", errWords},
+		"length no number":  {"9b1f DONE - x\r\n", errLength},
+		"length too large":  {"9b1f DONE - 16385\r\n", errLength},
+		"body without end":  {"9b1f DONE - 1\r\naxx", errBody},
+		"negative length":   {"9b1f DONE - -1\r\n", errLength},
+		"body's end is cut": {"9b1f DONE - 1\r\na\r", nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, length, err := parseResponse([]byte(test.in))
+			if length != 0 || !errors.Is(err, test.want) {
+				t.Errorf("%d bytes and error %v, want %v", length, err, test.want)
+			}
+		})
+	}
+}
+
+// TestProgressByFields checks that each progress response has its own meaning to the
+// decisions, and that what is no progress has none.
+func TestProgressByFields(t *testing.T) {
 	for fields, want := range map[string]struct {
 		kind  policy.ProgressKind
 		value float64
--- a/internal/engine/pgclient/cancel.go
+++ b/internal/engine/pgclient/cancel.go
@@ -20,7 +20,7 @@
 		return
 	}
 	timeout := min(c.client.options.ConnectTimeout, cancelTimeout)
-	shared.Loop.Dial(c.Engine().Addr, timeout, readBufferBytes, discardHandler{}, func(socket *eventloop.Conn, err error) {
+	shared.Loop.Dial(c.Engine().Address, timeout, readBufferBytes, discardHandler{}, func(socket *eventloop.Conn, err error) {
 		if err != nil {
 			return // the query then runs to its end, as if it had ended just before the request
 		}
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// MaxResult bounds the rows of one result in bytes: it is buffered until it is complete.
-	MaxResult = 4 << 20
+	// maxResultBytes bounds the rows of one result, which is buffered until it is complete.
+	maxResultBytes = 4 << 20
 	// maxMessageBytes bounds one message.
-	maxMessageBytes = MaxResult
+	maxMessageBytes = maxResultBytes
 	// readBufferBytes bounds the read buffer of one connection: one message, and what
 	// one read brings beyond it.
 	readBufferBytes = maxMessageBytes + 64<<10
--- a/internal/engine/pgclient/response.go
+++ b/internal/engine/pgclient/response.go
@@ -45,8 +45,8 @@
 func (c *connection) addRow(row []byte) {
 	result := c.exchange.result
 	switch {
-	case len(result.Rows)+len(row) > MaxResult:
-		c.rejectResult(stateProgramLimitExceeded, fmt.Sprintf("the result is larger than %d bytes", MaxResult))
+	case len(result.Rows)+len(row) > maxResultBytes:
+		c.rejectResult(stateProgramLimitExceeded, fmt.Sprintf("the result is larger than %d bytes", maxResultBytes))
 		return
 	case c.client.bufferedBytes+len(row) > c.client.options.MaxBufferedBytes:
 		c.rejectResult(stateOutOfMemory, "the gateway holds too many results")
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -22,7 +22,7 @@
 // Engine is one engine of the endpoint list with its connections.
 type Engine[C Pooled] struct {
 	ID        string
-	Addr      string
+	Address   string
 	Links     []C
 	startedAt time.Duration
 }
@@ -40,16 +40,16 @@
 	known := p.engines[endpoint.ID]
 	if known == nil {
 		if !removed {
-			p.engines[endpoint.ID] = &Engine[C]{ID: endpoint.ID, Addr: endpoint.Address, startedAt: endpoint.StartedAt}
+			p.engines[endpoint.ID] = &Engine[C]{ID: endpoint.ID, Address: endpoint.Address, startedAt: endpoint.StartedAt}
 		}
 		return
 	}
-	if removed || endpoint.Address != known.Addr || endpoint.StartedAt != known.startedAt {
+	if removed || endpoint.Address != known.Address || endpoint.StartedAt != known.startedAt {
 		for _, connection := range slices.Clone(known.Links) {
 			connection.Retire()
 		}
 	}
-	known.Addr, known.startedAt = endpoint.Address, endpoint.StartedAt
+	known.Address, known.startedAt = endpoint.Address, endpoint.StartedAt
 	if removed {
 		delete(p.engines, endpoint.ID)
 	}
