--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -22,11 +22,14 @@
 )
 
 // exchange is a scripted engine of the line protocol.
-type exchange struct{ *enginetest.Exchange }
+type exchange struct {
+	*enginetest.Exchange
+	t *testing.T
+}
 
 func newExchange(t *testing.T, cancels bool) exchange {
 	t.Helper()
-	return exchange{enginetest.New(t, enginetest.Protocol{
+	return exchange{t: t, Exchange: enginetest.New(t, enginetest.Protocol{
 		Settings: fmt.Sprintf(settings, cancels),
 		NewClient: func(env enginetest.Environment) lifecycle.EngineClient {
 			return lineclient.New(env.Loop, env.Dispatcher, env.Site, env.Counters, env.Log)
@@ -46,6 +49,7 @@
 
 // start begins an attempt, and accepts the connection that it dials if there is none.
 func (x exchange) start(id, statement string, change func(*lifecycle.Attempt)) *lifecycle.Attempt {
+	x.t.Helper()
 	request := &lifecycle.Request{ID: id, Class: "report", Statement: statement}
 	attempt := x.Start(request, attemptTimeout, func(a *lifecycle.Attempt) {
 		a.Priority = 1
@@ -61,6 +65,7 @@
 
 // readCommand takes one command of the client, with its statement if it has one.
 func (x exchange) readCommand() {
+	x.t.Helper()
 	line, err := x.Reader.ReadString('\n')
 	x.Check(err)
 	x.Printf("> %q\n", line)
@@ -77,7 +82,10 @@
 }
 
 // write sends one piece of the engine's side.
-func (x exchange) write(text string) { x.Write([]byte(text)) }
+func (x exchange) write(text string) {
+	x.t.Helper()
+	x.Write([]byte(text))
+}
 
 const (
 	id       = "9b1f03aa5c7e2d41"
@@ -96,9 +104,9 @@
 			a.Request.IdempotencyKey, a.MemoryMB, a.Priority, a.Timeout = "key-1", 96.75, 3, 250*time.Millisecond
 		})
 		x.readCommand()
-		late := x.start("0000000000000100", "SELECT 1", func(a *lifecycle.Attempt) { a.Priority, a.Timeout = 0, 0 })
+		expired := x.start("0000000000000100", "SELECT 1", func(a *lifecycle.Attempt) { a.Priority, a.Timeout = 0, 0 })
 		x.readCommand()
-		for _, a := range []*lifecycle.Attempt{late, full, plain} { // in any order
+		for _, a := range []*lifecycle.Attempt{expired, full, plain} { // in any order
 			x.write(a.Request.ID + " DONE batches=1 0\r\n\r\n")
 			x.AwaitEnd(a)
 		}
@@ -117,7 +125,7 @@
 		x.Do(func() { x.Client.Abandon(a) })
 		x.RemoveEngine()
 	}},
-	"cancel-between-pages": {false, func(x exchange) { // what waits to be fetched may be let go of
+	"cancel-between-pages": {false, func(x exchange) { // pages that are not fetched yet are released
 		a := x.start(id, question, nil)
 		x.readCommand()
 		x.write(id + " DONE batches=2 6\r\na\tb\tc\n\r\n")
@@ -145,7 +153,7 @@
 			x.readCommand()
 		}
 		x.write(id + " MORE batch=2 6\r\ng\th\ti\n\r\n")
-		x.write(id + " MORE batch=2 6\r\ng\th\ti\n\r\n") // a second copy
+		x.write(id + " MORE batch=2 6\r\ng\th\ti\n\r\n") // a duplicate
 		x.write(id + " MORE batch=1 12\r\nd\t\té\nj\tk\tl\n\r\n")
 		x.write(id + " MORE batch=3 0\r\n\r\n")
 		x.readCommand()
@@ -159,13 +167,13 @@
 			x.write(a.Request.ID + " " + word + " - 0\r\n\r\n")
 			x.AwaitEnd(a)
 		}
-		for n, answer := range []string{
+		for n, response := range []string{
 			"DONE batches=0 0\r\n\r\n", "DONE batches=1,cpu=0.25,used=1.5 6\r\na\tb\tc\n\r\n",
 			"DONE used=x,cpu=NaN,batches=1 0\r\n\r\n", "DONE batches=1,cpu=-4 0\r\n\r\n",
 		} {
 			a := x.start(fmt.Sprintf("%016x", 16+n), "SELECT 1", nil)
 			x.readCommand()
-			x.write(a.Request.ID + " " + answer)
+			x.write(a.Request.ID + " " + response)
 			x.AwaitEnd(a)
 		}
 		a := x.start(id, "SELECT 1", nil)
@@ -184,12 +192,12 @@
 		}
 		x.write("t1 FIT - 0\r\n\r\n")
 		x.write(id + " FIT - 0\r\n\r\n")
-		x.write("ffffffffffffffff DONE batches=1 0\r\n\r\n") // for nobody
+		x.write("ffffffffffffffff DONE batches=1 0\r\n\r\n") // to no request
 		x.write(id + " DONE batches=1 0\r\n\r\n")
 		x.AwaitEnd(a)
-		var notes int64
-		x.Do(func() { notes = x.Counters.Get("attempts.progress") })
-		x.Printf("= %d notes\n", notes)
+		var progress int64
+		x.Do(func() { progress = x.Counters.Get("attempts.progress") })
+		x.Printf("= %d notes\n", progress)
 		x.RemoveEngine()
 	}},
 	"gauges": {false, func(x exchange) {
@@ -206,6 +214,7 @@
 	}},
 }
 
+// TestGoldenExchanges checks the bytes of both sides, and what the client makes of them.
 func TestGoldenExchanges(t *testing.T) {
 	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) {
@@ -216,10 +225,10 @@
 	}
 }
 
-// After what can't be read, the connection is closed with all that was open on it, and
-// the next request goes out on a new one.
-func TestGoldenUnreadableAnswers(t *testing.T) {
-	for name, answer := range map[string]string{
+// TestGoldenMalformedResponses checks that after a malformed response the connection is
+// closed with all attempts on it, and that the next request goes out on a new one.
+func TestGoldenMalformedResponses(t *testing.T) {
+	for name, response := range map[string]string{
 		"unreadable-word":        id + " ODD - 0\r\n\r\n",
 		"unreadable-three-words": id + " DONE batches=1\r\n",
 		"unreadable-length":      id + " DONE batches=1 x\r\n",
@@ -239,7 +248,7 @@
 			x.readCommand()
 			other := x.start("0000000000000001", "SELECT 2", nil)
 			x.readCommand()
-			x.write(answer)
+			x.write(response)
 			x.AwaitEnd(a)
 			x.AwaitEnd(other)
 			x.AwaitClose()
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -112,7 +112,7 @@
 		return
 	}
 	conn.clearExchange()
-	if conn.exchange.written {
+	if conn.exchange.state != queryPending {
 		conn.cancel()
 	}
 }
@@ -121,7 +121,7 @@
 // it could.
 func (c *Client) Withdraw(attempt *lifecycle.Attempt) bool {
 	conn := connectionOf(attempt)
-	if conn == nil || conn.exchange.written {
+	if conn == nil || conn.exchange.state != queryPending {
 		return false
 	}
 	conn.clearExchange()
--- a/internal/engine/pgclient/connection.go
+++ b/internal/engine/pgclient/connection.go
@@ -20,18 +20,27 @@
 	exchange        exchange
 }
 
+// queryState is how far a query has come.
+type queryState uint8
+
+// The states of a query, in their order.
+const (
+	queryPending queryState = iota // not written yet
+	queryWritten                   // written; nothing of it has run as far as is known
+	queryBound                     // BindComplete has come: the statement may be running
+)
+
 // exchange is one query with its response. Without an attempt the connection is idle,
 // and the rest is that of the last query.
 type exchange struct {
 	attempt *lifecycle.Attempt
-	written bool
+	state   queryState
 	// statementKey is the key of the statement in preparedStatements.
 	statementKey string
 	// parsedName is the name that this query's Parse gives to the statement; "": it
 	// gives none.
 	parsedName    string
 	result        *pgproto.Result // nil where there is no attempt
-	bound         bool            // BindComplete has come: the statement may be running
 	complete      bool            // CommandComplete or EmptyQueryResponse has come
 	errorResponse *pgproto.Error  // the latest; nil: none
 }
@@ -84,7 +93,7 @@
 
 // ResetStatus returns how the attempt ends where the engine closes the connection.
 func (c *connection) ResetStatus() lifecycle.AttemptStatus {
-	if !c.exchange.written { // the startup was cut off: nothing of the attempt was sent
+	if c.exchange.state == queryPending { // the startup was cut off: nothing of the attempt was sent
 		return lifecycle.StatusConnectionRefused
 	}
 	return lifecycle.StatusConnectionReset
--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -115,10 +115,11 @@
 // fatalStatus returns how an error that ends the connection ends its attempt.
 func (c *connection) fatalStatus() lifecycle.AttemptStatus {
 	status := statusOf(c.exchange.errorResponse.Code)
+	pending := c.exchange.state == queryPending
 	switch {
-	case !c.exchange.written && status != lifecycle.StatusOverloaded: // the statement was not sent
+	case pending && status != lifecycle.StatusOverloaded: // the statement was not sent
 		return lifecycle.StatusConnectionRefused
-	case c.exchange.written && status != lifecycle.StatusTimeout:
+	case !pending && status != lifecycle.StatusTimeout:
 		// Between a commit and its CommandComplete, the statement may have run or not.
 		return lifecycle.StatusEngineError
 	}
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -179,7 +179,7 @@
 		x.acceptPacket()
 		x.Do(func() {
 			if !x.Client.Withdraw(a) {
-				x.t.Error("what was not written could not be taken back")
+				x.t.Error("a query that was not written could not be withdrawn")
 			}
 		})
 		next := x.start("lookup", statement("SELECT 2"))
@@ -265,6 +265,7 @@
 	},
 }
 
+// TestGoldenExchanges checks the bytes of both sides, and what the client makes of them.
 func TestGoldenExchanges(t *testing.T) {
 	for name, play := range scripts {
 		t.Run(name, func(t *testing.T) {
--- a/internal/engine/pgclient/prepared.go
+++ b/internal/engine/pgclient/prepared.go
@@ -57,7 +57,7 @@
 // run once it is parsed again.
 func (c *connection) forgetStale(sqlState string) bool {
 	_, reused := c.prepared.names[c.exchange.statementKey]
-	if !reused || c.exchange.bound || c.exchange.parsedName != "" {
+	if !reused || c.exchange.state == queryBound || c.exchange.parsedName != "" {
 		return false
 	}
 	if sqlState != stateInvalidStatementName && sqlState != stateFeatureNotSupported {
--- a/internal/engine/pgclient/query.go
+++ b/internal/engine/pgclient/query.go
@@ -14,7 +14,7 @@
 		c.finish(lifecycle.StatusNotSent, lifecycle.AttemptReport{})
 		return
 	}
-	c.exchange.written = true
+	c.exchange.state = queryWritten
 	name, query := c.prepare(statement)
 	if statement.Describe {
 		query = pgproto.Append(query, kindDescribe, []byte("S"), name)
--- a/internal/engine/pgclient/response.go
+++ b/internal/engine/pgclient/response.go
@@ -16,7 +16,7 @@
 			c.prepared.names[c.exchange.statementKey] = c.exchange.parsedName
 		}
 	case kindBindComplete:
-		c.exchange.bound = true
+		c.exchange.state = queryBound
 	case kindCloseComplete:
 	case kindParameterDescription:
 		result.Params = append([]byte{}, body...)
