--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -1,36 +1,40 @@
 package eventloop
 
-// Buffer holds what was received and not yet parsed. It grows as needed and is
-// compacted in place, so that a connection needs no second one.
+// maxIdleBuffer is the capacity, in bytes, up to which an empty buffer keeps its memory.
+const maxIdleBuffer = 16 << 10
+
+// Buffer holds what was received and not yet consumed. It grows as needed and is
+// compacted in place, so that a connection needs no second one. It is not safe for
+// concurrent use.
 type Buffer struct {
-	b    []byte
-	from int
+	data     []byte
+	consumed int // bytes at the start of data that have been consumed
 }
 
-// Bytes is what has not been consumed. It is valid until the next call.
-func (b *Buffer) Bytes() []byte { return b.b[b.from:] }
+// Bytes returns what has not been consumed. It is valid until the next call.
+func (b *Buffer) Bytes() []byte { return b.data[b.consumed:] }
 
-// Len is the number of bytes not consumed.
-func (b *Buffer) Len() int { return len(b.b) - b.from }
+// Len returns the number of bytes not consumed.
+func (b *Buffer) Len() int { return len(b.data) - b.consumed }
 
 // Consume drops the first n bytes.
 func (b *Buffer) Consume(n int) {
-	b.from += n
-	if b.from < len(b.b) {
+	b.consumed += n
+	if b.consumed < len(b.data) {
 		return
 	}
-	b.b, b.from = b.b[:0], 0
-	if cap(b.b) > keepIdle { // one large message must not hold its memory for ever
-		b.b = nil
+	b.data, b.consumed = b.data[:0], 0
+	if cap(b.data) > maxIdleBuffer { // one large message must not keep its memory for ever
+		b.data = nil
 	}
 }
 
-// keepIdle is the size up to which an empty buffer is kept.
-const keepIdle = 16 << 10
-
-func (b *Buffer) append(p []byte) {
-	if b.from > 0 && len(b.b)+len(p) > cap(b.b) {
-		b.b, b.from = b.b[:copy(b.b, b.b[b.from:])], 0
+// append adds received bytes. It moves the rest to the front of the memory where that
+// may save an allocation.
+func (b *Buffer) append(received []byte) {
+	if b.consumed > 0 && len(b.data)+len(received) > cap(b.data) {
+		rest := copy(b.data, b.data[b.consumed:])
+		b.data, b.consumed = b.data[:rest], 0
 	}
-	b.b = append(b.b, p...)
+	b.data = append(b.data, received...)
 }
--- /dev/null
+++ b/internal/eventloop/conn.go
@@ -0,0 +1,104 @@
+package eventloop
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/lesismal/nbio"
+)
+
+// Handler takes the events of one connection, on the loop's goroutine.
+type Handler interface {
+	// OnData is called when the buffer has grown. What it doesn't consume stays there.
+	OnData(c *Conn, in *Buffer)
+	// OnClosed is called once, when the connection has ended; err is nil where the peer
+	// or Close ended it in the usual way.
+	OnClosed(c *Conn, err error)
+}
+
+// connState is how far the end of a connection has come.
+type connState int32
+
+const (
+	// connOpen: data is handed to the handler, and Write sends.
+	connOpen connState = iota
+	// connDraining: Close was called. Pending writes are sent, then the write side is
+	// shut; what is read meanwhile is discarded.
+	connDraining
+	// connLingering: CloseAfterLinger was called. Pending writes are sent; nothing more
+	// is read.
+	connLingering
+	// connClosed: the connection has ended, and the handler has been told.
+	connClosed
+)
+
+// Conn is one connection. Its methods are for the loop's goroutine.
+//
+// Two goroutines use its fields. The poller's goroutine reads the socket when it becomes
+// readable; the loop's goroutine does everything else, and also reads, once there is room
+// in a buffer that was full.
+type Conn struct {
+	// Set once, by adopt.
+	loop      *Loop
+	socket    *nbio.Conn
+	handler   Handler
+	readLimit int    // the largest size of the read buffer, in bytes
+	onEnded   func() // called once the connection has ended
+
+	// Written by the loop's goroutine alone; the poller's reads them.
+	state            atomic.Int32 // a connState
+	readAheadLimited atomic.Bool
+	flushAwaited     atomic.Bool // the loop's goroutine is to be notified when nothing is pending
+
+	// The loop's goroutine alone.
+	onFlushed func() // called once nothing is pending; may be nil
+
+	pendingWrite atomic.Int64 // bytes not yet sent: added by the loop, subtracted by nbio's writes
+	lastReadAt   atomic.Int64 // a Duration as of Loop.Now; written with mu held
+	disconnected atomic.Bool  // nbio has closed the socket; finish follows
+
+	mu              sync.Mutex
+	in              Buffer // guarded by mu, as are those below
+	deliveryPosted  bool   // a call of deliver is in the loop's queue
+	readPaused      bool   // there may be more to read, and the buffer is full
+	discardedOnRead int    // bytes that came after Close
+}
+
+func (c *Conn) loadState() connState { return connState(c.state.Load()) }
+
+func (c *Conn) setState(s connState) { c.state.Store(int32(s)) }
+
+// finish ends the connection for the loop and the handler, once.
+func (c *Conn) finish(err error) {
+	if c.loadState() == connClosed {
+		return
+	}
+	delete(c.loop.connections, c)
+	c.mu.Lock()
+	c.setState(connClosed)
+	c.releaseBuffer()
+	c.mu.Unlock()
+	c.onEnded()
+	c.handler.OnClosed(c, err)
+}
+
+// releaseBuffer drops what was read and not consumed. The caller holds mu.
+func (c *Conn) releaseBuffer() {
+	c.loop.bufferedBytes.Add(-int64(c.in.Len()))
+	c.in = Buffer{}
+}
+
+// UnreadBytes returns the number of received bytes that the handler has not consumed.
+func (c *Conn) UnreadBytes() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.in.Len()
+}
+
+// Disconnected reports whether the connection has ended, which it does before OnClosed
+// is called. What was read until then is still handed to OnData.
+func (c *Conn) Disconnected() bool { return c.disconnected.Load() }
+
+// LastReadAt returns when the latest bytes were read, as of Loop.Now.
+func (c *Conn) LastReadAt() time.Duration { return time.Duration(c.lastReadAt.Load()) }
--- /dev/null
+++ b/internal/eventloop/listen.go
@@ -0,0 +1,122 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"github.com/lesismal/nbio"
+)
+
+// acceptRetryDelay is the pause after a failed accept. It prevents a busy loop while the
+// descriptor table is full: the listener stays readable all that time.
+const acceptRetryDelay = 20 * time.Millisecond
+
+// maxConvertAttempts bounds how often an accepted connection waits for a descriptor.
+const maxConvertAttempts = 250
+
+// acceptor accepts the connections of one listener, on a goroutine of its own.
+type acceptor struct {
+	loop       *Loop
+	listener   net.Listener
+	readLimit  int
+	newHandler func(*Conn) Handler
+	slots      chan struct{} // one value for each open connection; nil: no limit
+}
+
+// Listen accepts connections at the address until the returned listener is closed. The
+// handler of each is what newHandler returns, on the loop's goroutine; its read buffer
+// holds up to readLimit bytes. While maxConnections are open (0: no limit) the next ones
+// wait unaccepted, which keeps clients from taking the descriptors that connections to
+// engines need.
+func (l *Loop) Listen(addr string, readLimit, maxConnections int, newHandler func(*Conn) Handler) (net.Listener, error) {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	a := &acceptor{loop: l, listener: listener, readLimit: readLimit, newHandler: newHandler}
+	if maxConnections > 0 {
+		a.slots = make(chan struct{}, maxConnections)
+	}
+	go a.run()
+	return listener, nil
+}
+
+func (a *acceptor) run() {
+	for {
+		a.acquireSlot()
+		conn, err := a.listener.Accept()
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return
+		case err != nil:
+			a.releaseSlot()
+			time.Sleep(acceptRetryDelay)
+		default:
+			a.handOver(conn)
+		}
+	}
+}
+
+// handOver passes an accepted connection to the loop, or closes it.
+func (a *acceptor) handOver(conn net.Conn) {
+	socket := convert(conn)
+	if socket == nil {
+		a.releaseSlot()
+		return
+	}
+	a.loop.Post(func() {
+		// An error has reached the handler by OnClosed.
+		_, _ = a.loop.adopt(socket, a.readLimit, a.newHandler, a.releaseSlot)
+	})
+}
+
+func (a *acceptor) acquireSlot() {
+	if a.slots != nil {
+		a.slots <- struct{}{}
+	}
+}
+
+func (a *acceptor) releaseSlot() {
+	if a.slots != nil {
+		<-a.slots
+	}
+}
+
+// convert makes an accepted connection nbio's, for which it takes a second descriptor
+// for a moment, and returns nil where it can't. Where the first was the last, it waits
+// for another before the next connection is accepted: closing this one would turn a
+// client away, and accepting more would leave no descriptor for any.
+func convert(conn net.Conn) *nbio.Conn {
+	for range maxConvertAttempts {
+		socket, err := nbio.NBConn(conn)
+		if err == nil {
+			return socket
+		}
+		if !IsDescriptorExhausted(err) {
+			break
+		}
+		time.Sleep(acceptRetryDelay)
+	}
+	_ = conn.Close()
+	return nil
+}
+
+// adopt hands a connected socket to the poller. The function onEnded is called once the
+// connection has ended.
+func (l *Loop) adopt(socket *nbio.Conn, readLimit int, newHandler func(*Conn) Handler, onEnded func()) (*Conn, error) {
+	c := new(Conn)
+	c.mu.Lock() // the poller goes through the same lock before it reads a field
+	c.loop, c.socket, c.readLimit, c.onEnded = l, socket, readLimit, onEnded
+	c.mu.Unlock()
+	c.handler = newHandler(c)
+	socket.SetSession(c)
+	l.connections[c] = struct{}{}
+	if _, err := l.poller.AddConn(socket); err != nil {
+		_ = socket.Close()
+		l.Post(func() { c.finish(err) })
+		return nil, fmt.Errorf("poll the connection: %w", err)
+	}
+	return c, nil
+}
--- /dev/null
+++ b/internal/eventloop/read.go
@@ -0,0 +1,111 @@
+package eventloop
+
+import (
+	"errors"
+	"syscall"
+)
+
+// read takes what the socket has until the buffer is full. It runs on the poller's
+// goroutine when data arrives, and on the loop's when there is room again.
+func (c *Conn) read(chunk []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	received := false
+	for c.loadState() != connLingering {
+		if c.in.Len() >= c.bufferLimit() {
+			c.readPaused = true
+			break
+		}
+		n, err := c.socket.Read(chunk)
+		if n > 0 {
+			if c.loadState() == connDraining {
+				if !c.discard(n) {
+					break
+				}
+				continue
+			}
+			received = true
+			if !c.buffer(chunk[:n]) {
+				break
+			}
+			continue
+		}
+		if errors.Is(err, syscall.EINTR) {
+			continue
+		}
+		if err != nil && !errors.Is(err, syscall.EAGAIN) {
+			_ = c.socket.CloseWithError(err)
+		}
+		break // at the end of the stream the poller closes
+	}
+	if received && !c.deliveryPosted {
+		c.deliveryPosted = true
+		c.loop.Post(c.deliver)
+	}
+}
+
+// discard counts bytes that came after Close. They are read, since closing a socket with
+// unread bytes resets the connection, and dropped. It reports whether to go on reading:
+// a peer that sends more than a buffer of them goes on at full speed. The caller holds mu.
+func (c *Conn) discard(n int) bool {
+	c.discardedOnRead += n
+	return c.discardedOnRead <= c.readLimit
+}
+
+// buffer keeps what was read for the handler. It reports false where that closed the
+// connection: past the loop's budget, one that needs more than one read is closed, since
+// many peers that each stop in the middle of a long message would take all memory. The
+// caller holds mu.
+func (c *Conn) buffer(data []byte) bool {
+	c.in.append(data)
+	c.lastReadAt.Store(int64(c.loop.Now()))
+	total := c.loop.bufferedBytes.Add(int64(len(data)))
+	if total <= c.loop.BufferBudget || c.in.Len() <= readSize {
+		return true
+	}
+	c.releaseBuffer() // at once: other connections need the room
+	_ = c.socket.CloseWithError(errBufferBudgetExceeded)
+	return false
+}
+
+// bufferLimit is how much the buffer may hold before reading pauses; the peer's own
+// writes then wait. It has to be enough for the largest message, and one read may pass
+// it.
+func (c *Conn) bufferLimit() int {
+	if c.readAheadLimited.Load() {
+		return min(readSize, c.readLimit)
+	}
+	return c.readLimit
+}
+
+// LimitReadAhead keeps what is read ahead small while the handler consumes nothing, as
+// during a client's open request. Redeliver must be called after it is lifted.
+func (c *Conn) LimitReadAhead(on bool) { c.readAheadLimited.Store(on) }
+
+// Redeliver has OnData called once more, on a later turn, for what an earlier call left
+// in the buffer.
+func (c *Conn) Redeliver() { c.loop.Post(c.deliver) }
+
+// deliver hands the buffer to the handler, and resumes a read that waits for room.
+func (c *Conn) deliver() {
+	c.mu.Lock()
+	c.deliveryPosted = false
+	before := c.in.Len()
+	switch c.loadState() {
+	case connOpen:
+		c.handler.OnData(c, &c.in)
+	case connDraining, connLingering:
+		// The peer of a closed connection must take what it sent last as not acted on.
+		c.in.Consume(before)
+	case connClosed:
+	}
+	c.loop.bufferedBytes.Add(int64(c.in.Len() - before))
+	resume := c.readPaused && c.in.Len() < c.bufferLimit()
+	if resume {
+		c.readPaused = false
+	}
+	c.mu.Unlock()
+	if resume {
+		c.read(c.loop.readBuffer)
+	}
+}
