--- /dev/null
+++ b/internal/discovery/eventbus/frames_test.go
@@ -0,0 +1,71 @@
+package eventbus
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestParseFrameErrors(t *testing.T) {
+	whole := encodeFrame(4, frameDelta, record{id: 7}.encode())
+	for _, test := range []struct {
+		name string
+		in   []byte
+		want error
+	}{
+		{"nothing", nil, errFrameIncomplete},
+		{"half a length", whole[:2], errFrameIncomplete},
+		{"all but the last byte", whole[:len(whole)-1], errFrameIncomplete},
+		{"whole", whole, nil},
+		{"too short to hold a kind", []byte{0, 0, 0, 8}, errFrameLength},
+		{"longest", []byte{0, 0x10, 0, 0}, errFrameIncomplete},
+		{"too long", []byte{0, 0x10, 0, 1}, errFrameLength},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := parseFrame(test.in); !errors.Is(err, test.want) {
+				t.Errorf("error %v, want %v", err, test.want)
+			}
+		})
+	}
+}
+
+func TestDecodeErrors(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		payload []byte
+		want    error
+	}{
+		{"no record", nil, nil},
+		{"a record", record{id: 7}.encode(), nil},
+		{"part of a record", record{id: 7}.encode()[:recordSize-1], errPayloadLength},
+		{"unknown state", record{id: 7, state: 3}.encode(), errUnknownState},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := (&recordDecoder{}).decode(test.payload); !errors.Is(err, test.want) {
+				t.Errorf("error %v, want %v", err, test.want)
+			}
+		})
+	}
+}
+
+// Frames of a broken bus are refused, never read past their end.
+func FuzzParse(f *testing.F) {
+	f.Add(encodeFrame(4, frameDelta, record{id: 7, port: 70}.encode()))
+	f.Add([]byte{0, 0, 0, 1, 0})
+	decoder := &recordDecoder{}
+	f.Fuzz(func(t *testing.T, b []byte) {
+		parsed, err := parseFrame(b)
+		if err != nil {
+			if parsed.payload != nil {
+				t.Fatalf("%d bytes of payload with %v", len(parsed.payload), err)
+			}
+			return
+		}
+		if parsed.size() > len(b) {
+			t.Fatalf("a frame of %d bytes in %d", parsed.size(), len(b))
+		}
+		engines, err := decoder.decode(parsed.payload)
+		if err == nil && len(engines)*recordSize != len(parsed.payload) {
+			t.Fatalf("%d records of %d bytes", len(engines), len(parsed.payload))
+		}
+	})
+}
--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -1,4 +1,4 @@
-package eventbus_test
+package eventbus
 
 import (
 	"bytes"
@@ -6,138 +6,122 @@
 	"flag"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"os"
 	"testing"
-	"time"
 
-	"flaxrelay/internal/discovery/eventbus"
-	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
-	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
+var updateGolden = flag.Bool("update", false, "write the golden file anew")
 
-const (
-	patience   = 10 * time.Second
-	goldenFile = "testdata/golden/exchange.txt"
-)
+const goldenFile = "testdata/golden/exchange.txt"
 
+// How the golden file words the modes and states.
 var (
-	modes  = map[policy.UpdateMode]string{policy.UpdateFull: "whole list", policy.UpdateDelta: "changes"}
-	states = map[policy.EngineState]string{policy.EngineReady: "ready", policy.EngineDraining: "draining", policy.EngineRemoved: "gone"}
+	modeNames  = map[policy.UpdateMode]string{policy.UpdateFull: "whole list", policy.UpdateDelta: "changes"}
+	stateNames = map[policy.EngineState]string{
+		policy.EngineReady: "ready", policy.EngineDraining: "draining", policy.EngineRemoved: "gone",
+	}
 )
 
-// events words what is told of the engines, one line each.
-type events chan string
+// transcript is a sink that writes each notification as text, one line for each engine.
+type transcript chan string
 
-func (e events) UpdateEndpoints(mode policy.UpdateMode, list []lifecycle.Endpoint) {
-	text := fmt.Sprintf("= %s of %d\n", modes[mode], len(list))
-	for _, one := range list {
+func (c transcript) UpdateEndpoints(mode policy.UpdateMode, engines []lifecycle.Endpoint) {
+	text := fmt.Sprintf("= %s of %d\n", modeNames[mode], len(engines))
+	for _, engine := range engines {
 		text += fmt.Sprintf("= %s at %s, zone %q, kind %q, cell %d, %s, late start %t at %v\n",
-			one.ID, one.Address, one.Zone, one.Kind, one.Cell, states[one.State], one.StartKnown, one.StartedAt)
+			engine.ID, engine.Address, engine.Zone, engine.Kind, engine.Cell, stateNames[engine.State],
+			engine.StartKnown, engine.StartedAt)
 	}
-	e <- text
-}
-
-func frame(number uint64, kind byte, records ...[]byte) []byte {
-	payload := bytes.Join(records, nil)
-	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
-	b = append(binary.BigEndian.AppendUint64(b, number), kind)
-	return append(b, payload...)
-}
-
-func record(id uint32, port uint16, state, zone, kind byte, cell uint16, weight uint32, started uint64) []byte {
-	b := binary.BigEndian.AppendUint32(nil, id)
-	b = binary.BigEndian.AppendUint16(append(b, 10, 18, 74, 7), port)
-	b = binary.BigEndian.AppendUint16(append(b, state, zone, kind), cell)
-	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(b, weight), started)
+	c <- text
 }
 
 // session is what the bus does with one connection.
 type session struct {
-	frames [][]byte
-	events int  // that come of them
-	kept   bool // the connection is closed by our side, not by the bus
+	frames  [][]byte
+	updates int  // notifications that come of the frames
+	refused bool // the connection is closed by the watcher, not by the bus
 }
 
+// goldenIP is the address of the engines in the golden file.
+var goldenIP = [4]byte{10, 18, 74, 7}
+
 var sessions = []session{
-	{frames: [][]byte{
-		frame(41, 0),
-		frame(42, 1, record(0x00c41f7a, 9090, 0, 0, 0, 2, 4000, 0), record(0xffffffff, 65535, 1, 1, 1, 65535, 0, 1764654000123)),
-		frame(42, 0),
-		frame(43, 2, record(0x00c41f7a, 9090, 2, 0, 0, 2, 4000, 0)),
-		frame(43, 2, record(0x00c41f7a, 9090, 0, 0, 0, 2, 4000, 0)), // told before
-		frame(1<<40, 2, record(1, 80, 0, 7, 9, 0, 0, 1<<43)),        // places and a start that there aren't
-		frame(1<<40+1, 2),
-	}, events: 4},
-	{frames: [][]byte{frame(1<<40+2, 1)}, events: 1},
-	{frames: [][]byte{frame(1<<40+3, 2, record(1, 80, 0, 0, 0, 0, 0, 0))[:30]}},        // cut off
-	{frames: [][]byte{frame(1<<40+3, 3)}, kept: true},                                  // unknown kind
-	{frames: [][]byte{frame(1<<40+3, 2, []byte("no record"))}, kept: true},             // not whole records
-	{frames: [][]byte{frame(1<<40+3, 2, record(1, 80, 3, 0, 0, 0, 0, 0))}, kept: true}, // unknown state
-	{frames: [][]byte{{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 0}}, kept: true},               // too short a frame
-	{frames: [][]byte{{0x7f, 0, 0, 0}}, kept: true},                                    // too long a one
-	{frames: [][]byte{frame(1<<40+3, 2, record(1, 80, 1, 1, 0, 0, 1, 5000))}, events: 1, kept: false},
+	{updates: 4, frames: [][]byte{
+		encodeFrame(41, frameHeartbeat),
+		encodeFrame(42, frameFull,
+			record{id: 0x00c41f7a, ip: goldenIP, port: 9090, cell: 2, weight: 4000}.encode(),
+			record{
+				id: 0xffffffff, ip: goldenIP, port: 65535, state: 1, zone: 1, kind: 1, cell: 65535,
+				startTime: 1764654000123,
+			}.encode()),
+		encodeFrame(42, frameHeartbeat),
+		encodeFrame(43, frameDelta, record{id: 0x00c41f7a, ip: goldenIP, port: 9090, state: 2, cell: 2, weight: 4000}.encode()),
+		// Repeated.
+		encodeFrame(43, frameDelta, record{id: 0x00c41f7a, ip: goldenIP, port: 9090, cell: 2, weight: 4000}.encode()),
+		// A zone, a kind and a start time out of range.
+		encodeFrame(1<<40, frameDelta, record{id: 1, ip: goldenIP, port: 80, zone: 7, kind: 9, startTime: 1 << 43}.encode()),
+		encodeFrame(1<<40+1, frameDelta),
+	}},
+	{updates: 1, frames: [][]byte{encodeFrame(1<<40+2, frameFull)}},
+	// Cut off.
+	{frames: [][]byte{encodeFrame(1<<40+3, frameDelta, record{id: 1, ip: goldenIP, port: 80}.encode())[:30]}},
+	// Unknown kind.
+	{refused: true, frames: [][]byte{encodeFrame(1<<40+3, 3)}},
+	// No whole number of records.
+	{refused: true, frames: [][]byte{encodeFrame(1<<40+3, frameDelta, []byte("no record"))}},
+	// Unknown state.
+	{refused: true, frames: [][]byte{encodeFrame(1<<40+3, frameDelta, record{id: 1, ip: goldenIP, port: 80, state: 3}.encode())}},
+	// Too short a frame, and too long a one.
+	{refused: true, frames: [][]byte{{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 0}}},
+	{refused: true, frames: [][]byte{{0x7f, 0, 0, 0}}},
+	{updates: 1, frames: [][]byte{
+		encodeFrame(1<<40+3, frameDelta, record{
+			id: 1, ip: goldenIP, port: 80, state: 1, zone: 1, weight: 1, startTime: 5000,
+		}.encode()),
+	}},
 }
 
-// All that our side writes on each connection, and the events that come of the frames,
-// are held byte for byte: `> ` by our side, `< ` by the bus, `= ` what was told.
+// All that the watcher writes on each connection, and the notifications that come of the
+// frames, are compared byte for byte: `> ` by the watcher, `< ` by the bus, `= ` to the sink.
 func TestGoldenExchange(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	must(t, err)
-	defer listener.Close()
-	loop, err := eventloop.New(1024)
-	must(t, err)
-	told := make(events, 10)
-	zones, kinds := []string{"east", "west"}, []string{"std", "big"}
-	follower := eventbus.New(loop, listener.Addr().String(), 41, zones, kinds, told, metrics.New(), slog.New(slog.DiscardHandler))
-	loop.Post(follower.Start)
-	done := make(chan struct{})
-	go func() { loop.Run(); close(done) }()
-	defer func() { loop.Post(func() { follower.Stop(); loop.Stop() }); <-done }()
-
+	listener := listen(t, "127.0.0.1:0")
+	notifications := make(transcript, 10)
+	startWatcher(t, options{
+		addr: listener.Addr().String(), lastEvent: 41,
+		zones: []string{"east", "west"}, kinds: []string{"std", "big"}, sink: notifications,
+	})
 	var log bytes.Buffer
 	for n, s := range sessions {
 		fmt.Fprintf(&log, "connection %d\n", n)
-		play(t, listener, s, told, &log)
+		s.play(t, listener, notifications, &log)
 	}
 	compareGolden(t, log.Bytes())
 }
 
-func play(t *testing.T, listener net.Listener, s session, told events, log *bytes.Buffer) {
+// play serves one connection of the watcher and writes the exchange to the log.
+func (s session) play(t *testing.T, listener *net.TCPListener, notifications transcript, log *bytes.Buffer) {
 	t.Helper()
-	must(t, listener.(*net.TCPListener).SetDeadline(time.Now().Add(patience)))
-	conn, err := listener.Accept()
-	must(t, err)
-	defer conn.Close()
-	must(t, conn.SetDeadline(time.Now().Add(patience)))
-	number := make([]byte, 8)
-	_, err = io.ReadFull(conn, number)
-	must(t, err)
-	fmt.Fprintf(log, "> %q\n", number)
+	conn, lastEvent := accept(t, listener)
+	fmt.Fprintf(log, "> %q\n", binary.BigEndian.AppendUint64(nil, lastEvent))
 	for _, f := range s.frames {
 		fmt.Fprintf(log, "< %q\n", f)
-		_, err = conn.Write(f)
+		_, err := conn.Write(f)
 		must(t, err)
 	}
-	for range s.events {
-		select {
-		case text := <-told:
-			log.WriteString(text)
-		case <-time.After(patience):
-			t.Fatalf("an event was never told of; up to here:\n%s", log)
-		}
+	for range s.updates {
+		log.WriteString(receive(t, notifications, "notification"))
 	}
-	if !s.kept {
-		must(t, conn.(*net.TCPConn).CloseWrite())
+	if !s.refused {
+		must(t, conn.CloseWrite())
 		log.WriteString("< end of the connection\n")
 	}
 	rest, err := io.ReadAll(conn)
 	must(t, err)
+	must(t, conn.Close())
 	if len(rest) > 0 {
 		fmt.Fprintf(log, "> %q\n", rest)
 	}
@@ -146,7 +130,7 @@
 
 func compareGolden(t *testing.T, got []byte) {
 	t.Helper()
-	if *update {
+	if *updateGolden {
 		must(t, os.MkdirAll("testdata/golden", 0o700))
 		must(t, os.WriteFile(goldenFile, got, 0o600))
 	}
@@ -156,10 +140,3 @@
 		t.Errorf("%s: got\n%s\nwant\n%s", goldenFile, got, want)
 	}
 }
-
-func must(t *testing.T, err error) {
-	t.Helper()
-	if err != nil {
-		t.Fatal(err)
-	}
-}
--- /dev/null
+++ b/internal/discovery/eventbus/watcher.go
@@ -0,0 +1,253 @@
+// Package eventbus follows the platform's event bus, which sends the changes of the
+// endpoint list over one TCP connection.
+package eventbus
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"flaxrelay/internal/discovery"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/timerqueue"
+	"flaxrelay/policy"
+)
+
+const (
+	dialTimeout    = time.Second
+	initialBackoff = 50 * time.Millisecond
+	// defaultMaxBackoff is the MaxBackoff of a new watcher.
+	defaultMaxBackoff = 250 * time.Millisecond
+	// defaultIdleTimeout is the longest time between two frames: a heartbeat comes each
+	// second.
+	defaultIdleTimeout = 2500 * time.Millisecond
+)
+
+var (
+	errIdleTimeout      = errors.New("no frame for too long")
+	errConnectionClosed = errors.New("connection closed")
+)
+
+// watcherState is the state of a watcher's connection to the bus.
+type watcherState int
+
+const (
+	// stateDisconnected: there is no connection; a timer starts the next attempt.
+	stateDisconnected watcherState = iota
+	// stateDialing: the latest dial is under way.
+	stateDialing
+	// stateConnected: conn is up; the idle timer runs.
+	stateConnected
+	// stateStopped is final.
+	stateStopped
+)
+
+// Watcher keeps one connection to the event bus and notifies its sink of each event. All
+// of its state belongs to the loop's goroutine.
+type Watcher struct {
+	// MaxBackoff is the longest delay between two attempts to connect. An event counts as
+	// received from the bus's return on, so that it has to be well under the time that an
+	// engine's drain leaves to heed it. It must be set before Start.
+	MaxBackoff time.Duration
+
+	loop     *eventloop.Loop
+	sink     discovery.Sink
+	records  recordDecoder
+	counters *metrics.Counters
+	log      *slog.Logger
+
+	addr        string
+	lastEvent   uint64 // number of the last event taken
+	backoff     discovery.Backoff
+	idleTimeout time.Duration
+
+	state      watcherState
+	attempt    int    // dials begun; a dial of an earlier attempt is stale
+	cancelDial func() // cancels the latest dial; may be called when it is over
+	conn       *eventloop.Conn
+	retryTimer *timerqueue.Timer // starts the next attempt
+	idleTimer  *timerqueue.Timer // ends a connection that brings no frame
+}
+
+// New returns a watcher that asks for the events after the one numbered lastEvent. Zones
+// and kinds are the lists of the settings that records refer to by index.
+func New(loop *eventloop.Loop, addr string, lastEvent uint64, zones, kinds []string, sink discovery.Sink, counters *metrics.Counters, log *slog.Logger) *Watcher {
+	return &Watcher{
+		MaxBackoff:  defaultMaxBackoff,
+		loop:        loop,
+		sink:        sink,
+		records:     recordDecoder{zones: zones, kinds: kinds},
+		counters:    counters,
+		log:         log,
+		addr:        addr,
+		lastEvent:   lastEvent,
+		backoff:     discovery.Backoff{Initial: initialBackoff},
+		idleTimeout: defaultIdleTimeout,
+	}
+}
+
+// Start connects, and from then on connects anew whenever the connection ends or is idle.
+func (w *Watcher) Start() {
+	w.backoff.Max = w.MaxBackoff
+	w.connect()
+}
+
+// MoveTo goes over to the bus at another address and asks it for the events after the
+// last one taken. Where the address is the same, it connects anew only if there is no
+// connection.
+func (w *Watcher) MoveTo(addr string) {
+	if w.state == stateStopped || addr == w.addr && w.state == stateConnected {
+		return
+	}
+	w.log.Info("eventbus.moved", "from", w.addr, "to", addr, "after", w.lastEvent)
+	w.disconnect()
+	w.addr = addr
+	w.backoff.Reset()
+	w.connect()
+}
+
+// Stop ends the connection for good.
+func (w *Watcher) Stop() {
+	w.disconnect()
+	w.state = stateStopped
+}
+
+// disconnect gives up the connection, the dial and the next attempt, whichever there is.
+func (w *Watcher) disconnect() {
+	w.idleTimer.Stop()
+	w.retryTimer.Stop()
+	if w.cancelDial != nil {
+		w.cancelDial()
+	}
+	w.closeConn()
+	w.state = stateDisconnected
+}
+
+// closeConn closes the connection, if there is one. As conn is nil then, OnClosed ignores
+// its end.
+func (w *Watcher) closeConn() {
+	if c := w.conn; c != nil {
+		w.conn = nil
+		c.Close()
+	}
+}
+
+func (w *Watcher) connect() {
+	if w.state == stateStopped {
+		return
+	}
+	w.state = stateDialing
+	w.attempt++
+	attempt := w.attempt
+	w.cancelDial = w.loop.Dial(w.addr, dialTimeout, maxMessageSize, w, func(c *eventloop.Conn, err error) {
+		w.dialed(attempt, c, err)
+	})
+}
+
+// dialed takes the result of a dial.
+func (w *Watcher) dialed(attempt int, c *eventloop.Conn, err error) {
+	if w.state != stateDialing || attempt != w.attempt { // it is stale, or none is wanted
+		if err == nil {
+			c.Close()
+		}
+		return
+	}
+	if err != nil {
+		w.retry(fmt.Errorf("connect: %w", err))
+		return
+	}
+	w.state = stateConnected
+	w.conn = c
+	c.Write(binary.BigEndian.AppendUint64(nil, w.lastEvent))
+	w.restartIdleTimer()
+}
+
+// restartIdleTimer waits for the next frame. It protects against a bus that vanishes: its
+// connection would stay open for ever.
+func (w *Watcher) restartIdleTimer() {
+	w.idleTimer.Stop()
+	w.idleTimer = w.loop.Timers.Schedule(w.loop.Now()+w.idleTimeout, func() {
+		if w.state == stateConnected {
+			w.fail(errIdleTimeout)
+		}
+	})
+}
+
+// fail closes the connection because of err, and schedules the next attempt.
+func (w *Watcher) fail(err error) {
+	w.closeConn()
+	w.retry(err)
+}
+
+// retry schedules the next attempt to connect, after the end of a dial or a connection.
+func (w *Watcher) retry(err error) {
+	w.state = stateDisconnected
+	w.idleTimer.Stop()
+	delay := w.backoff.Next()
+	w.counters.Add("eventbus.reconnects")
+	w.log.Warn("eventbus.disconnected", "bus", w.addr, "error", err, "retry_in", delay)
+	w.retryTimer = w.loop.Timers.Schedule(w.loop.Now()+delay, w.connect)
+}
+
+// OnData takes the complete frames. The sink may move or stop the watcher meanwhile,
+// which ends the connection.
+func (w *Watcher) OnData(c *eventloop.Conn, in *eventloop.Buffer) {
+	for c == w.conn {
+		f, err := parseFrame(in.Bytes())
+		if errors.Is(err, errFrameIncomplete) {
+			return
+		}
+		if err == nil {
+			err = w.take(f)
+			in.Consume(f.size())
+		}
+		if err != nil {
+			w.fail(err)
+			return
+		}
+	}
+}
+
+// OnClosed connects anew.
+func (w *Watcher) OnClosed(c *eventloop.Conn, err error) {
+	if c != w.conn {
+		return
+	}
+	w.conn = nil
+	if err == nil {
+		err = errConnectionClosed
+	}
+	w.retry(err)
+}
+
+// take notifies the sink of a frame's event, unless it has been taken before: the bus
+// may repeat events after a reconnection.
+func (w *Watcher) take(f frame) error {
+	w.backoff.Reset()
+	w.restartIdleTimer()
+	var mode policy.UpdateMode
+	switch f.kind {
+	case frameHeartbeat:
+		return nil
+	case frameFull:
+		mode = policy.UpdateFull
+	case frameDelta:
+		mode = policy.UpdateDelta
+	default:
+		return fmt.Errorf("%w %d", errUnknownFrameKind, f.kind)
+	}
+	if f.event <= w.lastEvent {
+		return nil
+	}
+	engines, err := w.records.decode(f.payload)
+	if err != nil {
+		return &eventError{Event: f.event, Err: err}
+	}
+	w.lastEvent = f.event
+	w.counters.Add("eventbus.events")
+	w.sink.UpdateEndpoints(mode, engines)
+	return nil
+}
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -8,7 +8,7 @@
 
 // Bytes that were read just before Close are not handed to the handler after it: their
 // sender sees the close alone, and may send them again.
-func TestClose_DropsDataReadBefore(t *testing.T) {
+func TestDataThatCrossesClose(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	do(l, func() {
 		if _, err := io.WriteString(peer, "a call"); err != nil {
@@ -35,7 +35,7 @@
 }
 
 // Bytes that come after the last answer do not reset the connection over it.
-func TestClose_DeliversTheLastAnswerOverUnreadBytes(t *testing.T) {
+func TestCloseOverUnreadBytes(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	do(l, func() {
 		r.conn.Write([]byte("answer"))
@@ -53,7 +53,7 @@
 }
 
 // A peer that goes on writing and never closes keeps a closed connection for a moment only.
-func TestClose_EndsWithoutThePeer(t *testing.T) {
+func TestCloseEndsWithoutThePeer(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	do(l, r.conn.Close)
 	go func() {
@@ -68,7 +68,7 @@
 
 // What a connection still accepts, by how it was closed: a second close changes nothing,
 // a write is refused, and the handler is notified of the end once.
-func TestClose_States(t *testing.T) {
+func TestCloseStates(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		close func(*Conn)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -6,7 +6,7 @@
 )
 
 // A Stop by the last timer ends Run at once: nothing else would end its wait.
-func TestRun_StoppedByTheLastTimer(t *testing.T) {
+func TestStopByTheLastTimer(t *testing.T) {
 	l, ended := startLoop(t)
 	do(l, func() { l.Timers.Schedule(l.Now()+20*time.Millisecond, l.Stop) })
 	awaitEnd(t, ended, "Run")
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -30,6 +30,7 @@
 	{"internal/engine"},
 	{"internal/stmtstats"},
 	{"internal/discovery/", "internal/config"},
+	{"internal/discovery"},
 	{"internal/lifecycle", "internal/eventloop"},
 	{decisionPrefix},
 	{"policy", "internal/sqltext", "internal/pgproto", "internal/timerqueue", "internal/metrics", "internal/logging"},
