--- /dev/null
+++ b/internal/discovery/consul/client.go
@@ -0,0 +1,115 @@
+package consul
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	// maxResponseSize bounds the body of a response, in bytes.
+	maxResponseSize = 8 << 20
+	// queryWait is how long a blocking query asks Consul to wait for a change.
+	queryWait = 30 * time.Second
+	// queryWaitMargin is how much longer than queryWait a response may take: Consul adds
+	// some jitter to the wait.
+	queryWaitMargin = 5 * time.Second
+	// maxErrorText bounds how much of an error response's body is logged, in characters.
+	maxErrorText = 100
+)
+
+// indexHeader is the response header with the index that the next query waits on.
+const indexHeader = "X-Consul-Index"
+
+var errResponseTooLarge = errors.New("response too large")
+
+// statusError is a response whose status is not 200.
+type statusError struct {
+	Status string
+	Body   string // its start
+}
+
+// Error implements error.
+func (e *statusError) Error() string { return fmt.Sprintf("status %s: %s", e.Status, e.Body) }
+
+// client makes blocking queries to Consul's HTTP API. It is safe for concurrent use.
+type client struct {
+	http *http.Client
+}
+
+func newClient() *client {
+	return &client{http: &http.Client{Transport: &http.Transport{Proxy: nil}}}
+}
+
+func (c *client) closeIdleConnections() { c.http.CloseIdleConnections() }
+
+// query makes one blocking query, which returns once the index differs from the given one
+// or the wait is over. It decodes the response's body into list.
+func (c *client) query(ctx context.Context, opts Options, path string, index uint64, list any) (received uint64, err error) {
+	ctx, cancel := context.WithTimeout(ctx, queryWait+queryWaitMargin)
+	defer cancel()
+	req, err := newRequest(ctx, opts, path, index)
+	if err != nil {
+		return 0, err
+	}
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = resp.Body.Close() }()
+	body, err := readBody(resp)
+	if err != nil {
+		return 0, err
+	}
+	received, err = strconv.ParseUint(resp.Header.Get(indexHeader), 10, 64)
+	if err != nil {
+		return 0, fmt.Errorf("%s: %w", indexHeader, err)
+	}
+	if err := json.Unmarshal(body, list); err != nil {
+		return 0, fmt.Errorf("decode the response: %w", err)
+	}
+	return received, nil
+}
+
+func newRequest(ctx context.Context, opts Options, path string, index uint64) (*http.Request, error) {
+	parameters := url.Values{
+		"index": {strconv.FormatUint(index, 10)},
+		"wait":  {queryWait.String()},
+	}
+	target := url.URL{
+		Scheme:   "http",
+		Host:     opts.Address,
+		Path:     path + opts.Service,
+		RawQuery: parameters.Encode(),
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
+	if err != nil {
+		return nil, err
+	}
+	if opts.Token != "" {
+		req.Header.Set("X-Consul-Token", opts.Token)
+	}
+	return req, nil
+}
+
+// readBody returns the body of a response with status 200.
+func readBody(resp *http.Response) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize+1))
+	switch {
+	case err != nil:
+		return nil, fmt.Errorf("read the response: %w", err)
+	case len(body) > maxResponseSize:
+		return nil, fmt.Errorf("%w: more than %d bytes", errResponseTooLarge, maxResponseSize)
+	case resp.StatusCode != http.StatusOK:
+		text := strings.TrimSpace(string(body))
+		return nil, &statusError{Status: resp.Status, Body: fmt.Sprintf("%.*s", maxErrorText, text)}
+	}
+	return body, nil
+}
--- /dev/null
+++ b/internal/discovery/consul/decoding.go
@@ -0,0 +1,101 @@
+package consul
+
+import (
+	"net"
+	"strconv"
+	"strings"
+
+	"flaxrelay/internal/discovery"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
+)
+
+// The ids of the checks that Consul registers for an engine in maintenance mode.
+const (
+	nodeMaintenanceCheck          = "_node_maintenance"
+	serviceMaintenanceCheckPrefix = "_service_maintenance"
+)
+
+const maxPort = 65535
+
+// registration is what is read of one element of the catalogue's response.
+type registration struct {
+	Node           string            `json:"Node"`
+	Address        string            `json:"Address"`
+	Datacenter     string            `json:"Datacenter"`
+	NodeMeta       map[string]string `json:"NodeMeta"`
+	ServiceID      string            `json:"ServiceID"`
+	ServiceAddress string            `json:"ServiceAddress"`
+	ServicePort    int               `json:"ServicePort"`
+	ServiceMeta    map[string]string `json:"ServiceMeta"`
+}
+
+// valid reports whether the engine can be named and connected to.
+func (r *registration) valid() bool {
+	return r.ServiceID != "" && r.ServicePort >= 1 && r.ServicePort <= maxPort
+}
+
+// endpoint returns the engine, without its state. Metadata of the service come before
+// those of the node, and both before the options.
+func (r *registration) endpoint(opts Options) lifecycle.Endpoint {
+	host := firstNonEmpty(r.ServiceAddress, r.Address)
+	engine := lifecycle.Endpoint{
+		Address: net.JoinHostPort(host, strconv.Itoa(r.ServicePort)),
+		Engine: policy.Engine{
+			ID:   engineID(r.Node, r.ServiceID),
+			Zone: firstNonEmpty(r.ServiceMeta["zone"], r.NodeMeta["zone"], opts.Zone, r.Datacenter),
+			Kind: firstNonEmpty(r.ServiceMeta["kind"], r.NodeMeta["kind"], opts.Kind),
+		},
+	}
+	if startTime, err := strconv.ParseInt(r.ServiceMeta["boot_ms"], 10, 64); err == nil {
+		engine.StartedAt, engine.StartKnown = discovery.StartTime(startTime)
+	}
+	return engine
+}
+
+// healthEntry is what is read of one element of the health API's response.
+type healthEntry struct {
+	Node struct {
+		Node string `json:"Node"`
+	} `json:"Node"`
+	Service struct {
+		ID   string            `json:"ID"`
+		Meta map[string]string `json:"Meta"`
+	} `json:"Service"`
+	Checks []struct {
+		CheckID string `json:"CheckID"`
+		Status  string `json:"Status"`
+	} `json:"Checks"`
+}
+
+func (e *healthEntry) engineID() string { return engineID(e.Node.Node, e.Service.ID) }
+
+// state maps the checks: an engine in maintenance is draining, and so is one whose
+// metadata say so, unless a critical check removes it. All others are ready.
+func (e *healthEntry) state() policy.EngineState {
+	state := policy.EngineReady
+	if e.Service.Meta["draining"] == "true" {
+		state = policy.EngineDraining
+	}
+	for _, check := range e.Checks {
+		switch {
+		case check.CheckID == nodeMaintenanceCheck || strings.HasPrefix(check.CheckID, serviceMaintenanceCheckPrefix):
+			return policy.EngineDraining
+		case check.Status == "critical":
+			state = policy.EngineRemoved
+		}
+	}
+	return state
+}
+
+// engineID names an engine: service ids are unique on their node only.
+func engineID(node, service string) string { return node + "/" + service }
+
+func firstNonEmpty(names ...string) string {
+	for _, name := range names {
+		if name != "" {
+			return name
+		}
+	}
+	return ""
+}
--- a/internal/discovery/consul/stored_test.go
+++ b/internal/discovery/consul/decoding_test.go
@@ -21,7 +21,7 @@
 	if diff := cmp.Diff(want, r); diff != "" {
 		t.Error(diff)
 	}
-	var e entry
+	var e healthEntry
 	if err := json.Unmarshal([]byte(`{"Node": {"Node": "n"}, "Service": {"ID": "i", "Meta": {"m": "1"}},
 "Checks": [{"CheckID": "c", "Status": "critical", "Name": "x"}]}`), &e); err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/discovery/consul/reconcile.go
@@ -0,0 +1,65 @@
+package consul
+
+import (
+	"slices"
+	"strings"
+
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
+)
+
+// reconcile notifies the sink of what has changed since it was last notified. An engine
+// that is no longer registered is removed, and so is one that the health API does not
+// list; one that it has never listed is left out.
+func (w *Watcher) reconcile() {
+	if w.registered == nil || w.health == nil {
+		return
+	}
+	w.counters.Add("consul.events")
+	changes, current := changedEndpoints(w.notified, w.currentEndpoints())
+	w.notified = current
+	if len(changes) > 0 {
+		w.sink.UpdateEndpoints(policy.UpdateDelta, changes)
+	}
+}
+
+// currentEndpoints returns the registered engines whose health is known, in the order of
+// their registrations.
+func (w *Watcher) currentEndpoints() []lifecycle.Endpoint {
+	var current []lifecycle.Endpoint
+	for i := range w.registered {
+		r := &w.registered[i]
+		if !r.valid() {
+			w.log.Warn("consul.invalid-registration", "consul", w.opts.Address, "reason", "it has no id or no port, and is passed by")
+			continue
+		}
+		engine := r.endpoint(w.opts)
+		state, known := w.health[engine.ID]
+		if !known {
+			continue
+		}
+		engine.State = state
+		current = append(current, engine)
+	}
+	return current
+}
+
+// changedEndpoints returns the engines that are new or differ from before, and as removed
+// those that are gone, in the order of their ids. It also returns the list as a map.
+func changedEndpoints(before map[string]lifecycle.Endpoint, list []lifecycle.Endpoint) (changes []lifecycle.Endpoint, now map[string]lifecycle.Endpoint) {
+	now = make(map[string]lifecycle.Endpoint, len(list))
+	for _, engine := range list {
+		now[engine.ID] = engine
+		if old, ok := before[engine.ID]; !ok || old != engine {
+			changes = append(changes, engine)
+		}
+	}
+	for id, engine := range before {
+		if _, ok := now[id]; !ok && engine.State != policy.EngineRemoved {
+			engine.State = policy.EngineRemoved
+			changes = append(changes, engine)
+		}
+	}
+	slices.SortFunc(changes, func(a, b lifecycle.Endpoint) int { return strings.Compare(a.ID, b.ID) })
+	return changes, now
+}
--- /dev/null
+++ b/internal/discovery/consul/watcher_test.go
@@ -0,0 +1,154 @@
+package consul
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// recorder is a sink that passes on each notification in one line.
+type recorder chan string
+
+func (r recorder) UpdateEndpoints(_ policy.UpdateMode, engines []lifecycle.Endpoint) {
+	var lines []string
+	for _, e := range engines {
+		lines = append(lines, fmt.Sprintf("%s %s %s/%s %s", e.ID, e.Address, e.Zone, e.Kind, stateNames[e.State]))
+	}
+	r <- strings.Join(lines, "; ")
+}
+
+// fakeAgent is a Consul agent that holds a query until its index differs from the
+// query's, and fails as many queries as it is told to.
+type fakeAgent struct {
+	mu       sync.Mutex
+	changed  chan struct{} // closed by the next change
+	index    uint64
+	failures int               // queries still to fail
+	checks   map[string]string // by service id: "passing", "warning", "critical" or "maintenance"
+	queries  []string
+}
+
+// update changes the agent's state and wakes the queries that it holds.
+func (a *fakeAgent) update(change func()) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	change()
+	close(a.changed)
+	a.changed = make(chan struct{})
+}
+
+func (a *fakeAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	a.mu.Lock()
+	for r.URL.Query().Get("index") == fmt.Sprint(a.index) && a.failures == 0 {
+		changed := a.changed
+		a.mu.Unlock()
+		select {
+		case <-changed:
+		case <-r.Context().Done():
+			return
+		}
+		a.mu.Lock()
+	}
+	defer a.mu.Unlock()
+	a.queries = append(a.queries, r.URL.Path+" "+r.Header.Get("X-Consul-Token"))
+	if a.failures > 0 {
+		a.failures--
+		http.Error(w, "no leader", http.StatusInternalServerError)
+		return
+	}
+	element := healthElement
+	if strings.HasPrefix(r.URL.Path, "/v1/catalog/") {
+		element = catalogElement
+	}
+	var list []string
+	for id, check := range a.checks {
+		list = append(list, element(id, check))
+	}
+	w.Header().Set("X-Consul-Index", fmt.Sprint(a.index))
+	_, _ = fmt.Fprintf(w, "[%s]", strings.Join(list, ","))
+}
+
+func catalogElement(id, _ string) string {
+	return fmt.Sprintf(`{"Node":"n1","Address":"127.0.0.1","Datacenter":"dc1","ServiceID":%q,"ServicePort":70,
+		"ServiceMeta":{"kind":"std-8"},"NodeMeta":null}`, id)
+}
+
+func healthElement(id, check string) string {
+	checkID := "serf"
+	if check == "maintenance" {
+		checkID, check = "_service_maintenance:"+id, "critical"
+	}
+	return fmt.Sprintf(`{"Node":{"Node":"n1"},"Service":{"ID":%q},"Checks":[{"CheckID":%q,"Status":%q}]}`, id, checkID, check)
+}
+
+// An engine is ready, in maintenance, critical and deregistered in turn; queries
+// fail meanwhile, and the index goes back as after a restore. The sink is notified of
+// each change once.
+func TestFollowsHealth(t *testing.T) {
+	agent := &fakeAgent{index: 50, checks: map[string]string{"e1": "passing"}, changed: make(chan struct{})}
+	server := httptest.NewServer(agent)
+	t.Cleanup(server.Close)
+	notifications := make(recorder, 10)
+	post, counters := startWatcher(t, Options{
+		Address: strings.TrimPrefix(server.URL, "http://"), Service: "stock", Token: "tok", Zone: "hall-a",
+	}, notifications)
+	for _, step := range []struct {
+		change func()
+		want   string
+	}{
+		{func() {}, "ready"},
+		{func() { agent.index++; agent.checks["e1"] = "maintenance" }, "draining"},
+		{func() { agent.failures = 2; agent.index++; agent.checks["e1"] = "critical" }, "gone"},
+		{func() { agent.index = 3; agent.checks["e1"] = "warning" }, "ready"},
+		{func() { agent.index++; delete(agent.checks, "e1") }, "gone"},
+	} {
+		agent.update(step.change)
+		got := receive(t, notifications, "notification that it is "+step.want)
+		if diff := cmp.Diff("n1/e1 127.0.0.1:70 hall-a/std-8 "+step.want, got); diff != "" {
+			t.Error(diff)
+		}
+	}
+	post(func() {
+		if n := counters.Get("consul.errors"); n != 2 {
+			t.Errorf("%d errors counted, want 2", n)
+		}
+	})
+	agent.update(func() {
+		for _, query := range []string{"/v1/catalog/service/stock tok", "/v1/health/service/stock tok"} {
+			if !strings.Contains(strings.Join(agent.queries, "\n"), query) {
+				t.Errorf("no query %s", query)
+			}
+		}
+	})
+	select {
+	case extra := <-notifications:
+		t.Errorf("one notification too many: %s", extra)
+	default:
+	}
+}
+
+func TestNextIndex(t *testing.T) {
+	for _, test := range []struct {
+		name                  string
+		index, received, want uint64
+	}{
+		{"it advances", 7, 9, 9},
+		{"the wait was over", 7, 7, 7},
+		{"it went back", 7, 3, 0},
+		{"the first response says 0", 0, 0, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := nextIndex(test.index, test.received); got != test.want {
+				t.Errorf("next index %d, want %d", got, test.want)
+			}
+		})
+	}
+}
