--- a/internal/discovery/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -3,22 +3,19 @@
 import (
 	"bufio"
 	"bytes"
-	"flag"
 	"fmt"
 	"io"
 	"net"
-	"os"
 	"regexp"
 	"strings"
 	"sync"
 	"testing"
 
+	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/policy"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden file anew")
-
 const goldenFile = "testdata/golden/exchange.txt"
 
 // transcript is a sink that writes each notification as text, one line for each engine.
@@ -28,7 +25,7 @@
 	text := fmt.Sprintf("= changes %t, of %d\n", mode == policy.UpdateDelta, len(engines))
 	for _, engine := range engines {
 		text += fmt.Sprintf("= %s at %s, zone %q, kind %q, %s, late start %t at %v\n",
-			engine.ID, engine.Address, engine.Zone, engine.Kind, stateNames[engine.State], engine.StartKnown, engine.StartedAt)
+			engine.ID, engine.Address, engine.Zone, engine.Kind, discoverytest.StateNames[engine.State], engine.StartKnown, engine.StartedAt)
 	}
 	c <- text
 }
@@ -147,7 +144,7 @@
 // notifications that come of the responses.
 func TestGoldenExchange(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	must(t, err)
+	discoverytest.Must(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	agent := newScriptedAgent()
 	go agent.acceptAll(listener)
@@ -157,11 +154,11 @@
 	}, notifications)
 
 	var log bytes.Buffer
-	receive(t, agent.queried[catalogPath], "first query")
-	receive(t, agent.queried[healthPath], "first query")
+	discoverytest.Receive(t, agent.queried[catalogPath], "first query")
+	discoverytest.Receive(t, agent.queried[healthPath], "first query")
 	for n, step := range steps {
 		agent.responses[step.path] <- step.response
-		receive(t, agent.queried[step.path], "the next query") // the response has been handled
+		discoverytest.Receive(t, agent.queried[step.path], "the next query") // the response has been handled
 		text := "= nothing\n"
 		select {
 		case text = <-notifications:
@@ -179,18 +176,5 @@
 	agent.mu.Unlock()
 	close(agent.responses[catalogPath])
 	close(agent.responses[healthPath])
-	compareGolden(t, log.Bytes())
-}
-
-func compareGolden(t *testing.T, got []byte) {
-	t.Helper()
-	if *updateGolden {
-		must(t, os.MkdirAll("testdata/golden", 0o700))
-		must(t, os.WriteFile(goldenFile, got, 0o600))
-	}
-	want, err := os.ReadFile(goldenFile)
-	must(t, err)
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", goldenFile, got, want)
-	}
+	discoverytest.CompareGolden(t, goldenFile, log.Bytes())
 }
--- a/internal/discovery/consul/watcher_test.go
+++ b/internal/discovery/consul/watcher_test.go
@@ -8,6 +8,7 @@
 	"sync"
 	"testing"
 
+	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/policy"
 
@@ -20,7 +21,7 @@
 func (r recorder) UpdateEndpoints(_ policy.UpdateMode, engines []lifecycle.Endpoint) {
 	var lines []string
 	for _, e := range engines {
-		lines = append(lines, fmt.Sprintf("%s %s %s/%s %s", e.ID, e.Address, e.Zone, e.Kind, stateNames[e.State]))
+		lines = append(lines, fmt.Sprintf("%s %s %s/%s %s", e.ID, e.Address, e.Zone, e.Kind, discoverytest.StateNames[e.State]))
 	}
 	r <- strings.Join(lines, "; ")
 }
@@ -111,7 +112,7 @@
 		{func() { agent.index++; delete(agent.checks, "e1") }, "gone"},
 	} {
 		agent.update(step.change)
-		got := receive(t, notifications, "notification that it is "+step.want)
+		got := discoverytest.Receive(t, notifications, "notification that it is "+step.want)
 		if diff := cmp.Diff("n1/e1 127.0.0.1:70 hall-a/std-8 "+step.want, got); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -3,28 +3,20 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"flag"
 	"fmt"
 	"io"
 	"net"
-	"os"
 	"testing"
 
+	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/policy"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden file anew")
-
 const goldenFile = "testdata/golden/exchange.txt"
 
-// How the golden file words the modes and states.
-var (
-	modeNames  = map[policy.UpdateMode]string{policy.UpdateFull: "whole list", policy.UpdateDelta: "changes"}
-	stateNames = map[policy.EngineState]string{
-		policy.EngineReady: "ready", policy.EngineDraining: "draining", policy.EngineRemoved: "gone",
-	}
-)
+// modeNames words the modes, as the golden file does.
+var modeNames = map[policy.UpdateMode]string{policy.UpdateFull: "whole list", policy.UpdateDelta: "changes"}
 
 // transcript is a sink that writes each notification as text, one line for each engine.
 type transcript chan string
@@ -33,7 +25,7 @@
 	text := fmt.Sprintf("= %s of %d\n", modeNames[mode], len(engines))
 	for _, engine := range engines {
 		text += fmt.Sprintf("= %s at %s, zone %q, kind %q, cell %d, %s, late start %t at %v\n",
-			engine.ID, engine.Address, engine.Zone, engine.Kind, engine.Cell, stateNames[engine.State],
+			engine.ID, engine.Address, engine.Zone, engine.Kind, engine.Cell, discoverytest.StateNames[engine.State],
 			engine.StartKnown, engine.StartedAt)
 	}
 	c <- text
@@ -99,7 +91,7 @@
 		fmt.Fprintf(&log, "connection %d\n", n)
 		s.play(t, listener, notifications, &log)
 	}
-	compareGolden(t, log.Bytes())
+	discoverytest.CompareGolden(t, goldenFile, log.Bytes())
 }
 
 // play serves one connection of the watcher and writes the exchange to the log.
@@ -110,33 +102,20 @@
 	for _, f := range s.frames {
 		fmt.Fprintf(log, "< %q\n", f)
 		_, err := conn.Write(f)
-		must(t, err)
+		discoverytest.Must(t, err)
 	}
 	for range s.updates {
-		log.WriteString(receive(t, notifications, "notification"))
+		log.WriteString(discoverytest.Receive(t, notifications, "notification"))
 	}
 	if !s.refused {
-		must(t, conn.CloseWrite())
+		discoverytest.Must(t, conn.CloseWrite())
 		log.WriteString("< end of the connection\n")
 	}
 	rest, err := io.ReadAll(conn)
-	must(t, err)
-	must(t, conn.Close())
+	discoverytest.Must(t, err)
+	discoverytest.Must(t, conn.Close())
 	if len(rest) > 0 {
 		fmt.Fprintf(log, "> %q\n", rest)
 	}
 	log.WriteString("> end of the connection\n")
 }
-
-func compareGolden(t *testing.T, got []byte) {
-	t.Helper()
-	if *updateGolden {
-		must(t, os.MkdirAll("testdata/golden", 0o700))
-		must(t, os.WriteFile(goldenFile, got, 0o600))
-	}
-	want, err := os.ReadFile(goldenFile)
-	must(t, err)
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", goldenFile, got, want)
-	}
-}
--- a/internal/discovery/eventbus/helpers_test.go
+++ b/internal/discovery/eventbus/helpers_test.go
@@ -11,13 +11,11 @@
 	"time"
 
 	"flaxrelay/internal/discovery"
+	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/metrics"
 )
 
-// patience bounds a wait for something that is expected to happen.
-const patience = 10 * time.Second
-
 // encodeFrame returns a frame whose payload is the records one after the other.
 func encodeFrame(event uint64, kind frameKind, records ...[]byte) []byte {
 	payload := bytes.Join(records, nil)
@@ -64,7 +62,7 @@
 func startWatcher(t *testing.T, opts options) {
 	t.Helper()
 	loop, err := eventloop.New(1024)
-	must(t, err)
+	discoverytest.Must(t, err)
 	if opts.log == nil {
 		opts.log = slog.DiscardHandler
 	}
@@ -117,7 +115,7 @@
 func listen(t *testing.T, addr string) *net.TCPListener {
 	t.Helper()
 	listener, err := net.Listen("tcp", addr)
-	must(t, err)
+	discoverytest.Must(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	return listener.(*net.TCPListener)
 }
@@ -126,32 +124,13 @@
 // last event that the watcher sent.
 func accept(t *testing.T, listener *net.TCPListener) (conn *net.TCPConn, lastEvent uint64) {
 	t.Helper()
-	must(t, listener.SetDeadline(time.Now().Add(patience)))
+	discoverytest.Must(t, listener.SetDeadline(time.Now().Add(discoverytest.Patience)))
 	conn, err := listener.AcceptTCP()
-	must(t, err)
+	discoverytest.Must(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	must(t, conn.SetDeadline(time.Now().Add(patience)))
+	discoverytest.Must(t, conn.SetDeadline(time.Now().Add(discoverytest.Patience)))
 	var number [8]byte
 	_, err = io.ReadFull(conn, number[:])
-	must(t, err)
+	discoverytest.Must(t, err)
 	return conn, binary.BigEndian.Uint64(number[:])
 }
-
-// receive returns the channel's next value.
-func receive[T any](t *testing.T, c <-chan T, what string) T {
-	t.Helper()
-	select {
-	case v := <-c:
-		return v
-	case <-time.After(patience):
-		t.Fatalf("%s: nothing came", what)
-		panic("unreachable")
-	}
-}
-
-func must(t *testing.T, err error) {
-	t.Helper()
-	if err != nil {
-		t.Fatal(err)
-	}
-}
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/policy"
@@ -49,12 +50,12 @@
 		conn, lastEvent := accept(t, listener)
 		starts = append(starts, lastEvent)
 		_, err := conn.Write(stream)
-		must(t, err)
+		discoverytest.Must(t, err)
 		if n < len(streams)-1 {
-			must(t, conn.Close())
+			discoverytest.Must(t, conn.Close())
 		}
 	}
-	got := []update{receive(t, updates, "first event"), receive(t, updates, "second event")}
+	got := []update{discoverytest.Receive(t, updates, "first event"), discoverytest.Receive(t, updates, "second event")}
 	want := []update{
 		{policy.UpdateFull, []lifecycle.Endpoint{{Address: "127.0.0.9:70", Engine: policy.Engine{
 			ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineReady,
@@ -101,8 +102,8 @@
 	} {
 		conn, _ := accept(t, listener)
 		_, err := conn.Write(test.stream)
-		must(t, err)
-		got := receive(t, log.reasons, "reason")
+		discoverytest.Must(t, err)
+		got := discoverytest.Receive(t, log.reasons, "reason")
 		if !errors.Is(got, test.want) {
 			t.Errorf("%q: error %v, want %v", test.stream, got, test.want)
 		}
@@ -118,21 +119,21 @@
 func TestBusReturns(t *testing.T) {
 	// At an address of its own: a connection out could else take the port while it is free.
 	listener, err := net.Listen("tcp", "127.0.0.77:0")
-	must(t, err)
+	discoverytest.Must(t, err)
 	addr := listener.Addr().String()
-	must(t, listener.Close())
+	discoverytest.Must(t, listener.Close())
 	log := newDisconnects()
 	startWatcher(t, options{addr: addr, sink: make(recorder, 1), log: log})
 	for range 8 { // just refused, and at the longest delay by now
-		if err := receive(t, log.reasons, "failed attempt"); !eventloop.IsConnectionRefused(err) {
+		if err := discoverytest.Receive(t, log.reasons, "failed attempt"); !eventloop.IsConnectionRefused(err) {
 			t.Fatalf("an attempt failed with %v, want a refused connection", err)
 		}
 	}
 	returned := listen(t, addr)
-	must(t, returned.SetDeadline(time.Now().Add(500*time.Millisecond)))
+	discoverytest.Must(t, returned.SetDeadline(time.Now().Add(500*time.Millisecond)))
 	conn, err := returned.Accept()
 	if err != nil {
 		t.Fatalf("the bus is back and not connected to: %v", err)
 	}
-	must(t, conn.Close())
+	discoverytest.Must(t, conn.Close())
 }
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -21,9 +21,10 @@
 	repositoryRoot = "../.."
 )
 
-// layers lists path prefixes of packages from the top layer down. A package may
-// import packages of its own layer and of the layers below it; packages of one
-// layer that need each other stand together.
+// layers lists the packages from the top layer down: a name stands for the package
+// and for those below it, a name that ends in a slash for those below it alone. A
+// package may import packages of its own layer and of the layers below it; packages
+// of one layer that need each other stand together.
 var layers = [][]string{
 	{"cmd/"},
 	{"internal/frontend/", "internal/simprotocol"},
@@ -41,11 +42,19 @@
 
 // layerOf returns the index of the package's layer, counted from the top, or -1.
 func layerOf(pkg string) int {
-	return slices.IndexFunc(layers, func(prefixes []string) bool {
-		return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(pkg, prefix) })
+	return slices.IndexFunc(layers, func(names []string) bool {
+		return slices.ContainsFunc(names, func(name string) bool { return contains(name, pkg) })
 	})
 }
 
+// contains reports whether a layer's name stands for the package.
+func contains(name, pkg string) bool {
+	if strings.HasSuffix(name, "/") {
+		return strings.HasPrefix(pkg, name)
+	}
+	return pkg == name || strings.HasPrefix(pkg, name+"/")
+}
+
 func goList(t *testing.T, args ...string) []string {
 	t.Helper()
 	cmd := exec.Command("go", append([]string{"list"}, args...)...)
@@ -111,6 +120,9 @@
 		if strings.HasPrefix(dependency, modulePrefix+labPrefix) || strings.HasPrefix(dependency, "gonum.org/") {
 			t.Errorf("a serving program depends on %s", dependency)
 		}
+		if dependency == "testing" { // by way of a package of test helpers
+			t.Errorf("a serving program depends on %s", dependency)
+		}
 	}
 }
 
