--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -48,9 +48,9 @@
 // Watcher keeps one connection to the event bus and notifies its sink of each event. All
 // of its state belongs to the loop's goroutine.
 type Watcher struct {
-	// MaxBackoff is the longest delay between two attempts to connect. An event counts as
-	// received from the bus's return on, so that it has to be well under the time that an
-	// engine's drain leaves to heed it. It must be set before Start.
+	// MaxBackoff is the longest delay between two attempts to connect. The bus counts its
+	// events as received once it is back, so that the delay has to be well under the grace
+	// period of a draining engine. It must be set before Start.
 	MaxBackoff time.Duration
 
 	loop     *eventloop.Loop
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -17,7 +17,8 @@
 	OnClosed(c *Conn, err error)
 }
 
-// connState is how far the end of a connection has come.
+// connState is how far the end of a connection has come. The loop's goroutine alone
+// changes it; the poller's reads it to know what to do with received bytes.
 type connState int32
 
 const (
@@ -36,8 +37,8 @@
 // Conn is one connection. Its methods are for the loop's goroutine.
 //
 // Two goroutines use its fields. The poller's goroutine reads the socket when it becomes
-// readable; the loop's goroutine does everything else, and also reads, once there is room
-// in a buffer that was full.
+// readable, and sends queued writes when it becomes writable; the loop's goroutine does
+// everything else, and also reads, once there is room in a buffer that was full.
 type Conn struct {
 	// Set once, by adopt.
 	loop      *Loop
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -13,10 +13,14 @@
 type recorder struct {
 	conn   *Conn
 	data   []string // of the loop's goroutine
+	idle   bool     // of the loop's goroutine: nothing is consumed
 	closed chan error
 }
 
 func (r *recorder) OnData(_ *Conn, in *Buffer) {
+	if r.idle {
+		return
+	}
 	r.data = append(r.data, string(in.Bytes()))
 	in.Consume(in.Len())
 }
@@ -46,6 +50,13 @@
 func connectedPair(t *testing.T) (l *Loop, r *recorder, peer *net.TCPConn) {
 	t.Helper()
 	l, _ = startLoop(t)
+	r, peer = connectTo(t, l)
+	return l, r, peer
+}
+
+// connectTo returns a connection that the loop has accepted, and its peer.
+func connectTo(t *testing.T, l *Loop) (r *recorder, peer *net.TCPConn) {
+	t.Helper()
 	accepted := make(chan *recorder, 1)
 	listener, err := l.Listen("127.0.0.1:0", 64<<10, 0, func(c *Conn) Handler {
 		r := &recorder{conn: c, closed: make(chan error, 1)}
@@ -64,7 +75,7 @@
 	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
-	return l, <-accepted, conn.(*net.TCPConn)
+	return <-accepted, conn.(*net.TCPConn)
 }
 
 // do runs f on the loop's goroutine, which does nothing else meanwhile.
--- /dev/null
+++ b/internal/eventloop/read_test.go
@@ -0,0 +1,48 @@
+package eventloop
+
+import (
+	"errors"
+	"runtime"
+	"testing"
+)
+
+// Past the budget of all buffers, a connection that needs more than one read is closed,
+// and what it held counts no more. A close by its handler meanwhile changes nothing.
+func TestBufferBudgetClosesTheConnection(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		close func(*Conn)
+	}{
+		{"by itself", nil},
+		{"and Close", (*Conn).Close},
+		{"and CloseAfterLinger", (*Conn).CloseAfterLinger},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			l, _ := startLoop(t)
+			do(l, func() { l.BufferBudget = 1 })
+			r, peer := connectTo(t, l)
+			do(l, func() {
+				r.idle = true
+				// An error is the reset by the closed connection.
+				_, _ = peer.Write(make([]byte, 2*readSize))
+				for !r.conn.Disconnected() { // the poller has closed it, and the loop is here
+					runtime.Gosched()
+				}
+				if test.close != nil {
+					test.close(r.conn)
+				}
+			})
+			if err := <-r.closed; !errors.Is(err, errBufferBudgetExceeded) {
+				t.Errorf("closed with %v, want %v", err, errBufferBudgetExceeded)
+			}
+			if n := l.BufferedBytes(); n != 0 {
+				t.Errorf("%d bytes still counted as buffered", n)
+			}
+			do(l, func() {
+				if got := r.conn.loadState(); got != connClosed {
+					t.Errorf("state %d at the end, want %d", got, connClosed)
+				}
+			})
+		})
+	}
+}
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -117,10 +117,10 @@
 		}
 	}
 	for _, dependency := range goList(t, "-deps", "./cmd/flaxrelay", "./cmd/simadapter") {
-		if strings.HasPrefix(dependency, modulePrefix+labPrefix) || strings.HasPrefix(dependency, "gonum.org/") {
-			t.Errorf("a serving program depends on %s", dependency)
-		}
-		if dependency == "testing" { // by way of a package of test helpers
+		switch {
+		case strings.HasPrefix(dependency, modulePrefix+labPrefix),
+			strings.HasPrefix(dependency, "gonum.org/"),
+			dependency == "testing": // by way of a package of test helpers
 			t.Errorf("a serving program depends on %s", dependency)
 		}
 	}
