--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,6 +1,7 @@
 package eventloop
 
 import (
+	"fmt"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -66,6 +67,24 @@
 	discardedOnRead int    // bytes that came after Close
 }
 
+// adopt hands a connected socket to the poller. The function onEnded is called once the
+// connection has ended.
+func (l *Loop) adopt(socket *nbio.Conn, readLimit int, newHandler func(*Conn) Handler, onEnded func()) (*Conn, error) {
+	c := new(Conn)
+	c.mu.Lock() // the poller goes through the same lock before it reads a field
+	c.loop, c.socket, c.readLimit, c.onEnded = l, socket, readLimit, onEnded
+	c.mu.Unlock()
+	c.handler = newHandler(c)
+	socket.SetSession(c)
+	l.connections[c] = struct{}{}
+	if _, err := l.poller.AddConn(socket); err != nil {
+		_ = socket.Close()
+		l.Post(func() { c.finish(err) })
+		return nil, fmt.Errorf("poll the connection: %w", err)
+	}
+	return c, nil
+}
+
 func (c *Conn) loadState() connState { return connState(c.state.Load()) }
 
 func (c *Conn) setState(s connState) { c.state.Store(int32(s)) }
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"net"
 	"time"
 
@@ -102,21 +101,3 @@
 	_ = conn.Close()
 	return nil
 }
-
-// adopt hands a connected socket to the poller. The function onEnded is called once the
-// connection has ended.
-func (l *Loop) adopt(socket *nbio.Conn, readLimit int, newHandler func(*Conn) Handler, onEnded func()) (*Conn, error) {
-	c := new(Conn)
-	c.mu.Lock() // the poller goes through the same lock before it reads a field
-	c.loop, c.socket, c.readLimit, c.onEnded = l, socket, readLimit, onEnded
-	c.mu.Unlock()
-	c.handler = newHandler(c)
-	socket.SetSession(c)
-	l.connections[c] = struct{}{}
-	if _, err := l.poller.AddConn(socket); err != nil {
-		_ = socket.Close()
-		l.Post(func() { c.finish(err) })
-		return nil, fmt.Errorf("poll the connection: %w", err)
-	}
-	return c, nil
-}
