--- a/internal/engine/lineclient/fields.go
+++ b/internal/engine/lineclient/fields.go
@@ -25,15 +25,18 @@
 	return "", false
 }
 
-// number returns a field's value as a finite number. Any other value counts as absent,
-// but is returned as it was parsed.
+// number returns a field's value as a finite number, or 0 and false where the field is
+// absent or holds anything else.
 func (f fieldList) number(name string) (number float64, ok bool) {
 	text, ok := f.value(name)
 	if !ok {
 		return 0, false
 	}
 	number, err := strconv.ParseFloat(text, 64)
-	return number, err == nil && isFinite(number)
+	if err != nil || !isFinite(number) {
+		return 0, false
+	}
+	return number, true
 }
 
 func isFinite(number float64) bool { return !math.IsNaN(number) && !math.IsInf(number, 0) }
--- a/internal/engine/lineclient/framing_test.go
+++ b/internal/engine/lineclient/framing_test.go
@@ -75,3 +75,27 @@
 		}
 	}
 }
+
+// TestNumberTakesFiniteValuesOnly checks that a value which is no finite number counts
+// as absent: the cost figures of a result are used without a further check.
+func TestNumberTakesFiniteValuesOnly(t *testing.T) {
+	for fields, want := range map[string]struct {
+		number float64
+		ok     bool
+	}{
+		"cpu=12.5":  {12.5, true},
+		"cpu=-3":    {-3, true},
+		"cpu=NaN":   {},
+		"cpu=Inf":   {},
+		"cpu=-Inf":  {},
+		"cpu=1e999": {},
+		"cpu=12ms":  {},
+		"used=1":    {},
+		"-":         {},
+	} {
+		number, ok := fieldList(fields).number("cpu")
+		if number != want.number || ok != want.ok {
+			t.Errorf("%s: read %v %v, want %v %v", fields, number, ok, want.number, want.ok)
+		}
+	}
+}
