--- /dev/null
+++ b/policy/actions.go
@@ -0,0 +1,88 @@
+package policy
+
+import "time"
+
+// Action is what the caller must do, in the order given: StartAttempt, SetResources, CancelAttempt,
+// CheckHealth, Reject, Fail, SetTimer, Subscribe or Log.
+type Action interface{ action() }
+
+// StartAttempt sends a request to an engine as its next attempt.
+type StartAttempt struct {
+	RequestID uint64
+	Engine    string
+	Timeout   time.Duration // above 0
+}
+
+// SetResources sets memory and priority of a request's attempts from here on, and the priority of
+// those in flight.
+type SetResources struct {
+	RequestID uint64
+	MemoryMB  float64 // 0: the engine chooses
+	Priority  int     // 0 to 3; 1 is usual
+}
+
+// CancelAttempt ends one attempt; its AttemptEnded follows.
+type CancelAttempt struct {
+	RequestID uint64
+	Attempt   int
+}
+
+// CheckHealth asks an engine for its load; HealthChecked follows.
+type CheckHealth struct{ Engine string }
+
+// Reject is a final answer after which the client may safely try again.
+type Reject struct {
+	RequestID  uint64
+	RetryAfter time.Duration // 0: not stated
+	Reason     RejectReason
+}
+
+// RejectReason says why no engine took a request. Where several engines had different reasons, it is
+// that of the one which came nearest to taking it: reasons are in this order.
+type RejectReason uint8
+
+// The reasons of a Reject.
+const (
+	ReasonUnknownClass      RejectReason = iota // the settings have no such class
+	ReasonNoEndpoint                            // the endpoint list has no engine that is ready for it
+	ReasonEjected                               // the others are ejected, or its class is stalled there
+	ReasonAttemptsExhausted                     // a rule forbids an attempt
+	ReasonEngineLimit                           // it exceeds the bounds of the others
+	ReasonSlowStart                             // the others are in slow start, and this balancer's share of their budget is spent
+	ReasonFleetLimit                            // it exceeds the bound of all engines together
+	ReasonRetryFutile                           // an attempt failed or is too slow, and a retry would be too late or in vain
+	ReasonDeadline                              // its deadline is reached
+)
+
+var rejectReasonNames = [...]string{
+	"unknown-class", "no-endpoint", "ejected", "attempts-exhausted", "engine-limit", "slow-start", "fleet-limit",
+	"retry-futile", "deadline",
+}
+
+// String returns the reason's name in logs and counters.
+func (r RejectReason) String() string { return rejectReasonNames[r] }
+
+// Fail is a final answer after which the request may have had an effect.
+type Fail struct{ RequestID uint64 }
+
+// SetTimer asks for a TimerFired with the same token.
+type SetTimer struct {
+	After time.Duration
+	Token uint64
+}
+
+// Subscribe asks for the endpoint list and its changes.
+type Subscribe struct{}
+
+// Log is a log message for operators.
+type Log struct{ Message string }
+
+func (StartAttempt) action()  {}
+func (SetResources) action()  {}
+func (CancelAttempt) action() {}
+func (CheckHealth) action()   {}
+func (Reject) action()        {}
+func (Fail) action()          {}
+func (SetTimer) action()      {}
+func (Subscribe) action()     {}
+func (Log) action()           {}
--- a/policy/export_test.go
+++ b/policy/export_test.go
@@ -1,25 +1,28 @@
 package policy
 
-// LearnedState lists every figure that the gateway has learned, in a fixed
+// LearnedState lists every figure that the balancer has learned, in a fixed
 // order, for the characterization test.
-func (g *Balancer) LearnedState() []float64 {
-	figures := []float64{g.quota, g.full, g.width, g.widest, g.setSum, g.dear, g.load, g.mine, g.theirs, g.tolds, g.rate}
-	figures = append(figures, g.fleet.figures()...)
-	for _, e := range g.engines {
-		figures = append(figures, e.loop.figures()...)
-		figures = append(figures, e.cores, e.draw, e.load, e.faults,
-			float64(e.coldUntil), float64(e.coldTold), float64(e.coldNext), float64(e.coldWas), float64(e.trialAt))
+func (b *Balancer) LearnedState() []float64 {
+	figures := []float64{
+		b.totalQuota, b.threadsPerCore, b.traffic.meanWeight, b.maxThreads, b.popularity.total, b.meanRank, b.meanLoad,
+		b.traffic.ownInFlight, b.traffic.reportedInFlight, b.traffic.reports, b.traffic.arrivalRate,
 	}
-	for _, settings := range g.set.Classes {
-		c := g.classes[settings.Name]
-		figures = append(figures, c.latency, c.quick, c.work, c.spread, c.guess, c.grant)
+	figures = append(figures, b.fleet.figures()...)
+	for _, e := range b.engines {
+		figures = append(figures, e.figures()...)
+		figures = append(figures, e.cores, e.slotDraw, e.reportedLoad, e.faultRate,
+			float64(e.warmupEndsAt), float64(e.warmupSeenAt), float64(e.budgetSpentUntil), float64(e.previousWarmupEndsAt), float64(e.probationAt))
 	}
-	for _, settings := range g.set.Tenants {
-		figures = append(figures, g.tenants[settings.Name].tokens)
+	for _, settings := range b.settings.Classes {
+		c := b.classes[settings.Name]
+		figures = append(figures, c.latencyMs, c.quickLatencyMs, c.workMs, c.latencySpread, c.estimateMs, c.grantFactor)
+	}
+	for _, settings := range b.settings.Tenants {
+		figures = append(figures, b.tenants[settings.Name].bucket.tokens)
 	}
 	return figures
 }
 
-func (l *loop) figures() []float64 {
-	return []float64{l.start, l.top, l.bound, l.alpha, l.backlog, l.level, l.slow, l.sum, float64(l.n), float64(l.pressed)}
+func (l *controlLoop) figures() []float64 {
+	return []float64{l.initialBound, l.maxBound, l.bound, l.alpha, l.backlog, l.loadLevel, l.slowdown, l.latencySum, float64(l.samples), float64(l.pressuredUntil)}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1,10 +1,8 @@
 package policy
 
 import (
-	"bufio"
 	"fmt"
 	"math"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -115,7 +113,7 @@
 		{10, 0.1, 2, 10 - 0.7/0.13, 0.13},     // alpha = .3*.2+.7*.1
 		{8, 0.05, 0.4, 8 + 0.7/0.05*0.6, .05}, // alpha = .3*.05+.7*.05
 	} {
-		b, a := step(c.bound, c.alpha, c.r)
+		b, a := controlStep(c.bound, c.alpha, c.r)
 		if math.Abs(b-c.wantBound) > 1e-9 || math.Abs(a-c.wantAlpha) > 1e-9 {
 			t.Errorf("step(%v, %v, %v) = %v, %v; want %v, %v", c.bound, c.alpha, c.r, b, a, c.wantBound, c.wantAlpha)
 		}
@@ -124,15 +122,15 @@
 
 func TestIdlePeriodChangesNothingAndFloorHolds(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
-	e := r.g.byID["e"]
+	e := r.g.enginesByID["e"]
 	bound, alpha := e.bound, e.alpha
-	r.g.control(&e.loop)
+	r.g.adjust(&e.controlLoop)
 	if e.bound != bound || e.alpha != alpha {
 		t.Fatalf("an idle period moved the loop to %v, %v", e.bound, e.alpha)
 	}
 	for i := 0; i < 50; i++ {
-		e.sum, e.n = 50, 1
-		r.g.control(&e.loop)
+		e.latencySum, e.samples = 50, 1
+		r.g.adjust(&e.controlLoop)
 	}
 	if e.bound <= 0 || e.bound >= 1 {
 		t.Fatalf("bound %v, want a floor under one query's weight", e.bound)
@@ -198,7 +196,7 @@
 	work := 0.0
 	for id := uint64(1); id < 200; id++ {
 		for range sends(r.arrive(id, "safe")) {
-			work += r.g.classes["safe"].work
+			work += r.g.classes["safe"].workMs
 			r.ends(id, 0, ResultServed)
 		}
 	}
@@ -294,26 +292,6 @@
 	}
 }
 
-func TestModuleStaysSmall(t *testing.T) {
-	f, err := os.Open("policy.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	lines := 0
-	for sc := bufio.NewScanner(f); sc.Scan(); {
-		if strings.TrimSpace(sc.Text()) != "" {
-			lines++
-		}
-		if n := len(strings.ReplaceAll(sc.Text(), "\t", "    ")); n > 110 {
-			t.Errorf("a line of %d characters: %s", n, sc.Text())
-		}
-	}
-	if lines > 1000 {
-		t.Errorf("%d lines that are not blank, want 1000 at most", lines)
-	}
-}
-
 func TestGrantFollowsToldNeedOverABiasedEstimate(t *testing.T) {
 	s := settings()
 	s.MemoryGrants, s.ReportsCost = true, true
@@ -351,12 +329,12 @@
 	for id := uint64(1); id < 40; id++ {
 		r.arrive(id, "safe")
 		for n := 0; n < 4; n++ {
-			q := r.g.queries[id]
+			q := r.g.requests[id]
 			if q == nil {
 				break
 			}
 			res := ResultServed
-			if q.tries[n].e.id == "bad" {
+			if q.attempts[n].engine.id == "bad" {
 				res = ResultFailed
 				sent++
 			}
@@ -380,8 +358,8 @@
 			idle.after(100 * msec).do(TimerFired{})
 		}
 	}
-	b, i := busy.g.byID["e"].top, idle.g.byID["e"].top
-	if i < capStarts*startCores*8/2 {
+	b, i := busy.g.enginesByID["e"].maxBound, idle.g.enginesByID["e"].maxBound
+	if i < maxBoundFactor*initialThreadsPerCore*8/2 {
 		t.Fatalf("an idle gateway's top fell to %v", i)
 	}
 	if b < 1.3*i {
@@ -391,7 +369,7 @@
 
 func TestTopShrinksPastTheKnee(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
-	e := r.g.byID["e"]
+	e := r.g.enginesByID["e"]
 	serve := func(from uint64, took time.Duration) {
 		for id := from; id < from+200; id++ {
 			r.arrive(id, "safe")
@@ -400,10 +378,10 @@
 		}
 	}
 	serve(1, 20*msec)
-	before := e.top
+	before := e.maxBound
 	serve(1000, 200*msec) // still under the aim of 300 ms
-	if e.top > 0.7*before {
-		t.Fatalf("top %v after latencies of ten times the quick ones, %v before", e.top, before)
+	if e.maxBound > 0.7*before {
+		t.Fatalf("top %v after latencies of ten times the quick ones, %v before", e.maxBound, before)
 	}
 }
 
@@ -495,7 +473,7 @@
 	over := 0
 	for id := uint64(1); id < 40; id++ { // one in two seconds, its even part
 		r.after(2 * time.Second).do(TimerFired{})
-		if r.g.overShare("t") {
+		if r.g.overQuota("t") {
 			over++
 		}
 	}
@@ -503,7 +481,7 @@
 		t.Fatalf("%d of 39 queries within the quota counted as beyond it", over)
 	}
 	for id := 0; id < 100; id++ {
-		if r.after(100 * msec).do(TimerFired{}); r.g.overShare("t") {
+		if r.after(100 * msec).do(TimerFired{}); r.g.overQuota("t") {
 			over++
 		}
 	}
@@ -546,7 +524,7 @@
 				for _, class := range []string{"safe", "wide", "unsafe"} {
 					id++
 					for range sends(g.Handle(now, RequestArrived{RequestID: id, Class: class, Deadline: now + 9*time.Second}, nil)) {
-						all = append(all, sent{now, g.classes[class].work})
+						all = append(all, sent{now, g.classes[class].workMs})
 						g.Handle(now, AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: s.Classes[0].LatencyObjective, Completed: true}, nil)
 					}
 				}
@@ -608,13 +586,13 @@
 func TestToldLoadClosesTheRoomForChance(t *testing.T) {
 	s, list := many(40)
 	r := start(t, s, list...)
-	free := r.g.fleet.top
+	free := r.g.fleet.maxBound
 	for id := uint64(1); id < 20; id++ {
 		r.arrive(id, "safe")
 		r.do(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true, Load: LoadReport{Reported: true, CPUShare: 1, InFlight: -1}})
 	}
 	r.ticks(time.Second)
-	if got := r.g.fleet.top; got > capStarts*r.g.fleet.start+0.05*free {
+	if got := r.g.fleet.maxBound; got > maxBoundFactor*r.g.fleet.initialBound+0.05*free {
 		t.Fatalf("top of all %v with every engine told busy, %v with nothing told", got, free)
 	}
 }
@@ -626,7 +604,7 @@
 		g, _ := New(s, seed)
 		g.Handle(0, EndpointsChanged{Mode: UpdateFull, Engines: list}, nil)
 		for _, e := range g.engines {
-			e.top = 3 // under the weight of four
+			e.maxBound = 3 // under the weight of four
 		}
 		for _, a := range sends(g.Handle(0, RequestArrived{RequestID: 1, Class: "wide", Dataset: int64(seed), Deadline: time.Second}, nil)) {
 			met[a.Engine]++
@@ -645,13 +623,13 @@
 func TestEnginesToldIdleWidenTheRoomForChance(t *testing.T) {
 	s, list := many(40)
 	r := start(t, s, list...)
-	before := r.g.fleet.top
+	before := r.g.fleet.maxBound
 	for id := uint64(1); id < 20; id++ {
 		r.arrive(id, "safe")
 		r.do(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true, Load: LoadReport{Reported: true, CPUShare: 0.2, InFlight: -1}})
 	}
-	if r.ticks(time.Second); r.g.fleet.top < 1.5*before {
-		t.Fatalf("top of all %v with every engine told idle, %v with nothing told", r.g.fleet.top, before)
+	if r.ticks(time.Second); r.g.fleet.maxBound < 1.5*before {
+		t.Fatalf("top of all %v with every engine told idle, %v with nothing told", r.g.fleet.maxBound, before)
 	}
 }
 
@@ -664,11 +642,11 @@
 	work := 0.0
 	for id := uint64(2); id < 200; id++ { // all at once, to an engine that may be cold
 		for range sends(r.arrive(id, "safe")) {
-			work += r.g.classes["safe"].work
+			work += r.g.classes["safe"].workMs
 			r.ends(id, 0, ResultServed)
 		}
 	}
-	if part := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 200; work > part+r.g.classes["safe"].work {
+	if part := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 200; work > part+r.g.classes["safe"].workMs {
 		t.Fatalf("%v ms of work after a broken connection; this gateway's part of a cold budget is %v", work, part)
 	}
 }
@@ -691,8 +669,8 @@
 		for id := uint64(1); id <= 2; id++ {
 			r.ends(id, 0, c.result)
 		}
-		if e.suspected != c.suspect {
-			t.Errorf("%v: suspect is %v", c.result, e.suspected)
+		if e.ejected != c.suspect {
+			t.Errorf("%v: suspect is %v", c.result, e.ejected)
 		}
 		r.after(200 * msec)
 		for id := uint64(5); id < 9; id++ {
@@ -701,7 +679,7 @@
 				break
 			}
 		}
-		if cold := r.now < e.coldUntil; cold != c.cold {
+		if cold := r.now < e.warmupEndsAt; cold != c.cold {
 			t.Errorf("%v: cold is %v after word of what was sent since", c.result, cold)
 		}
 	}
@@ -719,13 +697,13 @@
 		}
 	}
 	for _, e := range r.g.engines {
-		if e.faults > 0 {
-			t.Errorf("engine %s has faults %v for queries that no engine could use", e.id, e.faults)
+		if e.faultRate > 0 {
+			t.Errorf("engine %s has faults %v for queries that no engine could use", e.id, e.faultRate)
 		}
 	}
-	first := r.g.byID[sends(r.arrive(20, "safe"))[0].Engine]
+	first := r.g.enginesByID[sends(r.arrive(20, "safe"))[0].Engine]
 	r.ends(20, 0, ResultFailed)
-	if r.ends(20, 1, ResultServed); first.faults == 0 {
+	if r.ends(20, 1, ResultServed); first.faultRate == 0 {
 		t.Error("no fault for an error on what another engine served")
 	}
 }
@@ -761,7 +739,7 @@
 // first, but one at a time to find out, until there is word of that.
 func TestEngineWhereOneClassStandsStill(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 1))
-	e := r.g.byID["e"]
+	e := r.g.enginesByID["e"]
 	to := func(class string) (n int) {
 		for id := uint64(100); id < 110; id++ {
 			for _, s := range sends(r.arrive(id, class)) {
@@ -770,7 +748,7 @@
 				}
 			}
 			r.do(ClientDisconnected{RequestID: id})
-			for _, q := range r.g.queries {
+			for _, q := range r.g.requests {
 				if q.id == id {
 					r.ends(id, 0, ResultCancelled)
 				}
@@ -779,7 +757,7 @@
 		return n
 	}
 	still := map[uint64]bool{}
-	for id := uint64(1); len(still) < muteAfter; id++ {
+	for id := uint64(1); len(still) < stalledAfterLost; id++ {
 		if sends(r.arrive(id, "safe"))[0].Engine == "e" {
 			still[id] = true
 		} else {
@@ -788,10 +766,10 @@
 	}
 	for range 4 {
 		r.ticks(300 * msec)
-		e.heard = r.now // by way of other classes
+		e.lastHeardAt = r.now // by way of other classes
 	}
-	if !r.g.mute(e, r.g.classes["safe"]) || r.g.mute(e, r.g.classes["unsafe"]) {
-		t.Fatalf("mute to %v lost answers is not the class's", e.lost)
+	if !r.g.classStalled(e, r.g.classes["safe"]) || r.g.classStalled(e, r.g.classes["unsafe"]) {
+		t.Fatalf("mute to %v lost answers is not the class's", e.lostAnswers)
 	}
 	if n := to("safe"); n > 0 {
 		t.Errorf("%d more of the class that stands still", n)
@@ -802,16 +780,16 @@
 	if n := to("unsafe"); n == 0 {
 		t.Error("none of the class that runs")
 	}
-	r.after(3 * r.g.quiet)
-	for id := uint64(200); id < 220 && !r.g.mute(e, r.g.classes["safe"]); id++ {
+	r.after(3 * r.g.silenceTimeout)
+	for id := uint64(200); id < 220 && !r.g.classStalled(e, r.g.classes["safe"]); id++ {
 		r.arrive(id, "safe")
 	}
-	if !r.g.mute(e, r.g.classes["safe"]) {
+	if !r.g.classStalled(e, r.g.classes["safe"]) {
 		t.Error("no query was sent to find out, or more than one")
 	}
-	trial := e.out[len(e.out)-1]
-	r.do(ProgressReported{RequestID: trial.q.id, Attempt: trial.n, Kind: ProgressFraction, Value: 0.5})
-	if r.g.mute(e, r.g.classes["safe"]) {
+	trial := e.inFlight[len(e.inFlight)-1]
+	r.do(ProgressReported{RequestID: trial.request.id, Attempt: trial.index, Kind: ProgressFraction, Value: 0.5})
+	if r.g.classStalled(e, r.g.classes["safe"]) {
 		t.Error("mute after word of the class")
 	}
 }
@@ -825,7 +803,7 @@
 		if affinity(near.hash, 7) < affinity(far.hash, 7) {
 			near, far = far, near
 		}
-		near.top, far.zone = 3.9, "b" // under the weight of four; near and in the own zone all the same
+		near.maxBound, far.zone = 3.9, "b" // under the weight of four; near and in the own zone all the same
 		for _, a := range sends(g.Handle(0, RequestArrived{RequestID: 1, Class: "wide", Dataset: 7, Deadline: time.Second}, nil)) {
 			if a.Engine != far.id {
 				t.Fatalf("seed %d: sent by chance to %s while it fits at %s", seed, near.id, far.id)
@@ -846,9 +824,9 @@
 		r.do(RequestArrived{RequestID: id, Class: "ordered", OrderKey: fmt.Sprint("k", id), Dataset: int64(id), Deadline: r.now + time.Second})
 		r.do(ProgressReported{RequestID: id, Kind: ProgressAwaitingLoad})
 		r.ends(id, 0, []Result{ResultServed, ResultConnectionLost, ResultCancelled}[id%3])
-		if q := r.g.queries[id]; q != nil {
+		if q := r.g.requests[id]; q != nil {
 			r.do(ClientDisconnected{RequestID: id})
-			for n := range q.tries {
+			for n := range q.attempts {
 				r.ends(id, n, ResultCancelled)
 			}
 		}
@@ -857,11 +835,11 @@
 	g := r.g
 	held := 0
 	for _, e := range g.engines {
-		held += len(e.heldSets)
+		held += len(e.datasetLoadingUntil)
 	}
-	for what, n := range map[string]int{"taken": len(g.taken), "extra": len(g.extra), "engines": len(g.engines),
-		"ids": len(g.byID), "lanes": len(g.lanes), "data sets": len(g.sets),
-		"queries": len(g.queries), "held for a turn": len(g.waiting), "held sets": held} {
+	for what, n := range map[string]int{"taken": len(g.retryWindow.arrivals), "extra": len(g.retryWindow.retries), "engines": len(g.engines),
+		"ids": len(g.enginesByID), "lanes": len(g.keyQueues), "data sets": len(g.popularity.counts),
+		"queries": len(g.requests), "held for a turn": len(g.queued), "held sets": held} {
 		if n > 300 {
 			t.Errorf("%s: %d kept after 5000 queries and engines", what, n)
 		}
@@ -870,7 +848,7 @@
 
 func TestAttemptsCancelledAsSlowShrinkTheEnginesTop(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
-	before := r.g.byID["e"].top
+	before := r.g.enginesByID["e"].maxBound
 	for id := uint64(1); id < 9; id++ { // none of them is ever answered
 		r.arrive(id, "wide")
 		r.after(500 * msec).do(ProgressReported{RequestID: id, Kind: ProgressFraction, Value: 0.01})
@@ -878,8 +856,8 @@
 		r.do(ClientDisconnected{RequestID: id})
 		r.ends(id, 1, ResultCancelled)
 	}
-	if r.ticks(time.Second); r.g.byID["e"].top > 0.8*before {
-		t.Fatalf("top %v after eight attempts cancelled as slow, %v before", r.g.byID["e"].top, before)
+	if r.ticks(time.Second); r.g.enginesByID["e"].maxBound > 0.8*before {
+		t.Fatalf("top %v after eight attempts cancelled as slow, %v before", r.g.enginesByID["e"].maxBound, before)
 	}
 }
 
@@ -955,12 +933,12 @@
 	s := settings()
 	s.Replicas = 100
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
-	r.g.set.ProgressInterval = time.Hour // nothing is silent here
-	r.g.quiet = time.Hour
+	r.g.settings.ProgressInterval = time.Hour // nothing is silent here
+	r.g.silenceTimeout = time.Hour
 	for id := uint64(1); id <= 8; id++ {
 		r.arrive(id, "unsafe")
 	}
-	held := float64(len(r.g.queries))
+	held := float64(len(r.g.requests))
 	if held < 2 {
 		t.Fatalf("%v queries out, too few to test with", held)
 	}
@@ -968,13 +946,13 @@
 		r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: held}})
 		r.ticks(500 * msec)
 	}
-	if got := r.g.share(); got < 0.4 || got > 0.6 {
+	if got := r.g.trafficShare(); got < 0.4 || got > 0.6 {
 		t.Fatalf("a part of %.2f where half of what the engines hold is ours", got)
 	}
 	for range 200 {
 		r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: held * 60}})
 	}
-	if got := r.g.share(); got < 0.01 || got > 0.011 {
+	if got := r.g.trafficShare(); got < 0.01 || got > 0.011 {
 		t.Fatalf("a part of %v, under the equal one or over it", got)
 	}
 }
@@ -1023,7 +1001,7 @@
 		r.ends(id, 0, ResultServed)
 	}
 	r.do(RequestArrived{RequestID: 200, Class: "wide", EstimatedWork: time.Second, Deadline: r.now + 9*time.Second})
-	if got, most := r.g.queries[200], 2*4.0; got == nil || got.weight > most {
+	if got, most := r.g.requests[200], 2*4.0; got == nil || got.weight > most {
 		t.Fatalf("a query of a thousand times the usual work should weigh %v at most: %+v", most, got)
 	}
 }
@@ -1034,7 +1012,7 @@
 	limit := func(class string, work time.Duration) float64 {
 		id++
 		r.do(RequestArrived{RequestID: id, Class: class, EstimatedWork: work, Deadline: r.now + time.Second})
-		q := r.g.queries[id]
+		q := r.g.requests[id]
 		if q == nil {
 			t.Fatalf("query %d of %v refused by an idle gateway", id, work)
 		}
@@ -1056,8 +1034,8 @@
 		r.g.classes["safe"].PriorityWeight = 0
 		limit("safe", 100*msec)
 	}
-	if math.IsNaN(r.g.dear) || math.IsInf(r.g.dear, 0) {
-		t.Fatalf("usual worth over work is %v", r.g.dear)
+	if math.IsNaN(r.g.meanRank) || math.IsInf(r.g.meanRank, 0) {
+		t.Fatalf("usual worth over work is %v", r.g.meanRank)
 	}
 }
 
@@ -1088,7 +1066,7 @@
 		r.wantSend(r.arrive(uint64(id+1), "safe"), "")
 		r.ends(uint64(id+1), 0, ResultServed)
 	}
-	for name, v := range map[string]float64{"level": r.g.fleet.level, "load": r.g.load, "theirs": r.g.theirs, "part": r.g.share()} {
+	for name, v := range map[string]float64{"level": r.g.fleet.loadLevel, "load": r.g.meanLoad, "theirs": r.g.traffic.reportedInFlight, "part": r.g.trafficShare()} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			t.Errorf("%s is %v", name, v)
 		}
@@ -1107,12 +1085,12 @@
 	}{
 		{ReasonNoEndpoint, gone, func(*Balancer, *engine) {}},
 		{ReasonSlowStart, cold, func(*Balancer, *engine) {}}, // the gateway itself has just started
-		{ReasonEjected, live("e", "a", 1), func(g *Balancer, e *engine) { e.suspected, e.trialAt = true, time.Hour }},
+		{ReasonEjected, live("e", "a", 1), func(g *Balancer, e *engine) { e.ejected, e.probationAt = true, time.Hour }},
 		{ReasonEngineLimit, live("e", "a", 1), func(g *Balancer, e *engine) { e.backlog = 100 }},
 		{ReasonFleetLimit, live("e", "a", 1), func(g *Balancer, e *engine) { g.fleet.backlog = 100 }},
 	} {
 		r := start(t, settings(), c.engine)
-		c.set(r.g, r.g.byID["e"])
+		c.set(r.g, r.g.enginesByID["e"])
 		why := ReasonUnknownClass
 		for _, a := range r.arrive(1, "safe") {
 			if no, ok := a.(Reject); ok {
@@ -1132,18 +1110,18 @@
 		after   time.Duration
 		open    bool
 	}{
-		{3, period, false},
-		{3, 3 * period, true},
+		{3, controlPeriod, false},
+		{3, 3 * controlPeriod, true},
 		{0.5, 0, true},
 	} {
 		r := start(t, settings(), live("e", "a", 1))
 		f := &r.g.fleet
-		f.answered(c.latency, 1)
-		r.g.control(f)
-		f.bound = floorShare
+		f.observe(c.latency, 1)
+		r.g.adjust(f)
+		f.bound = minBound
 		f.backlog = 2
 		r.after(c.after).do(ClientDisconnected{}) // nothing but the time
-		if open := r.g.open(&query{class: r.g.classes["safe"], weight: 1, open: 1, part: 1}); open != c.open {
+		if open := r.g.fleetHasCapacity(&request{class: r.g.classes["safe"], weight: 1, quotaFactor: 1, valueFactor: 1}); open != c.open {
 			t.Errorf("latency %v of the aim, %v later: open is %v", c.latency, c.after, open)
 		}
 	}
@@ -1155,18 +1133,18 @@
 	s := settings()
 	s.Replicas = 100
 	r := start(t, s, live("e", "a", 1), live("f", "a", 2))
-	r.g.quiet = time.Hour
+	r.g.silenceTimeout = time.Hour
 	for id := uint64(1); id <= 4; id++ {
 		r.arrive(id, "unsafe")
 	}
-	held := float64(len(r.g.queries))
+	held := float64(len(r.g.requests))
 	for range 6 { // 3 s in which a fifth of what the two engines hold is ours
 		for range 10 {
 			r.do(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: held * 2.5}})
 		}
 		r.ticks(500 * msec)
 	}
-	if got := r.g.share(); got < 0.15 || got > 0.25 {
+	if got := r.g.trafficShare(); got < 0.15 || got > 0.25 {
 		t.Fatalf("a part of %.3f after 3 s, want a fifth", got)
 	}
 }
@@ -1210,7 +1188,7 @@
 		r.after(5 * time.Second).do(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{cold}})
 		r.after(from - 5*time.Second)
 		for id := uint64(1); id <= 30; id++ {
-			r.g.mine, r.g.theirs = mine, 10 // of ten queries that an engine holds
+			r.g.traffic.ownInFlight, r.g.traffic.reportedInFlight = mine, 10 // of ten queries that an engine holds
 			n += len(sends(r.after(100*msec).arrive(id, "safe")))
 			r.ends(id, 0, ResultServed)
 		}
@@ -1229,7 +1207,7 @@
 // it until then.
 func TestToldLoadSteersForSeconds(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1), live("f", "a", 2))
-	r.g.quiet = time.Hour
+	r.g.silenceTimeout = time.Hour
 	to := map[string]int{}
 	for id := uint64(1); id <= 40; id++ {
 		for range 5 {
@@ -1249,10 +1227,10 @@
 // What is dear for its worth is refused first where room is short, not by an engine at ease.
 func TestDearQueryFitsAnEngineAtEase(t *testing.T) {
 	r := start(t, settings(), live("e", "a", 1))
-	e, dear := r.g.byID["e"], &query{class: r.g.classes["wide"], weight: 4, open: 1, part: 0.5}
-	ease := r.g.limit(dear, &e.loop)
-	e.pressed, e.bound = r.now+time.Second, e.top
-	if pressed := r.g.limit(dear, &e.loop); ease != e.top || pressed != e.top/2 {
-		t.Errorf("of %.1f a dear query has %.1f at ease and %.1f under pressure, want all and half", e.top, ease, pressed)
+	e, dear := r.g.enginesByID["e"], &request{class: r.g.classes["wide"], weight: 4, quotaFactor: 1, valueFactor: 0.5}
+	ease := r.g.limit(dear, &e.controlLoop)
+	e.pressuredUntil, e.bound = r.now+time.Second, e.maxBound
+	if pressed := r.g.limit(dear, &e.controlLoop); ease != e.maxBound || pressed != e.maxBound/2 {
+		t.Errorf("of %.1f a dear query has %.1f at ease and %.1f under pressure, want all and half", e.maxBound, ease, pressed)
 	}
 }
--- /dev/null
+++ b/policy/progress.go
@@ -0,0 +1,67 @@
+package policy
+
+const (
+	badPlanFactor     = 5.0   // usual latencies from which an attempt has a bad plan or a slow engine
+	hopelessShare     = 0.7   // of the time left: a projected remainder beyond it ends a request early
+	retryTimeFactor   = 1.5   // usual latencies that must be left for a retry of a slow attempt
+	minProgress       = 0.001 // least share done that a projection is made from
+	slowAttemptWindow = 10    // attempts cancelled as slow that an engine's slowdown is averaged over
+)
+
+// onProgress takes a progress report of an attempt in flight.
+func (b *Balancer) onProgress(ev ProgressReported) {
+	a := b.attempt(ev.RequestID, ev.Attempt)
+	if a == nil || a.ended {
+		return
+	}
+	a.lastHeardAt, a.engine.lastHeardAt = b.now, b.now
+	a.waiting = ev.Kind == ProgressAwaitingMemory || ev.Kind == ProgressAwaitingLoad
+	b.onSignOfLife(a)
+	if ev.Kind == ProgressAwaitingLoad {
+		a.engine.datasetLoadingUntil[a.request.dataset] = b.now + 2*b.settings.ProgressInterval
+	}
+	if ev.Kind == ProgressSpilling {
+		if !b.settings.ReportsCost {
+			a.observeSpill(ev.Value)
+		}
+		return
+	}
+	if a.cancelled || a.request.answered || !b.settings.Limits.Cancel {
+		return
+	}
+	if ev.Kind == ProgressFraction {
+		b.onFraction(a, min(max(ev.Value, minProgress), 1))
+	} else {
+		b.onBlocked(a, ev.Kind)
+	}
+}
+
+// onBlocked retries an attempt that waits on its engine elsewhere: for memory only once, as where two
+// engines lack memory a third is no better. A limited retry budget is for faults.
+func (b *Balancer) onBlocked(a *attempt, kind ProgressKind) {
+	req := a.request
+	permitted := kind == ProgressAwaitingLoad || len(req.attempts) == 1
+	if permitted && b.settings.Rules.RetryBudgetWindow == 0 && req.class.Effect == Idempotent &&
+		b.makesObjective(req, a.sentAt) {
+		b.retryElsewhere(a)
+	}
+}
+
+// onFraction projects an attempt's end from the share that is done. Protects against bad plans and slow
+// engines: an attempt on its way to a multiple of the usual latency, or past the deadline, is cancelled
+// where another has time to finish. A second attempt as slow as the first shows that the request itself
+// is expensive; one whose retry would miss the objective too is left to finish.
+func (b *Balancer) onFraction(a *attempt, done float64) {
+	req, e := a.request, a.engine
+	usualMs, timeLeftMs := req.usualLatencyMs(), milliseconds(req.deadline-b.now)
+	remainingMs := milliseconds(b.now-a.sentAt) * (1 - done) / done
+	late := remainingMs > timeLeftMs
+	slow := remainingMs > badPlanFactor*usualMs && b.makesObjective(req, a.sentAt)
+	retryFits := usualMs*retryTimeFactor < timeLeftMs
+	switch {
+	case len(req.attempts) == 1 && (slow || late) && retryFits && b.retryElsewhere(a):
+		e.slowdown = ewma(e.slowdown, maxSlowdown, slowAttemptWindow) // the engine may be the cause
+	case remainingMs > hopelessShare*timeLeftMs && mayReject(req): // it would use capacity until its deadline
+		b.rejectOrFail(req, ReasonRetryFutile)
+	}
+}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -87,7 +87,7 @@
 		m.fail("query %d sent to %s, which is not live", a.RequestID, a.Engine)
 	}
 	e := m.info[a.Engine]
-	if !among(q.class.Zones, e.Zone) {
+	if !allows(q.class.Zones, e.Zone) {
 		m.fail("query %d sent out of its place", a.RequestID)
 	}
 	for _, try := range q.tries {
--- /dev/null
+++ b/policy/resources.go
@@ -0,0 +1,37 @@
+package policy
+
+import "math"
+
+const (
+	usualPriority   = 2.5                      // priority at the mean rank, before rounding
+	maxPriority     = 3                        // of SetResources
+	defaultPriority = 1                        // where engines heed none
+	grantCoverage   = 0.87                     // share of a class's requests whose need a grant should cover
+	grantIncrease   = 1 + grantCoverage/10     // step after a short grant and after one that sufficed:
+	grantDecrease   = 1 - (1-grantCoverage)/10 // in balance at that share
+)
+
+// setResources sets memory and priority of the attempt that is about to start, where engines heed them.
+func (b *Balancer) setResources(a *attempt) {
+	req := a.request
+	resources := SetResources{RequestID: req.id, Priority: defaultPriority}
+	if b.settings.MemoryGrants {
+		resources.MemoryMB = math.Ceil(req.estimatedMemoryMB * req.class.grantFactor)
+		a.grantedMB = resources.MemoryMB
+	}
+	if b.settings.Priorities {
+		resources.Priority = priority(req)
+	}
+	if resources.MemoryMB > 0 || b.settings.Priorities {
+		b.emit(resources)
+	}
+}
+
+// priority follows the request's worth for its work, one step for twice the mean: long requests lose little
+// where short ones overtake them. A bulk load blocks the readers of its data set, so it comes first.
+func priority(req *request) int {
+	if req.class.BulkLoad {
+		return maxPriority
+	}
+	return int(min(max(math.Round(usualPriority+req.valueRank), 0), maxPriority))
+}
--- /dev/null
+++ b/policy/retry.go
@@ -0,0 +1,104 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// mayReject tells whether a client may safely send the request anew.
+func mayReject(req *request) bool {
+	return req.class.Effect == Idempotent ||
+		req.class.Effect == IdempotentByKey && req.class.DedupScope == ScopeAll ||
+		!slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.mayHaveRun })
+}
+
+// mayRetry tells whether the request may have another attempt once those in flight have ended.
+func (b *Balancer) mayRetry(req *request) bool {
+	limit := max(b.settings.Limits.MaxAttempts, 1)
+	if req.answered || len(req.attempts) >= limit || !b.withinRetryBudget(req) {
+		return false
+	}
+	c := req.class
+	for _, a := range req.attempts {
+		expired := c.Effect == IdempotentByKey && b.now-a.sentAt >= c.DedupWindow
+		if a.mayHaveRun && (c.Effect == NonIdempotent || expired) {
+			return false
+		}
+	}
+	return true
+}
+
+// mayStart checks all rules for sending the request to the engine: endpoint state, deadline, retries,
+// placement, hedging, idempotency, ordering and slow start.
+func (b *Balancer) mayStart(req *request, e *engine) bool {
+	c := req.class
+	if e.state != EngineReady || b.now >= req.deadline || !b.mayRetry(req) ||
+		!allows(c.Zones, e.zone) || !allows(c.Kinds, e.kind) {
+		return false
+	}
+	for _, a := range req.attempts {
+		if !a.ended && !b.settings.Limits.Hedging {
+			return false
+		}
+		if a.mayHaveRun && c.Effect == IdempotentByKey && !sharesDedup(c.DedupScope, a.engine, e) {
+			return false
+		}
+	}
+	return b.atHead(req) && b.withinWarmupBudget(req, e)
+}
+
+// sharesDedup tells whether two engines drop each other's repeats of a key.
+func sharesDedup(scope DedupScope, x, y *engine) bool {
+	return x == y || scope == ScopeAll || scope == ScopeZone && x.zone == y.zone ||
+		scope == ScopeCell && x.cell == y.cell
+}
+
+// allows tells whether a placement list, where an empty one permits all, names the value.
+func allows(list []string, value string) bool { return len(list) == 0 || slices.Contains(list, value) }
+
+// withinRetryBudget tells whether the retry budget has room for another attempt.
+func (b *Balancer) withinRetryBudget(req *request) bool {
+	rules := &b.settings.Rules
+	if len(req.attempts) == 0 || rules.RetryBudgetWindow == 0 {
+		return true
+	}
+	b.retryWindow.expire(b.now - rules.RetryBudgetWindow)
+	budget := rules.RetryBudgetMin + rules.RetryBudgetRatio*float64(len(b.retryWindow.arrivals))
+	return float64(len(b.retryWindow.retries)+1) <= budget
+}
+
+// startAttempt is the only place where a request is sent to an engine.
+func (b *Balancer) startAttempt(req *request, e *engine) {
+	if !b.mayStart(req, e) {
+		b.rejectOrFail(req, ReasonAttemptsExhausted)
+		return
+	}
+	a := newAttempt(req, e, b.now)
+	if a.index > 0 && b.settings.Rules.RetryBudgetWindow > 0 {
+		b.retryWindow.addRetry(b.now)
+	}
+	b.reserve(a)
+	b.traffic.observeWeight(req.weight)
+	b.spendWarmupBudget(req, e)
+	b.setResources(a)
+	b.emit(StartAttempt{RequestID: req.id, Engine: e.id, Timeout: req.deadline - b.now})
+}
+
+// retryElsewhere cancels an attempt where its request may have another.
+func (b *Balancer) retryElsewhere(a *attempt) bool { return b.mayRetry(a.request) && b.cancel(a) }
+
+// cancel cancels an attempt once, unless its answer has begun.
+func (b *Balancer) cancel(a *attempt) bool {
+	if a.cancelled || a.ended || a.streaming || !b.settings.Limits.Cancel {
+		return false
+	}
+	a.cancelled = true
+	b.emit(CancelAttempt{RequestID: a.request.id, Attempt: a.index})
+	return true
+}
+
+// makesObjective tells whether a fresh attempt of usual latency, started now, would still meet the
+// objective of a request that was sent at the given instant.
+func (b *Balancer) makesObjective(req *request, sentAt time.Duration) bool {
+	return milliseconds(b.now-sentAt)+req.usualLatencyMs() < req.latencyObjectiveMs()
+}
--- /dev/null
+++ b/policy/settings.go
@@ -0,0 +1,122 @@
+package policy
+
+import "time"
+
+// Settings is what a balancer knows of its deployment from the start.
+type Settings struct {
+	Replicas         int            // balancers that share the engines, this one included; at least 1
+	Zone             string         // where this balancer runs
+	Classes          []Class        // request classes; at least one
+	Kinds            []Kind         // kinds of machine that engines run on
+	Tenants          []Tenant       // may be empty
+	OverQuotaWeight  float64        // factor of the priority weight of a request beyond its tenant's quota
+	ProgressInterval time.Duration  // between progress reports of an attempt; 0: engines send none
+	MemoryGrants     bool           // engines heed the memory of SetResources
+	Priorities       bool           // engines heed the priority of SetResources
+	MaxGrantShare    float64        // share of an engine's memory that one request gets at most
+	Shortage         MemoryShortage // what an engine does when its grants exceed its memory
+	ReportsCost      bool           // answers state the work and memory that the request needed
+	ReportsLoad      bool           // engines report their load, in answers or to health checks
+	PullDiscovery    bool           // the endpoint list must be subscribed to (Subscribe)
+	TickInterval     time.Duration  // usual time between two calls of Handle
+	Rules            Rules
+	Limits           Limits
+	Goal             Goal
+	Penalties        Penalties
+}
+
+// MemoryShortage says what an engine does when its grants exceed its memory.
+type MemoryShortage uint8
+
+// The kinds of MemoryShortage.
+const (
+	ShortageQueue MemoryShortage = iota // the request waits in the engine's queue
+	ShortageTrim                        // the request gets what is left, and spills to disk
+	ShortageSwap                        // the request runs, and the engine slows down as a whole
+)
+
+// Effect says how far a request may be repeated.
+type Effect uint8
+
+// The kinds of Effect. NonIdempotent is the zero value, as the most cautious.
+const (
+	NonIdempotent   Effect = iota // may run once at most
+	IdempotentByKey               // engines of one DedupScope drop repeats for a while
+	Idempotent                    // may be repeated freely
+)
+
+// DedupScope is the set of engines that drop each other's repeats of an idempotency key.
+type DedupScope uint8
+
+// The sizes of DedupScope. ScopeCell is the zero value, as the most cautious.
+const (
+	ScopeCell DedupScope = iota
+	ScopeZone
+	ScopeAll
+)
+
+// Class is one class of requests.
+type Class struct {
+	Name             string
+	LatencyObjective time.Duration // an answer within this earns the full priority weight; above 0
+	ObjectiveStretch float64       // the objective grows by this times work over threads
+	Deadline         time.Duration // time after which a client gives up; above 0
+	PriorityWeight   float64       // of one answer in time
+	LateWeight       float64       // share of the priority weight that a late answer earns
+	Threads          float64       // threads that a request runs on; 0: one
+	Effect           Effect
+	DedupScope       DedupScope    // for IdempotentByKey
+	DedupWindow      time.Duration // for IdempotentByKey: how long repeats are dropped
+	Streaming        bool          // answers are streamed: StreamStarted tells of their start
+	Ordered          bool          // requests of one ordering key run one at a time, in order of arrival
+	BulkLoad         bool          // blocks its data set on its engine while it runs
+	BlockedByLoad    bool          // waits while a bulk load blocks its data set
+	Zones            []string      // where it may run; empty: anywhere
+	Kinds            []string      // on what kinds it may run; empty: on any
+}
+
+// Kind is one kind of machine that engines run on.
+type Kind struct {
+	Name     string
+	Cores    float64 // above 0
+	MemoryMB float64
+}
+
+// Tenant is one customer.
+type Tenant struct {
+	Name  string
+	Quota float64 // requests a second, over all balancers
+	Share float64 // its share of the service
+}
+
+// Rules are the figures of the rules that every attempt and every answer keeps.
+type Rules struct {
+	ResponseSlack     time.Duration // how late a final answer may come
+	DrainGrace        time.Duration // attempts on a draining engine must stop to start within this
+	WarmupCapacity    float64       // share of its capacity that an engine has at least when it starts
+	WarmupTime        time.Duration // an engine has its whole capacity no later than this after its start
+	OverloadFactor    float64       // a warming engine that is sent more than this multiple of its capacity
+	OverloadWindow    time.Duration // for this long fails
+	OrderSettleTime   time.Duration // pause of an ordering key after an attempt that may still run
+	RetryBudgetMin    float64       // retries permitted within RetryBudgetWindow whatever the traffic
+	RetryBudgetRatio  float64       // plus this share of the requests that arrived within it
+	RetryBudgetWindow time.Duration // 0: retries have no budget
+	ResubscribeWithin time.Duration // a lapsed subscription must be renewed within this
+}
+
+// Limits say what the deployment permits.
+type Limits struct {
+	MaxAttempts    int           // for one request; 0: one
+	Hedging        bool          // two attempts of a request at once are permitted
+	Cancel         bool          // CancelAttempt is permitted
+	HealthChecks   bool          // CheckHealth is permitted
+	RetryAfter     bool          // rejections state when to try again
+	MaxRetryAfter  time.Duration // the longest that clients honour
+	ConnectTimeout time.Duration // a failed connection attempt shows within this
+}
+
+// Goal weighs the parts of the service level; Penalties are points of it.
+type Goal struct{ Total, WorstClass, WorstTenant, WorstWindow float64 }
+
+// Penalties are what each unit of a side effect takes off the goal.
+type Penalties struct{ CrossZone, Waste, LateFail, HealthCheck float64 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,169 +2,81 @@
 
 import (
 	"math/rand/v2"
-	"slices"
 	"time"
 )
 
-// What a gateway keeps. Nothing is decided here: the decisions are in policy.go.
-
-// class is a Class with what is learned of it.
-type class struct {
-	Class
-	n       int     // answers
-	latency float64 // usual latency of an answer, ms
-	quick   float64 // its lowest of late, ms
-	work    float64 // usual work of all threads, ms
-	spread  float64 // usual deviation of a latency from what was expected, as a part of it
-	guess   float64 // usual estimate, ms
-	grant   float64 // memory to grant, as a multiple of the estimate
-}
-
-type tenant struct {
-	Tenant
-	tokens float64
-	filled time.Duration
-}
-
-// Gateway decides for one front. It is not safe for concurrent use.
+// Balancer decides for one proxy. It is not safe for concurrent use.
 type Balancer struct {
-	set     Settings
-	classes map[string]*class
-	tenants map[string]*tenant
-	kinds   map[string]Kind
-	quota   float64 // of all tenants, a second
-	full    float64 // threads a core that an engine should hold
-	width   float64 // usual threads of a query sent
-	widest  float64 // threads of the widest class
-	quiet   time.Duration
+	settings       Settings
+	classes        map[string]*class
+	tenants        map[string]*tenant
+	kinds          map[string]Kind
+	totalQuota     float64       // requests a second, of all tenants
+	threadsPerCore float64       // load that an engine should hold at most
+	maxThreads     float64       // of the class with the most
+	silenceTimeout time.Duration // without word, after which an attempt is silent
 
-	now     time.Duration
-	out     []Action
-	rng     *rand.Rand
-	started bool
-	born    time.Duration
-	ticked  int
-	ticking time.Duration // latest tick
-	awake   time.Duration // end of this gateway's own latest pause
-	fleet   loop          // over all engines
-	engines []*engine     // in order of first sight
-	byID    map[string]*engine
-	queries map[uint64]*query
-	lanes   map[string]*lane
-	waiting []*query // held for their turn
-	sets    map[int64]float64
-	setSum  float64
-	order   []uint64 // scratch of mark
-	dear    float64  // usual worth over work, as a power of two
-	load    float64  // usual told threads a core
-	mine    float64  // usual attempts of ours at an engine, and all that it tells
-	theirs  float64
-	tolds   float64 // reports so far
-	rate    float64 // queries taken a second, smoothed
-	arrived int     // in this period
-	taken   []time.Duration
-	extra   []time.Duration
-}
+	now        time.Duration
+	actions    []Action // of the event in hand
+	rng        *rand.Rand
+	started    bool
+	startedAt  time.Duration
+	ticks      int
+	lastTickAt time.Duration
+	resumedAt  time.Duration // end of the latest pause of this process
 
-type query struct {
-	id       uint64
-	class    *class
-	rank     float64 // worth over expected work against the usual, as a power of two
-	open     float64 // part of a bound that is open to its tenant
-	part     float64 // and to its worth for its work
-	key      string
-	set      int64
-	memory   float64 // estimate, MB
-	deadline time.Duration
-	work     float64 // expected work of all threads, ms
-	weight   float64
-	tries    []*attempt
-	done     bool // it has its final answer
+	fleet       controlLoop // of all engines together
+	engines     []*engine   // in order of first sight
+	enginesByID map[string]*engine
+	requests    map[uint64]*request
+	queued      []*request // wait for earlier ones of their ordering key
+	keyQueues   keyQueues
+	retryWindow retryWindow
+	traffic     trafficEstimate
+	popularity  decayingCounter // of data sets
+	affinities  []uint64        // scratch space of affinityCutoff
+	meanRank    float64         // mean log2 of priority weight over expected work
+	meanLoad    float64         // mean reported load, threads a core
 }
 
-type attempt struct {
-	q       *query
-	n       int
-	e       *engine
-	sent    time.Duration
-	heard   time.Duration
-	ended   bool
-	ran     bool // it may have run
-	cancel  bool
-	stream  bool
-	grant   float64 // memory asked for, MB
-	spilled bool
-	waits   bool // its latest note said so
-	erred   bool // it ended in an error
-	missed  bool // its answer was given up as lost
+// tenant is a Tenant with the state of its quota.
+type tenant struct {
+	Tenant
+	bucket tokenBucket
 }
 
-// errors counts the attempts that ended in an error.
-func (q *query) errors() (n int) {
-	for _, a := range q.tries {
-		if a.erred {
-			n++
-		}
+// newBalancer returns a balancer with the state that the settings alone determine.
+func newBalancer(s Settings, seed uint64) *Balancer {
+	b := &Balancer{
+		settings: s, rng: rand.New(rand.NewPCG(seed, seed)),
+		classes: map[string]*class{}, tenants: map[string]*tenant{}, kinds: map[string]Kind{},
+		enginesByID: map[string]*engine{}, requests: map[uint64]*request{},
+		keyQueues: keyQueues{}, popularity: newDecayingCounter(),
 	}
-	return n
+	for _, settings := range s.Classes {
+		c := newClass(settings)
+		b.classes[c.Name] = c
+		b.maxThreads = max(b.maxThreads, c.Threads)
+	}
+	for _, t := range s.Tenants {
+		b.tenants[t.Name] = &tenant{Tenant: t, bucket: tokenBucket{tokens: t.Quota + 1}}
+		b.totalQuota += t.Quota
+	}
+	for _, k := range s.Kinds {
+		b.kinds[k.Name] = k
+	}
+	b.traffic.arrivalRate = b.totalQuota / float64(s.Replicas)
+	return b
 }
 
-func (q *query) outstanding() bool {
-	return slices.ContainsFunc(q.tries, func(a *attempt) bool { return !a.ended })
-}
+// emit appends an action to those of the event in hand.
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (g *Balancer) attempt(id uint64, n int) *attempt {
-	q := g.queries[id]
-	if q == nil || n < 0 || n >= len(q.tries) {
+// attempt returns an attempt of a request that is not over, or nil.
+func (b *Balancer) attempt(requestID uint64, index int) *attempt {
+	req := b.requests[requestID]
+	if req == nil || index < 0 || index >= len(req.attempts) {
 		return nil
 	}
-	return q.tries[n]
-}
-
-// loop is the state of the paper's control: one for each engine, and one for all.
-type loop struct {
-	start   float64 // its bound at the start
-	top     float64 // and at most
-	bound   float64
-	alpha   float64
-	backlog float64
-	level   float64 // told load, one where the engines have all they should
-	slow    float64 // latencies over the quick ones of their classes
-	sum     float64 // latency over aim of what finished in the period
-	n       int
-	pressed time.Duration // the bound binds until then
-}
-
-type engine struct {
-	id, zone, kind string
-	cell           int64
-	hash           uint64 // of its id
-	cores          float64
-	state          EngineState
-	begun          time.Duration // its latest start, where known
-	coldUntil      time.Duration
-	coldTold       time.Duration // when its start was told
-	coldNext       time.Duration // its budget is spent until then
-	draw           float64       // this gateway's place among those that wait to send it a wide query
-	loop
-	out       []*attempt
-	heard     time.Duration // latest word from it
-	load      float64       // told threads a core
-	toldAt    time.Duration // when that was told; 0: never
-	lostAt    time.Duration // when a connection to it broke; 0: never
-	doubted   bool          // it is taken as cold since, and nothing else says so
-	coldWas   time.Duration // coldUntil before that
-	faults    float64       // share of its latest attempts that failed
-	erring    bool          // suspect for faults, not for silence
-	suspected bool
-	trialAt   time.Duration
-	lost      map[*class]int           // answers lost since the latest word of the class
-	muteTill  map[*class]time.Duration // nothing of the class is sent until then
-	heldSets  map[int64]time.Duration  // data sets held by loads, until then
-}
-
-// lane is the line of one order key (rule 5).
-type lane struct {
-	line []*query
-	rest time.Duration
+	return req.attempts[index]
 }
--- /dev/null
+++ b/policy/validate.go
@@ -0,0 +1,63 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+)
+
+// SettingsError says what is wrong with one field of the settings.
+type SettingsError struct {
+	Field   string // as in the settings of the deployment, with the index of a class
+	Problem string
+}
+
+// Error returns the field and the problem.
+func (e *SettingsError) Error() string { return e.Field + ": " + e.Problem }
+
+func settingsError(field, format string, args ...any) error {
+	return &SettingsError{Field: field, Problem: fmt.Sprintf(format, args...)}
+}
+
+// validate names the first field of the settings that no balancer can work with.
+func validate(s *Settings) error {
+	if s.Replicas < 1 {
+		return settingsError("Gateways", "%d is under 1", s.Replicas)
+	}
+	if len(s.Classes) == 0 {
+		return settingsError("Classes", "none")
+	}
+	for i := range s.Classes {
+		if err := validateClass(fmt.Sprintf("Classes[%d]", i), &s.Classes[i]); err != nil {
+			return err
+		}
+	}
+	switch {
+	case s.ProgressInterval < 0:
+		return settingsError("NoteEvery", "%v is under 0", s.ProgressInterval)
+	case !(s.Rules.RetryBudgetMin >= 0): // also where it is not a number
+		return settingsError("Rules.ExtraFree", "%v is under 0", s.Rules.RetryBudgetMin)
+	case !(s.Rules.RetryBudgetRatio >= 0):
+		return settingsError("Rules.ExtraShare", "%v is under 0", s.Rules.RetryBudgetRatio)
+	case s.Rules.RetryBudgetWindow < 0:
+		return settingsError("Rules.LookBack", "%v is under 0", s.Rules.RetryBudgetWindow)
+	}
+	return nil
+}
+
+func validateClass(field string, c *Class) error {
+	switch {
+	case c.Name == "":
+		return settingsError(field+".Name", "empty")
+	case c.LatencyObjective <= 0:
+		return settingsError(field+".Aim", "%v is not above 0", c.LatencyObjective)
+	case c.Deadline <= 0:
+		return settingsError(field+".Deadline", "%v is not above 0", c.Deadline)
+	case c.Threads < 0 || math.IsNaN(c.Threads) || math.IsInf(c.Threads, 0):
+		return settingsError(field+".Threads", "%v is not a count", c.Threads)
+	case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0):
+		return settingsError(field+".Worth", "%v is not a worth", c.PriorityWeight)
+	case c.Effect == IdempotentByKey && c.DedupWindow < 0:
+		return settingsError(field+".Window", "%v is under 0", c.DedupWindow)
+	}
+	return nil
+}
