--- /dev/null
+++ b/policy/admission_test.go
@@ -0,0 +1,111 @@
+package policy
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestRequestsBeyondBoundAreRejectedWithRetryAfter(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1))
+	for id := uint64(1); id < 100; id++ {
+		actions := h.arrive(id, "idempotent")
+		if len(startedAttempts(actions)) > 0 {
+			continue
+		}
+		for _, a := range actions {
+			if no, ok := a.(Reject); ok && no.RetryAfter > 0 && no.RetryAfter <= time.Second {
+				return
+			}
+		}
+		t.Fatalf("request %d: neither sent nor rejected with a retry-after: %+v", id, actions)
+	}
+	t.Fatal("no request was rejected")
+}
+
+func TestWeightOfExpensiveRequestIsCapped(t *testing.T) {
+	s := settings()
+	h := newHarness(t, s, readyEngine("e", "a", 1))
+	for id := uint64(1); id <= 100; id++ {
+		h.handle(RequestArrived{RequestID: id, Class: "wide", EstimatedWork: time.Millisecond, Deadline: h.now + 9*time.Second})
+		h.endAttempt(id, 0, ResultServed)
+	}
+	h.handle(RequestArrived{RequestID: 200, Class: "wide", EstimatedWork: time.Second, Deadline: h.now + 9*time.Second})
+	if got, limit := h.balancer.requests[200], 2*4.0; got == nil || got.weight > limit {
+		t.Fatalf("a request of a thousand times the usual work should have a weight of %v at most: %+v", limit, got)
+	}
+}
+
+func TestLimitFollowsValueOverEstimatedWork(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+	id := uint64(0)
+	limit := func(class string, work time.Duration) float64 {
+		id++
+		h.handle(RequestArrived{RequestID: id, Class: class, EstimatedWork: work, Deadline: h.now + time.Second})
+		req := h.balancer.requests[id]
+		if req == nil {
+			t.Fatalf("request %d of %v rejected by an idle balancer", id, work)
+		}
+		got := h.balancer.limit(req, &h.balancer.fleet)
+		h.endAttempt(id, 0, ResultServed)
+		return got
+	}
+	for range 50 {
+		limit("idempotent", 100*msec)
+	}
+	short, usual, long := limit("idempotent", 20*msec), limit("idempotent", 100*msec), limit("idempotent", 900*msec)
+	if short <= usual || usual <= long || short > 3.1*long {
+		t.Fatalf("limits of a short, a usual and a long request: %.1f, %.1f, %.1f", short, usual, long)
+	}
+	if got := limit("idempotent", 0); math.Abs(got-usual) > usual/10 {
+		t.Fatalf("limit without an estimate %.1f, of a usual request %.1f", got, usual)
+	}
+	for range 50 { // a priority weight of zero must not break the mean rank
+		h.balancer.classes["idempotent"].PriorityWeight = 0
+		limit("idempotent", 100*msec)
+	}
+	if math.IsNaN(h.balancer.meanRank) || math.IsInf(h.balancer.meanRank, 0) {
+		t.Fatalf("mean rank is %v", h.balancer.meanRank)
+	}
+}
+
+func TestRejectReasonNamesTheCause(t *testing.T) {
+	warming := readyEngine("e", "a", 1)
+	warming.StartKnown, warming.StartedAt = true, time.Minute
+	gone := readyEngine("e", "a", 1)
+	gone.State = EngineDraining
+	for _, c := range []struct {
+		want   RejectReason
+		engine Engine
+		set    func(b *Balancer, e *engine)
+	}{
+		{ReasonNoEndpoint, gone, func(*Balancer, *engine) {}},
+		{ReasonSlowStart, warming, func(*Balancer, *engine) {}}, // the balancer itself has just started
+		{ReasonEjected, readyEngine("e", "a", 1), func(_ *Balancer, e *engine) { e.ejected, e.probationAt = true, time.Hour }},
+		{ReasonEngineLimit, readyEngine("e", "a", 1), func(_ *Balancer, e *engine) { e.backlog = 100 }},
+		{ReasonFleetLimit, readyEngine("e", "a", 1), func(b *Balancer, _ *engine) { b.fleet.backlog = 100 }},
+	} {
+		h := newHarness(t, settings(), c.engine)
+		c.set(h.balancer, h.balancer.enginesByID["e"])
+		reason := ReasonUnknownClass
+		for _, a := range h.arrive(1, "idempotent") {
+			if no, ok := a.(Reject); ok {
+				reason = no.Reason
+			}
+		}
+		if reason != c.want {
+			t.Errorf("rejected for %q, want %q", reason, c.want)
+		}
+	}
+}
+
+// A request of little value for its work is shed first under pressure, but not by an engine without pressure.
+func TestValueFactorAppliesToEngineOnlyUnderPressure(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1))
+	e, expensive := h.balancer.enginesByID["e"], &request{class: h.balancer.classes["wide"], weight: 4, quotaFactor: 1, valueFactor: 0.5}
+	unpressured := h.balancer.limit(expensive, &e.controlLoop)
+	e.pressuredUntil, e.bound = h.now+time.Second, e.maxBound
+	if pressed := h.balancer.limit(expensive, &e.controlLoop); unpressured != e.maxBound || pressed != e.maxBound/2 {
+		t.Errorf("of %.1f such a request may use %.1f without pressure and %.1f under it, want all and half", e.maxBound, unpressured, pressed)
+	}
+}
--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -6,6 +6,7 @@
 	"encoding/binary"
 	"flag"
 	"fmt"
+	"hash"
 	"hash/fnv"
 	"math"
 	"math/rand/v2"
@@ -38,7 +39,7 @@
 
 // TestDecisionsAreUnchanged plays generated events in a closed loop (attempts,
 // notes and timers follow the actions) and compares a digest of all actions and,
-// every ten events, of all that the gateway has learned, bit for bit, with the one of
+// every ten events, of all that the balancer has learned, bit for bit, with the one of
 // the golden file. A change of any decision, of the order of random draws or of a
 // floating-point operation shows as a difference.
 // The texts of log actions are left out.
@@ -161,14 +162,14 @@
 
 // fakeEngine is an engine of the generated surroundings.
 type fakeEngine struct {
-	entry     policy.Engine
-	attempts  int
-	slowdown  float64
-	hangsTill time.Duration
+	entry      policy.Engine
+	attempts   int
+	slowdown   float64
+	hangsUntil time.Duration
 }
 
-// fakeQuery is a query of the generated surroundings and its attempts.
-type fakeQuery struct {
+// fakeRequest is a request of the generated surroundings and its attempts.
+type fakeRequest struct {
 	arrive   policy.RequestArrived
 	work     time.Duration
 	attempts []*fakeAttempt
@@ -181,32 +182,32 @@
 	ended  bool
 }
 
-// player plays one scenario against a gateway.
+// player plays one scenario against a balancer.
 type player struct {
 	scenario
-	gateway *policy.Balancer
-	random  *rand.Rand
-	now     time.Duration
-	queue   schedule
-	pushed  int
-	engines []*fakeEngine
-	byID    map[string]*fakeEngine
-	queries map[uint64]*fakeQuery
-	last    uint64
-	handled int
-	counts  [10]int
-	digest  *digestWriter
+	balancer *policy.Balancer
+	random   *rand.Rand
+	now      time.Duration
+	queue    schedule
+	pushed   int
+	engines  []*fakeEngine
+	byID     map[string]*fakeEngine
+	queries  map[uint64]*fakeRequest
+	last     uint64
+	handled  int
+	counts   [10]int
+	digest   *digestWriter
 }
 
 func playScenario(t *testing.T, s scenario, out *bytes.Buffer) {
 	t.Helper()
-	gateway, err := policy.New(s.settings, 42)
+	balancer, err := policy.New(s.settings, 42)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &player{
-		scenario: s, gateway: gateway, random: rand.New(rand.NewPCG(7, uint64(len(s.name)))), now: time.Minute,
-		byID: map[string]*fakeEngine{}, queries: map[uint64]*fakeQuery{}, digest: newDigestWriter(),
+		scenario: s, balancer: balancer, random: rand.New(rand.NewPCG(7, uint64(len(s.name)))), now: time.Minute,
+		byID: map[string]*fakeEngine{}, queries: map[uint64]*fakeRequest{}, digest: newDigestWriter(),
 	}
 	p.handle(p.firstList())
 	p.in(0, p.nextArrival)
@@ -247,11 +248,11 @@
 
 func (p *player) handle(event policy.Event) {
 	p.handled++
-	for _, action := range p.gateway.Handle(p.now, event, nil) {
+	for _, action := range p.balancer.Handle(p.now, event, nil) {
 		p.perform(action)
 	}
 	if p.handled%characterizationState == 0 {
-		for _, figure := range p.gateway.LearnedState() {
+		for _, figure := range p.balancer.LearnedState() {
 			p.digest.float(figure)
 		}
 	}
@@ -262,7 +263,7 @@
 	for range p.scenario.engines {
 		p.addEngine(len(p.engines)%2 == 0)
 	}
-	return p.wholeList(policy.UpdateCached)
+	return p.fullList(policy.UpdateCached)
 }
 
 func (p *player) addEngine(fresh bool) *fakeEngine {
@@ -276,7 +277,7 @@
 	return e
 }
 
-func (p *player) wholeList(mode policy.UpdateMode) policy.Event {
+func (p *player) fullList(mode policy.UpdateMode) policy.Event {
 	list := policy.EndpointsChanged{Mode: mode}
 	for _, e := range p.engines {
 		if e.entry.State != policy.EngineRemoved {
@@ -292,13 +293,13 @@
 	e := p.engines[p.random.IntN(len(p.engines))]
 	switch p.random.IntN(8) {
 	case 0:
-		e.hangsTill = p.now + 4*time.Second
+		e.hangsUntil = p.now + 4*time.Second
 		return nil
 	case 1:
 		e.slowdown = 0.5 + 3*p.random.Float64()
 		return nil
 	case 2:
-		return p.wholeList(policy.UpdateFull)
+		return p.fullList(policy.UpdateFull)
 	case 3:
 		return policy.EndpointsChanged{Mode: policy.UpdateFailed}
 	case 4:
@@ -325,7 +326,7 @@
 	p.in(time.Duration(p.random.ExpFloat64()/rate*float64(time.Second)), p.nextArrival)
 	p.last++
 	class := p.class()
-	q := &fakeQuery{work: time.Duration(float64(workOfClass[class.Name]) * (0.3 + p.random.ExpFloat64()))}
+	q := &fakeRequest{work: time.Duration(float64(workOfClass[class.Name]) * (0.3 + p.random.ExpFloat64()))}
 	q.arrive = policy.RequestArrived{
 		RequestID: p.last, Class: class.Name, Dataset: int64(math.Sqrt(float64(p.random.IntN(400)))),
 		Deadline: p.now + time.Duration((0.8+0.2*p.random.Float64())*float64(class.Deadline)),
@@ -384,7 +385,7 @@
 		p.event(a.After, policy.TimerFired{Token: a.Token})
 	case policy.Subscribe:
 		p.record(7)
-		p.in(30*time.Millisecond, func() policy.Event { return p.wholeList(policy.UpdateFull) })
+		p.in(30*time.Millisecond, func() policy.Event { return p.fullList(policy.UpdateFull) })
 	case policy.Log:
 		p.record(8)
 	default:
@@ -418,7 +419,7 @@
 	case e.entry.State == policy.EngineRemoved:
 		end(time.Millisecond, policy.ResultConnectFailed)
 		return
-	case p.now < e.hangsTill:
+	case p.now < e.hangsUntil:
 		return
 	case e.attempts > 40:
 		end(time.Millisecond, policy.ResultOverloaded)
@@ -433,17 +434,17 @@
 		return
 	}
 	end(took, policy.ResultServed)
-	p.notes(q, n, took)
+	p.reportProgress(q, n, took)
 }
 
 // duration is how long an engine takes for a query, given what it holds.
-func (p *player) duration(q *fakeQuery, e *fakeEngine) time.Duration {
+func (p *player) duration(q *fakeRequest, e *fakeEngine) time.Duration {
 	crowding := 1 + float64(e.attempts*e.attempts)/100
 	return time.Duration(float64(q.work)*crowding*e.slowdown/p.speed) + time.Millisecond
 }
 
-// notes tells of an attempt while it runs: progress, now and then a wait or a spill.
-func (p *player) notes(q *fakeQuery, n int, took time.Duration) {
+// reportProgress schedules progress reports of an attempt: now and then a wait or a spill.
+func (p *player) reportProgress(q *fakeRequest, n int, took time.Duration) {
 	id := q.arrive.RequestID
 	if p.settings.Classes[0].Name != q.arrive.Class && p.random.IntN(3) == 0 {
 		p.event(took/3, policy.StreamStarted{RequestID: id, Attempt: n})
@@ -452,18 +453,18 @@
 		return
 	}
 	for at := p.settings.ProgressInterval; at < took; at += p.settings.ProgressInterval {
-		note := policy.ProgressReported{RequestID: id, Attempt: n, Kind: policy.ProgressFraction, Value: float64(at) / float64(took)}
+		report := policy.ProgressReported{RequestID: id, Attempt: n, Kind: policy.ProgressFraction, Value: float64(at) / float64(took)}
 		switch p.random.IntN(12) {
 		case 0:
-			note.Kind, note.Value = policy.ProgressSpilling, 100*p.random.Float64()
+			report.Kind, report.Value = policy.ProgressSpilling, 100*p.random.Float64()
 		case 1:
-			note.Kind = policy.ProgressAwaitingMemory
+			report.Kind = policy.ProgressAwaitingMemory
 		case 2:
-			note.Kind = policy.ProgressAwaitingLoad
+			report.Kind = policy.ProgressAwaitingLoad
 		case 3:
 			continue
 		}
-		p.event(at, note)
+		p.event(at, report)
 	}
 }
 
@@ -501,10 +502,7 @@
 
 // digestWriter hashes actions in a form that doesn't depend on Go names.
 type digestWriter struct {
-	hash interface {
-		Write([]byte) (int, error)
-		Sum64() uint64
-	}
+	hash hash.Hash64
 }
 
 func newDigestWriter() *digestWriter { return &digestWriter{hash: fnv.New64a()} }
@@ -536,10 +534,10 @@
 	d.hash.Write(b[:])
 }
 
-// BenchmarkDecision measures one arrival with its outcome at a gateway of 40 engines.
+// BenchmarkDecision measures one arrival with its outcome at a balancer of 40 engines.
 func BenchmarkDecision(b *testing.B) {
 	settings := characterizationSettings()
-	gateway, err := policy.New(settings, 1)
+	balancer, err := policy.New(settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -548,16 +546,16 @@
 	for i := range 40 {
 		list.Engines = append(list.Engines, policy.Engine{ID: fmt.Sprint("engine-", i), Zone: "a", Kind: "large", State: policy.EngineReady})
 	}
-	actions := gateway.Handle(now, list, nil)
+	actions := balancer.Handle(now, list, nil)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
 		now += time.Millisecond
 		id := uint64(i + 1)
-		actions = gateway.Handle(now, policy.RequestArrived{RequestID: id, Class: "lookup", Dataset: int64(i % 20), Deadline: now + time.Second}, actions[:0])
-		actions = gateway.Handle(now, policy.AttemptEnded{RequestID: id, Result: policy.ResultServed, Elapsed: 90 * time.Millisecond, Completed: true}, actions[:0])
+		actions = balancer.Handle(now, policy.RequestArrived{RequestID: id, Class: "lookup", Dataset: int64(i % 20), Deadline: now + time.Second}, actions[:0])
+		actions = balancer.Handle(now, policy.AttemptEnded{RequestID: id, Result: policy.ResultServed, Elapsed: 90 * time.Millisecond, Completed: true}, actions[:0])
 		if i%100 == 0 {
-			actions = gateway.Handle(now, policy.TimerFired{}, actions[:0])
+			actions = balancer.Handle(now, policy.TimerFired{}, actions[:0])
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,9 +7,9 @@
 	"flaxrelay/policy"
 )
 
-// A front embeds one Gateway, hands it what happens and does what it says.
+// A proxy embeds one Balancer, tells it of every event and carries out its actions.
 func Example() {
-	gateway, err := policy.New(policy.Settings{
+	balancer, err := policy.New(policy.Settings{
 		Replicas: 1,
 		Zone:     "a",
 		Kinds:    []policy.Kind{{Name: "small", Cores: 1}},
@@ -23,21 +23,21 @@
 		return
 	}
 	clock := time.Hour
-	tell := func(ev policy.Event) {
-		for _, a := range gateway.Handle(clock, ev, nil) {
-			if _, timer := a.(policy.SetTimer); !timer {
+	handle := func(event policy.Event) {
+		for _, a := range balancer.Handle(clock, event, nil) {
+			if _, isTimer := a.(policy.SetTimer); !isTimer {
 				fmt.Printf("%T %+v\n", a, a)
 			}
 		}
 	}
-	tell(policy.EndpointsChanged{Mode: policy.UpdateFull, Engines: []policy.Engine{
+	handle(policy.EndpointsChanged{Mode: policy.UpdateFull, Engines: []policy.Engine{
 		{ID: "engine-1", Zone: "a", Kind: "small", State: policy.EngineReady},
 	}})
-	tell(policy.RequestArrived{RequestID: 1, Class: "lookup", Deadline: clock + time.Second})
-	tell(policy.RequestArrived{RequestID: 2, Class: "lookup", Deadline: clock + time.Second})
+	handle(policy.RequestArrived{RequestID: 1, Class: "lookup", Deadline: clock + time.Second})
+	handle(policy.RequestArrived{RequestID: 2, Class: "lookup", Deadline: clock + time.Second})
 	clock += 50 * time.Millisecond
-	tell(policy.AttemptEnded{RequestID: 1, Result: policy.ResultServed, Elapsed: 50 * time.Millisecond, Completed: true})
-	tell(policy.RequestArrived{RequestID: 3, Class: "lookup", Deadline: clock + time.Second})
+	handle(policy.AttemptEnded{RequestID: 1, Result: policy.ResultServed, Elapsed: 50 * time.Millisecond, Completed: true})
+	handle(policy.RequestArrived{RequestID: 3, Class: "lookup", Deadline: clock + time.Second})
 	// Output:
 	// policy.StartAttempt {RequestID:1 Engine:engine-1 Timeout:1s}
 	// policy.Reject {RequestID:2 RetryAfter:0s Reason:engine-limit}
--- /dev/null
+++ b/policy/load_test.go
@@ -0,0 +1,112 @@
+package policy
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestHealthChecksFollowLoadAndSteerSelection(t *testing.T) {
+	s := settings()
+	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+	if actions := h.arrive(1, "idempotent"); hasAction[CheckHealth](actions) {
+		t.Fatalf("a health check where none is permitted: %+v", actions)
+	}
+	s.Limits.HealthChecks, s.ReportsLoad = true, true
+	h = newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+	probes := 0
+	for id := uint64(1); id <= 40; id++ {
+		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 1, InFlight: 60}})
+		h.handle(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.1, InFlight: 2}})
+		h.handle(HealthChecked{Engine: "unlisted", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 9, InFlight: 1e9}})
+		if hasAction[CheckHealth](h.arrive(id, "idempotent")) {
+			probes++
+		}
+		h.wantAttempt(h.actions, "f")
+		h.endAttempt(id, 0, ResultServed)
+	}
+	if probes < 28 {
+		t.Fatalf("%d health checks with 40 arrivals while an engine is busy", probes)
+	}
+	probes = 0
+	for id := uint64(100); id < 200; id++ {
+		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, InFlight: 0}})
+		h.handle(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, InFlight: 0}})
+		if hasAction[CheckHealth](h.arrive(id, "idempotent")) {
+			probes++
+		}
+		h.endAttempt(id, 0, ResultServed)
+	}
+	if probes < 20 || probes > 70 { // some must go on: otherwise nobody learns that load is back
+		t.Fatalf("%d health checks with 100 arrivals while all are idle", probes)
+	}
+}
+
+func TestMalformedLoadReportsAreHarmless(t *testing.T) {
+	s := settings()
+	s.Limits.HealthChecks, s.ReportsLoad = true, true
+	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+	for id, odd := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
+		for _, load := range []LoadReport{{Reported: true, CPUShare: odd, InFlight: -1}, {Reported: true, CPUShare: 0.5, InFlight: odd}, {Reported: true, CPUShare: odd, InFlight: odd}} {
+			h.handle(HealthChecked{Engine: "e", Result: ResultTimedOut, Load: load})
+			h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: load})
+			h.handle(HealthChecked{Engine: "", Result: ResultServed, Load: load})
+		}
+		h.advance(20 * time.Second).handle(TimerFired{})
+		h.wantAttempt(h.arrive(uint64(id+1), "idempotent"), "")
+		h.endAttempt(uint64(id+1), 0, ResultServed)
+	}
+	for name, v := range map[string]float64{"load level": h.balancer.fleet.loadLevel, "mean load": h.balancer.meanLoad, "reported in flight": h.balancer.traffic.reportedInFlight, "traffic share": h.balancer.trafficShare()} {
+		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
+			t.Errorf("%s is %v", name, v)
+		}
+	}
+}
+
+// An engine with few requests in flight but more memory granted than it has is swapping, and
+// every further request makes that worse.
+func TestEngineWithOvercommittedMemoryIsAvoided(t *testing.T) {
+	for _, c := range []struct {
+		short MemoryShortage
+		avoid bool
+	}{{ShortageSwap, true}, {ShortageQueue, false}} {
+		s := settings()
+		s.Shortage = c.short
+		h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+		to := map[string]int{}
+		for id := uint64(1); id <= 40; id++ {
+			for range 5 {
+				h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2, MemoryShare: 1.5}})
+				h.handle(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2, MemoryShare: 0.3}})
+			}
+			for _, a := range startedAttempts(h.arrive(id, "idempotent")) {
+				to[a.Engine]++
+			}
+			h.endAttempt(id, 0, ResultServed)
+		}
+		if avoided := to["e"] == 0; avoided != c.avoid {
+			t.Errorf("memory shortage %v: sent %v", c.short, to)
+		}
+	}
+}
+
+// Among many balancers each hears of an engine only every few seconds: a report must steer
+// it until then.
+func TestLoadReportSteersForSeconds(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+	h.balancer.silenceTimeout = time.Hour
+	to := map[string]int{}
+	for id := uint64(1); id <= 40; id++ {
+		for range 5 {
+			h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 30}})
+			h.handle(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2}})
+		}
+		for _, a := range startedAttempts(h.advance(4*time.Second).arrive(id, "idempotent")) {
+			to[a.Engine]++
+		}
+		h.endAttempt(id, 0, ResultServed)
+	}
+	if to["e"] > to["f"]/8 {
+		t.Errorf("4 s after the reports, sent %v", to)
+	}
+}
--- /dev/null
+++ b/policy/outlier_test.go
@@ -0,0 +1,228 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestSilentEngineIsEjectedAndItsRequestsRetried(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("hung", "a", 1))
+	h.arrive(1, "wide")
+	h.arrive(2, "idempotent")
+	h.handle(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{readyEngine("good", "a", 1)}})
+	actions := h.runFor(1500 * msec)
+	if !hasAction[CancelAttempt](actions) || !hasAction[Log](actions) {
+		t.Fatalf("want cancellations and a log message, got %+v", actions)
+	}
+	h.wantNoAttempt(actions) // never two attempts at once
+	h.wantAttempt(h.endAttempt(1, 0, ResultCancelled), "good")
+}
+
+func TestOneSilentAttemptEjectsNoEngine(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1))
+	h.arrive(1, "wide")
+	if actions := h.runFor(1500 * msec); hasAction[CancelAttempt](actions) {
+		t.Fatalf("ejected for one attempt: %+v", actions)
+	}
+}
+
+func TestOwnPauseEjectsNoEngine(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1))
+	h.handle(TimerFired{})
+	for id := uint64(1); id < 4; id++ {
+		h.arrive(id, "wide")
+		h.arrive(id+10, "idempotent")
+	}
+	if actions := h.advance(3 * time.Second).handle(TimerFired{}); hasAction[CancelAttempt](actions) || hasAction[Log](actions) {
+		t.Fatalf("a pause of the balancer counted as silence of an engine: %+v", actions)
+	}
+}
+
+func TestEngineThatFailsFastIsEjected(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("bad", "a", 1), readyEngine("good", "b", 2))
+	sent := 0
+	for id := uint64(1); id < 40; id++ {
+		h.arrive(id, "idempotent")
+		for n := 0; n < 4; n++ {
+			req := h.balancer.requests[id]
+			if req == nil {
+				break
+			}
+			result := ResultServed
+			if req.attempts[n].engine.id == "bad" {
+				result = ResultFailed
+				sent++
+			}
+			h.endAttempt(id, n, result)
+		}
+	}
+	if sent == 0 || sent > 8 {
+		t.Fatalf("%d of the attempts went to the engine that answers with errors", sent)
+	}
+}
+
+// A connection that breaks ends all attempts on it. That is one fault, and
+// a report on an attempt sent after it, sooner than a process starts, shows that the engine
+// did not restart. After a refused connection it counts as restarted.
+func TestBrokenConnectionIsOneFault(t *testing.T) {
+	for _, c := range []struct {
+		result  Result
+		ejected bool
+		warming bool
+	}{{ResultConnectionLost, false, false}, {ResultConnectFailed, true, true}} {
+		h := newHarness(t, settings(), readyEngine("e", "a", 1))
+		h.advance(3 * time.Second).handle(TimerFired{})
+		for id := uint64(1); id <= 4; id++ {
+			h.arrive(id, "idempotent")
+		}
+		e := h.balancer.engines[0]
+		for id := uint64(1); id <= 2; id++ {
+			h.endAttempt(id, 0, c.result)
+		}
+		if e.ejected != c.ejected {
+			t.Errorf("%v: ejected is %v", c.result, e.ejected)
+		}
+		h.advance(200 * msec)
+		for id := uint64(5); id < 9; id++ {
+			if actions := h.arrive(id, "idempotent"); len(startedAttempts(actions)) > 0 {
+				h.advance(50 * msec).handle(ProgressReported{RequestID: id, Kind: ProgressFraction, Value: 0.5})
+				break
+			}
+		}
+		if warming := h.now < e.warmupEndsAt; warming != c.warming {
+			t.Errorf("%v: warming up is %v after a report on a later attempt", c.result, warming)
+		}
+	}
+}
+
+// An error may be the request's own fault: it counts against an engine only once another
+// engine has served the request. A request that fails on two engines is not sent to a third.
+func TestErrorIsFaultOnlyWhereAnotherEngineServes(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1), readyEngine("g", "a", 1))
+	for id := uint64(1); id < 20; id++ {
+		h.arrive(id, "idempotent")
+		h.endAttempt(id, 0, ResultFailed)
+		if actions := h.endAttempt(id, 1, ResultFailed); len(startedAttempts(actions)) > 0 || !hasAction[Reject](actions) {
+			t.Fatalf("after two errors: %+v", actions)
+		}
+	}
+	for _, e := range h.balancer.engines {
+		if e.faultRate > 0 {
+			t.Errorf("engine %s has fault rate %v for requests that fail everywhere", e.id, e.faultRate)
+		}
+	}
+	first := h.balancer.enginesByID[startedAttempts(h.arrive(20, "idempotent"))[0].Engine]
+	h.endAttempt(20, 0, ResultFailed)
+	if h.endAttempt(20, 1, ResultServed); first.faultRate == 0 {
+		t.Error("no fault for an error on a request that another engine served")
+	}
+}
+
+// An attempt without progress reports, while its engine reports others, has lost its
+// answer: it is retried where its class permits. Waiting attempts are reported
+// less often.
+func TestLostAnswerIsRetried(t *testing.T) {
+	for _, c := range []struct {
+		class         string
+		waiting, lost bool
+	}{{"idempotent", false, true}, {"keyed", false, true}, {"non-idempotent", false, false}, {"idempotent", true, false}} {
+		s := settings()
+		s.Classes[3].DedupWindow = 5 * time.Second
+		h := newHarness(t, s, readyEngine("e", "a", 1))
+		h.arrive(1, c.class)
+		h.arrive(2, "non-idempotent")
+		if c.waiting {
+			h.handle(ProgressReported{RequestID: 1, Kind: ProgressAwaitingMemory})
+		}
+		retried := false
+		for range 8 {
+			h.handle(ProgressReported{RequestID: 2, Kind: ProgressAwaitingMemory})
+			retried = retried || hasAction[CancelAttempt](h.runFor(400*msec))
+		}
+		if retried != c.lost {
+			t.Errorf("%s, waiting %v: retried is %v", c.class, c.waiting, retried)
+		}
+	}
+}
+
+// One class is stalled on an engine while another runs there: the engine gets no more of the
+// first, but single probes, until one of them reports progress.
+func TestStalledClassIsProbedOneAtATime(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
+	e := h.balancer.enginesByID["e"]
+	to := func(class string) (n int) {
+		for id := uint64(100); id < 110; id++ {
+			for _, s := range startedAttempts(h.arrive(id, class)) {
+				if s.Engine == "e" {
+					n++
+				}
+			}
+			h.handle(ClientDisconnected{RequestID: id})
+			for _, req := range h.balancer.requests {
+				if req.id == id {
+					h.endAttempt(id, 0, ResultCancelled)
+				}
+			}
+		}
+		return n
+	}
+	still := map[uint64]bool{}
+	for id := uint64(1); len(still) < stalledAfterLost; id++ {
+		if startedAttempts(h.arrive(id, "idempotent"))[0].Engine == "e" {
+			still[id] = true
+		} else {
+			h.endAttempt(id, 0, ResultServed)
+		}
+	}
+	for range 4 {
+		h.runFor(300 * msec)
+		e.lastHeardAt = h.now // by way of other classes
+	}
+	if !h.balancer.classStalled(e, h.balancer.classes["idempotent"]) || h.balancer.classStalled(e, h.balancer.classes["non-idempotent"]) {
+		t.Fatalf("lost answers %v should stall the one class only", e.lostAnswers)
+	}
+	if n := to("idempotent"); n > 0 {
+		t.Errorf("%d more of the stalled class", n)
+	}
+	other := readyEngine("f", "a", 1)
+	other.State = EngineDraining
+	h.handle(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{other}})
+	if n := to("non-idempotent"); n == 0 {
+		t.Error("none of the class that runs")
+	}
+	h.advance(3 * h.balancer.silenceTimeout)
+	for id := uint64(200); id < 220 && !h.balancer.classStalled(e, h.balancer.classes["idempotent"]); id++ {
+		h.arrive(id, "idempotent")
+	}
+	if !h.balancer.classStalled(e, h.balancer.classes["idempotent"]) {
+		t.Error("no request was sent as a probe, or more than one")
+	}
+	trial := e.inFlight[len(e.inFlight)-1]
+	h.handle(ProgressReported{RequestID: trial.request.id, Attempt: trial.index, Kind: ProgressFraction, Value: 0.5})
+	if h.balancer.classStalled(e, h.balancer.classes["idempotent"]) {
+		t.Error("stalled after a progress report of the class")
+	}
+}
+
+func TestOverdueAttemptIsRetriedWithoutProgressReports(t *testing.T) {
+	s := settings()
+	s.ProgressInterval, s.Limits.MaxAttempts, s.Classes[1].ObjectiveStretch = 0, 2, 2.5
+	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+	first := startedAttempts(h.arrive(1, "wide"))
+	if len(first) != 1 {
+		t.Fatalf("want one attempt, got %+v", h.actions)
+	}
+	if actions := h.runFor(1500 * msec); hasAction[CancelAttempt](actions) {
+		t.Fatalf("cancelled within the usual variation: %+v", actions)
+	}
+	if actions := h.runFor(700 * msec); !hasAction[CancelAttempt](actions) { // 1 s is usual, twice that is overdue; the objective is 5.5 s
+		t.Fatalf("an attempt of twice the usual latency was not cancelled: %+v", actions)
+	}
+	again := startedAttempts(h.endAttempt(1, 0, ResultCancelled))
+	if len(again) != 1 || again[0].Engine == first[0].Engine {
+		t.Fatalf("want an attempt on another engine than %q, got %+v", first[0].Engine, again)
+	}
+	if actions := h.runFor(5 * time.Second); hasAction[CancelAttempt](actions) {
+		t.Fatalf("cancelled though no attempt is left: %+v", actions)
+	}
+}
--- /dev/null
+++ b/policy/progress_test.go
@@ -0,0 +1,74 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestAttemptWithBadPlanIsCancelledOnce(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
+	h.handle(RequestArrived{RequestID: 1, Class: "wide", Deadline: h.now + 15*time.Second})
+	h.advance(time.Second)
+	if actions := h.handle(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.01}); !hasAction[CancelAttempt](actions) {
+		t.Fatalf("a hopeless attempt was not cancelled: %+v", actions)
+	}
+	h.wantAttempt(h.endAttempt(1, 0, ResultCancelled), "")
+	h.advance(time.Second)
+	if actions := h.handle(ProgressReported{RequestID: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.15}); hasAction[CancelAttempt](actions) {
+		t.Fatalf("an expensive request was cancelled twice: %+v", actions)
+	}
+}
+
+func TestHopelessRequestIsRejectedEarly(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
+	h.arrive(1, "wide")
+	h.advance(time.Second).handle(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.01})
+	h.endAttempt(1, 0, ResultCancelled)
+	actions := h.advance(time.Second).handle(ProgressReported{RequestID: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.01})
+	if !hasAction[Reject](actions) || !hasAction[CancelAttempt](actions) {
+		t.Fatalf("a second attempt far past the deadline was kept: %+v", actions)
+	}
+	h.wantNoAttempt(h.endAttempt(1, 1, ResultCancelled))
+}
+
+func TestLateAttemptFinishesWhereRetryWouldBeLateToo(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
+	h.arrive(1, "idempotent")
+	if actions := h.advance(500 * msec).handle(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.4}); hasAction[CancelAttempt](actions) {
+		t.Fatalf("cancelled though no attempt is left: %+v", actions)
+	}
+}
+
+func TestWaitingAttemptIsRetriedWhereRetryMeetsObjective(t *testing.T) {
+	for _, c := range []struct {
+		class   string
+		after   time.Duration
+		retried bool
+	}{{"wide", 500 * msec, true}, {"wide", 2500 * msec, false}, {"non-idempotent", 500 * msec, false}} {
+		h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
+		first := startedAttempts(h.arrive(1, c.class))[0].Engine
+		actions := h.advance(c.after).handle(ProgressReported{RequestID: 1, Kind: ProgressAwaitingLoad})
+		if hasAction[CancelAttempt](actions) != c.retried {
+			t.Fatalf("%s after %v: %+v", c.class, c.after, actions)
+		}
+		if c.retried {
+			if actions = h.endAttempt(1, 0, ResultCancelled); len(startedAttempts(actions)) != 1 || startedAttempts(actions)[0].Engine == first {
+				t.Fatalf("it was not retried elsewhere than %s: %+v", first, actions)
+			}
+		}
+	}
+}
+
+// An attempt that waits for memory is retried once: engines that all lack memory would otherwise use
+// up the attempts of every request at once, and leave none for faults.
+func TestAttemptAwaitingMemoryIsRetriedOnce(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1), readyEngine("g", "a", 1))
+	h.arrive(1, "wide")
+	if actions := h.handle(ProgressReported{RequestID: 1, Kind: ProgressAwaitingMemory}); !hasAction[CancelAttempt](actions) {
+		t.Fatalf("it was not retried: %+v", actions)
+	}
+	h.endAttempt(1, 0, ResultCancelled)
+	if actions := h.handle(ProgressReported{RequestID: 1, Attempt: 1, Kind: ProgressAwaitingMemory}); hasAction[CancelAttempt](actions) {
+		t.Fatalf("it was retried again: %+v", actions)
+	}
+}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -7,35 +7,37 @@
 	"time"
 )
 
-// model follows what the rules say of the actions that a gateway gives.
+// model tracks the actions that a balancer gives and checks each against the rules.
 type model struct {
-	t     *testing.T
-	s     Settings
-	now   time.Duration
-	open  map[uint64]*seen
-	all   []*seen
-	state map[string]EngineState
-	info  map[string]Engine
-	taken []time.Duration
-	extra []time.Duration
-}
-
-type seen struct {
-	id    uint64
-	class Class
-	key   string
-	due   time.Duration
-	tries []seenTry
-	over  bool
-	dead  bool
-}
-
-type seenTry struct {
-	engine         string
-	at             time.Duration
-	out, ran       bool
-	ended          time.Duration
-	doubt, counted bool
+	t        *testing.T
+	settings Settings
+	now      time.Duration
+	byID     map[uint64]*modelRequest
+	requests []*modelRequest // in order of arrival
+	states   map[string]EngineState
+	engines  map[string]Engine
+	arrivals []time.Duration
+	retries  []time.Duration
+}
+
+// modelRequest is a request as the model knows it.
+type modelRequest struct {
+	id       uint64
+	class    Class
+	orderKey string
+	deadline time.Duration
+	attempts []modelAttempt
+	answered bool
+}
+
+// modelAttempt is an attempt as the model knows it.
+type modelAttempt struct {
+	engine      string
+	startedAt   time.Duration
+	endedAt     time.Duration
+	inFlight    bool
+	mayHaveRun  bool
+	mayStillRun bool
 }
 
 func (m *model) fail(format string, args ...any) {
@@ -43,104 +45,137 @@
 	m.t.Fatalf("at %v: %s", m.now, fmt.Sprintf(format, args...))
 }
 
-func (m *model) apply(out []Action) {
-	for _, a := range out {
-		switch a := a.(type) {
+// apply checks the actions and takes them into the model.
+func (m *model) apply(actions []Action) {
+	m.t.Helper()
+	for _, action := range actions {
+		switch a := action.(type) {
 		case StartAttempt:
-			m.send(a)
+			m.startAttempt(a)
 		case SetResources:
 			if a.Priority < 0 || a.Priority > 3 || !(a.MemoryMB >= 0) {
-				m.fail("query %d: priority %d, grant %v", a.RequestID, a.Priority, a.MemoryMB)
+				m.fail("request %d: priority %d, grant %v", a.RequestID, a.Priority, a.MemoryMB)
 			}
 		case CheckHealth:
-			if !m.s.Limits.HealthChecks || m.state[a.Engine] != EngineReady {
-				m.fail("a probe of %s", a.Engine)
+			if !m.settings.Limits.HealthChecks || m.states[a.Engine] != EngineReady {
+				m.fail("a health check of %s", a.Engine)
 			}
 		case Reject:
-			q := m.end(a.RequestID)
-			for _, try := range q.tries {
-				if try.ran && (q.class.Effect == NonIdempotent || q.class.Effect == IdempotentByKey && q.class.DedupScope != ScopeAll) {
-					m.fail("query %d refused though it may have run", q.id)
-				}
-			}
+			m.checkReject(m.answer(a.RequestID))
 		case Fail:
-			m.end(a.RequestID)
+			m.answer(a.RequestID)
 		}
 	}
 }
 
-func (m *model) end(id uint64) *seen {
-	q := m.open[id]
-	if q == nil || q.over {
-		m.fail("query %d: a second final answer", id)
+// answer takes a final answer, of which there must be one.
+func (m *model) answer(requestID uint64) *modelRequest {
+	m.t.Helper()
+	req := m.byID[requestID]
+	if req == nil || req.answered {
+		m.fail("request %d: a second final answer", requestID)
+	}
+	req.answered = true
+	return req
+}
+
+func (m *model) checkReject(req *modelRequest) {
+	m.t.Helper()
+	class := req.class
+	for _, attempt := range req.attempts {
+		repeatable := class.Effect == Idempotent || class.Effect == IdempotentByKey && class.DedupScope == ScopeAll
+		if attempt.mayHaveRun && !repeatable {
+			m.fail("request %d rejected though it may have run", req.id)
+		}
 	}
-	q.over = true
-	return q
 }
 
-func (m *model) send(a StartAttempt) {
-	q := m.open[a.RequestID]
-	if q == nil || q.over {
-		m.fail("query %d sent after its end", a.RequestID)
+func (m *model) startAttempt(a StartAttempt) {
+	m.t.Helper()
+	req := m.byID[a.RequestID]
+	if req == nil || req.answered {
+		m.fail("request %d sent after its end", a.RequestID)
 	}
-	if m.state[a.Engine] != EngineReady {
-		m.fail("query %d sent to %s, which is not live", a.RequestID, a.Engine)
+	if m.states[a.Engine] != EngineReady {
+		m.fail("request %d sent to %s, which is not ready", a.RequestID, a.Engine)
 	}
-	e := m.info[a.Engine]
-	if !allows(q.class.Zones, e.Zone) {
-		m.fail("query %d sent out of its place", a.RequestID)
+	engine := m.engines[a.Engine]
+	if !allows(req.class.Zones, engine.Zone) {
+		m.fail("request %d sent to zone %s", a.RequestID, engine.Zone)
 	}
-	for _, try := range q.tries {
-		if try.out {
-			m.fail("query %d has two attempts", a.RequestID)
-		}
-		if try.ran && q.class.Effect == NonIdempotent {
-			m.fail("unsafe query %d sent again", a.RequestID)
+	m.checkEarlierAttempts(req, engine)
+	m.checkOrder(req)
+	if len(req.attempts) > 0 {
+		m.retries = append(m.retries, m.now)
+		m.checkRetryBudget()
+	}
+	if len(req.attempts) >= m.settings.Limits.MaxAttempts {
+		m.fail("request %d has too many attempts", a.RequestID)
+	}
+	req.attempts = append(req.attempts, modelAttempt{
+		engine: a.Engine, startedAt: m.now, inFlight: true, mayHaveRun: true,
+	})
+}
+
+// checkEarlierAttempts checks hedging and idempotency.
+func (m *model) checkEarlierAttempts(req *modelRequest, engine Engine) {
+	m.t.Helper()
+	class := req.class
+	for _, attempt := range req.attempts {
+		if attempt.inFlight {
+			m.fail("request %d has two attempts in flight", req.id)
 		}
-		if try.ran && q.class.Effect == IdempotentByKey && (m.info[try.engine].Cell != e.Cell || m.now-try.at > q.class.DedupWindow) {
-			m.fail("keyed query %d sent out of its group or window", a.RequestID)
+		if attempt.mayHaveRun && class.Effect == NonIdempotent {
+			m.fail("non-idempotent request %d retried", req.id)
 		}
-	}
-	m.order(q)
-	if len(q.tries) > 0 {
-		m.extra = append(m.extra, m.now)
-		if got, most := count(m.extra, m.now-m.s.Rules.RetryBudgetWindow),
-			m.s.Rules.RetryBudgetMin+m.s.Rules.RetryBudgetRatio*float64(count(m.taken, m.now-m.s.Rules.RetryBudgetWindow)); float64(got) > most {
-			m.fail("%d further attempts, %v allowed", got, most)
+		sameCell := m.engines[attempt.engine].Cell == engine.Cell
+		expired := m.now-attempt.startedAt > class.DedupWindow
+		if attempt.mayHaveRun && class.Effect == IdempotentByKey && (!sameCell || expired) {
+			m.fail("request %d retried outside the scope or window of its idempotency key", req.id)
 		}
 	}
-	if len(q.tries) >= m.s.Limits.MaxAttempts {
-		m.fail("query %d has too many attempts", a.RequestID)
+}
+
+func (m *model) checkRetryBudget() {
+	m.t.Helper()
+	rules := m.settings.Rules
+	windowStart := m.now - rules.RetryBudgetWindow
+	retries := float64(countAfter(m.retries, windowStart))
+	budget := rules.RetryBudgetMin + rules.RetryBudgetRatio*float64(countAfter(m.arrivals, windowStart))
+	if retries > budget {
+		m.fail("%v retries, %v permitted", retries, budget)
 	}
-	q.tries = append(q.tries, seenTry{engine: a.Engine, at: m.now, out: true, ran: true})
 }
 
-func count(list []time.Duration, since time.Duration) (n int) {
-	for _, at := range list {
-		if at > since {
-			n++
+func countAfter(instants []time.Duration, start time.Duration) (count int) {
+	for _, instant := range instants {
+		if instant > start {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (m *model) order(q *seen) {
-	if !q.class.Ordered {
+// checkOrder checks that all earlier requests of the ordering key have ended and settled.
+func (m *model) checkOrder(req *modelRequest) {
+	m.t.Helper()
+	if !req.class.Ordered {
 		return
 	}
-	for _, o := range m.all {
-		if o == q {
+	for _, earlier := range m.requests {
+		if earlier == req {
 			return
 		}
-		if !o.class.Ordered || o.key != q.key {
+		if !earlier.class.Ordered || earlier.orderKey != req.orderKey {
 			continue
 		}
-		if !o.over {
-			m.fail("query %d sent before query %d was over", q.id, o.id)
+		if !earlier.answered {
+			m.fail("request %d sent before request %d was answered", req.id, earlier.id)
 		}
-		for _, try := range o.tries {
-			if try.out || try.doubt && m.now-try.ended < m.s.Rules.OrderSettleTime {
-				m.fail("query %d sent while query %d may run", q.id, o.id)
+		for _, attempt := range earlier.attempts {
+			settling := attempt.mayStillRun && m.now-attempt.endedAt < m.settings.Rules.OrderSettleTime
+			if attempt.inFlight || settling {
+				m.fail("request %d sent while request %d may run", req.id, earlier.id)
 			}
 		}
 	}
@@ -150,104 +185,131 @@
 // and repeated ones among them, and checks each rule on the actions.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
-		play(t, seed)
+		playRandomEvents(t, seed)
 	}
 }
 
-func play(t *testing.T, seed uint64) {
+func playRandomEvents(t *testing.T, seed uint64) {
+	t.Helper()
 	s := settings()
 	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin, s.Rules.RetryBudgetRatio = 2*time.Second, 3, 0.2
-	if seed%2 == 0 { // no notes, told load: moves come in bursts, at ticks and after pauses
+	if seed%2 == 0 { // no progress reports, but load: retries come in bursts, at ticks and after pauses
 		s.ProgressInterval, s.Priorities, s.MemoryGrants = 0, true, true
 		s.Limits.HealthChecks, s.ReportsLoad = true, true
 	}
-	g, err := New(s, seed)
-	if err != nil {
-		t.Fatal(err)
-	}
+	b := mustNew(t, s, seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	m := &model{t: t, s: s, now: time.Minute, open: map[uint64]*seen{}, state: map[string]EngineState{}, info: map[string]Engine{}}
-	list := func(mode UpdateMode, engines ...Engine) {
-		if mode != UpdateDelta {
-			clear(m.state)
-		}
-		for _, e := range engines {
-			m.state[e.ID], m.info[e.ID] = e.State, e
-		}
-		m.apply(g.Handle(m.now, EndpointsChanged{Mode: mode, Engines: engines}, nil))
-	}
-	engine := func() Engine {
-		n := rng.IntN(5)
-		e := live(fmt.Sprintf("e%d", n), string(rune('a'+n%2)), int64(n%2))
-		e.State = EngineState(rng.IntN(3))
-		if rng.IntN(3) > 0 {
-			e.State = EngineReady
-		}
-		e.StartKnown, e.StartedAt = rng.IntN(4) == 0, m.now
-		return e
+	m := &model{
+		t: t, settings: s, now: time.Minute,
+		byID: map[uint64]*modelRequest{}, states: map[string]EngineState{}, engines: map[string]Engine{},
 	}
-	list(UpdateCached, live("e0", "a", 0), live("e1", "b", 1))
-	next := uint64(1)
-	for step := 0; step < 1500; step++ {
+	m.updateEndpoints(b, UpdateCached, readyEngine("e0", "a", 0), readyEngine("e1", "b", 1))
+	nextID := uint64(1)
+	for range 1500 {
 		m.now += time.Duration(rng.IntN(40)) * msec
 		if rng.IntN(100) == 0 {
 			m.now += time.Duration(rng.IntN(3000)) * msec
 		}
-		switch k := rng.IntN(10); {
-		case k < 4:
-			c := s.Classes[rng.IntN(len(s.Classes))]
-			q := &seen{id: next, class: c, due: m.now + c.Deadline, key: string(rune('x' + rng.IntN(2)))}
-			m.open[next], m.all, m.taken = q, append(m.all, q), append(m.taken, m.now)
-			m.apply(g.Handle(m.now, RequestArrived{RequestID: next, Class: c.Name, OrderKey: q.key, Deadline: q.due,
-				EstimatedWork: time.Duration(rng.IntN(3000)) * msec, EstimatedMemoryMB: rng.Float64() * 500}, nil))
-			next++
-		case k < 7 && len(m.all) > 0:
-			m.outcome(g, rng)
-		case k < 8:
-			m.apply(g.Handle(m.now, TimerFired{}, nil))
-			m.apply(g.Handle(m.now, TimerFired{Token: rng.Uint64N(next + 2)}, nil))
-		case k < 9 && len(m.all) > 0:
-			q := m.all[rng.IntN(len(m.all))]
-			m.apply(g.Handle(m.now, ProgressReported{RequestID: q.id, Attempt: rng.IntN(3), Kind: ProgressKind(rng.IntN(6)), Value: rng.Float64() / 9}, nil))
-			m.apply(g.Handle(m.now, HealthChecked{Engine: fmt.Sprintf("e%d", rng.IntN(7)), Load: LoadReport{Reported: true, InFlight: rng.Float64()*900 - 9, CPUShare: 1}}, nil))
+		switch kind := rng.IntN(10); {
+		case kind < 4:
+			m.arrive(b, rng, nextID)
+			nextID++
+		case kind < 7 && len(m.requests) > 0:
+			m.endAttempt(b, rng)
+		case kind < 8:
+			m.apply(b.Handle(m.now, TimerFired{}, nil))
+			m.apply(b.Handle(m.now, TimerFired{Token: rng.Uint64N(nextID + 2)}, nil))
+		case kind < 9 && len(m.requests) > 0:
+			m.report(b, rng)
 		case rng.IntN(3) == 0:
-			list(UpdateFull, engine(), engine())
+			m.updateEndpoints(b, UpdateFull, m.randomEngine(rng), m.randomEngine(rng))
 		default:
-			list(UpdateDelta, engine())
+			m.updateEndpoints(b, UpdateDelta, m.randomEngine(rng))
 		}
 	}
-	m.finish(g)
+	m.finish(b)
+}
+
+func (m *model) updateEndpoints(b *Balancer, mode UpdateMode, engines ...Engine) {
+	m.t.Helper()
+	if mode != UpdateDelta {
+		clear(m.states)
+	}
+	for _, e := range engines {
+		m.states[e.ID], m.engines[e.ID] = e.State, e
+	}
+	m.apply(b.Handle(m.now, EndpointsChanged{Mode: mode, Engines: engines}, nil))
 }
 
-// outcome ends one attempt that is out, or repeats one that has ended.
-func (m *model) outcome(g *Balancer, rng *rand.Rand) {
-	q := m.all[rng.IntN(len(m.all))]
-	if len(q.tries) == 0 {
+func (m *model) randomEngine(rng *rand.Rand) Engine {
+	n := rng.IntN(5)
+	e := readyEngine(fmt.Sprintf("e%d", n), string(rune('a'+n%2)), int64(n%2))
+	e.State = EngineState(rng.IntN(3))
+	if rng.IntN(3) > 0 {
+		e.State = EngineReady
+	}
+	e.StartKnown, e.StartedAt = rng.IntN(4) == 0, m.now
+	return e
+}
+
+func (m *model) arrive(b *Balancer, rng *rand.Rand, id uint64) {
+	m.t.Helper()
+	class := m.settings.Classes[rng.IntN(len(m.settings.Classes))]
+	req := &modelRequest{id: id, class: class, deadline: m.now + class.Deadline, orderKey: string(rune('x' + rng.IntN(2)))}
+	m.byID[id], m.requests, m.arrivals = req, append(m.requests, req), append(m.arrivals, m.now)
+	m.apply(b.Handle(m.now, RequestArrived{
+		RequestID: id, Class: class.Name, OrderKey: req.orderKey, Deadline: req.deadline,
+		EstimatedWork: time.Duration(rng.IntN(3000)) * msec, EstimatedMemoryMB: rng.Float64() * 500,
+	}, nil))
+}
+
+// endAttempt ends one attempt that is in flight, or repeats the end of one that has ended.
+func (m *model) endAttempt(b *Balancer, rng *rand.Rand) {
+	m.t.Helper()
+	req := m.requests[rng.IntN(len(m.requests))]
+	if len(req.attempts) == 0 {
 		return
 	}
-	n := rng.IntN(len(q.tries))
-	try := &q.tries[n]
-	res := Result(rng.IntN(int(ResultNotSent) + 1))
-	if try.out {
-		try.out, try.ended = false, m.now
-		try.ran = res != ResultOverloaded && res != ResultConnectFailed && res != ResultNotSent
-		try.doubt = res == ResultTimedOut || res == ResultConnectionLost || res == ResultCancelled || res == ResultUnknown
-		if res == ResultServed {
-			q.over = true
+	index := rng.IntN(len(req.attempts))
+	attempt := &req.attempts[index]
+	result := Result(rng.IntN(int(ResultNotSent) + 1))
+	if attempt.inFlight {
+		attempt.inFlight, attempt.endedAt = false, m.now
+		attempt.mayHaveRun = result != ResultOverloaded && result != ResultConnectFailed && result != ResultNotSent
+		attempt.mayStillRun = result == ResultTimedOut || result == ResultConnectionLost ||
+			result == ResultCancelled || result == ResultUnknown
+		if result == ResultServed {
+			req.answered = true
 		}
 	}
-	m.apply(g.Handle(m.now, AttemptEnded{RequestID: q.id, Attempt: n, Result: res, Elapsed: m.now - try.at, Completed: q.over}, nil))
+	m.apply(b.Handle(m.now, AttemptEnded{
+		RequestID: req.id, Attempt: index, Result: result, Elapsed: m.now - attempt.startedAt, Completed: req.answered,
+	}, nil))
 }
 
-// finish lets all clients' times run out: each query must then be over.
-func (m *model) finish(g *Balancer) {
-	for _, q := range m.all {
-		m.now = max(m.now, q.due)
+// report gives a progress report and a load report, some of them of nothing that exists.
+func (m *model) report(b *Balancer, rng *rand.Rand) {
+	m.t.Helper()
+	req := m.requests[rng.IntN(len(m.requests))]
+	m.apply(b.Handle(m.now, ProgressReported{
+		RequestID: req.id, Attempt: rng.IntN(3), Kind: ProgressKind(rng.IntN(6)), Value: rng.Float64() / 9,
+	}, nil))
+	m.apply(b.Handle(m.now, HealthChecked{
+		Engine: fmt.Sprintf("e%d", rng.IntN(7)),
+		Load:   LoadReport{Reported: true, InFlight: rng.Float64()*900 - 9, CPUShare: 1},
+	}, nil))
+}
+
+// finish lets the deadlines of all requests pass: each must then have its answer.
+func (m *model) finish(b *Balancer) {
+	m.t.Helper()
+	for _, req := range m.requests {
+		m.now = max(m.now, req.deadline)
 	}
-	for _, q := range m.all {
-		m.apply(g.Handle(m.now, TimerFired{Token: q.id + 1}, nil))
-		if !q.over {
-			m.fail("query %d has no final answer", q.id)
+	for _, req := range m.requests {
+		m.apply(b.Handle(m.now, DeadlineTimer(req.id), nil))
+		if !req.answered {
+			m.fail("request %d has no final answer", req.id)
 		}
 	}
 }
--- /dev/null
+++ b/policy/quota_test.go
@@ -0,0 +1,80 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestQuotaForgivesUnevenArrivals(t *testing.T) {
+	s := settings()
+	s.Replicas, s.Tenants = 200, []Tenant{{Name: "t", Quota: 100, Share: 1}}
+	h := newHarness(t, s, readyEngine("e", "a", 1))
+	over := 0
+	for id := uint64(1); id < 40; id++ { // one in two seconds, an even share
+		h.advance(2 * time.Second).handle(TimerFired{})
+		if h.balancer.overQuota("t") {
+			over++
+		}
+	}
+	if over > 0 {
+		t.Fatalf("%d of 39 requests within the quota counted as beyond it", over)
+	}
+	for id := 0; id < 100; id++ {
+		if h.advance(100 * msec).handle(TimerFired{}); h.balancer.overQuota("t") {
+			over++
+		}
+	}
+	if over < 80 {
+		t.Fatalf("of a twentyfold excess only %d in 100 counted as beyond the quota", over)
+	}
+}
+
+func TestTrafficShareFollowsLoadReportsWithoutTenants(t *testing.T) {
+	s := settings()
+	s.Replicas = 100
+	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+	h.balancer.settings.ProgressInterval = time.Hour // nothing is silent here
+	h.balancer.silenceTimeout = time.Hour
+	for id := uint64(1); id <= 8; id++ {
+		h.arrive(id, "non-idempotent")
+	}
+	inFlight := float64(len(h.balancer.requests))
+	if inFlight < 2 {
+		t.Fatalf("%v requests in flight, too few to test with", inFlight)
+	}
+	for range 100 { // half of the requests in flight at the two engines are own ones
+		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: inFlight}})
+		h.runFor(500 * msec)
+	}
+	if got := h.balancer.trafficShare(); got < 0.4 || got > 0.6 {
+		t.Fatalf("a share of %.2f where half of the requests in flight are own ones", got)
+	}
+	for range 200 {
+		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: inFlight * 60}})
+	}
+	if got := h.balancer.trafficShare(); got < 0.01 || got > 0.011 {
+		t.Fatalf("a share of %v, which is not the even one", got)
+	}
+}
+
+// A balancer with far more than an even share must know it within seconds: its bounds
+// are for that share, and until then it rejects what the engines have capacity for.
+func TestTrafficShareConvergesOnFirstReports(t *testing.T) {
+	s := settings()
+	s.Replicas = 100
+	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+	h.balancer.silenceTimeout = time.Hour
+	for id := uint64(1); id <= 4; id++ {
+		h.arrive(id, "non-idempotent")
+	}
+	inFlight := float64(len(h.balancer.requests))
+	for range 6 { // 3 s in which a fifth of the requests in flight are own ones
+		for range 10 {
+			h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: inFlight * 2.5}})
+		}
+		h.runFor(500 * msec)
+	}
+	if got := h.balancer.trafficShare(); got < 0.15 || got > 0.25 {
+		t.Fatalf("a share of %.3f after 3 s, want a fifth", got)
+	}
+}
--- /dev/null
+++ b/policy/resources_test.go
@@ -0,0 +1,57 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestGrantFollowsReportedNeed(t *testing.T) {
+	s := settings()
+	s.MemoryGrants, s.ReportsCost = true, true
+	h := newHarness(t, s, readyEngine("e", "a", 1))
+	var grant float64
+	for id := uint64(1); id < 60; id++ {
+		actions := h.handle(RequestArrived{RequestID: id, Class: "idempotent", EstimatedMemoryMB: 100, Deadline: h.now + time.Second})
+		grant = resourcesOf(actions).MemoryMB
+		h.handle(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true, MemoryMB: 50})
+	}
+	if grant < 45 || grant > 65 {
+		t.Fatalf("granted %v MB for an estimate of 100 that is twice the need", grant)
+	}
+}
+
+func TestPriorityFollowsValueOverWork(t *testing.T) {
+	s := settings()
+	s.Priorities = true
+	h := newHarness(t, s, readyEngine("e", "a", 1))
+	id := uint64(0)
+	rank := func(work time.Duration) int {
+		id++
+		actions := h.handle(RequestArrived{RequestID: id, Class: "idempotent", EstimatedWork: work, Deadline: h.now + time.Second})
+		h.endAttempt(id, 0, ResultServed)
+		return resourcesOf(actions).Priority
+	}
+	for range 50 {
+		rank(100 * msec)
+	}
+	if short, usual, long := rank(40*msec), rank(100*msec), rank(800*msec); short <= usual || usual <= long {
+		t.Fatalf("priorities of a short, a usual and a long request: %d, %d, %d", short, usual, long)
+	}
+}
+
+func TestSpillReportsRaiseGrantsWithoutReportedCost(t *testing.T) {
+	s := settings()
+	s.MemoryGrants = true
+	h := newHarness(t, s, readyEngine("e", "a", 1))
+	var grant float64
+	for id := uint64(1); id < 20; id++ { // each needs twice its estimate
+		grant = resourcesOf(h.handle(RequestArrived{RequestID: id, Class: "idempotent", EstimatedMemoryMB: 100, Deadline: h.now + time.Second})).MemoryMB
+		if grant < 200 {
+			h.handle(ProgressReported{RequestID: id, Kind: ProgressSpilling, Value: 200 - grant})
+		}
+		h.endAttempt(id, 0, ResultServed)
+	}
+	if grant < 180 || grant > 260 {
+		t.Fatalf("granted %v MB of the 200 that are needed", grant)
+	}
+}
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,54 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestNonIdempotentIsRetriedOnlyWhenItNeverRan(t *testing.T) {
+	for result, again := range map[Result]bool{
+		ResultOverloaded: true, ResultConnectFailed: true, ResultNotSent: true, ResultFailed: false,
+		ResultTimedOut: false, ResultConnectionLost: false, ResultCancelled: false, ResultUnknown: false,
+	} {
+		h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
+		h.arrive(1, "non-idempotent")
+		actions := h.endAttempt(1, 0, result)
+		if (len(startedAttempts(actions)) == 1) != again || hasAction[Reject](actions) || hasAction[Fail](actions) == again {
+			t.Errorf("after result %d: %+v", result, actions)
+		}
+	}
+}
+
+func TestIdempotencyKeyLimitsRetriesToScopeAndWindow(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+	first := startedAttempts(h.arrive(1, "keyed"))[0].Engine
+	h.wantAttempt(h.endAttempt(1, 0, ResultFailed), first)
+	h.advance(1100 * msec)
+	actions := h.endAttempt(1, 1, ResultFailed)
+	if len(startedAttempts(actions)) != 0 || !hasAction[Fail](actions) {
+		t.Fatalf("beyond the window: %+v", actions)
+	}
+}
+
+func TestRetryBudgetLimitsRetries(t *testing.T) {
+	s := settings()
+	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin, s.Rules.RetryBudgetRatio = time.Second, 1, 0.1
+	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 1))
+	h.arrive(1, "idempotent")
+	h.arrive(2, "idempotent")
+	h.wantAttempt(h.endAttempt(1, 0, ResultOverloaded), "")
+	h.wantNoAttempt(h.endAttempt(2, 0, ResultOverloaded))
+}
+
+func TestRetryBudgetIsNotSpentOnWaitingAttempts(t *testing.T) {
+	for _, back := range []time.Duration{0, 10 * time.Second} {
+		s := settings()
+		s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin = back, 5
+		h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
+		h.arrive(1, "wide")
+		actions := h.advance(500 * msec).handle(ProgressReported{RequestID: 1, Kind: ProgressAwaitingMemory, Value: 1})
+		if retried := hasAction[CancelAttempt](actions); retried != (back == 0) {
+			t.Errorf("budget window %v: retried is %v", back, retried)
+		}
+	}
+}
--- /dev/null
+++ b/policy/slowstart_test.go
@@ -0,0 +1,128 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestWarmingEngineStaysWithinBudget(t *testing.T) {
+	s := settings()
+	h := newHarness(t, s, readyEngine("warm", "a", 1))
+	warming := readyEngine("warming", "a", 1)
+	warming.StartedAt, warming.StartKnown = h.now+5*time.Second, true
+	h.advance(5 * time.Second).handle(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{warming}})
+	work := 0.0
+	for id := uint64(1); id < 200; id++ {
+		for range startedAttempts(h.arrive(id, "idempotent")) {
+			work += h.balancer.classes["idempotent"].workMs
+			h.endAttempt(id, 0, ResultServed)
+		}
+	}
+	if budget := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 2; work == 0 || work > budget {
+		t.Fatalf("sent %v ms of work, want some and at most %v", work, budget)
+	}
+}
+
+// TestManyBalancersKeepToOneWarmupBudget adds up what all balancers together send one warming
+// engine within any overload window, with many requests of all sizes. With a negative number
+// the engine was down before: failed connections began a warm-up at each balancer,
+// and the start that the endpoint list reports must begin another.
+func TestManyBalancersKeepToOneWarmupBudget(t *testing.T) {
+	for _, n := range []int{2, 9, 40, 200, -9, -40, -200} {
+		down := n < 0
+		n = max(n, -n)
+		s := settings()
+		s.Replicas = n
+		warming := readyEngine("warming", "a", 1)
+		warming.StartedAt, warming.StartKnown = time.Minute, true
+		type sent struct {
+			at   time.Duration
+			work float64
+		}
+		var all []sent
+		balancers := make([]*Balancer, n)
+		for i := range balancers {
+			balancers[i] = mustNew(t, s, uint64(i))
+			balancers[i].Handle(30*time.Second, TimerFired{}, nil)
+			if down {
+				balancers[i].Handle(30*time.Second, EndpointsChanged{Mode: UpdateFull, Engines: []Engine{readyEngine("warming", "a", 1)}}, nil)
+				balancers[i].Handle(51*time.Second, RequestArrived{RequestID: 1 << 40, Class: "idempotent", Deadline: 55 * time.Second}, nil)
+				balancers[i].Handle(51*time.Second, AttemptEnded{RequestID: 1 << 40, Result: ResultConnectFailed}, nil)
+			}
+			balancers[i].Handle(time.Minute, EndpointsChanged{Mode: UpdateFull, Engines: []Engine{warming}}, nil)
+		}
+		id := uint64(0)
+		for now := time.Minute; now < time.Minute+s.Rules.WarmupTime; now += 100 * msec {
+			for _, b := range balancers {
+				for _, class := range []string{"idempotent", "wide", "non-idempotent"} {
+					id++
+					for range startedAttempts(b.Handle(now, RequestArrived{RequestID: id, Class: class, Deadline: now + 9*time.Second}, nil)) {
+						all = append(all, sent{now, b.classes[class].workMs})
+						b.Handle(now, AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: s.Classes[0].LatencyObjective, Completed: true}, nil)
+					}
+				}
+			}
+		}
+		peak, total := 0.0, 0.0 // the most work within a window, over the capacity as it begins
+		for i, from := range all {
+			sum := 0.0
+			for _, a := range all[i:] {
+				if a.at < from.at+s.Rules.OverloadWindow {
+					sum += a.work
+				}
+			}
+			grown := float64(from.at-time.Minute) / float64(s.Rules.WarmupTime) // capacity comes late, as a square
+			capacity := s.Rules.WarmupCapacity + (1-s.Rules.WarmupCapacity)*grown*grown
+			peak, total = max(peak, sum/capacity), total+from.work
+		}
+		limit := s.Rules.OverloadFactor * 8 * milliseconds(s.Rules.OverloadWindow)
+		if peak > limit || total < 0.1*limit*s.Rules.WarmupCapacity*float64(s.Rules.WarmupTime/s.Rules.OverloadWindow) {
+			t.Errorf("%d balancers: %.0f ms of work within a window over the capacity, %.0f in all; the limit is %.0f", n, peak, total, limit)
+		}
+	}
+}
+
+func TestBrokenConnectionStartsWarmup(t *testing.T) {
+	s, list := manyBalancers(1)
+	h := newHarness(t, s, list...)
+	h.advance(3 * time.Second).handle(TimerFired{})
+	h.arrive(1, "idempotent")
+	h.endAttempt(1, 0, ResultConnectionLost)
+	work := 0.0
+	for id := uint64(2); id < 200; id++ { // all at once, to an engine that may have restarted
+		for range startedAttempts(h.arrive(id, "idempotent")) {
+			work += h.balancer.classes["idempotent"].workMs
+			h.endAttempt(id, 0, ResultServed)
+		}
+	}
+	if part := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 200; work > part+h.balancer.classes["idempotent"].workMs {
+		t.Fatalf("%v ms of work after a broken connection; this balancer's share of a warm-up budget is %v", work, part)
+	}
+}
+
+// The balancers with most of the traffic must be able to spend a warming engine's budget, and it
+// grows with the engine: otherwise a half-replaced fleet is idle while the rest is overloaded.
+func TestWarmupBudgetFollowsTrafficShareAndWarmth(t *testing.T) {
+	s := settings()
+	s.Replicas = 100
+	warming := readyEngine("warming", "a", 1)
+	warming.StartedAt, warming.StartKnown = time.Minute, true
+	sent := func(ownInFlight float64, from time.Duration) (n int) {
+		h := newHarness(t, s)
+		h.advance(5 * time.Second).handle(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{warming}})
+		h.advance(from - 5*time.Second)
+		for id := uint64(1); id <= 30; id++ {
+			h.balancer.traffic.ownInFlight, h.balancer.traffic.reportedInFlight = ownInFlight, 10 // of ten requests in flight at an engine
+			n += len(startedAttempts(h.advance(100*msec).arrive(id, "idempotent")))
+			h.endAttempt(id, 0, ResultServed)
+		}
+		return n
+	}
+	even, heavy, later := sent(0.1, 5*time.Second), sent(2, 5*time.Second), sent(0.1, 9*time.Second)
+	if heavy < 10*max(even, 1) {
+		t.Errorf("a balancer with a fifth of the traffic sent %d within a window, one with a hundredth %d", heavy, even)
+	}
+	if later <= even {
+		t.Errorf("%d sent within a window to an engine nearly warm, %d to one just started", later, even)
+	}
+}
--- /dev/null
+++ b/policy/tokenbucket_test.go
@@ -0,0 +1,33 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestTokenBucketPermitsItsRateAndCapacity(t *testing.T) {
+	const rate, capacity = 2, 3
+	var bucket tokenBucket
+	for _, c := range []struct {
+		at        time.Duration
+		permitted int
+	}{
+		{0, 0},
+		{500 * msec, 1},              // one token at two a second
+		{750 * msec, 0},              // half a token
+		{time.Second, 1},             // the other half
+		{time.Minute, capacity},      // full, and no more
+		{time.Minute + 250*msec, 0},  // half a token
+		{time.Minute + time.Hour, 3}, // full again
+	} {
+		permitted := 0
+		for range 10 {
+			if bucket.take(c.at, rate, capacity) {
+				permitted++
+			}
+		}
+		if permitted != c.permitted {
+			t.Errorf("at %v: %d permitted, want %d", c.at, permitted, c.permitted)
+		}
+	}
+}
