--- a/policy/control.go
+++ b/policy/control.go
@@ -3,21 +3,21 @@
 import "math"
 
 const (
-	closedLoopPole        = 0.3  // c of the bound's update formula; from the design
-	alphaSmoothing        = 0.3  // lambda: weight of the newest period in alpha; from the design
-	minAlpha              = 1e-6 // keeps the step of the bound finite
-	minBound              = 0.5  // threads; under the weight of one request
-	initialThreadsPerCore = 2.0  // bound at the start; from the design
-	swapBoundFactor       = 0.75 // of that, where an engine short of memory slows down as a whole
-	queueBoundFactor      = 1.5  // of that, where requests short of memory queue at the engine
-	maxBoundFactor        = 1.2  // cap of a bound, in initial bounds; the cap always applies
-	pressureLatency       = 0.8  // mean latency over the objective from which a bound applies
-	pressurePeriods       = 2    // control periods for which it applies from then on
-	kneeSlowdown          = 1.6  // slowdown from which the cap of a bound shrinks: past the knee of the curve
-	maxSlowdown           = 4 * kneeSlowdown
-	faultDecayPeriods     = 40  // control periods in which a fault rate fades without answers
-	backlogSpread         = 2.0 // standard deviations of the own backlog that the fleet's cap leaves room for
-	idleLevel             = 0.3 // share of the load level that is free where that room counts once
+	closedLoopPole        = 0.3              // c of the bound's update formula; from the design
+	alphaSmoothing        = 0.3              // lambda: weight of the newest period in alpha; from the design
+	minAlpha              = 1e-6             // keeps the step of the bound finite
+	minBound              = 0.5              // threads; under the weight of one request
+	initialThreadsPerCore = 2.0              // bound at the start; from the design
+	swapBoundFactor       = 0.75             // of that, where an engine short of memory slows down as a whole
+	queueBoundFactor      = 1.5              // of that, where requests short of memory queue at the engine
+	maxBoundFactor        = 1.2              // cap of a bound, in initial bounds; the cap always applies
+	pressureLatency       = 0.8              // mean latency over the objective from which a bound applies
+	pressurePeriods       = 2                // control periods for which it applies from then on
+	kneeSlowdown          = 1.6              // slowdown, past the curve's knee, where the cap shrinks
+	maxSlowdown           = 4 * kneeSlowdown // of one answer at most
+	faultDecayPeriods     = 40               // control periods in which a fault rate fades without answers
+	backlogSpread         = 2.0              // standard deviations of own backlog that the fleet has room for
+	idleLevel             = 0.3              // free share of the fleet's load at which that room counts once
 )
 
 // threadsPerCore returns the load per core that an engine should hold at most.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -97,7 +97,7 @@
 	req, inFlightMs := a.request, milliseconds(b.now-max(a.sentAt, b.resumedAt))
 	overdueMs := req.usualLatencyMs() * (1 + overdueDeviations*req.class.latencySpread)
 	if inFlightMs > overdueMs && req.class.Effect == Idempotent &&
-		b.makesObjective(req, req.attempts[0].sentAt) && b.retryElsewhere(a) {
+		b.meetsObjective(req, req.attempts[0].sentAt) && b.retryElsewhere(a) {
 		b.recordFault(a.engine, faultWeight/4, "answers stay out")
 	}
 }
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -42,7 +42,7 @@
 	req := a.request
 	permitted := kind == ProgressAwaitingLoad || len(req.attempts) == 1
 	if permitted && b.settings.Rules.RetryBudgetWindow == 0 && req.class.Effect == Idempotent &&
-		b.makesObjective(req, a.sentAt) {
+		b.meetsObjective(req, a.sentAt) {
 		b.retryElsewhere(a)
 	}
 }
@@ -56,7 +56,7 @@
 	usualMs, timeLeftMs := req.usualLatencyMs(), milliseconds(req.deadline-b.now)
 	remainingMs := milliseconds(b.now-a.sentAt) * (1 - done) / done
 	late := remainingMs > timeLeftMs
-	slow := remainingMs > badPlanFactor*usualMs && b.makesObjective(req, a.sentAt)
+	slow := remainingMs > badPlanFactor*usualMs && b.meetsObjective(req, a.sentAt)
 	retryFits := usualMs*retryTimeFactor < timeLeftMs
 	switch {
 	case len(req.attempts) == 1 && (slow || late) && retryFits && b.retryElsewhere(a):
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -97,8 +97,8 @@
 	return true
 }
 
-// makesObjective tells whether a fresh attempt of usual latency, started now, would still meet the
+// meetsObjective tells whether a fresh attempt of usual latency, started now, would still meet the
 // objective of a request that was sent at the given instant.
-func (b *Balancer) makesObjective(req *request, sentAt time.Duration) bool {
+func (b *Balancer) meetsObjective(req *request, sentAt time.Duration) bool {
 	return milliseconds(b.now-sentAt)+req.usualLatencyMs() < req.latencyObjectiveMs()
 }
