--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// workOfClass is the mean work of a query of a class.
+// workOfClass is the mean work of a request of a class.
 var workOfClass = map[string]time.Duration{
 	"lookup": 80 * time.Millisecond, "report": 2 * time.Second, "write": 300 * time.Millisecond,
 	"keyed": 250 * time.Millisecond, "keyed-zone": 150 * time.Millisecond, "keyed-all": 150 * time.Millisecond,
@@ -192,7 +192,7 @@
 	pushed   int
 	engines  []*fakeEngine
 	byID     map[string]*fakeEngine
-	queries  map[uint64]*fakeRequest
+	requests map[uint64]*fakeRequest
 	last     uint64
 	handled  int
 	counts   [10]int
@@ -207,7 +207,7 @@
 	}
 	p := &player{
 		scenario: s, balancer: balancer, random: rand.New(rand.NewPCG(7, uint64(len(s.name)))), now: time.Minute,
-		byID: map[string]*fakeEngine{}, queries: map[uint64]*fakeRequest{}, digest: newDigestWriter(),
+		byID: map[string]*fakeEngine{}, requests: map[uint64]*fakeRequest{}, digest: newDigestWriter(),
 	}
 	p.handle(p.firstList())
 	p.in(0, p.nextArrival)
@@ -326,31 +326,31 @@
 	p.in(time.Duration(p.random.ExpFloat64()/rate*float64(time.Second)), p.nextArrival)
 	p.last++
 	class := p.class()
-	q := &fakeRequest{work: time.Duration(float64(workOfClass[class.Name]) * (0.3 + p.random.ExpFloat64()))}
-	q.arrive = policy.RequestArrived{
+	req := &fakeRequest{work: time.Duration(float64(workOfClass[class.Name]) * (0.3 + p.random.ExpFloat64()))}
+	req.arrive = policy.RequestArrived{
 		RequestID: p.last, Class: class.Name, Dataset: int64(math.Sqrt(float64(p.random.IntN(400)))),
 		Deadline: p.now + time.Duration((0.8+0.2*p.random.Float64())*float64(class.Deadline)),
 		Tenant:   []string{"north", "south", "stranger", ""}[p.random.IntN(4)], ClientRetry: p.random.IntN(9) == 0,
 	}
 	if class.Ordered && p.random.IntN(8) > 0 {
-		q.arrive.OrderKey = fmt.Sprint("key-", p.random.IntN(4))
+		req.arrive.OrderKey = fmt.Sprint("key-", p.random.IntN(4))
 	}
 	if p.estimate {
-		q.arrive.EstimatedWork = time.Duration(float64(q.work) * (0.5 + p.random.Float64()))
-		q.arrive.EstimatedMemoryMB = 20 + 200*p.random.Float64()
+		req.arrive.EstimatedWork = time.Duration(float64(req.work) * (0.5 + p.random.Float64()))
+		req.arrive.EstimatedMemoryMB = 20 + 200*p.random.Float64()
 	}
 	if p.random.IntN(200) == 0 {
-		q.arrive.Class = "no such class"
+		req.arrive.Class = "no such class"
 	}
-	p.queries[p.last] = q
+	p.requests[p.last] = req
 	if p.random.IntN(25) == 0 {
 		id := p.last
 		p.in(time.Duration(p.random.IntN(1500))*time.Millisecond, func() policy.Event {
-			q.answered = true
+			req.answered = true
 			return policy.ClientDisconnected{RequestID: id}
 		})
 	}
-	return q.arrive
+	return req.arrive
 }
 
 func (p *player) class() policy.Class {
@@ -398,23 +398,23 @@
 	p.digest.write(kind, p.now, values)
 }
 
-func (p *player) answered(query uint64) {
-	if q := p.queries[query]; q != nil {
-		q.answered = true
+func (p *player) answered(requestID uint64) {
+	if req := p.requests[requestID]; req != nil {
+		req.answered = true
 	}
 }
 
 func (p *player) send(send policy.StartAttempt) {
-	q, e := p.queries[send.RequestID], p.byID[send.Engine]
+	req, e := p.requests[send.RequestID], p.byID[send.Engine]
 	a := &fakeAttempt{engine: e, sent: p.now}
-	n := len(q.attempts)
-	q.attempts = append(q.attempts, a)
+	n := len(req.attempts)
+	req.attempts = append(req.attempts, a)
 	e.attempts++
 	end := func(after time.Duration, result policy.Result) {
 		p.in(after, func() policy.Event { return p.end(send.RequestID, n, result) })
 	}
 	end(send.Timeout, policy.ResultTimedOut)
-	took := p.duration(q, e)
+	took := p.duration(req, e)
 	switch {
 	case e.entry.State == policy.EngineRemoved:
 		end(time.Millisecond, policy.ResultConnectFailed)
@@ -434,19 +434,19 @@
 		return
 	}
 	end(took, policy.ResultServed)
-	p.reportProgress(q, n, took)
+	p.reportProgress(req, n, took)
 }
 
-// duration is how long an engine takes for a query, given what it holds.
-func (p *player) duration(q *fakeRequest, e *fakeEngine) time.Duration {
+// duration is how long an engine takes for a request, given its load.
+func (p *player) duration(req *fakeRequest, e *fakeEngine) time.Duration {
 	crowding := 1 + float64(e.attempts*e.attempts)/100
-	return time.Duration(float64(q.work)*crowding*e.slowdown/p.speed) + time.Millisecond
+	return time.Duration(float64(req.work)*crowding*e.slowdown/p.speed) + time.Millisecond
 }
 
 // reportProgress schedules progress reports of an attempt: now and then a wait or a spill.
-func (p *player) reportProgress(q *fakeRequest, n int, took time.Duration) {
-	id := q.arrive.RequestID
-	if p.settings.Classes[0].Name != q.arrive.Class && p.random.IntN(3) == 0 {
+func (p *player) reportProgress(req *fakeRequest, n int, took time.Duration) {
+	id := req.arrive.RequestID
+	if p.settings.Classes[0].Name != req.arrive.Class && p.random.IntN(3) == 0 {
 		p.event(took/3, policy.StreamStarted{RequestID: id, Attempt: n})
 	}
 	if p.settings.ProgressInterval == 0 {
@@ -469,18 +469,18 @@
 }
 
 // end ends an attempt unless it has ended; nil where it has.
-func (p *player) end(query uint64, n int, result policy.Result) policy.Event {
-	q := p.queries[query]
-	if n >= len(q.attempts) || q.attempts[n].ended {
+func (p *player) end(requestID uint64, n int, result policy.Result) policy.Event {
+	req := p.requests[requestID]
+	if n >= len(req.attempts) || req.attempts[n].ended {
 		return nil
 	}
-	a := q.attempts[n]
+	a := req.attempts[n]
 	a.ended = true
 	a.engine.attempts--
-	outcome := policy.AttemptEnded{RequestID: query, Attempt: n, Result: result, Elapsed: p.now - a.sent, Load: policy.LoadReport{CPUShare: -1, InFlight: -1}}
+	outcome := policy.AttemptEnded{RequestID: requestID, Attempt: n, Result: result, Elapsed: p.now - a.sent, Load: policy.LoadReport{CPUShare: -1, InFlight: -1}}
 	if result == policy.ResultServed {
-		q.answered = true
-		outcome.Work, outcome.MemoryMB = q.work, 30+100*p.random.Float64()
+		req.answered = true
+		outcome.Work, outcome.MemoryMB = req.work, 30+100*p.random.Float64()
 		if !p.settings.ReportsCost {
 			outcome.Work, outcome.MemoryMB = 0, 0
 		}
@@ -488,7 +488,7 @@
 	if result == policy.ResultServed || result == policy.ResultFailed {
 		outcome.Load = p.load(a.engine)
 	}
-	outcome.Completed = q.answered
+	outcome.Completed = req.answered
 	return outcome
 }
 
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -3,28 +3,37 @@
 import (
 	"errors"
 	"math"
-	"strings"
 	"testing"
 )
 
 func TestNewNamesFaultySetting(t *testing.T) {
-	for want, breakSetting := range map[string]func(*Settings){
-		"Gateways":            func(s *Settings) { s.Replicas = 0 },
-		"Classes: none":       func(s *Settings) { s.Classes = nil },
-		"Classes[1].Aim":      func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
-		"Classes[2].Deadline": func(s *Settings) { s.Classes[2].Deadline = -1 },
-		"Rules.LookBack":      func(s *Settings) { s.Rules.RetryBudgetWindow = -1 },
-		"Rules.ExtraFree":     func(s *Settings) { s.Rules.RetryBudgetMin = -1 },
-		"Rules.ExtraShare":    func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() },
-		"Worth":               func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
-		"Classes[0].Threads":  func(s *Settings) { s.Classes[0].Threads = math.NaN() },
+	for _, c := range []struct {
+		field, problem string
+		breakSetting   func(*Settings)
+	}{
+		{"Gateways", "0 is under 1", func(s *Settings) { s.Replicas = 0 }},
+		{"Classes", "none", func(s *Settings) { s.Classes = nil }},
+		{"Classes[0].Name", "empty", func(s *Settings) { s.Classes[0].Name = "" }},
+		{"Classes[1].Aim", "0s is not above 0", func(s *Settings) { s.Classes[1].LatencyObjective = 0 }},
+		{"Classes[2].Deadline", "-1ns is not above 0", func(s *Settings) { s.Classes[2].Deadline = -1 }},
+		{"Classes[0].Threads", "NaN is not a count", func(s *Settings) { s.Classes[0].Threads = math.NaN() }},
+		{"Classes[0].Worth", "NaN is not a worth", func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() }},
+		{"Classes[3].Window", "-1ns is under 0", func(s *Settings) { s.Classes[3].DedupWindow = -1 }},
+		{"NoteEvery", "-1ns is under 0", func(s *Settings) { s.ProgressInterval = -1 }},
+		{"Rules.LookBack", "-1ns is under 0", func(s *Settings) { s.Rules.RetryBudgetWindow = -1 }},
+		{"Rules.ExtraFree", "-1 is under 0", func(s *Settings) { s.Rules.RetryBudgetMin = -1 }},
+		{"Rules.ExtraShare", "NaN is under 0", func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() }},
 	} {
 		s := settings()
-		breakSetting(&s)
+		c.breakSetting(&s)
 		_, err := New(s, 1)
 		var settingsError *SettingsError
-		if !errors.As(err, &settingsError) || !strings.Contains(err.Error(), want) {
-			t.Errorf("want a settings error naming %q, got %v", want, err)
+		if !errors.As(err, &settingsError) || settingsError.Field != c.field || settingsError.Problem != c.problem {
+			t.Errorf("want an error on %s, %q, got %v", c.field, c.problem, err)
+			continue
+		}
+		if want := "policy: settings: " + c.field + ": " + c.problem; err.Error() != want {
+			t.Errorf("text %q, want %q", err, want)
 		}
 	}
 }
