--- a/policy/admission.go
+++ b/policy/admission.go
@@ -101,8 +101,7 @@
 	return b.fits(req, &b.fleet, b.limit(req, &b.fleet))
 }
 
-// rejectOrFail is the only place where a request gets its final answer without a result: a rejection
-// where a client may safely try again, else a failure.
+// rejectOrFail is the only place that answers without a result: by a rejection where a retry is safe.
 func (b *Balancer) rejectOrFail(req *request, reason RejectReason) {
 	if req.answered {
 		return
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"fmt"
 	"slices"
 	"time"
 )
@@ -13,55 +12,8 @@
 	tickToken      = 0                              // token of the tick's timer; others are of DeadlineTimer
 )
 
-// New returns a balancer for the settings, or an error that wraps a *SettingsError.
-func New(s Settings, seed uint64) (*Balancer, error) {
-	if err := validate(&s); err != nil {
-		return nil, fmt.Errorf("policy: settings: %w", err)
-	}
-	b := newBalancer(s, seed)
-	b.silenceTimeout = silenceTimeout(&s)
-	b.threadsPerCore = threadsPerCore(s.Shortage)
-	return b, nil
-}
-
-// Handle takes one event and appends the actions that it leads to.
-func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
-	b.now, b.actions = max(now, b.now), actions
-	if !b.started {
-		b.start(now)
-	}
-	switch ev := event.(type) {
-	case RequestArrived:
-		b.onRequestArrived(ev)
-	case AttemptEnded:
-		b.onAttemptEnded(ev)
-	case HealthChecked:
-		if e := b.enginesByID[ev.Engine]; e != nil {
-			b.onLoadReport(e, ev.Load)
-		}
-	case ProgressReported:
-		b.onProgress(ev)
-	case StreamStarted:
-		if a := b.attempt(ev.RequestID, ev.Attempt); a != nil {
-			a.streaming, a.engine.lastHeardAt = true, b.now
-		}
-	case ClientDisconnected:
-		if req := b.requests[ev.RequestID]; req != nil {
-			b.finish(req)
-		}
-	case TimerFired:
-		b.onTimer(ev.Token)
-	case EndpointsChanged:
-		if ev.Mode == UpdateFailed && b.settings.PullDiscovery {
-			b.emit(Subscribe{})
-		}
-		b.updateEndpoints(ev)
-	}
-	actions, b.actions = b.actions, nil
-	return actions
-}
-
-func (b *Balancer) start(now time.Duration) {
+// onFirstEvent starts the ticks and, where the endpoint list isn't pushed, subscribes to it.
+func (b *Balancer) onFirstEvent(now time.Duration) {
 	b.started, b.startedAt = true, now
 	b.emit(SetTimer{After: tickInterval})
 	if b.settings.PullDiscovery {
--- a/policy/class.go
+++ b/policy/class.go
@@ -2,14 +2,6 @@
 
 import "math"
 
-const (
-	estimateWindow     = 50     // requests that estimates of work and ranks are averaged over
-	firstAnswerWindow  = 10     // answers that a class's figures are averaged over at first
-	maxAnswerWindow    = 50     // and later on
-	quickLatencyGrowth = 1.0005 // factor for each answer by which the quick latency forgets
-	objectiveToUsual   = 3      // a latency objective over this is the usual latency before any answer
-)
-
 // class is a Class with what is learned of it.
 type class struct {
 	Class
--- a/policy/control.go
+++ b/policy/control.go
@@ -15,6 +15,7 @@
 	pressurePeriods       = 2                // control periods for which it applies from then on
 	kneeSlowdown          = 1.6              // slowdown, past the curve's knee, where the cap shrinks
 	maxSlowdown           = 4 * kneeSlowdown // of one answer at most
+	slowdownWindow        = 20               // answers that a slowdown is averaged over
 	faultDecayPeriods     = 40               // control periods in which a fault rate fades without answers
 	backlogSpread         = 2.0              // standard deviations of own backlog that the fleet has room for
 	idleLevel             = 0.3              // free share of the fleet's load at which that room counts once
@@ -46,8 +47,7 @@
 	}
 }
 
-// controlStep returns the bound and alpha after one control period, where the mean latency is relative to
-// the objective: alpha estimates the latency that a thread of bound adds.
+// controlStep returns bound and alpha after one period, for a mean latency relative to the objective.
 func controlStep(bound, alpha, meanLatency float64) (newBound, newAlpha float64) {
 	deviation := 1 - meanLatency
 	newAlpha = max(alphaSmoothing*(meanLatency/bound)+(1-alphaSmoothing)*alpha, minAlpha)
@@ -89,3 +89,10 @@
 	pastKnee := max(fleet.slowdown/kneeSlowdown, fleet.loadLevel, 1)
 	fleet.maxBound = (maxBoundFactor*fleet.initialBound + room/pastKnee) / pastKnee
 }
+
+// latencyObjectiveMs is the class's objective, stretched by the expected work up to the class's deadline.
+func (r *request) latencyObjectiveMs() float64 {
+	c := r.class
+	stretchMs := c.ObjectiveStretch * r.expectedWorkMs / c.Threads
+	return min(milliseconds(c.LatencyObjective)+stretchMs, milliseconds(c.Deadline))
+}
--- a/policy/decisionfiles_test.go
+++ b/policy/decisionfiles_test.go
@@ -20,8 +20,8 @@
 // filesWithoutDecisions hold the interface, state and mechanisms that decide
 // nothing. A file with decisions belongs to the policy list of the deploy file.
 var filesWithoutDecisions = []string{
-	"actions.go", "class.go", "decayingcounter.go", "doc.go", "endpoints.go", "engine.go", "events.go", "ewma.go",
-	"keyqueue.go", "loop.go", "rendezvous.go", "request.go", "retrywindow.go", "settings.go", "state.go",
+	"actions.go", "class.go", "decayingcounter.go", "doc.go", "engine.go", "events.go", "ewma.go", "handle.go",
+	"keyqueue.go", "loop.go", "prune.go", "rendezvous.go", "request.go", "retrywindow.go", "settings.go", "state.go",
 	"tokenbucket.go", "traffic.go", "units.go", "validate.go",
 }
 
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,13 +1,10 @@
 package policy
 
-import (
-	"maps"
-	"slices"
-	"time"
-)
-
-// updateEndpoints takes the endpoint list or a change to it.
-func (b *Balancer) updateEndpoints(ev EndpointsChanged) {
+// onEndpointsChanged takes the endpoint list or a change to it, or asks for it anew.
+func (b *Balancer) onEndpointsChanged(ev EndpointsChanged) {
+	if ev.Mode == UpdateFailed && b.settings.PullDiscovery {
+		b.emit(Subscribe{})
+	}
 	if ev.Mode == UpdateFull || ev.Mode == UpdateCached {
 		for _, e := range b.engines {
 			e.state = EngineRemoved // unless the list names it
@@ -36,17 +33,3 @@
 	}
 	e.zone, e.kind, e.cell, e.state = endpoint.Zone, endpoint.Kind, endpoint.Cell, endpoint.State
 }
-
-// prune forgets what no decision needs any more: a balancer runs for months.
-func (b *Balancer) prune() {
-	b.retryWindow.expire(b.now - b.settings.Rules.RetryBudgetWindow)
-	b.engines = slices.DeleteFunc(b.engines, func(e *engine) bool {
-		maps.DeleteFunc(e.datasetLoadingUntil, func(_ int64, until time.Duration) bool { return b.now >= until })
-		obsolete := e.state == EngineRemoved && len(e.inFlight) == 0 && b.now >= e.warmupEndsAt
-		if obsolete {
-			delete(b.enginesByID, e.id)
-		}
-		return obsolete
-	})
-	maps.DeleteFunc(b.keyQueues, func(_ string, queue *keyQueue) bool { return queue.idle(b.now) })
-}
--- a/policy/events.go
+++ b/policy/events.go
@@ -36,16 +36,6 @@
 	ResultNotSent               // not sent at all; never ran
 )
 
-// mayHaveRun tells whether the request may have had an effect.
-func (r Result) mayHaveRun() bool {
-	return r != ResultOverloaded && r != ResultConnectFailed && r != ResultNotSent
-}
-
-// mayStillRun tells whether the attempt may still run on its engine.
-func (r Result) mayStillRun() bool {
-	return r == ResultTimedOut || r == ResultConnectionLost || r == ResultCancelled || r == ResultUnknown
-}
-
 // AttemptEnded ends one attempt; each StartAttempt gets exactly one.
 type AttemptEnded struct {
 	RequestID uint64
--- a/policy/load.go
+++ b/policy/load.go
@@ -11,9 +11,8 @@
 	loadPenaltyFactor  = 0.25              // share of a difference in load that counts against an engine
 )
 
-// onLoadReport takes an engine's load, of all balancers, in threads a core: from its requests in flight
-// or its busy cores, or from its granted memory where an excess slows all requests down. A busy core says
-// nothing of what waits, so requests in flight come first.
+// onLoadReport takes an engine's load in threads a core: from its requests in flight or else its busy cores,
+// and from its granted memory where an excess slows all requests down.
 func (b *Balancer) onLoadReport(e *engine, report LoadReport) {
 	if !report.Reported || !(max(report.InFlight, report.CPUShare) >= 0) { // neither figure, or no number
 		return
--- a/policy/loop.go
+++ b/policy/loop.go
@@ -2,9 +2,6 @@
 
 import "time"
 
-// slowdownWindow is the number of answers that a slowdown is averaged over.
-const slowdownWindow = 20
-
 // controlLoop is the state of one latency control loop: one for each engine, and
 // one for the fleet, which is all engines together. Its unit of load is a thread.
 type controlLoop struct {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -1,8 +1,13 @@
 package policy
 
 const (
-	maxFailures     = 1 // errors of engines, beyond which the request itself is taken as faulty
-	minRetryDivisor = 4 // a retry needs the class's usual latency over this
+	estimateWindow     = 50     // requests that estimates of work and ranks are averaged over
+	firstAnswerWindow  = 10     // answers that a class's figures are averaged over at first
+	maxAnswerWindow    = 50     // and later on
+	quickLatencyGrowth = 1.0005 // factor for each answer by which the quick latency forgets
+	objectiveToUsual   = 3      // a latency objective over this is the usual latency before any answer
+	maxFailures        = 1      // errors of engines, beyond which the request itself is taken as faulty
+	minRetryDivisor    = 4      // a retry needs the class's usual latency over this
 )
 
 // onAttemptEnded ends an attempt and, where the client still waits, retries or answers.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -29,8 +29,8 @@
 	return timeout
 }
 
-// detectSilence ejects an engine when all its attempts are silent: it hangs, or the network is partitioned.
-// One attempt alone must be silent for twice as long. Pauses of this process don't count.
+// detectSilence ejects an engine when all its attempts are silent. One attempt alone must be silent for
+// twice as long. Pauses of this process don't count.
 func (b *Balancer) detectSilence(e *engine) {
 	if len(e.inFlight) == 0 {
 		return
@@ -47,8 +47,8 @@
 		}
 	}
 	silence := b.now - max(e.lastHeardAt, e.inFlight[0].sentAt, b.resumedAt)
-	if silentAttempts >= 2 && silence > b.silenceTimeout ||
-		silentAttempts == 1 && silence > 2*b.silenceTimeout {
+	timeout := b.silenceTimeout
+	if silentAttempts >= 2 && silence > timeout || silentAttempts == 1 && silence > 2*timeout {
 		b.eject(e, "all attempts are silent")
 		for _, a := range e.inFlight {
 			if a.request.class.Effect == Idempotent {
@@ -59,7 +59,6 @@
 }
 
 // detectLostAnswer retries an attempt whose engine reports others and has long said nothing of it.
-// Protects against lost answers and against an engine where one class is stalled.
 func (b *Balancer) detectLostAnswer(a *attempt) {
 	e, c, intervals := a.engine, a.request.class, lostAnswerIntervals
 	if a.waiting {
@@ -110,8 +109,7 @@
 	e.connectionLostAt = b.now
 }
 
-// recordFault counts an error or a failed connection. Protects against crashed engines and those that
-// fail fast: with nothing in flight they would seem to have the most capacity.
+// recordFault counts an error or a failed connection: engines that fail fast seem to have capacity.
 func (b *Balancer) recordFault(e *engine, weight float64, cause string) {
 	e.faultRate = ewmaWeighted(e.faultRate, 1, weight)
 	if e.faultRate > ejectionFaultRate {
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -36,6 +36,13 @@
 	}
 }
 
+// onStreamStarted takes word that an answer has begun.
+func (b *Balancer) onStreamStarted(ev StreamStarted) {
+	if a := b.attempt(ev.RequestID, ev.Attempt); a != nil {
+		a.streaming, a.engine.lastHeardAt = true, b.now
+	}
+}
+
 // onBlocked retries an attempt that waits on its engine elsewhere: for memory only once, as where two
 // engines lack memory a third is no better. A limited retry budget is for faults.
 func (b *Balancer) onBlocked(a *attempt, kind ProgressKind) {
@@ -47,10 +54,9 @@
 	}
 }
 
-// onFraction projects an attempt's end from the share that is done. Protects against bad plans and slow
-// engines: an attempt on its way to a multiple of the usual latency, or past the deadline, is cancelled
-// where another has time to finish. A second attempt as slow as the first shows that the request itself
-// is expensive; one whose retry would miss the objective too is left to finish.
+// onFraction projects an attempt's end from the share that is done. An attempt on its way to a multiple of
+// the usual latency, or past the deadline, is cancelled where a retry has time to finish; a second one as
+// slow as the first shows that the request itself is expensive.
 func (b *Balancer) onFraction(a *attempt, done float64) {
 	req, e := a.request, a.engine
 	usualMs, timeLeftMs := req.usualLatencyMs(), milliseconds(req.deadline-b.now)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -2,12 +2,15 @@
 
 import "math"
 
-// quotaBurstSpread is the number of standard deviations of a second's arrivals by which a tenant may
-// exceed its quota: few requests a second arrive unevenly.
-const quotaBurstSpread = 2.0
+const (
+	quotaBurstSpread  = 2.0 // standard deviations of a second's arrivals by which a quota may be exceeded
+	maxRateWindow     = 80  // control periods that the arrival rate is averaged over
+	firstRateWindow   = 4   // the same in the first period: one period's arrivals scatter
+	maxInFlightWindow = 40  // control periods, and load reports, that requests in flight are averaged over
+	weightWindow      = 20  // attempts that the mean weight is averaged over
+)
 
-// overQuota takes one request from the tenant's quota, as far as this balancer's share of the traffic
-// goes. Requests of unknown tenants are beyond their quota.
+// overQuota takes one request from this balancer's share of a tenant's quota. Unknown tenants have none.
 func (b *Balancer) overQuota(name string) bool {
 	t := b.tenants[name]
 	if t == nil {
@@ -17,8 +20,7 @@
 	return !t.bucket.take(b.now, rate, rate+quotaBurstSpread*math.Sqrt(rate)+1)
 }
 
-// trafficShare estimates this balancer's share of all traffic: at least an even one. It compares own
-// arrivals to the quotas or, without quotas, own requests in flight to the number that engines report.
+// trafficShare estimates this balancer's share of all traffic, by arrivals or else by requests in flight.
 func (b *Balancer) trafficShare() float64 {
 	even := 1 / float64(b.settings.Replicas)
 	if b.totalQuota <= 0 {
--- a/policy/request.go
+++ b/policy/request.go
@@ -55,14 +55,6 @@
 	}
 }
 
-// latencyObjectiveMs returns the request's objective: that of its class, stretched
-// by the expected work, and never beyond the class's deadline.
-func (r *request) latencyObjectiveMs() float64 {
-	c := r.class
-	stretchMs := c.ObjectiveStretch * r.expectedWorkMs / c.Threads
-	return min(milliseconds(c.LatencyObjective)+stretchMs, milliseconds(c.Deadline))
-}
-
 // usualLatencyMs is the latency that the request's class leads to expect for its work.
 func (r *request) usualLatencyMs() float64 {
 	return r.class.latencyMs * r.expectedWorkMs / r.class.workMs
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -5,6 +5,16 @@
 	"time"
 )
 
+// mayHaveRun tells whether the request may have had an effect.
+func (r Result) mayHaveRun() bool {
+	return r != ResultOverloaded && r != ResultConnectFailed && r != ResultNotSent
+}
+
+// mayStillRun tells whether the attempt may still run on its engine.
+func (r Result) mayStillRun() bool {
+	return r == ResultTimedOut || r == ResultConnectionLost || r == ResultCancelled || r == ResultUnknown
+}
+
 // mayReject tells whether a client may safely send the request anew.
 func mayReject(req *request) bool {
 	return req.class.Effect == Idempotent ||
@@ -14,8 +24,8 @@
 
 // mayRetry tells whether the request may have another attempt once those in flight have ended.
 func (b *Balancer) mayRetry(req *request) bool {
-	limit := max(b.settings.Limits.MaxAttempts, 1)
-	if req.answered || len(req.attempts) >= limit || !b.withinRetryBudget(req) {
+	attemptsLeft := len(req.attempts) < max(b.settings.Limits.MaxAttempts, 1)
+	if req.answered || !attemptsLeft || !b.withinRetryBudget(req) {
 		return false
 	}
 	c := req.class
@@ -28,8 +38,7 @@
 	return true
 }
 
-// mayStart checks all rules for sending the request to the engine: endpoint state, deadline, retries,
-// placement, hedging, idempotency, ordering and slow start.
+// mayStart checks all rules for sending the request to the engine.
 func (b *Balancer) mayStart(req *request, e *engine) bool {
 	c := req.class
 	if e.state != EngineReady || b.now >= req.deadline || !b.mayRetry(req) ||
@@ -97,8 +106,7 @@
 	return true
 }
 
-// meetsObjective tells whether a fresh attempt of usual latency, started now, would still meet the
-// objective of a request that was sent at the given instant.
+// meetsObjective tells whether a retry of usual latency would meet the objective of what was sent then.
 func (b *Balancer) meetsObjective(req *request, sentAt time.Duration) bool {
 	return milliseconds(b.now-sentAt)+req.usualLatencyMs() < req.latencyObjectiveMs()
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -57,8 +57,7 @@
 	return notRejected
 }
 
-// score is the engine's spare capacity in threads, adjusted by locality, health and a random term that
-// spreads the choice of many balancers in proportion to the engines' cores.
+// score is the engine's spare capacity in threads, adjusted by locality, load, health and a random term.
 func (b *Balancer) score(req *request, e *engine, bound float64, near bool) float64 {
 	score := bound - e.backlog + b.locality(req, e, near)
 	score += math.Log(1-b.rng.Float64()) * req.weight / e.cores
@@ -75,8 +74,7 @@
 	return score
 }
 
-// locality favours engines of the balancer's own zone and, among these, the ones near the data set, so
-// that each caches few data sets.
+// locality favours engines of the own zone and, among these, the ones that cache the data set.
 func (b *Balancer) locality(req *request, e *engine, near bool) float64 {
 	bonus := 0.0
 	if e.zone == b.settings.Zone {
@@ -93,9 +91,8 @@
 	return bonus
 }
 
-// affinityCutoff is the least affinity to the data set that counts as near, among the ready engines of
-// the zone: one engine, and more in proportion to the data set's popularity. Prevents a popular data set
-// from crowding the same few engines.
+// affinityCutoff is the least affinity that counts as near the data set, among the zone's ready engines: one
+// engine, and more in proportion to the data set's popularity, lest it crowd the same few.
 func (b *Balancer) affinityCutoff(dataset int64) uint64 {
 	b.affinities = b.affinities[:0]
 	for _, e := range b.engines {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -19,9 +19,8 @@
 	e.warmupEndsAt = until
 }
 
-// withinWarmupBudget tells whether the request's expected work is within this balancer's share of what
-// would overload a warming engine. A request of more than a burst goes once in the windows that pay for
-// it, from a random start, so that all balancers keep to the sum.
+// withinWarmupBudget tells whether the request is within this balancer's share of a warming engine's budget.
+// One of more than a burst goes once in the windows that pay for it, from a random start.
 func (b *Balancer) withinWarmupBudget(req *request, e *engine) bool {
 	window := b.settings.Rules.OverloadWindow
 	switch {
@@ -66,8 +65,7 @@
 	return 1 - (1-b.settings.Rules.WarmupCapacity)*min(max(left, 0), 1)
 }
 
-// assumeRestart takes an engine as warming up after a failed connection: the endpoint list tells of a
-// restart seconds later. A broken connection alone may not mean a restart.
+// assumeRestart takes an engine as warming up once a connection failed: the list tells of restarts late.
 func (b *Balancer) assumeRestart(e *engine, result Result) {
 	if result == ResultConnectFailed {
 		e.restartAssumed = false
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -1,12 +1,5 @@
 package policy
 
-const (
-	maxRateWindow     = 80 // control periods that the arrival rate is averaged over
-	firstRateWindow   = 4  // the same in the first period: one period's arrivals scatter
-	maxInFlightWindow = 40 // control periods, and load reports, that requests in flight are averaged over
-	weightWindow      = 20 // attempts that the mean weight is averaged over
-)
-
 // trafficEstimate holds moving averages of the traffic. Their windows grow from
 // the start on, so that the first observations count more.
 type trafficEstimate struct {
