--- /dev/null
+++ b/policy/endpoints.go
@@ -0,0 +1,35 @@
+package policy
+
+// onEndpointsChanged takes the endpoint list or a change to it, or asks for it anew.
+func (b *Balancer) onEndpointsChanged(ev EndpointsChanged) {
+	if ev.Mode == UpdateFailed && b.settings.PullDiscovery {
+		b.emit(Subscribe{})
+	}
+	if ev.Mode == UpdateFull || ev.Mode == UpdateCached {
+		for _, e := range b.engines {
+			e.state = EngineRemoved // unless the list names it
+		}
+	}
+	for _, endpoint := range ev.Engines {
+		b.updateEndpoint(endpoint)
+	}
+	b.scaleFleet()
+}
+
+// updateEndpoint adds or updates an engine. One that is new or restarted begins anew.
+func (b *Balancer) updateEndpoint(endpoint Engine) {
+	e := b.enginesByID[endpoint.ID]
+	if e == nil {
+		e = newEngine(endpoint.ID)
+		b.enginesByID[endpoint.ID] = e
+		b.engines = append(b.engines, e)
+		b.resetEngine(e, endpoint.Kind)
+	}
+	if endpoint.StartKnown && endpoint.StartedAt > e.startedAt {
+		b.resetEngine(e, endpoint.Kind)
+		e.startedAt, e.restartAssumed = endpoint.StartedAt, false
+		e.warmupEndsAt = 0 // a new warm-up, with a new slot for large requests
+		b.startWarmup(e, endpoint.StartedAt+b.settings.Rules.WarmupTime)
+	}
+	e.zone, e.kind, e.cell, e.state = endpoint.Zone, endpoint.Kind, endpoint.Cell, endpoint.State
+}
