--- /dev/null
+++ b/internal/frontend/httpserver/disconnect_test.go
@@ -0,0 +1,96 @@
+package httpserver
+
+import (
+	"encoding/json"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"runtime"
+	"testing"
+	"time"
+
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
+)
+
+// noEngines is an engine client that reaches no engine.
+type noEngines struct{}
+
+func (noEngines) Start(*lifecycle.Attempt)            {}
+func (noEngines) Abandon(*lifecycle.Attempt)          {}
+func (noEngines) Withdraw(*lifecycle.Attempt) bool    { return false }
+func (noEngines) SetPriority(*lifecycle.Attempt, int) {}
+func (noEngines) UpdateEndpoint(lifecycle.Endpoint)   {}
+
+// A client sends requests and disconnects before the first of them is read: none is accepted.
+func TestDisconnectedClientsRequestsAreDropped(t *testing.T) {
+	raw, err := os.ReadFile("../../../deploy/postgres-settings.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var site config.Site
+	if err := json.Unmarshal(raw, &site); err != nil {
+		t.Fatal(err)
+	}
+	loop, err := eventloop.New(256)
+	if err != nil {
+		t.Fatal(err)
+	}
+	counters := metrics.New()
+	dispatcher, err := lifecycle.New(site.Policy, 1, loop, loop.Timers, counters, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	dispatcher.SetEngineClient(noEngines{})
+	dispatcher.UpdateEndpoints(policy.UpdateFull, []lifecycle.Endpoint{{Address: "127.0.0.1:1", Engine: policy.Engine{ID: "e", State: policy.EngineReady}}})
+	server := New(loop, dispatcher, Options{}, counters)
+	if err := server.Listen("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	stopped := make(chan struct{})
+	go func() { loop.Run(); close(stopped) }()
+	onLoop := func(action func()) {
+		done := make(chan struct{})
+		loop.Post(func() { action(); close(done) })
+		<-done
+	}
+	client, err := net.Dial("tcp", server.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	var c *connection
+	for c == nil {
+		onLoop(func() {
+			for open := range server.connections {
+				c = open
+			}
+		})
+	}
+	const request = "POST /rpc/lookup HTTP/1.1\r\nReq-Id: 9b1f03aa5c7e2d41\r\nReq-Wait-Ms: 900\r\nContent-Length: 8\r\n\r\nSELECT 1"
+	onLoop(func() {
+		if _, err := io.WriteString(client, request+request); err != nil {
+			t.Error(err)
+		}
+		if err := client.Close(); err != nil {
+			t.Error(err)
+		}
+		for deadline := time.Now().Add(10 * time.Second); !c.socket.Disconnected() && time.Now().Before(deadline); {
+			runtime.Gosched()
+		}
+	})
+	onLoop(func() {}) // the events of the poller have been handled by then
+	onLoop(func() {
+		if n := counters.Sum("requests.accepted."); n != 0 {
+			t.Errorf("%d requests of a disconnected client were accepted", n)
+		}
+		if len(server.connections) != 0 {
+			t.Error("its connection is still registered")
+		}
+		loop.Stop()
+	})
+	<-stopped
+}
--- a/internal/frontend/httpserver/parse.go
+++ b/internal/frontend/httpserver/parse.go
@@ -2,110 +2,144 @@
 
 import (
 	"bytes"
-	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 )
 
 const (
-	maxHead = 16 << 10
-	maxBody = 96 << 10
-	maxCall = maxHead + maxBody
+	maxHead    = 16 << 10 // bytes of the request line and the header fields
+	maxBody    = 96 << 10 // bytes of the statement
+	maxRequest = maxHead + maxBody
+	lineEnd    = "\r\n"
+	headEnd    = "\r\n\r\n"
 )
 
-// call is one HTTP request.
-type call struct {
-	method, path string
-	head         map[string]string // fields that are used, by name in lower case
-	body         []byte            // within the buffer
-	close        bool              // the client wants the connection closed
-}
+// Header fields that are read, by their names in lower case.
+const (
+	fieldContentLength    = "content-length"
+	fieldTransferEncoding = "transfer-encoding"
+	fieldConnection       = "connection"
+	fieldRequestID        = "req-id"
+	fieldWait             = "req-wait-ms" // how long the client waits
+	fieldRetry            = "req-retry"   // "1": the client has sent the request before
+	fieldIdempotencyKey   = "req-token"
+	fieldWork             = "req-cost" // estimated milliseconds of work
+	fieldMemory           = "req-kb"   // estimated memory
+	fieldTenant           = "req-owner"
+	fieldOrderKey         = "req-key"
+)
 
-// fault is bad input: a status and a plain message.
-type fault struct {
-	status int
-	text   string
+// knownFields has the header fields that are read; all others are ignored.
+var knownFields = map[string]bool{
+	fieldContentLength: true, fieldTransferEncoding: true, fieldConnection: true, fieldRequestID: true, fieldWait: true,
+	fieldRetry: true, fieldIdempotencyKey: true, fieldWork: true, fieldMemory: true, fieldTenant: true, fieldOrderKey: true,
 }
 
-func (f *fault) Error() string { return f.text }
-
-func bad(format string, args ...any) *fault { return &fault{400, fmt.Sprintf(format, args...)} }
-
-// fields are the header fields that are read; all others are passed by.
-var fields = map[string]bool{
-	"content-length": true, "transfer-encoding": true, "connection": true, "req-id": true, "req-wait-ms": true,
-	"req-retry": true, "req-token": true, "req-cost": true, "req-kb": true, "req-owner": true, "req-key": true,
+// httpRequest is one request of a client.
+type httpRequest struct {
+	method, path string
+	header       map[string]string // known fields by name in lower case
+	body         []byte            // within the input
+	wantsClose   bool              // the client wants the connection closed after the response
 }
 
-// parse reads one call; n is 0 while it is not whole.
-func parse(b []byte) (c call, n int, f *fault) {
-	end := bytes.Index(b[:min(len(b), maxHead)], []byte("\r\n\r\n"))
-	if end < 0 {
-		if len(b) >= maxHead {
-			return c, 0, &fault{431, "the head of the request is too large"}
+// parse reads one request and returns its size, which is 0 while it is incomplete.
+func parse(input []byte) (request httpRequest, size int, err *statusError) {
+	headSize := bytes.Index(input[:min(len(input), maxHead)], []byte(headEnd))
+	if headSize < 0 {
+		if len(input) >= maxHead {
+			return request, 0, &statusError{http.StatusRequestHeaderFieldsTooLarge, "the head of the request is too large"}
 		}
-		return c, 0, nil
+		return request, 0, nil
+	}
+	request, err = parseHead(input[:headSize])
+	if err != nil {
+		return request, 0, err
+	}
+	length, err := bodyLength(request)
+	if err != nil {
+		return request, 0, err
 	}
-	// Guards against heads that others would read otherwise: a line that ends in a
-	// lone CR or LF could hide a field.
-	if bytes.ContainsAny(bytes.ReplaceAll(b[:end], []byte("\r\n"), nil), "\r\n\x00") {
-		return c, 0, bad("a line of the head has a stray CR, LF or NUL")
+	start := headSize + len(headEnd)
+	size = start + length
+	if len(input) < size {
+		return request, 0, nil
+	}
+	request.body = input[start:size]
+	return request, size, nil
+}
+
+// parseHead reads the request line and the header fields.
+func parseHead(head []byte) (request httpRequest, err *statusError) {
+	// Prevents request smuggling: a line that ends in a lone CR or LF, which other
+	// programs read otherwise, could hide a field.
+	if bytes.ContainsAny(bytes.ReplaceAll(head, []byte(lineEnd), nil), "\r\n\x00") {
+		return request, badRequest("a line of the head has a stray CR, LF or NUL")
 	}
-	lines := strings.Split(string(b[:end]), "\r\n")
+	lines := strings.Split(string(head), lineEnd)
 	words := strings.Split(lines[0], " ")
 	if len(words) != 3 || words[0] == "" || !strings.HasPrefix(words[1], "/") {
-		return c, 0, bad("malformed request line")
+		return request, badRequest("malformed request line")
 	}
-	if words[2] != "HTTP/1.1" && words[2] != "HTTP/1.0" {
-		return c, 0, &fault{505, "only HTTP/1.1 is spoken here"}
+	method, path, version := words[0], words[1], words[2]
+	if version != "HTTP/1.1" && version != "HTTP/1.0" {
+		return request, &statusError{http.StatusHTTPVersionNotSupported, "only HTTP/1.1 is spoken here"}
 	}
-	c = call{method: words[0], path: words[1], head: map[string]string{}, close: words[2] == "HTTP/1.0"}
+	request = httpRequest{method: method, path: path, header: map[string]string{}}
 	for _, line := range lines[1:] {
-		name, value, ok := strings.Cut(line, ":")
-		if !ok || name == "" || strings.ContainsAny(name, " \t") {
-			return c, 0, bad("malformed header field")
-		}
-		name = strings.ToLower(name)
-		if !fields[name] {
-			continue
-		}
-		if _, twice := c.head[name]; twice {
-			return c, 0, bad("header field %s came twice", name)
+		if err := parseField(request.header, line); err != nil {
+			return request, err
 		}
-		c.head[name] = strings.Trim(value, " \t")
 	}
-	// Also an empty one: beside a Content-Length its body might hide another request.
-	if _, ok := c.head["transfer-encoding"]; ok {
-		return c, 0, &fault{501, "transfer encodings are not taken; send Content-Length"}
+	// Refused even when empty: beside a Content-Length, its body might hide another request.
+	if _, ok := request.header[fieldTransferEncoding]; ok {
+		return request, &statusError{http.StatusNotImplemented, "transfer encodings are not taken; send Content-Length"}
+	}
+	request.wantsClose = version == "HTTP/1.0" || strings.EqualFold(request.header[fieldConnection], "close")
+	return request, nil
+}
+
+// parseField reads one header field and keeps it if it is a known one.
+func parseField(header map[string]string, line string) *statusError {
+	name, value, ok := strings.Cut(line, ":")
+	if !ok || name == "" || strings.ContainsAny(name, " \t") {
+		return badRequest("malformed header field")
 	}
-	c.close = c.close || strings.EqualFold(c.head["connection"], "close")
+	name = strings.ToLower(name)
+	if !knownFields[name] {
+		return nil
+	}
+	if _, twice := header[name]; twice {
+		return badRequest("header field %s came twice", name)
+	}
+	header[name] = strings.Trim(value, " \t")
+	return nil
+}
+
+// bodyLength returns the length of the body that the header fields announce.
+func bodyLength(request httpRequest) (int, *statusError) {
 	length := uint64(0)
-	if text, ok := c.head["content-length"]; ok {
+	if text, ok := request.header[fieldContentLength]; ok {
 		var err error
 		if length, err = strconv.ParseUint(text, 10, 63); err != nil {
-			return c, 0, bad("Content-Length is no number")
+			return 0, badRequest("Content-Length is no number")
 		}
 	}
 	if length > maxBody {
-		return c, 0, &fault{413, "the body of the request is too large"}
-	}
-	if length == 0 && c.method == "POST" {
-		return c, 0, &fault{411, "a POST without a statement"}
+		return 0, &statusError{http.StatusRequestEntityTooLarge, "the body of the request is too large"}
 	}
-	start := end + 4
-	n = start + int(length)
-	if len(b) < n {
-		return c, 0, nil
+	if length == 0 && request.method == http.MethodPost {
+		return 0, &statusError{http.StatusLengthRequired, "a POST without a statement"}
 	}
-	c.body = b[start:n]
-	return c, n, nil
+	return int(length), nil
 }
 
-// begins tells whether what follows a call can be the start of another. Where it
-// can't, the call's length was wrong, and so is its statement.
-func begins(b []byte) bool {
-	for _, method := range []string{"GET /", "POST /", "DELETE /"} {
-		if n := min(len(b), len(method)); string(b[:n]) == method[:n] {
+// canStartRequest reports whether what follows a request can be the start of another.
+// Where it can't, the length of the request was wrong, and so is its statement.
+func canStartRequest(input []byte) bool {
+	for _, start := range []string{"GET /", "POST /", "DELETE /"} {
+		if n := min(len(input), len(start)); string(input[:n]) == start[:n] {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/frontend/httpserver/server.go
@@ -0,0 +1,111 @@
+// Package httpserver serves HTTP/1.1 clients: it reads one request at a time from each
+// connection, passes it to the dispatcher and writes the response.
+package httpserver
+
+import (
+	"fmt"
+	"strconv"
+	"time"
+
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/frontend/clientconn"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/stmtstats"
+)
+
+// Defaults of the options.
+const (
+	defaultMaxClients       = 512
+	defaultMaxBufferedBytes = 16 << 20
+	defaultReadTimeout      = 2 * time.Second
+)
+
+// SpareClients is how many connections may be accepted past the limit while others are
+// being closed for them.
+const SpareClients = 16
+
+// Options bound the resources that clients may use.
+type Options struct {
+	MaxClients   int                // open connections; past it the longest idle ones are evicted
+	MaxHeldBytes int                // bytes of results that are buffered for clients to fetch
+	Estimator    *stmtstats.Service // estimates costs by query shape; nil: off
+	ReadTimeout  time.Duration      // within which a connection's first request, and any begun, must be complete
+}
+
+func (o Options) withDefaults() Options {
+	if o.MaxClients <= 0 {
+		o.MaxClients = defaultMaxClients
+	}
+	if o.MaxHeldBytes <= 0 {
+		o.MaxHeldBytes = defaultMaxBufferedBytes
+	}
+	if o.ReadTimeout <= 0 {
+		o.ReadTimeout = defaultReadTimeout
+	}
+	return o
+}
+
+// Server accepts HTTP clients. It and its connections belong to the goroutine of the
+// event loop.
+type Server struct {
+	clientconn.Listener
+	loop       *eventloop.Loop
+	dispatcher *lifecycle.Dispatcher
+	options    Options
+	counters   *metrics.Counters
+
+	connections      map[*connection]struct{}
+	inFlightIDs      map[string]struct{} // of requests that are not answered yet
+	results          *resultStore
+	draining         bool // a graceful shutdown has begun
+	evictionRetrySet bool // a timer will call makeRoom again
+}
+
+// New returns a server that passes its requests to the dispatcher.
+func New(loop *eventloop.Loop, dispatcher *lifecycle.Dispatcher, options Options, counters *metrics.Counters) *Server {
+	options = options.withDefaults()
+	instanceID := strconv.FormatInt(int64(dispatcher.Now()), 36)
+	return &Server{
+		loop: loop, dispatcher: dispatcher, options: options, counters: counters,
+		connections: map[*connection]struct{}{}, inFlightIDs: map[string]struct{}{},
+		results: newResultStore(instanceID, options.MaxHeldBytes),
+	}
+}
+
+// Listen accepts clients at the address.
+func (s *Server) Listen(address string) error {
+	if err := s.Open(s.loop, address, maxRequest, s.options.MaxClients+SpareClients, s.accept); err != nil {
+		return fmt.Errorf("listen for clients: %w", err)
+	}
+	s.closeIdle()
+	return nil
+}
+
+func (s *Server) accept(socket *eventloop.Conn) eventloop.Handler {
+	s.counters.Add("http.connections")
+	c := &connection{server: s, socket: socket, lastActive: s.loop.Now()}
+	s.connections[c] = struct{}{}
+	if len(s.connections) > s.options.MaxClients {
+		s.makeRoom()
+	}
+	c.startReadTimer()
+	return c
+}
+
+// Drain begins a graceful shutdown: each connection is closed as soon as it is idle. A
+// request of which a part has come is still served once it is complete; its read timer
+// bounds the wait for it.
+func (s *Server) Drain() {
+	s.draining = true
+	for c := range s.connections {
+		if c.idle() {
+			c.closeNow()
+		}
+	}
+}
+
+// Idle reports whether all clients have received their responses completely.
+func (s *Server) Idle() bool {
+	return s.results.allServed() && len(s.connections) == 0
+}
