--- /dev/null
+++ b/internal/pgproto/error_response.go
@@ -0,0 +1,81 @@
+package pgproto
+
+import (
+	"fmt"
+)
+
+// Types of the fields in an ErrorResponse that are read or written.
+const (
+	fieldSeverity          byte = 'S'
+	fieldSeverityUnchanged byte = 'V' // the severity in English, whatever the locale
+	fieldCode              byte = 'C'
+	fieldMessage           byte = 'M'
+	fieldHint              byte = 'H'
+)
+
+// sqlStateLength is the length of an error's code.
+const sqlStateLength = 5
+
+// Error is an ErrorResponse.
+type Error struct {
+	Severity string
+	Code     string // SQLSTATE
+	Message  string
+	Hint     string // "": none
+	// Raw is the body as an engine sent it, which passes unchanged; nil: the server's own error.
+	Raw []byte
+}
+
+// Error returns the code and the message.
+func (e *Error) Error() string { return e.Code + ": " + e.Message }
+
+// Body returns the body of the message.
+func (e *Error) Body() []byte {
+	if e.Raw != nil {
+		return e.Raw
+	}
+	var body []byte
+	for _, field := range [...]struct {
+		kind  byte
+		value string
+	}{
+		{fieldSeverity, e.Severity},
+		{fieldSeverityUnchanged, e.Severity},
+		{fieldCode, e.Code},
+		{fieldMessage, e.Message},
+		{fieldHint, e.Hint},
+	} {
+		if field.value != "" {
+			body = append(body, field.kind)
+			body = append(body, Str(field.value)...)
+		}
+	}
+	return append(body, 0)
+}
+
+// ReadError reads the body of an ErrorResponse or a NoticeResponse.
+func ReadError(body []byte) (*Error, error) {
+	e := &Error{Raw: append([]byte{}, body...)}
+	r := Reader{B: body}
+	for {
+		kind := r.Byte()
+		if kind == 0 {
+			break
+		}
+		value := r.Str()
+		switch kind {
+		case fieldSeverity:
+			e.Severity = value
+		case fieldCode:
+			e.Code = value
+		case fieldMessage:
+			e.Message = value
+		case fieldHint:
+			e.Hint = value
+		}
+	}
+	if !r.End() || len(e.Code) != sqlStateLength {
+		return nil, fmt.Errorf("%w: an error response", Malformed)
+	}
+	return e, nil
+}
