--- a/internal/frontend/pgserver/bind_test.go
+++ b/internal/frontend/pgserver/bind_test.go
@@ -9,12 +9,12 @@
 
 // Whatever a client binds, its values lie within the message, and the formats of a
 // description can be set from any Bind that was taken.
-func FuzzBound(f *testing.F) {
+func FuzzReadBind(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 1, 0, 2, 0, 0, 0, 1, 'k', 255, 255, 255, 255, 0, 1, 0, 1})
 	f.Add([]byte{255, 255})
 	fields := append([]byte{0, 1, 'c', 0}, make([]byte, 18)...)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		binds, ok := bound(&pgproto.Reader{B: b})
+		binds, ok := readBind(&pgproto.Reader{B: b})
 		if !ok {
 			return
 		}
@@ -33,14 +33,13 @@
 }
 
 // Times are read as PostgreSQL writes them, or refused.
-func TestSetTimeout(t *testing.T) {
+func TestParseStatementTimeout(t *testing.T) {
 	for text, want := range map[string]int64{
 		"0": 0, "250": 250, "'2s'": 2000, "1 min": 60000, "DEFAULT": 0,
 		"": -1, "-1": -1, "5 weeks": -1, "1.5s": -1, "99999999999": -1,
 	} {
-		k := &conn{}
-		e := k.setTimeout(text)
-		if got := k.timeout.Milliseconds(); (e != nil) != (want < 0) || e == nil && got != want {
+		timeout, e := parseStatementTimeout(text)
+		if got := timeout.Milliseconds(); (e != nil) != (want < 0) || e == nil && got != want {
 			t.Errorf("%q: got %d ms, %v", text, got, e)
 		}
 	}
--- /dev/null
+++ b/internal/frontend/pgserver/classify.go
@@ -0,0 +1,156 @@
+package pgserver
+
+import (
+	"strconv"
+	"strings"
+
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
+	"flaxrelay/policy"
+)
+
+// maxParameters is the largest number of a parameter.
+const maxParameters = 65535
+
+// Rule gives a class to statements that begin with some words, and names the parameter
+// that has their idempotency key.
+type Rule struct {
+	Starts   string // the words, in any case, after comments
+	Class    string
+	Key      int  // the parameter's number from 1; 0: none
+	ReadOnly bool // the operator declares that such statements only read, where their text can't tell
+}
+
+// classification is what decides how a statement is served.
+type classification struct {
+	class        policy.Class
+	keyParameter int  // the parameter that has the idempotency key, from 1; 0: none
+	classByShape bool // nobody has named a class: the query shape may choose another
+}
+
+// classChoice is what a statement's leading comment and the rules say of it.
+type classChoice struct {
+	class        string
+	keyParameter int
+	readOnly     bool // as a rule declares
+	explicit     bool // a comment or a rule has named the class
+}
+
+// classify finds a statement's class: its leading comment overrides the rules, and these
+// the default. What the statement may do overrides all three: one that may write never
+// gets an idempotent class. Unless it has a class with a key, it gets the one for writes,
+// of which one attempt is made.
+func (s *Server) classify(query string, reading *stmtstats.Statement) (classification, *pgproto.Error) {
+	choice, e := s.chooseClass(query)
+	if e != nil {
+		return classification{}, e
+	}
+	class, ok := s.dispatcher.Class(choice.class)
+	if !ok {
+		return classification{}, newError(codeUndefinedObject, "class %q is not known here", choice.class)
+	}
+	if class.Effect != policy.Idempotent {
+		return classification{class: class, keyParameter: choice.keyParameter}, nil
+	}
+	verdict := s.effectOf(query, reading)
+	if verdict.Effect == sqltext.Reads || verdict.Effect == sqltext.Untold && choice.readOnly {
+		return classification{class: class, keyParameter: choice.keyParameter, classByShape: !choice.explicit}, nil
+	}
+	s.counters.Add("postgres.may-write")
+	if choice.explicit {
+		e := newError(codeInvalidParameterValue, "class %s is safe to repeat, and the statement may write (%v)", choice.class, verdict)
+		e.Hint = "Name no class, or one for writes or loads. Functions that only read belong in the gateway's read_only_functions."
+		return classification{}, e
+	}
+	class, ok = s.dispatcher.Class(s.options.WriteClass)
+	if !ok || class.Effect != policy.NonIdempotent {
+		return classification{}, newError(codeFeatureNotSupported, "the statement may write (%v), and this gateway has no class for writes", verdict)
+	}
+	return classification{class: class}, nil
+}
+
+// effectOf returns what a statement may do to what is stored.
+func (s *Server) effectOf(query string, reading *stmtstats.Statement) sqltext.Verdict {
+	if reading != nil {
+		return reading.Effect()
+	}
+	return sqltext.EffectOf(query, s.options.ReadOnly)
+}
+
+// chooseClass applies the first rule that matches, and then the leading comment.
+func (s *Server) chooseClass(query string) (classChoice, *pgproto.Error) {
+	choice := classChoice{class: s.options.DefaultClass}
+	for _, rule := range s.options.Rules {
+		if sqltext.Begins(query, rule.Starts) {
+			choice = classChoice{class: rule.Class, keyParameter: rule.Key, readOnly: rule.ReadOnly, explicit: true}
+			break
+		}
+	}
+	comment, ok := sqltext.LeadingComment(query)
+	if !ok {
+		return choice, nil
+	}
+	for _, word := range strings.FieldsFunc(comment, separatesDirectives) {
+		name, value, _ := strings.Cut(word, "=")
+		switch name {
+		case "class":
+			choice.class, choice.explicit = value, true
+		case "key":
+			parameter, err := strconv.Atoi(strings.TrimPrefix(value, "$"))
+			if err != nil || parameter < 1 || parameter > maxParameters {
+				return choice, newError(codeSyntaxError, "the comment's key=%s names no parameter such as $1", value)
+			}
+			choice.keyParameter = parameter
+		}
+	}
+	return choice, nil
+}
+
+func separatesDirectives(char rune) bool { return char == ' ' || char == ',' || char == ';' }
+
+// idempotencyKey returns the key of an execution, from the bound values. One that needs a
+// key and has none is never forwarded: nothing would drop a repeat of it.
+func (c classification) idempotencyKey(values [][]byte) (string, *pgproto.Error) {
+	if c.class.Effect != policy.IdempotentByKey {
+		return "", nil
+	}
+	name, parameter := c.class.Name, c.keyParameter
+	switch {
+	case parameter == 0:
+		return "", newError(codeInvalidParameterValue, "class %s needs a key: name its parameter, as in /* class=%s key=$1 */", name, name)
+	case parameter > len(values):
+		return "", newError(codeInvalidParameterValue, "the key of class %s is parameter $%d, and only %d are bound", name, parameter, len(values))
+	case len(values[parameter-1]) == 0:
+		return "", newError(codeNullValueNotAllowed, "the key of class %s, parameter $%d, is null or empty", name, parameter)
+	}
+	return string(values[parameter-1]), nil
+}
+
+// unsupportedCommands need a session of their own at an engine, whose sessions are shared
+// by all clients.
+var unsupportedCommands = map[string]bool{
+	"BEGIN": true, "START": true, "COMMIT": true, "END": true, "ROLLBACK": true, "ABORT": true, "SAVEPOINT": true,
+	"RELEASE": true, "COPY": true, "PREPARE": true, "EXECUTE": true, "DEALLOCATE": true, "DECLARE": true,
+	"FETCH": true, "MOVE": true, "CLOSE": true, "LISTEN": true, "UNLISTEN": true, "NOTIFY": true, "LOCK": true,
+	"DISCARD": true, "RESET": true, "SET": true,
+}
+
+// checkSupported refuses a statement that is not supported, and reports whether the text
+// has none.
+func checkSupported(query string, reading *stmtstats.Statement) (empty bool, e *pgproto.Error) {
+	var command string
+	var several bool
+	if reading != nil {
+		command, several = strings.ToUpper(reading.First()), reading.Several()
+	} else {
+		command, several = sqltext.FirstWord(query)
+	}
+	switch {
+	case several:
+		return false, newError(codeFeatureNotSupported, "only one statement at a time is supported")
+	case unsupportedCommands[command]:
+		return false, newError(codeFeatureNotSupported, "%s is not supported: statements share their engines' sessions", command)
+	}
+	return command == "", nil
+}
--- /dev/null
+++ b/internal/frontend/pgserver/errors.go
@@ -0,0 +1,72 @@
+package pgserver
+
+import (
+	"fmt"
+
+	"flaxrelay/internal/frontend/clientconn"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/pgproto"
+)
+
+// SQLSTATE codes of the server's own errors, by the names of PostgreSQL's errcodes.txt.
+const (
+	codeProtocolViolation          = "08P01"
+	codeFeatureNotSupported        = "0A000"
+	codeNullValueNotAllowed        = "22004"
+	codeInvalidParameterValue      = "22023"
+	codeInvalidSQLStatementName    = "26000"
+	codeInvalidAuthorization       = "28000"
+	codeInvalidCursorName          = "34000"
+	codeStatementCompletionUnknown = "40003"
+	codeSyntaxError                = "42601"
+	codeUndefinedObject            = "42704"
+	codeDuplicateCursor            = "42P03"
+	codeDuplicatePreparedStatement = "42P05"
+	codeInsufficientResources      = "53000"
+	codeOutOfMemory                = "53200"
+	codeTooManyConnections         = "53300"
+	codeProgramLimitExceeded       = "54000"
+	codeObjectNotInState           = "55000"
+	codeQueryCanceled              = "57014"
+	codeAdminShutdown              = "57P01"
+	codeSystemError                = "58000"
+)
+
+func newError(code, format string, args ...any) *pgproto.Error {
+	return &pgproto.Error{Severity: "ERROR", Code: code, Message: fmt.Sprintf(format, args...)}
+}
+
+func errMalformed(message string) *pgproto.Error {
+	return newError(codeProtocolViolation, "malformed %s message", message)
+}
+
+// errCompletionUnknown is the response to a statement that was forwarded and may have run.
+func errCompletionUnknown() *pgproto.Error {
+	return newError(codeStatementCompletionUnknown, "the statement failed on its way or at its engine; it may have run")
+}
+
+// responseError is the error for a final response that is no completion. Each kind has a
+// code of its own; an engine's error on the statement passes unchanged.
+func responseError(response lifecycle.Response) *pgproto.Error {
+	engineError, _ := response.ErrorDetail.(*pgproto.Error)
+	switch {
+	case response.MayHaveRun && engineError == nil:
+		// Also past the deadline: a time-out would say that nothing was done.
+		return errCompletionUnknown()
+	case response.MayHaveRun:
+		return engineError
+	case response.DeadlinePassed:
+		return newError(codeQueryCanceled, "canceling statement due to statement timeout")
+	case response.Verdict == lifecycle.VerdictRejected:
+		e := newError(codeInsufficientResources, "the engines are busy; the statement was refused, and trying again is harmless")
+		if response.RetryAfter > 0 {
+			e.Hint = fmt.Sprintf("Try again in %d ms.", clientconn.CeilMilliseconds(response.RetryAfter))
+		}
+		return e
+	case engineError != nil:
+		return engineError
+	case response.Forwarded:
+		return errCompletionUnknown()
+	}
+	return newError(codeSystemError, "the statement could not be sent to any engine")
+}
--- /dev/null
+++ b/internal/frontend/pgserver/server.go
@@ -0,0 +1,116 @@
+// Package pgserver serves clients that speak the PostgreSQL wire protocol, with simple
+// and extended queries. Each bound execution is one request to the dispatcher and has
+// one final response: a completion or one ErrorResponse.
+package pgserver
+
+import (
+	"fmt"
+	"time"
+
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/frontend/clientconn"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
+)
+
+const (
+	// startupTimeout is how long a connection may take until its startup is complete.
+	startupTimeout = 2 * time.Second
+	// spareClients is how many may connect past the limit, to cancel a request or to be
+	// told that there are too many clients.
+	spareClients = 16
+	// defaultMaxBufferedBytes bounds the rows in open portals where the options do not.
+	defaultMaxBufferedBytes = 32 << 20
+)
+
+// Options come from the deploy file.
+type Options struct {
+	DefaultClass string
+	WriteClass   string            // of statements that may write and have no class of their own; "": refused
+	ReadOnly     sqltext.Functions // functions that the operators know to read only
+	Rules        []Rule
+	Estimator    *stmtstats.Service // gives classes and estimates by query shape; nil: off
+	MaxClients   int                // open connections; 0: no limit
+	MaxHeldBytes int                // bytes of rows that are buffered in all open portals together
+}
+
+// Server accepts PostgreSQL clients. It and its connections belong to the goroutine of
+// the event loop.
+type Server struct {
+	clientconn.Listener
+	loop       *eventloop.Loop
+	dispatcher *lifecycle.Dispatcher
+	options    Options
+	counters   *metrics.Counters
+
+	connections   map[uint32]*connection // by process ID
+	lastProcessID uint32
+	rowBudget     clientconn.Budget // of rows in open portals
+	draining      bool              // a graceful shutdown has begun
+}
+
+// New returns a server that passes its requests to the dispatcher.
+func New(loop *eventloop.Loop, dispatcher *lifecycle.Dispatcher, options Options, counters *metrics.Counters) *Server {
+	s := &Server{loop: loop, dispatcher: dispatcher, counters: counters, connections: map[uint32]*connection{}}
+	s.SetOptions(options)
+	return s
+}
+
+// Listen accepts clients at the address.
+func (s *Server) Listen(address string) error {
+	maxConnections := s.options.MaxClients
+	if maxConnections > 0 {
+		maxConnections += spareClients
+	}
+	if err := s.Open(s.loop, address, maxUnread, maxConnections, s.accept); err != nil {
+		return fmt.Errorf("listen for PostgreSQL clients: %w", err)
+	}
+	return nil
+}
+
+func (s *Server) accept(socket *eventloop.Conn) eventloop.Handler {
+	s.counters.Add("postgres.connections")
+	s.lastProcessID++
+	c := &connection{
+		server: s, socket: socket, processID: s.lastProcessID,
+		statements: map[string]*statement{}, portals: map[string]*portal{},
+	}
+	s.connections[c.processID] = c
+	s.loop.Timers.Schedule(s.loop.Now()+startupTimeout, func() {
+		if c.state == stateStartup {
+			socket.Close()
+		}
+	})
+	return c
+}
+
+// SetOptions changes the options for statements that are prepared and clients that
+// connect from now on.
+func (s *Server) SetOptions(options Options) {
+	if options.MaxHeldBytes <= 0 {
+		options.MaxHeldBytes = defaultMaxBufferedBytes
+	}
+	s.options = options
+	s.rowBudget.SetLimit(options.MaxHeldBytes)
+}
+
+// Drain begins a graceful shutdown: each connection is closed as soon as no request of
+// it is in flight.
+func (s *Server) Drain() {
+	s.draining = true
+	for _, c := range s.connections {
+		if c.state != stateInFlight {
+			c.fatal(errShuttingDown())
+		}
+	}
+}
+
+// Idle reports whether no client is left.
+func (s *Server) Idle() bool { return len(s.connections) == 0 }
+
+func errShuttingDown() *pgproto.Error {
+	return newError(codeAdminShutdown, "the gateway is stopping")
+}
