--- a/internal/frontend/clientconn/listener.go
+++ b/internal/frontend/clientconn/listener.go
@@ -6,21 +6,16 @@
 	"flaxrelay/internal/eventloop"
 )
 
-// Listener accepts the connections of clients. Its methods are for the goroutine of the
-// event loop.
+// Listener accepts the connections of clients.
 type Listener struct {
 	listener net.Listener
 }
 
-// Open accepts connections at the address. At most maxConnections are open at once
+// Listen accepts connections at the address. At most maxConnections are open at once
 // (0: no limit); readLimit bounds the unread bytes of each.
-func (l *Listener) Open(loop *eventloop.Loop, address string, readLimit, maxConnections int, accept func(*eventloop.Conn) eventloop.Handler) error {
+func Listen(loop *eventloop.Loop, address string, readLimit, maxConnections int, accept func(*eventloop.Conn) eventloop.Handler) (Listener, error) {
 	listener, err := loop.Listen(address, readLimit, maxConnections, accept)
-	if err != nil {
-		return err
-	}
-	l.listener = listener
-	return nil
+	return Listener{listener: listener}, err
 }
 
 // Addr returns the address that clients connect to.
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -75,9 +75,11 @@
 
 // Listen accepts clients at the address.
 func (s *Server) Listen(address string) error {
-	if err := s.Open(s.loop, address, maxRequest, s.options.MaxClients+SpareClients, s.accept); err != nil {
+	listener, err := clientconn.Listen(s.loop, address, maxRequest, s.options.MaxClients+SpareClients, s.accept)
+	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
+	s.Listener = listener
 	s.closeIdle()
 	return nil
 }
--- a/internal/frontend/pgserver/bind.go
+++ b/internal/frontend/pgserver/bind.go
@@ -5,6 +5,13 @@
 	"flaxrelay/internal/sqltext"
 )
 
+// Sizes of fields in messages, in bytes.
+const (
+	countSize  = 2 // a number of fields that follow
+	formatSize = 2 // the format code of a value
+	oidSize    = 4 // the object ID of a type
+)
+
 // nullLength is the length of a value that is null.
 const nullLength = -1
 
@@ -16,7 +23,6 @@
 	if !ok {
 		return binds, false
 	}
-	const countSize, formatSize = 2, 2
 	binds.Formats = start[countSize : countSize+formatCount*formatSize]
 	valueCount := r.Count()
 	if formatCount > 1 && formatCount != valueCount || r.Bad {
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -12,7 +12,6 @@
 	r := pgproto.Reader{B: body}
 	name, query := r.Str(), r.Str()
 	parameterTypes := r.B
-	const oidSize = 4
 	if r.Bytes(oidSize * r.Count()); !r.End() {
 		return errMalformed("Parse")
 	}
@@ -96,7 +95,6 @@
 // checkValueCount compares the number of bound values with the parameters that an engine
 // has described, if one has.
 func (s *statement) checkValueCount(count int) *pgproto.Error {
-	const countSize = 2
 	if s.description == nil || len(s.description.Params) < countSize {
 		return nil
 	}
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -25,7 +25,6 @@
 // parameterOIDs returns the types of the parameters: those that an engine has described,
 // else those that the client gave.
 func (s *statement) parameterOIDs() []byte {
-	const countSize = 2
 	if s.description != nil && len(s.description.Params) > countSize {
 		return s.description.Params[countSize:]
 	}
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -65,9 +65,11 @@
 	if maxConnections > 0 {
 		maxConnections += spareClients
 	}
-	if err := s.Open(s.loop, address, maxUnread, maxConnections, s.accept); err != nil {
+	listener, err := clientconn.Listen(s.loop, address, maxUnread, maxConnections, s.accept)
+	if err != nil {
 		return fmt.Errorf("listen for PostgreSQL clients: %w", err)
 	}
+	s.Listener = listener
 	return nil
 }
 
