--- a/internal/frontend/pgserver/bind_test.go
+++ b/internal/frontend/pgserver/bind_test.go
@@ -31,16 +31,3 @@
 		}
 	})
 }
-
-// Times are read as PostgreSQL writes them, or refused.
-func TestParseStatementTimeout(t *testing.T) {
-	for text, want := range map[string]int64{
-		"0": 0, "250": 250, "'2s'": 2000, "1 min": 60000, "DEFAULT": 0,
-		"": -1, "-1": -1, "5 weeks": -1, "1.5s": -1, "99999999999": -1,
-	} {
-		timeout, e := parseStatementTimeout(text)
-		if got := timeout.Milliseconds(); (e != nil) != (want < 0) || e == nil && got != want {
-			t.Errorf("%q: got %d ms, %v", text, got, e)
-		}
-	}
-}
