--- /dev/null
+++ b/internal/frontend/clientconn/listener.go
@@ -0,0 +1,25 @@
+package clientconn
+
+import (
+	"net"
+
+	"flaxrelay/internal/eventloop"
+)
+
+// Listener accepts the connections of clients.
+type Listener struct {
+	listener net.Listener
+}
+
+// Listen accepts connections at the address. At most maxConnections are open at once
+// (0: no limit); readLimit bounds the unread bytes of each.
+func Listen(loop *eventloop.Loop, address string, readLimit, maxConnections int, accept func(*eventloop.Conn) eventloop.Handler) (Listener, error) {
+	listener, err := loop.Listen(address, readLimit, maxConnections, accept)
+	return Listener{listener: listener}, err
+}
+
+// Addr returns the address that clients connect to.
+func (l *Listener) Addr() string { return l.listener.Addr().String() }
+
+// CloseListener stops accepting connections. Those that are open stay.
+func (l *Listener) CloseListener() { _ = l.listener.Close() }
