--- /dev/null
+++ b/internal/logging/logging.go
@@ -0,0 +1,87 @@
+// Package logging makes the loggers of the programs: events with stable names
+// and keys, coloured on a terminal and as JSON elsewhere, and limited in rate
+// for each event.
+package logging
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+
+	"github.com/lmittmann/tint"
+)
+
+// The values of Options.Format.
+const (
+	formatAuto = "auto"
+	formatJSON = "json"
+	formatText = "text"
+)
+
+// terminalTimeFormat leaves the date out: who reads a terminal knows the day.
+const terminalTimeFormat = "15:04:05.000"
+
+// Options configure a logger.
+type Options struct {
+	Format string // auto, json or text; auto is text on a terminal and else JSON
+	Level  string // debug, info, warn or error
+}
+
+// FormatError reports a log format that does not exist.
+type FormatError struct{ Format string }
+
+func (e *FormatError) Error() string {
+	return fmt.Sprintf("log format: %q is none of auto, json, text", e.Format)
+}
+
+// New returns a logger that writes to the file. The error is a *FormatError or
+// wraps the fault of the level.
+func New(out *os.File, opts Options) (*slog.Logger, error) {
+	var level slog.Level
+	if err := level.UnmarshalText([]byte(opts.Level)); err != nil {
+		return nil, fmt.Errorf("log level: %w", err)
+	}
+	handler, err := newHandler(out, opts.Format, level)
+	if err != nil {
+		return nil, err
+	}
+	return slog.New(newRateLimitHandler(handler, eventsPerSecond, eventBurst)), nil
+}
+
+func newHandler(out *os.File, format string, level slog.Level) (slog.Handler, error) {
+	terminal := isTerminal(out)
+	if format == formatAuto {
+		format = formatJSON
+		if terminal {
+			format = formatText
+		}
+	}
+	switch format {
+	case formatText:
+		return tint.NewTextHandler(out, &tint.Options{Level: level, TimeFormat: terminalTimeFormat, NoColor: !terminal}), nil
+	case formatJSON:
+		return slog.NewJSONHandler(out, &slog.HandlerOptions{Level: level}), nil
+	default:
+		return nil, &FormatError{Format: format}
+	}
+}
+
+// isTerminal takes every character device for a terminal.
+func isTerminal(f *os.File) bool {
+	info, err := f.Stat()
+	return err == nil && info.Mode()&os.ModeCharDevice != 0
+}
+
+// Plain returns a logger for tools: text without times, to any writer and with
+// no limit of its rate.
+func Plain(out io.Writer) *slog.Logger {
+	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: dropTime}))
+}
+
+func dropTime(_ []string, attr slog.Attr) slog.Attr {
+	if attr.Key == slog.TimeKey {
+		return slog.Attr{}
+	}
+	return attr
+}
--- /dev/null
+++ b/internal/logging/ratelimit.go
@@ -0,0 +1,99 @@
+package logging
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+	"time"
+
+	"golang.org/x/time/rate"
+)
+
+// Limits of the rate at which one event is written.
+const (
+	eventsPerSecond = 5 // on average
+	eventBurst      = 20
+)
+
+// maxTrackedEvents bounds the memory of the limiters. Event names are constants
+// of the program, so that more names can only come from a mistake; these are not
+// limited.
+const maxTrackedEvents = 1000
+
+// suppressedKey is the attribute that gives the number of suppressed records.
+const suppressedKey = "left_out"
+
+// rateLimitHandler limits how often one event, identified by its message, is
+// written, which prevents a peer from filling the log. The next record of the
+// event that is written carries the number of suppressed ones. Errors are always
+// written.
+type rateLimitHandler struct {
+	slog.Handler
+	limiters *eventLimiters
+}
+
+func newRateLimitHandler(next slog.Handler, perSecond rate.Limit, burst int) slog.Handler {
+	limiters := &eventLimiters{perSecond: perSecond, burst: burst, byEvent: map[string]*eventLimiter{}}
+	return &rateLimitHandler{Handler: next, limiters: limiters}
+}
+
+// Handle implements slog.Handler.
+func (h *rateLimitHandler) Handle(ctx context.Context, record slog.Record) error {
+	if record.Level >= slog.LevelError {
+		return h.Handler.Handle(ctx, record)
+	}
+	allowed, suppressed := h.limiters.allow(record.Message, record.Time)
+	if !allowed {
+		return nil
+	}
+	if suppressed > 0 {
+		record = record.Clone()
+		record.AddAttrs(slog.Int(suppressedKey, suppressed))
+	}
+	return h.Handler.Handle(ctx, record)
+}
+
+// WithAttrs implements slog.Handler. The derived handler shares the limits.
+func (h *rateLimitHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &rateLimitHandler{Handler: h.Handler.WithAttrs(attrs), limiters: h.limiters}
+}
+
+// WithGroup implements slog.Handler. The derived handler shares the limits.
+func (h *rateLimitHandler) WithGroup(name string) slog.Handler {
+	return &rateLimitHandler{Handler: h.Handler.WithGroup(name), limiters: h.limiters}
+}
+
+// eventLimiters holds one limiter for each event. It is safe for concurrent use.
+type eventLimiters struct {
+	perSecond rate.Limit
+	burst     int
+
+	mu      sync.Mutex // guards byEvent and its limiters
+	byEvent map[string]*eventLimiter
+}
+
+type eventLimiter struct {
+	*rate.Limiter
+	suppressed int // records since the last one that was written
+}
+
+// allow tells whether a record of the event may be written, and how many were
+// suppressed before it.
+func (l *eventLimiters) allow(event string, at time.Time) (allowed bool, suppressed int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	limiter := l.byEvent[event]
+	if limiter == nil {
+		if len(l.byEvent) >= maxTrackedEvents {
+			return true, 0
+		}
+		limiter = &eventLimiter{Limiter: rate.NewLimiter(l.perSecond, l.burst)}
+		l.byEvent[event] = limiter
+	}
+	if !limiter.AllowN(at, 1) {
+		limiter.suppressed++
+		return false, 0
+	}
+	suppressed, limiter.suppressed = limiter.suppressed, 0
+	return true, suppressed
+}
