--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -21,7 +21,7 @@
 const maxTrackedEvents = 1000
 
 // suppressedKey is the attribute that gives the number of suppressed records.
-const suppressedKey = "left_out"
+const suppressedKey = "suppressed"
 
 // rateLimitHandler limits how often one event, identified by its message, is
 // written, which prevents a peer from filling the log. The next record of the
--- a/internal/logging/ratelimit_test.go
+++ b/internal/logging/ratelimit_test.go
@@ -28,7 +28,7 @@
 	write(slog.LevelError, "stopped", 5)
 	at = at.Add(time.Second)
 	write(slog.LevelWarn, "engine.protocol-error", 2)
-	for text, want := range map[string]int{"engine.protocol-error": 4, "serving": 1, "stopped": 5, "left_out=97": 1, "engine=e1": 10} {
+	for text, want := range map[string]int{"engine.protocol-error": 4, "serving": 1, "stopped": 5, "suppressed=97": 1, "engine=e1": 10} {
 		if got := strings.Count(out.String(), text); got != want {
 			t.Errorf("%q occurs %d times, want %d:\n%s", text, got, want, out.String())
 		}
