--- /dev/null
+++ b/internal/lifecycle/attempt.go
@@ -0,0 +1,119 @@
+package lifecycle
+
+import (
+	"time"
+
+	"flaxrelay/internal/timerqueue"
+	"flaxrelay/policy"
+)
+
+// Attempt is one execution of a request at one engine. The exported fields are
+// for the engine client; all others belong to the Dispatcher.
+type Attempt struct {
+	Request    *Request
+	Engine     string        // ID of the engine; a later engine may reuse the address of a removed one
+	Timeout    time.Duration // since StartedAt
+	StartedAt  time.Duration
+	MemoryMB   float64 // memory grant; 0: the engine's own choice
+	Priority   int
+	ClientData any // opaque, for the engine client; cleared at the end
+
+	index        int // in Request.attempts
+	state        attemptState
+	sendDeadline time.Duration // see DedupWindowClosed; 0: none
+	timeoutTimer *timerqueue.Timer
+}
+
+// attemptState is how far an attempt has come. Only one in flight changes.
+type attemptState uint8
+
+const (
+	attemptInFlight   attemptState = iota
+	attemptMayHaveRun              // ended; its engine may have run it
+	attemptNeverRan                // ended in a way that proves that its engine did not run it
+)
+
+// AttemptReport is what an engine told at the end of an attempt.
+type AttemptReport struct {
+	Result      any           // the complete result, for front ends of the same protocol
+	Work        time.Duration // that the query needed; 0: unknown
+	MemoryMB    float64       // that the query needed; 0: unknown
+	Load        policy.LoadReport
+	ErrorDetail any // of an engine error, for front ends of the same protocol
+}
+
+// Ended tells whether the attempt has ended.
+func (a *Attempt) Ended() bool { return a.state != attemptInFlight }
+
+// DedupWindowClosed tells whether the attempt may no longer be written: an earlier
+// attempt may have run, and the window in which engines drop duplicates of its
+// idempotency key is about to end. Engine clients ask before they write.
+func (a *Attempt) DedupWindowClosed(now time.Duration) bool {
+	return a.sendDeadline > 0 && now >= a.sendDeadline
+}
+
+// EndAttempt ends an attempt. Only the first call for an attempt counts: an
+// engine's answer may arrive after the attempt timed out or was cancelled.
+func (d *Dispatcher) EndAttempt(a *Attempt, status AttemptStatus, report AttemptReport) {
+	if a.Ended() {
+		d.counters.Add("attempts.late-end." + status.String())
+		return
+	}
+	r := a.Request
+	r.inFlight--
+	a.state = stateAfter(status)
+	a.timeoutTimer.Stop()
+	a.ClientData = nil
+	d.countEnd(a, status)
+	// The final response must not carry the error of an attempt that never ran if
+	// another one may have run and the request is not idempotent: it would hide the doubt.
+	if a.state == attemptMayHaveRun || report.ErrorDetail != nil && !d.MayHaveRun(r) {
+		r.lastErrorDetail = report.ErrorDetail
+	}
+	d.observeCost(a, status, report)
+	switch status {
+	case StatusServed:
+		d.respond(r.policyID, Response{Verdict: VerdictServed, Result: report.Result})
+	case StatusStatementRejected, StatusResultTooLarge: // any other engine would fail likewise
+		d.respond(r.policyID, Response{Verdict: VerdictFailed})
+	}
+	d.handleEvent(policy.AttemptEnded{
+		RequestID: r.policyID,
+		Attempt:   a.index,
+		Result:    status.Result(),
+		Elapsed:   d.clock.Now() - a.StartedAt,
+		Completed: r.completed(),
+		Work:      report.Work,
+		MemoryMB:  report.MemoryMB,
+		Load:      report.Load,
+	})
+	d.releaseIfIdle(r)
+}
+
+// stateAfter returns the state of an attempt that has ended with the status.
+func stateAfter(status AttemptStatus) attemptState {
+	switch status.Result() {
+	case policy.ResultOverloaded, policy.ResultConnectFailed, policy.ResultNotSent:
+		return attemptNeverRan
+	default:
+		return attemptMayHaveRun
+	}
+}
+
+// countEnd counts the end of an attempt, and apart those at engines that were warming up.
+func (d *Dispatcher) countEnd(a *Attempt, status AttemptStatus) {
+	d.counters.Add("attempts.ended." + status.String())
+	engine := d.endpoints[a.Engine]
+	if engine.StartKnown && a.StartedAt < engine.StartedAt+d.warmupTime {
+		d.counters.Add("attempts.ended-warming." + status.String())
+	}
+}
+
+// ReportProgress passes on what an engine tells of an attempt in flight.
+func (d *Dispatcher) ReportProgress(a *Attempt, kind policy.ProgressKind, value float64) {
+	if a.Ended() {
+		return
+	}
+	d.counters.Add("attempts.progress")
+	d.handleEvent(policy.ProgressReported{RequestID: a.Request.policyID, Attempt: a.index, Kind: kind, Value: value})
+}
--- /dev/null
+++ b/internal/lifecycle/client.go
@@ -0,0 +1,25 @@
+package lifecycle
+
+// Client is the sender of a request. It receives exactly one response, or none
+// if Dispatcher.ClientDisconnected was called first.
+type Client interface {
+	Respond(r *Request, response Response)
+}
+
+// EngineClient carries attempts to engines. Its methods are called on the
+// goroutine that owns the Dispatcher.
+type EngineClient interface {
+	// Start begins an attempt, which Dispatcher.EndAttempt ends.
+	Start(a *Attempt)
+	// Abandon gives up an attempt that has not ended. The Dispatcher ends it
+	// itself; a later EndAttempt has no effect.
+	Abandon(a *Attempt)
+	// Withdraw takes back an attempt of which nothing has been written, and tells
+	// whether it could: if so, nothing will reach the engine, and the Dispatcher
+	// ends the attempt.
+	Withdraw(a *Attempt) bool
+	// SetPriority changes the priority of an attempt in flight.
+	SetPriority(a *Attempt, priority int)
+	// UpdateEndpoint announces a new, changed or removed endpoint.
+	UpdateEndpoint(e Endpoint)
+}
