--- /dev/null
+++ b/internal/e2e/admission_test.go
@@ -0,0 +1,75 @@
+package e2e
+
+import (
+	"io"
+	"net"
+	"testing"
+
+	"flaxrelay/policy"
+)
+
+// Where the settings name tenants, one within its share has the whole limit; who names none of
+// them has the part that is open beyond the shares.
+func TestAdmission_TenantWithinItsShareHasTheWholeLimit(t *testing.T) {
+	const requests = 80
+	const tenantHeader, noHeader = "Req-Owner: north\r\n", ""
+	started := map[string]int64{}
+	for _, header := range []string{tenantHeader, noHeader} {
+		addr, _ := startLineEngine(t, noReply)
+		front := newFrontEnd(t, func(s *policy.Settings) {
+			s.Replicas = 1
+			s.Tenants = []policy.Tenant{{Name: "north", Quota: 500, Share: 1}}
+		}).serveHTTP(addr)
+		for n := 1; n <= requests; n++ {
+			connectHTTP(t, front.addr).send(withID(queryRequest("lookup", header), numberedID(n)))
+			front.awaitCount("requests.accepted.", int64(n))
+		}
+		started[header] = front.count("attempts.started.")
+	}
+	if within, beyond := started[tenantHeader], started[noHeader]; 2*within < 3*beyond {
+		t.Errorf("%d attempts within the share, %d beyond", within, beyond)
+	}
+}
+
+// Requests of one order key run one at a time, in the order of their arrival. The request of a
+// client that disconnects while it waits for its turn is not forwarded.
+func TestAdmission_RequestsOfOneOrderKeyRunOneAtATime(t *testing.T) {
+	running := make(chan string, seenCapacity)
+	finish := make(chan string)
+	addr := listen(t, func(conn net.Conn) {
+		go func() {
+			for id := range finish {
+				_, _ = io.WriteString(conn, doneReply("want "+id, ""))
+			}
+		}()
+		readRequestIDs(conn, func(id string) bool {
+			running <- id
+			return true
+		})
+	})
+	front := newFrontEnd(t, func(s *policy.Settings) {
+		for i := range s.Classes {
+			s.Classes[i].Ordered = true
+		}
+	})
+	front.serveHTTP(addr)
+	request := withWait(queryRequest("lookup", "Req-Key: k\r\n"), longWait)
+	send := func(number int) *httpClient {
+		client := connectHTTP(t, front.addr)
+		client.send(withID(request, numberedID(number)))
+		front.awaitCount("requests.accepted.", int64(number))
+		return client
+	}
+	first := send(1)
+	assertEqual(t, "first at the engine", await(t, running), numberedID(1))
+	leaving := send(2)
+	last := send(3)
+	front.assertCount("attempts.started.", 1)
+	leaving.close()
+	front.awaitCount("requests.disconnected.", 1)
+	finish <- numberedID(1)
+	assertEqual(t, "first answer", first.receive(), emptyResult)
+	assertEqual(t, "next at the engine", await(t, running), numberedID(3))
+	finish <- numberedID(3)
+	assertEqual(t, "last answer", last.receive(), emptyResult)
+}
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -13,16 +13,16 @@
 )
 
 // BenchmarkRequestThroughFrontEnd measures one request of a client that keeps its
-// connection: over loopback to the HTTP front, through the core and the client of the line
-// protocol to an engine in this process, and back.
+// connection: over loopback to the HTTP front end, through the dispatcher and the client of the
+// line protocol to an engine in this process, and back.
 func BenchmarkRequestThroughFrontEnd(b *testing.B) {
-	c := dial(b, platform(b, promptEngine(b)).addr)
-	_ = c.SetDeadline(time.Time{}) // the run may be long
-	call := post("lookup", "")
-	in := bufio.NewReader(c)
+	conn := dial(b, startHTTP(b, startPromptEngine(b)).addr)
+	_ = conn.SetDeadline(time.Time{}) // the run may be long
+	request := queryRequest("lookup", "")
+	in := bufio.NewReader(conn)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := io.WriteString(c, call); err != nil {
+		if _, err := io.WriteString(conn, request); err != nil {
 			b.Fatal(err)
 		}
 		answer, err := http.ReadResponse(in, nil)
@@ -36,31 +36,21 @@
 	}
 }
 
-// promptEngine is an engine of the platform that answers each request at once with one
-// row, and reports nothing.
-func promptEngine(b *testing.B) (addr string) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	b.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go answerPromptly(c)
-		}
-	}()
-	return ln.Addr().String()
+// startPromptEngine is an engine of the line protocol that answers each request at once with one
+// row. It does not report what it saw, which would be part of the measurement, and has no
+// deadline, as the run may be long.
+func startPromptEngine(b *testing.B) (addr string) {
+	b.Helper()
+	return listen(b, func(conn net.Conn) {
+		_ = conn.SetDeadline(time.Time{})
+		answerPromptly(conn)
+	})
 }
 
 // answerPromptly serves one connection until it ends.
-func answerPromptly(c net.Conn) {
-	defer c.Close()
+func answerPromptly(conn net.Conn) {
 	const row = "a\tb\tc\n"
-	in := bufio.NewReader(c)
+	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -77,7 +67,7 @@
 		if _, err := in.Discard(length + len("\r\n")); err != nil {
 			return
 		}
-		if _, err := fmt.Fprintf(c, "%s DONE batches=1,cpu=1,used=1 %d\r\n%s\r\n", words[1], len(row), row); err != nil {
+		if _, err := fmt.Fprintf(conn, "%s DONE batches=1,cpu=1,used=1 %d\r\n%s\r\n", words[1], len(row), row); err != nil {
 			return
 		}
 	}
--- /dev/null
+++ b/internal/e2e/client_disconnect_test.go
@@ -0,0 +1,67 @@
+package e2e
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+
+	"flaxrelay/policy"
+)
+
+// The attempt of a client that disconnects is cancelled, and an answer that comes late on the
+// same connection answers nothing else.
+func TestClientDisconnect_CancelsTheAttemptAndDiscardsItsLateAnswer(t *testing.T) {
+	var first string
+	addr, seen := startLineEngine(t, func(line string) string {
+		if strings.HasPrefix(line, "never_mind") {
+			return doneReply(first, "late\t\t\n")
+		}
+		if first != "" {
+			return doneReply(line, "fresh\t\t\n")
+		}
+		first = line
+		return ""
+	})
+	front := startHTTP(t, addr)
+	client := connectHTTP(t, front.addr)
+	client.send(queryRequest("lookup", ""))
+	await(t, seen)
+	client.close()
+	assertEqual(t, "the engine received", await(t, seen), "never_mind "+requestID)
+	got, _ := connectHTTP(t, front.addr).roundTrip(queryRequest("lookup", ""))
+	assertEqual(t, "the next request of that id", got, `200 {"result":[["fresh","",""]]}`)
+	front.assertCount("engine-connections.dialed", 2) // a cancelled id is not used again on its connection
+}
+
+// A client disconnects while its attempt waits for a connection that comes up late: nothing of
+// it reaches the engine, also where the settings permit no cancel. The request of another client
+// goes on meanwhile.
+func TestClientDisconnect_BeforeTheEngineConnectionIsUpSendsNothing(t *testing.T) {
+	for _, cancel := range []bool{true, false} {
+		received := make(chan string, seenCapacity)
+		addr, accept := listenWithFullBacklog(t, func(conn net.Conn) {
+			readRequestIDs(conn, func(id string) bool {
+				received <- id
+				_, err := io.WriteString(conn, doneReply("want "+id, ""))
+				return err == nil
+			})
+		})
+		front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = cancel })
+		front.site.ConnectTimeout = waitLimit
+		front.serveHTTP(addr)
+		leaving, staying := connectHTTP(t, front.addr), connectHTTP(t, front.addr)
+		leaving.send(queryRequest("lookup", ""))
+		front.awaitCount("attempts.started.", 1)
+		other := numberedID(2)
+		staying.send(withID(withWait(queryRequest("lookup", ""), longWait), other))
+		leaving.close()
+		front.awaitCount("requests.disconnected.", 1)
+		if n := front.count("attempts.ended.not-sent"); n != 1 {
+			t.Errorf("cancel %v: %d attempts ended as not sent, want 1", cancel, n)
+		}
+		accept()
+		assertEqual(t, "the other client's answer", staying.receive(), emptyResult)
+		assertEqual(t, "the engine received first", await(t, received), other)
+	}
+}
--- /dev/null
+++ b/internal/e2e/discovery_test.go
@@ -0,0 +1,101 @@
+package e2e
+
+import (
+	"bufio"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxrelay/internal/engine"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
+)
+
+// An engine begins to drain, or a full update no longer names it, while a request waits for its
+// connection: nothing is written when that comes up, and another engine serves the client.
+func TestDiscovery_RequestAwaitingConnectionMovesWhenEngineDrains(t *testing.T) {
+	for _, fullUpdate := range []bool{false, true} {
+		received := make(chan string, seenCapacity)
+		draining, accept := listenWithFullBacklog(t, func(conn net.Conn) {
+			for in := bufio.NewReader(conn); ; {
+				line, err := in.ReadString('\n')
+				if err != nil {
+					received <- "end"
+					return
+				}
+				received <- line
+			}
+		})
+		other, _ := startLineEngine(t, emptyReply)
+		front := newFrontEnd(t, nil)
+		front.site.ConnectTimeout = waitLimit
+		front.serveHTTP(draining)
+		client := connectHTTP(t, front.addr)
+		client.send(withWait(queryRequest("lookup", ""), longWait))
+		front.awaitCount("attempts.started.", 1)
+		front.updateEndpoints(policy.EngineReady, other)
+		if fullUpdate {
+			front.replaceEndpoints(other)
+		} else {
+			front.updateEndpoints(policy.EngineDraining, draining)
+		}
+		assertEqual(t, "answer", client.receive(), emptyResult)
+		if n := front.count("attempts.ended.not-sent"); n != 1 {
+			t.Errorf("full update %v: %d attempts ended as not sent, want 1", fullUpdate, n)
+		}
+		accept()
+		front.updateEndpoints(policy.EngineRemoved, draining)
+		assertEqual(t, "the draining engine received", await(t, received), "end")
+	}
+}
+
+// A full update that no longer names an engine closes the connections to it: no request would
+// use them, and nothing else would close them.
+func TestDiscovery_FullUpdateClosesConnectionsToRemovedEngines(t *testing.T) {
+	removed, _ := startLineEngine(t, emptyReply)
+	remaining, _ := startLineEngine(t, emptyReply)
+	front := startHTTP(t, removed)
+	client := connectHTTP(t, front.addr)
+	client.roundTrip(queryRequest("lookup", ""))
+	front.replaceEndpoints(remaining)
+	front.awaitCount("engine-connections.closed.idle-closed", 1)
+	got, _ := client.roundTrip(queryRequest("lookup", ""))
+	assertEqual(t, "answer", got, emptyResult)
+}
+
+// A new engine at the address of a removed one is another engine: connections to the old one
+// take no more requests.
+func TestDiscovery_ReusedAddressIsAnotherEngine(t *testing.T) {
+	var retired []string
+	pool := engine.NewPool[*recordingConnection]()
+	update := func(id string, state policy.EngineState, started time.Duration) {
+		pool.Engine(lifecycle.Endpoint{Address: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, StartedAt: started}})
+	}
+	connect := func(id string) {
+		pool.Get(id).Links = append(pool.Get(id).Links, &recordingConnection{id, &retired})
+	}
+	update("old", policy.EngineReady, 0)
+	connect("old")
+	update("new", policy.EngineReady, 0)
+	if pool.Get("new") == pool.Get("old") || len(pool.Get("new").Links) != 0 {
+		t.Error("the new engine has the connections of the old one")
+	}
+	update("old", policy.EngineDraining, 0)
+	update("old", policy.EngineRemoved, 0)
+	if pool.Get("old") != nil {
+		t.Error("the removed engine is still in the pool")
+	}
+	connect("new")
+	update("new", policy.EngineReady, time.Second)
+	assertEqual(t, "retired", strings.Join(retired, " "), "old new")
+}
+
+// recordingConnection notes when it is retired.
+type recordingConnection struct {
+	engineID string
+	retired  *[]string
+}
+
+// Retire implements the connection of a pool.
+func (c *recordingConnection) Retire() { *c.retired = append(*c.retired, c.engineID) }
--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e holds the tests of whole paths: clients, engines and rosters are
-// scripted peers on loopback sockets, one story for each failure met.
+// Package e2e holds the end-to-end tests: clients, engines and endpoint lists are scripted
+// peers on loopback sockets, with one scenario for each fault that production has met.
 package e2e
--- /dev/null
+++ b/internal/e2e/drain_test.go
@@ -0,0 +1,32 @@
+package e2e
+
+import "testing"
+
+// A request arrives on an idle connection in the moment in which a graceful shutdown closes
+// those: it is answered once, and its connection ends behind the answer.
+func TestDrain_RequestInTransitIsServed(t *testing.T) {
+	const partLength = len("POST /rpc/lookup HTT")
+	const want = `200 {"result":[["a","b","c"]]}`
+	addr, seen := startLineEngine(t, func(line string) string { return doneReply(line, "a\tb\tc\n") })
+	front := startHTTP(t, addr)
+	complete, partial, idle := connectHTTP(t, front.addr), connectHTTP(t, front.addr), connectHTTP(t, front.addr)
+	for _, client := range []*httpClient{complete, partial, idle} {
+		client.roundTrip(bareHealthRequest)
+	}
+	text := queryRequest("lookup", "")
+	front.onLoop(func() {
+		front.deliver(complete, text)
+		front.deliver(partial, text[:partLength])
+		front.httpServer.Drain()
+	})
+	assertEqual(t, "the request that arrived just before", complete.receive(), want)
+	got, _ := partial.roundTrip(text[partLength:])
+	assertEqual(t, "the request of which a part had arrived", got, want)
+	for _, client := range []*httpClient{complete, partial, idle} {
+		client.assertClosed()
+	}
+	await(t, seen)
+	await(t, seen)
+	front.assertCount("attempts.started.", 2)
+	front.assertCount("requests.disconnected.", 0)
+}
--- /dev/null
+++ b/internal/e2e/engine_faults_test.go
@@ -0,0 +1,148 @@
+package e2e
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxrelay/policy"
+)
+
+// A malformed answer of an engine ends its connection, and the client has its one answer all the
+// same.
+func TestEngineFault_MalformedAnswerIsAProtocolError(t *testing.T) {
+	for _, text := range []string{
+		"nonsense\r\n", requestID + " DONE - 99999999\r\n", requestID + " DONE - 2\r\nabcd", requestID + " HUH - 0\r\n\r\n",
+		requestID + " DONE batches=1 3\r\nabc\r\n", requestID + " DONE batches=x 0\r\n\r\n", strings.Repeat("x", 3000),
+		requestID + " DONE batches=1 4\r\na\tb\n\r\n", // too few columns
+		requestID + " DONE batches=1 6\r\na\tb\t\xff\n\r\n", requestID + " DONE - 0\r\n\r\n", requestID + " DONE batches=65 0\r\n\r\n", requestID + " DONE batches=1 3000000000\r\n",
+	} {
+		addr, _ := startLineEngine(t, func(string) string { return text })
+		front := startHTTP(t, addr)
+		got, _ := connectHTTP(t, front.addr).roundTrip(queryRequest("lookup", ""))
+		if !strings.HasPrefix(got, "503") && !strings.HasPrefix(got, "500") {
+			t.Errorf("%.20q: answer %s", text, got)
+		}
+		if n := front.count("attempts.ended.protocol-error"); n == 0 {
+			t.Errorf("%.20q: no attempt ended with a protocol error", text)
+		}
+	}
+}
+
+// A duplicate of a good answer, or one under an unknown id, does not disturb the connection and
+// the other requests on it.
+func TestEngineFault_DuplicateAnswersKeepTheConnection(t *testing.T) {
+	addr, _ := startLineEngine(t, func(line string) string {
+		words := strings.Fields(line)
+		switch words[0] {
+		case "want":
+			page := fmt.Sprintf("%s DONE batches=2 4\r\na\t\t\n\r\n", words[1])
+			return "0000000000000000 DONE - 2\r\nxx\r\n" + page + page
+		case "turn":
+			page := fmt.Sprintf("%s MORE batch=1 4\r\nb\t\t\n\r\n", words[1])
+			return page + page
+		}
+		return ""
+	})
+	front := startHTTP(t, addr)
+	client := connectHTTP(t, front.addr)
+	for n := range 3 {
+		got, _ := client.roundTrip(withID(queryRequest("lookup", ""), numberedID(n+1)))
+		assertEqual(t, "answer", got, `200 {"result":[["a","",""],["b","",""]]}`)
+	}
+	front.assertCount("engine-connections.dialed", 1)
+}
+
+// An answer stalls in the middle while its connection stays open: the connection is closed soon,
+// with all attempts on it, and another one serves both requests.
+func TestEngineFault_StalledAnswerEndsTheConnectionAndIsRetried(t *testing.T) {
+	stalled := false
+	addr, seen := startLineEngine(t, func(line string) string {
+		words := strings.Fields(line)
+		switch {
+		case words[0] != "want" || strings.HasSuffix(words[1], "1") && !stalled:
+			return ""
+		case !stalled:
+			stalled = true
+			return words[1] + " DONE batches=1 400\r\na\tb"
+		}
+		return fmt.Sprintf("%s DONE batches=1 0\r\n\r\n", words[1])
+	})
+	front := startHTTP(t, addr)
+	one, two := connectHTTP(t, front.addr), connectHTTP(t, front.addr)
+	one.send(queryRequest("lookup", "")) // its id ends in 1
+	await(t, seen)
+	got, _ := two.roundTrip(withID(queryRequest("lookup", ""), numberedID(2)))
+	assertEqual(t, "the request whose answer stalled", got, emptyResult)
+	assertEqual(t, "the other on that connection", one.receive(), emptyResult)
+	front.assertCount("attempts.ended.protocol-error", 2)
+}
+
+// dripInterval is the pace at which an engine sends an answer byte by byte. It is a step of the
+// scenario in real time: shorter than what the front end takes for a stall.
+const dripInterval = 100 * time.Millisecond
+
+// writeEndlessAnswer answers a byte at a time until the front end closes the connection.
+func writeEndlessAnswer(conn net.Conn, id string) {
+	_, err := fmt.Fprintf(conn, "%s DONE batches=1 9000\r\n", id)
+	for ; err == nil; _, err = io.WriteString(conn, "a") {
+		time.Sleep(dripInterval)
+	}
+}
+
+// An answer comes a byte at a time and never ends. Its connection is closed while the clients
+// still wait, and another engine, or the same one on a new connection, serves them.
+func TestEngineFault_EndlessAnswerEndsTheConnectionAndIsRetried(t *testing.T) {
+	dripping := make(chan struct{}, 1)
+	addr := listen(t, func(conn net.Conn) {
+		readRequestIDs(conn, func(id string) bool {
+			select {
+			case dripping <- struct{}{}:
+				writeEndlessAnswer(conn, id)
+				return false
+			default:
+				_, err := io.WriteString(conn, doneReply("want "+id, ""))
+				return err == nil
+			}
+		})
+	})
+	front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = false }).serveHTTP(addr)
+	client := connectHTTP(t, front.addr)
+	got, _ := client.roundTrip(withWait(queryRequest("lookup", ""), longWait))
+	assertEqual(t, "answer", got, emptyResult)
+	front.assertCount("attempts.ended.protocol-error", 1)
+}
+
+// An attempt times out at an engine that does not answer: it is cancelled there only where the
+// settings permit that, and the client has its one answer either way.
+func TestEngineFault_TimeoutIsCancelledOnlyWherePermitted(t *testing.T) {
+	for _, cancel := range []bool{true, false} {
+		addr, seen := startLineEngine(t, func(line string) string {
+			if words := strings.Fields(line); words[1] == numberedID(2) {
+				return doneReply(line, "")
+			}
+			return ""
+		})
+		front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = cancel }).serveHTTP(addr)
+		client := connectHTTP(t, front.addr)
+		got, _ := client.roundTrip(withWait(queryRequest("lookup", ""), "200"))
+		if !strings.HasPrefix(got, "50") {
+			t.Errorf("cancel %v: answer %s", cancel, got)
+		}
+		front.awaitCount("attempts.ended.", 1)
+		got, _ = client.roundTrip(withID(queryRequest("lookup", ""), numberedID(2)))
+		assertEqual(t, "the next answer", got, emptyResult)
+		cancels := 0
+		for line := ""; !strings.HasPrefix(line, "want "+numberedID(2)); {
+			if line = await(t, seen); strings.HasPrefix(line, "never_mind") {
+				cancels++
+			}
+		}
+		if want := map[bool]int{true: 1}[cancel]; cancels != want {
+			t.Errorf("cancel %v: the engine received %d cancels, want %d", cancel, cancels, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/e2e/frontend_helpers_test.go
@@ -0,0 +1,218 @@
+package e2e
+
+import (
+	"encoding/json"
+	"io"
+	"log/slog"
+	"os"
+	"testing"
+
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/engine/lineclient"
+	"flaxrelay/internal/engine/pgclient"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/frontend/httpserver"
+	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
+)
+
+const (
+	// maxSockets bounds the sockets of one front end under test.
+	maxSockets = 1024
+	// defaultStreams is the number of requests in flight on one engine connection, where a
+	// test does not choose its own.
+	defaultStreams = 32
+)
+
+// frontEnd is a proxy in the test's own process. The fields up to pgOptions may be changed
+// before it serves; the dispatcher belongs to the goroutine of the event loop.
+type frontEnd struct {
+	t           testing.TB
+	loop        *eventloop.Loop
+	dispatcher  *lifecycle.Dispatcher
+	counters    *metrics.Counters
+	site        config.Site
+	logger      *slog.Logger
+	httpOptions httpserver.Options
+	pgOptions   pgserver.Options
+
+	maxEngineConnections int // 0: the default of the engine client
+	maxStreams           int // requests in flight on one engine connection; 0: defaultStreams
+
+	addr          string
+	httpServer    *httpserver.Server // nil where it serves PostgreSQL
+	drain         func()             // begins a graceful shutdown of the server
+	closeListener func()
+}
+
+// newFrontEnd reads the settings of the deploy folder, which change may change.
+func newFrontEnd(t testing.TB, change func(*policy.Settings)) *frontEnd {
+	t.Helper()
+	raw, err := os.ReadFile("../../deploy/postgres-settings.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	front := &frontEnd{t: t, counters: metrics.New(), logger: slog.New(slog.DiscardHandler)}
+	if err := json.Unmarshal(raw, &front.site); err != nil {
+		t.Fatal(err)
+	}
+	if change != nil {
+		change(&front.site.Policy)
+	}
+	if front.loop, err = eventloop.New(maxSockets); err != nil {
+		t.Fatal(err)
+	}
+	const seed = 1
+	front.dispatcher, err = lifecycle.New(front.site.Policy, seed, front.loop, front.loop.Timers, front.counters, front.logger)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return front
+}
+
+// startHTTP starts an HTTP front end with engines of the line protocol at the addresses.
+func startHTTP(t testing.TB, engines ...string) *frontEnd {
+	t.Helper()
+	return newFrontEnd(t, nil).serveHTTP(engines...)
+}
+
+func (f *frontEnd) serveHTTP(engines ...string) *frontEnd {
+	f.t.Helper()
+	f.site.MaxStreams = defaultStreams
+	if f.maxStreams > 0 {
+		f.site.MaxStreams = f.maxStreams
+	}
+	engineClient := lineclient.New(f.loop, f.dispatcher, f.site, f.counters, f.logger)
+	engineClient.MaxConnections = f.maxEngineConnections
+	f.dispatcher.SetEngineClient(engineClient)
+	server := httpserver.New(f.loop, f.dispatcher, f.httpOptions, f.counters)
+	if err := server.Listen("127.0.0.1:0"); err != nil {
+		f.t.Fatal(err)
+	}
+	f.addr, f.httpServer, f.drain, f.closeListener = server.Addr(), server, server.Drain, server.CloseListener
+	f.run()
+	f.updateEndpoints(policy.EngineReady, engines...)
+	return f
+}
+
+// startPostgres starts a PostgreSQL front end with engines at the addresses.
+func startPostgres(t testing.TB, engines ...string) *frontEnd {
+	t.Helper()
+	return newFrontEnd(t, nil).servePostgres(engines...)
+}
+
+// loadRule takes each INSERT for a load whose idempotency key is its first value.
+var loadRule = pgserver.Rule{Starts: "insert into", Class: "load", Key: 1}
+
+func (f *frontEnd) servePostgres(engines ...string) *frontEnd {
+	f.t.Helper()
+	f.dispatcher.SetEngineClient(pgclient.New(f.loop, f.dispatcher,
+		pgclient.Options{User: "ringwood", Database: "register"}, f.counters, f.logger))
+	if f.pgOptions.DefaultClass == "" {
+		f.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", Rules: []pgserver.Rule{loadRule}}
+	}
+	server := pgserver.New(f.loop, f.dispatcher, f.pgOptions, f.counters)
+	if err := server.Listen("127.0.0.1:0"); err != nil {
+		f.t.Fatal(err)
+	}
+	f.addr, f.drain, f.closeListener = server.Addr(), server.Drain, server.CloseListener
+	f.run()
+	f.updateEndpoints(policy.EngineReady, engines...)
+	return f
+}
+
+// run runs the event loop until the end of the test.
+func (f *frontEnd) run() {
+	done := make(chan struct{})
+	go func() { f.loop.Run(); close(done) }()
+	f.t.Cleanup(func() {
+		if f.closeListener != nil {
+			f.closeListener() // its descriptor is one of the process, whose number is bounded
+		}
+		f.loop.Post(f.loop.Stop)
+		<-done
+		f.checkAccounting()
+	})
+}
+
+// checkAccounting checks, at the end of every test, that each accepted request had one final
+// answer or a client that disconnected, and each attempt that started had one end.
+func (f *frontEnd) checkAccounting() {
+	if f.dispatcher.Pending() > 0 { // cut off by the end of the test
+		return
+	}
+	accepted, over := f.counters.Sum("requests.accepted."), f.counters.Sum("requests.completed.")+f.counters.Sum("requests.disconnected.")
+	if accepted != over {
+		f.t.Errorf("%d requests accepted, %d answered or disconnected", accepted, over)
+	}
+	if started, ended := f.counters.Sum("attempts.started."), f.counters.Sum("attempts.ended."); started != ended {
+		f.t.Errorf("%d attempts started, %d ended", started, ended)
+	}
+}
+
+// onLoop runs do on the loop's goroutine and waits for it.
+func (f *frontEnd) onLoop(do func()) {
+	done := make(chan struct{})
+	f.loop.Post(func() { do(); close(done) })
+	<-done
+}
+
+// count is the sum of the counters whose names begin with the prefix.
+func (f *frontEnd) count(prefix string) (sum int64) {
+	f.onLoop(func() { sum = f.counters.Sum(prefix) })
+	return sum
+}
+
+// awaitCount waits until the sum of the counters has reached a value.
+func (f *frontEnd) awaitCount(prefix string, atLeast int64) {
+	f.t.Helper()
+	if !poll(func() bool { return f.count(prefix) >= atLeast }) {
+		f.t.Fatalf("%s is %d after %v, want %d", prefix, f.count(prefix), waitLimit, atLeast)
+	}
+}
+
+// assertCount checks the sum of the counters now.
+func (f *frontEnd) assertCount(prefix string, want int64) {
+	f.t.Helper()
+	if got := f.count(prefix); got != want {
+		f.t.Errorf("%s is %d, want %d", prefix, got, want)
+	}
+}
+
+// endpointAt is an engine whose identity follows from its address.
+func endpointAt(addr string, state policy.EngineState) lifecycle.Endpoint {
+	return lifecycle.Endpoint{Address: addr, Engine: policy.Engine{ID: "e" + addr, Zone: "hall-a", Kind: "std-8", State: state}}
+}
+
+// updateEndpoints has the endpoint list bring a new state of the engines at the addresses.
+func (f *frontEnd) updateEndpoints(state policy.EngineState, addrs ...string) {
+	f.applyUpdate(policy.UpdateDelta, state, addrs...)
+}
+
+// replaceEndpoints has the endpoint list name the engines at the addresses and no other.
+func (f *frontEnd) replaceEndpoints(addrs ...string) {
+	f.applyUpdate(policy.UpdateFull, policy.EngineReady, addrs...)
+}
+
+func (f *frontEnd) applyUpdate(kind policy.UpdateMode, state policy.EngineState, addrs ...string) {
+	var list []lifecycle.Endpoint
+	for _, addr := range addrs {
+		list = append(list, endpointAt(addr, state))
+	}
+	f.onLoop(func() { f.dispatcher.UpdateEndpoints(kind, list) })
+}
+
+// deliver writes text, and holds the loop's goroutine, on which it runs, until the poller has
+// read the text: what the loop does next meets it in transit.
+func (f *frontEnd) deliver(client *httpClient, text string) {
+	f.t.Helper()
+	before := f.loop.BufferedBytes()
+	if _, err := io.WriteString(client.conn, text); err != nil {
+		f.t.Error(err)
+	}
+	if !poll(func() bool { return f.loop.BufferedBytes() >= before+int64(len(text)) }) {
+		f.t.Errorf("the poller has not read %q after %v", text, waitLimit)
+	}
+}
--- a/internal/e2e/golden_test.go
+++ b/internal/e2e/golden_helpers_test.go
@@ -5,15 +5,13 @@
 	"flag"
 	"fmt"
 	"io"
-	"net"
 	"os"
 	"path/filepath"
-	"runtime"
 	"strings"
 	"testing"
 )
 
-// update has the golden files written from what the front ends answer now.
+// update has the golden files written from the present answers of the front ends.
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // longRun is the least number of equal bytes in a row that a transcript abbreviates.
@@ -30,7 +28,7 @@
 
 // add records one piece; a run of one byte is written as its length and the byte.
 func (tr *transcript) add(connection, direction string, piece []byte) {
-	fmt.Fprintf(&tr.text, "%s%s", connection, direction)
+	_, _ = fmt.Fprintf(&tr.text, "%s%s", connection, direction)
 	for len(piece) > 0 {
 		plain, run := splitAtRun(piece)
 		if len(plain) > 0 {
@@ -70,12 +68,12 @@
 	}
 }
 
-// event records what is no piece of a stream.
+// event records what is not a piece of a stream.
 func (tr *transcript) event(connection, what string) {
 	fmt.Fprintf(&tr.text, "%s# %s\n", connection, what)
 }
 
-// compare holds the transcript against its golden file.
+// compare compares the transcript with its golden file.
 func (tr *transcript) compare(name string) {
 	tr.t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -93,15 +91,7 @@
 	if err != nil {
 		tr.t.Fatal(err)
 	}
-	same(tr.t, path, got, string(want))
-}
-
-// closeWrite half-closes a connection, so that its peer ends it too.
-func closeWrite(t *testing.T, c net.Conn) {
-	t.Helper()
-	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
-		t.Fatal(err)
-	}
+	assertEqual(tr.t, path, got, string(want))
 }
 
 // readToEnd reads until the peer ends the connection.
@@ -113,10 +103,3 @@
 	}
 	return rest
 }
-
-// awaitSent waits until so many attempts have gone to engines.
-func (g *gateway) awaitSent(n int64) {
-	for g.count("attempts.started.") < n {
-		runtime.Gosched()
-	}
-}
--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -1,234 +1,95 @@
 package e2e
 
 import (
-	"bufio"
-	"bytes"
-	"fmt"
-	"io"
-	"net"
-	"regexp"
-	"strconv"
 	"strings"
 	"testing"
 
 	"flaxrelay/policy"
 )
 
-// Two values of the HTTP front differ from run to run, and only these are replaced in the
-// transcripts: the start's mark in the paths of further parts, which is the time of the
-// start, and the figure of Srv-Wait-Ms, which is drawn at random. The length of an answer
-// that holds such a path is checked against its body and then told for the replaced one.
-var (
-	startMark   = regexp.MustCompile(`/more/[0-9a-z]+-`)
-	waitFigure  = regexp.MustCompile(`Srv-Wait-Ms: [1-9][0-9]{0,3}\r\n`)
-	morePath    = regexp.MustCompile(`"more":"([^"]*)"`)
-	lengthField = regexp.MustCompile(`Content-Length: ([0-9]+)\r\n`)
-)
-
-// httpExchange is one recorded connection to the HTTP front.
-type httpExchange struct {
-	*transcript
-	name string
-	conn net.Conn
-	in   *bufio.Reader
-	more string // the path that the latest answer named
-}
-
-func (tr *transcript) http(name, addr string) *httpExchange {
-	c := dial(tr.t, addr)
-	return &httpExchange{transcript: tr, name: name, conn: c, in: bufio.NewReader(c)}
-}
-
-// send writes bytes, in which MORE stands for the path that the latest answer named.
-func (x *httpExchange) send(text string) {
-	x.t.Helper()
-	text = strings.ReplaceAll(text, "MORE", x.more)
-	x.lines(x.name, ">", startMark.ReplaceAll([]byte(text), []byte("/more/START-")))
-	if _, err := io.WriteString(x.conn, text); err != nil {
-		x.t.Fatal(err)
-	}
-}
-
-// receive reads one answer byte by byte as it comes, without the help of a HTTP client.
-func (x *httpExchange) receive() {
-	x.t.Helper()
-	var head []byte
-	for !bytes.HasSuffix(head, []byte("\r\n\r\n")) {
-		b, err := x.in.ReadByte()
-		if err != nil {
-			x.t.Fatalf("after %q: %v", head, err)
-		}
-		head = append(head, b)
-	}
-	length := lengthField.FindSubmatch(head)
-	if length == nil {
-		x.t.Fatalf("no length in %q", head)
-	}
-	n, _ := strconv.Atoi(string(length[1]))
-	body := make([]byte, n)
-	if _, err := io.ReadFull(x.in, body); err != nil {
-		x.t.Fatal(err)
-	}
-	x.more = ""
-	if path := morePath.FindSubmatch(body); path != nil {
-		x.more = string(path[1])
-		body = startMark.ReplaceAll(body, []byte("/more/START-"))
-		head = lengthField.ReplaceAll(head, fmt.Appendf(nil, "Content-Length: %d\r\n", len(body)))
-	}
-	x.lines(x.name, "<", waitFigure.ReplaceAll(head, []byte("Srv-Wait-Ms: FIGURE\r\n")))
-	x.lines(x.name, "<", body)
-}
-
-// exchange sends one call and reads its answer.
-func (x *httpExchange) exchange(text string) {
-	x.t.Helper()
-	x.send(text)
-	x.receive()
-}
-
-// closed reads to the end that the front makes.
-func (x *httpExchange) closed() {
-	x.t.Helper()
-	x.lines(x.name, "<", readToEnd(x.t, x.in))
-	x.event(x.name, "closed by the front end")
-}
-
-// hangUp ends the connection from the client's side; nothing more may have come.
-func (x *httpExchange) hangUp() {
-	x.t.Helper()
-	closeWrite(x.t, x.conn)
-	x.lines(x.name, "<", readToEnd(x.t, x.in))
-	x.event(x.name, "closed by the client")
-}
-
-const health = "GET /health HTTP/1.1\r\nHost: backend.local\r\n\r\n"
-
-// without cuts one piece out of a call.
-func without(call, piece string) string { return strings.Replace(call, piece, "", 1) }
-
-// goldenEngine answers by the statement's class and text, as real ones do.
-func goldenEngine(line string) string {
-	words := strings.Fields(line)
-	switch {
-	case words[0] == "turn":
-		n, _ := strconv.Atoi(words[2])
-		page := goldenPage(n)
-		return fmt.Sprintf("%s MORE batch=%s %d\r\n%s\r\n", words[1], words[2], len(page), page)
-	case words[0] != "want":
-		return ""
-	case strings.Contains(line, "several_pages"):
-		page := goldenPage(0)
-		return fmt.Sprintf("%s DONE batches=24 %d\r\n%s\r\n", words[1], len(page), page)
-	case strings.Contains(line, "no_rows"):
-		return done(line, "")
-	case strings.Contains(line, "turned_away"):
-		return words[1] + " WAIT - 0\r\n\r\n"
-	case strings.Contains(line, "broken"):
-		return words[1] + " BROKE - 0\r\n\r\n"
-	case strings.Contains(line, "past"):
-		return words[1] + " PAST - 0\r\n\r\n"
-	case strings.Contains(line, "unreadable"):
-		return "no answer at all\r\n"
-	case strings.Contains(line, "hangs_up"):
-		return "hang up"
-	case strings.Contains(line, "silent"):
-		return ""
-	}
-	return done(line, "a\t\"1\"\t\\x\nb\t\x01\té\n")
-}
-
-// goldenPage is a page of one long row that tells its number.
-func goldenPage(n int) string {
-	return fmt.Sprintf("%d\t%s\tz\n", n, strings.Repeat(string(rune('a'+n)), 5900))
-}
-
-// asking is a call whose statement reads the table.
-func asking(class, table, head string) string {
-	text := "SELECT day FROM sales_17." + table
-	return fmt.Sprintf("POST /rpc/%s HTTP/1.1\r\nHost: backend.local\r\nReq-Id: %s\r\nReq-Wait-Ms: 2000\r\n%sContent-Length: %d\r\n\r\n%s",
-		class, id, head, len(text), text)
-}
-
-// Calls that an engine serves, and those that are taken and end otherwise.
-func TestGoldenHTTPAnswers(t *testing.T) {
+// Requests that an engine serves, and those that are accepted and end otherwise.
+func TestGoldenHTTP_Answers(t *testing.T) {
 	const token = "Req-Token: k-1\r\n"
-	for name, calls := range map[string][]string{
-		"health":                  {health},
-		"served":                  {asking("lookup", "orders", "")},
-		"served-no-rows":          {asking("lookup", "no_rows", "")},
-		"served-load":             {asking("load", "orders", token+"Req-Kb: 96\r\nReq-Cost: 820.0\r\nReq-Retry: 1\r\n")},
-		"served-lower-case-field": {strings.Replace(asking("lookup", "orders", ""), "Req-Id", "req-id", 1)},
-		"served-twice":            {asking("lookup", "orders", ""), asking("report", "orders", "")},
-		"several-pages":           {asking("report", "several_pages", ""), "GET MORE HTTP/1.1\r\n\r\n", "GET MORE HTTP/1.1\r\n\r\n"},
-		"delete-open-path":        {asking("report", "several_pages", ""), "DELETE MORE HTTP/1.1\r\n\r\n", health},
-		"delete-twice": {asking("report", "several_pages", ""), "DELETE MORE HTTP/1.1\r\n\r\n",
-			"DELETE /more/unknown-1/1 HTTP/1.1\r\n\r\n"},
+	for name, requests := range map[string][]string{
+		"health":                  {healthRequest},
+		"served":                  {queryRequest("lookup", "")},
+		"served-no-rows":          {tableRequest("lookup", "no_rows", "")},
+		"served-load":             {tableRequest("load", "orders", token+"Req-Kb: 96\r\nReq-Cost: 820.0\r\nReq-Retry: 1\r\n")},
+		"served-lower-case-field": {strings.Replace(queryRequest("lookup", ""), "Req-Id", "req-id", 1)},
+		"served-twice":            {queryRequest("lookup", ""), tableRequest("report", "orders", "")},
+		"several-pages":           {tableRequest("report", "several_pages", ""), "GET MORE HTTP/1.1\r\n\r\n", "GET MORE HTTP/1.1\r\n\r\n"},
+		"delete-open-path":        {tableRequest("report", "several_pages", ""), "DELETE MORE HTTP/1.1\r\n\r\n", healthRequest},
+		"delete-twice": {
+			tableRequest("report", "several_pages", ""),
+			"DELETE MORE HTTP/1.1\r\n\r\n",
+			"DELETE /more/unknown-1/1 HTTP/1.1\r\n\r\n",
+		},
 		"path-of-nothing":   {"GET /more/unknown-1/1 HTTP/1.1\r\n\r\n"},
 		"path-without-part": {"GET /more/ HTTP/1.1\r\n\r\n"},
-		"refused-load":      {asking("load", "broken", token)},
-		"failed-write":      {asking("write", "broken", "")},
-		"failed-unreadable": {asking("write", "unreadable", "")},
-		"failed-reset":      {asking("write", "hangs_up", "")},
-		"refused-full":      {asking("write", "turned_away", "")},
+		"refused-load":      {tableRequest("load", "broken", token)},
+		"failed-write":      {tableRequest("write", "broken", "")},
+		"failed-unreadable": {tableRequest("write", "unreadable", "")},
+		"failed-reset":      {tableRequest("write", "hangs_up", "")},
+		"refused-full":      {tableRequest("write", "turned_away", "")},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, _ := lineEngine(t, goldenEngine)
-			x := newTranscript(t).http("", platform(t, addr).addr)
-			for _, call := range calls {
-				x.exchange(call)
+			addr, _ := startLineEngine(t, goldenEngine)
+			recorder := newTranscript(t).recordHTTP("", startHTTP(t, addr).addr)
+			for _, request := range requests {
+				recorder.roundTrip(request)
 			}
-			x.hangUp()
-			x.compare("http/" + name)
+			recorder.disconnect()
+			recorder.compare("http/" + name)
 		})
 	}
 }
 
-// The module refuses a request that no engine could take.
-func TestGoldenHTTPRefused(t *testing.T) {
-	x := newTranscript(t).http("", platform(t).addr)
-	x.exchange(asking("lookup", "orders", ""))
-	x.exchange(health)
-	x.hangUp()
-	x.compare("http/refused-no-engine")
-}
-
-// Without leave to tell when to come back a refusal has no such field.
-func TestGoldenHTTPRefusedUnsaid(t *testing.T) {
-	g := newGateway(t, func(s *policy.Settings) { s.Limits.RetryAfter = false })
-	x := newTranscript(t).http("", g.platform().addr)
-	x.exchange(asking("lookup", "orders", ""))
-	x.hangUp()
-	x.compare("http/refused-unsaid")
-}
-
-// An engine says nothing until the client's time is over.
-func TestGoldenHTTPTimeout(t *testing.T) {
-	addr, _ := lineEngine(t, goldenEngine)
-	x := newTranscript(t).http("", platform(t, addr).addr)
-	x.exchange(strings.Replace(asking("write", "silent", ""), "2000", "100", 1))
-	x.hangUp()
-	x.compare("http/failed-timeout")
-}
-
-// Bad calls are answered and end their connections, with all that stands behind them.
-func TestGoldenHTTPBadCalls(t *testing.T) {
-	addr, _ := lineEngine(t, goldenEngine)
-	good := asking("lookup", "orders", "")
-	with := func(head string) string { return asking("lookup", "orders", head) }
-	g := platform(t, addr)
-	answered := map[string]*httpExchange{}
-	for name, call := range map[string]string{
+// A request that no engine could take is rejected.
+func TestGoldenHTTP_RejectionWithoutEngines(t *testing.T) {
+	recorder := newTranscript(t).recordHTTP("", startHTTP(t).addr)
+	recorder.roundTrip(queryRequest("lookup", ""))
+	recorder.roundTrip(healthRequest)
+	recorder.disconnect()
+	recorder.compare("http/refused-no-engine")
+}
+
+// Where the settings permit no time after which to retry, a rejection has no such field.
+func TestGoldenHTTP_RejectionWithoutRetryAfter(t *testing.T) {
+	front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.RetryAfter = false })
+	recorder := newTranscript(t).recordHTTP("", front.serveHTTP().addr)
+	recorder.roundTrip(queryRequest("lookup", ""))
+	recorder.disconnect()
+	recorder.compare("http/refused-unsaid")
+}
+
+// An engine is unresponsive until the client's wait is over.
+func TestGoldenHTTP_Timeout(t *testing.T) {
+	addr, _ := startLineEngine(t, goldenEngine)
+	recorder := newTranscript(t).recordHTTP("", startHTTP(t, addr).addr)
+	recorder.roundTrip(withWait(tableRequest("write", "silent", ""), "100"))
+	recorder.disconnect()
+	recorder.compare("http/failed-timeout")
+}
+
+// Malformed requests are answered and end their connections, with all that stands behind them.
+func TestGoldenHTTP_MalformedRequests(t *testing.T) {
+	addr, _ := startLineEngine(t, goldenEngine)
+	good := queryRequest("lookup", "")
+	with := func(header string) string { return queryRequest("lookup", header) }
+	front := startHTTP(t, addr)
+	answered := map[string]*httpRecorder{}
+	for name, request := range map[string]string{
 		"unknown-path":          "GET /nowhere HTTP/1.1\r\n\r\n",
-		"unknown-class":         asking("nope", "orders", ""),
+		"unknown-class":         tableRequest("nope", "orders", ""),
 		"unknown-method":        "PATCH /rpc/lookup HTTP/1.1\r\n\r\n",
 		"method-of-health":      "DELETE /health HTTP/1.1\r\n\r\n",
 		"method-of-more":        "POST /more/x-1/1 HTTP/1.1\r\nContent-Length: 1\r\n\r\nx",
 		"get-of-class":          "GET /rpc/lookup HTTP/1.1\r\n\r\n",
-		"no-id":                 without(good, "Req-Id: "+id+"\r\n"),
-		"short-id":              strings.Replace(good, id, id[1:], 1),
-		"id-not-hex":            strings.Replace(good, id, "g"+id[1:], 1),
-		"id-twice":              with("Req-Id: " + id + "\r\n"),
-		"no-wait":               without(good, "Req-Wait-Ms: 2000\r\n"),
+		"no-id":                 strings.Replace(good, "Req-Id: "+requestID+"\r\n", "", 1),
+		"short-id":              strings.Replace(good, requestID, requestID[1:], 1),
+		"id-not-hex":            strings.Replace(good, requestID, "g"+requestID[1:], 1),
+		"id-twice":              with("Req-Id: " + requestID + "\r\n"),
+		"no-wait":               strings.Replace(good, "Req-Wait-Ms: "+defaultWait+"\r\n", "", 1),
 		"wait-no-number":        strings.Replace(good, "2000", "NaN", 1),
 		"wait-zero":             strings.Replace(good, "2000", "0", 1),
 		"wait-too-long":         strings.Replace(good, "2000", "600001", 1),
@@ -260,101 +121,99 @@
 		"retry-no-number":       with("Req-Retry: x\r\n"),
 		"cost-zero":             with("Req-Cost: 0\r\n"),
 		"memory-no-number":      with("Req-Kb: much\r\n"),
-		"load-no-token":         asking("load", "orders", ""),
-		"load-bad-token":        asking("load", "orders", "Req-Token: a,b\r\n"),
-		"followed-by-others":    asking("nope", "orders", "") + health + health,
+		"load-no-token":         tableRequest("load", "orders", ""),
+		"load-bad-token":        tableRequest("load", "orders", "Req-Token: a,b\r\n"),
+		"followed-by-others":    tableRequest("nope", "orders", "") + healthRequest + healthRequest,
 	} {
-		x := newTranscript(t).http("", g.addr)
-		x.exchange(call)
-		answered[name] = x
-	}
-	for name, x := range answered { // the front end leaves each client some time to read
-		x.closed()
-		x.compare("http/bad-" + name)
+		recorder := newTranscript(t).recordHTTP("", front.addr)
+		recorder.roundTrip(request)
+		answered[name] = recorder
 	}
-	if n := g.count("requests.accepted."); n != 0 {
-		t.Errorf("%d requests taken, want none", n)
+	for name, recorder := range answered { // the front end leaves each client some time to read
+		recorder.recordClose()
+		recorder.compare("http/bad-" + name)
 	}
+	front.assertCount("requests.accepted.", 0)
 }
 
-// Calls that come in one piece are answered one after the other, in their order.
-func TestGoldenHTTPPipelined(t *testing.T) {
-	addr, _ := lineEngine(t, goldenEngine)
-	x := newTranscript(t).http("", platform(t, addr).addr)
-	x.send(asking("lookup", "orders", "") + health + asking("report", "no_rows", "") + health)
+// Requests that arrive in one piece are answered one after the other, in their order.
+func TestGoldenHTTP_Pipelining(t *testing.T) {
+	addr, _ := startLineEngine(t, goldenEngine)
+	recorder := newTranscript(t).recordHTTP("", startHTTP(t, addr).addr)
+	recorder.send(queryRequest("lookup", "") + healthRequest + tableRequest("report", "no_rows", "") + healthRequest)
 	for range 4 {
-		x.receive()
+		recorder.receive()
 	}
-	x.hangUp()
-	x.compare("http/pipelined")
+	recorder.disconnect()
+	recorder.compare("http/pipelined")
 }
 
-// Calls whose connection ends behind their answer by their own wish.
-func TestGoldenHTTPLastCalls(t *testing.T) {
-	addr, _ := lineEngine(t, goldenEngine)
-	g := platform(t, addr)
-	for name, call := range map[string]string{
+// Requests that ask for their connection to be closed behind the answer.
+func TestGoldenHTTP_ConnectionClose(t *testing.T) {
+	addr, _ := startLineEngine(t, goldenEngine)
+	front := startHTTP(t, addr)
+	for name, request := range map[string]string{
 		"http-1.0":        "GET /health HTTP/1.0\r\n\r\n",
-		"http-1.0-served": strings.Replace(asking("lookup", "orders", ""), "HTTP/1.1", "HTTP/1.0", 1),
+		"http-1.0-served": strings.Replace(queryRequest("lookup", ""), "HTTP/1.1", "HTTP/1.0", 1),
 		"close":           "GET /health HTTP/1.1\r\nConnection: Close\r\n\r\n",
-		"close-served":    asking("lookup", "orders", "Connection: close\r\n"),
+		"close-served":    tableRequest("lookup", "orders", "Connection: close\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newTranscript(t).http("", g.addr)
-			x.send(call)
-			x.receive()
-			x.closed()
-			x.compare("http/last-" + name)
+			recorder := newTranscript(t).recordHTTP("", front.addr)
+			recorder.send(request)
+			recorder.receive()
+			recorder.recordClose()
+			recorder.compare("http/last-" + name)
 		})
 	}
 }
 
-// A second request of an id that is open is turned down, and the first goes on.
-func TestGoldenHTTPOpenID(t *testing.T) {
+// A second request of an id in flight is rejected, and the first goes on.
+func TestGoldenHTTP_DuplicateRequestID(t *testing.T) {
 	release := make(chan struct{})
-	addr, seen := lineEngine(t, func(line string) string {
+	addr, seen := startLineEngine(t, func(line string) string {
 		<-release
 		return goldenEngine(line)
 	})
-	tr, g := newTranscript(t), platform(t, addr)
-	first, second := tr.http("1", g.addr), tr.http("2", g.addr)
-	first.send(asking("lookup", "orders", ""))
-	g.awaitSent(1)
-	second.exchange(asking("lookup", "orders", ""))
-	second.closed()
+	tr, front := newTranscript(t), startHTTP(t, addr)
+	first, second := tr.recordHTTP("1", front.addr), tr.recordHTTP("2", front.addr)
+	first.send(queryRequest("lookup", ""))
+	front.awaitCount("attempts.started.", 1)
+	second.roundTrip(queryRequest("lookup", ""))
+	second.recordClose()
 	close(release)
 	first.receive()
 	await(t, seen)
-	first.hangUp()
+	first.disconnect()
 	tr.compare("http/bad-open-id")
 }
 
-// A drain ends idle connections at once, and others behind their answers.
-func TestGoldenHTTPDrain(t *testing.T) {
+// A drain closes idle connections at once, and others behind their answers.
+func TestGoldenHTTP_Drain(t *testing.T) {
 	release := make(chan struct{})
-	addr, _ := lineEngine(t, func(line string) string {
+	addr, _ := startLineEngine(t, func(line string) string {
 		if strings.Contains(line, "orders") {
 			<-release
 		}
 		return goldenEngine(line)
 	})
-	tr, g := newTranscript(t), platform(t, addr)
-	idle, fetching, busy := tr.http("idle", g.addr), tr.http("fetching", g.addr), tr.http("busy", g.addr)
-	idle.exchange(health)
-	fetching.exchange(asking("report", "several_pages", ""))
-	busy.send(asking("lookup", "orders", ""))
-	g.awaitSent(2)
-	g.do(g.rest.Drain)
+	tr, front := newTranscript(t), startHTTP(t, addr)
+	idle, fetching, busy := tr.recordHTTP("idle", front.addr), tr.recordHTTP("fetching", front.addr), tr.recordHTTP("busy", front.addr)
+	idle.roundTrip(healthRequest)
+	fetching.roundTrip(tableRequest("report", "several_pages", ""))
+	busy.send(queryRequest("lookup", ""))
+	front.awaitCount("attempts.started.", 2)
+	front.onLoop(front.httpServer.Drain)
 	tr.event("", "the drain begins")
-	idle.closed()
-	fetching.exchange("GET MORE HTTP/1.1\r\n\r\n")
-	fetching.exchange("GET MORE HTTP/1.1\r\n\r\n")
-	fetching.closed()
+	idle.recordClose()
+	fetching.roundTrip("GET MORE HTTP/1.1\r\n\r\n")
+	fetching.roundTrip("GET MORE HTTP/1.1\r\n\r\n")
+	fetching.recordClose()
 	close(release)
 	busy.receive()
-	busy.closed()
-	late := tr.http("late", g.addr)
-	late.exchange(health)
-	late.closed()
+	busy.recordClose()
+	late := tr.recordHTTP("late", front.addr)
+	late.roundTrip(healthRequest)
+	late.recordClose()
 	tr.compare("http/drain")
 }
--- /dev/null
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -0,0 +1,170 @@
+package e2e
+
+import (
+	"bytes"
+	"encoding/binary"
+	"net"
+	"regexp"
+	"strings"
+
+	"flaxrelay/internal/pgproto"
+)
+
+// Two values of the PostgreSQL front end are random, and only these are replaced in the
+// transcripts: the secret of BackendKeyData, and the time in the hint when to retry, together
+// with the length of the message that holds it.
+var (
+	retryHint  = regexp.MustCompile(`Try again in [1-9][0-9]{0,3} ms\.`)
+	secretMark = []byte("<secret>")
+)
+
+// pgRecorder is a recorded connection to the PostgreSQL front end.
+type pgRecorder struct {
+	*transcript
+	name    string
+	conn    net.Conn
+	unread  []byte
+	keyData []byte // the body of the latest BackendKeyData: process number and secret
+}
+
+// recordPostgres connects to a PostgreSQL front end; the name stands before each line of the
+// transcript.
+func (tr *transcript) recordPostgres(name, addr string) *pgRecorder {
+	return &pgRecorder{transcript: tr, name: name, conn: dial(tr.t, addr)}
+}
+
+// send writes messages, each of which is recorded as one piece.
+func (r *pgRecorder) send(messages ...[]byte) {
+	r.t.Helper()
+	for _, message := range messages {
+		r.add(r.name, ">", message)
+	}
+	if _, err := r.conn.Write(bytes.Join(messages, nil)); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+// readMore appends what arrives to unread; it is false where the connection has ended.
+func (r *pgRecorder) readMore() (more bool) {
+	r.t.Helper()
+	r.unread, more = readChunk(r.t, r.conn, r.unread)
+	return more
+}
+
+// receiveByte reads the one byte that answers a request for encryption.
+func (r *pgRecorder) receiveByte() {
+	r.t.Helper()
+	for len(r.unread) == 0 {
+		if !r.readMore() {
+			r.t.Fatal("the connection was closed")
+		}
+	}
+	r.add(r.name, "<", r.unread[:1])
+	r.unread = r.unread[1:]
+}
+
+// receiveUntilReady reads messages up to a ReadyForQuery.
+func (r *pgRecorder) receiveUntilReady() {
+	r.t.Helper()
+	for {
+		kind, n := r.message()
+		switch {
+		case n > 0 && kind == 'Z':
+			return
+		case n == 0 && !r.readMore():
+			r.t.Fatalf("the connection was closed before a ReadyForQuery; unread: %q", r.unread)
+		}
+	}
+}
+
+// message records the next message if it is complete.
+func (r *pgRecorder) message() (kind byte, n int) {
+	const headLength, keyDataLength, secretAt = 5, 13, 9
+	if len(r.unread) < headLength {
+		return 0, 0
+	}
+	kind, n = r.unread[0], 1+int(binary.BigEndian.Uint32(r.unread[1:]))
+	if len(r.unread) < n {
+		return 0, 0
+	}
+	message := r.unread[:n]
+	r.unread = r.unread[n:]
+	if kind == 'K' && n == keyDataLength {
+		r.keyData = bytes.Clone(message[headLength:])
+		message = append(bytes.Clone(message[:secretAt]), secretMark...)
+	}
+	if replaced := retryHint.ReplaceAll(message, []byte("Try again in FIGURE ms.")); !bytes.Equal(replaced, message) {
+		binary.BigEndian.PutUint32(replaced[1:], uint32(len(replaced)-1))
+		message = replaced
+	}
+	r.add(r.name, "<", message)
+	return kind, n
+}
+
+// readToEnd records all that comes until the connection ends.
+func (r *pgRecorder) readToEnd() {
+	r.t.Helper()
+	for r.readMore() { // readMore appends what has come
+		continue
+	}
+	for n := 1; n > 0; {
+		_, n = r.message()
+	}
+	if len(r.unread) > 0 {
+		r.add(r.name, "<", r.unread)
+	}
+}
+
+// recordClose reads until the front end closes the connection.
+func (r *pgRecorder) recordClose() {
+	r.t.Helper()
+	r.readToEnd()
+	r.event(r.name, "closed by the front end")
+}
+
+// disconnect closes the connection as the client does; whatever else has come is recorded.
+func (r *pgRecorder) disconnect() {
+	r.t.Helper()
+	closeWrite(r.t, r.conn)
+	r.readToEnd()
+	r.event(r.name, "closed by the client")
+}
+
+// start records a plain startup.
+func (r *pgRecorder) start(params ...string) {
+	r.t.Helper()
+	r.send(startupMessage(pgproto.Version, append([]string{"user", "desk"}, params...)...))
+	r.receiveUntilReady()
+}
+
+// recordCancel records a CancelRequest, with a mark in place of the secret.
+func (tr *transcript) recordCancel(name, addr string, keyData []byte) {
+	tr.t.Helper()
+	recorder := tr.recordPostgres(name, addr)
+	message := pgproto.AppendStartup(nil, pgproto.CancelReq, keyData)
+	const secretStart = 12 // behind the length, the code and the process number
+	recorder.add(name, ">", append(bytes.Clone(message[:secretStart]), secretMark...))
+	if _, err := recorder.conn.Write(message); err != nil {
+		tr.t.Fatal(err)
+	}
+	recorder.recordClose()
+}
+
+// goldenPgEngine is the script of an engine that answers by the text of the statement.
+func goldenPgEngine(request pgRequest) []byte {
+	switch {
+	case strings.Contains(request.query, "silent"):
+		return nil
+	case strings.Contains(request.query, "missing"):
+		return pgError("42P01")
+	case strings.Contains(request.query, "break_off"):
+		return []byte(closeConnection)
+	case request.describe:
+		return describeReply
+	case strings.Contains(strings.ToLower(request.query), "insert"):
+		return insertOneRow
+	case strings.Contains(request.query, "no_rows"):
+		return pgRows()
+	}
+	return pgRows("a", "b\x00\xff", "c")
+}
--- /dev/null
+++ b/internal/e2e/golden_postgres_test.go
@@ -0,0 +1,206 @@
+package e2e
+
+import (
+	"bytes"
+	"testing"
+
+	"flaxrelay/internal/pgproto"
+)
+
+// Startups that succeed, and those that are rejected.
+func TestGoldenPostgres_Startup(t *testing.T) {
+	encryption := func(code uint32) []byte { return pgproto.AppendStartup(nil, code, nil) }
+	for name, tt := range map[string]struct {
+		declined [][]byte // encryption requests before the startup
+		first    []byte
+		accepted bool
+	}{
+		"plain":           {nil, startupMessage(pgproto.Version, "user", "desk", "database", "register", "application_name", "x"), true},
+		"encryption":      {[][]byte{encryption(pgproto.SSLReq), encryption(pgproto.GSSReq)}, startupMessage(pgproto.Version, "user", "desk"), true},
+		"later-minor":     {nil, startupMessage(pgproto.Version+2, "user", "desk", "_pq_.unknown", "1"), true},
+		"with-timeout":    {nil, startupMessage(pgproto.Version, "user", "desk", "statement_timeout", "5s"), true},
+		"with-options":    {nil, startupMessage(pgproto.Version, "user", "desk", "options", "-c statement_timeout=5s --x=y"), true},
+		"bad-timeout":     {nil, startupMessage(pgproto.Version, "user", "desk", "statement_timeout", "soon"), false},
+		"bad-options":     {nil, startupMessage(pgproto.Version, "user", "desk", "options", "-c statement_timeout=soon"), false},
+		"no-user":         {nil, startupMessage(pgproto.Version, "database", "register"), false},
+		"version-2":       {nil, startupMessage(2<<16, "user", "desk"), false},
+		"not-ended":       {nil, pgproto.AppendStartup(nil, pgproto.Version, []byte("user\x00desk")), false},
+		"too-long":        {nil, []byte("\x00\x00\x27\x11\x00\x03\x00\x00"), false},
+		"too-short":       {nil, []byte("\x00\x00\x00\x07\x00\x03\x00\x00"), false},
+		"http":            {nil, []byte("GET / HTTP/1.1\r\n\r\n"), false},
+		"cancel-of-none":  {nil, pgproto.AppendStartup(nil, pgproto.CancelReq, []byte("\x00\x00\x00\x09abcd")), false},
+		"cancel-too-long": {nil, pgproto.AppendStartup(nil, pgproto.CancelReq, []byte("\x00\x00\x00\x09abcde")), false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
+			for _, m := range tt.declined {
+				recorder.send(m)
+				recorder.receiveByte()
+			}
+			recorder.send(tt.first)
+			if tt.accepted {
+				recorder.receiveUntilReady()
+				recorder.disconnect()
+			} else {
+				recorder.recordClose()
+			}
+			recorder.compare("pgwire/startup-" + name)
+		})
+	}
+}
+
+// Batches of messages, each of which is answered up to ReadyForQuery.
+func TestGoldenPostgres_Batches(t *testing.T) {
+	const selectPart, insert = "SELECT part FROM stock_1.parts WHERE id = $1", "INSERT INTO stock_1.parts VALUES ($1)"
+	message := func(kind byte, body string) []byte { return pgproto.Append(nil, kind, []byte(body)) }
+	for name, batches := range map[string][][][]byte{
+		"simple":             {{query("SELECT part FROM stock_1.parts")}, {query("SELECT no_rows")}},
+		"simple-empty":       {{query(" -- nothing\n;")}},
+		"simple-set":         {{query("SET statement_timeout = '80ms'")}, {query("SET SESSION statement_timeout TO DEFAULT")}},
+		"simple-set-bad":     {{query("SET statement_timeout = 'soon'")}},
+		"simple-set-other":   {{query("SET work_mem = '1GB'")}},
+		"simple-error":       {{query("SELECT * FROM missing")}, {query("SELECT 1")}},
+		"simple-transaction": {{query("BEGIN")}},
+		"simple-two":         {{query("SELECT 1; SELECT 2")}},
+		"simple-copy":        {{query("COPY x FROM STDIN")}},
+		"simple-load":        {{query(insert)}},
+		"simple-write":       {{query("UPDATE stock_1.parts SET part = 'insert'")}},
+		"extended":           {runUnnamed(selectPart, "a")},
+		"extended-load":      {runUnnamed(insert, "key")},
+		"extended-empty":     {runUnnamed("")},
+		"extended-described": {
+			{parse("s", selectPart), describe("S", "s"), syncMessage},
+			{bind("", "s", "a"), describe("P", ""), execute("", 0), bind("", "s", "b"), execute("", 0), syncMessage},
+			{bind("p", "s", "c"), describe("P", "p"), syncMessage},
+		},
+		"extended-portal":  {{parse("", selectPart), bind("p", "", "a"), execute("p", 2), flushMessage, execute("p", 2), execute("p", 0), syncMessage}, {execute("p", 0), syncMessage}},
+		"extended-close":   {{parse("s", selectPart), message('C', "Ss\x00"), message('C', "Pp\x00"), bind("", "s", "a"), syncMessage}},
+		"error-engine":     {runUnnamed("SELECT * FROM missing")},
+		"error-skips":      {{parse("", "BEGIN"), bind("", ""), execute("", 0), query("SELECT 1"), syncMessage}, runUnnamed("SELECT 1")},
+		"error-broken-off": {runUnnamed("UPDATE break_off SET a = 1")},
+		"error-class":      {runUnnamed("/* class=x */ SELECT 1")},
+		"error-comment":    {runUnnamed("/* class=load key=$x */ SELECT 1")},
+		"error-may-write":  {runUnnamed("/* class=lookup */ DELETE FROM stock_1.parts")},
+		"error-no-key":     {runUnnamed("/* class=load */ SELECT f($1)", "k")},
+		"error-null-key":   {runUnnamed(insert, "")},
+		"error-few-values": {runUnnamed("/* class=load key=$2 */ SELECT f($1)", "k")},
+		"error-statement":  {{bind("", "none"), syncMessage}, {describe("S", "none"), syncMessage}},
+		"error-portal":     {{execute("none", 0), syncMessage}, {describe("P", "none"), syncMessage}},
+		"error-twice":      {{parse("s", selectPart), parse("s", selectPart), syncMessage}, {bind("p", "s", "a"), bind("p", "s", "a"), syncMessage}},
+		"error-values":     {{parse("s", selectPart), describe("S", "s"), syncMessage}, {bind("", "s", "a", "b"), syncMessage}},
+		"error-load-again": {{parse("", insert), bind("", "", "key"), execute("", 0), execute("", 0), syncMessage}},
+		"malformed-bodies": {
+			{message('P', "x"), syncMessage},
+			{message('B', "\x00\x00\x00\x07"), syncMessage},
+			{message('D', "X\x00"), syncMessage},
+			{message('E', "\x00"), syncMessage},
+			{message('C', "S"), syncMessage},
+			{message('Q', "SELECT 1")},
+		},
+		"unsupported-call":     {{message('F', "\x00\x00\x00\x01"), syncMessage}},
+		"unsupported-password": {{message('p', "x\x00"), syncMessage}},
+		"copy-data-passed-by":  {{message('d', "x"), message('c', ""), message('f', "x\x00"), syncMessage}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			addr, _ := startPgEngine(t, goldenPgEngine)
+			recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
+			recorder.start()
+			for _, messages := range batches {
+				recorder.send(messages...)
+				recorder.receiveUntilReady()
+			}
+			recorder.disconnect()
+			recorder.compare("pgwire/" + name)
+		})
+	}
+}
+
+// A request that no engine could take is rejected, with a time after which to retry.
+func TestGoldenPostgres_Rejection(t *testing.T) {
+	recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
+	recorder.start()
+	recorder.send(runUnnamed("SELECT 1")...)
+	recorder.receiveUntilReady()
+	recorder.send(query("SELECT 1"))
+	recorder.receiveUntilReady()
+	recorder.disconnect()
+	recorder.compare("pgwire/refused")
+}
+
+// An engine is unresponsive until the statement's time is over: a statement that only reads has
+// timed out, and the outcome of one that may have run is unknown.
+func TestGoldenPostgres_Timeout(t *testing.T) {
+	for name, text := range map[string]string{"timeout": "SELECT silent", "timeout-write": "UPDATE silent SET a = 1"} {
+		addr, _ := startPgEngine(t, goldenPgEngine)
+		recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
+		recorder.start("statement_timeout", "80ms")
+		recorder.send(query(text))
+		recorder.receiveUntilReady()
+		recorder.disconnect()
+		recorder.compare("pgwire/" + name)
+	}
+}
+
+// Messages that can't be framed, and a Terminate, end their connections.
+func TestGoldenPostgres_LastMessages(t *testing.T) {
+	addr, _ := startPgEngine(t, goldenPgEngine)
+	for name, messages := range map[string][][]byte{
+		"unknown-kind":     {{'#', 0, 0, 0, 4}},
+		"length-too-small": {{'E', 0, 0, 0, 1}},
+		"length-too-large": {{'Q', 0, 0x10, 0, 1}},
+		"length-negative":  {{'Q', 0xff, 0xff, 0xff, 0xff}},
+		"terminate":        {terminateMessage},
+		"behind-batch":     {query("SELECT 1"), {'#', 0, 0, 0, 4}},
+	} {
+		recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
+		recorder.start()
+		recorder.send(messages...)
+		recorder.recordClose()
+		recorder.compare("pgwire/last-" + name)
+	}
+}
+
+// A CancelRequest with the right secret ends the statement in flight on its connection. One with
+// a wrong secret is closed without an answer, as the right one is.
+func TestGoldenPostgres_CancelRequest(t *testing.T) {
+	for name, text := range map[string]string{"cancel": "SELECT silent", "cancel-write": "UPDATE silent SET a = 1"} {
+		addr, seen := startPgEngine(t, goldenPgEngine)
+		tr, front := newTranscript(t), startPostgres(t, addr)
+		client := tr.recordPostgres("client", front.addr)
+		client.start()
+		client.send(runUnnamed(text)...)
+		await(t, seen)
+		wrong := append(bytes.Clone(client.keyData[:4]), client.keyData[4]+1, client.keyData[5], client.keyData[6], client.keyData[7])
+		tr.recordCancel("wrong", front.addr, wrong)
+		tr.recordCancel("right", front.addr, client.keyData)
+		client.receiveUntilReady()
+		client.disconnect()
+		tr.compare("pgwire/" + name)
+	}
+}
+
+// A drain notifies idle clients at once that the front end shuts down, and others behind their
+// answers.
+func TestGoldenPostgres_Drain(t *testing.T) {
+	release := make(chan struct{})
+	addr, seen := startPgEngine(t, func(request pgRequest) []byte {
+		<-release
+		return goldenPgEngine(request)
+	})
+	tr, front := newTranscript(t), startPostgres(t, addr)
+	idle, busy := tr.recordPostgres("idle", front.addr), tr.recordPostgres("busy", front.addr)
+	idle.start()
+	busy.start()
+	busy.send(query("SELECT part FROM stock_1.parts"))
+	front.awaitCount("attempts.started.", 1)
+	front.onLoop(front.drain)
+	tr.event("", "the drain begins")
+	idle.recordClose()
+	close(release)
+	busy.recordClose()
+	await(t, seen)
+	late := tr.recordPostgres("late", front.addr)
+	late.send(startupMessage(pgproto.Version, "user", "desk"))
+	late.recordClose()
+	tr.compare("pgwire/drain")
+}
--- /dev/null
+++ b/internal/e2e/http_client_helpers_test.go
@@ -0,0 +1,134 @@
+package e2e
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+)
+
+const (
+	// requestID is the id of a request where the test needs no other.
+	requestID = "9b1f03aa5c7e2d41"
+	// defaultWait is the client's wait in milliseconds, in the text of a request.
+	defaultWait = "2000"
+	// longWait is a client's wait in milliseconds that outlasts the scenario.
+	longWait = "8000"
+	// emptyResult is the answer to a request that matched no rows, with its status.
+	emptyResult = `200 {"result":[]}`
+	// busyResult is the answer to a request that was rejected for want of capacity.
+	busyResult = `503 {"fault":"Busy"}`
+	// bareHealthRequest is a health check without any header.
+	bareHealthRequest = "GET /health HTTP/1.1\r\n\r\n"
+)
+
+// queryRequest is the text of a request of the class that reads the orders.
+func queryRequest(class, headers string) string { return tableRequest(class, "orders", headers) }
+
+// tableRequest is the text of a request whose statement reads the table.
+func tableRequest(class, table, headers string) string {
+	statement := "SELECT day FROM sales_17." + table
+	return fmt.Sprintf("POST /rpc/%s HTTP/1.1\r\nHost: backend.local\r\nReq-Id: %s\r\nReq-Wait-Ms: %s\r\n%sContent-Length: %d\r\n\r\n%s",
+		class, requestID, defaultWait, headers, len(statement), statement)
+}
+
+// withID is the text of a request under another id.
+func withID(request, id string) string { return strings.Replace(request, requestID, id, 1) }
+
+// withWait is the text of a request whose client waits for so many milliseconds.
+func withWait(request, milliseconds string) string {
+	return strings.Replace(request, defaultWait, milliseconds, 1)
+}
+
+// numberedID is the n-th of a sequence of request ids.
+func numberedID(n int) string { return fmt.Sprintf("%016x", n) }
+
+// httpClient is a client that keeps one connection.
+type httpClient struct {
+	t    *testing.T
+	conn net.Conn
+	in   *bufio.Reader
+}
+
+func connectHTTP(t *testing.T, addr string) *httpClient {
+	t.Helper()
+	conn := dial(t, addr)
+	return &httpClient{t: t, conn: conn, in: bufio.NewReader(conn)}
+}
+
+// send writes text and does not wait for a response.
+func (c *httpClient) send(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.conn, text); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// roundTrip writes text and gives the status and the body of the next response.
+func (c *httpClient) roundTrip(text string) (answer string, header http.Header) {
+	c.t.Helper()
+	c.send(text)
+	response, err := http.ReadResponse(c.in, nil)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	defer func() { _ = response.Body.Close() }()
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return fmt.Sprintf("%d %s", response.StatusCode, body), response.Header
+}
+
+// receive gives the status and the body of the next response.
+func (c *httpClient) receive() string {
+	c.t.Helper()
+	answer, _ := c.roundTrip("")
+	return answer
+}
+
+// close disconnects the client.
+func (c *httpClient) close() {
+	c.t.Helper()
+	if err := c.conn.Close(); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// assertClosed checks that the front end closes the connection and sends nothing more.
+func (c *httpClient) assertClosed() {
+	c.t.Helper()
+	if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
+		c.t.Errorf("the connection stays open: %v", err)
+	}
+}
+
+// pageRow is the row of which the pages of a long result consist.
+const pageRow = `["x","y","z"]`
+
+// morePathOf is the path of the further pages that an answer names.
+func morePathOf(answer string) (path string, more bool) {
+	_, path, more = strings.Cut(answer, `"more":"`)
+	path, _, _ = strings.Cut(path, `"`)
+	return path, more
+}
+
+// countRows follows an answer's pages and counts their rows.
+func (c *httpClient) countRows(answer string) (rows int) {
+	c.t.Helper()
+	const maxPages = 9
+	for range maxPages {
+		rows += strings.Count(answer, pageRow)
+		path, more := morePathOf(answer)
+		if !more {
+			return rows
+		}
+		answer, _ = c.roundTrip("GET " + path + " HTTP/1.1\r\n\r\n")
+	}
+	c.t.Fatalf("more than %d pages", maxPages)
+	return 0
+}
--- /dev/null
+++ b/internal/e2e/http_test.go
@@ -0,0 +1,185 @@
+package e2e
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// A request is forwarded with its id, class and idempotency key, and its rows arrive unchanged
+// and in order.
+func TestHTTP_ForwardsRequestFieldsAndReturnsRowsInOrder(t *testing.T) {
+	addr, seen := startLineEngine(t, func(line string) string {
+		return requestID + " TELL res=p,num=0.5 0\r\n\r\n" + doneReply(line, "a\t\"1\"\t\\x\nb\t2\té\n")
+	})
+	front := startHTTP(t, addr)
+	client := connectHTTP(t, front.addr)
+	got, _ := client.roundTrip(queryRequest("load", "Req-Token: k-1\r\nReq-Kb: 96\r\nReq-Cost: 820.0\r\n"))
+	assertEqual(t, "answer", got, `200 {"result":[["a","\"1\"","\\x"],["b","2","é"]]}`)
+	line := await(t, seen)
+	for _, part := range []string{"want " + requestID + " kind=load,ms=", ",token=k-1,", " 31 SELECT day FROM sales_17.orders"} {
+		if !strings.Contains(line, part) {
+			t.Errorf("engine was asked %q, without %q", line, part)
+		}
+	}
+	front.assertCount("attempts.progress", 1)
+}
+
+const (
+	rowsPerPage = 1000
+	pagesOfLong = 16 // pages of the long result
+)
+
+// longResultScript answers each request with many pages. The first request for a further page
+// has the engine close the connection.
+func longResultScript() func(line string) string {
+	page := strings.Repeat("x\ty\tz\n", rowsPerPage)
+	var scriptLock sync.Mutex // both engines share the script and its state
+	crashed := false
+	return func(line string) string {
+		scriptLock.Lock()
+		defer scriptLock.Unlock()
+		words := strings.Fields(line)
+		switch {
+		case words[0] == "want":
+			return fmt.Sprintf("%s DONE batches=%d %d\r\n%s\r\n", requestID, pagesOfLong, len(page), page)
+		case words[0] == "turn" && !crashed:
+			crashed = true
+			return closeConnection
+		case words[0] == "turn":
+			return fmt.Sprintf("%s MORE batch=%s %d\r\n%s\r\n", requestID, words[2], len(page), page)
+		}
+		return ""
+	}
+}
+
+// An engine crashes between the first page and the rest: no row has been forwarded, so another
+// engine serves the client. The client fetches a long result part by part, a path without a
+// result is answered with 404, and a graceful shutdown lets a client finish its fetch.
+func TestHTTP_CollectsPagesBeforeForwardingRows(t *testing.T) {
+	script := longResultScript()
+	one, _ := startLineEngine(t, script)
+	two, _ := startLineEngine(t, script)
+	front := startHTTP(t, one, two)
+	client := connectHTTP(t, front.addr)
+	got, _ := client.roundTrip(queryRequest("report", ""))
+	if rows := client.countRows(got); rows != pagesOfLong*rowsPerPage {
+		t.Errorf("%d rows, want %d", rows, pagesOfLong*rowsPerPage)
+	}
+	front.assertCount("attempts.started.", 2)
+
+	got, _ = client.roundTrip(queryRequest("report", ""))
+	path, _ := morePathOf(got)
+	got, _ = connectHTTP(t, front.addr).roundTrip("DELETE " + path + " HTTP/1.1\r\n\r\n")
+	assertEqual(t, "deleted result", got, "200 {}")
+	got, _ = client.roundTrip("GET " + path + " HTTP/1.1\r\n\r\n")
+	assertEqual(t, "path of a deleted result", got[:3], "404")
+	got, _ = client.roundTrip("GET /more/other-1/1 HTTP/1.1\r\n\r\n")
+	assertEqual(t, "path from before a restart", got, `404 {"fault":"nothing is held under this path"}`)
+
+	got, _ = client.roundTrip(queryRequest("report", ""))
+	front.onLoop(front.httpServer.Drain)
+	if rows := client.countRows(got); rows != pagesOfLong*rowsPerPage {
+		t.Errorf("%d rows during the drain, want %d", rows, pagesOfLong*rowsPerPage)
+	}
+	client.assertClosed()
+}
+
+// Two requests are pipelined on one connection, and the first times out at an engine that does
+// not answer. The wait of the second began with its last byte: it has passed when its turn
+// comes, so that it is answered at once and not forwarded.
+func TestHTTP_DeadlineOfPipelinedRequestRunsFromItsArrival(t *testing.T) {
+	addr, seen := startLineEngine(t, noReply)
+	front := startHTTP(t, addr)
+	client := connectHTTP(t, front.addr)
+	first := withWait(queryRequest("lookup", ""), "300")
+	second := withID(withWait(queryRequest("lookup", ""), "200"), numberedID(2))
+	client.send(first + second)
+	assertEqual(t, "first answer", client.receive(), busyResult)
+	assertEqual(t, "second answer", client.receive(), busyResult)
+	received, _, _ := strings.Cut(await(t, seen), " kind=")
+	assertEqual(t, "the engine received", received, "want "+requestID)
+	front.assertCount("attempts.started.", 1)
+}
+
+// An invalid request has a status of its own, and is neither accepted nor forwarded.
+func TestHTTP_InvalidRequestsAreRejectedWithoutAnAttempt(t *testing.T) {
+	addr, _ := startLineEngine(t, emptyReply)
+	front := startHTTP(t, addr)
+	for name, tt := range map[string]struct{ text, want string }{
+		"no HTTP":         {"hello\r\n\r\n", "400"},
+		"unknown class":   {queryRequest("nope", ""), "404"},
+		"unknown path":    {"GET /x HTTP/1.1\r\n\r\n", "404"},
+		"method":          {"GET /rpc/lookup HTTP/1.1\r\n\r\n", "405"},
+		"bad id":          {withID(queryRequest("lookup", ""), "xyz"), "400"},
+		"bad wait":        {withWait(queryRequest("lookup", ""), "NaN"), "400"},
+		"bad cost":        {queryRequest("lookup", "Req-Cost: -1\r\n"), "400"},
+		"load, no key":    {queryRequest("load", ""), "400"},
+		"key with comma":  {queryRequest("load", "Req-Token: a,b\r\n"), "400"},
+		"field twice":     {queryRequest("lookup", "Req-Id: "+requestID+"\r\n"), "400"},
+		"large body":      {"POST /rpc/lookup HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n", "413"},
+		"large head":      {"GET /" + strings.Repeat("x", 20000), "431"},
+		"chunked":         {"POST /rpc/lookup HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "501"},
+		"version":         {"GET /health HTTP/2.0\r\n\r\n", "505"},
+		"delete unknown":  {"DELETE /more/x/1 HTTP/1.1\r\n\r\n", "404"},
+		"health is fine":  {bareHealthRequest, "200"},
+		"more, odd paths": {"GET /more/ HTTP/1.1\r\n\r\n", "404"},
+	} {
+		got, _ := connectHTTP(t, front.addr).roundTrip(tt.text)
+		assertEqual(t, name, got[:3], tt.want)
+	}
+	front.assertCount("requests.accepted.", 0)
+}
+
+// Clients that send nothing, stall in the middle, state a wrong length or send what no request
+// may hold are disconnected or have an error in time, and none of it reaches an engine. The
+// connection ends behind a malformed request: nothing after it is answered.
+func TestHTTP_StalledAndMalformedClientsAreClosedInTime(t *testing.T) {
+	addr, seen := startLineEngine(t, noReply)
+	front := newFrontEnd(t, nil)
+	front.httpOptions.ReadTimeout = 100 * time.Millisecond
+	front.serveHTTP(addr)
+	inFlight := connectHTTP(t, front.addr)
+	inFlight.send(queryRequest("lookup", ""))
+	await(t, seen)
+	good := withID(queryRequest("lookup", ""), numberedID(1))
+	cases := map[string]struct{ text, want string }{
+		"says nothing":            {"", ""},
+		"half a head":             {"POST /rpc/lookup HTTP/1.1\r\nReq-", "408"},
+		"half a body":             {good[:len(good)-5], "408"},
+		"length too small":        {good + "and more", "400"},
+		"no statement":            {"POST /rpc/lookup HTTP/1.1\r\nReq-Id: 0000000000000001\r\n\r\n", "411"},
+		"statement is no text":    {strings.Replace(good, "day", "d\xffy", 1), "400"},
+		"id of one in flight":     {strings.Replace(queryRequest("lookup", ""), "day", "sum", 1), "409"},
+		"waits for ever":          {withWait(good, "99999999999999999999999"), "400"},
+		"cost without bounds":     {strings.Replace(good, "Host", "Req-Cost: 1e9\r\nHost", 1), "400"},
+		"no memory":               {strings.Replace(good, "Host", "Req-Kb: 0\r\nHost", 1), "400"},
+		"empty figure":            {strings.Replace(good, "Host", "Req-Kb: \r\nHost", 1), "400"},
+		"odd retry":               {strings.Replace(good, "Host", "Req-Retry: x\r\nHost", 1), "400"},
+		"two lengths":             {strings.Replace(good, "Host", "Transfer-Encoding:\r\nHost", 1), "501"},
+		"a field behind a LF":     {strings.Replace(good, "backend", "b\nTransfer-Encoding: chunked", 1), "400"},
+		"the same again and more": {strings.Repeat(strings.Replace(good, "lookup", "nope", 1), 300), "404"},
+	}
+	const statusLinePrefix = "HTTP/1.1 "
+	clients := map[string]*httpClient{}
+	for name, tt := range cases {
+		clients[name] = connectHTTP(t, front.addr)
+		clients[name].send(tt.text)
+	}
+	for name, tt := range cases {
+		answers, _ := io.ReadAll(clients[name].in) // up to the close
+		_, got, _ := strings.Cut(string(answers), statusLinePrefix)
+		assertEqual(t, name, got[:min(len(got), len("400"))], tt.want)
+		if n := strings.Count(string(answers), statusLinePrefix); n > 1 {
+			t.Errorf("%s: %d answers", name, n)
+		}
+	}
+	front.assertCount("attempts.started.", 1)
+	inFlight.send("no call")
+	answers, _ := io.ReadAll(inFlight.in)
+	assertEqual(t, "malformed request behind one in flight", string(answers[:len("HTTP/1.1 400")]), "HTTP/1.1 400")
+	assertEqual(t, "the engine received", await(t, seen), "never_mind "+requestID)
+}
--- /dev/null
+++ b/internal/e2e/line_engine_helpers_test.go
@@ -0,0 +1,66 @@
+package e2e
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// seenCapacity is how many requests a scripted engine reports before it waits for the test.
+const seenCapacity = 100
+
+// startLineEngine is an engine of the line protocol. It reports each line, followed by the
+// statement where the line is a request, and answers as the script says.
+func startLineEngine(t *testing.T, script func(line string) (answer string)) (addr string, seen chan string) {
+	t.Helper()
+	seen = make(chan string, seenCapacity)
+	var scriptLock sync.Mutex // scripts keep state, and connections are served concurrently
+	return listen(t, func(conn net.Conn) {
+		in := bufio.NewReader(conn)
+		for {
+			line, err := readEngineLine(in)
+			if err != nil {
+				return
+			}
+			scriptLock.Lock()
+			answer := script(line)
+			scriptLock.Unlock()
+			seen <- line
+			if answer == closeConnection {
+				return
+			}
+			if _, err := io.WriteString(conn, answer); err != nil {
+				return
+			}
+		}
+	}), seen
+}
+
+// readEngineLine reads a line, with its statement where it is a request.
+func readEngineLine(in *bufio.Reader) (string, error) {
+	line, err := in.ReadString('\n')
+	if err != nil {
+		return "", err
+	}
+	line = strings.TrimRight(line, "\r\n")
+	if !strings.HasPrefix(line, "want ") {
+		return line, nil
+	}
+	var length int
+	_, _ = fmt.Sscan(line[strings.LastIndexByte(line, ' '):], &length)
+	statement := make([]byte, length+len("\r\n"))
+	if _, err := io.ReadFull(in, statement); err != nil {
+		return "", err
+	}
+	return line + " " + string(statement[:length]), nil
+}
+
+// emptyReply answers each request with no rows.
+func emptyReply(line string) string { return doneReply(line, "") }
+
+// noReply is the script of an engine that never answers.
+func noReply(string) string { return "" }
--- /dev/null
+++ b/internal/e2e/postgres_client_helpers_test.go
@@ -0,0 +1,168 @@
+package e2e
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"testing"
+
+	"flaxrelay/internal/pgproto"
+)
+
+// maxClientMessage bounds a message that a scripted PostgreSQL client reads.
+const maxClientMessage = 1 << 24
+
+// pgClient is a PostgreSQL client that writes the messages it is given.
+type pgClient struct {
+	t       *testing.T
+	conn    net.Conn
+	unread  []byte
+	keyData []byte // the body of the latest BackendKeyData: process number and secret
+}
+
+// connectPostgres goes through a startup as the user desk with further parameters.
+func connectPostgres(t *testing.T, addr string, params ...string) *pgClient {
+	t.Helper()
+	client := &pgClient{t: t, conn: dial(t, addr)}
+	client.send(startupMessage(pgproto.Version, append([]string{"user", "desk"}, params...)...))
+	client.receiveUntil('Z')
+	return client
+}
+
+// startupMessage is a connection's first message with its parameters.
+func startupMessage(version uint32, params ...string) []byte {
+	var body []byte
+	for _, param := range params {
+		body = append(body, pgproto.Str(param)...)
+	}
+	return pgproto.AppendStartup(nil, version, append(body, 0))
+}
+
+func parse(name, query string) []byte {
+	return pgproto.Append(nil, 'P', pgproto.Str(name), pgproto.Str(query), []byte{0, 0})
+}
+
+func bind(portal, name string, values ...string) []byte {
+	b := []byte{0, 0, 0, byte(len(values))}
+	for _, value := range values {
+		b = append(append(b, pgproto.Int32(len(value))...), value...)
+	}
+	return pgproto.Append(nil, 'B', pgproto.Str(portal), pgproto.Str(name), b, []byte{0, 0})
+}
+
+func execute(portal string, maxRows int) []byte {
+	return pgproto.Append(nil, 'E', pgproto.Str(portal), pgproto.Int32(maxRows))
+}
+
+func describe(kind, name string) []byte {
+	return pgproto.Append(nil, 'D', []byte(kind), pgproto.Str(name))
+}
+
+func query(text string) []byte { return pgproto.Append(nil, 'Q', pgproto.Str(text)) }
+
+var (
+	syncMessage      = pgproto.Append(nil, 'S')
+	flushMessage     = pgproto.Append(nil, 'H')
+	terminateMessage = pgproto.Append(nil, 'X')
+)
+
+// runUnnamed is a batch that parses, binds and executes one statement without a name.
+func runUnnamed(text string, values ...string) [][]byte {
+	return [][]byte{parse("", text), bind("", "", values...), execute("", 0), syncMessage}
+}
+
+func (c *pgClient) send(messages ...[]byte) {
+	c.t.Helper()
+	for _, message := range messages {
+		if _, err := c.conn.Write(message); err != nil {
+			c.t.Fatal(err)
+		}
+	}
+}
+
+// receiveUntil reads up to a message of the kind, or the end of the connection, and describes
+// what came: the kind of each message, with its tag, row or error code in brackets.
+func (c *pgClient) receiveUntil(last byte) string {
+	c.t.Helper()
+	var words []string
+	for {
+		kind, body, n, _ := pgproto.Next(c.unread, maxClientMessage)
+		if n == 0 {
+			if c.readMore() {
+				continue
+			}
+			return strings.Join(append(words, "end"), " ")
+		}
+		words = append(words, c.describeMessage(kind, body))
+		c.unread = c.unread[n:]
+		if kind == last {
+			return strings.Join(words, " ")
+		}
+	}
+}
+
+// receiveUntilReady reads up to a ReadyForQuery.
+func (c *pgClient) receiveUntilReady() string {
+	c.t.Helper()
+	return c.receiveUntil('Z')
+}
+
+// receiveUntilEnd reads to the end of the connection.
+func (c *pgClient) receiveUntilEnd() string {
+	c.t.Helper()
+	return c.receiveUntil(0)
+}
+
+// readMore appends what arrives to unread; it is false where the connection has ended.
+func (c *pgClient) readMore() (more bool) {
+	c.t.Helper()
+	c.unread, more = readChunk(c.t, c.conn, c.unread)
+	return more
+}
+
+// readChunk appends what arrives to unread; more is false where the connection has ended.
+func readChunk(t *testing.T, conn net.Conn, unread []byte) (appended []byte, more bool) {
+	t.Helper()
+	chunk := make([]byte, 4096)
+	n, err := conn.Read(chunk)
+	unread = append(unread, chunk[:n]...)
+	if err != nil && !errors.Is(err, io.EOF) {
+		t.Fatalf("after %.200q: %v", unread, err)
+	}
+	return unread, err == nil
+}
+
+// sendCancel sends a CancelRequest and waits until the front end closes its connection.
+func sendCancel(t *testing.T, addr string, keyData []byte) {
+	t.Helper()
+	conn := dial(t, addr)
+	_, _ = conn.Write(pgproto.AppendStartup(nil, pgproto.CancelReq, keyData))
+	_, _ = conn.Read(make([]byte, 1))
+}
+
+func (c *pgClient) describeMessage(kind byte, body []byte) string {
+	c.t.Helper()
+	word := string(kind)
+	switch kind {
+	case 'C':
+		word += "(" + strings.TrimRight(string(body), "\x00") + ")"
+	case 'D':
+		const beforeValue = 6 // the number of columns, and the value's length
+		word += "(" + string(body[beforeValue:]) + ")"
+	case 'E':
+		e, err := pgproto.ReadError(body)
+		if err != nil {
+			c.t.Fatal(err)
+		}
+		word += "(" + e.Code
+		if e.Hint != "" {
+			word += " hint"
+		}
+		word += ")"
+	case 'K':
+		c.keyData = bytes.Clone(body)
+	}
+	return word
+}
--- /dev/null
+++ b/internal/e2e/postgres_engine_helpers_test.go
@@ -0,0 +1,181 @@
+package e2e
+
+import (
+	"bytes"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"flaxrelay/internal/pgproto"
+)
+
+// maxEngineMessage bounds a message that a scripted PostgreSQL engine reads.
+const maxEngineMessage = 1 << 20
+
+// pgRequest is what a scripted PostgreSQL engine was asked up to a Sync.
+type pgRequest struct {
+	query    string
+	bind     string // the body of the Bind behind its two names
+	describe bool
+	parsed   bool // the statement came with a Parse, and was not prepared before
+}
+
+// cancelQuery is the query of the pgRequest that reports a CancelRequest.
+const cancelQuery = "cancel"
+
+var (
+	parseComplete = pgproto.Append(nil, '1')
+	bindComplete  = pgproto.Append(nil, '2')
+	noData        = pgproto.Append(nil, 'n')
+	readyForQuery = pgproto.Append(nil, 'Z', []byte("I"))
+	insertOneRow  = bytes.Join([][]byte{parseComplete, bindComplete, noData, pgproto.Append(nil, 'C', pgproto.Str("INSERT 0 1"))}, nil)
+	// oneColumn is the body of a RowDescription with one column of text.
+	oneColumn = append([]byte{0, 1}, append([]byte("part\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0)...)
+	// oneParameter is the body of a ParameterDescription with one parameter of text.
+	oneParameter = []byte{0, 1, 0, 0, 0, 25}
+	// describeReply answers a Parse and a Describe of a statement.
+	describeReply = bytes.Join([][]byte{parseComplete, pgproto.Append(nil, 't', oneParameter), pgproto.Append(nil, 'T', oneColumn)}, nil)
+)
+
+// startPgEngine is a PostgreSQL engine. The script answers each batch; nil leaves the batch
+// open until a CancelRequest, which is reported as a request of its own.
+func startPgEngine(t *testing.T, script func(pgRequest) []byte) (addr string, seen chan pgRequest) {
+	t.Helper()
+	return startSlowPgEngine(t, 0, script)
+}
+
+// startSlowPgEngine is a PostgreSQL engine whose startup takes some time.
+func startSlowPgEngine(t *testing.T, startupTime time.Duration, script func(pgRequest) []byte) (addr string, seen chan pgRequest) {
+	t.Helper()
+	seen = make(chan pgRequest, seenCapacity)
+	return listen(t, func(conn net.Conn) {
+		c := &pgEngineConn{conn: conn, seen: seen, script: script, prepared: map[string]string{}}
+		if !c.readStartup() {
+			return
+		}
+		time.Sleep(startupTime) // a step of the scenario in real time: what it delays is what the test is about
+		c.writeStartupReply()
+		c.serve()
+	}), seen
+}
+
+// pgEngineConn is one connection of a scripted PostgreSQL engine.
+type pgEngineConn struct {
+	conn     net.Conn
+	unread   []byte
+	seen     chan<- pgRequest
+	script   func(pgRequest) []byte
+	prepared map[string]string // query by the name of its statement
+}
+
+// readMore appends what arrives to unread; it is false where the connection has ended.
+func (c *pgEngineConn) readMore() bool {
+	chunk := make([]byte, 4096)
+	n, err := c.conn.Read(chunk)
+	c.unread = append(c.unread, chunk[:n]...)
+	return err == nil
+}
+
+// readStartup reads the first message; it is false where that is the only one.
+func (c *pgEngineConn) readStartup() bool {
+	for {
+		code, _, n, _ := pgproto.Startup(c.unread)
+		c.unread = c.unread[n:]
+		if n > 0 && code == pgproto.CancelReq {
+			c.seen <- pgRequest{query: cancelQuery}
+			return false
+		}
+		if n > 0 {
+			return true
+		}
+		if !c.readMore() {
+			return false
+		}
+	}
+}
+
+func (c *pgEngineConn) writeStartupReply() {
+	out := pgproto.Append(nil, 'R', pgproto.Int32(0))
+	out = pgproto.Append(out, 'K', pgproto.Int32(7), pgproto.Int32(9))
+	_, _ = c.conn.Write(append(out, readyForQuery...))
+}
+
+// serve answers batches until the connection ends.
+func (c *pgEngineConn) serve() {
+	var request pgRequest
+	for {
+		kind, body, n, _ := pgproto.Next(c.unread, maxEngineMessage)
+		if n == 0 {
+			if !c.readMore() {
+				return
+			}
+			continue
+		}
+		if kind == 'S' {
+			if !c.reply(request) {
+				return
+			}
+			request = pgRequest{}
+		} else {
+			c.note(&request, kind, body)
+		}
+		c.unread = c.unread[n:]
+	}
+}
+
+// note adds a message to the request that the next Sync completes.
+func (c *pgEngineConn) note(request *pgRequest, kind byte, body []byte) {
+	r := pgproto.Reader{B: body}
+	switch kind {
+	case 'P':
+		name := r.Str()
+		c.prepared[name] = r.Str()
+		request.parsed = true
+	case 'D':
+		if r.Byte() == 'S' {
+			request.query, request.describe = c.prepared[r.Str()], true
+		}
+	case 'B':
+		r.Str() // the portal
+		request.query = c.prepared[r.Str()]
+		request.bind = string(r.B)
+	}
+}
+
+// reply answers a request; it is false where the script closes the connection.
+func (c *pgEngineConn) reply(request pgRequest) bool {
+	answer := c.script(request)
+	c.seen <- request
+	if string(answer) == closeConnection {
+		return false
+	}
+	if !request.parsed { // no ParseComplete then
+		answer = bytes.TrimPrefix(answer, parseComplete)
+	}
+	if answer != nil {
+		_, _ = c.conn.Write(append(bytes.Clone(answer), readyForQuery...))
+	}
+	return true
+}
+
+// pgRows answers a batch with text rows of one column.
+func pgRows(rows ...string) []byte {
+	b := append(bytes.Clone(parseComplete), bindComplete...)
+	b = pgproto.Append(b, 'T', oneColumn)
+	for _, row := range rows {
+		b = pgproto.Append(b, 'D', []byte{0, 1}, pgproto.Int32(len(row)), []byte(row))
+	}
+	return pgproto.Append(b, 'C', pgproto.Str(fmt.Sprintf("SELECT %d", len(rows))))
+}
+
+// pgError is an ErrorResponse with the code.
+func pgError(code string) []byte {
+	return pgproto.Append(nil, 'E', (&pgproto.Error{Severity: "ERROR", Code: code, Message: "no"}).Body())
+}
+
+// noPgReply is the script of an engine that answers no batch.
+func noPgReply(pgRequest) []byte { return nil }
+
+// oneRowReply answers each batch with one row.
+func oneRowReply(pgRequest) []byte { return pgRows("a") }
--- /dev/null
+++ b/internal/e2e/postgres_limits_test.go
@@ -0,0 +1,91 @@
+package e2e
+
+import (
+	"net"
+	"strings"
+	"testing"
+)
+
+// Rows of some megabytes all reach a client that reads slowly, also when the front end closes
+// the connection behind them. A result above the limit is an error.
+func TestPostgres_LargeResultReachesASlowClient(t *testing.T) {
+	row := strings.Repeat("x", 1300<<10)
+	rows := []string{row, row, row}
+	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
+		if strings.Contains(request.query, "more") {
+			return pgRows(append(rows, rows...)...)
+		}
+		return pgRows(rows...)
+	})
+	front := startPostgres(t, addr)
+	client := connectPostgres(t, front.addr)
+	_ = client.conn.(*net.TCPConn).SetReadBuffer(64 << 10) // else the kernel might buffer all of it
+	client.send(query("SELECT more"))
+	assertEqual(t, "result above the limit", client.receiveUntilReady(), "E(54000) Z")
+	client.send(query("SELECT x"), terminateMessage)
+	front.awaitCount("requests.completed.served", 1) // by then all rows wait to be written
+	got := client.receiveUntilEnd()
+	assertEqual(t, "rows", strings.ReplaceAll(got, row, "x"), "T D(x) D(x) D(x) C(SELECT 3) Z end")
+}
+
+// A client pipelines far more than a buffer holds: the rest waits in the sockets, and every
+// execution has its answer.
+func TestPostgres_EveryPipelinedExecutionIsAnswered(t *testing.T) {
+	release := make(chan struct{})
+	addr, seen := startPgEngine(t, func(pgRequest) []byte { <-release; return pgRows() })
+	go func() {
+		for range seen { // so that the engine does not wait for the test
+			continue
+		}
+	}()
+	front := startPostgres(t, addr)
+	client := connectPostgres(t, front.addr)
+	client.send(parse("s", "SELECT $1"))
+	const executions = 300
+	sent := make(chan error, 1)
+	go func() {
+		for range executions {
+			if _, err := client.conn.Write(append(bind("", "s", strings.Repeat("v", 32<<10)), execute("", 0)...)); err != nil {
+				sent <- err
+				return
+			}
+		}
+		_, err := client.conn.Write(syncMessage)
+		sent <- err
+	}()
+	front.awaitCount("attempts.started.", 1)
+	close(release)
+	got := client.receiveUntilReady()
+	if err := await(t, sent); err != nil {
+		t.Fatal(err)
+	}
+	if answers := strings.Count(got, "C(SELECT 0)"); answers != executions {
+		t.Errorf("%d completions, want %d", answers, executions)
+	}
+}
+
+// Clients that stall in the middle of long messages can't exhaust the memory: past the budget of
+// all buffers the one that needs more is disconnected, and the others go on.
+func TestPostgres_BufferBudgetEndsTheClientThatExceedsIt(t *testing.T) {
+	addr, _ := startPgEngine(t, oneRowReply)
+	front := newFrontEnd(t, nil)
+	const budget, messageLength, firstPart = 400 << 10, 300 << 10, 250 << 10
+	front.loop.BufferBudget = budget
+	front.servePostgres(addr)
+	long := query("SELECT '" + strings.Repeat("x", messageLength) + "'")
+	first := connectPostgres(t, front.addr)
+	first.send(long[:firstPart])
+	if !poll(func() bool { return front.loop.BufferedBytes() >= firstPart }) {
+		t.Fatalf("%d bytes are buffered after %v, want %d", front.loop.BufferedBytes(), waitLimit, firstPart)
+	}
+	second := connectPostgres(t, front.addr)
+	_, _ = second.conn.Write(long[:firstPart])
+	if _, err := second.conn.Read(make([]byte, 1)); err == nil {
+		t.Error("the second client stays connected")
+	}
+	first.send(long[firstPart:])
+	assertEqual(t, "first client", first.receiveUntilReady(), "T D(a) C(SELECT 1) Z")
+	third := connectPostgres(t, front.addr)
+	third.send(long)
+	assertEqual(t, "a client after that", third.receiveUntilReady(), "T D(a) C(SELECT 1) Z")
+}
--- /dev/null
+++ b/internal/e2e/postgres_writes_test.go
@@ -0,0 +1,186 @@
+package e2e
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/policy"
+)
+
+// A load whose engine fails after it was sent may have run: within the deduplication window of
+// its key it is retried on another engine with the same key, and the client has one answer.
+func TestPostgres_LoadIsRetriedWithItsIdempotencyKey(t *testing.T) {
+	fails := make(chan struct{}, 1)
+	fails <- struct{}{}
+	script := func(pgRequest) []byte {
+		select {
+		case <-fails:
+			return pgError("XX000")
+		default:
+			return insertOneRow
+		}
+	}
+	first, firstSeen := startPgEngine(t, script)
+	second, secondSeen := startPgEngine(t, script)
+	front := startPostgres(t, first, second)
+	client := connectPostgres(t, front.addr)
+	client.send(parse("", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "", "key-1"), execute("", 0), execute("", 0), syncMessage)
+	assertEqual(t, "answer", client.receiveUntilReady(), "1 2 C(INSERT 0 1) E(55000) Z")
+	var binds []string
+	for range 2 {
+		select {
+		case request := <-firstSeen:
+			binds = append(binds, request.bind)
+		case request := <-secondSeen:
+			binds = append(binds, request.bind)
+		}
+	}
+	assertEqual(t, "values of the retry", binds[1], binds[0])
+	front.assertCount("attempts.started.", 2)
+}
+
+// A load may have run at an engine that failed, and the connection to the next one comes up only
+// after the deduplication window of its key: it is not retried.
+func TestPostgres_LoadIsNotRetriedAfterItsDedupWindow(t *testing.T) {
+	// The startup takes longer than the window in real time; both are steps of the scenario.
+	const window, startupTime = 300 * time.Millisecond, 400 * time.Millisecond
+	asked, release := make(chan bool), make(chan bool)
+	first, _ := startPgEngine(t, func(pgRequest) []byte {
+		asked <- true
+		<-release
+		return pgError("XX000")
+	})
+	second, seen := startSlowPgEngine(t, startupTime, func(pgRequest) []byte { return pgRows() })
+	const loadClass = 2
+	front := newFrontEnd(t, func(s *policy.Settings) { s.Classes[loadClass].DedupWindow = window }).servePostgres(first)
+	client := connectPostgres(t, front.addr)
+	client.send(runUnnamed("INSERT INTO stock_1.parts VALUES ($1)", "key")...)
+	await(t, asked)
+	front.updateEndpoints(policy.EngineDraining, first)
+	front.updateEndpoints(policy.EngineReady, second)
+	close(release)
+	assertEqual(t, "answer", client.receiveUntilReady(), "1 2 E(XX000) Z")
+	front.assertCount("attempts.ended.not-sent", 1)
+	if n := len(seen); n != 0 {
+		t.Errorf("the second engine received %d requests", n)
+	}
+}
+
+// An engine runs a statement and closes the connection. A statement that may write has run once,
+// whatever the default class, and its client has the error for an unknown outcome. A statement
+// that only reads is retried on other engines.
+func TestPostgres_WritesAreNotRetried(t *testing.T) {
+	var engines []string
+	var seen []chan pgRequest
+	for range 4 {
+		addr, requests := startPgEngine(t, func(pgRequest) []byte { return []byte(closeConnection) })
+		engines, seen = append(engines, addr), append(seen, requests)
+	}
+	runs := func() (n int) {
+		for _, requests := range seen {
+			for len(requests) > 0 {
+				<-requests
+				n++
+			}
+		}
+		return n
+	}
+	for _, text := range []string{
+		"DELETE FROM stock_1.parts", "UPDATE stock_1.parts SET n = 1", "MERGE INTO stock_1.parts USING x ON true WHEN MATCHED THEN DELETE",
+		"CREATE TABLE stock_1.x AS SELECT 1", "SELECT 1 INTO stock_1.x", "WITH d AS (DELETE FROM stock_1.parts RETURNING *) SELECT * FROM d",
+		"SELECT setval('s', 1)", "EXPLAIN ANALYZE DELETE FROM stock_1.parts", "SELECT 1 FROM stock_1.parts FOR UPDATE",
+		"/* class=write */ SELECT 1", "DO $$ BEGIN END $$", "SELECT count(*) -- \r, setval('s', 1)",
+	} {
+		client := connectPostgres(t, startPostgres(t, engines...).addr) // a new front end has no faults of the engines on record
+		client.send(runUnnamed(text)...)
+		assertEqual(t, text, client.receiveUntilReady(), "1 2 E(40003) Z")
+		if n := runs(); n != 1 {
+			t.Errorf("%s ran %d times", text, n)
+		}
+	}
+	client := connectPostgres(t, startPostgres(t, engines...).addr)
+	client.send(runUnnamed("SELECT 1")...)
+	client.receiveUntilReady()
+	if n := runs(); n < 2 {
+		t.Errorf("a reading statement ran %d times, want more than one", n)
+	}
+}
+
+// An idempotent class, named by the client or by a rule, is rejected for a statement that may
+// write. A rule or a function that is declared read-only admits a statement in doubt, but not one
+// that evidently writes.
+func TestPostgres_IdempotentClassIsRejectedForWrites(t *testing.T) {
+	addr, _ := startPgEngine(t, oneRowReply)
+	front := newFrontEnd(t, nil)
+	front.pgOptions = pgserver.Options{
+		DefaultClass: "lookup", WriteClass: "write", ReadOnly: map[string]bool{"stock.price_of": true},
+		Rules: []pgserver.Rule{{Starts: "SELECT quiet", Class: "report", ReadOnly: true}, {Starts: "SELECT loud", Class: "report"}},
+	}
+	front.servePostgres(addr)
+	bare := newFrontEnd(t, nil)
+	bare.pgOptions = pgserver.Options{DefaultClass: "lookup"}
+	bare.servePostgres(addr)
+	for _, tt := range []struct {
+		front      *frontEnd
+		text, want string
+	}{
+		{front, "/* class=lookup */ DELETE FROM x", "E(22023 hint) Z"},
+		{front, "/* class=report */ SELECT f()", "E(22023 hint) Z"},
+		{front, "SELECT loud()", "E(22023 hint) Z"},
+		{front, "SELECT quiet()", "T D(a) C(SELECT 1) Z"},
+		{front, "SELECT quiet() FOR UPDATE", "E(22023 hint) Z"},
+		{front, "SELECT stock.price_of(1)", "T D(a) C(SELECT 1) Z"},
+		{front, "SELECT f()", "T D(a) C(SELECT 1) Z"},
+		{bare, "DELETE FROM x", "E(0A000) Z"},
+		{bare, "SELECT 1", "T D(a) C(SELECT 1) Z"},
+	} {
+		client := connectPostgres(t, tt.front.addr)
+		client.send(query(tt.text))
+		assertEqual(t, tt.text, client.receiveUntilReady(), tt.want)
+	}
+	front.assertCount("requests.accepted.write", 1)
+}
+
+// A write that was sent is never reported as if it had not run: one that fails for want of a
+// resource while it runs is not retried, after a timeout or a cancel its outcome is unknown, and
+// an error while it runs is not mistaken for a dropped prepared statement.
+func TestPostgres_UncertainWriteIsNotReportedAsUndone(t *testing.T) {
+	unanswered := make(chan bool, seenCapacity)
+	addr, seen := startPgEngine(t, func(request pgRequest) []byte {
+		switch {
+		case strings.Contains(request.query, "short"):
+			return bytes.Join([][]byte{parseComplete, bindComplete, pgError("53100")}, nil)
+		case strings.Contains(request.query, "odd") && !request.parsed:
+			return bytes.Join([][]byte{bindComplete, pgError("0A000")}, nil)
+		case strings.Contains(request.query, "odd"):
+			return pgRows("a")
+		}
+		unanswered <- true
+		return nil
+	})
+	front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.MaxAttempts = 3 }).servePostgres(addr)
+	client := connectPostgres(t, front.addr, "statement_timeout", "300ms")
+	run := func(text string) string {
+		client.send(query(text))
+		return client.receiveUntilReady()
+	}
+	assertEqual(t, "disk full", run("UPDATE short SET a = 1"), "E(53100) Z")
+	assertEqual(t, "first execution", run("UPDATE odd SET a = 1"), "T D(a) C(SELECT 1) Z")
+	assertEqual(t, "not supported while it ran", run("UPDATE odd SET a = 1"), "E(0A000) Z")
+	assertEqual(t, "timed out", run("UPDATE x SET a = 1"), "E(40003) Z")
+	front.assertCount("attempts.started.", 4)
+	for len(unanswered) > 0 {
+		<-unanswered
+	}
+	for len(seen) > 0 {
+		<-seen
+	}
+	client = connectPostgres(t, front.addr)
+	client.send(query("UPDATE x SET a = 2"))
+	await(t, unanswered)
+	sendCancel(t, front.addr, client.keyData)
+	assertEqual(t, "cancelled", client.receiveUntilReady(), "E(40003) Z")
+}
--- /dev/null
+++ b/internal/e2e/query_shapes_test.go
@@ -0,0 +1,128 @@
+package e2e
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/internal/stmtstats"
+)
+
+const (
+	// lookupLimit is the work in milliseconds from which a statement is a report.
+	lookupLimit = 60
+	// reportTime is how long the engine works on a report. It is a step of the scenario in real
+	// time: well above lookupLimit.
+	reportTime = 150 * time.Millisecond
+)
+
+// enableQueryShapes has a front end learn query shapes; it must not serve yet.
+func enableQueryShapes(t *testing.T, front *frontEnd, settings stmtstats.Settings) *stmtstats.Service {
+	t.Helper()
+	settings.Bytes = 256 << 10
+	settings.Decide = costmodel.Config{Classes: []costmodel.Class{{Name: "lookup", UpTo: lookupLimit}, {Name: "report"}}}
+	service, err := stmtstats.NewService(settings, front.site.Policy.Classes, front.loop, front.counters, front.logger)
+	if err != nil {
+		t.Fatal(err)
+	}
+	front.dispatcher.SetCostObserver(service)
+	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", Estimator: service, Rules: []pgserver.Rule{loadRule}}
+	return service
+}
+
+// A statement is a lookup with a short list and a report with a long one: the class follows the
+// bound values, once a few executions have been seen. A comment that names a class overrides it,
+// and a statement that may write is never classified by its shape.
+func TestQueryShapes_ClassFollowsBoundValues(t *testing.T) {
+	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
+		if strings.Count(request.bind, ",") > 50 {
+			time.Sleep(reportTime)
+		}
+		return pgRows("a")
+	})
+	front := newFrontEnd(t, nil)
+	enableQueryShapes(t, front, stmtstats.Settings{})
+	front.servePostgres(addr)
+	client := connectPostgres(t, front.addr)
+	const text = "SELECT part FROM stock_4.parts WHERE district = ANY($1)"
+	client.send(parse("s", text), syncMessage)
+	client.receiveUntilReady()
+	executeWith := func(list string) {
+		t.Helper()
+		client.send(bind("", "s", list), execute("", 0), syncMessage)
+		assertEqual(t, "answer", client.receiveUntilReady(), "2 D(a) C(SELECT 1) Z")
+	}
+	long := "{" + strings.Repeat("d,", 77) + "d}"
+	for range 8 {
+		executeWith("{d1,d2}")
+		executeWith(long)
+	}
+	before := front.count("requests.accepted.report")
+	for range 4 {
+		executeWith(long)
+		executeWith("{d3}")
+	}
+	if n := front.count("requests.accepted.report") - before; n != 4 {
+		t.Errorf("%d of 4 long lists were classified as reports", n)
+	}
+	before = front.count("requests.accepted.lookup")
+	client.send(query("/* class=lookup */ "+strings.Replace(text, "$1", "'"+long+"'", 1)), syncMessage)
+	client.receiveUntilReady()
+	if n := front.count("requests.accepted.lookup") - before; n != 1 {
+		t.Errorf("%d classified as lookups by their comment, want 1", n)
+	}
+	client = connectPostgres(t, front.addr)
+	client.send(query("SELECT part FROM stock_4.parts WHERE district = ANY('{d1}') FOR UPDATE"))
+	client.receiveUntilReady()
+	front.assertCount("requests.accepted.write", 1)
+}
+
+// A damaged snapshot is set aside under another name, the front end starts without it, and the
+// next one is complete.
+func TestQueryShapes_DamagedSnapshotIsSetAside(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "shapes")
+	damaged := []byte("RWSHAPES no longer")
+	writeFile(t, path, damaged)
+	addr, _ := startPgEngine(t, oneRowReply)
+	front := newFrontEnd(t, nil)
+	service := enableQueryShapes(t, front, stmtstats.Settings{Snapshot: path, Every: time.Hour})
+	if n := front.counters.Get("shapes.snapshot-unusable"); n != 1 {
+		t.Errorf("%d snapshots found unusable, want 1", n)
+	}
+	if got := readFile(t, path+".unusable"); got != string(damaged) {
+		t.Errorf("set aside: %q", got)
+	}
+	front.servePostgres(addr)
+	client := connectPostgres(t, front.addr)
+	for i := range 5 {
+		client.send(query(fmt.Sprintf("SELECT part FROM stock_4.parts WHERE id = %d", i)))
+		client.receiveUntilReady()
+	}
+	front.onLoop(service.Save)
+	front.awaitCount("shapes.snapshots", 1)
+	snapshot, err := stmtstats.ReadSnapshot(path)
+	if err != nil || len(snapshot.Shapes) != 1 || snapshot.Shapes[0].Entry.Seen != 5 {
+		t.Errorf("%+v, %v", snapshot, err)
+	}
+}
+
+func writeFile(t *testing.T, path string, b []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, b, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func readFile(t *testing.T, path string) string {
+	t.Helper()
+	b, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(b)
+}
--- /dev/null
+++ b/internal/e2e/retry_test.go
@@ -0,0 +1,122 @@
+package e2e
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// addrWithoutListener is an address at which connections are refused.
+func addrWithoutListener(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return listener.Addr().String()
+}
+
+// A refused connection proves that nothing ran, so that even a load goes to another engine. With
+// no engine left the load is rejected at once, with a time after which to retry.
+func TestRetry_RefusedConnectionIsRetriedEvenForALoad(t *testing.T) {
+	load := queryRequest("load", "Req-Token: k\r\n")
+	front := startHTTP(t, addrWithoutListener(t))
+	client := connectHTTP(t, front.addr)
+	got, header := client.roundTrip(load)
+	assertEqual(t, "answer", got, busyResult)
+	if header.Get("Srv-Wait-Ms") == "" {
+		t.Error("a rejection without Srv-Wait-Ms")
+	}
+	if n := front.count("attempts.ended.connection-refused"); n == 0 {
+		t.Error("no attempt ended as refused")
+	}
+	addr, _ := startLineEngine(t, emptyReply)
+	front.updateEndpoints(policy.EngineReady, addr)
+	got, _ = client.roundTrip(load)
+	assertEqual(t, "answer", got, emptyResult)
+}
+
+// An engine resets an idle connection in the moment in which a request is to be written to it.
+// No byte of the request left, so that one which is not idempotent is retried.
+func TestRetry_UnsentNonIdempotentRequestIsRetriedAfterReset(t *testing.T) {
+	conns := make(chan *net.TCPConn, seenCapacity)
+	addr := listen(t, func(conn net.Conn) {
+		conns <- conn.(*net.TCPConn)
+		readRequestIDs(conn, func(id string) bool {
+			_, err := io.WriteString(conn, doneReply("want "+id, ""))
+			return err == nil
+		})
+	})
+	front := newFrontEnd(t, func(s *policy.Settings) {
+		for i := range s.Classes {
+			s.Classes[i].Effect = policy.NonIdempotent
+		}
+	}).serveHTTP(addr)
+	client := connectHTTP(t, front.addr)
+	got, _ := client.roundTrip(withID(queryRequest("lookup", ""), numberedID(1)))
+	assertEqual(t, "first answer", got, emptyResult)
+	idle := await(t, conns)
+	front.onLoop(func() {
+		front.deliver(client, queryRequest("lookup", "")) // the loop handles this before the reset
+		_ = idle.SetLinger(0)                             // so that Close resets it
+		_ = idle.Close()
+	})
+	assertEqual(t, "answer", client.receive(), emptyResult)
+	front.assertCount("attempts.ended.not-sent", 1)
+}
+
+// An engine rejects an attempt and says so twice. The retry has the same id: the duplicate must
+// not end it, or a third attempt would be sent while it runs.
+func TestRetry_DuplicateRejectionDoesNotEndTheRetry(t *testing.T) {
+	attempts := 0
+	other := numberedID(2)
+	addr, seen := startLineEngine(t, func(line string) string {
+		words := strings.Fields(line)
+		switch {
+		case words[0] != "want":
+			return ""
+		case words[1] == other: // proves that the engine still serves the connection
+			return doneReply(line, "")
+		}
+		if attempts++; attempts == 1 {
+			return strings.Repeat(words[1]+" WAIT - 0\r\n\r\n", 2)
+		}
+		return ""
+	})
+	front := startHTTP(t, addr)
+	connectHTTP(t, front.addr).send(queryRequest("lookup", ""))
+	await(t, seen)
+	await(t, seen)
+	got, _ := connectHTTP(t, front.addr).roundTrip(withID(queryRequest("lookup", ""), other))
+	assertEqual(t, "answer to the other request", got, emptyResult)
+	front.assertCount("attempts.started.lookup", 3) // two of the first request, one of the other
+	front.assertCount("attempts.ended.overloaded", 1)
+}
+
+// Every status of an attempt has one result for the policy, and only what proves that nothing
+// ran may count as not sent.
+func TestRetry_OnlyStatusesThatProveNothingRanCountAsNotSent(t *testing.T) {
+	got := map[string]policy.Result{}
+	for status := lifecycle.StatusUnknown; status <= lifecycle.StatusIdleClosed; status++ {
+		got[status.String()] = status.Result()
+	}
+	want := map[string]policy.Result{
+		"unknown": policy.ResultUnknown, "served": policy.ResultServed, "statement-rejected": policy.ResultNotSent, "result-too-large": policy.ResultServed, "engine-error": policy.ResultFailed,
+		"overloaded": policy.ResultOverloaded, "deadline-passed": policy.ResultNotSent, "pages-lost": policy.ResultFailed, "timeout": policy.ResultTimedOut,
+		"connection-refused": policy.ResultConnectFailed, "connect-timeout": policy.ResultConnectFailed, "no-descriptor": policy.ResultNotSent,
+		"unknown-engine": policy.ResultConnectFailed, "connection-reset": policy.ResultConnectionLost, "protocol-error": policy.ResultUnknown,
+		"cancelled": policy.ResultCancelled, "not-sent": policy.ResultNotSent, "idle-closed": policy.ResultUnknown,
+	}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+}
