--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -1,257 +1,134 @@
 package experiment
 
 import (
-	"bufio"
 	"context"
-	"encoding/binary"
-	"errors"
-	"fmt"
-	"io"
 	"log/slog"
-	"net"
 	"os"
 	"path/filepath"
 	"strconv"
-	"strings"
-	"sync"
 	"time"
 
 	"flaxrelay/internal/lab/harness"
 	"flaxrelay/internal/lab/workload"
-	"flaxrelay/internal/pgproto"
 )
 
-// CostOptions say how to measure what reading shapes costs the gateway.
+// CostOptions say how to measure what reading query shapes costs flaxrelay.
 type CostOptions struct {
 	Root, Program string
 	Clients       int
 	Requests      int // a round
-	Rounds        int // pairs of one without and one with
+	Rounds        int // pairs of one without and one with query shapes
 	Seed          uint64
-	Prepared      bool // statements are prepared once and bound again and again; else each is a Query with its values
+	Prepared      bool // statements are prepared once and bound many times; else each is a Query with its values
 }
 
-// CostRound is the CPU time of the gateway's process a request, in microseconds, and the
+// CostRound is the CPU time of flaxrelay's process a request, in microseconds, and the
 // requests that it served a second.
 type CostRound struct {
 	CPU, Rate float64
 	KB        int // resident at the end
 }
 
-// Cost measures pairs of rounds, without shapes and with them, one after the other, each
-// with a gateway of its own between the same clients and emulated engines without work.
+const (
+	costStatements = 2000 // different statements that the clients send
+	costEngines    = 2
+	warmUpShare    = 5 // the warm-up has one in so many of the requests of a round
+)
+
+// Cost measures pairs of rounds, without query shapes and with them, one after the other, each
+// with a process of its own between the same clients and emulated engines without work.
 func Cost(ctx context.Context, opts CostOptions) (without, with []CostRound, err error) {
-	texts := lookups(opts.Seed, 2000, opts.Prepared)
+	statements := lookups(opts.Seed, costStatements, opts.Prepared)
 	for i := range 2 * opts.Rounds {
-		on := (i+i/2)%2 == 1 // off on, on off, off on: what drifts meets both
-		r, err := costRound(ctx, opts, texts, on)
+		shapes := (i+i/2)%2 == 1 // off on, on off, off on: a drift of the machine affects both
+		round, err := costRound(ctx, opts, statements, shapes)
 		if err != nil {
 			return nil, nil, err
 		}
-		if on {
-			with = append(with, r)
+		if shapes {
+			with = append(with, round)
 		} else {
-			without = append(without, r)
+			without = append(without, round)
 		}
 	}
 	return without, with, nil
 }
 
-// mostPrepared is how many statements a client keeps prepared.
-const mostPrepared = 200
+// maxPrepared is how many statements a client keeps prepared.
+const maxPrepared = 200
 
-// lookups are reading statements of the model, with their values written out or bound.
-func lookups(seed uint64, n int, bound bool) []workload.Asked {
-	w := workload.New(workload.Options{Seed: seed, Templates: 200}, n)
-	var texts []workload.Asked
+// lookups are reading statements of the workload, with their values written out or bound.
+func lookups(seed uint64, n int, bound bool) []workload.Statement {
+	generator := workload.New(workload.Options{Seed: seed, Templates: workload.DefaultTemplates}, n)
+	var statements []workload.Statement
 	distinct := map[string]bool{}
-	for len(texts) < n {
-		a := w.Next()
-		if a.Class != "lookup" || (len(a.Values) > 0) != bound || bound && !distinct[a.Statement] && len(distinct) == mostPrepared {
-			continue
-		}
-		distinct[a.Statement] = true
-		texts = append(texts, a)
-	}
-	return texts
-}
-
-// messages are what a client sends for one statement: a Query, or a Bind of a statement
-// that it prepares where it has not yet.
-func messages(out []byte, a *workload.Asked, named map[string]string) []byte {
-	if len(a.Values) == 0 {
-		return pgproto.Append(out, 'Q', pgproto.Str(a.Statement))
-	}
-	name, ok := named[a.Statement]
-	if !ok {
-		name = fmt.Sprintf("s%d", len(named))
-		named[a.Statement] = name
-		types := append(binary.BigEndian.AppendUint16(nil, uint16(len(a.Types)/4)), a.Types...)
-		out = pgproto.Append(out, 'P', pgproto.Str(name), pgproto.Str(a.Statement), types)
-	}
-	body := binary.BigEndian.AppendUint16(nil, uint16(len(a.Formats)/2))
-	body = binary.BigEndian.AppendUint16(append(body, a.Formats...), uint16(len(a.Values)))
-	for _, v := range a.Values {
-		if v == nil {
-			body = append(body, pgproto.Int32(-1)...)
+	for len(statements) < n {
+		s := generator.Next()
+		tooMany := bound && !distinct[s.Text] && len(distinct) == maxPrepared
+		if s.Class != workload.ClassLookup || (len(s.Values) > 0) != bound || tooMany {
 			continue
 		}
-		body = append(append(body, pgproto.Int32(len(v))...), v...)
+		distinct[s.Text] = true
+		statements = append(statements, s)
 	}
-	out = pgproto.Append(out, 'B', []byte{0}, pgproto.Str(name), append(body, 0, 0))
-	return pgproto.Append(pgproto.Append(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
+	return statements
 }
 
-func costRound(ctx context.Context, opts CostOptions, texts []workload.Asked, on bool) (res CostRound, err error) {
+// costRound measures one process from its start to its end.
+func costRound(ctx context.Context, opts CostOptions, statements []workload.Statement, shapes bool) (round CostRound, err error) {
 	dir, err := os.MkdirTemp("", "flaxlab-cost-")
 	if err != nil {
-		return res, err
+		return round, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	addr, err := harness.Free()
 	if err != nil {
-		return res, err
+		return round, err
 	}
-	r, err := harness.New(harness.Options{
-		Root: opts.Root, Dir: dir, Engines: 2, HTTP: "127.0.0.1:0", Postgres: addr, Shapes: on, Log: slog.New(slog.DiscardHandler),
+	rig, err := harness.New(harness.Options{
+		Root: opts.Root, Dir: dir, Engines: costEngines, HTTP: "127.0.0.1:0", Postgres: addr, Shapes: shapes, Log: slog.New(slog.DiscardHandler),
 		Work: func(string) (time.Duration, float64) { return 0, 1 },
 	})
 	if err != nil {
-		return res, err
+		return round, err
 	}
-	defer r.Close()
+	defer rig.Close()
 	log, err := os.Create(filepath.Join(dir, "log"))
 	if err != nil {
-		return res, err
+		return round, err
 	}
-	defer log.Close()
-	g, err := harness.Start(opts.Program, log, "serve", "--postgres", r.Deploy)
+	defer func() { _ = log.Close() }() // it is removed with its folder
+	process, err := harness.Start(opts.Program, log, "serve", "--postgres", rig.Deploy)
 	if err != nil {
-		return res, err
+		return round, err
 	}
-	defer g.Stop()
+	defer process.Stop()
 	if err := harness.Up(ctx, addr); err != nil {
-		return res, err
+		return round, err
 	}
-	if err := ask(ctx, addr, texts, opts.Clients, opts.Requests/5); err != nil { // warm
-		return res, err
-	}
-	before, err := cpu(g.Process.Pid)
-	if err != nil {
-		return res, err
-	}
-	start := time.Now()
-	if err := ask(ctx, addr, texts, opts.Clients, opts.Requests); err != nil {
-		return res, err
-	}
-	took := time.Since(start)
-	after, err := cpu(g.Process.Pid)
-	if err != nil {
-		return res, err
-	}
-	res.CPU = float64((after - before).Microseconds()) / float64(opts.Requests)
-	res.Rate = float64(opts.Requests) / took.Seconds()
-	res.KB = resident(strconv.Itoa(g.Process.Pid)) >> 10
-	return res, nil
+	return measure(ctx, load{addr: addr, statements: statements, clients: opts.Clients}, opts.Requests, process.Process.Pid)
 }
 
-// ask has clients send statements one after the other. Refusals are waited out at the
-// start, while no engine is known yet.
-func ask(ctx context.Context, addr string, texts []workload.Asked, clients, requests int) error {
-	var wg sync.WaitGroup
-	errs := make(chan error, clients)
-	for i := range clients {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			errs <- askOne(ctx, addr, texts, i*97, requests/clients)
-		}()
-	}
-	wg.Wait()
-	close(errs)
-	var all error
-	for err := range errs {
-		all = errors.Join(all, err)
+// measure puts a load on a process, after a warm-up.
+func measure(ctx context.Context, l load, requests, pid int) (round CostRound, err error) {
+	if err := l.run(ctx, requests/warmUpShare); err != nil {
+		return round, err
 	}
-	return all
-}
-
-func askOne(ctx context.Context, addr string, texts []workload.Asked, from, requests int) error {
-	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+	before, err := cpuTime(pid)
 	if err != nil {
-		return err
-	}
-	defer c.Close()
-	if d, ok := ctx.Deadline(); ok {
-		_ = c.SetDeadline(d)
-	}
-	in := bufio.NewReader(c)
-	if _, err := c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("lab")...), 0))); err != nil {
-		return err
-	}
-	if _, err := untilReady(in); err != nil {
-		return err
+		return round, err
 	}
-	var out []byte
-	named := map[string]string{}
-	for done := 0; done < requests; {
-		out = messages(out[:0], &texts[(from+done)%len(texts)], named)
-		if _, err := c.Write(out); err != nil {
-			return err
-		}
-		refused, err := untilReady(in)
-		switch {
-		case err != nil:
-			return err
-		case refused: // no engine is known yet, or the module holds back
-			time.Sleep(2 * time.Millisecond)
-		default:
-			done++
-		}
-	}
-	return nil
-}
-
-// untilReady reads an answer, and tells whether it was a refusal.
-func untilReady(in *bufio.Reader) (refused bool, err error) {
-	head := make([]byte, 5)
-	for {
-		if _, err := io.ReadFull(in, head); err != nil {
-			return false, err
-		}
-		body := make([]byte, int(binary.BigEndian.Uint32(head[1:]))-4)
-		if _, err := io.ReadFull(in, body); err != nil {
-			return false, err
-		}
-		switch head[0] {
-		case 'E':
-			e, err := pgproto.ReadError(body)
-			if err != nil {
-				return false, err
-			}
-			if e.Code != "53000" {
-				return false, e
-			}
-			refused = true
-		case 'Z':
-			return refused, nil
-		}
+	start := time.Now()
+	if err := l.run(ctx, requests); err != nil {
+		return round, err
 	}
-}
-
-// cpu is the CPU time that a process has used, from proc(5).
-func cpu(pid int) (time.Duration, error) {
-	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	took := time.Since(start)
+	after, err := cpuTime(pid)
 	if err != nil {
-		return 0, err
-	}
-	_, rest, ok := strings.Cut(string(b), ") ")
-	f := strings.Fields(rest)
-	if !ok || len(f) < 13 {
-		return 0, fmt.Errorf("proc: can't read the times of %d", pid)
+		return round, err
 	}
-	user, err1 := strconv.ParseInt(f[11], 10, 64)
-	system, err2 := strconv.ParseInt(f[12], 10, 64)
-	const tick = 10 * time.Millisecond // USER_HZ is 100 on all that Go runs on
-	return time.Duration(user+system) * tick, errors.Join(err1, err2)
+	round.CPU = float64((after - before).Microseconds()) / float64(requests)
+	round.Rate = float64(requests) / took.Seconds()
+	round.KB = residentBytes(strconv.Itoa(pid)) >> 10
+	return round, nil
 }
--- a/internal/lab/experiment/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -8,7 +8,7 @@
 
 // On traffic whose truth is known the classifier keeps what the product promises of it,
 // and each part that is switched off is missed somewhere.
-func TestEvaluate(t *testing.T) {
+func TestEvaluate_EachPartOfTheClassifierContributes(t *testing.T) {
 	records := Generated(workload.Defaults(1), 12000)
 	results := map[string]Result{}
 	for _, v := range Variants() {
@@ -39,7 +39,7 @@
 }
 
 // A flood of shapes that come once: W-TinyLFU holds those that recur within its bytes.
-func TestFlood(t *testing.T) {
+func TestFlood_TinyLFUKeepsRecurringShapesWithinItsBytes(t *testing.T) {
 	opts := FloodOptions{Seed: 1, Recurring: 200, OneOff: 60000, Share: 0.2, Bytes: 256 << 10}
 	for name, least := range map[string]float64{"w-tinylfu": 0.95, "lru": 0, "2q": 0} {
 		r, err := Flood(name, opts)
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -3,47 +3,59 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"runtime"
 	"runtime/debug"
-	"strconv"
-	"strings"
 
 	decide "flaxrelay/internal/decision/costmodel"
 	"flaxrelay/internal/stmtstats"
 )
 
-// FloodOptions say how a cache is flooded with shapes that never come again while others
-// recur.
+// FloodOptions say how a cache is flooded with shapes that never recur while others do.
 type FloodOptions struct {
 	Seed      uint64
-	Recurring int     // shapes that come again
+	Recurring int     // shapes that recur
 	OneOff    int     // shapes that don't
 	Share     float64 // of statements that are of recurring shapes
-	Bytes     int     // of the cache
+	Bytes     int     // limit of the cache
 }
 
 // FloodResult is what became of one cache.
 type FloodResult struct {
 	Cache     string
 	Asked     int     // statements of recurring shapes in the second half, which is judged
-	Hits      float64 // share of those whose shape was held
-	Held      int
-	Counted   int // bytes by the cache's own count
-	HeapBytes int // by which the heap in use grew, after a collection
-	RSSBytes  int // of the process at the end; 0: not known
+	Hits      float64 // share of those whose shape was cached
+	Held      int     // shapes in the cache at the end
+	Counted   int     // bytes by the cache's own count
+	HeapBytes int     // by which the heap in use grew, after a collection
+	RSSBytes  int     // of the process at the end; 0: not known
 }
 
-// Caches are the ways to hold shapes that are measured side by side.
-var Caches = map[string]func(int) (stmtstats.Cache, error){"w-tinylfu": stmtstats.NewTinyLFU, "lru": stmtstats.NewLRU, "2q": stmtstats.New2Q}
+// caches are the caches of shapes that are compared.
+var caches = map[string]func(int) (stmtstats.Cache, error){"w-tinylfu": stmtstats.NewTinyLFU, "lru": stmtstats.NewLRU, "2q": stmtstats.New2Q}
+
+// UnknownCacheError is the name of a cache that there is not.
+type UnknownCacheError string
+
+// Error implements error.
+func (e UnknownCacheError) Error() string {
+	return fmt.Sprintf("flood: there is no cache %q", string(e))
+}
+
+const floodStream = 0x666c6f6f64 // second word of the seed: distinct from other uses of it
+
+// What is true of every statement of the flood.
+const (
+	floodWorkMS   = 200
+	floodMemoryMB = 10
+)
 
 // Flood plays statements past one cache.
 func Flood(name string, opts FloodOptions) (FloodResult, error) {
-	open, ok := Caches[name]
+	open, ok := caches[name]
 	if !ok {
-		return FloodResult{}, fmt.Errorf("flood: there is no cache %q", name)
+		return FloodResult{}, UnknownCacheError(name)
 	}
-	before := heap()
+	before := heapInUse()
 	cache, err := open(opts.Bytes)
 	if err != nil {
 		return FloodResult{}, err
@@ -52,61 +64,58 @@
 	if err != nil {
 		return FloodResult{}, err
 	}
-	rng := rand.New(rand.NewPCG(opts.Seed, 0x666c6f6f64))
-	zipf := rand.NewZipf(rng, 1.3, 10, uint64(opts.Recurring-1))
-	res := FloodResult{Cache: name}
+	result := FloodResult{Cache: name}
+	playFlood(book, opts, &result)
+	result.Held, result.Counted = book.Len(), book.Bytes()
+	result.HeapBytes = heapInUse() - before
+	debug.FreeOSMemory()
+	result.RSSBytes = residentBytes("self")
+	runtime.KeepAlive(book)
+	return result, nil
+}
+
+// playFlood plays the statements and counts the hits of the second half.
+func playFlood(book *stmtstats.Book, opts FloodOptions, result *FloodResult) {
+	random := rand.New(rand.NewPCG(opts.Seed, floodStream))
+	popularity := rand.NewZipf(random, 1.3, 10, uint64(opts.Recurring-1))
 	total := int(float64(opts.OneOff) / (1 - opts.Share))
 	hits := 0
 	for i := range total {
-		recurring := rng.Float64() < opts.Share
-		text := ""
+		recurring := random.Float64() < opts.Share
+		var text string
 		if recurring {
-			text = recurringText(int(zipf.Uint64()))
+			text = recurringText(int(popularity.Uint64()))
 		} else {
-			text = fmt.Sprintf("SELECT t_%d.n FROM stock_3.scratch_%d t_%d WHERE t_%d.part = 'p-1'", i, rng.Uint32(), i, i)
+			text = oneOffText(i, random.Uint32())
 		}
-		s := book.Read(text)
-		had := book.Stats.Hits
-		x := book.Estimate(s, nil, -1, stmtstats.Hint{})
+		statement := book.Read(text)
+		hitsBefore := book.Stats.Hits
+		execution := book.Estimate(statement, nil, classUndecided, stmtstats.Hint{})
 		if recurring && i >= total/2 {
-			res.Asked++
-			if book.Stats.Hits > had {
-				hits++
-			}
+			result.Asked++
+			hits += int(book.Stats.Hits - hitsBefore)
 		}
-		book.Learn(x, decide.Truth{Work: 200, MemoryMB: 10})
+		book.Learn(execution, decide.Truth{Work: floodWorkMS, MemoryMB: floodMemoryMB})
 	}
-	res.Hits = float64(hits) / float64(max(res.Asked, 1))
-	res.Held, res.Counted = book.Len(), book.Bytes()
-	res.HeapBytes = heap() - before
-	debug.FreeOSMemory()
-	res.RSSBytes = resident("self")
-	runtime.KeepAlive(book)
-	return res, nil
+	result.Hits = float64(hits) / float64(max(result.Asked, 1))
 }
 
-// recurringText is the n-th recurring shape: real words, a different column list each.
+// recurringText is the n-th recurring shape: ordinary words, with a column list of its own.
 func recurringText(n int) string {
 	return fmt.Sprintf("SELECT part, c%d, d%d FROM stock_%d.orders WHERE part = 'p-%05d' AND e%d > 4", n%17, n/17, 1+n%30, n, n)
 }
 
-func heap() int {
-	runtime.GC()
-	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return int(m.HeapAlloc)
+// oneOffText is a shape that does not recur.
+func oneOffText(n int, salt uint32) string {
+	return fmt.Sprintf("SELECT t_%d.n FROM stock_3.scratch_%d t_%d WHERE t_%d.part = 'p-1'", n, salt, n, n)
 }
 
-// resident is the resident memory of a process in bytes, from proc(5); 0: not known.
-func resident(pid string) int {
-	b, err := os.ReadFile("/proc/" + pid + "/statm")
-	if err != nil {
-		return 0
-	}
-	if f := strings.Fields(string(b)); len(f) > 1 {
-		n, _ := strconv.Atoi(f[1])
-		return n * os.Getpagesize()
-	}
-	return 0
+// heapInUse is the heap that is reachable.
+func heapInUse() int {
+	// Two collections: what has a finalizer is freed by the second.
+	runtime.GC() //nolint:revive // the measurement is of reachable memory
+	runtime.GC() //nolint:revive // see above
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int(stats.HeapAlloc)
 }
--- /dev/null
+++ b/internal/lab/experiment/load.go
@@ -0,0 +1,166 @@
+package experiment
+
+import (
+	"bufio"
+	"context"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"flaxrelay/internal/lab/workload"
+	"flaxrelay/internal/pgproto"
+)
+
+const (
+	// rejectedCode is the SQLSTATE of a statement that is rejected for want of capacity.
+	rejectedCode = "53000"
+	// retryPause is the pause after a rejection.
+	retryPause = 2 * time.Millisecond
+	// clientStride keeps the clients from sending the same statement at the same time.
+	clientStride = 97
+)
+
+// load is a number of PostgreSQL clients that send statements one after the other.
+type load struct {
+	addr       string
+	statements []workload.Statement
+	clients    int
+}
+
+// run sends so many requests and waits for all answers. Rejections are retried: no engine is
+// known yet at the start.
+func (l load) run(ctx context.Context, requests int) error {
+	var wg sync.WaitGroup
+	errs := make([]error, l.clients)
+	for i := range l.clients {
+		wg.Go(func() { errs[i] = l.runClient(ctx, i*clientStride, requests/l.clients) })
+	}
+	wg.Wait()
+	return errors.Join(errs...)
+}
+
+// runClient sends the requests of one client, from the given statement on.
+func (l load) runClient(ctx context.Context, first, requests int) error {
+	client, err := connect(ctx, l.addr)
+	if err != nil {
+		return err
+	}
+	defer client.close()
+	for served := 0; served < requests; {
+		rejected, err := client.execute(&l.statements[(first+served)%len(l.statements)])
+		switch {
+		case err != nil:
+			return err
+		case rejected: // no engine is known yet, or the load is shed
+			time.Sleep(retryPause)
+		default:
+			served++
+		}
+	}
+	return nil
+}
+
+// client is one PostgreSQL client.
+type client struct {
+	conn     net.Conn
+	in       *bufio.Reader
+	out      []byte
+	prepared map[string]string // name of a prepared statement by its text
+}
+
+func connect(ctx context.Context, addr string) (*client, error) {
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	if deadline, ok := ctx.Deadline(); ok {
+		_ = conn.SetDeadline(deadline)
+	}
+	c := &client{conn: conn, in: bufio.NewReader(conn), prepared: map[string]string{}}
+	parameters := append(append(pgproto.Str("user"), pgproto.Str("lab")...), 0)
+	if _, err := conn.Write(pgproto.AppendStartup(nil, pgproto.Version, parameters)); err != nil {
+		c.close()
+		return nil, err
+	}
+	if _, err := c.readUntilReady(); err != nil {
+		c.close()
+		return nil, err
+	}
+	return c, nil
+}
+
+func (c *client) close() { _ = c.conn.Close() }
+
+// execute sends a statement and reads its answer.
+func (c *client) execute(s *workload.Statement) (rejected bool, err error) {
+	c.out = appendMessages(c.out[:0], s, c.prepared)
+	if _, err := c.conn.Write(c.out); err != nil {
+		return false, err
+	}
+	return c.readUntilReady()
+}
+
+// readUntilReady reads an answer up to its ReadyForQuery.
+func (c *client) readUntilReady() (rejected bool, err error) {
+	const lengthSize = 4 // which the length counts too
+	head := make([]byte, 1+lengthSize)
+	for {
+		if _, err := io.ReadFull(c.in, head); err != nil {
+			return false, err
+		}
+		body := make([]byte, int(binary.BigEndian.Uint32(head[1:]))-lengthSize)
+		if _, err := io.ReadFull(c.in, body); err != nil {
+			return false, err
+		}
+		switch head[0] {
+		case 'E':
+			pgError, err := pgproto.ReadError(body)
+			if err != nil {
+				return false, err
+			}
+			if pgError.Code != rejectedCode {
+				return false, pgError
+			}
+			rejected = true
+		case 'Z':
+			return rejected, nil
+		}
+	}
+}
+
+// appendMessages appends what a client sends for one statement: a Query, or a Bind of a statement
+// that it prepares where it has not yet.
+func appendMessages(out []byte, s *workload.Statement, prepared map[string]string) []byte {
+	if len(s.Values) == 0 {
+		return pgproto.Append(out, 'Q', pgproto.Str(s.Text))
+	}
+	name, ok := prepared[s.Text]
+	if !ok {
+		name = fmt.Sprintf("s%d", len(prepared))
+		prepared[s.Text] = name
+		const oidSize = 4
+		types := append(binary.BigEndian.AppendUint16(nil, uint16(len(s.Types)/oidSize)), s.Types...)
+		out = pgproto.Append(out, 'P', pgproto.Str(name), pgproto.Str(s.Text), types)
+	}
+	out = pgproto.Append(out, 'B', []byte{0}, pgproto.Str(name), bindBody(s))
+	return pgproto.Append(pgproto.Append(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
+}
+
+// bindBody is the body of a Bind behind the names of its portal and statement.
+func bindBody(s *workload.Statement) []byte {
+	const formatSize, null = 2, -1
+	body := binary.BigEndian.AppendUint16(nil, uint16(len(s.Formats)/formatSize))
+	body = binary.BigEndian.AppendUint16(append(body, s.Formats...), uint16(len(s.Values)))
+	for _, value := range s.Values {
+		if value == nil {
+			body = append(body, pgproto.Int32(null)...)
+			continue
+		}
+		body = append(append(body, pgproto.Int32(len(value))...), value...)
+	}
+	return append(body, 0, 0) // no formats of the result: text
+}
--- /dev/null
+++ b/internal/lab/traffic/format.go
@@ -0,0 +1,88 @@
+// Package traffic keeps recorded traffic: statements with their values, hints and what
+// is true of them, each with the moment at which it arrives.
+//
+// A file is "RWTRAFF" and a version byte, then blocks. A block is its length, the xxhash
+// of its bytes and the number of its records (4, 8 and 4 bytes, big-endian), then a zstd
+// frame of CBOR items: one Head in the first block, Records in the others. A block of
+// length 0 that holds the number of all records in place of the hash ends the file; without
+// it the file is truncated, and Reader says so after the records that are complete.
+package traffic
+
+import (
+	"encoding/binary"
+	"errors"
+)
+
+// Version is the version of files that is written and read.
+const Version = 1
+
+const magic = "RWTRAFF"
+
+// Errors of files.
+var (
+	ErrTruncated = errors.New("the file was cut off")
+	ErrDamaged   = errors.New("the file is damaged")
+	ErrForeign   = errors.New("this is no traffic file")
+	ErrVersion   = errors.New("the file has another version")
+)
+
+// Limits of a block, which protect against files that claim more than they hold.
+const (
+	maxCompressedBlock = 16 << 20
+	maxPlainBlock      = 64 << 20
+)
+
+// Head says how the traffic was generated.
+type Head struct {
+	Seed   uint64  `cbor:"1,keyasint"`
+	Model  string  `cbor:"2,keyasint"` // the options of the workload, as text
+	Rate   float64 `cbor:"3,keyasint"` // statements a second on average
+	Comes  string  `cbor:"4,keyasint"` // the arrival process: poisson, bursts or season
+	Number int     `cbor:"5,keyasint"` // of the records
+}
+
+// Record is one statement.
+type Record struct {
+	At        int64    `cbor:"1,keyasint"` // microseconds from the start
+	Statement string   `cbor:"2,keyasint"`
+	Values    [][]byte `cbor:"3,keyasint,omitempty"`
+	Formats   []byte   `cbor:"4,keyasint,omitempty"`
+	Types     []byte   `cbor:"5,keyasint,omitempty"`
+	HintWork  float64  `cbor:"6,keyasint,omitempty"` // ms on one core; 0: none
+	HintMB    float64  `cbor:"7,keyasint,omitempty"`
+	Key       int      `cbor:"8,keyasint,omitempty"` // number of the value that is the idempotency key; 0: none
+
+	// What is true of the statement, for the evaluation.
+
+	Class    string  `cbor:"20,keyasint"`
+	Hard     string  `cbor:"21,keyasint,omitempty"` // why its class is hard to tell, or ""
+	Template int     `cbor:"22,keyasint"`
+	Work     float64 `cbor:"23,keyasint"` // ms on one core
+	MemoryMB float64 `cbor:"24,keyasint"`
+	Worth    float64 `cbor:"25,keyasint"` // priority weight
+}
+
+// blockHeader stands before each block.
+type blockHeader struct {
+	length   uint32 // of the compressed block; 0 at the end of the file
+	checksum uint64 // at the end of the file the number of all records
+	records  uint32
+}
+
+// blockHeaderLength is the length of an encoded blockHeader.
+const blockHeaderLength = 16
+
+// put encodes the header into the first bytes of a block.
+func (h blockHeader) put(block []byte) {
+	binary.BigEndian.PutUint32(block, h.length)
+	binary.BigEndian.PutUint64(block[4:], h.checksum)
+	binary.BigEndian.PutUint32(block[12:], h.records)
+}
+
+func parseBlockHeader(b []byte) blockHeader {
+	return blockHeader{
+		length:   binary.BigEndian.Uint32(b),
+		checksum: binary.BigEndian.Uint64(b[4:]),
+		records:  binary.BigEndian.Uint32(b[12:]),
+	}
+}
--- /dev/null
+++ b/internal/lab/traffic/reader.go
@@ -0,0 +1,132 @@
+package traffic
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+	"github.com/klauspost/compress/zstd"
+)
+
+// Limits of a CBOR item.
+const (
+	maxNesting       = 4
+	maxArrayElements = 1 << 17
+	maxMapPairs      = 64
+)
+
+// Reader reads a file block by block. It is for one goroutine.
+type Reader struct {
+	Head Head
+
+	in           io.Reader
+	decompressor *zstd.Decoder
+	decoding     cbor.DecMode
+	items        *cbor.Decoder // of the present block
+	blockRecords uint32        // that are left in the present block
+	records      uint64        // that were read
+	ended        bool          // the last block of the file was read
+}
+
+// NewReader reads the head of a file.
+func NewReader(in io.Reader) (*Reader, error) {
+	if err := readMagic(in); err != nil {
+		return nil, err
+	}
+	decompressor, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxPlainBlock))
+	if err != nil {
+		return nil, fmt.Errorf("traffic: %w", err)
+	}
+	decoding, err := cbor.DecOptions{MaxNestedLevels: maxNesting, MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs}.DecMode()
+	if err != nil {
+		return nil, fmt.Errorf("traffic: %w", err)
+	}
+	r := &Reader{in: in, decompressor: decompressor, decoding: decoding}
+	if err := r.readBlock(); err != nil {
+		return nil, err
+	}
+	if err := r.items.Decode(&r.Head); err != nil {
+		return nil, damagedBy("its head: ", err)
+	}
+	return r, nil
+}
+
+// readMagic reads what stands before the first block.
+func readMagic(in io.Reader) error {
+	start := make([]byte, len(magic)+1)
+	if _, err := io.ReadFull(in, start); err != nil || string(start[:len(magic)]) != magic {
+		return ErrForeign
+	}
+	if version := start[len(magic)]; version != Version {
+		return fmt.Errorf("%w: %d, and %d is read here", ErrVersion, version, Version)
+	}
+	return nil
+}
+
+// readBlock reads the next block; it returns io.EOF for the last one.
+func (r *Reader) readBlock() error {
+	encoded := make([]byte, blockHeaderLength)
+	if _, err := io.ReadFull(r.in, encoded); err != nil {
+		return fmt.Errorf("%w after %d records", ErrTruncated, r.records)
+	}
+	header := parseBlockHeader(encoded)
+	r.blockRecords = header.records
+	if header.length == 0 {
+		return r.readEnd(header)
+	}
+	if header.length > maxCompressedBlock {
+		return fmt.Errorf("%w: a block of %d bytes after %d records", ErrDamaged, header.length, r.records)
+	}
+	compressed := make([]byte, header.length)
+	if _, err := io.ReadFull(r.in, compressed); err != nil {
+		return fmt.Errorf("%w after %d records", ErrTruncated, r.records)
+	}
+	if xxhash.Sum64(compressed) != header.checksum {
+		return fmt.Errorf("%w: a block after %d records has another checksum", ErrDamaged, r.records)
+	}
+	plain, err := r.decompressor.DecodeAll(compressed, nil)
+	if err != nil {
+		return damagedBy("", err)
+	}
+	r.items = r.decoding.NewDecoder(bytes.NewReader(plain))
+	return nil
+}
+
+// readEnd checks the block that ends the file.
+func (r *Reader) readEnd(header blockHeader) error {
+	if header.checksum != r.records || header.records != 0 {
+		return fmt.Errorf("%w: it tells of %d records and holds %d", ErrDamaged, header.checksum, r.records)
+	}
+	r.ended = true
+	return io.EOF
+}
+
+// damagedBy gives the cause as text and does not wrap it: an io.EOF within it would say that the
+// file ended in order.
+func damagedBy(where string, cause error) error {
+	return fmt.Errorf("%w: %s", ErrDamaged, where+cause.Error())
+}
+
+// Next reads a record; it returns io.EOF behind the last one.
+func (r *Reader) Next(record *Record) error {
+	if r.ended {
+		return io.EOF
+	}
+	for r.blockRecords == 0 {
+		if err := r.readBlock(); err != nil {
+			return err
+		}
+	}
+	*record = Record{}
+	if err := r.items.Decode(record); err != nil {
+		return damagedBy(fmt.Sprintf("record %d: ", r.records), err)
+	}
+	r.blockRecords--
+	r.records++
+	return nil
+}
+
+// Close frees what the reader holds; the file is its owner's.
+func (r *Reader) Close() { r.decompressor.Close() }
--- a/internal/lab/traffic/stored_test.go
+++ b/internal/lab/traffic/stored_test.go
@@ -34,7 +34,7 @@
 }
 
 // A traffic file that an earlier version wrote is read as it was meant, field by field.
-func TestStoredFile(t *testing.T) {
+func TestReader_ReadsAFileOfAnEarlierVersion(t *testing.T) {
 	raw, err := os.ReadFile(storedFile)
 	if err != nil {
 		t.Fatal(err)
@@ -76,8 +76,8 @@
 		if length == 0 {
 			return all
 		}
-		end := headerBytes + int(length)
-		if all, err = dec.DecodeAll(rest[headerBytes:end], all); err != nil {
+		end := blockHeaderLength + int(length)
+		if all, err = dec.DecodeAll(rest[blockHeaderLength:end], all); err != nil {
 			t.Fatal(err)
 		}
 		rest = rest[end:]
@@ -86,7 +86,7 @@
 
 // The same seed gives the items that an earlier version wrote, to the byte: the keys of
 // records and the words of the head are part of the format.
-func TestStoredFileIsWrittenAgain(t *testing.T) {
+func TestGenerate_WritesTheItemsOfAnEarlierVersion(t *testing.T) {
 	want, err := os.ReadFile(storedFile)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/lab/traffic/traffic_test.go
@@ -11,9 +11,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func generate(t testing.TB, how Comes, number int) []byte {
+func generate(t testing.TB, process Comes, number int) []byte {
 	var b bytes.Buffer
-	if err := Generate(&b, workload.Defaults(7), number, 99, how, nil); err != nil {
+	if err := Generate(&b, workload.Defaults(7), number, 99, process, nil); err != nil {
 		t.Fatal(err)
 	}
 	return b.Bytes()
@@ -35,38 +35,38 @@
 }
 
 // The same seed gives the same bytes, and what is read is what was written.
-func TestRoundTrip(t *testing.T) {
-	for _, how := range []Comes{Poisson, Bursts, Season} {
-		one, two := generate(t, how, 3000), generate(t, how, 3000)
+func TestGenerate_SameSeedGivesTheSameFileAndItsRecords(t *testing.T) {
+	for _, process := range []Comes{Poisson, Bursts, Season} {
+		one, two := generate(t, process, 3000), generate(t, process, 3000)
 		if !bytes.Equal(one, two) {
-			t.Errorf("%s: one seed, two files", how)
+			t.Errorf("%s: one seed, two files", process)
 		}
 		all, err := read(one)
 		if !errors.Is(err, io.EOF) || len(all) != 3000 {
-			t.Fatalf("%s: %d records, %v", how, len(all), err)
+			t.Fatalf("%s: %d records, %v", process, len(all), err)
 		}
-		world := workload.New(workload.Defaults(7), 3000)
+		generator := workload.New(workload.Defaults(7), 3000)
 		last := int64(0)
 		for i := range all {
-			want := FromAsked(world.Next())
+			want := RecordOf(generator.Next())
 			want.At = all[i].At
 			if diff := cmp.Diff(want, all[i]); diff != "" {
-				t.Fatalf("%s: record %d:\n%s", how, i, diff)
+				t.Fatalf("%s: record %d:\n%s", process, i, diff)
 			}
 			if all[i].At < last {
-				t.Fatalf("%s: record %d goes back in time", how, i)
+				t.Fatalf("%s: record %d goes back in time", process, i)
 			}
 			last = all[i].At
 		}
 		if rate := 3000 / (float64(last) / 1e6); rate < 40 || rate > 250 {
-			t.Errorf("%s: %.0f a second, 99 wanted", how, rate)
+			t.Errorf("%s: %.0f a second, 99 wanted", process, rate)
 		}
 	}
 }
 
 // A file that was cut off says so, after the records that are whole; a changed one is
 // named damaged, and one of another kind or version too.
-func TestDamagedFiles(t *testing.T) {
+func TestReader_NamesTruncationDamageAndForeignFiles(t *testing.T) {
 	good := generate(t, Poisson, 4000)
 	for _, n := range []int{len(good) - 1, len(good) - 20, len(good) / 2, 40, 9} {
 		all, err := read(good[:n])
--- /dev/null
+++ b/internal/lab/traffic/writer.go
@@ -0,0 +1,90 @@
+package traffic
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+	"github.com/klauspost/compress/zstd"
+)
+
+// flushSize is the size of the items from which a block is written.
+const flushSize = 512 << 10
+
+// Writer writes a file. It is for one goroutine.
+type Writer struct {
+	out          io.Writer
+	compressor   *zstd.Encoder
+	block        bytes.Buffer // the items of the block that is being filled
+	blockRecords uint32
+	records      uint64 // of the whole file
+}
+
+// NewWriter begins a file.
+func NewWriter(out io.Writer, head Head) (*Writer, error) {
+	compressor, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
+	if err != nil {
+		return nil, fmt.Errorf("traffic: %w", err)
+	}
+	w := &Writer{out: out, compressor: compressor}
+	if _, err := out.Write(append([]byte(magic), Version)); err != nil {
+		return nil, fmt.Errorf("traffic: %w", err)
+	}
+	if err := w.addItem(head); err != nil {
+		return nil, err
+	}
+	return w, w.flush()
+}
+
+func (w *Writer) addItem(item any) error {
+	encoded, err := cbor.Marshal(item)
+	if err != nil {
+		return fmt.Errorf("traffic: %w", err)
+	}
+	w.block.Write(encoded)
+	return nil
+}
+
+// Write adds a record.
+func (w *Writer) Write(record *Record) error {
+	if err := w.addItem(record); err != nil {
+		return err
+	}
+	w.blockRecords++
+	w.records++
+	if w.block.Len() >= flushSize {
+		return w.flush()
+	}
+	return nil
+}
+
+// flush writes the block that is being filled, where it holds anything.
+func (w *Writer) flush() error {
+	if w.block.Len() == 0 {
+		return nil
+	}
+	block := w.compressor.EncodeAll(w.block.Bytes(), make([]byte, blockHeaderLength))
+	compressed := block[blockHeaderLength:]
+	blockHeader{length: uint32(len(compressed)), checksum: xxhash.Sum64(compressed), records: w.blockRecords}.put(block)
+	w.block.Reset()
+	w.blockRecords = 0
+	if _, err := w.out.Write(block); err != nil {
+		return fmt.Errorf("traffic: %w", err)
+	}
+	return nil
+}
+
+// Close ends the file. Without it the file counts as truncated.
+func (w *Writer) Close() error {
+	if err := w.flush(); err != nil {
+		return err
+	}
+	end := make([]byte, blockHeaderLength)
+	blockHeader{checksum: w.records}.put(end)
+	if _, err := w.out.Write(end); err != nil {
+		return fmt.Errorf("traffic: %w", err)
+	}
+	return w.compressor.Close()
+}
--- /dev/null
+++ b/internal/lab/workload/cost.go
@@ -0,0 +1,39 @@
+package workload
+
+import "math"
+
+// access is how a statement reaches its rows, and what it does with them: numbers of rows.
+type access struct {
+	indexed  float64 // found by an index
+	scanned  float64 // read sequentially
+	joined   float64
+	sorted   float64
+	grouped  float64
+	returned float64
+}
+
+// Unit costs in milliseconds on one core. With them lookups take about 200 ms and reports
+// about 3 s, as the brief has it.
+const (
+	baseMS        = 110
+	indexedRowMS  = 0.03
+	scannedRowMS  = 0.014
+	joinedRowMS   = 0.006
+	sortedRowMS   = 0.0003 // times the binary logarithm of the rows
+	groupedRowMS  = 0.004
+	returnedRowMS = 0.004
+)
+
+// Cost of a table group that is not in the engine's memory.
+const (
+	coldShare  = 0.15
+	coldFactor = 1.5
+)
+
+func (a access) workMS() float64 {
+	work := baseMS + indexedRowMS*a.indexed + scannedRowMS*a.scanned + joinedRowMS*a.joined + groupedRowMS*a.grouped + returnedRowMS*a.returned
+	if a.sorted > 1 {
+		work += sortedRowMS * a.sorted * math.Log2(a.sorted)
+	}
+	return work
+}
--- /dev/null
+++ b/internal/lab/workload/generator.go
@@ -0,0 +1,186 @@
+// Package workload models the Board's register and the programs that query it: districts,
+// wholesalers, parts of very different popularity, ten years of days, and what each
+// statement truly costs there. The cost follows from the meaning of a statement (how many
+// rows it reaches, by which access path, and what is done with them), never from its text:
+// nothing that flaxrelay's classifier looks at contributes to it.
+package workload
+
+import (
+	"math"
+	"math/rand/v2"
+	"sort"
+
+	"gonum.org/v1/gonum/stat/distuv"
+)
+
+// Options say what workload is generated.
+type Options struct {
+	Seed      uint64
+	Templates int     // recurring query shapes; 0: DefaultTemplates
+	OneOff    float64 // share of statements whose shape never recurs
+	Hard      float64 // share of lookups whose values make them broad reports
+	Writes    float64 // share of statements that write and are no loads
+	// DriftAt is when the table of orders has grown, as a share of the statements; from
+	// then on a statement that reaches it costs Drift times as much. 0: never.
+	DriftAt float64
+	Drift   float64
+	// HintNoise is the scatter of hints, as a standard deviation of the natural
+	// logarithm; HintMissing is the share of statements without one. Hints follow from
+	// what the shape usually costs, so they do not depend on the values.
+	HintNoise   float64
+	HintMissing float64
+}
+
+// DefaultTemplates is the number of recurring query shapes where the options name none.
+const DefaultTemplates = 200
+
+// Defaults are the figures of the Board's brief, as far as it gives them.
+func Defaults(seed uint64) Options {
+	return Options{
+		Seed: seed, Templates: DefaultTemplates, OneOff: 0.05, Hard: 0.04, Writes: 0.02,
+		DriftAt: 0.6, Drift: 3, HintNoise: 0.7, HintMissing: 0.15,
+	}
+}
+
+// Classes of statements.
+const (
+	ClassLookup = "lookup"
+	ClassReport = "report"
+	ClassLoad   = "load"
+	ClassWrite  = "write"
+)
+
+// BroadAt is the true work from which a reading statement is a report, in milliseconds.
+const BroadAt = 800
+
+// Values of Statement.Template for statements of no recurring template.
+const (
+	TemplateOneOff = -1
+	TemplateWrite  = -2
+)
+
+// Statement is one statement with what is true of it.
+type Statement struct {
+	Text       string
+	Values     [][]byte // bound; nil: null
+	Formats    []byte   // format codes as in a Bind message
+	Types      []byte   // object ids of the parameter types, four bytes each
+	Class      string
+	HardCase   string  // why its class is hard to tell, or ""
+	Template   int     // index of its template, TemplateOneOff or TemplateWrite
+	WorkMS     float64 // on one core
+	MemoryMB   float64
+	HintWorkMS float64 // 0: no hint
+	HintMB     float64
+	Weight     float64 // priority weight
+	Key        int     // number of the bound value that is its idempotency key; 0: none
+}
+
+// Generator generates the statements of a workload. It is for one goroutine.
+type Generator struct {
+	options           Options
+	random            *rand.Rand
+	templates         []*template
+	cumulativeWeights []float64 // of the templates
+	partPopularity    *rand.Zipf
+	groupPopularity   *rand.Zipf
+	scatter           distuv.LogNormal // of the true work and memory
+	hintError         distuv.LogNormal
+	generated         int
+	total             int
+}
+
+const (
+	randomStream  = 0x7265676973746572 // second word of the seed: distinct from other uses of it
+	scatterSigma  = 0.3
+	minHintSigma  = 1e-9 // the distribution takes no 0
+	oneOffOrdinal = 1 << 20
+)
+
+// New makes a generator that will be asked for so many statements.
+func New(options Options, total int) *Generator {
+	if options.Templates <= 0 {
+		options.Templates = DefaultTemplates
+	}
+	random := rand.New(rand.NewPCG(options.Seed, randomStream))
+	g := &Generator{
+		options: options, random: random, total: max(total, 1),
+		partPopularity:  rand.NewZipf(random, 1.25, 8, Parts-1),
+		groupPopularity: rand.NewZipf(random, 1.2, 3, Groups-1),
+		scatter:         distuv.LogNormal{Sigma: scatterSigma, Src: random},
+		hintError:       distuv.LogNormal{Sigma: max(options.HintNoise, minHintSigma), Src: random},
+	}
+	sum := 0.0
+	for ordinal := range options.Templates {
+		t := newTemplate(random, ordinal)
+		g.templates = append(g.templates, t)
+		sum += t.weight
+		g.cumulativeWeights = append(g.cumulativeWeights, sum)
+	}
+	return g
+}
+
+// Next is the next statement.
+func (g *Generator) Next() Statement {
+	growth := g.growth()
+	g.generated++
+	switch u := g.random.Float64(); {
+	case u < g.options.OneOff:
+		t := newTemplate(g.random, oneOffOrdinal)
+		t.oneOff = true
+		return g.fromTemplate(t, TemplateOneOff, growth)
+	case u < g.options.OneOff+g.options.Writes:
+		return g.write(growth)
+	}
+	last := g.cumulativeWeights[len(g.cumulativeWeights)-1]
+	index := sort.SearchFloat64s(g.cumulativeWeights, g.random.Float64()*last)
+	return g.fromTemplate(g.templates[index], index, growth)
+}
+
+// growth is the factor by which the table of orders has grown by now.
+func (g *Generator) growth() float64 {
+	progress := float64(g.generated) / float64(g.total)
+	if g.options.DriftAt > 0 && progress >= g.options.DriftAt {
+		return g.options.Drift
+	}
+	return 1
+}
+
+// fromTemplate is a statement of a template, with values of its own.
+func (g *Generator) fromTemplate(t *template, index int, growth float64) Statement {
+	s, usualMS := g.instantiate(t, growth)
+	s.Template = index
+	return g.finish(s, usualMS)
+}
+
+// hintBias is the factor by which the hints of a class are wrong on average.
+var hintBias = map[string]float64{ClassLookup: 0.45, ClassReport: 2.4, ClassLoad: 0.7, ClassWrite: 1}
+
+// priorityWeights are the priority weights of the classes.
+var priorityWeights = map[string]float64{ClassLookup: 1, ClassReport: 4, ClassLoad: 5, ClassWrite: 4}
+
+// finish adds scatter, hint and priority weight. usualMS is what a planner would expect that
+// does not know the values.
+func (g *Generator) finish(s Statement, usualMS float64) Statement {
+	const minMemoryMB, memoryAt200MS, memoryExponent = 2, 6, 0.7
+	truth := s.WorkMS
+	s.WorkMS *= g.scatter.Rand()
+	s.MemoryMB = math.Max(minMemoryMB, memoryAt200MS*math.Pow(truth/200, memoryExponent)*g.scatter.Rand())
+	if g.random.Float64() >= g.options.HintMissing {
+		s.HintWorkMS = usualMS * hintBias[hintedClass(s.Class, usualMS)] * g.hintError.Rand()
+		s.HintMB = s.MemoryMB * g.hintError.Rand() * 1.2
+	}
+	s.Weight = priorityWeights[s.Class]
+	return s
+}
+
+// hintedClass is the class that a planner would expect that does not know the values.
+func hintedClass(class string, usualMS float64) string {
+	switch {
+	case class == ClassLoad || class == ClassWrite:
+		return class
+	case usualMS > BroadAt:
+		return ClassReport
+	}
+	return ClassLookup
+}
--- /dev/null
+++ b/internal/lab/workload/instance.go
@@ -0,0 +1,100 @@
+package workload
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+)
+
+// instance is one statement of a template while it is generated.
+type instance struct {
+	textBuilder
+	generator *Generator
+	random    *rand.Rand
+	template  *template
+	group     int
+	rows      float64 // of the table by now
+	rowsOfOne float64 // rows of one usual part
+	broad     bool    // its values are to make a lookup a report, where the family has such values
+	hardCase  string
+	tableName string
+	from      string // the table with its alias
+	alias     string
+	columns   string // that it selects
+}
+
+// newInstance draws the table group, whether the values are broad, and the names.
+func (g *Generator) newInstance(t *template, growth float64) *instance {
+	i := &instance{generator: g, random: g.random, template: t}
+	i.style, i.lowerCase = t.style, t.lowerCase
+	i.group = 1 + int(g.groupPopularity.Uint64())
+	i.rows = t.table.rows
+	if t.table == &tables[ordersTable] {
+		i.rows *= growth
+	}
+	i.rowsOfOne = i.rows / Parts
+	i.broad = g.random.Float64() < g.options.Hard
+	i.drawNames()
+	return i
+}
+
+func (i *instance) drawNames() {
+	t := i.template
+	i.tableName = fmt.Sprintf("stock_%d.%s", i.group, t.table.name)
+	if t.aliased {
+		i.alias = t.table.name[:1]
+	}
+	if t.oneOff {
+		const names = 1 << 30 // so many that none recurs
+		i.tableName = fmt.Sprintf("stock_%d.%s_%d", i.group, t.table.name, i.random.IntN(names))
+		i.alias = fmt.Sprintf("t_%d", i.random.IntN(names))
+	}
+	i.from = i.tableName
+	if i.alias != "" {
+		i.from += " " + i.alias
+	}
+	qualified := make([]string, len(t.columns))
+	for n, column := range t.columns {
+		qualified[n] = i.column(column)
+	}
+	i.columns = strings.Join(qualified, ", ")
+}
+
+// column is the name of a column, qualified where the table has an alias.
+func (i *instance) column(name string) string {
+	if i.alias == "" {
+		return name
+	}
+	return i.alias + "." + name
+}
+
+// dayColumn is the column of the table's day.
+func (i *instance) dayColumn() string { return i.column(i.template.table.dayColumn) }
+
+// makeHard notes that broad values make the statement a hard case.
+func (i *instance) makeHard(why string) { i.hardCase = why }
+
+// instantiate generates a statement of a template with values of its own. usualMS is what the
+// shape costs with values as they usually are, as a planner would say that does not know them.
+func (g *Generator) instantiate(t *template, growth float64) (s Statement, usualMS float64) {
+	i := g.newInstance(t, growth)
+	if t.family == loadBatch {
+		return i.load()
+	}
+	actual, usual := familySpecs[t.family].generate(i)
+	s = i.statement()
+	s.WorkMS = actual.workMS()
+	if g.random.Float64() < coldShare {
+		s.WorkMS *= coldFactor
+	}
+	s.Class = ClassLookup
+	if s.WorkMS >= BroadAt { // below it broad values reach so few rows that it stays a lookup
+		s.Class, s.HardCase = ClassReport, i.hardCase
+	}
+	return s, usual.workMS()
+}
+
+// statement is the text with its bound values.
+func (i *instance) statement() Statement {
+	return Statement{Text: i.text.String(), Values: i.values, Formats: i.formats, Types: i.types}
+}
--- /dev/null
+++ b/internal/lab/workload/reports.go
@@ -0,0 +1,43 @@
+package workload
+
+// generateDistrictTotals sums the last months by district.
+func generateDistrictTotals(i *instance) (actual, usual access) {
+	const daysOfMonth, usualDays, scannedShare = 31, 186, 0.8
+	months := 1 + i.random.IntN(12)
+	i.sql("SELECT %s, count(*), sum(%s) FROM %s WHERE %s >= ", i.column("district"), i.column("n"), i.from, i.dayColumn())
+	i.dayValue(Days - daysOfMonth*months)
+	i.sql(" AND %s < ", i.dayColumn())
+	i.dayValue(Days - 1)
+	i.sql(" GROUP BY %s ORDER BY 2 DESC", i.column("district"))
+	scanned := i.rows * scannedShare
+	return access{scanned: scanned, grouped: i.rows * float64(daysOfMonth*months) / Days, returned: Districts},
+		access{scanned: scanned, grouped: i.rows * usualDays / Days, returned: Districts}
+}
+
+// generateTopParts joins with the parts and finds those with most rows.
+func generateTopParts(i *instance) (actual, usual access) {
+	const limit = 20
+	i.sql("SELECT p.name, max(%s), count(*) FROM %s JOIN stock_%d.parts p USING (part) WHERE p.kind = ",
+		i.column(i.template.columns[0]), i.from, i.group)
+	i.textValue("gear")
+	i.sql(" GROUP BY p.name ORDER BY 3 DESC LIMIT ")
+	i.intValue(limit)
+	actual = access{scanned: i.rows, joined: i.rows, grouped: i.rows / 4, sorted: Parts, returned: limit}
+	return actual, actual
+}
+
+// generateRanking ranks the rows of each district.
+func generateRanking(i *instance) (actual, usual access) {
+	i.sql("SELECT %s, %s, rank() OVER (PARTITION BY %s ORDER BY %s) FROM %s",
+		i.column("district"), i.column("part"), i.column("district"), i.dayColumn(), i.from)
+	actual = access{scanned: i.rows, sorted: i.rows / 2, returned: i.rows / 20}
+	return actual, actual
+}
+
+// generateDistinct finds the distinct rows of nearly the whole table.
+func generateDistinct(i *instance) (actual, usual access) {
+	i.sql("SELECT DISTINCT %s FROM %s WHERE %s <> ", i.columns, i.from, i.column("part"))
+	i.textValue("p-0")
+	actual = access{scanned: i.rows, sorted: i.rows / 3, returned: i.rows / 8}
+	return actual, actual
+}
--- /dev/null
+++ b/internal/lab/workload/schema.go
@@ -0,0 +1,57 @@
+package workload
+
+import "fmt"
+
+// Sizes of the register.
+const (
+	Districts   = 77
+	Wholesalers = 400
+	Parts       = 4000 // of one group
+	Days        = 3650
+	Groups      = 30
+)
+
+// table is one table of a group.
+type table struct {
+	name      string
+	rows      float64
+	columns   []string
+	dayColumn string
+}
+
+// Indices into tables.
+const (
+	partsTable = iota
+	stockTable
+	ordersTable
+	shipmentsTable
+	pricesTable
+	returnsTable
+)
+
+var tables = [...]table{
+	partsTable:     {"parts", 4000, []string{"part", "name", "maker", "kind"}, "listed"},
+	stockTable:     {"stock", 40000, []string{"part", "wholesaler", "n", "bin"}, "counted"},
+	ordersTable:    {"orders", 200000, []string{"part", "wholesaler", "district", "n", "price"}, "day"},
+	shipmentsTable: {"shipments", 120000, []string{"part", "number", "district", "state"}, "sent"},
+	pricesTable:    {"prices", 80000, []string{"part", "wholesaler", "price"}, "day"},
+	returnsTable:   {"returns", 20000, []string{"part", "district", "reason"}, "day"},
+}
+
+// popularParts are the parts that every shop sells; each has far more rows than another part.
+const (
+	popularParts      = 12
+	popularPartFactor = 30
+)
+
+// part is a part by its popularity, with the factor of its rows over those of a usual part.
+func (g *Generator) part() (name string, rowFactor float64) {
+	number := int(g.partPopularity.Uint64())
+	rowFactor = 1
+	if number < popularParts {
+		rowFactor = popularPartFactor
+	}
+	return partName(number), rowFactor
+}
+
+func partName(number int) string { return fmt.Sprintf("p-%05d", number) }
--- /dev/null
+++ b/internal/lab/workload/template.go
@@ -0,0 +1,120 @@
+package workload
+
+import (
+	"math"
+	"math/rand/v2"
+)
+
+// family is a kind of query that programs send.
+type family int
+
+const (
+	lookupByPart family = iota
+	lookupByPartAndWholesaler
+	lookupPartList
+	lookupDayRange
+	lookupPattern
+	lookupDistricts
+	lookupLatest
+	lookupOptionalPart
+	reportDistrictTotals
+	reportTopParts
+	reportRanking
+	reportDistinct
+	loadBatch
+)
+
+// Ranges of the families.
+const (
+	firstReport = reportDistrictTotals
+	firstLoad   = loadBatch
+)
+
+// Chances of the kinds of template. With the weights of the families, 81 % of the statements
+// are lookups, 14 % reports and 5 % loads, as the brief has it.
+const (
+	lookupTemplates = 0.72
+	reportTemplates = 0.2
+	reportWeight    = 0.7
+	loadWeight      = 0.65
+)
+
+// generateFunc writes the text of one statement and returns how it reaches its rows: with the
+// values it has, and with values as they usually are.
+type generateFunc func(*instance) (actual, usual access)
+
+// familySpec says how the statements of a family are made.
+type familySpec struct {
+	generate generateFunc // nil for loads, whose cost is not that of an access
+	tables   []int        // that have the columns and rows it needs; nil: any
+	weight   float64
+}
+
+// familySpecs are the specifications of all families.
+var familySpecs = [...]familySpec{
+	lookupByPart:              {generateByPart, nil, 1},
+	lookupByPartAndWholesaler: {generateByPartAndWholesaler, []int{stockTable, ordersTable, pricesTable}, 1},
+	lookupPartList:            {generatePartList, nil, 1},
+	lookupDayRange:            {generateDayRange, []int{ordersTable, shipmentsTable, pricesTable}, 1},
+	lookupPattern:             {generatePattern, []int{ordersTable, shipmentsTable, pricesTable}, 1},
+	lookupDistricts:           {generateDistricts, []int{ordersTable, shipmentsTable}, 1},
+	lookupLatest:              {generateLatest, []int{ordersTable, shipmentsTable, pricesTable}, 1},
+	lookupOptionalPart:        {generateOptionalPart, []int{ordersTable, shipmentsTable, pricesTable}, 1},
+	reportDistrictTotals:      {generateDistrictTotals, []int{ordersTable, shipmentsTable}, reportWeight},
+	reportTopParts:            {generateTopParts, []int{ordersTable, shipmentsTable}, reportWeight},
+	reportRanking:             {generateRanking, []int{ordersTable, shipmentsTable}, reportWeight},
+	reportDistinct:            {generateDistinct, []int{ordersTable, shipmentsTable}, reportWeight},
+	loadBatch:                 {nil, nil, loadWeight},
+}
+
+// valueStyle is how a program passes values.
+type valueStyle int
+
+const (
+	literalValues valueStyle = iota // written into the text
+	textValues                      // bound as text
+	binaryValues                    // bound, in binary where that is usual
+	valueStyles
+)
+
+// template is a statement as one program writes it.
+type template struct {
+	family    family
+	table     *table
+	columns   []string
+	style     valueStyle
+	weight    float64
+	lowerCase bool // key words in lower case
+	oneOff    bool
+	aliased   bool
+}
+
+// newTemplate draws a template; the ordinal is its rank by frequency.
+func newTemplate(random *rand.Rand, ordinal int) *template {
+	const rankExponent = 0.6
+	t := &template{family: drawFamily(random)}
+	t.style = valueStyle(random.IntN(int(valueStyles)))
+	t.lowerCase = random.IntN(2) == 0
+	t.aliased = random.IntN(3) == 0
+	t.table = &tables[random.IntN(len(tables))]
+	spec := familySpecs[t.family]
+	if len(spec.tables) > 0 {
+		t.table = &tables[spec.tables[random.IntN(len(spec.tables))]]
+	}
+	n := 1 + random.IntN(len(t.table.columns))
+	for _, column := range random.Perm(len(t.table.columns))[:n] {
+		t.columns = append(t.columns, t.table.columns[column])
+	}
+	t.weight = 1 / math.Pow(float64(ordinal+1), rankExponent) * spec.weight
+	return t
+}
+
+func drawFamily(random *rand.Rand) family {
+	switch u := random.Float64(); {
+	case u < lookupTemplates:
+		return family(random.IntN(int(firstReport)))
+	case u < lookupTemplates+reportTemplates:
+		return firstReport + family(random.IntN(int(firstLoad-firstReport)))
+	}
+	return loadBatch
+}
--- /dev/null
+++ b/internal/lab/workload/text.go
@@ -0,0 +1,122 @@
+package workload
+
+import (
+	"encoding/binary"
+	"fmt"
+	"strings"
+)
+
+// Object ids of PostgreSQL's types.
+const (
+	oidInt4      = 23
+	oidText      = 25
+	oidDate      = 1082
+	oidTextArray = 1009
+)
+
+// Format codes of a Bind message.
+const (
+	formatText   = 0
+	formatBinary = 1
+)
+
+// textBuilder writes the text of a statement; values are written out or bound, as the style says.
+type textBuilder struct {
+	text      strings.Builder
+	style     valueStyle
+	lowerCase bool // key words in lower case
+	values    [][]byte
+	formats   []byte // two bytes each
+	types     []byte // four bytes each
+}
+
+// sql adds formatted text, whose key words are in upper case in the format.
+func (b *textBuilder) sql(format string, args ...any) {
+	text := fmt.Sprintf(format, args...)
+	if b.lowerCase {
+		text = strings.ToLower(text)
+	}
+	b.text.WriteString(text)
+}
+
+// literal adds formatted text as it stands.
+func (b *textBuilder) literal(format string, args ...any) {
+	_, _ = fmt.Fprintf(&b.text, format, args...) // a strings.Builder returns no error
+}
+
+// bind adds a parameter with its value; nil is null.
+func (b *textBuilder) bind(value []byte, format byte, oid uint32) {
+	b.values = append(b.values, value)
+	b.formats = append(b.formats, 0, format)
+	b.types = binary.BigEndian.AppendUint32(b.types, oid)
+	b.literal("$%d", len(b.values))
+}
+
+// textValue adds a text.
+func (b *textBuilder) textValue(value string) {
+	if b.style == literalValues {
+		b.literal("'%s'", value)
+		return
+	}
+	b.bind([]byte(value), formatText, oidText)
+}
+
+// intValue adds a number.
+func (b *textBuilder) intValue(value int) {
+	switch b.style {
+	case literalValues:
+		b.literal("%d", value)
+	case textValues:
+		b.bind(fmt.Append(nil, value), formatText, oidInt4)
+	default:
+		b.bind(binary.BigEndian.AppendUint32(nil, uint32(value)), formatBinary, oidInt4)
+	}
+}
+
+// The register's first day is 2016-01-01; PostgreSQL's binary dates count from 2000-01-01.
+const (
+	firstYear              = 2016
+	daysOfYear             = 365
+	daysFrom2000ToRegister = 16*daysOfYear + 4
+)
+
+// dayValue adds a date by its number in the register. Months are taken to have 31 days, of which
+// those past the 28th are written as the 28th, so that every date is valid.
+func (b *textBuilder) dayValue(number int) {
+	const daysOfMonth, lastSafeDay = 31, 28
+	year, month, day := firstYear+number/daysOfYear, 1+number%daysOfYear/daysOfMonth, 1+number%daysOfYear%daysOfMonth
+	date := fmt.Sprintf("%04d-%02d-%02d", year, month, min(day, lastSafeDay))
+	switch b.style {
+	case literalValues:
+		b.literal("'%s'", date)
+	case textValues:
+		b.bind([]byte(date), formatText, oidDate)
+	default:
+		b.bind(binary.BigEndian.AppendUint32(nil, uint32(daysFrom2000ToRegister+number)), formatBinary, oidDate)
+	}
+}
+
+// arrayValue adds a list of texts as one value.
+func (b *textBuilder) arrayValue(list []string) {
+	switch b.style {
+	case literalValues:
+		b.literal("'{%s}'", strings.Join(list, ","))
+	case textValues:
+		b.bind([]byte("{"+strings.Join(list, ",")+"}"), formatText, oidTextArray)
+	default:
+		b.bind(binaryArray(list), formatBinary, oidTextArray)
+	}
+}
+
+// binaryArray is PostgreSQL's binary form of a one-dimensional array of texts.
+func binaryArray(list []string) []byte {
+	const dimensions, noNulls, lowerBound = 1, 0, 1
+	var value []byte
+	for _, word := range []int{dimensions, noNulls, oidText, len(list), lowerBound} {
+		value = binary.BigEndian.AppendUint32(value, uint32(word))
+	}
+	for _, text := range list {
+		value = append(binary.BigEndian.AppendUint32(value, uint32(len(text))), text...)
+	}
+	return value
+}
