--- /dev/null
+++ b/internal/lab/fake/consul.go
@@ -0,0 +1,87 @@
+package fake
+
+import (
+	"encoding/json"
+	"net"
+	"net/http"
+	"time"
+)
+
+// Instance is one registration in the catalogue.
+type Instance struct {
+	ID   string
+	Addr *net.TCPAddr
+}
+
+// catalogueEntry is an element of the answer to /v1/catalog/service.
+type catalogueEntry struct {
+	Node        string `json:"Node"`
+	Address     string `json:"Address"`
+	Datacenter  string `json:"Datacenter"`
+	ServiceID   string `json:"ServiceID"`
+	ServicePort int    `json:"ServicePort"`
+}
+
+// healthEntry is an element of the answer to /v1/health/service.
+type healthEntry struct {
+	Node    healthNode    `json:"Node"`
+	Service healthService `json:"Service"`
+	Checks  []healthCheck `json:"Checks"`
+}
+
+type healthNode struct {
+	Node string `json:"Node"`
+}
+
+type healthService struct {
+	ID string `json:"ID"`
+}
+
+type healthCheck struct {
+	CheckID string `json:"CheckID"`
+	Status  string `json:"Status"`
+}
+
+const (
+	nodeName       = "emulated"
+	datacenterName = "dc1"
+	// onlyIndex is the index of all answers, as nothing ever changes.
+	onlyIndex = "1"
+)
+
+// Consul serves the catalogue and the health of instances that never change. A query that
+// has the only index waits until its time is over, as the API's blocking queries do.
+func Consul(service string, instances []Instance) http.Handler {
+	var catalogue []catalogueEntry
+	var health []healthEntry
+	for _, instance := range instances {
+		catalogue = append(catalogue, catalogueEntry{
+			Node: nodeName, Address: instance.Addr.IP.String(), Datacenter: datacenterName,
+			ServiceID: instance.ID, ServicePort: instance.Addr.Port,
+		})
+		health = append(health, healthEntry{
+			Node: healthNode{nodeName}, Service: healthService{instance.ID},
+			Checks: []healthCheck{{CheckID: "serfHealth", Status: "passing"}},
+		})
+	}
+	mux := http.NewServeMux()
+	mux.Handle("/v1/catalog/service/"+service, blockingQuery(catalogue))
+	mux.Handle("/v1/health/service/"+service, blockingQuery(health))
+	return mux
+}
+
+// blockingQuery answers with a body, after the wait of a query that has the index already.
+func blockingQuery(body any) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		query := r.URL.Query()
+		if wait, err := time.ParseDuration(query.Get("wait")); err == nil && query.Get("index") == onlyIndex {
+			select {
+			case <-time.After(wait):
+			case <-r.Context().Done():
+				return
+			}
+		}
+		w.Header().Set("X-Consul-Index", onlyIndex)
+		_ = json.NewEncoder(w).Encode(body) // a client that has disconnected needs none
+	}
+}
--- /dev/null
+++ b/internal/lab/harness/harness.go
@@ -0,0 +1,115 @@
+// Package harness sets up flaxrelay with emulated surroundings on loopback addresses: engines,
+// event bus, catalogue, the files that name them, and flaxrelay's own processes.
+package harness
+
+import (
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"path/filepath"
+
+	"flaxrelay/internal/lab/fake"
+)
+
+// anyLoopbackPort lets the kernel choose a free port.
+const anyLoopbackPort = "127.0.0.1:0"
+
+// catalogueService is the name of the engines' service in deploy/postgres.toml.
+const catalogueService = "stock-engine"
+
+// onlyOffset is the offset of the only event of the emulated bus.
+const onlyOffset = 1
+
+// Options say what to set up.
+type Options struct {
+	Root     string // the repository, whose deploy files are taken
+	Dir      string // for files
+	Engines  int    // of each wire protocol
+	Work     fake.Work
+	HTTP     string // where the HTTP front end listens
+	Postgres string // where the PostgreSQL front end listens
+	Shapes   bool   // whether query shapes are enabled in the PostgreSQL front end's file
+	Log      *slog.Logger
+}
+
+// Rig is what was set up. The emulated systems end with Close.
+type Rig struct {
+	Config, Deploy, Shapes string // the files of flaxrelay
+	listeners              []net.Listener
+}
+
+// New starts the emulated systems and writes the files.
+func New(opts Options) (rig *Rig, err error) {
+	rig = &Rig{
+		Config: filepath.Join(opts.Dir, "config.json"),
+		Deploy: filepath.Join(opts.Dir, deployFile),
+		Shapes: filepath.Join(opts.Dir, shapesFile),
+	}
+	defer func() {
+		if err != nil {
+			rig.Close()
+		}
+	}()
+	targets, err := rig.startLineEngines(opts)
+	if err != nil {
+		return nil, err
+	}
+	instances, err := rig.startPostgresEngines(opts)
+	if err != nil {
+		return nil, err
+	}
+	bus, err := rig.listen()
+	if err != nil {
+		return nil, err
+	}
+	go fake.Bus(bus, onlyOffset)
+	agent, err := rig.listen()
+	if err != nil {
+		return nil, err
+	}
+	go func() { _ = http.Serve(agent, fake.Consul(catalogueService, instances)) }() // it ends with its listener
+	return rig, rig.writeFiles(opts, targets, bus.Addr().String(), agent.Addr().String())
+}
+
+// Close ends the emulated systems.
+func (r *Rig) Close() {
+	for _, listener := range r.listeners {
+		_ = listener.Close()
+	}
+}
+
+// listen opens a listener that ends with the rig.
+func (r *Rig) listen() (net.Listener, error) {
+	listener, err := fake.Listen(anyLoopbackPort)
+	if err == nil {
+		r.listeners = append(r.listeners, listener)
+	}
+	return listener, err
+}
+
+func (r *Rig) startLineEngines(opts Options) (targets []target, err error) {
+	for i := range opts.Engines {
+		listener, err := r.listen()
+		if err != nil {
+			return nil, err
+		}
+		name := fmt.Sprintf("s-%08x", i+1)
+		go fake.Lines(listener, opts.Work, opts.Log.With("engine", name))
+		targets = append(targets, target{UID: name, Endpoint: listener.Addr().String(), AZ: "hall-a", Model: "std-8", State: "in_service"})
+	}
+	return targets, nil
+}
+
+func (r *Rig) startPostgresEngines(opts Options) (instances []fake.Instance, err error) {
+	for i := range opts.Engines {
+		listener, err := r.listen()
+		if err != nil {
+			return nil, err
+		}
+		name := fmt.Sprintf("engine-%d", i+1)
+		go fake.Postgres(listener, opts.Work, opts.Log.With("engine", name))
+		instances = append(instances, fake.Instance{ID: name, Addr: listener.Addr().(*net.TCPAddr)})
+	}
+	return instances, nil
+}
--- /dev/null
+++ b/internal/lab/harness/process.go
@@ -0,0 +1,100 @@
+package harness
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"flaxrelay/internal/lab/fake"
+)
+
+const (
+	// shutdownLimit is how long a graceful shutdown may take; flaxrelay bounds its own below it.
+	shutdownLimit = 8 * time.Second
+	// dialLimit bounds one attempt to connect.
+	dialLimit = time.Second
+	// dialInterval is the pause between attempts to connect.
+	dialInterval = 50 * time.Millisecond
+)
+
+// ErrNotListening says that nothing listens at an address.
+var ErrNotListening = errors.New("nothing listens")
+
+// Build builds flaxrelay into a folder and returns its path.
+func Build(ctx context.Context, root, dir string) (string, error) {
+	program := filepath.Join(dir, "flaxrelay")
+	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/flaxrelay")
+	build.Dir, build.Stderr = root, os.Stderr
+	if err := build.Run(); err != nil {
+		return "", fmt.Errorf("build of flaxrelay (start this from the repository's root, or name a program): %w", err)
+	}
+	return program, nil
+}
+
+// Gateway is one process of flaxrelay.
+type Gateway struct {
+	Process *os.Process
+	Ended   chan error // receives the end of the process, once
+
+	exited chan struct{} // closed when the process has ended
+}
+
+// Start starts flaxrelay, without the environment variables that would change its settings.
+func Start(program string, out io.Writer, args ...string) (*Gateway, error) {
+	cmd := exec.Command(program, args...)
+	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Env = append(os.Environ(), "LB_CONFIG=", "LB_LISTEN=")
+	if err := cmd.Start(); err != nil {
+		return nil, fmt.Errorf("gateway: %w", err)
+	}
+	g := &Gateway{Process: cmd.Process, Ended: make(chan error, 1), exited: make(chan struct{})}
+	go func() {
+		g.Ended <- cmd.Wait()
+		close(g.exited)
+	}()
+	return g, nil
+}
+
+// Stop ends the process by a graceful shutdown, and by force where that takes too long.
+func (g *Gateway) Stop() {
+	_ = g.Process.Signal(syscall.SIGTERM) // a process that has ended needs none
+	select {
+	case <-g.exited:
+	case <-time.After(shutdownLimit):
+		_ = g.Process.Kill()
+		<-g.exited
+	}
+}
+
+// Up waits until something listens at an address.
+func Up(ctx context.Context, addr string) error {
+	dialer := net.Dialer{Timeout: dialLimit}
+	for {
+		conn, err := dialer.DialContext(ctx, "tcp", addr)
+		if err == nil {
+			return conn.Close()
+		}
+		select {
+		case <-ctx.Done():
+			return errors.Join(fmt.Errorf("%w at %s", ErrNotListening, addr), ctx.Err())
+		case <-time.After(dialInterval):
+		}
+	}
+}
+
+// Free is a loopback address at which nothing listens at present.
+func Free() (string, error) {
+	listener, err := fake.Listen(anyLoopbackPort)
+	if err != nil {
+		return "", err
+	}
+	defer func() { _ = listener.Close() }()
+	return listener.Addr().String(), nil
+}
