--- /dev/null
+++ b/internal/lab/faultproxy/proxy.go
@@ -0,0 +1,165 @@
+// Package faultproxy is a loopback TCP proxy that does to a connection what networks do: delay
+// with jitter, limited bandwidth, stalls, disconnects, resets, half-closes, corrupt and lost
+// replies. What it does and when follows a schedule and a seed, so that a run can be repeated.
+package faultproxy
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+)
+
+const (
+	// serverDialLimit bounds the connection to the server.
+	serverDialLimit = 2 * time.Second
+	// randomStream is the second word of the seed: distinct from other uses of it.
+	randomStream = 0x6c696e6b
+)
+
+// Options say how the proxy relays.
+type Options struct {
+	Delay     time.Duration // one way
+	Jitter    time.Duration // added, uniform from 0 to this; the order is kept
+	Bandwidth int           // bytes a second each way; 0: no limit
+	Faults    []Fault
+	Seed      uint64
+}
+
+// Proxy is a TCP proxy that listens.
+type Proxy struct {
+	opts     Options
+	server   string
+	listener net.Listener
+	start    time.Time
+
+	mu     sync.Mutex // guards what follows
+	relays map[*relay]bool
+	random *rand.Rand
+	change chan struct{} // closed and replaced when a fault begins or ends
+	timers []*time.Timer
+	closed bool
+}
+
+// NotLoopbackError is an address that is not on the loopback interface.
+type NotLoopbackError struct {
+	Addr string
+}
+
+// Error implements error.
+func (e *NotLoopbackError) Error() string {
+	return fmt.Sprintf("faultproxy: %q is no loopback address", e.Addr)
+}
+
+// Listen opens a proxy to a server, both on loopback.
+func Listen(server string, opts Options) (*Proxy, error) {
+	for i, fault := range opts.Faults {
+		if !fault.Kind.known() {
+			return nil, &UnknownKindError{Index: i, Kind: fault.Kind}
+		}
+	}
+	if host, _, err := net.SplitHostPort(server); err != nil || !net.ParseIP(host).IsLoopback() {
+		return nil, &NotLoopbackError{Addr: server}
+	}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("faultproxy: %w", err)
+	}
+	p := &Proxy{
+		opts: opts, server: server, listener: listener, start: time.Now(),
+		relays: map[*relay]bool{}, change: make(chan struct{}),
+		random: rand.New(rand.NewPCG(opts.Seed, randomStream)),
+	}
+	p.schedule()
+	go p.acceptAll()
+	return p, nil
+}
+
+// Addr is where clients connect.
+func (p *Proxy) Addr() string { return p.listener.Addr().String() }
+
+// Close ends the proxy and all connections through it.
+func (p *Proxy) Close() {
+	p.mu.Lock()
+	p.closed = true
+	for _, timer := range p.timers {
+		timer.Stop()
+	}
+	p.mu.Unlock()
+	_ = p.listener.Close()
+	p.forEachRelay(func(r *relay) { r.close(closeGracefully) })
+}
+
+// forEachRelay calls do for the relays that are open now, without the lock, which do may need.
+func (p *Proxy) forEachRelay(do func(*relay)) {
+	p.mu.Lock()
+	all := make([]*relay, 0, len(p.relays))
+	for r := range p.relays {
+		all = append(all, r)
+	}
+	p.mu.Unlock()
+	for _, r := range all {
+		do(r)
+	}
+}
+
+func (p *Proxy) acceptAll() {
+	for {
+		conn, err := p.listener.Accept()
+		if err != nil {
+			return
+		}
+		client := conn.(*net.TCPConn) // of a TCP listener
+		if p.active(Disconnect) {
+			reset(client)
+			continue
+		}
+		server, err := net.DialTimeout("tcp", p.server, serverDialLimit)
+		if err != nil {
+			reset(client)
+			continue
+		}
+		r := &relay{proxy: p, client: client, server: server.(*net.TCPConn), done: make(chan struct{})}
+		if !p.add(r) {
+			r.close(closeGracefully)
+			return
+		}
+		go r.copy(client, r.server, requests)
+		go r.copy(r.server, client, replies)
+	}
+}
+
+// add notes a relay; it is false where the proxy is closed.
+func (p *Proxy) add(r *relay) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return false
+	}
+	p.relays[r] = true
+	return true
+}
+
+func (p *Proxy) remove(r *relay) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.relays, r)
+}
+
+// delay is how long one chunk is on its way.
+func (p *Proxy) delay() time.Duration {
+	if p.opts.Jitter <= 0 {
+		return p.opts.Delay
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.opts.Delay + time.Duration(p.random.Int64N(int64(p.opts.Jitter)))
+}
+
+// randomIndex is an index below n.
+func (p *Proxy) randomIndex(n int) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.random.IntN(n)
+}
--- /dev/null
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -0,0 +1,203 @@
+package faultproxy
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// waitLimit bounds every wait.
+const waitLimit = 10 * time.Second
+
+// startEchoServer answers each byte with the same byte, and reports what it received.
+func startEchoServer(t *testing.T) (addr string, seen chan byte) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	seen = make(chan byte, 100)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go echo(conn, seen)
+		}
+	}()
+	return listener.Addr().String(), seen
+}
+
+func echo(conn net.Conn, seen chan<- byte) {
+	defer func() { _ = conn.Close() }()
+	b := make([]byte, 1)
+	for {
+		if _, err := conn.Read(b); err != nil {
+			return
+		}
+		seen <- b[0]
+		if _, err := conn.Write(b); err != nil {
+			return
+		}
+	}
+}
+
+// connection is a client's connection through a proxy to an echo server.
+type connection struct {
+	net.Conn
+	proxy *Proxy
+	seen  chan byte // what the server received
+}
+
+func openThroughProxy(t *testing.T, opts Options) *connection {
+	t.Helper()
+	addr, seen := startEchoServer(t)
+	proxy, err := Listen(addr, opts)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(proxy.Close)
+	conn, err := net.Dial("tcp", proxy.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(waitLimit))
+	return &connection{conn, proxy, seen}
+}
+
+// roundTrip sends a byte and reads one.
+func (c *connection) roundTrip(b byte) (byte, error) {
+	if _, err := c.Write([]byte{b}); err != nil {
+		return 0, err
+	}
+	got := make([]byte, 1)
+	_, err := io.ReadFull(c, got)
+	return got[0], err
+}
+
+// readError is how the connection ends; a byte that arrives is no end.
+func (c *connection) readError() error {
+	_, err := c.Read(make([]byte, 1))
+	return err
+}
+
+// Chunks are delayed both ways at least so long, and keep their order whatever the jitter.
+func TestProxy_DelaysBothWaysAndKeepsTheOrder(t *testing.T) {
+	const delay = 20 * time.Millisecond
+	conn := openThroughProxy(t, Options{Delay: delay, Jitter: delay / 2, Seed: 1})
+	start := time.Now()
+	if got, err := conn.roundTrip('a'); err != nil || got != 'a' || time.Since(start) < 2*delay {
+		t.Errorf("%q, %v after %v", got, err, time.Since(start))
+	}
+	want := []byte("the order is kept")
+	for _, b := range want {
+		if _, err := conn.Write([]byte{b}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	got := make([]byte, len(want))
+	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("%q, %v", got, err)
+	}
+}
+
+// Each fault has its effect, and no more, while it is under way.
+func TestProxy_EachFaultHasItsEffect(t *testing.T) {
+	const from, duration = 100 * time.Millisecond, 200 * time.Millisecond
+	for kind, check := range map[Kind]func(*testing.T, *connection){
+		DropReplies:    checkDroppedReplies,
+		CorruptReplies: checkCorruptReplies,
+		Disconnect:     checkDisconnect,
+		Reset:          checkReset,
+		HalfClose:      checkHalfClose,
+		Stall:          checkStall,
+	} {
+		t.Run(string(kind), func(t *testing.T) {
+			conn := openThroughProxy(t, Options{Faults: []Fault{{Kind: kind, From: from, For: duration}}, Seed: 1})
+			if got, err := conn.roundTrip('a'); err != nil || got != 'a' {
+				t.Fatalf("before the fault: %q, %v", got, err)
+			}
+			<-conn.seen
+			if change := conn.proxy.nextChange(); !conn.proxy.active(kind) {
+				<-change // it begins
+			}
+			check(t, conn)
+		})
+	}
+}
+
+func checkDroppedReplies(t *testing.T, conn *connection) {
+	_, _ = conn.Write([]byte{'b'})
+	if got := <-conn.seen; got != 'b' {
+		t.Errorf("the server received %q", got)
+	}
+	for {
+		change := conn.proxy.nextChange() // taken first: a change after the check is not missed
+		if !conn.proxy.active(DropReplies) {
+			break
+		}
+		<-change
+	}
+	if got, err := conn.roundTrip('c'); err != nil || got != 'c' {
+		t.Errorf("after the fault: %q, %v", got, err)
+	}
+}
+
+func checkCorruptReplies(t *testing.T, conn *connection) {
+	if got, err := conn.roundTrip('b'); err != nil || got == 'b' {
+		t.Errorf("%q, %v: the reply came unchanged", got, err)
+	}
+}
+
+func checkStall(t *testing.T, conn *connection) {
+	const leastStall = 20 * time.Millisecond // what is left of the fault at the latest
+	start := time.Now()
+	if got, err := conn.roundTrip('b'); err != nil || got != 'b' || time.Since(start) < leastStall {
+		t.Errorf("%q, %v after %v: it was not held back", got, err, time.Since(start))
+	}
+}
+
+func checkReset(t *testing.T, conn *connection) {
+	if err := conn.readError(); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("read: %v, want a reset", err)
+	}
+}
+
+func checkDisconnect(t *testing.T, conn *connection) {
+	if conn.readError() == nil {
+		t.Error("the connection stays open")
+	}
+	another, err := net.Dial("tcp", conn.proxy.Addr())
+	if err == nil {
+		defer func() { _ = another.Close() }()
+		_, err = another.Read(make([]byte, 1))
+	}
+	if err == nil {
+		t.Error("a new connection is accepted")
+	}
+}
+
+func checkHalfClose(t *testing.T, conn *connection) {
+	if err := conn.readError(); !errors.Is(err, io.EOF) {
+		t.Errorf("read: %v, want the end of the replies", err)
+	}
+}
+
+// A schedule with an unknown kind of fault and an address off the loopback are rejected.
+func TestListen_RejectsUnknownFaultsAndOtherHosts(t *testing.T) {
+	var unknown *UnknownKindError
+	if _, err := Listen("127.0.0.1:1", Options{Faults: []Fault{{Kind: "odd"}}}); !errors.As(err, &unknown) {
+		t.Errorf("unknown kind: %v", err)
+	}
+	var notLoopback *NotLoopbackError
+	if _, err := Listen("10.0.0.1:1", Options{}); !errors.As(err, &notLoopback) {
+		t.Errorf("other host: %v", err)
+	}
+}
