--- a/internal/lab/fake/consul.go
+++ b/internal/lab/fake/consul.go
@@ -49,9 +49,9 @@
 	onlyIndex = "1"
 )
 
-// Consul serves the catalogue and the health of instances that never change. A query that
+// ConsulHandler serves the catalogue and the health of instances that never change. A query that
 // has the only index waits until its time is over, as the API's blocking queries do.
-func Consul(service string, instances []Instance) http.Handler {
+func ConsulHandler(service string, instances []Instance) http.Handler {
 	var catalogue []catalogueEntry
 	var health []healthEntry
 	for _, instance := range instances {
--- a/internal/lab/fake/engine_line.go
+++ b/internal/lab/fake/engine_line.go
@@ -19,10 +19,10 @@
 // each but the last.
 const progressReports = 4
 
-// Lines serves the platform's line protocol on a listener until that is closed: an engine
+// ServeLineProtocol serves the platform's line protocol on a listener until that is closed: an engine
 // that answers each statement, after reports of its progress, with rows that repeat the request.
 // The statements run at the same time and don't wait for each other.
-func Lines(listener net.Listener, work Work, log *slog.Logger) {
+func ServeLineProtocol(listener net.Listener, work Work, log *slog.Logger) {
 	serveConnections(listener, func(conn net.Conn) {
 		(&lineConnection{conn: conn, work: work, log: log, running: map[string]context.CancelFunc{}}).serve()
 	})
--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -20,9 +20,9 @@
 // rowDescription is the body of a RowDescription with one column of text.
 var rowDescription = append([]byte{0, 1}, append([]byte("asked\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, oidText, 255, 255, 255, 255, 255, 255, 0, 0)...)
 
-// Postgres serves the PostgreSQL wire protocol on a listener until that is closed, one
+// ServePostgres serves the PostgreSQL wire protocol on a listener until that is closed, one
 // statement at a time on a connection, with one row that repeats the statement.
-func Postgres(listener net.Listener, work Work, log *slog.Logger) {
+func ServePostgres(listener net.Listener, work Work, log *slog.Logger) {
 	serveConnections(listener, func(conn net.Conn) {
 		c := &postgresConnection{conn: conn, work: work, log: log, prepared: map[string]string{}}
 		if err := c.serve(); err != nil {
--- a/internal/lab/fake/eventbus.go
+++ b/internal/lab/fake/eventbus.go
@@ -15,9 +15,9 @@
 	emptyBatch = 0
 )
 
-// Bus serves the event bus on a listener: there never is an event, and an empty frame each
+// ServeEventBus serves the event bus on a listener: there never is an event, and an empty frame each
 // second is its heartbeat.
-func Bus(listener net.Listener, lastOffset uint64) {
+func ServeEventBus(listener net.Listener, lastOffset uint64) {
 	serveConnections(listener, func(conn net.Conn) {
 		if _, err := conn.Read(make([]byte, busRequestLength)); err != nil {
 			return
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -63,12 +63,12 @@
 	if err != nil {
 		return nil, err
 	}
-	go fake.Bus(bus, onlyOffset)
+	go fake.ServeEventBus(bus, onlyOffset)
 	agent, err := rig.listen()
 	if err != nil {
 		return nil, err
 	}
-	go func() { _ = http.Serve(agent, fake.Consul(catalogueService, instances)) }() // it ends with its listener
+	go func() { _ = http.Serve(agent, fake.ConsulHandler(catalogueService, instances)) }() // it ends with its listener
 	return rig, rig.writeFiles(opts, targets, bus.Addr().String(), agent.Addr().String())
 }
 
@@ -95,7 +95,7 @@
 			return nil, err
 		}
 		name := fmt.Sprintf("s-%08x", i+1)
-		go fake.Lines(listener, opts.Work, opts.Log.With("engine", name))
+		go fake.ServeLineProtocol(listener, opts.Work, opts.Log.With("engine", name))
 		targets = append(targets, target{UID: name, Endpoint: listener.Addr().String(), AZ: "hall-a", Model: "std-8", State: "in_service"})
 	}
 	return targets, nil
@@ -108,7 +108,7 @@
 			return nil, err
 		}
 		name := fmt.Sprintf("engine-%d", i+1)
-		go fake.Postgres(listener, opts.Work, opts.Log.With("engine", name))
+		go fake.ServePostgres(listener, opts.Work, opts.Log.With("engine", name))
 		instances = append(instances, fake.Instance{ID: name, Addr: listener.Addr().(*net.TCPAddr)})
 	}
 	return instances, nil
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report writes what an experiment found: a table in Markdown, the raw figures
+// Package report writes the results of an experiment: a table in Markdown, the raw figures
 // as CSV and a chart as SVG. The same figures give the same bytes.
 package report
 
@@ -19,27 +19,26 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Table is a result: names of columns and rows of texts.
+// Table is a result: the names of its columns, and rows of texts.
 type Table struct {
 	Columns []string
 	Rows    [][]string
 }
 
-// Add adds a row; numbers are written with three figures.
+// Add adds a row; fractions are written with three significant figures.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, len(cells))
-	for i, c := range cells {
-		switch v := c.(type) {
-		case float64:
-			row[i] = fmt.Sprintf("%.3g", v)
-		default:
-			row[i] = fmt.Sprint(v)
+	for i, cell := range cells {
+		if number, ok := cell.(float64); ok {
+			row[i] = fmt.Sprintf("%.3g", number)
+		} else {
+			row[i] = fmt.Sprint(cell)
 		}
 	}
 	t.Rows = append(t.Rows, row)
 }
 
-// Markdown is the table as Markdown.
+// Markdown returns the table as Markdown.
 func (t *Table) Markdown() (string, error) {
 	var b strings.Builder
 	w := tablewriter.NewTable(&b, tablewriter.WithRenderer(renderer.NewMarkdown()),
@@ -54,7 +53,7 @@
 	return b.String(), nil
 }
 
-// CSV is the table as comma-separated values.
+// CSV returns the table as comma-separated values.
 func (t *Table) CSV() (string, error) {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
@@ -77,9 +76,10 @@
 
 // SVG draws the chart.
 func (c *Bars) SVG() ([]byte, error) {
+	const allBarsWidth = 240 // points
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = c.Title, c.Axis
-	width := vg.Points(240 / float64(max(len(c.Series)*len(c.Groups), 1)))
+	width := vg.Points(allBarsWidth / float64(max(len(c.Series)*len(c.Groups), 1)))
 	for i, values := range c.Values {
 		bars, err := plotter.NewBarChart(plotter.Values(values), width)
 		if err != nil {
@@ -96,40 +96,14 @@
 	return draw(p)
 }
 
-// Lines is a chart of lines over a common axis.
-type Lines struct {
-	Title, X, Y string
-	Series      []string
-	Points      [][][2]float64 // by series
-	LogX        bool
-}
-
-// SVG draws the chart.
-func (c *Lines) SVG() ([]byte, error) {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
-	if c.LogX {
-		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	}
-	for i, points := range c.Points {
-		xys := make(plotter.XYs, len(points))
-		for j, q := range points {
-			xys[j].X, xys[j].Y = q[0], q[1]
-		}
-		line, err := plotter.NewLine(xys)
-		if err != nil {
-			return nil, fmt.Errorf("chart: %w", err)
-		}
-		line.Color, line.Width = plotutil.Color(i), vg.Points(1.5)
-		p.Add(line)
-		p.Legend.Add(c.Series[i], line)
-	}
-	p.Legend.Top = true
-	return draw(p)
-}
+// Size of a chart.
+const (
+	chartWidth  = 18 * vg.Centimeter
+	chartHeight = 10 * vg.Centimeter
+)
 
 func draw(p *plot.Plot) ([]byte, error) {
-	w, err := p.WriterTo(18*vg.Centimeter, 10*vg.Centimeter, "svg")
+	w, err := p.WriterTo(chartWidth, chartHeight, "svg")
 	if err != nil {
 		return nil, fmt.Errorf("chart: %w", err)
 	}
@@ -140,7 +114,7 @@
 	return b.Bytes(), nil
 }
 
-// Write keeps files of one experiment in a folder.
+// Write writes the files of one experiment, by their names, into a folder.
 func Write(dir string, files map[string][]byte) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("results: %w", err)
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -13,8 +13,8 @@
 	"errors"
 )
 
-// Version is the version of files that is written and read.
-const Version = 1
+// formatVersion is the version of files that is written and read.
+const formatVersion = 1
 
 const magic = "RWTRAFF"
 
--- a/internal/lab/traffic/reader.go
+++ b/internal/lab/traffic/reader.go
@@ -59,8 +59,8 @@
 	if _, err := io.ReadFull(in, start); err != nil || string(start[:len(magic)]) != magic {
 		return ErrForeign
 	}
-	if version := start[len(magic)]; version != Version {
-		return fmt.Errorf("%w: %d, and %d is read here", ErrVersion, version, Version)
+	if version := start[len(magic)]; version != formatVersion {
+		return fmt.Errorf("%w: %d, and %d is read here", ErrVersion, version, formatVersion)
 	}
 	return nil
 }
--- a/internal/lab/traffic/stored_test.go
+++ b/internal/lab/traffic/stored_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"crypto/sha256"
 	"encoding/binary"
 	"errors"
 	"flag"
@@ -11,6 +12,8 @@
 	"strings"
 	"testing"
 
+	"flaxrelay/internal/lab/workload"
+
 	"github.com/google/go-cmp/cmp"
 	"github.com/klauspost/compress/zstd"
 )
@@ -95,3 +98,22 @@
 		t.Error("the generator writes other items than it did")
 	}
 }
+
+// The generated traffic is the same to the byte as that of an earlier version, for every family
+// of statements: the digests are of its items for three seeds.
+func TestGenerate_KeepsTheDigestsOfAnEarlierVersion(t *testing.T) {
+	const records, rate = 5000, 99
+	for seed, want := range map[uint64]string{
+		1: "886ee5a4e687b6780947e4eb5e5c6e8bc883ace0fe455a42b08ee585e6101f7c",
+		2: "7c85933adcb97a36ff1d9152e3f8333bd481a21720b2ae5dea97c4d405ad034f",
+		3: "1bb2e36e487553330abff6cb76e6c4d6170bdee084aa39088e7999cd4699e6dd",
+	} {
+		var file bytes.Buffer
+		if err := Generate(&file, workload.Defaults(seed), records, rate, Season, nil); err != nil {
+			t.Fatal(err)
+		}
+		if got := fmt.Sprintf("%x", sha256.Sum256(items(t, file.Bytes()))); got != want {
+			t.Errorf("seed %d: digest %s, want %s", seed, got, want)
+		}
+	}
+}
--- a/internal/lab/traffic/writer.go
+++ b/internal/lab/traffic/writer.go
@@ -29,7 +29,7 @@
 		return nil, fmt.Errorf("traffic: %w", err)
 	}
 	w := &Writer{out: out, compressor: compressor}
-	if _, err := out.Write(append([]byte(magic), Version)); err != nil {
+	if _, err := out.Write(append([]byte(magic), formatVersion)); err != nil {
 		return nil, fmt.Errorf("traffic: %w", err)
 	}
 	if err := w.addItem(head); err != nil {
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -105,8 +105,8 @@
 	random := rand.New(rand.NewPCG(options.Seed, randomStream))
 	g := &Generator{
 		options: options, random: random, total: max(total, 1),
-		partPopularity:  rand.NewZipf(random, 1.25, 8, Parts-1),
-		groupPopularity: rand.NewZipf(random, 1.2, 3, Groups-1),
+		partPopularity:  rand.NewZipf(random, 1.25, 8, partCount-1),
+		groupPopularity: rand.NewZipf(random, 1.2, 3, groupCount-1),
 		scatter:         distuv.LogNormal{Sigma: scatterSigma, Src: random},
 		hintError:       distuv.LogNormal{Sigma: max(options.HintNoise, minHintSigma), Src: random},
 	}
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -32,7 +32,7 @@
 	if t.table == &tables[ordersTable] {
 		i.rows *= growth
 	}
-	i.rowsOfOne = i.rows / Parts
+	i.rowsOfOne = i.rows / partCount
 	i.broad = g.random.Float64() < g.options.Hard
 	i.drawNames()
 	return i
--- a/internal/lab/workload/lookups.go
+++ b/internal/lab/workload/lookups.go
@@ -30,7 +30,7 @@
 	i.sql("SELECT %s FROM %s WHERE %s = ", i.columns, i.from, i.column("part"))
 	i.textValue(part)
 	i.sql(" AND %s = ", i.column("wholesaler"))
-	i.intValue(i.random.IntN(Wholesalers))
+	i.intValue(i.random.IntN(wholesalerCount))
 	actual = access{indexed: i.rowsOfOne, returned: 1}
 	return actual, actual
 }
@@ -63,15 +63,15 @@
 func generateDayRange(i *instance) (actual, usual access) {
 	span := 1 + i.random.IntN(3)
 	if i.broad {
-		span = Days - 400 - i.random.IntN(800)
+		span = dayCount - 400 - i.random.IntN(800)
 		i.makeHard(hardLongRange)
 	}
-	start := i.random.IntN(Days - span)
+	start := i.random.IntN(dayCount - span)
 	i.sql("SELECT %s FROM %s WHERE %s BETWEEN ", i.columns, i.from, i.dayColumn())
 	i.dayValue(start)
 	i.sql(" AND ")
 	i.dayValue(start + span)
-	rows, usualRows := i.rows*float64(span)/Days, 2*i.rows/Days
+	rows, usualRows := i.rows*float64(span)/dayCount, 2*i.rows/dayCount
 	return access{indexed: rows, returned: rows}, access{indexed: usualRows, returned: usualRows}
 }
 
@@ -99,7 +99,7 @@
 	const scanFrom = 15 // districts from which a scan is cheaper than the index
 	n := 1 + i.random.IntN(2)
 	if i.broad {
-		n = Districts
+		n = districtCount
 		i.makeHard(hardArray)
 	}
 	names := make([]string, n)
@@ -109,10 +109,10 @@
 	i.sql("SELECT %s FROM %s WHERE %s = ANY(", i.columns, i.from, i.column("district"))
 	i.arrayValue(names)
 	i.sql(") AND %s >= ", i.dayColumn())
-	i.dayValue(Days - lastDays)
-	const share = float64(lastDays) / Days
-	actual = access{indexed: i.rows * share * float64(n) / Districts * 6, returned: i.rows * share * float64(n) / Districts}
-	usual = access{indexed: i.rows * share / Districts * 9, returned: i.rows * share / Districts}
+	i.dayValue(dayCount - lastDays)
+	const share = float64(lastDays) / dayCount
+	actual = access{indexed: i.rows * share * float64(n) / districtCount * 6, returned: i.rows * share * float64(n) / districtCount}
+	usual = access{indexed: i.rows * share / districtCount * 9, returned: i.rows * share / districtCount}
 	if n > scanFrom {
 		actual.scanned, actual.indexed, actual.sorted = i.rows, 0, i.rows*share
 	}
--- a/internal/lab/workload/reports.go
+++ b/internal/lab/workload/reports.go
@@ -5,13 +5,13 @@
 	const daysOfMonth, usualDays, scannedShare = 31, 186, 0.8
 	months := 1 + i.random.IntN(12)
 	i.sql("SELECT %s, count(*), sum(%s) FROM %s WHERE %s >= ", i.column("district"), i.column("n"), i.from, i.dayColumn())
-	i.dayValue(Days - daysOfMonth*months)
+	i.dayValue(dayCount - daysOfMonth*months)
 	i.sql(" AND %s < ", i.dayColumn())
-	i.dayValue(Days - 1)
+	i.dayValue(dayCount - 1)
 	i.sql(" GROUP BY %s ORDER BY 2 DESC", i.column("district"))
 	scanned := i.rows * scannedShare
-	return access{scanned: scanned, grouped: i.rows * float64(daysOfMonth*months) / Days, returned: Districts},
-		access{scanned: scanned, grouped: i.rows * usualDays / Days, returned: Districts}
+	return access{scanned: scanned, grouped: i.rows * float64(daysOfMonth*months) / dayCount, returned: districtCount},
+		access{scanned: scanned, grouped: i.rows * usualDays / dayCount, returned: districtCount}
 }
 
 // generateTopParts joins with the parts and finds those with most rows.
@@ -22,7 +22,7 @@
 	i.textValue("gear")
 	i.sql(" GROUP BY p.name ORDER BY 3 DESC LIMIT ")
 	i.intValue(limit)
-	actual = access{scanned: i.rows, joined: i.rows, grouped: i.rows / 4, sorted: Parts, returned: limit}
+	actual = access{scanned: i.rows, joined: i.rows, grouped: i.rows / 4, sorted: partCount, returned: limit}
 	return actual, actual
 }
 
--- a/internal/lab/workload/schema.go
+++ b/internal/lab/workload/schema.go
@@ -4,11 +4,11 @@
 
 // Sizes of the register.
 const (
-	Districts   = 77
-	Wholesalers = 400
-	Parts       = 4000 // of one group
-	Days        = 3650
-	Groups      = 30
+	districtCount   = 77
+	wholesalerCount = 400
+	partCount       = 4000 // of one group
+	dayCount        = 3650
+	groupCount      = 30
 )
 
 // table is one table of a group.
--- a/internal/lab/workload/writes.go
+++ b/internal/lab/workload/writes.go
@@ -23,7 +23,7 @@
 		} else {
 			i.literal(", ($1")
 		}
-		i.literal(", '%s', %d)", partName(i.random.IntN(Parts)), i.random.IntN(500))
+		i.literal(", '%s', %d)", partName(i.random.IntN(partCount)), i.random.IntN(500))
 	}
 	s = i.statement()
 	s.Class, s.Key = ClassLoad, 1
@@ -54,6 +54,6 @@
 // write generates a statement that writes and is no load.
 func (g *Generator) write(growth float64) Statement {
 	format := writeFormats[g.random.IntN(len(writeFormats))]
-	text := fmt.Sprintf(format, 1+g.random.IntN(Groups), g.random.IntN(Parts))
+	text := fmt.Sprintf(format, 1+g.random.IntN(groupCount), g.random.IntN(partCount))
 	return g.finish(Statement{Text: text, Class: ClassWrite, Template: TemplateWrite, WorkMS: writeMS * growth}, writeMS)
 }
