--- a/internal/e2e/client_disconnect_test.go
+++ b/internal/e2e/client_disconnect_test.go
@@ -1,6 +1,7 @@
 package e2e
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -38,30 +39,30 @@
 // it reaches the engine, also where the settings permit no cancel. The request of another client
 // goes on meanwhile.
 func TestClientDisconnect_BeforeTheEngineConnectionIsUpSendsNothing(t *testing.T) {
-	for _, cancel := range []bool{true, false} {
-		received := make(chan string, seenCapacity)
-		addr, accept := listenWithFullBacklog(t, func(conn net.Conn) {
-			readRequestIDs(conn, func(id string) bool {
-				received <- id
-				_, err := io.WriteString(conn, doneReply("want "+id, ""))
-				return err == nil
+	for _, cancelPermitted := range []bool{true, false} {
+		t.Run(fmt.Sprintf("cancelPermitted=%v", cancelPermitted), func(t *testing.T) {
+			received := make(chan string, seenCapacity)
+			addr, accept := listenWithFullBacklog(t, func(conn net.Conn) {
+				readRequestIDs(conn, func(id string) bool {
+					received <- id
+					_, err := io.WriteString(conn, doneReply("want "+id, ""))
+					return err == nil
+				})
 			})
+			front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = cancelPermitted })
+			front.site.ConnectTimeout = waitLimit
+			front.serveHTTP(addr)
+			leaving, staying := connectHTTP(t, front.addr), connectHTTP(t, front.addr)
+			leaving.send(queryRequest("lookup", ""))
+			front.awaitCount("attempts.started.", 1)
+			other := numberedID(2)
+			staying.send(withID(withWait(queryRequest("lookup", ""), longWait), other))
+			leaving.close()
+			front.awaitCount("requests.disconnected.", 1)
+			front.assertCount("attempts.ended.not-sent", 1)
+			accept()
+			assertEqual(t, "the other client's answer", staying.receive(), emptyResult)
+			assertEqual(t, "the engine received first", await(t, received), other)
 		})
-		front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = cancel })
-		front.site.ConnectTimeout = waitLimit
-		front.serveHTTP(addr)
-		leaving, staying := connectHTTP(t, front.addr), connectHTTP(t, front.addr)
-		leaving.send(queryRequest("lookup", ""))
-		front.awaitCount("attempts.started.", 1)
-		other := numberedID(2)
-		staying.send(withID(withWait(queryRequest("lookup", ""), longWait), other))
-		leaving.close()
-		front.awaitCount("requests.disconnected.", 1)
-		if n := front.count("attempts.ended.not-sent"); n != 1 {
-			t.Errorf("cancel %v: %d attempts ended as not sent, want 1", cancel, n)
-		}
-		accept()
-		assertEqual(t, "the other client's answer", staying.receive(), emptyResult)
-		assertEqual(t, "the engine received first", await(t, received), other)
 	}
 }
--- a/internal/e2e/discovery_test.go
+++ b/internal/e2e/discovery_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"fmt"
 	"net"
 	"strings"
 	"testing"
@@ -16,37 +17,37 @@
 // connection: nothing is written when that comes up, and another engine serves the client.
 func TestDiscovery_RequestAwaitingConnectionMovesWhenEngineDrains(t *testing.T) {
 	for _, fullUpdate := range []bool{false, true} {
-		received := make(chan string, seenCapacity)
-		draining, accept := listenWithFullBacklog(t, func(conn net.Conn) {
-			for in := bufio.NewReader(conn); ; {
-				line, err := in.ReadString('\n')
-				if err != nil {
-					received <- "end"
-					return
+		t.Run(fmt.Sprintf("fullUpdate=%v", fullUpdate), func(t *testing.T) {
+			received := make(chan string, seenCapacity)
+			draining, accept := listenWithFullBacklog(t, func(conn net.Conn) {
+				for in := bufio.NewReader(conn); ; {
+					line, err := in.ReadString('\n')
+					if err != nil {
+						received <- "end"
+						return
+					}
+					received <- line
 				}
-				received <- line
+			})
+			other, _ := startLineEngine(t, emptyReply)
+			front := newFrontEnd(t, nil)
+			front.site.ConnectTimeout = waitLimit
+			front.serveHTTP(draining)
+			client := connectHTTP(t, front.addr)
+			client.send(withWait(queryRequest("lookup", ""), longWait))
+			front.awaitCount("attempts.started.", 1)
+			front.updateEndpoints(policy.EngineReady, other)
+			if fullUpdate {
+				front.replaceEndpoints(other)
+			} else {
+				front.updateEndpoints(policy.EngineDraining, draining)
 			}
+			assertEqual(t, "answer", client.receive(), emptyResult)
+			front.assertCount("attempts.ended.not-sent", 1)
+			accept()
+			front.updateEndpoints(policy.EngineRemoved, draining)
+			assertEqual(t, "the draining engine received", await(t, received), "end")
 		})
-		other, _ := startLineEngine(t, emptyReply)
-		front := newFrontEnd(t, nil)
-		front.site.ConnectTimeout = waitLimit
-		front.serveHTTP(draining)
-		client := connectHTTP(t, front.addr)
-		client.send(withWait(queryRequest("lookup", ""), longWait))
-		front.awaitCount("attempts.started.", 1)
-		front.updateEndpoints(policy.EngineReady, other)
-		if fullUpdate {
-			front.replaceEndpoints(other)
-		} else {
-			front.updateEndpoints(policy.EngineDraining, draining)
-		}
-		assertEqual(t, "answer", client.receive(), emptyResult)
-		if n := front.count("attempts.ended.not-sent"); n != 1 {
-			t.Errorf("full update %v: %d attempts ended as not sent, want 1", fullUpdate, n)
-		}
-		accept()
-		front.updateEndpoints(policy.EngineRemoved, draining)
-		assertEqual(t, "the draining engine received", await(t, received), "end")
 	}
 }
 
--- a/internal/e2e/engine_faults_test.go
+++ b/internal/e2e/engine_faults_test.go
@@ -14,21 +14,31 @@
 // A malformed answer of an engine ends its connection, and the client has its one answer all the
 // same.
 func TestEngineFault_MalformedAnswerIsAProtocolError(t *testing.T) {
-	for _, text := range []string{
-		"nonsense\r\n", requestID + " DONE - 99999999\r\n", requestID + " DONE - 2\r\nabcd", requestID + " HUH - 0\r\n\r\n",
-		requestID + " DONE batches=1 3\r\nabc\r\n", requestID + " DONE batches=x 0\r\n\r\n", strings.Repeat("x", 3000),
-		requestID + " DONE batches=1 4\r\na\tb\n\r\n", // too few columns
-		requestID + " DONE batches=1 6\r\na\tb\t\xff\n\r\n", requestID + " DONE - 0\r\n\r\n", requestID + " DONE batches=65 0\r\n\r\n", requestID + " DONE batches=1 3000000000\r\n",
+	for name, answer := range map[string]string{
+		"no answer line":      "nonsense\r\n",
+		"body too long":       requestID + " DONE - 99999999\r\n",
+		"body longer":         requestID + " DONE - 2\r\nabcd",
+		"unknown kind":        requestID + " HUH - 0\r\n\r\n",
+		"row without end":     requestID + " DONE batches=1 3\r\nabc\r\n",
+		"batches no number":   requestID + " DONE batches=x 0\r\n\r\n",
+		"line without end":    strings.Repeat("x", 3000),
+		"too few columns":     requestID + " DONE batches=1 4\r\na\tb\n\r\n",
+		"row is no text":      requestID + " DONE batches=1 6\r\na\tb\t\xff\n\r\n",
+		"no batches":          requestID + " DONE - 0\r\n\r\n",
+		"too many batches":    requestID + " DONE batches=65 0\r\n\r\n",
+		"length past 32 bits": requestID + " DONE batches=1 3000000000\r\n",
 	} {
-		addr, _ := startLineEngine(t, func(string) string { return text })
-		front := startHTTP(t, addr)
-		got, _ := connectHTTP(t, front.addr).roundTrip(queryRequest("lookup", ""))
-		if !strings.HasPrefix(got, "503") && !strings.HasPrefix(got, "500") {
-			t.Errorf("%.20q: answer %s", text, got)
-		}
-		if n := front.count("attempts.ended.protocol-error"); n == 0 {
-			t.Errorf("%.20q: no attempt ended with a protocol error", text)
-		}
+		t.Run(name, func(t *testing.T) {
+			addr, _ := startLineEngine(t, func(string) string { return answer })
+			front := startHTTP(t, addr)
+			got, _ := connectHTTP(t, front.addr).roundTrip(queryRequest("lookup", ""))
+			if !strings.HasPrefix(got, "503") && !strings.HasPrefix(got, "500") {
+				t.Errorf("answer %s", got)
+			}
+			if n := front.count("attempts.ended.protocol-error"); n == 0 {
+				t.Error("no attempt ended with a protocol error")
+			}
+		})
 	}
 }
 
@@ -119,30 +129,32 @@
 // An attempt times out at an engine that does not answer: it is cancelled there only where the
 // settings permit that, and the client has its one answer either way.
 func TestEngineFault_TimeoutIsCancelledOnlyWherePermitted(t *testing.T) {
-	for _, cancel := range []bool{true, false} {
-		addr, seen := startLineEngine(t, func(line string) string {
-			if words := strings.Fields(line); words[1] == numberedID(2) {
-				return doneReply(line, "")
+	for cancelPermitted, wantCancels := range map[bool]int{true: 1, false: 0} {
+		t.Run(fmt.Sprintf("permitted=%v", cancelPermitted), func(t *testing.T) {
+			addr, seen := startLineEngine(t, func(line string) string {
+				if words := strings.Fields(line); words[1] == numberedID(2) {
+					return doneReply(line, "")
+				}
+				return ""
+			})
+			front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = cancelPermitted }).serveHTTP(addr)
+			client := connectHTTP(t, front.addr)
+			got, _ := client.roundTrip(withWait(queryRequest("lookup", ""), "200"))
+			if !strings.HasPrefix(got, "50") {
+				t.Errorf("answer %s", got)
 			}
-			return ""
-		})
-		front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = cancel }).serveHTTP(addr)
-		client := connectHTTP(t, front.addr)
-		got, _ := client.roundTrip(withWait(queryRequest("lookup", ""), "200"))
-		if !strings.HasPrefix(got, "50") {
-			t.Errorf("cancel %v: answer %s", cancel, got)
-		}
-		front.awaitCount("attempts.ended.", 1)
-		got, _ = client.roundTrip(withID(queryRequest("lookup", ""), numberedID(2)))
-		assertEqual(t, "the next answer", got, emptyResult)
-		cancels := 0
-		for line := ""; !strings.HasPrefix(line, "want "+numberedID(2)); {
-			if line = await(t, seen); strings.HasPrefix(line, "never_mind") {
-				cancels++
+			front.awaitCount("attempts.ended.", 1)
+			got, _ = client.roundTrip(withID(queryRequest("lookup", ""), numberedID(2)))
+			assertEqual(t, "the next answer", got, emptyResult)
+			cancels := 0
+			for line := ""; !strings.HasPrefix(line, "want "+numberedID(2)); {
+				if line = await(t, seen); strings.HasPrefix(line, "never_mind") {
+					cancels++
+				}
 			}
-		}
-		if want := map[bool]int{true: 1}[cancel]; cancels != want {
-			t.Errorf("cancel %v: the engine received %d cancels, want %d", cancel, cancels, want)
-		}
+			if cancels != wantCancels {
+				t.Errorf("the engine received %d cancels, want %d", cancels, wantCancels)
+			}
+		})
 	}
 }
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -131,13 +131,15 @@
 // timed out, and the outcome of one that may have run is unknown.
 func TestGoldenPostgres_Timeout(t *testing.T) {
 	for name, text := range map[string]string{"timeout": "SELECT silent", "timeout-write": "UPDATE silent SET a = 1"} {
-		addr, _ := startPgEngine(t, goldenPgEngine)
-		recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
-		recorder.start("statement_timeout", "80ms")
-		recorder.send(query(text))
-		recorder.receiveUntilReady()
-		recorder.disconnect()
-		recorder.compare("pgwire/" + name)
+		t.Run(name, func(t *testing.T) {
+			addr, _ := startPgEngine(t, goldenPgEngine)
+			recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
+			recorder.start("statement_timeout", "80ms")
+			recorder.send(query(text))
+			recorder.receiveUntilReady()
+			recorder.disconnect()
+			recorder.compare("pgwire/" + name)
+		})
 	}
 }
 
@@ -152,11 +154,13 @@
 		"terminate":        {terminateMessage},
 		"behind-batch":     {query("SELECT 1"), {'#', 0, 0, 0, 4}},
 	} {
-		recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
-		recorder.start()
-		recorder.send(messages...)
-		recorder.recordClose()
-		recorder.compare("pgwire/last-" + name)
+		t.Run(name, func(t *testing.T) {
+			recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
+			recorder.start()
+			recorder.send(messages...)
+			recorder.recordClose()
+			recorder.compare("pgwire/last-" + name)
+		})
 	}
 }
 
@@ -164,18 +168,20 @@
 // a wrong secret is closed without an answer, as the right one is.
 func TestGoldenPostgres_CancelRequest(t *testing.T) {
 	for name, text := range map[string]string{"cancel": "SELECT silent", "cancel-write": "UPDATE silent SET a = 1"} {
-		addr, seen := startPgEngine(t, goldenPgEngine)
-		tr, front := newTranscript(t), startPostgres(t, addr)
-		client := tr.recordPostgres("client", front.addr)
-		client.start()
-		client.send(runUnnamed(text)...)
-		await(t, seen)
-		wrong := append(bytes.Clone(client.keyData[:4]), client.keyData[4]+1, client.keyData[5], client.keyData[6], client.keyData[7])
-		tr.recordCancel("wrong", front.addr, wrong)
-		tr.recordCancel("right", front.addr, client.keyData)
-		client.receiveUntilReady()
-		client.disconnect()
-		tr.compare("pgwire/" + name)
+		t.Run(name, func(t *testing.T) {
+			addr, seen := startPgEngine(t, goldenPgEngine)
+			tr, front := newTranscript(t), startPostgres(t, addr)
+			client := tr.recordPostgres("client", front.addr)
+			client.start()
+			client.send(runUnnamed(text)...)
+			await(t, seen)
+			wrong := append(bytes.Clone(client.keyData[:4]), client.keyData[4]+1, client.keyData[5], client.keyData[6], client.keyData[7])
+			tr.recordCancel("wrong", front.addr, wrong)
+			tr.recordCancel("right", front.addr, client.keyData)
+			client.receiveUntilReady()
+			client.disconnect()
+			tr.compare("pgwire/" + name)
+		})
 	}
 }
 
--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -128,8 +128,10 @@
 		"health is fine":  {bareHealthRequest, "200"},
 		"more, odd paths": {"GET /more/ HTTP/1.1\r\n\r\n", "404"},
 	} {
-		got, _ := connectHTTP(t, front.addr).roundTrip(tt.text)
-		assertEqual(t, name, got[:3], tt.want)
+		t.Run(name, func(t *testing.T) {
+			got, _ := connectHTTP(t, front.addr).roundTrip(tt.text)
+			assertEqual(t, "status", got[:len("400")], tt.want)
+		})
 	}
 	front.assertCount("requests.accepted.", 0)
 }
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -94,12 +94,14 @@
 		"SELECT setval('s', 1)", "EXPLAIN ANALYZE DELETE FROM stock_1.parts", "SELECT 1 FROM stock_1.parts FOR UPDATE",
 		"/* class=write */ SELECT 1", "DO $$ BEGIN END $$", "SELECT count(*) -- \r, setval('s', 1)",
 	} {
-		client := connectPostgres(t, startPostgres(t, engines...).addr) // a new front end has no faults of the engines on record
-		client.send(runUnnamed(text)...)
-		assertEqual(t, text, client.receiveUntilReady(), "1 2 E(40003) Z")
-		if n := runs(); n != 1 {
-			t.Errorf("%s ran %d times", text, n)
-		}
+		t.Run(text, func(t *testing.T) {
+			client := connectPostgres(t, startPostgres(t, engines...).addr) // a new front end has no faults of the engines on record
+			client.send(runUnnamed(text)...)
+			assertEqual(t, "answer", client.receiveUntilReady(), "1 2 E(40003) Z")
+			if n := runs(); n != 1 {
+				t.Errorf("it ran %d times", n)
+			}
+		})
 	}
 	client := connectPostgres(t, startPostgres(t, engines...).addr)
 	client.send(runUnnamed("SELECT 1")...)
@@ -137,9 +139,11 @@
 		{bare, "DELETE FROM x", "E(0A000) Z"},
 		{bare, "SELECT 1", "T D(a) C(SELECT 1) Z"},
 	} {
-		client := connectPostgres(t, tt.front.addr)
-		client.send(query(tt.text))
-		assertEqual(t, tt.text, client.receiveUntilReady(), tt.want)
+		t.Run(tt.text, func(t *testing.T) {
+			client := connectPostgres(t, tt.front.addr)
+			client.send(query(tt.text))
+			assertEqual(t, "answer", client.receiveUntilReady(), tt.want)
+		})
 	}
 	front.assertCount("requests.accepted.write", 1)
 }
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -85,20 +85,20 @@
 	if err != nil {
 		return round, err
 	}
-	rig, err := harness.New(harness.Options{
+	environment, err := harness.New(harness.Options{
 		Root: opts.Root, Dir: dir, Engines: costEngines, HTTP: "127.0.0.1:0", Postgres: addr, Shapes: shapes, Log: slog.New(slog.DiscardHandler),
 		Work: func(string) (time.Duration, float64) { return 0, 1 },
 	})
 	if err != nil {
 		return round, err
 	}
-	defer rig.Close()
+	defer environment.Close()
 	log, err := os.Create(filepath.Join(dir, "log"))
 	if err != nil {
 		return round, err
 	}
 	defer func() { _ = log.Close() }() // it is removed with its folder
-	process, err := harness.Start(opts.Program, log, "serve", "--postgres", rig.Deploy)
+	process, err := harness.Start(opts.Program, log, "serve", "--postgres", environment.Deploy)
 	if err != nil {
 		return round, err
 	}
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -54,7 +54,7 @@
 	for _, name := range []string{deployFile, settingsFile, shapesFile} {
 		text, err := os.ReadFile(filepath.Join(opts.Root, "deploy", name))
 		if err != nil {
-			return fmt.Errorf("rig: %w", err)
+			return fmt.Errorf("harness: %w", err)
 		}
 		changed := strings.Replace(string(text), deployedListenAddr, fmt.Sprintf("%q", opts.Postgres), 1)
 		changed = strings.Replace(changed, deployedConsulAddr, fmt.Sprintf("%q", agent), 1)
@@ -62,7 +62,7 @@
 			changed = strings.Replace(changed, "enabled = false", "enabled = true", 1)
 		}
 		if err := os.WriteFile(filepath.Join(opts.Dir, name), []byte(changed), 0o600); err != nil {
-			return fmt.Errorf("rig: %w", err)
+			return fmt.Errorf("harness: %w", err)
 		}
 	}
 	return nil
@@ -77,16 +77,16 @@
 	}
 	var config map[string]any // of which all but three fields stay as they are
 	if err := json.Unmarshal(raw, &config); err != nil {
-		return fmt.Errorf("rig: %w", err)
+		return fmt.Errorf("harness: %w", err)
 	}
 	event := busEvent{Offset: onlyOffset, Topology: topology{Revision: 1, All: true, Targets: targets}}
 	config["listen"], config["bus"] = opts.HTTP, bus
 	config["known"] = knownEvents{Offset: onlyOffset, Batch: []busEvent{event}}
 	if raw, err = json.MarshalIndent(config, "", " "); err != nil {
-		return fmt.Errorf("rig: %w", err)
+		return fmt.Errorf("harness: %w", err)
 	}
 	if err := os.WriteFile(r.Config, raw, 0o600); err != nil {
-		return fmt.Errorf("rig: %w", err)
+		return fmt.Errorf("harness: %w", err)
 	}
 	return nil
 }
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -40,36 +40,36 @@
 }
 
 // New starts the emulated systems and writes the files.
-func New(opts Options) (rig *Rig, err error) {
-	rig = &Rig{
+func New(opts Options) (environment *Rig, err error) {
+	environment = &Rig{
 		Config: filepath.Join(opts.Dir, "config.json"),
 		Deploy: filepath.Join(opts.Dir, deployFile),
 		Shapes: filepath.Join(opts.Dir, shapesFile),
 	}
 	defer func() {
 		if err != nil {
-			rig.Close()
+			environment.Close()
 		}
 	}()
-	targets, err := rig.startLineEngines(opts)
+	targets, err := environment.startLineEngines(opts)
 	if err != nil {
 		return nil, err
 	}
-	instances, err := rig.startPostgresEngines(opts)
+	instances, err := environment.startPostgresEngines(opts)
 	if err != nil {
 		return nil, err
 	}
-	bus, err := rig.listen()
+	bus, err := environment.listen()
 	if err != nil {
 		return nil, err
 	}
 	go fake.ServeEventBus(bus, onlyOffset)
-	agent, err := rig.listen()
+	agent, err := environment.listen()
 	if err != nil {
 		return nil, err
 	}
 	go func() { _ = http.Serve(agent, fake.ConsulHandler(catalogueService, instances)) }() // it ends with its listener
-	return rig, rig.writeFiles(opts, targets, bus.Addr().String(), agent.Addr().String())
+	return environment, environment.writeFiles(opts, targets, bus.Addr().String(), agent.Addr().String())
 }
 
 // Close ends the emulated systems.
@@ -79,7 +79,7 @@
 	}
 }
 
-// listen opens a listener that ends with the rig.
+// listen opens a listener that ends with the environment.
 func (r *Rig) listen() (net.Listener, error) {
 	listener, err := fake.Listen(anyLoopbackPort)
 	if err == nil {
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -52,7 +52,7 @@
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.Env = append(os.Environ(), "LB_CONFIG=", "LB_LISTEN=")
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("gateway: %w", err)
+		return nil, fmt.Errorf("harness: %w", err)
 	}
 	g := &Gateway{Process: cmd.Process, Ended: make(chan error, 1), exited: make(chan struct{})}
 	go func() {
