--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -173,7 +173,7 @@
 	}
 	for name, tt := range cases {
 		answers, _ := io.ReadAll(clients[name].in) // up to the close
-		_, got, _ := strings.Cut(string(answers), statusLinePrefix)
+		got, _ := strings.CutPrefix(string(answers), statusLinePrefix)
 		assertEqual(t, name, got[:min(len(got), len("400"))], tt.want)
 		if n := strings.Count(string(answers), statusLinePrefix); n > 1 {
 			t.Errorf("%s: %d answers", name, n)
--- a/internal/lab/fake/engine_line.go
+++ b/internal/lab/fake/engine_line.go
@@ -74,7 +74,7 @@
 }
 
 func (c *lineConnection) start(id, fields, statement string) {
-	c.log.Info("asked", "id", id, "fields", fields, "statement", abbreviate(statement))
+	c.log.Info("request received", "id", id, "fields", fields, "statement", abbreviate(statement))
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
 	c.running[id] = cancel
@@ -91,7 +91,7 @@
 	for part := 1; part <= progressReports; part++ {
 		select {
 		case <-ctx.Done():
-			c.log.Info("given up", "id", id)
+			c.log.Info("request cancelled", "id", id)
 			return
 		case <-time.After(took / progressReports):
 		}
--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -85,7 +85,7 @@
 		}
 		c.unread = c.unread[n:]
 		if n > 0 && code == pgproto.CancelReq {
-			c.log.Info("given up")
+			c.log.Info("request cancelled")
 			return true, nil
 		}
 		if n > 0 {
@@ -126,7 +126,7 @@
 		name := r.Str()
 		c.query = r.Str()
 		c.prepared[name] = c.query
-		c.log.Info("asked", "statement", abbreviate(c.query))
+		c.log.Info("request received", "statement", abbreviate(c.query))
 		c.queue('1')
 	case 'B':
 		r.Str() // the portal
