--- a/internal/e2e/postgres_engine_helpers_test.go
+++ b/internal/e2e/postgres_engine_helpers_test.go
@@ -13,7 +13,7 @@
 // maxEngineMessage bounds a message that a scripted PostgreSQL engine reads.
 const maxEngineMessage = 1 << 20
 
-// pgRequest is what a scripted PostgreSQL engine was asked up to a Sync.
+// pgRequest is what a scripted PostgreSQL engine received up to a Sync.
 type pgRequest struct {
 	query    string
 	bind     string // the body of the Bind behind its two names
--- a/internal/lab/experiment/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -6,8 +6,8 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// On traffic whose truth is known the classifier keeps what the product promises of it,
-// and each part that is switched off is missed somewhere.
+// On traffic whose truth is known the classifier reaches the accuracy that the product promises,
+// and without any of its parts some figure is worse.
 func TestEvaluate_EachPartOfTheClassifierContributes(t *testing.T) {
 	records := Generated(workload.Defaults(1), 12000)
 	results := map[string]Result{}
@@ -38,7 +38,7 @@
 	}
 }
 
-// A flood of shapes that come once: W-TinyLFU holds those that recur within its bytes.
+// During a flood of shapes that never recur, W-TinyLFU keeps those that do within its limit.
 func TestFlood_TinyLFUKeepsRecurringShapesWithinItsBytes(t *testing.T) {
 	opts := FloodOptions{Seed: 1, Recurring: 200, OneOff: 60000, Share: 0.2, Bytes: 256 << 10}
 	for name, least := range map[string]float64{"w-tinylfu": 0.95, "lru": 0, "2q": 0} {
--- a/internal/lab/traffic/stored_test.go
+++ b/internal/lab/traffic/stored_test.go
@@ -88,7 +88,7 @@
 }
 
 // The same seed gives the items that an earlier version wrote, to the byte: the keys of
-// records and the words of the head are part of the format.
+// records and the text of the head are part of the format.
 func TestGenerate_WritesTheItemsOfAnEarlierVersion(t *testing.T) {
 	want, err := os.ReadFile(storedFile)
 	if err != nil {
--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/lab/traffic/traffic_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// A file that was cut off says so, after the records that are whole; a changed one is
-// named damaged, and one of another kind or version too.
+// A truncated file is reported as such, behind the records that are complete. A changed file is
+// reported as damaged, and one of another kind or version by errors of their own.
 func TestReader_NamesTruncationDamageAndForeignFiles(t *testing.T) {
 	good := generate(t, Poisson, 4000)
 	for _, n := range []int{len(good) - 1, len(good) - 20, len(good) / 2, 40, 9} {
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -16,7 +16,7 @@
 	rows      float64 // of the table by now
 	rowsOfOne float64 // rows of one usual part
 	broad     bool    // its values are to make a lookup a report, where the family has such values
-	hardCase  string
+	hardCase  string  // why broad values make its class hard to tell
 	tableName string
 	from      string // the table with its alias
 	alias     string
@@ -71,9 +71,6 @@
 // dayColumn is the column of the table's day.
 func (i *instance) dayColumn() string { return i.column(i.template.table.dayColumn) }
 
-// makeHard notes that broad values make the statement a hard case.
-func (i *instance) makeHard(why string) { i.hardCase = why }
-
 // instantiate generates a statement of a template with values of its own. usualMS is what the
 // shape costs with values as they usually are, as a planner would say that does not know them.
 func (g *Generator) instantiate(t *template, growth float64) (s Statement, usualMS float64) {
--- a/internal/lab/workload/lookups.go
+++ b/internal/lab/workload/lookups.go
@@ -42,7 +42,7 @@
 	n := 2 + i.random.IntN(7)
 	if i.broad {
 		n = 2000 + i.random.IntN(3000)
-		i.makeHard(hardLongList)
+		i.hardCase = hardLongList
 		i.style = literalValues
 	}
 	i.sql("SELECT %s FROM %s WHERE %s IN (", i.columns, i.from, i.column("part"))
@@ -64,7 +64,7 @@
 	span := 1 + i.random.IntN(3)
 	if i.broad {
 		span = dayCount - 400 - i.random.IntN(800)
-		i.makeHard(hardLongRange)
+		i.hardCase = hardLongRange
 	}
 	start := i.random.IntN(dayCount - span)
 	i.sql("SELECT %s FROM %s WHERE %s BETWEEN ", i.columns, i.from, i.dayColumn())
@@ -82,7 +82,7 @@
 	pattern := fmt.Sprintf("p-%03d%%", i.random.IntN(prefixes))
 	if i.broad {
 		pattern = "%" + fmt.Sprint(i.random.IntN(1000)) + "%"
-		i.makeHard(hardWildcard)
+		i.hardCase = hardWildcard
 	}
 	i.sql("SELECT %s FROM %s WHERE %s LIKE ", i.columns, i.from, i.column("part"))
 	i.textValue(pattern)
@@ -100,7 +100,7 @@
 	n := 1 + i.random.IntN(2)
 	if i.broad {
 		n = districtCount
-		i.makeHard(hardArray)
+		i.hardCase = hardArray
 	}
 	names := make([]string, n)
 	for number := range names {
@@ -125,7 +125,7 @@
 	limit := 10 + i.random.IntN(40)
 	if i.broad {
 		limit = broadLimit
-		i.makeHard(hardLimit)
+		i.hardCase = hardLimit
 	}
 	i.sql("SELECT %s FROM %s ORDER BY %s DESC LIMIT ", i.columns, i.from, i.dayColumn())
 	i.intValue(limit)
@@ -141,7 +141,7 @@
 	value := []byte(part)
 	if i.broad {
 		value = nil
-		i.makeHard(hardNull)
+		i.hardCase = hardNull
 	}
 	switch {
 	case i.style != literalValues:
