--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net"
 	"os"
 	"os/exec"
@@ -89,9 +90,12 @@
 	}
 }
 
-// Free is a loopback address at which nothing listens at present.
+// Free returns a loopback address at which nothing listens. Its host is drawn at random
+// from 127.64.0.0/10, of which nothing else makes use: a port of 127.0.0.1 could be taken
+// by any connection between here and the start of the process that is to listen there.
 func Free() (string, error) {
-	listener, err := fake.Listen(anyLoopbackPort)
+	host := fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254))
+	listener, err := fake.Listen(net.JoinHostPort(host, "0"))
 	if err != nil {
 		return "", err
 	}
--- /dev/null
+++ b/internal/lab/harness/process_test.go
@@ -0,0 +1,29 @@
+package harness
+
+import (
+	"net"
+	"testing"
+)
+
+// TestFree_AddressStaysFreeWhileItsPortIsTaken forces what made tests flaky: between Free
+// and the start of a process, something takes the port on 127.0.0.1.
+func TestFree_AddressStaysFreeWhileItsPortIsTaken(t *testing.T) {
+	address, err := Free()
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, port, err := net.SplitHostPort(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	other, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", port))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = other.Close() }()
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = listener.Close()
+}
