--- /dev/null
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -0,0 +1,204 @@
+package costmodel
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+
+	"flaxrelay/internal/sqltext"
+
+	"pgregory.net/rapid"
+)
+
+func classes() []Class { return []Class{{Name: "lookup", UpTo: 800}, {Name: "report"}} }
+
+// shapeFixture is a model and an execution of one shape and profile.
+type shapeFixture struct {
+	model *Model
+	query Query
+}
+
+func newShapeFixture(cfg Config) *shapeFixture {
+	return &shapeFixture{model: New(cfg), query: Query{Record: &ShapeRecord{}, Features: &sqltext.Features{Verb: 's', Tables: 1, Where: true}, Known: NoClass}}
+}
+
+// learn has the model learn a number of executions of the given work.
+func (f *shapeFixture) learn(executions int, work float64) {
+	for range executions {
+		q := f.query
+		f.model.Learn(&q, Truth{Work: work, MemoryMB: 10})
+	}
+}
+
+// estimate estimates one execution.
+func (f *shapeFixture) estimate() Estimate {
+	q := f.query
+	return f.model.Estimate(&q)
+}
+
+// Whatever engines report, an estimate is a number within bounds, its class is one of those
+// configured, and an implausible cost changes nothing.
+func TestEstimatesStayWithinBounds(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		f := newShapeFixture(Config{Classes: classes()})
+		figure := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)}))
+		for range rapid.IntRange(1, 60).Draw(t, "n") {
+			q := f.query
+			q.Hint = figure.Draw(t, "hint")
+			q.Profile = sqltext.Profile{
+				Alternatives: rapid.IntRange(0, 1e6).Draw(t, "alternatives"), Span: rapid.Float64Range(0, 1e12).Draw(t, "span"),
+				Limit: rapid.Float64Range(0, 1e9).Draw(t, "limit"), Key: rapid.Uint64Range(0, 5).Draw(t, "key"),
+			}
+			truth := Truth{Work: figure.Draw(t, "work"), MemoryMB: figure.Draw(t, "memory"), AtLeast: rapid.Bool().Draw(t, "at least")}
+			before := *f.query.Record
+			f.model.Learn(&q, truth)
+			if !(truth.Work >= minWork && truth.Work <= maxWork) {
+				before.Seen++
+				if before != *f.query.Record {
+					t.Fatalf("a cost of %g was learned", truth.Work)
+				}
+			}
+			e := f.model.Estimate(&q)
+			if !e.Known {
+				continue
+			}
+			if !(e.Work >= minWork*0.99 && e.Work <= maxWork*1.01) || !(e.Spread >= 1) || math.IsInf(e.Spread, 0) || !(e.MemoryMB >= 0) || math.IsInf(e.MemoryMB, 0) {
+				t.Fatalf("estimate %+v", e)
+			}
+			if e.Class < 0 || e.Class > 1 || e.Why() == "" {
+				t.Fatalf("class %d, why %q", e.Class, e.Why())
+			}
+		}
+		if err := f.query.Record.Check(); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := Restore(Config{}, f.model.State()); err != nil {
+			t.Fatal(err)
+		}
+	})
+}
+
+// The same calls give the same estimates.
+func TestEstimatesAreDeterministic(t *testing.T) {
+	run := func() Estimate {
+		f := newShapeFixture(Config{Classes: classes()})
+		rng := rand.New(rand.NewPCG(1, 2))
+		for range 500 {
+			q := f.query
+			q.Profile.Key, q.Hint = rng.Uint64N(50), 100*rng.Float64()
+			f.model.Learn(&q, Truth{Work: 100 + 900*rng.Float64(), MemoryMB: 5})
+		}
+		q := f.query
+		q.Hint = 70
+		return f.model.Estimate(&q)
+	}
+	if a, b := run(), run(); a != b {
+		t.Errorf("%+v and then %+v", a, b)
+	}
+}
+
+// A cost that changes by a factor of ten is followed within some ten observations, and not
+// without forgetting.
+func TestForgettingFollowsChangedCost(t *testing.T) {
+	for _, forget := range []bool{true, false} {
+		f := newShapeFixture(Config{Classes: classes(), NoForgetting: !forget})
+		f.learn(200, 150)
+		f.learn(25, 1500)
+		if got := f.estimate().Work; forget && (got < 1000 || got > 2000) || !forget && got > 1000 {
+			t.Errorf("forgetting %v: %.0f ms after the cost went from 150 to 1500", forget, got)
+		}
+	}
+}
+
+// One nonsensical report, or one plan that went wrong, has little influence.
+func TestOutlierHasLittleInfluence(t *testing.T) {
+	for _, odd := range []float64{-1, 0, math.NaN(), math.Inf(1), 1e12, 3.5e6, 0.011} {
+		f := newShapeFixture(Config{Classes: classes()})
+		f.learn(40, 200)
+		before := f.estimate().Work
+		f.learn(1, odd)
+		if got := f.estimate().Work; math.Abs(math.Log2(got/before)) > 0.25 {
+			t.Errorf("one cost of %g ms moved the estimate from %.0f to %.0f ms", odd, before, got)
+		}
+	}
+}
+
+// A hint that is wrong by a factor of ten is corrected.
+func TestHintIsCorrected(t *testing.T) {
+	m := New(Config{Classes: classes()})
+	rng := rand.New(rand.NewPCG(3, 4))
+	features := &sqltext.Features{Verb: 's', Tables: 1}
+	for range 300 {
+		work := math.Exp(5 + rng.NormFloat64()*1.2) // widely spread, and the hint knows of it
+		m.Learn(&Query{Features: features, Known: 0, Hint: work / 10}, Truth{Work: work})
+	}
+	e := m.Estimate(&Query{Features: features, Known: 0, Hint: 50})
+	if e.Work < 350 || e.Work > 700 {
+		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.Work, e.Why())
+	}
+}
+
+// A shape whose cost lies at a bound keeps its class until it is well past the bound.
+func TestHysteresisKeepsClassAtBound(t *testing.T) {
+	f := newShapeFixture(Config{Classes: classes(), Hysteresis: 1.3})
+	rng := rand.New(rand.NewPCG(5, 6))
+	f.learn(20, 700)
+	changes, last := 0, -1
+	for range 500 {
+		f.learn(1, 800*math.Exp(0.1*rng.NormFloat64()))
+		if c := f.estimate().Class; c != last {
+			changes++
+			last = c
+		}
+	}
+	if changes > 2 {
+		t.Errorf("the class changed %d times", changes)
+	}
+	f.learn(60, 2500)
+	if e := f.estimate(); e.Class != 1 {
+		t.Errorf("still class %d at %.0f ms", e.Class, e.Work)
+	}
+}
+
+// A cancelled execution is learned as a lower bound of the cost, and as nothing more.
+func TestCancelledExecutionIsLowerBound(t *testing.T) {
+	f := newShapeFixture(Config{Classes: classes()})
+	f.learn(30, 200)
+	for range 20 {
+		q := f.query
+		f.model.Learn(&q, Truth{Work: 100, AtLeast: true})
+	}
+	if got := f.estimate().Work; got < 150 {
+		t.Errorf("%.0f ms after bounds below the cost", got)
+	}
+	for range 30 {
+		q := f.query
+		f.model.Learn(&q, Truth{Work: 6000, AtLeast: true})
+	}
+	if got := f.estimate().Work; got < 2000 {
+		t.Errorf("%.0f ms after 30 executions were given up at 6000", got)
+	}
+}
+
+// A value that is requested often and costs ten times the usual gets an estimate of its own.
+func TestFrequentValueIsCorrected(t *testing.T) {
+	f := newShapeFixture(Config{Classes: classes()})
+	for i := range 3000 {
+		q := f.query
+		q.Profile.Key = 1e6 + uint64(i)
+		work := 150.0
+		if i%20 == 0 {
+			q.Profile.Key, work = 42, 1500
+		}
+		f.model.Learn(&q, Truth{Work: work})
+	}
+	q := f.query
+	q.Profile.Key = 42
+	if e := f.model.Estimate(&q); e.Work < 900 {
+		t.Errorf("%.0f ms for the heavy value: %s", e.Work, e.Why())
+	}
+	q.Profile.Key = 7
+	if e := f.model.Estimate(&q); e.Work > 300 {
+		t.Errorf("%.0f ms for another: %s", e.Work, e.Why())
+	}
+}
--- /dev/null
+++ b/internal/decision/costmodel/ensemble.go
@@ -0,0 +1,57 @@
+package costmodel
+
+import "math"
+
+// Component is one estimator of the ensemble.
+type Component struct {
+	Log2Cost  float64 // the expected cost
+	Deviation float64 // its expected error, as a base-2 logarithm
+	Samples   float64 // number of observations it rests on; 0: it takes no part
+	Weight    float64 // its share of the estimate, 0 to 1
+}
+
+// componentOf returns the estimator that adds the tracked offset to a base.
+func componentOf(t *Tracker, base float64) Component {
+	return Component{Log2Cost: base + float64(t.Mid), Deviation: math.Sqrt(t.Variance()), Samples: float64(t.N)}
+}
+
+// combine weights the components by the inverse of their variances. ok is false where none
+// takes part.
+func combine(components ...*Component) (log2Cost, variance float64, ok bool) {
+	sum := 0.0
+	for _, c := range components {
+		if c.Samples > 0 {
+			c.Weight = 1 / (c.Deviation * c.Deviation)
+			sum += c.Weight
+		}
+	}
+	if sum == 0 {
+		return 0, 0, false
+	}
+	for _, c := range components {
+		c.Weight /= sum
+		log2Cost += c.Weight * c.Log2Cost
+	}
+	return log2Cost, 1 / sum, true
+}
+
+const (
+	// minHintSamples is how many errors of the hint must be known before it is corrected by them.
+	minHintSamples = 3
+	// uncorrectedHintDeviation is the expected error of a hint about whose errors nothing is
+	// known: a factor of four.
+	uncorrectedHintDeviation = 2
+)
+
+// hintComponent returns the estimator of a hint, corrected by its errors for the shape or,
+// as long as too few of these are known, for the class. shapeErrors may be nil.
+func hintComponent(hint float64, shapeErrors, classErrors *Tracker) Component {
+	log2Hint := math.Log2(hint)
+	switch {
+	case shapeErrors != nil && shapeErrors.N >= minHintSamples:
+		return componentOf(shapeErrors, log2Hint)
+	case classErrors.N >= minHintSamples:
+		return componentOf(classErrors, log2Hint)
+	}
+	return Component{Log2Cost: log2Hint, Deviation: uncorrectedHintDeviation, Samples: 1}
+}
--- a/internal/decision/costmodel/prior.go
+++ b/internal/decision/costmodel/prior.go
@@ -1,107 +1,79 @@
 package costmodel
 
-import (
-	"math"
-
-	"flaxrelay/internal/sqltext"
-)
-
-// dims is the number of features of the prior.
-const dims = 29
-
-type vector [dims]float64
-
-// features turns what a statement and its values show into a vector. class is the
-// place of the class that is already known, or -1.
-func features(f *sqltext.Features, p *sqltext.Profile, class int) (x vector) {
-	flag := func(b bool) float64 {
-		if b {
-			return 1
-		}
-		return 0
-	}
-	x = vector{
-		1, math.Log2(1 + float64(f.Tables)), float64(min(f.Joins, 6)), math.Log2(1 + float64(f.Aggregates)),
-		flag(f.Windows > 0), flag(f.Groups > 0), flag(f.Sorts > 0), flag(f.Distincts > 0),
-		math.Log2(1 + float64(max(f.Selects-1, 0))), flag(f.Verb == 'i'), flag(f.Verb != 'i' && f.Verb != 's'), flag(f.Where), flag(f.Limited),
-		math.Log2(1+float64(p.Alternatives)) / 4, math.Log2(1+p.Span) / 4, flag(p.HalfOpen), flag(p.Wild == sqltext.Prefix),
-		flag(p.Wild == sqltext.Leading), math.Log2(1+p.Limit) / 8, flag(p.Off > 0), flag(p.Open), math.Log2(1+float64(p.Rows)) / 4,
-	}
-	// Beyond some size each doubling counts for more: short lists are found by an index,
-	// long ones are not.
-	x[22] = math.Max(0, math.Log2(1+float64(p.Alternatives))-4) / 2
-	x[23] = math.Max(0, math.Log2(1+p.Span)-4) / 2
-	x[24] = math.Max(0, math.Log2(1+p.Limit)-8) / 4
-	if class >= 0 && class < 4 {
-		x[25+class] = 1
-	}
-	return x
-}
-
-// prior predicts the cost of shapes never seen from their features: recursive least
-// squares with forgetting (Haykin, "Adaptive Filter Theory", chapter on RLS), with
-// errors clipped so that one voice moves little.
+// prior predicts the cost of new shapes from their features, by recursive least squares
+// with forgetting (Haykin, "Adaptive Filter Theory", chapter on RLS). Errors are clipped,
+// so that one observation has little influence.
 type prior struct {
-	W     vector              `cbor:"W"`
-	P     [dims][dims]float64 `cbor:"P"`
-	N     int                 `cbor:"N"`
-	Track Track               `cbor:"Track"` // of its own errors
+	Weights    vector                          `cbor:"W"`
+	Covariance [dimensions][dimensions]float64 `cbor:"P"`
+	Samples    int                             `cbor:"N"`
+	Errors     Tracker                         `cbor:"Track"` // of its own predictions
 }
 
 const (
-	priorForget = 0.9995
-	priorRidge  = 0.05
-	priorClip   = 3
-	priorWarm   = 30 // values before it has a say
-	traceMost   = 1e4
+	priorForgetting = 0.9995 // the forgetting factor for one observation
+	priorRidge      = 0.05   // regularization of the weights
+	priorClip       = 3      // bound of an error, as a base-2 logarithm: a factor of eight
+	priorMinSamples = 30     // observations before it makes predictions
+	// priorMaxTrace bounds the covariance's trace. Above it the prior stops forgetting, which
+	// prevents wind-up in directions that no traffic shows any more.
+	priorMaxTrace = 1e4
 )
 
 func newPrior() *prior {
-	r := &prior{}
-	for i := range dims {
-		r.P[i][i] = 1 / priorRidge
+	p := &prior{}
+	for i := range dimensions {
+		p.Covariance[i][i] = 1 / priorRidge
 	}
-	return r
+	return p
 }
 
-func (r *prior) ready() bool { return r.N >= priorWarm }
+// ready reports whether the prior has learned enough for predictions.
+func (p *prior) ready() bool { return p.Samples >= priorMinSamples }
 
-func (r *prior) predict(x *vector) (y float64) {
+// predict returns the expected cost as a base-2 logarithm.
+func (p *prior) predict(x *vector) (log2Cost float64) {
 	for i := range x {
-		y += r.W[i] * x[i]
+		log2Cost += p.Weights[i] * x[i]
 	}
-	return y
+	return log2Cost
 }
 
-func (r *prior) learn(x *vector, y float64, forget bool) {
-	e := y - r.predict(x)
-	if r.N > 0 {
-		r.Track.Add(e, forget)
+// learn updates the prior with one observation.
+func (p *prior) learn(x *vector, log2Cost float64, forget bool) {
+	predictionError := log2Cost - p.predict(x)
+	if p.Samples > 0 {
+		p.Errors.Add(predictionError, forget)
 	}
-	if r.ready() {
-		e = max(min(e, priorClip), -priorClip)
+	if p.ready() {
+		predictionError = max(min(predictionError, priorClip), -priorClip)
 	}
-	r.N++
-	lambda := 1.0
+	p.Samples++
+	forgetting := 1.0
 	if forget {
-		lambda = priorForget
+		forgetting = priorForgetting
 	}
-	var px vector
-	s, trace := lambda, 0.0
-	for i := range dims {
-		for j := range dims {
-			px[i] += r.P[i][j] * x[j]
+	p.update(x, predictionError, forgetting)
+}
+
+// update makes one step of the recursive least squares.
+func (p *prior) update(x *vector, predictionError, forgetting float64) {
+	var product vector // of the covariance and the features
+	scale, trace := forgetting, 0.0
+	for i := range dimensions {
+		for j := range dimensions {
+			product[i] += p.Covariance[i][j] * x[j]
 		}
-		s += px[i] * x[i]
-		trace += r.P[i][i]
+		scale += product[i] * x[i]
+		trace += p.Covariance[i][i]
 	}
-	if trace > traceMost { // Guards against wind-up: forgetting what no traffic shows any more.
-		lambda = 1
+	if trace > priorMaxTrace {
+		forgetting = 1
 	}
-	for i := range dims {
-		r.W[i] += px[i] / s * e
-		for j := range dims {
-			r.P[i][j] = (r.P[i][j] - px[i]*px[j]/s) / lambda
+	for i := range dimensions {
+		p.Weights[i] += product[i] / scale * predictionError
+		for j := range dimensions {
+			p.Covariance[i][j] = (p.Covariance[i][j] - product[i]*product[j]/scale) / forgetting
 		}
 	}
 }
--- /dev/null
+++ b/internal/decision/costmodel/record.go
@@ -0,0 +1,58 @@
+package costmodel
+
+// maxBuckets bounds the profiles that the record of one shape keeps apart.
+const maxBuckets = 8
+
+// ShapeRecord is the record of one shape. All trackers hold base-2 logarithms. Its size is
+// constant.
+type ShapeRecord struct {
+	Seen            uint32             `cbor:"Seen"`   // number of executions, saturating
+	All             Tracker            `cbor:"All"`    // cost, whatever the values
+	PriorError      Tracker            `cbor:"Offset"` // cost relative to the prior's prediction
+	PriorPrediction Tracker            `cbor:"Usual"`  // what the prior predicted for its executions
+	HintError       Tracker            `cbor:"Hint"`   // cost relative to the hint
+	MemoryHintError Tracker            `cbor:"Memory"` // memory relative to its hint
+	Buckets         [maxBuckets]Bucket `cbor:"Buckets"`
+}
+
+// Bucket is the record of those executions of one shape whose values have the same coarse
+// profile.
+type Bucket struct {
+	Key      uint32  `cbor:"Key"`
+	LastUsed uint32  `cbor:"Used"` // the record's Seen when the bucket was last used
+	Work     Tracker `cbor:"Work"`
+	Memory   Tracker `cbor:"Memory"`
+	// ClassPlusOne is one more than the index of the class decided last; 0: none yet.
+	ClassPlusOne uint8 `cbor:"Class"`
+}
+
+// find returns the bucket of a key, or nil.
+func (r *ShapeRecord) find(key uint32) *Bucket {
+	for i := range r.Buckets {
+		if bucket := &r.Buckets[i]; bucket.Work.N > 0 && bucket.Key == key {
+			return bucket
+		}
+	}
+	return nil
+}
+
+// findOrReplace returns the bucket of a key. Where there is none, it takes an empty bucket
+// or replaces the least recently used one.
+func (r *ShapeRecord) findOrReplace(key uint32) *Bucket {
+	if bucket := r.find(key); bucket != nil {
+		return bucket
+	}
+	victim := &r.Buckets[0]
+	for i := range r.Buckets {
+		bucket := &r.Buckets[i]
+		if bucket.Work.N == 0 {
+			victim = bucket
+			break
+		}
+		if bucket.LastUsed < victim.LastUsed {
+			victim = bucket
+		}
+	}
+	*victim = Bucket{Key: key}
+	return victim
+}
--- /dev/null
+++ b/internal/decision/costmodel/space_saving.go
@@ -0,0 +1,82 @@
+package costmodel
+
+// spaceSaving keeps the most frequent values and how their cost deviates, in bounded
+// memory, by the Space-Saving algorithm (Metwally, Agrawal, El Abbadi, "Efficient
+// Computation of Frequent and Top-k Elements in Data Streams", 2005). It is set-associative,
+// so that adding a value takes bounded time. Keys are seeded hashes: clients can't choose
+// which values share a set.
+type spaceSaving struct {
+	Sets [frequentSets][frequentWays]valueStatistics `cbor:"Sets"`
+}
+
+const (
+	frequentSets = 64
+	frequentWays = 8
+	// minFrequentSamples is how often a value must occur before its cost is corrected.
+	minFrequentSamples = 6
+	// minFrequentOffset is how far its cost must deviate, as a base-2 logarithm: by half.
+	minFrequentOffset = 0.6
+)
+
+// valueStatistics is what is known of one value, or of similar values.
+type valueStatistics struct {
+	Key   uint64 `cbor:"Key"`
+	Count uint32 `cbor:"Count"`
+	// Offset is the cost of a frequent value relative to the estimate, and that of similar
+	// values relative to the usual cost of their shape.
+	Offset Tracker `cbor:"Offset"`
+	// The errors of two components on similar values.
+	PriorError Tracker `cbor:"Prior"`
+	HintError  Tracker `cbor:"Hint"`
+}
+
+// significant reports whether the value deviates enough, on enough evidence, to correct
+// estimates by it.
+func (v *valueStatistics) significant() bool {
+	return v.Offset.N >= minFrequentSamples && (v.Offset.Mid > minFrequentOffset || v.Offset.Mid < -minFrequentOffset)
+}
+
+// frequentValueComponent returns the correction for a frequent value.
+func frequentValueComponent(v *valueStatistics) Component {
+	return Component{
+		Log2Cost:  float64(v.Offset.Mid),
+		Deviation: float64(v.Offset.Dev),
+		Samples:   float64(v.Offset.N),
+		Weight:    1,
+	}
+}
+
+// find returns the statistics of a key, or nil. Key 0 stands for no value.
+func (s *spaceSaving) find(key uint64) *valueStatistics {
+	if key == 0 {
+		return nil
+	}
+	set := &s.Sets[key%frequentSets]
+	for i := range set {
+		if set[i].Key == key {
+			return &set[i]
+		}
+	}
+	return nil
+}
+
+// add counts a value. A new one replaces the least frequent value of its set and inherits
+// its count, as it may have occurred that often.
+func (s *spaceSaving) add(key uint64) *valueStatistics {
+	const maxCount = 1 << 31
+	value := s.find(key)
+	if value == nil {
+		set := &s.Sets[key%frequentSets]
+		value = &set[0]
+		for i := range set {
+			if set[i].Count < value.Count {
+				value = &set[i]
+			}
+		}
+		*value = valueStatistics{Key: key, Count: value.Count}
+	}
+	if value.Count < maxCount {
+		value.Count++
+	}
+	return value
+}
--- a/internal/decision/costmodel/state.go
+++ b/internal/decision/costmodel/state.go
@@ -7,52 +7,81 @@
 	"reflect"
 )
 
-// State is what a model has learned, in a form that can be written down. Its layout goes
-// with Layout: one of another layout can't be taken.
+// Layout is the version of what State and ShapeRecord mean. It changes whenever a field
+// changes its meaning; a state of another layout can't be restored.
+const Layout = 1
+
+// State is what a model has learned, in a form that can be stored.
 type State struct {
 	Prior  prior `cbor:"Prior"`
 	Common state `cbor:"Common"`
 }
 
-// Layout changes whenever what a State or an Entry holds changes its meaning.
-const Layout = 1
+// state is what a model has learned beside its prior.
+type state struct {
+	ByClass        [knownClasses]classStatistics     `cbor:"All"`   // for shapes without a record
+	FrequentValues spaceSaving                       `cbor:"Heavy"` // values that are requested often
+	SimilarValues  spaceSaving                       `cbor:"Like"`
+	NewValues      [atypicalityLevels]newValueErrors `cbor:"Fresh"` // by how atypical the execution is
+}
+
+// classStatistics is what is known of all executions of one class.
+type classStatistics struct {
+	HintError       Tracker `cbor:"Hint"`
+	MemoryHintError Tracker `cbor:"HintMB"`
+	Memory          Tracker `cbor:"Memory"`
+}
+
+// knownClasses is how many classes have statistics of their own; the last stands for all
+// further classes and for executions without one.
+const knownClasses = 5
+
+func (m *Model) classStatistics(class int) *classStatistics {
+	if class < 0 || class >= knownClasses-1 {
+		class = knownClasses - 1
+	}
+	return &m.ByClass[class]
+}
 
-// State is a copy of what the model has learned.
+// State returns a copy of what the model has learned.
 func (m *Model) State() *State { return &State{Prior: *m.prior, Common: m.state} }
 
-// ErrState is a state that no model can have come to.
+// ErrState means that a stored state holds a figure that no model can have learned.
 var ErrState = errors.New("a state that can't be")
 
-// Restore returns a model that goes on from a state. A state with a figure that is no
-// number is refused: it would spoil every estimate.
+// Restore returns a model that continues from a state. A state that holds a figure that is
+// no finite number is rejected: it would make every estimate invalid.
 func Restore(cfg Config, s *State) (*Model, error) {
-	if err := finite(reflect.ValueOf(s).Elem(), "state"); err != nil {
+	if err := checkFinite(reflect.ValueOf(s).Elem(), "state"); err != nil {
 		return nil, err
 	}
 	m := New(cfg)
-	p := s.Prior
-	m.prior, m.state = &p, s.Common
+	restored := s.Prior
+	m.prior, m.state = &restored, s.Common
 	return m, nil
 }
 
-// Check tells whether an entry can have come to be.
-func (e *Entry) Check() error { return finite(reflect.ValueOf(e).Elem(), "entry") }
+// Check returns an error that wraps ErrState where the record holds an invalid figure.
+func (r *ShapeRecord) Check() error { return checkFinite(reflect.ValueOf(r).Elem(), "entry") }
 
-func finite(v reflect.Value, name string) error {
+// checkFinite checks all floating-point numbers within a value. path names the value in
+// errors, by the field names of the stored form.
+func checkFinite(v reflect.Value, path string) error {
+	const largest = 1e12 // above any logarithm, weight or covariance that can be learned
 	switch v.Kind() {
 	case reflect.Float32, reflect.Float64:
-		if x := v.Float(); math.IsNaN(x) || math.Abs(x) > 1e12 {
-			return fmt.Errorf("%w: %s is %g", ErrState, name, x)
+		if x := v.Float(); math.IsNaN(x) || math.Abs(x) > largest {
+			return fmt.Errorf("%w: %s is %g", ErrState, path, x)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if err := finite(v.Field(i), name+"."+v.Type().Field(i).Name); err != nil {
+			if err := checkFinite(v.Field(i), path+"."+v.Type().Field(i).Tag.Get("cbor")); err != nil {
 				return err
 			}
 		}
 	case reflect.Array:
 		for i := range v.Len() {
-			if err := finite(v.Index(i), fmt.Sprintf("%s[%d]", name, i)); err != nil {
+			if err := checkFinite(v.Index(i), fmt.Sprintf("%s[%d]", path, i)); err != nil {
 				return err
 			}
 		}
--- /dev/null
+++ b/internal/decision/costmodel/tracker.go
@@ -0,0 +1,84 @@
+package costmodel
+
+import "math"
+
+// Tracker follows the median of a figure and its mean absolute deviation, both as base-2
+// logarithms. It is robust, as one observation moves the median by a bounded step, and it
+// forgets: a changed cost is followed within some ten observations. The update is a
+// Robbins-Monro step on a clipped error (Huber, "Robust Estimation of a Location
+// Parameter", 1964); a run of errors on one side raises the step, as a CUSUM chart would
+// (Page, "Continuous Inspection Schemes", 1954). It takes 16 bytes.
+type Tracker struct {
+	Mid float32 `cbor:"Mid"` // the median
+	Dev float32 `cbor:"Dev"` // the mean absolute deviation from it
+	N   float32 `cbor:"N"`   // number of observations, at most maxTrackedSamples
+	Run int8    `cbor:"Run"` // length of the current run of errors on one side, with their sign
+}
+
+const (
+	maxTrackedSamples = 1000
+
+	minGain          = 0.06 // keeps the effective window at some 16 observations
+	minDeviationGain = 0.03
+
+	// A run of changeRun errors on one side counts as a change of the cost, which is then
+	// followed by larger steps.
+	changeRun  = 5
+	changeGain = 0.35
+	changeClip = 4
+	maxRun     = 100
+
+	minDeviation     = 0.15 // no figure is known better than by this
+	initialDeviation = 1.5  // after the first observation
+
+	// Errors are clipped to so many deviations or, while these are not known, to a constant.
+	clipDeviations = 3
+	earlySamples   = 4
+	earlyClip      = 6
+)
+
+// Add updates the tracker with one observation, a base-2 logarithm.
+func (t *Tracker) Add(x float64, forget bool) {
+	if t.N == 0 {
+		t.Mid, t.Dev, t.N = float32(x), initialDeviation, 1
+		return
+	}
+	residual := x - float64(t.Mid)
+	deviation := max(float64(t.Dev), minDeviation)
+	gain := 1 / (float64(t.N) + 1)
+	clip := clipDeviations * deviation
+	if t.N < earlySamples {
+		clip = earlyClip
+	}
+	if forget {
+		gain = max(gain, minGain)
+		t.extendRun(residual, deviation)
+		if t.Run >= changeRun || t.Run <= -changeRun {
+			gain, clip = changeGain, changeClip
+			t.Run = max(min(t.Run, maxRun), -maxRun)
+		}
+	}
+	step := max(min(residual, clip), -clip)
+	t.Mid += float32(gain * step)
+	t.Dev += float32(max(gain, minDeviationGain) * (math.Abs(step) - deviation))
+	t.N = min(t.N+1, maxTrackedSamples)
+}
+
+// extendRun counts an error that exceeds the deviation. A smaller one ends the run.
+func (t *Tracker) extendRun(residual, deviation float64) {
+	switch {
+	case math.Abs(residual) < deviation:
+		t.Run = 0
+	case residual > 0:
+		t.Run = max(t.Run, 0) + 1
+	default:
+		t.Run = min(t.Run, 0) - 1
+	}
+}
+
+// Variance returns the expected squared error of the median for one observation.
+func (t *Tracker) Variance() float64 {
+	const perMeanDeviation = 1.25 // standard deviation by mean absolute deviation, of a normal distribution
+	d := perMeanDeviation * max(float64(t.Dev), minDeviation)
+	return d * d * (1 + 4/float64(t.N))
+}
--- a/internal/stmtstats/cache.go
+++ b/internal/stmtstats/cache.go
@@ -11,7 +11,7 @@
 
 // CachedShape is the cached record of one shape.
 type CachedShape struct {
-	costmodel.Entry
+	costmodel.ShapeRecord
 	normalForm string // or its first maxNormalFormBytes bytes
 	truncated  bool   // normalForm is a prefix only, so the shape can't be identified after a restart
 }
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -5,9 +5,6 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// noClass is the class index of an execution whose class is not decided yet.
-const noClass = -1
-
 // Execution is one execution of a statement whose cost is not known yet.
 type Execution struct {
 	Estimate  costmodel.Estimate
@@ -49,7 +46,7 @@
 	}
 	if x.cached = s.cache.Get(reading.Print); x.cached != nil {
 		s.Stats.Hits++
-		x.query.Entry = &x.cached.Entry
+		x.query.Record = &x.cached.ShapeRecord
 	} else {
 		s.Stats.Misses++
 	}
@@ -64,7 +61,7 @@
 	if shape == nil {
 		shape = s.cacheShape(x.statement)
 	}
-	x.query.Entry = &shape.Entry
+	x.query.Record = &shape.ShapeRecord
 	s.model.Learn(&x.query, truth)
 }
 
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -64,7 +64,7 @@
 func (s *Service) estimateRequest(r *lifecycle.Request, x *Execution, statement *Statement, binds *sqltext.Binds) {
 	class, ok := s.classIndex[r.Class]
 	if !ok {
-		class = noClass
+		class = costmodel.NoClass
 	}
 	hint := Hint{Work: milliseconds(r.EstimatedWork), MemoryMB: r.EstimatedMemoryMB}
 	threads := 1.0
@@ -93,7 +93,7 @@
 // nothing is known of it yet.
 func (s *Service) Sort(statement *Statement, binds *sqltext.Binds) (class policy.Class, x *Execution, ok bool) {
 	x = s.newExecution()
-	s.store.estimate(x, statement, binds, noClass, Hint{})
+	s.store.estimate(x, statement, binds, costmodel.NoClass, Hint{})
 	if x.Estimate.Class < 0 {
 		return policy.Class{}, x, false
 	}
--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -31,8 +31,8 @@
 
 // Saved is one shape of a Snapshot.
 type Saved struct {
-	Norm  string          `cbor:"1,keyasint"` // the complete normal form
-	Entry costmodel.Entry `cbor:"2,keyasint"`
+	Norm  string                `cbor:"1,keyasint"` // the complete normal form
+	Entry costmodel.ShapeRecord `cbor:"2,keyasint"`
 }
 
 // Snapshot copies the state of the store. The copy may be handed to another goroutine.
@@ -42,7 +42,7 @@
 		if shape.truncated {
 			snapshot.Cut++
 		} else {
-			snapshot.Shapes = append(snapshot.Shapes, Saved{Norm: shape.normalForm, Entry: shape.Entry})
+			snapshot.Shapes = append(snapshot.Shapes, Saved{Norm: shape.normalForm, Entry: shape.ShapeRecord})
 		}
 		return true
 	})
@@ -61,7 +61,7 @@
 	store.hashSeed = snapshot.Keys
 	for i := range snapshot.Shapes {
 		saved := &snapshot.Shapes[i]
-		shape := &CachedShape{Entry: saved.Entry, normalForm: saved.Norm}
+		shape := &CachedShape{ShapeRecord: saved.Entry, normalForm: saved.Norm}
 		store.cache.Add(store.reader.Print(saved.Norm), shape)
 	}
 	return store, nil
--- a/internal/stmtstats/snapshot_stored_test.go
+++ b/internal/stmtstats/snapshot_stored_test.go
@@ -32,8 +32,8 @@
 func describeEstimate(e costmodel.Estimate) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "known=%v work=%v spread=%v memory-mb=%v class=%d", e.Known, e.Work, e.Spread, e.MemoryMB, e.Class)
-	for _, v := range []costmodel.Voice{e.Record, e.Like, e.Prior, e.Hint, e.Key} {
-		fmt.Fprintf(&b, " [%v %v %v %v]", v.Mid, v.Dev, v.N, v.Weight)
+	for _, v := range []costmodel.Component{e.Record, e.Similar, e.Prior, e.Hint, e.FrequentValue} {
+		fmt.Fprintf(&b, " [%v %v %v %v]", v.Log2Cost, v.Deviation, v.Samples, v.Weight)
 	}
 	return b.String()
 }
@@ -80,7 +80,7 @@
 	fmt.Fprintf(&out, "layout=%d keys=%x shapes=%d cut=%d held=%d\n", snap.Layout, snap.Keys, len(snap.Shapes), snap.Cut, store.Len())
 	for i, r := range probes(t) {
 		binds := &sqltext.Binds{Values: r.Values, Formats: r.Formats, Types: r.Types}
-		x := store.Estimate(store.Read(r.Statement), binds, noClass, Hint{Work: r.HintWork, MemoryMB: r.HintMB})
+		x := store.Estimate(store.Read(r.Statement), binds, costmodel.NoClass, Hint{Work: r.HintWork, MemoryMB: r.HintMB})
 		fmt.Fprintf(&out, "%d held=%v %s\n", i, x.cached != nil, describeEstimate(x.Estimate))
 	}
 	if *update {
--- a/internal/stmtstats/store_test.go
+++ b/internal/stmtstats/store_test.go
@@ -23,13 +23,13 @@
 
 // estimate returns the estimate of one execution without binds or hints.
 func estimate(s *Store, text string) costmodel.Estimate {
-	return s.Estimate(s.Read(text), nil, noClass, Hint{}).Estimate
+	return s.Estimate(s.Read(text), nil, costmodel.NoClass, Hint{}).Estimate
 }
 
 // learn has the store learn the given number of executions of a text.
 func learn(s *Store, text string, executions int, work float64) {
 	for range executions {
-		s.Learn(s.Estimate(s.Read(text), nil, noClass, Hint{}), costmodel.Truth{Work: work, MemoryMB: 20})
+		s.Learn(s.Estimate(s.Read(text), nil, costmodel.NoClass, Hint{}), costmodel.Truth{Work: work, MemoryMB: 20})
 	}
 }
 
@@ -105,7 +105,7 @@
 		learn(s, fmt.Sprintf("SELECT a FROM stock_1.tmp_%dx t%dx WHERE part = 'p'", i, i), 1, 200)
 		if i%4 == 0 {
 			before := s.Stats.Hits
-			s.Learn(s.Estimate(s.Read(recurring(i/4%50)), nil, noClass, Hint{}), costmodel.Truth{Work: 200})
+			s.Learn(s.Estimate(s.Read(recurring(i/4%50)), nil, costmodel.NoClass, Hint{}), costmodel.Truth{Work: 200})
 			if i > 5000 {
 				hits += s.Stats.Hits - before
 				lookups++
@@ -152,12 +152,12 @@
 		texts[i] = fmt.Sprintf("SELECT part, c%d FROM stock_%d.stock WHERE part = 'p-%05d'", i%40, i%30, i)
 	}
 	for i := range 20000 {
-		store.Learn(store.Estimate(store.Read(texts[i%200]), nil, noClass, Hint{Work: 50}), costmodel.Truth{Work: 100 + float64(i%7)})
+		store.Learn(store.Estimate(store.Read(texts[i%200]), nil, costmodel.NoClass, Hint{Work: 50}), costmodel.Truth{Work: 100 + float64(i%7)})
 	}
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
 		i++
-		store.Learn(store.Estimate(store.Read(texts[i%200]), nil, noClass, Hint{Work: 50}), costmodel.Truth{Work: 100 + float64(i%7)})
+		store.Learn(store.Estimate(store.Read(texts[i%200]), nil, costmodel.NoClass, Hint{Work: 50}), costmodel.Truth{Work: 100 + float64(i%7)})
 	}
 }
