--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -22,15 +22,15 @@
 // Verdict is a statement's effect, and the word of it that decided.
 type Verdict struct {
 	Effect Effect
-	Why    string // a few words
+	Reason    string // a few words
 	Word   string // as it stands in the statement; "" where Why says all
 }
 
 func (v Verdict) String() string {
 	if v.Word == "" {
-		return v.Why
+		return v.Reason
 	}
-	return v.Word + ": " + v.Why
+	return v.Word + ": " + v.Reason
 }
 
 // Functions names functions that only read, in small letters, with their schema where
@@ -48,10 +48,10 @@
 // writes, a cast with a function of its own, and a column that is a function (t.f).
 func EffectOf(stmt string, more Functions) Verdict {
 	l := Lexer{Src: stmt}
-	r := effectReader{more: more}
+	r := effectClassifier{readOnly: more}
 	for t := l.Next(); t.Kind != End; t = l.Next() {
 		r.token(&l, t)
-		if r.sure() {
+		if r.decided() {
 			return r.worst
 		}
 	}
@@ -59,229 +59,229 @@
 }
 
 // sure tells that nothing more can change the verdict.
-func (r *effectReader) sure() bool { return r.worst.Why != "" && r.worst.Effect == Writes }
+func (r *effectClassifier) decided() bool { return r.worst.Reason != "" && r.worst.Effect == Writes }
 
 // effectReader judges a run of tokens.
-type effectReader struct {
-	more  Functions
+type effectClassifier struct {
+	readOnly  Functions
 	worst Verdict // the first that is no reading one; Writes goes before Untold
 
 	begun            bool // the first word was read
-	explain, planned bool // EXPLAIN stands in front; nothing yet says that it runs
-	options          bool // between EXPLAIN and its statement
+	explain, planOnly bool // EXPLAIN stands in front; nothing yet says that it runs
+	inOptions          bool // between EXPLAIN and its statement
 	depth            int  // of parentheses
 
-	prev, before word // of the last two tokens, where they are key words
-	kind, kind2  Kind // of the last two tokens
-	last         Token
-	use          use
-	schema       Token // of last, where it is qualified
+	previousKeyword, keywordBefore keyword // of the last two tokens, where they are key words
+	previousKind, kindBefore  Kind // of the last two tokens
+	previous         Token
+	previousClass          keywordClass
+	previousSchema       Token // of last, where it is qualified
 	distinctOn   bool  // DISTINCT ON stands in the statement: a call may follow a parenthesis
 	// ctes has a bit for each depth at which a list of common table expressions is
 	// being read; expect one where the next name begins one.
-	ctes, expect uint64
-	cteName      bool // last is the name of one
+	cteLists, cteNameNext uint64
+	afterCTEName      bool // last is the name of one
 }
 
-func (r *effectReader) say(e Effect, word, why string) {
-	if r.worst.Why == "" || e == Writes && r.worst.Effect == Untold {
+func (r *effectClassifier) report(e Effect, word, why string) {
+	if r.worst.Reason == "" || e == Writes && r.worst.Effect == Untold {
 		r.worst = Verdict{e, why, word}
 	}
 }
 
-func bit(depth int) uint64 {
+func depthBit(depth int) uint64 {
 	if depth < 0 || depth > 63 {
 		return 0 // deeper lists are not known as such; their columns look like calls
 	}
 	return 1 << depth
 }
 
-func (r *effectReader) token(l *Lexer, t Token) {
-	w, use := t.word(), t.use()
+func (r *effectClassifier) token(l *Lexer, t Token) {
+	w, use := t.keyword(), t.class()
 	schema := Token{}
 	switch t.Kind {
-	case Ident, Quoted:
-		if r.kind == Dot { // a part of a longer name: no key word
-			w, use = wNone, 0
-			schema = r.last
+	case Identifier, QuotedIdentifier:
+		if r.previousKind == Dot { // a part of a longer name: no key word
+			w, use = keywordNone, 0
+			schema = r.previous
 		}
-		if r.kind != Dot || r.kind2 != Ident && r.kind2 != Quoted {
+		if r.previousKind != Dot || r.kindBefore != Identifier && r.kindBefore != QuotedIdentifier {
 			schema = Token{}
 		}
-		r.word(l, t, w, use)
-	case Open:
-		r.open(l)
+		r.identifier(l, t, w, use)
+	case LeftParen:
+		r.leftParen(l)
 		r.depth++
-		r.ctes &^= bit(r.depth)
-		r.expect &^= bit(r.depth)
-	case Close:
+		r.cteLists &^= depthBit(r.depth)
+		r.cteNameNext &^= depthBit(r.depth)
+	case RightParen:
 		r.depth--
 	case Comma:
-		if r.ctes&bit(r.depth) != 0 {
-			r.expect |= bit(r.depth)
+		if r.cteLists&depthBit(r.depth) != 0 {
+			r.cteNameNext |= depthBit(r.depth)
 		}
-	case Op:
-		if !knownOperator(l.Text(t)) {
-			r.say(Untold, l.Text(t), "an operator that is not known")
+	case Operator:
+		if !isReadOnlyOperator(l.Text(t)) {
+			r.report(Untold, l.Text(t), "an operator that is not known")
 		}
 	}
 	if t.Kind == Dot { // the name goes on
-		r.kind2, r.kind = r.kind, Dot
+		r.kindBefore, r.previousKind = r.previousKind, Dot
 		return
 	}
-	r.before, r.prev = r.prev, w
-	r.kind2, r.kind = r.kind, t.Kind
-	r.use, r.last, r.schema = use, t, schema
+	r.keywordBefore, r.previousKeyword = r.previousKeyword, w
+	r.kindBefore, r.previousKind = r.previousKind, t.Kind
+	r.previousClass, r.previous, r.previousSchema = use, t, schema
 }
 
-func (r *effectReader) word(l *Lexer, t Token, w word, use use) {
-	r.cteName = false
+func (r *effectClassifier) identifier(l *Lexer, t Token, w keyword, use keywordClass) {
+	r.afterCTEName = false
 	text := l.Text(t)
-	start := !r.begun || r.kind == Open
+	start := !r.begun || r.previousKind == LeftParen
 	switch {
 	case !r.begun:
 		r.begun = true
 		switch {
-		case w == wExplain:
-			r.explain, r.planned, r.options = true, true, true
-		case use&reader != 0:
-		case use&writes != 0:
-			r.say(Writes, text, "it writes")
+		case w == keywordExplain:
+			r.explain, r.planOnly, r.inOptions = true, true, true
+		case use&readingWord != 0:
+		case use&writingWord != 0:
+			r.report(Writes, text, "it writes")
 		default:
-			r.first(text, t.Kind)
+			r.firstWord(text, t.Kind)
 		}
-	case r.options:
-		r.option(text, t.Kind, use)
-		start = start || !r.options
+	case r.inOptions:
+		r.explainOption(text, t.Kind, use)
+		start = start || !r.inOptions
 	}
-	if r.begun && use&writes != 0 && r.prev != wAs && !r.planned && r.last.Kind != End {
-		r.say(Writes, text, "it writes")
+	if r.begun && use&writingWord != 0 && r.previousKeyword != keywordAs && !r.planOnly && r.previous.Kind != End {
+		r.report(Writes, text, "it writes")
 	}
 	switch {
-	case w == wWith && start: // elsewhere it is WITH ORDINALITY, WITH TIES or the like
-		r.ctes |= bit(r.depth)
-		r.expect |= bit(r.depth)
-	case w == wRecursive && r.prev == wWith:
-	case r.expect&bit(r.depth) != 0:
-		r.expect &^= bit(r.depth)
-		r.cteName = true
-	case use&(reader|writes) != 0:
-		r.ctes &^= bit(r.depth)
-	case w == wOn && r.prev == wDistinct:
+	case w == keywordWith && start: // elsewhere it is WITH ORDINALITY, WITH TIES or the like
+		r.cteLists |= depthBit(r.depth)
+		r.cteNameNext |= depthBit(r.depth)
+	case w == keywordRecursive && r.previousKeyword == keywordWith:
+	case r.cteNameNext&depthBit(r.depth) != 0:
+		r.cteNameNext &^= depthBit(r.depth)
+		r.afterCTEName = true
+	case use&(readingWord|writingWord) != 0:
+		r.cteLists &^= depthBit(r.depth)
+	case w == keywordOn && r.previousKeyword == keywordDistinct:
 		r.distinctOn = true
 	}
-	if r.prev == wFor && (w == wUpdate || w == wNo || w == wShare || w == wKey) && !r.planned {
-		r.say(Writes, "FOR "+strings.ToUpper(text), "it locks rows")
+	if r.previousKeyword == keywordFor && (w == keywordUpdate || w == keywordNo || w == keywordShare || w == keywordKey) && !r.planOnly {
+		r.report(Writes, "FOR "+strings.ToUpper(text), "it locks rows")
 	}
-	if w == wOperator {
-		r.say(Untold, text, "an operator named by its schema")
+	if w == keywordOperator {
+		r.report(Untold, text, "an operator named by its schema")
 	}
 }
 
 // first judges a first word that begins no reading statement.
-func (r *effectReader) first(text string, k Kind) {
-	if k == Ident {
+func (r *effectClassifier) firstWord(text string, k Kind) {
+	if k == Identifier {
 		switch strings.ToUpper(text) {
 		case "CREATE", "ALTER", "DROP", "TRUNCATE", "COMMENT", "GRANT", "REVOKE", "REINDEX", "CLUSTER", "VACUUM",
 			"REFRESH", "IMPORT", "SECURITY", "REASSIGN", "COPY":
-			r.say(Writes, text, "it writes")
+			r.report(Writes, text, "it writes")
 			return
 		case "DO", "CALL", "EXECUTE":
-			r.say(Untold, text, "what it runs can't be seen")
+			r.report(Untold, text, "what it runs can't be seen")
 			return
 		}
 	}
-	r.say(Untold, text, "it begins no statement that is known to read")
+	r.report(Untold, text, "it begins no statement that is known to read")
 }
 
 // option reads what stands between EXPLAIN and its statement. ANALYZE in any form
 // runs the statement; whatever is not known as an option begins it.
-func (r *effectReader) option(text string, k Kind, use use) {
-	if strings.EqualFold(bare(text), "analyze") || strings.EqualFold(bare(text), "analyse") {
-		r.planned = false
+func (r *effectClassifier) explainOption(text string, k Kind, use keywordClass) {
+	if strings.EqualFold(unquoteIdentifier(text), "analyze") || strings.EqualFold(unquoteIdentifier(text), "analyse") {
+		r.planOnly = false
 		return
 	}
-	if r.depth > 0 && use&reader == 0 || strings.EqualFold(text, "verbose") {
+	if r.depth > 0 && use&readingWord == 0 || strings.EqualFold(text, "verbose") {
 		return
 	}
-	r.options = false
-	if use&reader == 0 && !r.planned {
-		if use&writes != 0 {
-			r.say(Writes, text, "EXPLAIN ANALYZE runs it")
+	r.inOptions = false
+	if use&readingWord == 0 && !r.planOnly {
+		if use&writingWord != 0 {
+			r.report(Writes, text, "EXPLAIN ANALYZE runs it")
 		} else {
-			r.first(text, k)
+			r.firstWord(text, k)
 		}
 	}
 }
 
 // open judges a parenthesis: behind a name that is no key word it begins a call.
-func (r *effectReader) open(l *Lexer) {
-	if !r.begun || r.options || r.planned {
+func (r *effectClassifier) leftParen(l *Lexer) {
+	if !r.begun || r.inOptions || r.planOnly {
 		return
 	}
-	if r.last.Kind != Ident && r.last.Kind != Quoted || r.kind == Dot {
+	if r.previous.Kind != Identifier && r.previous.Kind != QuotedIdentifier || r.previousKind == Dot {
 		return
 	}
-	qualified := r.schema.Kind != End
-	if !qualified && (r.before == wAs || r.kind2 == Close && !r.distinctOn && r.use&(reserved|infix) == 0) {
+	qualified := r.previousSchema.Kind != End
+	if !qualified && (r.keywordBefore == keywordAs || r.kindBefore == RightParen && !r.distinctOn && r.previousClass&(reservedWord|infixWord) == 0) {
 		return // the columns of an alias
 	}
-	if r.last.Kind == Ident && !qualified {
+	if r.previous.Kind == Identifier && !qualified {
 		switch {
-		case r.use&(reserved|typeName) != 0, r.cteName:
+		case r.previousClass&(reservedWord|typeWord) != 0, r.afterCTEName:
 			return
-		case r.prev == wOver || r.prev == wFilter:
-			if r.kind2 == Close { // a call is over, and this belongs to it
+		case r.previousKeyword == keywordOver || r.previousKeyword == keywordFilter:
+			if r.kindBefore == RightParen { // a call is over, and this belongs to it
 				return
 			}
-		case r.use&infix != 0:
-			if r.kind2 == Ident && r.before == wNone || r.kind2 == Close || r.kind2 == Quoted || r.kind2 == String ||
-				r.kind2 == Number || r.kind2 == Param || r.kind2 == Unbracket || r.before == wNot || r.before == wNatural ||
-				r.before == wNull || r.before == wTrue || r.before == wFalse {
+		case r.previousClass&infixWord != 0:
+			if r.kindBefore == Identifier && r.keywordBefore == keywordNone || r.kindBefore == RightParen || r.kindBefore == QuotedIdentifier || r.kindBefore == String ||
+				r.kindBefore == Number || r.kindBefore == Parameter || r.kindBefore == RightBracket || r.keywordBefore == keywordNot || r.keywordBefore == keywordNatural ||
+				r.keywordBefore == keywordNull || r.keywordBefore == keywordTrue || r.keywordBefore == keywordFalse {
 				return
 			}
-		case r.prev == wBy && (r.before == wOrder || r.before == wGroup || r.before == wPartition):
+		case r.previousKeyword == keywordBy && (r.keywordBefore == keywordOrder || r.keywordBefore == keywordGroup || r.keywordBefore == keywordPartition):
 			return
-		case r.prev == wSets && r.before == wGrouping, (r.prev == wFirst || r.prev == wNext) && r.before == wFetch,
-			r.prev == wMaterialized && (r.before == wAs || r.before == wNot):
+		case r.previousKeyword == keywordSets && r.keywordBefore == keywordGrouping, (r.previousKeyword == keywordFirst || r.previousKeyword == keywordNext) && r.keywordBefore == keywordFetch,
+			r.previousKeyword == keywordMaterialized && (r.keywordBefore == keywordAs || r.keywordBefore == keywordNot):
 			return
 		}
 	}
-	name := l.Text(r.last)
-	if r.last.Kind == Quoted {
-		name = bare(name)
+	name := l.Text(r.previous)
+	if r.previous.Kind == QuotedIdentifier {
+		name = unquoteIdentifier(name)
 	}
 	if qualified {
-		schema := bare(l.Text(r.schema))
-		if !equal(schema, "pg_catalog") {
+		schema := unquoteIdentifier(l.Text(r.previousSchema))
+		if !equalFold(schema, "pg_catalog") {
 			full := schema + "." + name
-			if r.more.has(full) {
+			if r.readOnly.has(full) {
 				return
 			}
-			r.say(Untold, full, "a function not known to read only")
+			r.report(Untold, full, "a function not known to read only")
 			return
 		}
 	}
-	if r.last.Kind == Quoted && name != strings.ToLower(name) || !readers.has(name) && !r.more.has(name) {
-		r.say(Untold, name, "a function not known to read only")
+	if r.previous.Kind == QuotedIdentifier && name != strings.ToLower(name) || !readOnlyFunctions.has(name) && !r.readOnly.has(name) {
+		r.report(Untold, name, "a function not known to read only")
 	}
 }
 
-func (r *effectReader) verdict(l *Lexer) Verdict {
+func (r *effectClassifier) verdict(l *Lexer) Verdict {
 	switch {
-	case r.worst.Why != "":
+	case r.worst.Reason != "":
 		return r.worst
 	case !r.begun:
 		return Verdict{Untold, "no word begins it", ""}
 	case l.Flaws&Unterminated != 0:
 		return Verdict{Untold, "a string, a name or a comment in it does not end", ""}
-	case l.Flaws&Backslash != 0:
+	case l.Flaws&BackslashQuote != 0:
 		return Verdict{Untold, "a backslash before a quote reads differently without standard_conforming_strings", ""}
-	case l.Flaws&Unicode != 0:
+	case l.Flaws&UnicodeEscape != 0:
 		return Verdict{Untold, "U& hides what it spells", ""}
-	case l.Flaws&Strange != 0:
+	case l.Flaws&InvalidCharacter != 0:
 		return Verdict{Untold, "a character in it is of no statement", ""}
-	case l.Flaws&High != 0 && !utf8.ValidString(l.Src):
+	case l.Flaws&NonASCII != 0 && !utf8.ValidString(l.Src):
 		return Verdict{Untold, "it is not UTF-8", ""}
 	}
 	return Verdict{Reads, "all its words and functions read", ""}
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -120,7 +120,7 @@
 		LeadingComment(stmt)
 		SkipComments(stmt)
 		Begins(stmt, stmt)
-		if EffectOf(stmt, nil).Effect == Reads && l.Flaws&^High == 0 {
+		if EffectOf(stmt, nil).Effect == Reads && l.Flaws&^NonASCII == 0 {
 			if got := EffectOf(stmt+"\n FOR UPDATE", nil); got.Effect == Reads && !strings.HasPrefix(strings.ToUpper(SkipComments(stmt)), "EXPLAIN") {
 				t.Fatalf("%q reads also with FOR UPDATE behind it", stmt)
 			}
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -15,24 +15,24 @@
 // Kinds of token.
 const (
 	End       Kind = iota // the text is over
-	Ident                 // a key word or a name without quotes
-	Quoted                // a name in double quotes
+	Identifier                 // a key word or a name without quotes
+	QuotedIdentifier                // a name in double quotes
 	String                // '..', E'..', U&'..', N'..', with its continuations
-	Bits                  // B'..', X'..'
-	Dollar                // $tag$..$tag$
+	BitString                  // B'..', X'..'
+	DollarString                // $tag$..$tag$
 	Number                // 1, 1_000, 0x1F, 1.5e-3
-	Param                 // $1
-	Op                    // a run of operator characters
+	Parameter                 // $1
+	Operator                    // a run of operator characters
 	Dot                   // .
 	Comma                 // ,
-	Open                  // (
-	Close                 // )
-	Bracket               // [
-	Unbracket             // ]
+	LeftParen                  // (
+	RightParen                 // )
+	LeftBracket               // [
+	RightBracket             // ]
 	Cast                  // ::
 	Colon                 // : alone, or :=
 	Semicolon             // ;
-	Odd                   // a character that no rule takes, or a lone $
+	Invalid                   // a character that no rule takes, or a lone $
 )
 
 // Token is one token: its kind and where it stands, as offsets in bytes. Four fields are
@@ -41,17 +41,17 @@
 type Token struct {
 	Start, End int
 	Kind       Kind
-	info       info
+	info       identifierInfo
 }
 
 // info is what the lexer found out about an Ident on its way: its hash without regard to
 // case (32 bits), its use and number as a key word (16 and 8), and whether it has capitals.
-type info uint64
+type identifierInfo uint64
 
 func (t Token) hash() uint32 { return uint32(t.info) }
-func (t Token) use() use     { return use(t.info >> 32) }
-func (t Token) word() word   { return word(t.info >> 48) }
-func (t Token) upper() bool  { return t.info>>56 != 0 }
+func (t Token) class() keywordClass     { return keywordClass(t.info >> 32) }
+func (t Token) keyword() keyword   { return keyword(t.info >> 48) }
+func (t Token) hasUpper() bool  { return t.info>>56 != 0 }
 
 // Flaw is what makes a text one whose reading can't be relied on.
 type Flaw uint8
@@ -62,14 +62,14 @@
 	Unterminated Flaw = 1 << iota
 	// Backslash: a backslash stands before a quote in an ordinary string. Where
 	// standard_conforming_strings is off the string goes on there.
-	Backslash
+	BackslashQuote
 	// Unicode: a name or string is written U&; its letters are not those it shows.
-	Unicode
+	UnicodeEscape
 	// Strange: a character that no rule of the lexer takes, a NUL among them.
-	Strange
+	InvalidCharacter
 	// High: bytes above 0x7f stand in the text. No flaw by itself, but the caller
 	// must know that the text is UTF-8 before it relies on where tokens end.
-	High
+	NonASCII
 )
 
 // Lexer reads the tokens of one text in turn. Its zero value with Src set is ready;
@@ -82,37 +82,37 @@
 
 // Classes of characters.
 const (
-	cSpace uint8 = 1 << iota
-	cStart       // may begin a name
-	cDigit
-	cOp
-	cWord // may go on in a name
-	cUpper
-	cHigh // no ASCII
+	charSpace uint8 = 1 << iota
+	charNameStart       // may begin a name
+	charDigit
+	charOperator
+	charName // may go on in a name
+	charUpper
+	charNonASCII // no ASCII
 )
 
-var classes = func() (t [256]uint8) {
+var charClasses = func() (t [256]uint8) {
 	for _, c := range " \t\r\n\f\v" {
-		t[c] |= cSpace
+		t[c] |= charSpace
 	}
 	for c := range 256 {
 		switch {
 		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c == '_', c >= 0x80:
-			t[c] |= cStart | cWord
+			t[c] |= charNameStart | charName
 		case c >= '0' && c <= '9':
-			t[c] |= cDigit | cWord
+			t[c] |= charDigit | charName
 		case c == '$':
-			t[c] |= cWord
+			t[c] |= charName
 		}
 	}
 	for c := 'A'; c <= 'Z'; c++ {
-		t[c] |= cUpper
+		t[c] |= charUpper
 	}
 	for c := 0x80; c < 256; c++ {
-		t[c] |= cHigh
+		t[c] |= charNonASCII
 	}
 	for _, c := range "~!@#^&|`?+-*/%<>=" {
-		t[c] |= cOp
+		t[c] |= charOperator
 	}
 	return t
 }()
@@ -127,22 +127,22 @@
 		at++
 		l.Pos = at
 	}
-	if at < len(src) && (classes[src[at]]&cSpace != 0 || src[at] == '-' || src[at] == '/') {
-		l.skip()
+	if at < len(src) && (charClasses[src[at]]&charSpace != 0 || src[at] == '-' || src[at] == '/') {
+		l.skipSpace()
 		at = l.Pos
 	}
 	if at >= len(src) {
 		return Token{Kind: End, Start: at, End: at}
 	}
 	c := src[at]
-	class := classes[c]
+	class := charClasses[c]
 	switch {
-	case class&cStart != 0:
-		return l.word()
-	case class&cDigit != 0:
-		return l.number()
-	case class&cOp != 0:
-		return l.operator()
+	case class&charNameStart != 0:
+		return l.scanIdentifier()
+	case class&charDigit != 0:
+		return l.scanNumber()
+	case class&charOperator != 0:
+		return l.scanOperator()
 	}
 	one := func(k Kind) Token {
 		l.Pos = at + 1
@@ -151,29 +151,29 @@
 	switch c {
 	case '\'':
 		l.Pos++
-		l.quote(false)
+		l.skipString(false)
 		return Token{Kind: String, Start: at, End: l.Pos}
 	case '"':
 		l.Pos++
-		l.name()
-		return Token{Kind: Quoted, Start: at, End: l.Pos}
+		l.skipQuotedIdentifier()
+		return Token{Kind: QuotedIdentifier, Start: at, End: l.Pos}
 	case '$':
-		return l.dollar()
+		return l.scanDollar()
 	case '(':
-		return one(Open)
+		return one(LeftParen)
 	case ')':
-		return one(Close)
+		return one(RightParen)
 	case ',':
 		return one(Comma)
 	case '[':
-		return one(Bracket)
+		return one(LeftBracket)
 	case ']':
-		return one(Unbracket)
+		return one(RightBracket)
 	case ';':
 		return one(Semicolon)
 	case '.':
-		if at+1 < len(src) && classes[src[at+1]]&cDigit != 0 {
-			return l.number()
+		if at+1 < len(src) && charClasses[src[at+1]]&charDigit != 0 {
+			return l.scanNumber()
 		}
 		return one(Dot)
 	case ':':
@@ -187,22 +187,22 @@
 		t.End = l.Pos
 		return t
 	}
-	l.Flaws |= Strange
-	return one(Odd)
+	l.Flaws |= InvalidCharacter
+	return one(Invalid)
 }
 
 // skip passes space and comments.
-func (l *Lexer) skip() {
+func (l *Lexer) skipSpace() {
 	src, i := l.Src, l.Pos
 	for i < len(src) {
 		c := src[i]
 		switch {
-		case classes[c]&cSpace != 0:
+		case charClasses[c]&charSpace != 0:
 			i++
 		case c == '-' && i+1 < len(src) && src[i+1] == '-':
-			i = lineEnd(src, i+2)
+			i = lineCommentEnd(src, i+2)
 		case c == '/' && i+1 < len(src) && src[i+1] == '*':
-			end, ok := blockEnd(src, i)
+			end, ok := blockCommentEnd(src, i)
 			if !ok {
 				l.Flaws |= Unterminated
 			}
@@ -217,7 +217,7 @@
 
 // lineEnd is where a -- comment ends: at a line feed or at a carriage return. Guards
 // against a statement hidden behind a return, which ends the comment for the engine.
-func lineEnd(src string, i int) int {
+func lineCommentEnd(src string, i int) int {
 	for i < len(src) && src[i] != '\n' && src[i] != '\r' {
 		i++
 	}
@@ -225,7 +225,7 @@
 }
 
 // blockEnd is where the comment that begins at i ends; these nest.
-func blockEnd(src string, i int) (end int, ok bool) {
+func blockCommentEnd(src string, i int) (end int, ok bool) {
 	depth := 0
 	for i+1 < len(src) {
 		switch {
@@ -246,9 +246,9 @@
 }
 
 // folded is the small form of each character that may stand in a name, 0 for others.
-var folded = func() (t [256]uint8) {
+var foldedChars = func() (t [256]uint8) {
 	for c := range t {
-		if classes[c]&cWord != 0 {
+		if charClasses[c]&charName != 0 {
 			t[c] = uint8(c)
 		}
 		if c >= 'A' && c <= 'Z' {
@@ -292,54 +292,54 @@
 		uint64(s[4])<<32 | uint64(s[5])<<40 | uint64(s[6])<<48 | uint64(s[7])<<56
 }
 
-func (l *Lexer) word() Token {
+func (l *Lexer) scanIdentifier() Token {
 	src, at := l.Src, l.Pos
 	i, seen := at, uint8(0)
 	for ; i < len(src); i++ {
-		class := classes[src[i]]
-		if class&cWord == 0 {
+		class := charClasses[src[i]]
+		if class&charName == 0 {
 			break
 		}
 		seen |= class
 	}
-	if seen&cHigh != 0 {
-		l.Flaws |= High
+	if seen&charNonASCII != 0 {
+		l.Flaws |= NonASCII
 	}
 	l.Pos = i
 	if i < len(src) && i-at == 1 {
 		switch c := src[at] | 0x20; {
 		case src[i] == '\'' && (c == 'e' || c == 'n' || c == 'b' || c == 'x'):
 			l.Pos++
-			l.quote(c == 'e')
+			l.skipString(c == 'e')
 			if c == 'b' || c == 'x' {
-				return Token{Kind: Bits, Start: at, End: l.Pos}
+				return Token{Kind: BitString, Start: at, End: l.Pos}
 			}
 			return Token{Kind: String, Start: at, End: l.Pos}
 		case c == 'u' && src[i] == '&' && i+1 < len(src) && (src[i+1] == '\'' || src[i+1] == '"'):
-			l.Flaws |= Unicode
+			l.Flaws |= UnicodeEscape
 			l.Pos = i + 2
 			if src[i+1] == '"' {
-				l.name()
-				return Token{Kind: Quoted, Start: at, End: l.Pos}
+				l.skipQuotedIdentifier()
+				return Token{Kind: QuotedIdentifier, Start: at, End: l.Pos}
 			}
-			l.quote(false)
+			l.skipString(false)
 			return Token{Kind: String, Start: at, End: l.Pos}
 		}
 	}
-	what := info(nameHash(src, at, i))
-	if seen&cUpper != 0 {
+	what := identifierInfo(nameHash(src, at, i))
+	if seen&charUpper != 0 {
 		what |= 1 << 56
 	}
-	if i-at <= longestWord {
-		what |= lookup(src[at:i], what)
+	if i-at <= maxKeywordLength {
+		what |= lookupKeyword(src[at:i], what)
 	}
-	return Token{Kind: Ident, Start: at, End: i, info: what}
+	return Token{Kind: Identifier, Start: at, End: i, info: what}
 }
 
 // quote passes a string from behind its first quote on. A quote doubled stays within
 // it, and so does one behind a backslash where these escape. A string goes on where
 // nothing but space with a line end in it lies between two parts.
-func (l *Lexer) quote(escapes bool) {
+func (l *Lexer) skipString(escapes bool) {
 	src, i := l.Src, l.Pos
 	for i < len(src) {
 		c := src[i]
@@ -348,20 +348,20 @@
 			i += 2
 		case c == '\\':
 			if i+1 < len(src) && src[i+1] == '\'' {
-				l.Flaws |= Backslash
+				l.Flaws |= BackslashQuote
 			}
 			i++
 		case c != '\'':
 			if c >= 0x80 {
-				l.Flaws |= High
+				l.Flaws |= NonASCII
 			} else if c == 0 {
-				l.Flaws |= Strange
+				l.Flaws |= InvalidCharacter
 			}
 			i++
 		case i+1 < len(src) && src[i+1] == '\'':
 			i += 2
 		default:
-			next, goesOn := continues(src, i+1)
+			next, goesOn := stringContinuation(src, i+1)
 			if !goesOn {
 				l.Pos = i + 1
 				return
@@ -374,17 +374,17 @@
 }
 
 // continues tells whether a string that ended goes on behind a line end.
-func continues(src string, i int) (next int, ok bool) {
+func stringContinuation(src string, i int) (next int, ok bool) {
 	line := false
 	for i < len(src) {
 		switch c := src[i]; {
 		case c == '\n' || c == '\r':
 			line = true
 			i++
-		case classes[c]&cSpace != 0:
+		case charClasses[c]&charSpace != 0:
 			i++
 		case c == '-' && i+1 < len(src) && src[i+1] == '-':
-			i = lineEnd(src, i+2)
+			i = lineCommentEnd(src, i+2)
 		case c == '\'' && line:
 			return i + 1, true
 		default:
@@ -395,16 +395,16 @@
 }
 
 // name passes a quoted name from behind its first quote on.
-func (l *Lexer) name() {
+func (l *Lexer) skipQuotedIdentifier() {
 	src, i := l.Src, l.Pos
 	for i < len(src) {
 		c := src[i]
 		switch {
 		case c >= 0x80:
-			l.Flaws |= High
+			l.Flaws |= NonASCII
 			i++
 		case c == 0:
-			l.Flaws |= Strange
+			l.Flaws |= InvalidCharacter
 			i++
 		case c != '"':
 			i++
@@ -420,26 +420,26 @@
 }
 
 // dollar passes a dollar-quoted string, or a parameter such as $1.
-func (l *Lexer) dollar() Token {
+func (l *Lexer) scanDollar() Token {
 	src, at := l.Src, l.Pos
 	i := at + 1
-	if i < len(src) && classes[src[i]]&cDigit != 0 {
-		for i < len(src) && classes[src[i]]&cDigit != 0 {
+	if i < len(src) && charClasses[src[i]]&charDigit != 0 {
+		for i < len(src) && charClasses[src[i]]&charDigit != 0 {
 			i++
 		}
 		l.Pos = i
-		return Token{Kind: Param, Start: at, End: i}
+		return Token{Kind: Parameter, Start: at, End: i}
 	}
-	for i < len(src) && src[i] != '$' && classes[src[i]]&cWord != 0 {
+	for i < len(src) && src[i] != '$' && charClasses[src[i]]&charName != 0 {
 		i++
 	}
 	if i >= len(src) || src[i] != '$' {
-		l.Flaws |= Strange
+		l.Flaws |= InvalidCharacter
 		l.Pos = at + 1
-		return Token{Kind: Odd, Start: at, End: l.Pos}
+		return Token{Kind: Invalid, Start: at, End: l.Pos}
 	}
 	tag := src[at : i+1]
-	end := find(src, i+1, tag)
+	end := indexTag(src, i+1, tag)
 	if end < 0 {
 		l.Flaws |= Unterminated
 		l.Pos = len(src)
@@ -448,16 +448,16 @@
 	}
 	for _, c := range []byte(src[at:l.Pos]) {
 		if c >= 0x80 {
-			l.Flaws |= High
+			l.Flaws |= NonASCII
 			break
 		}
 	}
-	return Token{Kind: Dollar, Start: at, End: l.Pos}
+	return Token{Kind: DollarString, Start: at, End: l.Pos}
 }
 
 // find is the place of the tag from i on, -1 where there is none. Candidates begin at
 // dollar signs, and none is read twice: tags hold none within.
-func find(src string, i int, tag string) int {
+func indexTag(src string, i int, tag string) int {
 	for i+len(tag) <= len(src) {
 		if src[i] != '$' {
 			i++
@@ -477,7 +477,7 @@
 
 // number passes a number. What follows at once, a letter say, is the next token, as
 // it was up to version 14: later ones call it an error.
-func (l *Lexer) number() Token {
+func (l *Lexer) scanNumber() Token {
 	src, at := l.Src, l.Pos
 	i := at
 	digits := func(ok func(byte) bool) {
@@ -519,15 +519,15 @@
 	return Token{Kind: Number, Start: at, End: i}
 }
 
-func isDigit(c byte) bool { return classes[c]&cDigit != 0 }
+func isDigit(c byte) bool { return charClasses[c]&charDigit != 0 }
 func isHex(c byte) bool   { return isDigit(c) || c|0x20 >= 'a' && c|0x20 <= 'f' }
 
 // operator passes a run of operator characters; a comment within ends it, and it
 // ends in + or - only where one of ~ ! @ # % ^ & | ` ? is in it.
-func (l *Lexer) operator() Token {
+func (l *Lexer) scanOperator() Token {
 	src, at := l.Src, l.Pos
 	i, special := at, false
-	for i < len(src) && classes[src[i]]&cOp != 0 {
+	for i < len(src) && charClasses[src[i]]&charOperator != 0 {
 		if i+1 < len(src) && (src[i] == '-' && src[i+1] == '-' || src[i] == '/' && src[i+1] == '*') {
 			break
 		}
@@ -541,5 +541,5 @@
 		i--
 	}
 	l.Pos = i
-	return Token{Kind: Op, Start: at, End: i}
+	return Token{Kind: Operator, Start: at, End: i}
 }
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -9,12 +9,12 @@
 )
 
 // Wild is where the first wildcard of a pattern stands.
-type Wild uint8
+type Wildcard uint8
 
 // Places of a wildcard.
 const (
-	NoPattern Wild = iota
-	Exact          // there is none
+	NoPattern Wildcard = iota
+	NoWildcard          // there is none
 	Prefix         // behind some letters: an index can serve it
 	Leading        // in front, or the pattern is not known
 )
@@ -24,7 +24,7 @@
 	Alternatives int     // of the longest list; 0: no list
 	Span         float64 // of the widest range with both ends: days of dates, else the difference; 0: none
 	HalfOpen     bool    // a range has one end only
-	Wild         Wild
+	Wild         Wildcard
 	Limit        float64 // rows; 0: none
 	Off          int     // restrictions that a null switches off
 	Open         bool    // nothing narrows what is read
@@ -40,7 +40,7 @@
 	Types   []byte   // object ids of four bytes each, as Parse or an engine tells them; may be short
 }
 
-func (b *Binds) value(param int32) (v []byte, binaryForm, ok bool) {
+func (b *Binds) parameter(param int32) (v []byte, binaryForm, ok bool) {
 	n := int(param)
 	if n < 1 || n > len(b.Values) {
 		return nil, false, false
@@ -54,7 +54,7 @@
 	return b.Values[n-1], binaryForm, true
 }
 
-func (b *Binds) oid(param int32) uint32 {
+func (b *Binds) typeOID(param int32) uint32 {
 	n := int(param)
 	if n < 1 || len(b.Types) < 4*n {
 		return 0
@@ -75,24 +75,24 @@
 )
 
 // Profile reads what the values tell: those in the text, and those bound.
-func (r *Reading) Profile(stmt string, b *Binds, seed uint64) Profile {
+func (r *Analysis) Profile(stmt string, b *Binds, seed uint64) Profile {
 	p := Profile{Rows: int(r.Features.Rows)}
-	var low, high [MostSlots]float64
-	var lows, highs [MostSlots]uint32
+	var low, high [maxSlots]float64
+	var lows, highs [maxSlots]uint32
 	nl, nh := 0, 0
 	narrowing := r.Restrictions
 	for i := range r.Slots {
 		s := &r.Slots[i]
 		var v []byte
 		text, bin, null, known := "", false, false, true
-		if s.Param > 0 {
-			v, bin, known = b.value(s.Param)
+		if s.Parameter > 0 {
+			v, bin, known = b.parameter(s.Parameter)
 			null = known && v == nil
 		} else {
 			text = stmt[s.From:s.To]
 		}
 		if null {
-			if s.Role != RoleOther && s.Role != RoleLimit && r.guarded(s.Param) {
+			if s.Role != RoleOther && s.Role != RoleLimit && r.hasNullGuard(s.Parameter) {
 				p.Off++
 				narrowing--
 			}
@@ -101,26 +101,26 @@
 		switch s.Role {
 		case RoleEqual:
 			if p.Key == 0 && known {
-				p.Key = keyHash(text, v, bin, b.oid(s.Param), seed)
+				p.Key = hashKey(text, v, bin, b.typeOID(s.Parameter), seed)
 			}
 		case RoleList:
 			n := int(s.Count)
 			switch {
-			case s.Param > 0 && known:
-				n = arrayLen(v, bin)
-			case s.Param == 0 && s.To > s.From:
-				n = textArrayLen(unquote(text))
+			case s.Parameter > 0 && known:
+				n = arrayLength(v, bin)
+			case s.Parameter == 0 && s.To > s.From:
+				n = textArrayLength(unquote(text))
 			}
 			if n > p.Alternatives {
 				p.Alternatives, p.Column = n, s.Column
 			}
-		case RoleLow, RoleHigh:
-			x, ok := number64(text, v, bin, b.oid(s.Param))
+		case RoleLowerBound, RoleUpperBound:
+			x, ok := parseNumber(text, v, bin, b.typeOID(s.Parameter))
 			if !ok {
 				p.HalfOpen = true
 				break
 			}
-			if s.Role == RoleLow {
+			if s.Role == RoleLowerBound {
 				low[nl], lows[nl] = x, s.Column
 				nl++
 			} else {
@@ -128,22 +128,22 @@
 				nh++
 			}
 		case RoleInterval:
-			if d, ok := intervalDays(unquote(text)); ok {
+			if d, ok := parseInterval(unquote(text)); ok {
 				p.Span = max(p.Span, d)
 			}
 		case RolePattern:
-			if s.Param > 0 {
-				text = string(v[:min(len(v), mostPattern)])
+			if s.Parameter > 0 {
+				text = string(v[:min(len(v), maxPatternBytes)])
 			} else {
 				text = unquote(text)
 			}
-			w := wildOf(text)
+			w := firstWildcard(text)
 			p.Wild = max(p.Wild, w)
 			if w == Leading {
 				narrowing--
 			}
 		case RoleLimit:
-			if x, ok := number64(text, v, bin, b.oid(s.Param)); ok && x > 0 {
+			if x, ok := parseNumber(text, v, bin, b.typeOID(s.Parameter)); ok && x > 0 {
 				p.Limit = x
 			}
 		}
@@ -164,7 +164,7 @@
 		p.HalfOpen = p.HalfOpen || !met
 	}
 	p.HalfOpen = p.HalfOpen || nh > 0 && nl == 0
-	p.Open = r.Open || narrowing <= 0 && r.Features.Verb != 'i'
+	p.Open = r.Unrestricted || narrowing <= 0 && r.Features.Verb != 'i'
 	if !(p.Span >= 0) || p.Span > 1e12 {
 		p.Span = 1e12
 	}
@@ -172,9 +172,9 @@
 }
 
 // guarded tells whether a null in the parameter switches its restriction off.
-func (r *Reading) guarded(param int32) bool {
+func (r *Analysis) hasNullGuard(param int32) bool {
 	for i := range r.Slots {
-		if r.Slots[i].Param == param && r.Slots[i].Guard {
+		if r.Slots[i].Parameter == param && r.Slots[i].NullGuard {
 			return true
 		}
 	}
@@ -214,7 +214,7 @@
 }
 
 // mostPattern is how much of a bound pattern is looked at for its first wildcard.
-const mostPattern = 64
+const maxPatternBytes = 64
 
 // unquote takes the marks of a string off; doubled quotes stay as they are.
 func unquote(s string) string {
@@ -232,7 +232,7 @@
 
 // wildOf finds the first wildcard of a pattern. A regular expression that is not
 // anchored counts as one with a wildcard in front.
-func wildOf(s string) Wild {
+func firstWildcard(s string) Wildcard {
 	for i := range len(s) {
 		switch s[i] {
 		case '%', '_', '.', '*', '(', '[', '|':
@@ -247,13 +247,13 @@
 			return Prefix
 		}
 	}
-	return Exact
+	return NoWildcard
 }
 
 // arrayLen is the number of elements of a bound array.
-func arrayLen(v []byte, bin bool) int {
+func arrayLength(v []byte, bin bool) int {
 	if !bin {
-		return textArrayLen(string(v[:min(len(v), 1<<16)])) * max(1, len(v)>>16)
+		return textArrayLength(string(v[:min(len(v), 1<<16)])) * max(1, len(v)>>16)
 	}
 	if len(v) < 12 {
 		return 0
@@ -274,7 +274,7 @@
 }
 
 // textArrayLen counts the elements of an array as text, {a,"b,c"}.
-func textArrayLen(s string) int {
+func textArrayLength(s string) int {
 	if len(s) < 3 || s[0] != '{' {
 		return 0
 	}
@@ -295,9 +295,9 @@
 }
 
 // number64 reads a number, or a date or time as days.
-func number64(text string, v []byte, bin bool, oid uint32) (float64, bool) {
+func parseNumber(text string, v []byte, bin bool, oid uint32) (float64, bool) {
 	if v != nil && bin {
-		return binaryNumber(v, oid)
+		return parseBinaryNumber(v, oid)
 	}
 	if v != nil {
 		if len(v) > 40 {
@@ -306,7 +306,7 @@
 		text = string(v)
 	}
 	text = unquote(text)
-	if d, ok := dateDays(text); ok {
+	if d, ok := parseDate(text); ok {
 		return d, true
 	}
 	if len(text) > 40 || len(text) == 0 {
@@ -316,7 +316,7 @@
 	return x, err == nil && !math.IsNaN(x) && !math.IsInf(x, 0)
 }
 
-func binaryNumber(v []byte, oid uint32) (float64, bool) {
+func parseBinaryNumber(v []byte, oid uint32) (float64, bool) {
 	switch len(v) {
 	case 2:
 		return float64(int16(binary.BigEndian.Uint16(v))), true
@@ -342,7 +342,7 @@
 }
 
 // dateDays reads the date that a text begins with, as days since 2000-01-01.
-func dateDays(s string) (float64, bool) {
+func parseDate(s string) (float64, bool) {
 	if len(s) < 10 || s[4] != '-' || s[7] != '-' {
 		return 0, false
 	}
@@ -370,7 +370,7 @@
 }
 
 // intervalDays reads an interval such as '3 months' or '1 year 2 days'.
-func intervalDays(s string) (days float64, ok bool) {
+func parseInterval(s string) (days float64, ok bool) {
 	for n := 0; n < 4 && s != ""; n++ {
 		s = strings.TrimLeft(s, " ")
 		i := 0
@@ -382,21 +382,21 @@
 			return days, ok
 		}
 		s = strings.TrimLeft(s[i:], " ")
-		for i = 0; i < len(s) && classes[s[i]]&cStart != 0; i++ {
+		for i = 0; i < len(s) && charClasses[s[i]]&charNameStart != 0; i++ {
 		}
 		unit, rest := s[:i], s[i:]
 		s = rest
 		switch {
-		case hasPrefix(unit, "y"):
+		case hasPrefixFold(unit, "y"):
 			x *= 365.25
-		case hasPrefix(unit, "mon"):
+		case hasPrefixFold(unit, "mon"):
 			x *= 30.4
-		case hasPrefix(unit, "w"):
+		case hasPrefixFold(unit, "w"):
 			x *= 7
-		case hasPrefix(unit, "d"):
-		case hasPrefix(unit, "h"):
+		case hasPrefixFold(unit, "d"):
+		case hasPrefixFold(unit, "h"):
 			x /= 24
-		case hasPrefix(unit, "mi"), unit == "m":
+		case hasPrefixFold(unit, "mi"), unit == "m":
 			x /= 1440
 		default:
 			x /= 86400
@@ -407,15 +407,15 @@
 	return days, ok
 }
 
-func hasPrefix(s, small string) bool { return len(s) >= len(small) && same(s[:len(small)], small) }
+func hasPrefixFold(s, small string) bool { return len(s) >= len(small) && matchesFolded(s[:len(small)], small) }
 
 // keyHash hashes a value that is compared for equality, whichever way it came.
-func keyHash(text string, v []byte, bin bool, oid uint32, seed uint64) uint64 {
+func hashKey(text string, v []byte, bin bool, oid uint32, seed uint64) uint64 {
 	h := seed ^ 14695981039346656037
 	add := func(c byte) { h = (h ^ uint64(c)) * 1099511628211 }
 	switch {
 	case v != nil && bin && (oid == oidInt2 || oid == oidInt4 || oid == oidInt8):
-		x, _ := binaryNumber(v, oid)
+		x, _ := parseBinaryNumber(v, oid)
 		var b [24]byte
 		for _, c := range strconv.AppendInt(b[:0], int64(x), 10) {
 			add(c)
--- a/internal/sqltext/readers.go
+++ b/internal/sqltext/readers.go
@@ -7,7 +7,7 @@
 // (nextval, setval), settings (set_config), locks, large objects, notifications,
 // signals to other sessions, and all that runs a statement given as text
 // (query_to_xml, ts_stat, ts_rewrite, dblink).
-var readers = func() Functions {
+var readOnlyFunctions = func() Functions {
 	f := Functions{}
 	for _, name := range strings.Fields(`
 abs acos acosd acosh age any_value array_agg array_append array_cat array_dims array_fill array_length array_lower
@@ -62,7 +62,7 @@
 }()
 
 // operators are those of pg_catalog; all of them read. Others may be anyone's.
-var operators = func() map[string]bool {
+var readOnlyOperators = func() map[string]bool {
 	o := map[string]bool{}
 	for _, op := range strings.Fields("+ - * / % ^ |/ ||/ @ & | # ~ << >> < > <= >= = <> != || ~* !~ !~* ~~ ~~* !~~ !~~* " +
 		"-> ->> #> #>> @> <@ ? ?| ?& #- @? @@ @@@ && &< &> <<| |>> &<| |&> ^@ -|- <-> ## ?- ?# ?-| ?|| <^ >^ ~= ~<~ ~<=~ " +
@@ -72,9 +72,9 @@
 	return o
 }()
 
-func knownOperator(op string) bool {
+func isReadOnlyOperator(op string) bool {
 	if len(op) == 1 && op[0] != '`' && op[0] != '!' {
 		return true
 	}
-	return operators[op]
+	return readOnlyOperators[op]
 }
--- a/internal/sqltext/shape.go
+++ b/internal/sqltext/shape.go
@@ -10,8 +10,8 @@
 	RoleOther    Role = iota
 	RoleEqual         // it is compared for equality
 	RoleList          // one of its alternatives is (IN, ANY)
-	RoleLow           // lower end of a range
-	RoleHigh          // upper end of a range
+	RoleLowerBound           // lower end of a range
+	RoleUpperBound          // upper end of a range
 	RolePattern       // of LIKE, ILIKE, SIMILAR TO and the operators ~ and ~~
 	RoleLimit         // of rows
 	RoleInterval      // a span of time by itself, as in now() - interval '1 year'
@@ -20,9 +20,9 @@
 // Slot is one value of a statement that its size may depend on.
 type Slot struct {
 	Role   Role
-	Guard  bool   // the statement asks whether it is null, as in $1 IS NULL OR a = $1
+	NullGuard  bool   // the statement asks whether it is null, as in $1 IS NULL OR a = $1
 	Column uint32 // hash of the name that it is compared with; 0: none
-	Param  int32  // its number from 1; 0: a literal, which stands at From
+	Parameter  int32  // its number from 1; 0: a literal, which stands at From
 	From   int32
 	To     int32
 	Count  int32 // of alternatives in a list that is written out
@@ -30,7 +30,7 @@
 
 // MostSlots bounds the values of one statement that are looked at; of the others only
 // the number counts.
-const MostSlots = 24
+const maxSlots = 24
 
 // Features are what the words of a statement tell of its work.
 type Features struct {
@@ -50,17 +50,17 @@
 }
 
 // Reading is what one pass over a statement tells. It belongs to its Reader.
-type Reading struct {
+type Analysis struct {
 	// Print is the fingerprint: two hashes of the normal form with seeds of this process
 	// that nobody outside knows, 128 bits together, so that nobody can write a statement
 	// which shares the place of another. It means nothing to another process.
-	Print [2]uint64
+	Fingerprint [2]uint64
 	// Norm is the statement with its values, comments, case and spacing taken out,
 	// and with lists of alternatives and rows of values as one. The number in the
 	// name of a schema is # there: shapes of all groups are one. Of a long one only the
 	// last part is here, and Cut is set; the fingerprint is of all of it.
 	Norm     []byte
-	Cut      bool
+	Truncated      bool
 	Features Features
 	Slots    []Slot
 	Group    int64
@@ -69,57 +69,57 @@
 	// Effect is what EffectOf says, First and Several what FirstWord does, read on the way
 	// where the Reader judges. Else Effect is Untold, the most cautious.
 	Effect  Verdict
-	First   string // as it stands in the text; "(" for what is no word
-	Several bool
+	FirstWord   string // as it stands in the text; "(" for what is no word
+	MultipleStatements bool
 	// Restrictions counts the comparisons of a name with a value, which can narrow what
 	// is read. Open: one is written so that it holds for all rows (NULL IS NULL OR).
 	Restrictions int
-	Open         bool
+	Unrestricted         bool
 }
 
 // Reader reads statements. It allocates while its buffer grows and not after; it is
 // for one goroutine.
-type Reader struct {
+type Analyzer struct {
 	// Judge has the effect read too. Functions are known to read only, beside
 	// PostgreSQL's own.
 	Judge     bool
 	Functions Functions
 
 	seeds [2]maphash.Seed
-	long  [2]maphash.Hash // of what was cut off
-	norm  []byte
-	slots [MostSlots]Slot
-	lists [mostLists]listContext
+	prefixHashes  [2]maphash.Hash // of what was cut off
+	buffer  []byte
+	slots [maxSlots]Slot
+	lists [maxNestedLists]foldedList
 	// Apart from the pass, which is cleared for each statement.
-	effect effectReader
-	out    Reading
+	effect effectClassifier
+	result    Analysis
 }
 
 // NewReader returns a reader whose fingerprints are its own.
-func NewReader() *Reader {
-	return &Reader{seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}}
+func NewReader() *Analyzer {
+	return &Analyzer{seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}}
 }
 
 // keepNorm is how large a buffer stays with its Reader, and cutNorm how long a normal
 // form may become before it is hashed piece by piece.
 const (
-	keepNorm = 64 << 10
-	cutNorm  = 16 << 10
+	maxRetainedBuffer = 64 << 10
+	maxPendingNormalForm  = 16 << 10
 )
 
 // cut hashes what stands in the buffer and goes on with an empty one.
-func (p *pass) cut() {
-	for i := range p.r.long {
-		if !p.out.Cut {
-			p.r.long[i].SetSeed(p.r.seeds[i])
+func (p *pass) hashPrefix() {
+	for i := range p.analyzer.prefixHashes {
+		if !p.result.Truncated {
+			p.analyzer.prefixHashes[i].SetSeed(p.analyzer.seeds[i])
 		}
-		_, _ = p.r.long[i].Write(p.norm) // it never fails
+		_, _ = p.analyzer.prefixHashes[i].Write(p.normalForm) // it never fails
 	}
-	p.norm, p.out.Cut = p.norm[:0], true
+	p.normalForm, p.result.Truncated = p.normalForm[:0], true
 }
 
 // Print is the fingerprint of a normal form that is not cut.
-func (r *Reader) Print(norm string) (print [2]uint64) {
+func (r *Analyzer) Fingerprint(norm string) (print [2]uint64) {
 	for i, seed := range r.seeds {
 		print[i] = maphash.String(seed, norm)
 	}
@@ -127,342 +127,342 @@
 }
 
 // listContext is a list whose alternatives are folded into one.
-type listContext struct {
+type foldedList struct {
 	depth int  // of its commas
-	rows  bool // rows of VALUES
+	isRows  bool // rows of VALUES
 	start int  // of its first element in the buffer
-	first int  // length of that; -1: not over yet
-	elem  int  // start of the element being read
+	firstLength int  // length of that; -1: not over yet
+	elementStart  int  // start of the element being read
 	count int
 	slot  int // that counts its alternatives; -1: none
-	plain int // values of the first row, where it holds nothing else; 0: it does
+	plainRowLength int // values of the first row, where it holds nothing else; 0: it does
 }
 
 // mostLists is how deep lists are folded within each other.
-const mostLists = 8
+const maxNestedLists = 8
 
 // Read reads a statement. What it returns holds until the next call.
-func (r *Reader) Read(stmt string) *Reading {
-	if cap(r.norm) > keepNorm {
-		r.norm = nil
+func (r *Analyzer) Read(stmt string) *Analysis {
+	if cap(r.buffer) > maxRetainedBuffer {
+		r.buffer = nil
 	}
-	r.norm = r.norm[:0]
-	r.out = Reading{}
-	p := pass{l: Lexer{Src: stmt}, r: r, out: &r.out, norm: r.norm}
+	r.buffer = r.buffer[:0]
+	r.result = Analysis{}
+	p := pass{lexer: Lexer{Src: stmt}, analyzer: r, result: &r.result, normalForm: r.buffer}
 	if r.Judge {
-		r.effect = effectReader{more: r.Functions}
+		r.effect = effectClassifier{readOnly: r.Functions}
 	}
-	for t := p.l.Next(); t.Kind != End; t = p.l.Next() {
+	for t := p.lexer.Next(); t.Kind != End; t = p.lexer.Next() {
 		if r.Judge {
-			p.first(t)
-			if !r.effect.sure() {
-				r.effect.token(&p.l, t)
+			p.trackStatements(t)
+			if !r.effect.decided() {
+				r.effect.token(&p.lexer, t)
 			}
 		}
 		p.token(t)
 	}
 	if r.Judge {
-		r.out.Effect = r.effect.verdict(&p.l)
+		r.result.Effect = r.effect.verdict(&p.lexer)
 	}
 	p.endLists(-1)
-	p.finish()
+	p.trimSpace()
 	for i, seed := range r.seeds {
-		if r.out.Cut {
-			_, _ = r.long[i].Write(p.norm)
-			r.out.Print[i] = r.long[i].Sum64()
+		if r.result.Truncated {
+			_, _ = r.prefixHashes[i].Write(p.normalForm)
+			r.result.Fingerprint[i] = r.prefixHashes[i].Sum64()
 		} else {
-			r.out.Print[i] = maphash.Bytes(seed, p.norm)
+			r.result.Fingerprint[i] = maphash.Bytes(seed, p.normalForm)
 		}
 	}
-	r.norm = p.norm
-	r.out.Norm = p.norm
-	r.out.Slots = r.slots[:p.slots]
-	r.out.Group, r.out.Grouped = p.group.group, p.group.found
-	r.out.Flaws = p.l.Flaws
-	return &r.out
+	r.buffer = p.normalForm
+	r.result.Norm = p.normalForm
+	r.result.Slots = r.slots[:p.slotCount]
+	r.result.Group, r.result.Grouped = p.dataset.dataset, p.dataset.found
+	r.result.Flaws = p.lexer.Flaws
+	return &r.result
 }
 
 // pass is the state of one reading.
 type pass struct {
-	l     Lexer
-	r     *Reader
-	out   *Reading
-	norm  []byte
-	slots int
-	group groupReader
+	lexer     Lexer
+	analyzer     *Analyzer
+	result   *Analysis
+	normalForm  []byte
+	slotCount int
+	dataset datasetFinder
 
 	depth    int
-	kind     Kind // of the last token
-	prev     word // of the last token
-	before   word
-	name     int    // where the last name starts in the buffer
+	previousKind     Kind // of the last token
+	previousKeyword     keyword // of the last token
+	keywordBefore   keyword
+	nameStart     int    // where the last name starts in the buffer
 	column   uint32 // of the last name
-	pending  Role   // of a value that comes now
-	compared uint32 // the column that it is compared with
-	between  bool   // AND leads to the upper end
-	sign     int    // a sign stands in the buffer from here on; 0: none
-	signAt   int    // and in the text here
-	param    int    // the last parameter's number, while nothing but a cast is behind it
-	interval bool   // the last token is the word interval
+	pendingRole  Role   // of a value that comes now
+	comparedColumn uint32 // the column that it is compared with
+	inBetween  bool   // AND leads to the upper end
+	signStart     int    // a sign stands in the buffer from here on; 0: none
+	signOffset   int    // and in the text here
+	parameter    int    // the last parameter's number, while nothing but a cast is behind it
+	afterInterval bool   // the last token is the word interval
 
-	open int // lists that are open, of the Reader's
+	openLists int // lists that are open, of the Reader's
 
-	ended bool // a statement was ended by a semicolon
+	afterSemicolon bool // a statement was ended by a semicolon
 }
 
 // first finds the first word, and whether a second statement follows.
-func (p *pass) first(t Token) {
+func (p *pass) trackStatements(t Token) {
 	switch {
 	case t.Kind == Semicolon:
-		p.ended = p.out.First != ""
-	case p.ended:
-		p.out.Several = true
-	case p.out.First != "":
-	case t.Kind == Ident:
-		p.out.First = p.l.Text(t)
+		p.afterSemicolon = p.result.FirstWord != ""
+	case p.afterSemicolon:
+		p.result.MultipleStatements = true
+	case p.result.FirstWord != "":
+	case t.Kind == Identifier:
+		p.result.FirstWord = p.lexer.Text(t)
 	default:
-		p.out.First = "("
+		p.result.FirstWord = "("
 	}
 }
 
 // token takes one token into the normal form, the slots and the features.
 func (p *pass) token(t Token) {
-	w, use := t.word(), t.use()
-	if p.kind == Dot {
-		w, use = wNone, 0
+	w, use := t.keyword(), t.class()
+	if p.previousKind == Dot {
+		w, use = keywordNone, 0
 	}
-	if g := &p.group; !g.sure { // most of groupReader.token, without the call
+	if g := &p.dataset; !g.certain { // most of groupReader.token, without the call
 		switch {
-		case t.Kind == Dot || t.use()&beforeTable != 0:
-			g.token(&p.l, t)
-		case t.Kind <= Quoted:
-			g.name, g.prev = t, t.Kind
-		case t.Kind == Open:
-			g.prev = Open
+		case t.Kind == Dot || t.class()&tableWord != 0:
+			g.token(&p.lexer, t)
+		case t.Kind <= QuotedIdentifier:
+			g.previousName, g.previousKind = t, t.Kind
+		case t.Kind == LeftParen:
+			g.previousKind = LeftParen
 		default:
-			g.table, g.prev = false, t.Kind
+			g.afterTableWord, g.previousKind = false, t.Kind
 		}
 	}
-	if p.open > 0 {
-		p.elements(t, use)
+	if p.openLists > 0 {
+		p.trackElement(t, use)
 	}
 	switch t.Kind {
-	case Ident, Quoted:
-		p.word(t, w, use)
-	case String, Bits, Dollar, Number, Param:
+	case Identifier, QuotedIdentifier:
+		p.identifier(t, w, use)
+	case String, BitString, DollarString, Number, Parameter:
 		p.value(t)
 	default:
-		p.mark(t)
+		p.punctuation(t)
 	}
-	if t.Kind != Op {
-		p.sign = 0
+	if t.Kind != Operator {
+		p.signStart = 0
 	}
-	p.before, p.prev = p.prev, w
-	p.kind = t.Kind
+	p.keywordBefore, p.previousKeyword = p.previousKeyword, w
+	p.previousKind = t.Kind
 }
 
 // joins are the kinds of token that no space follows in the normal form.
-var joins = [Odd + 1]bool{End: true, Dot: true, Open: true, Bracket: true, Cast: true}
+var joinsNext = [Invalid + 1]bool{End: true, Dot: true, LeftParen: true, LeftBracket: true, Cast: true}
 
 // space parts two words.
 func (p *pass) space() {
-	if !joins[p.kind] {
-		p.norm = append(p.norm, ' ')
+	if !joinsNext[p.previousKind] {
+		p.normalForm = append(p.normalForm, ' ')
 	}
 }
 
-func (p *pass) word(t Token, w word, use use) {
-	f := &p.out.Features
+func (p *pass) identifier(t Token, w keyword, use keywordClass) {
+	f := &p.result.Features
 	p.space()
-	p.name = len(p.norm)
-	text := p.l.Src[t.Start:t.End]
+	p.nameStart = len(p.normalForm)
+	text := p.lexer.Src[t.Start:t.End]
 	switch {
-	case t.Kind == Quoted:
-		p.norm = appendQuoted(p.norm, text)
-	case t.upper():
-		p.norm = appendLower(p.norm, text)
+	case t.Kind == QuotedIdentifier:
+		p.normalForm = appendQuoted(p.normalForm, text)
+	case t.hasUpper():
+		p.normalForm = appendLower(p.normalForm, text)
 	default:
-		p.norm = append(p.norm, text...)
+		p.normalForm = append(p.normalForm, text...)
 	}
-	p.interval = w == wInterval
-	if p.kind != Cast && w != wIs {
-		p.param = 0
+	p.afterInterval = w == keywordInterval
+	if p.previousKind != Cast && w != keywordIs {
+		p.parameter = 0
 	}
-	if w == wNone && use == 0 {
-		p.operand(t, text)
+	if w == keywordNone && use == 0 {
+		p.name(t, text)
 		return
 	}
 	switch w {
-	case wSelect:
+	case keywordSelect:
 		f.Selects++
-		p.verb('s')
-	case wInsert:
-		p.verb('i')
-	case wUpdate:
-		if p.prev != wFor {
-			p.verb('u')
-		}
-	case wDelete:
-		p.verb('d')
-	case wMerge:
-		p.verb('m')
-	case wExplain:
-		p.verb('e')
-	case wFrom:
+		p.setVerb('s')
+	case keywordInsert:
+		p.setVerb('i')
+	case keywordUpdate:
+		if p.previousKeyword != keywordFor {
+			p.setVerb('u')
+		}
+	case keywordDelete:
+		p.setVerb('d')
+	case keywordMerge:
+		p.setVerb('m')
+	case keywordExplain:
+		p.setVerb('e')
+	case keywordFrom:
 		f.Tables++
-	case wJoin:
+	case keywordJoin:
 		f.Tables++
 		f.Joins++
-	case wGroup:
-		if p.prev != wWithin {
+	case keywordGroup:
+		if p.previousKeyword != keywordWithin {
 			f.Groups++
 		}
-	case wOrder:
+	case keywordOrder:
 		f.Sorts++
-	case wDistinct:
-		if p.prev != wIs && p.prev != wNot {
+	case keywordDistinct:
+		if p.previousKeyword != keywordIs && p.previousKeyword != keywordNot {
 			f.Distincts++
 		}
-	case wOver:
+	case keywordOver:
 		f.Windows++
-	case wWhere, wOn:
-		f.Where = f.Where || w == wWhere
-	case wValues:
-		if p.open < mostLists {
-			p.push(listContext{depth: p.depth, rows: true, start: len(p.norm), elem: len(p.norm), first: -1, slot: -1})
+	case keywordWhere, keywordOn:
+		f.Where = f.Where || w == keywordWhere
+	case keywordValues:
+		if p.openLists < maxNestedLists {
+			p.pushList(foldedList{depth: p.depth, isRows: true, start: len(p.normalForm), elementStart: len(p.normalForm), firstLength: -1, slot: -1})
 		}
 	}
-	p.expect(w, use)
+	p.expectValue(w, use)
 }
 
-func (p *pass) verb(v byte) {
-	f := &p.out.Features
+func (p *pass) setVerb(v byte) {
+	f := &p.result.Features
 	if f.Verb == 0 || f.Verb == 's' && v != 's' {
 		f.Verb = v
 	}
 }
 
 // operand takes a name that is no key word.
-func (p *pass) operand(t Token, text string) {
-	f := &p.out.Features
+func (p *pass) name(t Token, text string) {
+	f := &p.result.Features
 	p.column = t.hash()
-	if t.Kind == Quoted {
+	if t.Kind == QuotedIdentifier {
 		p.column = hashName(text)
 	}
-	if at := p.l.Pos; at < len(p.l.Src) && len(text) <= 12 { // what follows at once tells most names apart
-		switch p.l.Src[at] {
+	if at := p.lexer.Pos; at < len(p.lexer.Src) && len(text) <= 12 { // what follows at once tells most names apart
+		switch p.lexer.Src[at] {
 		case '(', ' ', '/', '\n', '\t', '\r':
-			if t.Kind == Ident && aggregate(text) {
-				next := p.l
-				if next.Next().Kind == Open {
+			if t.Kind == Identifier && isAggregate(text) {
+				next := p.lexer
+				if next.Next().Kind == LeftParen {
 					f.Aggregates++
 				}
 			}
 		}
 	}
-	if p.pending != RoleOther && (equal(text, "date") || equal(text, "timestamptz")) {
+	if p.pendingRole != RoleOther && (equalFold(text, "date") || equalFold(text, "timestamptz")) {
 		return // the type of a literal to come
 	}
-	p.pending = RoleOther
+	p.pendingRole = RoleOther
 }
 
 // expect sets what a value behind a key word is.
-func (p *pass) expect(w word, use use) {
+func (p *pass) expectValue(w keyword, use keywordClass) {
 	switch w {
-	case wBetween:
-		p.pending, p.compared, p.between = RoleLow, p.column, true
-	case wSymmetric, wNot, wSimilar, wInterval:
-	case wAnd:
-		if p.between {
-			p.pending, p.between = RoleHigh, false
+	case keywordBetween:
+		p.pendingRole, p.comparedColumn, p.inBetween = RoleLowerBound, p.column, true
+	case keywordSymmetric, keywordNot, keywordSimilar, keywordInterval:
+	case keywordAnd:
+		if p.inBetween {
+			p.pendingRole, p.inBetween = RoleUpperBound, false
 		} else {
-			p.pending, p.column = RoleOther, 0
-		}
-	case wWhere, wOr, wOn, wHaving:
-		p.pending, p.column = RoleOther, 0
-	case wLike, wIlike:
-		p.pending, p.compared = RolePattern, p.column
-	case wLimit:
-		p.pending = RoleLimit
-		p.out.Features.Limited = true
-	case wFirst, wNext:
-		if p.before == wFetch || p.prev == wFetch {
-			p.pending = RoleLimit
-			p.out.Features.Limited = true
-		}
-	case wIn, wAny, wSome:
-		p.pending, p.compared = RoleList, p.column
-	case wArray:
-	case wIs:
-		for i := range p.slots {
-			if s := &p.r.slots[i]; p.param > 0 && s.Param == int32(p.param) {
-				s.Guard = true
+			p.pendingRole, p.column = RoleOther, 0
+		}
+	case keywordWhere, keywordOr, keywordOn, keywordHaving:
+		p.pendingRole, p.column = RoleOther, 0
+	case keywordLike, keywordIlike:
+		p.pendingRole, p.comparedColumn = RolePattern, p.column
+	case keywordLimit:
+		p.pendingRole = RoleLimit
+		p.result.Features.Limited = true
+	case keywordFirst, keywordNext:
+		if p.keywordBefore == keywordFetch || p.previousKeyword == keywordFetch {
+			p.pendingRole = RoleLimit
+			p.result.Features.Limited = true
+		}
+	case keywordIn, keywordAny, keywordSome:
+		p.pendingRole, p.comparedColumn = RoleList, p.column
+	case keywordArray:
+	case keywordIs:
+		for i := range p.slotCount {
+			if s := &p.analyzer.slots[i]; p.parameter > 0 && s.Parameter == int32(p.parameter) {
+				s.NullGuard = true
 			}
 		}
-		if p.prev == wNull {
-			p.out.Open = true
+		if p.previousKeyword == keywordNull {
+			p.result.Unrestricted = true
 		}
-		p.param, p.pending = 0, RoleOther
+		p.parameter, p.pendingRole = 0, RoleOther
 	default:
-		if use&typeName == 0 { // timestamp and the like keep what is compared
-			p.pending = RoleOther
+		if use&typeWord == 0 { // timestamp and the like keep what is compared
+			p.pendingRole = RoleOther
 		}
 	}
 }
 
 func (p *pass) value(t Token) {
-	f := &p.out.Features
+	f := &p.result.Features
 	f.Values++
-	at := p.sign
+	at := p.signStart
 	if at > 0 {
-		p.norm = p.norm[:at]
+		p.normalForm = p.normalForm[:at]
 	} else {
 		p.space()
 	}
-	p.norm = append(p.norm, '?')
-	role := p.pending
-	if p.interval && t.Kind == String {
+	p.normalForm = append(p.normalForm, '?')
+	role := p.pendingRole
+	if p.afterInterval && t.Kind == String {
 		role = RoleInterval
 	}
-	p.interval = false
-	if p.open > 0 && role == RoleList {
-		if c := &p.r.lists[p.open-1]; !c.rows && c.depth == p.depth {
+	p.afterInterval = false
+	if p.openLists > 0 && role == RoleList {
+		if c := &p.analyzer.lists[p.openLists-1]; !c.isRows && c.depth == p.depth {
 			return // one of a list, whose slot counts it
 		}
 	}
-	guard := p.before == wCoalesce && p.kind == Open
-	if t.Kind == Param {
-		p.param = number(p.l.Src[t.Start+1 : t.End])
+	guard := p.keywordBefore == keywordCoalesce && p.previousKind == LeftParen
+	if t.Kind == Parameter {
+		p.parameter = parameterNumber(p.lexer.Src[t.Start+1 : t.End])
 	} else {
-		p.param = 0
+		p.parameter = 0
 	}
 	switch role {
 	case RoleInterval:
-		p.out.Restrictions++
-	case RoleEqual, RoleList, RoleLow, RoleHigh, RolePattern:
-		if p.compared == 0 { // 1 = 1
+		p.result.Restrictions++
+	case RoleEqual, RoleList, RoleLowerBound, RoleUpperBound, RolePattern:
+		if p.comparedColumn == 0 { // 1 = 1
 			role = RoleOther
 			break
 		}
-		p.out.Restrictions++
+		p.result.Restrictions++
 	}
 	// Of values that have no part in it only parameters can turn out to be guards.
-	if role == RoleOther && (t.Kind != Param || f.Verb == 'i') || p.slots == MostSlots {
+	if role == RoleOther && (t.Kind != Parameter || f.Verb == 'i') || p.slotCount == maxSlots {
 		return
 	}
-	s := Slot{Role: role, Guard: guard, Column: p.compared, Count: 1}
-	if t.Kind == Param {
-		s.Param = int32(p.param)
+	s := Slot{Role: role, NullGuard: guard, Column: p.comparedColumn, Count: 1}
+	if t.Kind == Parameter {
+		s.Parameter = int32(p.parameter)
 	} else if s.From, s.To = int32(t.Start), int32(t.End); at > 0 {
-		s.From = int32(p.signAt)
+		s.From = int32(p.signOffset)
 	}
-	p.r.slots[p.slots] = s
-	p.slots++
-	p.pending = RoleOther
+	p.analyzer.slots[p.slotCount] = s
+	p.slotCount++
+	p.pendingRole = RoleOther
 }
 
 // number reads a parameter's number; those past what a message can hold are one.
-func number(digits string) (n int) {
+func parameterNumber(digits string) (n int) {
 	for i := range len(digits) {
 		if n = n*10 + int(digits[i]-'0'); n > 1<<16 {
 			return 1 << 16
@@ -472,157 +472,157 @@
 }
 
 // mark takes punctuation and operators.
-func (p *pass) mark(t Token) {
-	text := p.l.Src[t.Start:t.End]
-	p.interval = false
+func (p *pass) punctuation(t Token) {
+	text := p.lexer.Src[t.Start:t.End]
+	p.afterInterval = false
 	if t.Kind != Cast {
-		p.param = 0
+		p.parameter = 0
 	}
 	switch t.Kind {
-	case Open:
-		if p.kind == Op || p.kind == Comma || p.prev != wNone {
+	case LeftParen:
+		if p.previousKind == Operator || p.previousKind == Comma || p.previousKeyword != keywordNone {
 			p.space()
 		}
-		p.norm = append(p.norm, '(')
+		p.normalForm = append(p.normalForm, '(')
 		p.depth++
-		if p.pending == RoleList && (p.prev == wIn || p.prev == wAny || p.prev == wSome) {
-			next := p.l
-			use := next.Next().use()
-			if p.prev == wIn && use&reader == 0 && p.open < mostLists {
-				p.list()
+		if p.pendingRole == RoleList && (p.previousKeyword == keywordIn || p.previousKeyword == keywordAny || p.previousKeyword == keywordSome) {
+			next := p.lexer
+			use := next.Next().class()
+			if p.previousKeyword == keywordIn && use&readingWord == 0 && p.openLists < maxNestedLists {
+				p.beginList()
 			}
-			if use&reader != 0 {
-				p.pending = RoleOther
+			if use&readingWord != 0 {
+				p.pendingRole = RoleOther
 			}
 		}
-	case Bracket:
-		p.norm = append(p.norm, '[')
+	case LeftBracket:
+		p.normalForm = append(p.normalForm, '[')
 		p.depth++
-		if p.prev == wArray && p.open < mostLists {
-			p.list()
+		if p.previousKeyword == keywordArray && p.openLists < maxNestedLists {
+			p.beginList()
 		}
-	case Close, Unbracket:
-		p.norm = append(p.norm, text...)
+	case RightParen, RightBracket:
+		p.normalForm = append(p.normalForm, text...)
 		p.depth--
 	case Comma:
-		if p.open == 0 && len(p.norm) > cutNorm {
-			p.cut()
+		if p.openLists == 0 && len(p.normalForm) > maxPendingNormalForm {
+			p.hashPrefix()
 		}
-		p.norm = append(p.norm, ',')
-		if p.pending != RoleList {
-			p.pending, p.column = RoleOther, 0
+		p.normalForm = append(p.normalForm, ',')
+		if p.pendingRole != RoleList {
+			p.pendingRole, p.column = RoleOther, 0
 		}
 	case Dot:
-		p.schema()
-		p.norm = append(p.norm, '.')
+		p.maskDataset()
+		p.normalForm = append(p.normalForm, '.')
 	case Semicolon:
-	case Op:
+	case Operator:
 		p.operator(text)
 		return
 	default:
-		p.norm = append(p.norm, text...)
+		p.normalForm = append(p.normalForm, text...)
 	}
 }
 
 func (p *pass) operator(text string) {
-	p.sign = 0
-	signed := p.kind == Op || p.kind == Open || p.kind == Comma || p.kind == Bracket || p.prev != wNone
+	p.signStart = 0
+	signed := p.previousKind == Operator || p.previousKind == LeftParen || p.previousKind == Comma || p.previousKind == LeftBracket || p.previousKeyword != keywordNone
 	p.space()
-	at := len(p.norm)
-	p.norm = append(p.norm, text...)
+	at := len(p.normalForm)
+	p.normalForm = append(p.normalForm, text...)
 	if text == "-" && signed {
-		p.sign, p.signAt = at, p.l.Pos-1
-		if at > 0 && p.norm[at-1] != ' ' && p.norm[at-1] != '(' && p.norm[at-1] != '[' {
-			p.sign = 0
+		p.signStart, p.signOffset = at, p.lexer.Pos-1
+		if at > 0 && p.normalForm[at-1] != ' ' && p.normalForm[at-1] != '(' && p.normalForm[at-1] != '[' {
+			p.signStart = 0
 		}
-		if p.sign > 0 {
+		if p.signStart > 0 {
 			return // of the value to come
 		}
 	}
 	switch text {
 	case "=":
-		p.pending, p.compared = RoleEqual, p.column
+		p.pendingRole, p.comparedColumn = RoleEqual, p.column
 	case "<", "<=":
-		p.pending, p.compared = RoleHigh, p.column
+		p.pendingRole, p.comparedColumn = RoleUpperBound, p.column
 	case ">", ">=":
-		p.pending, p.compared = RoleLow, p.column
+		p.pendingRole, p.comparedColumn = RoleLowerBound, p.column
 	case "~", "~~", "~*", "~~*":
-		p.pending, p.compared = RolePattern, p.column
+		p.pendingRole, p.comparedColumn = RolePattern, p.column
 	default:
-		p.pending = RoleOther
+		p.pendingRole = RoleOther
 	}
 }
 
 // schema puts # in place of the number of a schema's name, once the dot behind it
 // shows that it is one.
-func (p *pass) schema() {
-	if p.kind != Ident && p.kind != Quoted || p.name >= len(p.norm) {
+func (p *pass) maskDataset() {
+	if p.previousKind != Identifier && p.previousKind != QuotedIdentifier || p.nameStart >= len(p.normalForm) {
 		return
 	}
-	n := len(p.norm)
-	for n > p.name && isDigit(p.norm[n-1]) {
+	n := len(p.normalForm)
+	for n > p.nameStart && isDigit(p.normalForm[n-1]) {
 		n--
 	}
-	if n < len(p.norm) && n > p.name+1 && p.norm[n-1] == '_' {
-		p.norm = append(p.norm[:n], '#')
+	if n < len(p.normalForm) && n > p.nameStart+1 && p.normalForm[n-1] == '_' {
+		p.normalForm = append(p.normalForm[:n], '#')
 	}
 }
 
 // list begins a list of alternatives behind the parenthesis or bracket just read.
-func (p *pass) list() {
-	c := listContext{depth: p.depth, start: len(p.norm), elem: len(p.norm), first: -1, slot: -1}
-	if p.slots < MostSlots {
-		p.r.slots[p.slots] = Slot{Role: RoleList, Column: p.compared}
-		c.slot = p.slots
-		p.slots++
+func (p *pass) beginList() {
+	c := foldedList{depth: p.depth, start: len(p.normalForm), elementStart: len(p.normalForm), firstLength: -1, slot: -1}
+	if p.slotCount < maxSlots {
+		p.analyzer.slots[p.slotCount] = Slot{Role: RoleList, Column: p.comparedColumn}
+		c.slot = p.slotCount
+		p.slotCount++
 	}
-	p.out.Restrictions++
-	p.pending = RoleList
-	p.push(c)
+	p.result.Restrictions++
+	p.pendingRole = RoleList
+	p.pushList(c)
 }
 
-func (p *pass) push(c listContext) {
-	p.r.lists[p.open] = c
-	p.open++
+func (p *pass) pushList(c foldedList) {
+	p.analyzer.lists[p.openLists] = c
+	p.openLists++
 }
 
 // elements ends an element, or the list, where this token does.
-func (p *pass) elements(t Token, use use) {
-	c := &p.r.lists[p.open-1]
+func (p *pass) trackElement(t Token, use keywordClass) {
+	c := &p.analyzer.lists[p.openLists-1]
 	switch {
 	case p.depth < c.depth:
 		p.endLists(p.depth)
 	case p.depth > c.depth:
 	case t.Kind == Comma:
-		p.element(c)
+		p.endElement(c)
 		switch {
-		case c.rows && c.plain > 0:
+		case c.isRows && c.plainRowLength > 0:
 			p.skipRows(c)
-		case !c.rows && c.first == 1 && p.norm[c.start] == '?':
+		case !c.isRows && c.firstLength == 1 && p.normalForm[c.start] == '?':
 			p.skipElements(c)
 		}
-		c.elem = len(p.norm)
-	case t.Kind == Close || t.Kind == Unbracket:
+		c.elementStart = len(p.normalForm)
+	case t.Kind == RightParen || t.Kind == RightBracket:
 		p.endLists(p.depth - 1)
-	case c.rows && t.Kind != Open:
+	case c.isRows && t.Kind != LeftParen:
 		p.endLists(p.depth - 1)
 	}
 }
 
 // skipElements passes the elements of a list that are plain values, as its first one is,
 // but for the last: lists of thousands are the longest statements that there are.
-func (p *pass) skipElements(c *listContext) {
+func (p *pass) skipElements(c *foldedList) {
 	for {
-		next := p.l
+		next := p.lexer
 		if k := next.Next().Kind; k != String && k != Number {
 			return
 		}
 		if next.Next().Kind != Comma {
 			return
 		}
-		p.out.Features.Values++
+		p.result.Features.Values++
 		c.count++
-		p.l = next
+		p.lexer = next
 	}
 }
 
@@ -641,10 +641,10 @@
 }
 
 // skipRows passes rows of plain values, as the first one is, but for the last.
-func (p *pass) skipRows(c *listContext) {
+func (p *pass) skipRows(c *foldedList) {
 	for {
-		next := p.l
-		if next.Next().Kind != Open {
+		next := p.lexer
+		if next.Next().Kind != LeftParen {
 			return
 		}
 		for n := 1; ; n++ {
@@ -652,33 +652,33 @@
 				return
 			}
 			k := next.Next().Kind
-			if k == Close && n == c.plain {
+			if k == RightParen && n == c.plainRowLength {
 				break
 			}
-			if k != Comma || n >= c.plain {
+			if k != Comma || n >= c.plainRowLength {
 				return
 			}
 		}
 		if next.Next().Kind != Comma {
 			return
 		}
-		p.out.Features.Values += int32(c.plain)
+		p.result.Features.Values += int32(c.plainRowLength)
 		c.count++
-		p.l = next
+		p.lexer = next
 	}
 }
 
 // element ends an element: one that repeats the first is left out.
-func (p *pass) element(c *listContext) {
+func (p *pass) endElement(c *foldedList) {
 	c.count++
 	switch {
-	case c.first < 0:
-		c.first = len(p.norm) - c.start
-		if c.rows {
-			c.plain = plainRow(trimElement(p.norm[c.start:]))
+	case c.firstLength < 0:
+		c.firstLength = len(p.normalForm) - c.start
+		if c.isRows {
+			c.plainRowLength = plainRow(trimElement(p.normalForm[c.start:]))
 		}
-	case sameElement(p.norm[c.elem:], p.norm[c.start:c.start+c.first]):
-		p.norm = p.norm[:c.elem]
+	case sameElement(p.normalForm[c.elementStart:], p.normalForm[c.start:c.start+c.firstLength]):
+		p.normalForm = p.normalForm[:c.elementStart]
 	}
 }
 
@@ -706,23 +706,23 @@
 
 // endLists ends the lists deeper than a depth.
 func (p *pass) endLists(depth int) {
-	for p.open > 0 && p.r.lists[p.open-1].depth > depth {
-		c := &p.r.lists[p.open-1]
-		p.element(c)
-		if c.rows {
-			p.out.Features.Rows += int32(c.count)
+	for p.openLists > 0 && p.analyzer.lists[p.openLists-1].depth > depth {
+		c := &p.analyzer.lists[p.openLists-1]
+		p.endElement(c)
+		if c.isRows {
+			p.result.Features.Rows += int32(c.count)
 		} else if c.slot >= 0 {
-			p.r.slots[c.slot].Count = int32(c.count)
+			p.analyzer.slots[c.slot].Count = int32(c.count)
 		}
-		p.open--
-		p.pending = RoleOther
+		p.openLists--
+		p.pendingRole = RoleOther
 	}
 }
 
 // finish drops what ends the text and says nothing.
-func (p *pass) finish() {
-	for n := len(p.norm); n > 0 && p.norm[n-1] == ' '; n-- {
-		p.norm = p.norm[:n-1]
+func (p *pass) trimSpace() {
+	for n := len(p.normalForm); n > 0 && p.normalForm[n-1] == ' '; n-- {
+		p.normalForm = p.normalForm[:n-1]
 	}
 }
 
@@ -730,44 +730,44 @@
 	at := len(b)
 	b = append(b, s...)
 	for i, c := range b[at:] {
-		b[at+i] = folded[c]
+		b[at+i] = foldedChars[c]
 	}
 	return b
 }
 
 // appendQuoted takes the quotes off a name that means the same without them.
 func appendQuoted(b []byte, s string) []byte {
-	if len(s) < 3 || s[0] != '"' || classes[s[1]]&cStart == 0 {
+	if len(s) < 3 || s[0] != '"' || charClasses[s[1]]&charNameStart == 0 {
 		return append(b, s...)
 	}
 	inner := s[1 : len(s)-1]
 	l := Lexer{Src: inner}
-	if t := l.word(); t.End < len(inner) || t.upper() || t.word() != wNone || t.use() != 0 {
+	if t := l.scanIdentifier(); t.End < len(inner) || t.hasUpper() || t.keyword() != keywordNone || t.class() != 0 {
 		return append(b, s...)
 	}
 	return append(b, inner...)
 }
 
 func hashName(s string) uint32 {
-	s = bare(s)
+	s = unquoteIdentifier(s)
 	return nameHash(s, 0, len(s))
 }
 
 // aggregate tells whether a function of this name reads many rows into one.
-func aggregate(s string) bool {
+func isAggregate(s string) bool {
 	switch s[0] | 0x20 {
 	case 'c':
-		return equal(s, "count")
+		return equalFold(s, "count")
 	case 's':
-		return equal(s, "sum") || equal(s, "string_agg") || equal(s, "stddev")
+		return equalFold(s, "sum") || equalFold(s, "string_agg") || equalFold(s, "stddev")
 	case 'm':
-		return equal(s, "max") || equal(s, "min")
+		return equalFold(s, "max") || equalFold(s, "min")
 	case 'a':
-		return equal(s, "avg") || equal(s, "array_agg")
+		return equalFold(s, "avg") || equalFold(s, "array_agg")
 	case 'j':
-		return equal(s, "json_agg") || equal(s, "jsonb_agg")
+		return equalFold(s, "json_agg") || equalFold(s, "jsonb_agg")
 	case 'v':
-		return equal(s, "variance")
+		return equalFold(s, "variance")
 	}
 	return false
 }
--- a/internal/sqltext/shape_test.go
+++ b/internal/sqltext/shape_test.go
@@ -150,8 +150,8 @@
 			t.Fatalf("%q: %v on the way, %v by itself", stmt, out.Effect, want)
 		}
 		first, several := FirstWord(stmt)
-		if strings.ToUpper(out.First) != first || out.Several != several {
-			t.Fatalf("%q: first %q, several %v; by itself %q, %v", stmt, out.First, out.Several, first, several)
+		if strings.ToUpper(out.FirstWord) != first || out.MultipleStatements != several {
+			t.Fatalf("%q: first %q, several %v; by itself %q, %v", stmt, out.FirstWord, out.MultipleStatements, first, several)
 		}
 		if len(out.Norm) > 2*len(stmt)+16 {
 			t.Fatalf("%d bytes of normal form for %d", len(out.Norm), len(stmt))
--- a/internal/sqltext/sqltext.go
+++ b/internal/sqltext/sqltext.go
@@ -3,7 +3,7 @@
 import "strings"
 
 // staging is the schema that names no group.
-const staging = "staging"
+const stagingSchema = "staging"
 
 // Group is the number behind the underscore in the name of the statement's
 // schema: 17 in sales_17.orders. Names in strings and comments don't count. A
@@ -11,53 +11,53 @@
 // may be a column of an alias.
 func Group(stmt string) (group int64, ok bool) {
 	l := Lexer{Src: stmt}
-	var g groupReader
+	var g datasetFinder
 	for t := l.Next(); t.Kind != End; t = l.Next() {
 		if g.token(&l, t) {
 			break
 		}
 	}
-	return g.group, g.found
+	return g.dataset, g.found
 }
 
 // groupReader finds the group in a run of tokens.
-type groupReader struct {
-	group       int64
-	found, sure bool // sure: it stood where a table does
-	table       bool // a table's name stands here
-	name        Token
-	prev        Kind
+type datasetFinder struct {
+	dataset       int64
+	found, certain bool // sure: it stood where a table does
+	afterTableWord       bool // a table's name stands here
+	previousName        Token
+	previousKind        Kind
 }
 
 // token takes the next token, and tells whether the group can't change any more.
-func (g *groupReader) token(l *Lexer, t Token) (done bool) {
-	if g.sure {
+func (g *datasetFinder) token(l *Lexer, t Token) (done bool) {
+	if g.certain {
 		return true
 	}
 	switch t.Kind {
-	case Ident, Quoted:
-		if g.prev != Dot && t.use()&beforeTable != 0 {
-			g.table, g.prev = true, Op
+	case Identifier, QuotedIdentifier:
+		if g.previousKind != Dot && t.class()&tableWord != 0 {
+			g.afterTableWord, g.previousKind = true, Operator
 			return false
 		}
-		g.name = t // of a.b.c the last but one is the schema's
+		g.previousName = t // of a.b.c the last but one is the schema's
 	case Dot:
-		if g.prev == Ident || g.prev == Quoted {
-			n, is := schemaGroup(bare(l.Text(g.name)))
-			if is && (g.table || !g.found) {
-				g.group, g.found, g.sure = n, true, g.table
+		if g.previousKind == Identifier || g.previousKind == QuotedIdentifier {
+			n, is := schemaDataset(unquoteIdentifier(l.Text(g.previousName)))
+			if is && (g.afterTableWord || !g.found) {
+				g.dataset, g.found, g.certain = n, true, g.afterTableWord
 			}
 		}
-	case Open:
+	case LeftParen:
 	default:
-		g.table = false
+		g.afterTableWord = false
 	}
-	g.prev = t.Kind
-	return g.sure
+	g.previousKind = t.Kind
+	return g.certain
 }
 
 // bare takes the quotes off a name.
-func bare(name string) string {
+func unquoteIdentifier(name string) string {
 	if len(name) >= 2 && name[0] == '"' {
 		return strings.TrimSuffix(name[1:], `"`)
 	}
@@ -65,9 +65,9 @@
 }
 
 // schemaGroup reads the number of one name.
-func schemaGroup(name string) (n int64, ok bool) {
+func schemaDataset(name string) (n int64, ok bool) {
 	i := strings.LastIndexByte(name, '_')
-	if i < 1 || i == len(name)-1 || len(name)-i > 18 || strings.EqualFold(name[:i], staging) {
+	if i < 1 || i == len(name)-1 || len(name)-i > 18 || strings.EqualFold(name[:i], stagingSchema) {
 		return 0, false
 	}
 	for _, c := range []byte(name[i+1:]) {
@@ -85,9 +85,9 @@
 	s := strings.TrimLeft(stmt, " \t\r\n\f\v")
 	switch {
 	case strings.HasPrefix(s, "--"):
-		return strings.TrimSpace(s[2:lineEnd(s, 2)]), true
+		return strings.TrimSpace(s[2:lineCommentEnd(s, 2)]), true
 	case strings.HasPrefix(s, "/*"):
-		end, ok := blockEnd(s, 0)
+		end, ok := blockCommentEnd(s, 0)
 		if !ok {
 			return "", false
 		}
@@ -107,7 +107,7 @@
 			ended = word != ""
 		case ended:
 			return word, true
-		case word == "" && t.Kind == Ident:
+		case word == "" && t.Kind == Identifier:
 			word = strings.ToUpper(l.Text(t))
 		case word == "":
 			word = "("
@@ -119,7 +119,7 @@
 // SkipComments is the statement without the space and comments it begins with.
 func SkipComments(stmt string) string {
 	l := Lexer{Src: stmt}
-	l.skip()
+	l.skipSpace()
 	return l.Src[l.Pos:]
 }
 
@@ -134,7 +134,7 @@
 		}
 		have := a.Next()
 		x, y := a.Text(have), b.Text(want)
-		if have.Kind != want.Kind || x != y && !(have.Kind == Ident && strings.EqualFold(x, y)) {
+		if have.Kind != want.Kind || x != y && !(have.Kind == Identifier && strings.EqualFold(x, y)) {
 			return false
 		}
 	}
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -44,7 +44,7 @@
 		Hint:     hint.Work,
 		HintMB:   hint.MemoryMB,
 	}
-	if x.cached = s.cache.Get(reading.Print); x.cached != nil {
+	if x.cached = s.cache.Get(reading.Fingerprint); x.cached != nil {
 		s.Stats.Hits++
 		x.query.Record = &x.cached.ShapeRecord
 	} else {
@@ -68,7 +68,7 @@
 // cacheShape returns the cached shape of a statement, and offers a new one to the cache
 // where there is none.
 func (s *Store) cacheShape(statement *Statement) *CachedShape {
-	fingerprint := statement.reading.Print
+	fingerprint := statement.reading.Fingerprint
 	if shape := s.cache.Get(fingerprint); shape != nil {
 		return shape
 	}
@@ -83,6 +83,6 @@
 	kept := min(len(reading.Norm), maxNormalFormBytes)
 	return &CachedShape{
 		normalForm: string(reading.Norm[:kept]),
-		truncated:  reading.Cut || len(reading.Norm) > maxNormalFormBytes,
+		truncated:  reading.Truncated || len(reading.Norm) > maxNormalFormBytes,
 	}
 }
--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -62,7 +62,7 @@
 	for i := range snapshot.Shapes {
 		saved := &snapshot.Shapes[i]
 		shape := &CachedShape{ShapeRecord: saved.Entry, normalForm: saved.Norm}
-		store.cache.Add(store.reader.Print(saved.Norm), shape)
+		store.cache.Add(store.reader.Fingerprint(saved.Norm), shape)
 	}
 	return store, nil
 }
--- a/internal/stmtstats/statement.go
+++ b/internal/stmtstats/statement.go
@@ -9,7 +9,7 @@
 // Statement is one parsed text. It can be used for any number of executions.
 type Statement struct {
 	text    string
-	reading sqltext.Reading // without the normal form, which belongs to the reader
+	reading sqltext.Analysis // without the normal form, which belongs to the reader
 	slots   [inlineSlots]sqltext.Slot
 }
 
@@ -30,10 +30,10 @@
 func (st *Statement) Effect() sqltext.Verdict { return st.reading.Effect }
 
 // First returns the first word of the statement, or "(" where it begins with no word.
-func (st *Statement) First() string { return st.reading.First }
+func (st *Statement) First() string { return st.reading.FirstWord }
 
 // Several reports whether the text holds more than one statement.
-func (st *Statement) Several() bool { return st.reading.Several }
+func (st *Statement) Several() bool { return st.reading.MultipleStatements }
 
 // Group returns the dataset that the statement's tables belong to, if it names one.
 func (st *Statement) Group() (int64, bool) { return st.reading.Group, st.reading.Grouped }
--- a/internal/stmtstats/store.go
+++ b/internal/stmtstats/store.go
@@ -26,7 +26,7 @@
 // Store estimates executions of statements and learns from their costs. It belongs to one
 // goroutine.
 type Store struct {
-	reader   *sqltext.Reader
+	reader   *sqltext.Analyzer
 	model    *costmodel.Model
 	cache    Cache
 	hashSeed uint64 // of the hashes of values
