--- /dev/null
+++ b/internal/decision/hotrestart/actions.go
@@ -0,0 +1,79 @@
+package hotrestart
+
+// Action is an output of a state machine, which its caller carries out.
+type Action interface{ action() }
+
+// Actions of the predecessor.
+type (
+	// SpawnSuccessor starts the successor, with the channel and the listeners.
+	SpawnSuccessor struct{}
+	// SendState sends State.
+	SendState struct{}
+	// StopAccepting stops accepting connections. The listeners stay open.
+	StopAccepting struct{}
+	// SendActivate sends Activate.
+	SendActivate struct{}
+	// TransferConn stops reading a connection and sends ConnTransferred; a duplicate of the
+	// descriptor is kept.
+	TransferConn struct{ Conn ConnID }
+	// SendCommit sends Commit.
+	SendCommit struct{}
+	// ReleaseConn closes the duplicate of a connection.
+	ReleaseConn struct{ Conn ConnID }
+	// KillSuccessor kills the successor. SuccessorExited follows.
+	KillSuccessor struct{}
+	// ReclaimConn takes a connection back. Recover decides on its request, once the kernel
+	// has reported how much of the response was written.
+	ReclaimConn struct {
+		Conn    ConnID
+		Request Request
+	}
+	// ReportResult reports to the requester how the hot restart ended; no failure means success.
+	ReportResult struct{ Failure string }
+	// BeginShutdown begins the planned shutdown.
+	BeginShutdown struct{}
+)
+
+// Actions of both processes.
+type (
+	// StartAccepting starts accepting connections.
+	StartAccepting struct{}
+	// Exit ends the process.
+	Exit struct{}
+)
+
+// Actions of the successor.
+type (
+	// SendHello sends Hello.
+	SendHello struct {
+		Version Version
+		Problem string
+	}
+	// SendReady sends Ready.
+	SendReady struct{}
+	// LoadState begins to load the state. StateLoaded follows.
+	LoadState struct{}
+	// AdoptConn takes a transferred connection over.
+	AdoptConn struct{ Conn ConnID }
+	// StopRecording ends the records of requests, as nothing would be reclaimed any more.
+	StopRecording struct{}
+)
+
+func (SpawnSuccessor) action() {}
+func (SendState) action()      {}
+func (StopAccepting) action()  {}
+func (SendActivate) action()   {}
+func (TransferConn) action()   {}
+func (SendCommit) action()     {}
+func (ReleaseConn) action()    {}
+func (KillSuccessor) action()  {}
+func (ReclaimConn) action()    {}
+func (ReportResult) action()   {}
+func (BeginShutdown) action()  {}
+func (StartAccepting) action() {}
+func (Exit) action()           {}
+func (SendHello) action()      {}
+func (SendReady) action()      {}
+func (LoadState) action()      {}
+func (AdoptConn) action()      {}
+func (StopRecording) action()  {}
--- /dev/null
+++ b/internal/decision/hotrestart/events.go
@@ -0,0 +1,95 @@
+package hotrestart
+
+// Event is an input of a state machine.
+type Event interface{ event() }
+
+// Events of the predecessor's own process.
+type (
+	// StartUpgrade requests a hot restart.
+	StartUpgrade struct{}
+	// Shutdown requests a planned shutdown.
+	Shutdown struct{}
+	// ConnAccepted reports a new connection of this process.
+	ConnAccepted struct{ Conn ConnID }
+	// ConnBusy reports that a connection of this process can't be transferred now.
+	ConnBusy struct{ Conn ConnID }
+	// ConnIdle reports that a connection of this process can be transferred.
+	ConnIdle struct{ Conn ConnID }
+	// ConnClosed reports that a connection of this process was closed.
+	ConnClosed struct{ Conn ConnID }
+	// SuccessorExited reports that the successor has exited and the channel was read to its end.
+	SuccessorExited struct{}
+	// SuccessorMemory reports the memory of the successor.
+	SuccessorMemory struct{ Bytes int64 }
+	// Tick reports nothing but the time.
+	Tick struct{}
+)
+
+// Messages of the successor to the predecessor.
+type (
+	// Hello identifies the successor. Problem says why it can't take over, such as an invalid
+	// configuration or a limit that is too low; "" means that it can.
+	Hello struct {
+		Version Version
+		Problem string
+	}
+	// Ready reports that the successor has loaded the state and could serve.
+	Ready struct{}
+	// Heartbeat reports that the successor is alive, and its responses since the last one.
+	Heartbeat struct{ Successes, Failures int }
+	// SuccessorAccepted carries a duplicate of a connection that the successor accepted.
+	SuccessorAccepted struct{ Conn ConnID }
+	// RequestRecorded carries the successor's record of the request of a connection.
+	RequestRecorded struct {
+		Conn    ConnID
+		Request Request
+	}
+	// SuccessorClosed reports that a connection of the successor was closed.
+	SuccessorClosed struct{ Conn ConnID }
+)
+
+// Events of the successor's own process.
+type (
+	// Started reports that the process runs and has read its configuration. Problem says why
+	// it can't serve; "" means that it can.
+	Started struct{ Problem string }
+	// StateLoaded reports that the state was loaded.
+	StateLoaded struct{}
+	// PredecessorExited reports the end of the channel.
+	PredecessorExited struct{}
+)
+
+// Messages of the predecessor to the successor.
+type (
+	// State carries the state of the predecessor.
+	State struct{}
+	// Activate tells the successor to accept connections.
+	Activate struct{}
+	// ConnTransferred carries a connection with its state.
+	ConnTransferred struct{ Conn ConnID }
+	// Commit tells the successor that it is the owner for good.
+	Commit struct{}
+)
+
+func (StartUpgrade) event()      {}
+func (Shutdown) event()          {}
+func (ConnAccepted) event()      {}
+func (ConnBusy) event()          {}
+func (ConnIdle) event()          {}
+func (ConnClosed) event()        {}
+func (SuccessorExited) event()   {}
+func (SuccessorMemory) event()   {}
+func (Tick) event()              {}
+func (Hello) event()             {}
+func (Ready) event()             {}
+func (Heartbeat) event()         {}
+func (SuccessorAccepted) event() {}
+func (RequestRecorded) event()   {}
+func (SuccessorClosed) event()   {}
+func (Started) event()           {}
+func (StateLoaded) event()       {}
+func (PredecessorExited) event() {}
+func (State) event()             {}
+func (Activate) event()          {}
+func (ConnTransferred) event()   {}
+func (Commit) event()            {}
--- /dev/null
+++ b/internal/decision/hotrestart/hotrestart.go
@@ -0,0 +1,82 @@
+// Package hotrestart models a hot restart: one process of flaxrelay (the predecessor)
+// hands its listeners, its client connections and its work over to a newer one (the
+// successor), and reclaims them if that fails. It consists of two state machines without
+// I/O. Predecessor and Successor take events (messages of the other process, changes of
+// connections, ticks) and return actions, which their caller carries out in order. No
+// program links the package yet; its model test explores all interleavings.
+//
+// The protocol relies on three properties of the system:
+//
+//   - The predecessor is the parent of the successor. It can kill it, and the kernel
+//     reports its exit, so silence is never mistaken for death: what was transferred is
+//     reclaimed only once the successor is known to have exited and all that it had written
+//     to the channel has been read.
+//   - The predecessor never closes the channel while both processes live. So the end of the
+//     channel proves to the successor that the predecessor has exited.
+//   - A descriptor sent over a unix socket is in the kernel once it is sent, and is received
+//     even if its sender exits at once (unix(7), SCM_RIGHTS).
+//
+// So no acknowledgements are needed: a connection belongs to the successor from the moment
+// the predecessor has sent it, and never to both. Requests in flight stay with their
+// process until they are answered; their connection is transferred then.
+package hotrestart
+
+import "time"
+
+// Phase is the phase of a hot restart, as the predecessor sees it.
+type Phase uint8
+
+// Phases of the predecessor.
+const (
+	Idle              Phase = iota // no hot restart is in progress
+	AwaitingHello                  // the successor was started and has not identified itself
+	TransferringState              // it loads the state and has not reported ready
+	Probation                      // it accepts and serves; everything can still be reclaimed
+	Draining                       // it is the owner for good; requests in flight end here
+	RollingBack                    // it was killed; nothing is reclaimed before it has exited
+	Exited                         // nothing is left to do
+)
+
+var phaseNames = [...]string{
+	"idle", "awaiting hello", "transferring state", "probation", "draining", "rolling back", "exited",
+}
+
+// String implements fmt.Stringer.
+func (p Phase) String() string { return phaseNames[p] }
+
+// Config bounds a hot restart. Phases are timed from their start.
+type Config struct {
+	HelloTimeout     time.Duration // for the successor's hello; if too short, a slow disk fails restarts
+	StateTimeout     time.Duration // for loading the state and reporting ready
+	MinProbation     time.Duration // least length of the probation
+	MaxProbation     time.Duration // its length without enough requests; above MinProbation
+	HeartbeatTimeout time.Duration // longest time without a message during the probation
+	MinSuccesses     int           // successful responses that end the probation, where there are requests
+	MaxFailureRate   float64       // share of responses that may be errors of the successor itself, 0 to 1
+	MaxMemoryBytes   int64         // of the successor; 0: unbounded
+}
+
+// DefaultConfig suits a machine that runs both processes side by side without strain.
+func DefaultConfig() Config {
+	return Config{
+		HelloTimeout:     5 * time.Second,
+		StateTimeout:     10 * time.Second,
+		MinProbation:     3 * time.Second,
+		MaxProbation:     15 * time.Second,
+		HeartbeatTimeout: time.Second,
+		MinSuccesses:     20,
+		MaxFailureRate:   0.1,
+	}
+}
+
+// Version is the version of the protocol: how state and messages are encoded.
+type Version struct{ Major, Minor int }
+
+// CompatibleWith reports whether two versions can communicate: their major versions are
+// equal, and their minor ones differ by at most one.
+func (v Version) CompatibleWith(other Version) bool {
+	return v.Major == other.Major && v.Minor-other.Minor <= 1 && other.Minor-v.Minor <= 1
+}
+
+// ConnID identifies a connection in both processes.
+type ConnID uint32
--- /dev/null
+++ b/internal/decision/hotrestart/predecessor.go
@@ -0,0 +1,188 @@
+package hotrestart
+
+import "time"
+
+// connection is the predecessor's record of a connection.
+type connection struct {
+	id ConnID
+	// transferred means that the successor has it. A duplicate of its descriptor is kept.
+	transferred bool
+	// busy means that the connection is owned here and can't be transferred: a request is in
+	// flight, or a part of a message was read or is to be written.
+	busy    bool
+	request Request // as the successor has recorded it
+}
+
+// Predecessor is the state machine of the process that hands over. It belongs to one
+// goroutine.
+type Predecessor struct {
+	cfg     Config
+	version Version
+
+	phase         Phase
+	phaseStart    time.Duration
+	lastMessage   time.Duration // of the successor
+	successes     int           // responses of the successor during the probation
+	failures      int
+	failureReason string // of the rollback
+
+	shutdownRequested bool // it follows the end of the hot restart
+	conns             []connection
+}
+
+// NewPredecessor returns the state machine of a process that serves.
+func NewPredecessor(cfg Config, v Version) *Predecessor { return &Predecessor{cfg: cfg, version: v} }
+
+// Phase returns the phase of the hot restart.
+func (p *Predecessor) Phase() Phase { return p.phase }
+
+// Step takes one event and returns the actions to carry out, in order.
+func (p *Predecessor) Step(now time.Duration, event Event) []Action {
+	switch event := event.(type) {
+	case StartUpgrade:
+		return p.startUpgrade(now)
+	case Shutdown:
+		return p.shutdown(now)
+	case ConnAccepted:
+		p.conns = append(p.conns, connection{id: event.Conn})
+		if p.handsOver() { // it was accepted just before the successor took the listeners over
+			return p.transfer(event.Conn)
+		}
+	case ConnBusy:
+		if c := p.owned(event.Conn); c != nil {
+			c.busy = true
+		}
+	case ConnIdle:
+		return p.connIdle(event.Conn)
+	case ConnClosed:
+		if p.owned(event.Conn) != nil {
+			p.forget(event.Conn)
+			return p.exitWhenDrained()
+		}
+	case SuccessorExited:
+		return p.successorExited(now)
+	case SuccessorMemory:
+		if p.cfg.MaxMemoryBytes > 0 && event.Bytes > p.cfg.MaxMemoryBytes && p.canRollBack() {
+			return p.rollBack(now, "it takes too much memory")
+		}
+	case Tick:
+		return p.tick(now)
+	default:
+		return p.message(now, event)
+	}
+	return nil
+}
+
+func (p *Predecessor) startUpgrade(now time.Duration) []Action {
+	if p.phase != Idle || p.shutdownRequested {
+		return []Action{ReportResult{"another upgrade or a stop is under way"}}
+	}
+	p.enter(AwaitingHello, now)
+	p.lastMessage, p.successes, p.failures, p.failureReason = now, 0, 0, ""
+	return []Action{SpawnSuccessor{}}
+}
+
+// shutdown handles the request for a planned shutdown. A hot restart that is not committed
+// is rolled back first.
+func (p *Predecessor) shutdown(now time.Duration) []Action {
+	if p.shutdownRequested {
+		return nil
+	}
+	p.shutdownRequested = true
+	switch {
+	case p.phase == Idle:
+		return []Action{BeginShutdown{}}
+	case p.canRollBack():
+		return p.rollBack(now, "a planned stop came first")
+	}
+	return nil // behind a rollback, the shutdown follows; when draining, the exit is near anyway
+}
+
+// message handles a message of the successor.
+func (p *Predecessor) message(now time.Duration, event Event) []Action {
+	p.lastMessage = now
+	switch event := event.(type) {
+	case SuccessorAccepted, RequestRecorded, SuccessorClosed:
+		return p.connMessage(event)
+	case Hello:
+		return p.hello(now, event)
+	case Ready:
+		if p.phase == TransferringState {
+			return p.beginProbation(now)
+		}
+	case Heartbeat:
+		if p.phase == Probation {
+			return p.heartbeat(now, event)
+		}
+	}
+	return nil
+}
+
+func (p *Predecessor) hello(now time.Duration, hello Hello) []Action {
+	switch {
+	case p.phase != AwaitingHello:
+		return nil
+	case hello.Problem != "":
+		return p.rollBack(now, hello.Problem)
+	case !p.version.CompatibleWith(hello.Version):
+		return p.rollBack(now, "its version and this one don't understand each other")
+	}
+	p.enter(TransferringState, now)
+	return []Action{SendState{}}
+}
+
+// tick checks the timeouts of the phase.
+func (p *Predecessor) tick(now time.Duration) []Action {
+	elapsed := now - p.phaseStart
+	switch p.phase {
+	case AwaitingHello:
+		if elapsed >= p.cfg.HelloTimeout {
+			return p.rollBack(now, "it did not say what it is in time")
+		}
+	case TransferringState:
+		if elapsed >= p.cfg.StateTimeout {
+			return p.rollBack(now, "it was not ready in time")
+		}
+	case Probation:
+		if now-p.lastMessage >= p.cfg.HeartbeatTimeout {
+			return p.rollBack(now, "it went silent")
+		}
+	}
+	return nil
+}
+
+func (p *Predecessor) enter(phase Phase, now time.Duration) { p.phase, p.phaseStart = phase, now }
+
+// canRollBack reports whether the successor lives and can still be killed.
+func (p *Predecessor) canRollBack() bool {
+	return p.phase == AwaitingHello || p.phase == TransferringState || p.phase == Probation
+}
+
+// rollBack kills the successor. Nothing is reclaimed before it is known to have exited:
+// until then it may still write to the connections that it has.
+func (p *Predecessor) rollBack(now time.Duration, reason string) []Action {
+	p.failureReason = reason
+	p.enter(RollingBack, now)
+	return []Action{KillSuccessor{}}
+}
+
+// successorExited reclaims everything, if the successor was not the owner yet.
+func (p *Predecessor) successorExited(now time.Duration) []Action {
+	if p.phase == Idle || p.phase == Draining || p.phase == Exited {
+		return nil
+	}
+	if p.phase != RollingBack {
+		p.failureReason = "it died"
+	}
+	accepting := p.phase == AwaitingHello || p.phase == TransferringState
+	p.enter(Idle, now)
+	actions := p.reclaim()
+	if !accepting {
+		actions = append(actions, StartAccepting{})
+	}
+	actions = append(actions, ReportResult{p.failureReason})
+	if p.shutdownRequested {
+		actions = append(actions, BeginShutdown{})
+	}
+	return actions
+}
--- /dev/null
+++ b/internal/decision/hotrestart/predecessor_conns.go
@@ -0,0 +1,149 @@
+package hotrestart
+
+import (
+	"slices"
+	"time"
+)
+
+// connection returns the record of a connection, or nil.
+func (p *Predecessor) connection(id ConnID) *connection {
+	for i := range p.conns {
+		if p.conns[i].id == id {
+			return &p.conns[i]
+		}
+	}
+	return nil
+}
+
+// owned returns the record of a connection of this process, or nil.
+func (p *Predecessor) owned(id ConnID) *connection {
+	if c := p.connection(id); c != nil && !c.transferred {
+		return c
+	}
+	return nil
+}
+
+// transferred returns the record of a connection of the successor, or nil.
+func (p *Predecessor) transferred(id ConnID) *connection {
+	if c := p.connection(id); c != nil && c.transferred {
+		return c
+	}
+	return nil
+}
+
+func (p *Predecessor) forget(id ConnID) {
+	p.conns = slices.DeleteFunc(p.conns, func(c connection) bool { return c.id == id })
+}
+
+// handsOver reports whether idle connections are transferred.
+func (p *Predecessor) handsOver() bool { return p.phase == Probation || p.phase == Draining }
+
+func (p *Predecessor) connIdle(id ConnID) []Action {
+	c := p.owned(id)
+	if c == nil {
+		return nil
+	}
+	c.busy = false
+	if !p.handsOver() {
+		return nil
+	}
+	return append(p.transfer(id), p.exitWhenDrained()...)
+}
+
+// connMessage handles a message of the successor on one connection. Records count in every
+// phase, also when rolling back: the last messages are read after the successor's exit.
+func (p *Predecessor) connMessage(event Event) []Action {
+	switch event := event.(type) {
+	case SuccessorAccepted:
+		if p.phase != Probation && p.phase != RollingBack {
+			return []Action{ReleaseConn(event)}
+		}
+		p.conns = append(p.conns, connection{id: event.Conn, transferred: true})
+	case RequestRecorded:
+		if c := p.transferred(event.Conn); c != nil {
+			c.request = event.Request
+		}
+	case SuccessorClosed:
+		if p.transferred(event.Conn) != nil {
+			p.forget(event.Conn)
+			return []Action{ReleaseConn(event)}
+		}
+	}
+	return nil
+}
+
+// beginProbation begins the handover: from now on the successor accepts, and every
+// connection that is idle is transferred.
+func (p *Predecessor) beginProbation(now time.Duration) []Action {
+	p.enter(Probation, now)
+	actions := []Action{StopAccepting{}, SendActivate{}}
+	for _, c := range p.conns {
+		if !c.busy {
+			actions = append(actions, p.transfer(c.id)...)
+		}
+	}
+	return actions
+}
+
+// transfer hands a connection over. When draining, nothing is reclaimed any more, so that
+// no duplicate is kept.
+func (p *Predecessor) transfer(id ConnID) []Action {
+	if p.phase == Draining {
+		p.forget(id)
+		return []Action{TransferConn{id}, ReleaseConn{id}}
+	}
+	c := p.connection(id)
+	c.transferred, c.busy, c.request = true, false, Request{}
+	return []Action{TransferConn{id}}
+}
+
+// reclaim takes all transferred connections back.
+func (p *Predecessor) reclaim() (actions []Action) {
+	for i := range p.conns {
+		if c := &p.conns[i]; c.transferred {
+			actions = append(actions, ReclaimConn{Conn: c.id, Request: c.request})
+			c.transferred, c.busy, c.request = false, c.request.InFlight, Request{}
+		}
+	}
+	return actions
+}
+
+// heartbeat evaluates the successor's responses during the probation.
+func (p *Predecessor) heartbeat(now time.Duration, heartbeat Heartbeat) []Action {
+	p.successes += heartbeat.Successes
+	p.failures += heartbeat.Failures
+	total := p.successes + p.failures
+	if total >= p.cfg.MinSuccesses && float64(p.failures) > p.cfg.MaxFailureRate*float64(total) {
+		return p.rollBack(now, "too many of its answers are errors of its own")
+	}
+	elapsed := now - p.phaseStart
+	if elapsed < p.cfg.MinProbation || p.successes < p.cfg.MinSuccesses && elapsed < p.cfg.MaxProbation {
+		return nil
+	}
+	if p.successes == 0 && p.failures > 0 {
+		return p.rollBack(now, "none of its answers was good")
+	}
+	return p.commit(now)
+}
+
+// commit makes the successor the owner for good.
+func (p *Predecessor) commit(now time.Duration) []Action {
+	p.enter(Draining, now)
+	actions := []Action{SendCommit{}}
+	for _, c := range p.conns {
+		if c.transferred {
+			actions = append(actions, ReleaseConn{c.id})
+		}
+	}
+	p.conns = slices.DeleteFunc(p.conns, func(c connection) bool { return c.transferred })
+	return append(append(actions, ReportResult{}), p.exitWhenDrained()...)
+}
+
+// exitWhenDrained ends the process once it has no connection left.
+func (p *Predecessor) exitWhenDrained() []Action {
+	if p.phase != Draining || len(p.conns) > 0 {
+		return nil
+	}
+	p.phase = Exited
+	return []Action{Exit{}}
+}
--- /dev/null
+++ b/internal/decision/hotrestart/recovery.go
@@ -0,0 +1,61 @@
+package hotrestart
+
+import "time"
+
+// Effect says how far a request may be repeated, as in package policy.
+type Effect uint8
+
+// Effects. The zero value is the most cautious.
+const (
+	NonIdempotent Effect = iota
+	IdempotentByKey
+	Idempotent
+)
+
+// Request is the successor's record of a request. The successor sends it ahead of each
+// step: before the request is forwarded to an engine, and before its response is written.
+type Request struct {
+	InFlight          bool
+	Effect            Effect
+	Forwarded         bool          // to an engine: it may have been executed
+	FirstForwardedAt  time.Duration // by either process, on their common clock
+	IdempotencyWindow time.Duration // in which engines drop a repeated key, of IdempotentByKey
+	Deadline          time.Duration // of the client
+	ResponseBytes     int           // length of the response that is being written; 0: none yet
+}
+
+// Recovery is what happens to a request whose process has exited.
+type Recovery uint8
+
+// Recoveries.
+const (
+	NoRecovery             Recovery = iota // there is no request, or it was answered
+	Retry                                  // forward it (again), with its key and the time of its first attempt
+	ReportUnknownOutcome                   // it may have been executed and must not be repeated; the client is told at once
+	ReportDeadlineExceeded                 // its deadline has passed
+	CloseConnection                        // a part of its response was written, so only a close tells the client
+)
+
+// windowMargin is kept to the end of an idempotency window, for the way to the engine.
+const windowMargin = 50 * time.Millisecond
+
+// Recover decides on a request of a process that has exited. written is how many bytes of
+// the response the kernel has taken on this connection since the record with
+// ResponseBytes. The kernel reports it for a socket whoever wrote to it (tcp(7), TCP_INFO).
+func Recover(r Request, written int, now time.Duration) Recovery {
+	switch {
+	case !r.InFlight:
+		return NoRecovery
+	case r.ResponseBytes > 0 && written >= r.ResponseBytes:
+		return NoRecovery
+	case written > 0:
+		return CloseConnection
+	case now >= r.Deadline:
+		return ReportDeadlineExceeded
+	case !r.Forwarded || r.Effect == Idempotent:
+		return Retry
+	case r.Effect == IdempotentByKey && now < r.FirstForwardedAt+r.IdempotencyWindow-windowMargin:
+		return Retry
+	}
+	return ReportUnknownOutcome
+}
--- /dev/null
+++ b/internal/decision/hotrestart/world_test.go
@@ -0,0 +1,265 @@
+package hotrestart
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// world is two processes, the channel between them, clients and engines. It is the smallest
+// one that shows every interleaving: each client has one connection and one request.
+type world struct {
+	predecessor Predecessor
+	successor   Successor
+
+	predecessorAlive bool
+	successorAlive   bool // it was started and has not exited
+	spawned          bool // it was started and its exit was not reported
+	started          bool
+	loadingState     bool
+
+	toSuccessor   []Event // messages in the channel
+	toPredecessor []Event
+
+	predecessorAccepts, successorAccepts           bool
+	predecessorListenerOpen, successorListenerOpen bool
+
+	conns       [2]client
+	windowsOver bool // all idempotency windows have ended
+	crashes     int
+	upgrades    int
+}
+
+// handler is the process that handles a request.
+type handler byte
+
+const (
+	handlerNone        handler = iota // the request is in the socket, or not sent yet
+	handlerPredecessor                // the predecessor has read it
+	handlerSuccessor                  // the successor has read it
+	handlerDone                       // nobody handles it any more
+)
+
+// stage is how far the successor is with a request.
+type stage byte
+
+const (
+	stageNone stage = iota
+	stageReceived
+	stageForwardRecorded
+	stageForwarded
+	stageResponseRecorded
+)
+
+// client is one connection and the state of its request.
+type client struct {
+	effect             Effect
+	predecessorOwns    bool // the connection
+	successorOwns      bool
+	requested          bool // the request was sent
+	handler            handler
+	stage              stage
+	executions         int  // by engines
+	executedPastWindow bool // it was repeated after its window
+	responses          int
+	closed             bool // without a response
+	responseWritten    bool // by the successor
+}
+
+// limit is the length of all timeouts: steps happen at 0, and those that let time pass at
+// limit.
+const limit = time.Second
+
+func modelConfig() Config {
+	return Config{
+		HelloTimeout:     limit,
+		StateTimeout:     limit,
+		MinProbation:     limit,
+		MaxProbation:     limit,
+		HeartbeatTimeout: limit,
+		MinSuccesses:     1,
+		MaxFailureRate:   0.5,
+	}
+}
+
+func newWorld() world {
+	w := world{
+		predecessor:             *NewPredecessor(modelConfig(), Version{1, 0}),
+		successor:               *NewSuccessor(Version{1, 1}),
+		predecessorAlive:        true,
+		predecessorAccepts:      true,
+		predecessorListenerOpen: true,
+	}
+	for i := range w.conns {
+		w.conns[i] = client{effect: []Effect{NonIdempotent, IdempotentByKey}[i], predecessorOwns: true}
+		w.predecessor.Step(0, ConnAccepted{ConnID(i)})
+	}
+	return w
+}
+
+// maxCrashes bounds the crashes of one run.
+const maxCrashes = 2
+
+func (w world) clone() world {
+	w.predecessor.conns = slices.Clone(w.predecessor.conns)
+	w.toSuccessor, w.toPredecessor = slices.Clone(w.toSuccessor), slices.Clone(w.toPredecessor)
+	return w
+}
+
+// key identifies the state, with the types of the messages in the channel. It clears what
+// does not influence the next steps.
+func (w *world) key() string {
+	w.predecessor.phaseStart, w.predecessor.lastMessage, w.predecessor.failureReason = 0, 0, ""
+	return fmt.Sprintf("%#v", *w)
+}
+
+// faults are seeded mistakes, each of which removes one safeguard.
+type faults struct {
+	reclaimBeforeExit   bool // connections are reclaimed before the successor has exited
+	reclaimBeforeDrain  bool // they are reclaimed before all its messages were read
+	forwardBeforeRecord bool // the successor forwards a request before it records that
+	retryAnything       bool // what may have been executed is retried whatever its effect
+}
+
+// The names of the steps that are faults of the environment.
+const (
+	stepSuccessorCrashes   = "successor crashes"
+	stepPredecessorCrashes = "predecessor crashes"
+)
+
+// step is one possible next state.
+type step struct {
+	name string
+	next world
+}
+
+// stepPredecessor has the predecessor handle an event and carries out its actions.
+func (w *world) stepPredecessor(f faults, now time.Duration, event Event) {
+	for _, action := range w.predecessor.Step(now, event) {
+		switch action := action.(type) {
+		case SpawnSuccessor:
+			w.spawned, w.successorAlive, w.successorListenerOpen = true, true, true
+			w.successor, w.toSuccessor, w.toPredecessor, w.started, w.loadingState = *NewSuccessor(Version{1, 1}), nil, nil, false, false
+		case SendState:
+			w.toSuccessor = append(w.toSuccessor, State{})
+		case SendActivate:
+			w.toSuccessor = append(w.toSuccessor, Activate{})
+		case SendCommit:
+			w.toSuccessor = append(w.toSuccessor, Commit{})
+		case TransferConn:
+			w.conns[action.Conn].predecessorOwns = false
+			w.toSuccessor = append(w.toSuccessor, ConnTransferred(action))
+		case StopAccepting:
+			w.predecessorAccepts = false
+		case StartAccepting:
+			w.predecessorAccepts = true
+		case KillSuccessor:
+			if f.reclaimBeforeExit {
+				w.stepPredecessor(f, now, SuccessorExited{})
+			}
+			w.killSuccessor()
+		case ReclaimConn:
+			w.reclaim(f, action)
+		case Exit, BeginShutdown:
+			w.endPredecessor()
+		}
+	}
+}
+
+func (w *world) endPredecessor() {
+	w.predecessorAlive, w.predecessorAccepts, w.predecessorListenerOpen = false, false, false
+}
+
+func (w *world) killSuccessor() {
+	if w.successorAlive {
+		w.successorAlive, w.successorAccepts, w.successorListenerOpen = false, false, false
+	}
+}
+
+// reclaim has the predecessor take a connection back and recover its request.
+func (w *world) reclaim(f faults, action ReclaimConn) {
+	c := &w.conns[action.Conn]
+	c.predecessorOwns = true
+	if c.handler != handlerSuccessor {
+		return // its request, if there is one, is still in the socket
+	}
+	now := time.Duration(0)
+	if w.windowsOver {
+		now = 10 * limit
+	}
+	written := 0
+	if c.responseWritten {
+		written = 1
+	}
+	recovery := Recover(action.Request, written, now)
+	if f.retryAnything && recovery == ReportUnknownOutcome {
+		recovery = Retry
+	}
+	switch recovery {
+	case NoRecovery:
+		if !action.Request.InFlight { // never recorded: the predecessor reads it again, if it is still in the socket
+			if c.stage <= stageReceived {
+				c.handler, c.stage = handlerNone, stageNone
+			}
+			return
+		}
+		c.handler = handlerDone
+	case CloseConnection:
+		c.closed, c.handler = true, handlerDone
+	case ReportUnknownOutcome, ReportDeadlineExceeded:
+		c.responses++
+		c.handler = handlerDone
+	case Retry:
+		w.execute(c)
+		c.responses++
+		c.handler = handlerDone
+	}
+	if w.predecessor.connection(action.Conn) != nil {
+		w.predecessor.Step(0, ConnIdle{action.Conn})
+	}
+}
+
+func (w *world) execute(c *client) {
+	if c.executions > 0 && w.windowsOver {
+		c.executedPastWindow = true
+	}
+	c.executions++
+}
+
+// stepSuccessor has the successor handle an event and carries out its actions.
+func (w *world) stepSuccessor(event Event) {
+	for _, action := range w.successor.Step(0, event) {
+		switch action := action.(type) {
+		case SendHello:
+			w.toPredecessor = append(w.toPredecessor, Hello(action))
+		case SendReady:
+			w.toPredecessor = append(w.toPredecessor, Ready{})
+		case LoadState:
+			w.loadingState = true
+		case StartAccepting:
+			w.successorAccepts = true
+		case AdoptConn:
+			w.conns[action.Conn].successorOwns = true
+		case Exit:
+			w.killSuccessor()
+		}
+	}
+}
+
+// record has the successor send its record of a request, ahead of each stage.
+func (w *world) record(i int, reached stage) {
+	if w.successor.Owner() {
+		return
+	}
+	r := Request{
+		InFlight:          true,
+		Effect:            w.conns[i].effect,
+		Forwarded:         reached >= stageForwardRecorded,
+		IdempotencyWindow: 5 * limit,
+		Deadline:          100 * limit,
+	}
+	if reached >= stageResponseRecorded {
+		r.ResponseBytes = 1
+	}
+	w.toPredecessor = append(w.toPredecessor, RequestRecorded{ConnID(i), r})
+}
