--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -29,7 +29,7 @@
 
 func plausibleWork(ms float64) bool     { return ms >= minWork && ms <= maxWork }
 func plausibleMemory(mb float64) bool   { return mb >= minMemoryMB && mb <= maxMemoryMB }
-func (m *Model) usesHint(q *Query) bool { return !m.cfg.NoHint && plausibleWork(q.Hint) }
+func (m *Model) usesHint(q *Query) bool { return !m.cfg.NoHint && plausibleWork(q.HintWork) }
 
 // NoClass is the class index of an execution whose class is not decided.
 const NoClass = -1
--- a/internal/decision/costmodel/costmodel_test.go
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -19,7 +19,7 @@
 }
 
 func newShapeFixture(cfg Config) *shapeFixture {
-	return &shapeFixture{model: New(cfg), query: Query{Record: &ShapeRecord{}, Features: &sqltext.Features{Verb: 's', Tables: 1, Where: true}, Known: NoClass}}
+	return &shapeFixture{model: New(cfg), query: Query{Record: &ShapeRecord{}, Features: &sqltext.Features{Verb: 's', Tables: 1, Where: true}, KnownClass: NoClass}}
 }
 
 // learn has the model learn a number of executions of the given work.
@@ -44,7 +44,7 @@
 		figure := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)}))
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			q := f.query
-			q.Hint = figure.Draw(t, "hint")
+			q.HintWork = figure.Draw(t, "hint")
 			q.Profile = sqltext.Profile{
 				Alternatives: rapid.IntRange(0, 1e6).Draw(t, "alternatives"), Span: rapid.Float64Range(0, 1e12).Draw(t, "span"),
 				Limit: rapid.Float64Range(0, 1e9).Draw(t, "limit"), Key: rapid.Uint64Range(0, 5).Draw(t, "key"),
@@ -85,11 +85,11 @@
 		rng := rand.New(rand.NewPCG(1, 2))
 		for range 500 {
 			q := f.query
-			q.Profile.Key, q.Hint = rng.Uint64N(50), 100*rng.Float64()
+			q.Profile.Key, q.HintWork = rng.Uint64N(50), 100*rng.Float64()
 			f.model.Learn(&q, Truth{Work: 100 + 900*rng.Float64(), MemoryMB: 5})
 		}
 		q := f.query
-		q.Hint = 70
+		q.HintWork = 70
 		return f.model.Estimate(&q)
 	}
 	if a, b := run(), run(); a != b {
@@ -130,9 +130,9 @@
 	features := &sqltext.Features{Verb: 's', Tables: 1}
 	for range 300 {
 		work := math.Exp(5 + rng.NormFloat64()*1.2) // widely spread, and the hint knows of it
-		m.Learn(&Query{Features: features, Known: 0, Hint: work / 10}, Truth{Work: work})
+		m.Learn(&Query{Features: features, KnownClass: 0, HintWork: work / 10}, Truth{Work: work})
 	}
-	e := m.Estimate(&Query{Features: features, Known: 0, Hint: 50})
+	e := m.Estimate(&Query{Features: features, KnownClass: 0, HintWork: 50})
 	if e.Work < 350 || e.Work > 700 {
 		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.Work, e.Why())
 	}
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -75,7 +75,7 @@
 		if q.Record != nil {
 			shapeErrors = &q.Record.HintError
 		}
-		est.Hint = hintComponent(q.Hint, shapeErrors, &m.classStatistics(q.Known).HintError)
+		est.Hint = hintComponent(q.HintWork, shapeErrors, &m.classStatistics(q.KnownClass).HintError)
 	}
 	similar := m.findSimilar(q)
 	if r := q.Record; r != nil && r.All.N >= minTrackedSamples && similar != nil && similar.Offset.N >= minTrackedSamples {
@@ -102,19 +102,19 @@
 // hint. It is 0 where nothing is known.
 func (m *Model) memory(q *Query, bucket *Bucket) float64 {
 	var record, hint Component
-	class := m.classStatistics(q.Known)
+	class := m.classStatistics(q.KnownClass)
 	switch {
 	case bucket != nil && bucket.Memory.N > 0:
 		record = componentOf(&bucket.Memory, 0)
 	case class.Memory.N >= minClassMemorySamples:
 		record = componentOf(&class.Memory, 0)
 	}
-	if !m.cfg.NoHint && plausibleMemory(q.HintMB) {
+	if !m.cfg.NoHint && plausibleMemory(q.HintMemoryMB) {
 		var shapeErrors *Tracker
 		if q.Record != nil {
 			shapeErrors = &q.Record.MemoryHintError
 		}
-		hint = hintComponent(q.HintMB, shapeErrors, &class.MemoryHintError)
+		hint = hintComponent(q.HintMemoryMB, shapeErrors, &class.MemoryHintError)
 	}
 	log2Memory, _, ok := combine(&record, &hint)
 	if !ok {
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -74,11 +74,11 @@
 
 // learnHint updates the errors of the hint, for the class and for the shape.
 func (m *Model) learnHint(q *Query, log2Work float64) {
-	if !plausibleWork(q.Hint) {
+	if !plausibleWork(q.HintWork) {
 		return
 	}
-	hintError := log2Work - math.Log2(q.Hint)
-	m.classStatistics(q.Known).HintError.Add(hintError, m.forgets())
+	hintError := log2Work - math.Log2(q.HintWork)
+	m.classStatistics(q.KnownClass).HintError.Add(hintError, m.forgets())
 	if q.Record != nil {
 		q.Record.HintError.Add(hintError, m.forgets())
 	}
@@ -89,13 +89,13 @@
 	if !plausibleMemory(memoryMB) {
 		return
 	}
-	class := m.classStatistics(q.Known)
+	class := m.classStatistics(q.KnownClass)
 	log2Memory := math.Log2(memoryMB)
 	class.Memory.Add(log2Memory, m.forgets())
-	if !plausibleMemory(q.HintMB) {
+	if !plausibleMemory(q.HintMemoryMB) {
 		return
 	}
-	hintError := log2Memory - math.Log2(q.HintMB)
+	hintError := log2Memory - math.Log2(q.HintMemoryMB)
 	class.MemoryHintError.Add(hintError, m.forgets())
 	if q.Record != nil {
 		q.Record.MemoryHintError.Add(hintError, m.forgets())
@@ -124,10 +124,10 @@
 	if newValue {
 		newValues.Prior.Add(priorError, m.forgets())
 	}
-	if record.HintError.N < minHintSamples || !plausibleWork(q.Hint) {
+	if record.HintError.N < minHintSamples || !plausibleWork(q.HintWork) {
 		return
 	}
-	hintError := log2Work - math.Log2(q.Hint) - float64(record.HintError.Mid)
+	hintError := log2Work - math.Log2(q.HintWork) - float64(record.HintError.Mid)
 	similar.HintError.Add(hintError, m.forgets())
 	if newValue {
 		newValues.Hint.Add(hintError, m.forgets())
--- a/internal/decision/costmodel/query.go
+++ b/internal/decision/costmodel/query.go
@@ -4,12 +4,12 @@
 
 // Query is one execution to estimate, and later to learn from.
 type Query struct {
-	Record   *ShapeRecord // of the statement's shape; nil: none is kept
-	Features *sqltext.Features
-	Profile  sqltext.Profile
-	Known    int     // index of the class where it is decided already, else NoClass
-	Hint     float64 // the client's estimate of the work in ms; 0: none
-	HintMB   float64 // the client's estimate of the memory; 0: none
+	Record       *ShapeRecord // of the statement's shape; nil: none is kept
+	Features     *sqltext.Features
+	Profile      sqltext.Profile
+	KnownClass   int     // index of the class where it is decided already, else NoClass
+	HintWork     float64 // the client's estimate of the work in ms; 0: none
+	HintMemoryMB float64 // the client's estimate of the memory; 0: none
 
 	// Learn reuses what Estimate has computed.
 	features      vector
@@ -41,7 +41,7 @@
 		if m.cfg.NoParameters {
 			profile = &sqltext.Profile{}
 		}
-		q.features, q.featuresReady = newVector(q.Features, profile, q.Known), true
+		q.features, q.featuresReady = newVector(q.Features, profile, q.KnownClass), true
 	}
 	return &q.features
 }
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -38,11 +38,11 @@
 	reading := &statement.reading
 	x.statement = statement
 	x.query = costmodel.Query{
-		Features: &reading.Features,
-		Profile:  reading.Profile(statement.text, binds, s.hashSeed),
-		Known:    known,
-		Hint:     hint.Work,
-		HintMB:   hint.MemoryMB,
+		Features:     &reading.Features,
+		Profile:      reading.Profile(statement.text, binds, s.hashSeed),
+		KnownClass:   known,
+		HintWork:     hint.Work,
+		HintMemoryMB: hint.MemoryMB,
 	}
 	if x.cached = s.cache.Get(reading.Fingerprint); x.cached != nil {
 		s.Stats.Hits++
