--- /dev/null
+++ b/internal/decision/costmodel/state_test.go
@@ -0,0 +1,54 @@
+package costmodel
+
+import (
+	"errors"
+	"math"
+	"testing"
+)
+
+// A state or a record with a figure that is no finite number is rejected, with an error
+// that names the figure by its name in the stored form.
+func TestInvalidFiguresAreRejected(t *testing.T) {
+	for _, tt := range []struct {
+		name  string
+		check func() error
+		want  string
+	}{
+		{
+			"weight of the prior",
+			func() error {
+				state := New(Config{}).State()
+				state.Prior.Weights[3] = math.NaN()
+				_, err := Restore(Config{}, state)
+				return err
+			},
+			"a state that can't be: state.Prior.W[3] is NaN",
+		},
+		{
+			"frequent value",
+			func() error {
+				state := New(Config{}).State()
+				state.Common.FrequentValues.Sets[1][2].PriorError.Mid = float32(math.Inf(1))
+				_, err := Restore(Config{}, state)
+				return err
+			},
+			"a state that can't be: state.Common.Heavy.Sets[1][2].Prior.Mid is +Inf",
+		},
+		{
+			"bucket of a shape",
+			func() error {
+				record := ShapeRecord{}
+				record.Buckets[4].Work.Dev = 2e12
+				return record.Check()
+			},
+			"a state that can't be: entry.Buckets[4].Work.Dev is 1.999999991808e+12",
+		},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			err := tt.check()
+			if !errors.Is(err, ErrState) || err.Error() != tt.want {
+				t.Errorf("error %v, want %s", err, tt.want)
+			}
+		})
+	}
+}
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// What may write is never taken for a reading statement, however it is written.
+// A statement that may write is never classified as read-only, however it is written.
 func TestEffect(t *testing.T) {
 	more := Functions{"stock.price_of": true, "is_open": true}
 	for stmt, want := range map[string]Effect{
