--- a/internal/sqltext/readers.go
+++ b/internal/sqltext/readonly.go
@@ -1,13 +1,15 @@
 package sqltext
 
-import "strings"
+import (
+	"strings"
+)
 
-// readers are functions of pg_catalog that change nothing that is stored and nothing
-// of a session that a later statement could see. Left out on purpose: sequences
-// (nextval, setval), settings (set_config), locks, large objects, notifications,
-// signals to other sessions, and all that runs a statement given as text
-// (query_to_xml, ts_stat, ts_rewrite, dblink).
-var readers = func() Functions {
+// readOnlyFunctions are functions of pg_catalog that change neither stored data nor any
+// state of a session that a later statement could observe. Left out on purpose: sequences
+// (nextval, setval), settings (set_config), locks, large objects, notifications, signals to
+// other sessions, and all that execute a statement given as text (query_to_xml, ts_stat,
+// ts_rewrite, dblink).
+var readOnlyFunctions = func() Functions {
 	f := Functions{}
 	for _, name := range strings.Fields(`
 abs acos acosd acosh age any_value array_agg array_append array_cat array_dims array_fill array_length array_lower
@@ -61,8 +63,9 @@
 	return f
 }()
 
-// operators are those of pg_catalog; all of them read. Others may be anyone's.
-var operators = func() map[string]bool {
+// readOnlyOperators are the operators of pg_catalog, all of which are read-only. Others may
+// call any function.
+var readOnlyOperators = func() map[string]bool {
 	o := map[string]bool{}
 	for _, op := range strings.Fields("+ - * / % ^ |/ ||/ @ & | # ~ << >> < > <= >= = <> != || ~* !~ !~* ~~ ~~* !~~ !~~* " +
 		"-> ->> #> #>> @> <@ ? ?| ?& #- @? @@ @@@ && &< &> <<| |>> &<| |&> ^@ -|- <-> ## ?- ?# ?-| ?|| <^ >^ ~= ~<~ ~<=~ " +
@@ -72,9 +75,10 @@
 	return o
 }()
 
-func knownOperator(op string) bool {
+// isReadOnlyOperator reports whether an operator is known to be read-only.
+func isReadOnlyOperator(op string) bool {
 	if len(op) == 1 && op[0] != '`' && op[0] != '!' {
 		return true
 	}
-	return operators[op]
+	return readOnlyOperators[op]
 }
