--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -69,7 +69,7 @@
 // Evaluate plays records through a variant in their order, as a front end does: it estimates,
 // then learns what the execution has cost.
 func Evaluate(records []traffic.Record, v Variant, opts Options) (Result, error) {
-	book, err := stmtstats.New(stmtstats.Options{Decide: v.Config, Bytes: opts.Bytes})
+	store, err := stmtstats.New(stmtstats.Options{Decide: v.Config, Bytes: opts.Bytes})
 	if err != nil {
 		return Result{}, err
 	}
@@ -78,18 +78,18 @@
 	for i := range records {
 		record := &records[i]
 		effect := sqltext.EffectOf(record.Statement, nil).Effect
-		statement := book.Read(record.Statement)
+		statement := store.Read(record.Statement)
 		binds := sqltext.Binds{Values: record.Values, Formats: record.Formats, Types: record.Types}
-		execution := book.Estimate(statement, &binds, classUndecided, stmtstats.Hint{Work: record.HintWork, MemoryMB: record.HintMB})
+		execution := store.Estimate(statement, &binds, classUndecided, stmtstats.Hint{Work: record.HintWork, MemoryMB: record.HintMB})
 		if i >= judgedFrom {
 			judge.judge(record, effect, classify(record, effect, execution, v.Config.Classes), execution)
 		}
 		judge.learn(record)
-		book.Learn(execution, decide.Truth{Work: record.Work, MemoryMB: record.MemoryMB})
+		store.Learn(execution, decide.Truth{Work: record.Work, MemoryMB: record.MemoryMB})
 	}
 	result := judge.result()
-	result.Shapes, result.Bytes = book.Len(), book.Bytes()
-	result.HitRate = float64(book.Stats.Hits) / float64(book.Stats.Hits+book.Stats.Misses)
+	result.Shapes, result.Bytes = store.Len(), store.Bytes()
+	result.HitRate = float64(store.Stats.Hits) / float64(store.Stats.Hits+store.Stats.Misses)
 	return result, nil
 }
 
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -60,22 +60,22 @@
 	if err != nil {
 		return FloodResult{}, err
 	}
-	book, err := stmtstats.New(stmtstats.Options{Decide: decide.Config{}, Cache: cache})
+	store, err := stmtstats.New(stmtstats.Options{Decide: decide.Config{}, Cache: cache})
 	if err != nil {
 		return FloodResult{}, err
 	}
 	result := FloodResult{Cache: name}
-	playFlood(book, opts, &result)
-	result.Held, result.Counted = book.Len(), book.Bytes()
+	playFlood(store, opts, &result)
+	result.Held, result.Counted = store.Len(), store.Bytes()
 	result.HeapBytes = heapInUse() - before
 	debug.FreeOSMemory()
 	result.RSSBytes = residentBytes("self")
-	runtime.KeepAlive(book)
+	runtime.KeepAlive(store)
 	return result, nil
 }
 
 // playFlood plays the statements and counts the hits of the second half.
-func playFlood(book *stmtstats.Book, opts FloodOptions, result *FloodResult) {
+func playFlood(store *stmtstats.Store, opts FloodOptions, result *FloodResult) {
 	random := rand.New(rand.NewPCG(opts.Seed, floodStream))
 	popularity := rand.NewZipf(random, 1.3, 10, uint64(opts.Recurring-1))
 	total := int(float64(opts.OneOff) / (1 - opts.Share))
@@ -88,14 +88,14 @@
 		} else {
 			text = oneOffText(i, random.Uint32())
 		}
-		statement := book.Read(text)
-		hitsBefore := book.Stats.Hits
-		execution := book.Estimate(statement, nil, classUndecided, stmtstats.Hint{})
+		statement := store.Read(text)
+		hitsBefore := store.Stats.Hits
+		execution := store.Estimate(statement, nil, classUndecided, stmtstats.Hint{})
 		if recurring && i >= total/2 {
 			result.Asked++
-			hits += int(book.Stats.Hits - hitsBefore)
+			hits += int(store.Stats.Hits - hitsBefore)
 		}
-		book.Learn(execution, decide.Truth{Work: floodWorkMS, MemoryMB: floodMemoryMB})
+		store.Learn(execution, decide.Truth{Work: floodWorkMS, MemoryMB: floodMemoryMB})
 	}
 	result.Hits = float64(hits) / float64(max(result.Asked, 1))
 }
