--- /dev/null
+++ b/internal/clitest/clitest.go
@@ -0,0 +1,55 @@
+// Package clitest holds what the tests of the programs' command lines share. Only tests
+// import it.
+package clitest
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+	"github.com/google/go-cmp/cmp"
+)
+
+var update = flag.Bool("update", false, "write the golden text anew")
+
+// CheckNames compares the names of a program's commands, flags and arguments, with
+// their defaults, enumerations and environment variables, to those of the golden file.
+// The grammar is a pointer to the struct that kong parses into.
+func CheckNames(t *testing.T, program string, grammar any, goldenPath string) {
+	t.Helper()
+	parser, err := kong.New(grammar, kong.Name(program))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got strings.Builder
+	writeCommand(&got, parser.Model.Node, program)
+	if *update {
+		if err := os.WriteFile(goldenPath, []byte(got.String()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(goldenPath)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(string(want), got.String()); diff != "" {
+		t.Error(diff)
+	}
+}
+
+// writeCommand writes a command with its flags and arguments, and the commands below it.
+func writeCommand(b *strings.Builder, command *kong.Node, path string) {
+	fmt.Fprintf(b, "%s\n", path)
+	for _, f := range command.Flags {
+		fmt.Fprintf(b, "  --%s default=%q enum=%q env=%q\n", f.Name, f.Default, f.Enum, f.Envs)
+	}
+	for _, argument := range command.Positional {
+		fmt.Fprintf(b, "  <%s> required=%v\n", argument.Name, argument.Required)
+	}
+	for _, child := range command.Children {
+		writeCommand(b, child, path+" "+child.Name)
+	}
+}
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -38,6 +38,9 @@
 // testOnlyPackages hold nothing but tests and belong to no layer.
 var testOnlyPackages = []string{"internal/e2e", "internal/layering"}
 
+// testSupportPackages are imported by tests alone and belong to no layer.
+var testSupportPackages = []string{"internal/clitest"}
+
 // layerOf returns the index of the package's layer, counted from the top, or -1.
 func layerOf(pkg string) int {
 	return slices.IndexFunc(layers, func(prefixes []string) bool {
@@ -69,7 +72,7 @@
 	for _, line := range goList(t, "-f", "{{.ImportPath}}: {{join .Imports \" \"}}", "./...") {
 		pkg, imports, _ := strings.Cut(line, ": ")
 		pkg = strings.TrimPrefix(pkg, modulePrefix)
-		if layerOf(pkg) < 0 && !strings.HasPrefix(pkg, labPrefix) && !slices.Contains(testOnlyPackages, pkg) {
+		if layerOf(pkg) < 0 && !strings.HasPrefix(pkg, labPrefix) && !slices.Contains(testOnlyPackages, pkg) && !slices.Contains(testSupportPackages, pkg) {
 			t.Errorf("%s belongs to no layer", pkg)
 		}
 		for _, path := range strings.Fields(imports) {
@@ -87,6 +90,9 @@
 	if !internal {
 		return
 	}
+	if slices.Contains(testSupportPackages, imported) {
+		t.Errorf("%s imports %s outside its tests", pkg, imported)
+	}
 	lab, layer := strings.HasPrefix(pkg, labPrefix), layerOf(pkg)
 	switch {
 	case strings.HasPrefix(imported, labPrefix) && !lab && pkg != "cmd/flaxlab":
