--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -13,45 +13,71 @@
 	Files []string `arg:"" name:"file" help:"Settings (JSON), deploy files of the PostgreSQL front, or files of shapes (TOML)."`
 }
 
-// Run names every fault of every file in one pass.
+// Run prints every fault of every file in one pass, and fails if there is any.
 func (c *checkCommand) Run() error {
-	bad := 0
+	faultCount := 0
 	for _, path := range c.Files {
-		faults := config.FieldErrorsOf(c.check(path))
-		for _, f := range faults {
-			fmt.Println(f.Error())
+		faults := config.FieldErrorsOf(checkFile(path))
+		for _, fault := range faults {
+			fmt.Println(fault.Error())
 		}
 		if len(faults) == 0 {
 			fmt.Printf("%s: good\n", path)
 		}
-		bad += len(faults)
+		faultCount += len(faults)
 	}
-	if bad > 0 {
-		fmt.Printf("%d faults\n", bad)
-		return errTold
+	if faultCount > 0 {
+		fmt.Printf("%d faults\n", faultCount)
+		return errReported
 	}
 	return nil
 }
 
-// check reads one file as what it looks like: JSON with known and settings is a platform
-// configuration, other JSON the settings object alone; TOML with an address to listen at
-// or a Consul to ask is a deploy file, other TOML a file of shapes.
-func (c *checkCommand) check(path string) error {
+// checkFile returns the faults of one file, read as the kind of file that it looks like.
+func checkFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return config.FieldError{File: path, Problem: err.Error()}
 	}
-	switch {
-	case filepath.Ext(path) == ".json" && bytes.Contains(raw, []byte(`"settings"`)):
+	switch kindOf(path, raw) {
+	case platformFile:
 		_, err = config.Load(path)
-	case filepath.Ext(path) == ".json":
+	case settingsFile:
 		err = config.CheckSettings(path, raw)
-	case bytes.Contains(raw, []byte("listen")) || bytes.Contains(raw, []byte("[consul]")):
+	case postgresFile:
 		_, err = config.LoadPostgres(path)
-	case filepath.Ext(path) == ".toml":
+	case shapesFile:
 		_, err = config.LoadShapes(path)
-	default:
+	case unknownFile:
 		err = config.FieldError{File: path, Problem: "no .json and no .toml: what it is can't be told"}
 	}
 	return err
 }
+
+// fileKind is a kind of file that the check command can read.
+type fileKind int
+
+const (
+	unknownFile  fileKind = iota
+	platformFile          // configuration of the HTTP front end
+	settingsFile          // the settings object alone
+	postgresFile          // deploy file of the PostgreSQL front end
+	shapesFile            // query shape settings of the HTTP front end
+)
+
+// kindOf tells the kind of a file from its extension and the keys in it. Only deploy
+// files have an address to listen at or a Consul table; they need no .toml extension.
+func kindOf(path string, raw []byte) fileKind {
+	extension := filepath.Ext(path)
+	switch {
+	case extension == ".json" && bytes.Contains(raw, []byte(`"settings"`)):
+		return platformFile
+	case extension == ".json":
+		return settingsFile
+	case bytes.Contains(raw, []byte("listen")) || bytes.Contains(raw, []byte("[consul]")):
+		return postgresFile
+	case extension == ".toml":
+		return shapesFile
+	}
+	return unknownFile
+}
--- a/cmd/flaxrelay/completion.go
+++ b/cmd/flaxrelay/completion.go
@@ -2,39 +2,17 @@
 
 import (
 	"fmt"
+	"os"
 	"strings"
 
 	"github.com/alecthomas/kong"
 )
 
-type completionCommand struct {
-	Shell string `name:"shell" arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
-}
+const zshPrologue = "autoload -U +X bashcompinit && bashcompinit\n"
 
-// Run prints a script made from the grammar, so that it can't fall behind it.
-func (c *completionCommand) Run(k *kong.Kong) error {
-	var cases strings.Builder
-	var walk func(n *kong.Node, path string)
-	walk = func(n *kong.Node, path string) {
-		var words []string
-		for _, child := range n.Children {
-			words = append(words, child.Name)
-		}
-		for _, flags := range n.AllFlags(true) {
-			for _, f := range flags {
-				words = append(words, "--"+f.Name)
-			}
-		}
-		fmt.Fprintf(&cases, "    %q) words=%q ;;\n", strings.TrimSpace(path), strings.Join(words, " "))
-		for _, child := range n.Children {
-			walk(child, path+" "+child.Name)
-		}
-	}
-	walk(k.Model.Node, "")
-	if c.Shell == "zsh" {
-		fmt.Println("autoload -U +X bashcompinit && bashcompinit")
-	}
-	fmt.Printf(`_flaxrelay() {
+// completionScript completes the words that the case statement in its middle gives for
+// the commands typed so far.
+const completionScript = `_flaxrelay() {
   local path="" word words="" i
   for ((i = 1; i < COMP_CWORD; i++)); do
     word="${COMP_WORDS[i]}"
@@ -45,6 +23,38 @@
   COMPREPLY=($(compgen -W "$words" -- "${COMP_WORDS[COMP_CWORD]}"))
 }
 complete -o default -F _flaxrelay flaxrelay
-`, cases.String())
-	return nil
+`
+
+type completionCommand struct {
+	Shell string `name:"shell" arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
+}
+
+// Run prints a script that is made from the grammar, so that it can't fall behind it.
+func (c *completionCommand) Run(parser *kong.Kong) error {
+	var cases strings.Builder
+	writeCompletionCases(&cases, parser.Model.Node, "")
+	script := fmt.Sprintf(completionScript, cases.String())
+	if c.Shell == "zsh" {
+		script = zshPrologue + script
+	}
+	_, err := os.Stdout.WriteString(script)
+	return err
+}
+
+// writeCompletionCases writes a branch of the shell's case statement for the command at
+// the path, and for each command below it.
+func writeCompletionCases(cases *strings.Builder, command *kong.Node, path string) {
+	var words []string
+	for _, child := range command.Children {
+		words = append(words, child.Name)
+	}
+	for _, group := range command.AllFlags(true) {
+		for _, flag := range group {
+			words = append(words, "--"+flag.Name)
+		}
+	}
+	fmt.Fprintf(cases, "    %q) words=%q ;;\n", strings.TrimSpace(path), strings.Join(words, " "))
+	for _, child := range command.Children {
+		writeCompletionCases(cases, child, path+" "+child.Name)
+	}
 }
--- /dev/null
+++ b/cmd/flaxrelay/http.go
@@ -0,0 +1,117 @@
+package main
+
+import (
+	"errors"
+	"os"
+
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/discovery/eventbus"
+	"flaxrelay/internal/engine/lineclient"
+	"flaxrelay/internal/frontend/httpserver"
+	"flaxrelay/policy"
+)
+
+// listenAddressVariable names the environment variable that overrides the
+// configuration's address to listen at.
+const listenAddressVariable = "LB_LISTEN"
+
+var (
+	errNoListenAddress = errors.New("configuration: listen: missing")
+	errNoEventBus      = errors.New("configuration: bus: missing")
+)
+
+// listenHTTP composes the server for the platform's HTTP protocol, with engines that
+// speak the line protocol and the event bus as discovery, and opens its listener.
+func (s *server) listenHTTP(configPath, shapesPath string) error {
+	settings, err := loadHTTPConfig(configPath)
+	if err != nil {
+		return err
+	}
+	limits := resourceLimits{memoryMB: settings.MemoryMB, descriptors: settings.MaxDescriptors}
+	if err := s.startCore(settings.Site.Policy, settings.Seed, limits); err != nil {
+		return err
+	}
+	engines := lineclient.New(s.loop, s.dispatcher, settings.Site, s.counters, s.logger)
+	engines.MaxConnections = limits.maxEngineConnections()
+	s.dispatcher.SetEngineClient(engines)
+	s.applyInitialEvents(settings.InitialEvents)
+	if settings.EventBus != "" {
+		s.watchEventBus(settings, configPath)
+	}
+	if err := s.learnHTTPShapes(shapesPath, settings, limits); err != nil {
+		return err
+	}
+	front := httpserver.New(s.loop, s.dispatcher, httpserver.Options{
+		MaxClients:   limits.maxClients(),
+		MaxHeldBytes: limits.memoryFraction(heldResultsDivisor),
+		Estimator:    s.shapes,
+	}, s.counters)
+	s.frontEnd = front
+	return front.Listen(settings.Listen)
+}
+
+// loadHTTPConfig reads the configuration, with the environment's listen address where
+// that is set.
+func loadHTTPConfig(path string) (*config.Config, error) {
+	settings, err := config.Load(path)
+	if err != nil {
+		return nil, err
+	}
+	if address := os.Getenv(listenAddressVariable); address != "" {
+		settings.Listen = address
+	}
+	if settings.Listen == "" {
+		return nil, errNoListenAddress
+	}
+	return settings, nil
+}
+
+// applyInitialEvents gives the dispatcher the endpoints that the configuration knows.
+func (s *server) applyInitialEvents(events []config.Event) {
+	for _, event := range events {
+		mode := policy.UpdateDelta
+		if event.Full {
+			mode = policy.UpdateFull
+		}
+		s.dispatcher.UpdateEndpoints(mode, event.Engines)
+	}
+}
+
+// watchEventBus follows the event bus from the last event that the configuration knows.
+// A reload moves the watcher to the event bus that the file names by then.
+func (s *server) watchEventBus(settings *config.Config, configPath string) {
+	watcher := eventbus.New(s.loop, settings.EventBus, settings.LastEvent, settings.Site.Zones, settings.Site.Kinds, s.dispatcher, s.counters, s.logger)
+	if grace := settings.Site.Policy.Rules.DrainGrace; grace > 0 {
+		// An engine that starts draining must be seen well within its grace period.
+		watcher.MaxBackoff = grace / 2
+	}
+	watcher.Start()
+	s.reload = func() error {
+		next, err := config.Load(configPath)
+		if err != nil {
+			return err
+		}
+		if next.EventBus == "" {
+			return errNoEventBus
+		}
+		watcher.MoveTo(next.EventBus)
+		return nil
+	}
+}
+
+// learnHTTPShapes starts query shape statistics as their own file says; "" turns them off.
+func (s *server) learnHTTPShapes(path string, settings *config.Config, limits resourceLimits) error {
+	if path == "" {
+		return nil
+	}
+	shapes, err := config.LoadShapes(path)
+	if err != nil {
+		return err
+	}
+	return s.learnShapes(shapeLearning{
+		shapes:             shapes,
+		classes:            settings.Site.Policy.Classes,
+		limits:             limits,
+		enginesReportCosts: settings.Site.Policy.ReportsCost,
+	})
+}
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -1,24 +1,23 @@
-// Command flaxrelay is a front end: it takes requests of clients, has the policy
-// module decide where each runs, and relays the answers.
+// Command flaxrelay is a layer-7 proxy with admission control between query clients
+// and engines: it accepts requests, has the policy module decide where each one runs,
+// and relays the answers.
 //
-// Without arguments it serves the platform's protocol as its configuration says
-// ($LB_CONFIG); with --postgres, the PostgreSQL wire protocol as a deploy file says.
-// HUP has the file read again, USR1 prints the counters; TERM and INT begin a planned
-// stop. Other commands check files and show what is known of statements.
+// Without a command it serves the platform's HTTP protocol as its configuration says
+// ($LB_CONFIG); with --postgres it serves the PostgreSQL wire protocol as a deploy file
+// says. SIGHUP reloads that file, SIGUSR1 prints the counters, and SIGTERM and SIGINT
+// start a graceful shutdown. Other commands validate files and inspect query shapes.
 package main
 
 import (
 	"errors"
 	"fmt"
 	"os"
-	"runtime/debug"
-
-	"flaxrelay/internal/config"
-	"flaxrelay/internal/logging"
 
 	"github.com/alecthomas/kong"
 )
 
+const programName = "flaxrelay"
+
 // cli is the grammar of the command line.
 type cli struct {
 	LogFormat string `name:"log-format" enum:"auto,json,text" default:"auto" help:"How events are logged: ${enum}; auto is text on a terminal, else JSON."`
@@ -31,73 +30,44 @@
 	Version    versionCommand    `name:"version" cmd:"" help:"Print the version."`
 }
 
-type serveCommand struct {
-	Config   string `name:"config" env:"LB_CONFIG" placeholder:"FILE" help:"The platform's configuration, as JSON."`
-	Postgres string `name:"postgres" placeholder:"FILE" help:"Serve the PostgreSQL wire protocol as this deploy file says, in place of the platform's."`
-	Shapes   string `name:"shapes" placeholder:"FILE" help:"Estimate by the shapes of statements as this file says; of the platform's front. The PostgreSQL front has [shapes] in its deploy file."`
-}
-
-func (c *serveCommand) Run(all *cli) error {
-	log, err := logging.New(os.Stderr, logging.Options{Format: all.LogFormat, Level: all.LogLevel})
-	if err != nil {
-		return err
-	}
-	if err := run(serving{config: c.Config, postgres: c.Postgres, shapes: c.Shapes}, log); err != nil {
-		for _, f := range config.FieldErrorsOf(err) {
-			log.Error("server.start-failed", "file", f.File, "line", f.Line, "field", f.Field, "error", f.Problem)
-		}
-		return errTold
-	}
-	return nil
-}
-
-// errTold is an error that has been told already.
-var errTold = errors.New("told")
+// errReported is returned by a command that has already printed or logged what went
+// wrong: main exits with a failure and prints nothing more.
+var errReported = errors.New("already reported")
 
-type versionCommand struct{}
+// legacyFlags maps the single-dash flags of versions that had no commands to the
+// flags that replace them, so that existing command lines go on working.
+var legacyFlags = map[string]string{"-config": "--config", "-postgres": "--postgres"}
 
-func (versionCommand) Run() error {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return errors.New("this program was built without its version")
-	}
-	revision, modified := "unknown", ""
-	for _, s := range info.Settings {
-		switch {
-		case s.Key == "vcs.revision":
-			revision = s.Value
-		case s.Key == "vcs.modified" && s.Value == "true":
-			modified = ", changed since"
+// modernArguments returns the arguments with legacy flags replaced.
+func modernArguments(arguments []string) []string {
+	modern := make([]string, len(arguments))
+	for i, argument := range arguments {
+		if replacement, ok := legacyFlags[argument]; ok {
+			argument = replacement
 		}
+		modern[i] = argument
 	}
-	fmt.Printf("flaxrelay %s (%s%s), %s\n", info.Main.Version, revision, modified, info.GoVersion)
-	return nil
+	return modern
 }
 
-// oldFlags are flags of the time before there were commands; they went by one dash.
-var oldFlags = map[string]string{"-config": "--config", "-postgres": "--postgres"}
-
 func main() {
-	args := make([]string, len(os.Args)-1)
-	for i, a := range os.Args[1:] {
-		if new, ok := oldFlags[a]; ok {
-			a = new
+	if err := runCommandLine(os.Args[1:]); err != nil {
+		if !errors.Is(err, errReported) {
+			fmt.Fprintln(os.Stderr, programName+":", err)
 		}
-		args[i] = a
+		os.Exit(1)
 	}
-	var c cli
-	parser, err := kong.New(&c, kong.Name("flaxrelay"), kong.UsageOnError(),
+}
+
+// runCommandLine parses the arguments and runs the command that they name.
+func runCommandLine(arguments []string) error {
+	var grammar cli
+	parser, err := kong.New(&grammar, kong.Name(programName), kong.UsageOnError(),
 		kong.Description("A gateway between clients and query engines. It serves as $LB_CONFIG, --config or --postgres says."))
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "flaxrelay:", err)
-		os.Exit(1)
+		return err
 	}
-	ctx, err := parser.Parse(args)
+	ctx, err := parser.Parse(modernArguments(arguments))
 	parser.FatalIfErrorf(err)
-	if err := ctx.Run(&c, parser); err != nil {
-		if !errors.Is(err, errTold) {
-			fmt.Fprintln(os.Stderr, "flaxrelay:", err)
-		}
-		os.Exit(1)
-	}
+	return ctx.Run(&grammar, parser)
 }
--- /dev/null
+++ b/cmd/flaxrelay/metrics.go
@@ -0,0 +1,32 @@
+package main
+
+import (
+	"os"
+	"time"
+)
+
+// metricsReportInterval is how often the log gets the counters' changes: often enough
+// that a fault stands out from the time before it without anybody asking for either.
+const metricsReportInterval = 5 * time.Second
+
+// scheduleMetricsReport sets the timer of the next report.
+func (s *server) scheduleMetricsReport() {
+	s.loop.Timers.Schedule(s.loop.Now()+metricsReportInterval, s.reportMetrics)
+}
+
+// reportMetrics logs the counters that have changed since the last report, if any, and
+// schedules the next one.
+func (s *server) reportMetrics() {
+	if changes := s.counters.Changes(); len(changes) > 0 {
+		s.logger.Info("metrics.delta", changes...)
+	}
+	s.scheduleMetricsReport()
+}
+
+// printCounters writes all counters to standard error.
+func (s *server) printCounters() {
+	if s.shapes != nil {
+		s.shapes.Count()
+	}
+	s.counters.Print(os.Stderr)
+}
--- /dev/null
+++ b/cmd/flaxrelay/postgres.go
@@ -0,0 +1,139 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/discovery/consul"
+	"flaxrelay/internal/engine/pgclient"
+	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
+)
+
+var errNoPostgresListenAddress = errors.New("deploy file: listen: missing")
+
+// unknownClassError reports a reloaded deploy file that names a class which the
+// settings did not have at the start. Settings are not reloaded.
+type unknownClassError struct{ class string }
+
+func (e *unknownClassError) Error() string {
+	return fmt.Sprintf("deploy file: class %q is not among the settings that this program started with", e.class)
+}
+
+// listenPostgres composes the server for the PostgreSQL wire protocol, with Consul as
+// discovery, and opens its listener. A deploy file without a listen address leaves the
+// server without a front end.
+func (s *server) listenPostgres(ctx context.Context, path string) error {
+	deploy, err := config.LoadPostgres(path)
+	if err != nil {
+		return err
+	}
+	if deploy.Listen == "" {
+		return nil
+	}
+	limits := postgresLimits(deploy)
+	// The deploy file has no seed. The process number tells the replicas of one host apart.
+	seed := uint64(os.Getpid())
+	if err := s.startCore(deploy.Site.Policy, seed, limits); err != nil {
+		return err
+	}
+	s.dispatcher.SetEngineClient(pgclient.New(s.loop, s.dispatcher, pgclient.Options{
+		User:             deploy.User,
+		Database:         deploy.Database,
+		ConnectTimeout:   config.FromMilliseconds(deploy.ConnectTimeoutMS),
+		IdleClose:        config.FromMilliseconds(deploy.IdleTimeoutMS),
+		MaxBufferedBytes: limits.memoryFraction(engineBufferDivisor),
+	}, s.counters, s.logger))
+	watcher := consul.New(s.loop.Post, s.dispatcher, s.counters, s.logger)
+	watcher.Watch(ctx, consulOptions(deploy.Consul))
+	learning := shapeLearning{shapes: &deploy.Shapes, classes: deploy.Site.Policy.Classes, limits: limits}
+	if err := s.learnShapes(learning); err != nil {
+		return err
+	}
+	front := pgserver.New(s.loop, s.dispatcher, postgresOptions(deploy, s.shapes), s.counters)
+	s.frontEnd = front
+	reloader := &postgresReloader{server: s, path: path, deploy: deploy, front: front, watcher: watcher}
+	s.reload = func() error { return reloader.reload(ctx) }
+	return front.Listen(deploy.Listen)
+}
+
+// postgresReloader applies changes of the deploy file while the server runs. It belongs
+// to the event loop's goroutine.
+type postgresReloader struct {
+	server  *server
+	path    string
+	deploy  *config.Postgres // as applied last
+	front   *pgserver.Server
+	watcher *consul.Watcher
+}
+
+// reload reads the deploy file and applies its statement rules, client limit and Consul
+// address. A file that can't be used changes nothing.
+func (r *postgresReloader) reload(ctx context.Context) error {
+	next, err := config.LoadPostgres(r.path)
+	if err != nil {
+		return err
+	}
+	if next.Listen == "" {
+		return errNoPostgresListenAddress
+	}
+	for class := range next.Classes() {
+		if _, known := r.server.dispatcher.Class(class); !known {
+			return &unknownClassError{class: class}
+		}
+	}
+	r.front.SetOptions(postgresOptions(next, r.server.shapes))
+	if next.Consul != r.deploy.Consul {
+		r.watcher.Watch(ctx, consulOptions(next.Consul))
+	}
+	r.deploy = next
+	return nil
+}
+
+// postgresLimits returns the resource limits that the deploy file sets.
+func postgresLimits(deploy *config.Postgres) resourceLimits {
+	return resourceLimits{memoryMB: deploy.MemoryMB, descriptors: deploy.MaxDescriptors}
+}
+
+// postgresOptions translates the deploy file into options of the front end.
+func postgresOptions(deploy *config.Postgres, estimator *stmtstats.Service) pgserver.Options {
+	limits := postgresLimits(deploy)
+	options := pgserver.Options{
+		DefaultClass: deploy.DefaultClass,
+		WriteClass:   deploy.WriteClass,
+		ReadOnly:     sqltext.Functions{},
+		MaxClients:   limits.maxClients(),
+		MaxHeldBytes: limits.memoryFraction(openPortalsDivisor),
+		Estimator:    estimator,
+	}
+	for _, name := range deploy.ReadOnlyFunctions {
+		options.ReadOnly[name] = true
+	}
+	if deploy.MaxClients > 0 {
+		options.MaxClients = min(options.MaxClients, deploy.MaxClients)
+	}
+	for _, statement := range deploy.Statements {
+		options.Rules = append(options.Rules, pgserver.Rule{
+			Starts:   statement.Prefix,
+			Class:    statement.Class,
+			Key:      statement.KeyParameter,
+			ReadOnly: statement.ReadOnly,
+		})
+	}
+	return options
+}
+
+// consulOptions translates the deploy file's Consul table into options of the watcher.
+func consulOptions(settings config.Consul) consul.Options {
+	return consul.Options{
+		Address: settings.Address,
+		Service: settings.Service,
+		Token:   settings.Token,
+		Zone:    settings.Zone,
+		Kind:    settings.Kind,
+	}
+}
--- /dev/null
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -0,0 +1,82 @@
+package main
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"strconv"
+
+	"flaxrelay/internal/stmtstats"
+)
+
+type diffCommand struct {
+	Old  string  `name:"old" arg:"" help:"The older file."`
+	New  string  `name:"new" arg:"" help:"The newer file."`
+	Most int     `name:"most" default:"20" help:"How many."`
+	Over float64 `name:"over" default:"1.5" help:"The least factor between the two that is told."`
+}
+
+// costChange is a shape that both snapshots have, with its cost in each in milliseconds.
+type costChange struct {
+	norm          string
+	before, after float64
+}
+
+// magnitude returns how far the two costs are apart, as the logarithm of their factor.
+func (c costChange) magnitude() float64 { return math.Abs(math.Log(c.after / c.before)) }
+
+// snapshotDiff is what has changed between two snapshots.
+type snapshotDiff struct {
+	changes        []costChange
+	added, removed int // shapes that only the newer or only the older snapshot has
+}
+
+// Run lists the shapes whose cost has changed, and counts those that came and went.
+func (c *diffCommand) Run() error {
+	before, err := stmtstats.ReadSnapshot(c.Old)
+	if err != nil {
+		return err
+	}
+	after, err := stmtstats.ReadSnapshot(c.New)
+	if err != nil {
+		return err
+	}
+	diff := compareSnapshots(before, after, c.Over)
+	var t table
+	t.row("was ms\tis ms\tfactor\tshape")
+	for _, change := range diff.changes[:min(c.Most, len(diff.changes))] {
+		factor := strconv.FormatFloat(change.after/change.before, 'g', 3, 64)
+		t.row("%.4g\t%.4g\t%s\t%s", change.before, change.after, factor, abbreviate(change.norm))
+	}
+	t.row("\n%d changed\t%d came\t%d went\t", len(diff.changes), diff.added, diff.removed)
+	return t.print()
+}
+
+// compareSnapshots returns what has changed, the largest changes of cost first. Changes
+// by less than the factor are left out.
+func compareSnapshots(before, after *stmtstats.Snapshot, leastFactor float64) snapshotDiff {
+	remaining := make(map[string]*stmtstats.Saved, len(before.Shapes))
+	for i := range before.Shapes {
+		remaining[before.Shapes[i].Norm] = &before.Shapes[i]
+	}
+	leastMagnitude := math.Log(max(leastFactor, 1))
+	var diff snapshotDiff
+	for i := range after.Shapes {
+		shape := &after.Shapes[i]
+		old := remaining[shape.Norm]
+		if old == nil {
+			diff.added++
+			continue
+		}
+		delete(remaining, shape.Norm)
+		change := costChange{norm: shape.Norm, before: meanCost(old), after: meanCost(shape)}
+		if change.before > 0 && change.after > 0 && change.magnitude() >= leastMagnitude {
+			diff.changes = append(diff.changes, change)
+		}
+	}
+	diff.removed = len(remaining)
+	slices.SortStableFunc(diff.changes, func(a, b costChange) int {
+		return cmp.Compare(b.magnitude(), a.magnitude())
+	})
+	return diff
+}
--- /dev/null
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -0,0 +1,153 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+
+	"flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
+)
+
+type explainCommand struct {
+	SQL      string    `name:"sql" arg:"" help:"The statement."`
+	Bind     []string  `name:"bind" sep:"none" placeholder:"VALUE" help:"A bound value as text, in order; NULL is null. May be given again."`
+	Snapshot string    `name:"snapshot" placeholder:"FILE" help:"What is known; without it, only what the text shows."`
+	Hint     float64   `name:"hint" placeholder:"MS" help:"The client's estimate of the work."`
+	Known    int       `name:"known" default:"-1" help:"Place of the class that is known already, from 0; -1: none."`
+	Bounds   []float64 `name:"bounds" default:"800" help:"Where one class of reading statements ends and the next begins, in ms."`
+	Readers  []string  `name:"readers" help:"Functions that only read, beside PostgreSQL's own."`
+}
+
+// explainStoreBytes holds any snapshot that a front end writes with usual settings.
+const explainStoreBytes = 64 << 20
+
+// nullArgument is how the command line spells a bound null.
+const nullArgument = "NULL"
+
+// Run prints what a front end would make of the statement.
+func (c *explainCommand) Run() error {
+	classes := c.costModel()
+	book, err := c.openBook(classes)
+	if err != nil {
+		return err
+	}
+	binds := c.boundValues()
+	var t table
+	reading := c.explainReading(&t, binds)
+	estimate := book.Estimate(book.Read(c.SQL), binds, c.Known, stmtstats.Hint{Work: c.Hint}).Estimate
+	if estimate.Known {
+		t.row("expected\t%.4g ms, nine tenths under %.4g ms", estimate.Work, estimate.Work*estimate.Spread)
+		if estimate.MemoryMB > 0 {
+			t.row("memory\t%.3g MB", estimate.MemoryMB)
+		}
+		if reading.Effect.Effect == sqltext.Reads && estimate.Class >= 0 {
+			t.row("class\t%s", classes.Classes[estimate.Class].Name)
+		}
+	}
+	t.row("why\t%s", estimate.Why())
+	return t.print()
+}
+
+// costModel returns classes of reading statements that end at the bounds, and one
+// without an end.
+func (c *explainCommand) costModel() costmodel.Config {
+	var model costmodel.Config
+	for i, bound := range c.Bounds {
+		model.Classes = append(model.Classes, costmodel.Class{Name: fmt.Sprintf("class %d", i), UpTo: bound})
+	}
+	last := costmodel.Class{Name: fmt.Sprintf("class %d", len(c.Bounds))}
+	model.Classes = append(model.Classes, last)
+	return model
+}
+
+// openBook returns the statistics of the snapshot, or empty ones where none is named.
+func (c *explainCommand) openBook(model costmodel.Config) (*stmtstats.Book, error) {
+	options := stmtstats.Options{Decide: model, Bytes: explainStoreBytes}
+	book, err := stmtstats.New(options)
+	if err != nil || c.Snapshot == "" {
+		return book, err
+	}
+	snapshot, err := stmtstats.ReadSnapshot(c.Snapshot)
+	if err != nil {
+		return nil, err
+	}
+	return stmtstats.Restore(options, snapshot)
+}
+
+// boundValues returns the values of the statement's parameters.
+func (c *explainCommand) boundValues() *sqltext.Binds {
+	binds := &sqltext.Binds{}
+	for _, value := range c.Bind {
+		if value == nullArgument {
+			binds.Values = append(binds.Values, nil)
+			continue
+		}
+		binds.Values = append(binds.Values, []byte(value))
+	}
+	return binds
+}
+
+// explainReading adds what the statement's text and bound values show to the table.
+func (c *explainCommand) explainReading(t *table, binds *sqltext.Binds) *sqltext.Reading {
+	readOnly := sqltext.Functions{}
+	for _, name := range c.Readers {
+		readOnly[name] = true
+	}
+	reader := sqltext.NewReader()
+	reader.Judge, reader.Functions = true, readOnly
+	reading := reader.Read(c.SQL)
+	t.row("tokens\t%s", formatTokens(c.SQL))
+	t.row("shape\t%s", reading.Norm)
+	if reading.Grouped {
+		t.row("group\t%d", reading.Group)
+	}
+	t.row("may do\t%v (%v)", reading.Effect.Effect, reading.Effect)
+	t.row("features\t%+v", reading.Features)
+	profile := reading.Profile(c.SQL, binds, 0)
+	t.row("profile\t%s", formatProfile(&profile))
+	return reading
+}
+
+// maxTokensLength is where the list of tokens is cut off, in bytes.
+const maxTokensLength = 2000
+
+// formatTokens lists the tokens of a statement.
+func formatTokens(statement string) string {
+	lexer := sqltext.Lexer{Src: statement}
+	var list strings.Builder
+	for token := lexer.Next(); token.Kind != sqltext.End; token = lexer.Next() {
+		if list.Len() > 0 {
+			list.WriteString(" · ")
+		}
+		if list.Len() > maxTokensLength {
+			list.WriteString("…")
+			break
+		}
+		list.WriteString(strings.Join(strings.Fields(lexer.Text(token)), " "))
+	}
+	return list.String()
+}
+
+// formatProfile describes what the bound values say about the cost of an execution.
+func formatProfile(profile *sqltext.Profile) string {
+	var parts []string
+	addIf := func(condition bool, format string, args ...any) {
+		if condition {
+			parts = append(parts, fmt.Sprintf(format, args...))
+		}
+	}
+	addIf(profile.Alternatives > 0, "%d alternatives", profile.Alternatives)
+	addIf(profile.Span > 0, "a range of %.4g", profile.Span)
+	addIf(profile.HalfOpen, "a range with one end")
+	addIf(profile.Wild == sqltext.Prefix, "a pattern with a fixed beginning")
+	addIf(profile.Wild == sqltext.Leading, "a pattern with a wildcard in front")
+	addIf(profile.Limit > 0, "at most %.0f rows", profile.Limit)
+	addIf(profile.Off > 0, "%d restrictions switched off by null", profile.Off)
+	addIf(profile.Rows > 0, "%d rows to write", profile.Rows)
+	addIf(profile.Open, "nothing narrows what is read")
+	if len(parts) == 0 {
+		return "nothing of note"
+	}
+	return strings.Join(parts, ", ")
+}
--- /dev/null
+++ b/cmd/flaxrelay/shapes_top.go
@@ -0,0 +1,48 @@
+package main
+
+import (
+	"cmp"
+	"slices"
+
+	"flaxrelay/internal/stmtstats"
+)
+
+type topCommand struct {
+	Snapshot string `name:"snapshot" arg:"" help:"The file."`
+	Most     int    `name:"most" default:"20" help:"How many."`
+}
+
+// Run lists shapes by the work that all their executions took together.
+func (c *topCommand) Run() error {
+	snapshot, err := stmtstats.ReadSnapshot(c.Snapshot)
+	if err != nil {
+		return err
+	}
+	slices.SortStableFunc(snapshot.Shapes, func(a, b stmtstats.Saved) int {
+		return cmp.Compare(totalCost(&b), totalCost(&a))
+	})
+	var t table
+	t.row("seen\twork ms\tprofiles\tshape")
+	for i := range snapshot.Shapes[:min(c.Most, len(snapshot.Shapes))] {
+		shape := &snapshot.Shapes[i]
+		t.row("%d\t%.4g\t%d\t%s", shape.Entry.Seen, meanCost(shape), countProfiles(shape), abbreviate(shape.Norm))
+	}
+	t.row("\n%d shapes\t\t\t%d more were too long to keep", len(snapshot.Shapes), snapshot.Cut)
+	return t.print()
+}
+
+// totalCost returns the work of all executions of a shape in milliseconds.
+func totalCost(shape *stmtstats.Saved) float64 {
+	return float64(shape.Entry.Seen) * meanCost(shape)
+}
+
+// countProfiles returns how many parameter profiles of a shape have executions.
+func countProfiles(shape *stmtstats.Saved) int {
+	count := 0
+	for _, bucket := range shape.Entry.Buckets {
+		if bucket.Work.N > 0 {
+			count++
+		}
+	}
+	return count
+}
--- /dev/null
+++ b/cmd/flaxrelay/shutdown_test.go
@@ -0,0 +1,58 @@
+package main
+
+import (
+	"log/slog"
+	"net"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A graceful shutdown: a client that comes right after SIGTERM is still served, what is
+// in flight goes on, what no engine answers gets its final answer before the kill, and
+// then the server ends.
+func TestGracefulShutdown(t *testing.T) {
+	const (
+		unansweredID = "9b1f03aa5c7e2d41"
+		answeredID   = "9b1f03aa5c7e2d42"
+	)
+	arrived := make(chan string, 10)
+	engine := startEngine(t, func(conn net.Conn, requestID string) {
+		if !strings.HasSuffix(requestID, "1") {
+			answerWithoutRows(conn, requestID)
+		}
+		arrived <- requestID
+	})
+	path := filepath.Join(t.TempDir(), "config.json")
+	writeFile(t, path, strings.NewReplacer(exampleEngineAddress, engine, exampleListenAddress, anyLoopbackPort).
+		Replace(readFile(t, exampleConfig)))
+	s := newServer(slog.New(slog.DiscardHandler))
+	if err := s.listenHTTP(path, ""); err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan struct{})
+	go func() {
+		s.loop.Run()
+		close(ended)
+	}()
+	unanswered := sendLookup(t, s.frontEnd.Addr(), unansweredID)
+	<-arrived
+	startedAt := time.Now()
+	s.loop.Post(s.startShutdown)
+	if got := <-sendLookup(t, s.frontEnd.Addr(), answeredID); got != "200 OK" {
+		t.Errorf("a client right after SIGTERM got %s", got)
+	}
+	// Its class is idempotent: the client is told to retry elsewhere, and after how long.
+	if got := <-unanswered; got != "503 Service Unavailable, retry after" {
+		t.Errorf("what no engine answers got %s", got)
+	}
+	<-ended
+	if took := time.Since(startedAt); took > 3700*time.Millisecond {
+		t.Errorf("the shutdown took %v: the kill comes first", took)
+	}
+	if conn, err := net.Dial("tcp", s.frontEnd.Addr()); err == nil {
+		closeQuietly(conn)
+		t.Error("still listening")
+	}
+}
--- /dev/null
+++ b/cmd/flaxrelay/signals.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"os"
+	"os/signal"
+	"syscall"
+)
+
+// signalQueueLength is far more signals than an operator sends while one is handled;
+// package signal drops what a full channel can't take.
+const signalQueueLength = 16
+
+// subscribeSignals returns a channel of the signals that control the server.
+func subscribeSignals() <-chan os.Signal {
+	received := make(chan os.Signal, signalQueueLength)
+	signal.Notify(received, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
+	return received
+}
+
+// handleSignals posts the action of each signal to the event loop. Only the first
+// SIGTERM or SIGINT counts: a graceful shutdown is not started twice.
+func (s *server) handleSignals(received <-chan os.Signal) {
+	shutdownStarted := false
+	for sig := range received {
+		switch {
+		case sig == syscall.SIGUSR1:
+			s.loop.Post(s.printCounters)
+		case sig == syscall.SIGHUP:
+			s.loop.Post(s.reloadFile)
+		case !shutdownStarted:
+			shutdownStarted = true
+			s.loop.Post(s.startShutdown)
+		}
+	}
+}
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -16,16 +16,16 @@
 	Listen        string      `toml:"listen"`   // where clients connect; "": the front is off
 	Settings      string      `toml:"settings"` // the settings, as JSON, in a file beside this one
 	MemoryMB      int         `toml:"memory_mb"`
-	Sockets       int         `toml:"sockets"` // descriptor limit
-	MostClients   int         `toml:"most_clients"`
+	MaxDescriptors       int         `toml:"sockets"` // descriptor limit
+	MaxClients   int         `toml:"most_clients"`
 	DefaultClass  string      `toml:"default_class"`
 	WriteClass    string      `toml:"write_class"`         // of what may write and has no class of its own; "": the first that runs once at most
-	ReadOnly      []string    `toml:"read_only_functions"` // names, with their schema where they need one
+	ReadOnlyFunctions      []string    `toml:"read_only_functions"` // names, with their schema where they need one
 	Statements    []Statement `toml:"statement"`
 	User          string      `toml:"user"` // that engines are told
 	Database      string      `toml:"database"`
-	ConnectWithin float64     `toml:"connect_timeout_ms"`
-	IdleClose     float64     `toml:"idle_close_ms"`
+	ConnectTimeoutMS float64     `toml:"connect_timeout_ms"`
+	IdleTimeoutMS     float64     `toml:"idle_close_ms"`
 	Consul        Consul      `toml:"consul"`
 	Shapes        Shapes      `toml:"shapes"`
 	Site          Site        `toml:"-"`
@@ -34,9 +34,9 @@
 // Statement gives a class to statements that begin with some words, and names
 // the parameter that holds their key.
 type Statement struct {
-	Starts   string `toml:"starts"`
+	Prefix   string `toml:"starts"`
 	Class    string `toml:"class"`
-	Key      int    `toml:"key"`
+	KeyParameter      int    `toml:"key"`
 	ReadOnly bool   `toml:"read_only"`
 }
 
@@ -90,11 +90,11 @@
 	c.must(p.Consul.Service != "", "consul.service", "missing; wanted is the name that engines are registered under")
 	c.must(p.User != "", "user", "missing; wanted is the name that engines are spoken to in")
 	c.must(p.MemoryMB >= 0, "memory_mb", "%d is below 0", p.MemoryMB)
-	c.must(p.Sockets >= 0, "sockets", "%d is below 0", p.Sockets)
+	c.must(p.MaxDescriptors >= 0, "sockets", "%d is below 0", p.MaxDescriptors)
 	if p.Database == "" {
 		p.Database = p.User
 	}
-	for i, name := range p.ReadOnly {
+	for i, name := range p.ReadOnlyFunctions {
 		if name == "" || name != strings.ToLower(name) || strings.ContainsAny(name, " ()\"'") || strings.Count(name, ".") > 1 {
 			c.add(fmt.Sprintf("read_only_functions[%d]", i), "%q is no function's name in small letters, as in price_of or stock.price_of", name)
 		}
@@ -117,12 +117,12 @@
 	for i, s := range p.Statements {
 		at := func(field string) string { return fmt.Sprintf("statement[%d].%s", i, field) }
 		effect, ok := classes[s.Class]
-		writes := sqltext.EffectOf(s.Starts, nil).Effect == sqltext.Writes
-		c.must(s.Starts != "", at("starts"), "missing; wanted are the words that statements begin with")
+		writes := sqltext.EffectOf(s.Prefix, nil).Effect == sqltext.Writes
+		c.must(s.Prefix != "", at("starts"), "missing; wanted are the words that statements begin with")
 		c.must(ok, at("class"), "%q is no class of the settings", s.Class)
-		c.must(s.Key >= 0 && s.Key <= 65535, at("key"), "%d is no parameter's number, 1 to 65535", s.Key)
-		c.must(!writes || !s.ReadOnly, at("read_only"), "%q writes", s.Starts)
-		c.must(!ok || !writes || effect != policy.Idempotent, at("class"), "%q writes, and class %q is safe to repeat", s.Starts, s.Class)
+		c.must(s.KeyParameter >= 0 && s.KeyParameter <= 65535, at("key"), "%d is no parameter's number, 1 to 65535", s.KeyParameter)
+		c.must(!writes || !s.ReadOnly, at("read_only"), "%q writes", s.Prefix)
+		c.must(!ok || !writes || effect != policy.Idempotent, at("class"), "%q writes, and class %q is safe to repeat", s.Prefix, s.Class)
 	}
 	p.Shapes.check(c, "shapes.", p.Site.Policy.Classes)
 }
