--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -28,10 +28,10 @@
 		return err
 	}
 	limits := resourceLimits{memoryMB: settings.MemoryMB, descriptors: settings.MaxDescriptors}
-	if err := s.startCore(settings.Site.Policy, settings.Seed, limits); err != nil {
+	if err := s.startCore(settings.Settings.Policy, settings.Seed, limits); err != nil {
 		return err
 	}
-	engines := lineclient.New(s.loop, s.dispatcher, settings.Site, s.counters, s.logger)
+	engines := lineclient.New(s.loop, s.dispatcher, settings.Settings, s.counters, s.logger)
 	engines.MaxConnections = limits.maxEngineConnections()
 	s.dispatcher.SetEngineClient(engines)
 	s.applyInitialEvents(settings.InitialEvents)
@@ -80,8 +80,8 @@
 // watchEventBus follows the event bus from the last event that the configuration knows.
 // A reload moves the watcher to the event bus that the file names by then.
 func (s *server) watchEventBus(settings *config.Config, configPath string) {
-	watcher := eventbus.New(s.loop, settings.EventBus, settings.LastEvent, settings.Site.Zones, settings.Site.Kinds, s.dispatcher, s.counters, s.logger)
-	if grace := settings.Site.Policy.Rules.DrainGrace; grace > 0 {
+	watcher := eventbus.New(s.loop, settings.EventBus, settings.LastEvent, settings.Settings.Zones, settings.Settings.Kinds, s.dispatcher, s.counters, s.logger)
+	if grace := settings.Settings.Policy.Rules.DrainGrace; grace > 0 {
 		// An engine that starts draining must be seen well within its grace period.
 		watcher.MaxBackoff = grace / 2
 	}
@@ -110,8 +110,8 @@
 	}
 	return s.learnShapes(shapeLearning{
 		shapes:             shapes,
-		classes:            settings.Site.Policy.Classes,
+		classes:            settings.Settings.Policy.Classes,
 		limits:             limits,
-		enginesReportCosts: settings.Site.Policy.ReportsCost,
+		enginesReportCosts: settings.Settings.Policy.ReportsCost,
 	})
 }
--- a/cmd/flaxrelay/postgres.go
+++ b/cmd/flaxrelay/postgres.go
@@ -38,7 +38,7 @@
 	limits := postgresLimits(deploy)
 	// The deploy file has no seed. The process number tells the replicas of one host apart.
 	seed := uint64(os.Getpid())
-	if err := s.startCore(deploy.Site.Policy, seed, limits); err != nil {
+	if err := s.startCore(deploy.Settings.Policy, seed, limits); err != nil {
 		return err
 	}
 	s.dispatcher.SetEngineClient(pgclient.New(s.loop, s.dispatcher, pgclient.Options{
@@ -50,7 +50,7 @@
 	}, s.counters, s.logger))
 	watcher := consul.New(s.loop.Post, s.dispatcher, s.counters, s.logger)
 	watcher.Watch(ctx, consulOptions(deploy.Consul))
-	learning := shapeLearning{shapes: &deploy.Shapes, classes: deploy.Site.Policy.Classes, limits: limits}
+	learning := shapeLearning{shapes: &deploy.Shapes, classes: deploy.Settings.Policy.Classes, limits: limits}
 	if err := s.learnShapes(learning); err != nil {
 		return err
 	}
--- a/cmd/flaxrelay/shapes.go
+++ b/cmd/flaxrelay/shapes.go
@@ -37,9 +37,9 @@
 	return aligned.Flush()
 }
 
-// meanCost returns the geometric mean of the work of a shape's executions in
-// milliseconds, 0 without executions.
-func meanCost(shape *stmtstats.Saved) float64 {
+// typicalCost returns the work of a usual execution of a shape in milliseconds, 0 without
+// executions. Statistics hold it as a power of two.
+func typicalCost(shape *stmtstats.Saved) float64 {
 	if shape.Entry.All.N == 0 {
 		return 0
 	}
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		delete(remaining, shape.Norm)
-		change := costChange{norm: shape.Norm, before: meanCost(old), after: meanCost(shape)}
+		change := costChange{norm: shape.Norm, before: typicalCost(old), after: typicalCost(shape)}
 		if change.before > 0 && change.after > 0 && change.magnitude() >= leastMagnitude {
 			diff.changes = append(diff.changes, change)
 		}
--- a/cmd/flaxrelay/shapes_top.go
+++ b/cmd/flaxrelay/shapes_top.go
@@ -25,7 +25,7 @@
 	t.row("seen\twork ms\tprofiles\tshape")
 	for i := range snapshot.Shapes[:min(c.Most, len(snapshot.Shapes))] {
 		shape := &snapshot.Shapes[i]
-		t.row("%d\t%.4g\t%d\t%s", shape.Entry.Seen, meanCost(shape), countProfiles(shape), abbreviate(shape.Norm))
+		t.row("%d\t%.4g\t%d\t%s", shape.Entry.Seen, typicalCost(shape), countProfiles(shape), abbreviate(shape.Norm))
 	}
 	t.row("\n%d shapes\t\t\t%d more were too long to keep", len(snapshot.Shapes), snapshot.Cut)
 	return t.print()
@@ -33,7 +33,7 @@
 
 // totalCost returns the work of all executions of a shape in milliseconds.
 func totalCost(shape *stmtstats.Saved) float64 {
-	return float64(shape.Entry.Seen) * meanCost(shape)
+	return float64(shape.Entry.Seen) * typicalCost(shape)
 }
 
 // countProfiles returns how many parameter profiles of a shape have executions.
--- a/internal/config/stored_test.go
+++ b/internal/config/keys_test.go
@@ -51,12 +51,12 @@
 // Every key of a deploy file reaches its field.
 func TestDeployKeys(t *testing.T) {
 	var got Postgres
-	c := &checker{file: "whole"}
-	if !decodeTOML(c, []byte(wholePostgres), &got) || c.err() != nil {
-		t.Fatal(c.err())
+	v := &validator{file: "whole"}
+	if !decodeTOML(v, []byte(wholePostgres), &got) || v.err() != nil {
+		t.Fatal(v.err())
 	}
 	want := Postgres{
-		Listen: "127.0.0.1:1", Settings: "s.json", MemoryMB: 2, MaxDescriptors: 3, MaxClients: 4,
+		Listen: "127.0.0.1:1", SettingsFile: "s.json", MemoryMB: 2, MaxDescriptors: 3, MaxClients: 4,
 		DefaultClass: "five", WriteClass: "six", ReadOnlyFunctions: []string{"seven"}, User: "eight", Database: "nine",
 		ConnectTimeoutMS: 10.5, IdleTimeoutMS: 11.5,
 		Statements: []Statement{{Prefix: "twelve", Class: "thirteen", KeyParameter: 14, ReadOnly: true}},
@@ -71,18 +71,18 @@
 	}
 }
 
-// Keys are read in capitals too, and one that is not known is a fault with its line.
-func TestDeployKeysOfOtherSpelling(t *testing.T) {
+// Keys are read without regard to case, and an unknown one is a fault with its line.
+func TestDeployKeysIgnoreCase(t *testing.T) {
 	var got Postgres
-	c := &checker{file: "f"}
-	if !decodeTOML(c, []byte("Listen = \"a\"\nUSER = \"b\"\n[CONSUL]\nToken = \"c\"\n"), &got) || c.err() != nil {
-		t.Fatal(c.err())
+	v := &validator{file: "f"}
+	if !decodeTOML(v, []byte("Listen = \"a\"\nUSER = \"b\"\n[CONSUL]\nToken = \"c\"\n"), &got) || v.err() != nil {
+		t.Fatal(v.err())
 	}
 	if diff := cmp.Diff(Postgres{Listen: "a", User: "b", Consul: Consul{Token: "c"}}, got); diff != "" {
 		t.Error(diff)
 	}
-	decodeTOML(c, []byte("listen = \"a\"\nsite = 1\n"), &got)
-	if err := c.err(); err == nil || err.Error() != "f:2: site: there is no such field" {
+	decodeTOML(v, []byte("listen = \"a\"\nsite = 1\n"), &got)
+	if err := v.err(); err == nil || err.Error() != "f:2: site: there is no such field" {
 		t.Errorf("an unknown key: %v", err)
 	}
 }
@@ -149,7 +149,7 @@
 	} {
 		var s Site
 		err := json.Unmarshal([]byte(text), &s)
-		if field, _ := splitField(err); field != key {
+		if field := jsonFault(err).Field; field != key {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
@@ -167,7 +167,7 @@
 	engine.StartedAt, engine.StartKnown = 9*time.Millisecond, true
 	want := &Config{
 		Name: "n", Listen: "127.0.0.1:1", Seed: 255, MemoryMB: 2, MaxDescriptors: 3, EventBus: "127.0.0.1:4", LastEvent: 6,
-		InitialEvents: []Event{{Full: true, Engines: []lifecycle.Endpoint{engine}}}, Site: wholeSite(),
+		InitialEvents: []Event{{Full: true, Engines: []lifecycle.Endpoint{engine}}}, Settings: wholeSite(),
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
--- /dev/null
+++ b/internal/config/settings_policy.go
@@ -0,0 +1,177 @@
+package config
+
+import (
+	"fmt"
+
+	"flaxrelay/policy"
+)
+
+// Values of the settings object that the translation compares to.
+const (
+	pullDiscovery    = "on_request" // of membership-mode
+	noReportedLoad   = "silent"     // of report.how
+	unknownValueText = "unknown value %q"
+)
+
+var effects = map[string]policy.Effect{
+	"read_like":       policy.Idempotent,
+	"idempotency_key": policy.IdempotentByKey,
+	"non_idempotent":  policy.NonIdempotent,
+}
+
+var dedupScopes = map[string]policy.DedupScope{
+	"all":  policy.ScopeAll,
+	"zone": policy.ScopeZone,
+	"cell": policy.ScopeCell,
+	"":     policy.ScopeCell,
+}
+
+var memoryShortages = map[string]policy.MemoryShortage{
+	"queue": policy.ShortageQueue,
+	"trim":  policy.ShortageTrim,
+	"swap":  policy.ShortageSwap,
+	"":      policy.ShortageQueue,
+}
+
+// lookUp translates a value of the field, and returns a FieldError for one that the
+// table does not have.
+func lookUp[T any](table map[string]T, field, value string) (T, error) {
+	translated, known := table[value]
+	if !known {
+		return translated, FieldError{Field: field, Problem: fmt.Sprintf(unknownValueText, value)}
+	}
+	return translated, nil
+}
+
+// policySettings translates the settings object into the policy module's settings.
+func (o *settingsObject) policySettings() (policy.Settings, error) {
+	shortage, err := lookUp(memoryShortages, "extra.when-short", o.Extra.Shortage)
+	if err != nil {
+		return policy.Settings{}, err
+	}
+	classes, err := o.policyClasses()
+	if err != nil {
+		return policy.Settings{}, err
+	}
+	return policy.Settings{
+		Replicas:         o.Replicas,
+		Zone:             o.Zone,
+		Classes:          classes,
+		Kinds:            o.policyKinds(),
+		Tenants:          o.policyTenants(),
+		OverQuotaWeight:  o.OverQuotaWeight,
+		ProgressInterval: FromMilliseconds(o.Extra.ProgressIntervalMS),
+		MemoryGrants:     o.Extra.MemoryGrants,
+		Priorities:       o.Extra.Priorities,
+		MaxGrantShare:    o.Extra.MaxGrantShare,
+		Shortage:         shortage,
+		ReportsCost:      o.Extra.ReportsCost,
+		ReportsLoad:      len(o.LoadReport.Names) > 0 && o.LoadReport.Transport != noReportedLoad,
+		PullDiscovery:    o.DiscoveryMode == pullDiscovery,
+		TickInterval:     FromMilliseconds(o.TickIntervalMS),
+		Rules:            o.Contract.policyRules(),
+		Limits:           o.Limits.policyLimits(),
+		Goal: policy.Goal{
+			Total:       o.Goal.Total,
+			WorstClass:  o.Goal.WorstClass,
+			WorstTenant: o.Goal.WorstTenant,
+			WorstWindow: o.Goal.WorstWindow,
+		},
+		Penalties: policy.Penalties{
+			CrossZone:   o.Penalties.CrossZone,
+			Waste:       o.Penalties.Waste,
+			LateFail:    o.Penalties.LateFail,
+			HealthCheck: o.Penalties.HealthCheck,
+		},
+	}, nil
+}
+
+func (o *settingsObject) policyClasses() ([]policy.Class, error) {
+	var classes []policy.Class
+	for i := range o.Classes {
+		class := &o.Classes[i]
+		effect, err := lookUp(effects, fmt.Sprintf("classes[%d].effect", i), class.Effect)
+		if err != nil {
+			return nil, err
+		}
+		scope, err := lookUp(dedupScopes, fmt.Sprintf("classes[%d].group", i), class.DedupScope)
+		if err != nil {
+			return nil, err
+		}
+		classes = append(classes, policy.Class{
+			Name:             class.Name,
+			LatencyObjective: FromMilliseconds(class.LatencyObjectiveMS),
+			ObjectiveStretch: class.ObjectiveStretch,
+			Deadline:         FromMilliseconds(class.DeadlineMS),
+			PriorityWeight:   class.PriorityWeight,
+			LateWeight:       class.LateWeight,
+			Threads:          elementOrZero(o.Extra.Threads, i),
+			Effect:           effect,
+			DedupScope:       scope,
+			DedupWindow:      FromMilliseconds(class.DedupWindowMS),
+			Streaming:        class.Streaming,
+			Ordered:          class.Ordered,
+			BulkLoad:         elementOrZero(o.Extra.BulkLoad, i),
+			BlockedByLoad:    elementOrZero(o.Extra.BlockedByLoad, i),
+			Zones:            class.Zones,
+			Kinds:            class.Kinds,
+		})
+	}
+	return classes, nil
+}
+
+func (o *settingsObject) policyKinds() []policy.Kind {
+	var kinds []policy.Kind
+	for i, name := range o.Kinds {
+		kinds = append(kinds, policy.Kind{
+			Name:     name,
+			Cores:    elementOrZero(o.Extra.CoresByKind, i),
+			MemoryMB: elementOrZero(o.Extra.MemoryMBByKind, i),
+		})
+	}
+	return kinds
+}
+
+func (o *settingsObject) policyTenants() []policy.Tenant {
+	var tenants []policy.Tenant
+	for _, tenant := range o.Tenants {
+		tenants = append(tenants, policy.Tenant{Name: tenant.Name, Quota: tenant.Quota, Share: tenant.Share})
+	}
+	return tenants
+}
+
+func (o *contractObject) policyRules() policy.Rules {
+	return policy.Rules{
+		ResponseSlack:     FromMilliseconds(o.ResponseSlackMS),
+		DrainGrace:        FromMilliseconds(o.DrainGraceMS),
+		WarmupCapacity:    o.WarmupCapacity,
+		WarmupTime:        FromMilliseconds(o.WarmupTimeMS),
+		OverloadFactor:    o.OverloadFactor,
+		OverloadWindow:    FromMilliseconds(o.OverloadWindowMS),
+		OrderSettleTime:   FromMilliseconds(o.OrderSettleTimeMS),
+		RetryBudgetMin:    o.RetryBudgetMin,
+		RetryBudgetRatio:  o.RetryBudgetRatio,
+		RetryBudgetWindow: FromMilliseconds(o.RetryBudgetWindowMS),
+		ResubscribeWithin: FromMilliseconds(o.ResubscribeWithinMS),
+	}
+}
+
+func (o *policyLimitsObject) policyLimits() policy.Limits {
+	return policy.Limits{
+		MaxAttempts:    o.MaxAttempts,
+		Hedging:        o.Hedging,
+		Cancel:         o.Cancel,
+		HealthChecks:   o.HealthChecks,
+		RetryAfter:     o.RetryAfter,
+		MaxRetryAfter:  FromMilliseconds(o.MaxRetryAfterMS),
+		ConnectTimeout: FromMilliseconds(o.ConnectTimeoutMS),
+	}
+}
+
+// elementOrZero returns an element of a list that a deployment may leave out or keep short.
+func elementOrZero[T any](list []T, index int) (element T) {
+	if index < len(list) {
+		return list[index]
+	}
+	return element
+}
--- a/internal/config/config_test.go
+++ b/internal/config/validation_test.go
@@ -9,8 +9,8 @@
 	"flaxrelay/policy"
 )
 
-// A configuration that can't be used is refused with the name of the field.
-func TestFaultsNameTheField(t *testing.T) {
+// A configuration that can't be used is rejected with the name of the field.
+func TestPlatformFaultsNameTheField(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/toy/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,8 @@
 	}
 }
 
-// So is a deploy file of the second front; without an address it is off.
+// A deploy file that can't be used is rejected with the name of the field. Without a
+// listen address the front end is off, and that is no fault.
 func TestPostgresFaultsNameTheField(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/postgres.toml")
 	if err != nil {
--- /dev/null
+++ b/internal/config/validator.go
@@ -0,0 +1,64 @@
+package config
+
+import (
+	"fmt"
+	"net"
+	"strconv"
+)
+
+// validator collects the faults of one file.
+type validator struct {
+	file   string
+	locate func(field string) int // line of a field; nil where lines are not known
+	faults FieldErrors
+}
+
+// report adds a fault of a field.
+func (v *validator) report(field, format string, args ...any) {
+	fault := FieldError{File: v.file, Field: field, Problem: fmt.Sprintf(format, args...)}
+	if v.locate != nil {
+		fault.Line = v.locate(field)
+	}
+	v.faults = append(v.faults, fault)
+}
+
+// require reports a fault of a field unless the condition holds.
+func (v *validator) require(condition bool, field, format string, args ...any) {
+	if !condition {
+		v.report(field, format, args...)
+	}
+}
+
+// requireAddress reports a fault of a field that holds no address of the form host:port.
+func (v *validator) requireAddress(field, address string) {
+	if err := checkAddress(address); err != nil {
+		v.report(field, "%v; wanted is HOST:PORT", err)
+	}
+}
+
+// err returns the collected faults, or nil.
+func (v *validator) err() error {
+	if len(v.faults) == 0 {
+		return nil
+	}
+	return v.faults
+}
+
+// portError reports an address whose port is a service name or out of range.
+type portError struct{ address string }
+
+func (e *portError) Error() string {
+	return fmt.Sprintf("%q: the port is no number up to 65535", e.address)
+}
+
+// checkAddress returns what is wrong with an address of the form host:port.
+func checkAddress(address string) error {
+	_, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return err
+	}
+	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
+		return &portError{address: address}
+	}
+	return nil
+}
