--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter hosts gateways on standard input and output.
+// Command simadapter hosts instances of the policy module for the simulator: it reads
+// batches of events from standard input and writes the actions to standard output.
 package main
 
 import (
--- /dev/null
+++ b/internal/simprotocol/batch.go
@@ -0,0 +1,120 @@
+package simprotocol
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"time"
+)
+
+const (
+	initialLineBuffer = 1 << 20   // bytes
+	maxLineLength     = 256 << 20 // bytes; the settings and engine tables of a large site
+)
+
+// Faults in the order of messages.
+var (
+	errBatchStillOpen   = errors.New(messageClock + ": batch still open")
+	errInputEndsInBatch = errors.New("input ended inside the batch")
+)
+
+// notInBatchError reports a message that came between two batches.
+type notInBatchError struct{ message string }
+
+func (e *notInBatchError) Error() string { return e.message + ": no batch is open" }
+
+// BatchError reports what is wrong with the input, and in which batch.
+type BatchError struct {
+	Batch int64 // number of the batch that was opened last; 0 before the first
+	Err   error
+}
+
+func (e *BatchError) Error() string { return fmt.Sprintf("batch %d: %v", e.Batch, e.Err) }
+
+// Unwrap returns the fault itself.
+func (e *BatchError) Unwrap() error { return e.Err }
+
+// batchState says whether a message must open a batch or belong to one.
+type batchState int
+
+const (
+	betweenBatches batchState = iota
+	inBatch
+)
+
+// batchReader answers the batches of one input.
+type batchReader struct {
+	host   *Host
+	output *bufio.Writer
+	state  batchState
+	batch  int64         // number of the batch that was opened last
+	now    time.Duration // the time of that batch
+}
+
+// Run answers batches until the input ends. An end between batches is no error. Faults
+// of the input are a *BatchError.
+func (h *Host) Run(in io.Reader, out io.Writer) error {
+	lines := bufio.NewScanner(in)
+	lines.Buffer(make([]byte, initialLineBuffer), maxLineLength)
+	r := &batchReader{host: h, output: bufio.NewWriter(out)}
+	for lines.Scan() {
+		if len(lines.Bytes()) == 0 {
+			continue
+		}
+		if err := r.handleLine(lines.Bytes()); err != nil {
+			return err
+		}
+	}
+	if err := lines.Err(); err != nil {
+		return r.fault(fmt.Errorf("read: %w", err))
+	}
+	if r.state == inBatch {
+		return r.fault(errInputEndsInBatch)
+	}
+	return nil
+}
+
+func (r *batchReader) fault(err error) error { return &BatchError{Batch: r.batch, Err: err} }
+
+// handleLine carries out one line of input.
+func (r *batchReader) handleLine(line []byte) error {
+	m, err := parseMessage(line)
+	if err != nil {
+		return r.fault(err)
+	}
+	switch {
+	case m.name == messageClock && r.state == inBatch:
+		return r.fault(errBatchStillOpen)
+	case m.name == messageClock:
+		r.open(m)
+	case r.state == betweenBatches:
+		return r.fault(&notInBatchError{message: m.name})
+	case m.name == messageEndBatch:
+		return r.close()
+	default:
+		r.host.handleMessage(r.now, m)
+	}
+	if m.err != nil {
+		return r.fault(m.err)
+	}
+	return nil
+}
+
+// open starts a batch at the time of its message.
+func (r *batchReader) open(m *message) {
+	r.now = milliseconds(m.float(clockTimeMS))
+	r.batch = m.integer(clockBatch)
+	r.state = inBatch
+	r.host.output = r.host.output[:0]
+}
+
+// close writes the answer to the batch.
+func (r *batchReader) close() error {
+	r.state = betweenBatches
+	r.host.output = encodeBatchDone(r.host.output, r.batch)
+	if _, err := r.output.Write(r.host.output); err != nil {
+		return err
+	}
+	return r.output.Flush()
+}
--- /dev/null
+++ b/internal/simprotocol/encode.go
@@ -0,0 +1,83 @@
+package simprotocol
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+	"time"
+
+	"flaxrelay/policy"
+)
+
+// outputLine is a message that is being appended to the output.
+type outputLine []byte
+
+// beginLine appends the start of a message of an instance to the output.
+func beginLine(output []byte, name string, instanceID int64) outputLine {
+	output = append(output, `["`...)
+	output = append(output, name...)
+	output = append(output, `",`...)
+	return strconv.AppendInt(output, instanceID, 10)
+}
+
+func (l outputLine) unsigned(value uint64) outputLine {
+	return strconv.AppendUint(append(l, ','), value, 10)
+}
+
+func (l outputLine) integer(value int64) outputLine {
+	return strconv.AppendInt(append(l, ','), value, 10)
+}
+
+func (l outputLine) float(value float64) outputLine {
+	return strconv.AppendFloat(append(l, ','), value, 'f', -1, 64)
+}
+
+// milliseconds appends a duration in fractional milliseconds.
+func (l outputLine) milliseconds(duration time.Duration) outputLine {
+	return l.float(float64(duration) / float64(time.Millisecond))
+}
+
+func (l outputLine) flag(value bool) outputLine {
+	return strconv.AppendBool(append(l, ','), value)
+}
+
+func (l outputLine) text(value string) outputLine {
+	encoded, err := json.Marshal(value)
+	if err != nil { // a string always encodes
+		panic(err)
+	}
+	return append(append(l, ','), encoded...)
+}
+
+// end completes the message and returns the output.
+func (l outputLine) end() []byte { return append(l, "]\n"...) }
+
+// encodeAction appends the message for an action of an instance to the output.
+func encodeAction(output []byte, instanceID int64, action policy.Action) []byte {
+	switch a := action.(type) {
+	case policy.StartAttempt:
+		return beginLine(output, messageStartAttempt, instanceID).unsigned(a.RequestID).text(a.Engine).milliseconds(a.Timeout).end()
+	case policy.SetResources:
+		return beginLine(output, messageSetResources, instanceID).unsigned(a.RequestID).float(a.MemoryMB).integer(int64(a.Priority)).end()
+	case policy.CancelAttempt:
+		return beginLine(output, messageCancelAttempt, instanceID).unsigned(a.RequestID).integer(int64(a.Attempt)).end()
+	case policy.CheckHealth:
+		return beginLine(output, messageCheckHealth, instanceID).text(a.Engine).end()
+	case policy.Reject:
+		return beginLine(output, messageReject, instanceID).unsigned(a.RequestID).milliseconds(a.RetryAfter).end()
+	case policy.Fail:
+		return beginLine(output, messageFail, instanceID).unsigned(a.RequestID).end()
+	case policy.SetTimer:
+		return beginLine(output, messageSetTimer, instanceID).milliseconds(a.After).unsigned(a.Token).end()
+	case policy.Subscribe:
+		return beginLine(output, messageSubscribe, instanceID).flag(true).end()
+	case policy.Log:
+		return beginLine(output, messageLog, instanceID).text(a.Message).end()
+	}
+	panic(fmt.Sprintf("wire: no line for action %T", action))
+}
+
+// encodeBatchDone appends the message that ends the host's answer to a batch.
+func encodeBatchDone(output []byte, batch int64) []byte {
+	return beginLine(output, messageBatchDone, batch).end()
+}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -12,7 +12,7 @@
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // goldenBatches are the recorded inputs under testdata/golden, and what each of them
-// has the host write at least once. The names of actions guard against an update that
+// has the host write at least once. The names of actions protect against an update that
 // loses a line: such a golden file would still match.
 var goldenBatches = map[string][]string{
 	"queries":   {"ALLOT", "FORWARD", "ABORT_ATTEMPT", "SLEEP", "DROP_REQUEST"},
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"strings"
 	"testing"
 )
 
-func TestBatchesWithRestartAndReusedList(t *testing.T) {
+func TestBatchesWithRestartAndReusedTable(t *testing.T) {
 	in, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
 		t.Fatal(err)
@@ -44,6 +45,10 @@
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: want one line with %q, got %v", in, want, err)
 		}
+		var batchError *BatchError
+		if !errors.As(err, &batchError) {
+			t.Errorf("%q: %T is no *BatchError", in, err)
+		}
 		if out.Len() != 0 {
 			t.Errorf("%q: wrote %q", in, out.String())
 		}
@@ -58,9 +63,9 @@
 	}
 }
 
-func TestPanicBecomesBroken(t *testing.T) {
+func TestPanicBecomesBrokenMessage(t *testing.T) {
 	h := NewHost()
-	h.gateways[3] = &instance{} // no gateway: the call panics
+	h.instances[3] = &instance{} // no balancer: the call panics
 	var out bytes.Buffer
 	err := h.Run(strings.NewReader("[\"CLOCK\",1,3]\n[\"TICK_DUE\",3,0]\n[\"OVER_TO_YOU\"]\n"), &out)
 	if err != nil || !strings.HasPrefix(out.String(), `["BROKEN",3,"`) {
@@ -87,9 +92,9 @@
 	})
 }
 
-// A probe goes out where the settings permit it, and its answer, late, failed or
-// from a stranger, ends nothing.
-func TestProbeGoesOutAndItsAnswerComesBack(t *testing.T) {
+// A health check goes out where the settings permit it, and its answer, late, failed or
+// from an unknown engine, ends nothing.
+func TestHealthCheckGoesOutAndItsAnswerComesBack(t *testing.T) {
 	batch, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +111,7 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), `["ASK_LOAD",1,"`) || !strings.HasSuffix(out.String(), "[\"NEXT\",900]\n") {
-		t.Fatalf("no probe, or no answer to its batch:\n%s", out.String())
+		t.Fatalf("no health check, or no answer to its batch:\n%s", out.String())
 	}
 	bad := strings.Replace(in, `[12,0.7]`, `[12]`, 1)
 	if err := NewHost().Run(strings.NewReader(bad), &out); err == nil || !strings.Contains(err.Error(), "PROBED: usage") {
