--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Format, vet and tests; README names this command.
+# Format, vet and tests of all packages; README names this command.
 set -eu
 unformatted=$(gofmt -l cmd examples internal policy)
 if [ -n "$unformatted" ]; then
