--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -41,13 +41,13 @@
 	if err := s.learnHTTPShapes(shapesPath, settings, limits); err != nil {
 		return err
 	}
-	front := httpserver.New(s.loop, s.dispatcher, httpserver.Options{
+	frontEnd := httpserver.New(s.loop, s.dispatcher, httpserver.Options{
 		MaxClients:   limits.maxClients(),
 		MaxHeldBytes: limits.memoryFraction(heldResultsDivisor),
 		Estimator:    s.shapes,
 	}, s.counters)
-	s.frontEnd = front
-	return front.Listen(settings.Listen)
+	s.frontEnd = frontEnd
+	return frontEnd.Listen(settings.Listen)
 }
 
 // loadHTTPConfig reads the configuration, with the environment's listen address where
--- a/cmd/flaxrelay/postgres.go
+++ b/cmd/flaxrelay/postgres.go
@@ -54,21 +54,21 @@
 	if err := s.learnShapes(learning); err != nil {
 		return err
 	}
-	front := pgserver.New(s.loop, s.dispatcher, postgresOptions(deploy, s.shapes), s.counters)
-	s.frontEnd = front
-	reloader := &postgresReloader{server: s, path: path, deploy: deploy, front: front, watcher: watcher}
+	frontEnd := pgserver.New(s.loop, s.dispatcher, postgresOptions(deploy, s.shapes), s.counters)
+	s.frontEnd = frontEnd
+	reloader := &postgresReloader{server: s, path: path, deploy: deploy, frontEnd: frontEnd, watcher: watcher}
 	s.reload = func() error { return reloader.reload(ctx) }
-	return front.Listen(deploy.Listen)
+	return frontEnd.Listen(deploy.Listen)
 }
 
 // postgresReloader applies changes of the deploy file while the server runs. It belongs
 // to the event loop's goroutine.
 type postgresReloader struct {
-	server  *server
-	path    string
-	deploy  *config.Postgres // as applied last
-	front   *pgserver.Server
-	watcher *consul.Watcher
+	server   *server
+	path     string
+	deploy   *config.Postgres // as applied last
+	frontEnd *pgserver.Server
+	watcher  *consul.Watcher
 }
 
 // reload reads the deploy file and applies its statement rules, client limit and Consul
@@ -86,7 +86,7 @@
 			return &unknownClassError{class: class}
 		}
 	}
-	r.front.SetOptions(postgresOptions(next, r.server.shapes))
+	r.frontEnd.SetOptions(postgresOptions(next, r.server.shapes))
 	if next.Consul != r.deploy.Consul {
 		r.watcher.Watch(ctx, consulOptions(next.Consul))
 	}
