--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -157,9 +157,9 @@
 
 // Every key of the platform's configuration reaches its field.
 func TestConfigurationKeys(t *testing.T) {
-	got, err := Parse([]byte(`{"name": "n", "listen": "127.0.0.1:1", "seed": "ff", "limits": {"memory_mb": 2, "sockets": 3}, "bus": "127.0.0.1:4",
+	got, err := parsePlatform([]byte(`{"name": "n", "listen": "127.0.0.1:1", "seed": "ff", "limits": {"memory_mb": 2, "sockets": 3}, "bus": "127.0.0.1:4",
 "known": {"offset": 5, "batch": [{"offset": 6, "topology": {"all": true, "targets": [{"uid": "u", "endpoint": "127.0.0.1:7", "az": "a",
-"model": "m", "pod_group": 8, "state": "terminating", "boot_ms": 9}]}}]}, "settings": ` + wholeSettings + `}`))
+"model": "m", "pod_group": 8, "state": "terminating", "boot_ms": 9}]}}]}, "settings": `+wholeSettings+`}`), "configuration")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -37,9 +37,6 @@
 	return parsePlatform(raw, path)
 }
 
-// Parse reads a configuration that is in no file.
-func Parse(raw []byte) (*Config, error) { return parsePlatform(raw, "configuration") }
-
 // parsePlatform reads a configuration and validates it; the path is for its faults.
 func parsePlatform(raw []byte, path string) (*Config, error) {
 	v := &validator{file: path}
--- a/internal/config/validation_test.go
+++ b/internal/config/validation_test.go
@@ -30,7 +30,7 @@
 		{``, ``, ""},
 		{`"when-short": "queue"`, `"when-short": "odd"`, "extra.when-short"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, tt.old, tt.new, 1)))
+		_, err := parsePlatform([]byte(strings.Replace(good, tt.old, tt.new, 1)), "configuration")
 		if tt.field == "" {
 			if err != nil {
 				t.Errorf("a good one: %v", err)
@@ -41,7 +41,7 @@
 			t.Errorf("%s: got %v, want the name %s", tt.new, err, tt.field)
 		}
 	}
-	c, err := Parse(raw)
+	c, err := parsePlatform(raw, "configuration")
 	if err != nil {
 		t.Fatal(err)
 	}
