--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -28,14 +28,14 @@
 // Run prints what a front end would make of the statement.
 func (c *explainCommand) Run() error {
 	classes := c.costModel()
-	book, err := c.openBook(classes)
+	store, err := c.openBook(classes)
 	if err != nil {
 		return err
 	}
 	binds := c.boundValues()
 	var t table
 	reading := c.explainReading(&t, binds)
-	estimate := book.Estimate(book.Read(c.SQL), binds, c.Known, stmtstats.Hint{Work: c.Hint}).Estimate
+	estimate := store.Estimate(store.Read(c.SQL), binds, c.Known, stmtstats.Hint{Work: c.Hint}).Estimate
 	if estimate.Known {
 		t.row("expected\t%.4g ms, nine tenths under %.4g ms", estimate.Work, estimate.Work*estimate.Spread)
 		if estimate.MemoryMB > 0 {
@@ -62,11 +62,11 @@
 }
 
 // openBook returns the statistics of the snapshot, or empty ones where none is named.
-func (c *explainCommand) openBook(model costmodel.Config) (*stmtstats.Book, error) {
+func (c *explainCommand) openBook(model costmodel.Config) (*stmtstats.Store, error) {
 	options := stmtstats.Options{Decide: model, Bytes: explainStoreBytes}
-	book, err := stmtstats.New(options)
+	store, err := stmtstats.New(options)
 	if err != nil || c.Snapshot == "" {
-		return book, err
+		return store, err
 	}
 	snapshot, err := stmtstats.ReadSnapshot(c.Snapshot)
 	if err != nil {
@@ -89,7 +89,7 @@
 }
 
 // explainReading adds what the statement's text and bound values show to the table.
-func (c *explainCommand) explainReading(t *table, binds *sqltext.Binds) *sqltext.Reading {
+func (c *explainCommand) explainReading(t *table, binds *sqltext.Binds) *sqltext.Analysis {
 	readOnly := sqltext.Functions{}
 	for _, name := range c.Readers {
 		readOnly[name] = true
