--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	defer cleanUp()
-	without, with, err := experiment.Cost(ctx, experiment.CostOptions{
+	without, with, err := experiment.MeasureCost(ctx, experiment.CostOptions{
 		Root:     repositoryRoot,
 		Program:  program,
 		Clients:  c.Clients,
@@ -81,7 +81,7 @@
 	}
 	var ratios sample
 	for i := range with {
-		ratios = append(ratios, with[i].CPU/without[i].CPU)
+		ratios = append(ratios, with[i].CPUMicros/without[i].CPUMicros)
 		results.chart.Groups = append(results.chart.Groups, fmt.Sprintf("pair %d", i+1))
 	}
 	slices.Sort(ratios)
@@ -96,12 +96,12 @@
 func addCostRounds(results *experimentResults, seriesIndex int, rounds []experiment.CostRound) {
 	series := results.chart.Series[seriesIndex]
 	for i, round := range rounds {
-		results.figures.Add(series, i+1, fmt.Sprintf("%.2f", round.CPU), fmt.Sprintf("%.0f", round.Rate), round.KB)
-		results.chart.Values[seriesIndex] = append(results.chart.Values[seriesIndex], round.CPU)
+		results.figures.Add(series, i+1, fmt.Sprintf("%.2f", round.CPUMicros), fmt.Sprintf("%.0f", round.RequestsPerSecond), round.ResidentKB)
+		results.chart.Values[seriesIndex] = append(results.chart.Values[seriesIndex], round.CPUMicros)
 	}
-	cpu := newSample(rounds, func(r experiment.CostRound) float64 { return r.CPU })
-	rate := newSample(rounds, func(r experiment.CostRound) float64 { return r.Rate })
-	resident := newSample(rounds, func(r experiment.CostRound) float64 { return float64(r.KB) })
+	cpu := newSample(rounds, func(r experiment.CostRound) float64 { return r.CPUMicros })
+	rate := newSample(rounds, func(r experiment.CostRound) float64 { return r.RequestsPerSecond })
+	resident := newSample(rounds, func(r experiment.CostRound) float64 { return float64(r.ResidentKB) })
 	results.summary.Add(series, cpu.spread(cpuDigits), fmt.Sprintf("%.0f", rate.median()), fmt.Sprintf("%.1f MB", resident.median()/kilobytesPerMB))
 }
 
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -34,8 +34,8 @@
 
 var chartedFigures = []chartedFigure{
 	{"by count", func(r experiment.Result) float64 { return r.ByCount }},
-	{"by worth", func(r experiment.Result) float64 { return r.ByWorth }},
-	{"hard cases", func(r experiment.Result) float64 { return r.Hard }},
+	{"by worth", func(r experiment.Result) float64 { return r.ByWeight }},
+	{"hard cases", func(r experiment.Result) float64 { return r.ByHardCase }},
 }
 
 // shareDigits is how many digits after the point shares and errors are printed with.
@@ -97,7 +97,7 @@
 		return recordings, nil
 	}
 	for _, seed := range c.Seeds {
-		records := experiment.Generated(workload.Defaults(seed), c.Number)
+		records := experiment.GenerateRecords(workload.Defaults(seed), c.Number)
 		recordings = append(recordings, recording{seed: seed, records: records})
 	}
 	return recordings, nil
@@ -109,7 +109,7 @@
 		return recording{}, err
 	}
 	defer closeReadFile(file)
-	records, head, err := experiment.Records(bufio.NewReader(file))
+	records, head, err := experiment.ReadRecords(bufio.NewReader(file))
 	if err != nil {
 		return recording{}, fmt.Errorf("%s: %w", path, err)
 	}
@@ -118,7 +118,7 @@
 
 // evaluate runs one variant on every recording and adds a row to the figures for each.
 func (c *evaluateCommand) evaluate(variant experiment.Variant, recordings []recording, figures *report.Table) ([]experiment.Result, error) {
-	options := experiment.Options{Train: c.Train, Bytes: c.Kbytes * bytesPerKB}
+	options := experiment.EvaluateOptions{TrainShare: c.Train, CacheBytes: c.Kbytes * bytesPerKB}
 	var results []experiment.Result
 	for _, recording := range recordings {
 		r, err := experiment.Evaluate(recording.records, variant, options)
@@ -127,9 +127,9 @@
 		}
 		results = append(results, r)
 		figures.Add(
-			variant.Name, recording.seed, r.Judged, formatShare(r.ByCount), formatShare(r.ByWorth), formatShare(r.Hard),
-			r.HardJudged, r.WritesSafe, r.WritesSeen, r.ReadsDenied,
-			r.Median, r.P90, r.HintMedian, r.HintP90, r.MeanMedian, r.MeanP90, formatShare(r.HintClass),
+			variant.Name, recording.seed, r.Judged, formatShare(r.ByCount), formatShare(r.ByWeight), formatShare(r.ByHardCase),
+			r.HardJudged, r.WritesTakenAsReads, r.WritesSeen, r.ReadsTakenAsWrites,
+			r.MedianError, r.P90Error, r.HintMedianError, r.HintP90Error, r.MeanMedianError, r.MeanP90Error, formatShare(r.HintClass),
 			r.Shapes, r.Bytes, r.HitRate,
 		)
 	}
@@ -150,13 +150,13 @@
 	}
 	writesTakenAsReads, writes := 0, 0
 	for _, result := range evaluated {
-		writesTakenAsReads += result.WritesSafe
+		writesTakenAsReads += result.WritesTakenAsReads
 		writes += result.WritesSeen
 	}
 	row = append(row,
 		fmt.Sprintf("%d of %d", writesTakenAsReads, writes),
-		spreadOf(evaluated, func(r experiment.Result) float64 { return r.Median }),
-		spreadOf(evaluated, func(r experiment.Result) float64 { return r.P90 }),
+		spreadOf(evaluated, func(r experiment.Result) float64 { return r.MedianError }),
+		spreadOf(evaluated, func(r experiment.Result) float64 { return r.P90Error }),
 	)
 	results.summary.Add(row...)
 }
@@ -166,11 +166,11 @@
 func addBaselines(summary *report.Table, results []experiment.Result) {
 	summary.Add("the client's hint",
 		spreadOf(results, func(r experiment.Result) float64 { return r.HintClass }), "", "", "",
-		spreadOf(results, func(r experiment.Result) float64 { return r.HintMedian }),
-		spreadOf(results, func(r experiment.Result) float64 { return r.HintP90 }))
+		spreadOf(results, func(r experiment.Result) float64 { return r.HintMedianError }),
+		spreadOf(results, func(r experiment.Result) float64 { return r.HintP90Error }))
 	summary.Add("mean of the true class", "", "", "", "",
-		spreadOf(results, func(r experiment.Result) float64 { return r.MeanMedian }),
-		spreadOf(results, func(r experiment.Result) float64 { return r.MeanP90 }))
+		spreadOf(results, func(r experiment.Result) float64 { return r.MeanMedianError }),
+		spreadOf(results, func(r experiment.Result) float64 { return r.MeanP90Error }))
 }
 
 // spreadOf formats one figure over all recordings.
--- a/cmd/flaxlab/shapes_flood.go
+++ b/cmd/flaxlab/shapes_flood.go
@@ -49,26 +49,26 @@
 	var runs []experiment.FloodResult
 	for _, seed := range c.Seeds {
 		run, err := experiment.Flood(cache, experiment.FloodOptions{
-			Seed:      seed,
-			Recurring: c.Recurring,
-			OneOff:    c.OneOff,
-			Share:     c.Share,
-			Bytes:     c.Kbytes * bytesPerKB,
+			Seed:           seed,
+			Recurring:      c.Recurring,
+			OneOff:         c.OneOff,
+			RecurringShare: c.Share,
+			CacheBytes:     c.Kbytes * bytesPerKB,
 		})
 		if err != nil {
 			return nil, err
 		}
 		runs = append(runs, run)
-		figures.Add(cache, seed, run.Asked, formatShare(run.Hits), run.Held, run.Counted, run.HeapBytes, run.RSSBytes)
+		figures.Add(cache, seed, run.Asked, formatShare(run.HitRate), run.CachedShapes, run.CountedBytes, run.HeapBytes, run.RSSBytes)
 	}
 	return runs, nil
 }
 
 // addFloodedCache adds one cache to the summary and the chart.
 func addFloodedCache(results *experimentResults, cache string, runs []experiment.FloodResult) {
-	hits := newSample(runs, func(r experiment.FloodResult) float64 { return r.Hits })
-	held := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.Held) })
-	counted := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.Counted) })
+	hits := newSample(runs, func(r experiment.FloodResult) float64 { return r.HitRate })
+	held := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.CachedShapes) })
+	counted := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.CountedBytes) })
 	heap := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.HeapBytes) })
 	resident := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.RSSBytes) })
 	results.summary.Add(cache,
--- a/cmd/flaxlab/traffic_generate.go
+++ b/cmd/flaxlab/traffic_generate.go
@@ -29,15 +29,15 @@
 
 func (f workloadFlags) options() workload.Options {
 	return workload.Options{
-		Seed:        f.Seed,
-		Templates:   f.Templates,
-		OneOff:      f.OneOff,
-		Hard:        f.Hard,
-		Writes:      f.Writes,
-		DriftAt:     f.DriftAt,
-		Drift:       f.Drift,
-		HintNoise:   f.HintNoise,
-		HintMissing: f.HintMissing,
+		Seed:             f.Seed,
+		Templates:        f.Templates,
+		OneOffShare:      f.OneOff,
+		HardShare:        f.Hard,
+		WriteShare:       f.Writes,
+		DriftFrom:        f.DriftAt,
+		DriftFactor:      f.Drift,
+		HintSigma:        f.HintNoise,
+		HintMissingShare: f.HintMissing,
 	}
 }
 
@@ -73,7 +73,7 @@
 	bar := progress.AddBar(int64(c.Number),
 		mpb.PrependDecorators(decor.Name("statements ")),
 		mpb.AppendDecorators(decor.CountersNoUnit("%d of %d")))
-	err := traffic.Generate(out, c.options(), c.Number, c.Rate, traffic.Comes(c.Comes), func(n int) { bar.IncrBy(n) })
+	err := traffic.Generate(out, c.options(), c.Number, c.Rate, traffic.ArrivalProcess(c.Comes), func(n int) { bar.IncrBy(n) })
 	bar.SetCurrent(int64(c.Number))
 	progress.Wait()
 	return err
--- a/cmd/flaxlab/traffic_show.go
+++ b/cmd/flaxlab/traffic_show.go
@@ -19,7 +19,7 @@
 	read, shown := 0, 0
 	_, err := readRecords(c.File, func(record *traffic.Record) bool {
 		read++
-		if read > c.From && (!c.Hard || record.Hard != "") {
+		if read > c.From && (!c.Hard || record.HardCase != "") {
 			fmt.Println(formatRecord(record))
 			shown++
 		}
@@ -38,14 +38,14 @@
 	if len(statement) > maxStatementWidth {
 		statement = statement[:maxStatementWidth-len(ellipsis)] + ellipsis
 	}
-	arrival := float64(record.At) / float64(time.Second/time.Microsecond)
+	arrival := float64(record.ArrivalMicros) / float64(time.Second/time.Microsecond)
 	line := fmt.Sprintf("%10.3fs %-7s %6.0f ms %5.0f MB  hint %6.0f  %s",
-		arrival, record.Class, record.Work, record.MemoryMB, record.HintWork, statement)
+		arrival, record.Class, record.WorkMS, record.MemoryMB, record.HintWorkMS, statement)
 	if len(record.Values) > 0 {
 		line += fmt.Sprintf("  [%d bound]", len(record.Values))
 	}
-	if record.Hard != "" {
-		line += fmt.Sprintf("  (%s)", record.Hard)
+	if record.HardCase != "" {
+		line += fmt.Sprintf("  (%s)", record.HardCase)
 	}
 	return line
 }
--- a/cmd/flaxlab/traffic_stats.go
+++ b/cmd/flaxlab/traffic_stats.go
@@ -71,11 +71,11 @@
 		s.classes[record.Class] = class
 	}
 	class.count++
-	class.weight += record.Worth
-	_ = class.work.RecordValue(max(int64(record.Work*microsecondsPerMS), 1)) // past an hour it would only be left out
-	if record.Hard != "" {
+	class.weight += record.Weight
+	_ = class.work.RecordValue(max(int64(record.WorkMS*microsecondsPerMS), 1)) // past an hour it would only be left out
+	if record.HardCase != "" {
 		class.hard++
-		s.hardCases[record.Hard]++
+		s.hardCases[record.HardCase]++
 	}
 	switch {
 	case record.Template >= 0:
@@ -85,13 +85,13 @@
 	}
 	s.total++
 	s.statementBytes += len(record.Statement)
-	s.lastArrival = record.At
+	s.lastArrival = record.ArrivalMicros
 }
 
 func (s *trafficStats) printHead(head traffic.Head) {
 	duration := time.Duration(s.lastArrival) * time.Microsecond
 	fmt.Printf("seed %d, %s arrivals, %d statements in %s; %d shapes recur, %d come once; %d bytes a statement\n%s\n\n",
-		head.Seed, head.Comes, s.total, duration, len(s.recurring), s.oneOff, s.statementBytes/max(s.total, 1), head.Model)
+		head.Seed, head.Arrivals, s.total, duration, len(s.recurring), s.oneOff, s.statementBytes/max(s.total, 1), head.ModelOptions)
 }
 
 // printClasses prints a table of the classes.
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -57,14 +57,14 @@
 		}
 	}
 	rig, err := harness.New(harness.Options{
-		Root:     repositoryRoot,
-		Dir:      folder,
-		Engines:  c.Engines,
-		Work:     fake.Plain,
-		HTTP:     c.HTTP,
-		Postgres: c.Postgres,
-		Shapes:   true,
-		Log:      logging.Plain(os.Stdout),
+		Root:         repositoryRoot,
+		Dir:          folder,
+		Engines:      c.Engines,
+		Work:         fake.PlausibleWork,
+		HTTPAddr:     c.HTTP,
+		PostgresAddr: c.Postgres,
+		EnableShapes: true,
+		Log:          logging.NewPlain(os.Stdout),
 	})
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 // awaitListeners waits until both front ends accept connections.
 func (c *tryCommand) awaitListeners(ctx context.Context) error {
 	for _, address := range []string{c.HTTP, c.Postgres} {
-		if err := harness.Up(ctx, address); err != nil {
+		if err := harness.WaitUntilListening(ctx, address); err != nil {
 			return err
 		}
 	}
@@ -107,16 +107,16 @@
 
 // frontEnds are the running processes of flaxrelay, one of each protocol; nil before
 // they have started.
-type frontEnds struct{ http, postgres *harness.Gateway }
+type frontEnds struct{ http, postgres *harness.Proxy }
 
 // start starts both front ends on the rig.
-func (f *frontEnds) start(program string, rig *harness.Rig) (err error) {
+func (f *frontEnds) start(program string, rig *harness.Environment) (err error) {
 	const textLog = "--log-format=text"
-	f.http, err = harness.Start(program, os.Stdout, textLog, "serve", "--config", rig.Config, "--shapes", rig.Shapes)
+	f.http, err = harness.Start(program, os.Stdout, textLog, "serve", "--config", rig.ConfigFile, "--shapes", rig.ShapesFile)
 	if err != nil {
 		return err
 	}
-	f.postgres, err = harness.Start(program, os.Stdout, textLog, "serve", "--postgres", rig.Deploy)
+	f.postgres, err = harness.Start(program, os.Stdout, textLog, "serve", "--postgres", rig.DeployFile)
 	return err
 }
 
@@ -136,10 +136,10 @@
 	select {
 	case <-ctx.Done():
 		return nil
-	case err = <-f.http.Ended:
-		f.http.Ended <- err // for stop, which waits for it too
-	case err = <-f.postgres.Ended:
-		f.postgres.Ended <- err
+	case err = <-f.http.Exited:
+		f.http.Exited <- err // for stop, which waits for it too
+	case err = <-f.postgres.Exited:
+		f.postgres.Exited <- err
 	}
 	return errors.Join(errFrontEndEnded, err)
 }
--- a/cmd/flaxlab/try_test.go
+++ b/cmd/flaxlab/try_test.go
@@ -37,7 +37,7 @@
 	defer cancel()
 	process, logPath := startTry(t, httpAddress, postgresAddress)
 	for _, address := range []string{httpAddress, postgresAddress} {
-		if err := harness.Up(ctx, address); err != nil {
+		if err := harness.WaitUntilListening(ctx, address); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -101,7 +101,7 @@
 
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	address, err := harness.Free()
+	address, err := harness.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,10 +136,10 @@
 		t.Fatal(err)
 	}
 	defer closeQuietly(conn)
-	parameters := append(append(pgproto.Str("user"), pgproto.Str("desk")...), 0)
-	messages := pgproto.AppendStartup(nil, pgproto.Version, parameters)
-	messages = pgproto.Append(messages, 'Q', pgproto.Str("SELECT day FROM stock_17.orders"))
-	messages = pgproto.Append(messages, 'X')
+	parameters := append(append(pgproto.CString("user"), pgproto.CString("desk")...), 0)
+	messages := pgproto.AppendStartup(nil, pgproto.ProtocolVersion, parameters)
+	messages = pgproto.AppendMessage(messages, 'Q', pgproto.CString("SELECT day FROM stock_17.orders"))
+	messages = pgproto.AppendMessage(messages, 'X')
 	if _, err := conn.Write(messages); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -42,9 +42,9 @@
 		return err
 	}
 	frontEnd := httpserver.New(s.loop, s.dispatcher, httpserver.Options{
-		MaxClients:   limits.maxClients(),
-		MaxHeldBytes: limits.memoryFraction(heldResultsDivisor),
-		Estimator:    s.shapes,
+		MaxClients:       limits.maxClients(),
+		MaxBufferedBytes: limits.memoryFraction(heldResultsDivisor),
+		Estimator:        s.shapes,
 	}, s.counters)
 	s.frontEnd = frontEnd
 	return frontEnd.Listen(settings.Listen)
--- a/cmd/flaxrelay/metrics.go
+++ b/cmd/flaxrelay/metrics.go
@@ -17,7 +17,7 @@
 // reportMetrics logs the counters that have changed since the last report, if any, and
 // schedules the next one.
 func (s *server) reportMetrics() {
-	if changes := s.counters.Changes(); len(changes) > 0 {
+	if changes := s.counters.Deltas(); len(changes) > 0 {
 		s.logger.Info("metrics.delta", changes...)
 	}
 	s.scheduleMetricsReport()
@@ -26,7 +26,7 @@
 // printCounters writes all counters to standard error.
 func (s *server) printCounters() {
 	if s.shapes != nil {
-		s.shapes.Count()
+		s.shapes.PublishCounters()
 	}
 	s.counters.Print(os.Stderr)
 }
--- a/cmd/flaxrelay/postgres.go
+++ b/cmd/flaxrelay/postgres.go
@@ -45,7 +45,7 @@
 		User:             deploy.User,
 		Database:         deploy.Database,
 		ConnectTimeout:   config.FromMilliseconds(deploy.ConnectTimeoutMS),
-		IdleClose:        config.FromMilliseconds(deploy.IdleTimeoutMS),
+		IdleTimeout:      config.FromMilliseconds(deploy.IdleTimeoutMS),
 		MaxBufferedBytes: limits.memoryFraction(engineBufferDivisor),
 	}, s.counters, s.logger))
 	watcher := consul.New(s.loop.Post, s.dispatcher, s.counters, s.logger)
@@ -103,15 +103,15 @@
 func postgresOptions(deploy *config.Postgres, estimator *stmtstats.Service) pgserver.Options {
 	limits := postgresLimits(deploy)
 	options := pgserver.Options{
-		DefaultClass: deploy.DefaultClass,
-		WriteClass:   deploy.WriteClass,
-		ReadOnly:     sqltext.Functions{},
-		MaxClients:   limits.maxClients(),
-		MaxHeldBytes: limits.memoryFraction(openPortalsDivisor),
-		Estimator:    estimator,
+		DefaultClass:      deploy.DefaultClass,
+		WriteClass:        deploy.WriteClass,
+		ReadOnlyFunctions: sqltext.Functions{},
+		MaxClients:        limits.maxClients(),
+		MaxBufferedBytes:  limits.memoryFraction(openPortalsDivisor),
+		Estimator:         estimator,
 	}
 	for _, name := range deploy.ReadOnlyFunctions {
-		options.ReadOnly[name] = true
+		options.ReadOnlyFunctions[name] = true
 	}
 	if deploy.MaxClients > 0 {
 		options.MaxClients = min(options.MaxClients, deploy.MaxClients)
--- a/cmd/flaxrelay/reload.go
+++ b/cmd/flaxrelay/reload.go
@@ -8,10 +8,10 @@
 		return
 	}
 	if err := s.reload(); err != nil {
-		s.counters.Add("reload.failed")
+		s.counters.Increment("reload.failed")
 		s.logger.Warn("reload.failed", "error", err, "then", "the old file holds")
 		return
 	}
-	s.counters.Add("reload.completed")
+	s.counters.Increment("reload.completed")
 	s.logger.Info("reload.completed")
 }
--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	s.loop.BufferBudget = int64(limits.memoryFraction(loopBufferDivisor))
-	s.dispatcher, err = lifecycle.New(settings, seed, s.loop, s.loop.Timers, s.counters, s.logger)
+	s.dispatcher, err = lifecycle.NewDispatcher(settings, seed, s.loop, s.loop.Timers, s.counters, s.logger)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -82,12 +82,12 @@
 		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", shapes.MemoryKB, limit)
 	}
 	s.shapes, err = stmtstats.NewService(stmtstats.Settings{
-		Decide:   shapes.CostModel(),
-		Bytes:    shapes.MemoryKB * bytesPerKB,
-		Correct:  shapes.CorrectEstimates,
-		Snapshot: shapes.Snapshot,
-		Every:    shapes.SnapshotInterval(),
-		WorkTold: learning.enginesReportCosts,
+		CostModel:         shapes.CostModel(),
+		MaxBytes:          shapes.MemoryKB * bytesPerKB,
+		ApplyEstimates:    shapes.CorrectEstimates,
+		SnapshotPath:      shapes.Snapshot,
+		SnapshotInterval:  shapes.SnapshotInterval(),
+		EnginesReportWork: learning.enginesReportCosts,
 	}, learning.classes, s.loop, s.counters, s.logger)
 	if err == nil {
 		s.dispatcher.SetCostObserver(s.shapes)
--- a/cmd/flaxrelay/shapes.go
+++ b/cmd/flaxrelay/shapes.go
@@ -39,11 +39,11 @@
 
 // typicalCost returns the work of a usual execution of a shape in milliseconds, 0 without
 // executions. Statistics hold it as a power of two.
-func typicalCost(shape *stmtstats.Saved) float64 {
-	if shape.Entry.All.N == 0 {
+func typicalCost(shape *stmtstats.SavedShape) float64 {
+	if shape.Record.Work.Samples == 0 {
 		return 0
 	}
-	return math.Exp2(float64(shape.Entry.All.Mid))
+	return math.Exp2(float64(shape.Record.Work.Median))
 }
 
 // maxShapeWidth keeps a table's rows within a wide terminal.
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -55,21 +55,21 @@
 // compareSnapshots returns what has changed, the largest changes of cost first. Changes
 // by less than the factor are left out.
 func compareSnapshots(before, after *stmtstats.Snapshot, leastFactor float64) snapshotDiff {
-	remaining := make(map[string]*stmtstats.Saved, len(before.Shapes))
+	remaining := make(map[string]*stmtstats.SavedShape, len(before.Shapes))
 	for i := range before.Shapes {
-		remaining[before.Shapes[i].Norm] = &before.Shapes[i]
+		remaining[before.Shapes[i].NormalForm] = &before.Shapes[i]
 	}
 	leastMagnitude := math.Log(max(leastFactor, 1))
 	var diff snapshotDiff
 	for i := range after.Shapes {
 		shape := &after.Shapes[i]
-		old := remaining[shape.Norm]
+		old := remaining[shape.NormalForm]
 		if old == nil {
 			diff.added++
 			continue
 		}
-		delete(remaining, shape.Norm)
-		change := costChange{norm: shape.Norm, before: typicalCost(old), after: typicalCost(shape)}
+		delete(remaining, shape.NormalForm)
+		change := costChange{norm: shape.NormalForm, before: typicalCost(old), after: typicalCost(shape)}
 		if change.before > 0 && change.after > 0 && change.magnitude() >= leastMagnitude {
 			diff.changes = append(diff.changes, change)
 		}
--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -35,17 +35,17 @@
 	binds := c.boundValues()
 	var t table
 	reading := c.explainReading(&t, binds)
-	estimate := store.Estimate(store.Read(c.SQL), binds, c.Known, stmtstats.Hint{Work: c.Hint}).Estimate
+	estimate := store.Estimate(store.Parse(c.SQL), binds, c.Known, stmtstats.Hint{WorkMillis: c.Hint}).Estimate
 	if estimate.Known {
-		t.row("expected\t%.4g ms, nine tenths under %.4g ms", estimate.Work, estimate.Work*estimate.Spread)
+		t.row("expected\t%.4g ms, nine tenths under %.4g ms", estimate.WorkMillis, estimate.WorkMillis*estimate.SpreadFactor)
 		if estimate.MemoryMB > 0 {
 			t.row("memory\t%.3g MB", estimate.MemoryMB)
 		}
-		if reading.Effect.Effect == sqltext.Reads && estimate.Class >= 0 {
+		if reading.Effect.Effect == sqltext.EffectReads && estimate.Class >= 0 {
 			t.row("class\t%s", classes.Classes[estimate.Class].Name)
 		}
 	}
-	t.row("why\t%s", estimate.Why())
+	t.row("why\t%s", estimate.Explain())
 	return t.print()
 }
 
@@ -54,7 +54,7 @@
 func (c *explainCommand) costModel() costmodel.Config {
 	var model costmodel.Config
 	for i, bound := range c.Bounds {
-		model.Classes = append(model.Classes, costmodel.Class{Name: fmt.Sprintf("class %d", i), UpTo: bound})
+		model.Classes = append(model.Classes, costmodel.Class{Name: fmt.Sprintf("class %d", i), MaxWorkMillis: bound})
 	}
 	last := costmodel.Class{Name: fmt.Sprintf("class %d", len(c.Bounds))}
 	model.Classes = append(model.Classes, last)
@@ -63,7 +63,7 @@
 
 // openBook returns the statistics of the snapshot, or empty ones where none is named.
 func (c *explainCommand) openBook(model costmodel.Config) (*stmtstats.Store, error) {
-	options := stmtstats.Options{Decide: model, Bytes: explainStoreBytes}
+	options := stmtstats.Options{CostModel: model, MaxBytes: explainStoreBytes}
 	store, err := stmtstats.New(options)
 	if err != nil || c.Snapshot == "" {
 		return store, err
@@ -94,13 +94,13 @@
 	for _, name := range c.Readers {
 		readOnly[name] = true
 	}
-	reader := sqltext.NewReader()
-	reader.Judge, reader.Functions = true, readOnly
-	reading := reader.Read(c.SQL)
+	reader := sqltext.NewAnalyzer()
+	reader.JudgeEffect, reader.ReadOnlyFunctions = true, readOnly
+	reading := reader.Analyze(c.SQL)
 	t.row("tokens\t%s", formatTokens(c.SQL))
-	t.row("shape\t%s", reading.Norm)
-	if reading.Grouped {
-		t.row("group\t%d", reading.Group)
+	t.row("shape\t%s", reading.NormalForm)
+	if reading.HasDataset {
+		t.row("group\t%d", reading.Dataset)
 	}
 	t.row("may do\t%v (%v)", reading.Effect.Effect, reading.Effect)
 	t.row("features\t%+v", reading.Features)
@@ -116,7 +116,7 @@
 func formatTokens(statement string) string {
 	lexer := sqltext.Lexer{Src: statement}
 	var list strings.Builder
-	for token := lexer.Next(); token.Kind != sqltext.End; token = lexer.Next() {
+	for token := lexer.Next(); token.Kind != sqltext.EndOfText; token = lexer.Next() {
 		if list.Len() > 0 {
 			list.WriteString(" · ")
 		}
@@ -140,12 +140,12 @@
 	addIf(profile.Alternatives > 0, "%d alternatives", profile.Alternatives)
 	addIf(profile.Span > 0, "a range of %.4g", profile.Span)
 	addIf(profile.HalfOpen, "a range with one end")
-	addIf(profile.Wild == sqltext.Prefix, "a pattern with a fixed beginning")
-	addIf(profile.Wild == sqltext.Leading, "a pattern with a wildcard in front")
-	addIf(profile.Limit > 0, "at most %.0f rows", profile.Limit)
-	addIf(profile.Off > 0, "%d restrictions switched off by null", profile.Off)
+	addIf(profile.Wildcard == sqltext.InnerWildcard, "a pattern with a fixed beginning")
+	addIf(profile.Wildcard == sqltext.LeadingWildcard, "a pattern with a wildcard in front")
+	addIf(profile.RowLimit > 0, "at most %.0f rows", profile.RowLimit)
+	addIf(profile.DisabledRestrictions > 0, "%d restrictions switched off by null", profile.DisabledRestrictions)
 	addIf(profile.Rows > 0, "%d rows to write", profile.Rows)
-	addIf(profile.Open, "nothing narrows what is read")
+	addIf(profile.Unrestricted, "nothing narrows what is read")
 	if len(parts) == 0 {
 		return "nothing of note"
 	}
--- a/cmd/flaxrelay/shapes_top.go
+++ b/cmd/flaxrelay/shapes_top.go
@@ -18,29 +18,29 @@
 	if err != nil {
 		return err
 	}
-	slices.SortStableFunc(snapshot.Shapes, func(a, b stmtstats.Saved) int {
+	slices.SortStableFunc(snapshot.Shapes, func(a, b stmtstats.SavedShape) int {
 		return cmp.Compare(totalCost(&b), totalCost(&a))
 	})
 	var t table
 	t.row("seen\twork ms\tprofiles\tshape")
 	for i := range snapshot.Shapes[:min(c.Most, len(snapshot.Shapes))] {
 		shape := &snapshot.Shapes[i]
-		t.row("%d\t%.4g\t%d\t%s", shape.Entry.Seen, typicalCost(shape), countProfiles(shape), abbreviate(shape.Norm))
+		t.row("%d\t%.4g\t%d\t%s", shape.Record.Executions, typicalCost(shape), countProfiles(shape), abbreviate(shape.NormalForm))
 	}
-	t.row("\n%d shapes\t\t\t%d more were too long to keep", len(snapshot.Shapes), snapshot.Cut)
+	t.row("\n%d shapes\t\t\t%d more were too long to keep", len(snapshot.Shapes), snapshot.Truncated)
 	return t.print()
 }
 
 // totalCost returns the work of all executions of a shape in milliseconds.
-func totalCost(shape *stmtstats.Saved) float64 {
-	return float64(shape.Entry.Seen) * typicalCost(shape)
+func totalCost(shape *stmtstats.SavedShape) float64 {
+	return float64(shape.Record.Executions) * typicalCost(shape)
 }
 
 // countProfiles returns how many parameter profiles of a shape have executions.
-func countProfiles(shape *stmtstats.Saved) int {
+func countProfiles(shape *stmtstats.SavedShape) int {
 	count := 0
-	for _, bucket := range shape.Entry.Buckets {
-		if bucket.Work.N > 0 {
+	for _, bucket := range shape.Record.Buckets {
+		if bucket.Work.Samples > 0 {
 			count++
 		}
 	}
--- a/cmd/flaxrelay/shutdown.go
+++ b/cmd/flaxrelay/shutdown.go
@@ -39,7 +39,7 @@
 	if s.shapes != nil {
 		// The snapshot is written now because the end waits for nothing: what is learned
 		// from here on is lost.
-		s.shapes.Save()
+		s.shapes.SaveSnapshot()
 	}
 	progress := &shutdown{
 		server:     s,
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -39,7 +39,7 @@
 
 // decodeSettings reads the settings object. It reports whether that could be decoded,
 // and adds the fault of the field that could not.
-func decodeSettings(v *validator, raw []byte, into *Site) bool {
+func decodeSettings(v *validator, raw []byte, into *Settings) bool {
 	v.locate = func(field string) int { return jsonLine(raw, field) }
 	err := json.Unmarshal(raw, into)
 	if err == nil {
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -102,9 +102,9 @@
  "takes-priority": true, "tells-cost": true, "tells-every-ms": 40, "when-short": "swap", "yields-to-loads": [true]}}`
 
 // wholeSite is what wholeSettings says.
-func wholeSite() Site {
+func wholeSite() Settings {
 	const ms = time.Millisecond
-	return Site{
+	return Settings{
 		Policy: policy.Settings{
 			Replicas: 1, Zone: "z", OverQuotaWeight: 2, PullDiscovery: true, TickInterval: 3 * ms,
 			Kinds:   []policy.Kind{{Name: "k", Cores: 36, MemoryMB: 37}},
@@ -131,7 +131,7 @@
 // Every key of the settings object reaches its setting, in small letters or capitals.
 func TestSettingsKeys(t *testing.T) {
 	for _, text := range []string{wholeSettings, strings.NewReplacer(`"balancers"`, `"Balancers"`, `"whole"`, `"WHOLE"`).Replace(wholeSettings)} {
-		var got Site
+		var got Settings
 		if err := json.Unmarshal([]byte(text), &got); err != nil {
 			t.Fatal(err)
 		}
@@ -147,7 +147,7 @@
 		"balancers": `{"balancers": "x"}`, "classes.name": `{"classes": [{"name": 1}]}`, "projects.share": `{"projects": [{"share": "x"}]}`,
 		"goal.whole": `{"goal": {"whole": "x"}}`, "report.how": `{"report": {"how": 1}}`, "limits.cancel": `{"limits": {"cancel": 1}}`,
 	} {
-		var s Site
+		var s Settings
 		err := json.Unmarshal([]byte(text), &s)
 		if field := jsonFault(err).Field; field != key {
 			t.Errorf("%s: %v", key, err)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -18,7 +18,7 @@
 	EventBus       string
 	LastEvent      uint64  // number of the last known event
 	InitialEvents  []Event // the events of the endpoint list up to now
-	Settings       Site
+	Settings       Settings
 }
 
 // Event is one change of the endpoint list, or the whole list.
--- a/internal/config/platform_object.go
+++ b/internal/config/platform_object.go
@@ -20,7 +20,7 @@
 	Limits   platformLimitsObject `json:"limits"`
 	Bus      string               `json:"bus"`
 	Known    knownEventsObject    `json:"known"`
-	Settings *Site                `json:"settings"`
+	Settings *Settings            `json:"settings"`
 }
 
 // platformLimitsObject holds the resource limits of the process.
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -24,7 +24,7 @@
 	IdleTimeoutMS     float64     `toml:"idle_close_ms"`
 	Consul            Consul      `toml:"consul"`
 	Shapes            Shapes      `toml:"shapes"`
-	Settings          Site        `toml:"-"` // read from SettingsFile
+	Settings          Settings    `toml:"-"` // read from SettingsFile
 }
 
 // Statement gives a class to statements that begin with some words, and names
--- a/internal/config/postgres_validate.go
+++ b/internal/config/postgres_validate.go
@@ -65,7 +65,7 @@
 // validate reports faults of one statement rule.
 func (s *Statement) validate(v *validator, prefix string, classes []policy.Class) {
 	class := findClass(classes, s.Class)
-	writes := sqltext.EffectOf(s.Prefix, nil).Effect == sqltext.Writes
+	writes := sqltext.EffectOf(s.Prefix, nil).Effect == sqltext.EffectWrites
 	v.require(s.Prefix != "", prefix+"starts", "missing; wanted are the words that statements begin with")
 	v.require(class != nil, prefix+"class", "%q is no class of the settings", s.Class)
 	v.require(s.KeyParameter >= 0 && s.KeyParameter <= maxParameterNumber, prefix+"key",
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,9 +8,9 @@
 	"flaxrelay/policy"
 )
 
-// Site holds one deployment's settings: those of the policy module, and those that only
+// Settings holds one deployment's settings: those of the policy module, and those that only
 // the packages around it need.
-type Site struct {
+type Settings struct {
 	Policy           policy.Settings
 	LoadFields       []string // names of the load report's values, in order
 	Zones            []string // names by index
@@ -23,7 +23,7 @@
 
 // UnmarshalJSON reads the settings object, as the platform's configuration and the
 // simulator's first message hold it.
-func (s *Site) UnmarshalJSON(raw []byte) error {
+func (s *Settings) UnmarshalJSON(raw []byte) error {
 	var object settingsObject
 	if err := json.Unmarshal(raw, &object); err != nil {
 		return err
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	*s = Site{
+	*s = Settings{
 		Policy:           settings,
 		LoadFields:       object.LoadReport.Names,
 		Zones:            object.Zones,
@@ -48,7 +48,7 @@
 // CheckSettings reports what is wrong with a file that holds the settings object alone.
 func CheckSettings(path string, raw []byte) error {
 	v := &validator{file: path}
-	var settings Site
+	var settings Settings
 	if !decodeSettings(v, raw, &settings) {
 		return v.err()
 	}
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -50,7 +50,7 @@
 func (s *Shapes) CostModel() costmodel.Config {
 	model := costmodel.Config{Hysteresis: s.Hysteresis}
 	for _, class := range s.Classes {
-		model.Classes = append(model.Classes, costmodel.Class{Name: class.Name, UpTo: class.UpToMS})
+		model.Classes = append(model.Classes, costmodel.Class{Name: class.Name, MaxWorkMillis: class.UpToMS})
 	}
 	return model
 }
--- a/internal/decision/costmodel/classify.go
+++ b/internal/decision/costmodel/classify.go
@@ -30,7 +30,7 @@
 
 func (m *Model) classFor(work float64) int {
 	for i, class := range m.cfg.Classes {
-		if class.UpTo <= 0 || work <= class.UpTo {
+		if class.MaxWorkMillis <= 0 || work <= class.MaxWorkMillis {
 			return i
 		}
 	}
--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -36,8 +36,8 @@
 
 // Class is a class that statements are sorted into by their expected work.
 type Class struct {
-	Name string
-	UpTo float64 // upper bound of the expected work in ms; 0: unbounded
+	Name          string
+	MaxWorkMillis float64 // upper bound of the expected work in ms; 0: unbounded
 }
 
 // Config configures a Model.
--- a/internal/decision/costmodel/costmodel_test.go
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func classes() []Class { return []Class{{Name: "lookup", UpTo: 800}, {Name: "report"}} }
+func classes() []Class { return []Class{{Name: "lookup", MaxWorkMillis: 800}, {Name: "report"}} }
 
 // shapeFixture is a model and an execution of one shape and profile.
 type shapeFixture struct {
@@ -26,7 +26,7 @@
 func (f *shapeFixture) learn(executions int, work float64) {
 	for range executions {
 		q := f.query
-		f.model.Learn(&q, Truth{Work: work, MemoryMB: 10})
+		f.model.Learn(&q, Observation{WorkMillis: work, MemoryMB: 10})
 	}
 }
 
@@ -47,26 +47,26 @@
 			q.HintWork = figure.Draw(t, "hint")
 			q.Profile = sqltext.Profile{
 				Alternatives: rapid.IntRange(0, 1e6).Draw(t, "alternatives"), Span: rapid.Float64Range(0, 1e12).Draw(t, "span"),
-				Limit: rapid.Float64Range(0, 1e9).Draw(t, "limit"), Key: rapid.Uint64Range(0, 5).Draw(t, "key"),
+				RowLimit: rapid.Float64Range(0, 1e9).Draw(t, "limit"), Key: rapid.Uint64Range(0, 5).Draw(t, "key"),
 			}
-			truth := Truth{Work: figure.Draw(t, "work"), MemoryMB: figure.Draw(t, "memory"), AtLeast: rapid.Bool().Draw(t, "at least")}
+			truth := Observation{WorkMillis: figure.Draw(t, "work"), MemoryMB: figure.Draw(t, "memory"), LowerBound: rapid.Bool().Draw(t, "at least")}
 			before := *f.query.Record
 			f.model.Learn(&q, truth)
-			if !(truth.Work >= minWork && truth.Work <= maxWork) {
-				before.Seen++
+			if !(truth.WorkMillis >= minWork && truth.WorkMillis <= maxWork) {
+				before.Executions++
 				if before != *f.query.Record {
-					t.Fatalf("a cost of %g was learned", truth.Work)
+					t.Fatalf("a cost of %g was learned", truth.WorkMillis)
 				}
 			}
 			e := f.model.Estimate(&q)
 			if !e.Known {
 				continue
 			}
-			if !(e.Work >= minWork*0.99 && e.Work <= maxWork*1.01) || !(e.Spread >= 1) || math.IsInf(e.Spread, 0) || !(e.MemoryMB >= 0) || math.IsInf(e.MemoryMB, 0) {
+			if !(e.WorkMillis >= minWork*0.99 && e.WorkMillis <= maxWork*1.01) || !(e.SpreadFactor >= 1) || math.IsInf(e.SpreadFactor, 0) || !(e.MemoryMB >= 0) || math.IsInf(e.MemoryMB, 0) {
 				t.Fatalf("estimate %+v", e)
 			}
-			if e.Class < 0 || e.Class > 1 || e.Why() == "" {
-				t.Fatalf("class %d, why %q", e.Class, e.Why())
+			if e.Class < 0 || e.Class > 1 || e.Explain() == "" {
+				t.Fatalf("class %d, why %q", e.Class, e.Explain())
 			}
 		}
 		if err := f.query.Record.Check(); err != nil {
@@ -86,7 +86,7 @@
 		for range 500 {
 			q := f.query
 			q.Profile.Key, q.HintWork = rng.Uint64N(50), 100*rng.Float64()
-			f.model.Learn(&q, Truth{Work: 100 + 900*rng.Float64(), MemoryMB: 5})
+			f.model.Learn(&q, Observation{WorkMillis: 100 + 900*rng.Float64(), MemoryMB: 5})
 		}
 		q := f.query
 		q.HintWork = 70
@@ -104,7 +104,7 @@
 		f := newShapeFixture(Config{Classes: classes(), NoForgetting: !forget})
 		f.learn(200, 150)
 		f.learn(25, 1500)
-		if got := f.estimate().Work; forget && (got < 1000 || got > 2000) || !forget && got > 1000 {
+		if got := f.estimate().WorkMillis; forget && (got < 1000 || got > 2000) || !forget && got > 1000 {
 			t.Errorf("forgetting %v: %.0f ms after the cost went from 150 to 1500", forget, got)
 		}
 	}
@@ -115,9 +115,9 @@
 	for _, odd := range []float64{-1, 0, math.NaN(), math.Inf(1), 1e12, 3.5e6, 0.011} {
 		f := newShapeFixture(Config{Classes: classes()})
 		f.learn(40, 200)
-		before := f.estimate().Work
+		before := f.estimate().WorkMillis
 		f.learn(1, odd)
-		if got := f.estimate().Work; math.Abs(math.Log2(got/before)) > 0.25 {
+		if got := f.estimate().WorkMillis; math.Abs(math.Log2(got/before)) > 0.25 {
 			t.Errorf("one cost of %g ms moved the estimate from %.0f to %.0f ms", odd, before, got)
 		}
 	}
@@ -130,11 +130,11 @@
 	features := &sqltext.Features{Verb: 's', Tables: 1}
 	for range 300 {
 		work := math.Exp(5 + rng.NormFloat64()*1.2) // widely spread, and the hint knows of it
-		m.Learn(&Query{Features: features, KnownClass: 0, HintWork: work / 10}, Truth{Work: work})
+		m.Learn(&Query{Features: features, KnownClass: 0, HintWork: work / 10}, Observation{WorkMillis: work})
 	}
 	e := m.Estimate(&Query{Features: features, KnownClass: 0, HintWork: 50})
-	if e.Work < 350 || e.Work > 700 {
-		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.Work, e.Why())
+	if e.WorkMillis < 350 || e.WorkMillis > 700 {
+		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.WorkMillis, e.Explain())
 	}
 }
 
@@ -156,7 +156,7 @@
 	}
 	f.learn(60, 2500)
 	if e := f.estimate(); e.Class != 1 {
-		t.Errorf("still class %d at %.0f ms", e.Class, e.Work)
+		t.Errorf("still class %d at %.0f ms", e.Class, e.WorkMillis)
 	}
 }
 
@@ -166,16 +166,16 @@
 	f.learn(30, 200)
 	for range 20 {
 		q := f.query
-		f.model.Learn(&q, Truth{Work: 100, AtLeast: true})
+		f.model.Learn(&q, Observation{WorkMillis: 100, LowerBound: true})
 	}
-	if got := f.estimate().Work; got < 150 {
+	if got := f.estimate().WorkMillis; got < 150 {
 		t.Errorf("%.0f ms after bounds below the cost", got)
 	}
 	for range 30 {
 		q := f.query
-		f.model.Learn(&q, Truth{Work: 6000, AtLeast: true})
+		f.model.Learn(&q, Observation{WorkMillis: 6000, LowerBound: true})
 	}
-	if got := f.estimate().Work; got < 2000 {
+	if got := f.estimate().WorkMillis; got < 2000 {
 		t.Errorf("%.0f ms after 30 executions were given up at 6000", got)
 	}
 }
@@ -190,15 +190,15 @@
 		if i%20 == 0 {
 			q.Profile.Key, work = 42, 1500
 		}
-		f.model.Learn(&q, Truth{Work: work})
+		f.model.Learn(&q, Observation{WorkMillis: work})
 	}
 	q := f.query
 	q.Profile.Key = 42
-	if e := f.model.Estimate(&q); e.Work < 900 {
-		t.Errorf("%.0f ms for the heavy value: %s", e.Work, e.Why())
+	if e := f.model.Estimate(&q); e.WorkMillis < 900 {
+		t.Errorf("%.0f ms for the heavy value: %s", e.WorkMillis, e.Explain())
 	}
 	q.Profile.Key = 7
-	if e := f.model.Estimate(&q); e.Work > 300 {
-		t.Errorf("%.0f ms for another: %s", e.Work, e.Why())
+	if e := f.model.Estimate(&q); e.WorkMillis > 300 {
+		t.Errorf("%.0f ms for another: %s", e.WorkMillis, e.Explain())
 	}
 }
--- a/internal/decision/costmodel/ensemble.go
+++ b/internal/decision/costmodel/ensemble.go
@@ -12,7 +12,7 @@
 
 // componentOf returns the estimator that adds the tracked offset to a base.
 func componentOf(t *Tracker, base float64) Component {
-	return Component{Log2Cost: base + float64(t.Mid), Deviation: math.Sqrt(t.Variance()), Samples: float64(t.N)}
+	return Component{Log2Cost: base + float64(t.Median), Deviation: math.Sqrt(t.Variance()), Samples: float64(t.Samples)}
 }
 
 // combine weights the components by the inverse of their variances. ok is false where none
@@ -48,9 +48,9 @@
 func hintComponent(hint float64, shapeErrors, classErrors *Tracker) Component {
 	log2Hint := math.Log2(hint)
 	switch {
-	case shapeErrors != nil && shapeErrors.N >= minHintSamples:
+	case shapeErrors != nil && shapeErrors.Samples >= minHintSamples:
 		return componentOf(shapeErrors, log2Hint)
-	case classErrors.N >= minHintSamples:
+	case classErrors.Samples >= minHintSamples:
 		return componentOf(classErrors, log2Hint)
 	}
 	return Component{Log2Cost: log2Hint, Deviation: uncorrectedHintDeviation, Samples: 1}
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -4,11 +4,11 @@
 
 // Estimate is the expected cost of an execution.
 type Estimate struct {
-	Known    bool    // whether there is an estimate
-	Work     float64 // median, in ms
-	Spread   float64 // factor from the median to the 90th percentile
-	MemoryMB float64 // 0: unknown
-	Class    int     // index among the configured classes, or NoClass
+	Known        bool    // whether there is an estimate
+	WorkMillis   float64 // median, in ms
+	SpreadFactor float64 // factor from the median to the 90th percentile
+	MemoryMB     float64 // 0: unknown
+	Class        int     // index among the configured classes, or NoClass
 
 	// The components of the ensemble.
 	Record, Similar, Prior, Hint Component
@@ -56,16 +56,16 @@
 		log2Cost += est.FrequentValue.Log2Cost
 	}
 	est.Known = true
-	est.Work = math.Exp2(max(min(log2Cost, math.Log2(maxWork)), math.Log2(minWork)))
-	est.Spread = math.Exp2(percentile90 * math.Sqrt(variance))
+	est.WorkMillis = math.Exp2(max(min(log2Cost, math.Log2(maxWork)), math.Log2(minWork)))
+	est.SpreadFactor = math.Exp2(percentile90 * math.Sqrt(variance))
 	est.MemoryMB = m.memory(q, bucket)
-	est.Class = m.classify(est.Work, bucket)
+	est.Class = m.classify(est.WorkMillis, bucket)
 	return est
 }
 
 // estimateComponents sets the components beside the shape's own record.
 func (m *Model) estimateComponents(q *Query, bucket *Bucket, est *Estimate) {
-	wellKnown := bucket != nil && bucket.Work.N >= wellKnownSamples
+	wellKnown := bucket != nil && bucket.Work.Samples >= wellKnownSamples
 	atypicality := 0.0
 	if !wellKnown && !m.cfg.NoPrior && m.prior.ready() {
 		est.Prior, atypicality = m.priorComponent(q)
@@ -78,8 +78,8 @@
 		est.Hint = hintComponent(q.HintWork, shapeErrors, &m.classStatistics(q.KnownClass).HintError)
 	}
 	similar := m.findSimilar(q)
-	if r := q.Record; r != nil && r.All.N >= minTrackedSamples && similar != nil && similar.Offset.N >= minTrackedSamples {
-		est.Similar = componentOf(&similar.Offset, float64(r.All.Mid))
+	if r := q.Record; r != nil && r.Work.Samples >= minTrackedSamples && similar != nil && similar.Offset.Samples >= minTrackedSamples {
+		est.Similar = componentOf(&similar.Offset, float64(r.Work.Median))
 	}
 	if !wellKnown {
 		priorErrors, hintErrors := m.relevantErrors(q, bucket, similar, atypicality)
@@ -92,8 +92,8 @@
 // execution lies from its usual ones for the shape.
 func (m *Model) priorComponent(q *Query) (c Component, atypicality float64) {
 	prediction := m.prior.predict(m.featuresOf(q))
-	if r := q.Record; r != nil && r.PriorError.N >= minTrackedSamples {
-		return componentOf(&r.PriorError, prediction), prediction - float64(r.PriorPrediction.Mid)
+	if r := q.Record; r != nil && r.PriorError.Samples >= minTrackedSamples {
+		return componentOf(&r.PriorError, prediction), prediction - float64(r.PriorPrediction.Median)
 	}
 	return componentOf(&m.prior.Errors, prediction), 0
 }
@@ -104,9 +104,9 @@
 	var record, hint Component
 	class := m.classStatistics(q.KnownClass)
 	switch {
-	case bucket != nil && bucket.Memory.N > 0:
+	case bucket != nil && bucket.Memory.Samples > 0:
 		record = componentOf(&bucket.Memory, 0)
-	case class.Memory.N >= minClassMemorySamples:
+	case class.Memory.Samples >= minClassMemorySamples:
 		record = componentOf(&class.Memory, 0)
 	}
 	if !m.cfg.NoHint && plausibleMemory(q.HintMemoryMB) {
--- a/internal/decision/costmodel/explain.go
+++ b/internal/decision/costmodel/explain.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Why explains in words what an estimate rests on.
-func (e Estimate) Why() string {
+// Explain explains in words what an estimate rests on.
+func (e Estimate) Explain() string {
 	if !e.Known {
 		return "nothing is known: no record, no hint, and the prior has seen too little"
 	}
--- a/internal/decision/costmodel/features.go
+++ b/internal/decision/costmodel/features.go
@@ -42,18 +42,18 @@
 		math.Log2(1+float64(p.Alternatives)) / 4,
 		math.Log2(1+p.Span) / 4,
 		indicator(p.HalfOpen),
-		indicator(p.Wild == sqltext.Prefix),
-		indicator(p.Wild == sqltext.Leading),
-		math.Log2(1+p.Limit) / 8,
-		indicator(p.Off > 0),
-		indicator(p.Open),
+		indicator(p.Wildcard == sqltext.InnerWildcard),
+		indicator(p.Wildcard == sqltext.LeadingWildcard),
+		math.Log2(1+p.RowLimit) / 8,
+		indicator(p.DisabledRestrictions > 0),
+		indicator(p.Unrestricted),
 		math.Log2(1+float64(p.Rows)) / 4,
 	}
 	// Beyond some size each doubling counts for more: short lists are found by an index,
 	// long ones are not.
 	x[largeListFeature] = math.Max(0, math.Log2(1+float64(p.Alternatives))-4) / 2
 	x[largeSpanFeature] = math.Max(0, math.Log2(1+p.Span)-4) / 2
-	x[largeLimitFeature] = math.Max(0, math.Log2(1+p.Limit)-8) / 4
+	x[largeLimitFeature] = math.Max(0, math.Log2(1+p.RowLimit)-8) / 4
 	if class >= 0 && class < featureClasses {
 		x[classFeatures+class] = 1
 	}
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -13,34 +13,34 @@
 const learnSampleInterval = 4
 
 // Learn updates the model with the cost of an execution. Implausible costs are ignored.
-func (m *Model) Learn(q *Query, truth Truth) {
+func (m *Model) Learn(q *Query, truth Observation) {
 	record := q.Record
-	if record != nil && record.Seen < math.MaxUint32 {
-		record.Seen++
+	if record != nil && record.Executions < math.MaxUint32 {
+		record.Executions++
 	}
-	if !plausibleWork(truth.Work) || m.skips(q) {
+	if !plausibleWork(truth.WorkMillis) || m.skips(q) {
 		return
 	}
 	before := q.estimate
 	if !before.Known {
 		before = m.estimate(q)
 	}
-	if truth.AtLeast && before.Known && before.Work >= truth.Work {
+	if truth.LowerBound && before.Known && before.WorkMillis >= truth.WorkMillis {
 		return // a lower bound below the estimate says nothing
 	}
-	log2Work := math.Log2(truth.Work)
+	log2Work := math.Log2(truth.WorkMillis)
 	if record != nil {
 		newValue := before.Record.Samples < newValueSamples
 		m.learnSimilar(q, log2Work, newValue)
 		m.learnShape(q, log2Work, truth.MemoryMB)
 	}
-	if record == nil || record.Seen < priorFirstExecutions || record.Seen%priorSampleInterval == 0 {
+	if record == nil || record.Executions < priorFirstExecutions || record.Executions%priorSampleInterval == 0 {
 		m.prior.learn(m.featuresOf(q), log2Work, m.forgets())
 	}
 	m.learnHint(q, log2Work)
 	m.learnMemory(q, truth.MemoryMB)
 	if before.Known && q.Profile.Key != 0 && !m.cfg.NoParameters {
-		uncorrected := math.Log2(before.Work) - before.FrequentValue.Log2Cost
+		uncorrected := math.Log2(before.WorkMillis) - before.FrequentValue.Log2Cost
 		m.FrequentValues.add(q.Profile.Key).Offset.Add(log2Work-uncorrected, m.forgets())
 	}
 }
@@ -48,11 +48,11 @@
 // skips reports whether sampling leaves an execution out: its bucket is well known and its
 // recent costs were as expected.
 func (m *Model) skips(q *Query) bool {
-	if q.Record == nil || q.Record.Seen%learnSampleInterval == 0 {
+	if q.Record == nil || q.Record.Executions%learnSampleInterval == 0 {
 		return false
 	}
 	bucket := q.Record.find(m.bucketKey(q))
-	return bucket != nil && bucket.Work.N >= wellKnownSamples && bucket.Work.Run > -2 && bucket.Work.Run < 2
+	return bucket != nil && bucket.Work.Samples >= wellKnownSamples && bucket.Work.Run > -2 && bucket.Work.Run < 2
 }
 
 // learnShape updates the record of the shape.
@@ -63,9 +63,9 @@
 		record.PriorError.Add(log2Work-prediction, m.forgets())
 		record.PriorPrediction.Add(prediction, m.forgets())
 	}
-	record.All.Add(log2Work, m.forgets())
+	record.Work.Add(log2Work, m.forgets())
 	bucket := record.findOrReplace(m.bucketKey(q))
-	bucket.LastUsed = record.Seen
+	bucket.LastUsed = record.Executions
 	bucket.Work.Add(log2Work, m.forgets())
 	if plausibleMemory(memoryMB) {
 		bucket.Memory.Add(math.Log2(memoryMB), m.forgets())
@@ -106,28 +106,28 @@
 // the shape, on new values. It runs before the shape's record learns of the execution.
 func (m *Model) learnSimilar(q *Query, log2Work float64, newValue bool) {
 	record := q.Record
-	if record.All.N < minTrackedSamples {
+	if record.Work.Samples < minTrackedSamples {
 		return
 	}
 	similar := &valueStatistics{}
 	if !m.cfg.NoParameters {
 		similar = m.SimilarValues.add(similarKey(m.bucketKey(q), q.Profile.Column))
-		similar.Offset.Add(log2Work-float64(record.All.Mid), m.forgets())
+		similar.Offset.Add(log2Work-float64(record.Work.Median), m.forgets())
 	}
-	if !m.prior.ready() || record.PriorError.N < minTrackedSamples {
+	if !m.prior.ready() || record.PriorError.Samples < minTrackedSamples {
 		return
 	}
 	prediction := m.prior.predict(m.featuresOf(q))
-	newValues := &m.NewValues[atypicalityLevel(prediction-float64(record.PriorPrediction.Mid))]
-	priorError := log2Work - prediction - float64(record.PriorError.Mid)
+	newValues := &m.NewValues[atypicalityLevel(prediction-float64(record.PriorPrediction.Median))]
+	priorError := log2Work - prediction - float64(record.PriorError.Median)
 	similar.PriorError.Add(priorError, m.forgets())
 	if newValue {
 		newValues.Prior.Add(priorError, m.forgets())
 	}
-	if record.HintError.N < minHintSamples || !plausibleWork(q.HintWork) {
+	if record.HintError.Samples < minHintSamples || !plausibleWork(q.HintWork) {
 		return
 	}
-	hintError := log2Work - math.Log2(q.HintWork) - float64(record.HintError.Mid)
+	hintError := log2Work - math.Log2(q.HintWork) - float64(record.HintError.Median)
 	similar.HintError.Add(hintError, m.forgets())
 	if newValue {
 		newValues.Hint.Add(hintError, m.forgets())
--- a/internal/decision/costmodel/query.go
+++ b/internal/decision/costmodel/query.go
@@ -17,13 +17,13 @@
 	estimate      Estimate
 }
 
-// Truth is the reported cost of an execution. A zero field means that nothing was reported.
-type Truth struct {
-	Work, MemoryMB float64
-	// AtLeast means that the execution was cancelled before its end, so that the work is a
+// Observation is the reported cost of an execution. A zero field means that nothing was reported.
+type Observation struct {
+	WorkMillis, MemoryMB float64
+	// LowerBound means that the execution was cancelled before its end, so that the work is a
 	// lower bound. It prevents the model from learning of expensive statements only from
 	// those executions that ended in time.
-	AtLeast bool
+	LowerBound bool
 }
 
 // bucketKey returns the key of the bucket that the query's values belong to.
--- a/internal/decision/costmodel/record.go
+++ b/internal/decision/costmodel/record.go
@@ -6,8 +6,8 @@
 // ShapeRecord is the record of one shape. All trackers hold base-2 logarithms. Its size is
 // constant.
 type ShapeRecord struct {
-	Seen            uint32             `cbor:"Seen"`   // number of executions, saturating
-	All             Tracker            `cbor:"All"`    // cost, whatever the values
+	Executions      uint32             `cbor:"Seen"`   // number of executions, saturating
+	Work            Tracker            `cbor:"All"`    // cost, whatever the values
 	PriorError      Tracker            `cbor:"Offset"` // cost relative to the prior's prediction
 	PriorPrediction Tracker            `cbor:"Usual"`  // what the prior predicted for its executions
 	HintError       Tracker            `cbor:"Hint"`   // cost relative to the hint
@@ -19,7 +19,7 @@
 // profile.
 type Bucket struct {
 	Key      uint32  `cbor:"Key"`
-	LastUsed uint32  `cbor:"Used"` // the record's Seen when the bucket was last used
+	LastUsed uint32  `cbor:"Used"` // the record's Executions when the bucket was last used
 	Work     Tracker `cbor:"Work"`
 	Memory   Tracker `cbor:"Memory"`
 	// ClassPlusOne is one more than the index of the class decided last; 0: none yet.
@@ -29,7 +29,7 @@
 // find returns the bucket of a key, or nil.
 func (r *ShapeRecord) find(key uint32) *Bucket {
 	for i := range r.Buckets {
-		if bucket := &r.Buckets[i]; bucket.Work.N > 0 && bucket.Key == key {
+		if bucket := &r.Buckets[i]; bucket.Work.Samples > 0 && bucket.Key == key {
 			return bucket
 		}
 	}
@@ -45,7 +45,7 @@
 	victim := &r.Buckets[0]
 	for i := range r.Buckets {
 		bucket := &r.Buckets[i]
-		if bucket.Work.N == 0 {
+		if bucket.Work.Samples == 0 {
 			victim = bucket
 			break
 		}
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -48,17 +48,17 @@
 // relevantErrors returns the errors by which the prior and the hint are to be adjusted.
 func (m *Model) relevantErrors(q *Query, bucket *Bucket, similar *valueStatistics, atypicality float64) (prior, hint *Tracker) {
 	prior, hint = &m.noErrors, &m.noErrors
-	if q.Record != nil && (bucket == nil || bucket.Work.N < newValueSamples) {
+	if q.Record != nil && (bucket == nil || bucket.Work.Samples < newValueSamples) {
 		errors := &m.NewValues[atypicalityLevel(atypicality)]
 		prior, hint = &errors.Prior, &errors.Hint
 	}
-	if similar == nil || bucket != nil && bucket.Work.N >= similarValueSamples {
+	if similar == nil || bucket != nil && bucket.Work.Samples >= similarValueSamples {
 		return prior, hint
 	}
-	if similar.PriorError.N >= minTrackedSamples {
+	if similar.PriorError.Samples >= minTrackedSamples {
 		prior = &similar.PriorError
 	}
-	if similar.HintError.N >= minTrackedSamples {
+	if similar.HintError.Samples >= minTrackedSamples {
 		hint = &similar.HintError
 	}
 	return prior, hint
@@ -69,8 +69,8 @@
 func (t *Tracker) adjust(c *Component, atypicality float64) {
 	switch {
 	case c.Samples == 0:
-	case t.N >= minTrackedSamples:
-		c.Log2Cost += float64(t.Mid)
+	case t.Samples >= minTrackedSamples:
+		c.Log2Cost += float64(t.Median)
 		c.Deviation = math.Max(c.Deviation, math.Sqrt(t.Variance()))
 	default:
 		c.Deviation = math.Hypot(c.Deviation, atypicality)
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -33,15 +33,15 @@
 // significant reports whether the value deviates enough, on enough evidence, to correct
 // estimates by it.
 func (v *valueStatistics) significant() bool {
-	return v.Offset.N >= minFrequentSamples && (v.Offset.Mid > minFrequentOffset || v.Offset.Mid < -minFrequentOffset)
+	return v.Offset.Samples >= minFrequentSamples && (v.Offset.Median > minFrequentOffset || v.Offset.Median < -minFrequentOffset)
 }
 
 // frequentValueComponent returns the correction for a frequent value.
 func frequentValueComponent(v *valueStatistics) Component {
 	return Component{
-		Log2Cost:  float64(v.Offset.Mid),
-		Deviation: float64(v.Offset.Dev),
-		Samples:   float64(v.Offset.N),
+		Log2Cost:  float64(v.Offset.Median),
+		Deviation: float64(v.Offset.Deviation),
+		Samples:   float64(v.Offset.Samples),
 		Weight:    1,
 	}
 }
--- a/internal/decision/costmodel/state_test.go
+++ b/internal/decision/costmodel/state_test.go
@@ -28,7 +28,7 @@
 			"frequent value",
 			func() error {
 				state := New(Config{}).State()
-				state.Common.FrequentValues.Sets[1][2].PriorError.Mid = float32(math.Inf(1))
+				state.Common.FrequentValues.Sets[1][2].PriorError.Median = float32(math.Inf(1))
 				_, err := Restore(Config{}, state)
 				return err
 			},
@@ -38,7 +38,7 @@
 			"bucket of a shape",
 			func() error {
 				record := ShapeRecord{}
-				record.Buckets[4].Work.Dev = 2e12
+				record.Buckets[4].Work.Deviation = 2e12
 				return record.Check()
 			},
 			"a state that can't be: entry.Buckets[4].Work.Dev is 1.999999991808e+12",
--- a/internal/decision/costmodel/tracker.go
+++ b/internal/decision/costmodel/tracker.go
@@ -9,10 +9,10 @@
 // Parameter", 1964); a run of errors on one side raises the step, as a CUSUM chart would
 // (Page, "Continuous Inspection Schemes", 1954). It takes 16 bytes.
 type Tracker struct {
-	Mid float32 `cbor:"Mid"` // the median
-	Dev float32 `cbor:"Dev"` // the mean absolute deviation from it
-	N   float32 `cbor:"N"`   // number of observations, at most maxTrackedSamples
-	Run int8    `cbor:"Run"` // length of the current run of errors on one side, with their sign
+	Median    float32 `cbor:"Mid"` // the median
+	Deviation float32 `cbor:"Dev"` // the mean absolute deviation from it
+	Samples   float32 `cbor:"N"`   // number of observations, at most maxTrackedSamples
+	Run       int8    `cbor:"Run"` // length of the current run of errors on one side, with their sign
 }
 
 const (
@@ -39,15 +39,15 @@
 
 // Add updates the tracker with one observation, a base-2 logarithm.
 func (t *Tracker) Add(x float64, forget bool) {
-	if t.N == 0 {
-		t.Mid, t.Dev, t.N = float32(x), initialDeviation, 1
+	if t.Samples == 0 {
+		t.Median, t.Deviation, t.Samples = float32(x), initialDeviation, 1
 		return
 	}
-	residual := x - float64(t.Mid)
-	deviation := max(float64(t.Dev), minDeviation)
-	gain := 1 / (float64(t.N) + 1)
+	residual := x - float64(t.Median)
+	deviation := max(float64(t.Deviation), minDeviation)
+	gain := 1 / (float64(t.Samples) + 1)
 	clip := clipDeviations * deviation
-	if t.N < earlySamples {
+	if t.Samples < earlySamples {
 		clip = earlyClip
 	}
 	if forget {
@@ -59,9 +59,9 @@
 		}
 	}
 	step := max(min(residual, clip), -clip)
-	t.Mid += float32(gain * step)
-	t.Dev += float32(max(gain, minDeviationGain) * (math.Abs(step) - deviation))
-	t.N = min(t.N+1, maxTrackedSamples)
+	t.Median += float32(gain * step)
+	t.Deviation += float32(max(gain, minDeviationGain) * (math.Abs(step) - deviation))
+	t.Samples = min(t.Samples+1, maxTrackedSamples)
 }
 
 // extendRun counts an error that exceeds the deviation. A smaller one ends the run.
@@ -79,6 +79,6 @@
 // Variance returns the expected squared error of the median for one observation.
 func (t *Tracker) Variance() float64 {
 	const perMeanDeviation = 1.25 // standard deviation by mean absolute deviation, of a normal distribution
-	d := perMeanDeviation * max(float64(t.Dev), minDeviation)
-	return d * d * (1 + 4/float64(t.N))
+	d := perMeanDeviation * max(float64(t.Deviation), minDeviation)
+	return d * d * (1 + 4/float64(t.Samples))
 }
--- a/internal/discovery/consul/reconcile.go
+++ b/internal/discovery/consul/reconcile.go
@@ -15,7 +15,7 @@
 	if w.registered == nil || w.health == nil {
 		return
 	}
-	w.counters.Add("consul.events")
+	w.counters.Increment("consul.events")
 	changes, current := changedEndpoints(w.notified, w.currentEndpoints())
 	w.notified = current
 	if len(changes) > 0 {
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -100,7 +100,7 @@
 				return
 			}
 			delay := backoff.Next()
-			w.post(func() { w.counters.Add("consul.errors") })
+			w.post(func() { w.counters.Increment("consul.errors") })
 			w.log.Warn("consul.request-failed", "consul", opts.Address, "path", path, "error", err, "retry_in", delay)
 			sleep(ctx, delay)
 			index = 0 // the next query returns at once what changed meanwhile
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -187,7 +187,7 @@
 	w.state = stateDisconnected
 	w.idleTimer.Stop()
 	delay := w.backoff.Next()
-	w.counters.Add("eventbus.reconnects")
+	w.counters.Increment("eventbus.reconnects")
 	w.log.Warn("eventbus.disconnected", "bus", w.addr, "error", err, "retry_in", delay)
 	w.retryTimer = w.loop.Timers.Schedule(w.loop.Now()+delay, w.connect)
 }
@@ -247,7 +247,7 @@
 		return &eventError{Event: f.event, Err: err}
 	}
 	w.lastEvent = f.event
-	w.counters.Add("eventbus.events")
+	w.counters.Increment("eventbus.events")
 	w.sink.UpdateEndpoints(mode, engines)
 	return nil
 }
--- a/internal/e2e/discovery_test.go
+++ b/internal/e2e/discovery_test.go
@@ -71,15 +71,15 @@
 	var retired []string
 	pool := engine.NewPool[*recordingConnection]()
 	update := func(id string, state policy.EngineState, started time.Duration) {
-		pool.Engine(lifecycle.Endpoint{Address: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, StartedAt: started}})
+		pool.UpdateEndpoint(lifecycle.Endpoint{Address: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, StartedAt: started}})
 	}
 	connect := func(id string) {
-		pool.Get(id).Links = append(pool.Get(id).Links, &recordingConnection{id, &retired})
+		pool.Get(id).Connections = append(pool.Get(id).Connections, &recordingConnection{id, &retired})
 	}
 	update("old", policy.EngineReady, 0)
 	connect("old")
 	update("new", policy.EngineReady, 0)
-	if pool.Get("new") == pool.Get("old") || len(pool.Get("new").Links) != 0 {
+	if pool.Get("new") == pool.Get("old") || len(pool.Get("new").Connections) != 0 {
 		t.Error("the new engine has the connections of the old one")
 	}
 	update("old", policy.EngineDraining, 0)
--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -33,7 +33,7 @@
 	loop        *eventloop.Loop
 	dispatcher  *lifecycle.Dispatcher
 	counters    *metrics.Counters
-	site        config.Site
+	site        config.Settings
 	logger      *slog.Logger
 	httpOptions httpserver.Options
 	pgOptions   pgserver.Options
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	const seed = 1
-	front.dispatcher, err = lifecycle.New(front.site.Policy, seed, front.loop, front.loop.Timers, front.counters, front.logger)
+	front.dispatcher, err = lifecycle.NewDispatcher(front.site.Policy, seed, front.loop, front.loop.Timers, front.counters, front.logger)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -133,7 +133,7 @@
 // start records a plain startup.
 func (r *pgRecorder) start(params ...string) {
 	r.t.Helper()
-	r.send(startupMessage(pgproto.Version, append([]string{"user", "desk"}, params...)...))
+	r.send(startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...))
 	r.receiveUntilReady()
 }
 
@@ -141,7 +141,7 @@
 func (tr *transcript) recordCancel(name, addr string, keyData []byte) {
 	tr.t.Helper()
 	recorder := tr.recordPostgres(name, addr)
-	message := pgproto.AppendStartup(nil, pgproto.CancelReq, keyData)
+	message := pgproto.AppendStartup(nil, pgproto.CancelRequestCode, keyData)
 	const secretStart = 12 // behind the length, the code and the process number
 	recorder.add(name, ">", append(bytes.Clone(message[:secretStart]), secretMark...))
 	if _, err := recorder.conn.Write(message); err != nil {
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -15,21 +15,21 @@
 		first    []byte
 		accepted bool
 	}{
-		"plain":           {nil, startupMessage(pgproto.Version, "user", "desk", "database", "register", "application_name", "x"), true},
-		"encryption":      {[][]byte{encryption(pgproto.SSLReq), encryption(pgproto.GSSReq)}, startupMessage(pgproto.Version, "user", "desk"), true},
-		"later-minor":     {nil, startupMessage(pgproto.Version+2, "user", "desk", "_pq_.unknown", "1"), true},
-		"with-timeout":    {nil, startupMessage(pgproto.Version, "user", "desk", "statement_timeout", "5s"), true},
-		"with-options":    {nil, startupMessage(pgproto.Version, "user", "desk", "options", "-c statement_timeout=5s --x=y"), true},
-		"bad-timeout":     {nil, startupMessage(pgproto.Version, "user", "desk", "statement_timeout", "soon"), false},
-		"bad-options":     {nil, startupMessage(pgproto.Version, "user", "desk", "options", "-c statement_timeout=soon"), false},
-		"no-user":         {nil, startupMessage(pgproto.Version, "database", "register"), false},
+		"plain":           {nil, startupMessage(pgproto.ProtocolVersion, "user", "desk", "database", "register", "application_name", "x"), true},
+		"encryption":      {[][]byte{encryption(pgproto.SSLRequestCode), encryption(pgproto.GSSENCRequestCode)}, startupMessage(pgproto.ProtocolVersion, "user", "desk"), true},
+		"later-minor":     {nil, startupMessage(pgproto.ProtocolVersion+2, "user", "desk", "_pq_.unknown", "1"), true},
+		"with-timeout":    {nil, startupMessage(pgproto.ProtocolVersion, "user", "desk", "statement_timeout", "5s"), true},
+		"with-options":    {nil, startupMessage(pgproto.ProtocolVersion, "user", "desk", "options", "-c statement_timeout=5s --x=y"), true},
+		"bad-timeout":     {nil, startupMessage(pgproto.ProtocolVersion, "user", "desk", "statement_timeout", "soon"), false},
+		"bad-options":     {nil, startupMessage(pgproto.ProtocolVersion, "user", "desk", "options", "-c statement_timeout=soon"), false},
+		"no-user":         {nil, startupMessage(pgproto.ProtocolVersion, "database", "register"), false},
 		"version-2":       {nil, startupMessage(2<<16, "user", "desk"), false},
-		"not-ended":       {nil, pgproto.AppendStartup(nil, pgproto.Version, []byte("user\x00desk")), false},
+		"not-ended":       {nil, pgproto.AppendStartup(nil, pgproto.ProtocolVersion, []byte("user\x00desk")), false},
 		"too-long":        {nil, []byte("\x00\x00\x27\x11\x00\x03\x00\x00"), false},
 		"too-short":       {nil, []byte("\x00\x00\x00\x07\x00\x03\x00\x00"), false},
 		"http":            {nil, []byte("GET / HTTP/1.1\r\n\r\n"), false},
-		"cancel-of-none":  {nil, pgproto.AppendStartup(nil, pgproto.CancelReq, []byte("\x00\x00\x00\x09abcd")), false},
-		"cancel-too-long": {nil, pgproto.AppendStartup(nil, pgproto.CancelReq, []byte("\x00\x00\x00\x09abcde")), false},
+		"cancel-of-none":  {nil, pgproto.AppendStartup(nil, pgproto.CancelRequestCode, []byte("\x00\x00\x00\x09abcd")), false},
+		"cancel-too-long": {nil, pgproto.AppendStartup(nil, pgproto.CancelRequestCode, []byte("\x00\x00\x00\x09abcde")), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
@@ -52,7 +52,7 @@
 // Batches of messages, each of which is answered up to ReadyForQuery.
 func TestGoldenPostgres_Batches(t *testing.T) {
 	const selectPart, insert = "SELECT part FROM stock_1.parts WHERE id = $1", "INSERT INTO stock_1.parts VALUES ($1)"
-	message := func(kind byte, body string) []byte { return pgproto.Append(nil, kind, []byte(body)) }
+	message := func(kind byte, body string) []byte { return pgproto.AppendMessage(nil, kind, []byte(body)) }
 	for name, batches := range map[string][][][]byte{
 		"simple":             {{query("SELECT part FROM stock_1.parts")}, {query("SELECT no_rows")}},
 		"simple-empty":       {{query(" -- nothing\n;")}},
@@ -206,7 +206,7 @@
 	busy.recordClose()
 	await(t, seen)
 	late := tr.recordPostgres("late", front.addr)
-	late.send(startupMessage(pgproto.Version, "user", "desk"))
+	late.send(startupMessage(pgproto.ProtocolVersion, "user", "desk"))
 	late.recordClose()
 	tr.compare("pgwire/drain")
 }
--- a/internal/e2e/postgres_client_helpers_test.go
+++ b/internal/e2e/postgres_client_helpers_test.go
@@ -26,7 +26,7 @@
 func connectPostgres(t *testing.T, addr string, params ...string) *pgClient {
 	t.Helper()
 	client := &pgClient{t: t, conn: dial(t, addr)}
-	client.send(startupMessage(pgproto.Version, append([]string{"user", "desk"}, params...)...))
+	client.send(startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...))
 	client.receiveUntil('Z')
 	return client
 }
@@ -35,13 +35,13 @@
 func startupMessage(version uint32, params ...string) []byte {
 	var body []byte
 	for _, param := range params {
-		body = append(body, pgproto.Str(param)...)
+		body = append(body, pgproto.CString(param)...)
 	}
 	return pgproto.AppendStartup(nil, version, append(body, 0))
 }
 
 func parse(name, query string) []byte {
-	return pgproto.Append(nil, 'P', pgproto.Str(name), pgproto.Str(query), []byte{0, 0})
+	return pgproto.AppendMessage(nil, 'P', pgproto.CString(name), pgproto.CString(query), []byte{0, 0})
 }
 
 func bind(portal, name string, values ...string) []byte {
@@ -49,23 +49,23 @@
 	for _, value := range values {
 		b = append(append(b, pgproto.Int32(len(value))...), value...)
 	}
-	return pgproto.Append(nil, 'B', pgproto.Str(portal), pgproto.Str(name), b, []byte{0, 0})
+	return pgproto.AppendMessage(nil, 'B', pgproto.CString(portal), pgproto.CString(name), b, []byte{0, 0})
 }
 
 func execute(portal string, maxRows int) []byte {
-	return pgproto.Append(nil, 'E', pgproto.Str(portal), pgproto.Int32(maxRows))
+	return pgproto.AppendMessage(nil, 'E', pgproto.CString(portal), pgproto.Int32(maxRows))
 }
 
 func describe(kind, name string) []byte {
-	return pgproto.Append(nil, 'D', []byte(kind), pgproto.Str(name))
+	return pgproto.AppendMessage(nil, 'D', []byte(kind), pgproto.CString(name))
 }
 
-func query(text string) []byte { return pgproto.Append(nil, 'Q', pgproto.Str(text)) }
+func query(text string) []byte { return pgproto.AppendMessage(nil, 'Q', pgproto.CString(text)) }
 
 var (
-	syncMessage      = pgproto.Append(nil, 'S')
-	flushMessage     = pgproto.Append(nil, 'H')
-	terminateMessage = pgproto.Append(nil, 'X')
+	syncMessage      = pgproto.AppendMessage(nil, 'S')
+	flushMessage     = pgproto.AppendMessage(nil, 'H')
+	terminateMessage = pgproto.AppendMessage(nil, 'X')
 )
 
 // runUnnamed is a batch that parses, binds and executes one statement without a name.
@@ -88,7 +88,7 @@
 	c.t.Helper()
 	var words []string
 	for {
-		kind, body, n, _ := pgproto.Next(c.unread, maxClientMessage)
+		kind, body, n, _ := pgproto.ParseMessage(c.unread, maxClientMessage)
 		if n == 0 {
 			if c.readMore() {
 				continue
@@ -138,7 +138,7 @@
 func sendCancel(t *testing.T, addr string, keyData []byte) {
 	t.Helper()
 	conn := dial(t, addr)
-	_, _ = conn.Write(pgproto.AppendStartup(nil, pgproto.CancelReq, keyData))
+	_, _ = conn.Write(pgproto.AppendStartup(nil, pgproto.CancelRequestCode, keyData))
 	_, _ = conn.Read(make([]byte, 1))
 }
 
@@ -152,7 +152,7 @@
 		const beforeValue = 6 // the number of columns, and the value's length
 		word += "(" + string(body[beforeValue:]) + ")"
 	case 'E':
-		e, err := pgproto.ReadError(body)
+		e, err := pgproto.ParseError(body)
 		if err != nil {
 			c.t.Fatal(err)
 		}
--- a/internal/e2e/postgres_engine_helpers_test.go
+++ b/internal/e2e/postgres_engine_helpers_test.go
@@ -25,17 +25,17 @@
 const cancelQuery = "cancel"
 
 var (
-	parseComplete = pgproto.Append(nil, '1')
-	bindComplete  = pgproto.Append(nil, '2')
-	noData        = pgproto.Append(nil, 'n')
-	readyForQuery = pgproto.Append(nil, 'Z', []byte("I"))
-	insertOneRow  = bytes.Join([][]byte{parseComplete, bindComplete, noData, pgproto.Append(nil, 'C', pgproto.Str("INSERT 0 1"))}, nil)
+	parseComplete = pgproto.AppendMessage(nil, '1')
+	bindComplete  = pgproto.AppendMessage(nil, '2')
+	noData        = pgproto.AppendMessage(nil, 'n')
+	readyForQuery = pgproto.AppendMessage(nil, 'Z', []byte("I"))
+	insertOneRow  = bytes.Join([][]byte{parseComplete, bindComplete, noData, pgproto.AppendMessage(nil, 'C', pgproto.CString("INSERT 0 1"))}, nil)
 	// oneColumn is the body of a RowDescription with one column of text.
 	oneColumn = append([]byte{0, 1}, append([]byte("part\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0)...)
 	// oneParameter is the body of a ParameterDescription with one parameter of text.
 	oneParameter = []byte{0, 1, 0, 0, 0, 25}
 	// describeReply answers a Parse and a Describe of a statement.
-	describeReply = bytes.Join([][]byte{parseComplete, pgproto.Append(nil, 't', oneParameter), pgproto.Append(nil, 'T', oneColumn)}, nil)
+	describeReply = bytes.Join([][]byte{parseComplete, pgproto.AppendMessage(nil, 't', oneParameter), pgproto.AppendMessage(nil, 'T', oneColumn)}, nil)
 )
 
 // startPgEngine is a PostgreSQL engine. The script answers each batch; nil leaves the batch
@@ -80,9 +80,9 @@
 // readStartup reads the first message; it is false where that is the only one.
 func (c *pgEngineConn) readStartup() bool {
 	for {
-		code, _, n, _ := pgproto.Startup(c.unread)
+		code, _, n, _ := pgproto.ParseStartup(c.unread)
 		c.unread = c.unread[n:]
-		if n > 0 && code == pgproto.CancelReq {
+		if n > 0 && code == pgproto.CancelRequestCode {
 			c.seen <- pgRequest{query: cancelQuery}
 			return false
 		}
@@ -96,8 +96,8 @@
 }
 
 func (c *pgEngineConn) writeStartupReply() {
-	out := pgproto.Append(nil, 'R', pgproto.Int32(0))
-	out = pgproto.Append(out, 'K', pgproto.Int32(7), pgproto.Int32(9))
+	out := pgproto.AppendMessage(nil, 'R', pgproto.Int32(0))
+	out = pgproto.AppendMessage(out, 'K', pgproto.Int32(7), pgproto.Int32(9))
 	_, _ = c.conn.Write(append(out, readyForQuery...))
 }
 
@@ -105,7 +105,7 @@
 func (c *pgEngineConn) serve() {
 	var request pgRequest
 	for {
-		kind, body, n, _ := pgproto.Next(c.unread, maxEngineMessage)
+		kind, body, n, _ := pgproto.ParseMessage(c.unread, maxEngineMessage)
 		if n == 0 {
 			if !c.readMore() {
 				return
@@ -126,20 +126,20 @@
 
 // note adds a message to the request that the next Sync completes.
 func (c *pgEngineConn) note(request *pgRequest, kind byte, body []byte) {
-	r := pgproto.Reader{B: body}
+	r := pgproto.Reader{Unread: body}
 	switch kind {
 	case 'P':
-		name := r.Str()
-		c.prepared[name] = r.Str()
+		name := r.CString()
+		c.prepared[name] = r.CString()
 		request.parsed = true
 	case 'D':
 		if r.Byte() == 'S' {
-			request.query, request.describe = c.prepared[r.Str()], true
+			request.query, request.describe = c.prepared[r.CString()], true
 		}
 	case 'B':
-		r.Str() // the portal
-		request.query = c.prepared[r.Str()]
-		request.bind = string(r.B)
+		r.CString() // the portal
+		request.query = c.prepared[r.CString()]
+		request.bind = string(r.Unread)
 	}
 }
 
@@ -162,16 +162,16 @@
 // pgRows answers a batch with text rows of one column.
 func pgRows(rows ...string) []byte {
 	b := append(bytes.Clone(parseComplete), bindComplete...)
-	b = pgproto.Append(b, 'T', oneColumn)
+	b = pgproto.AppendMessage(b, 'T', oneColumn)
 	for _, row := range rows {
-		b = pgproto.Append(b, 'D', []byte{0, 1}, pgproto.Int32(len(row)), []byte(row))
+		b = pgproto.AppendMessage(b, 'D', []byte{0, 1}, pgproto.Int32(len(row)), []byte(row))
 	}
-	return pgproto.Append(b, 'C', pgproto.Str(fmt.Sprintf("SELECT %d", len(rows))))
+	return pgproto.AppendMessage(b, 'C', pgproto.CString(fmt.Sprintf("SELECT %d", len(rows))))
 }
 
 // pgError is an ErrorResponse with the code.
 func pgError(code string) []byte {
-	return pgproto.Append(nil, 'E', (&pgproto.Error{Severity: "ERROR", Code: code, Message: "no"}).Body())
+	return pgproto.AppendMessage(nil, 'E', (&pgproto.Error{Severity: "ERROR", Code: code, Message: "no"}).Body())
 }
 
 // noPgReply is the script of an engine that answers no batch.
--- a/internal/e2e/postgres_faults_test.go
+++ b/internal/e2e/postgres_faults_test.go
@@ -40,7 +40,7 @@
 		"copy":              {[]string{addr}, nil, [][]byte{query("COPY x FROM STDIN")}, "E(0A000) Z", 0},
 		"two statements":    {[]string{addr}, nil, [][]byte{query("SELECT 1; SELECT 2")}, "E(0A000) Z", 0},
 		"empty":             {[]string{addr}, nil, [][]byte{query(" -- nothing\n;")}, "I Z", 0},
-		"malformed Bind":    {[]string{addr}, nil, [][]byte{parse("", "SELECT 1"), pgproto.Append(nil, 'B', []byte("\x00\x00\x00\x07")), syncMessage}, "1 E(08P01) Z", 0},
+		"malformed Bind":    {[]string{addr}, nil, [][]byte{parse("", "SELECT 1"), pgproto.AppendMessage(nil, 'B', []byte("\x00\x00\x00\x07")), syncMessage}, "1 E(08P01) Z", 0},
 		"malformed message": {[]string{addr}, nil, [][]byte{{'E', 0, 0, 0, 1}}, "E(08P01) end", 0},
 		"unknown message":   {[]string{addr}, nil, [][]byte{{'#', 0, 0, 0, 4}}, "E(08P01) end", 0},
 	} {
--- a/internal/e2e/postgres_session_test.go
+++ b/internal/e2e/postgres_session_test.go
@@ -113,13 +113,13 @@
 func TestPostgres_EncryptionIsDeclined(t *testing.T) {
 	front := startPostgres(t)
 	client := &pgClient{t: t, conn: dial(t, front.addr)}
-	for _, code := range []uint32{pgproto.SSLReq, pgproto.GSSReq} {
+	for _, code := range []uint32{pgproto.SSLRequestCode, pgproto.GSSENCRequestCode} {
 		client.send(pgproto.AppendStartup(nil, code, nil))
 		answer := make([]byte, 1)
 		if _, err := client.conn.Read(answer); err != nil || answer[0] != 'N' {
 			t.Fatalf("got %q, %v", answer, err)
 		}
 	}
-	client.send(startupMessage(pgproto.Version+2, "user", "x"))
+	client.send(startupMessage(pgproto.ProtocolVersion+2, "user", "x"))
 	assertEqual(t, "startup", client.receiveUntilReady(), "v R S S S S S S S K Z")
 }
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -118,7 +118,7 @@
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
 	front.pgOptions = pgserver.Options{
-		DefaultClass: "lookup", WriteClass: "write", ReadOnly: map[string]bool{"stock.price_of": true},
+		DefaultClass: "lookup", WriteClass: "write", ReadOnlyFunctions: map[string]bool{"stock.price_of": true},
 		Rules: []pgserver.Rule{{Starts: "SELECT quiet", Class: "report", ReadOnly: true}, {Starts: "SELECT loud", Class: "report"}},
 	}
 	front.servePostgres(addr)
--- a/internal/e2e/query_shapes_test.go
+++ b/internal/e2e/query_shapes_test.go
@@ -24,8 +24,8 @@
 // enableQueryShapes has a front end learn query shapes; it must not serve yet.
 func enableQueryShapes(t *testing.T, front *frontEnd, settings stmtstats.Settings) *stmtstats.Service {
 	t.Helper()
-	settings.Bytes = 256 << 10
-	settings.Decide = costmodel.Config{Classes: []costmodel.Class{{Name: "lookup", UpTo: lookupLimit}, {Name: "report"}}}
+	settings.MaxBytes = 256 << 10
+	settings.CostModel = costmodel.Config{Classes: []costmodel.Class{{Name: "lookup", MaxWorkMillis: lookupLimit}, {Name: "report"}}}
 	service, err := stmtstats.NewService(settings, front.site.Policy.Classes, front.loop, front.counters, front.logger)
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 	writeFile(t, path, damaged)
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
-	service := enableQueryShapes(t, front, stmtstats.Settings{Snapshot: path, Every: time.Hour})
+	service := enableQueryShapes(t, front, stmtstats.Settings{SnapshotPath: path, SnapshotInterval: time.Hour})
 	if n := front.counters.Get("shapes.snapshot-unusable"); n != 1 {
 		t.Errorf("%d snapshots found unusable, want 1", n)
 	}
@@ -103,10 +103,10 @@
 		client.send(query(fmt.Sprintf("SELECT part FROM stock_4.parts WHERE id = %d", i)))
 		client.receiveUntilReady()
 	}
-	front.onLoop(service.Save)
+	front.onLoop(service.SaveSnapshot)
 	front.awaitCount("shapes.snapshots", 1)
 	snapshot, err := stmtstats.ReadSnapshot(path)
-	if err != nil || len(snapshot.Shapes) != 1 || snapshot.Shapes[0].Entry.Seen != 5 {
+	if err != nil || len(snapshot.Shapes) != 1 || snapshot.Shapes[0].Record.Executions != 5 {
 		t.Errorf("%+v, %v", snapshot, err)
 	}
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -58,7 +58,7 @@
 }
 
 // UpdateEndpoint applies an entry of the endpoint list.
-func (c *Client[P]) UpdateEndpoint(endpoint lifecycle.Endpoint) { c.pool.Engine(endpoint) }
+func (c *Client[P]) UpdateEndpoint(endpoint lifecycle.Endpoint) { c.pool.UpdateEndpoint(endpoint) }
 
 // EngineOf returns the engine of an attempt. Where the endpoint list has no such
 // engine it ends the attempt and returns nil.
@@ -86,7 +86,7 @@
 	if leastRecent == nil {
 		return false
 	}
-	c.Counters.Add("engine-connections.evicted")
+	c.Counters.Increment("engine-connections.evicted")
 	leastRecent.protocol.Retire()
 	return true
 }
--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -58,7 +58,7 @@
 func newFakeConnection(client *Client[*fakeConnection], state State) *fakeConnection {
 	c := &fakeConnection{closed: make(chan lifecycle.AttemptStatus, 1)}
 	c.client, c.engine, c.protocol, c.state = client, &Engine[*fakeConnection]{ID: "e1"}, c, state
-	c.engine.Links = append(c.engine.Links, c)
+	c.engine.Connections = append(c.engine.Connections, c)
 	client.accepting[&c.Connection] = struct{}{}
 	return c
 }
@@ -121,7 +121,7 @@
 			if status := <-c.closed; status != test.want {
 				t.Errorf("closed with %v, want %v", status, test.want)
 			}
-			if c.State() != StateClosed || len(c.engine.Links) != 0 || len(client.accepting) != 0 {
+			if c.State() != StateClosed || len(c.engine.Connections) != 0 || len(client.accepting) != 0 {
 				t.Error("the connection is still held")
 			}
 			if client.Counters.Get("engine-connections.closed."+test.want.String()) != 1 {
@@ -145,12 +145,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool[*fakeConnection]()
-			pool.Engine(entry)
+			pool.UpdateEndpoint(entry)
 			c := &fakeConnection{}
-			pool.Get("e1").Links = append(pool.Get("e1").Links, c)
+			pool.Get("e1").Connections = append(pool.Get("e1").Connections, c)
 			changed := entry
 			test.change(&changed)
-			pool.Engine(changed)
+			pool.UpdateEndpoint(changed)
 			if c.retired != test.retired {
 				t.Errorf("retired: %t, want %t", c.retired, test.retired)
 			}
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -8,9 +8,9 @@
 // Dial starts a connection to the engine. The protocol's part is what embeds it.
 func (c *Connection[P]) Dial(client *Client[P], engine *Engine[P], protocol P) {
 	c.client, c.engine, c.protocol = client, engine, protocol
-	engine.Links = append(engine.Links, protocol)
+	engine.Connections = append(engine.Connections, protocol)
 	client.accepting[c] = struct{}{}
-	client.Counters.Add("engine-connections.dialed")
+	client.Counters.Increment("engine-connections.dialed")
 	client.Loop.Dial(engine.Address, client.options.ConnectTimeout, client.options.ReadBufferBytes, c, c.dialed)
 }
 
--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -50,7 +50,7 @@
 type Environment struct {
 	Loop       *eventloop.Loop
 	Dispatcher *lifecycle.Dispatcher
-	Site       config.Site
+	Site       config.Settings
 	Counters   *metrics.Counters
 	Log        *slog.Logger
 }
@@ -99,7 +99,7 @@
 	x.loop, err = eventloop.New(maxDescriptors)
 	x.Check(err)
 	env.Loop = x.loop
-	env.Dispatcher, err = lifecycle.New(env.Site.Policy, 1, fixedClock{}, timerqueue.New(), x.Counters, env.Log)
+	env.Dispatcher, err = lifecycle.NewDispatcher(env.Site.Policy, 1, fixedClock{}, timerqueue.New(), x.Counters, env.Log)
 	x.Check(err)
 	env.Dispatcher.SetCostObserver(x)
 	x.Client = protocol.NewClient(env)
--- a/internal/engine/lineclient/client.go
+++ b/internal/engine/lineclient/client.go
@@ -43,7 +43,7 @@
 
 // New returns a client that reports to the dispatcher.
 func New(
-	loop *eventloop.Loop, dispatcher *lifecycle.Dispatcher, site config.Site, counters *metrics.Counters, log *slog.Logger,
+	loop *eventloop.Loop, dispatcher *lifecycle.Dispatcher, site config.Settings, counters *metrics.Counters, log *slog.Logger,
 ) *Client {
 	connectTimeout := site.ConnectTimeout
 	if connectTimeout <= 0 {
@@ -89,7 +89,7 @@
 // id, or nil.
 func (c *Client) findConnection(target *engine.Engine[*connection], id string) *connection {
 	now := c.shared.Dispatcher.Now()
-	for _, conn := range target.Links {
+	for _, conn := range target.Connections {
 		if conn.accepts(id, now) {
 			return conn
 		}
--- a/internal/engine/pgclient/cancel.go
+++ b/internal/engine/pgclient/cancel.go
@@ -14,7 +14,7 @@
 // cancel closes the connection and has the engine end the query that runs on it.
 func (c *connection) cancel() {
 	shared := c.client.shared
-	shared.Counters.Add("engine-connections.cancel-requests")
+	shared.Counters.Increment("engine-connections.cancel-requests")
 	c.Close(lifecycle.StatusCancelled)
 	if c.cancelKey == nil {
 		return
@@ -24,7 +24,7 @@
 		if err != nil {
 			return // the query then runs to its end, as if it had ended just before the request
 		}
-		socket.Write(pgproto.AppendStartup(nil, pgproto.CancelReq, c.cancelKey))
+		socket.Write(pgproto.AppendStartup(nil, pgproto.CancelRequestCode, c.cancelKey))
 		socket.Close()
 	})
 }
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -33,7 +33,7 @@
 type Options struct {
 	User, Database   string
 	ConnectTimeout   time.Duration // for the connection and its startup together
-	IdleClose        time.Duration // 0: idle connections stay open
+	IdleTimeout      time.Duration // 0: idle connections stay open
 	MaxBufferedBytes int           // bound of the rows of all results that are incomplete
 }
 
@@ -57,7 +57,7 @@
 	}
 	shared := engine.Options{
 		ConnectTimeout:  options.ConnectTimeout,
-		IdleTimeout:     options.IdleClose,
+		IdleTimeout:     options.IdleTimeout,
 		ReadBufferBytes: readBufferBytes,
 		StallTimeout:    stallTimeout,
 	}
@@ -86,7 +86,7 @@
 
 // findIdle returns a connection to the engine that has no attempt, or nil.
 func findIdle(target *engine.Engine[*connection]) *connection {
-	for _, conn := range target.Links {
+	for _, conn := range target.Connections {
 		if !conn.Draining() && conn.exchange.attempt == nil {
 			return conn
 		}
--- a/internal/engine/pgclient/connection.go
+++ b/internal/engine/pgclient/connection.go
@@ -77,7 +77,7 @@
 // clearExchange takes the attempt off the connection.
 func (c *connection) clearExchange() {
 	if result := c.exchange.result; result != nil {
-		c.client.bufferedBytes -= len(result.Rows)
+		c.client.bufferedBytes -= len(result.DataRows)
 	}
 	c.exchange.attempt, c.exchange.result, c.exchange.errorResponse = nil, nil, nil
 }
--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -92,7 +92,7 @@
 func (c *connection) errorStatus(statement *pgproto.Statement) lifecycle.AttemptStatus {
 	status := statusOf(c.exchange.errorResponse.Code)
 	class, _ := c.client.shared.Dispatcher.Class(c.exchange.attempt.Request.Class)
-	if status == lifecycle.StatusOverloaded && class.Effect == policy.NonIdempotent && !statement.Describe {
+	if status == lifecycle.StatusOverloaded && class.Effect == policy.NonIdempotent && !statement.DescribeOnly {
 		return lifecycle.StatusEngineError
 	}
 	return status
@@ -101,7 +101,7 @@
 // handleError takes an ErrorResponse. What it means to the attempt is decided at the
 // end of the response, unless the engine ends the connection on it.
 func (c *connection) handleError(body []byte) error {
-	response, err := pgproto.ReadError(body)
+	response, err := pgproto.ParseError(body)
 	if err != nil {
 		return fmt.Errorf("read an ErrorResponse: %w", err)
 	}
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -40,12 +40,12 @@
 
 func printServed(out io.Writer, _ *lifecycle.Request, rep lifecycle.AttemptReport) {
 	r := rep.Result.(*pgproto.Result)
-	_, _ = fmt.Fprintf(out, "= parameters %q, fields %q, %d rows %q, tag %q, empty %t\n", r.Params, r.Fields, r.Count, r.Rows, r.Tag, r.Empty)
+	_, _ = fmt.Fprintf(out, "= parameters %q, fields %q, %d rows %q, tag %q, empty %t\n", r.ParameterDescription, r.RowDescription, r.RowCount, r.DataRows, r.CommandTag, r.EmptyQuery)
 }
 
 func statement(query string) *pgproto.Statement {
 	// No parameter types; in Bind no formats, no values, no formats of results.
-	return &pgproto.Statement{Query: query, Types: make([]byte, 2), Bind: make([]byte, 6)}
+	return &pgproto.Statement{Query: query, ParameterTypes: make([]byte, 2), Bind: make([]byte, 6)}
 }
 
 // start begins an attempt.
@@ -125,7 +125,7 @@
 		x.readQuery()
 		x.Write(bound, columns, complete, ready)
 		x.AwaitEnd(a)
-		a = x.start("lookup", &pgproto.Statement{Query: question, Types: []byte{0, 1, 0, 0, 0, 25}, Bind: []byte("\x00\x01\x00\x01\x00\x01\x00\x00\x00\x02k\xff\x00\x01\x00\x01")})
+		a = x.start("lookup", &pgproto.Statement{Query: question, ParameterTypes: []byte{0, 1, 0, 0, 0, 25}, Bind: []byte("\x00\x01\x00\x01\x00\x01\x00\x00\x00\x02k\xff\x00\x01\x00\x01")})
 		x.readQuery()
 		x.Write(parsed, bound, message('n', ""), message('I', ""), ready)
 		x.AwaitEnd(a)
@@ -137,7 +137,7 @@
 	},
 	"describe": func(x exchange) {
 		s := statement(question)
-		s.Describe = true
+		s.DescribeOnly = true
 		a := x.start("lookup", s)
 		x.acceptStartup()
 		x.readQuery()
--- a/internal/engine/pgclient/messages.go
+++ b/internal/engine/pgclient/messages.go
@@ -38,7 +38,7 @@
 
 // HandleMessage takes the first message of in.
 func (c *connection) HandleMessage(in []byte) (length int, err error) {
-	kind, body, length, err := pgproto.Next(in, maxMessageBytes)
+	kind, body, length, err := pgproto.ParseMessage(in, maxMessageBytes)
 	if err != nil {
 		return 0, fmt.Errorf("read a message: %w", err)
 	}
--- a/internal/engine/pgclient/prepared.go
+++ b/internal/engine/pgclient/prepared.go
@@ -25,7 +25,7 @@
 
 // statementKey is what tells prepared statements apart: the text and the parameter types.
 func statementKey(statement *pgproto.Statement) string {
-	return statement.Query + "\x00" + string(statement.Types)
+	return statement.Query + "\x00" + string(statement.ParameterTypes)
 }
 
 // newName returns a name for a statement that is not prepared yet, or "" where it is
@@ -44,11 +44,11 @@
 	key := statementKey(statement)
 	c.exchange.statementKey = key
 	if known, ok := c.prepared.names[key]; ok {
-		return pgproto.Str(known), nil
+		return pgproto.CString(known), nil
 	}
 	c.exchange.parsedName = c.prepared.newName(key)
-	name = pgproto.Str(c.exchange.parsedName)
-	return name, pgproto.Append(nil, kindParse, name, pgproto.Str(statement.Query), statement.Types)
+	name = pgproto.CString(c.exchange.parsedName)
+	return name, pgproto.AppendMessage(nil, kindParse, name, pgproto.CString(statement.Query), statement.ParameterTypes)
 }
 
 // forgetStale reports whether an error concerns a statement that was prepared by an
--- a/internal/engine/pgclient/query.go
+++ b/internal/engine/pgclient/query.go
@@ -16,19 +16,19 @@
 	}
 	c.exchange.state = queryWritten
 	name, query := c.prepare(statement)
-	if statement.Describe {
-		query = pgproto.Append(query, kindDescribe, []byte("S"), name)
+	if statement.DescribeOnly {
+		query = pgproto.AppendMessage(query, kindDescribe, []byte("S"), name)
 	} else {
 		query = appendExecution(query, name, statement.Bind)
 	}
-	c.Write(pgproto.Append(query, kindSync))
+	c.Write(pgproto.AppendMessage(query, kindSync))
 }
 
 // appendExecution adds the messages that run a prepared statement once, with the
 // unnamed portal and without a limit of rows.
 func appendExecution(query, name, bind []byte) []byte {
 	const unnamedPortal, unlimitedRows = "\x00", 0
-	query = pgproto.Append(query, kindBind, []byte(unnamedPortal), name, bind)
-	query = pgproto.Append(query, kindDescribe, []byte("P"+unnamedPortal))
-	return pgproto.Append(query, kindExecute, []byte(unnamedPortal), pgproto.Int32(unlimitedRows))
+	query = pgproto.AppendMessage(query, kindBind, []byte(unnamedPortal), name, bind)
+	query = pgproto.AppendMessage(query, kindDescribe, []byte("P"+unnamedPortal))
+	return pgproto.AppendMessage(query, kindExecute, []byte(unnamedPortal), pgproto.Int32(unlimitedRows))
 }
--- a/internal/engine/pgclient/response.go
+++ b/internal/engine/pgclient/response.go
@@ -19,21 +19,21 @@
 		c.exchange.state = queryBound
 	case kindCloseComplete:
 	case kindParameterDescription:
-		result.Params = append([]byte{}, body...)
+		result.ParameterDescription = append([]byte{}, body...)
 	case kindRowDescription:
-		result.Fields = append([]byte{}, body...)
+		result.RowDescription = append([]byte{}, body...)
 	case kindNoData:
-		result.Fields = nil
+		result.RowDescription = nil
 	case kindDataRow:
 		c.addRow(whole)
 	case kindCommandComplete:
-		tag := pgproto.Reader{B: body}
-		result.Tag, c.exchange.complete = tag.Str(), true
-		if !tag.End() {
-			return fmt.Errorf("%w: CommandComplete", pgproto.Malformed)
+		tag := pgproto.Reader{Unread: body}
+		result.CommandTag, c.exchange.complete = tag.CString(), true
+		if !tag.Complete() {
+			return fmt.Errorf("%w: CommandComplete", pgproto.ErrMalformed)
 		}
 	case kindEmptyQueryResponse:
-		result.Empty, c.exchange.complete = true, true
+		result.EmptyQuery, c.exchange.complete = true, true
 	default:
 		return &unexpectedMessageError{kind: kind, phase: phaseResponse}
 	}
@@ -45,15 +45,15 @@
 func (c *connection) addRow(row []byte) {
 	result := c.exchange.result
 	switch {
-	case len(result.Rows)+len(row) > maxResultBytes:
+	case len(result.DataRows)+len(row) > maxResultBytes:
 		c.rejectResult(stateProgramLimitExceeded, fmt.Sprintf("the result is larger than %d bytes", maxResultBytes))
 		return
 	case c.client.bufferedBytes+len(row) > c.client.options.MaxBufferedBytes:
 		c.rejectResult(stateOutOfMemory, "the gateway holds too many results")
 		return
 	}
-	result.Rows = append(result.Rows, row...)
-	result.Count++
+	result.DataRows = append(result.DataRows, row...)
+	result.RowCount++
 	c.client.bufferedBytes += len(row)
 }
 
@@ -74,7 +74,7 @@
 		c.finish(lifecycle.StatusNotSent, lifecycle.AttemptReport{})
 	case failure != nil:
 		c.finish(c.errorStatus(statement), lifecycle.AttemptReport{ErrorDetail: failure})
-	case c.exchange.complete || statement.Describe && c.exchange.result.Params != nil:
+	case c.exchange.complete || statement.DescribeOnly && c.exchange.result.ParameterDescription != nil:
 		c.finish(lifecycle.StatusServed, lifecycle.AttemptReport{Result: c.exchange.result})
 	default:
 		return errIncompleteResponse
--- a/internal/engine/pgclient/startup.go
+++ b/internal/engine/pgclient/startup.go
@@ -17,9 +17,9 @@
 	options := c.client.options
 	var parameters []byte
 	for _, text := range []string{"user", options.User, "database", options.Database, "application_name", applicationName} {
-		parameters = append(parameters, pgproto.Str(text)...)
+		parameters = append(parameters, pgproto.CString(text)...)
 	}
-	c.Write(pgproto.AppendStartup(nil, pgproto.Version, append(parameters, 0)))
+	c.Write(pgproto.AppendStartup(nil, pgproto.ProtocolVersion, append(parameters, 0)))
 	c.client.shared.Loop.Timers.Schedule(c.startupDeadline, c.checkStartup)
 }
 
@@ -35,7 +35,7 @@
 func (c *connection) handleStartup(kind byte, body []byte) error {
 	switch kind {
 	case kindAuthentication:
-		reader := pgproto.Reader{B: body}
+		reader := pgproto.Reader{Unread: body}
 		if reader.Int32() != authenticationOK {
 			return errAuthentication
 		}
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -21,10 +21,10 @@
 
 // Engine is one engine of the endpoint list with its connections.
 type Engine[C Pooled] struct {
-	ID        string
-	Address   string
-	Links     []C
-	startedAt time.Duration
+	ID          string
+	Address     string
+	Connections []C
+	startedAt   time.Duration
 }
 
 // NewPool returns an empty pool.
@@ -33,9 +33,9 @@
 // Get returns the engine of this id, or nil if the endpoint list has none.
 func (p *Pool[C]) Get(id string) *Engine[C] { return p.engines[id] }
 
-// Engine applies an entry of the endpoint list. Connections to an engine that has
+// UpdateEndpoint applies an entry of the endpoint list. Connections to an engine that has
 // changed its address, has restarted or is removed are retired.
-func (p *Pool[C]) Engine(endpoint lifecycle.Endpoint) {
+func (p *Pool[C]) UpdateEndpoint(endpoint lifecycle.Endpoint) {
 	removed := endpoint.State == policy.EngineRemoved
 	known := p.engines[endpoint.ID]
 	if known == nil {
@@ -45,7 +45,7 @@
 		return
 	}
 	if removed || endpoint.Address != known.Address || endpoint.StartedAt != known.startedAt {
-		for _, connection := range slices.Clone(known.Links) {
+		for _, connection := range slices.Clone(known.Connections) {
 			connection.Retire()
 		}
 	}
@@ -57,5 +57,5 @@
 
 // remove takes out a connection that has ended.
 func (e *Engine[C]) remove(connection C) {
-	e.Links = slices.DeleteFunc(e.Links, func(other C) bool { return other == connection })
+	e.Connections = slices.DeleteFunc(e.Connections, func(other C) bool { return other == connection })
 }
--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -131,7 +131,7 @@
 	if c.state == stateClosing {
 		return
 	}
-	c.server.counters.Add("http.read-timeouts")
+	c.server.counters.Increment("http.read-timeouts")
 	if c.socket.UnreadBytes() == 0 {
 		c.closeNow()
 		return
--- a/internal/frontend/httpserver/disconnect_test.go
+++ b/internal/frontend/httpserver/disconnect_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var site config.Site
+	var site config.Settings
 	if err := json.Unmarshal(raw, &site); err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	counters := metrics.New()
-	dispatcher, err := lifecycle.New(site.Policy, 1, loop, loop.Timers, counters, slog.New(slog.DiscardHandler))
+	dispatcher, err := lifecycle.NewDispatcher(site.Policy, 1, loop, loop.Timers, counters, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/httpserver/eviction.go
+++ b/internal/frontend/httpserver/eviction.go
@@ -21,7 +21,7 @@
 	now := s.loop.Now()
 	for c := range s.connections {
 		if c.idle() && now-c.lastActive > maxIdleTime {
-			s.counters.Add("http.idle-closed")
+			s.counters.Increment("http.idle-closed")
 			c.closeNow()
 		}
 	}
@@ -43,7 +43,7 @@
 			s.retryEviction()
 			return
 		}
-		s.counters.Add("http.evicted")
+		s.counters.Increment("http.evicted")
 		victim.closeNow()
 	}
 }
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -57,9 +57,9 @@
 		return nil, err
 	}
 	if estimator := c.server.options.Estimator; estimator != nil {
-		estimator.ExpectText(r, statement)
+		estimator.EstimateText(r, statement)
 	} else {
-		r.Dataset, _ = sqltext.Group(statement)
+		r.Dataset, _ = sqltext.DatasetOf(statement)
 	}
 	return r, nil
 }
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -27,18 +27,18 @@
 
 // Options bound the resources that clients may use.
 type Options struct {
-	MaxClients   int                // open connections; past it the longest idle ones are evicted
-	MaxHeldBytes int                // bytes of results that are buffered for clients to fetch
-	Estimator    *stmtstats.Service // estimates costs by query shape; nil: off
-	ReadTimeout  time.Duration      // within which a connection's first request, and any begun, must be complete
+	MaxClients       int                // open connections; past it the longest idle ones are evicted
+	MaxBufferedBytes int                // bytes of results that are buffered for clients to fetch
+	Estimator        *stmtstats.Service // estimates costs by query shape; nil: off
+	ReadTimeout      time.Duration      // within which a connection's first request, and any begun, must be complete
 }
 
 func (o Options) withDefaults() Options {
 	if o.MaxClients <= 0 {
 		o.MaxClients = defaultMaxClients
 	}
-	if o.MaxHeldBytes <= 0 {
-		o.MaxHeldBytes = defaultMaxBufferedBytes
+	if o.MaxBufferedBytes <= 0 {
+		o.MaxBufferedBytes = defaultMaxBufferedBytes
 	}
 	if o.ReadTimeout <= 0 {
 		o.ReadTimeout = defaultReadTimeout
@@ -69,7 +69,7 @@
 	return &Server{
 		loop: loop, dispatcher: dispatcher, options: options, counters: counters,
 		connections: map[*connection]struct{}{}, inFlightIDs: map[string]struct{}{},
-		results: newResultStore(instanceID, options.MaxHeldBytes),
+		results: newResultStore(instanceID, options.MaxBufferedBytes),
 	}
 }
 
@@ -85,7 +85,7 @@
 }
 
 func (s *Server) accept(socket *eventloop.Conn) eventloop.Handler {
-	s.counters.Add("http.connections")
+	s.counters.Increment("http.connections")
 	c := &connection{server: s, socket: socket, lastActive: s.loop.Now()}
 	s.connections[c] = struct{}{}
 	if len(s.connections) > s.options.MaxClients {
--- a/internal/frontend/pgserver/bind.go
+++ b/internal/frontend/pgserver/bind.go
@@ -18,14 +18,14 @@
 // readBind reads a Bind past its names: formats, values and result formats. The values
 // lie within the message.
 func readBind(r *pgproto.Reader) (binds sqltext.Binds, ok bool) {
-	start := r.B
+	start := r.Unread
 	formatCount, ok := readFormats(r)
 	if !ok {
 		return binds, false
 	}
 	binds.Formats = start[countSize : countSize+formatCount*formatSize]
 	valueCount := r.Count()
-	if formatCount > 1 && formatCount != valueCount || r.Bad {
+	if formatCount > 1 && formatCount != valueCount || r.Malformed {
 		return binds, false
 	}
 	for range valueCount {
@@ -38,7 +38,7 @@
 	if _, ok = readFormats(r); !ok {
 		return binds, false
 	}
-	return binds, r.End()
+	return binds, r.Complete()
 }
 
 // readFormats skips a count and as many format codes, each of which must be known.
@@ -49,7 +49,7 @@
 			return count, false
 		}
 	}
-	return count, !r.Bad
+	return count, !r.Malformed
 }
 
 // readValue reads one value, which is nil if it is null.
@@ -60,5 +60,5 @@
 	} else if length != nullLength {
 		return nil, false
 	}
-	return value, !r.Bad
+	return value, !r.Malformed
 }
--- a/internal/frontend/pgserver/bind_test.go
+++ b/internal/frontend/pgserver/bind_test.go
@@ -14,7 +14,7 @@
 	f.Add([]byte{255, 255})
 	fields := append([]byte{0, 1, 'c', 0}, make([]byte, 18)...)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		binds, ok := readBind(&pgproto.Reader{B: b})
+		binds, ok := readBind(&pgproto.Reader{Unread: b})
 		if !ok {
 			return
 		}
@@ -25,7 +25,7 @@
 		if size > len(b) {
 			t.Fatalf("%d bytes of values in %d", size, len(b))
 		}
-		out, err := pgproto.Formats(fields, b)
+		out, err := pgproto.ApplyResultFormats(fields, b)
 		if err != nil || len(out) != len(fields) || binary.BigEndian.Uint16(out[20:]) > 1 {
 			t.Fatalf("formats %v, %v", out, err)
 		}
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -54,10 +54,10 @@
 		return classification{class: class, keyParameter: choice.keyParameter}, nil
 	}
 	verdict := s.effectOf(query, reading)
-	if verdict.Effect == sqltext.Reads || verdict.Effect == sqltext.Untold && choice.readOnly {
+	if verdict.Effect == sqltext.EffectReads || verdict.Effect == sqltext.EffectUnknown && choice.readOnly {
 		return classification{class: class, keyParameter: choice.keyParameter, classByShape: !choice.explicit}, nil
 	}
-	s.counters.Add("postgres.may-write")
+	s.counters.Increment("postgres.may-write")
 	if choice.explicit {
 		e := newError(codeInvalidParameterValue, "class %s is safe to repeat, and the statement may write (%v)", choice.class, verdict)
 		e.Hint = "Name no class, or one for writes or loads. Functions that only read belong in the gateway's read_only_functions."
@@ -75,14 +75,14 @@
 	if reading != nil {
 		return reading.Effect()
 	}
-	return sqltext.EffectOf(query, s.options.ReadOnly)
+	return sqltext.EffectOf(query, s.options.ReadOnlyFunctions)
 }
 
 // chooseClass applies the first rule that matches, and then the leading comment.
 func (s *Server) chooseClass(query string) (classChoice, *pgproto.Error) {
 	choice := classChoice{class: s.options.DefaultClass}
 	for _, rule := range s.options.Rules {
-		if sqltext.Begins(query, rule.Starts) {
+		if sqltext.HasTokenPrefix(query, rule.Starts) {
 			choice = classChoice{class: rule.Class, keyParameter: rule.Key, readOnly: rule.ReadOnly, explicit: true}
 			break
 		}
@@ -142,7 +142,7 @@
 	var command string
 	var several bool
 	if reading != nil {
-		command, several = strings.ToUpper(reading.First()), reading.Several()
+		command, several = strings.ToUpper(reading.FirstWord()), reading.MultipleStatements()
 	} else {
 		command, several = sqltext.FirstWord(query)
 	}
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -101,7 +101,7 @@
 
 // rejectMalformed ends a connection whose input can't be read.
 func (c *connection) rejectMalformed(err error) {
-	c.server.counters.Add("postgres.malformed")
+	c.server.counters.Increment("postgres.malformed")
 	var response *pgproto.Error
 	if !errors.As(err, &response) {
 		response = newError(codeProtocolViolation, "%v", err)
@@ -117,14 +117,14 @@
 		return
 	}
 	c.stallTimer = c.server.loop.Timers.Schedule(c.server.loop.Now()+stallTimeout, func() {
-		c.server.counters.Add("postgres.stalled")
+		c.server.counters.Increment("postgres.stalled")
 		c.fatal(newError(codeProtocolViolation, "a message stopped in the middle"))
 	})
 }
 
 // send appends a message to the output, which flush writes.
 func (c *connection) send(kind byte, body ...[]byte) {
-	c.output = pgproto.Append(c.output, kind, body...)
+	c.output = pgproto.AppendMessage(c.output, kind, body...)
 }
 
 // flush writes the output.
@@ -149,7 +149,7 @@
 // sendError sends the one ErrorResponse of a message. After a Query the client may go
 // on; otherwise what follows is skipped up to the next Sync.
 func (c *connection) sendError(e *pgproto.Error) {
-	c.server.counters.Add("postgres.errors." + e.Code)
+	c.server.counters.Increment("postgres.errors." + e.Code)
 	c.send(pgproto.ServerErrorResponse, e.Body())
 	if c.simpleQuery {
 		c.endSimpleQuery()
--- a/internal/frontend/pgserver/describe.go
+++ b/internal/frontend/pgserver/describe.go
@@ -32,7 +32,7 @@
 		then()
 		return
 	}
-	message := &pgproto.Statement{Query: s.query, Types: s.parameterTypes, Describe: true}
+	message := &pgproto.Statement{Query: s.query, ParameterTypes: s.parameterTypes, DescribeOnly: true}
 	c.forward(execution{statement: s, message: message, onServed: func(result *pgproto.Result) {
 		s.description = result
 		then()
@@ -45,8 +45,8 @@
 		c.sendRowDescription(nil)
 		return
 	}
-	c.send(pgproto.ServerParameterDescription, s.description.Params)
-	c.sendRowDescription(s.description.Fields)
+	c.send(pgproto.ServerParameterDescription, s.description.ParameterDescription)
+	c.sendRowDescription(s.description.RowDescription)
 }
 
 // describeDeferred settles the deferred description of a portal once the next message
@@ -54,8 +54,8 @@
 // which that message waits.
 func (c *connection) describeDeferred(kind byte, body []byte) {
 	p := c.deferredDescribe
-	r := pgproto.Reader{B: body}
-	if kind == pgproto.ClientExecute && c.portals[r.Str()] == p && p.result == nil && !p.statement.empty {
+	r := pgproto.Reader{Unread: body}
+	if kind == pgproto.ClientExecute && c.portals[r.CString()] == p && p.result == nil && !p.statement.empty {
 		return // execute sends it
 	}
 	c.deferredDescribe = nil
@@ -66,11 +66,11 @@
 	description := p.statement.description
 	switch {
 	case p.result != nil:
-		c.sendRowDescription(p.result.Fields)
-	case description == nil || description.Fields == nil:
+		c.sendRowDescription(p.result.RowDescription)
+	case description == nil || description.RowDescription == nil:
 		c.sendRowDescription(nil)
 	default:
-		fields, err := pgproto.Formats(description.Fields, p.bind)
+		fields, err := pgproto.ApplyResultFormats(description.RowDescription, p.bind)
 		if err != nil {
 			c.sendError(errMalformed("RowDescription"))
 			return
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -9,10 +9,10 @@
 
 // parse serves a Parse: it prepares a statement.
 func (c *connection) parse(body []byte) *pgproto.Error {
-	r := pgproto.Reader{B: body}
-	name, query := r.Str(), r.Str()
-	parameterTypes := r.B
-	if r.Bytes(oidSize * r.Count()); !r.End() {
+	r := pgproto.Reader{Unread: body}
+	name, query := r.CString(), r.CString()
+	parameterTypes := r.Unread
+	if r.Bytes(oidSize * r.Count()); !r.Complete() {
 		return errMalformed("Parse")
 	}
 	if name != "" && c.statements[name] != nil {
@@ -34,7 +34,7 @@
 func (c *connection) prepare(query string, parameterTypes []byte) (*statement, *pgproto.Error) {
 	var reading *stmtstats.Statement
 	if estimator := c.server.options.Estimator; estimator != nil {
-		reading = estimator.Read(query, c.server.options.ReadOnly)
+		reading = estimator.Parse(query, c.server.options.ReadOnlyFunctions)
 	}
 	empty, e := checkSupported(query, reading)
 	if e != nil {
@@ -54,10 +54,10 @@
 
 // bind serves a Bind: it opens a portal.
 func (c *connection) bind(body []byte) *pgproto.Error {
-	r := pgproto.Reader{B: body}
-	name, statementName := r.Str(), r.Str()
-	r.B = bytes.Clone(r.B) // the portal keeps it, and the values lie within
-	bind := r.B
+	r := pgproto.Reader{Unread: body}
+	name, statementName := r.CString(), r.CString()
+	r.Unread = bytes.Clone(r.Unread) // the portal keeps it, and the values lie within
+	bind := r.Unread
 	binds, ok := readBind(&r)
 	if !ok {
 		return errMalformed("Bind")
@@ -95,10 +95,10 @@
 // checkValueCount compares the number of bound values with the parameters that an engine
 // has described, if one has.
 func (s *statement) checkValueCount(count int) *pgproto.Error {
-	if s.description == nil || len(s.description.Params) < countSize {
+	if s.description == nil || len(s.description.ParameterDescription) < countSize {
 		return nil
 	}
-	r := pgproto.Reader{B: s.description.Params}
+	r := pgproto.Reader{Unread: s.description.ParameterDescription}
 	if required := r.Count(); required != count {
 		return newError(codeProtocolViolation, "bind message supplies %d parameters, but the prepared statement requires %d", count, required)
 	}
@@ -109,9 +109,9 @@
 func (c *connection) execute(body []byte) *pgproto.Error {
 	describe := c.deferredDescribe != nil
 	c.deferredDescribe = nil
-	r := pgproto.Reader{B: body}
-	name, maxRows := r.Str(), r.Int32()
-	if !r.End() {
+	r := pgproto.Reader{Unread: body}
+	name, maxRows := r.CString(), r.Int32()
+	if !r.Complete() {
 		return errMalformed("Execute")
 	}
 	p := c.portals[name]
@@ -133,13 +133,13 @@
 
 func (c *connection) runPortal(p *portal, maxRows int, describe bool) {
 	s := p.statement
-	message := &pgproto.Statement{Query: s.query, Types: s.parameterTypes, Bind: p.bind}
-	p.binds.Types = s.parameterOIDs()
+	message := &pgproto.Statement{Query: s.query, ParameterTypes: s.parameterTypes, Bind: p.bind}
+	p.binds.TypeOIDs = s.parameterOIDs()
 	onServed := func(result *pgproto.Result) {
-		p.result, p.unsentRows = result, result.Rows
-		result.Rows = nil
+		p.result, p.unsentRows = result, result.DataRows
+		result.DataRows = nil
 		if describe {
-			c.sendRowDescription(result.Fields)
+			c.sendRowDescription(result.RowDescription)
 		}
 		_ = c.sendRows(p, maxRows) // a portal's first run never fails
 		c.reserveRows(p)
@@ -165,9 +165,9 @@
 
 // readTarget reads a message that names a statement or a portal.
 func readTarget(body []byte, message string) (kind byte, name string, e *pgproto.Error) {
-	r := pgproto.Reader{B: body}
-	kind, name = r.Byte(), r.Str()
-	if !r.End() || kind != pgproto.TargetStatement && kind != pgproto.TargetPortal {
+	r := pgproto.Reader{Unread: body}
+	kind, name = r.Byte(), r.CString()
+	if !r.Complete() || kind != pgproto.TargetStatement && kind != pgproto.TargetPortal {
 		return 0, "", errMalformed(message)
 	}
 	return kind, name, nil
--- a/internal/frontend/pgserver/messages.go
+++ b/internal/frontend/pgserver/messages.go
@@ -23,7 +23,7 @@
 	if len(input) > 0 && !slices.Contains(clientMessages, input[0]) {
 		return 0, errUnknownMessage
 	}
-	kind, body, size, err := pgproto.Next(input, maxMessage)
+	kind, body, size, err := pgproto.ParseMessage(input, maxMessage)
 	if err != nil || size == 0 {
 		return 0, err
 	}
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -25,8 +25,8 @@
 // parameterOIDs returns the types of the parameters: those that an engine has described,
 // else those that the client gave.
 func (s *statement) parameterOIDs() []byte {
-	if s.description != nil && len(s.description.Params) > countSize {
-		return s.description.Params[countSize:]
+	if s.description != nil && len(s.description.ParameterDescription) > countSize {
+		return s.description.ParameterDescription[countSize:]
 	}
 	if len(s.parameterTypes) > countSize {
 		return s.parameterTypes[countSize:]
@@ -48,12 +48,12 @@
 
 // sendRows sends rows of a portal that has run, at most maxRows of them if that is above 0.
 func (c *connection) sendRows(p *portal, maxRows int) *pgproto.Error {
-	if p.completed && p.result.Fields == nil {
+	if p.completed && p.result.RowDescription == nil {
 		return newError(codeObjectNotInState, "the portal has run and cannot be run again")
 	}
 	count, size := 0, 0
 	for size < len(p.unsentRows) && (maxRows <= 0 || count < maxRows) {
-		_, _, rowSize, _ := pgproto.Next(p.unsentRows[size:], len(p.unsentRows))
+		_, _, rowSize, _ := pgproto.ParseMessage(p.unsentRows[size:], len(p.unsentRows))
 		size += rowSize
 		count++
 	}
@@ -62,11 +62,11 @@
 	switch {
 	case maxRows > 0 && count == maxRows:
 		c.send(pgproto.ServerPortalSuspended)
-	case p.result.Empty:
+	case p.result.EmptyQuery:
 		c.send(pgproto.ServerEmptyQueryResponse)
 		p.completed = true
 	default:
-		c.send(pgproto.ServerCommandComplete, pgproto.Str(commandTag(p.result, count)))
+		c.send(pgproto.ServerCommandComplete, pgproto.CString(commandTag(p.result, count)))
 		p.completed = true
 	}
 	return nil
@@ -74,9 +74,9 @@
 
 // commandTag returns the tag of a completion that follows count rows of the result.
 func commandTag(result *pgproto.Result, count int) string {
-	verb, _, ok := strings.Cut(result.Tag, " ")
-	if !ok || count == result.Count {
-		return result.Tag
+	verb, _, ok := strings.Cut(result.CommandTag, " ")
+	if !ok || count == result.RowCount {
+		return result.CommandTag
 	}
 	return verb + " " + strconv.Itoa(count)
 }
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -74,7 +74,7 @@
 // executionClass returns the class of an execution. Where its query shape has given the
 // class, the estimator's record of it comes with that.
 func (s *Server) executionClass(x execution) (policy.Class, *stmtstats.Execution) {
-	if x.message.Describe {
+	if x.message.DescribeOnly {
 		// A description runs nothing, whatever its statement would do.
 		if class, ok := s.dispatcher.Class(s.options.DefaultClass); ok && class.Effect == policy.Idempotent {
 			return class, nil
@@ -82,7 +82,7 @@
 		return x.statement.class, nil
 	}
 	if s.options.Estimator != nil && x.statement.reading != nil && x.statement.classByShape {
-		if class, shapeExecution, ok := s.options.Estimator.Sort(x.statement.reading, x.binds); ok {
+		if class, shapeExecution, ok := s.options.Estimator.Classify(x.statement.reading, x.binds); ok {
 			return class, shapeExecution
 		}
 	}
@@ -93,13 +93,13 @@
 func (s *Server) estimate(request *lifecycle.Request, x execution, shapeExecution *stmtstats.Execution) {
 	estimator, reading := s.options.Estimator, x.statement.reading
 	if reading == nil || estimator == nil {
-		request.Dataset, _ = sqltext.Group(x.statement.query)
+		request.Dataset, _ = sqltext.DatasetOf(x.statement.query)
 		return
 	}
-	request.Dataset, _ = reading.Group()
+	request.Dataset, _ = reading.Dataset()
 	if shapeExecution != nil {
-		estimator.Sorted(request, shapeExecution)
-	} else if !x.message.Describe {
-		estimator.Expect(request, reading, x.binds)
+		estimator.ApplyClassified(request, shapeExecution)
+	} else if !x.message.DescribeOnly {
+		estimator.EstimateRequest(request, reading, x.binds)
 	}
 }
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -28,13 +28,13 @@
 
 // Options come from the deploy file.
 type Options struct {
-	DefaultClass string
-	WriteClass   string            // of statements that may write and have no class of their own; "": refused
-	ReadOnly     sqltext.Functions // functions that the operators know to read only
-	Rules        []Rule
-	Estimator    *stmtstats.Service // gives classes and estimates by query shape; nil: off
-	MaxClients   int                // open connections; 0: no limit
-	MaxHeldBytes int                // bytes of rows that are buffered in all open portals together
+	DefaultClass      string
+	WriteClass        string            // of statements that may write and have no class of their own; "": refused
+	ReadOnlyFunctions sqltext.Functions // functions that the operators know to read only
+	Rules             []Rule
+	Estimator         *stmtstats.Service // gives classes and estimates by query shape; nil: off
+	MaxClients        int                // open connections; 0: no limit
+	MaxBufferedBytes  int                // bytes of rows that are buffered in all open portals together
 }
 
 // Server accepts PostgreSQL clients. It and its connections belong to the goroutine of
@@ -74,7 +74,7 @@
 }
 
 func (s *Server) accept(socket *eventloop.Conn) eventloop.Handler {
-	s.counters.Add("postgres.connections")
+	s.counters.Increment("postgres.connections")
 	s.lastProcessID++
 	c := &connection{
 		server: s, socket: socket, processID: s.lastProcessID,
@@ -92,11 +92,11 @@
 // SetOptions changes the options for statements that are prepared and clients that
 // connect from now on.
 func (s *Server) SetOptions(options Options) {
-	if options.MaxHeldBytes <= 0 {
-		options.MaxHeldBytes = defaultMaxBufferedBytes
+	if options.MaxBufferedBytes <= 0 {
+		options.MaxBufferedBytes = defaultMaxBufferedBytes
 	}
 	s.options = options
-	s.rowBudget.SetLimit(options.MaxHeldBytes)
+	s.rowBudget.SetLimit(options.MaxBufferedBytes)
 }
 
 // Drain begins a graceful shutdown: each connection is closed as soon as no request of
--- a/internal/frontend/pgserver/simple_query.go
+++ b/internal/frontend/pgserver/simple_query.go
@@ -13,9 +13,9 @@
 // query serves a Query of one statement.
 func (c *connection) query(body []byte) *pgproto.Error {
 	c.simpleQuery = true
-	r := pgproto.Reader{B: body}
-	query := r.Str()
-	if !r.End() {
+	r := pgproto.Reader{Unread: body}
+	query := r.CString()
+	if !r.Complete() {
 		return errMalformed("Query")
 	}
 	if done, e := c.setting(query); done || e != nil {
@@ -33,12 +33,12 @@
 	if _, e = s.idempotencyKey(nil); e != nil {
 		return e
 	}
-	message := &pgproto.Statement{Query: query, Types: noParameterTypes, Bind: emptyBind}
+	message := &pgproto.Statement{Query: query, ParameterTypes: noParameterTypes, Bind: emptyBind}
 	c.forward(execution{statement: s, message: message, onServed: func(result *pgproto.Result) {
-		if result.Fields != nil {
-			c.sendRowDescription(result.Fields)
+		if result.RowDescription != nil {
+			c.sendRowDescription(result.RowDescription)
 		}
-		_ = c.sendRows(&portal{statement: s, result: result, unsentRows: result.Rows}, 0) // a new portal never fails
+		_ = c.sendRows(&portal{statement: s, result: result, unsentRows: result.DataRows}, 0) // a new portal never fails
 		c.endSimpleQuery()
 	}})
 	return nil
--- a/internal/frontend/pgserver/startup.go
+++ b/internal/frontend/pgserver/startup.go
@@ -35,17 +35,17 @@
 // readStartup reads one of a connection's first messages and returns its size, or 0
 // while it is incomplete.
 func (c *connection) readStartup(input []byte) (size int, err error) {
-	code, body, size, err := pgproto.Startup(input)
+	code, body, size, err := pgproto.ParseStartup(input)
 	if err != nil || size == 0 {
 		return size, err
 	}
 	switch {
-	case code == pgproto.SSLReq || code == pgproto.GSSReq:
+	case code == pgproto.SSLRequestCode || code == pgproto.GSSENCRequestCode:
 		c.socket.Write([]byte{encryptionRefused})
-	case code == pgproto.CancelReq:
+	case code == pgproto.CancelRequestCode:
 		c.server.cancel(body)
 		c.closeNow()
-	case code>>16 != pgproto.Version>>16:
+	case code>>16 != pgproto.ProtocolVersion>>16:
 		return size, newError(codeProtocolViolation, "protocol version %d.%d is not supported", code>>16, code&0xffff)
 	default:
 		return size, c.start(code, body)
@@ -68,7 +68,7 @@
 		return nil
 	}
 	c.state = stateReady
-	if version > pgproto.Version || len(packet.unknownOptions) > 0 {
+	if version > pgproto.ProtocolVersion || len(packet.unknownOptions) > 0 {
 		const newestMinorVersion = 0
 		parts := [][]byte{pgproto.Int32(newestMinorVersion), pgproto.Int32(len(packet.unknownOptions))}
 		c.send(pgproto.ServerNegotiateProtocolVersion, append(parts, packet.unknownOptions...)...)
@@ -76,7 +76,7 @@
 	const authenticationOk = 0
 	c.send(pgproto.ServerAuthentication, pgproto.Int32(authenticationOk))
 	for _, parameter := range serverParameters {
-		c.send(pgproto.ServerParameterStatus, pgproto.Str(parameter.name), pgproto.Str(parameter.value))
+		c.send(pgproto.ServerParameterStatus, pgproto.CString(parameter.name), pgproto.CString(parameter.value))
 	}
 	_, _ = rand.Read(c.secretKey[:]) // it never fails
 	c.send(pgproto.ServerBackendKeyData, binary.BigEndian.AppendUint32(nil, c.processID), c.secretKey[:])
@@ -87,17 +87,17 @@
 // readStartupPacket reads the parameters of a startup packet and applies those that set
 // the session.
 func (c *connection) readStartupPacket(body []byte) (packet startupPacket, err error) {
-	r := pgproto.Reader{B: body}
+	r := pgproto.Reader{Unread: body}
 	for {
-		name := r.Str()
+		name := r.CString()
 		if name == "" {
 			break
 		}
-		value := r.Str()
+		value := r.CString()
 		var err error
 		switch {
 		case strings.HasPrefix(name, protocolOptionPrefix):
-			packet.unknownOptions = append(packet.unknownOptions, pgproto.Str(name))
+			packet.unknownOptions = append(packet.unknownOptions, pgproto.CString(name))
 		case name == "user":
 			packet.user = value
 		case name == statementTimeoutName:
@@ -109,8 +109,8 @@
 			return packet, err
 		}
 	}
-	if !r.End() {
-		return packet, fmt.Errorf("%w: the startup packet", pgproto.Malformed)
+	if !r.Complete() {
+		return packet, fmt.Errorf("%w: the startup packet", pgproto.ErrMalformed)
 	}
 	return packet, nil
 }
--- a/internal/frontend/pgserver/statement_timeout.go
+++ b/internal/frontend/pgserver/statement_timeout.go
@@ -61,7 +61,7 @@
 		return false, e
 	}
 	c.statementTimeout = timeout
-	c.send(pgproto.ServerCommandComplete, pgproto.Str("SET"))
+	c.send(pgproto.ServerCommandComplete, pgproto.CString("SET"))
 	c.endSimpleQuery()
 	return true, nil
 }
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -25,8 +25,8 @@
 // CostRound is the CPU time of flaxrelay's process a request, in microseconds, and the
 // requests that it served a second.
 type CostRound struct {
-	CPU, Rate float64
-	KB        int // resident at the end
+	CPUMicros, RequestsPerSecond float64
+	ResidentKB                   int // resident at the end
 }
 
 const (
@@ -35,9 +35,9 @@
 	warmUpShare    = 5 // the warm-up has one in so many of the requests of a round
 )
 
-// Cost measures pairs of rounds, without query shapes and with them, one after the other, each
+// MeasureCost measures pairs of rounds, without query shapes and with them, one after the other, each
 // with a process of its own between the same clients and emulated engines without work.
-func Cost(ctx context.Context, opts CostOptions) (without, with []CostRound, err error) {
+func MeasureCost(ctx context.Context, opts CostOptions) (without, with []CostRound, err error) {
 	statements := lookups(opts.Seed, costStatements, opts.Prepared)
 	for i := range 2 * opts.Rounds {
 		shapes := (i+i/2)%2 == 1 // off on, on off, off on: a drift of the machine affects both
@@ -81,12 +81,12 @@
 		return round, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	addr, err := harness.Free()
+	addr, err := harness.FreeAddr()
 	if err != nil {
 		return round, err
 	}
 	environment, err := harness.New(harness.Options{
-		Root: opts.Root, Dir: dir, Engines: costEngines, HTTP: "127.0.0.1:0", Postgres: addr, Shapes: shapes, Log: slog.New(slog.DiscardHandler),
+		Root: opts.Root, Dir: dir, Engines: costEngines, HTTPAddr: "127.0.0.1:0", PostgresAddr: addr, EnableShapes: shapes, Log: slog.New(slog.DiscardHandler),
 		Work: func(string) (time.Duration, float64) { return 0, 1 },
 	})
 	if err != nil {
@@ -98,12 +98,12 @@
 		return round, err
 	}
 	defer func() { _ = log.Close() }() // it is removed with its folder
-	process, err := harness.Start(opts.Program, log, "serve", "--postgres", environment.Deploy)
+	process, err := harness.Start(opts.Program, log, "serve", "--postgres", environment.DeployFile)
 	if err != nil {
 		return round, err
 	}
 	defer process.Stop()
-	if err := harness.Up(ctx, addr); err != nil {
+	if err := harness.WaitUntilListening(ctx, addr); err != nil {
 		return round, err
 	}
 	return measure(ctx, load{addr: addr, statements: statements, clients: opts.Clients}, opts.Requests, process.Process.Pid)
@@ -127,8 +127,8 @@
 	if err != nil {
 		return round, err
 	}
-	round.CPU = float64((after - before).Microseconds()) / float64(requests)
-	round.Rate = float64(requests) / took.Seconds()
-	round.KB = residentBytes(strconv.Itoa(pid)) >> 10
+	round.CPUMicros = float64((after - before).Microseconds()) / float64(requests)
+	round.RequestsPerSecond = float64(requests) / took.Seconds()
+	round.ResidentKB = residentBytes(strconv.Itoa(pid)) >> 10
 	return round, nil
 }
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -18,7 +18,7 @@
 
 // classes are those into which statements are classified.
 func classes() []decide.Class {
-	return []decide.Class{{Name: workload.ClassLookup, UpTo: workload.BroadAt}, {Name: workload.ClassReport}}
+	return []decide.Class{{Name: workload.ClassLookup, MaxWorkMillis: workload.ReportFromMS}, {Name: workload.ClassReport}}
 }
 
 // Variants are the whole classifier, and the classifier with each of its parts switched off.
@@ -40,52 +40,52 @@
 // Result is what one variant made of the judged part of one file. Errors are |log2(estimate/truth)|
 // of the work.
 type Result struct {
-	Judged      int
-	ByCount     float64 // share whose class is right
-	ByWorth     float64 // the same, by priority weight
-	Hard        float64 // by count, of the hard cases alone
-	HardJudged  int
-	HardBy      map[string][2]int // right and all, by hard case
-	WritesSafe  int               // writes classified as reads
-	WritesSeen  int
-	ReadsDenied int     // reads classified as writes
-	Median, P90 float64 // of the errors of the estimates
-	HintMedian  float64 // of the errors of the hints, where there are any
-	HintP90     float64
-	MeanMedian  float64 // of the errors of the mean of the true class
-	MeanP90     float64
-	HintClass   float64 // share whose class the hint alone tells
-	Shapes      int
-	Bytes       int
-	HitRate     float64 // of the cache, over all of the file
+	Judged                int
+	ByCount               float64 // share whose class is right
+	ByWeight              float64 // the same, by priority weight
+	ByHardCase            float64 // by count, of the hard cases alone
+	HardJudged            int
+	HardCases             map[string][2]int // right and all, by hard case
+	WritesTakenAsReads    int               // writes classified as reads
+	WritesSeen            int
+	ReadsTakenAsWrites    int     // reads classified as writes
+	MedianError, P90Error float64 // of the errors of the estimates
+	HintMedianError       float64 // of the errors of the hints, where there are any
+	HintP90Error          float64
+	MeanMedianError       float64 // of the errors of the mean of the true class
+	MeanP90Error          float64
+	HintClass             float64 // share whose class the hint alone tells
+	Shapes                int
+	Bytes                 int
+	HitRate               float64 // of the cache, over all of the file
 }
 
-// Options say how to evaluate.
-type Options struct {
-	Train float64 // share of the records that is not judged; learning goes on after it
-	Bytes int     // limit of the cache
+// EvaluateOptions says how to evaluate.
+type EvaluateOptions struct {
+	TrainShare float64 // share of the records that is not judged; learning goes on after it
+	CacheBytes int     // limit of the cache
 }
 
 // Evaluate plays records through a variant in their order, as a front end does: it estimates,
 // then learns what the execution has cost.
-func Evaluate(records []traffic.Record, v Variant, opts Options) (Result, error) {
-	store, err := stmtstats.New(stmtstats.Options{Decide: v.Config, Bytes: opts.Bytes})
+func Evaluate(records []traffic.Record, v Variant, opts EvaluateOptions) (Result, error) {
+	store, err := stmtstats.New(stmtstats.Options{CostModel: v.Config, MaxBytes: opts.CacheBytes})
 	if err != nil {
 		return Result{}, err
 	}
 	judge := newJudge()
-	judgedFrom := int(opts.Train * float64(len(records)))
+	judgedFrom := int(opts.TrainShare * float64(len(records)))
 	for i := range records {
 		record := &records[i]
 		effect := sqltext.EffectOf(record.Statement, nil).Effect
-		statement := store.Read(record.Statement)
-		binds := sqltext.Binds{Values: record.Values, Formats: record.Formats, Types: record.Types}
-		execution := store.Estimate(statement, &binds, classUndecided, stmtstats.Hint{Work: record.HintWork, MemoryMB: record.HintMB})
+		statement := store.Parse(record.Statement)
+		binds := sqltext.Binds{Values: record.Values, Formats: record.Formats, TypeOIDs: record.Types}
+		execution := store.Estimate(statement, &binds, classUndecided, stmtstats.Hint{WorkMillis: record.HintWorkMS, MemoryMB: record.HintMB})
 		if i >= judgedFrom {
 			judge.judge(record, effect, classify(record, effect, execution, v.Config.Classes), execution)
 		}
 		judge.learn(record)
-		store.Learn(execution, decide.Truth{Work: record.Work, MemoryMB: record.MemoryMB})
+		store.Learn(execution, decide.Observation{WorkMillis: record.WorkMS, MemoryMB: record.MemoryMB})
 	}
 	result := judge.result()
 	result.Shapes, result.Bytes = store.Len(), store.Bytes()
@@ -101,7 +101,7 @@
 	switch {
 	case record.Class == workload.ClassLoad && record.Key > 0: // the rule for INSERT INTO names the class and the key
 		return workload.ClassLoad
-	case effect != sqltext.Reads:
+	case effect != sqltext.EffectReads:
 		return workload.ClassWrite
 	case execution.Estimate.Class >= 0:
 		return classes[execution.Estimate.Class].Name
--- a/internal/lab/experiment/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -9,48 +9,48 @@
 // On traffic whose truth is known the classifier reaches the accuracy that the product promises,
 // and without any of its parts some figure is worse.
 func TestEvaluate_EachPartOfTheClassifierContributes(t *testing.T) {
-	records := Generated(workload.Defaults(1), 12000)
+	records := GenerateRecords(workload.Defaults(1), 12000)
 	results := map[string]Result{}
 	for _, v := range Variants() {
-		res, err := Evaluate(records, v, Options{Train: 0.5, Bytes: 2 << 20})
+		res, err := Evaluate(records, v, EvaluateOptions{TrainShare: 0.5, CacheBytes: 2 << 20})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if res.WritesSeen == 0 || res.WritesSafe > 0 {
-			t.Errorf("%s: %d of %d writes taken as reading", v.Name, res.WritesSafe, res.WritesSeen)
+		if res.WritesSeen == 0 || res.WritesTakenAsReads > 0 {
+			t.Errorf("%s: %d of %d writes taken as reading", v.Name, res.WritesTakenAsReads, res.WritesSeen)
 		}
 		results[v.Name] = res
 	}
 	whole := results["whole"]
-	if whole.ByCount < 0.97 || whole.ByWorth < 0.97 || whole.Hard < 0.95 || whole.HardJudged < 50 {
-		t.Errorf("classes right: %.3f by count, %.3f by worth, %.3f of %d hard cases", whole.ByCount, whole.ByWorth, whole.Hard, whole.HardJudged)
+	if whole.ByCount < 0.97 || whole.ByWeight < 0.97 || whole.ByHardCase < 0.95 || whole.HardJudged < 50 {
+		t.Errorf("classes right: %.3f by count, %.3f by worth, %.3f of %d hard cases", whole.ByCount, whole.ByWeight, whole.ByHardCase, whole.HardJudged)
 	}
-	if whole.Median > whole.HintMedian/2 || whole.P90 > whole.HintP90/2 || whole.Median > whole.MeanMedian {
-		t.Errorf("errors %.2f and %.2f, hints' %.2f and %.2f, means' %.2f", whole.Median, whole.P90, whole.HintMedian, whole.HintP90, whole.MeanMedian)
+	if whole.MedianError > whole.HintMedianError/2 || whole.P90Error > whole.HintP90Error/2 || whole.MedianError > whole.MeanMedianError {
+		t.Errorf("errors %.2f and %.2f, hints' %.2f and %.2f, means' %.2f", whole.MedianError, whole.P90Error, whole.HintMedianError, whole.HintP90Error, whole.MeanMedianError)
 	}
-	if r := results["no parameters"]; r.Hard > whole.Hard-0.5 {
-		t.Errorf("hard cases without parameters: %.2f", r.Hard)
+	if r := results["no parameters"]; r.ByHardCase > whole.ByHardCase-0.5 {
+		t.Errorf("hard cases without parameters: %.2f", r.ByHardCase)
 	}
 	for _, name := range []string{"no prior", "no forgetting"} {
-		if r := results[name]; r.P90 < whole.P90 {
-			t.Errorf("%s: p90 of the error %.3f, whole %.3f", name, r.P90, whole.P90)
+		if r := results[name]; r.P90Error < whole.P90Error {
+			t.Errorf("%s: p90 of the error %.3f, whole %.3f", name, r.P90Error, whole.P90Error)
 		}
 	}
 }
 
 // During a flood of shapes that never recur, W-TinyLFU keeps those that do within its limit.
 func TestFlood_TinyLFUKeepsRecurringShapesWithinItsBytes(t *testing.T) {
-	opts := FloodOptions{Seed: 1, Recurring: 200, OneOff: 60000, Share: 0.2, Bytes: 256 << 10}
+	opts := FloodOptions{Seed: 1, Recurring: 200, OneOff: 60000, RecurringShare: 0.2, CacheBytes: 256 << 10}
 	for name, least := range map[string]float64{"w-tinylfu": 0.95, "lru": 0, "2q": 0} {
 		r, err := Flood(name, opts)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Hits < least || r.Counted > opts.Bytes+opts.Bytes/10 {
+		if r.HitRate < least || r.CountedBytes > opts.CacheBytes+opts.CacheBytes/10 {
 			t.Errorf("%+v", r)
 		}
-		if name == "lru" && r.Hits > 0.95 {
-			t.Errorf("the flood does not press: LRU found %.3f", r.Hits)
+		if name == "lru" && r.HitRate > 0.95 {
+			t.Errorf("the flood does not press: LRU found %.3f", r.HitRate)
 		}
 	}
 }
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -12,22 +12,22 @@
 
 // FloodOptions say how a cache is flooded with shapes that never recur while others do.
 type FloodOptions struct {
-	Seed      uint64
-	Recurring int     // shapes that recur
-	OneOff    int     // shapes that don't
-	Share     float64 // of statements that are of recurring shapes
-	Bytes     int     // limit of the cache
+	Seed           uint64
+	Recurring      int     // shapes that recur
+	OneOff         int     // shapes that don't
+	RecurringShare float64 // of statements that are of recurring shapes
+	CacheBytes     int     // limit of the cache
 }
 
 // FloodResult is what became of one cache.
 type FloodResult struct {
-	Cache     string
-	Asked     int     // statements of recurring shapes in the second half, which is judged
-	Hits      float64 // share of those whose shape was cached
-	Held      int     // shapes in the cache at the end
-	Counted   int     // bytes by the cache's own count
-	HeapBytes int     // by which the heap in use grew, after a collection
-	RSSBytes  int     // of the process at the end; 0: not known
+	Cache        string
+	Asked        int     // statements of recurring shapes in the second half, which is judged
+	HitRate      float64 // share of those whose shape was cached
+	CachedShapes int     // shapes in the cache at the end
+	CountedBytes int     // bytes by the cache's own count
+	HeapBytes    int     // by which the heap in use grew, after a collection
+	RSSBytes     int     // of the process at the end; 0: not known
 }
 
 // caches are the caches of shapes that are compared.
@@ -56,17 +56,17 @@
 		return FloodResult{}, UnknownCacheError(name)
 	}
 	before := heapInUse()
-	cache, err := open(opts.Bytes)
+	cache, err := open(opts.CacheBytes)
 	if err != nil {
 		return FloodResult{}, err
 	}
-	store, err := stmtstats.New(stmtstats.Options{Decide: decide.Config{}, Cache: cache})
+	store, err := stmtstats.New(stmtstats.Options{CostModel: decide.Config{}, Cache: cache})
 	if err != nil {
 		return FloodResult{}, err
 	}
 	result := FloodResult{Cache: name}
 	playFlood(store, opts, &result)
-	result.Held, result.Counted = store.Len(), store.Bytes()
+	result.CachedShapes, result.CountedBytes = store.Len(), store.Bytes()
 	result.HeapBytes = heapInUse() - before
 	debug.FreeOSMemory()
 	result.RSSBytes = residentBytes("self")
@@ -78,26 +78,26 @@
 func playFlood(store *stmtstats.Store, opts FloodOptions, result *FloodResult) {
 	random := rand.New(rand.NewPCG(opts.Seed, floodStream))
 	popularity := rand.NewZipf(random, 1.3, 10, uint64(opts.Recurring-1))
-	total := int(float64(opts.OneOff) / (1 - opts.Share))
+	total := int(float64(opts.OneOff) / (1 - opts.RecurringShare))
 	hits := 0
 	for i := range total {
-		recurring := random.Float64() < opts.Share
+		recurring := random.Float64() < opts.RecurringShare
 		var text string
 		if recurring {
 			text = recurringText(int(popularity.Uint64()))
 		} else {
 			text = oneOffText(i, random.Uint32())
 		}
-		statement := store.Read(text)
+		statement := store.Parse(text)
 		hitsBefore := store.Stats.Hits
 		execution := store.Estimate(statement, nil, classUndecided, stmtstats.Hint{})
 		if recurring && i >= total/2 {
 			result.Asked++
 			hits += int(store.Stats.Hits - hitsBefore)
 		}
-		store.Learn(execution, decide.Truth{Work: floodWorkMS, MemoryMB: floodMemoryMB})
+		store.Learn(execution, decide.Observation{WorkMillis: floodWorkMS, MemoryMB: floodMemoryMB})
 	}
-	result.Hits = float64(hits) / float64(max(result.Asked, 1))
+	result.HitRate = float64(hits) / float64(max(result.Asked, 1))
 }
 
 // recurringText is the n-th recurring shape: ordinary words, with a column list of its own.
--- a/internal/lab/experiment/judge.go
+++ b/internal/lab/experiment/judge.go
@@ -32,59 +32,59 @@
 func (m *runningMean) mean() float64 { return m.sum / m.count }
 
 func newJudge() *judge {
-	return &judge{counts: Result{HardBy: map[string][2]int{}}, means: map[string]*runningMean{}}
+	return &judge{counts: Result{HardCases: map[string][2]int{}}, means: map[string]*runningMean{}}
 }
 
 // judge counts one statement that was given the class.
 func (j *judge) judge(record *traffic.Record, effect sqltext.Effect, class string, execution *stmtstats.Execution) {
 	isRight := class == record.Class
 	j.counts.Judged++
-	j.weight += record.Worth
+	j.weight += record.Weight
 	if isRight {
 		j.right++
-		j.rightWeight += record.Worth
+		j.rightWeight += record.Weight
 	}
-	if record.Hard != "" {
-		j.countHardCase(record.Hard, isRight)
+	if record.HardCase != "" {
+		j.countHardCase(record.HardCase, isRight)
 	}
 	if record.Class == workload.ClassWrite {
 		j.counts.WritesSeen++
-		if effect == sqltext.Reads {
-			j.counts.WritesSafe++
+		if effect == sqltext.EffectReads {
+			j.counts.WritesTakenAsReads++
 		}
 		return
 	}
 	if class == workload.ClassWrite {
-		j.counts.ReadsDenied++
+		j.counts.ReadsTakenAsWrites++
 	}
 	j.countErrors(record, execution)
 }
 
 func (j *judge) countHardCase(hardCase string, isRight bool) {
 	j.counts.HardJudged++
-	rightAndAll := j.counts.HardBy[hardCase]
+	rightAndAll := j.counts.HardCases[hardCase]
 	rightAndAll[1]++
 	if isRight {
 		j.hardRight++
 		rightAndAll[0]++
 	}
-	j.counts.HardBy[hardCase] = rightAndAll
+	j.counts.HardCases[hardCase] = rightAndAll
 }
 
 // countErrors notes the errors of the estimate, of the hint and of the mean of the class.
 func (j *judge) countErrors(record *traffic.Record, execution *stmtstats.Execution) {
 	if execution.Estimate.Known {
-		j.estimateErrors = append(j.estimateErrors, logError(execution.Estimate.Work, record.Work))
+		j.estimateErrors = append(j.estimateErrors, logError(execution.Estimate.WorkMillis, record.WorkMS))
 	}
-	if record.HintWork > 0 {
-		j.hintErrors = append(j.hintErrors, logError(record.HintWork, record.Work))
+	if record.HintWorkMS > 0 {
+		j.hintErrors = append(j.hintErrors, logError(record.HintWorkMS, record.WorkMS))
 		j.hinted++
-		if record.Class == workload.ClassLoad || record.Class == classOfHint(record.HintWork) {
+		if record.Class == workload.ClassLoad || record.Class == classOfHint(record.HintWorkMS) {
 			j.hintRight++
 		}
 	}
 	if mean := j.means[record.Class]; mean != nil {
-		j.meanErrors = append(j.meanErrors, logError(mean.mean(), record.Work))
+		j.meanErrors = append(j.meanErrors, logError(mean.mean(), record.WorkMS))
 	}
 }
 
@@ -95,7 +95,7 @@
 		mean = &runningMean{}
 		j.means[record.Class] = mean
 	}
-	mean.sum += record.Work
+	mean.sum += record.WorkMS
 	mean.count++
 }
 
@@ -103,18 +103,18 @@
 func (j *judge) result() Result {
 	result := j.counts
 	result.ByCount = j.right / float64(result.Judged)
-	result.ByWorth = j.rightWeight / j.weight
-	result.Hard = j.hardRight / float64(max(result.HardJudged, 1))
+	result.ByWeight = j.rightWeight / j.weight
+	result.ByHardCase = j.hardRight / float64(max(result.HardJudged, 1))
 	result.HintClass = j.hintRight / max(j.hinted, 1)
-	result.Median, result.P90 = quantiles(j.estimateErrors)
-	result.HintMedian, result.HintP90 = quantiles(j.hintErrors)
-	result.MeanMedian, result.MeanP90 = quantiles(j.meanErrors)
+	result.MedianError, result.P90Error = quantiles(j.estimateErrors)
+	result.HintMedianError, result.HintP90Error = quantiles(j.hintErrors)
+	result.MeanMedianError, result.MeanP90Error = quantiles(j.meanErrors)
 	return result
 }
 
 // classOfHint is the class of a reading statement by the hint alone.
 func classOfHint(workMS float64) string {
-	if workMS > workload.BroadAt {
+	if workMS > workload.ReportFromMS {
 		return workload.ClassReport
 	}
 	return workload.ClassLookup
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -81,8 +81,8 @@
 		_ = conn.SetDeadline(deadline)
 	}
 	c := &client{conn: conn, in: bufio.NewReader(conn), prepared: map[string]string{}}
-	parameters := append(append(pgproto.Str("user"), pgproto.Str("lab")...), 0)
-	if _, err := conn.Write(pgproto.AppendStartup(nil, pgproto.Version, parameters)); err != nil {
+	parameters := append(append(pgproto.CString("user"), pgproto.CString("lab")...), 0)
+	if _, err := conn.Write(pgproto.AppendStartup(nil, pgproto.ProtocolVersion, parameters)); err != nil {
 		c.close()
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 		}
 		switch head[0] {
 		case 'E':
-			pgError, err := pgproto.ReadError(body)
+			pgError, err := pgproto.ParseError(body)
 			if err != nil {
 				return false, err
 			}
@@ -136,7 +136,7 @@
 // that it prepares where it has not yet.
 func appendMessages(out []byte, s *workload.Statement, prepared map[string]string) []byte {
 	if len(s.Values) == 0 {
-		return pgproto.Append(out, 'Q', pgproto.Str(s.Text))
+		return pgproto.AppendMessage(out, 'Q', pgproto.CString(s.Text))
 	}
 	name, ok := prepared[s.Text]
 	if !ok {
@@ -144,10 +144,10 @@
 		prepared[s.Text] = name
 		const oidSize = 4
 		types := append(binary.BigEndian.AppendUint16(nil, uint16(len(s.Types)/oidSize)), s.Types...)
-		out = pgproto.Append(out, 'P', pgproto.Str(name), pgproto.Str(s.Text), types)
+		out = pgproto.AppendMessage(out, 'P', pgproto.CString(name), pgproto.CString(s.Text), types)
 	}
-	out = pgproto.Append(out, 'B', []byte{0}, pgproto.Str(name), bindBody(s))
-	return pgproto.Append(pgproto.Append(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
+	out = pgproto.AppendMessage(out, 'B', []byte{0}, pgproto.CString(name), bindBody(s))
+	return pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 }
 
 // bindBody is the body of a Bind behind the names of its portal and statement.
--- a/internal/lab/experiment/records.go
+++ b/internal/lab/experiment/records.go
@@ -8,9 +8,9 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// Records reads a whole file. Where it is damaged or truncated, the records before that are
+// ReadRecords reads a whole file. Where it is damaged or truncated, the records before that are
 // returned with the error.
-func Records(r io.Reader) ([]traffic.Record, traffic.Head, error) {
+func ReadRecords(r io.Reader) ([]traffic.Record, traffic.Head, error) {
 	reader, err := traffic.NewReader(r)
 	if err != nil {
 		return nil, traffic.Head{}, err
@@ -30,8 +30,8 @@
 	}
 }
 
-// Generated generates the records of a workload in memory.
-func Generated(options workload.Options, number int) []traffic.Record {
+// GenerateRecords generates the records of a workload in memory.
+func GenerateRecords(options workload.Options, number int) []traffic.Record {
 	generator := workload.New(options, number)
 	all := make([]traffic.Record, number)
 	for i := range all {
--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -53,7 +53,7 @@
 		if err := c.flush(); err != nil {
 			return err
 		}
-		kind, body, n, err := pgproto.Next(c.unread, maxMessageLength)
+		kind, body, n, err := pgproto.ParseMessage(c.unread, maxMessageLength)
 		if err != nil {
 			return err
 		}
@@ -79,12 +79,12 @@
 // readStartup reads the first message, which may be the only one: a CancelRequest.
 func (c *postgresConnection) readStartup() (cancelRequest bool, err error) {
 	for {
-		code, _, n, err := pgproto.Startup(c.unread)
+		code, _, n, err := pgproto.ParseStartup(c.unread)
 		if err != nil {
 			return false, err
 		}
 		c.unread = c.unread[n:]
-		if n > 0 && code == pgproto.CancelReq {
+		if n > 0 && code == pgproto.CancelRequestCode {
 			c.log.Info("request cancelled")
 			return true, nil
 		}
@@ -106,7 +106,7 @@
 
 // queue adds a message to those that wait to be sent.
 func (c *postgresConnection) queue(kind byte, parts ...[]byte) {
-	c.unsent = pgproto.Append(c.unsent, kind, parts...)
+	c.unsent = pgproto.AppendMessage(c.unsent, kind, parts...)
 }
 
 func (c *postgresConnection) flush() error {
@@ -120,21 +120,21 @@
 
 // answer queues the answer to one message.
 func (c *postgresConnection) answer(kind byte, body []byte) {
-	r := pgproto.Reader{B: body}
+	r := pgproto.Reader{Unread: body}
 	switch kind {
 	case 'P':
-		name := r.Str()
-		c.query = r.Str()
+		name := r.CString()
+		c.query = r.CString()
 		c.prepared[name] = c.query
 		c.log.Info("request received", "statement", abbreviate(c.query))
 		c.queue('1')
 	case 'B':
-		r.Str() // the portal
-		c.query = c.prepared[r.Str()]
+		r.CString() // the portal
+		c.query = c.prepared[r.CString()]
 		c.queue('2')
 	case 'D':
 		if r.Byte() == 'S' {
-			c.query = c.prepared[r.Str()]
+			c.query = c.prepared[r.CString()]
 			c.queue('t', parameterDescription(c.query))
 		}
 		c.queue('T', rowDescription)
@@ -142,7 +142,7 @@
 		took, _ := c.work(c.query)
 		time.Sleep(took)
 		c.queue('D', []byte{0, 1}, pgproto.Int32(len(c.query)), []byte(c.query))
-		c.queue('C', pgproto.Str("SELECT 1"))
+		c.queue('C', pgproto.CString("SELECT 1"))
 	case 'S':
 		c.queue('Z', []byte("I"))
 	}
--- a/internal/lab/fake/engine_test.go
+++ b/internal/lab/fake/engine_test.go
@@ -64,12 +64,12 @@
 func TestServePostgres_DescribesParametersAndRepeatsTheStatement(t *testing.T) {
 	conn := startEngine(t, ServePostgres)
 	const statement = "SELECT $2, $1"
-	out := pgproto.AppendStartup(nil, pgproto.Version, append(append(pgproto.Str("user"), pgproto.Str("lab")...), 0))
-	out = pgproto.Append(out, 'P', pgproto.Str("s"), pgproto.Str(statement), []byte{0, 0})
-	out = pgproto.Append(out, 'D', []byte("S"), pgproto.Str("s"))
-	out = pgproto.Append(out, 'B', pgproto.Str(""), pgproto.Str("s"), []byte{0, 0, 0, 0, 0, 0})
-	out = pgproto.Append(out, 'E', pgproto.Str(""), pgproto.Int32(0))
-	out = pgproto.Append(out, 'S')
+	out := pgproto.AppendStartup(nil, pgproto.ProtocolVersion, append(append(pgproto.CString("user"), pgproto.CString("lab")...), 0))
+	out = pgproto.AppendMessage(out, 'P', pgproto.CString("s"), pgproto.CString(statement), []byte{0, 0})
+	out = pgproto.AppendMessage(out, 'D', []byte("S"), pgproto.CString("s"))
+	out = pgproto.AppendMessage(out, 'B', pgproto.CString(""), pgproto.CString("s"), []byte{0, 0, 0, 0, 0, 0})
+	out = pgproto.AppendMessage(out, 'E', pgproto.CString(""), pgproto.Int32(0))
+	out = pgproto.AppendMessage(out, 'S')
 	if _, err := conn.Write(out); err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 	t.Helper()
 	var unread []byte
 	for {
-		kind, body, n, err := pgproto.Next(unread, maxMessageLength)
+		kind, body, n, err := pgproto.ParseMessage(unread, maxMessageLength)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/fake/work.go
+++ b/internal/lab/fake/work.go
@@ -9,9 +9,9 @@
 // Work tells how long a statement takes, and the memory that it needs in MB.
 type Work func(statement string) (time.Duration, float64)
 
-// Plain is the work that a reader of a statement would expect: a load or a summary takes
+// PlausibleWork is the work that a reader of a statement would expect: a load or a summary takes
 // seconds, a lookup a fifth of one, and each text differs a little.
-func Plain(statement string) (time.Duration, float64) {
+func PlausibleWork(statement string) (time.Duration, float64) {
 	const minFactor, factorRange = 0.7, 0.6
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(statement)) // it never fails
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -47,7 +47,7 @@
 }
 
 // writeFiles writes the files of both front ends.
-func (r *Rig) writeFiles(opts Options, targets []target, bus, agent string) error {
+func (r *Environment) writeFiles(opts Options, targets []target, bus, agent string) error {
 	if err := r.writeConfig(opts, targets, bus); err != nil {
 		return err
 	}
@@ -56,9 +56,9 @@
 		if err != nil {
 			return fmt.Errorf("harness: %w", err)
 		}
-		changed := strings.Replace(string(text), deployedListenAddr, fmt.Sprintf("%q", opts.Postgres), 1)
+		changed := strings.Replace(string(text), deployedListenAddr, fmt.Sprintf("%q", opts.PostgresAddr), 1)
 		changed = strings.Replace(changed, deployedConsulAddr, fmt.Sprintf("%q", agent), 1)
-		if opts.Shapes {
+		if opts.EnableShapes {
 			changed = strings.Replace(changed, "enabled = false", "enabled = true", 1)
 		}
 		if err := os.WriteFile(filepath.Join(opts.Dir, name), []byte(changed), 0o600); err != nil {
@@ -70,7 +70,7 @@
 
 // writeConfig writes the platform configuration of the HTTP front end: that of the example, with
 // addresses and engines of the harness.
-func (r *Rig) writeConfig(opts Options, targets []target, bus string) error {
+func (r *Environment) writeConfig(opts Options, targets []target, bus string) error {
 	raw, err := os.ReadFile(filepath.Join(opts.Root, "examples/toy/config.json"))
 	if err != nil {
 		return fmt.Errorf("start this from the repository's root: %w", err)
@@ -80,12 +80,12 @@
 		return fmt.Errorf("harness: %w", err)
 	}
 	event := busEvent{Offset: onlyOffset, Topology: topology{Revision: 1, All: true, Targets: targets}}
-	config["listen"], config["bus"] = opts.HTTP, bus
+	config["listen"], config["bus"] = opts.HTTPAddr, bus
 	config["known"] = knownEvents{Offset: onlyOffset, Batch: []busEvent{event}}
 	if raw, err = json.MarshalIndent(config, "", " "); err != nil {
 		return fmt.Errorf("harness: %w", err)
 	}
-	if err := os.WriteFile(r.Config, raw, 0o600); err != nil {
+	if err := os.WriteFile(r.ConfigFile, raw, 0o600); err != nil {
 		return fmt.Errorf("harness: %w", err)
 	}
 	return nil
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -23,28 +23,28 @@
 
 // Options say what to set up.
 type Options struct {
-	Root     string // the repository, whose deploy files are taken
-	Dir      string // for files
-	Engines  int    // of each wire protocol
-	Work     fake.Work
-	HTTP     string // where the HTTP front end listens
-	Postgres string // where the PostgreSQL front end listens
-	Shapes   bool   // whether query shapes are enabled in the PostgreSQL front end's file
-	Log      *slog.Logger
+	Root         string // the repository, whose deploy files are taken
+	Dir          string // for files
+	Engines      int    // of each wire protocol
+	Work         fake.Work
+	HTTPAddr     string // where the HTTP front end listens
+	PostgresAddr string // where the PostgreSQL front end listens
+	EnableShapes bool   // whether query shapes are enabled in the PostgreSQL front end's file
+	Log          *slog.Logger
 }
 
-// Rig is what was set up. The emulated systems end with Close.
-type Rig struct {
-	Config, Deploy, Shapes string // the files of flaxrelay
-	listeners              []net.Listener
+// Environment is the emulated surroundings of flaxrelay. The emulated systems end with Close.
+type Environment struct {
+	ConfigFile, DeployFile, ShapesFile string // the files of flaxrelay
+	listeners                          []net.Listener
 }
 
 // New starts the emulated systems and writes the files.
-func New(opts Options) (environment *Rig, err error) {
-	environment = &Rig{
-		Config: filepath.Join(opts.Dir, "config.json"),
-		Deploy: filepath.Join(opts.Dir, deployFile),
-		Shapes: filepath.Join(opts.Dir, shapesFile),
+func New(opts Options) (environment *Environment, err error) {
+	environment = &Environment{
+		ConfigFile: filepath.Join(opts.Dir, "config.json"),
+		DeployFile: filepath.Join(opts.Dir, deployFile),
+		ShapesFile: filepath.Join(opts.Dir, shapesFile),
 	}
 	defer func() {
 		if err != nil {
@@ -73,14 +73,14 @@
 }
 
 // Close ends the emulated systems.
-func (r *Rig) Close() {
+func (r *Environment) Close() {
 	for _, listener := range r.listeners {
 		_ = listener.Close()
 	}
 }
 
 // listen opens a listener that ends with the environment.
-func (r *Rig) listen() (net.Listener, error) {
+func (r *Environment) listen() (net.Listener, error) {
 	listener, err := fake.Listen(anyLoopbackPort)
 	if err == nil {
 		r.listeners = append(r.listeners, listener)
@@ -88,7 +88,7 @@
 	return listener, err
 }
 
-func (r *Rig) startLineEngines(opts Options) (targets []target, err error) {
+func (r *Environment) startLineEngines(opts Options) (targets []target, err error) {
 	for i := range opts.Engines {
 		listener, err := r.listen()
 		if err != nil {
@@ -101,7 +101,7 @@
 	return targets, nil
 }
 
-func (r *Rig) startPostgresEngines(opts Options) (instances []fake.Instance, err error) {
+func (r *Environment) startPostgresEngines(opts Options) (instances []fake.Instance, err error) {
 	for i := range opts.Engines {
 		listener, err := r.listen()
 		if err != nil {
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -39,32 +39,32 @@
 	return program, nil
 }
 
-// Gateway is one process of flaxrelay.
-type Gateway struct {
+// Proxy is one process of flaxrelay.
+type Proxy struct {
 	Process *os.Process
-	Ended   chan error // receives the end of the process, once
+	Exited  chan error // receives the end of the process, once
 
 	exited chan struct{} // closed when the process has ended
 }
 
 // Start starts flaxrelay, without the environment variables that would change its settings.
-func Start(program string, out io.Writer, args ...string) (*Gateway, error) {
+func Start(program string, out io.Writer, args ...string) (*Proxy, error) {
 	cmd := exec.Command(program, args...)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.Env = append(os.Environ(), "LB_CONFIG=", "LB_LISTEN=")
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("harness: %w", err)
 	}
-	g := &Gateway{Process: cmd.Process, Ended: make(chan error, 1), exited: make(chan struct{})}
+	g := &Proxy{Process: cmd.Process, Exited: make(chan error, 1), exited: make(chan struct{})}
 	go func() {
-		g.Ended <- cmd.Wait()
+		g.Exited <- cmd.Wait()
 		close(g.exited)
 	}()
 	return g, nil
 }
 
 // Stop ends the process by a graceful shutdown, and by force where that takes too long.
-func (g *Gateway) Stop() {
+func (g *Proxy) Stop() {
 	_ = g.Process.Signal(syscall.SIGTERM) // a process that has ended needs none
 	select {
 	case <-g.exited:
@@ -74,8 +74,8 @@
 	}
 }
 
-// Up waits until something listens at an address.
-func Up(ctx context.Context, addr string) error {
+// WaitUntilListening waits until something listens at an address.
+func WaitUntilListening(ctx context.Context, addr string) error {
 	dialer := net.Dialer{Timeout: dialLimit}
 	for {
 		conn, err := dialer.DialContext(ctx, "tcp", addr)
@@ -90,10 +90,10 @@
 	}
 }
 
-// Free returns a loopback address at which nothing listens. Its host is drawn at random
+// FreeAddr returns a loopback address at which nothing listens. Its host is drawn at random
 // from 127.64.0.0/10, of which nothing else makes use: a port of 127.0.0.1 could be taken
 // by any connection between here and the start of the process that is to listen there.
-func Free() (string, error) {
+func FreeAddr() (string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254))
 	listener, err := fake.Listen(net.JoinHostPort(host, "0"))
 	if err != nil {
--- a/internal/lab/harness/process_test.go
+++ b/internal/lab/harness/process_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestFree_AddressStaysFreeWhileItsPortIsTaken forces what made tests flaky: between Free
+// TestFreeAddr_AddressStaysFreeWhileItsPortIsTaken forces what made tests flaky: between FreeAddr
 // and the start of a process, something takes the port on 127.0.0.1.
-func TestFree_AddressStaysFreeWhileItsPortIsTaken(t *testing.T) {
-	address, err := Free()
+func TestFreeAddr_AddressStaysFreeWhileItsPortIsTaken(t *testing.T) {
+	address, err := FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/traffic/arrivals.go
+++ b/internal/lab/traffic/arrivals.go
@@ -8,14 +8,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Comes is the arrival process of the statements.
-type Comes string
+// ArrivalProcess is the arrival process of the statements.
+type ArrivalProcess string
 
 // The arrival processes.
 const (
-	Poisson Comes = "poisson"
-	Bursts  Comes = "bursts" // on and off, with heavy-tailed pauses
-	Season  Comes = "season" // a day's curve, which rises to a festival at the end
+	Poisson ArrivalProcess = "poisson"
+	Bursts  ArrivalProcess = "bursts" // on and off, with heavy-tailed pauses
+	Season  ArrivalProcess = "season" // a day's curve, which rises to a festival at the end
 )
 
 // ArrivalProcessError is the name of an arrival process that there is not.
@@ -36,7 +36,7 @@
 
 // arrivals draws the moments at which statements arrive.
 type arrivals struct {
-	process   Comes
+	process   ArrivalProcess
 	random    *rand.Rand
 	rate      float64 // statements a second on average
 	duration  float64 // of all of them in seconds
@@ -60,7 +60,7 @@
 	maxSeasonFactor = 3
 )
 
-func newArrivals(process Comes, rate float64, number int, seed uint64) (*arrivals, error) {
+func newArrivals(process ArrivalProcess, rate float64, number int, seed uint64) (*arrivals, error) {
 	switch process {
 	case Poisson, Bursts, Season:
 	default:
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -34,32 +34,32 @@
 
 // Head says how the traffic was generated.
 type Head struct {
-	Seed   uint64  `cbor:"1,keyasint"`
-	Model  string  `cbor:"2,keyasint"` // the options of the workload, as text
-	Rate   float64 `cbor:"3,keyasint"` // statements a second on average
-	Comes  string  `cbor:"4,keyasint"` // the arrival process: poisson, bursts or season
-	Number int     `cbor:"5,keyasint"` // of the records
+	Seed          uint64  `cbor:"1,keyasint"`
+	ModelOptions  string  `cbor:"2,keyasint"` // the options of the workload, as text
+	RatePerSecond float64 `cbor:"3,keyasint"` // statements a second on average
+	Arrivals      string  `cbor:"4,keyasint"` // the arrival process: poisson, bursts or season
+	Records       int     `cbor:"5,keyasint"` // of the records
 }
 
 // Record is one statement.
 type Record struct {
-	At        int64    `cbor:"1,keyasint"` // microseconds from the start
-	Statement string   `cbor:"2,keyasint"`
-	Values    [][]byte `cbor:"3,keyasint,omitempty"`
-	Formats   []byte   `cbor:"4,keyasint,omitempty"`
-	Types     []byte   `cbor:"5,keyasint,omitempty"`
-	HintWork  float64  `cbor:"6,keyasint,omitempty"` // ms on one core; 0: none
-	HintMB    float64  `cbor:"7,keyasint,omitempty"`
-	Key       int      `cbor:"8,keyasint,omitempty"` // number of the value that is the idempotency key; 0: none
+	ArrivalMicros int64    `cbor:"1,keyasint"` // microseconds from the start
+	Statement     string   `cbor:"2,keyasint"`
+	Values        [][]byte `cbor:"3,keyasint,omitempty"`
+	Formats       []byte   `cbor:"4,keyasint,omitempty"`
+	Types         []byte   `cbor:"5,keyasint,omitempty"`
+	HintWorkMS    float64  `cbor:"6,keyasint,omitempty"` // ms on one core; 0: none
+	HintMB        float64  `cbor:"7,keyasint,omitempty"`
+	Key           int      `cbor:"8,keyasint,omitempty"` // number of the value that is the idempotency key; 0: none
 
 	// What is true of the statement, for the evaluation.
 
 	Class    string  `cbor:"20,keyasint"`
-	Hard     string  `cbor:"21,keyasint,omitempty"` // why its class is hard to tell, or ""
+	HardCase string  `cbor:"21,keyasint,omitempty"` // why its class is hard to tell, or ""
 	Template int     `cbor:"22,keyasint"`
-	Work     float64 `cbor:"23,keyasint"` // ms on one core
+	WorkMS   float64 `cbor:"23,keyasint"` // ms on one core
 	MemoryMB float64 `cbor:"24,keyasint"`
-	Worth    float64 `cbor:"25,keyasint"` // priority weight
+	Weight   float64 `cbor:"25,keyasint"` // priority weight
 }
 
 // blockHeader stands before each block.
--- a/internal/lab/traffic/generate.go
+++ b/internal/lab/traffic/generate.go
@@ -12,12 +12,12 @@
 
 // Generate writes so many statements of a workload. It reports to progress, which may be nil,
 // how many records were written since its last report.
-func Generate(w io.Writer, options workload.Options, number int, rate float64, process Comes, progress func(int)) error {
+func Generate(w io.Writer, options workload.Options, number int, rate float64, process ArrivalProcess, progress func(int)) error {
 	arrivals, err := newArrivals(process, rate, number, options.Seed)
 	if err != nil {
 		return err
 	}
-	head := Head{Seed: options.Seed, Model: modelOptions(options), Rate: rate, Comes: string(process), Number: number}
+	head := Head{Seed: options.Seed, ModelOptions: modelOptions(options), RatePerSecond: rate, Arrivals: string(process), Records: number}
 	writer, err := NewWriter(w, head)
 	if err != nil {
 		return err
@@ -25,7 +25,7 @@
 	generator := workload.New(options, number)
 	for i := range number {
 		record := RecordOf(generator.Next())
-		record.At = arrivals.next()
+		record.ArrivalMicros = arrivals.next()
 		if err := writer.Write(&record); err != nil {
 			return err
 		}
@@ -40,13 +40,13 @@
 // of the format, whatever the fields are called.
 func modelOptions(o workload.Options) string {
 	return fmt.Sprintf("{Seed:%v Templates:%v OneOff:%v Hard:%v Writes:%v DriftAt:%v Drift:%v HintNoise:%v HintMissing:%v}",
-		o.Seed, o.Templates, o.OneOff, o.Hard, o.Writes, o.DriftAt, o.Drift, o.HintNoise, o.HintMissing)
+		o.Seed, o.Templates, o.OneOffShare, o.HardShare, o.WriteShare, o.DriftFrom, o.DriftFactor, o.HintSigma, o.HintMissingShare)
 }
 
 // RecordOf turns a statement of a workload into a record without its moment.
 func RecordOf(s workload.Statement) Record {
 	return Record{
-		Statement: s.Text, Values: s.Values, Formats: s.Formats, Types: s.Types, HintWork: s.HintWorkMS, HintMB: s.HintMB, Key: s.Key,
-		Class: s.Class, Hard: s.HardCase, Template: s.Template, Work: s.WorkMS, MemoryMB: s.MemoryMB, Worth: s.Weight,
+		Statement: s.Text, Values: s.Values, Formats: s.Formats, Types: s.Types, HintWorkMS: s.HintWorkMS, HintMB: s.HintMB, Key: s.Key,
+		Class: s.Class, HardCase: s.HardCase, Template: s.Template, WorkMS: s.WorkMS, MemoryMB: s.MemoryMB, Weight: s.Weight,
 	}
 }
--- a/internal/lab/traffic/stored_test.go
+++ b/internal/lab/traffic/stored_test.go
@@ -28,10 +28,10 @@
 // describe writes every field of a file, floats to their last digit.
 func describe(h Head, records []Record) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed=%d rate=%v comes=%s number=%d model=%s\n", h.Seed, h.Rate, h.Comes, h.Number, h.Model)
+	fmt.Fprintf(&b, "seed=%d rate=%v comes=%s number=%d model=%s\n", h.Seed, h.RatePerSecond, h.Arrivals, h.Records, h.ModelOptions)
 	for _, r := range records {
 		fmt.Fprintf(&b, "at=%d statement=%q values=%q formats=%x types=%x hint-work=%v hint-mb=%v key=%d class=%s hard=%q template=%d work=%v memory-mb=%v worth=%v\n",
-			r.At, r.Statement, r.Values, r.Formats, r.Types, r.HintWork, r.HintMB, r.Key, r.Class, r.Hard, r.Template, r.Work, r.MemoryMB, r.Worth)
+			r.ArrivalMicros, r.Statement, r.Values, r.Formats, r.Types, r.HintWorkMS, r.HintMB, r.Key, r.Class, r.HardCase, r.Template, r.WorkMS, r.MemoryMB, r.Weight)
 	}
 	return b.String()
 }
--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/lab/traffic/traffic_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func generate(t testing.TB, process Comes, number int) []byte {
+func generate(t testing.TB, process ArrivalProcess, number int) []byte {
 	var b bytes.Buffer
 	if err := Generate(&b, workload.Defaults(7), number, 99, process, nil); err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 
 // The same seed gives the same bytes, and what is read is what was written.
 func TestGenerate_SameSeedGivesTheSameFileAndItsRecords(t *testing.T) {
-	for _, process := range []Comes{Poisson, Bursts, Season} {
+	for _, process := range []ArrivalProcess{Poisson, Bursts, Season} {
 		one, two := generate(t, process, 3000), generate(t, process, 3000)
 		if !bytes.Equal(one, two) {
 			t.Errorf("%s: one seed, two files", process)
@@ -49,14 +49,14 @@
 		last := int64(0)
 		for i := range all {
 			want := RecordOf(generator.Next())
-			want.At = all[i].At
+			want.ArrivalMicros = all[i].ArrivalMicros
 			if diff := cmp.Diff(want, all[i]); diff != "" {
 				t.Fatalf("%s: record %d:\n%s", process, i, diff)
 			}
-			if all[i].At < last {
+			if all[i].ArrivalMicros < last {
 				t.Fatalf("%s: record %d goes back in time", process, i)
 			}
-			last = all[i].At
+			last = all[i].ArrivalMicros
 		}
 		if rate := 3000 / (float64(last) / 1e6); rate < 40 || rate > 250 {
 			t.Errorf("%s: %.0f a second, 99 wanted", process, rate)
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -15,20 +15,20 @@
 
 // Options say what workload is generated.
 type Options struct {
-	Seed      uint64
-	Templates int     // recurring query shapes; 0: DefaultTemplates
-	OneOff    float64 // share of statements whose shape never recurs
-	Hard      float64 // share of lookups whose values make them broad reports
-	Writes    float64 // share of statements that write and are no loads
+	Seed        uint64
+	Templates   int     // recurring query shapes; 0: DefaultTemplates
+	OneOffShare float64 // share of statements whose shape never recurs
+	HardShare   float64 // share of lookups whose values make them broad reports
+	WriteShare  float64 // share of statements that write and are no loads
 	// DriftAt is when the table of orders has grown, as a share of the statements; from
 	// then on a statement that reaches it costs Drift times as much. 0: never.
-	DriftAt float64
-	Drift   float64
+	DriftFrom   float64
+	DriftFactor float64
 	// HintNoise is the scatter of hints, as a standard deviation of the natural
 	// logarithm; HintMissing is the share of statements without one. Hints follow from
 	// what the shape usually costs, so they do not depend on the values.
-	HintNoise   float64
-	HintMissing float64
+	HintSigma        float64
+	HintMissingShare float64
 }
 
 // DefaultTemplates is the number of recurring query shapes where the options name none.
@@ -37,8 +37,8 @@
 // Defaults are the figures of the Board's brief, as far as it gives them.
 func Defaults(seed uint64) Options {
 	return Options{
-		Seed: seed, Templates: DefaultTemplates, OneOff: 0.05, Hard: 0.04, Writes: 0.02,
-		DriftAt: 0.6, Drift: 3, HintNoise: 0.7, HintMissing: 0.15,
+		Seed: seed, Templates: DefaultTemplates, OneOffShare: 0.05, HardShare: 0.04, WriteShare: 0.02,
+		DriftFrom: 0.6, DriftFactor: 3, HintSigma: 0.7, HintMissingShare: 0.15,
 	}
 }
 
@@ -50,8 +50,8 @@
 	ClassWrite  = "write"
 )
 
-// BroadAt is the true work from which a reading statement is a report, in milliseconds.
-const BroadAt = 800
+// ReportFromMS is the true work from which a reading statement is a report, in milliseconds.
+const ReportFromMS = 800
 
 // Values of Statement.Template for statements of no recurring template.
 const (
@@ -108,7 +108,7 @@
 		partPopularity:  rand.NewZipf(random, 1.25, 8, partCount-1),
 		groupPopularity: rand.NewZipf(random, 1.2, 3, groupCount-1),
 		scatter:         distuv.LogNormal{Sigma: scatterSigma, Src: random},
-		hintError:       distuv.LogNormal{Sigma: max(options.HintNoise, minHintSigma), Src: random},
+		hintError:       distuv.LogNormal{Sigma: max(options.HintSigma, minHintSigma), Src: random},
 	}
 	sum := 0.0
 	for ordinal := range options.Templates {
@@ -125,11 +125,11 @@
 	growth := g.growth()
 	g.generated++
 	switch u := g.random.Float64(); {
-	case u < g.options.OneOff:
+	case u < g.options.OneOffShare:
 		t := newTemplate(g.random, oneOffOrdinal)
 		t.oneOff = true
 		return g.fromTemplate(t, TemplateOneOff, growth)
-	case u < g.options.OneOff+g.options.Writes:
+	case u < g.options.OneOffShare+g.options.WriteShare:
 		return g.write(growth)
 	}
 	last := g.cumulativeWeights[len(g.cumulativeWeights)-1]
@@ -140,8 +140,8 @@
 // growth is the factor by which the table of orders has grown by now.
 func (g *Generator) growth() float64 {
 	progress := float64(g.generated) / float64(g.total)
-	if g.options.DriftAt > 0 && progress >= g.options.DriftAt {
-		return g.options.Drift
+	if g.options.DriftFrom > 0 && progress >= g.options.DriftFrom {
+		return g.options.DriftFactor
 	}
 	return 1
 }
@@ -166,7 +166,7 @@
 	truth := s.WorkMS
 	s.WorkMS *= g.scatter.Rand()
 	s.MemoryMB = math.Max(minMemoryMB, memoryAt200MS*math.Pow(truth/200, memoryExponent)*g.scatter.Rand())
-	if g.random.Float64() >= g.options.HintMissing {
+	if g.random.Float64() >= g.options.HintMissingShare {
 		s.HintWorkMS = usualMS * hintBias[hintedClass(s.Class, usualMS)] * g.hintError.Rand()
 		s.HintMB = s.MemoryMB * g.hintError.Rand() * 1.2
 	}
@@ -179,7 +179,7 @@
 	switch {
 	case class == ClassLoad || class == ClassWrite:
 		return class
-	case usualMS > BroadAt:
+	case usualMS > ReportFromMS:
 		return ClassReport
 	}
 	return ClassLookup
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -33,7 +33,7 @@
 		i.rows *= growth
 	}
 	i.rowsOfOne = i.rows / partCount
-	i.broad = g.random.Float64() < g.options.Hard
+	i.broad = g.random.Float64() < g.options.HardShare
 	i.drawNames()
 	return i
 }
@@ -85,7 +85,7 @@
 		s.WorkMS *= coldFactor
 	}
 	s.Class = ClassLookup
-	if s.WorkMS >= BroadAt { // below it broad values reach so few rows that it stays a lookup
+	if s.WorkMS >= ReportFromMS { // below it broad values reach so few rows that it stays a lookup
 		s.Class, s.HardCase = ClassReport, i.hardCase
 	}
 	return s, usual.workMS()
--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -32,7 +32,7 @@
 			d.cancelAttempt(r, action.Attempt)
 		}
 	case policy.Reject:
-		d.counters.Add("rejections." + action.Reason.String())
+		d.counters.Increment("rejections." + action.Reason.String())
 		d.respond(action.RequestID, Response{Verdict: VerdictRejected, RetryAfter: action.RetryAfter})
 	case policy.Fail:
 		d.respond(action.RequestID, Response{Verdict: VerdictFailed})
@@ -45,7 +45,7 @@
 	case policy.CheckHealth, policy.Subscribe:
 		// Health checks are never permitted in this program's deployments, and
 		// discovery reports endpoints without a subscription.
-		d.counters.Add("policy.unsupported-actions")
+		d.counters.Increment("policy.unsupported-actions")
 	}
 }
 
@@ -64,9 +64,9 @@
 	}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	d.counters.Add("attempts.started." + r.Class)
+	d.counters.Increment("attempts.started." + r.Class)
 	if a.index > 0 {
-		d.counters.Add("attempts.retried." + r.Class)
+		d.counters.Increment("attempts.retried." + r.Class)
 	}
 	if r.completed() { // the balancer has not heard yet that the client disconnected
 		d.EndAttempt(a, StatusNotSent, AttemptReport{})
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -47,9 +47,9 @@
 	releasable []*Request      // to be released once the event queue is empty
 }
 
-// New returns a dispatcher for the settings. SetEngineClient must follow before
+// NewDispatcher returns a dispatcher for the settings. SetEngineClient must follow before
 // any request or endpoint.
-func New(settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, logger *slog.Logger) (*Dispatcher, error) {
+func NewDispatcher(settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, logger *slog.Logger) (*Dispatcher, error) {
 	balancer, err := policy.New(settings, seed)
 	if err != nil {
 		return nil, err
--- a/internal/lifecycle/dispatcher_test.go
+++ b/internal/lifecycle/dispatcher_test.go
@@ -58,7 +58,7 @@
 		change(&settings)
 	}
 	var err error
-	f.Dispatcher, err = lifecycle.New(settings, 1, clockFunc(func() time.Duration { return f.now }), f.timers, f.counters, slog.New(slog.DiscardHandler))
+	f.Dispatcher, err = lifecycle.NewDispatcher(settings, 1, clockFunc(func() time.Duration { return f.now }), f.timers, f.counters, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -16,7 +16,7 @@
 
 // UpdateEndpoints takes in the endpoint list or a change to it, as mode says.
 func (d *Dispatcher) UpdateEndpoints(mode policy.UpdateMode, endpoints []Endpoint) {
-	d.counters.Add("discovery.updates")
+	d.counters.Increment("discovery.updates")
 	previous := d.endpoints
 	complete := mode == policy.UpdateFull || mode == policy.UpdateCached
 	if complete {
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -64,7 +64,7 @@
 	r.state = requestPending
 	d.requests[r.policyID] = r
 	d.pending++
-	d.counters.Add("requests.accepted." + r.Class)
+	d.counters.Increment("requests.accepted." + r.Class)
 	d.handleEvent(policy.RequestArrived{
 		RequestID:         r.policyID,
 		Class:             r.Class,
@@ -84,7 +84,7 @@
 	if r.state != requestPending {
 		return
 	}
-	d.counters.Add("requests.disconnected." + r.Class)
+	d.counters.Increment("requests.disconnected." + r.Class)
 	d.markCompleted(r)
 	d.abandonRemaining(r)
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -73,9 +73,9 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// Plain returns a logger for tools: text without times, to any writer and with
+// NewPlain returns a logger for tools: text without times, to any writer and with
 // no limit of its rate.
-func Plain(out io.Writer) *slog.Logger {
+func NewPlain(out io.Writer) *slog.Logger {
 	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: dropTime}))
 }
 
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -21,9 +21,9 @@
 	return &Counters{counts: map[string]int64{}, reported: map[string]int64{}}
 }
 
-// Add increments a counter by one. A name is a list of words joined by dots, from
+// Increment increments a counter by one. A name is a list of words joined by dots, from
 // the stage of processing to the detail.
-func (c *Counters) Add(name string) { c.counts[name]++ }
+func (c *Counters) Increment(name string) { c.counts[name]++ }
 
 // Set sets a counter to a value that is kept elsewhere.
 func (c *Counters) Set(name string, value int64) { c.counts[name] = value }
@@ -41,10 +41,10 @@
 	return sum
 }
 
-// Changes returns by how much each counter has changed since the previous call,
+// Deltas returns by how much each counter has changed since the previous call,
 // without the unchanged ones: alternating names and numbers in order of name, as
 // the arguments of a slog call.
-func (c *Counters) Changes() (attrs []any) {
+func (c *Counters) Deltas() (attrs []any) {
 	for _, name := range c.sortedNames() {
 		delta := c.counts[name] - c.reported[name]
 		if delta == 0 {
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -7,16 +7,16 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestChanges_ReturnsDeltasSinceThePreviousCall(t *testing.T) {
+func TestDeltas_ReturnsDeltasSinceThePreviousCall(t *testing.T) {
 	c := New()
-	c.Add("b")
-	c.Add("a")
-	c.Add("a")
+	c.Increment("b")
+	c.Increment("a")
+	c.Increment("a")
 	for i, want := range [][]any{{"a", int64(2), "b", int64(1)}, nil, {"b", int64(1)}} {
 		if i == 2 {
-			c.Add("b")
+			c.Increment("b")
 		}
-		if diff := cmp.Diff(want, c.Changes()); diff != "" {
+		if diff := cmp.Diff(want, c.Deltas()); diff != "" {
 			t.Errorf("call %d (-want +got):\n%s", i, diff)
 		}
 	}
@@ -25,7 +25,7 @@
 func TestPrint_WritesCountersInOrderOfName(t *testing.T) {
 	c := New()
 	c.Set("b.set", 7)
-	c.Add("a.added")
+	c.Increment("a.added")
 	var out bytes.Buffer
 	c.Print(&out)
 	if diff := cmp.Diff("count a.added 1\ncount b.set 7\n", out.String()); diff != "" {
--- a/internal/pgproto/error_response.go
+++ b/internal/pgproto/error_response.go
@@ -47,22 +47,22 @@
 	} {
 		if field.value != "" {
 			body = append(body, field.kind)
-			body = append(body, Str(field.value)...)
+			body = append(body, CString(field.value)...)
 		}
 	}
 	return append(body, 0)
 }
 
-// ReadError reads the body of an ErrorResponse or a NoticeResponse.
-func ReadError(body []byte) (*Error, error) {
+// ParseError reads the body of an ErrorResponse or a NoticeResponse.
+func ParseError(body []byte) (*Error, error) {
 	e := &Error{Raw: append([]byte{}, body...)}
-	r := Reader{B: body}
+	r := Reader{Unread: body}
 	for {
 		kind := r.Byte()
 		if kind == 0 {
 			break
 		}
-		value := r.Str()
+		value := r.CString()
 		switch kind {
 		case fieldSeverity:
 			e.Severity = value
@@ -74,8 +74,8 @@
 			e.Hint = value
 		}
 	}
-	if !r.End() || len(e.Code) != sqlStateLength {
-		return nil, fmt.Errorf("%w: an error response", Malformed)
+	if !r.Complete() || len(e.Code) != sqlStateLength {
+		return nil, fmt.Errorf("%w: an error response", ErrMalformed)
 	}
 	return e, nil
 }
--- a/internal/pgproto/fields.go
+++ b/internal/pgproto/fields.go
@@ -5,39 +5,39 @@
 	"encoding/binary"
 )
 
-// Str returns a string as messages hold it: ended by a zero byte.
-func Str(s string) []byte { return append([]byte(s), 0) }
+// CString returns a string as messages hold it: ended by a zero byte.
+func CString(s string) []byte { return append([]byte(s), 0) }
 
 // Int32 returns a number as messages hold it.
 func Int32(n int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
 
 // Reader reads the fields of a body in turn. Past the end it returns zero values and sets
-// Bad.
+// Malformed.
 type Reader struct {
-	B   []byte // what is not read yet
-	Bad bool   // a field was missing or cut short
+	Unread    []byte // what is not read yet
+	Malformed bool   // a field was missing or cut short
 }
 
 // Bytes reads n bytes.
 func (r *Reader) Bytes(n int) []byte {
-	if n < 0 || n > len(r.B) {
+	if n < 0 || n > len(r.Unread) {
 		r.fail()
 		return nil
 	}
-	field := r.B[:n]
-	r.B = r.B[n:]
+	field := r.Unread[:n]
+	r.Unread = r.Unread[n:]
 	return field
 }
 
-// Str reads a string up to its zero byte.
-func (r *Reader) Str() string {
-	end := bytes.IndexByte(r.B, 0)
+// CString reads a string up to its zero byte.
+func (r *Reader) CString() string {
+	end := bytes.IndexByte(r.Unread, 0)
 	if end < 0 {
 		r.fail()
 		return ""
 	}
-	s := string(r.B[:end])
-	r.B = r.B[end+1:]
+	s := string(r.Unread[:end])
+	r.Unread = r.Unread[end+1:]
 	return s
 }
 
@@ -68,7 +68,7 @@
 	return 0
 }
 
-// End reports whether all was read and nothing was missing.
-func (r *Reader) End() bool { return !r.Bad && len(r.B) == 0 }
+// Complete reports whether all was read and nothing was missing.
+func (r *Reader) Complete() bool { return !r.Malformed && len(r.Unread) == 0 }
 
-func (r *Reader) fail() { r.Bad, r.B = true, nil }
+func (r *Reader) fail() { r.Malformed, r.Unread = true, nil }
--- a/internal/pgproto/messages.go
+++ b/internal/pgproto/messages.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// Malformed is wrapped by the errors of messages that can't be read.
-var Malformed = errors.New("malformed message") //nolint:revive,staticcheck // gets the name ErrMalformed with its users
+// ErrMalformed is wrapped by the errors of messages that can't be read.
+var ErrMalformed = errors.New("malformed message")
 
 // Kinds of messages that a client sends after its startup.
 const (
@@ -63,15 +63,15 @@
 
 const messageHeaderSize = 1 + lengthSize // a kind and a length, which does not count the kind
 
-// Next reads one message: its kind and its body. It returns the size of the message, or 0
+// ParseMessage reads one message: its kind and its body. It returns the size of the message, or 0
 // while that is incomplete. A length above maxLength is an error.
-func Next(input []byte, maxLength int) (kind byte, body []byte, size int, err error) {
+func ParseMessage(input []byte, maxLength int) (kind byte, body []byte, size int, err error) {
 	if len(input) < messageHeaderSize {
 		return 0, nil, 0, nil
 	}
 	length := int(binary.BigEndian.Uint32(input[1:]))
 	if length < lengthSize || length > maxLength {
-		return 0, nil, 0, fmt.Errorf("%w: %d bytes", Malformed, length)
+		return 0, nil, 0, fmt.Errorf("%w: %d bytes", ErrMalformed, length)
 	}
 	size = 1 + length
 	if len(input) < size {
@@ -80,8 +80,8 @@
 	return input[0], input[messageHeaderSize:size], size, nil
 }
 
-// Append appends one message, whose body is given in parts.
-func Append(b []byte, kind byte, body ...[]byte) []byte {
+// AppendMessage appends one message, whose body is given in parts.
+func AppendMessage(b []byte, kind byte, body ...[]byte) []byte {
 	length := lengthSize
 	for _, part := range body {
 		length += len(part)
--- a/internal/pgproto/startup.go
+++ b/internal/pgproto/startup.go
@@ -8,10 +8,10 @@
 // Codes that the first message of a connection begins with: a protocol version, or a
 // request that stands in its place.
 const (
-	Version   = 3 << 16
-	CancelReq = 80877102
-	SSLReq    = 80877103
-	GSSReq    = 80877104
+	ProtocolVersion   = 3 << 16
+	CancelRequestCode = 80877102
+	SSLRequestCode    = 80877103
+	GSSENCRequestCode = 80877104
 )
 
 // maxStartup bounds the bytes of a connection's first message, as PostgreSQL does.
@@ -22,15 +22,15 @@
 	startupHeaderSize = lengthSize + 4
 )
 
-// Startup reads a connection's first message: its code and what follows. It returns the
+// ParseStartup reads a connection's first message: its code and what follows. It returns the
 // size of the message, or 0 while that is incomplete.
-func Startup(input []byte) (code uint32, body []byte, size int, err error) {
+func ParseStartup(input []byte) (code uint32, body []byte, size int, err error) {
 	if len(input) < lengthSize {
 		return 0, nil, 0, nil
 	}
 	length := int(binary.BigEndian.Uint32(input))
 	if length < startupHeaderSize || length > maxStartup {
-		return 0, nil, 0, fmt.Errorf("%w: a first message of %d bytes", Malformed, length)
+		return 0, nil, 0, fmt.Errorf("%w: a first message of %d bytes", ErrMalformed, length)
 	}
 	if len(input) < length {
 		return 0, nil, 0, nil
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -83,7 +83,7 @@
 // startInstance starts an instance, in place of the one with its number if there is one.
 func (h *Host) startInstance(m *message) {
 	id, seed := m.integer(fieldInstance), m.unsigned(startSeed)
-	var settings config.Site
+	var settings config.Settings
 	m.decode(startSettings, &settings)
 	if m.err != nil {
 		return
--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -52,19 +52,19 @@
 	// this process and are secret, so that a client can't write a statement that collides
 	// with another one. It means nothing to another process.
 	Fingerprint [2]uint64
-	// Norm is the normal form: the statement without values, comments, case and spacing,
+	// NormalForm is the normal form: the statement without values, comments, case and spacing,
 	// and with lists of alternatives and rows of values folded into one. The number in the
 	// name of a schema is replaced by #, so that all datasets share their shapes.
-	Norm []byte
-	// Truncated means that the normal form was too long and Norm is only its last part. The
+	NormalForm []byte
+	// Truncated means that the normal form was too long and NormalForm is only its last part. The
 	// fingerprint covers all of it.
-	Truncated bool
-	Features  Features
-	Slots     []Slot
-	Group     int64 // the dataset, as of the function Group
-	Grouped   bool  // the statement names a dataset
+	Truncated  bool
+	Features   Features
+	Slots      []Slot
+	Dataset    int64 // the dataset, as of the function DatasetOf
+	HasDataset bool  // the statement names a dataset
 	// Effect is the result of EffectOf, and FirstWord and MultipleStatements are those of
-	// the function FirstWord, where the Analyzer judges. Else Effect is Untold, the most
+	// the function FirstWord, where JudgeEffect is set. Else Effect is EffectUnknown, the most
 	// cautious.
 	Effect             Verdict
 	FirstWord          string // as written in the text
--- a/internal/sqltext/analyzer.go
+++ b/internal/sqltext/analyzer.go
@@ -5,10 +5,10 @@
 // Analyzer analyzes statements. It allocates only while its buffer grows, and belongs to
 // one goroutine.
 type Analyzer struct {
-	// Judge enables the classification of effects.
-	Judge bool
-	// Functions are read-only functions beside PostgreSQL's own.
-	Functions Functions
+	// JudgeEffect enables the classification of effects.
+	JudgeEffect bool
+	// ReadOnlyFunctions are read-only functions beside PostgreSQL's own.
+	ReadOnlyFunctions Functions
 
 	seeds        [2]maphash.Seed
 	prefixHashes [2]maphash.Hash // of the parts of a long normal form that left the buffer
@@ -20,8 +20,8 @@
 	result Analysis
 }
 
-// NewReader returns an analyzer with seeds of its own.
-func NewReader() *Analyzer {
+// NewAnalyzer returns an analyzer with seeds of its own.
+func NewAnalyzer() *Analyzer {
 	return &Analyzer{seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}}
 }
 
@@ -40,19 +40,19 @@
 	return fingerprint
 }
 
-// Read analyzes a statement. The result is valid until the next call.
-func (a *Analyzer) Read(stmt string) *Analysis {
+// Analyze analyzes a statement. The result is valid until the next call.
+func (a *Analyzer) Analyze(stmt string) *Analysis {
 	if cap(a.buffer) > maxRetainedBuffer {
 		a.buffer = nil
 	}
 	a.buffer = a.buffer[:0]
 	a.result = Analysis{}
 	p := pass{lexer: Lexer{Src: stmt}, analyzer: a, result: &a.result, normalForm: a.buffer}
-	if a.Judge {
-		a.effect = effectClassifier{readOnly: a.Functions}
+	if a.JudgeEffect {
+		a.effect = effectClassifier{readOnly: a.ReadOnlyFunctions}
 	}
-	for t := p.lexer.Next(); t.Kind != End; t = p.lexer.Next() {
-		if a.Judge {
+	for t := p.lexer.Next(); t.Kind != EndOfText; t = p.lexer.Next() {
+		if a.JudgeEffect {
 			p.trackStatements(t)
 			if !a.effect.decided() {
 				a.effect.token(&p.lexer, t)
@@ -60,16 +60,16 @@
 		}
 		p.token(t)
 	}
-	if a.Judge {
+	if a.JudgeEffect {
 		a.result.Effect = a.effect.verdict(&p.lexer)
 	}
 	p.endLists(-1)
 	p.trimSpace()
 	p.hashNormalForm()
 	a.buffer = p.normalForm
-	a.result.Norm = p.normalForm
+	a.result.NormalForm = p.normalForm
 	a.result.Slots = a.slots[:p.slotCount]
-	a.result.Group, a.result.Grouped = p.dataset.dataset, p.dataset.found
+	a.result.Dataset, a.result.HasDataset = p.dataset.dataset, p.dataset.found
 	return &a.result
 }
 
--- a/internal/sqltext/analyzer_test.go
+++ b/internal/sqltext/analyzer_test.go
@@ -34,8 +34,8 @@
 		"select a from t where b in (select c from u where d = ?)": {"SELECT a FROM t WHERE b IN (SELECT c FROM u WHERE d = 1)"},
 	} {
 		for _, s := range stmts {
-			r := NewReader()
-			if diff := cmp.Diff(want, string(r.Read(s).Norm)); diff != "" {
+			r := NewAnalyzer()
+			if diff := cmp.Diff(want, string(r.Analyze(s).NormalForm)); diff != "" {
 				t.Errorf("%.80s:\n%s", s, diff)
 			}
 		}
@@ -74,7 +74,7 @@
 	bin := func(oid uint64, v ...[]byte) Binds {
 		b := Binds{Values: v, Formats: []byte{0, 1}}
 		for range v {
-			b.Types = append(b.Types, be(oid, 4)...)
+			b.TypeOIDs = append(b.TypeOIDs, be(oid, 4)...)
 		}
 		return b
 	}
@@ -95,23 +95,23 @@
 		{"SELECT a FROM t WHERE n BETWEEN -5 AND 5", Binds{}, Profile{Span: 10}},
 		{"SELECT a FROM t WHERE day > now() - interval '1 year'", Binds{}, Profile{Span: 365.25}},
 		{"SELECT a FROM t WHERE day >= $1", text("2026-01-01"), Profile{HalfOpen: true}},
-		{"SELECT a FROM t WHERE name LIKE '%x%'", Binds{}, Profile{Wild: Leading, Open: true}},
-		{"SELECT a FROM t WHERE name LIKE $1", text("x%"), Profile{Wild: Prefix}},
-		{"SELECT a FROM t WHERE b = 1 LIMIT $1", text("1000000"), Profile{Limit: 1e6}},
-		{"SELECT a FROM t WHERE b = 1 LIMIT $1", bin(20, be(50, 8)), Profile{Limit: 50}},
-		{"SELECT a FROM t FETCH FIRST 9 ROWS ONLY", Binds{}, Profile{Limit: 9, Open: true}},
-		{"SELECT a FROM t WHERE $1 IS NULL OR part = $1", text("NULL"), Profile{Off: 1, Open: true}},
+		{"SELECT a FROM t WHERE name LIKE '%x%'", Binds{}, Profile{Wildcard: LeadingWildcard, Unrestricted: true}},
+		{"SELECT a FROM t WHERE name LIKE $1", text("x%"), Profile{Wildcard: InnerWildcard}},
+		{"SELECT a FROM t WHERE b = 1 LIMIT $1", text("1000000"), Profile{RowLimit: 1e6}},
+		{"SELECT a FROM t WHERE b = 1 LIMIT $1", bin(20, be(50, 8)), Profile{RowLimit: 50}},
+		{"SELECT a FROM t FETCH FIRST 9 ROWS ONLY", Binds{}, Profile{RowLimit: 9, Unrestricted: true}},
+		{"SELECT a FROM t WHERE $1 IS NULL OR part = $1", text("NULL"), Profile{DisabledRestrictions: 1, Unrestricted: true}},
 		{"SELECT a FROM t WHERE ($1::text IS NULL OR part = $1)", text("p"), Profile{}},
-		{"SELECT a FROM t WHERE part = coalesce($1, part)", text("NULL"), Profile{Off: 1, Open: true}},
-		{"SELECT a FROM t WHERE NULL IS NULL OR part = 'p'", Binds{}, Profile{Open: true}},
-		{"SELECT a FROM t WHERE 1 = 1", Binds{}, Profile{Open: true}},
-		{"SELECT a FROM t JOIN u ON t.x = u.y", Binds{}, Profile{Open: true}},
+		{"SELECT a FROM t WHERE part = coalesce($1, part)", text("NULL"), Profile{DisabledRestrictions: 1, Unrestricted: true}},
+		{"SELECT a FROM t WHERE NULL IS NULL OR part = 'p'", Binds{}, Profile{Unrestricted: true}},
+		{"SELECT a FROM t WHERE 1 = 1", Binds{}, Profile{Unrestricted: true}},
+		{"SELECT a FROM t JOIN u ON t.x = u.y", Binds{}, Profile{Unrestricted: true}},
 		{"INSERT INTO t VALUES (1, 2), (3, 4), (5, 6)", Binds{}, Profile{Rows: 3}},
 		{"SELECT a FROM t WHERE part = ANY($1)", bin(1009, be(9, 2)), Profile{}},
 		{"SELECT a FROM t WHERE part = ANY($1)", bin(1009, append(be(6, 4), make([]byte, 60)...)), Profile{}},
 	} {
-		r := NewReader()
-		got := r.Read(tt.stmt).Profile(tt.stmt, &tt.binds, 1)
+		r := NewAnalyzer()
+		got := r.Analyze(tt.stmt).Profile(tt.stmt, &tt.binds, 1)
 		got.Key, got.Column = 0, 0
 		if diff := cmp.Diff(tt.want, got); diff != "" {
 			t.Errorf("%.80s:\n%s", tt.stmt, diff)
@@ -122,15 +122,15 @@
 // The key of a value does not depend on whether it is a literal or bound, nor on its format.
 func TestKeyIsIndependentOfFormat(t *testing.T) {
 	key := func(stmt string, b Binds) uint64 {
-		r := NewReader()
-		p := r.Read(stmt).Profile(stmt, &b, 7)
+		r := NewAnalyzer()
+		p := r.Analyze(stmt).Profile(stmt, &b, 7)
 		return p.Key
 	}
 	one := key("SELECT a FROM t WHERE part = 4711", Binds{})
 	for _, other := range []uint64{
 		key("SELECT a FROM t WHERE part = '4711'", Binds{}),
 		key("SELECT a FROM t WHERE part = $1", Binds{Values: [][]byte{[]byte("4711")}}),
-		key("SELECT a FROM t WHERE part = $1", Binds{Values: [][]byte{be(4711, 4)}, Formats: []byte{0, 1}, Types: be(23, 4)}),
+		key("SELECT a FROM t WHERE part = $1", Binds{Values: [][]byte{be(4711, 4)}, Formats: []byte{0, 1}, TypeOIDs: be(23, 4)}),
 	} {
 		if other != one || one == 0 {
 			t.Errorf("key %x, want %x", other, one)
@@ -141,18 +141,18 @@
 // The fingerprint of a long statement covers also those parts of its normal form that are
 // not kept.
 func TestFingerprintCoversTruncatedNormalForm(t *testing.T) {
-	a := NewReader()
+	a := NewAnalyzer()
 	long := strings.Repeat("a_column_of_note, ", 5000) + "b FROM t"
-	first := *a.Read("SELECT x, " + long)
-	norm := string(first.Norm)
-	other := *a.Read("SELECT y, " + long)
-	if !first.Truncated || !other.Truncated || string(other.Norm) != norm {
-		t.Fatalf("truncated %v and %v, and the parts kept are equal: %v", first.Truncated, other.Truncated, string(other.Norm) == norm)
+	first := *a.Analyze("SELECT x, " + long)
+	norm := string(first.NormalForm)
+	other := *a.Analyze("SELECT y, " + long)
+	if !first.Truncated || !other.Truncated || string(other.NormalForm) != norm {
+		t.Fatalf("truncated %v and %v, and the parts kept are equal: %v", first.Truncated, other.Truncated, string(other.NormalForm) == norm)
 	}
 	if first.Fingerprint == other.Fingerprint {
 		t.Error("two statements that differ in a part not kept have one fingerprint")
 	}
-	if again := a.Read("select X, " + long); again.Fingerprint != first.Fingerprint {
+	if again := a.Analyze("select X, " + long); again.Fingerprint != first.Fingerprint {
 		t.Error("a statement of the same normal form has another fingerprint")
 	}
 }
@@ -164,9 +164,9 @@
 	f.Add("INSERT INTO s_1.t VALUES (1, ARRAY[2,3]), ((4)) ; VALUES IN (VALUES", []byte{})
 	f.Add("ARRAY[IN(ARRAY[IN(1,(2,-", []byte{9})
 	f.Fuzz(func(t *testing.T, stmt string, v []byte) {
-		r := NewReader()
-		r.Judge = true
-		out := r.Read(stmt)
+		r := NewAnalyzer()
+		r.JudgeEffect = true
+		out := r.Analyze(stmt)
 		if want := EffectOf(stmt, nil); out.Effect != want {
 			t.Fatalf("%q: %v on the way, %v by itself", stmt, out.Effect, want)
 		}
@@ -174,8 +174,8 @@
 		if strings.ToUpper(out.FirstWord) != first || out.MultipleStatements != several {
 			t.Fatalf("%q: first %q, several %v; by itself %q, %v", stmt, out.FirstWord, out.MultipleStatements, first, several)
 		}
-		if len(out.Norm) > 2*len(stmt)+16 {
-			t.Fatalf("%d bytes of normal form for %d", len(out.Norm), len(stmt))
+		if len(out.NormalForm) > 2*len(stmt)+16 {
+			t.Fatalf("%d bytes of normal form for %d", len(out.NormalForm), len(stmt))
 		}
 		for _, s := range out.Slots {
 			if s.From < 0 || s.To < s.From || int(s.To) > len(stmt) || s.Count < 0 {
@@ -183,9 +183,9 @@
 			}
 		}
 		for _, formats := range [][]byte{nil, {0, 1}} {
-			p := out.Profile(stmt, &Binds{Values: [][]byte{v, nil, v}, Formats: formats, Types: v}, 1)
+			p := out.Profile(stmt, &Binds{Values: [][]byte{v, nil, v}, Formats: formats, TypeOIDs: v}, 1)
 			_ = p.Bucket()
-			if p.Alternatives < 0 || p.Span < 0 || p.Limit < 0 || p.Off < 0 {
+			if p.Alternatives < 0 || p.Span < 0 || p.RowLimit < 0 || p.DisabledRestrictions < 0 {
 				t.Fatalf("profile %+v", p)
 			}
 		}
@@ -200,33 +200,33 @@
 const usualLookup = "SELECT part, n FROM stock_17.stock WHERE part = 'p-00017'"
 
 func BenchmarkReadLookup(b *testing.B) {
-	r := NewReader()
+	r := NewAnalyzer()
 	b.ReportAllocs()
 	b.SetBytes(int64(len(usualLookup)))
 	for b.Loop() {
-		p := r.Read(usualLookup).Profile(usualLookup, &Binds{}, 1)
+		p := r.Analyze(usualLookup).Profile(usualLookup, &Binds{}, 1)
 		_ = p.Bucket()
 	}
 }
 
 func BenchmarkReadShort(b *testing.B) {
-	r := NewReader()
+	r := NewAnalyzer()
 	const short = "SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day"
 	b.ReportAllocs()
 	b.SetBytes(int64(len(short)))
 	for b.Loop() {
-		p := r.Read(short).Profile(short, &Binds{}, 1)
+		p := r.Analyze(short).Profile(short, &Binds{}, 1)
 		_ = p.Bucket()
 	}
 }
 
 func BenchmarkRead(b *testing.B) {
-	r := NewReader()
-	binds := Binds{Values: [][]byte{[]byte("3f9c"), be(100, 4), be(130, 4)}, Formats: []byte{0, 0, 0, 1, 0, 1}, Types: append(append(be(25, 4), be(1082, 4)...), be(1082, 4)...)}
+	r := NewAnalyzer()
+	binds := Binds{Values: [][]byte{[]byte("3f9c"), be(100, 4), be(130, 4)}, Formats: []byte{0, 0, 0, 1, 0, 1}, TypeOIDs: append(append(be(25, 4), be(1082, 4)...), be(1082, 4)...)}
 	b.ReportAllocs()
 	b.SetBytes(int64(len(usual)))
 	for b.Loop() {
-		p := r.Read(usual).Profile(usual, &binds, 1)
+		p := r.Analyze(usual).Profile(usual, &binds, 1)
 		_ = p.Bucket()
 	}
 }
@@ -248,13 +248,13 @@
 			if name == "effect" {
 				stmt = "SELECT a FROM stock_1.parts WHERE part IN (" + strings.TrimSuffix(list.String(), ", ") + ")"
 			}
-			r := NewReader()
+			r := NewAnalyzer()
 			b.SetBytes(int64(len(stmt)))
 			for b.Loop() {
 				if name == "effect" {
 					EffectOf(stmt, nil)
 				} else {
-					r.Read(stmt)
+					r.Analyze(stmt)
 				}
 			}
 		})
--- a/internal/sqltext/binds.go
+++ b/internal/sqltext/binds.go
@@ -4,9 +4,9 @@
 
 // Binds are the bound values of one execution, as in a Bind message of PostgreSQL.
 type Binds struct {
-	Values  [][]byte // nil: null
-	Formats []byte   // format codes of two bytes each: none, one for all values, or one for each
-	Types   []byte   // type OIDs of four bytes each, as of Parse or the engine; may be shorter than Values
+	Values   [][]byte // nil: null
+	Formats  []byte   // format codes of two bytes each: none, one for all values, or one for each
+	TypeOIDs []byte   // type OIDs of four bytes each, as of Parse or the engine; may be shorter than Values
 }
 
 // binaryFormat is the format code of binary values.
@@ -30,10 +30,10 @@
 // typeOID returns the type of a parameter, or 0 where it is unknown.
 func (b *Binds) typeOID(number int32) uint32 {
 	n := int(number)
-	if n < 1 || len(b.Types) < 4*n {
+	if n < 1 || len(b.TypeOIDs) < 4*n {
 		return 0
 	}
-	return binary.BigEndian.Uint32(b.Types[4*n-4:])
+	return binary.BigEndian.Uint32(b.TypeOIDs[4*n-4:])
 }
 
 // slotValue is the value of a slot in one execution.
--- a/internal/sqltext/bucket.go
+++ b/internal/sqltext/bucket.go
@@ -7,11 +7,11 @@
 func (p *Profile) Bucket() uint32 {
 	b := log2Bucket(float64(p.Alternatives), 15) // 4 bits
 	b = b<<5 | log2Bucket(p.Span, 31)
-	b = b<<2 | uint32(p.Wild)
-	b = b<<4 | min(log2Bucket(p.Limit, 30)/2, 15)
-	b = b<<3 | uint32(min(p.Off, 7))
+	b = b<<2 | uint32(p.Wildcard)
+	b = b<<4 | min(log2Bucket(p.RowLimit, 30)/2, 15)
+	b = b<<3 | uint32(min(p.DisabledRestrictions, 7))
 	b = b<<4 | log2Bucket(float64(p.Rows), 15)
-	for _, flag := range []bool{p.HalfOpen, p.Open} {
+	for _, flag := range []bool{p.HalfOpen, p.Unrestricted} {
 		b <<= 1
 		if flag {
 			b |= 1
--- a/internal/sqltext/dataset.go
+++ b/internal/sqltext/dataset.go
@@ -5,14 +5,14 @@
 // stagingSchema is the prefix of schemas that belong to no dataset.
 const stagingSchema = "staging"
 
-// Group returns the number of the dataset that a statement touches: the digits behind the
+// DatasetOf returns the number of the dataset that a statement touches: the digits behind the
 // last underscore of its schema's name, 17 in sales_17.orders. Names in strings and
 // comments don't count. A name in the position of a table (behind FROM and the like) takes
 // precedence over others, which may be a column of an alias.
-func Group(stmt string) (dataset int64, ok bool) {
+func DatasetOf(stmt string) (dataset int64, ok bool) {
 	l := Lexer{Src: stmt}
 	var finder datasetFinder
-	for t := l.Next(); t.Kind != End; t = l.Next() {
+	for t := l.Next(); t.Kind != EndOfText; t = l.Next() {
 		if finder.token(&l, t) {
 			break
 		}
