--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -7,9 +7,9 @@
 
 // Effects. The zero value is the most cautious.
 const (
-	Untold Effect = iota // unknown: it may write
-	Writes               // it writes, as far as its words show
-	Reads                // all of it is known, and nothing of it is known to write
+	EffectUnknown Effect = iota // unknown: it may write
+	EffectWrites                // it writes, as far as its words show
+	EffectReads                 // all of it is known, and nothing of it is known to write
 )
 
 var effectNames = [...]string{"can't be told", "writes", "reads"}
@@ -48,7 +48,7 @@
 func EffectOf(stmt string, readOnly Functions) Verdict {
 	l := Lexer{Src: stmt}
 	c := effectClassifier{readOnly: readOnly}
-	for t := l.Next(); t.Kind != End; t = l.Next() {
+	for t := l.Next(); t.Kind != EndOfText; t = l.Next() {
 		c.token(&l, t)
 		if c.decided() {
 			return c.worst
--- a/internal/sqltext/effect_call.go
+++ b/internal/sqltext/effect_call.go
@@ -15,21 +15,21 @@
 	if c.qualified() {
 		if schema := unquoteIdentifier(l.Text(c.previousSchema)); !equalFold(schema, "pg_catalog") {
 			if name = schema + "." + name; !c.readOnly.has(name) {
-				c.report(Untold, name, unknownFunction)
+				c.report(EffectUnknown, name, unknownFunction)
 			}
 			return
 		}
 	}
 	caseSensitive := quoted && name != strings.ToLower(name)
 	if caseSensitive || !readOnlyFunctions.has(name) && !c.readOnly.has(name) {
-		c.report(Untold, name, unknownFunction)
+		c.report(EffectUnknown, name, unknownFunction)
 	}
 }
 
 const unknownFunction = "a function not known to read only"
 
 // qualified reports whether the previous name has a schema.
-func (c *effectClassifier) qualified() bool { return c.previousSchema.Kind != End }
+func (c *effectClassifier) qualified() bool { return c.previousSchema.Kind != EndOfText }
 
 // beginsCall reports whether a parenthesis behind the previous token may begin a call.
 func (c *effectClassifier) beginsCall() bool {
--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -8,7 +8,7 @@
 // effectClassifier classifies a sequence of tokens.
 type effectClassifier struct {
 	readOnly Functions
-	worst    Verdict // the first that is not Reads; Writes takes precedence over Untold
+	worst    Verdict // the first that is not EffectReads; EffectWrites takes precedence over EffectUnknown
 
 	begun     bool // the first word was read
 	planOnly  bool // behind EXPLAIN, and no option so far executes the statement
@@ -30,10 +30,12 @@
 }
 
 // decided reports whether no further token can change the verdict.
-func (c *effectClassifier) decided() bool { return c.worst.Reason != "" && c.worst.Effect == Writes }
+func (c *effectClassifier) decided() bool {
+	return c.worst.Reason != "" && c.worst.Effect == EffectWrites
+}
 
 func (c *effectClassifier) report(effect Effect, word, reason string) {
-	if c.worst.Reason == "" || effect == Writes && c.worst.Effect == Untold {
+	if c.worst.Reason == "" || effect == EffectWrites && c.worst.Effect == EffectUnknown {
 		c.worst = Verdict{Effect: effect, Reason: reason, Word: word}
 	}
 }
@@ -73,7 +75,7 @@
 		}
 	case Operator:
 		if !isReadOnlyOperator(l.Text(t)) {
-			c.report(Untold, l.Text(t), "an operator that is not known")
+			c.report(EffectUnknown, l.Text(t), "an operator that is not known")
 		}
 	}
 	if t.Kind == Dot { // the name continues
@@ -100,18 +102,18 @@
 	if word == keywordNone && class == 0 && c.cteNameNext == 0 {
 		return // a plain name changes nothing below
 	}
-	if class&writingWord != 0 && c.previousKeyword != keywordAs && !c.planOnly && c.previous.Kind != End {
-		c.report(Writes, text, "it writes")
+	if class&writingWord != 0 && c.previousKeyword != keywordAs && !c.planOnly && c.previous.Kind != EndOfText {
+		c.report(EffectWrites, text, "it writes")
 	}
 	c.trackCTEs(word, class, beginsStatement)
 	if c.previousKeyword == keywordFor && !c.planOnly {
 		switch word {
 		case keywordUpdate, keywordNo, keywordShare, keywordKey:
-			c.report(Writes, "FOR "+strings.ToUpper(text), "it locks rows")
+			c.report(EffectWrites, "FOR "+strings.ToUpper(text), "it locks rows")
 		}
 	}
 	if word == keywordOperator {
-		c.report(Untold, text, "an operator named by its schema")
+		c.report(EffectUnknown, text, "an operator named by its schema")
 	}
 }
 
@@ -140,7 +142,7 @@
 		c.planOnly, c.inOptions = true, true
 	case class&readingWord != 0:
 	case class&writingWord != 0:
-		c.report(Writes, text, "it writes")
+		c.report(EffectWrites, text, "it writes")
 	default:
 		c.otherStatement(text, kind)
 	}
@@ -152,14 +154,14 @@
 		switch strings.ToUpper(text) {
 		case "CREATE", "ALTER", "DROP", "TRUNCATE", "COMMENT", "GRANT", "REVOKE", "REINDEX", "CLUSTER", "VACUUM",
 			"REFRESH", "IMPORT", "SECURITY", "REASSIGN", "COPY":
-			c.report(Writes, text, "it writes")
+			c.report(EffectWrites, text, "it writes")
 			return
 		case "DO", "CALL", "EXECUTE":
-			c.report(Untold, text, "what it runs can't be seen")
+			c.report(EffectUnknown, text, "what it runs can't be seen")
 			return
 		}
 	}
-	c.report(Untold, text, "it begins no statement that is known to read")
+	c.report(EffectUnknown, text, "it begins no statement that is known to read")
 }
 
 // explainOption takes a word between EXPLAIN and its statement. ANALYZE in any form
@@ -177,7 +179,7 @@
 	switch {
 	case class&readingWord != 0 || c.planOnly:
 	case class&writingWord != 0:
-		c.report(Writes, text, "EXPLAIN ANALYZE runs it")
+		c.report(EffectWrites, text, "EXPLAIN ANALYZE runs it")
 	default:
 		c.otherStatement(text, kind)
 	}
@@ -189,17 +191,17 @@
 	case c.worst.Reason != "":
 		return c.worst
 	case !c.begun:
-		return Verdict{Effect: Untold, Reason: "no word begins it"}
+		return Verdict{Effect: EffectUnknown, Reason: "no word begins it"}
 	case l.Flaws&Unterminated != 0:
-		return Verdict{Effect: Untold, Reason: "a string, a name or a comment in it does not end"}
+		return Verdict{Effect: EffectUnknown, Reason: "a string, a name or a comment in it does not end"}
 	case l.Flaws&BackslashQuote != 0:
-		return Verdict{Effect: Untold, Reason: "a backslash before a quote reads differently without standard_conforming_strings"}
+		return Verdict{Effect: EffectUnknown, Reason: "a backslash before a quote reads differently without standard_conforming_strings"}
 	case l.Flaws&UnicodeEscape != 0:
-		return Verdict{Effect: Untold, Reason: "U& hides what it spells"}
+		return Verdict{Effect: EffectUnknown, Reason: "U& hides what it spells"}
 	case l.Flaws&InvalidCharacter != 0:
-		return Verdict{Effect: Untold, Reason: "a character in it is of no statement"}
+		return Verdict{Effect: EffectUnknown, Reason: "a character in it is of no statement"}
 	case l.Flaws&NonASCII != 0 && !utf8.ValidString(l.Src):
-		return Verdict{Effect: Untold, Reason: "it is not UTF-8"}
+		return Verdict{Effect: EffectUnknown, Reason: "it is not UTF-8"}
 	}
-	return Verdict{Effect: Reads, Reason: "all its words and functions read"}
+	return Verdict{Effect: EffectReads, Reason: "all its words and functions read"}
 }
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -11,80 +11,80 @@
 func TestEffect(t *testing.T) {
 	more := Functions{"stock.price_of": true, "is_open": true}
 	for stmt, want := range map[string]Effect{
-		"DELETE FROM t":                Writes,
-		" /* c */ UPDATE t SET a = 1":  Writes,
-		"MERGE INTO t USING s ON true": Writes,
-		"CREATE TABLE x AS SELECT 1":   Writes,
-		"TRUNCATE t":                   Writes,
-		"SELECT a INTO x FROM t":       Writes,
-		"SELECT 1INTO x FROM t":        Writes,
-		"SELECT $1INTO x":              Writes,
-		"WITH d AS (DELETE FROM t RETURNING *) SELECT * FROM d":                    Writes,
-		"WITH RECURSIVE d(a) AS (SELECT 1), e AS (insert into t select 1) TABLE d": Writes,
-		"SELECT * FROM t FOR UPDATE":                                               Writes,
-		"SELECT * FROM t FOR NO KEY UPDATE":                                        Writes,
-		"SELECT * FROM t FOR KEY SHARE SKIP LOCKED":                                Writes,
-		"EXPLAIN ANALYZE DELETE FROM t":                                            Writes,
-		"EXPLAIN (ANALYZE, BUFFERS) DELETE FROM t":                                 Writes,
-		"EXPLAIN (\"analyze\" on) DELETE FROM t":                                   Writes,
-		"explain analyse verbose update t set a = 1":                               Writes,
-		"EXPLAIN ANALYZE CREATE TABLE x AS SELECT 1":                               Writes,
-		"SELECT 1 -- x\rFROM t FOR UPDATE":                                         Writes,
-		"SELECT 1 /* a /* b */ */ FROM x; DELETE FROM t":                           Writes,
-		"SELECT 'a''' , b FROM t FOR SHARE":                                        Writes,
-		"SELECT E'a\\'', b FROM t FOR SHARE":                                       Writes,
-		"SELECT E'a'\n'\\'', b FROM t FOR SHARE":                                   Writes,
+		"DELETE FROM t":                EffectWrites,
+		" /* c */ UPDATE t SET a = 1":  EffectWrites,
+		"MERGE INTO t USING s ON true": EffectWrites,
+		"CREATE TABLE x AS SELECT 1":   EffectWrites,
+		"TRUNCATE t":                   EffectWrites,
+		"SELECT a INTO x FROM t":       EffectWrites,
+		"SELECT 1INTO x FROM t":        EffectWrites,
+		"SELECT $1INTO x":              EffectWrites,
+		"WITH d AS (DELETE FROM t RETURNING *) SELECT * FROM d":                    EffectWrites,
+		"WITH RECURSIVE d(a) AS (SELECT 1), e AS (insert into t select 1) TABLE d": EffectWrites,
+		"SELECT * FROM t FOR UPDATE":                                               EffectWrites,
+		"SELECT * FROM t FOR NO KEY UPDATE":                                        EffectWrites,
+		"SELECT * FROM t FOR KEY SHARE SKIP LOCKED":                                EffectWrites,
+		"EXPLAIN ANALYZE DELETE FROM t":                                            EffectWrites,
+		"EXPLAIN (ANALYZE, BUFFERS) DELETE FROM t":                                 EffectWrites,
+		"EXPLAIN (\"analyze\" on) DELETE FROM t":                                   EffectWrites,
+		"explain analyse verbose update t set a = 1":                               EffectWrites,
+		"EXPLAIN ANALYZE CREATE TABLE x AS SELECT 1":                               EffectWrites,
+		"SELECT 1 -- x\rFROM t FOR UPDATE":                                         EffectWrites,
+		"SELECT 1 /* a /* b */ */ FROM x; DELETE FROM t":                           EffectWrites,
+		"SELECT 'a''' , b FROM t FOR SHARE":                                        EffectWrites,
+		"SELECT E'a\\'', b FROM t FOR SHARE":                                       EffectWrites,
+		"SELECT E'a'\n'\\'', b FROM t FOR SHARE":                                   EffectWrites,
 
-		"SELECT setval('s', 1)":                                   Untold,
-		"SELECT \"setval\" ('s', 1)":                              Untold,
-		"SELECT pg_catalog.setval('s', 1)":                        Untold,
-		"SELECT setval/**/('s', 1)":                               Untold,
-		"SELECT public.lower('s')":                                Untold,
-		"SELECT DISTINCT ON (a) setval('s', 1)":                   Untold,
-		"SELECT a FROM unnest(x) WITH ORDINALITY, setval('s', 1)": Untold,
-		"WITH a AS (SELECT 1) SELECT 2, setval('s', 1)":           Untold,
-		"WITH a AS (SELECT 1, evil(2)) SELECT 2":                  Untold,
-		"SELECT \"Lower\"('s')":                                   Untold,
-		"SELECT 1 WHERE a = over(1)":                              Untold,
-		"SELECT 1 WHERE a IN (1) AND join(1) > 0":                 Untold,
-		"EXPLAIN ANALYZE SELECT evil()":                           Untold,
-		"EXPLAIN ANALYZE EXECUTE p":                               Untold,
-		"DO $$ BEGIN DELETE FROM t; END $$":                       Untold,
-		"CALL f()":                                                Untold, "EXECUTE p": Untold, "NOTIFY x": Untold, "": Untold, "xyz": Untold,
-		"SELECT 'open":                     Untold,
-		"SELECT 1 /* open":                 Untold,
-		"SELECT 'a\\' || 'b'":              Untold,
-		"SELECT U&'\\0061'":                Untold,
-		"SELECT U&\"\\0073etval\"('s', 1)": Untold,
-		"SELECT a OPERATOR(evil.+) b":      Untold,
-		"SELECT a <<<>>> b":                Untold,
-		"SELECT '\xff'":                    Untold,
-		"SELECT query_to_xml('DELETE FROM t', true, true, '')": Untold,
+		"SELECT setval('s', 1)":                                   EffectUnknown,
+		"SELECT \"setval\" ('s', 1)":                              EffectUnknown,
+		"SELECT pg_catalog.setval('s', 1)":                        EffectUnknown,
+		"SELECT setval/**/('s', 1)":                               EffectUnknown,
+		"SELECT public.lower('s')":                                EffectUnknown,
+		"SELECT DISTINCT ON (a) setval('s', 1)":                   EffectUnknown,
+		"SELECT a FROM unnest(x) WITH ORDINALITY, setval('s', 1)": EffectUnknown,
+		"WITH a AS (SELECT 1) SELECT 2, setval('s', 1)":           EffectUnknown,
+		"WITH a AS (SELECT 1, evil(2)) SELECT 2":                  EffectUnknown,
+		"SELECT \"Lower\"('s')":                                   EffectUnknown,
+		"SELECT 1 WHERE a = over(1)":                              EffectUnknown,
+		"SELECT 1 WHERE a IN (1) AND join(1) > 0":                 EffectUnknown,
+		"EXPLAIN ANALYZE SELECT evil()":                           EffectUnknown,
+		"EXPLAIN ANALYZE EXECUTE p":                               EffectUnknown,
+		"DO $$ BEGIN DELETE FROM t; END $$":                       EffectUnknown,
+		"CALL f()":                                                EffectUnknown, "EXECUTE p": EffectUnknown, "NOTIFY x": EffectUnknown, "": EffectUnknown, "xyz": EffectUnknown,
+		"SELECT 'open":                     EffectUnknown,
+		"SELECT 1 /* open":                 EffectUnknown,
+		"SELECT 'a\\' || 'b'":              EffectUnknown,
+		"SELECT U&'\\0061'":                EffectUnknown,
+		"SELECT U&\"\\0073etval\"('s', 1)": EffectUnknown,
+		"SELECT a OPERATOR(evil.+) b":      EffectUnknown,
+		"SELECT a <<<>>> b":                EffectUnknown,
+		"SELECT '\xff'":                    EffectUnknown,
+		"SELECT query_to_xml('DELETE FROM t', true, true, '')": EffectUnknown,
 
-		"SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day": Reads,
-		"select pg_catalog.now(), is_open(x), Stock.Price_Of(y) from t":                        Reads,
-		"(SELECT 1) UNION ALL (SELECT 2)":                                                      Reads,
-		"VALUES (1), (2)":                                                                      Reads, "TABLE t": Reads, "SHOW timezone": Reads,
-		"EXPLAIN DELETE FROM t":              Reads,
-		"EXPLAIN (COSTS off) SELECT evil()":  Reads,
-		"EXPLAIN ANALYZE VERBOSE (SELECT 1)": Reads,
-		"WITH a (x, y) AS MATERIALIZED (SELECT 1, 2), b(z) AS (SELECT 3) SELECT * FROM a":               Reads,
-		"SELECT t.update, 'DELETE', \"insert\" AS delete FROM t -- INSERT":                              Reads,
-		"SELECT a::numeric(10,2), CAST(b AS varchar(3)) FROM t AS u(a, b)":                              Reads,
-		"SELECT sum(a) FILTER (WHERE b) OVER (PARTITION BY (c) ORDER BY (d)) FROM t":                    Reads,
-		"SELECT * FROM a LEFT JOIN (SELECT 1) b USING (x) WHERE c NOT LIKE ('x')":                       Reads,
-		"SELECT i FROM generate_series(1, 9) g(i) WHERE i = ANY ($1) AND $2 IS NULL":                    Reads,
-		"SELECT a #>> '{b}', c->>'d', -e, f||g, h !~* 'i', 1.5e-3, $$ DELETE $$ FROM t":                 Reads,
-		"SELECT substring(a FROM 1 FOR 3), position('a' IN b) FROM t":                                   Reads,
-		"SELECT percentile_cont(0.5) WITHIN GROUP (ORDER BY a) FROM t GROUP BY GROUPING SETS ((a), ())": Reads,
+		"SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day": EffectReads,
+		"select pg_catalog.now(), is_open(x), Stock.Price_Of(y) from t":                        EffectReads,
+		"(SELECT 1) UNION ALL (SELECT 2)":                                                      EffectReads,
+		"VALUES (1), (2)":                                                                      EffectReads, "TABLE t": EffectReads, "SHOW timezone": EffectReads,
+		"EXPLAIN DELETE FROM t":              EffectReads,
+		"EXPLAIN (COSTS off) SELECT evil()":  EffectReads,
+		"EXPLAIN ANALYZE VERBOSE (SELECT 1)": EffectReads,
+		"WITH a (x, y) AS MATERIALIZED (SELECT 1, 2), b(z) AS (SELECT 3) SELECT * FROM a":               EffectReads,
+		"SELECT t.update, 'DELETE', \"insert\" AS delete FROM t -- INSERT":                              EffectReads,
+		"SELECT a::numeric(10,2), CAST(b AS varchar(3)) FROM t AS u(a, b)":                              EffectReads,
+		"SELECT sum(a) FILTER (WHERE b) OVER (PARTITION BY (c) ORDER BY (d)) FROM t":                    EffectReads,
+		"SELECT * FROM a LEFT JOIN (SELECT 1) b USING (x) WHERE c NOT LIKE ('x')":                       EffectReads,
+		"SELECT i FROM generate_series(1, 9) g(i) WHERE i = ANY ($1) AND $2 IS NULL":                    EffectReads,
+		"SELECT a #>> '{b}', c->>'d', -e, f||g, h !~* 'i', 1.5e-3, $$ DELETE $$ FROM t":                 EffectReads,
+		"SELECT substring(a FROM 1 FOR 3), position('a' IN b) FROM t":                                   EffectReads,
+		"SELECT percentile_cont(0.5) WITHIN GROUP (ORDER BY a) FROM t GROUP BY GROUPING SETS ((a), ())": EffectReads,
 	} {
 		got := EffectOf(stmt, more)
 		if got.Effect != want {
 			t.Errorf("%s: %v (%v), want %v", stmt, got.Effect, got, want)
 		}
-		r := NewReader()
-		r.Judge, r.Functions = true, more
-		if also := r.Read(stmt).Effect; also != got {
+		r := NewAnalyzer()
+		r.JudgeEffect, r.ReadOnlyFunctions = true, more
+		if also := r.Analyze(stmt).Effect; also != got {
 			t.Errorf("%s: %v on the way, %v by itself", stmt, also, got)
 		}
 	}
@@ -94,7 +94,7 @@
 func TestEffectOfLongText(t *testing.T) {
 	for _, fill := range []string{"(", "[", "a,", "'x' ", "/* */", "E'\\\\' ", "$$x$$ ", "1.", "\"q\"", "WITH a AS (", "f.", "'a'\n"} {
 		text := "SELECT " + strings.Repeat(fill, 1<<20/len(fill)) + " 1 FOR UPDATE"
-		if got := EffectOf(text, nil); got.Effect == Reads {
+		if got := EffectOf(text, nil); got.Effect == EffectReads {
 			t.Errorf("%d bytes of %q: %v", len(text), fill, got)
 		}
 	}
@@ -109,21 +109,21 @@
 	f.Fuzz(func(t *testing.T, stmt string) {
 		l := Lexer{Src: stmt}
 		end := 0
-		for tok := l.Next(); tok.Kind != End; tok = l.Next() {
+		for tok := l.Next(); tok.Kind != EndOfText; tok = l.Next() {
 			if tok.Start < end || tok.End <= tok.Start || tok.End > len(stmt) || l.Pos != tok.End {
 				t.Fatalf("token %+v after %d, lexer at %d of %d", tok, end, l.Pos, len(stmt))
 			}
 			end = tok.End
 		}
-		Group(stmt)
+		DatasetOf(stmt)
 		FirstWord(stmt)
 		if text, ok := LeadingComment(stmt); ok && !strings.Contains(stmt, text) {
 			t.Fatalf("the leading comment %q is no part of %q", text, stmt)
 		}
 		SkipComments(stmt)
-		Begins(stmt, stmt)
-		if EffectOf(stmt, nil).Effect == Reads && l.Flaws&^NonASCII == 0 {
-			if got := EffectOf(stmt+"\n FOR UPDATE", nil); got.Effect == Reads && !strings.HasPrefix(strings.ToUpper(SkipComments(stmt)), "EXPLAIN") {
+		HasTokenPrefix(stmt, stmt)
+		if EffectOf(stmt, nil).Effect == EffectReads && l.Flaws&^NonASCII == 0 {
+			if got := EffectOf(stmt+"\n FOR UPDATE", nil); got.Effect == EffectReads && !strings.HasPrefix(strings.ToUpper(SkipComments(stmt)), "EXPLAIN") {
 				t.Fatalf("%q reads also with FOR UPDATE behind it", stmt)
 			}
 		}
@@ -154,7 +154,7 @@
 			b.WriteString(word)
 			b.WriteString(rapid.SampledFrom(separators).Draw(t, "separator"))
 		}
-		if got := EffectOf(b.String(), nil); got.Effect == Reads {
+		if got := EffectOf(b.String(), nil); got.Effect == EffectReads {
 			t.Fatalf("%q is taken as reading", b.String())
 		}
 	})
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -23,7 +23,7 @@
 		start = l.Pos
 	}
 	if start >= len(src) {
-		return Token{Kind: End, Start: start, End: start}
+		return Token{Kind: EndOfText, Start: start, End: start}
 	}
 	c := src[start]
 	class := charClasses[c]
@@ -38,7 +38,7 @@
 		l.Pos = start + 1
 		l.skipString(false)
 		return Token{Kind: String, Start: start, End: l.Pos}
-	case singleKinds[c] != End:
+	case singleKinds[c] != EndOfText:
 		l.Pos = start + 1
 		return Token{Kind: singleKinds[c], Start: start, End: l.Pos}
 	}
--- a/internal/sqltext/normalform.go
+++ b/internal/sqltext/normalform.go
@@ -1,7 +1,7 @@
 package sqltext
 
 // joinsNext holds the kinds of token that no space follows in the normal form.
-var joinsNext = [Invalid + 1]bool{End: true, Dot: true, LeftParen: true, LeftBracket: true, Cast: true}
+var joinsNext = [Invalid + 1]bool{EndOfText: true, Dot: true, LeftParen: true, LeftBracket: true, Cast: true}
 
 // space separates the next word from the previous token.
 func (p *pass) space() {
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -5,24 +5,24 @@
 
 // Positions of a wildcard.
 const (
-	NoPattern  Wildcard = iota // the statement has no pattern
-	NoWildcard                 // the pattern has no wildcard
-	Prefix                     // behind some characters: an index can serve the pattern
-	Leading                    // at the start
+	NoPattern       Wildcard = iota // the statement has no pattern
+	NoWildcard                      // the pattern has no wildcard
+	InnerWildcard                   // behind some characters: an index can serve the pattern
+	LeadingWildcard                 // at the start
 )
 
 // Profile is what the values of one execution tell of the size of its result.
 type Profile struct {
-	Alternatives int     // length of the longest list; 0: no list
-	Span         float64 // width of the widest closed range, for dates in days; 0: none
-	HalfOpen     bool    // a range has one bound only
-	Wild         Wildcard
-	Limit        float64 // number of rows; 0: none
-	Off          int     // restrictions that a null switches off
-	Open         bool    // nothing restricts the result
-	Rows         int     // rows to write
-	Column       uint32  // hash of the column of the longest list or, without any, the widest range
-	Key          uint64  // hash of the first value compared for equality; 0: none
+	Alternatives         int     // length of the longest list; 0: no list
+	Span                 float64 // width of the widest closed range, for dates in days; 0: none
+	HalfOpen             bool    // a range has one bound only
+	Wildcard             Wildcard
+	RowLimit             float64 // number of rows; 0: none
+	DisabledRestrictions int     // restrictions that a null switches off
+	Unrestricted         bool    // nothing restricts the result
+	Rows                 int     // rows to write
+	Column               uint32  // hash of the column of the longest list or, without any, the widest range
+	Key                  uint64  // hash of the first value compared for equality; 0: none
 }
 
 // maxSpan bounds the width of a range; it also stands for a width that is no number.
@@ -42,13 +42,13 @@
 		if !v.null {
 			b.add(slot, &v)
 		} else if slot.Role != RoleOther && slot.Role != RoleLimit && a.hasNullGuard(slot.Parameter) {
-			b.profile.Off++
+			b.profile.DisabledRestrictions++
 			b.restrictions--
 		}
 	}
 	b.matchBounds()
 	p := &b.profile
-	p.Open = a.Unrestricted || b.restrictions <= 0 && a.Features.Verb != 'i'
+	p.Unrestricted = a.Unrestricted || b.restrictions <= 0 && a.Features.Verb != 'i'
 	if !(p.Span >= 0 && p.Span <= maxSpan) {
 		p.Span = maxSpan
 	}
@@ -101,13 +101,13 @@
 		}
 	case RolePattern:
 		wildcard := firstWildcard(v.pattern(slot))
-		p.Wild = max(p.Wild, wildcard)
-		if wildcard == Leading {
+		p.Wildcard = max(p.Wildcard, wildcard)
+		if wildcard == LeadingWildcard {
 			b.restrictions--
 		}
 	case RoleLimit:
 		if rows, ok := v.number(); ok && rows > 0 {
-			p.Limit = rows
+			p.RowLimit = rows
 		}
 	}
 }
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -28,7 +28,7 @@
 func FirstWord(stmt string) (word string, several bool) {
 	l := Lexer{Src: stmt}
 	ended := false
-	for t := l.Next(); t.Kind != End; t = l.Next() {
+	for t := l.Next(); t.Kind != EndOfText; t = l.Next() {
 		switch {
 		case t.Kind == Semicolon:
 			ended = word != ""
@@ -50,13 +50,13 @@
 	return l.Src[l.Pos:]
 }
 
-// Begins reports whether a statement begins with the tokens of a non-empty prefix. White
+// HasTokenPrefix reports whether a statement begins with the tokens of a non-empty prefix. White
 // space and comments don't count, nor does case in key words and unquoted names.
-func Begins(stmt, prefix string) bool {
+func HasTokenPrefix(stmt, prefix string) bool {
 	statementLexer, prefixLexer := Lexer{Src: stmt}, Lexer{Src: prefix}
 	for matched := 0; ; matched++ {
 		want := prefixLexer.Next()
-		if want.Kind == End {
+		if want.Kind == EndOfText {
 			return matched > 0
 		}
 		got := statementLexer.Next()
--- a/internal/sqltext/statement_test.go
+++ b/internal/sqltext/statement_test.go
@@ -21,7 +21,7 @@
 		"SELECT 1 FROM register.sales_13.t":                                         13,
 		"SELECT 1":                                                                  -1, "SELECT a.b FROM c": -1, "SELECT 'open": -1, "SELECT s_x.t FROM s_.t": -1,
 	} {
-		got, ok := Group(stmt)
+		got, ok := DatasetOf(stmt)
 		if !ok {
 			got = -1
 		}
--- a/internal/sqltext/token.go
+++ b/internal/sqltext/token.go
@@ -5,7 +5,7 @@
 
 // Kinds of token.
 const (
-	End              Kind = iota // the end of the text
+	EndOfText        Kind = iota // the end of the text
 	Identifier                   // a key word or an unquoted name
 	QuotedIdentifier             // a name in double quotes
 	String                       // '..', E'..', U&'..', N'..', with its continuations
--- a/internal/sqltext/values.go
+++ b/internal/sqltext/values.go
@@ -29,11 +29,11 @@
 		switch pattern[i] {
 		case '%', '_', '.', '*', '(', '[', '|':
 			if i == 0 || i == 1 && pattern[0] == '^' {
-				return Leading
+				return LeadingWildcard
 			}
-			return Prefix
+			return InnerWildcard
 		case '\\':
-			return Prefix
+			return InnerWildcard
 		}
 	}
 	return NoWildcard
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -16,8 +16,8 @@
 
 // Hint is the client's own estimate of an execution. A zero field means that none was given.
 type Hint struct {
-	Work     float64 // in milliseconds on one core
-	MemoryMB float64
+	WorkMillis float64 // in milliseconds on one core
+	MemoryMB   float64
 }
 
 // noBinds stands for the bound values of a statement without any.
@@ -41,7 +41,7 @@
 		Features:     &reading.Features,
 		Profile:      reading.Profile(statement.text, binds, s.hashSeed),
 		KnownClass:   known,
-		HintWork:     hint.Work,
+		HintWork:     hint.WorkMillis,
 		HintMemoryMB: hint.MemoryMB,
 	}
 	if x.cached = s.cache.Get(reading.Fingerprint); x.cached != nil {
@@ -55,7 +55,7 @@
 
 // Learn updates the statistics with the cost of an execution. A shape that is not cached
 // is offered to the cache, which may reject it.
-func (s *Store) Learn(x *Execution, truth costmodel.Truth) {
+func (s *Store) Learn(x *Execution, truth costmodel.Observation) {
 	s.Stats.Learned++
 	shape := x.cached
 	if shape == nil {
@@ -79,10 +79,10 @@
 
 // newShape parses the statement again for its normal form, which a Statement does not keep.
 func (s *Store) newShape(statement *Statement) *CachedShape {
-	reading := s.reader.Read(statement.text)
-	kept := min(len(reading.Norm), maxNormalFormBytes)
+	reading := s.reader.Analyze(statement.text)
+	kept := min(len(reading.NormalForm), maxNormalFormBytes)
 	return &CachedShape{
-		normalForm: string(reading.Norm[:kept]),
-		truncated:  reading.Truncated || len(reading.Norm) > maxNormalFormBytes,
+		normalForm: string(reading.NormalForm[:kept]),
+		truncated:  reading.Truncated || len(reading.NormalForm) > maxNormalFormBytes,
 	}
 }
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -15,12 +15,12 @@
 
 // Settings are the settings of a Service in a deploy file.
 type Settings struct {
-	Decide   costmodel.Config
-	Bytes    int           // upper bound of the cache's size
-	Correct  bool          // estimates replace the clients' hints in the decisions
-	Snapshot string        // path of the snapshot file; "": none
-	Every    time.Duration // between snapshots
-	WorkTold bool          // engines report the work of a request; else its duration stands for it
+	CostModel         costmodel.Config
+	MaxBytes          int           // upper bound of the cache's size
+	ApplyEstimates    bool          // estimates replace the clients' hints in the decisions
+	SnapshotPath      string        // path of the snapshot file; "": none
+	SnapshotInterval  time.Duration // between snapshots
+	EnginesReportWork bool          // engines report the work of a request; else its duration stands for it
 }
 
 // Service connects a Store to a running proxy: the front ends ask it for estimates when a
@@ -55,8 +55,8 @@
 		log:          log,
 	}
 	s.indexClasses(classes)
-	options := Options{Decide: settings.Decide, Bytes: settings.Bytes}
-	if settings.Snapshot != "" {
+	options := Options{CostModel: settings.CostModel, MaxBytes: settings.MaxBytes}
+	if settings.SnapshotPath != "" {
 		s.restore(options)
 	}
 	if s.store == nil {
@@ -65,7 +65,7 @@
 			return nil, err
 		}
 	}
-	if settings.Snapshot != "" {
+	if settings.SnapshotPath != "" {
 		s.scheduleSnapshot()
 	}
 	return s, nil
@@ -76,14 +76,14 @@
 		s.classIndex[class.Name] = i
 		s.classThreads[class.Name] = max(class.Threads, 1)
 	}
-	for _, class := range s.settings.Decide.Classes {
+	for _, class := range s.settings.CostModel.Classes {
 		s.readingClasses = append(s.readingClasses, classes[s.classIndex[class.Name]])
 	}
 }
 
 // restore sets the store from the snapshot file. It leaves it nil where there is no usable one.
 func (s *Service) restore(options Options) {
-	path := s.settings.Snapshot
+	path := s.settings.SnapshotPath
 	store, err := restoreFile(options, path)
 	switch {
 	case err == nil:
@@ -91,7 +91,7 @@
 		s.log.Info("shapes.restored", "file", path, "shapes", store.Len())
 	case errors.Is(err, fs.ErrNotExist):
 	default:
-		s.counters.Add("shapes.snapshot-unusable")
+		s.counters.Increment("shapes.snapshot-unusable")
 		aside := path + ".unusable"
 		s.log.Warn("shapes.snapshot-unusable", "file", path, "error", err, "aside", aside, "rename", os.Rename(path, aside))
 	}
@@ -106,22 +106,22 @@
 }
 
 func (s *Service) scheduleSnapshot() {
-	s.loop.Timers.Schedule(s.loop.Now()+s.settings.Every, func() {
-		s.Save()
+	s.loop.Timers.Schedule(s.loop.Now()+s.settings.SnapshotInterval, func() {
+		s.SaveSnapshot()
 		s.scheduleSnapshot()
 	})
 }
 
-// Save writes a snapshot in the background, if the settings name a file. Only one is
+// SaveSnapshot writes a snapshot in the background, if the settings name a file. Only one is
 // written at a time, so that a disk that hangs blocks one goroutine at most.
-func (s *Service) Save() {
-	if s.settings.Snapshot == "" || s.savingSnapshot {
+func (s *Service) SaveSnapshot() {
+	if s.settings.SnapshotPath == "" || s.savingSnapshot {
 		return
 	}
 	s.savingSnapshot = true
 	snapshot := s.store.Snapshot()
 	go func() {
-		err := snapshot.Write(s.settings.Snapshot)
+		err := snapshot.Write(s.settings.SnapshotPath)
 		s.loop.Post(func() { s.snapshotWritten(err) })
 	}()
 }
@@ -129,15 +129,15 @@
 func (s *Service) snapshotWritten(err error) {
 	s.savingSnapshot = false
 	if err != nil {
-		s.counters.Add("shapes.snapshot-failed")
-		s.log.Warn("shapes.snapshot-failed", "file", s.settings.Snapshot, "error", err)
+		s.counters.Increment("shapes.snapshot-failed")
+		s.log.Warn("shapes.snapshot-failed", "file", s.settings.SnapshotPath, "error", err)
 		return
 	}
-	s.counters.Add("shapes.snapshots")
+	s.counters.Increment("shapes.snapshots")
 }
 
-// Count publishes the service's figures among the counters.
-func (s *Service) Count() {
+// PublishCounters publishes the service's figures among the counters.
+func (s *Service) PublishCounters() {
 	s.counters.Set("shapes.corrected", s.corrected)
 	s.counters.Set("shapes.held", int64(s.store.Len()))
 	s.counters.Set("shapes.bytes", int64(s.store.Bytes()))
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -37,27 +37,27 @@
 	}
 }
 
-// Read parses a statement and judges its effect. readOnly names further functions that
+// Parse parses a statement and judges its effect. readOnly names further functions that
 // the operators declare to be read-only.
-func (s *Service) Read(text string, readOnly sqltext.Functions) *Statement {
+func (s *Service) Parse(text string, readOnly sqltext.Functions) *Statement {
 	reader := s.store.reader
-	reader.Judge, reader.Functions = true, readOnly
-	defer func() { reader.Judge = false }()
-	return s.store.Read(text)
+	reader.JudgeEffect, reader.ReadOnlyFunctions = true, readOnly
+	defer func() { reader.JudgeEffect = false }()
+	return s.store.Parse(text)
 }
 
-// Expect estimates a request whose class is already known, and applies the estimate to the
+// EstimateRequest estimates a request whose class is already known, and applies the estimate to the
 // request if the settings say so.
-func (s *Service) Expect(r *lifecycle.Request, statement *Statement, binds *sqltext.Binds) {
+func (s *Service) EstimateRequest(r *lifecycle.Request, statement *Statement, binds *sqltext.Binds) {
 	s.estimateRequest(r, s.newExecution(), statement, binds)
 }
 
-// ExpectText does the same as Expect for a text that is not parsed yet, and sets the
+// EstimateText does the same as EstimateRequest for a text that is not parsed yet, and sets the
 // request's dataset.
-func (s *Service) ExpectText(r *lifecycle.Request, text string) {
+func (s *Service) EstimateText(r *lifecycle.Request, text string) {
 	x := s.newExecution()
 	s.store.readInto(&x.own, text)
-	r.Dataset, _ = x.own.Group()
+	r.Dataset, _ = x.own.Dataset()
 	s.estimateRequest(r, x, &x.own, nil)
 }
 
@@ -66,9 +66,9 @@
 	if !ok {
 		class = costmodel.NoClass
 	}
-	hint := Hint{Work: milliseconds(r.EstimatedWork), MemoryMB: r.EstimatedMemoryMB}
+	hint := Hint{WorkMillis: milliseconds(r.EstimatedWork), MemoryMB: r.EstimatedMemoryMB}
 	threads := 1.0
-	if !s.settings.WorkTold {
+	if !s.settings.EnginesReportWork {
 		threads = s.classThreads[r.Class]
 	}
 	s.store.estimate(x, statement, binds, class, hint)
@@ -79,19 +79,19 @@
 // client's hints by the estimate.
 func (s *Service) apply(r *lifecycle.Request, x *Execution, threads float64) {
 	r.ObserverData = x
-	if !s.settings.Correct || !x.Estimate.Known {
+	if !s.settings.ApplyEstimates || !x.Estimate.Known {
 		return
 	}
 	s.corrected++
-	r.EstimatedWork = time.Duration(x.Estimate.Work * threads * float64(time.Millisecond))
+	r.EstimatedWork = time.Duration(x.Estimate.WorkMillis * threads * float64(time.Millisecond))
 	if x.Estimate.MemoryMB > 0 {
 		r.EstimatedMemoryMB = x.Estimate.MemoryMB
 	}
 }
 
-// Sort classifies a reading statement whose class nobody has named. ok is false where
+// Classify classifies a reading statement whose class nobody has named. ok is false where
 // nothing is known of it yet.
-func (s *Service) Sort(statement *Statement, binds *sqltext.Binds) (class policy.Class, x *Execution, ok bool) {
+func (s *Service) Classify(statement *Statement, binds *sqltext.Binds) (class policy.Class, x *Execution, ok bool) {
 	x = s.newExecution()
 	s.store.estimate(x, statement, binds, costmodel.NoClass, Hint{})
 	if x.Estimate.Class < 0 {
@@ -100,27 +100,27 @@
 	return s.readingClasses[x.Estimate.Class], x, true
 }
 
-// Sorted applies the result of Sort to the request. Where engines report no work, the
+// ApplyClassified applies the result of Classify to the request. Where engines report no work, the
 // estimate is a duration, and the decisions get the work of all threads.
-func (s *Service) Sorted(r *lifecycle.Request, x *Execution) {
+func (s *Service) ApplyClassified(r *lifecycle.Request, x *Execution) {
 	s.apply(r, x, s.classThreads[r.Class])
 }
 
 // ObserveServed learns what a served request has cost. It implements lifecycle.CostObserver.
 func (s *Service) ObserveServed(r *lifecycle.Request, report lifecycle.AttemptReport, elapsed time.Duration) {
-	s.learn(r, costmodel.Truth{Work: workOrElapsed(report.Work, elapsed), MemoryMB: report.MemoryMB})
+	s.learn(r, costmodel.Observation{WorkMillis: workOrElapsed(report.Work, elapsed), MemoryMB: report.MemoryMB})
 }
 
 // ObserveTimeout learns that a request that exceeded its deadline costs at least what it
 // had used by then. It implements lifecycle.CostObserver.
 func (s *Service) ObserveTimeout(r *lifecycle.Request, elapsed time.Duration) {
-	if s.settings.WorkTold {
+	if s.settings.EnginesReportWork {
 		return // on a crowded engine, a duration says little of the work
 	}
-	s.learn(r, costmodel.Truth{Work: milliseconds(elapsed), AtLeast: true})
+	s.learn(r, costmodel.Observation{WorkMillis: milliseconds(elapsed), LowerBound: true})
 }
 
-func (s *Service) learn(r *lifecycle.Request, truth costmodel.Truth) {
+func (s *Service) learn(r *lifecycle.Request, truth costmodel.Observation) {
 	if x, ok := r.ObserverData.(*Execution); ok {
 		s.store.Learn(x, truth)
 	}
--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -22,17 +22,17 @@
 // Snapshot is the state of a Store in a form that outlives the process. It holds no
 // fingerprints, as their seeds belong to one process: Restore computes them anew.
 type Snapshot struct {
-	Layout int              `cbor:"1,keyasint"`
-	Keys   uint64           `cbor:"2,keyasint"` // seed of the hashes of values
-	Model  *costmodel.State `cbor:"3,keyasint"`
-	Shapes []Saved          `cbor:"4,keyasint"`
-	Cut    int              `cbor:"5,keyasint"` // shapes left out, as their normal forms are truncated
+	Layout    int              `cbor:"1,keyasint"`
+	Keys      uint64           `cbor:"2,keyasint"` // seed of the hashes of values
+	Model     *costmodel.State `cbor:"3,keyasint"`
+	Shapes    []SavedShape     `cbor:"4,keyasint"`
+	Truncated int              `cbor:"5,keyasint"` // shapes left out, as their normal forms are truncated
 }
 
-// Saved is one shape of a Snapshot.
-type Saved struct {
-	Norm  string                `cbor:"1,keyasint"` // the complete normal form
-	Entry costmodel.ShapeRecord `cbor:"2,keyasint"`
+// SavedShape is one shape of a Snapshot.
+type SavedShape struct {
+	NormalForm string                `cbor:"1,keyasint"` // the complete normal form
+	Record     costmodel.ShapeRecord `cbor:"2,keyasint"`
 }
 
 // Snapshot copies the state of the store. The copy may be handed to another goroutine.
@@ -40,9 +40,9 @@
 	snapshot := &Snapshot{Layout: costmodel.Layout, Keys: s.hashSeed, Model: s.model.State()}
 	s.cache.Each(func(_ Fingerprint, shape *CachedShape) bool {
 		if shape.truncated {
-			snapshot.Cut++
+			snapshot.Truncated++
 		} else {
-			snapshot.Shapes = append(snapshot.Shapes, Saved{Norm: shape.normalForm, Entry: shape.ShapeRecord})
+			snapshot.Shapes = append(snapshot.Shapes, SavedShape{NormalForm: shape.normalForm, Record: shape.ShapeRecord})
 		}
 		return true
 	})
@@ -55,14 +55,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if store.model, err = costmodel.Restore(opts.Decide, snapshot.Model); err != nil {
+	if store.model, err = costmodel.Restore(opts.CostModel, snapshot.Model); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSnapshotDamaged, err)
 	}
 	store.hashSeed = snapshot.Keys
 	for i := range snapshot.Shapes {
 		saved := &snapshot.Shapes[i]
-		shape := &CachedShape{ShapeRecord: saved.Entry, normalForm: saved.Norm}
-		store.cache.Add(store.reader.Fingerprint(saved.Norm), shape)
+		shape := &CachedShape{ShapeRecord: saved.Record, normalForm: saved.NormalForm}
+		store.cache.Add(store.reader.Fingerprint(saved.NormalForm), shape)
 	}
 	return store, nil
 }
--- a/internal/stmtstats/snapshot_format.go
+++ b/internal/stmtstats/snapshot_format.go
@@ -141,7 +141,7 @@
 		return fmt.Errorf("%w: its layout is %d, and %d is read here", ErrSnapshotVersion, s.Layout, costmodel.Layout)
 	}
 	for i := range s.Shapes {
-		if err := s.Shapes[i].Entry.Check(); err != nil {
+		if err := s.Shapes[i].Record.Check(); err != nil {
 			return fmt.Errorf("%w: shape %d: %w", ErrSnapshotDamaged, i, err)
 		}
 	}
--- a/internal/stmtstats/snapshot_stored_test.go
+++ b/internal/stmtstats/snapshot_stored_test.go
@@ -31,7 +31,7 @@
 // describeEstimate formats every figure of an estimate to its last digit.
 func describeEstimate(e costmodel.Estimate) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "known=%v work=%v spread=%v memory-mb=%v class=%d", e.Known, e.Work, e.Spread, e.MemoryMB, e.Class)
+	fmt.Fprintf(&b, "known=%v work=%v spread=%v memory-mb=%v class=%d", e.Known, e.WorkMillis, e.SpreadFactor, e.MemoryMB, e.Class)
 	for _, v := range []costmodel.Component{e.Record, e.Similar, e.Prior, e.Hint, e.FrequentValue} {
 		fmt.Fprintf(&b, " [%v %v %v %v]", v.Log2Cost, v.Deviation, v.Samples, v.Weight)
 	}
@@ -72,15 +72,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store, err := Restore(Options{Decide: costmodel.Config{Classes: []costmodel.Class{{Name: "lookup", UpTo: 800}, {Name: "report"}}}, Bytes: 256 << 10}, snap)
+	store, err := Restore(Options{CostModel: costmodel.Config{Classes: []costmodel.Class{{Name: "lookup", MaxWorkMillis: 800}, {Name: "report"}}}, MaxBytes: 256 << 10}, snap)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	fmt.Fprintf(&out, "layout=%d keys=%x shapes=%d cut=%d held=%d\n", snap.Layout, snap.Keys, len(snap.Shapes), snap.Cut, store.Len())
+	fmt.Fprintf(&out, "layout=%d keys=%x shapes=%d cut=%d held=%d\n", snap.Layout, snap.Keys, len(snap.Shapes), snap.Truncated, store.Len())
 	for i, r := range probes(t) {
-		binds := &sqltext.Binds{Values: r.Values, Formats: r.Formats, Types: r.Types}
-		x := store.Estimate(store.Read(r.Statement), binds, costmodel.NoClass, Hint{Work: r.HintWork, MemoryMB: r.HintMB})
+		binds := &sqltext.Binds{Values: r.Values, Formats: r.Formats, TypeOIDs: r.Types}
+		x := store.Estimate(store.Parse(r.Statement), binds, costmodel.NoClass, Hint{WorkMillis: r.HintWorkMS, MemoryMB: r.HintMB})
 		fmt.Fprintf(&out, "%d held=%v %s\n", i, x.cached != nil, describeEstimate(x.Estimate))
 	}
 	if *update {
--- a/internal/stmtstats/statement.go
+++ b/internal/stmtstats/statement.go
@@ -13,27 +13,27 @@
 	slots   [inlineSlots]sqltext.Slot
 }
 
-// Read parses a text. The statement retains the text.
-func (s *Store) Read(text string) *Statement {
+// Parse parses a text. The statement retains the text.
+func (s *Store) Parse(text string) *Statement {
 	statement := &Statement{}
 	s.readInto(statement, text)
 	return statement
 }
 
 func (s *Store) readInto(statement *Statement, text string) {
-	statement.text, statement.reading = text, *s.reader.Read(text)
+	statement.text, statement.reading = text, *s.reader.Analyze(text)
 	statement.reading.Slots = append(statement.slots[:0], statement.reading.Slots...)
-	statement.reading.Norm = nil
+	statement.reading.NormalForm = nil
 }
 
 // Effect returns what the statement may do to stored data, as judged by sqltext.
 func (st *Statement) Effect() sqltext.Verdict { return st.reading.Effect }
 
-// First returns the first word of the statement, or "(" where it begins with no word.
-func (st *Statement) First() string { return st.reading.FirstWord }
+// FirstWord returns the first word of the statement, or "(" where it begins with no word.
+func (st *Statement) FirstWord() string { return st.reading.FirstWord }
 
-// Several reports whether the text holds more than one statement.
-func (st *Statement) Several() bool { return st.reading.MultipleStatements }
+// MultipleStatements reports whether the text holds more than one statement.
+func (st *Statement) MultipleStatements() bool { return st.reading.MultipleStatements }
 
-// Group returns the dataset that the statement's tables belong to, if it names one.
-func (st *Statement) Group() (int64, bool) { return st.reading.Group, st.reading.Grouped }
+// Dataset returns the dataset that the statement's tables belong to, if it names one.
+func (st *Statement) Dataset() (int64, bool) { return st.reading.Dataset, st.reading.HasDataset }
--- a/internal/stmtstats/store.go
+++ b/internal/stmtstats/store.go
@@ -15,9 +15,9 @@
 
 // Options configures a Store.
 type Options struct {
-	Decide costmodel.Config
-	Bytes  int   // upper bound of the cache's size, bookkeeping included; at least minBytes
-	Cache  Cache // used in place of a W-TinyLFU cache of that size; nil: none
+	CostModel costmodel.Config
+	MaxBytes  int   // upper bound of the cache's size, bookkeeping included; at least minBytes
+	Cache     Cache // used in place of a W-TinyLFU cache of that size; nil: none
 }
 
 // minBytes is the smallest cache size. It holds the records of a few dozen shapes.
@@ -42,18 +42,18 @@
 
 // New returns a store that has learned nothing yet.
 func New(opts Options) (*Store, error) {
-	if opts.Bytes < minBytes && opts.Cache == nil {
-		return nil, fmt.Errorf("shapes: %d bytes are too few, at least %d", opts.Bytes, minBytes)
+	if opts.MaxBytes < minBytes && opts.Cache == nil {
+		return nil, fmt.Errorf("shapes: %d bytes are too few, at least %d", opts.MaxBytes, minBytes)
 	}
 	s := &Store{
-		reader:   sqltext.NewReader(),
-		model:    costmodel.New(opts.Decide),
+		reader:   sqltext.NewAnalyzer(),
+		model:    costmodel.New(opts.CostModel),
 		cache:    opts.Cache,
 		hashSeed: rand.Uint64(),
 	}
 	if s.cache == nil {
 		var err error
-		if s.cache, err = NewTinyLFU(opts.Bytes); err != nil {
+		if s.cache, err = NewTinyLFU(opts.MaxBytes); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/stmtstats/store_test.go
+++ b/internal/stmtstats/store_test.go
@@ -14,7 +14,7 @@
 // newTestStore returns an empty store that tells two classes apart.
 func newTestStore(t *testing.T) *Store {
 	t.Helper()
-	s, err := New(Options{Decide: costmodel.Config{Classes: []costmodel.Class{{Name: "lookup", UpTo: 800}, {Name: "report"}}}, Bytes: 256 << 10})
+	s, err := New(Options{CostModel: costmodel.Config{Classes: []costmodel.Class{{Name: "lookup", MaxWorkMillis: 800}, {Name: "report"}}}, MaxBytes: 256 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,13 +23,13 @@
 
 // estimate returns the estimate of one execution without binds or hints.
 func estimate(s *Store, text string) costmodel.Estimate {
-	return s.Estimate(s.Read(text), nil, costmodel.NoClass, Hint{}).Estimate
+	return s.Estimate(s.Parse(text), nil, costmodel.NoClass, Hint{}).Estimate
 }
 
 // learn has the store learn the given number of executions of a text.
 func learn(s *Store, text string, executions int, work float64) {
 	for range executions {
-		s.Learn(s.Estimate(s.Read(text), nil, costmodel.NoClass, Hint{}), costmodel.Truth{Work: work, MemoryMB: 20})
+		s.Learn(s.Estimate(s.Parse(text), nil, costmodel.NoClass, Hint{}), costmodel.Observation{WorkMillis: work, MemoryMB: 20})
 	}
 }
 
@@ -49,15 +49,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(snap.Shapes) != 30 || snap.Cut != 1 {
-		t.Errorf("%d shapes and %d cut, want 30 and 1", len(snap.Shapes), snap.Cut)
+	if len(snap.Shapes) != 30 || snap.Truncated != 1 {
+		t.Errorf("%d shapes and %d cut, want 30 and 1", len(snap.Shapes), snap.Truncated)
 	}
-	restored, err := Restore(Options{Bytes: 256 << 10}, snap)
+	restored, err := Restore(Options{MaxBytes: 256 << 10}, snap)
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := "select C7 from stock_9.orders where part = $1"
-	was, is := estimate(s, text).Work, estimate(restored, text).Work
+	was, is := estimate(s, text).WorkMillis, estimate(restored, text).WorkMillis
 	if was != is || was < 350 || was > 550 {
 		t.Errorf("%.1f ms expected before, %.1f after", was, is)
 	}
@@ -105,7 +105,7 @@
 		learn(s, fmt.Sprintf("SELECT a FROM stock_1.tmp_%dx t%dx WHERE part = 'p'", i, i), 1, 200)
 		if i%4 == 0 {
 			before := s.Stats.Hits
-			s.Learn(s.Estimate(s.Read(recurring(i/4%50)), nil, costmodel.NoClass, Hint{}), costmodel.Truth{Work: 200})
+			s.Learn(s.Estimate(s.Parse(recurring(i/4%50)), nil, costmodel.NoClass, Hint{}), costmodel.Observation{WorkMillis: 200})
 			if i > 5000 {
 				hits += s.Stats.Hits - before
 				lookups++
@@ -121,7 +121,7 @@
 }
 
 func FuzzSnapshot(f *testing.F) {
-	s, err := New(Options{Bytes: 64 << 10})
+	s, err := New(Options{MaxBytes: 64 << 10})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 	f.Add(good[:40])
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if snap, err := DecodeSnapshot(raw); err == nil {
-			if _, err := Restore(Options{Bytes: 64 << 10}, snap); err != nil && !errors.Is(err, ErrSnapshotDamaged) {
+			if _, err := Restore(Options{MaxBytes: 64 << 10}, snap); err != nil && !errors.Is(err, ErrSnapshotDamaged) {
 				t.Fatal(err)
 			}
 		}
@@ -143,7 +143,7 @@
 
 // BenchmarkRequest measures what one request costs in all: parsed, estimated and learned.
 func BenchmarkRequest(b *testing.B) {
-	store, err := New(Options{Bytes: 2 << 20})
+	store, err := New(Options{MaxBytes: 2 << 20})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -152,12 +152,12 @@
 		texts[i] = fmt.Sprintf("SELECT part, c%d FROM stock_%d.stock WHERE part = 'p-%05d'", i%40, i%30, i)
 	}
 	for i := range 20000 {
-		store.Learn(store.Estimate(store.Read(texts[i%200]), nil, costmodel.NoClass, Hint{Work: 50}), costmodel.Truth{Work: 100 + float64(i%7)})
+		store.Learn(store.Estimate(store.Parse(texts[i%200]), nil, costmodel.NoClass, Hint{WorkMillis: 50}), costmodel.Observation{WorkMillis: 100 + float64(i%7)})
 	}
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
 		i++
-		store.Learn(store.Estimate(store.Read(texts[i%200]), nil, costmodel.NoClass, Hint{Work: 50}), costmodel.Truth{Work: 100 + float64(i%7)})
+		store.Learn(store.Estimate(store.Parse(texts[i%200]), nil, costmodel.NoClass, Hint{WorkMillis: 50}), costmodel.Observation{WorkMillis: 100 + float64(i%7)})
 	}
 }
