--- a/cmd/flaxlab/main.go
+++ b/cmd/flaxlab/main.go
@@ -1,6 +1,6 @@
-// Command flaxlab is the laboratory of flaxrelay: it generates traffic whose true classes
-// and costs are known, evaluates parts of the front end on it, and starts a front end
-// with emulated engines and discovery to try it out. Serving needs nothing of it.
+// Command flaxlab generates workloads and runs experiments: traffic whose true classes
+// and costs are known, evaluations of parts of the front end on it, and a front end with
+// fake engines and discovery to try out. Serving needs nothing of it.
 package main
 
 import (
@@ -14,15 +14,15 @@
 
 // cli is the grammar of the command line.
 type cli struct {
-	Traffic trafficCommand `name:"traffic" cmd:"" help:"Recorded traffic: make it, look at it, sum it up."`
-	Shapes  shapesCommand  `name:"shapes" cmd:"" help:"Judge the classifier of statements, and flood its cache."`
-	Try     tryCommand     `name:"try" cmd:"" help:"Start emulated engines, a bus, a Consul stand-in and both fronts on loopback, until Ctrl-C."`
+	Traffic trafficCommand `name:"traffic" cmd:"" help:"Generate, show and summarize recorded traffic."`
+	Shapes  shapesCommand  `name:"shapes" cmd:"" help:"Evaluate the classifier of statements, flood its cache and measure its cost."`
+	Try     tryCommand     `name:"try" cmd:"" help:"Start fake engines, an event bus, a Consul stand-in and both front ends on loopback, until Ctrl-C."`
 }
 
 func main() {
 	var grammar cli
 	ctx := kong.Parse(&grammar, kong.Name(programName), kong.UsageOnError(),
-		kong.Description("The laboratory of flaxrelay: traffic, models and measurements on this machine's loopback."))
+		kong.Description("Workload generation and experiments for flaxrelay, on this machine's loopback."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, programName+":", err)
 		os.Exit(1)
--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -13,12 +13,12 @@
 )
 
 type costCommand struct {
-	Flaxrelay string `name:"flaxrelay" placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
-	Clients   int    `name:"clients" default:"8" help:"Connections."`
-	Requests  int    `name:"requests" default:"40000" help:"Of each round."`
-	Rounds    int    `name:"rounds" default:"5" help:"Pairs of rounds, without and with."`
-	Prepared  bool   `name:"prepared" help:"Statements are prepared once and bound again, in place of a Query each."`
-	Seed      uint64 `name:"seed" default:"1" help:"Of the statements."`
+	Flaxrelay string `name:"flaxrelay" placeholder:"FILE" help:"The flaxrelay program; by default it is built from this directory."`
+	Clients   int    `name:"clients" default:"8" help:"Number of client connections."`
+	Requests  int    `name:"requests" default:"40000" help:"Requests in each round."`
+	Rounds    int    `name:"rounds" default:"5" help:"Pairs of rounds, without shapes and with them."`
+	Prepared  bool   `name:"prepared" help:"Prepare statements once and bind them again, instead of a Query each."`
+	Seed      uint64 `name:"seed" default:"1" help:"Seed of the statements."`
 	Out       string `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-cost-query.* or shapes-cost-prepared.*."`
 }
 
@@ -105,7 +105,7 @@
 	results.summary.Add(series, cpu.spread(cpuDigits), fmt.Sprintf("%.0f", rate.median()), fmt.Sprintf("%.1f MB", resident.median()/kilobytesPerMB))
 }
 
-// repositoryRoot is the folder that the laboratory runs in.
+// repositoryRoot is the folder that flaxlab runs in.
 const repositoryRoot = "."
 
 // frontEndProgram returns the front end's program: the one at the path, or one that is
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -12,11 +12,11 @@
 )
 
 type evaluateCommand struct {
-	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; without any, worlds are made from the seeds."`
-	Seeds  []uint64 `name:"seeds" default:"1,2,3,4,5" help:"Of worlds that are made here."`
-	Number int      `name:"number" default:"20000" help:"Statements of each such world."`
-	Train  float64  `name:"train" default:"0.5" help:"Share of the records that is not judged."`
-	Kbytes int      `name:"kbytes" default:"2048" help:"Bound of the cache."`
+	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; by default workloads are generated from the seeds."`
+	Seeds  []uint64 `name:"seeds" default:"1,2,3,4,5" help:"Seeds of generated workloads."`
+	Number int      `name:"number" default:"20000" help:"Statements in each generated workload."`
+	Train  float64  `name:"train" default:"0.5" help:"Share of the records that only trains and is not evaluated."`
+	Kbytes int      `name:"kbytes" default:"2048" help:"Cache size limit in KB."`
 	Out    string   `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-evaluate.*."`
 }
 
--- a/cmd/flaxlab/shapes_flood.go
+++ b/cmd/flaxlab/shapes_flood.go
@@ -8,11 +8,11 @@
 )
 
 type floodCommand struct {
-	Seeds     []uint64 `name:"seeds" default:"1,2,3,4,5" help:"One run each."`
-	Recurring int      `name:"recurring" default:"200" help:"Shapes that come again."`
-	OneOff    int      `name:"one-off" default:"1000000" help:"Shapes that come once."`
-	Share     float64  `name:"share" default:"0.2" help:"Of statements that are of recurring shapes."`
-	Kbytes    int      `name:"kbytes" default:"1024" help:"Bound of the cache."`
+	Seeds     []uint64 `name:"seeds" default:"1,2,3,4,5" help:"Seeds, one run each."`
+	Recurring int      `name:"recurring" default:"200" help:"Number of recurring shapes."`
+	OneOff    int      `name:"one-off" default:"1000000" help:"Number of shapes that occur once."`
+	Share     float64  `name:"share" default:"0.2" help:"Share of statements with a recurring shape."`
+	Kbytes    int      `name:"kbytes" default:"1024" help:"Cache size limit in KB."`
 	Out       string   `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-flood.*."`
 }
 
--- a/cmd/flaxlab/traffic.go
+++ b/cmd/flaxlab/traffic.go
@@ -11,9 +11,9 @@
 )
 
 type trafficCommand struct {
-	Generate generateCommand `name:"generate" cmd:"" help:"Write a file of seeded traffic on the model of the register."`
+	Generate generateCommand `name:"generate" cmd:"" help:"Write a file of generated traffic."`
 	Show     showCommand     `name:"show" cmd:"" help:"Print records."`
-	Stats    statsCommand    `name:"stats" cmd:"" help:"Sum a file up."`
+	Stats    statsCommand    `name:"stats" cmd:"" help:"Summarize a file."`
 }
 
 // readRecords gives the records of a file to the function until it returns false. A file
--- a/cmd/flaxlab/traffic_generate.go
+++ b/cmd/flaxlab/traffic_generate.go
@@ -15,16 +15,16 @@
 
 // workloadFlags are the flags of the workload model.
 type workloadFlags struct {
-	Seed        uint64  `name:"seed" default:"1" help:"Of everything that is drawn."`
-	Number      int     `name:"number" default:"20000" help:"How many statements."`
-	Templates   int     `name:"templates" default:"200" help:"Shapes that recur."`
-	OneOff      float64 `name:"one-off" default:"0.05" help:"Share of statements whose shape never comes again."`
-	Hard        float64 `name:"hard" default:"0.04" help:"Share of lookups whose values make them broad reports."`
-	Writes      float64 `name:"writes" default:"0.02" help:"Share of statements that write and are no loads."`
-	DriftAt     float64 `name:"drift-at" default:"0.6" help:"When the table of orders has grown, as a share of the statements; 0: never."`
-	Drift       float64 `name:"drift" default:"3" help:"And by which factor."`
-	HintNoise   float64 `name:"hint-noise" default:"0.7" help:"Scatter of the clients' estimates, of the natural logarithm."`
-	HintMissing float64 `name:"hint-missing" default:"0.15" help:"Share of statements without one."`
+	Seed        uint64  `name:"seed" default:"1" help:"Seed of all random numbers."`
+	Number      int     `name:"number" default:"20000" help:"Number of statements."`
+	Templates   int     `name:"templates" default:"200" help:"Number of recurring shapes."`
+	OneOff      float64 `name:"one-off" default:"0.05" help:"Share of statements whose shape never recurs."`
+	Hard        float64 `name:"hard" default:"0.04" help:"Share of lookups whose values make them expensive reports."`
+	Writes      float64 `name:"writes" default:"0.02" help:"Share of statements that write and are not loads."`
+	DriftAt     float64 `name:"drift-at" default:"0.6" help:"When the orders table grows, as a share of the statements; 0: never."`
+	Drift       float64 `name:"drift" default:"3" help:"Factor by which it grows."`
+	HintNoise   float64 `name:"hint-noise" default:"0.7" help:"Standard deviation of the natural logarithm of the clients' estimates."`
+	HintMissing float64 `name:"hint-missing" default:"0.15" help:"Share of statements without an estimate."`
 }
 
 func (f workloadFlags) options() workload.Options {
@@ -44,8 +44,8 @@
 type generateCommand struct {
 	workloadFlags
 	File  string  `name:"file" arg:"" help:"The file to write."`
-	Rate  float64 `name:"rate" default:"99" help:"Statements a second on average."`
-	Comes string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"How they come: ${enum}."`
+	Rate  float64 `name:"rate" default:"99" help:"Mean statements per second."`
+	Comes string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"Arrival process: ${enum}."`
 }
 
 // progressBarWidth is in columns of the terminal.
--- a/cmd/flaxlab/traffic_show.go
+++ b/cmd/flaxlab/traffic_show.go
@@ -10,7 +10,7 @@
 type showCommand struct {
 	File string `name:"file" arg:"" help:"The file."`
 	From int    `name:"from" default:"0" help:"The first record to print, from 0."`
-	Most int    `name:"most" default:"20" help:"How many."`
+	Most int    `name:"most" default:"20" help:"Maximum number of rows."`
 	Hard bool   `name:"hard" help:"Only the hard cases."`
 }
 
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -16,11 +16,11 @@
 )
 
 type tryCommand struct {
-	Flaxrelay string        `name:"flaxrelay" placeholder:"FILE" help:"The gateway's program; without it, it is built from this folder."`
-	Engines   int           `name:"engines" default:"3" help:"Emulated engines of each wire, 1 to 16."`
-	HTTP      string        `name:"http" default:"127.0.0.1:9090" help:"Where the platform's front listens."`
-	Postgres  string        `name:"postgres" default:"127.0.0.1:5433" help:"Where the PostgreSQL front listens."`
-	For       time.Duration `name:"for" default:"1h" help:"Stop by itself after so long."`
+	Flaxrelay string        `name:"flaxrelay" placeholder:"FILE" help:"The flaxrelay program; by default it is built from this directory."`
+	Engines   int           `name:"engines" default:"3" help:"Fake engines for each protocol, 1 to 16."`
+	HTTP      string        `name:"http" default:"127.0.0.1:9090" help:"Address of the HTTP front end."`
+	Postgres  string        `name:"postgres" default:"127.0.0.1:5433" help:"Address of the PostgreSQL front end."`
+	For       time.Duration `name:"for" default:"1h" help:"Stop after this time."`
 }
 
 // maxEngines keeps the emulated engines of one machine few enough to read their output.
--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -10,7 +10,7 @@
 )
 
 type checkCommand struct {
-	Files []string `arg:"" name:"file" help:"Settings (JSON), deploy files of the PostgreSQL front, or files of shapes (TOML)."`
+	Files []string `arg:"" name:"file" help:"Settings (JSON), deploy files of the PostgreSQL front end, or shape settings (TOML)."`
 }
 
 // Run prints every fault of every file in one pass, and fails if there is any.
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -20,12 +20,12 @@
 
 // cli is the grammar of the command line.
 type cli struct {
-	LogFormat string `name:"log-format" enum:"auto,json,text" default:"auto" help:"How events are logged: ${enum}; auto is text on a terminal, else JSON."`
-	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" help:"From which level on events are logged: ${enum}."`
+	LogFormat string `name:"log-format" enum:"auto,json,text" default:"auto" help:"Log format: ${enum}; auto is text on a terminal, else JSON."`
+	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" help:"Minimum log level: ${enum}."`
 
-	Serve      serveCommand      `name:"serve" cmd:"" default:"withargs" help:"Serve. This is what flaxrelay does without a command."`
-	Check      checkCommand      `name:"check" cmd:"" help:"Read settings and deploy files and name every fault in them."`
-	Shapes     shapesCommand     `name:"shapes" cmd:"" help:"What is known of the shapes of statements."`
+	Serve      serveCommand      `name:"serve" cmd:"" default:"withargs" help:"Serve requests (the default command)."`
+	Check      checkCommand      `name:"check" cmd:"" help:"Check settings and deploy files and report every fault."`
+	Shapes     shapesCommand     `name:"shapes" cmd:"" help:"Show what is known of statement shapes."`
 	Completion completionCommand `name:"completion" cmd:"" help:"Print a script that completes commands and flags in a shell."`
 	Version    versionCommand    `name:"version" cmd:"" help:"Print the version."`
 }
@@ -63,7 +63,7 @@
 func runCommandLine(arguments []string) error {
 	var grammar cli
 	parser, err := kong.New(&grammar, kong.Name(programName), kong.UsageOnError(),
-		kong.Description("A gateway between clients and query engines. It serves as $LB_CONFIG, --config or --postgres says."))
+		kong.Description("An L7 proxy with admission control for query engines. $LB_CONFIG, --config or --postgres selects what it serves."))
 	if err != nil {
 		return err
 	}
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -11,9 +11,9 @@
 )
 
 type serveCommand struct {
-	Config   string `name:"config" env:"LB_CONFIG" placeholder:"FILE" help:"The platform's configuration, as JSON."`
-	Postgres string `name:"postgres" placeholder:"FILE" help:"Serve the PostgreSQL wire protocol as this deploy file says, in place of the platform's."`
-	Shapes   string `name:"shapes" placeholder:"FILE" help:"Estimate by the shapes of statements as this file says; of the platform's front. The PostgreSQL front has [shapes] in its deploy file."`
+	Config   string `name:"config" env:"LB_CONFIG" placeholder:"FILE" help:"Configuration of the HTTP front end (JSON)."`
+	Postgres string `name:"postgres" placeholder:"FILE" help:"Serve the PostgreSQL protocol as this deploy file says, instead of HTTP."`
+	Shapes   string `name:"shapes" placeholder:"FILE" help:"Shape settings of the HTTP front end; the PostgreSQL front end has [shapes] in its deploy file."`
 }
 
 // Run serves until a graceful shutdown ends. It logs each fault that keeps the server
--- a/cmd/flaxrelay/shapes.go
+++ b/cmd/flaxrelay/shapes.go
@@ -12,7 +12,7 @@
 )
 
 type shapesCommand struct {
-	Explain explainCommand `name:"explain" cmd:"" help:"Show how a statement is read, classed and costed, and why."`
+	Explain explainCommand `name:"explain" cmd:"" help:"Show how a statement is parsed, classified and estimated, and why."`
 	Top     topCommand     `name:"top" cmd:"" help:"List the shapes of a snapshot that take the most work."`
 	Diff    diffCommand    `name:"diff" cmd:"" help:"List the shapes whose cost differs most between two snapshots."`
 }
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -12,8 +12,8 @@
 type diffCommand struct {
 	Old  string  `name:"old" arg:"" help:"The older file."`
 	New  string  `name:"new" arg:"" help:"The newer file."`
-	Most int     `name:"most" default:"20" help:"How many."`
-	Over float64 `name:"over" default:"1.5" help:"The least factor between the two that is told."`
+	Most int     `name:"most" default:"20" help:"Maximum number of rows."`
+	Over float64 `name:"over" default:"1.5" help:"Smallest factor between the two that is listed."`
 }
 
 // costChange is a shape that both snapshots have, with its cost in each in milliseconds.
--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -11,12 +11,12 @@
 
 type explainCommand struct {
 	SQL      string    `name:"sql" arg:"" help:"The statement."`
-	Bind     []string  `name:"bind" sep:"none" placeholder:"VALUE" help:"A bound value as text, in order; NULL is null. May be given again."`
-	Snapshot string    `name:"snapshot" placeholder:"FILE" help:"What is known; without it, only what the text shows."`
-	Hint     float64   `name:"hint" placeholder:"MS" help:"The client's estimate of the work."`
-	Known    int       `name:"known" default:"-1" help:"Place of the class that is known already, from 0; -1: none."`
-	Bounds   []float64 `name:"bounds" default:"800" help:"Where one class of reading statements ends and the next begins, in ms."`
-	Readers  []string  `name:"readers" help:"Functions that only read, beside PostgreSQL's own."`
+	Bind     []string  `name:"bind" sep:"none" placeholder:"VALUE" help:"A bound value as text, in order; NULL is null. May be repeated."`
+	Snapshot string    `name:"snapshot" placeholder:"FILE" help:"Snapshot to use; by default only the statement itself is used."`
+	Hint     float64   `name:"hint" placeholder:"MS" help:"The client's estimate of the work, in ms."`
+	Known    int       `name:"known" default:"-1" help:"Index of the class if it is known, from 0; -1: unknown."`
+	Bounds   []float64 `name:"bounds" default:"800" help:"Work at which one class of reading statements ends and the next begins, in ms."`
+	Readers  []string  `name:"readers" help:"Read-only functions besides PostgreSQL's own."`
 }
 
 // explainStoreBytes holds any snapshot that a front end writes with usual settings.
--- a/cmd/flaxrelay/shapes_top.go
+++ b/cmd/flaxrelay/shapes_top.go
@@ -9,7 +9,7 @@
 
 type topCommand struct {
 	Snapshot string `name:"snapshot" arg:"" help:"The file."`
-	Most     int    `name:"most" default:"20" help:"How many."`
+	Most     int    `name:"most" default:"20" help:"Maximum number of rows."`
 }
 
 // Run lists shapes by the work that all their executions took together.
