--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -18,14 +18,9 @@
 		}
 		n, err := c.socket.Read(chunk)
 		if n > 0 {
-			if c.loadState() == connDraining {
-				if !c.discard(n) {
-					break
-				}
-				continue
-			}
-			received = true
-			if !c.buffer(chunk[:n]) {
+			delivery, more := c.take(chunk[:n])
+			received = received || delivery
+			if !more {
 				break
 			}
 			continue
@@ -44,6 +39,16 @@
 	}
 }
 
+// take keeps received bytes for the handler, or discards them where the connection is
+// being closed, as it may be since the read began. It reports whether the handler is to be
+// called for them, and whether to go on reading. The caller holds mu.
+func (c *Conn) take(data []byte) (delivery, more bool) {
+	if c.loadState() != connOpen {
+		return false, c.discard(len(data))
+	}
+	return true, c.buffer(data)
+}
+
 // discard counts bytes that came after Close. They are read, since closing a socket with
 // unread bytes resets the connection, and dropped. It reports whether to go on reading:
 // a peer that sends more than a buffer of them goes on at full speed. The caller holds mu.
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -46,3 +46,36 @@
 		})
 	}
 }
+
+// TestReadThatCrossesACloseIsDiscarded forces a read that has begun before its connection
+// was closed and ends after: its bytes must neither count against the buffer budget nor
+// end the linger, in which the peer reads the last response.
+func TestReadThatCrossesACloseIsDiscarded(t *testing.T) {
+	for name, closeConn := range map[string]func(*Conn){
+		"Close":            (*Conn).Close,
+		"CloseAfterLinger": (*Conn).CloseAfterLinger,
+	} {
+		t.Run(name, func(t *testing.T) {
+			l, _ := startLoop(t)
+			do(l, func() { l.BufferBudget = 1 })
+			r, _ := connectTo(t, l)
+			do(l, func() {
+				closeConn(r.conn)
+				r.conn.mu.Lock()
+				defer r.conn.mu.Unlock()
+				if delivery, _ := r.conn.take(make([]byte, 2*readSize)); delivery {
+					t.Error("the bytes are to be handed to the handler")
+				}
+				if r.conn.Disconnected() {
+					t.Error("the connection is closed before its linger has ended")
+				}
+			})
+			if n := l.BufferedBytes(); n != 0 {
+				t.Errorf("%d bytes counted as buffered", n)
+			}
+			if err := <-r.closed; errors.Is(err, errBufferBudgetExceeded) {
+				t.Errorf("closed with %v", err)
+			}
+		})
+	}
+}
