--- a/internal/clitest/clitest.go
+++ b/internal/clitest/clitest.go
@@ -3,18 +3,15 @@
 package clitest
 
 import (
-	"flag"
 	"fmt"
-	"os"
 	"strings"
 	"testing"
 
+	"flaxrelay/internal/golden"
+
 	"github.com/alecthomas/kong"
-	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the golden text anew")
-
 // CheckNames compares the names of a program's commands, flags and arguments, with
 // their defaults, enumerations and environment variables, to those of the golden file.
 // The grammar is a pointer to the struct that kong parses into.
@@ -26,18 +23,7 @@
 	}
 	var got strings.Builder
 	writeCommand(&got, parser.Model.Node, program)
-	if *update {
-		if err := os.WriteFile(goldenPath, []byte(got.String()), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(goldenPath)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(string(want), got.String()); diff != "" {
-		t.Error(diff)
-	}
+	golden.Compare(t, goldenPath, []byte(got.String()))
 }
 
 // writeCommand writes a command with its flags and arguments, and the commands below it.
--- a/internal/discovery/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -12,6 +12,7 @@
 	"testing"
 
 	"flaxrelay/internal/discovery/discoverytest"
+	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/policy"
 )
@@ -176,5 +177,5 @@
 	agent.mu.Unlock()
 	close(agent.responses[catalogPath])
 	close(agent.responses[healthPath])
-	discoverytest.CompareGolden(t, goldenFile, log.Bytes())
+	golden.Compare(t, goldenFile, log.Bytes())
 }
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -3,18 +3,12 @@
 package discoverytest
 
 import (
-	"bytes"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
 	"flaxrelay/policy"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
-
 // Patience bounds a wait for something that is expected to happen.
 const Patience = 10 * time.Second
 
@@ -44,18 +38,3 @@
 		panic("unreachable")
 	}
 }
-
-// CompareGolden compares the bytes with the golden file at the path, which the flag
-// -update writes anew.
-func CompareGolden(t *testing.T, path string, got []byte) {
-	t.Helper()
-	if *updateGolden {
-		Must(t, os.MkdirAll(filepath.Dir(path), 0o700))
-		Must(t, os.WriteFile(path, got, 0o600))
-	}
-	want, err := os.ReadFile(path)
-	Must(t, err)
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
-	}
-}
--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"flaxrelay/internal/discovery/discoverytest"
+	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/policy"
 )
@@ -91,7 +92,7 @@
 		fmt.Fprintf(&log, "connection %d\n", n)
 		s.play(t, listener, notifications, &log)
 	}
-	discoverytest.CompareGolden(t, goldenFile, log.Bytes())
+	golden.Compare(t, goldenFile, log.Bytes())
 }
 
 // play serves one connection of the watcher and writes the exchange to the log.
--- a/internal/e2e/golden_helpers_test.go
+++ b/internal/e2e/golden_helpers_test.go
@@ -2,17 +2,14 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"io"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-)
 
-// update has the golden files written from the present answers of the front ends.
-var update = flag.Bool("update", false, "write the golden files anew")
+	"flaxrelay/internal/golden"
+)
 
 // longRun is the least number of equal bytes in a row that a transcript abbreviates.
 const longRun = 40
@@ -76,22 +73,7 @@
 // compare compares the transcript with its golden file.
 func (tr *transcript) compare(name string) {
 	tr.t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	got := tr.text.String()
-	if *update {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			tr.t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			tr.t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		tr.t.Fatal(err)
-	}
-	assertEqual(tr.t, path, got, string(want))
+	golden.Compare(tr.t, filepath.Join("testdata", name+".golden"), []byte(tr.text.String()))
 }
 
 // readToEnd reads until the peer ends the connection.
--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -7,12 +7,10 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
-	"os"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -21,14 +19,13 @@
 
 	"flaxrelay/internal/config"
 	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 const (
 	// Timeout bounds every wait for the client.
 	Timeout = 10 * time.Second
@@ -252,14 +249,5 @@
 // CompareGolden compares the transcript with the golden file of this name.
 func (x *Exchange) CompareGolden(name string) {
 	x.t.Helper()
-	path := filepath.Join("testdata", "golden", name+".txt")
-	if *update {
-		x.Check(os.MkdirAll(filepath.Dir(path), 0o700))
-		x.Check(os.WriteFile(path, x.transcript.Bytes(), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	x.Check(err)
-	if !bytes.Equal(x.transcript.Bytes(), want) {
-		x.t.Errorf("%s: got\n%s\nwant\n%s", path, x.transcript.String(), want)
-	}
+	golden.Compare(x.t, filepath.Join("testdata", "golden", name+".txt"), x.transcript.Bytes())
 }
--- a/internal/lab/traffic/stored_test.go
+++ b/internal/lab/traffic/stored_test.go
@@ -5,23 +5,20 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"os"
 	"strings"
 	"testing"
 
+	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lab/workload"
 
-	"github.com/google/go-cmp/cmp"
 	"github.com/klauspost/compress/zstd"
 )
 
-var update = flag.Bool("update", false, "write the golden texts anew; the traffic file is never written")
-
 const (
-	storedFile   = "testdata/season-seed7-100.traffic"
+	storedFile   = "testdata/season-seed7-100.traffic" // never written anew
 	storedGolden = "testdata/season-seed7-100.golden"
 )
 
@@ -52,18 +49,7 @@
 	}
 	defer reader.Close()
 	got := describe(reader.Head, records)
-	if *update {
-		if err := os.WriteFile(storedGolden, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(storedGolden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(string(want), got); diff != "" {
-		t.Error(diff)
-	}
+	golden.Compare(t, storedGolden, []byte(got))
 }
 
 // items are the CBOR items of all blocks, as bytes.
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"bytes"
-	"flag"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "write the golden files anew")
+	"flaxrelay/internal/golden"
+)
 
 // goldenBatches are the recorded inputs under testdata/golden, and what each of them
 // has the host write at least once. The names of actions protect against an update that
@@ -42,7 +41,7 @@
 					t.Errorf("no %s in the replies", action)
 				}
 			}
-			compareGolden(t, base+".out", out.Bytes())
+			golden.Compare(t, base+".out", out.Bytes())
 		})
 	}
 }
@@ -66,19 +65,3 @@
 		}
 	}
 }
-
-func compareGolden(t *testing.T, path string, got []byte) {
-	t.Helper()
-	if *update {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
-	}
-}
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -6,6 +6,8 @@
 	"os"
 	"strings"
 	"testing"
+
+	"flaxrelay/internal/golden"
 )
 
 func TestBatchesWithRestartAndReusedTable(t *testing.T) {
@@ -13,17 +15,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := os.ReadFile("testdata/batch.out")
-	if err != nil {
-		t.Fatal(err)
-	}
 	var out bytes.Buffer
 	if err := NewHost().Run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	if out.String() != string(want) {
-		t.Fatalf("got\n%s\nwant\n%s", out.String(), want)
-	}
+	golden.Compare(t, "testdata/batch.out", out.Bytes())
 }
 
 func TestFaultsNameMessageFieldAndBatch(t *testing.T) {
--- a/internal/stmtstats/snapshot_stored_test.go
+++ b/internal/stmtstats/snapshot_stored_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"os"
@@ -12,18 +11,16 @@
 	"testing"
 
 	"flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lab/traffic"
 	"flaxrelay/internal/sqltext"
 
 	"github.com/fxamacker/cbor/v2"
-	"github.com/google/go-cmp/cmp"
 	"github.com/klauspost/compress/zstd"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files; the snapshot is never written")
-
 const (
-	storedSnapshot = "testdata/learned.shapes"
+	storedSnapshot = "testdata/learned.shapes" // never written anew
 	storedGolden   = "testdata/learned.golden"
 	storedProbes   = "../lab/traffic/testdata/season-seed7-100.traffic"
 )
@@ -83,18 +80,7 @@
 		x := store.Estimate(store.Parse(r.Statement), binds, costmodel.NoClass, Hint{WorkMillis: r.HintWorkMS, MemoryMB: r.HintMB})
 		fmt.Fprintf(&out, "%d held=%v %s\n", i, x.cached != nil, describeEstimate(x.Estimate))
 	}
-	if *update {
-		if err := os.WriteFile(storedGolden, []byte(out.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(storedGolden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(string(want), out.String()); diff != "" {
-		t.Error(diff)
-	}
+	golden.Compare(t, storedGolden, []byte(out.String()))
 }
 
 // cborItem decodes the CBOR item of an encoded snapshot without the types of this package.
--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -4,22 +4,19 @@
 	"bytes"
 	"container/heap"
 	"encoding/binary"
-	"flag"
 	"fmt"
 	"hash"
 	"hash/fnv"
 	"math"
 	"math/rand/v2"
-	"os"
 	"path/filepath"
 	"testing"
 	"time"
 
+	"flaxrelay/internal/golden"
 	"flaxrelay/policy"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 const (
 	characterizationEvents     = 6000 // events handled in each scenario
 	characterizationCheckpoint = 250  // events between two lines of the golden file
@@ -49,24 +46,7 @@
 		playScenario(t, s, &got)
 	}
 	path := filepath.Join("testdata", "decisions.golden")
-	if *update {
-		if err := os.WriteFile(path, got.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	gotLines, wantLines := bytes.Split(got.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
-	for i := range min(len(gotLines), len(wantLines)) {
-		if !bytes.Equal(gotLines[i], wantLines[i]) {
-			t.Fatalf("line %d: got  %s\nwant %s", i+1, gotLines[i], wantLines[i])
-		}
-	}
-	if len(gotLines) != len(wantLines) {
-		t.Fatalf("%d lines, want %d", len(gotLines), len(wantLines))
-	}
+	golden.Compare(t, path, got.Bytes())
 }
 
 func scenarios() []scenario {
