--- a/internal/discovery/eventbus/helpers_test.go
+++ b/internal/discovery/eventbus/helpers_test.go
@@ -13,6 +13,7 @@
 	"flaxrelay/internal/discovery"
 	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/eventloop/eventlooptest"
 	"flaxrelay/internal/metrics"
 )
 
@@ -71,18 +72,8 @@
 		opts.configure(w)
 	}
 	loop.Post(w.Start)
-	done := make(chan struct{})
-	go func() {
-		loop.Run()
-		close(done)
-	}()
-	t.Cleanup(func() {
-		loop.Post(func() {
-			w.Stop()
-			loop.Stop()
-		})
-		<-done
-	})
+	eventlooptest.Run(t, loop)
+	t.Cleanup(func() { eventlooptest.Do(loop, w.Stop) }) // before the loop stops
 }
 
 // disconnects is a log handler that passes on the reason of each lost connection and of
--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -11,6 +11,7 @@
 	"flaxrelay/internal/engine/lineclient"
 	"flaxrelay/internal/engine/pgclient"
 	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/eventloop/eventlooptest"
 	"flaxrelay/internal/frontend/httpserver"
 	"flaxrelay/internal/frontend/pgserver"
 	"flaxrelay/internal/lifecycle"
@@ -125,15 +126,12 @@
 
 // run runs the event loop until the end of the test.
 func (f *frontEnd) run() {
-	done := make(chan struct{})
-	go func() { f.loop.Run(); close(done) }()
+	f.t.Cleanup(f.checkAccounting) // runs last: cleanups run in reverse order
+	eventlooptest.Run(f.t, f.loop)
 	f.t.Cleanup(func() {
 		if f.closeListener != nil {
 			f.closeListener() // its descriptor is one of the process, whose number is bounded
 		}
-		f.loop.Post(f.loop.Stop)
-		<-done
-		f.checkAccounting()
 	})
 }
 
@@ -153,11 +151,7 @@
 }
 
 // onLoop runs do on the loop's goroutine and waits for it.
-func (f *frontEnd) onLoop(do func()) {
-	done := make(chan struct{})
-	f.loop.Post(func() { do(); close(done) })
-	<-done
-}
+func (f *frontEnd) onLoop(do func()) { eventlooptest.Do(f.loop, do) }
 
 // count is the sum of the counters whose names begin with the prefix.
 func (f *frontEnd) count(prefix string) (sum int64) {
--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/eventloop/eventlooptest"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
@@ -165,15 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stopped := make(chan struct{})
-	go func() {
-		loop.Run()
-		close(stopped)
-	}()
-	t.Cleanup(func() {
-		loop.Post(loop.Stop)
-		<-stopped
-	})
+	eventlooptest.Run(t, loop)
 	return loop
 }
 
--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -19,6 +19,7 @@
 
 	"flaxrelay/internal/config"
 	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/eventloop/eventlooptest"
 	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
@@ -101,24 +102,11 @@
 	env.Dispatcher.SetCostObserver(x)
 	x.Client = protocol.NewClient(env)
 	env.Dispatcher.SetEngineClient(x.Client)
-	x.run()
+	eventlooptest.Run(t, x.loop)
 	x.setEngineState(policy.EngineReady)
 	return x
 }
 
-// run runs the event loop until the end of the test.
-func (x *Exchange) run() {
-	stopped := make(chan struct{})
-	go func() {
-		x.loop.Run()
-		close(stopped)
-	}()
-	x.t.Cleanup(func() {
-		x.loop.Post(x.loop.Stop)
-		<-stopped
-	})
-}
-
 // Check ends the test on an error.
 func (x *Exchange) Check(err error) {
 	x.t.Helper()
@@ -128,14 +116,7 @@
 }
 
 // Do runs f on the event loop's goroutine, and waits for it.
-func (x *Exchange) Do(f func()) {
-	done := make(chan struct{})
-	x.loop.Post(func() {
-		f()
-		close(done)
-	})
-	<-done
-}
+func (x *Exchange) Do(f func()) { eventlooptest.Do(x.loop, f) }
 
 func (x *Exchange) setEngineState(state policy.EngineState) {
 	endpoint := lifecycle.Endpoint{
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -4,13 +4,15 @@
 	"io"
 	"runtime"
 	"testing"
+
+	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
 // Bytes that were read just before Close are not handed to the handler after it: their
 // sender sees the close alone, and may send them again.
 func TestDataThatCrossesClose(t *testing.T) {
 	l, r, peer := connectedPair(t)
-	do(l, func() {
+	eventlooptest.Do(l, func() {
 		if _, err := io.WriteString(peer, "a call"); err != nil {
 			t.Error(err)
 		}
@@ -24,7 +26,7 @@
 	}
 	_ = peer.Close()
 	awaitEnd(t, r.closed, "the connection")
-	do(l, func() {
+	eventlooptest.Do(l, func() {
 		if len(r.data) > 0 {
 			t.Errorf("OnData got %q after Close", r.data)
 		}
@@ -37,7 +39,7 @@
 // Bytes that come after the last answer do not reset the connection over it.
 func TestCloseOverUnreadBytes(t *testing.T) {
 	l, r, peer := connectedPair(t)
-	do(l, func() {
+	eventlooptest.Do(l, func() {
 		r.conn.Write([]byte("answer"))
 		r.conn.Close()
 		for range 3 {
@@ -55,7 +57,7 @@
 // A peer that goes on writing and never closes keeps a closed connection for a moment only.
 func TestCloseEndsWithoutThePeer(t *testing.T) {
 	l, r, peer := connectedPair(t)
-	do(l, r.conn.Close)
+	eventlooptest.Do(l, r.conn.Close)
 	go func() {
 		for {
 			if _, err := peer.Write(make([]byte, 64<<10)); err != nil {
@@ -81,7 +83,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l, r, _ := connectedPair(t)
-			do(l, func() {
+			eventlooptest.Do(l, func() {
 				test.close(r.conn)
 				if got := r.conn.loadState(); got != test.want {
 					t.Errorf("state %d, want %d", got, test.want)
@@ -91,7 +93,7 @@
 				}
 			})
 			awaitEnd(t, r.closed, "the connection")
-			do(l, func() {
+			eventlooptest.Do(l, func() {
 				if got := r.conn.loadState(); got != connClosed {
 					t.Errorf("state %d at the end, want %d", got, connClosed)
 				}
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -4,6 +4,8 @@
 	"net"
 	"testing"
 	"time"
+
+	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
 // patience bounds a wait for something that is expected to happen.
@@ -34,16 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan struct{})
-	go func() {
-		l.Run()
-		close(done)
-	}()
-	t.Cleanup(func() {
-		l.Post(l.Stop)
-		<-done
-	})
-	return l, done
+	return l, eventlooptest.Run(t, l)
 }
 
 // connectedPair returns a loop with one accepted connection, and its peer.
@@ -78,16 +71,6 @@
 	return <-accepted, conn.(*net.TCPConn)
 }
 
-// do runs f on the loop's goroutine, which does nothing else meanwhile.
-func do(l *Loop, f func()) {
-	done := make(chan struct{})
-	l.Post(func() {
-		f()
-		close(done)
-	})
-	<-done
-}
-
 // awaitEnd fails the test where the channel brings nothing.
 func awaitEnd[T any](t *testing.T, c <-chan T, what string) {
 	t.Helper()
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -4,6 +4,8 @@
 	"errors"
 	"runtime"
 	"testing"
+
+	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
 // Past the budget of all buffers, a connection that needs more than one read is closed,
@@ -19,9 +21,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l, _ := startLoop(t)
-			do(l, func() { l.BufferBudget = 1 })
+			eventlooptest.Do(l, func() { l.BufferBudget = 1 })
 			r, peer := connectTo(t, l)
-			do(l, func() {
+			eventlooptest.Do(l, func() {
 				r.idle = true
 				// An error is the reset by the closed connection.
 				_, _ = peer.Write(make([]byte, 2*readSize))
@@ -38,7 +40,7 @@
 			if n := l.BufferedBytes(); n != 0 {
 				t.Errorf("%d bytes still counted as buffered", n)
 			}
-			do(l, func() {
+			eventlooptest.Do(l, func() {
 				if got := r.conn.loadState(); got != connClosed {
 					t.Errorf("state %d at the end, want %d", got, connClosed)
 				}
--- a/internal/frontend/httpserver/disconnect_test.go
+++ b/internal/frontend/httpserver/disconnect_test.go
@@ -12,6 +12,7 @@
 
 	"flaxrelay/internal/config"
 	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/eventloop/eventlooptest"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
@@ -51,27 +52,21 @@
 	if err := server.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	stopped := make(chan struct{})
-	go func() { loop.Run(); close(stopped) }()
-	onLoop := func(action func()) {
-		done := make(chan struct{})
-		loop.Post(func() { action(); close(done) })
-		<-done
-	}
+	eventlooptest.Run(t, loop)
 	client, err := net.Dial("tcp", server.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	var c *connection
 	for c == nil {
-		onLoop(func() {
+		eventlooptest.Do(loop, func() {
 			for open := range server.connections {
 				c = open
 			}
 		})
 	}
 	const request = "POST /rpc/lookup HTTP/1.1\r\nReq-Id: 9b1f03aa5c7e2d41\r\nReq-Wait-Ms: 900\r\nContent-Length: 8\r\n\r\nSELECT 1"
-	onLoop(func() {
+	eventlooptest.Do(loop, func() {
 		if _, err := io.WriteString(client, request+request); err != nil {
 			t.Error(err)
 		}
@@ -86,16 +81,14 @@
 	// posts OnData before that: once the connection is unregistered, all was handled.
 	registered := true
 	for deadline := time.Now().Add(10 * time.Second); registered && time.Now().Before(deadline); {
-		onLoop(func() { registered = len(server.connections) != 0 })
+		eventlooptest.Do(loop, func() { registered = len(server.connections) != 0 })
 	}
 	if registered {
 		t.Error("its connection is still registered")
 	}
-	onLoop(func() {
+	eventlooptest.Do(loop, func() {
 		if n := counters.Sum("requests.accepted."); n != 0 {
 			t.Errorf("%d requests of a disconnected client were accepted", n)
 		}
-		loop.Stop()
 	})
-	<-stopped
 }
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -46,6 +46,7 @@
 	"internal/clitest",
 	"internal/discovery/discoverytest",
 	"internal/engine/enginetest",
+	"internal/eventloop/eventlooptest",
 	"internal/golden",
 }
 
