--- a/cmd/flaxrelay/client_test.go
+++ b/cmd/flaxrelay/client_test.go
@@ -72,16 +72,6 @@
 	return status
 }
 
-func listen(t *testing.T, address string) net.Listener {
-	t.Helper()
-	listener, err := net.Listen("tcp", address)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { closeQuietly(listener) })
-	return listener
-}
-
 // dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
--- a/cmd/flaxrelay/descriptors_test.go
+++ b/cmd/flaxrelay/descriptors_test.go
@@ -4,12 +4,13 @@
 	"encoding/binary"
 	"encoding/json"
 	"fmt"
-	"net"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
+
+	"flaxrelay/internal/tcptest"
 )
 
 // smallTable is a descriptor limit that clients and engines together would fill.
@@ -66,7 +67,7 @@
 // outgoing connections, one of which could otherwise take the port.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
-	listener := listen(t, "127.0.0.77:0")
+	listener := tcptest.Listen(t, "127.0.0.77:0")
 	closeQuietly(listener)
 	return listener.Addr().String()
 }
@@ -86,7 +87,7 @@
 			"pod_group": 0, "state": "in_service", "capacity_hint": 1, "boot_ms": 0,
 		})
 	}
-	configuration["listen"], configuration["bus"] = anyLoopbackPort, busAddress
+	configuration["listen"], configuration["bus"] = tcptest.AnyLoopbackPort, busAddress
 	configuration["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": smallTable}
 	configuration["known"] = map[string]any{"offset": 1, "batch": []any{map[string]any{
 		"offset": 1, "topology": map[string]any{"rev": 1, "all": true, "targets": targets},
@@ -102,15 +103,11 @@
 // it in time and asks for the events after the first.
 func expectSubscription(t *testing.T, busAddress string) {
 	t.Helper()
-	bus := listen(t, busAddress)
-	tcp, ok := bus.(*net.TCPListener)
-	if !ok {
-		t.Fatalf("%T is no TCP listener", bus)
-	}
-	if err := tcp.SetDeadline(time.Now().Add(3 * time.Second)); err != nil {
+	bus := tcptest.Listen(t, busAddress)
+	if err := bus.SetDeadline(time.Now().Add(3 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	conn, err := tcp.Accept()
+	conn, err := bus.Accept()
 	if err != nil {
 		t.Fatalf("discovery is back and is not connected to: %v", err)
 	}
--- a/cmd/flaxrelay/engine_test.go
+++ b/cmd/flaxrelay/engine_test.go
@@ -6,27 +6,20 @@
 	"net"
 	"strings"
 	"testing"
+
+	"flaxrelay/internal/tcptest"
 )
 
 // startEngine returns the address of an engine of the line protocol that gives each
 // request to the handler.
 func startEngine(t *testing.T, handle func(conn net.Conn, requestID string)) (address string) {
 	t.Helper()
-	listener := listen(t, anyLoopbackPort)
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go serveEngineConnection(conn, handle)
-		}
-	}()
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
+	go tcptest.Serve(listener, func(conn net.Conn) { serveEngineConnection(conn, handle) })
 	return listener.Addr().String()
 }
 
 func serveEngineConnection(conn net.Conn, handle func(conn net.Conn, requestID string)) {
-	defer closeQuietly(conn)
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
 		if words := strings.Fields(lines.Text()); len(words) == 4 && words[0] == "want" {
 			handle(conn, words[1])
--- a/cmd/flaxrelay/files_test.go
+++ b/cmd/flaxrelay/files_test.go
@@ -13,9 +13,8 @@
 	exampleSettings         = "../../deploy/postgres-settings.json"
 	examplePostgresAddress  = "127.0.0.1:5433" // in exampleDeploy
 	exampleConsulAddress    = "127.0.0.1:8500" // in exampleDeploy
-	anyLoopbackPort         = "127.0.0.1:0"
-	closedLoopbackPort      = "127.0.0.1:1" // nobody listens there
-	otherClosedLoopbackPort = "127.0.0.1:2" // nor there
+	closedLoopbackPort      = "127.0.0.1:1"    // nobody listens there
+	otherClosedLoopbackPort = "127.0.0.1:2"    // nor there
 )
 
 func readFile(t *testing.T, path string) string {
--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"syscall"
 	"testing"
+
+	"flaxrelay/internal/tcptest"
 )
 
 // startEventBus accepts subscriptions and answers each with one event of the given
@@ -18,7 +20,7 @@
 		eventLength    = 9
 		unchangedEvent = 2 // the kind of an event that changes nothing
 	)
-	listener := listen(t, anyLoopbackPort)
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	received := make(chan uint64, 10)
 	event := binary.BigEndian.AppendUint32(nil, eventLength)
 	event = append(binary.BigEndian.AppendUint64(event, eventNumber), unchangedEvent)
@@ -60,7 +62,7 @@
 	secondBus, secondSubscriptions := startEventBus(t, 8)
 	example := readFile(t, exampleConfig)
 	configWithBus := func(bus string) string {
-		return strings.Replace(example, `"`+exampleListenAddress+`"`, fmt.Sprintf(`%q, "bus": %q`, anyLoopbackPort, bus), 1)
+		return strings.Replace(example, `"`+exampleListenAddress+`"`, fmt.Sprintf(`%q, "bus": %q`, tcptest.AnyLoopbackPort, bus), 1)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, configWithBus(firstBus))
@@ -91,7 +93,7 @@
 	}
 	dir := t.TempDir()
 	writeFile(t, filepath.Join(dir, filepath.Base(exampleSettings)), readFile(t, exampleSettings))
-	deploy := strings.NewReplacer(examplePostgresAddress, anyLoopbackPort, exampleConsulAddress, closedLoopbackPort).
+	deploy := strings.NewReplacer(examplePostgresAddress, tcptest.AnyLoopbackPort, exampleConsulAddress, closedLoopbackPort).
 		Replace(readFile(t, exampleDeploy))
 	path := filepath.Join(dir, "postgres.toml")
 	writeFile(t, path, deploy)
--- a/cmd/flaxrelay/shutdown_test.go
+++ b/cmd/flaxrelay/shutdown_test.go
@@ -7,6 +7,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"flaxrelay/internal/tcptest"
 )
 
 // A graceful shutdown: a client that comes right after SIGTERM is still served, what is
@@ -25,7 +27,7 @@
 		arrived <- requestID
 	})
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, path, strings.NewReplacer(exampleEngineAddress, engine, exampleListenAddress, anyLoopbackPort).
+	writeFile(t, path, strings.NewReplacer(exampleEngineAddress, engine, exampleListenAddress, tcptest.AnyLoopbackPort).
 		Replace(readFile(t, exampleConfig)))
 	s := newServer(slog.New(slog.DiscardHandler))
 	if err := s.listenHTTP(path, ""); err != nil {
--- a/internal/discovery/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -14,6 +14,7 @@
 	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/tcptest"
 	"flaxrelay/policy"
 )
 
@@ -48,22 +49,10 @@
 	}
 }
 
-// acceptAll serves each connection of the listener until it is closed.
-func (a *scriptedAgent) acceptAll(listener net.Listener) {
-	for {
-		conn, err := listener.Accept()
-		if err != nil {
-			return
-		}
-		go a.serve(conn)
-	}
-}
-
 // port is the only part of a request that differs from run to run.
 var port = regexp.MustCompile(`(?m)^Host: 127\.0\.0\.1:[0-9]+\r$`)
 
 func (a *scriptedAgent) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for {
 		var request string
@@ -144,11 +133,9 @@
 // All requests are compared byte for byte (but for the port in Host), and the
 // notifications that come of the responses.
 func TestGoldenExchange(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	discoverytest.Must(t, err)
-	t.Cleanup(func() { _ = listener.Close() })
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	agent := newScriptedAgent()
-	go agent.acceptAll(listener)
+	go tcptest.Serve(listener, agent.serve)
 	notifications := make(transcript, 10)
 	startWatcher(t, Options{
 		Address: listener.Addr().String(), Service: "stock-engine", Token: "secret", Zone: "hall-a", Kind: "std-2",
--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -11,6 +11,7 @@
 	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/tcptest"
 	"flaxrelay/policy"
 )
 
@@ -81,7 +82,7 @@
 // All that the watcher writes on each connection, and the notifications that come of the
 // frames, are compared byte for byte: `> ` by the watcher, `< ` by the bus, `= ` to the sink.
 func TestGoldenExchange(t *testing.T) {
-	listener := listen(t, "127.0.0.1:0")
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	notifications := make(transcript, 10)
 	startWatcher(t, options{
 		addr: listener.Addr().String(), lastEvent: 41,
--- a/internal/discovery/eventbus/helpers_test.go
+++ b/internal/discovery/eventbus/helpers_test.go
@@ -102,15 +102,6 @@
 	return nil
 }
 
-// listen returns a listener of the test's bus that is closed at the test's end.
-func listen(t *testing.T, addr string) *net.TCPListener {
-	t.Helper()
-	listener, err := net.Listen("tcp", addr)
-	discoverytest.Must(t, err)
-	t.Cleanup(func() { _ = listener.Close() })
-	return listener.(*net.TCPListener)
-}
-
 // accept waits for the watcher's next connection and returns it with the number of the
 // last event that the watcher sent.
 func accept(t *testing.T, listener *net.TCPListener) (conn *net.TCPConn, lastEvent uint64) {
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -9,6 +9,7 @@
 	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/tcptest"
 	"flaxrelay/policy"
 
 	"github.com/google/go-cmp/cmp"
@@ -40,7 +41,7 @@
 		append(encodeFrame(0, frameHeartbeat), encodeFrame(5, 9)...),
 		append(encodeFrame(4, frameFull), encodeFrame(5, frameDelta, draining.encode())...),
 	}
-	listener := listen(t, "127.0.0.1:0")
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	updates := make(recorder, 10)
 	startWatcher(t, options{
 		addr: listener.Addr().String(), lastEvent: 3, zones: []string{"a", "b"}, kinds: []string{"std"}, sink: updates,
@@ -75,7 +76,7 @@
 
 // A bus that vanishes without closing is given up, and connected to anew.
 func TestSilentBus(t *testing.T) {
-	listener := listen(t, "127.0.0.1:0")
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	startWatcher(t, options{
 		addr: listener.Addr().String(), sink: make(recorder, 1),
 		configure: func(w *Watcher) { w.idleTimeout = 50 * time.Millisecond },
@@ -87,7 +88,7 @@
 
 // A protocol error ends the connection, and the log tells which it was.
 func TestProtocolErrorsAreLogged(t *testing.T) {
-	listener := listen(t, "127.0.0.1:0")
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	log := newDisconnects()
 	startWatcher(t, options{addr: listener.Addr().String(), sink: make(recorder, 1), log: log})
 	for _, test := range []struct {
@@ -129,7 +130,7 @@
 			t.Fatalf("an attempt failed with %v, want a refused connection", err)
 		}
 	}
-	returned := listen(t, addr)
+	returned := tcptest.Listen(t, addr)
 	discoverytest.Must(t, returned.SetDeadline(time.Now().Add(500*time.Millisecond)))
 	conn, err := returned.Accept()
 	if err != nil {
--- a/internal/e2e/peer_helpers_test.go
+++ b/internal/e2e/peer_helpers_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	"flaxrelay/internal/tcptest"
+
 	"github.com/google/go-cmp/cmp"
 )
 
@@ -49,28 +51,17 @@
 // listen accepts connections for a scripted peer until the test ends.
 func listen(t testing.TB, serve func(net.Conn)) (addr string) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() })
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	go acceptAll(listener, serve)
 	return listener.Addr().String()
 }
 
-// acceptAll serves every connection of a listener in a goroutine of its own.
+// acceptAll serves every connection of a listener, which lasts waitLimit at most.
 func acceptAll(listener net.Listener, serve func(net.Conn)) {
-	for {
-		conn, err := listener.Accept()
-		if err != nil {
-			return
-		}
+	tcptest.Serve(listener, func(conn net.Conn) {
 		_ = conn.SetDeadline(time.Now().Add(waitLimit))
-		go func() {
-			defer func() { _ = conn.Close() }()
-			serve(conn)
-		}()
-	}
+		serve(conn)
+	})
 }
 
 // listenWithFullBacklog is a peer whose connections don't come up before accept is called: its
--- a/internal/e2e/retry_test.go
+++ b/internal/e2e/retry_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/tcptest"
 	"flaxrelay/policy"
 
 	"github.com/google/go-cmp/cmp"
@@ -15,10 +16,7 @@
 // addrWithoutListener is an address at which connections are refused.
 func addrWithoutListener(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -12,6 +12,7 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/tcptest"
 	"flaxrelay/policy"
 )
 
@@ -66,11 +67,7 @@
 
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
-	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() })
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	if err := listener.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -23,6 +23,7 @@
 	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/tcptest"
 	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
 )
@@ -90,10 +91,8 @@
 	x := &Exchange{t: t, Counters: metrics.New(), printed: map[string]bool{}, printServed: protocol.PrintServed}
 	env := Environment{Counters: x.Counters, Log: slog.New(slog.DiscardHandler)}
 	x.Check(json.Unmarshal([]byte(protocol.Settings), &env.Site))
+	x.listener = tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	var err error
-	x.listener, err = net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	x.Check(err)
-	t.Cleanup(func() { _ = x.listener.Close() })
 	x.loop, err = eventloop.New(maxDescriptors)
 	x.Check(err)
 	env.Loop = x.loop
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -8,6 +8,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"flaxrelay/internal/tcptest"
 )
 
 // waitLimit bounds every wait.
@@ -16,26 +18,13 @@
 // startEchoServer answers each byte with the same byte, and reports what it received.
 func startEchoServer(t *testing.T) (addr string, seen chan byte) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() })
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	seen = make(chan byte, 100)
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go echo(conn, seen)
-		}
-	}()
+	go tcptest.Serve(listener, func(conn net.Conn) { echo(conn, seen) })
 	return listener.Addr().String(), seen
 }
 
 func echo(conn net.Conn, seen chan<- byte) {
-	defer func() { _ = conn.Close() }()
 	b := make([]byte, 1)
 	for {
 		if _, err := conn.Read(b); err != nil {
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -48,6 +48,7 @@
 	"internal/engine/enginetest",
 	"internal/eventloop/eventlooptest",
 	"internal/golden",
+	"internal/tcptest",
 }
 
 // layerOf returns the index of the package's layer, counted from the top, or -1.
