--- a/policy/control_test.go
+++ b/policy/control_test.go
@@ -100,15 +100,24 @@
 	}
 }
 
-func TestBusyLoadReportsRemoveFleetHeadroom(t *testing.T) {
-	s, list := manyBalancers(40)
-	h := newHarness(t, s, list...)
-	free := h.balancer.fleet.maxBound
+// runWithLoadReports serves 19 requests, whose engines report the share of their processors
+// that is busy, and lets a second pass.
+func (h *harness) runWithLoadReports(cpuShare float64) {
 	for id := uint64(1); id < 20; id++ {
 		h.arrive(id, "idempotent")
-		h.handle(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true, Load: LoadReport{Reported: true, CPUShare: 1, InFlight: -1}})
+		h.handle(AttemptEnded{
+			RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true,
+			Load: LoadReport{Reported: true, CPUShare: cpuShare, InFlight: -1},
+		})
 	}
 	h.runFor(time.Second)
+}
+
+func TestBusyLoadReportsRemoveFleetHeadroom(t *testing.T) {
+	s, list := manyBalancers(40)
+	h := newHarness(t, s, list...)
+	free := h.balancer.fleet.maxBound
+	h.runWithLoadReports(1)
 	if got := h.balancer.fleet.maxBound; got > maxBoundFactor*h.balancer.fleet.initialBound+0.05*free {
 		t.Fatalf("maximum bound of the fleet %v with all engines reported busy, %v without reports", got, free)
 	}
@@ -118,11 +127,7 @@
 	s, list := manyBalancers(40)
 	h := newHarness(t, s, list...)
 	before := h.balancer.fleet.maxBound
-	for id := uint64(1); id < 20; id++ {
-		h.arrive(id, "idempotent")
-		h.handle(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true, Load: LoadReport{Reported: true, CPUShare: 0.2, InFlight: -1}})
-	}
-	if h.runFor(time.Second); h.balancer.fleet.maxBound < 1.5*before {
+	if h.runWithLoadReports(0.2); h.balancer.fleet.maxBound < 1.5*before {
 		t.Fatalf("maximum bound of the fleet %v with all engines reported idle, %v without reports", h.balancer.fleet.maxBound, before)
 	}
 }
