--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -9,7 +9,9 @@
 	"testing"
 
 	"flaxrelay/internal/discovery/discoverytest"
+	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/tcptest"
 	"flaxrelay/policy"
 )
 
@@ -80,7 +82,7 @@
 // All that the watcher writes on each connection, and the notifications that come of the
 // frames, are compared byte for byte: `> ` by the watcher, `< ` by the bus, `= ` to the sink.
 func TestGoldenExchange(t *testing.T) {
-	listener := listen(t, "127.0.0.1:0")
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	notifications := make(transcript, 10)
 	startWatcher(t, options{
 		addr: listener.Addr().String(), lastEvent: 41,
@@ -91,7 +93,7 @@
 		fmt.Fprintf(&log, "connection %d\n", n)
 		s.play(t, listener, notifications, &log)
 	}
-	discoverytest.CompareGolden(t, goldenFile, log.Bytes())
+	golden.Compare(t, goldenFile, log.Bytes())
 }
 
 // play serves one connection of the watcher and writes the exchange to the log.
--- a/internal/discovery/eventbus/helpers_test.go
+++ b/internal/discovery/eventbus/helpers_test.go
@@ -13,6 +13,7 @@
 	"flaxrelay/internal/discovery"
 	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/eventloop/eventlooptest"
 	"flaxrelay/internal/metrics"
 )
 
@@ -71,18 +72,8 @@
 		opts.configure(w)
 	}
 	loop.Post(w.Start)
-	done := make(chan struct{})
-	go func() {
-		loop.Run()
-		close(done)
-	}()
-	t.Cleanup(func() {
-		loop.Post(func() {
-			w.Stop()
-			loop.Stop()
-		})
-		<-done
-	})
+	eventlooptest.Run(t, loop)
+	t.Cleanup(func() { eventlooptest.Do(loop, w.Stop) }) // before the loop stops
 }
 
 // disconnects is a log handler that passes on the reason of each lost connection and of
@@ -111,15 +102,6 @@
 	return nil
 }
 
-// listen returns a listener of the test's bus that is closed at the test's end.
-func listen(t *testing.T, addr string) *net.TCPListener {
-	t.Helper()
-	listener, err := net.Listen("tcp", addr)
-	discoverytest.Must(t, err)
-	t.Cleanup(func() { _ = listener.Close() })
-	return listener.(*net.TCPListener)
-}
-
 // accept waits for the watcher's next connection and returns it with the number of the
 // last event that the watcher sent.
 func accept(t *testing.T, listener *net.TCPListener) (conn *net.TCPConn, lastEvent uint64) {
--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -7,12 +7,10 @@
 	"bytes"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"log/slog"
 	"net"
-	"os"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -21,14 +19,15 @@
 
 	"flaxrelay/internal/config"
 	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/eventloop/eventlooptest"
+	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/tcptest"
 	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 const (
 	// Timeout bounds every wait for the client.
 	Timeout = 10 * time.Second
@@ -92,10 +91,8 @@
 	x := &Exchange{t: t, Counters: metrics.New(), printed: map[string]bool{}, printServed: protocol.PrintServed}
 	env := Environment{Counters: x.Counters, Log: slog.New(slog.DiscardHandler)}
 	x.Check(json.Unmarshal([]byte(protocol.Settings), &env.Site))
+	x.listener = tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	var err error
-	x.listener, err = net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	x.Check(err)
-	t.Cleanup(func() { _ = x.listener.Close() })
 	x.loop, err = eventloop.New(maxDescriptors)
 	x.Check(err)
 	env.Loop = x.loop
@@ -104,24 +101,11 @@
 	env.Dispatcher.SetCostObserver(x)
 	x.Client = protocol.NewClient(env)
 	env.Dispatcher.SetEngineClient(x.Client)
-	x.run()
+	eventlooptest.Run(t, x.loop)
 	x.setEngineState(policy.EngineReady)
 	return x
 }
 
-// run runs the event loop until the end of the test.
-func (x *Exchange) run() {
-	stopped := make(chan struct{})
-	go func() {
-		x.loop.Run()
-		close(stopped)
-	}()
-	x.t.Cleanup(func() {
-		x.loop.Post(x.loop.Stop)
-		<-stopped
-	})
-}
-
 // Check ends the test on an error.
 func (x *Exchange) Check(err error) {
 	x.t.Helper()
@@ -131,14 +115,7 @@
 }
 
 // Do runs f on the event loop's goroutine, and waits for it.
-func (x *Exchange) Do(f func()) {
-	done := make(chan struct{})
-	x.loop.Post(func() {
-		f()
-		close(done)
-	})
-	<-done
-}
+func (x *Exchange) Do(f func()) { eventlooptest.Do(x.loop, f) }
 
 func (x *Exchange) setEngineState(state policy.EngineState) {
 	endpoint := lifecycle.Endpoint{
@@ -252,14 +229,5 @@
 // CompareGolden compares the transcript with the golden file of this name.
 func (x *Exchange) CompareGolden(name string) {
 	x.t.Helper()
-	path := filepath.Join("testdata", "golden", name+".txt")
-	if *update {
-		x.Check(os.MkdirAll(filepath.Dir(path), 0o700))
-		x.Check(os.WriteFile(path, x.transcript.Bytes(), 0o600))
-	}
-	want, err := os.ReadFile(path)
-	x.Check(err)
-	if !bytes.Equal(x.transcript.Bytes(), want) {
-		x.t.Errorf("%s: got\n%s\nwant\n%s", path, x.transcript.String(), want)
-	}
+	golden.Compare(x.t, filepath.Join("testdata", "golden", name+".txt"), x.transcript.Bytes())
 }
