--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -59,9 +59,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, _ := startLoop(t)
-			do(l, func() { l.BufferBudget = 1 })
+			eventlooptest.Do(l, func() { l.BufferBudget = 1 })
 			r, _ := connectTo(t, l)
-			do(l, func() {
+			eventlooptest.Do(l, func() {
 				closeConn(r.conn)
 				r.conn.mu.Lock()
 				defer r.conn.mu.Unlock()
