--- a/policy/actions.go
+++ b/policy/actions.go
@@ -30,15 +30,15 @@
 // CheckHealth asks an engine for its load; HealthChecked follows.
 type CheckHealth struct{ Engine string }
 
-// Reject is a final answer after which the client may safely try again.
+// Reject is a final answer after which the client may safely retry.
 type Reject struct {
 	RequestID  uint64
 	RetryAfter time.Duration // 0: not stated
 	Reason     RejectReason
 }
 
-// RejectReason says why no engine took a request. Where several engines had different reasons, it is
-// that of the one which came nearest to taking it: reasons are in this order.
+// RejectReason says why no engine was chosen for a request. Where engines were ruled out for different
+// reasons it is the greatest: the reasons are ordered by how close an engine came to being chosen.
 type RejectReason uint8
 
 // The reasons of a Reject.
@@ -47,11 +47,11 @@
 	ReasonNoEndpoint                            // the endpoint list has no engine that is ready for it
 	ReasonEjected                               // the others are ejected, or its class is stalled there
 	ReasonAttemptsExhausted                     // a rule forbids an attempt
-	ReasonEngineLimit                           // it exceeds the bounds of the others
+	ReasonEngineLimit                           // the request exceeds the bounds of the others
 	ReasonSlowStart                             // the others are in slow start, and this balancer's share of their budget is spent
-	ReasonFleetLimit                            // it exceeds the bound of all engines together
-	ReasonRetryFutile                           // an attempt failed or is too slow, and a retry would be too late or in vain
-	ReasonDeadline                              // its deadline is reached
+	ReasonFleetLimit                            // the request exceeds the bound of all engines together
+	ReasonRetryFutile                           // an attempt failed or is too slow, and a retry would be too late or fail as well
+	ReasonDeadline                              // the request's deadline is reached
 )
 
 var rejectReasonNames = [...]string{
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	overQuotaFactor = 0.5  // share of a bound that requests beyond their tenant's quota may use
-	minWorkFactor   = 0.1  // least and most that an estimate scales the expected work by, against
-	maxWorkFactor   = 30.0 // the class's mean estimate: an odd estimate must not count as nothing or as all
-	minWeightFactor = 0.25 // the same for the weight in threads: more work runs longer, but on
-	maxWeightFactor = 2.0  // no more threads, so one request must not fill an engine's bound
-	minPriority     = 1e-9 // stands for a priority weight of zero, which has no logarithm
-	ranksToFull     = 4.0  // ranks above the mean from which a request's share of a bound would double
+	overQuotaFactor   = 0.5  // share of a bound that requests beyond their tenant's quota may use
+	minWorkFactor     = 0.1  // least and most that an estimate over its class's mean scales the
+	maxWorkFactor     = 30.0 // expected work by: an outlying one must not count as nothing or fill a bound
+	minWeightFactor   = 0.25 // the same for the weight in threads: more work runs longer, but on
+	maxWeightFactor   = 2.0  // no more threads, so one request must not fill an engine's bound
+	minPriorityWeight = 1e-9 // replaces a priority weight of zero, which has no logarithm
+	ranksToDouble     = 4.0  // ranks above the mean from which a request's share of a bound would double
 )
 
 // onRequestArrived admits a request, queues it behind others of its key, or rejects it.
@@ -27,7 +27,7 @@
 		b.retryWindow.addArrival(b.now)
 	}
 	c := b.classes[ev.Class]
-	if c == nil { // whether a repeat is harmless is unknown: nothing is sent
+	if c == nil { // whether it is idempotent is unknown: nothing is sent
 		b.emit(Reject{RequestID: ev.RequestID, RetryAfter: b.retryAfter(), Reason: ReasonUnknownClass})
 		return
 	}
@@ -55,11 +55,11 @@
 		req.expectedWorkMs = c.workMs * factor
 		req.weight = c.Threads * min(max(factor, minWeightFactor), maxWeightFactor)
 	}
-	rank := math.Log2(max(c.PriorityWeight, minPriority) / req.expectedWorkMs)
+	rank := math.Log2(max(c.PriorityWeight, minPriorityWeight) / req.expectedWorkMs)
 	b.meanRank = ewmaSeeded(b.meanRank, rank, estimateWindow)
 	req.valueRank = rank - b.meanRank
 	if ev.EstimatedWork > 0 { // without estimates all requests of a class would be shed alike
-		req.valueFactor = min(max(1+req.valueRank/ranksToFull, overQuotaFactor), 2-overQuotaFactor)
+		req.valueFactor = min(max(1+req.valueRank/ranksToDouble, overQuotaFactor), 2-overQuotaFactor)
 	}
 	if b.overQuota(ev.Tenant) {
 		req.quotaFactor = overQuotaFactor
@@ -84,8 +84,8 @@
 	return l.backlog+req.weight <= bound
 }
 
-// limit is the share of a bound open to the request: less beyond its tenant's quota and, for the fleet or
-// an engine under pressure, more the more it is worth for its expected work.
+// limit is the bound that applies to the request, in threads: lower beyond its tenant's quota and, for the
+// fleet or an engine under pressure, higher the greater its priority weight over its expected work.
 func (b *Balancer) limit(req *request, l *controlLoop) float64 {
 	switch {
 	case b.now < l.pressuredUntil:
--- a/policy/class.go
+++ b/policy/class.go
@@ -7,7 +7,7 @@
 	Class
 	answers        int
 	latencyMs      float64 // mean latency of an answer
-	quickLatencyMs float64 // lowest mean latency of late
+	quickLatencyMs float64 // lowest recent mean latency
 	workMs         float64 // mean work of an answer, of all threads
 	latencySpread  float64 // mean deviation of a latency from the expected one, as a share of that
 	estimateMs     float64 // mean estimate of the work; 0: none so far
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -2,8 +2,8 @@
 // runs. A Balancer is a pure state machine: it reads no clock, does no I/O and
 // starts no goroutine. One goroutine at a time may call it.
 //
-// Its interface is in settings.go (what it is configured with), events.go (what
-// it is told) and actions.go (what its caller must do). The decisions are in the
+// Its interface is in settings.go (what it is configured with), events.go (its
+// inputs) and actions.go (what its caller must do). The decisions are in the
 // files that deploy/balancer.toml lists under policy, one concern each:
 //
 //   - balancer.go: dispatch of events and the periodic tick
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -19,7 +19,7 @@
 	startedAt      time.Duration // its latest start, where known
 	controlLoop
 	inFlight       []*attempt
-	lastHeardAt    time.Duration // latest word from it
+	lastHeardAt    time.Duration // latest answer or progress report from it
 	reportedLoad   float64       // threads a core
 	loadReportedAt time.Duration // 0: never
 
@@ -37,7 +37,7 @@
 	ejected             bool
 	ejectedForFaults    bool                     // and not for silence
 	probationAt         time.Duration            // when it may next get a request while ejected
-	lostAnswers         map[*class]int           // lost in a row, without word of the class
+	lostAnswers         map[*class]int           // lost in a row, with no report of the class between
 	stalledUntil        map[*class]time.Duration // nothing of the class is sent until then
 	datasetLoadingUntil map[int64]time.Duration  // data sets that bulk loads block, until then
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Event is what a balancer is told: RequestArrived, AttemptEnded, HealthChecked, ProgressReported,
+// Event is an input of a balancer: RequestArrived, AttemptEnded, HealthChecked, ProgressReported,
 // StreamStarted, ClientDisconnected, TimerFired or EndpointsChanged.
 type Event interface{ event() }
 
 // RequestArrived is a new request. One final answer is owed from here on: an AttemptEnded with
 // Completed set, a Reject or a Fail.
 type RequestArrived struct {
-	RequestID         uint64 // never used again, not even when the client tries again
+	RequestID         uint64 // never reused, not even for a retry by the client
 	Class             string
 	Tenant            string        // "": none
 	OrderKey          string        // ordering key; "": none
@@ -66,15 +66,15 @@
 	Load   LoadReport
 }
 
-// ProgressKind is what a progress report says.
+// ProgressKind is the kind of a progress report.
 type ProgressKind uint8
 
 // The kinds of ProgressReported, with the meaning of its Value.
 const (
-	ProgressFraction ProgressKind = iota + 1 // rough share of the work that is done
-	ProgressSpilling                         // memory that is missing, MB
-	ProgressAwaitingMemory
-	ProgressAwaitingLoad
+	ProgressFraction       ProgressKind = iota + 1 // rough share of the work that is done
+	ProgressSpilling                               // memory that is missing, MB
+	ProgressAwaitingMemory                         // waits for memory; the value is ignored
+	ProgressAwaitingLoad                           // waits for a bulk load of its data set; the value is ignored
 )
 
 // ProgressReported is a progress report of an attempt in flight.
@@ -114,7 +114,7 @@
 	Engines []Engine
 }
 
-// EngineState is what the endpoint list says of an engine.
+// EngineState is the state of an engine in the endpoint list.
 type EngineState uint8
 
 // The states of an engine. EngineRemoved is the zero value, as the most cautious.
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -4,9 +4,9 @@
 	estimateWindow     = 50     // requests that estimates of work and ranks are averaged over
 	firstAnswerWindow  = 10     // answers that a class's figures are averaged over at first
 	maxAnswerWindow    = 50     // and later on
-	quickLatencyGrowth = 1.0005 // factor for each answer by which the quick latency forgets
+	quickLatencyGrowth = 1.0005 // growth of the quick latency with each answer: old minima fade
 	objectiveToUsual   = 3      // a latency objective over this is the usual latency before any answer
-	maxFailures        = 1      // errors of engines, beyond which the request itself is taken as faulty
+	maxFailures        = 1      // errors of engines beyond which the request itself is considered faulty
 	minRetryDivisor    = 4      // a retry needs the class's usual latency over this
 )
 
@@ -36,13 +36,13 @@
 	}
 }
 
-// learn takes from the end of an attempt what it says of the class and of the engine.
+// learn updates what is known of the attempt's class and engine from its end.
 func (b *Balancer) learn(a *attempt, ev AttemptEnded) {
 	e := a.engine
 	switch ev.Result {
 	case ResultServed:
 		b.learnServed(a, ev)
-	case ResultTimedOut: // it says nothing of the slowdown
+	case ResultTimedOut: // the slowdown is unknown
 		relativeLatency := milliseconds(ev.Elapsed) / a.request.latencyObjectiveMs()
 		e.observe(relativeLatency, e.slowdown)
 		b.fleet.observe(relativeLatency, b.fleet.slowdown)
@@ -72,7 +72,7 @@
 	c.observeMemory(req.estimatedMemoryMB, ev.MemoryMB, a.spilled)
 	e.faultRate = ewmaWeighted(e.faultRate, 0, faultWeight/2)
 	e.lastHeardAt, e.ejectedForFaults = b.now, false
-	b.onSignOfLife(a)
+	b.onActivity(a)
 	// An error may be the request's own fault, but not where another engine serves it.
 	for _, other := range req.attempts {
 		if other.failed && other.engine != e {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	silentIntervals       = 2.6  // progress intervals without word after which an attempt is silent
+	silentIntervals       = 2.6  // progress intervals without a report after which an attempt is silent
 	lostAnswerIntervals   = 2.2  // the same, while the engine reports others, after which its answer is lost
 	waitingLostIntervals  = 13.0 // the same for an attempt that waits, which is reported less often
 	stalledAfterLost      = 2    // answers of a class lost in a row after which it is stalled on an engine
 	overdueDeviations     = 3.0  // mean deviations of latency after which an attempt is overdue
 	faultWeight           = 0.4  // weight of a failed connection in the fault rate; of an error, half
-	ejectionFaultRate     = 0.6  // fault rate above which an engine is ejected: no stray error does it
+	ejectionFaultRate     = 0.6  // fault rate above which an engine is ejected: one error is not enough
 	overloadPeriods       = 4    // control periods for which an overloaded engine's bound applies
 	readmissionBoundShare = 0.25 // of its initial bound that a readmitted engine starts with
 )
 
-// silenceTimeout is the time without word after which an attempt is silent.
+// silenceTimeout is the time without a progress report after which an attempt is silent.
 func silenceTimeout(s *Settings) time.Duration {
 	timeout := time.Duration(silentIntervals * float64(s.ProgressInterval))
 	if s.ProgressInterval == 0 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// detectLostAnswer retries an attempt whose engine reports others and has long said nothing of it.
+// detectLostAnswer retries an attempt whose engine reports others but has long not reported this one.
 func (b *Balancer) detectLostAnswer(a *attempt) {
 	e, c, intervals := a.engine, a.request.class, lostAnswerIntervals
 	if a.waiting {
@@ -90,7 +90,7 @@
 	})
 }
 
-// detectOverdue stands in for progress reports where engines send none: an attempt in flight for longer
+// detectOverdue replaces progress reports where engines send none: an attempt in flight for longer
 // than the class's latencies usually vary is retried while a retry would meet the objective.
 func (b *Balancer) detectOverdue(a *attempt) {
 	req, inFlightMs := a.request, milliseconds(b.now-max(a.sentAt, b.resumedAt))
@@ -126,7 +126,7 @@
 	}
 }
 
-// probation lets an idle ejected engine have one idempotent request now and then.
+// probation permits an idle ejected engine one idempotent request every two silence timeouts.
 func (b *Balancer) probation(req *request, e *engine) bool {
 	retried, idle := len(req.attempts) > 0, len(e.inFlight) == 0
 	if req.class.Effect != Idempotent || !idle || retried || b.now < e.probationAt || !b.mayStart(req, e) {
@@ -136,8 +136,8 @@
 	return true
 }
 
-// onSignOfLife takes word of an attempt: neither its class nor its engine is stalled.
-func (b *Balancer) onSignOfLife(a *attempt) {
+// onActivity notes a progress report or answer of an attempt: neither its class nor its engine is stalled.
+func (b *Balancer) onActivity(a *attempt) {
 	delete(a.engine.lostAnswers, a.request.class)
 	b.readmit(a.engine)
 	b.withdrawRestart(a)
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -16,7 +16,7 @@
 	}
 	a.lastHeardAt, a.engine.lastHeardAt = b.now, b.now
 	a.waiting = ev.Kind == ProgressAwaitingMemory || ev.Kind == ProgressAwaitingLoad
-	b.onSignOfLife(a)
+	b.onActivity(a)
 	if ev.Kind == ProgressAwaitingLoad {
 		a.engine.datasetLoadingUntil[a.request.dataset] = b.now + 2*b.settings.ProgressInterval
 	}
@@ -36,14 +36,14 @@
 	}
 }
 
-// onStreamStarted takes word that an answer has begun.
+// onStreamStarted notes that an attempt's answer has begun.
 func (b *Balancer) onStreamStarted(ev StreamStarted) {
 	if a := b.attempt(ev.RequestID, ev.Attempt); a != nil {
 		a.streaming, a.engine.lastHeardAt = true, b.now
 	}
 }
 
-// onBlocked retries an attempt that waits on its engine elsewhere: for memory only once, as where two
+// onBlocked retries elsewhere an attempt that waits on its engine: for memory only once, since where two
 // engines lack memory a third is no better. A limited retry budget is for faults.
 func (b *Balancer) onBlocked(a *attempt, kind ProgressKind) {
 	req := a.request
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -4,6 +4,13 @@
 
 const fnvPrime = 0x100000001b3 // 64-bit FNV
 
+// The increment and multipliers of SplitMix64, which spread the bits of a hash.
+const (
+	splitMixIncrement   = 0x9e3779b97f4a7c15
+	splitMixMultiplier1 = 0xbf58476d1ce4e5b9
+	splitMixMultiplier2 = 0x94d049bb133111eb
+)
+
 // hashID hashes an engine's id for affinity.
 func hashID(id string) uint64 {
 	hash := uint64(0)
@@ -16,8 +23,8 @@
 // affinity is the rendezvous hash of an engine and a data set. All balancers
 // compute the same score, so they agree on the order of engines for a data set.
 func affinity(engineHash uint64, dataset int64) uint64 {
-	x := (engineHash ^ uint64(dataset)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
-	return (x ^ x>>29) * 0x94d049bb133111eb
+	mixed := (engineHash ^ uint64(dataset)*splitMixIncrement) * splitMixMultiplier1
+	return (mixed ^ mixed>>29) * splitMixMultiplier2
 }
 
 // nthHighest returns the nth highest score, counted from one, or zero where there
--- a/policy/request.go
+++ b/policy/request.go
@@ -22,19 +22,19 @@
 	answered          bool // it has its final answer
 }
 
-// attempt is one try of a request on an engine.
+// attempt is one execution of a request on an engine.
 type attempt struct {
 	request     *request
 	index       int // among the request's attempts
 	engine      *engine
 	sentAt      time.Duration
-	lastHeardAt time.Duration // latest progress report, or sentAt
+	lastHeardAt time.Duration // latest progress report; sentAt before the first
 	grantedMB   float64
 	ended       bool
 	mayHaveRun  bool // until its end tells otherwise
 	cancelled   bool
 	streaming   bool // its answer has begun
-	spilled     bool // it reported to lack memory
+	spilled     bool // it has reported a lack of memory
 	waiting     bool // its latest progress report said that it waits
 	failed      bool // the engine answered with an error
 	answerLost  bool // its answer was given up as lost
@@ -81,7 +81,7 @@
 // streamOpen tells whether the attempt's answer has begun and not ended.
 func (a *attempt) streamOpen() bool { return a.streaming && !a.ended }
 
-// observeSpill takes the first word that an attempt lacks memory: the class's grant
+// observeSpill takes the first report that an attempt lacks memory: the class's grant
 // factor rises halfway to the need, and by one step at least.
 func (a *attempt) observeSpill(missingMB float64) {
 	c, estimateMB := a.request.class, a.request.estimatedMemoryMB
--- a/policy/resources.go
+++ b/policy/resources.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// priority follows the request's worth for its work, one step for twice the mean: long requests lose little
-// where short ones overtake them. A bulk load blocks the readers of its data set, so it comes first.
+// priority rises by one step with each doubling of priority weight over expected work: long requests lose
+// little where short ones overtake them. A bulk load blocks the readers of its data set, so it comes first.
 func priority(req *request) int {
 	if req.class.BulkLoad {
 		return maxPriority
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -56,7 +56,7 @@
 	return b.atHead(req) && b.withinWarmupBudget(req, e)
 }
 
-// sharesDedup tells whether two engines drop each other's repeats of a key.
+// sharesDedup tells whether two engines drop repeats of each other's idempotency keys.
 func sharesDedup(scope DedupScope, x, y *engine) bool {
 	return x == y || scope == ScopeAll || scope == ScopeZone && x.zone == y.zone ||
 		scope == ScopeCell && x.cell == y.cell
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	datasetSpread    = 2.0                // engines near a data set for each engine's worth of its traffic
+	datasetSpread    = 2.0                // engines near a data set, for each one that its traffic fills
 	datasetPrior     = 2.0                // requests as which an unseen data set counts, among
 	priorDatasets    = 10                 // this many: popularity starts from an even distribution
 	popularityWindow = 256                // requests over which the popularity of data sets is counted
@@ -16,7 +16,7 @@
 )
 
 // selectEngine returns the engine with the most spare capacity that takes the request, or the reason why
-// none does: that of the engine which came nearest to taking it.
+// none does: the greatest of their reasons.
 func (b *Balancer) selectEngine(req *request) (best *engine, reason RejectReason) {
 	if !b.fleetHasCapacity(req) {
 		return nil, ReasonFleetLimit
@@ -92,7 +92,7 @@
 }
 
 // affinityCutoff is the least affinity that counts as near the data set, among the zone's ready engines: one
-// engine, and more in proportion to the data set's popularity, lest it crowd the same few.
+// engine, and more in proportion to the data set's popularity, so that a popular one doesn't crowd a few.
 func (b *Balancer) affinityCutoff(dataset int64) uint64 {
 	b.affinities = b.affinities[:0]
 	for _, e := range b.engines {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -110,7 +110,7 @@
 	Hedging        bool          // two attempts of a request at once are permitted
 	Cancel         bool          // CancelAttempt is permitted
 	HealthChecks   bool          // CheckHealth is permitted
-	RetryAfter     bool          // rejections state when to try again
+	RetryAfter     bool          // rejections state when to retry
 	MaxRetryAfter  time.Duration // the longest that clients honour
 	ConnectTimeout time.Duration // a failed connection attempt shows within this
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,10 +7,10 @@
 	warmupBudgetMargin = 0.7             // share of a warming engine's budget that is used
 	warmupBurst        = 0.5             // share of a window's budget that may be spent at once
 	warmupCostFactor   = 1.3             // expected work is charged this many times: estimates err
-	minDivisor         = 1e-9            // where an engine starts with its whole capacity
+	minDivisor         = 1e-9            // avoids a division by zero at full initial capacity
 )
 
-// startWarmup takes an engine as warming up. Unless it already is, its slot for large requests is drawn.
+// startWarmup treats an engine as warming up. Unless it already is, its slot for large requests is drawn.
 func (b *Balancer) startWarmup(e *engine, until time.Duration) {
 	if b.now >= e.warmupEndsAt {
 		e.budgetSpentUntil, e.warmupSeenAt = max(e.budgetSpentUntil, b.now), b.now
@@ -20,7 +20,7 @@
 }
 
 // withinWarmupBudget tells whether the request is within this balancer's share of a warming engine's budget.
-// One of more than a burst goes once in the windows that pay for it, from a random start.
+// A request above a burst is sent once in as many windows as it costs, from a random start.
 func (b *Balancer) withinWarmupBudget(req *request, e *engine) bool {
 	window := b.settings.Rules.OverloadWindow
 	switch {
@@ -65,7 +65,7 @@
 	return 1 - (1-b.settings.Rules.WarmupCapacity)*min(max(left, 0), 1)
 }
 
-// assumeRestart takes an engine as warming up once a connection failed: the list tells of restarts late.
+// assumeRestart treats an engine as warming up after a connection fault: the list reports restarts late.
 func (b *Balancer) assumeRestart(e *engine, result Result) {
 	if result == ResultConnectFailed {
 		e.restartAssumed = false
--- a/policy/state.go
+++ b/policy/state.go
@@ -14,7 +14,7 @@
 	totalQuota     float64       // requests a second, of all tenants
 	threadsPerCore float64       // load that an engine should hold at most
 	maxThreads     float64       // of the class with the most
-	silenceTimeout time.Duration // without word, after which an attempt is silent
+	silenceTimeout time.Duration // time without a progress report after which an attempt is silent
 
 	now        time.Duration
 	actions    []Action // of the event in hand
@@ -29,7 +29,7 @@
 	engines     []*engine   // in order of first sight
 	enginesByID map[string]*engine
 	requests    map[uint64]*request
-	queued      []*request // wait for earlier ones of their ordering key
+	queued      []*request // waiting for earlier ones of their ordering key
 	keyQueues   keyQueues
 	retryWindow retryWindow
 	traffic     trafficEstimate
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -4,8 +4,8 @@
 // the start on, so that the first observations count more.
 type trafficEstimate struct {
 	periods          int
-	arrivals         int     // first tries in the current control period
-	arrivalRate      float64 // first tries a second
+	arrivals         int     // requests in the current control period, without clients' retries
+	arrivalRate      float64 // the same, a second
 	ownInFlight      float64 // own requests in flight, per engine
 	reportedInFlight float64 // requests in flight that an engine reports, of all balancers
 	reports          float64 // load reports so far
