--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -43,7 +43,7 @@
 	}
 	frontEnd := httpserver.New(s.loop, s.dispatcher, httpserver.Options{
 		MaxClients:       limits.maxClients(),
-		MaxBufferedBytes: limits.memoryFraction(heldResultsDivisor),
+		MaxBufferedBytes: limits.memoryFraction(bufferedResultsDivisor),
 		Estimator:        s.shapes,
 	}, s.counters)
 	s.frontEnd = frontEnd
@@ -80,7 +80,10 @@
 // watchEventBus follows the event bus from the last event that the configuration knows.
 // A reload moves the watcher to the event bus that the file names by then.
 func (s *server) watchEventBus(settings *config.Config, configPath string) {
-	watcher := eventbus.New(s.loop, settings.EventBus, settings.LastEvent, settings.Settings.Zones, settings.Settings.Kinds, s.dispatcher, s.counters, s.logger)
+	watcher := eventbus.New(
+		s.loop, settings.EventBus, settings.LastEvent, settings.Settings.Zones, settings.Settings.Kinds,
+		s.dispatcher, s.counters, s.logger,
+	)
 	if grace := settings.Settings.Policy.Rules.DrainGrace; grace > 0 {
 		// An engine that starts draining must be seen well within its grace period.
 		watcher.MaxBackoff = grace / 2
--- a/cmd/flaxrelay/limits.go
+++ b/cmd/flaxrelay/limits.go
@@ -24,13 +24,13 @@
 // garbage collector.
 const (
 	loopBufferDivisor      = 6 // read buffers of all connections of the event loop
-	heldResultsDivisor     = 8 // HTTP results that wait for their next page to be fetched
+	bufferedResultsDivisor = 8 // HTTP results that wait for their next page to be fetched
 	openPortalsDivisor     = 6 // rows in open portals of PostgreSQL clients
 	engineBufferDivisor    = 4 // results of PostgreSQL engines that no client has read yet
 	shapeStatisticsDivisor = 4 // the most that query shape statistics may be configured to take
 )
 
-// The part of the memory limit at which the garbage collector starts to work against
+// The part of the memory limit from which the garbage collector bounds
 // the heap's growth: well below the limit, as buffers outside the heap count too.
 const (
 	heapLimitTenths = 6
@@ -55,7 +55,7 @@
 // maxProcessors is more than one even on one core, as the poller's wait holds one.
 const maxProcessors = 3
 
-// resourceLimits are the limits of the process as configured; 0 or less stands for the
+// resourceLimits are the limits of the process as configured; 0 or less selects the
 // default.
 type resourceLimits struct {
 	memoryMB    int
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -1,5 +1,5 @@
 // Command flaxrelay is a layer-7 proxy with admission control between query clients
-// and engines: it accepts requests, has the policy module decide where each one runs,
+// and engines: it accepts requests, lets package policy decide where each one runs,
 // and relays the answers.
 //
 // Without a command it serves the platform's HTTP protocol as its configuration says
--- a/cmd/flaxrelay/reload.go
+++ b/cmd/flaxrelay/reload.go
@@ -9,7 +9,7 @@
 	}
 	if err := s.reload(); err != nil {
 		s.counters.Increment("reload.failed")
-		s.logger.Warn("reload.failed", "error", err, "then", "the old file holds")
+		s.logger.Warn("reload.failed", "error", err, "effect", "the old file holds")
 		return
 	}
 	s.counters.Increment("reload.completed")
--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -48,7 +48,7 @@
 	// Hysteresis is the factor by which an estimate must pass the bound between two
 	// classes before a bucket changes its class. It is at least 1, which means none.
 	Hysteresis float64
-	// These switch off parts of the model, to measure what each is worth.
+	// These switch off parts of the model, to measure what each contributes.
 	NoParameters, NoPrior, NoForgetting, NoHint bool
 }
 
@@ -60,7 +60,7 @@
 	cfg   Config
 	prior *prior
 	state
-	noErrors Tracker // stands for a tracker that has seen no errors
+	noErrors Tracker // used in place of a tracker without errors
 }
 
 // New returns a model that has learned nothing yet.
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -65,7 +65,7 @@
 }
 
 // adjust corrects a component by the tracked errors and raises its deviation to theirs.
-// Where too few errors are known, the atypicality stands for them.
+// Where too few errors are known, the atypicality takes their place.
 func (t *Tracker) adjust(c *Component, atypicality float64) {
 	switch {
 	case c.Samples == 0:
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// find returns the statistics of a key, or nil. Key 0 stands for no value.
+// find returns the statistics of a key, or nil. Key 0 means no value.
 func (s *spaceSaving) find(key uint64) *valueStatistics {
 	if key == 0 {
 		return nil
--- a/internal/decision/costmodel/state.go
+++ b/internal/decision/costmodel/state.go
@@ -32,7 +32,7 @@
 	Memory          Tracker `cbor:"Memory"`
 }
 
-// knownClasses is how many classes have statistics of their own; the last stands for all
+// knownClasses is how many classes have statistics of their own; the last is shared by all
 // further classes and for executions without one.
 const knownClasses = 5
 
--- a/internal/discovery/consul/client.go
+++ b/internal/discovery/consul/client.go
@@ -16,7 +16,7 @@
 const (
 	// maxResponseSize bounds the body of a response, in bytes.
 	maxResponseSize = 8 << 20
-	// queryWait is how long a blocking query asks Consul to wait for a change.
+	// queryWait is the wait parameter of a blocking query: how long Consul waits for a change.
 	queryWait = 30 * time.Second
 	// queryWaitMargin is how much longer than queryWait a response may take: Consul adds
 	// some jitter to the wait.
--- a/internal/discovery/consul/reconcile.go
+++ b/internal/discovery/consul/reconcile.go
@@ -45,8 +45,10 @@
 }
 
 // changedEndpoints returns the engines that are new or differ from before, and as removed
-// those that are gone, in the order of their ids. It also returns the list as a map.
-func changedEndpoints(before map[string]lifecycle.Endpoint, list []lifecycle.Endpoint) (changes []lifecycle.Endpoint, now map[string]lifecycle.Endpoint) {
+// those that are missing, in the order of their ids. It also returns the list as a map.
+func changedEndpoints(
+	before map[string]lifecycle.Endpoint, list []lifecycle.Endpoint,
+) (changes []lifecycle.Endpoint, now map[string]lifecycle.Endpoint) {
 	now = make(map[string]lifecycle.Endpoint, len(list))
 	for _, engine := range list {
 		now[engine.ID] = engine
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -35,8 +35,8 @@
 	Kind    string // of engines whose metadata name none
 }
 
-// Watcher follows one service: the catalogue tells which engines are registered and
-// where, the health API whether they take requests. Its state belongs to the sink's
+// Watcher follows one service: the catalogue lists which engines are registered and
+// where, the health API whether they accept requests. Its state belongs to the sink's
 // goroutine; the queries run on two goroutines of their own, whose results are posted.
 type Watcher struct {
 	post     func(func()) // runs a function on the sink's goroutine
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -60,7 +60,7 @@
 	log      *slog.Logger
 
 	addr        string
-	lastEvent   uint64 // number of the last event taken
+	lastEvent   uint64 // number of the last event processed
 	backoff     discovery.Backoff
 	idleTimeout time.Duration
 
@@ -72,9 +72,12 @@
 	idleTimer  *timerqueue.Timer // ends a connection that brings no frame
 }
 
-// New returns a watcher that asks for the events after the one numbered lastEvent. Zones
+// New returns a watcher that requests the events after the one numbered lastEvent. Zones
 // and kinds are the lists of the settings that records refer to by index.
-func New(loop *eventloop.Loop, addr string, lastEvent uint64, zones, kinds []string, sink discovery.Sink, counters *metrics.Counters, log *slog.Logger) *Watcher {
+func New(
+	loop *eventloop.Loop, addr string, lastEvent uint64, zones, kinds []string,
+	sink discovery.Sink, counters *metrics.Counters, log *slog.Logger,
+) *Watcher {
 	return &Watcher{
 		MaxBackoff:  defaultMaxBackoff,
 		loop:        loop,
@@ -95,21 +98,21 @@
 	w.connect()
 }
 
-// MoveTo goes over to the bus at another address and asks it for the events after the
-// last one taken. Where the address is the same, it connects anew only if there is no
+// MoveTo switches to the bus at another address and requests the events after the last
+// one processed. Where the address is the same, it connects anew only if there is no
 // connection.
 func (w *Watcher) MoveTo(addr string) {
 	if w.state == stateStopped || addr == w.addr && w.state == stateConnected {
 		return
 	}
-	w.log.Info("eventbus.moved", "from", w.addr, "to", addr, "after", w.lastEvent)
+	w.log.Info("eventbus.moved", "from", w.addr, "to", addr, "last_event", w.lastEvent)
 	w.disconnect()
 	w.addr = addr
 	w.backoff.Reset()
 	w.connect()
 }
 
-// Stop ends the connection for good.
+// Stop ends the connection and all further attempts.
 func (w *Watcher) Stop() {
 	w.disconnect()
 	w.state = stateStopped
@@ -147,9 +150,9 @@
 	})
 }
 
-// dialed takes the result of a dial.
+// dialed handles the result of a dial.
 func (w *Watcher) dialed(attempt int, c *eventloop.Conn, err error) {
-	if w.state != stateDialing || attempt != w.attempt { // it is stale, or none is wanted
+	if w.state != stateDialing || attempt != w.attempt { // the dial is stale, or the watcher has stopped
 		if err == nil {
 			c.Close()
 		}
@@ -165,8 +168,8 @@
 	w.restartIdleTimer()
 }
 
-// restartIdleTimer waits for the next frame. It protects against a bus that vanishes: its
-// connection would stay open for ever.
+// restartIdleTimer bounds the wait for the next frame. It protects against a bus that
+// vanishes without closing the connection, which would stay open forever.
 func (w *Watcher) restartIdleTimer() {
 	w.idleTimer.Stop()
 	w.idleTimer = w.loop.Timers.Schedule(w.loop.Now()+w.idleTimeout, func() {
@@ -192,7 +195,7 @@
 	w.retryTimer = w.loop.Timers.Schedule(w.loop.Now()+delay, w.connect)
 }
 
-// OnData takes the complete frames. The sink may move or stop the watcher meanwhile,
+// OnData processes the complete frames. The sink may move or stop the watcher meanwhile,
 // which ends the connection.
 func (w *Watcher) OnData(c *eventloop.Conn, in *eventloop.Buffer) {
 	for c == w.conn {
@@ -211,7 +214,7 @@
 	}
 }
 
-// OnClosed connects anew.
+// OnClosed schedules the next attempt to connect.
 func (w *Watcher) OnClosed(c *eventloop.Conn, err error) {
 	if c != w.conn {
 		return
@@ -223,7 +226,7 @@
 	w.retry(err)
 }
 
-// take notifies the sink of a frame's event, unless it has been taken before: the bus
+// take notifies the sink of a frame's event, unless it was processed before: the bus
 // may repeat events after a reconnection.
 func (w *Watcher) take(f frame) error {
 	w.backoff.Reset()
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,5 +1,5 @@
 // Package engine holds what the engine clients of all protocols share: the engines
-// of the endpoint list, the connections to each, and the life of one connection
+// of the endpoint list, the connections to each, and the state of one connection
 // from its dial to its end.
 package engine
 
@@ -25,10 +25,10 @@
 	// MessageTimeout bounds the time from the first bytes of an incomplete message to
 	// its last; 0: unbounded.
 	MessageTimeout time.Duration
-	// LogDialErrors has failed dials logged, other than refused ones.
+	// LogDialErrors enables a log event for each failed dial, other than refused ones.
 	LogDialErrors bool
-	// AbortOnProtocolError drops what has not been sent yet on a connection that ends
-	// with a protocol error.
+	// AbortOnProtocolError discards unsent data when a connection ends with a protocol
+	// error.
 	AbortOnProtocolError bool
 }
 
@@ -70,9 +70,9 @@
 	return engine
 }
 
-// MakeRoom reports whether one more connection may be dialed where there may be limit
-// of them (0: unbounded). At the limit it evicts the least recently used idle one.
-func (c *Client[P]) MakeRoom(limit int) bool {
+// EnsureCapacity reports whether one more connection may be dialed within the limit (0:
+// unbounded). At the limit it evicts the least recently used idle connection.
+func (c *Client[P]) EnsureCapacity(limit int) bool {
 	if limit <= 0 || len(c.accepting) < limit {
 		return true
 	}
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -25,7 +25,7 @@
 	HandleClosed(status lifecycle.AttemptStatus)
 }
 
-// State is where a connection stands between its dial and its end.
+// State is the state of a connection between its dial and its end.
 type State uint8
 
 // The states of a connection, in their order.
@@ -34,7 +34,7 @@
 	StateStartup              // the socket is connected, and the protocol's startup is under way
 	StateOpen                 // requests can be written
 	StateClosing              // closed from this side; the event loop has not confirmed it yet
-	StateClosed               // the socket is gone
+	StateClosed               // the socket is closed
 )
 
 // Connection is one connection to an engine, from the start of its dial to its end.
@@ -71,17 +71,17 @@
 // Draining reports whether the connection accepts no new attempts.
 func (c *Connection[P]) Draining() bool { return c.draining }
 
-// Write sends b, and is false if the connection has ended. The connection must be
+// Write sends b and reports whether the connection still took it. The connection must be
 // connected.
 func (c *Connection[P]) Write(b []byte) bool { return c.socket.Write(b) }
 
-// MarkOpen notes that the startup is over.
+// MarkOpen records that the startup is complete.
 func (c *Connection[P]) MarkOpen() { c.state = StateOpen }
 
-// MarkUsed notes that an attempt has begun or ended.
+// MarkUsed records that an attempt has begun or ended.
 func (c *Connection[P]) MarkUsed() { c.lastUsed = c.client.Dispatcher.Now() }
 
-// StopAccepting has the connection accept no new attempts.
+// StopAccepting marks the connection as draining: it accepts no new attempts.
 func (c *Connection[P]) StopAccepting() {
 	c.draining = true
 	delete(c.client.accepting, c)
@@ -112,7 +112,7 @@
 	c.state, c.closeStatus = StateClosing, status
 }
 
-// OnClosed is the event loop's word that the socket is closed, by either side.
+// OnClosed handles the end of the socket, whichever side closed it. The event loop calls it.
 func (c *Connection[P]) OnClosed(*eventloop.Conn, error) {
 	status := c.closeStatus
 	switch {
@@ -125,7 +125,7 @@
 	c.ended(status)
 }
 
-// ended takes the connection out of the pool and ends its attempts.
+// ended removes the connection from the pool and ends its attempts.
 func (c *Connection[P]) ended(status lifecycle.AttemptStatus) {
 	c.StopAccepting()
 	c.state, c.socket = StateClosed, nil
--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -76,7 +76,7 @@
 	return listener
 }
 
-func TestMakeRoom_EvictsTheLeastRecentlyUsedIdleConnection(t *testing.T) {
+func TestEnsureCapacity_EvictsTheLeastRecentlyUsedIdleConnection(t *testing.T) {
 	client := newFakeClient()
 	dialing := newFakeConnection(client, StateDialing)
 	busy := newFakeConnection(client, StateOpen)
@@ -85,16 +85,16 @@
 	recent.lastUsed = 2 * time.Second
 	leastRecent := newFakeConnection(client, StateOpen)
 	leastRecent.lastUsed = time.Second
-	if !client.MakeRoom(0) || !client.MakeRoom(5) || leastRecent.retired {
+	if !client.EnsureCapacity(0) || !client.EnsureCapacity(5) || leastRecent.retired {
 		t.Error("a connection was evicted below the limit")
 	}
-	if !client.MakeRoom(4) || !leastRecent.retired || dialing.retired || busy.retired || recent.retired {
+	if !client.EnsureCapacity(4) || !leastRecent.retired || dialing.retired || busy.retired || recent.retired {
 		t.Error("the least recently used idle connection is not the one that was evicted")
 	}
 	recent.StopAccepting()
 	leastRecent.StopAccepting()
-	if client.MakeRoom(2) {
-		t.Error("there is room where no connection is idle")
+	if client.EnsureCapacity(2) {
+		t.Error("there is capacity where no connection is idle")
 	}
 }
 
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -5,7 +5,7 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-// Dial starts a connection to the engine. The protocol's part is what embeds it.
+// Dial starts a connection to the engine. The protocol is the type that embeds c.
 func (c *Connection[P]) Dial(client *Client[P], engine *Engine[P], protocol P) {
 	c.client, c.engine, c.protocol = client, engine, protocol
 	engine.Connections = append(engine.Connections, protocol)
@@ -14,7 +14,7 @@
 	client.Loop.Dial(engine.Address, client.options.ConnectTimeout, client.options.ReadBufferBytes, c, c.dialed)
 }
 
-// dialed takes the outcome of the dial.
+// dialed handles the outcome of the dial.
 func (c *Connection[P]) dialed(socket *eventloop.Conn, err error) {
 	if err == nil {
 		c.socket, c.state = socket, StateStartup
--- a/internal/engine/framing.go
+++ b/internal/engine/framing.go
@@ -10,7 +10,7 @@
 // ErrMessageTimeout is the protocol error of a message whose rest does not come in time.
 var ErrMessageTimeout = errors.New("a message stalled or took too long")
 
-// OnData has the protocol read every complete message of the buffer.
+// OnData passes every complete message of the buffer to the protocol.
 func (c *Connection[P]) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for c.state != StateClosing {
 		length, err := c.protocol.HandleMessage(in.Bytes())
--- a/internal/engine/idle.go
+++ b/internal/engine/idle.go
@@ -7,8 +7,8 @@
 	if timeout <= 0 {
 		return
 	}
-	// A connection whose attempt has been running for longer is looked at again after
-	// one more timeout, not at once.
+	// A connection whose attempt has been running for longer is checked again after one
+	// more timeout, not at once.
 	from := max(c.lastUsed, c.client.Dispatcher.Now()-timeout)
 	c.client.Loop.Timers.Schedule(from+timeout, c.checkIdle)
 }
--- a/internal/engine/lineclient/client.go
+++ b/internal/engine/lineclient/client.go
@@ -38,7 +38,7 @@
 
 	shared     *engine.Client[*connection]
 	maxStreams int  // of one connection
-	sendCancel bool // the settings permit to cancel what runs
+	sendCancel bool // the settings permit to cancel running requests
 }
 
 // New returns a client that reports to the dispatcher.
@@ -76,7 +76,7 @@
 	}
 	conn := c.findConnection(target, attempt.Request.ID)
 	if conn == nil {
-		if !c.shared.MakeRoom(c.MaxConnections) {
+		if !c.shared.EnsureCapacity(c.MaxConnections) {
 			c.shared.Dispatcher.EndAttempt(attempt, lifecycle.StatusNoDescriptor, lifecycle.AttemptReport{})
 			return
 		}
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Abandon gives an attempt up. Its engine is told where the settings permit a cancel; a
-// result whose pages are being fetched is no work any more, and is released in any case.
+// Abandon gives an attempt up. Its engine gets a cancel where the settings permit it; a
+// result whose pages are being fetched takes no more work, and is always released.
 func (c *Client) Abandon(attempt *lifecycle.Attempt) {
 	if s, ok := attempt.ClientData.(*stream); ok {
 		s.conn.abandon(s)
--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -55,7 +55,7 @@
 }
 
 // has reports whether the stream is still on the connection: the end of one attempt
-// may have the dispatcher give up another.
+// may make the dispatcher give up another.
 func (c *connection) has(s *stream) bool { return c.streams[s.attempt.Request.ID] == s }
 
 // streamsInStartOrder lists the streams in the order in which their attempts
@@ -72,7 +72,7 @@
 // InFlight returns the number of attempts on the connection.
 func (c *connection) InFlight() int { return len(c.streams) }
 
-// Retire has the connection accept no new attempts, and close once it has none.
+// Retire makes the connection accept no new attempts and close once it has none.
 func (c *connection) Retire() {
 	c.StopAccepting()
 	c.closeIfDrained()
--- a/internal/engine/lineclient/fields.go
+++ b/internal/engine/lineclient/fields.go
@@ -44,8 +44,8 @@
 // unreported is the value of a load that the engine does not report.
 const unreported = -1
 
-// loadReport reads the engine's load report. Engines name its values by the words of
-// the settings or by those of the wire.
+// loadReport reads the engine's load report. Engines use either the names of the
+// settings or those of the wire protocol.
 func (f fieldList) loadReport() policy.LoadReport {
 	report := policy.LoadReport{
 		CPUShare: unreported, InFlight: unreported, Queued: unreported, MemoryShare: unreported, DiskShare: unreported,
@@ -89,10 +89,10 @@
 	progressAwaiting = "w" // the statement waits for a resource
 )
 
-// awaitingLoad is the number of a wait for the load of data; any other is one for memory.
+// awaitingLoad is the number of a wait for a bulk load; any other is a wait for memory.
 const awaitingLoad = 2
 
-// progress reads what a progress response says, if it says anything.
+// progress reads the kind and value of a progress response; ok is false where it has none.
 func (f fieldList) progress() (kind policy.ProgressKind, value float64, ok bool) {
 	resource, _ := f.value("res")
 	value, ok = f.number("num")
--- a/internal/engine/lineclient/pages.go
+++ b/internal/engine/lineclient/pages.go
@@ -29,9 +29,9 @@
 	errResultTooLarge = errors.New("a result is larger than the protocol permits")
 )
 
-// handleResult takes the first page and requests the others. No row is passed on before
-// all pages are here: pages lost with their engine are then the end of one attempt, and
-// another may still serve the client.
+// handleResult stores the first page and requests the others. No row is passed on before
+// all pages have arrived: where pages are lost with their engine only the attempt fails,
+// and another may still serve the client.
 func (c *connection) handleResult(s *stream, r response) error {
 	if s.pages != nil {
 		c.client.shared.Counters.Increment("engine-connections.duplicate-responses")
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// handlePage takes a page past the first.
+// handlePage stores a page past the first.
 func (c *connection) handlePage(s *stream, r response) error {
 	text, _ := r.fields.value("batch")
 	page, err := strconv.Atoi(text)
--- a/internal/engine/lineclient/requests.go
+++ b/internal/engine/lineclient/requests.go
@@ -42,7 +42,7 @@
 	return append(b, lineEnd...)
 }
 
-// cancelCommand encodes the wish to end a request that may be running.
+// cancelCommand encodes the cancellation of a request that may be running.
 func cancelCommand(id string) []byte { return []byte(commandCancel + id + lineEnd) }
 
 // releaseCommand encodes that no more pages of a result will be fetched.
--- a/internal/engine/lineclient/responses.go
+++ b/internal/engine/lineclient/responses.go
@@ -6,18 +6,18 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-// The words by which a response says what it is.
+// The kinds of response, as the second word of the first line names them.
 const (
 	wordProgress       = "TELL"  // the request is running or waits at the engine
 	wordResult         = "DONE"  // the first page of a result
 	wordPage           = "MORE"  // a page past the first
 	wordOverloaded     = "WAIT"  // the engine shed the request
 	wordError          = "BROKE" // the request failed
-	wordDeadlinePassed = "PAST"  // the request's time was over before it ran
-	wordFit            = "FIT"   // is of no concern to this client
+	wordDeadlinePassed = "PAST"  // the request's deadline passed before it ran
+	wordFit            = "FIT"   // ignored by this client
 )
 
-// HandleMessage takes the first response of in.
+// HandleMessage handles the first response of in.
 func (c *connection) HandleMessage(in []byte) (length int, err error) {
 	r, length, err := parseResponse(in)
 	if err != nil || length == 0 {
@@ -26,7 +26,7 @@
 	return length, c.handleResponse(r)
 }
 
-// handleResponse takes one response. One to a request that was given up is ignored.
+// handleResponse handles one response. One to a request that was given up is ignored.
 func (c *connection) handleResponse(r response) error {
 	s := c.streams[r.requestID]
 	if s == nil {
--- a/internal/engine/lineclient/stream.go
+++ b/internal/engine/lineclient/stream.go
@@ -4,19 +4,19 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-// stream is one attempt on a connection, with the part of its result that has come.
+// stream is one attempt on a connection, with the part of its result that has arrived.
 type stream struct {
 	attempt      *lifecycle.Attempt
 	conn         *connection
 	written      bool
-	pages        Rows // nil until the first page is here
+	pages        Rows // nil until the first page has arrived
 	missingPages int
-	resultBytes  int // of the pages that are here
+	resultBytes  int // of the pages that have arrived
 	report       lifecycle.AttemptReport
 }
 
 // fetchingPages reports whether the result is complete at the engine and some of its
-// pages are not here yet.
+// pages have not arrived yet.
 func (s *stream) fetchingPages() bool { return s.missingPages > 0 }
 
 // writeRequest writes the attempt's request, or ends the attempt if that can't be done.
--- a/internal/engine/pgclient/cancel.go
+++ b/internal/engine/pgclient/cancel.go
@@ -11,7 +11,7 @@
 // cancelTimeout bounds the dial of a connection for a CancelRequest.
 const cancelTimeout = time.Second
 
-// cancel closes the connection and has the engine end the query that runs on it.
+// cancel closes the connection and requests the engine to cancel the query that runs on it.
 func (c *connection) cancel() {
 	shared := c.client.shared
 	shared.Counters.Increment("engine-connections.cancel-requests")
@@ -29,7 +29,7 @@
 	})
 }
 
-// discardHandler ignores all that comes on a connection.
+// discardHandler discards everything received on a connection.
 type discardHandler struct{}
 
 // OnData discards what was read.
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -29,7 +29,7 @@
 	defaultBufferedBytes = 48 << 20
 )
 
-// Options say how engines are spoken to.
+// Options configure the connections to engines.
 type Options struct {
 	User, Database   string
 	ConnectTimeout   time.Duration // for the connection and its startup together
@@ -103,8 +103,8 @@
 	return conn
 }
 
-// Abandon gives an attempt up. Where its query was written, the engine is told on a
-// connection of its own, and the attempt's connection is not used again: the cancel
+// Abandon gives an attempt up. Where its query was written, a cancel request is sent on a
+// separate connection, and the attempt's connection is not used again: the cancel
 // request could arrive late and end whatever ran there next.
 func (c *Client) Abandon(attempt *lifecycle.Attempt) {
 	conn := connectionOf(attempt)
--- a/internal/engine/pgclient/connection.go
+++ b/internal/engine/pgclient/connection.go
@@ -20,14 +20,14 @@
 	exchange        exchange
 }
 
-// queryState is how far a query has come.
+// queryState is the progress of a query.
 type queryState uint8
 
 // The states of a query, in their order.
 const (
 	queryPending queryState = iota // not written yet
 	queryWritten                   // written; nothing of it has run as far as is known
-	queryBound                     // BindComplete has come: the statement may be running
+	queryBound                     // BindComplete has arrived: the statement may be running
 )
 
 // exchange is one query with its response. Without an attempt the connection is idle,
@@ -41,7 +41,7 @@
 	// gives none.
 	parsedName    string
 	result        *pgproto.Result // nil where there is no attempt
-	complete      bool            // CommandComplete or EmptyQueryResponse has come
+	complete      bool            // CommandComplete or EmptyQueryResponse has arrived
 	errorResponse *pgproto.Error  // the latest; nil: none
 }
 
@@ -61,7 +61,7 @@
 	return 1
 }
 
-// Retire has the connection accept no new attempts, and close once it has none.
+// Retire makes the connection accept no new attempts and close once it has none.
 func (c *connection) Retire() {
 	c.StopAccepting()
 	c.closeIfDrained()
--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -17,7 +17,7 @@
 	errIncompleteResponse = errors.New("a response ends without a CommandComplete")
 )
 
-// phase is a part of a connection's life in which only some messages may come.
+// phase is a part of a connection's lifetime in which only some messages are valid.
 type phase string
 
 const (
@@ -87,7 +87,7 @@
 }
 
 // errorStatus returns how the engine's error ends the attempt. Where a statement may run
-// only once, an engine that ran out of resources may have done some of it for good
+// only once, an engine that ran out of resources may have done some of it permanently
 // outside its transaction (a sequence, say): no other engine is tried.
 func (c *connection) errorStatus(statement *pgproto.Statement) lifecycle.AttemptStatus {
 	status := statusOf(c.exchange.errorResponse.Code)
@@ -98,7 +98,7 @@
 	return status
 }
 
-// handleError takes an ErrorResponse. What it means to the attempt is decided at the
+// handleError handles an ErrorResponse. What it means for the attempt is decided at the
 // end of the response, unless the engine ends the connection on it.
 func (c *connection) handleError(body []byte) error {
 	response, err := pgproto.ParseError(body)
--- a/internal/engine/pgclient/messages.go
+++ b/internal/engine/pgclient/messages.go
@@ -36,7 +36,7 @@
 	kindEmptyQueryResponse   = 'I'
 )
 
-// HandleMessage takes the first message of in.
+// HandleMessage handles the first message of in.
 func (c *connection) HandleMessage(in []byte) (length int, err error) {
 	kind, body, length, err := pgproto.ParseMessage(in, maxMessageBytes)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return length, c.handle(kind, body, in[:length])
 }
 
-// handle takes one message; whole is the message with its kind and length.
+// handle handles one message; whole is the message with its kind and length.
 func (c *connection) handle(kind byte, body, whole []byte) error {
 	switch kind {
 	case kindNoticeResponse, kindParameterStatus, kindNotificationResponse:
@@ -70,7 +70,7 @@
 // transactionIdle is the body of a ReadyForQuery outside a transaction.
 const transactionIdle = "I"
 
-// handleReady takes a ReadyForQuery: the startup or a response is over.
+// handleReady handles a ReadyForQuery: the startup or a response is complete.
 func (c *connection) handleReady(body []byte) error {
 	switch {
 	case string(body) != transactionIdle:
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -11,7 +11,7 @@
 // Pooled is a connection that a Pool holds, from the start of its dial.
 type Pooled interface {
 	comparable
-	// Retire has the connection accept no new attempts, and close once it has none in flight.
+	// Retire makes the connection accept no new attempts and close once none is in flight.
 	Retire()
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// remove takes out a connection that has ended.
+// remove removes a connection that has ended.
 func (e *Engine[C]) remove(connection C) {
 	e.Connections = slices.DeleteFunc(e.Connections, func(other C) bool { return other == connection })
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -18,7 +18,7 @@
 	OnClosed(c *Conn, err error)
 }
 
-// connState is how far the end of a connection has come. The loop's goroutine alone
+// connState is the state of a connection between open and closed. The loop's goroutine alone
 // changes it; the poller's reads it to know what to do with received bytes.
 type connState int32
 
@@ -31,7 +31,7 @@
 	// connLingering: CloseAfterLinger was called. Pending writes are sent; nothing more
 	// is read.
 	connLingering
-	// connClosed: the connection has ended, and the handler has been told.
+	// connClosed: the connection has ended, and the handler has been notified.
 	connClosed
 )
 
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -85,8 +85,8 @@
 
 // convert makes an accepted connection nbio's, for which it takes a second descriptor
 // for a moment, and returns nil where it can't. Where the first was the last, it waits
-// for another before the next connection is accepted: closing this one would turn a
-// client away, and accepting more would leave no descriptor for any.
+// for another before the next connection is accepted: closing this one would reject a
+// client, and accepting more would leave no descriptor for any.
 func convert(conn net.Conn) *nbio.Conn {
 	for range maxConvertAttempts {
 		socket, err := nbio.NBConn(conn)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -45,7 +45,7 @@
 	readBuffer  []byte // for reads that the loop resumes itself
 	connections map[*Conn]struct{}
 	stopped     bool
-	finished    []func() // the functions of the latest turn; its memory is used again
+	recycled    []func() // backing array of the latest turn's functions, for reuse
 
 	wakeUp chan struct{} // holds a value while posted functions wait
 	mu     sync.Mutex
@@ -76,7 +76,7 @@
 // at the system's time and is monotonic from there. It may be called from any goroutine.
 func (l *Loop) Now() time.Duration { return l.startedAtUnix + time.Since(l.startedAt) }
 
-// Post has f called on the loop's goroutine, after all functions posted before it. It
+// Post schedules f to run on the loop's goroutine, after all functions posted before it. It
 // may be called from any goroutine.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// Run turns until Stop. Each turn runs the posted functions and then the timers that
+// Run runs turns of the loop until Stop. Each turn runs the posted functions and then the timers that
 // are due. At the end it closes all connections and the poller.
 func (l *Loop) Run() {
 	wakeTimer := time.NewTimer(maxIdleWait)
@@ -105,17 +105,17 @@
 }
 
 // runPosted runs what was posted before this turn. What these functions post waits for
-// the next one, so that timers are not held up.
+// the next one, so that timers are not delayed.
 func (l *Loop) runPosted() {
 	l.mu.Lock()
 	work := l.posted
-	l.posted = l.finished[:0]
+	l.posted = l.recycled[:0]
 	l.mu.Unlock()
 	for i, f := range work {
 		f()
 		work[i] = nil
 	}
-	l.finished = work[:0]
+	l.recycled = work[:0]
 }
 
 // wait returns once a function is posted or the next timer is due.
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -63,7 +63,7 @@
 	if total <= c.loop.BufferBudget || c.in.Len() <= readSize {
 		return true
 	}
-	c.releaseBuffer() // at once: other connections need the room
+	c.releaseBuffer() // at once: other connections need the memory
 	_ = c.socket.CloseWithError(errBufferBudgetExceeded)
 	return false
 }
@@ -78,12 +78,12 @@
 	return c.readLimit
 }
 
-// LimitReadAhead keeps what is read ahead small while the handler consumes nothing, as
-// during a client's open request. Redeliver must be called after it is lifted.
+// LimitReadAhead bounds what is read ahead while the handler consumes nothing, as during a
+// client's request in flight. Redeliver must be called after the limit is lifted.
 func (c *Conn) LimitReadAhead(on bool) { c.readAheadLimited.Store(on) }
 
-// Redeliver has OnData called once more, on a later turn, for what an earlier call left
-// in the buffer.
+// Redeliver schedules another call of OnData, on a later turn, for what an earlier call
+// left in the buffer.
 func (c *Conn) Redeliver() { c.loop.Post(c.deliver) }
 
 // deliver hands the buffer to the handler, and resumes a read that waits for room.
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -2,7 +2,7 @@
 
 // Write sends data, or queues what the socket does not take at once. It returns false
 // where the connection is closing or has ended; nothing of data was sent then, and
-// OnClosed tells the reason.
+// OnClosed reports the reason.
 func (c *Conn) Write(data []byte) bool {
 	if c.loadState() != connOpen {
 		return false
@@ -18,7 +18,7 @@
 // PendingWrite returns the number of bytes that wait to be sent.
 func (c *Conn) PendingWrite() int { return int(c.pendingWrite.Load()) }
 
-// OnFlushed has f called on a later turn, once nothing waits to be sent.
+// OnFlushed schedules f to run on a later turn, once nothing waits to be sent.
 func (c *Conn) OnFlushed(f func()) {
 	c.onFlushed = f
 	c.flushAwaited.Store(true)
--- a/internal/frontend/clientconn/listener.go
+++ b/internal/frontend/clientconn/listener.go
@@ -13,7 +13,9 @@
 
 // Listen accepts connections at the address. At most maxConnections are open at once
 // (0: no limit); readLimit bounds the unread bytes of each.
-func Listen(loop *eventloop.Loop, address string, readLimit, maxConnections int, accept func(*eventloop.Conn) eventloop.Handler) (Listener, error) {
+func Listen(
+	loop *eventloop.Loop, address string, readLimit, maxConnections int, accept func(*eventloop.Conn) eventloop.Handler,
+) (Listener, error) {
 	listener, err := loop.Listen(address, readLimit, maxConnections, accept)
 	return Listener{listener: listener}, err
 }
--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -15,7 +15,7 @@
 // no more of its requests are read.
 const maxPendingWrite = 256 << 10
 
-// connectionState is where a connection stands between two requests of its client.
+// connectionState is the state of a connection with regard to its client's requests.
 type connectionState uint8
 
 const (
--- a/internal/frontend/httpserver/eviction.go
+++ b/internal/frontend/httpserver/eviction.go
@@ -28,12 +28,12 @@
 	s.loop.Timers.Schedule(now+idleCheckInterval, s.closeIdle)
 }
 
-// makeRoom evicts connections while too many are open: the oldest without a valid
+// evictExcess evicts connections while too many are open: the oldest without a valid
 // request first, then the longest idle. This protects against clients that connect by
 // the hundred, or make one request and stay: the others would find no descriptor left.
 // Where none can be evicted yet it is called again by a timer: at the limit nothing more
 // is accepted, so nothing else would call it.
-func (s *Server) makeRoom() {
+func (s *Server) evictExcess() {
 	for {
 		open, victim := s.findVictim()
 		if open <= s.options.MaxClients {
@@ -73,11 +73,11 @@
 	s.evictionRetrySet = true
 	s.loop.Timers.Schedule(s.loop.Now()+minSilentTime, func() {
 		s.evictionRetrySet = false
-		s.makeRoom()
+		s.evictExcess()
 	})
 }
 
-// evictable reports whether the connection may be closed to make room for others.
+// evictable reports whether the connection may be closed in favour of others.
 func (c *connection) evictable(now time.Duration) bool {
 	inactive := now - c.lastActive
 	if c.state == stateInFlight || inactive < minSilentTime {
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -69,7 +69,7 @@
 	if len(id) != requestIDLength || strings.Trim(id, "0123456789abcdefABCDEF") != "" {
 		return "", badRequest("Req-Id: not 16 hex digits")
 	}
-	// Two requests with one id could not be told apart at an engine.
+	// An engine could not distinguish two requests with one id.
 	if _, inFlight := s.inFlightIDs[id]; inFlight {
 		return "", &statusError{http.StatusConflict, "Req-Id: a request of this id is open"}
 	}
@@ -85,7 +85,7 @@
 	return config.FromMilliseconds(wait), nil
 }
 
-// setEstimates reads what the client expects of the request's cost, if it says so.
+// setEstimates reads the client's estimates of the request's cost, if it gives any.
 func setEstimates(r *lifecycle.Request, request httpRequest) *statusError {
 	if text, ok := request.header[fieldWork]; ok {
 		work, ok := parsePositive(text, milliseconds(maxEstimatedWork))
--- a/internal/frontend/httpserver/results.go
+++ b/internal/frontend/httpserver/results.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxPageSize is the bytes of rows that one response has, unless its first row alone
-	// has more.
+	// maxPageSize bounds the bytes of rows in one response, unless a single page of the
+	// engine has more.
 	maxPageSize = 64 << 10
 	// resultGracePeriod is how long past its request's deadline a result can be fetched.
 	resultGracePeriod = time.Second
@@ -115,7 +115,7 @@
 }
 
 // writePage writes a further page. All stay buffered until the deadline of the request:
-// a client whose connection broke asks for the page again.
+// a client whose connection broke requests the page again.
 func (c *connection) writePage(path string) {
 	rows, nextPath, ok := c.server.results.page(path)
 	if !ok {
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -59,7 +59,7 @@
 	inFlightIDs      map[string]struct{} // of requests that are not answered yet
 	results          *resultStore
 	draining         bool // a graceful shutdown has begun
-	evictionRetrySet bool // a timer will call makeRoom again
+	evictionRetrySet bool // a timer will call evictExcess again
 }
 
 // New returns a server that passes its requests to the dispatcher.
@@ -89,7 +89,7 @@
 	c := &connection{server: s, socket: socket, lastActive: s.loop.Now()}
 	s.connections[c] = struct{}{}
 	if len(s.connections) > s.options.MaxClients {
-		s.makeRoom()
+		s.evictExcess()
 	}
 	c.startReadTimer()
 	return c
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -19,17 +19,17 @@
 	Starts   string // the words, in any case, after comments
 	Class    string
 	Key      int  // the parameter's number from 1; 0: none
-	ReadOnly bool // the operator declares that such statements only read, where their text can't tell
+	ReadOnly bool // the operator declares such statements read-only, where their text doesn't show it
 }
 
 // classification is what decides how a statement is served.
 type classification struct {
 	class        policy.Class
 	keyParameter int  // the parameter that has the idempotency key, from 1; 0: none
-	classByShape bool // nobody has named a class: the query shape may choose another
+	classByShape bool // no rule or comment names a class: the query shape may choose another
 }
 
-// classChoice is what a statement's leading comment and the rules say of it.
+// classChoice is the class that a statement's leading comment and the rules give it.
 type classChoice struct {
 	class        string
 	keyParameter int
@@ -41,7 +41,7 @@
 // the default. What the statement may do overrides all three: one that may write never
 // gets an idempotent class. Unless it has a class with a key, it gets the one for writes,
 // of which one attempt is made.
-func (s *Server) classify(query string, reading *stmtstats.Statement) (classification, *pgproto.Error) {
+func (s *Server) classify(query string, parsed *stmtstats.Statement) (classification, *pgproto.Error) {
 	choice, e := s.chooseClass(query)
 	if e != nil {
 		return classification{}, e
@@ -53,7 +53,7 @@
 	if class.Effect != policy.Idempotent {
 		return classification{class: class, keyParameter: choice.keyParameter}, nil
 	}
-	verdict := s.effectOf(query, reading)
+	verdict := s.effectOf(query, parsed)
 	if verdict.Effect == sqltext.EffectReads || verdict.Effect == sqltext.EffectUnknown && choice.readOnly {
 		return classification{class: class, keyParameter: choice.keyParameter, classByShape: !choice.explicit}, nil
 	}
@@ -71,9 +71,9 @@
 }
 
 // effectOf returns what a statement may do to what is stored.
-func (s *Server) effectOf(query string, reading *stmtstats.Statement) sqltext.Verdict {
-	if reading != nil {
-		return reading.Effect()
+func (s *Server) effectOf(query string, parsed *stmtstats.Statement) sqltext.Verdict {
+	if parsed != nil {
+		return parsed.Effect()
 	}
 	return sqltext.EffectOf(query, s.options.ReadOnlyFunctions)
 }
@@ -136,13 +136,13 @@
 	"DISCARD": true, "RESET": true, "SET": true,
 }
 
-// checkSupported refuses a statement that is not supported, and reports whether the text
-// has none.
-func checkSupported(query string, reading *stmtstats.Statement) (empty bool, e *pgproto.Error) {
+// checkSupported returns an error for an unsupported statement, and reports whether the
+// text has no statement.
+func checkSupported(query string, parsed *stmtstats.Statement) (empty bool, e *pgproto.Error) {
 	var command string
 	var several bool
-	if reading != nil {
-		command, several = strings.ToUpper(reading.FirstWord()), reading.MultipleStatements()
+	if parsed != nil {
+		command, several = strings.ToUpper(parsed.FirstWord()), parsed.MultipleStatements()
 	} else {
 		command, several = sqltext.FirstWord(query)
 	}
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -23,7 +23,7 @@
 	maxIdleOutput = 64 << 10
 )
 
-// connectionState is where a connection stands in the protocol.
+// connectionState is the state of a connection in the protocol.
 type connectionState uint8
 
 const (
--- a/internal/frontend/pgserver/describe.go
+++ b/internal/frontend/pgserver/describe.go
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// withDescription calls then once an engine has described the statement. It asks an
-// engine unless one has done so, or the statement is empty.
+// withDescription calls then once an engine has described the statement. It forwards a
+// describe request unless the description is known or the statement is empty.
 func (c *connection) withDescription(s *statement, then func()) {
 	if s.description != nil || s.empty {
 		then()
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -32,11 +32,11 @@
 
 // prepare reads and classifies a statement. Nothing is sent to an engine.
 func (c *connection) prepare(query string, parameterTypes []byte) (*statement, *pgproto.Error) {
-	var reading *stmtstats.Statement
+	var parsed *stmtstats.Statement
 	if estimator := c.server.options.Estimator; estimator != nil {
-		reading = estimator.Parse(query, c.server.options.ReadOnlyFunctions)
+		parsed = estimator.Parse(query, c.server.options.ReadOnlyFunctions)
 	}
-	empty, e := checkSupported(query, reading)
+	empty, e := checkSupported(query, parsed)
 	if e != nil {
 		return nil, e
 	}
@@ -44,11 +44,11 @@
 	if empty {
 		return s, nil
 	}
-	s.classification, e = c.server.classify(query, reading)
+	s.classification, e = c.server.classify(query, parsed)
 	if e != nil {
 		return nil, e
 	}
-	s.reading = reading
+	s.parsed = parsed
 	return s, nil
 }
 
@@ -75,7 +75,7 @@
 		return e
 	}
 	p := &portal{statement: s, bind: bind}
-	if s.reading != nil {
+	if s.parsed != nil {
 		p.binds = binds
 	}
 	if !s.empty {
--- a/internal/frontend/pgserver/messages.go
+++ b/internal/frontend/pgserver/messages.go
@@ -38,7 +38,7 @@
 		c.closeNow()
 	case kind == pgproto.ClientSync:
 		c.state = stateReady
-		c.dropPortals() // the end of the transaction that the batch stood for
+		c.dropPortals() // a Sync ends the batch's implicit transaction, and with it the portals
 		c.sendReady()
 	case c.state == stateSkipping:
 	default:
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -18,7 +18,7 @@
 	query          string
 	parameterTypes []byte               // as in Parse: their count and object IDs
 	empty          bool                 // nothing but space and comments
-	reading        *stmtstats.Statement // nil without an estimator
+	parsed         *stmtstats.Statement // nil without an estimator
 	description    *pgproto.Result      // nil until an engine has given it
 }
 
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -21,15 +21,15 @@
 }
 
 // forward passes an execution to the dispatcher, which may respond before it returns.
-func (c *connection) forward(x execution) {
+func (c *connection) forward(exec execution) {
 	dispatcher := c.server.dispatcher
-	class, shapeExecution := c.server.executionClass(x)
+	class, shapeExecution := c.server.executionClass(exec)
 	request := &lifecycle.Request{
-		ID: fmt.Sprintf("pg%d", c.processID), Class: class.Name, IdempotencyKey: x.idempotencyKey, Statement: x.message,
+		ID: fmt.Sprintf("pg%d", c.processID), Class: class.Name, IdempotencyKey: exec.idempotencyKey, Statement: exec.message,
 		Deadline: dispatcher.Now() + c.timeout(class), Client: c,
 	}
-	c.server.estimate(request, x, shapeExecution)
-	c.request, c.onServed, c.state = request, x.onServed, stateInFlight
+	c.server.estimate(request, exec, shapeExecution)
+	c.request, c.onServed, c.state = request, exec.onServed, stateInFlight
 	dispatcher.Accept(request)
 }
 
@@ -71,35 +71,35 @@
 	return class.Deadline
 }
 
-// executionClass returns the class of an execution. Where its query shape has given the
-// class, the estimator's record of it comes with that.
-func (s *Server) executionClass(x execution) (policy.Class, *stmtstats.Execution) {
-	if x.message.DescribeOnly {
+// executionClass returns the class of an execution. Where its query shape determines the
+// class, the estimator's execution is returned too.
+func (s *Server) executionClass(exec execution) (policy.Class, *stmtstats.Execution) {
+	if exec.message.DescribeOnly {
 		// A description runs nothing, whatever its statement would do.
 		if class, ok := s.dispatcher.Class(s.options.DefaultClass); ok && class.Effect == policy.Idempotent {
 			return class, nil
 		}
-		return x.statement.class, nil
+		return exec.statement.class, nil
 	}
-	if s.options.Estimator != nil && x.statement.reading != nil && x.statement.classByShape {
-		if class, shapeExecution, ok := s.options.Estimator.Classify(x.statement.reading, x.binds); ok {
+	if s.options.Estimator != nil && exec.statement.parsed != nil && exec.statement.classByShape {
+		if class, shapeExecution, ok := s.options.Estimator.Classify(exec.statement.parsed, exec.binds); ok {
 			return class, shapeExecution
 		}
 	}
-	return x.statement.class, nil
+	return exec.statement.class, nil
 }
 
 // estimate sets what is known of the request's data and its cost.
-func (s *Server) estimate(request *lifecycle.Request, x execution, shapeExecution *stmtstats.Execution) {
-	estimator, reading := s.options.Estimator, x.statement.reading
-	if reading == nil || estimator == nil {
-		request.Dataset, _ = sqltext.DatasetOf(x.statement.query)
+func (s *Server) estimate(request *lifecycle.Request, exec execution, shapeExecution *stmtstats.Execution) {
+	estimator, parsed := s.options.Estimator, exec.statement.parsed
+	if parsed == nil || estimator == nil {
+		request.Dataset, _ = sqltext.DatasetOf(exec.statement.query)
 		return
 	}
-	request.Dataset, _ = reading.Dataset()
+	request.Dataset, _ = parsed.Dataset()
 	if shapeExecution != nil {
 		estimator.ApplyClassified(request, shapeExecution)
-	} else if !x.message.DescribeOnly {
-		estimator.EstimateRequest(request, reading, x.binds)
+	} else if !exec.message.DescribeOnly {
+		estimator.EstimateRequest(request, parsed, exec.binds)
 	}
 }
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -19,8 +19,8 @@
 const (
 	// startupTimeout is how long a connection may take until its startup is complete.
 	startupTimeout = 2 * time.Second
-	// spareClients is how many may connect past the limit, to cancel a request or to be
-	// told that there are too many clients.
+	// spareClients is how many may connect past the limit, to cancel a request or to get
+	// the error that there are too many clients.
 	spareClients = 16
 	// defaultMaxBufferedBytes bounds the rows in open portals where the options do not.
 	defaultMaxBufferedBytes = 32 << 20
@@ -30,7 +30,7 @@
 type Options struct {
 	DefaultClass      string
 	WriteClass        string            // of statements that may write and have no class of their own; "": refused
-	ReadOnlyFunctions sqltext.Functions // functions that the operators know to read only
+	ReadOnlyFunctions sqltext.Functions // functions that the operators declare read-only
 	Rules             []Rule
 	Estimator         *stmtstats.Service // gives classes and estimates by query shape; nil: off
 	MaxClients        int                // open connections; 0: no limit
--- a/internal/frontend/pgserver/simple_query.go
+++ b/internal/frontend/pgserver/simple_query.go
@@ -18,7 +18,7 @@
 	if !r.Complete() {
 		return errMalformed("Query")
 	}
-	if done, e := c.setting(query); done || e != nil {
+	if done, e := c.applySetting(query); done || e != nil {
 		return e
 	}
 	s, e := c.prepare(query, noParameterTypes)
--- a/internal/frontend/pgserver/startup.go
+++ b/internal/frontend/pgserver/startup.go
@@ -63,7 +63,7 @@
 		c.fatal(newError(codeInvalidAuthorization, "no user name in the startup packet"))
 		return nil
 	}
-	if most := c.server.options.MaxClients; most > 0 && len(c.server.connections) > most {
+	if maxClients := c.server.options.MaxClients; maxClients > 0 && len(c.server.connections) > maxClients {
 		c.fatal(newError(codeTooManyConnections, "too many clients already"))
 		return nil
 	}
--- a/internal/frontend/pgserver/statement_timeout.go
+++ b/internal/frontend/pgserver/statement_timeout.go
@@ -9,7 +9,7 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// statementTimeoutName is the one session setting that is taken.
+// statementTimeoutName is the only session setting that is supported.
 const statementTimeoutName = "statement_timeout"
 
 var timeoutUnits = map[string]time.Duration{
@@ -49,9 +49,9 @@
 	return time.Duration(number) * unit, nil
 }
 
-// setting carries out the one SET that the server serves itself, and reports whether the
-// query was that.
-func (c *connection) setting(query string) (done bool, e *pgproto.Error) {
+// applySetting carries out a SET of statement_timeout, the one SET that the server serves
+// itself, and reports whether the query was that.
+func (c *connection) applySetting(query string) (done bool, e *pgproto.Error) {
 	value, ok := statementTimeoutValue(query)
 	if !ok {
 		return false, nil
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -44,7 +44,7 @@
 	Process *os.Process
 	Exited  chan error // receives the end of the process, once
 
-	exited chan struct{} // closed when the process has ended
+	done chan struct{} // closed when the process has ended
 }
 
 // Start starts flaxrelay, without the environment variables that would change its settings.
@@ -55,22 +55,22 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("harness: %w", err)
 	}
-	g := &Proxy{Process: cmd.Process, Exited: make(chan error, 1), exited: make(chan struct{})}
+	p := &Proxy{Process: cmd.Process, Exited: make(chan error, 1), done: make(chan struct{})}
 	go func() {
-		g.Exited <- cmd.Wait()
-		close(g.exited)
+		p.Exited <- cmd.Wait()
+		close(p.done)
 	}()
-	return g, nil
+	return p, nil
 }
 
 // Stop ends the process by a graceful shutdown, and by force where that takes too long.
-func (g *Proxy) Stop() {
-	_ = g.Process.Signal(syscall.SIGTERM) // a process that has ended needs none
+func (p *Proxy) Stop() {
+	_ = p.Process.Signal(syscall.SIGTERM) // a process that has ended needs none
 	select {
-	case <-g.exited:
+	case <-p.done:
 	case <-time.After(shutdownLimit):
-		_ = g.Process.Kill()
-		<-g.exited
+		_ = p.Process.Kill()
+		<-p.done
 	}
 }
 
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -97,7 +97,7 @@
 	oneOffOrdinal = 1 << 20
 )
 
-// New makes a generator that will be asked for so many statements.
+// New returns a generator for a workload of the given number of statements.
 func New(options Options, total int) *Generator {
 	if options.Templates <= 0 {
 		options.Templates = DefaultTemplates
--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -16,7 +16,7 @@
 )
 
 // perform carries out one action of the balancer. Actions on released requests
-// are ignored, since the balancer may not have heard of their end yet.
+// are ignored, since the balancer may not have been notified of their end yet.
 func (d *Dispatcher) perform(action policy.Action) {
 	switch action := action.(type) {
 	case policy.StartAttempt:
@@ -68,7 +68,7 @@
 	if a.index > 0 {
 		d.counters.Increment("attempts.retried." + r.Class)
 	}
-	if r.completed() { // the balancer has not heard yet that the client disconnected
+	if r.completed() { // the balancer has not been notified yet that the client disconnected
 		d.EndAttempt(a, StatusNotSent, AttemptReport{})
 		return
 	}
@@ -113,7 +113,7 @@
 }
 
 // cancelAttempt gives up one attempt. One that does not exist or has ended is
-// ignored, since the balancer may not have heard of its end yet.
+// ignored, since the balancer may not have been notified of its end yet.
 func (d *Dispatcher) cancelAttempt(r *Request, index int) {
 	if index < 0 || index >= len(r.attempts) || r.attempts[index].Ended() {
 		return
--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -24,7 +24,7 @@
 	timeoutTimer *timerqueue.Timer
 }
 
-// attemptState is how far an attempt has come. Only one in flight changes.
+// attemptState is the state of an attempt. An attempt leaves attemptInFlight exactly once.
 type attemptState uint8
 
 const (
@@ -33,7 +33,7 @@
 	attemptNeverRan                // ended in a way that proves that its engine did not run it
 )
 
-// AttemptReport is what an engine told at the end of an attempt.
+// AttemptReport is what an engine reported at the end of an attempt.
 type AttemptReport struct {
 	Result      any           // the complete result, for front ends of the same protocol
 	Work        time.Duration // that the query needed; 0: unknown
@@ -47,7 +47,7 @@
 
 // DedupWindowClosed tells whether the attempt may no longer be written: an earlier
 // attempt may have run, and the window in which engines drop duplicates of its
-// idempotency key is about to end. Engine clients ask before they write.
+// idempotency key is about to end. Engine clients must check it before they write.
 func (a *Attempt) DedupWindowClosed(now time.Duration) bool {
 	return a.sendDeadline > 0 && now >= a.sendDeadline
 }
@@ -66,7 +66,7 @@
 	a.ClientData = nil
 	d.countEnd(a, status)
 	// The final response must not carry the error of an attempt that never ran if
-	// another one may have run and the request is not idempotent: it would hide the doubt.
+	// another one may have run and the request is not idempotent: it would hide that.
 	if a.state == attemptMayHaveRun || report.ErrorDetail != nil && !d.MayHaveRun(r) {
 		r.lastErrorDetail = report.ErrorDetail
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-// countEnd counts the end of an attempt, and apart those at engines that were warming up.
+// countEnd counts the end of an attempt, and separately those at engines that were warming up.
 func (d *Dispatcher) countEnd(a *Attempt, status AttemptStatus) {
 	d.counters.Increment("attempts.ended." + status.String())
 	engine := d.endpoints[a.Engine]
@@ -109,7 +109,7 @@
 	}
 }
 
-// ReportProgress passes on what an engine tells of an attempt in flight.
+// ReportProgress passes an engine's progress report of an attempt in flight to the balancer.
 func (d *Dispatcher) ReportProgress(a *Attempt, kind policy.ProgressKind, value float64) {
 	if a.Ended() {
 		return
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -49,7 +49,9 @@
 
 // NewDispatcher returns a dispatcher for the settings. SetEngineClient must follow before
 // any request or endpoint.
-func NewDispatcher(settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, logger *slog.Logger) (*Dispatcher, error) {
+func NewDispatcher(
+	settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, logger *slog.Logger,
+) (*Dispatcher, error) {
 	balancer, err := policy.New(settings, seed)
 	if err != nil {
 		return nil, err
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -39,8 +39,8 @@
 	d.withdrawFromUnready()
 }
 
-// removeUnlisted prevents connections to endpoints that a complete list no longer
-// names from being kept.
+// removeUnlisted removes the endpoints that a complete list no longer names, so that
+// connections to them are retired.
 func (d *Dispatcher) removeUnlisted(previous map[string]Endpoint) {
 	for id, e := range previous {
 		if _, listed := d.endpoints[id]; !listed {
--- a/internal/lifecycle/observer.go
+++ b/internal/lifecycle/observer.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// CostObserver learns what requests cost at their engines. It hears only of
+// CostObserver learns what requests cost at their engines. It is notified only of
 // requests that have ObserverData.
 type CostObserver interface {
 	// ObserveServed reports an attempt that was served.
@@ -14,7 +14,7 @@
 	Release(r *Request)
 }
 
-// observes tells whether the cost observer hears of the request.
+// observes reports whether the cost observer is notified of the request.
 func (d *Dispatcher) observes(r *Request) bool {
 	return d.costObserver != nil && r.ObserverData != nil
 }
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -34,17 +34,17 @@
 	inFlight        int        // attempts that have not ended
 	memoryGrantMB   float64    // for the next attempts; 0: the engine's own choice
 	priority        int
-	lastErrorDetail any // of the latest engine error that the response may tell of
+	lastErrorDetail any // of the latest engine error that the response may pass on
 }
 
-// requestState is how far a request has come. States only advance.
+// requestState is the state of a request. States only advance.
 type requestState uint8
 
 const (
 	requestNew       requestState = iota // not accepted yet
 	requestPending                       // accepted: a final response is owed
 	requestCompleted                     // responded to, or its client disconnected; attempts may be in flight
-	requestReleased                      // no attempt is in flight, and the balancer has heard of every end
+	requestReleased                      // no attempt is in flight, and the balancer has been notified of every end
 )
 
 // completed tells whether no response is owed any more.
@@ -89,7 +89,7 @@
 	d.abandonRemaining(r)
 }
 
-// abandonRemaining has the balancer cancel the attempts of a completed request
+// abandonRemaining makes the balancer cancel the attempts of a completed request
 // that are still in flight.
 func (d *Dispatcher) abandonRemaining(r *Request) {
 	d.handleEvent(policy.ClientDisconnected{RequestID: r.policyID})
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -61,8 +61,8 @@
 
 // CompleteAll gives every pending request its final response. It is for the end
 // of a graceful shutdown, when clients would otherwise receive none: the balancer
-// is told that the deadlines have passed, and says which requests may be retried
-// and when.
+// is notified that the deadlines have passed, and decides which requests may be
+// retried and when.
 func (d *Dispatcher) CompleteAll() {
 	for policyID, r := range d.requests {
 		if r.state == requestPending {
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -13,10 +13,10 @@
 // goroutine of the event loop owns it.
 type Counters struct {
 	counts   map[string]int64
-	reported map[string]int64 // as of the latest call of Changes
+	reported map[string]int64 // as of the latest call of Deltas
 }
 
-// New returns counters that all stand at zero.
+// New returns counters that are all zero.
 func New() *Counters {
 	return &Counters{counts: map[string]int64{}, reported: map[string]int64{}}
 }
@@ -57,7 +57,7 @@
 }
 
 // Print writes one line for each counter, in order of name. It is a best effort:
-// the program has no better place to report that its output is gone.
+// the program has no better place to report that its output has failed.
 func (c *Counters) Print(w io.Writer) {
 	for _, name := range c.sortedNames() {
 		_, _ = fmt.Fprintf(w, "count %s %d\n", name, c.counts[name])
--- a/internal/sqltext/doc.go
+++ b/internal/sqltext/doc.go
@@ -1,6 +1,6 @@
 // Package sqltext extracts what the proxy needs of a statement without parsing SQL: its
 // tokens by PostgreSQL's lexical rules, what it may do, the dataset that it touches, its
-// fingerprint, and what its values say of its size. All of it is built on one Lexer, takes
+// fingerprint, and what its values indicate of its result's size. All of it is built on one Lexer, takes
 // time linear in the length of the text and, apart from results that are strings of their
 // own, allocates nothing.
 //
--- a/internal/sqltext/effect_call.go
+++ b/internal/sqltext/effect_call.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// leftParen judges a parenthesis, which begins a call behind the name of a function.
+// leftParen classifies a parenthesis, which begins a call behind the name of a function.
 func (c *effectClassifier) leftParen(l *Lexer) {
 	if !c.begun || c.inOptions || c.planOnly || !c.beginsCall() {
 		return
--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// firstToken judges the first word or name of the text.
+// firstToken classifies the first word or name of the text.
 func (c *effectClassifier) firstToken(text string, kind Kind, word keyword, class keywordClass) {
 	switch {
 	case word == keywordExplain:
@@ -148,7 +148,7 @@
 	}
 }
 
-// otherStatement judges the first word of a statement that is not known to read.
+// otherStatement classifies the first word of a statement that is not known to read.
 func (c *effectClassifier) otherStatement(text string, kind Kind) {
 	if kind == Identifier {
 		switch strings.ToUpper(text) {
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -20,7 +20,7 @@
 )
 
 // keyword identifies a key word; 0: none. Some key words have a number although no code
-// asks for it, since the normal form has a space behind each key word that has one.
+// uses it, since the normal form has a space behind each key word that has one.
 type keyword uint8
 
 const (
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -11,7 +11,7 @@
 	LeadingWildcard                 // at the start
 )
 
-// Profile is what the values of one execution tell of the size of its result.
+// Profile holds what the values of one execution indicate of the size of its result.
 type Profile struct {
 	Alternatives         int     // length of the longest list; 0: no list
 	Span                 float64 // width of the widest closed range, for dates in days; 0: none
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -19,7 +19,7 @@
 	return "", false
 }
 
-// noWord stands for a first word in a statement that begins with another token.
+// noWord is returned in place of a first word in a statement that begins with another token.
 const noWord = "("
 
 // FirstWord returns the first word of a statement in upper case, comments aside, and
--- a/internal/stmtstats/cache.go
+++ b/internal/stmtstats/cache.go
@@ -21,8 +21,7 @@
 
 // entryOverhead is the size in bytes that a cache needs for one entry beside the entry
 // itself: the policy's node, the map's slot with its spare capacity, and the allocator's
-// rounding. It was measured with a million shapes (docs/measurements/shapes.md) and
-// rounded up.
+// rounding. It is a measurement with a million shapes, rounded up.
 const entryOverhead = 240
 
 // Size returns the number of bytes that the shape counts for against the cache's bound.
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -20,55 +20,55 @@
 	MemoryMB   float64
 }
 
-// noBinds stands for the bound values of a statement without any.
+// noBinds are the bound values of a statement without any.
 var noBinds sqltext.Binds
 
 // Estimate estimates one execution. known is the index of its class where that is already
 // decided, else -1. binds may be nil.
 func (s *Store) Estimate(statement *Statement, binds *sqltext.Binds, known int, hint Hint) *Execution {
-	x := &Execution{}
-	s.estimate(x, statement, binds, known, hint)
-	return x
+	execution := &Execution{}
+	s.estimate(execution, statement, binds, known, hint)
+	return execution
 }
 
-func (s *Store) estimate(x *Execution, statement *Statement, binds *sqltext.Binds, known int, hint Hint) {
+func (s *Store) estimate(execution *Execution, statement *Statement, binds *sqltext.Binds, known int, hint Hint) {
 	if binds == nil {
 		binds = &noBinds
 	}
-	reading := &statement.reading
-	x.statement = statement
-	x.query = costmodel.Query{
-		Features:     &reading.Features,
-		Profile:      reading.Profile(statement.text, binds, s.hashSeed),
+	analysis := &statement.analysis
+	execution.statement = statement
+	execution.query = costmodel.Query{
+		Features:     &analysis.Features,
+		Profile:      analysis.Profile(statement.text, binds, s.hashSeed),
 		KnownClass:   known,
 		HintWork:     hint.WorkMillis,
 		HintMemoryMB: hint.MemoryMB,
 	}
-	if x.cached = s.cache.Get(reading.Fingerprint); x.cached != nil {
+	if execution.cached = s.cache.Get(analysis.Fingerprint); execution.cached != nil {
 		s.Stats.Hits++
-		x.query.Record = &x.cached.ShapeRecord
+		execution.query.Record = &execution.cached.ShapeRecord
 	} else {
 		s.Stats.Misses++
 	}
-	x.Estimate = s.model.Estimate(&x.query)
+	execution.Estimate = s.model.Estimate(&execution.query)
 }
 
 // Learn updates the statistics with the cost of an execution. A shape that is not cached
 // is offered to the cache, which may reject it.
-func (s *Store) Learn(x *Execution, truth costmodel.Observation) {
+func (s *Store) Learn(execution *Execution, truth costmodel.Observation) {
 	s.Stats.Learned++
-	shape := x.cached
+	shape := execution.cached
 	if shape == nil {
-		shape = s.cacheShape(x.statement)
+		shape = s.cacheShape(execution.statement)
 	}
-	x.query.Record = &shape.ShapeRecord
-	s.model.Learn(&x.query, truth)
+	execution.query.Record = &shape.ShapeRecord
+	s.model.Learn(&execution.query, truth)
 }
 
 // cacheShape returns the cached shape of a statement, and offers a new one to the cache
 // where there is none.
 func (s *Store) cacheShape(statement *Statement) *CachedShape {
-	fingerprint := statement.reading.Fingerprint
+	fingerprint := statement.analysis.Fingerprint
 	if shape := s.cache.Get(fingerprint); shape != nil {
 		return shape
 	}
@@ -79,10 +79,10 @@
 
 // newShape parses the statement again for its normal form, which a Statement does not keep.
 func (s *Store) newShape(statement *Statement) *CachedShape {
-	reading := s.reader.Analyze(statement.text)
-	kept := min(len(reading.NormalForm), maxNormalFormBytes)
+	analysis := s.analyzer.Analyze(statement.text)
+	kept := min(len(analysis.NormalForm), maxNormalFormBytes)
 	return &CachedShape{
-		normalForm: string(reading.NormalForm[:kept]),
-		truncated:  reading.Truncated || len(reading.NormalForm) > maxNormalFormBytes,
+		normalForm: string(analysis.NormalForm[:kept]),
+		truncated:  analysis.Truncated || len(analysis.NormalForm) > maxNormalFormBytes,
 	}
 }
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -20,11 +20,11 @@
 	ApplyEstimates    bool          // estimates replace the clients' hints in the decisions
 	SnapshotPath      string        // path of the snapshot file; "": none
 	SnapshotInterval  time.Duration // between snapshots
-	EnginesReportWork bool          // engines report the work of a request; else its duration stands for it
+	EnginesReportWork bool          // engines report the work of a request; else its duration counts as its work
 }
 
-// Service connects a Store to a running proxy: the front ends ask it for estimates when a
-// request arrives, and the lifecycle core reports what served requests have cost. It
+// Service connects a Store to a running proxy: the front ends get estimates from it when a
+// request arrives, and the lifecycle.Dispatcher reports what served requests have cost. It
 // belongs to the goroutine of the event loop.
 type Service struct {
 	store    *Store
@@ -45,7 +45,9 @@
 
 // NewService returns a service that continues from the snapshot, if there is one. A
 // snapshot that can't be used is logged and renamed to FILE.unusable.
-func NewService(settings Settings, classes []policy.Class, loop *eventloop.Loop, counters *metrics.Counters, log *slog.Logger) (*Service, error) {
+func NewService(
+	settings Settings, classes []policy.Class, loop *eventloop.Loop, counters *metrics.Counters, log *slog.Logger,
+) (*Service, error) {
 	s := &Service{
 		settings:     settings,
 		classIndex:   map[string]int{},
@@ -81,7 +83,7 @@
 	}
 }
 
-// restore sets the store from the snapshot file. It leaves it nil where there is no usable one.
+// restore sets the store from the snapshot file, or leaves it nil where no usable one exists.
 func (s *Service) restore(options Options) {
 	path := s.settings.SnapshotPath
 	store, err := restoreFile(options, path)
@@ -92,8 +94,9 @@
 	case errors.Is(err, fs.ErrNotExist):
 	default:
 		s.counters.Increment("shapes.snapshot-unusable")
-		aside := path + ".unusable"
-		s.log.Warn("shapes.snapshot-unusable", "file", path, "error", err, "aside", aside, "rename", os.Rename(path, aside))
+		unusablePath := path + ".unusable"
+		renameErr := os.Rename(path, unusablePath)
+		s.log.Warn("shapes.snapshot-unusable", "file", path, "error", err, "renamed_to", unusablePath, "rename_error", renameErr)
 	}
 }
 
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -10,7 +10,7 @@
 )
 
 // maxFreeExecutions bounds the executions that are kept for reuse. More requests are
-// seldom open at once; the garbage collector takes the others.
+// seldom in flight at once; further executions are left to the garbage collector.
 const maxFreeExecutions = 512
 
 // newExecution returns an empty execution, a reused one if possible.
@@ -19,30 +19,30 @@
 	if last < 0 {
 		return &Execution{}
 	}
-	x := s.freeExecutions[last]
+	execution := s.freeExecutions[last]
 	s.freeExecutions = s.freeExecutions[:last]
-	return x
+	return execution
 }
 
-// Release takes the execution of a finished request back for reuse.
+// Release recycles the execution of a finished request.
 func (s *Service) Release(r *lifecycle.Request) {
-	x, ok := r.ObserverData.(*Execution)
+	execution, ok := r.ObserverData.(*Execution)
 	if !ok {
 		return
 	}
 	r.ObserverData = nil
 	if len(s.freeExecutions) < maxFreeExecutions {
-		*x = Execution{}
-		s.freeExecutions = append(s.freeExecutions, x)
+		*execution = Execution{}
+		s.freeExecutions = append(s.freeExecutions, execution)
 	}
 }
 
-// Parse parses a statement and judges its effect. readOnly names further functions that
+// Parse parses a statement and classifies its effect. readOnly names further functions that
 // the operators declare to be read-only.
 func (s *Service) Parse(text string, readOnly sqltext.Functions) *Statement {
-	reader := s.store.reader
-	reader.JudgeEffect, reader.ReadOnlyFunctions = true, readOnly
-	defer func() { reader.JudgeEffect = false }()
+	analyzer := s.store.analyzer
+	analyzer.JudgeEffect, analyzer.ReadOnlyFunctions = true, readOnly
+	defer func() { analyzer.JudgeEffect = false }()
 	return s.store.Parse(text)
 }
 
@@ -55,13 +55,13 @@
 // EstimateText does the same as EstimateRequest for a text that is not parsed yet, and sets the
 // request's dataset.
 func (s *Service) EstimateText(r *lifecycle.Request, text string) {
-	x := s.newExecution()
-	s.store.readInto(&x.own, text)
-	r.Dataset, _ = x.own.Dataset()
-	s.estimateRequest(r, x, &x.own, nil)
+	execution := s.newExecution()
+	s.store.parseInto(&execution.own, text)
+	r.Dataset, _ = execution.own.Dataset()
+	s.estimateRequest(r, execution, &execution.own, nil)
 }
 
-func (s *Service) estimateRequest(r *lifecycle.Request, x *Execution, statement *Statement, binds *sqltext.Binds) {
+func (s *Service) estimateRequest(r *lifecycle.Request, execution *Execution, statement *Statement, binds *sqltext.Binds) {
 	class, ok := s.classIndex[r.Class]
 	if !ok {
 		class = costmodel.NoClass
@@ -71,39 +71,39 @@
 	if !s.settings.EnginesReportWork {
 		threads = s.classThreads[r.Class]
 	}
-	s.store.estimate(x, statement, binds, class, hint)
-	s.apply(r, x, threads)
+	s.store.estimate(execution, statement, binds, class, hint)
+	s.apply(r, execution, threads)
 }
 
 // apply attaches the execution to the request and, if the settings say so, replaces the
 // client's hints by the estimate.
-func (s *Service) apply(r *lifecycle.Request, x *Execution, threads float64) {
-	r.ObserverData = x
-	if !s.settings.ApplyEstimates || !x.Estimate.Known {
+func (s *Service) apply(r *lifecycle.Request, execution *Execution, threads float64) {
+	r.ObserverData = execution
+	if !s.settings.ApplyEstimates || !execution.Estimate.Known {
 		return
 	}
 	s.corrected++
-	r.EstimatedWork = time.Duration(x.Estimate.WorkMillis * threads * float64(time.Millisecond))
-	if x.Estimate.MemoryMB > 0 {
-		r.EstimatedMemoryMB = x.Estimate.MemoryMB
+	r.EstimatedWork = time.Duration(execution.Estimate.WorkMillis * threads * float64(time.Millisecond))
+	if execution.Estimate.MemoryMB > 0 {
+		r.EstimatedMemoryMB = execution.Estimate.MemoryMB
 	}
 }
 
-// Classify classifies a reading statement whose class nobody has named. ok is false where
+// Classify classifies a read-only statement that no rule or comment gives a class. ok is false where
 // nothing is known of it yet.
-func (s *Service) Classify(statement *Statement, binds *sqltext.Binds) (class policy.Class, x *Execution, ok bool) {
-	x = s.newExecution()
-	s.store.estimate(x, statement, binds, costmodel.NoClass, Hint{})
-	if x.Estimate.Class < 0 {
-		return policy.Class{}, x, false
+func (s *Service) Classify(statement *Statement, binds *sqltext.Binds) (class policy.Class, execution *Execution, ok bool) {
+	execution = s.newExecution()
+	s.store.estimate(execution, statement, binds, costmodel.NoClass, Hint{})
+	if execution.Estimate.Class < 0 {
+		return policy.Class{}, execution, false
 	}
-	return s.readingClasses[x.Estimate.Class], x, true
+	return s.readingClasses[execution.Estimate.Class], execution, true
 }
 
 // ApplyClassified applies the result of Classify to the request. Where engines report no work, the
 // estimate is a duration, and the decisions get the work of all threads.
-func (s *Service) ApplyClassified(r *lifecycle.Request, x *Execution) {
-	s.apply(r, x, s.classThreads[r.Class])
+func (s *Service) ApplyClassified(r *lifecycle.Request, execution *Execution) {
+	s.apply(r, execution, s.classThreads[r.Class])
 }
 
 // ObserveServed learns what a served request has cost. It implements lifecycle.CostObserver.
@@ -115,14 +115,14 @@
 // had used by then. It implements lifecycle.CostObserver.
 func (s *Service) ObserveTimeout(r *lifecycle.Request, elapsed time.Duration) {
 	if s.settings.EnginesReportWork {
-		return // on a crowded engine, a duration says little of the work
+		return // on an overloaded engine, a duration hardly depends on the work
 	}
 	s.learn(r, costmodel.Observation{WorkMillis: milliseconds(elapsed), LowerBound: true})
 }
 
 func (s *Service) learn(r *lifecycle.Request, truth costmodel.Observation) {
-	if x, ok := r.ObserverData.(*Execution); ok {
-		s.store.Learn(x, truth)
+	if execution, ok := r.ObserverData.(*Execution); ok {
+		s.store.Learn(execution, truth)
 	}
 }
 
--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -62,7 +62,7 @@
 	for i := range snapshot.Shapes {
 		saved := &snapshot.Shapes[i]
 		shape := &CachedShape{ShapeRecord: saved.Record, normalForm: saved.NormalForm}
-		store.cache.Add(store.reader.Fingerprint(saved.NormalForm), shape)
+		store.cache.Add(store.analyzer.Fingerprint(saved.NormalForm), shape)
 	}
 	return store, nil
 }
--- a/internal/stmtstats/snapshot_format.go
+++ b/internal/stmtstats/snapshot_format.go
@@ -64,8 +64,8 @@
 	return encoded, nil
 }
 
-// DecodeSnapshot parses the stored form of a snapshot. Its errors wrap one of the
-// ErrSnapshot values.
+// DecodeSnapshot parses the stored form of a snapshot. Its errors wrap
+// ErrSnapshotForeign, ErrSnapshotVersion, ErrSnapshotTruncated or ErrSnapshotDamaged.
 func DecodeSnapshot(encoded []byte) (*Snapshot, error) {
 	body, err := verifiedBody(encoded)
 	if err != nil {
--- a/internal/stmtstats/statement.go
+++ b/internal/stmtstats/statement.go
@@ -8,32 +8,32 @@
 
 // Statement is one parsed text. It can be used for any number of executions.
 type Statement struct {
-	text    string
-	reading sqltext.Analysis // without the normal form, which belongs to the reader
-	slots   [inlineSlots]sqltext.Slot
+	text     string
+	analysis sqltext.Analysis // without the normal form, which belongs to the analyzer
+	slots    [inlineSlots]sqltext.Slot
 }
 
 // Parse parses a text. The statement retains the text.
 func (s *Store) Parse(text string) *Statement {
 	statement := &Statement{}
-	s.readInto(statement, text)
+	s.parseInto(statement, text)
 	return statement
 }
 
-func (s *Store) readInto(statement *Statement, text string) {
-	statement.text, statement.reading = text, *s.reader.Analyze(text)
-	statement.reading.Slots = append(statement.slots[:0], statement.reading.Slots...)
-	statement.reading.NormalForm = nil
+func (s *Store) parseInto(statement *Statement, text string) {
+	statement.text, statement.analysis = text, *s.analyzer.Analyze(text)
+	statement.analysis.Slots = append(statement.slots[:0], statement.analysis.Slots...)
+	statement.analysis.NormalForm = nil
 }
 
 // Effect returns what the statement may do to stored data, as judged by sqltext.
-func (st *Statement) Effect() sqltext.Verdict { return st.reading.Effect }
+func (st *Statement) Effect() sqltext.Verdict { return st.analysis.Effect }
 
 // FirstWord returns the first word of the statement, or "(" where it begins with no word.
-func (st *Statement) FirstWord() string { return st.reading.FirstWord }
+func (st *Statement) FirstWord() string { return st.analysis.FirstWord }
 
 // MultipleStatements reports whether the text holds more than one statement.
-func (st *Statement) MultipleStatements() bool { return st.reading.MultipleStatements }
+func (st *Statement) MultipleStatements() bool { return st.analysis.MultipleStatements }
 
 // Dataset returns the dataset that the statement's tables belong to, if it names one.
-func (st *Statement) Dataset() (int64, bool) { return st.reading.Dataset, st.reading.HasDataset }
+func (st *Statement) Dataset() (int64, bool) { return st.analysis.Dataset, st.analysis.HasDataset }
--- a/internal/stmtstats/store.go
+++ b/internal/stmtstats/store.go
@@ -26,7 +26,7 @@
 // Store estimates executions of statements and learns from their costs. It belongs to one
 // goroutine.
 type Store struct {
-	reader   *sqltext.Analyzer
+	analyzer *sqltext.Analyzer
 	model    *costmodel.Model
 	cache    Cache
 	hashSeed uint64 // of the hashes of values
@@ -46,7 +46,7 @@
 		return nil, fmt.Errorf("shapes: %d bytes are too few, at least %d", opts.MaxBytes, minBytes)
 	}
 	s := &Store{
-		reader:   sqltext.NewAnalyzer(),
+		analyzer: sqltext.NewAnalyzer(),
 		model:    costmodel.New(opts.CostModel),
 		cache:    opts.Cache,
 		hashSeed: rand.Uint64(),
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -39,7 +39,7 @@
 	return a.sequence < b.sequence
 }
 
-// Schedule has the callback run by the first RunDue at or after the due time.
+// Schedule adds a timer whose callback the first RunDue at or after the due time runs.
 func (q *Queue) Schedule(due time.Duration, callback func()) *Timer {
 	q.lastSequence++
 	t := &Timer{due: due, sequence: q.lastSequence, callback: callback, queue: q}
