--- a/cmd/flaxlab/shapes.go
+++ b/cmd/flaxlab/shapes.go
@@ -1,5 +1,6 @@
 package main
 
+// shapesCommand groups the experiments with query shapes.
 type shapesCommand struct {
 	Evaluate evaluateCommand `name:"evaluate" cmd:"" help:"Evaluate classes and estimates on recorded traffic, with each part disabled in turn."`
 	Flood    floodCommand    `name:"flood" cmd:"" help:"Flood the cache with shapes that occur once while others recur."`
--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -12,6 +12,7 @@
 	"flaxrelay/internal/lab/report"
 )
 
+// costCommand measures the CPU time that query shapes add to a request.
 type costCommand struct {
 	Flaxrelay string `name:"flaxrelay" placeholder:"FILE" help:"The flaxrelay program; by default it is built from this directory."`
 	Clients   int    `name:"clients" default:"8" help:"Number of client connections."`
@@ -22,8 +23,8 @@
 	Out       string `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-cost-query.* or shapes-cost-prepared.*."`
 }
 
-// costTimeout ends an experiment whose front end has stopped answering. The largest that
-// is usual takes a few minutes.
+// costTimeout ends an experiment whose front end has stopped answering. A large one takes
+// a few minutes.
 const costTimeout = 20 * time.Minute
 
 // Digits after the point of CPU times in microseconds, and of their ratios.
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -11,6 +11,7 @@
 	"flaxrelay/internal/lab/workload"
 )
 
+// evaluateCommand evaluates the classifier on recorded traffic.
 type evaluateCommand struct {
 	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; by default workloads are generated from the seeds."`
 	Seeds  []uint64 `name:"seeds" default:"1,2,3,4,5" help:"Seeds of generated workloads."`
--- a/cmd/flaxlab/shapes_flood.go
+++ b/cmd/flaxlab/shapes_flood.go
@@ -7,6 +7,7 @@
 	"flaxrelay/internal/lab/report"
 )
 
+// floodCommand floods the cache with shapes that never recur.
 type floodCommand struct {
 	Seeds     []uint64 `name:"seeds" default:"1,2,3,4,5" help:"Seeds, one run each."`
 	Recurring int      `name:"recurring" default:"200" help:"Number of recurring shapes."`
--- a/cmd/flaxlab/traffic.go
+++ b/cmd/flaxlab/traffic.go
@@ -10,14 +10,15 @@
 	"flaxrelay/internal/lab/traffic"
 )
 
+// trafficCommand groups the commands on traffic files.
 type trafficCommand struct {
 	Generate generateCommand `name:"generate" cmd:"" help:"Write a file of generated traffic."`
 	Show     showCommand     `name:"show" cmd:"" help:"Print records."`
 	Stats    statsCommand    `name:"stats" cmd:"" help:"Summarize a file."`
 }
 
-// readRecords gives the records of a file to the function until it returns false. A file
-// that was cut off is read as far as it is complete, and the error says so.
+// readRecords passes the records of a file to handle until that returns false. A truncated
+// file is read as far as it is complete, and the error says so.
 func readRecords(path string, handle func(*traffic.Record) bool) (traffic.Head, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/flaxlab/traffic_generate.go
+++ b/cmd/flaxlab/traffic_generate.go
@@ -41,6 +41,7 @@
 	}
 }
 
+// generateCommand writes a file of generated traffic.
 type generateCommand struct {
 	workloadFlags
 	File  string  `name:"file" arg:"" help:"The file to write."`
--- a/cmd/flaxlab/traffic_show.go
+++ b/cmd/flaxlab/traffic_show.go
@@ -7,6 +7,7 @@
 	"flaxrelay/internal/lab/traffic"
 )
 
+// showCommand prints the records of a traffic file.
 type showCommand struct {
 	File string `name:"file" arg:"" help:"The file."`
 	From int    `name:"from" default:"0" help:"The first record to print, from 0."`
--- a/cmd/flaxlab/traffic_stats.go
+++ b/cmd/flaxlab/traffic_stats.go
@@ -15,6 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// statsCommand summarizes a traffic file.
 type statsCommand struct {
 	File string `name:"file" arg:"" help:"The file."`
 }
@@ -105,7 +106,7 @@
 			class.workMS(50), class.workMS(90), class.workMS(99), class.hard)
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	// Like the lines around it, the table goes to standard output without a look at errors.
+	// As for the lines around it, errors of standard output are ignored.
 	_, _ = io.WriteString(table, rows.String())
 	_ = table.Flush()
 }
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -15,6 +15,7 @@
 	"flaxrelay/internal/logging"
 )
 
+// tryCommand runs both front ends with emulated surroundings.
 type tryCommand struct {
 	Flaxrelay string        `name:"flaxrelay" placeholder:"FILE" help:"The flaxrelay program; by default it is built from this directory."`
 	Engines   int           `name:"engines" default:"3" help:"Fake engines for each protocol, 1 to 16."`
--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -9,6 +9,7 @@
 	"flaxrelay/internal/config"
 )
 
+// checkCommand validates files.
 type checkCommand struct {
 	Files []string `arg:"" name:"file" help:"Settings (JSON), deploy files of the PostgreSQL front end, or shape settings (TOML)."`
 }
--- a/cmd/flaxrelay/completion.go
+++ b/cmd/flaxrelay/completion.go
@@ -24,6 +24,7 @@
 complete -o default -F _flaxrelay flaxrelay
 `
 
+// completionCommand prints a completion script for a shell.
 type completionCommand struct {
 	Shell string `name:"shell" arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
 }
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -10,6 +10,7 @@
 	"flaxrelay/internal/logging"
 )
 
+// serveCommand runs a front end.
 type serveCommand struct {
 	Config   string `name:"config" env:"LB_CONFIG" placeholder:"FILE" help:"Configuration of the HTTP front end (JSON)."`
 	Postgres string `name:"postgres" placeholder:"FILE" help:"Serve the PostgreSQL protocol as this deploy file says, instead of HTTP."`
--- a/cmd/flaxrelay/shapes.go
+++ b/cmd/flaxrelay/shapes.go
@@ -11,6 +11,7 @@
 	"flaxrelay/internal/stmtstats"
 )
 
+// shapesCommand groups the commands that inspect query shapes.
 type shapesCommand struct {
 	Explain explainCommand `name:"explain" cmd:"" help:"Show how a statement is parsed, classified and estimated, and why."`
 	Top     topCommand     `name:"top" cmd:"" help:"List the shapes of a snapshot that take the most work."`
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -9,6 +9,7 @@
 	"flaxrelay/internal/stmtstats"
 )
 
+// diffCommand compares two snapshots.
 type diffCommand struct {
 	Old  string  `name:"old" arg:"" help:"The older file."`
 	New  string  `name:"new" arg:"" help:"The newer file."`
--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -9,6 +9,7 @@
 	"flaxrelay/internal/stmtstats"
 )
 
+// explainCommand explains how one statement is classified and estimated.
 type explainCommand struct {
 	SQL      string    `name:"sql" arg:"" help:"The statement."`
 	Bind     []string  `name:"bind" sep:"none" placeholder:"VALUE" help:"A bound value as text, in order; NULL is null. May be repeated."`
--- a/cmd/flaxrelay/shapes_top.go
+++ b/cmd/flaxrelay/shapes_top.go
@@ -7,6 +7,7 @@
 	"flaxrelay/internal/stmtstats"
 )
 
+// topCommand lists the most expensive shapes of a snapshot.
 type topCommand struct {
 	Snapshot string `name:"snapshot" arg:"" help:"The file."`
 	Most     int    `name:"most" default:"20" help:"Maximum number of rows."`
--- a/cmd/flaxrelay/version.go
+++ b/cmd/flaxrelay/version.go
@@ -8,6 +8,7 @@
 
 var errNoBuildInfo = errors.New("this program was built without its version")
 
+// versionCommand prints the version of the program.
 type versionCommand struct{}
 
 // Run prints the module version, the VCS revision and the Go version of the build.
--- a/internal/decision/costmodel/classify.go
+++ b/internal/decision/costmodel/classify.go
@@ -10,22 +10,22 @@
 	if bucket == nil {
 		return class
 	}
-	if held := int(bucket.ClassPlusOne) - 1; m.holdsClass(held, class, work) {
-		return held
+	if current := int(bucket.ClassPlusOne) - 1; m.keepsClass(current, class, work) {
+		return current
 	}
 	bucket.ClassPlusOne = uint8(class + 1)
 	return class
 }
 
-// holdsClass reports whether the hysteresis keeps a bucket in the class it has.
-func (m *Model) holdsClass(held, class int, work float64) bool {
-	if held < 0 || held >= len(m.cfg.Classes) || held == class {
+// keepsClass reports whether the hysteresis keeps a bucket in its current class.
+func (m *Model) keepsClass(current, class int, work float64) bool {
+	if current < 0 || current >= len(m.cfg.Classes) || current == class {
 		return false
 	}
-	if class > held {
-		return m.classFor(work/m.cfg.Hysteresis) <= held
+	if class > current {
+		return m.classFor(work/m.cfg.Hysteresis) <= current
 	}
-	return m.classFor(work*m.cfg.Hysteresis) >= held
+	return m.classFor(work*m.cfg.Hysteresis) >= current
 }
 
 func (m *Model) classFor(work float64) int {
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -26,7 +26,7 @@
 		before = m.estimate(q)
 	}
 	if truth.LowerBound && before.Known && before.WorkMillis >= truth.WorkMillis {
-		return // a lower bound below the estimate says nothing
+		return // a lower bound below the estimate gives no information
 	}
 	log2Work := math.Log2(truth.WorkMillis)
 	if record != nil {
@@ -52,7 +52,7 @@
 		return false
 	}
 	bucket := q.Record.find(m.bucketKey(q))
-	return bucket != nil && bucket.Work.Samples >= wellKnownSamples && bucket.Work.Run > -2 && bucket.Work.Run < 2
+	return bucket != nil && bucket.Work.Samples >= wellKnownSamples && bucket.Work.steady()
 }
 
 // learnShape updates the record of the shape.
--- a/internal/decision/costmodel/tracker.go
+++ b/internal/decision/costmodel/tracker.go
@@ -28,6 +28,9 @@
 	changeClip = 4
 	maxRun     = 100
 
+	// A run up to steadyRun is no sign of a change.
+	steadyRun = 1
+
 	minDeviation     = 0.15 // no figure is known better than by this
 	initialDeviation = 1.5  // after the first observation
 
@@ -76,6 +79,9 @@
 	}
 }
 
+// steady reports whether the latest observations were as expected.
+func (t *Tracker) steady() bool { return t.Run >= -steadyRun && t.Run <= steadyRun }
+
 // Variance returns the expected squared error of the median for one observation.
 func (t *Tracker) Variance() float64 {
 	const perMeanDeviation = 1.25 // standard deviation by mean absolute deviation, of a normal distribution
--- a/internal/lab/experiment/judge.go
+++ b/internal/lab/experiment/judge.go
@@ -27,6 +27,7 @@
 	means          map[string]*runningMean // of the true work by class, so far
 }
 
+// runningMean is the mean of the values added so far.
 type runningMean struct{ sum, count float64 }
 
 func (m *runningMean) mean() float64 { return m.sum / m.count }
--- a/internal/lab/fake/consul.go
+++ b/internal/lab/fake/consul.go
@@ -29,14 +29,17 @@
 	Checks  []healthCheck `json:"Checks"`
 }
 
+// healthNode is the node of a healthEntry.
 type healthNode struct {
 	Node string `json:"Node"`
 }
 
+// healthService is the service of a healthEntry.
 type healthService struct {
 	ID string `json:"ID"`
 }
 
+// healthCheck is one check of a healthEntry.
 type healthCheck struct {
 	CheckID string `json:"CheckID"`
 	Status  string `json:"Status"`
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -72,6 +72,7 @@
 	byEvent map[string]*eventLimiter
 }
 
+// eventLimiter is the limiter of one event.
 type eventLimiter struct {
 	*rate.Limiter
 	suppressed int // records since the last one that was written
--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -29,9 +29,22 @@
 // maxSlots bounds the slots of one statement; further values are only counted.
 const maxSlots = 24
 
+// Verb is the command that decides the kind of a statement; 0: another one.
+type Verb byte
+
+// The verbs.
+const (
+	VerbSelect  Verb = 's'
+	VerbInsert  Verb = 'i'
+	VerbUpdate  Verb = 'u'
+	VerbDelete  Verb = 'd'
+	VerbMerge   Verb = 'm'
+	VerbExplain Verb = 'e'
+)
+
 // Features are the properties of a statement that indicate its cost.
 type Features struct {
-	Verb       byte  // s: SELECT; i, u, d, m: INSERT, UPDATE, DELETE, MERGE; e: EXPLAIN; 0: other
+	Verb       Verb
 	Tables     int32 // names behind FROM and JOIN
 	Joins      int32
 	Aggregates int32 // calls of aggregate functions
--- a/internal/sqltext/bucket.go
+++ b/internal/sqltext/bucket.go
@@ -2,22 +2,36 @@
 
 import "math/bits"
 
+// The widths of a bucket's parts, in bits. Two flags of one bit each follow them.
+const (
+	alternativesBits = 4
+	spanBits         = 5
+	wildcardBits     = 2
+	rowLimitBits     = 4
+	disabledBits     = 3
+	rowsBits         = 4
+)
+
+// maxLog2RowLimit bounds the logarithm of a row limit, of which only half is kept: limits
+// are told apart by factors of four.
+const maxLog2RowLimit = 30
+
 // Bucket returns a coarse form of the profile, packed into bits. Executions of one shape
 // with equal buckets are expected to cost the same.
 func (p *Profile) Bucket() uint32 {
-	b := log2Bucket(float64(p.Alternatives), 15) // 4 bits
-	b = b<<5 | log2Bucket(p.Span, 31)
-	b = b<<2 | uint32(p.Wildcard)
-	b = b<<4 | min(log2Bucket(p.RowLimit, 30)/2, 15)
-	b = b<<3 | uint32(min(p.DisabledRestrictions, 7))
-	b = b<<4 | log2Bucket(float64(p.Rows), 15)
+	bucket := log2Bucket(float64(p.Alternatives), 1<<alternativesBits-1)
+	bucket = bucket<<spanBits | log2Bucket(p.Span, 1<<spanBits-1)
+	bucket = bucket<<wildcardBits | uint32(p.Wildcard)
+	bucket = bucket<<rowLimitBits | min(log2Bucket(p.RowLimit, maxLog2RowLimit)/2, 1<<rowLimitBits-1)
+	bucket = bucket<<disabledBits | uint32(min(p.DisabledRestrictions, 1<<disabledBits-1))
+	bucket = bucket<<rowsBits | log2Bucket(float64(p.Rows), 1<<rowsBits-1)
 	for _, flag := range []bool{p.HalfOpen, p.Unrestricted} {
-		b <<= 1
+		bucket <<= 1
 		if flag {
-			b |= 1
+			bucket |= 1
 		}
 	}
-	return b
+	return bucket
 }
 
 // log2Bucket returns 0 for an absent figure, else one more than its base-2 logarithm, up
--- a/internal/sqltext/names.go
+++ b/internal/sqltext/names.go
@@ -36,19 +36,19 @@
 	switch word {
 	case keywordSelect:
 		f.Selects++
-		p.setVerb('s')
+		p.setVerb(VerbSelect)
 	case keywordInsert:
-		p.setVerb('i')
+		p.setVerb(VerbInsert)
 	case keywordUpdate:
 		if p.previousKeyword != keywordFor {
-			p.setVerb('u')
+			p.setVerb(VerbUpdate)
 		}
 	case keywordDelete:
-		p.setVerb('d')
+		p.setVerb(VerbDelete)
 	case keywordMerge:
-		p.setVerb('m')
+		p.setVerb(VerbMerge)
 	case keywordExplain:
-		p.setVerb('e')
+		p.setVerb(VerbExplain)
 	case keywordFrom:
 		f.Tables++
 	case keywordJoin:
@@ -72,9 +72,9 @@
 }
 
 // setVerb sets the verb. A verb that writes replaces a SELECT before it.
-func (p *pass) setVerb(verb byte) {
+func (p *pass) setVerb(verb Verb) {
 	f := &p.result.Features
-	if f.Verb == 0 || f.Verb == 's' && verb != 's' {
+	if f.Verb == 0 || f.Verb == VerbSelect && verb != VerbSelect {
 		f.Verb = verb
 	}
 }
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -25,7 +25,7 @@
 	Key                  uint64  // hash of the first value compared for equality; 0: none
 }
 
-// maxSpan bounds the width of a range; it also stands for a width that is no number.
+// maxSpan bounds the width of a range; it also replaces a width that is no number.
 const maxSpan = 1e12
 
 // Profile evaluates the values of one execution, both literals and bound values. seed is
@@ -48,7 +48,7 @@
 	}
 	b.matchBounds()
 	p := &b.profile
-	p.Unrestricted = a.Unrestricted || b.restrictions <= 0 && a.Features.Verb != 'i'
+	p.Unrestricted = a.Unrestricted || b.restrictions <= 0 && a.Features.Verb != VerbInsert
 	if !(p.Span >= 0 && p.Span <= maxSpan) {
 		p.Span = maxSpan
 	}
--- a/internal/sqltext/slots.go
+++ b/internal/sqltext/slots.go
@@ -77,7 +77,7 @@
 	}
 	role = p.countRestriction(role)
 	// Of the values without a role, only parameters can turn out to be null guards.
-	if role == RoleOther && (t.Kind != Parameter || f.Verb == 'i') || p.slotCount == maxSlots {
+	if role == RoleOther && (t.Kind != Parameter || f.Verb == VerbInsert) || p.slotCount == maxSlots {
 		return
 	}
 	slot := Slot{Role: role, NullGuard: guard, Column: p.comparedColumn, Count: 1}
