--- a/cmd/flaxlab/traffic_stats.go
+++ b/cmd/flaxlab/traffic_stats.go
@@ -41,7 +41,7 @@
 	microsecondsPerMS     = 1000
 )
 
-// oneOffTemplate is the template of a statement whose shape never comes again. Other
+// oneOffTemplate is the template of a statement whose shape never recurs. Other
 // negative ones are of statements without a template.
 const oneOffTemplate = -1
 
--- a/cmd/flaxrelay/metrics.go
+++ b/cmd/flaxrelay/metrics.go
@@ -6,7 +6,7 @@
 )
 
 // metricsReportInterval is how often the log gets the counters' changes: often enough
-// that a fault stands out from the time before it without anybody asking for either.
+// that the log shows the time before and during a fault without a request for either.
 const metricsReportInterval = 5 * time.Second
 
 // scheduleMetricsReport sets the timer of the next report.
--- a/cmd/flaxrelay/postgres.go
+++ b/cmd/flaxrelay/postgres.go
@@ -36,7 +36,7 @@
 		return nil
 	}
 	limits := postgresLimits(deploy)
-	// The deploy file has no seed. The process number tells the replicas of one host apart.
+	// The deploy file has no seed. The process ID makes it differ between the replicas of one host.
 	seed := uint64(os.Getpid())
 	if err := s.startCore(deploy.Settings.Policy, seed, limits); err != nil {
 		return err
--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -22,7 +22,7 @@
 	counters   *metrics.Counters
 	logger     *slog.Logger
 	shapes     *stmtstats.Service // query shape statistics; nil where they are off
-	reload     func() error       // applies the file anew; nil where nothing in it may change
+	reload     func() error       // applies the changed file; nil where nothing in it may change
 }
 
 // frontEnd is what the composition and a graceful shutdown need of a protocol's server.
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -32,7 +32,7 @@
 	added, removed int // shapes that only the newer or only the older snapshot has
 }
 
-// Run lists the shapes whose cost has changed, and counts those that came and went.
+// Run lists the shapes whose cost has changed, and counts those that were added or removed.
 func (c *diffCommand) Run() error {
 	before, err := stmtstats.ReadSnapshot(c.Old)
 	if err != nil {
--- a/internal/config/location.go
+++ b/internal/config/location.go
@@ -16,7 +16,7 @@
 	key   string
 }
 
-// parseTOMLField takes a path like statement[1].class apart. The index of a list
+// parseTOMLField splits a path like statement[1].class. The index of a list
 // element is dropped, as such lists stand on one line.
 func parseTOMLField(path string) tomlField {
 	field := tomlField{path: path, key: path}
--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -6,7 +6,7 @@
 // variance that its errors have shown, which is the best linear combination of independent
 // unbiased estimators:
 //
-//   - the record of the shape, kept apart by the profile of the values;
+//   - the record of the shape, separately for each profile of the values;
 //   - similar values: how far executions with such values deviated from the usual cost of
 //     their own shapes, over all shapes;
 //   - the prior, a regression over features that learns from all shapes, corrected by its
--- a/internal/decision/costmodel/record.go
+++ b/internal/decision/costmodel/record.go
@@ -1,6 +1,6 @@
 package costmodel
 
-// maxBuckets bounds the profiles that the record of one shape keeps apart.
+// maxBuckets bounds the profiles that the record of one shape distinguishes.
 const maxBuckets = 8
 
 // ShapeRecord is the record of one shape. All trackers hold base-2 logarithms. Its size is
--- a/internal/decision/hotrestart/recovery.go
+++ b/internal/decision/hotrestart/recovery.go
@@ -36,7 +36,8 @@
 	CloseConnection                        // a part of its response was written, so only a close tells the client
 )
 
-// windowMargin is kept to the end of an idempotency window, for the way to the engine.
+// windowMargin is the least time left in an idempotency window for a request to reach its
+// engine.
 const windowMargin = 50 * time.Millisecond
 
 // Recover decides on a request of a process that has exited. written is how many bytes of
--- a/internal/discovery/consul/decoding.go
+++ b/internal/discovery/consul/decoding.go
@@ -71,7 +71,7 @@
 func (e *healthEntry) engineID() string { return engineID(e.Node.Node, e.Service.ID) }
 
 // state maps the checks: an engine in maintenance is draining, and so is one whose
-// metadata say so, unless a critical check removes it. All others are ready.
+// metadata mark it, unless a critical check removes it. All others are ready.
 func (e *healthEntry) state() policy.EngineState {
 	state := policy.EngineReady
 	if e.Service.Meta["draining"] == "true" {
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -52,7 +52,7 @@
 	notified      map[string]lifecycle.Endpoint // what the sink was last notified of, by id
 }
 
-// New returns a watcher that notifies the sink by way of post.
+// New returns a watcher that notifies the sink through post.
 func New(post func(func()), sink discovery.Sink, counters *metrics.Counters, log *slog.Logger) *Watcher {
 	return &Watcher{
 		post:          post,
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -21,8 +21,8 @@
 	initialBackoff = 50 * time.Millisecond
 	// defaultMaxBackoff is the MaxBackoff of a new watcher.
 	defaultMaxBackoff = 250 * time.Millisecond
-	// defaultIdleTimeout is the longest time between two frames: a heartbeat comes each
-	// second.
+	// defaultIdleTimeout is the longest time between two frames: the bus sends a heartbeat
+	// each second.
 	defaultIdleTimeout = 2500 * time.Millisecond
 )
 
@@ -92,14 +92,14 @@
 	}
 }
 
-// Start connects, and from then on connects anew whenever the connection ends or is idle.
+// Start connects, and from then on reconnects whenever the connection ends or is idle.
 func (w *Watcher) Start() {
 	w.backoff.Max = w.MaxBackoff
 	w.connect()
 }
 
 // MoveTo switches to the bus at another address and requests the events after the last
-// one processed. Where the address is the same, it connects anew only if there is no
+// one processed. Where the address is the same, it reconnects only if there is no
 // connection.
 func (w *Watcher) MoveTo(addr string) {
 	if w.state == stateStopped || addr == w.addr && w.state == stateConnected {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -16,7 +16,7 @@
 type Options struct {
 	// ConnectTimeout bounds the dial.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long a connection stays open without an attempt; 0: for ever.
+	// IdleTimeout is how long a connection stays open without an attempt; 0: forever.
 	IdleTimeout time.Duration
 	// ReadBufferBytes bounds the read buffer of one connection; the rest waits in the socket.
 	ReadBufferBytes int
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -45,7 +45,7 @@
 	engine   *Engine[P]
 	protocol P
 	state    State
-	// draining says that no new attempt is accepted. It stands beside the state: a
+	// draining says that no new attempt is accepted. It is independent of the state: a
 	// connection that is retired during its dial still serves the attempts that wait for it.
 	draining bool
 	socket   *eventloop.Conn // nil while dialing and once closed
--- a/internal/engine/lineclient/abandoned.go
+++ b/internal/engine/lineclient/abandoned.go
@@ -3,7 +3,7 @@
 import "time"
 
 // abandonedIDTTL is how long an id that was given up on a connection is not used
-// there again: a late response to the first request would be taken for one to the second.
+// there again: a late response to the first request would be mistaken for one to the second.
 const abandonedIDTTL = 30 * time.Second
 
 // abandonedIDs are the request ids that were given up on one connection and may
--- a/internal/engine/lineclient/client.go
+++ b/internal/engine/lineclient/client.go
@@ -18,7 +18,7 @@
 	readBufferBytes = 64 << 10
 	// stallTimeout is how long a response may stop in the middle: engines send each in one piece.
 	stallTimeout = 500 * time.Millisecond
-	// responseTimeout bounds a response that comes in pieces. Prevents one that never
+	// responseTimeout bounds a response that arrives in pieces. It prevents one that never
 	// ends from blocking all else on its connection.
 	responseTimeout = 4 * stallTimeout
 	// idleFraction of the engines' own idle timeout is when this side closes an idle
@@ -98,7 +98,7 @@
 }
 
 // Abandon gives an attempt up. Its engine gets a cancel where the settings permit it; a
-// result whose pages are being fetched takes no more work, and is always released.
+// result whose pages are being fetched needs no more work, and is always released.
 func (c *Client) Abandon(attempt *lifecycle.Attempt) {
 	if s, ok := attempt.ClientData.(*stream); ok {
 		s.conn.abandon(s)
--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -113,7 +113,7 @@
 	if status == lifecycle.StatusServed {
 		s.report.Result = s.pages
 	} else if s.written {
-		// A duplicate of this response, or a page, must not be taken for the next attempt's.
+		// A duplicate of this response, or a page, must not be mistaken for the next attempt's.
 		c.markAbandoned(s.attempt.Request.ID)
 	}
 	c.client.shared.Dispatcher.EndAttempt(s.attempt, status, s.report)
--- a/internal/engine/pgclient/prepared.go
+++ b/internal/engine/pgclient/prepared.go
@@ -23,7 +23,7 @@
 	return preparedStatements{names: map[string]string{}}
 }
 
-// statementKey is what tells prepared statements apart: the text and the parameter types.
+// statementKey identifies a prepared statement: its text and its parameter types.
 func statementKey(statement *pgproto.Statement) string {
 	return statement.Query + "\x00" + string(statement.ParameterTypes)
 }
--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -24,7 +24,7 @@
 		return
 	}
 	b.data, b.consumed = b.data[:0], 0
-	if cap(b.data) > maxIdleBuffer { // one large message must not keep its memory for ever
+	if cap(b.data) > maxIdleBuffer { // one large message must not keep its memory forever
 		b.data = nil
 	}
 }
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -14,7 +14,7 @@
 const lingerTime = 250 * time.Millisecond
 
 // Close ends the connection once what was written has been sent: nbio's own close would
-// drop it. OnClosed is called later; OnData no more.
+// drop it. OnClosed is called later, and OnData no longer.
 func (c *Conn) Close() {
 	if c.loadState() != connOpen {
 		return
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -64,7 +64,7 @@
 	in              Buffer // guarded by mu, as are those below
 	deliveryPosted  bool   // a call of deliver is in the loop's queue
 	readPaused      bool   // there may be more to read, and the buffer is full
-	discardedOnRead int    // bytes that came after Close
+	discardedOnRead int    // bytes received after Close
 }
 
 // adopt hands a connected socket to the poller. The function onEnded is called once the
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// discard counts bytes that came after Close. They are read, since closing a socket with
+// discard counts bytes received after Close. They are read, since closing a socket with
 // unread bytes resets the connection, and dropped. It reports whether to go on reading:
 // a peer that sends more than a buffer of them goes on at full speed. The caller holds mu.
 func (c *Conn) discard(n int) bool {
--- a/internal/frontend/httpserver/eviction.go
+++ b/internal/frontend/httpserver/eviction.go
@@ -50,7 +50,7 @@
 
 // findVictim counts the open connections and returns the one to evict first, or nil if
 // none may be evicted yet. Connections that only wait for their client to read the last
-// response are aborted on the way.
+// response are aborted meanwhile.
 func (s *Server) findVictim() (open int, victim *connection) {
 	now := s.loop.Now()
 	for c := range s.connections {
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -96,7 +96,7 @@
 }
 
 // Drain begins a graceful shutdown: each connection is closed as soon as it is idle. A
-// request of which a part has come is still served once it is complete; its read timer
+// request that has partly arrived is still served once it is complete; its read timer
 // bounds the wait for it.
 func (s *Server) Drain() {
 	s.draining = true
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -32,7 +32,7 @@
 const (
 	costStatements = 2000 // different statements that the clients send
 	costEngines    = 2
-	warmUpShare    = 5 // the warm-up has one in so many of the requests of a round
+	warmUpShare    = 5 // the requests of a round are this many times those of the warm-up
 )
 
 // MeasureCost measures pairs of rounds, without query shapes and with them, one after the other, each
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -1,5 +1,5 @@
-// Package experiment evaluates the classifier of statements on recorded traffic, whose truth is
-// known, floods its cache with shapes that never recur, and measures what it costs flaxrelay.
+// Package experiment evaluates the classifier of statements on recorded traffic, whose true classes
+// and costs are known, floods its cache with shapes that never recur, and measures what it costs flaxrelay.
 package experiment
 
 import (
@@ -37,7 +37,7 @@
 	}
 }
 
-// Result is what one variant made of the judged part of one file. Errors are |log2(estimate/truth)|
+// Result is the result of one variant on the evaluated part of one file. Errors are |log2(estimate/truth)|
 // of the work.
 type Result struct {
 	Judged                int
@@ -54,7 +54,7 @@
 	HintP90Error          float64
 	MeanMedianError       float64 // of the errors of the mean of the true class
 	MeanP90Error          float64
-	HintClass             float64 // share whose class the hint alone tells
+	HintClass             float64 // share whose class the hint alone determines
 	Shapes                int
 	Bytes                 int
 	HitRate               float64 // of the cache, over all of the file
@@ -93,7 +93,7 @@
 	return result, nil
 }
 
-// classUndecided tells the classifier that nothing has decided the class yet.
+// classUndecided means to the classifier that the class is not decided yet.
 const classUndecided = -1
 
 // classify is the class by which a front end would admit the statement.
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -19,7 +19,7 @@
 	CacheBytes     int     // limit of the cache
 }
 
-// FloodResult is what became of one cache.
+// FloodResult is the result for one cache.
 type FloodResult struct {
 	Cache        string
 	Asked        int     // statements of recurring shapes in the second half, which is judged
@@ -33,7 +33,7 @@
 // caches are the caches of shapes that are compared.
 var caches = map[string]func(int) (stmtstats.Cache, error){"w-tinylfu": stmtstats.NewTinyLFU, "lru": stmtstats.NewLRU, "2q": stmtstats.New2Q}
 
-// UnknownCacheError is the name of a cache that there is not.
+// UnknownCacheError reports an unknown name of a cache.
 type UnknownCacheError string
 
 // Error implements error.
@@ -43,7 +43,7 @@
 
 const floodStream = 0x666c6f6f64 // second word of the seed: distinct from other uses of it
 
-// What is true of every statement of the flood.
+// The true class and cost of every statement of the flood.
 const (
 	floodWorkMS   = 200
 	floodMemoryMB = 10
--- a/internal/lab/experiment/judge.go
+++ b/internal/lab/experiment/judge.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// judge compares classes and estimates with what is true of the statements.
+// judge compares classes and estimates with the true classes and costs.
 type judge struct {
 	counts         Result // whose counts are filled in while records are judged
 	right          float64
--- a/internal/lab/fake/listener.go
+++ b/internal/lab/fake/listener.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// NotLoopbackError is an address that is not on the loopback interface.
+// NotLoopbackError reports an address that is not on the loopback interface.
 type NotLoopbackError struct {
 	Addr string
 }
--- a/internal/lab/fake/work.go
+++ b/internal/lab/fake/work.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Work tells how long a statement takes, and the memory that it needs in MB.
+// Work returns how long a statement takes, and the memory that it needs in MB.
 type Work func(statement string) (time.Duration, float64)
 
 // PlausibleWork is the work that a reader of a statement would expect: a load or a summary takes
--- a/internal/lab/faultproxy/faults.go
+++ b/internal/lab/faultproxy/faults.go
@@ -15,10 +15,10 @@
 	CorruptReplies Kind = "corrupt-replies" // one byte of each chunk of the replies is changed
 	Disconnect     Kind = "disconnect"      // connections are closed, and new ones are refused
 	Reset          Kind = "reset"           // connections are reset (RST), once at its start
-	HalfClose      Kind = "half-close"      // the way to the server is closed, replies go on
+	HalfClose      Kind = "half-close"      // the direction to the server is closed, replies go on
 )
 
-// known tells whether there is such a kind.
+// known reports whether the kind exists.
 func (k Kind) known() bool {
 	switch k {
 	case Stall, DropReplies, CorruptReplies, Disconnect, Reset, HalfClose:
@@ -34,12 +34,12 @@
 	For  time.Duration // 0: to the end; Reset and HalfClose happen once
 }
 
-// activeAt tells whether the fault is under way so long after the start of the proxy.
+// activeAt reports whether the fault is active at a time since the start of the proxy.
 func (f Fault) activeAt(elapsed time.Duration) bool {
 	return elapsed >= f.From && (f.For <= 0 || elapsed < f.From+f.For)
 }
 
-// UnknownKindError is a fault of a schedule whose kind there is not.
+// UnknownKindError reports a fault of an unknown kind in a schedule.
 type UnknownKindError struct {
 	Index int
 	Kind  Kind
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("faultproxy: fault %d: there is no kind %q", e.Index, e.Kind)
 }
 
-// active tells whether a fault of the kind is under way.
+// active reports whether a fault of the kind is active.
 func (p *Proxy) active(kind Kind) bool {
 	elapsed := time.Since(p.start)
 	for _, fault := range p.opts.Faults {
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -42,7 +42,7 @@
 	closed bool
 }
 
-// NotLoopbackError is an address that is not on the loopback interface.
+// NotLoopbackError reports an address that is not on the loopback interface.
 type NotLoopbackError struct {
 	Addr string
 }
@@ -130,7 +130,7 @@
 	}
 }
 
-// add notes a relay; it is false where the proxy is closed.
+// add registers a relay, and reports whether the proxy is still open.
 func (p *Proxy) add(r *relay) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +147,7 @@
 	delete(p.relays, r)
 }
 
-// delay is how long one chunk is on its way.
+// delay draws how long one chunk is in transit.
 func (p *Proxy) delay() time.Duration {
 	if p.opts.Jitter <= 0 {
 		return p.opts.Delay
--- a/internal/lab/faultproxy/relay.go
+++ b/internal/lab/faultproxy/relay.go
@@ -11,14 +11,14 @@
 const (
 	// chunkSize bounds what is relayed at once.
 	chunkSize = 16 << 10
-	// maxChunksInTransit bounds the chunks in transit in one direction, so that a slow way
-	// pushes back on its sender.
+	// maxChunksInTransit bounds the chunks in transit in one direction, so that a slow direction
+	// applies back pressure to its sender.
 	maxChunksInTransit = 64
 	// corruption is what a changed byte is combined with by exclusive or.
 	corruption = 0x55
 )
 
-// direction is a way through a relay.
+// direction is a direction through a relay.
 type direction int
 
 const (
@@ -70,7 +70,7 @@
 	end   bool
 }
 
-// copy carries one direction: a reader stamps chunks with the moment at which they are due, and
+// copy carries one direction: a reader stamps chunks with the time at which they are due, and
 // a writer waits for it.
 func (r *relay) copy(from, to *net.TCPConn, way direction) {
 	transit := make(chan chunk, maxChunksInTransit)
@@ -112,7 +112,7 @@
 	}
 }
 
-// send puts a chunk in transit; it is false where the relay has ended.
+// send puts a chunk in transit, and reports whether the relay is still open.
 func (r *relay) send(transit chan<- chunk, c chunk) bool {
 	select {
 	case transit <- c:
@@ -122,7 +122,7 @@
 	}
 }
 
-// write writes what is in transit at the moment at which it is due.
+// write writes what is in transit once it is due.
 func (r *relay) write(to *net.TCPConn, transit <-chan chunk) {
 	for c := range transit {
 		if !r.waitUntil(c.due) {
@@ -142,13 +142,13 @@
 	}
 }
 
-// transferTime is how long so many bytes take at a bandwidth in bytes a second.
+// transferTime is how long the bytes take at a bandwidth in bytes a second.
 func transferTime(length, bandwidth int) time.Duration {
 	return time.Duration(float64(length) / float64(bandwidth) * float64(time.Second))
 }
 
-// waitUntil waits for a moment, and then for the end of a stall; it is false where the relay
-// ends before.
+// waitUntil waits until a time, and then for the end of a stall. It returns false where the
+// relay ends before.
 func (r *relay) waitUntil(moment time.Time) bool {
 	if wait := time.Until(moment); wait > 0 {
 		timer := time.NewTimer(wait)
--- a/internal/lab/traffic/arrivals.go
+++ b/internal/lab/traffic/arrivals.go
@@ -18,7 +18,7 @@
 	Season  ArrivalProcess = "season" // a day's curve, which rises to a festival at the end
 )
 
-// ArrivalProcessError is the name of an arrival process that there is not.
+// ArrivalProcessError reports an unknown arrival process.
 type ArrivalProcessError string
 
 // Error implements error.
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("arrivals: %q is none of poisson, bursts, season", string(e))
 }
 
-// RateError is a rate of arrivals that is not above 0.
+// RateError reports a rate of arrivals that is not above 0.
 type RateError float64
 
 // Error implements error.
@@ -34,7 +34,7 @@
 
 const microsPerSecond = 1e6
 
-// arrivals draws the moments at which statements arrive.
+// arrivals draws the arrival times of statements.
 type arrivals struct {
 	process   ArrivalProcess
 	random    *rand.Rand
@@ -77,7 +77,7 @@
 	}, nil
 }
 
-// next is the next moment in microseconds.
+// next returns the next arrival time in microseconds.
 func (a *arrivals) next() int64 {
 	switch a.process {
 	case Poisson:
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -1,5 +1,5 @@
-// Package traffic keeps recorded traffic: statements with their values, hints and what
-// is true of them, each with the moment at which it arrives.
+// Package traffic stores recorded traffic: statements with their values, hints and true
+// class and cost, each with its arrival time.
 //
 // A file is "RWTRAFF" and a version byte, then blocks. A block is its length, the xxhash
 // of its bytes and the number of its records (4, 8 and 4 bytes, big-endian), then a zstd
@@ -52,7 +52,7 @@
 	HintMB        float64  `cbor:"7,keyasint,omitempty"`
 	Key           int      `cbor:"8,keyasint,omitempty"` // number of the value that is the idempotency key; 0: none
 
-	// What is true of the statement, for the evaluation.
+	// The true class and cost of the statement, for the evaluation.
 
 	Class    string  `cbor:"20,keyasint"`
 	HardCase string  `cbor:"21,keyasint,omitempty"` // why its class is hard to tell, or ""
@@ -62,7 +62,7 @@
 	Weight   float64 `cbor:"25,keyasint"` // priority weight
 }
 
-// blockHeader stands before each block.
+// blockHeader precedes each block.
 type blockHeader struct {
 	length   uint32 // of the compressed block; 0 at the end of the file
 	checksum uint64 // at the end of the file the number of all records
--- a/internal/lab/traffic/generate.go
+++ b/internal/lab/traffic/generate.go
@@ -10,7 +10,7 @@
 // progressStep is the number of records after which Generate reports its progress.
 const progressStep = 1000
 
-// Generate writes so many statements of a workload. It reports to progress, which may be nil,
+// Generate writes the given number of statements of a workload. It reports to progress, which may be nil,
 // how many records were written since its last report.
 func Generate(w io.Writer, options workload.Options, number int, rate float64, process ArrivalProcess, progress func(int)) error {
 	arrivals, err := newArrivals(process, rate, number, options.Seed)
@@ -43,7 +43,7 @@
 		o.Seed, o.Templates, o.OneOffShare, o.HardShare, o.WriteShare, o.DriftFrom, o.DriftFactor, o.HintSigma, o.HintMissingShare)
 }
 
-// RecordOf turns a statement of a workload into a record without its moment.
+// RecordOf turns a statement of a workload into a record without its arrival time.
 func RecordOf(s workload.Statement) Record {
 	return Record{
 		Statement: s.Text, Values: s.Values, Formats: s.Formats, Types: s.Types, HintWorkMS: s.HintWorkMS, HintMB: s.HintMB, Key: s.Key,
--- a/internal/lab/traffic/reader.go
+++ b/internal/lab/traffic/reader.go
@@ -53,7 +53,7 @@
 	return r, nil
 }
 
-// readMagic reads what stands before the first block.
+// readMagic reads the bytes before the first block.
 func readMagic(in io.Reader) error {
 	start := make([]byte, len(magic)+1)
 	if _, err := io.ReadFull(in, start); err != nil || string(start[:len(magic)]) != magic {
@@ -128,5 +128,5 @@
 	return nil
 }
 
-// Close frees what the reader holds; the file is its owner's.
+// Close releases the reader's resources. It does not close the file.
 func (r *Reader) Close() { r.decompressor.Close() }
--- a/internal/lab/workload/cost.go
+++ b/internal/lab/workload/cost.go
@@ -13,7 +13,7 @@
 }
 
 // Unit costs in milliseconds on one core. With them lookups take about 200 ms and reports
-// about 3 s, as the brief has it.
+// about 3 s, as in the modelled deployment.
 const (
 	baseMS        = 110
 	indexedRowMS  = 0.03
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -1,4 +1,4 @@
-// Package workload models the Board's register and the programs that query it: districts,
+// Package workload models a register of parts and the programs that query it: districts,
 // wholesalers, parts of very different popularity, ten years of days, and what each
 // statement truly costs there. The cost follows from the meaning of a statement (how many
 // rows it reaches, by which access path, and what is done with them), never from its text:
@@ -34,7 +34,7 @@
 // DefaultTemplates is the number of recurring query shapes where the options name none.
 const DefaultTemplates = 200
 
-// Defaults are the figures of the Board's brief, as far as it gives them.
+// Defaults returns the figures of the modelled deployment, as far as they are known.
 func Defaults(seed uint64) Options {
 	return Options{
 		Seed: seed, Templates: DefaultTemplates, OneOffShare: 0.05, HardShare: 0.04, WriteShare: 0.02,
@@ -59,7 +59,7 @@
 	TemplateWrite  = -2
 )
 
-// Statement is one statement with what is true of it.
+// Statement is one statement with its true class and cost.
 type Statement struct {
 	Text       string
 	Values     [][]byte // bound; nil: null
@@ -137,7 +137,7 @@
 	return g.fromTemplate(g.templates[index], index, growth)
 }
 
-// growth is the factor by which the table of orders has grown by now.
+// growth is the factor by which the table of orders has grown so far.
 func (g *Generator) growth() float64 {
 	progress := float64(g.generated) / float64(g.total)
 	if g.options.DriftFrom > 0 && progress >= g.options.DriftFrom {
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -13,7 +13,7 @@
 	random    *rand.Rand
 	template  *template
 	group     int
-	rows      float64 // of the table by now
+	rows      float64 // of the table so far
 	rowsOfOne float64 // rows of one usual part
 	broad     bool    // its values are to make a lookup a report, where the family has such values
 	hardCase  string  // why broad values make its class hard to tell
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -31,7 +31,7 @@
 )
 
 // Chances of the kinds of template. With the weights of the families, 81 % of the statements
-// are lookups, 14 % reports and 5 % loads, as the brief has it.
+// are lookups, 14 % reports and 5 % loads, as in the modelled deployment.
 const (
 	lookupTemplates = 0.72
 	reportTemplates = 0.2
--- a/internal/lab/workload/text.go
+++ b/internal/lab/workload/text.go
@@ -39,7 +39,7 @@
 	b.text.WriteString(text)
 }
 
-// literal adds formatted text as it stands.
+// literal adds formatted text unchanged.
 func (b *textBuilder) literal(format string, args ...any) {
 	_, _ = fmt.Fprintf(&b.text, format, args...) // a strings.Builder returns no error
 }
--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -42,10 +42,10 @@
 	ErrorDetail any // of an engine error, for front ends of the same protocol
 }
 
-// Ended tells whether the attempt has ended.
+// Ended reports whether the attempt has ended.
 func (a *Attempt) Ended() bool { return a.state != attemptInFlight }
 
-// DedupWindowClosed tells whether the attempt may no longer be written: an earlier
+// DedupWindowClosed reports whether the attempt may no longer be written: an earlier
 // attempt may have run, and the window in which engines drop duplicates of its
 // idempotency key is about to end. Engine clients must check it before they write.
 func (a *Attempt) DedupWindowClosed(now time.Duration) bool {
--- a/internal/lifecycle/client.go
+++ b/internal/lifecycle/client.go
@@ -14,7 +14,7 @@
 	// Abandon gives up an attempt that has not ended. The Dispatcher ends it
 	// itself; a later EndAttempt has no effect.
 	Abandon(a *Attempt)
-	// Withdraw takes back an attempt of which nothing has been written, and tells
+	// Withdraw takes back an attempt of which nothing has been written, and reports
 	// whether it could: if so, nothing will reach the engine, and the Dispatcher
 	// ends the attempt.
 	Withdraw(a *Attempt) bool
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -1,6 +1,6 @@
 // Package lifecycle carries each request from its arrival to its one final
 // response: it accepts requests, has a policy.Balancer admit and place them,
-// starts attempts at engines and relays what comes back. It knows no protocol:
+// starts attempts at engines and relays their results. It knows no protocol:
 // front ends, engine clients and discovery meet it through its interfaces.
 package lifecycle
 
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -14,7 +14,7 @@
 	Address string // that the engine listens on
 }
 
-// UpdateEndpoints takes in the endpoint list or a change to it, as mode says.
+// UpdateEndpoints applies the endpoint list or a change to it, according to mode.
 func (d *Dispatcher) UpdateEndpoints(mode policy.UpdateMode, endpoints []Endpoint) {
 	d.counters.Increment("discovery.updates")
 	previous := d.endpoints
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -47,15 +47,15 @@
 	requestReleased                      // no attempt is in flight, and the balancer has been notified of every end
 )
 
-// completed tells whether no response is owed any more.
+// completed reports whether no response is owed any more.
 func (r *Request) completed() bool { return r.state >= requestCompleted }
 
-// mayHaveRun tells whether an engine may have run an attempt of the request.
+// mayHaveRun reports whether an engine may have run an attempt of the request.
 func (r *Request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a *Attempt) bool { return a.state != attemptNeverRan })
 }
 
-// Accept takes in a request that has arrived completely. From here on one final
+// Accept accepts a request that has arrived completely. From here on one final
 // response is owed; it may be given before Accept returns.
 func (d *Dispatcher) Accept(r *Request) {
 	d.lastPolicyID++
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -53,7 +53,7 @@
 	d.releaseIfIdle(r)
 }
 
-// MayHaveRun tells whether an engine may have run the request although a retry of
+// MayHaveRun reports whether an engine may have run the request although a retry of
 // it is not harmless.
 func (d *Dispatcher) MayHaveRun(r *Request) bool {
 	return d.classes[r.Class].Effect != policy.Idempotent && r.mayHaveRun()
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -78,7 +78,7 @@
 	suppressed int // records since the last one that was written
 }
 
-// allow tells whether a record of the event may be written, and how many were
+// allow reports whether a record of the event may be written, and how many were
 // suppressed before it.
 func (l *eventLimiters) allow(event string, at time.Time) (allowed bool, suppressed int) {
 	l.mu.Lock()
--- a/internal/pgproto/results.go
+++ b/internal/pgproto/results.go
@@ -6,11 +6,11 @@
 type Statement struct {
 	Query          string
 	ParameterTypes []byte // the count and the types of the parameters, as in Parse
-	Bind           []byte // the body of a Bind past its two names, as it came
+	Bind           []byte // the body of a Bind past its two names, unchanged
 	DescribeOnly   bool   // describe only: nothing runs
 }
 
-// Result is what an engine answered: the bodies of its messages as they came.
+// Result is what an engine answered: the bodies of its messages, unchanged.
 type Result struct {
 	ParameterDescription []byte // of ParameterDescription, where only a description was requested
 	RowDescription       []byte // of RowDescription; nil: NoData
--- a/internal/pgproto/startup.go
+++ b/internal/pgproto/startup.go
@@ -6,7 +6,7 @@
 )
 
 // Codes that the first message of a connection begins with: a protocol version, or a
-// request that stands in its place.
+// request in its place.
 const (
 	ProtocolVersion   = 3 << 16
 	CancelRequestCode = 80877102
--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -19,7 +19,7 @@
 	errInputEndsInBatch = errors.New("input ended inside the batch")
 )
 
-// notInBatchError reports a message that came between two batches.
+// notInBatchError reports a message between two batches.
 type notInBatchError struct{ message string }
 
 func (e *notInBatchError) Error() string { return e.message + ": no batch is open" }
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -51,7 +51,7 @@
 		m.fail(endpointsMode, "unknown mode %q", spelling)
 		return nil
 	}
-	if mode == policy.UpdateFailed { // no list came
+	if mode == policy.UpdateFailed { // without a list
 		return policy.EndpointsChanged{Mode: mode}
 	}
 	table := h.decodeTableNumber(m, endpointsTable)
@@ -94,7 +94,7 @@
 	return event
 }
 
-// noTenant stands for the tenant of a request without one. Others are strings.
+// noTenant is the tenant of a request without one. Others are strings.
 const noTenant = "0"
 
 func decodeTenant(m *message) (tenant string) {
@@ -127,8 +127,8 @@
 	return event
 }
 
-// Kinds of progress as INTERIM numbers them, and the value of waiting that stands for a
-// bulk load. Any other value stands for memory.
+// Kinds of progress as INTERIM numbers them, and the value of a wait for a bulk load.
+// Any other value is a wait for memory.
 const (
 	progressFraction = 1
 	progressSpilling = 2
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -40,7 +40,7 @@
 func (f Functions) has(name string) bool { return f[name] || f[strings.ToLower(name)] }
 
 // EffectOf classifies a statement, and errs on the side of writing: it is read-only only if
-// its first word says so, no word of it writes or locks, and all functions and operators
+// its first word begins a read-only statement, no word of it writes or locks, and all functions and operators
 // that it names are known to be read-only. readOnly names functions beside PostgreSQL's own.
 //
 // What the text doesn't show is not detected: a view or an operator over a function that
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -9,7 +9,7 @@
 	// typeWord: the word is a type or a built-in form with a parenthesis behind it, which
 	// can't be the name of a function either.
 	typeWord
-	// infixWord: the word stands between two values. Behind a complete value, it begins no call.
+	// infixWord: the word is an operator between two values. Behind a complete value, it begins no call.
 	infixWord
 	// writingWord: the word begins, or is part of, something that changes stored data.
 	writingWord
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -47,7 +47,7 @@
 }
 
 // EstimateRequest estimates a request whose class is already known, and applies the estimate to the
-// request if the settings say so.
+// request if the settings enable that.
 func (s *Service) EstimateRequest(r *lifecycle.Request, statement *Statement, binds *sqltext.Binds) {
 	s.estimateRequest(r, s.newExecution(), statement, binds)
 }
@@ -75,7 +75,7 @@
 	s.apply(r, execution, threads)
 }
 
-// apply attaches the execution to the request and, if the settings say so, replaces the
+// apply attaches the execution to the request and, if the settings enable that, replaces the
 // client's hints by the estimate.
 func (s *Service) apply(r *lifecycle.Request, execution *Execution, threads float64) {
 	r.ObserverData = execution
--- a/policy/class.go
+++ b/policy/class.go
@@ -31,7 +31,7 @@
 	return estimateMs / c.estimateMs
 }
 
-// observeLatency takes the latency of an answer to a request of the expected work.
+// observeLatency records the latency of an answer to a request of the expected work.
 func (c *class) observeLatency(latencyMs, expectedWorkMs float64) {
 	c.answers++
 	deviation := math.Abs(latencyMs*c.workMs/(c.latencyMs*expectedWorkMs) - 1)
@@ -40,7 +40,7 @@
 	c.quickLatencyMs = min(c.quickLatencyMs*quickLatencyGrowth, c.latencyMs)
 }
 
-// observeWork takes the work of an answer.
+// observeWork records the work of an answer.
 func (c *class) observeWork(workMs float64) {
 	c.workMs = ewma(c.workMs, workMs, c.answerWindow())
 }
@@ -50,7 +50,7 @@
 	return float64(min(firstAnswerWindow+c.answers, maxAnswerWindow))
 }
 
-// observeMemory takes the memory that an answer needed. The grant factor follows
+// observeMemory records the memory that an answer needed. The grant factor follows
 // the quantile grantCoverage of the need over the estimate, by multiplicative steps.
 func (c *class) observeMemory(estimateMB, neededMB float64, spilled bool) {
 	switch {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,6 +1,6 @@
 package policy
 
-// onEndpointsChanged takes the endpoint list or a change to it, or asks for it anew.
+// onEndpointsChanged applies the endpoint list or a change to it, or subscribes to it again.
 func (b *Balancer) onEndpointsChanged(ev EndpointsChanged) {
 	if ev.Mode == UpdateFailed && b.settings.PullDiscovery {
 		b.emit(Subscribe{})
@@ -16,7 +16,7 @@
 	b.scaleFleet()
 }
 
-// updateEndpoint adds or updates an engine. One that is new or restarted begins anew.
+// updateEndpoint adds or updates an engine. A new or restarted one gets initial values.
 func (b *Balancer) updateEndpoint(endpoint Engine) {
 	e := b.enginesByID[endpoint.ID]
 	if e == nil {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// datasetLoading tells whether a bulk load blocks the data set on the engine: an own
+// datasetLoading reports whether a bulk load blocks the data set on the engine: an own
 // load in flight, or one that an own request was lately reported to wait for.
 func (e *engine) datasetLoading(now time.Duration, dataset int64) bool {
 	return now < e.datasetLoadingUntil[dataset] || slices.ContainsFunc(e.inFlight, func(a *attempt) bool {
@@ -67,7 +67,7 @@
 	b.fleet.backlog += a.request.weight
 }
 
-// release takes an attempt that has ended out of what is in flight.
+// release removes an attempt that has ended from those in flight.
 func (b *Balancer) release(a *attempt) {
 	e := a.engine
 	e.inFlight = slices.DeleteFunc(e.inFlight, func(other *attempt) bool { return other == a })
--- a/policy/handle.go
+++ b/policy/handle.go
@@ -16,7 +16,7 @@
 	return b, nil
 }
 
-// Handle takes one event and appends the actions that it leads to.
+// Handle processes one event and appends the actions that it leads to.
 func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
 	b.now, b.actions = max(now, b.now), actions
 	if !b.started {
--- a/policy/keyqueue.go
+++ b/policy/keyqueue.go
@@ -11,7 +11,7 @@
 	blockedUntil time.Duration // no new request of the key is sent before
 }
 
-// isHead tells whether the request is the oldest of the queue.
+// isHead reports whether the request is the oldest of the queue.
 func (q *keyQueue) isHead(req *request) bool { return q.requests[0] == req }
 
 // blockUntil blocks the queue until an instant, or until a later one set before.
@@ -19,7 +19,7 @@
 	q.blockedUntil = max(q.blockedUntil, instant)
 }
 
-// idle tells whether the queue is empty and not blocked.
+// idle reports whether the queue is empty and not blocked.
 func (q *keyQueue) idle(now time.Duration) bool {
 	return len(q.requests) == 0 && now >= q.blockedUntil
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -11,10 +11,10 @@
 	loadPenaltyFactor  = 0.25              // share of a difference in load that counts against an engine
 )
 
-// onLoadReport takes an engine's load in threads a core: from its requests in flight or else its busy cores,
+// onLoadReport records an engine's load in threads a core: from its requests in flight or else busy cores,
 // and from its granted memory where an excess slows all requests down.
 func (b *Balancer) onLoadReport(e *engine, report LoadReport) {
-	if !report.Reported || !(max(report.InFlight, report.CPUShare) >= 0) { // neither figure, or no number
+	if !report.Reported || !(max(report.InFlight, report.CPUShare) >= 0) { // neither figure, or NaN
 		return
 	}
 	e.reportedLoad = b.threadsPerCore * report.CPUShare
--- a/policy/loop.go
+++ b/policy/loop.go
@@ -17,7 +17,7 @@
 	pressuredUntil time.Duration // the bound applies until then, in place of its cap
 }
 
-// observe takes one latency, relative to its objective and to the quick latency of its class.
+// observe records one latency, relative to its objective and to the quick latency of its class.
 func (l *controlLoop) observe(relativeLatency, slowdown float64) {
 	l.latencySum += relativeLatency
 	l.samples++
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -1,6 +1,6 @@
 package policy
 
-// atHead tells whether all earlier requests of the key have finished and the key is settled. Settling
+// atHead reports whether all earlier requests of the key have finished and the key is settled. Settling
 // doesn't delay retries of the request at the head.
 func (b *Balancer) atHead(req *request) bool {
 	queue := b.keyQueues.of(req)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// classStalled tells whether a class is stalled on the engine. After a while single requests may probe it.
+// classStalled reports whether a class is stalled on the engine. After a while single requests may probe it.
 func (b *Balancer) classStalled(e *engine, c *class) bool {
 	if e.lostAnswers[c] < stalledAfterLost {
 		return false
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -8,7 +8,7 @@
 	slowAttemptWindow = 10    // attempts cancelled as slow that an engine's slowdown is averaged over
 )
 
-// onProgress takes a progress report of an attempt in flight.
+// onProgress handles a progress report of an attempt in flight.
 func (b *Balancer) onProgress(ev ProgressReported) {
 	a := b.attempt(ev.RequestID, ev.Attempt)
 	if a == nil || a.ended {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -10,7 +10,7 @@
 	weightWindow      = 20  // attempts that the mean weight is averaged over
 )
 
-// overQuota takes one request from this balancer's share of a tenant's quota. Unknown tenants have none.
+// overQuota charges a request to this balancer's share of its tenant's quota; unknown tenants have none.
 func (b *Balancer) overQuota(name string) bool {
 	t := b.tenants[name]
 	if t == nil {
--- a/policy/request.go
+++ b/policy/request.go
@@ -60,7 +60,7 @@
 	return r.class.latencyMs * r.expectedWorkMs / r.class.workMs
 }
 
-// isOrdered tells whether the request belongs to an ordering key.
+// isOrdered reports whether the request belongs to an ordering key.
 func (r *request) isOrdered() bool { return r.class.Ordered && r.orderKey != "" }
 
 // failures counts the attempts that ended in an error of the engine.
@@ -73,15 +73,15 @@
 	return count
 }
 
-// hasOpenAttempt tells whether an attempt has not ended.
+// hasOpenAttempt reports whether an attempt has not ended.
 func (r *request) hasOpenAttempt() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended })
 }
 
-// streamOpen tells whether the attempt's answer has begun and not ended.
+// streamOpen reports whether the attempt's answer has begun and not ended.
 func (a *attempt) streamOpen() bool { return a.streaming && !a.ended }
 
-// observeSpill takes the first report that an attempt lacks memory: the class's grant
+// observeSpill records the first report that an attempt lacks memory: the class's grant
 // factor rises halfway to the need, and by one step at least.
 func (a *attempt) observeSpill(missingMB float64) {
 	c, estimateMB := a.request.class, a.request.estimatedMemoryMB
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// mayHaveRun tells whether the request may have had an effect.
+// mayHaveRun reports whether the request may have had an effect.
 func (r Result) mayHaveRun() bool {
 	return r != ResultOverloaded && r != ResultConnectFailed && r != ResultNotSent
 }
 
-// mayStillRun tells whether the attempt may still run on its engine.
+// mayStillRun reports whether the attempt may still run on its engine.
 func (r Result) mayStillRun() bool {
 	return r == ResultTimedOut || r == ResultConnectionLost || r == ResultCancelled || r == ResultUnknown
 }
 
-// mayReject tells whether a client may safely send the request anew.
+// mayReject reports whether a client may safely send the request again.
 func mayReject(req *request) bool {
 	return req.class.Effect == Idempotent ||
 		req.class.Effect == IdempotentByKey && req.class.DedupScope == ScopeAll ||
 		!slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.mayHaveRun })
 }
 
-// mayRetry tells whether the request may have another attempt once those in flight have ended.
+// mayRetry reports whether the request may have another attempt once those in flight have ended.
 func (b *Balancer) mayRetry(req *request) bool {
 	attemptsLeft := len(req.attempts) < max(b.settings.Limits.MaxAttempts, 1)
 	if req.answered || !attemptsLeft || !b.withinRetryBudget(req) {
@@ -56,16 +56,16 @@
 	return b.atHead(req) && b.withinWarmupBudget(req, e)
 }
 
-// sharesDedup tells whether two engines drop repeats of each other's idempotency keys.
+// sharesDedup reports whether two engines drop repeats of each other's idempotency keys.
 func sharesDedup(scope DedupScope, x, y *engine) bool {
 	return x == y || scope == ScopeAll || scope == ScopeZone && x.zone == y.zone ||
 		scope == ScopeCell && x.cell == y.cell
 }
 
-// allows tells whether a placement list, where an empty one permits all, names the value.
+// allows reports whether a placement list, where an empty one permits all, names the value.
 func allows(list []string, value string) bool { return len(list) == 0 || slices.Contains(list, value) }
 
-// withinRetryBudget tells whether the retry budget has room for another attempt.
+// withinRetryBudget reports whether the retry budget has room for another attempt.
 func (b *Balancer) withinRetryBudget(req *request) bool {
 	rules := &b.settings.Rules
 	if len(req.attempts) == 0 || rules.RetryBudgetWindow == 0 {
@@ -106,7 +106,7 @@
 	return true
 }
 
-// meetsObjective tells whether a retry of usual latency would meet the objective of what was sent then.
+// meetsObjective reports whether a retry of usual latency would meet the objective of what was sent then.
 func (b *Balancer) meetsObjective(req *request, sentAt time.Duration) bool {
 	return milliseconds(b.now-sentAt)+req.usualLatencyMs() < req.latencyObjectiveMs()
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -19,7 +19,7 @@
 	e.warmupEndsAt = until
 }
 
-// withinWarmupBudget tells whether the request is within this balancer's share of a warming engine's budget.
+// withinWarmupBudget reports whether a request is within this balancer's share of a warming engine's budget.
 // A request above a burst is sent once in as many windows as it costs, from a random start.
 func (b *Balancer) withinWarmupBudget(req *request, e *engine) bool {
 	window := b.settings.Rules.OverloadWindow
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -12,7 +12,7 @@
 	meanWeight       float64 // threads of a request sent
 }
 
-// endPeriod takes the arrivals of a control period and the own requests per engine at its end.
+// endPeriod records the arrivals of a control period and the own requests per engine at its end.
 func (t *trafficEstimate) endPeriod(requestsPerEngine float64) {
 	t.periods++
 	rate := float64(t.arrivals) / controlPeriod.Seconds()
@@ -21,13 +21,13 @@
 	t.ownInFlight = ewma(t.ownInFlight, requestsPerEngine, float64(min(t.periods, maxInFlightWindow)))
 }
 
-// observeReport takes the number of requests in flight that an engine reports.
+// observeReport records the number of requests in flight that an engine reports.
 func (t *trafficEstimate) observeReport(inFlight float64) {
 	t.reports++
 	t.reportedInFlight = ewma(t.reportedInFlight, inFlight, min(t.reports, maxInFlightWindow))
 }
 
-// observeWeight takes the weight of a request sent.
+// observeWeight records the weight of a request sent.
 func (t *trafficEstimate) observeWeight(weight float64) {
 	t.meanWeight = ewma(t.meanWeight, weight, weightWindow)
 }
