--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -10,12 +10,12 @@
 // Postgres is the deploy file of the PostgreSQL front end.
 type Postgres struct {
 	Listen            string      `toml:"listen"`   // where clients connect; "": the front end is off
-	SettingsFile      string      `toml:"settings"` // file of the settings object; a relative path starts at this file's folder
+	SettingsFile      string      `toml:"settings"` // file of the settings object, relative to this file's folder
 	MemoryMB          int         `toml:"memory_mb"`
 	MaxDescriptors    int         `toml:"sockets"`
 	MaxClients        int         `toml:"most_clients"`
 	DefaultClass      string      `toml:"default_class"`
-	WriteClass        string      `toml:"write_class"`         // of statements that may write and have no class of their own; "": the first that is not idempotent
+	WriteClass        string      `toml:"write_class"`         // of writing statements without a class; "": the first that is not idempotent
 	ReadOnlyFunctions []string    `toml:"read_only_functions"` // names, with their schema where they need one
 	Statements        []Statement `toml:"statement"`
 	User              string      `toml:"user"` // that the front end connects to engines as
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -58,5 +58,6 @@
 
 // FromMilliseconds turns fractional milliseconds, exact to the microsecond, into a duration.
 func FromMilliseconds(ms float64) time.Duration {
-	return time.Duration(math.Round(ms*1000)) * time.Microsecond
+	const microsecondsPerMS = 1000
+	return time.Duration(math.Round(ms*microsecondsPerMS)) * time.Microsecond
 }
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -8,20 +8,20 @@
 	"flaxrelay/internal/decision/costmodel"
 )
 
-// Shapes says how statements are classed and costed by their query shape: the table
+// Shapes configures the classification and cost estimates by query shape: the table
 // [shapes] of the PostgreSQL front end's deploy file, or a file of its own for the
 // platform's front end.
 type Shapes struct {
-	Enabled          bool         `toml:"enabled"`           // off: classes and estimates are what clients and rules say
-	MemoryKB         int          `toml:"memory_kb"`         // of records and their upkeep; at most a quarter of memory_mb
-	Hysteresis       float64      `toml:"hysteresis"`        // factor past the bound of a class before a shape changes over
-	CorrectEstimates bool         `toml:"correct_estimates"` // the expected cost goes to the decisions in place of the client's estimate
-	Snapshot         string       `toml:"snapshot"`          // file that keeps what was learned over a restart; "": none
+	Enabled          bool         `toml:"enabled"`           // false: classes and estimates are those of clients and rules
+	MemoryKB         int          `toml:"memory_kb"`         // of records and bookkeeping; at most a quarter of memory_mb
+	Hysteresis       float64      `toml:"hysteresis"`        // factor past the bound of a class at which a shape changes class
+	CorrectEstimates bool         `toml:"correct_estimates"` // expected costs replace the client's estimates
+	Snapshot         string       `toml:"snapshot"`          // file that preserves the statistics over a restart; "": none
 	SnapshotSeconds  float64      `toml:"snapshot_every_s"`  // time between snapshots
-	Classes          []ShapeClass `toml:"class"`             // of reading statements, the cheapest first; none: classes are not decided
+	Classes          []ShapeClass `toml:"class"`             // of read-only statements, the cheapest first; none: not classified
 }
 
-// ShapeClass is a class that reading statements are sorted into.
+// ShapeClass is a class that read-only statements may get.
 type ShapeClass struct {
 	Name   string  `toml:"name"`
 	UpToMS float64 `toml:"up_to_ms"` // expected time; the last class has none
--- a/internal/config/shapes_validate.go
+++ b/internal/config/shapes_validate.go
@@ -15,7 +15,7 @@
 	maxShapesKB     = 1 << 20
 	defaultShapesKB = 2048
 
-	minHysteresis = 1 // a shape changes over at the bound itself
+	minHysteresis = 1 // a shape changes class at the bound itself
 	maxHysteresis = 10
 
 	minSnapshotSeconds     = 10
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -78,7 +78,8 @@
 		est.Hint = hintComponent(q.HintWork, shapeErrors, &m.classStatistics(q.KnownClass).HintError)
 	}
 	similar := m.findSimilar(q)
-	if r := q.Record; r != nil && r.Work.Samples >= minTrackedSamples && similar != nil && similar.Offset.Samples >= minTrackedSamples {
+	similarKnown := similar != nil && similar.Offset.Samples >= minTrackedSamples
+	if r := q.Record; r != nil && r.Work.Samples >= minTrackedSamples && similarKnown {
 		est.Similar = componentOf(&similar.Offset, float64(r.Work.Median))
 	}
 	if !wellKnown {
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -33,7 +33,8 @@
 // significant reports whether the value deviates enough, on enough evidence, to correct
 // estimates by it.
 func (v *valueStatistics) significant() bool {
-	return v.Offset.Samples >= minFrequentSamples && (v.Offset.Median > minFrequentOffset || v.Offset.Median < -minFrequentOffset)
+	deviates := v.Offset.Median > minFrequentOffset || v.Offset.Median < -minFrequentOffset
+	return deviates && v.Offset.Samples >= minFrequentSamples
 }
 
 // frequentValueComponent returns the correction for a frequent value.
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -86,7 +86,8 @@
 		return round, err
 	}
 	environment, err := harness.New(harness.Options{
-		Root: opts.Root, Dir: dir, Engines: costEngines, HTTPAddr: "127.0.0.1:0", PostgresAddr: addr, EnableShapes: shapes, Log: slog.New(slog.DiscardHandler),
+		Root: opts.Root, Dir: dir, Engines: costEngines, HTTPAddr: "127.0.0.1:0", PostgresAddr: addr,
+		EnableShapes: shapes, Log: slog.New(slog.DiscardHandler),
 		Work: func(string) (time.Duration, float64) { return 0, 1 },
 	})
 	if err != nil {
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -31,7 +31,11 @@
 }
 
 // caches are the caches of shapes that are compared.
-var caches = map[string]func(int) (stmtstats.Cache, error){"w-tinylfu": stmtstats.NewTinyLFU, "lru": stmtstats.NewLRU, "2q": stmtstats.New2Q}
+var caches = map[string]func(bytes int) (stmtstats.Cache, error){
+	"w-tinylfu": stmtstats.NewTinyLFU,
+	"lru":       stmtstats.NewLRU,
+	"2q":        stmtstats.New2Q,
+}
 
 // UnknownCacheError reports an unknown name of a cache.
 type UnknownCacheError string
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -31,8 +31,8 @@
 	clients    int
 }
 
-// run sends the given number of requests and waits for all answers. Rejections are retried: no engine is
-// known yet at the start.
+// run sends the given number of requests and waits for all answers. Rejections are retried:
+// no engine is known yet at the start.
 func (l load) run(ctx context.Context, requests int) error {
 	var wg sync.WaitGroup
 	errs := make([]error, l.clients)
--- a/internal/lab/faultproxy/relay.go
+++ b/internal/lab/faultproxy/relay.go
@@ -136,7 +136,8 @@
 			r.close(closeByReset)
 			return
 		}
-		if bandwidth := r.proxy.opts.Bandwidth; bandwidth > 0 && !r.waitUntil(time.Now().Add(transferTime(len(c.bytes), bandwidth))) {
+		bandwidth := r.proxy.opts.Bandwidth
+		if bandwidth > 0 && !r.waitUntil(time.Now().Add(transferTime(len(c.bytes), bandwidth))) {
 			return
 		}
 	}
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -20,12 +20,12 @@
 	OneOffShare float64 // share of statements whose shape never recurs
 	HardShare   float64 // share of lookups whose values make them broad reports
 	WriteShare  float64 // share of statements that write and are no loads
-	// DriftAt is when the table of orders has grown, as a share of the statements; from
-	// then on a statement that reaches it costs Drift times as much. 0: never.
+	// DriftFrom is when the table of orders has grown, as a share of the statements; from
+	// then on a statement that reaches it costs DriftFactor times as much. 0: never.
 	DriftFrom   float64
 	DriftFactor float64
-	// HintNoise is the scatter of hints, as a standard deviation of the natural
-	// logarithm; HintMissing is the share of statements without one. Hints follow from
+	// HintSigma is the scatter of hints, as a standard deviation of the natural
+	// logarithm; HintMissingShare is the share of statements without one. Hints follow from
 	// what the shape usually costs, so they do not depend on the values.
 	HintSigma        float64
 	HintMissingShare float64
@@ -92,9 +92,9 @@
 
 const (
 	randomStream  = 0x7265676973746572 // second word of the seed: distinct from other uses of it
-	scatterSigma  = 0.3
-	minHintSigma  = 1e-9 // the distribution takes no 0
-	oneOffOrdinal = 1 << 20
+	scatterSigma  = 0.3                // of work and memory, as a standard deviation of the natural logarithm
+	minHintSigma  = 1e-9               // the distribution takes no 0
+	oneOffOrdinal = 1 << 20            // rank beyond that of every recurring template
 )
 
 // New returns a generator for a workload of the given number of statements.
@@ -120,7 +120,7 @@
 	return g
 }
 
-// Next is the next statement.
+// Next generates the next statement.
 func (g *Generator) Next() Statement {
 	growth := g.growth()
 	g.generated++
@@ -146,7 +146,7 @@
 	return 1
 }
 
-// fromTemplate is a statement of a template, with values of its own.
+// fromTemplate generates a statement of a template, with values of its own.
 func (g *Generator) fromTemplate(t *template, index int, growth float64) Statement {
 	s, usualMS := g.instantiate(t, growth)
 	s.Template = index
