--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -29,20 +29,20 @@
 // Run prints what a front end would make of the statement.
 func (c *explainCommand) Run() error {
 	classes := c.costModel()
-	store, err := c.openBook(classes)
+	store, err := c.openStore(classes)
 	if err != nil {
 		return err
 	}
 	binds := c.boundValues()
 	var t table
-	reading := c.explainReading(&t, binds)
+	analysis := c.explainAnalysis(&t, binds)
 	estimate := store.Estimate(store.Parse(c.SQL), binds, c.Known, stmtstats.Hint{WorkMillis: c.Hint}).Estimate
 	if estimate.Known {
 		t.row("expected\t%.4g ms, nine tenths under %.4g ms", estimate.WorkMillis, estimate.WorkMillis*estimate.SpreadFactor)
 		if estimate.MemoryMB > 0 {
 			t.row("memory\t%.3g MB", estimate.MemoryMB)
 		}
-		if reading.Effect.Effect == sqltext.EffectReads && estimate.Class >= 0 {
+		if analysis.Effect.Effect == sqltext.EffectReads && estimate.Class >= 0 {
 			t.row("class\t%s", classes.Classes[estimate.Class].Name)
 		}
 	}
@@ -50,7 +50,7 @@
 	return t.print()
 }
 
-// costModel returns classes of reading statements that end at the bounds, and one
+// costModel returns classes of read-only statements that end at the bounds, and one
 // without an end.
 func (c *explainCommand) costModel() costmodel.Config {
 	var model costmodel.Config
@@ -62,8 +62,8 @@
 	return model
 }
 
-// openBook returns the statistics of the snapshot, or empty ones where none is named.
-func (c *explainCommand) openBook(model costmodel.Config) (*stmtstats.Store, error) {
+// openStore returns the statistics of the snapshot, or empty ones where none is named.
+func (c *explainCommand) openStore(model costmodel.Config) (*stmtstats.Store, error) {
 	options := stmtstats.Options{CostModel: model, MaxBytes: explainStoreBytes}
 	store, err := stmtstats.New(options)
 	if err != nil || c.Snapshot == "" {
@@ -89,25 +89,25 @@
 	return binds
 }
 
-// explainReading adds what the statement's text and bound values show to the table.
-func (c *explainCommand) explainReading(t *table, binds *sqltext.Binds) *sqltext.Analysis {
+// explainAnalysis adds what the statement's text and bound values show to the table.
+func (c *explainCommand) explainAnalysis(t *table, binds *sqltext.Binds) *sqltext.Analysis {
 	readOnly := sqltext.Functions{}
 	for _, name := range c.Readers {
 		readOnly[name] = true
 	}
-	reader := sqltext.NewAnalyzer()
-	reader.JudgeEffect, reader.ReadOnlyFunctions = true, readOnly
-	reading := reader.Analyze(c.SQL)
+	analyzer := sqltext.NewAnalyzer()
+	analyzer.ClassifyEffect, analyzer.ReadOnlyFunctions = true, readOnly
+	analysis := analyzer.Analyze(c.SQL)
 	t.row("tokens\t%s", formatTokens(c.SQL))
-	t.row("shape\t%s", reading.NormalForm)
-	if reading.HasDataset {
-		t.row("group\t%d", reading.Dataset)
+	t.row("shape\t%s", analysis.NormalForm)
+	if analysis.HasDataset {
+		t.row("group\t%d", analysis.Dataset)
 	}
-	t.row("may do\t%v (%v)", reading.Effect.Effect, reading.Effect)
-	t.row("features\t%+v", reading.Features)
-	profile := reading.Profile(c.SQL, binds, 0)
+	t.row("may do\t%v (%v)", analysis.Effect.Effect, analysis.Effect)
+	t.row("features\t%+v", analysis.Features)
+	profile := analysis.Profile(c.SQL, binds, 0)
 	t.row("profile\t%s", formatProfile(&profile))
-	return reading
+	return analysis
 }
 
 // maxTokensLength is where the list of tokens is cut off, in bytes.
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -12,7 +12,7 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// CostOptions say how to measure what reading query shapes costs flaxrelay.
+// CostOptions say how to measure what query shapes cost flaxrelay.
 type CostOptions struct {
 	Root, Program string
 	Clients       int
@@ -57,7 +57,7 @@
 // maxPrepared is how many statements a client keeps prepared.
 const maxPrepared = 200
 
-// lookups are reading statements of the workload, with their values written out or bound.
+// lookups are read-only statements of the workload, with their values written out or bound.
 func lookups(seed uint64, n int, bound bool) []workload.Statement {
 	generator := workload.New(workload.Options{Seed: seed, Templates: workload.DefaultTemplates}, n)
 	var statements []workload.Statement
--- a/internal/lab/experiment/judge.go
+++ b/internal/lab/experiment/judge.go
@@ -113,7 +113,7 @@
 	return result
 }
 
-// classOfHint is the class of a reading statement by the hint alone.
+// classOfHint is the class of a read-only statement by the hint alone.
 func classOfHint(workMS float64) string {
 	if workMS > workload.ReportFromMS {
 		return workload.ClassReport
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -47,8 +47,8 @@
 }
 
 // writeFiles writes the files of both front ends.
-func (r *Environment) writeFiles(opts Options, targets []target, bus, agent string) error {
-	if err := r.writeConfig(opts, targets, bus); err != nil {
+func (e *Environment) writeFiles(opts Options, targets []target, bus, agent string) error {
+	if err := e.writeConfig(opts, targets, bus); err != nil {
 		return err
 	}
 	for _, name := range []string{deployFile, settingsFile, shapesFile} {
@@ -70,7 +70,7 @@
 
 // writeConfig writes the platform configuration of the HTTP front end: that of the example, with
 // addresses and engines of the harness.
-func (r *Environment) writeConfig(opts Options, targets []target, bus string) error {
+func (e *Environment) writeConfig(opts Options, targets []target, bus string) error {
 	raw, err := os.ReadFile(filepath.Join(opts.Root, "examples/toy/config.json"))
 	if err != nil {
 		return fmt.Errorf("start this from the repository's root: %w", err)
@@ -85,7 +85,7 @@
 	if raw, err = json.MarshalIndent(config, "", " "); err != nil {
 		return fmt.Errorf("harness: %w", err)
 	}
-	if err := os.WriteFile(r.ConfigFile, raw, 0o600); err != nil {
+	if err := os.WriteFile(e.ConfigFile, raw, 0o600); err != nil {
 		return fmt.Errorf("harness: %w", err)
 	}
 	return nil
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -73,24 +73,24 @@
 }
 
 // Close ends the emulated systems.
-func (r *Environment) Close() {
-	for _, listener := range r.listeners {
+func (e *Environment) Close() {
+	for _, listener := range e.listeners {
 		_ = listener.Close()
 	}
 }
 
 // listen opens a listener that ends with the environment.
-func (r *Environment) listen() (net.Listener, error) {
+func (e *Environment) listen() (net.Listener, error) {
 	listener, err := fake.Listen(anyLoopbackPort)
 	if err == nil {
-		r.listeners = append(r.listeners, listener)
+		e.listeners = append(e.listeners, listener)
 	}
 	return listener, err
 }
 
-func (r *Environment) startLineEngines(opts Options) (targets []target, err error) {
+func (e *Environment) startLineEngines(opts Options) (targets []target, err error) {
 	for i := range opts.Engines {
-		listener, err := r.listen()
+		listener, err := e.listen()
 		if err != nil {
 			return nil, err
 		}
@@ -101,9 +101,9 @@
 	return targets, nil
 }
 
-func (r *Environment) startPostgresEngines(opts Options) (instances []fake.Instance, err error) {
+func (e *Environment) startPostgresEngines(opts Options) (instances []fake.Instance, err error) {
 	for i := range opts.Engines {
-		listener, err := r.listen()
+		listener, err := e.listen()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -50,7 +50,7 @@
 	ClassWrite  = "write"
 )
 
-// ReportFromMS is the true work from which a reading statement is a report, in milliseconds.
+// ReportFromMS is the true work from which a read-only statement is a report, in milliseconds.
 const ReportFromMS = 800
 
 // Values of Statement.Template for statements of no recurring template.
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -14,14 +14,14 @@
 
 // decodeEvent turns one message to an instance into an event; nil for one that the
 // policy module has no use for.
-func (h *Host) decodeEvent(in *instance, m *message) policy.Event {
+func (h *Host) decodeEvent(target *instance, m *message) policy.Event {
 	switch m.name {
 	case messageEndpoints:
 		return h.decodeEndpoints(m)
 	case messageRequest:
 		return decodeRequest(m)
 	case messageAttemptEnded:
-		return decodeAttemptEnded(in, m)
+		return decodeAttemptEnded(target, m)
 	case messageProgress:
 		return decodeProgress(m)
 	case messageStreamStarted:
@@ -34,7 +34,7 @@
 		return policy.HealthChecked{
 			Engine: m.text(healthEngine),
 			Result: resultCodes[m.integer(healthResult)],
-			Load:   in.decodeLoad(m, healthLoad),
+			Load:   target.decodeLoad(m, healthLoad),
 		}
 	case messageFromReplica:
 		return nil
@@ -111,7 +111,7 @@
 	costMemoryStepMB = 4
 )
 
-func decodeAttemptEnded(in *instance, m *message) policy.Event {
+func decodeAttemptEnded(target *instance, m *message) policy.Event {
 	event := policy.AttemptEnded{
 		RequestID: m.unsigned(fieldRequestID),
 		Attempt:   int(m.integer(fieldAttempt)),
@@ -123,7 +123,7 @@
 	m.decodeOptional(endedCost, &cost)
 	event.Work = time.Duration(cost/costMemorySteps) * time.Millisecond
 	event.MemoryMB = float64(cost%costMemorySteps) * costMemoryStepMB
-	event.Load = in.decodeLoad(m, endedLoad)
+	event.Load = target.decodeLoad(m, endedLoad)
 	return event
 }
 
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -47,8 +47,8 @@
 	if m.err != nil {
 		return
 	}
-	in := h.instances[id]
-	if in == nil {
+	target := h.instances[id]
+	if target == nil {
 		m.fail(fieldInstance, "no instance %d", id)
 		return
 	}
@@ -56,24 +56,24 @@
 		delete(h.instances, id)
 		return
 	}
-	event := h.decodeEvent(in, m)
-	if m.err != nil || event == nil || in.broken {
+	event := h.decodeEvent(target, m)
+	if m.err != nil || event == nil || target.broken {
 		return
 	}
-	h.output = h.handleEvent(id, in, now, event)
+	h.output = h.handleEvent(id, target, now, event)
 }
 
 // handleEvent gives an event to the policy module and returns the output with its
 // actions. A panic of the module becomes a BROKEN message in their place.
-func (h *Host) handleEvent(id int64, in *instance, now time.Duration, event policy.Event) (output []byte) {
+func (h *Host) handleEvent(id int64, target *instance, now time.Duration, event policy.Event) (output []byte) {
 	output = h.output
 	defer func() {
 		if cause := recover(); cause != nil {
-			in.broken = true
+			target.broken = true
 			output = beginLine(h.output, messageBroken, id).text(fmt.Sprint(cause)).end()
 		}
 	}()
-	h.actions = in.balancer.Handle(now, event, h.actions[:0])
+	h.actions = target.balancer.Handle(now, event, h.actions[:0])
 	for _, action := range h.actions {
 		output = encodeAction(output, id, action)
 	}
--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -77,7 +77,7 @@
 	Dataset    int64 // the dataset, as of the function DatasetOf
 	HasDataset bool  // the statement names a dataset
 	// Effect is the result of EffectOf, and FirstWord and MultipleStatements are those of
-	// the function FirstWord, where JudgeEffect is set. Else Effect is EffectUnknown, the most
+	// the function FirstWord, where Analyzer.ClassifyEffect is set. Else Effect is EffectUnknown, the most
 	// cautious.
 	Effect             Verdict
 	FirstWord          string // as written in the text
--- a/internal/sqltext/analyzer.go
+++ b/internal/sqltext/analyzer.go
@@ -5,8 +5,8 @@
 // Analyzer analyzes statements. It allocates only while its buffer grows, and belongs to
 // one goroutine.
 type Analyzer struct {
-	// JudgeEffect enables the classification of effects.
-	JudgeEffect bool
+	// ClassifyEffect enables the classification of effects.
+	ClassifyEffect bool
 	// ReadOnlyFunctions are read-only functions beside PostgreSQL's own.
 	ReadOnlyFunctions Functions
 
@@ -48,11 +48,11 @@
 	a.buffer = a.buffer[:0]
 	a.result = Analysis{}
 	p := pass{lexer: Lexer{Src: stmt}, analyzer: a, result: &a.result, normalForm: a.buffer}
-	if a.JudgeEffect {
+	if a.ClassifyEffect {
 		a.effect = effectClassifier{readOnly: a.ReadOnlyFunctions}
 	}
 	for t := p.lexer.Next(); t.Kind != EndOfText; t = p.lexer.Next() {
-		if a.JudgeEffect {
+		if a.ClassifyEffect {
 			p.trackStatements(t)
 			if !a.effect.decided() {
 				a.effect.token(&p.lexer, t)
@@ -60,7 +60,7 @@
 		}
 		p.token(t)
 	}
-	if a.JudgeEffect {
+	if a.ClassifyEffect {
 		a.result.Effect = a.effect.verdict(&p.lexer)
 	}
 	p.endLists(-1)
--- a/internal/sqltext/analyzer_test.go
+++ b/internal/sqltext/analyzer_test.go
@@ -165,7 +165,7 @@
 	f.Add("ARRAY[IN(ARRAY[IN(1,(2,-", []byte{9})
 	f.Fuzz(func(t *testing.T, stmt string, v []byte) {
 		r := NewAnalyzer()
-		r.JudgeEffect = true
+		r.ClassifyEffect = true
 		out := r.Analyze(stmt)
 		if want := EffectOf(stmt, nil); out.Effect != want {
 			t.Fatalf("%q: %v on the way, %v by itself", stmt, out.Effect, want)
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -83,7 +83,7 @@
 			t.Errorf("%s: %v (%v), want %v", stmt, got.Effect, got, want)
 		}
 		r := NewAnalyzer()
-		r.JudgeEffect, r.ReadOnlyFunctions = true, more
+		r.ClassifyEffect, r.ReadOnlyFunctions = true, more
 		if also := r.Analyze(stmt).Effect; also != got {
 			t.Errorf("%s: %v on the way, %v by itself", stmt, also, got)
 		}
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -30,9 +30,9 @@
 	store    *Store
 	settings Settings
 
-	classIndex     map[string]int     // of the policy's classes, by name
-	classThreads   map[string]float64 // that a request of the class uses, at least 1
-	readingClasses []policy.Class     // the classes of the cost model, in its order
+	classIndex      map[string]int     // of the policy's classes, by name
+	classThreads    map[string]float64 // that a request of the class uses, at least 1
+	readOnlyClasses []policy.Class     // the classes of the cost model, in its order
 
 	loop           *eventloop.Loop
 	counters       *metrics.Counters
@@ -79,7 +79,7 @@
 		s.classThreads[class.Name] = max(class.Threads, 1)
 	}
 	for _, class := range s.settings.CostModel.Classes {
-		s.readingClasses = append(s.readingClasses, classes[s.classIndex[class.Name]])
+		s.readOnlyClasses = append(s.readOnlyClasses, classes[s.classIndex[class.Name]])
 	}
 }
 
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -41,8 +41,8 @@
 // the operators declare to be read-only.
 func (s *Service) Parse(text string, readOnly sqltext.Functions) *Statement {
 	analyzer := s.store.analyzer
-	analyzer.JudgeEffect, analyzer.ReadOnlyFunctions = true, readOnly
-	defer func() { analyzer.JudgeEffect = false }()
+	analyzer.ClassifyEffect, analyzer.ReadOnlyFunctions = true, readOnly
+	defer func() { analyzer.ClassifyEffect = false }()
 	return s.store.Parse(text)
 }
 
@@ -97,7 +97,7 @@
 	if execution.Estimate.Class < 0 {
 		return policy.Class{}, execution, false
 	}
-	return s.readingClasses[execution.Estimate.Class], execution, true
+	return s.readOnlyClasses[execution.Estimate.Class], execution, true
 }
 
 // ApplyClassified applies the result of Classify to the request. Where engines report no work, the
