--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// discard counts bytes received after Close. They are read, since closing a socket with
+// discard counts bytes that came after Close. They are read, since closing a socket with
 // unread bytes resets the connection, and dropped. It reports whether to go on reading:
 // a peer that sends more than a buffer of them goes on at full speed. The caller holds mu.
 func (c *Conn) discard(n int) bool {
@@ -86,7 +86,7 @@
 // left in the buffer.
 func (c *Conn) Redeliver() { c.loop.Post(c.deliver) }
 
-// deliver hands the buffer to the handler, and resumes a read that waits for room.
+// deliver hands the buffer to the handler, and resumes a read that waits for free space.
 func (c *Conn) deliver() {
 	c.mu.Lock()
 	c.deliveryPosted = false
