--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -9,6 +9,7 @@
 	"flaxrelay/internal/stmtstats"
 )
 
+// diffCommand compares two snapshots.
 type diffCommand struct {
 	Old  string  `name:"old" arg:"" help:"The older file."`
 	New  string  `name:"new" arg:"" help:"The newer file."`
@@ -31,7 +32,7 @@
 	added, removed int // shapes that only the newer or only the older snapshot has
 }
 
-// Run lists the shapes whose cost has changed, and counts those that came and went.
+// Run lists the shapes whose cost has changed, and counts those that were added or removed.
 func (c *diffCommand) Run() error {
 	before, err := stmtstats.ReadSnapshot(c.Old)
 	if err != nil {
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -33,7 +33,8 @@
 // significant reports whether the value deviates enough, on enough evidence, to correct
 // estimates by it.
 func (v *valueStatistics) significant() bool {
-	return v.Offset.Samples >= minFrequentSamples && (v.Offset.Median > minFrequentOffset || v.Offset.Median < -minFrequentOffset)
+	deviates := v.Offset.Median > minFrequentOffset || v.Offset.Median < -minFrequentOffset
+	return deviates && v.Offset.Samples >= minFrequentSamples
 }
 
 // frequentValueComponent returns the correction for a frequent value.
@@ -46,7 +47,7 @@
 	}
 }
 
-// find returns the statistics of a key, or nil. Key 0 stands for no value.
+// find returns the statistics of a key, or nil. Key 0 means no value.
 func (s *spaceSaving) find(key uint64) *valueStatistics {
 	if key == 0 {
 		return nil
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -59,7 +59,7 @@
 	inFlightIDs      map[string]struct{} // of requests that are not answered yet
 	results          *resultStore
 	draining         bool // a graceful shutdown has begun
-	evictionRetrySet bool // a timer will call makeRoom again
+	evictionRetrySet bool // a timer will call evictExcess again
 }
 
 // New returns a server that passes its requests to the dispatcher.
@@ -89,14 +89,14 @@
 	c := &connection{server: s, socket: socket, lastActive: s.loop.Now()}
 	s.connections[c] = struct{}{}
 	if len(s.connections) > s.options.MaxClients {
-		s.makeRoom()
+		s.evictExcess()
 	}
 	c.startReadTimer()
 	return c
 }
 
 // Drain begins a graceful shutdown: each connection is closed as soon as it is idle. A
-// request of which a part has come is still served once it is complete; its read timer
+// request that has partly arrived is still served once it is complete; its read timer
 // bounds the wait for it.
 func (s *Server) Drain() {
 	s.draining = true
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -12,7 +12,7 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// CostOptions say how to measure what reading query shapes costs flaxrelay.
+// CostOptions say how to measure what query shapes cost flaxrelay.
 type CostOptions struct {
 	Root, Program string
 	Clients       int
@@ -32,7 +32,7 @@
 const (
 	costStatements = 2000 // different statements that the clients send
 	costEngines    = 2
-	warmUpShare    = 5 // the warm-up has one in so many of the requests of a round
+	warmUpShare    = 5 // the requests of a round are this many times those of the warm-up
 )
 
 // MeasureCost measures pairs of rounds, without query shapes and with them, one after the other, each
@@ -57,7 +57,7 @@
 // maxPrepared is how many statements a client keeps prepared.
 const maxPrepared = 200
 
-// lookups are reading statements of the workload, with their values written out or bound.
+// lookups are read-only statements of the workload, with their values written out or bound.
 func lookups(seed uint64, n int, bound bool) []workload.Statement {
 	generator := workload.New(workload.Options{Seed: seed, Templates: workload.DefaultTemplates}, n)
 	var statements []workload.Statement
@@ -86,7 +86,8 @@
 		return round, err
 	}
 	environment, err := harness.New(harness.Options{
-		Root: opts.Root, Dir: dir, Engines: costEngines, HTTPAddr: "127.0.0.1:0", PostgresAddr: addr, EnableShapes: shapes, Log: slog.New(slog.DiscardHandler),
+		Root: opts.Root, Dir: dir, Engines: costEngines, HTTPAddr: "127.0.0.1:0", PostgresAddr: addr,
+		EnableShapes: shapes, Log: slog.New(slog.DiscardHandler),
 		Work: func(string) (time.Duration, float64) { return 0, 1 },
 	})
 	if err != nil {
--- a/internal/lab/experiment/judge.go
+++ b/internal/lab/experiment/judge.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// judge compares classes and estimates with what is true of the statements.
+// judge compares classes and estimates with the true classes and costs.
 type judge struct {
 	counts         Result // whose counts are filled in while records are judged
 	right          float64
@@ -27,6 +27,7 @@
 	means          map[string]*runningMean // of the true work by class, so far
 }
 
+// runningMean is the mean of the values added so far.
 type runningMean struct{ sum, count float64 }
 
 func (m *runningMean) mean() float64 { return m.sum / m.count }
@@ -112,7 +113,7 @@
 	return result
 }
 
-// classOfHint is the class of a reading statement by the hint alone.
+// classOfHint is the class of a read-only statement by the hint alone.
 func classOfHint(workMS float64) string {
 	if workMS > workload.ReportFromMS {
 		return workload.ClassReport
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -1,4 +1,4 @@
-// Package workload models the Board's register and the programs that query it: districts,
+// Package workload models a register of parts and the programs that query it: districts,
 // wholesalers, parts of very different popularity, ten years of days, and what each
 // statement truly costs there. The cost follows from the meaning of a statement (how many
 // rows it reaches, by which access path, and what is done with them), never from its text:
@@ -20,12 +20,12 @@
 	OneOffShare float64 // share of statements whose shape never recurs
 	HardShare   float64 // share of lookups whose values make them broad reports
 	WriteShare  float64 // share of statements that write and are no loads
-	// DriftAt is when the table of orders has grown, as a share of the statements; from
-	// then on a statement that reaches it costs Drift times as much. 0: never.
+	// DriftFrom is when the table of orders has grown, as a share of the statements; from
+	// then on a statement that reaches it costs DriftFactor times as much. 0: never.
 	DriftFrom   float64
 	DriftFactor float64
-	// HintNoise is the scatter of hints, as a standard deviation of the natural
-	// logarithm; HintMissing is the share of statements without one. Hints follow from
+	// HintSigma is the scatter of hints, as a standard deviation of the natural
+	// logarithm; HintMissingShare is the share of statements without one. Hints follow from
 	// what the shape usually costs, so they do not depend on the values.
 	HintSigma        float64
 	HintMissingShare float64
@@ -34,7 +34,7 @@
 // DefaultTemplates is the number of recurring query shapes where the options name none.
 const DefaultTemplates = 200
 
-// Defaults are the figures of the Board's brief, as far as it gives them.
+// Defaults returns the figures of the modelled deployment, as far as they are known.
 func Defaults(seed uint64) Options {
 	return Options{
 		Seed: seed, Templates: DefaultTemplates, OneOffShare: 0.05, HardShare: 0.04, WriteShare: 0.02,
@@ -50,7 +50,7 @@
 	ClassWrite  = "write"
 )
 
-// ReportFromMS is the true work from which a reading statement is a report, in milliseconds.
+// ReportFromMS is the true work from which a read-only statement is a report, in milliseconds.
 const ReportFromMS = 800
 
 // Values of Statement.Template for statements of no recurring template.
@@ -59,7 +59,7 @@
 	TemplateWrite  = -2
 )
 
-// Statement is one statement with what is true of it.
+// Statement is one statement with its true class and cost.
 type Statement struct {
 	Text       string
 	Values     [][]byte // bound; nil: null
@@ -92,12 +92,12 @@
 
 const (
 	randomStream  = 0x7265676973746572 // second word of the seed: distinct from other uses of it
-	scatterSigma  = 0.3
-	minHintSigma  = 1e-9 // the distribution takes no 0
-	oneOffOrdinal = 1 << 20
+	scatterSigma  = 0.3                // of work and memory, as a standard deviation of the natural logarithm
+	minHintSigma  = 1e-9               // the distribution takes no 0
+	oneOffOrdinal = 1 << 20            // rank beyond that of every recurring template
 )
 
-// New makes a generator that will be asked for so many statements.
+// New returns a generator for a workload of the given number of statements.
 func New(options Options, total int) *Generator {
 	if options.Templates <= 0 {
 		options.Templates = DefaultTemplates
@@ -120,7 +120,7 @@
 	return g
 }
 
-// Next is the next statement.
+// Next generates the next statement.
 func (g *Generator) Next() Statement {
 	growth := g.growth()
 	g.generated++
@@ -137,7 +137,7 @@
 	return g.fromTemplate(g.templates[index], index, growth)
 }
 
-// growth is the factor by which the table of orders has grown by now.
+// growth is the factor by which the table of orders has grown so far.
 func (g *Generator) growth() float64 {
 	progress := float64(g.generated) / float64(g.total)
 	if g.options.DriftFrom > 0 && progress >= g.options.DriftFrom {
@@ -146,7 +146,7 @@
 	return 1
 }
 
-// fromTemplate is a statement of a template, with values of its own.
+// fromTemplate generates a statement of a template, with values of its own.
 func (g *Generator) fromTemplate(t *template, index int, growth float64) Statement {
 	s, usualMS := g.instantiate(t, growth)
 	s.Template = index
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -1,6 +1,6 @@
 // Package lifecycle carries each request from its arrival to its one final
 // response: it accepts requests, has a policy.Balancer admit and place them,
-// starts attempts at engines and relays what comes back. It knows no protocol:
+// starts attempts at engines and relays their results. It knows no protocol:
 // front ends, engine clients and discovery meet it through its interfaces.
 package lifecycle
 
@@ -49,7 +49,9 @@
 
 // NewDispatcher returns a dispatcher for the settings. SetEngineClient must follow before
 // any request or endpoint.
-func NewDispatcher(settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, logger *slog.Logger) (*Dispatcher, error) {
+func NewDispatcher(
+	settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, logger *slog.Logger,
+) (*Dispatcher, error) {
 	balancer, err := policy.New(settings, seed)
 	if err != nil {
 		return nil, err
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -14,7 +14,7 @@
 	Address string // that the engine listens on
 }
 
-// UpdateEndpoints takes in the endpoint list or a change to it, as mode says.
+// UpdateEndpoints applies the endpoint list or a change to it, according to mode.
 func (d *Dispatcher) UpdateEndpoints(mode policy.UpdateMode, endpoints []Endpoint) {
 	d.counters.Increment("discovery.updates")
 	previous := d.endpoints
@@ -39,8 +39,8 @@
 	d.withdrawFromUnready()
 }
 
-// removeUnlisted prevents connections to endpoints that a complete list no longer
-// names from being kept.
+// removeUnlisted removes the endpoints that a complete list no longer names, so that
+// connections to them are retired.
 func (d *Dispatcher) removeUnlisted(previous map[string]Endpoint) {
 	for id, e := range previous {
 		if _, listed := d.endpoints[id]; !listed {
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -34,28 +34,28 @@
 	inFlight        int        // attempts that have not ended
 	memoryGrantMB   float64    // for the next attempts; 0: the engine's own choice
 	priority        int
-	lastErrorDetail any // of the latest engine error that the response may tell of
+	lastErrorDetail any // of the latest engine error that the response may pass on
 }
 
-// requestState is how far a request has come. States only advance.
+// requestState is the state of a request. States only advance.
 type requestState uint8
 
 const (
 	requestNew       requestState = iota // not accepted yet
 	requestPending                       // accepted: a final response is owed
 	requestCompleted                     // responded to, or its client disconnected; attempts may be in flight
-	requestReleased                      // no attempt is in flight, and the balancer has heard of every end
+	requestReleased                      // no attempt is in flight, and the balancer has been notified of every end
 )
 
-// completed tells whether no response is owed any more.
+// completed reports whether no response is owed any more.
 func (r *Request) completed() bool { return r.state >= requestCompleted }
 
-// mayHaveRun tells whether an engine may have run an attempt of the request.
+// mayHaveRun reports whether an engine may have run an attempt of the request.
 func (r *Request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a *Attempt) bool { return a.state != attemptNeverRan })
 }
 
-// Accept takes in a request that has arrived completely. From here on one final
+// Accept accepts a request that has arrived completely. From here on one final
 // response is owed; it may be given before Accept returns.
 func (d *Dispatcher) Accept(r *Request) {
 	d.lastPolicyID++
@@ -89,7 +89,7 @@
 	d.abandonRemaining(r)
 }
 
-// abandonRemaining has the balancer cancel the attempts of a completed request
+// abandonRemaining makes the balancer cancel the attempts of a completed request
 // that are still in flight.
 func (d *Dispatcher) abandonRemaining(r *Request) {
 	d.handleEvent(policy.ClientDisconnected{RequestID: r.policyID})
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -53,7 +53,7 @@
 	d.releaseIfIdle(r)
 }
 
-// MayHaveRun tells whether an engine may have run the request although a retry of
+// MayHaveRun reports whether an engine may have run the request although a retry of
 // it is not harmless.
 func (d *Dispatcher) MayHaveRun(r *Request) bool {
 	return d.classes[r.Class].Effect != policy.Idempotent && r.mayHaveRun()
@@ -61,8 +61,8 @@
 
 // CompleteAll gives every pending request its final response. It is for the end
 // of a graceful shutdown, when clients would otherwise receive none: the balancer
-// is told that the deadlines have passed, and says which requests may be retried
-// and when.
+// is notified that the deadlines have passed, and decides which requests may be
+// retried and when.
 func (d *Dispatcher) CompleteAll() {
 	for policyID, r := range d.requests {
 		if r.state == requestPending {
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -72,12 +72,13 @@
 	byEvent map[string]*eventLimiter
 }
 
+// eventLimiter is the limiter of one event.
 type eventLimiter struct {
 	*rate.Limiter
 	suppressed int // records since the last one that was written
 }
 
-// allow tells whether a record of the event may be written, and how many were
+// allow reports whether a record of the event may be written, and how many were
 // suppressed before it.
 func (l *eventLimiters) allow(event string, at time.Time) (allowed bool, suppressed int) {
 	l.mu.Lock()
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -14,14 +14,14 @@
 
 // decodeEvent turns one message to an instance into an event; nil for one that the
 // policy module has no use for.
-func (h *Host) decodeEvent(in *instance, m *message) policy.Event {
+func (h *Host) decodeEvent(target *instance, m *message) policy.Event {
 	switch m.name {
 	case messageEndpoints:
 		return h.decodeEndpoints(m)
 	case messageRequest:
 		return decodeRequest(m)
 	case messageAttemptEnded:
-		return decodeAttemptEnded(in, m)
+		return decodeAttemptEnded(target, m)
 	case messageProgress:
 		return decodeProgress(m)
 	case messageStreamStarted:
@@ -34,7 +34,7 @@
 		return policy.HealthChecked{
 			Engine: m.text(healthEngine),
 			Result: resultCodes[m.integer(healthResult)],
-			Load:   in.decodeLoad(m, healthLoad),
+			Load:   target.decodeLoad(m, healthLoad),
 		}
 	case messageFromReplica:
 		return nil
@@ -51,7 +51,7 @@
 		m.fail(endpointsMode, "unknown mode %q", spelling)
 		return nil
 	}
-	if mode == policy.UpdateFailed { // no list came
+	if mode == policy.UpdateFailed { // without a list
 		return policy.EndpointsChanged{Mode: mode}
 	}
 	table := h.decodeTableNumber(m, endpointsTable)
@@ -94,7 +94,7 @@
 	return event
 }
 
-// noTenant stands for the tenant of a request without one. Others are strings.
+// noTenant is the tenant of a request without one. Others are strings.
 const noTenant = "0"
 
 func decodeTenant(m *message) (tenant string) {
@@ -111,7 +111,7 @@
 	costMemoryStepMB = 4
 )
 
-func decodeAttemptEnded(in *instance, m *message) policy.Event {
+func decodeAttemptEnded(target *instance, m *message) policy.Event {
 	event := policy.AttemptEnded{
 		RequestID: m.unsigned(fieldRequestID),
 		Attempt:   int(m.integer(fieldAttempt)),
@@ -123,12 +123,12 @@
 	m.decodeOptional(endedCost, &cost)
 	event.Work = time.Duration(cost/costMemorySteps) * time.Millisecond
 	event.MemoryMB = float64(cost%costMemorySteps) * costMemoryStepMB
-	event.Load = in.decodeLoad(m, endedLoad)
+	event.Load = target.decodeLoad(m, endedLoad)
 	return event
 }
 
-// Kinds of progress as INTERIM numbers them, and the value of waiting that stands for a
-// bulk load. Any other value stands for memory.
+// Kinds of progress as INTERIM numbers them, and the value of a wait for a bulk load.
+// Any other value is a wait for memory.
 const (
 	progressFraction = 1
 	progressSpilling = 2
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -9,7 +9,7 @@
 	// typeWord: the word is a type or a built-in form with a parenthesis behind it, which
 	// can't be the name of a function either.
 	typeWord
-	// infixWord: the word stands between two values. Behind a complete value, it begins no call.
+	// infixWord: the word is an operator between two values. Behind a complete value, it begins no call.
 	infixWord
 	// writingWord: the word begins, or is part of, something that changes stored data.
 	writingWord
@@ -20,7 +20,7 @@
 )
 
 // keyword identifies a key word; 0: none. Some key words have a number although no code
-// asks for it, since the normal form has a space behind each key word that has one.
+// uses it, since the normal form has a space behind each key word that has one.
 type keyword uint8
 
 const (
--- a/policy/request.go
+++ b/policy/request.go
@@ -22,19 +22,19 @@
 	answered          bool // it has its final answer
 }
 
-// attempt is one try of a request on an engine.
+// attempt is one execution of a request on an engine.
 type attempt struct {
 	request     *request
 	index       int // among the request's attempts
 	engine      *engine
 	sentAt      time.Duration
-	lastHeardAt time.Duration // latest progress report, or sentAt
+	lastHeardAt time.Duration // latest progress report; sentAt before the first
 	grantedMB   float64
 	ended       bool
 	mayHaveRun  bool // until its end tells otherwise
 	cancelled   bool
 	streaming   bool // its answer has begun
-	spilled     bool // it reported to lack memory
+	spilled     bool // it has reported a lack of memory
 	waiting     bool // its latest progress report said that it waits
 	failed      bool // the engine answered with an error
 	answerLost  bool // its answer was given up as lost
@@ -60,7 +60,7 @@
 	return r.class.latencyMs * r.expectedWorkMs / r.class.workMs
 }
 
-// isOrdered tells whether the request belongs to an ordering key.
+// isOrdered reports whether the request belongs to an ordering key.
 func (r *request) isOrdered() bool { return r.class.Ordered && r.orderKey != "" }
 
 // failures counts the attempts that ended in an error of the engine.
@@ -73,15 +73,15 @@
 	return count
 }
 
-// hasOpenAttempt tells whether an attempt has not ended.
+// hasOpenAttempt reports whether an attempt has not ended.
 func (r *request) hasOpenAttempt() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended })
 }
 
-// streamOpen tells whether the attempt's answer has begun and not ended.
+// streamOpen reports whether the attempt's answer has begun and not ended.
 func (a *attempt) streamOpen() bool { return a.streaming && !a.ended }
 
-// observeSpill takes the first word that an attempt lacks memory: the class's grant
+// observeSpill records the first report that an attempt lacks memory: the class's grant
 // factor rises halfway to the need, and by one step at least.
 func (a *attempt) observeSpill(missingMB float64) {
 	c, estimateMB := a.request.class, a.request.estimatedMemoryMB
