--- a/internal/stmtstats/store_test.go
+++ b/internal/stmtstats/store_test.go
@@ -26,11 +26,13 @@
 	return s.Estimate(s.Parse(text), nil, costmodel.NoClass, Hint{}).Estimate
 }
 
-// learn has the store learn the given number of executions of a text.
+// learn has the store learn the given number of executions of a text, and estimates one
+// more: a lookup that is not learned from also presses on the cache.
 func learn(s *Store, text string, executions int, work float64) {
 	for range executions {
 		s.Learn(s.Estimate(s.Parse(text), nil, costmodel.NoClass, Hint{}), costmodel.Observation{WorkMillis: work, MemoryMB: 20})
 	}
+	estimate(s, text)
 }
 
 // Estimates survive a restart, although the fingerprints of the next process differ.
