--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -46,8 +46,10 @@
 		})
 	case policy.ReportOverload:
 		d.invariants.Check(false, invariant.StartWarmup, "engine", action.Engine, "sent", action.Sent, "limit", action.Limit)
-	case policy.Log:
-		d.logger.Info("policy.message", "text", action.Message)
+	case policy.EngineEjected:
+		d.logger.Info("engine.ejected", "engine", action.Engine, "reason", action.Reason.String(), "in_flight", action.InFlight)
+	case policy.EngineReadmitted:
+		d.logger.Info("engine.readmitted", "engine", action.Engine)
 	case policy.CheckHealth, policy.Subscribe:
 		// Health checks are never permitted in this program's deployments, and
 		// discovery reports endpoints without a subscription.
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -73,12 +73,26 @@
 		return beginLine(output, messageSubscribe, instanceID).flag(true).end()
 	case policy.ReportOverload: // the simulator judges by its own count
 		return output
-	case policy.Log:
-		return beginLine(output, messageLog, instanceID).text(a.Message).end()
+	case policy.EngineEjected:
+		return beginLine(output, messageLog, instanceID).text(ejectionText(a)).end()
+	case policy.EngineReadmitted:
+		return beginLine(output, messageLog, instanceID).text("engine " + a.Engine + " serves again").end()
 	}
 	panic(fmt.Sprintf("wire: no line for action %T", action))
 }
 
+// ejectionTexts describe the reasons of an ejection, in the words of the wire's log lines.
+var ejectionTexts = map[policy.EjectionReason]string{
+	policy.EjectedSilent:           "all attempts are silent",
+	policy.EjectedErrors:           "it answers with errors",
+	policy.EjectedConnectionFaults: "connections fail",
+	policy.EjectedOverdue:          "answers stay out",
+}
+
+func ejectionText(a policy.EngineEjected) string {
+	return fmt.Sprintf("engine %s suspect: %s; %d attempts out", a.Engine, ejectionTexts[a.Reason], a.InFlight)
+}
+
 // encodeBatchDone appends the message that ends the host's answer to a batch.
 func encodeBatchDone(output []byte, batch int64) []byte {
 	return beginLine(output, messageBatchDone, batch).end()
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Action is what the caller must do, in the order given: StartAttempt, SetResources, CancelAttempt,
-// CheckHealth, Reject, Fail, SetTimer, Subscribe, Log or ReportOverload.
+// CheckHealth, Reject, Fail, SetTimer, Subscribe, EngineEjected, EngineReadmitted or ReportOverload.
 type Action interface{ action() }
 
 // StartAttempt sends a request to an engine as its next attempt.
@@ -30,7 +30,7 @@
 // CheckHealth asks an engine for its load; HealthChecked follows.
 type CheckHealth struct{ Engine string }
 
-// Reject is a final answer after which the client may safely retry.
+// Reject is a final response after which the client may safely retry.
 type Reject struct {
 	RequestID  uint64
 	RetryAfter time.Duration // 0: not stated
@@ -47,9 +47,9 @@
 	ReasonNoEndpoint                            // the endpoint list has no engine that is ready for it
 	ReasonEjected                               // the others are ejected, or its class is stalled there
 	ReasonAttemptsExhausted                     // a rule forbids an attempt
-	ReasonEngineLimit                           // the request exceeds the bounds of the others
+	ReasonEngineLimit                           // the request exceeds the limits of the others
 	ReasonSlowStart                             // the others are in slow start, and this balancer's share of their budget is spent
-	ReasonFleetLimit                            // the request exceeds the bound of all engines together
+	ReasonFleetLimit                            // the request exceeds the limit of all engines together
 	ReasonRetryFutile                           // an attempt failed or is too slow, and a retry would be too late or fail as well
 	ReasonDeadline                              // the request's deadline is reached
 )
@@ -62,7 +62,7 @@
 // String returns the reason's name in logs and counters.
 func (r RejectReason) String() string { return rejectReasonNames[r] }
 
-// Fail is a final answer after which the request may have had an effect.
+// Fail is a final response after which the request may have had an effect.
 type Fail struct{ RequestID uint64 }
 
 // SetTimer asks for a TimerFired with the same token.
@@ -74,8 +74,31 @@
 // Subscribe asks for the endpoint list and its changes.
 type Subscribe struct{}
 
-// Log is a log message for operators.
-type Log struct{ Message string }
+// EngineEjected says that an engine was ejected as an outlier; it is for the operators.
+type EngineEjected struct {
+	Engine   string
+	Reason   EjectionReason
+	InFlight int // attempts in flight there
+}
+
+// EjectionReason says why an engine was ejected.
+type EjectionReason uint8
+
+// The reasons of an EngineEjected.
+const (
+	EjectedSilent           EjectionReason = iota // all of its attempts are silent
+	EjectedErrors                                 // it responds with errors to requests that others serve
+	EjectedConnectionFaults                       // connections to it fail or break
+	EjectedOverdue                                // its responses are overdue
+)
+
+var ejectionReasonNames = [...]string{"silent", "errors", "connection-faults", "overdue"}
+
+// String returns the reason's name in logs.
+func (r EjectionReason) String() string { return ejectionReasonNames[r] }
+
+// EngineReadmitted says that an ejected engine takes requests again; it is for the operators.
+type EngineReadmitted struct{ Engine string }
 
 // ReportOverload says that this balancer alone has sent a warming engine more than it bears, which its
 // budget rules out: a fault of this package. Nothing depends on it.
@@ -85,13 +108,14 @@
 	Limit  float64
 }
 
-func (StartAttempt) action()   {}
-func (SetResources) action()   {}
-func (CancelAttempt) action()  {}
-func (CheckHealth) action()    {}
-func (Reject) action()         {}
-func (Fail) action()           {}
-func (SetTimer) action()       {}
-func (Subscribe) action()      {}
-func (Log) action()            {}
-func (ReportOverload) action() {}
+func (StartAttempt) action()     {}
+func (SetResources) action()     {}
+func (CancelAttempt) action()    {}
+func (CheckHealth) action()      {}
+func (Reject) action()           {}
+func (Fail) action()             {}
+func (SetTimer) action()         {}
+func (Subscribe) action()        {}
+func (EngineEjected) action()    {}
+func (EngineReadmitted) action() {}
+func (ReportOverload) action()   {}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,47 +6,56 @@
 )
 
 const (
-	overQuotaFactor   = 0.5  // share of a bound that requests beyond their tenant's quota may use
+	overQuotaFactor   = 0.5  // share of a limit that requests beyond their tenant's quota may use
 	minWorkFactor     = 0.1  // least and most that an estimate over its class's mean scales the
-	maxWorkFactor     = 30.0 // expected work by: an outlying one must not count as nothing or fill a bound
+	maxWorkFactor     = 30.0 // expected work by: an outlying one must not count as nothing or fill a limit
 	minWeightFactor   = 0.25 // the same for the weight in threads: more work runs longer, but on
-	maxWeightFactor   = 2.0  // no more threads, so one request must not fill an engine's bound
+	maxWeightFactor   = 2.0  // no more threads, so one request must not fill an engine's limit
 	minPriorityWeight = 1e-9 // replaces a priority weight of zero, which has no logarithm
-	ranksToDouble     = 4.0  // ranks above the mean from which a request's share of a bound would double
+	ranksToDouble     = 4.0  // ranks above the mean from which a request's share of a limit would double
+	estimateWindow    = 50   // requests that estimates of work and ranks are averaged over
 )
 
+// valueRanking ranks requests by log2 of priority weight over expected work, relative to the mean.
+type valueRanking struct{ mean float64 }
+
+// rank updates the mean with a request and returns the request's rank relative to it.
+func (v *valueRanking) rank(priorityWeight, workMs float64) float64 {
+	rank := math.Log2(max(priorityWeight, minPriorityWeight) / workMs)
+	v.mean = ewmaSeeded(v.mean, rank, estimateWindow)
+	return rank - v.mean
+}
+
 // onRequestArrived admits a request, queues it behind others of its key, or rejects it.
 func (b *Balancer) onRequestArrived(ev RequestArrived) {
 	if b.requests[ev.RequestID] != nil {
 		return
 	}
 	if !ev.ClientRetry {
-		b.traffic.arrivals++
-	}
-	if b.settings.Rules.RetryBudgetWindow > 0 {
-		b.retryWindow.addArrival(b.now)
+		b.traffic.observeArrival()
 	}
+	b.rules.budget.observeArrival(b.now)
 	c := b.classes[ev.Class]
 	if c == nil { // whether it is idempotent is unknown: nothing is sent
-		b.emit(Reject{RequestID: ev.RequestID, RetryAfter: b.retryAfter(), Reason: ReasonUnknownClass})
+		b.actions.add(Reject{RequestID: ev.RequestID, RetryAfter: b.retryAfter(), Reason: ReasonUnknownClass})
 		return
 	}
 	req := newRequest(c, ev)
 	b.assess(req, ev)
 	b.requests[req.id] = req
-	b.popularity.add(req.dataset, popularityWindow)
+	b.selector.affinity.observe(req.dataset)
 	b.checkHealth()
 	timeLeft := max(0, req.deadline-b.now-b.settings.TickInterval)
-	b.emit(SetTimer{After: timeLeft, Token: DeadlineTimer(req.id).Token})
-	b.keyQueues.enqueue(req)
-	if b.atHead(req) {
+	b.actions.add(SetTimer{After: timeLeft, Token: DeadlineTimer(req.id).Token})
+	b.ordered.queues.enqueue(req)
+	if b.ordered.atHead(req, b.now) {
 		b.admit(req)
 	} else {
-		b.queued = append(b.queued, req)
+		b.ordered.wait(req)
 	}
 }
 
-// assess sets what the request is expected to cost and which share of a bound it may use.
+// assess sets what the request is expected to cost and which share of a limit it may use.
 func (b *Balancer) assess(req *request, ev RequestArrived) {
 	c := req.class
 	if estimateMs := milliseconds(ev.EstimatedWork); estimateMs > 0 {
@@ -55,76 +64,52 @@
 		req.expectedWorkMs = c.workMs * factor
 		req.weight = c.Threads * min(max(factor, minWeightFactor), maxWeightFactor)
 	}
-	rank := math.Log2(max(c.PriorityWeight, minPriorityWeight) / req.expectedWorkMs)
-	b.meanRank = ewmaSeeded(b.meanRank, rank, estimateWindow)
-	req.valueRank = rank - b.meanRank
+	req.valueRank = b.values.rank(c.PriorityWeight, req.expectedWorkMs)
 	if ev.EstimatedWork > 0 { // without estimates all requests of a class would be shed alike
 		req.valueFactor = min(max(1+req.valueRank/ranksToDouble, overQuotaFactor), 2-overQuotaFactor)
 	}
-	if b.overQuota(ev.Tenant) {
+	if b.quotas.exceeded(ev.Tenant, b.traffic.share(), b.now) {
 		req.quotaFactor = overQuotaFactor
 	}
 }
 
 // admit sends the request to an engine that it fits, or rejects it at once.
 func (b *Balancer) admit(req *request) {
-	if e, reason := b.selectEngine(req); e != nil {
-		b.startAttempt(req, e)
-	} else {
+	e, reason := b.selector.choose(req, b.engines.all, b.now)
+	if e == nil {
 		b.rejectOrFail(req, reason)
+		return
 	}
-}
-
-// fits is the admission test: backlog and weight within the bound. A request that outweighs the whole
-// bound is admitted with probability bound/weight where nothing is in flight.
-func (b *Balancer) fits(req *request, l *controlLoop, bound float64) bool {
-	if l.backlog == 0 && req.weight > bound {
-		return b.rng.Float64() < bound/req.weight
-	}
-	return l.backlog+req.weight <= bound
-}
-
-// limit is the bound that applies to the request, in threads: lower beyond its tenant's quota and, for the
-// fleet or an engine under pressure, higher the greater its priority weight over its expected work.
-func (b *Balancer) limit(req *request, l *controlLoop) float64 {
-	switch {
-	case b.now < l.pressuredUntil:
-		return l.bound * req.quotaFactor * req.valueFactor
-	case l == &b.fleet:
-		return l.maxBound * req.quotaFactor * req.valueFactor
+	if !b.attempts.start(req, e, b.now) {
+		b.rejectOrFail(req, ReasonAttemptsExhausted)
 	}
-	return l.maxBound * req.quotaFactor // without pressure, to shed costly requests would waste capacity
-}
-
-// fleetHasCapacity applies the admission test to the fleet: overload may not show at any single engine.
-func (b *Balancer) fleetHasCapacity(req *request) bool {
-	return b.fits(req, &b.fleet, b.limit(req, &b.fleet))
 }
 
-// rejectOrFail is the only place that answers without a result: by a rejection where a retry is safe.
+// rejectOrFail is the only place that responds without a result. It rejects where a retry is safe.
 func (b *Balancer) rejectOrFail(req *request, reason RejectReason) {
-	if req.answered {
+	if req.completed {
 		return
 	}
 	if mayReject(req) {
-		b.emit(Reject{RequestID: req.id, RetryAfter: b.retryAfter(), Reason: reason})
+		b.actions.add(Reject{RequestID: req.id, RetryAfter: b.retryAfter(), Reason: reason})
 	} else {
-		b.emit(Fail{RequestID: req.id})
+		b.actions.add(Fail{RequestID: req.id})
 	}
-	b.finish(req)
+	b.complete(req)
 }
 
-// finish ends a request. Until its attempts have ended it stays in the backlog and in its key's queue.
-func (b *Balancer) finish(req *request) {
-	req.answered = true
+// complete ends a request that has its response or whose client has disconnected. Until its attempts
+// have ended it stays in the backlog and in its key's queue.
+func (b *Balancer) complete(req *request) {
+	req.completed = true
 	for _, a := range req.attempts {
-		b.cancel(a)
+		b.attempts.cancel(a)
 	}
-	if req.hasOpenAttempt() {
+	if req.hasAttemptInFlight() {
 		return
 	}
 	delete(b.requests, req.id)
-	b.keyQueues.dequeue(req, b.now)
+	b.ordered.queues.dequeue(req, b.now)
 }
 
 // retryAfter spreads the return of rejected clients over the time that they honour.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRequestsBeyondBoundAreRejectedWithRetryAfter(t *testing.T) {
+func TestAdmit_RejectsBeyondTheLimitWithRetryAfter(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	for id := uint64(1); id < 100; id++ {
 		actions := h.arrive(id, "idempotent")
@@ -23,7 +23,7 @@
 	t.Fatal("no request was rejected")
 }
 
-func TestWeightOfExpensiveRequestIsCapped(t *testing.T) {
+func TestAssess_CapsTheWeightOfAnExpensiveRequest(t *testing.T) {
 	s := settings()
 	h := newHarness(t, s, readyEngine("e", "a", 1))
 	for id := uint64(1); id <= 100; id++ {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestLimitFollowsValueOverEstimatedWork(t *testing.T) {
+func TestFleetLimitFor_FollowsValueOverEstimatedWork(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 	id := uint64(0)
 	limit := func(class string, work time.Duration) float64 {
@@ -46,7 +46,7 @@
 		if req == nil {
 			t.Fatalf("request %d of %v rejected by an idle balancer", id, work)
 		}
-		got := h.balancer.limit(req, &h.balancer.fleet)
+		got := h.balancer.fleet.limitFor(req, h.now)
 		h.endAttempt(id, 0, ResultServed)
 		return got
 	}
@@ -64,29 +64,31 @@
 		h.balancer.classes["idempotent"].PriorityWeight = 0
 		limit("idempotent", 100*msec)
 	}
-	if math.IsNaN(h.balancer.meanRank) || math.IsInf(h.balancer.meanRank, 0) {
-		t.Fatalf("mean rank is %v", h.balancer.meanRank)
+	if math.IsNaN(h.balancer.values.mean) || math.IsInf(h.balancer.values.mean, 0) {
+		t.Fatalf("mean rank is %v", h.balancer.values.mean)
 	}
 }
 
-func TestRejectReasonNamesTheCause(t *testing.T) {
+func TestReject_ReasonNamesTheCause(t *testing.T) {
 	warming := readyEngine("e", "a", 1)
 	warming.StartKnown, warming.StartedAt = true, time.Minute
-	gone := readyEngine("e", "a", 1)
-	gone.State = EngineDraining
+	draining := readyEngine("e", "a", 1)
+	draining.State = EngineDraining
 	for _, c := range []struct {
 		want   RejectReason
 		engine Engine
 		set    func(b *Balancer, e *engine)
 	}{
-		{ReasonNoEndpoint, gone, func(*Balancer, *engine) {}},
+		{ReasonNoEndpoint, draining, func(*Balancer, *engine) {}},
 		{ReasonSlowStart, warming, func(*Balancer, *engine) {}}, // the balancer itself has just started
-		{ReasonEjected, readyEngine("e", "a", 1), func(_ *Balancer, e *engine) { e.ejected, e.probationAt = true, time.Hour }},
-		{ReasonEngineLimit, readyEngine("e", "a", 1), func(_ *Balancer, e *engine) { e.backlog = 100 }},
-		{ReasonFleetLimit, readyEngine("e", "a", 1), func(b *Balancer, _ *engine) { b.fleet.backlog = 100 }},
+		{ReasonEjected, readyEngine("e", "a", 1), func(_ *Balancer, e *engine) {
+			e.outlier.eject(ejectedUntilActive, 0, time.Hour)
+		}},
+		{ReasonEngineLimit, readyEngine("e", "a", 1), func(_ *Balancer, e *engine) { e.limiter.backlog = 100 }},
+		{ReasonFleetLimit, readyEngine("e", "a", 1), func(b *Balancer, _ *engine) { b.fleet.limiter.backlog = 100 }},
 	} {
 		h := newHarness(t, settings(), c.engine)
-		c.set(h.balancer, h.balancer.enginesByID["e"])
+		c.set(h.balancer, h.balancer.engines.byID["e"])
 		reason := ReasonUnknownClass
 		for _, a := range h.arrive(1, "idempotent") {
 			if no, ok := a.(Reject); ok {
@@ -100,12 +102,16 @@
 }
 
 // A request of little value for its work is shed first under pressure, but not by an engine without pressure.
-func TestValueFactorAppliesToEngineOnlyUnderPressure(t *testing.T) {
+func TestEngineLimitFor_ValueFactorAppliesOnlyUnderPressure(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
-	e, expensive := h.balancer.enginesByID["e"], &request{class: h.balancer.classes["wide"], weight: 4, quotaFactor: 1, valueFactor: 0.5}
-	unpressured := h.balancer.limit(expensive, &e.controlLoop)
-	e.pressuredUntil, e.bound = h.now+time.Second, e.maxBound
-	if pressed := h.balancer.limit(expensive, &e.controlLoop); unpressured != e.maxBound || pressed != e.maxBound/2 {
-		t.Errorf("of %.1f such a request may use %.1f without pressure and %.1f under it, want all and half", e.maxBound, unpressured, pressed)
+	e := h.balancer.engines.byID["e"]
+	expensive := &request{class: h.balancer.classes["wide"], weight: 4, quotaFactor: 1, valueFactor: 0.5}
+	all := e.limiter.maxLimit
+	unpressured := e.limitFor(expensive, h.now)
+	e.limiter.pressuredUntil = h.now + time.Second
+	e.limiter.limit = all
+	pressured := e.limitFor(expensive, h.now)
+	if unpressured != all || pressured != all/2 {
+		t.Errorf("of %.1f such a request may use %.1f without pressure and %.1f under it, want all and half", all, unpressured, pressured)
 	}
 }
--- /dev/null
+++ b/policy/attempt.go
@@ -0,0 +1,51 @@
+package policy
+
+import "time"
+
+// attemptPhase is the phase of an attempt, which only advances:
+//
+//	phase              event          next phase
+//	attemptWaiting     StreamStarted  attemptStreaming
+//	attemptWaiting     AttemptEnded   attemptEnded
+//	attemptStreaming   AttemptEnded   attemptEnded
+type attemptPhase uint8
+
+const (
+	attemptWaiting   attemptPhase = iota // in flight, and its response has not begun
+	attemptStreaming                     // in flight, and its response is being streamed
+	attemptEnded
+)
+
+// attempt is one execution of a request on an engine.
+type attempt struct {
+	request         *request
+	index           int // among the request's attempts
+	engine          *engine
+	sentAt          time.Duration
+	lastHeardAt     time.Duration // latest progress report; sentAt before the first
+	grantedMB       float64
+	phase           attemptPhase
+	result          Result       // once it has ended
+	lastProgress    ProgressKind // of the latest progress report; 0 before the first
+	cancelRequested bool
+	spilled         bool // it has reported a lack of memory
+	responseLost    bool // its response was given up as lost
+}
+
+// newAttempt returns the request's next attempt.
+func newAttempt(req *request, e *engine, now time.Duration) *attempt {
+	return &attempt{request: req, index: len(req.attempts), engine: e, sentAt: now, lastHeardAt: now}
+}
+
+func (a *attempt) ended() bool { return a.phase == attemptEnded }
+
+// mayHaveRun reports whether the attempt may have had an effect: until its end proves otherwise, it may.
+func (a *attempt) mayHaveRun() bool { return !a.ended() || a.result.mayHaveRun() }
+
+// failed reports whether the engine responded with an error.
+func (a *attempt) failed() bool { return a.ended() && a.result == ResultFailed }
+
+// blocked reports whether the attempt's latest progress report said that it waits on its engine.
+func (a *attempt) blocked() bool {
+	return a.lastProgress == ProgressAwaitingMemory || a.lastProgress == ProgressAwaitingLoad
+}
--- /dev/null
+++ b/policy/attemptrules.go
@@ -0,0 +1,79 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// attemptRules decides whether a request may have an attempt, and on which engines, from the limits
+// of the deployment, the effects of the earlier attempts and the retry budget. Its
+// conditions are necessary, and none of them depends on load.
+type attemptRules struct {
+	limits  *Limits
+	budget  retryBudget
+	ordered *orderedRequests
+	traffic *trafficEstimate
+}
+
+// mayHaveRun reports whether an attempt that ended so may have had an effect.
+func (r Result) mayHaveRun() bool {
+	return r != ResultOverloaded && r != ResultConnectFailed && r != ResultNotSent
+}
+
+// mayStillRun reports whether an attempt that ended so may still run on its engine.
+func (r Result) mayStillRun() bool {
+	return r == ResultTimedOut || r == ResultConnectionLost || r == ResultCancelled || r == ResultUnknown
+}
+
+// mayReject reports whether a client may safely send the request again.
+func mayReject(req *request) bool {
+	return req.class.Effect == Idempotent ||
+		req.class.Effect == IdempotentByKey && req.class.DedupScope == ScopeAll ||
+		!req.mayHaveRun()
+}
+
+// mayRetry reports whether the request may have another attempt once those in flight have ended.
+func (r *attemptRules) mayRetry(req *request, now time.Duration) bool {
+	attemptsLeft := len(req.attempts) < max(r.limits.MaxAttempts, 1)
+	if req.completed || !attemptsLeft {
+		return false
+	}
+	if len(req.attempts) > 0 && !r.budget.permits(now) {
+		return false
+	}
+	c := req.class
+	for _, a := range req.attempts {
+		expired := c.Effect == IdempotentByKey && now-a.sentAt >= c.DedupWindow
+		if a.mayHaveRun() && (c.Effect == NonIdempotent || expired) {
+			return false
+		}
+	}
+	return true
+}
+
+// mayStart reports whether the request may be sent to the engine now. It checks every rule.
+func (r *attemptRules) mayStart(req *request, e *engine, now time.Duration) bool {
+	c := req.class
+	if e.state != EngineReady || now >= req.deadline || !r.mayRetry(req, now) ||
+		!allows(c.Zones, e.zone) || !allows(c.Kinds, e.kind) {
+		return false
+	}
+	for _, a := range req.attempts {
+		if !a.ended() && !r.limits.Hedging {
+			return false
+		}
+		if a.mayHaveRun() && c.Effect == IdempotentByKey && !sharesDedup(c.DedupScope, a.engine, e) {
+			return false
+		}
+	}
+	return r.ordered.atHead(req, now) && e.slowStartPermits(req, r.traffic.share(), now)
+}
+
+// sharesDedup reports whether two engines drop duplicates of each other's idempotency keys.
+func sharesDedup(scope DedupScope, x, y *engine) bool {
+	return x == y || scope == ScopeAll || scope == ScopeZone && x.zone == y.zone ||
+		scope == ScopeCell && x.cell == y.cell
+}
+
+// allows reports whether a placement list, where an empty one permits all, names the value.
+func allows(list []string, value string) bool { return len(list) == 0 || slices.Contains(list, value) }
--- a/policy/retry_test.go
+++ b/policy/attemptrules_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestNonIdempotentIsRetriedOnlyWhenItNeverRan(t *testing.T) {
+func TestAttemptRules_NonIdempotentIsRetriedOnlyWhenItNeverRan(t *testing.T) {
 	for result, again := range map[Result]bool{
 		ResultOverloaded: true, ResultConnectFailed: true, ResultNotSent: true, ResultFailed: false,
 		ResultTimedOut: false, ResultConnectionLost: false, ResultCancelled: false, ResultUnknown: false,
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestIdempotencyKeyLimitsRetriesToScopeAndWindow(t *testing.T) {
+func TestAttemptRules_IdempotencyKeyLimitsRetriesToScopeAndWindow(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 	first := startedAttempts(h.arrive(1, "keyed"))[0].Engine
 	h.wantAttempt(h.endAttempt(1, 0, ResultFailed), first)
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestRetryBudgetLimitsRetries(t *testing.T) {
+func TestRetryBudget_LimitsRetries(t *testing.T) {
 	s := settings()
 	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin, s.Rules.RetryBudgetRatio = time.Second, 1, 0.1
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 1))
@@ -40,7 +40,7 @@
 	h.wantNoAttempt(h.endAttempt(2, 0, ResultOverloaded))
 }
 
-func TestRetryBudgetIsNotSpentOnWaitingAttempts(t *testing.T) {
+func TestRetryBudget_IsNotSpentOnBlockedAttempts(t *testing.T) {
 	for _, back := range []time.Duration{0, 10 * time.Second} {
 		s := settings()
 		s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin = back, 5
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,7 +1,7 @@
 package policy
 
 import (
-	"slices"
+	"math/rand/v2"
 	"time"
 )
 
@@ -12,53 +12,130 @@
 	tickToken      = 0                              // token of the tick's timer; others are of DeadlineTimer
 )
 
+// actionList collects the actions of the event in hand.
+type actionList struct{ list []Action }
+
+func (l *actionList) add(a Action) { l.list = append(l.list, a) }
+
+// Balancer decides for one front end. It routes events to the types that own the state of each
+// concern, and turns their decisions into actions. It is not safe for concurrent use.
+type Balancer struct {
+	settings Settings
+	now      time.Duration // of the event in hand
+	actions  actionList    // of the event in hand
+	rng      *rand.Rand
+	started  bool // the first event has come
+	ticks    int
+
+	requests  map[uint64]*request // until they are completed and their attempts have ended
+	classes   map[string]*class
+	engines   engineTable
+	fleet     fleet
+	target    concurrencyTarget
+	selector  selector
+	rules     attemptRules
+	attempts  attemptRunner
+	ordered   orderedRequests
+	slowStart slowStartRules
+	outliers  outlierDetector
+	quotas    quotas
+	traffic   trafficEstimate
+	values    valueRanking
+	load      loadReports
+}
+
+// Handle processes one event and appends the actions that it leads to.
+func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
+	b.now = max(now, b.now)
+	b.actions.list = actions
+	if !b.started {
+		b.onFirstEvent(now)
+	}
+	switch ev := event.(type) {
+	case RequestArrived:
+		b.onRequestArrived(ev)
+	case AttemptEnded:
+		b.onAttemptEnded(ev)
+	case HealthChecked:
+		if e := b.engines.byID[ev.Engine]; e != nil {
+			b.load.record(e, ev.Load, b.now)
+		}
+	case ProgressReported:
+		b.onProgress(ev)
+	case StreamStarted:
+		b.onStreamStarted(ev)
+	case ClientDisconnected:
+		if req := b.requests[ev.RequestID]; req != nil {
+			b.complete(req)
+		}
+	case TimerFired:
+		b.onTimer(ev.Token)
+	case EndpointsChanged:
+		b.onEndpointsChanged(ev)
+	}
+	actions = b.actions.list
+	b.actions.list = nil
+	return actions
+}
+
+// attempt returns an attempt of a request that is not over, or nil.
+func (b *Balancer) attempt(requestID uint64, index int) *attempt {
+	req := b.requests[requestID]
+	if req == nil || index < 0 || index >= len(req.attempts) {
+		return nil
+	}
+	return req.attempts[index]
+}
+
 // onFirstEvent starts the ticks and, where the endpoint list isn't pushed, subscribes to it.
 func (b *Balancer) onFirstEvent(now time.Duration) {
-	b.started, b.startedAt = true, now
-	b.emit(SetTimer{After: tickInterval})
+	b.started = true
+	b.slowStart.firstEventAt = now
+	b.actions.add(SetTimer{After: tickInterval})
 	if b.settings.PullDiscovery {
-		b.emit(Subscribe{})
+		b.actions.add(Subscribe{})
 	}
 }
 
-// onTimer runs a tick, or ends a request whose client is about to give up.
+// onTimer runs a tick, or rejects a request whose client is about to give up. A response that is
+// being streamed goes on.
 func (b *Balancer) onTimer(token uint64) {
 	if token == tickToken {
 		b.tick()
 		return
 	}
 	req := b.requests[requestOfDeadline(token)]
-	if req != nil && !slices.ContainsFunc(req.attempts, (*attempt).streamOpen) {
+	if req != nil && !req.streaming() {
 		b.rejectOrFail(req, ReasonDeadline)
 	}
 }
 
-// tick checks the engines for silence, dispatches queued requests and, once a control period, runs the
-// control loops. A late tick means that this process itself was paused.
+// tick checks the engines for silence, admits queued requests and, once a control period, runs the
+// control loops.
 func (b *Balancer) tick() {
-	b.emit(SetTimer{After: tickInterval})
-	if b.now-b.lastTickAt > 2*tickInterval {
-		b.resumedAt = b.now
-	}
-	b.lastTickAt = b.now
-	for _, e := range b.engines {
-		b.detectSilence(e)
+	b.actions.add(SetTimer{After: tickInterval})
+	b.outliers.silence.onTick(b.now)
+	for _, e := range b.engines.all {
+		b.outliers.checkSilence(e, b.now)
 	}
-	b.dispatchQueued()
+	b.admitQueued()
 	b.ticks++
 	if b.ticks%ticksPerPeriod == 0 {
-		b.endPeriod()
+		b.endControlPeriod()
 	}
 }
 
-// endPeriod ends a control period: it updates the figures of the traffic and runs the control loops.
-func (b *Balancer) endPeriod() {
-	b.traffic.endPeriod(float64(len(b.requests)) / float64(max(len(b.engines), 1)))
-	for _, e := range b.engines {
-		b.scaleEngine(e)
-		b.adjust(&e.controlLoop)
+// endControlPeriod updates the estimate of the traffic, runs the control loops and drops obsolete state.
+func (b *Balancer) endControlPeriod() {
+	b.traffic.endPeriod(float64(len(b.requests)) / float64(max(len(b.engines.all), 1)))
+	share := b.traffic.share()
+	for _, e := range b.engines.all {
+		e.rescale(b.target, share, b.now)
+		e.limiter.endPeriod(b.now)
 	}
-	b.prune()
-	b.scaleFleet()
-	b.adjust(&b.fleet)
+	b.rules.budget.expire(b.now)
+	b.engines.prune(b.now)
+	b.ordered.prune(b.now)
+	b.fleet.rescale(b.engines.all, b.target, b.now)
+	b.fleet.limiter.endPeriod(b.now)
 }
--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -30,17 +30,17 @@
 	engines  int
 	rate     float64 // arrivals a second
 	speed    float64 // work done a second on one idle core, in seconds
-	faults   float64 // share of attempts that end in something other than an answer
+	faults   float64 // share of attempts that end in something other than a result
 	estimate bool    // arrivals carry estimates of work and memory
 }
 
-// TestDecisionsAreUnchanged plays generated events in a closed loop (attempts,
+// TestBalancer_DecisionsAreUnchanged plays generated events in a closed loop (attempts,
 // notes and timers follow the actions) and compares a digest of all actions and,
 // every ten events, of all that the balancer has learned, bit for bit, with the one of
 // the golden file. A change of any decision, of the order of random draws or of a
 // floating-point operation shows as a difference.
-// The texts of log actions are left out.
-func TestDecisionsAreUnchanged(t *testing.T) {
+// The fields of the actions for operators are left out.
+func TestBalancer_DecisionsAreUnchanged(t *testing.T) {
 	var got bytes.Buffer
 	for _, s := range scenarios() {
 		playScenario(t, s, &got)
@@ -150,10 +150,10 @@
 
 // fakeRequest is a request of the generated surroundings and its attempts.
 type fakeRequest struct {
-	arrive   policy.RequestArrived
-	work     time.Duration
-	attempts []*fakeAttempt
-	answered bool
+	arrive    policy.RequestArrived
+	work      time.Duration
+	attempts  []*fakeAttempt
+	completed bool
 }
 
 type fakeAttempt struct {
@@ -267,7 +267,7 @@
 	return list
 }
 
-// nextListEvent changes an engine (drain, end, return, hang, slowdown) and tells of it.
+// nextListEvent changes an engine (drain, end, return, hang, slowdown) and returns the update of the list, if any.
 func (p *player) nextListEvent() policy.Event {
 	p.in(time.Duration(200+p.random.IntN(1500))*time.Millisecond, p.nextListEvent)
 	e := p.engines[p.random.IntN(len(p.engines))]
@@ -326,7 +326,7 @@
 	if p.random.IntN(25) == 0 {
 		id := p.last
 		p.in(time.Duration(p.random.IntN(1500))*time.Millisecond, func() policy.Event {
-			req.answered = true
+			req.completed = true
 			return policy.ClientDisconnected{RequestID: id}
 		})
 	}
@@ -356,17 +356,17 @@
 		p.event(2*time.Millisecond, policy.HealthChecked{Engine: a.Engine, Result: policy.ResultServed, Load: p.load(p.byID[a.Engine])})
 	case policy.Reject:
 		p.record(4, a.RequestID, a.RetryAfter, int(a.Reason))
-		p.answered(a.RequestID)
+		p.complete(a.RequestID)
 	case policy.Fail:
 		p.record(5, a.RequestID)
-		p.answered(a.RequestID)
+		p.complete(a.RequestID)
 	case policy.SetTimer:
 		p.record(6, a.After, a.Token)
 		p.event(a.After, policy.TimerFired{Token: a.Token})
 	case policy.Subscribe:
 		p.record(7)
 		p.in(30*time.Millisecond, func() policy.Event { return p.fullList(policy.UpdateFull) })
-	case policy.Log:
+	case policy.EngineEjected, policy.EngineReadmitted:
 		p.record(8)
 	default:
 		p.record(9)
@@ -378,9 +378,9 @@
 	p.digest.write(kind, p.now, values)
 }
 
-func (p *player) answered(requestID uint64) {
+func (p *player) complete(requestID uint64) {
 	if req := p.requests[requestID]; req != nil {
-		req.answered = true
+		req.completed = true
 	}
 }
 
@@ -459,7 +459,7 @@
 	a.engine.attempts--
 	outcome := policy.AttemptEnded{RequestID: requestID, Attempt: n, Result: result, Elapsed: p.now - a.sent, Load: policy.LoadReport{CPUShare: -1, InFlight: -1}}
 	if result == policy.ResultServed {
-		req.answered = true
+		req.completed = true
 		outcome.Work, outcome.MemoryMB = req.work, 30+100*p.random.Float64()
 		if !p.settings.ReportsCost {
 			outcome.Work, outcome.MemoryMB = 0, 0
@@ -468,7 +468,7 @@
 	if result == policy.ResultServed || result == policy.ResultFailed {
 		outcome.Load = p.load(a.engine)
 	}
-	outcome.Completed = req.answered
+	outcome.Completed = req.completed
 	return outcome
 }
 
--- a/policy/class.go
+++ b/policy/class.go
@@ -2,13 +2,20 @@
 
 import "math"
 
-// class is a Class with what is learned of it.
+const (
+	firstResponseWindow = 10     // responses that a class's figures are averaged over at first
+	maxResponseWindow   = 50     // and later on
+	quickLatencyGrowth  = 1.0005 // growth of the quick latency with each response: old minima fade
+	objectiveToUsual    = 3      // a latency objective over this is the usual latency before any response
+)
+
+// class is a Class with what is learned of its requests.
 type class struct {
 	Class
-	answers        int
-	latencyMs      float64 // mean latency of an answer
+	responses      int
+	latencyMs      float64 // mean latency of a response
 	quickLatencyMs float64 // lowest recent mean latency
-	workMs         float64 // mean work of an answer, of all threads
+	workMs         float64 // mean work of a request, of all threads
 	latencySpread  float64 // mean deviation of a latency from the expected one, as a share of that
 	estimateMs     float64 // mean estimate of the work; 0: none so far
 	grantFactor    float64 // memory to grant, as a multiple of the estimate
@@ -20,8 +27,12 @@
 	}
 	usualMs := milliseconds(settings.LatencyObjective) / objectiveToUsual
 	return &class{
-		Class: settings, latencyMs: usualMs, quickLatencyMs: usualMs, workMs: usualMs * settings.Threads,
-		grantFactor: 1, latencySpread: 1 / overdueDeviations,
+		Class:          settings,
+		latencyMs:      usualMs,
+		quickLatencyMs: usualMs,
+		workMs:         usualMs * settings.Threads,
+		grantFactor:    1,
+		latencySpread:  1 / overdueDeviations,
 	}
 }
 
@@ -31,30 +42,30 @@
 	return estimateMs / c.estimateMs
 }
 
-// observeLatency records the latency of an answer to a request of the expected work.
+// observeLatency records the latency of a response to a request of the expected work.
 func (c *class) observeLatency(latencyMs, expectedWorkMs float64) {
-	c.answers++
+	c.responses++
 	deviation := math.Abs(latencyMs*c.workMs/(c.latencyMs*expectedWorkMs) - 1)
-	c.latencySpread = ewma(c.latencySpread, min(deviation, badPlanFactor), c.answerWindow())
-	c.latencyMs = ewma(c.latencyMs, latencyMs, c.answerWindow())
+	c.latencySpread = ewma(c.latencySpread, min(deviation, badPlanFactor), c.window())
+	c.latencyMs = ewma(c.latencyMs, latencyMs, c.window())
 	c.quickLatencyMs = min(c.quickLatencyMs*quickLatencyGrowth, c.latencyMs)
 }
 
-// observeWork records the work of an answer.
+// observeWork records the work of a request that was served.
 func (c *class) observeWork(workMs float64) {
-	c.workMs = ewma(c.workMs, workMs, c.answerWindow())
+	c.workMs = ewma(c.workMs, workMs, c.window())
 }
 
-// answerWindow grows with the answers, so that the first ones count more.
-func (c *class) answerWindow() float64 {
-	return float64(min(firstAnswerWindow+c.answers, maxAnswerWindow))
+// window grows with the responses, so that the first ones count more.
+func (c *class) window() float64 {
+	return float64(min(firstResponseWindow+c.responses, maxResponseWindow))
 }
 
-// observeMemory records the memory that an answer needed. The grant factor follows
+// observeMemory records the memory that a request needed. The grant factor follows
 // the quantile grantCoverage of the need over the estimate, by multiplicative steps.
 func (c *class) observeMemory(estimateMB, neededMB float64, spilled bool) {
 	switch {
-	case !(estimateMB > 0):
+	case !(estimateMB > 0): // no estimate, or NaN
 	case neededMB > c.grantFactor*estimateMB:
 		c.grantFactor *= grantIncrease
 	case !spilled:
--- a/policy/decayingcounter_test.go
+++ b/policy/decayingcounter_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestDecayingCounterHalvesAtItsLimit(t *testing.T) {
+func TestDecayingCounter_HalvesAtItsLimit(t *testing.T) {
 	const limit = 8
 	counter := newDecayingCounter()
 	for range 5 {
--- a/policy/decisionfiles_test.go
+++ b/policy/decisionfiles_test.go
@@ -19,9 +19,8 @@
 // filesWithoutDecisions hold the interface, state and mechanisms that decide
 // nothing. A file with decisions belongs to the policy list of the deploy file.
 var filesWithoutDecisions = []string{
-	"actions.go", "class.go", "decayingcounter.go", "doc.go", "engine.go", "events.go", "ewma.go", "handle.go",
-	"keyqueue.go", "loop.go", "prune.go", "rendezvous.go", "request.go", "retrywindow.go", "settings.go", "state.go",
-	"tokenbucket.go", "traffic.go", "units.go", "validate.go", "warmupcheck.go",
+	"actions.go", "attempt.go", "decayingcounter.go", "doc.go", "events.go", "ewma.go", "keyqueue.go", "new.go",
+	"overloadcheck.go", "request.go", "settings.go", "tokenbucket.go", "units.go", "validate.go",
 }
 
 // decisionFiles returns the files of this package that the deploy file lists under policy.
@@ -46,7 +45,7 @@
 	return files
 }
 
-func TestDecisionFilesStaySmall(t *testing.T) {
+func TestDecisionFiles_StaySmall(t *testing.T) {
 	for _, file := range decisionFiles(t) {
 		source, err := os.ReadFile(file)
 		if err != nil {
@@ -70,7 +69,7 @@
 	}
 }
 
-func TestEveryFileIsListedOrHoldsNoDecisions(t *testing.T) {
+func TestDecisionFiles_ListEveryFileThatDecides(t *testing.T) {
 	sources, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,36 +1,68 @@
 package policy
 
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// engineTable holds the engines that the endpoint list has named, until they are removed and nothing
+// of them is in flight.
+type engineTable struct {
+	all  []*engine // in order of first sight
+	byID map[string]*engine
+}
+
+func newEngineTable() engineTable { return engineTable{byID: map[string]*engine{}} }
+
+func (t *engineTable) add(e *engine) {
+	t.byID[e.id] = e
+	t.all = append(t.all, e)
+}
+
+// prune drops what no decision needs any more: a balancer runs for months.
+func (t *engineTable) prune(now time.Duration) {
+	t.all = slices.DeleteFunc(t.all, func(e *engine) bool {
+		maps.DeleteFunc(e.bulkLoads, func(_ int64, until time.Duration) bool { return now >= until })
+		obsolete := e.state == EngineRemoved && len(e.inFlight) == 0 && !e.slowStart.active(now)
+		if obsolete {
+			delete(t.byID, e.id)
+		}
+		return obsolete
+	})
+}
+
 // onEndpointsChanged applies the endpoint list or a change to it, or subscribes to it again.
 func (b *Balancer) onEndpointsChanged(ev EndpointsChanged) {
 	if ev.Mode == UpdateFailed && b.settings.PullDiscovery {
-		b.emit(Subscribe{})
+		b.actions.add(Subscribe{})
 	}
 	if ev.Mode == UpdateFull || ev.Mode == UpdateCached {
-		for _, e := range b.engines {
+		for _, e := range b.engines.all {
 			e.state = EngineRemoved // unless the list names it
 		}
 	}
 	for _, endpoint := range ev.Engines {
 		b.updateEndpoint(endpoint)
 	}
-	b.scaleFleet()
+	b.fleet.rescale(b.engines.all, b.target, b.now)
 }
 
 // updateEndpoint adds or updates an engine. A new or restarted one gets initial values.
 func (b *Balancer) updateEndpoint(endpoint Engine) {
-	e := b.enginesByID[endpoint.ID]
+	cores := b.settings.coresOf(endpoint.Kind)
+	e := b.engines.byID[endpoint.ID]
 	if e == nil {
-		e = newEngine(endpoint.ID)
-		b.enginesByID[endpoint.ID] = e
-		b.engines = append(b.engines, e)
-		b.resetEngine(e, endpoint.Kind)
+		e = newEngine(endpoint.ID, &b.slowStart)
+		b.engines.add(e)
+		e.reset(cores, b.target, b.traffic.share(), b.now)
 	}
-	if endpoint.StartKnown && e.reportedStart.isNew(endpoint.StartedAt) {
-		b.resetEngine(e, endpoint.Kind)
-		e.reportedStart.set(endpoint.StartedAt)
-		e.startedAt, e.restartAssumed = b.estimateStart(endpoint.StartedAt), false
-		e.warmupEndsAt = 0 // a new warm-up, with a new slot for large requests
-		b.startWarmup(e, e.startedAt+b.settings.Rules.WarmupTime)
+	if endpoint.StartKnown && e.slowStart.reported.differs(endpoint.StartedAt) {
+		e.reset(cores, b.target, b.traffic.share(), b.now)
+		e.slowStart.onReportedStart(b.now, endpoint.StartedAt, b.rng)
 	}
-	e.zone, e.kind, e.cell, e.state = endpoint.Zone, endpoint.Kind, endpoint.Cell, endpoint.State
+	e.zone = endpoint.Zone
+	e.kind = endpoint.Kind
+	e.cell = endpoint.Cell
+	e.state = endpoint.State
 }
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-func TestStateStaysBoundedOverLongRun(t *testing.T) {
+func TestBalancer_StateStaysBoundedOverLongRun(t *testing.T) {
 	s := settings()
 	s.Classes[0].BlockedByLoad = true
 	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin, s.Rules.RetryBudgetRatio = time.Second, 3, 0.1
 	h := newHarness(t, s)
 	for id := uint64(1); id < 5000; id++ {
-		gone, fresh := readyEngine(fmt.Sprintf("e%d", id-1), "a", 1), readyEngine(fmt.Sprintf("e%d", id), "a", 1)
-		gone.State = EngineRemoved
-		h.advance(100 * msec).handle(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{gone, fresh}})
+		removed := readyEngine(fmt.Sprintf("e%d", id-1), "a", 1)
+		added := readyEngine(fmt.Sprintf("e%d", id), "a", 1)
+		removed.State = EngineRemoved
+		h.advance(100 * msec).handle(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{removed, added}})
 		h.handle(RequestArrived{RequestID: id, Class: "ordered", OrderKey: fmt.Sprint("k", id), Dataset: int64(id), Deadline: h.now + time.Second})
 		h.handle(ProgressReported{RequestID: id, Kind: ProgressAwaitingLoad})
 		h.endAttempt(id, 0, []Result{ResultServed, ResultConnectionLost, ResultCancelled}[id%3])
@@ -27,14 +28,20 @@
 		h.handle(TimerFired{})
 	}
 	b := h.balancer
-	inFlight := 0
-	for _, e := range b.engines {
-		inFlight += len(e.datasetLoadingUntil)
+	blocked := 0
+	for _, e := range b.engines.all {
+		blocked += len(e.bulkLoads)
 	}
 	for what, n := range map[string]int{
-		"arrivals in the retry window": len(b.retryWindow.arrivals), "retries in the retry window": len(b.retryWindow.retries), "engines": len(b.engines),
-		"engine ids": len(b.enginesByID), "key queues": len(b.keyQueues), "data sets": len(b.popularity.counts),
-		"requests": len(b.requests), "queued requests": len(b.queued), "blocked data sets": inFlight,
+		"arrivals in the retry window": len(b.rules.budget.arrivals),
+		"retries in the retry window":  len(b.rules.budget.retries),
+		"engines":                      len(b.engines.all),
+		"engine ids":                   len(b.engines.byID),
+		"key queues":                   len(b.ordered.queues),
+		"data sets":                    len(b.selector.affinity.popularity.counts),
+		"requests":                     len(b.requests),
+		"queued requests":              len(b.ordered.waiting),
+		"blocked data sets":            blocked,
 	} {
 		if n > 300 {
 			t.Errorf("%s: %d kept after 5000 requests and engines", what, n)
--- a/policy/events.go
+++ b/policy/events.go
@@ -6,8 +6,8 @@
 // StreamStarted, ClientDisconnected, TimerFired or EndpointsChanged.
 type Event interface{ event() }
 
-// RequestArrived is a new request. One final answer is owed from here on: an AttemptEnded with
-// Completed set, a Reject or a Fail.
+// RequestArrived is a new request. It is pending until its one final response: an AttemptEnded
+// with Completed set, a Reject or a Fail.
 type RequestArrived struct {
 	RequestID         uint64 // never reused, not even for a retry by the client
 	Class             string
@@ -26,10 +26,10 @@
 // The results of attempts. ResultUnknown, the zero value, counts as one that may have run.
 const (
 	ResultUnknown        Result = iota
-	ResultServed                // answered; the first one answers the client
+	ResultServed                // the engine responded with the result
 	ResultFailed                // the engine returned an error; may have run
 	ResultOverloaded            // rejected by the engine; never ran
-	ResultTimedOut              // no answer in time; may run still
+	ResultTimedOut              // no response in time; may run still
 	ResultConnectFailed         // never reached the engine; never ran
 	ResultConnectionLost        // the connection broke; may have run
 	ResultCancelled             // ended by CancelAttempt; may have run
@@ -42,7 +42,7 @@
 	Attempt   int // counted from 0
 	Result    Result
 	Elapsed   time.Duration // since the StartAttempt
-	Completed bool          // the client has its answer: nothing more is owed
+	Completed bool          // the client has its response, or has disconnected
 	Work      time.Duration // that the request needed, where the engine reports it; else 0
 	MemoryMB  float64       // the same
 	Load      LoadReport
@@ -62,7 +62,7 @@
 // HealthChecked is the result of a CheckHealth.
 type HealthChecked struct {
 	Engine string
-	Result Result // ResultServed where the engine answered
+	Result Result // ResultServed where the engine responded
 	Load   LoadReport
 }
 
@@ -85,13 +85,13 @@
 	Value     float64
 }
 
-// StreamStarted says that a streamed answer has begun; its deadline no longer applies.
+// StreamStarted says that a streamed response has begun; its deadline no longer applies.
 type StreamStarted struct {
 	RequestID uint64
 	Attempt   int
 }
 
-// ClientDisconnected says that the client has disconnected: no answer is owed any more.
+// ClientDisconnected says that the client has disconnected: the request needs no response any more.
 type ClientDisconnected struct{ RequestID uint64 }
 
 // TimerFired says that the SetTimer with the same token is due.
--- a/policy/ewma_test.go
+++ b/policy/ewma_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestEWMAMovesTowardsTheSample(t *testing.T) {
+func TestEWMA_MovesTowardsTheSample(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		got, want float64
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"flaxrelay/policy"
 )
 
-// A proxy embeds one Balancer, tells it of every event and carries out its actions.
+// A proxy embeds one Balancer, passes it every event and performs its actions.
 func Example() {
 	balancer, err := policy.New(policy.Settings{
 		Replicas: 1,
--- a/policy/export_test.go
+++ b/policy/export_test.go
@@ -1,28 +1,39 @@
 package policy
 
+import "time"
+
 // LearnedState lists every figure that the balancer has learned, in a fixed
 // order, for the characterization test.
 func (b *Balancer) LearnedState() []float64 {
 	figures := []float64{
-		b.totalQuota, b.threadsPerCore, b.traffic.meanWeight, b.maxThreads, b.popularity.total, b.meanRank, b.meanLoad,
+		b.quotas.total, b.target.threadsPerCore, b.traffic.meanWeight, b.target.maxThreads,
+		b.selector.affinity.popularity.total, b.values.mean, b.load.mean,
 		b.traffic.ownInFlight, b.traffic.reportedInFlight, b.traffic.reports, b.traffic.arrivalRate,
 	}
-	figures = append(figures, b.fleet.figures()...)
-	for _, e := range b.engines {
-		figures = append(figures, e.figures()...)
-		figures = append(figures, e.cores, e.slotDraw, e.reportedLoad, e.faultRate,
-			float64(e.warmupEndsAt), float64(e.warmupSeenAt), float64(e.budgetSpentUntil), float64(e.previousWarmupEndsAt), float64(e.probationAt))
+	figures = append(figures, b.fleet.limiter.figures(b.fleet.loadLevel)...)
+	for _, e := range b.engines.all {
+		figures = append(figures, e.limiter.figures(0)...) // the load level is of the fleet alone
+		figures = append(figures, e.cores, e.slowStart.firstSlot, e.load.threadsPerCore, e.outlier.faultRate)
+		for _, instant := range []time.Duration{
+			e.slowStart.endsAt, e.slowStart.noticedAt, e.slowStart.budgetSpentUntil,
+			e.slowStart.endsAtBeforeAssumption, e.outlier.probationAt,
+		} {
+			figures = append(figures, float64(instant))
+		}
 	}
 	for _, settings := range b.settings.Classes {
 		c := b.classes[settings.Name]
 		figures = append(figures, c.latencyMs, c.quickLatencyMs, c.workMs, c.latencySpread, c.estimateMs, c.grantFactor)
 	}
 	for _, settings := range b.settings.Tenants {
-		figures = append(figures, b.tenants[settings.Name].bucket.tokens)
+		figures = append(figures, b.quotas.tenants[settings.Name].bucket.tokens)
 	}
 	return figures
 }
 
-func (l *controlLoop) figures() []float64 {
-	return []float64{l.initialBound, l.maxBound, l.bound, l.alpha, l.backlog, l.loadLevel, l.slowdown, l.latencySum, float64(l.samples), float64(l.pressuredUntil)}
+func (l *limiter) figures(loadLevel float64) []float64 {
+	return []float64{
+		l.initialLimit, l.maxLimit, l.limit, l.alpha, l.backlog, loadLevel, l.slowdown, l.latencySum,
+		float64(l.samples), float64(l.pressuredUntil),
+	}
 }
--- a/policy/keyqueue_test.go
+++ b/policy/keyqueue_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestKeyQueuesKeepOrderPerKey(t *testing.T) {
+func TestKeyQueues_KeepOrderPerKey(t *testing.T) {
 	ordered, unordered := &class{Class: Class{Ordered: true}}, &class{}
 	first, second := &request{class: ordered, orderKey: "x"}, &request{class: ordered, orderKey: "x"}
 	other := &request{class: ordered, orderKey: "y"}
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestKeyQueueIsDroppedOnceEmptyAndUnblocked(t *testing.T) {
+func TestKeyQueues_DropAQueueOnceEmptyAndUnblocked(t *testing.T) {
 	req := &request{class: &class{Class: Class{Ordered: true}}, orderKey: "x"}
 	for now, want := range map[time.Duration]int{9 * msec: 1, 10 * msec: 0} {
 		queues := keyQueues{}
--- /dev/null
+++ b/policy/limiter.go
@@ -0,0 +1,88 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	closedLoopPole       = 0.3              // c of the limit's update formula; from the design
+	alphaSmoothing       = 0.3              // lambda: weight of the newest period in alpha; from the design
+	minAlpha             = 1e-6             // keeps the step of the limit finite
+	minLimit             = 0.5              // threads; under the weight of one request
+	pressureLatency      = 0.8              // mean latency over the objective from which the limit applies
+	pressurePeriods      = 2                // control periods for which it applies from then on
+	kneeSlowdown         = 1.6              // slowdown, past the curve's knee, where the maximum shrinks
+	maxSlowdown          = 4 * kneeSlowdown // of one response at most
+	slowdownWindow       = 20               // responses that a slowdown is averaged over
+	readmissionLimitPart = 0.25             // of its initial limit that a readmitted engine starts with
+)
+
+// limiter is an adaptive concurrency limit: one for each engine, and one for the fleet. Its unit is
+// a thread. A control loop moves the limit, once a control period, so that the mean latency meets
+// its objective. The limit applies under pressure only, that is for some periods after a period of
+// high latency or after a rejection by a full engine; at other times maxLimit applies.
+type limiter struct {
+	initialLimit   float64       // threads
+	maxLimit       float64       // threads; always applies
+	limit          float64       // threads; applies under pressure
+	alpha          float64       // estimated relative latency that each thread of the limit adds
+	backlog        float64       // threads of the requests in flight
+	slowdown       float64       // mean latency over the quick latency of the request's class
+	latencySum     float64       // of the period's responses, each relative to its objective
+	samples        int           // responses in latencySum
+	pressuredUntil time.Duration // end of the pressure
+}
+
+// observe records one latency, relative to its objective and to the quick latency of its class.
+func (l *limiter) observe(relativeLatency, slowdown float64) {
+	l.latencySum += relativeLatency
+	l.samples++
+	l.slowdown = ewma(l.slowdown, min(slowdown, maxSlowdown), slowdownWindow)
+}
+
+// endPeriod runs the control loop for one period. A period without samples changes nothing.
+func (l *limiter) endPeriod(now time.Duration) {
+	if l.samples == 0 {
+		return
+	}
+	meanLatency := l.latencySum / float64(l.samples)
+	l.latencySum = 0
+	l.samples = 0
+	l.limit, l.alpha = controlStep(l.limit, l.alpha, meanLatency)
+	l.limit = min(max(l.limit, minLimit), l.maxLimit)
+	if meanLatency > pressureLatency {
+		l.pressuredUntil = now + pressurePeriods*controlPeriod
+	}
+}
+
+// controlStep returns limit and alpha after one period, for a mean latency relative to the objective.
+func controlStep(limit, alpha, meanLatency float64) (newLimit, newAlpha float64) {
+	deviation := 1 - meanLatency
+	newAlpha = max(alphaSmoothing*(meanLatency/limit)+(1-alphaSmoothing)*alpha, minAlpha)
+	return limit + (1-closedLoopPole)/newAlpha*deviation, newAlpha
+}
+
+// reset starts the control loop at the initial limit.
+func (l *limiter) reset() {
+	l.limit = l.initialLimit
+	l.alpha = 1 / l.initialLimit
+	l.slowdown = 1
+	l.latencySum = 0
+	l.samples = 0
+}
+
+// readmit starts a readmitted engine with a small limit, which the control loop raises.
+func (l *limiter) readmit() { l.limit = max(minLimit, l.initialLimit*readmissionLimitPart) }
+
+// underPressure reports whether the limit applies, rather than its maximum alone.
+func (l *limiter) underPressure(now time.Duration) bool { return now < l.pressuredUntil }
+
+// admits is the admission test: backlog and weight within the limit. A request that outweighs the
+// limit alone is admitted with probability limit/weight where nothing is in flight.
+func (l *limiter) admits(weight, limit float64, rng *rand.Rand) bool {
+	if l.backlog == 0 && weight > limit {
+		return rng.Float64() < limit/weight
+	}
+	return l.backlog+weight <= limit
+}
--- a/policy/control_test.go
+++ b/policy/limiter_test.go
@@ -6,37 +6,39 @@
 	"time"
 )
 
-func TestControlStepMatchesHandComputedValues(t *testing.T) {
-	for _, c := range []struct{ bound, alpha, meanLatency, wantBound, wantAlpha float64 }{
+func TestControlStep_MatchesHandComputedValues(t *testing.T) {
+	for _, c := range []struct{ limit, alpha, meanLatency, wantLimit, wantAlpha float64 }{
 		{10, 0.1, 1, 10, 0.1},                 // on the objective: alpha = .3*.1+.7*.1, nothing moves
 		{10, 0.1, 2, 10 - 0.7/0.13, 0.13},     // alpha = .3*.2+.7*.1
 		{8, 0.05, 0.4, 8 + 0.7/0.05*0.6, .05}, // alpha = .3*.05+.7*.05
 	} {
-		bound, alpha := controlStep(c.bound, c.alpha, c.meanLatency)
-		if math.Abs(bound-c.wantBound) > 1e-9 || math.Abs(alpha-c.wantAlpha) > 1e-9 {
-			t.Errorf("controlStep(%v, %v, %v) = %v, %v; want %v, %v", c.bound, c.alpha, c.meanLatency, bound, alpha, c.wantBound, c.wantAlpha)
+		limit, alpha := controlStep(c.limit, c.alpha, c.meanLatency)
+		if math.Abs(limit-c.wantLimit) > 1e-9 || math.Abs(alpha-c.wantAlpha) > 1e-9 {
+			t.Errorf("controlStep(%v, %v, %v) = %v, %v; want %v, %v",
+				c.limit, c.alpha, c.meanLatency, limit, alpha, c.wantLimit, c.wantAlpha)
 		}
 	}
 }
 
-func TestAdjustIgnoresIdlePeriodsAndKeepsFloor(t *testing.T) {
+func TestLimiter_IgnoresIdlePeriodsAndKeepsItsFloor(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
-	e := h.balancer.enginesByID["e"]
-	bound, alpha := e.bound, e.alpha
-	h.balancer.adjust(&e.controlLoop)
-	if e.bound != bound || e.alpha != alpha {
-		t.Fatalf("an idle period moved the loop to %v, %v", e.bound, e.alpha)
+	limiter := &h.balancer.engines.byID["e"].limiter
+	before := *limiter
+	limiter.endPeriod(h.now)
+	if limiter.limit != before.limit || limiter.alpha != before.alpha {
+		t.Fatalf("an idle period moved the loop to %v, %v", limiter.limit, limiter.alpha)
 	}
 	for i := 0; i < 50; i++ {
-		e.latencySum, e.samples = 50, 1
-		h.balancer.adjust(&e.controlLoop)
+		limiter.latencySum = 50
+		limiter.samples = 1
+		limiter.endPeriod(h.now)
 	}
-	if e.bound <= 0 || e.bound >= 1 {
-		t.Fatalf("bound %v, want a floor under one request's weight", e.bound)
+	if limiter.limit <= 0 || limiter.limit >= 1 {
+		t.Fatalf("limit %v, want a floor under one request's weight", limiter.limit)
 	}
 }
 
-func TestMaxBoundFollowsTrafficShare(t *testing.T) {
+func TestMaxLimit_FollowsTrafficShare(t *testing.T) {
 	s := settings()
 	s.Tenants = []Tenant{{Name: "t", Quota: 40, Share: 1}}
 	busy, idle := newHarness(t, s, readyEngine("e", "a", 1)), newHarness(t, s, readyEngine("e", "a", 1))
@@ -48,18 +50,19 @@
 			idle.advance(100 * msec).handle(TimerFired{})
 		}
 	}
-	busyBound, idleBound := busy.balancer.enginesByID["e"].maxBound, idle.balancer.enginesByID["e"].maxBound
-	if idleBound < maxBoundFactor*initialThreadsPerCore*8/2 {
-		t.Fatalf("an idle balancer's maximum bound fell to %v", idleBound)
+	busyLimit := busy.balancer.engines.byID["e"].limiter.maxLimit
+	idleLimit := idle.balancer.engines.byID["e"].limiter.maxLimit
+	if idleLimit < maxLimitFactor*initialThreadsPerCore*8/2 {
+		t.Fatalf("an idle balancer's maximum limit fell to %v", idleLimit)
 	}
-	if busyBound < 1.3*idleBound {
-		t.Fatalf("the busy balancer's maximum bound is %v, the idle one's %v", busyBound, idleBound)
+	if busyLimit < 1.3*idleLimit {
+		t.Fatalf("the busy balancer's maximum limit is %v, the idle one's %v", busyLimit, idleLimit)
 	}
 }
 
-func TestMaxBoundShrinksPastTheKnee(t *testing.T) {
+func TestMaxLimit_ShrinksPastTheKnee(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
-	e := h.balancer.enginesByID["e"]
+	limiter := &h.balancer.engines.byID["e"].limiter
 	serve := func(from uint64, latency time.Duration) {
 		for id := from; id < from+200; id++ {
 			h.arrive(id, "idempotent")
@@ -68,15 +71,15 @@
 		}
 	}
 	serve(1, 20*msec)
-	before := e.maxBound
+	before := limiter.maxLimit
 	serve(1000, 200*msec) // still under the objective of 300 ms
-	if e.maxBound > 0.7*before {
-		t.Fatalf("maximum bound %v after latencies of ten times the quick ones, %v before", e.maxBound, before)
+	if limiter.maxLimit > 0.7*before {
+		t.Fatalf("maximum limit %v after latencies of ten times the quick ones, %v before", limiter.maxLimit, before)
 	}
 }
 
-// A bound that one bad period has lowered far must not apply once the pressure is over.
-func TestBoundAppliesOnlyUnderPressure(t *testing.T) {
+// A limit that one bad period has lowered far must not apply once the pressure is over.
+func TestLimiter_LimitAppliesOnlyUnderPressure(t *testing.T) {
 	for _, c := range []struct {
 		latency  float64 // relative to the objective
 		after    time.Duration
@@ -87,14 +90,14 @@
 		{0.5, 0, true},
 	} {
 		h := newHarness(t, settings(), readyEngine("e", "a", 1))
-		fleet := &h.balancer.fleet
-		fleet.observe(c.latency, 1)
-		h.balancer.adjust(fleet)
-		fleet.bound = minBound
-		fleet.backlog = 2
+		limiter := &h.balancer.fleet.limiter
+		limiter.observe(c.latency, 1)
+		limiter.endPeriod(h.now)
+		limiter.limit = minLimit
+		limiter.backlog = 2
 		h.advance(c.after).handle(ClientDisconnected{}) // only advances the clock
 		req := &request{class: h.balancer.classes["idempotent"], weight: 1, quotaFactor: 1, valueFactor: 1}
-		if admitted := h.balancer.fleetHasCapacity(req); admitted != c.admitted {
+		if admitted := h.balancer.fleet.admits(req, h.balancer.now, h.balancer.rng); admitted != c.admitted {
 			t.Errorf("latency %v of the objective, %v later: admitted is %v", c.latency, c.after, admitted)
 		}
 	}
@@ -113,41 +116,44 @@
 	h.runFor(time.Second)
 }
 
-func TestBusyLoadReportsRemoveFleetHeadroom(t *testing.T) {
+func TestFleet_BusyLoadReportsRemoveHeadroom(t *testing.T) {
 	s, list := manyBalancers(40)
 	h := newHarness(t, s, list...)
-	free := h.balancer.fleet.maxBound
+	fleet := &h.balancer.fleet.limiter
+	free := fleet.maxLimit
 	h.runWithLoadReports(1)
-	if got := h.balancer.fleet.maxBound; got > maxBoundFactor*h.balancer.fleet.initialBound+0.05*free {
-		t.Fatalf("maximum bound of the fleet %v with all engines reported busy, %v without reports", got, free)
+	if got := fleet.maxLimit; got > maxLimitFactor*fleet.initialLimit+0.05*free {
+		t.Fatalf("maximum limit of the fleet %v with all engines reported busy, %v without reports", got, free)
 	}
 }
 
-func TestIdleLoadReportsWidenFleetHeadroom(t *testing.T) {
+func TestFleet_IdleLoadReportsWidenHeadroom(t *testing.T) {
 	s, list := manyBalancers(40)
 	h := newHarness(t, s, list...)
-	before := h.balancer.fleet.maxBound
-	if h.runWithLoadReports(0.2); h.balancer.fleet.maxBound < 1.5*before {
-		t.Fatalf("maximum bound of the fleet %v with all engines reported idle, %v without reports", h.balancer.fleet.maxBound, before)
+	fleet := &h.balancer.fleet.limiter
+	before := fleet.maxLimit
+	if h.runWithLoadReports(0.2); fleet.maxLimit < 1.5*before {
+		t.Fatalf("maximum limit of the fleet %v with all engines reported idle, %v without reports", fleet.maxLimit, before)
 	}
 }
 
-func TestAttemptsCancelledAsSlowLowerMaxBound(t *testing.T) {
+func TestMaxLimit_FallsWithAttemptsCancelledAsSlow(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
-	before := h.balancer.enginesByID["e"].maxBound
-	for id := uint64(1); id < 9; id++ { // none of them is ever answered
+	limiter := &h.balancer.engines.byID["e"].limiter
+	before := limiter.maxLimit
+	for id := uint64(1); id < 9; id++ { // none of them ever has a response
 		h.arrive(id, "wide")
 		h.advance(500 * msec).handle(ProgressReported{RequestID: id, Kind: ProgressFraction, Value: 0.01})
 		h.endAttempt(id, 0, ResultCancelled)
 		h.handle(ClientDisconnected{RequestID: id})
 		h.endAttempt(id, 1, ResultCancelled)
 	}
-	if h.runFor(time.Second); h.balancer.enginesByID["e"].maxBound > 0.8*before {
-		t.Fatalf("maximum bound %v after eight attempts cancelled as slow, %v before", h.balancer.enginesByID["e"].maxBound, before)
+	if h.runFor(time.Second); limiter.maxLimit > 0.8*before {
+		t.Fatalf("maximum limit %v after eight attempts cancelled as slow, %v before", limiter.maxLimit, before)
 	}
 }
 
-func TestManyBalancersTogetherStayNearEngineCapacity(t *testing.T) {
+func TestLimits_OfManyBalancersStayNearEngineCapacity(t *testing.T) {
 	s, list := manyBalancers(40)
 	h := newHarness(t, s, list...)
 	inFlight := 0.0
--- a/policy/load.go
+++ b/policy/load.go
@@ -1,6 +1,9 @@
 package policy
 
-import "math"
+import (
+	"math"
+	"time"
+)
 
 const (
 	loadReportDecay    = 8 * controlPeriod // age at which a report has faded to 1/e: wide requests run on
@@ -11,43 +14,60 @@
 	loadPenaltyFactor  = 0.25              // share of a difference in load that counts against an engine
 )
 
-// onLoadReport records an engine's load in threads a core: from its requests in flight or else busy cores,
-// and from its granted memory where an excess slows all requests down.
-func (b *Balancer) onLoadReport(e *engine, report LoadReport) {
+// reportedLoad is the latest load that an engine has reported.
+type reportedLoad struct {
+	threadsPerCore float64
+	at             time.Duration // 0: never
+}
+
+// loadReports evaluates the load that engines report: the backlog of this front end doesn't hold what
+// the others have sent. Its unit is threads a core.
+type loadReports struct {
+	threadsPerCore float64 // that an engine should have at most
+	swaps          bool    // an excess of memory slows down all requests of an engine
+	mean           float64 // mean reported load
+	fleet          *fleet
+	traffic        *trafficEstimate
+}
+
+// record evaluates an engine's report: from its requests in flight or else its busy cores, and from
+// its granted memory where an excess slows all requests down.
+func (l *loadReports) record(e *engine, report LoadReport, now time.Duration) {
 	if !report.Reported || !(max(report.InFlight, report.CPUShare) >= 0) { // neither figure, or NaN
 		return
 	}
-	e.reportedLoad = b.threadsPerCore * report.CPUShare
+	load := l.threadsPerCore * report.CPUShare
 	if report.InFlight >= 0 {
 		inFlight := min(report.InFlight, maxReportedPerCore*e.cores)
-		b.traffic.observeReport(inFlight)
-		e.reportedLoad = inFlight * b.traffic.meanWeight / e.cores
+		l.traffic.observeReport(inFlight)
+		load = inFlight * l.traffic.meanWeight / e.cores
 	}
-	if b.settings.Shortage == ShortageSwap {
-		e.reportedLoad = max(e.reportedLoad, b.threadsPerCore*report.MemoryShare)
+	if l.swaps {
+		load = max(load, l.threadsPerCore*report.MemoryShare)
 	}
-	e.reportedLoad = min(e.reportedLoad, maxOverload*b.threadsPerCore)
-	e.loadReportedAt = b.now
-	b.fleet.loadLevel = ewma(b.fleet.loadLevel, e.reportedLoad/b.threadsPerCore, fleetLevelWindow)
-	b.meanLoad = ewma(b.meanLoad, e.reportedLoad, meanLoadWindow)
+	load = min(load, maxOverload*l.threadsPerCore)
+	e.load = reportedLoad{threadsPerCore: load, at: now}
+	l.fleet.loadLevel = ewma(l.fleet.loadLevel, load/l.threadsPerCore, fleetLevelWindow)
+	l.mean = ewma(l.mean, load, meanLoadWindow)
 }
 
-// checkHealth asks a random engine for its load, at each arrival or less often while the fleet is idle.
+// penalty returns how far the mean load lies under the engine's reported load, in threads and as a
+// negative number that fades with the report's age.
+func (l *loadReports) penalty(e *engine, now time.Duration) float64 {
+	age := float64(now - e.load.at)
+	difference := min(l.mean-e.load.threadsPerCore, 0)
+	return loadPenaltyFactor * difference * e.cores * math.Exp(-age/float64(loadReportDecay))
+}
+
+// checkHealth requests the load of a random engine, at each arrival or less often while the fleet is idle.
 func (b *Balancer) checkHealth() {
 	probability := max(b.fleet.loadLevel, idleLevel) / (1 - idleLevel)
 	enabled := b.settings.Limits.HealthChecks && b.settings.ReportsLoad
-	if !enabled || len(b.engines) == 0 || b.rng.Float64() > probability {
+	engines := b.engines.all
+	if !enabled || len(engines) == 0 || b.rng.Float64() > probability {
 		return
 	}
-	if e := b.engines[b.rng.IntN(len(b.engines))]; e.state == EngineReady {
-		b.emit(CheckHealth{Engine: e.id})
+	if e := engines[b.rng.IntN(len(engines))]; e.state == EngineReady {
+		b.actions.add(CheckHealth{Engine: e.id})
 	}
 }
-
-// loadPenalty is how far the mean load lies under the engine's reported load, in threads and as a negative
-// number, fading with the report's age: the own backlog doesn't hold what other balancers sent there.
-func (b *Balancer) loadPenalty(e *engine) float64 {
-	age := float64(b.now - e.loadReportedAt)
-	difference := min(b.meanLoad-e.reportedLoad, 0)
-	return loadPenaltyFactor * difference * e.cores * math.Exp(-age/float64(loadReportDecay))
-}
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestHealthChecksFollowLoadAndSteerSelection(t *testing.T) {
+func TestHealthChecks_FollowLoadAndSteerSelection(t *testing.T) {
 	s := settings()
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 	if actions := h.arrive(1, "idempotent"); hasAction[CheckHealth](actions) {
@@ -14,35 +14,35 @@
 	}
 	s.Limits.HealthChecks, s.ReportsLoad = true, true
 	h = newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
-	probes := 0
+	checks := 0
 	for id := uint64(1); id <= 40; id++ {
 		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 1, InFlight: 60}})
 		h.handle(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.1, InFlight: 2}})
 		h.handle(HealthChecked{Engine: "unlisted", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 9, InFlight: 1e9}})
 		if hasAction[CheckHealth](h.arrive(id, "idempotent")) {
-			probes++
+			checks++
 		}
 		h.wantAttempt(h.actions, "f")
 		h.endAttempt(id, 0, ResultServed)
 	}
-	if probes < 28 {
-		t.Fatalf("%d health checks with 40 arrivals while an engine is busy", probes)
+	if checks < 28 {
+		t.Fatalf("%d health checks with 40 arrivals while an engine is busy", checks)
 	}
-	probes = 0
+	checks = 0
 	for id := uint64(100); id < 200; id++ {
 		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, InFlight: 0}})
 		h.handle(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, InFlight: 0}})
 		if hasAction[CheckHealth](h.arrive(id, "idempotent")) {
-			probes++
+			checks++
 		}
 		h.endAttempt(id, 0, ResultServed)
 	}
-	if probes < 20 || probes > 70 { // some must go on: otherwise nobody learns that load is back
-		t.Fatalf("%d health checks with 100 arrivals while all are idle", probes)
+	if checks < 20 || checks > 70 { // some must go on: otherwise rising load would go unnoticed
+		t.Fatalf("%d health checks with 100 arrivals while all are idle", checks)
 	}
 }
 
-func TestMalformedLoadReportsAreHarmless(t *testing.T) {
+func TestLoadReports_MalformedOnesAreHarmless(t *testing.T) {
 	s := settings()
 	s.Limits.HealthChecks, s.ReportsLoad = true, true
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
@@ -56,7 +56,7 @@
 		h.wantAttempt(h.arrive(uint64(id+1), "idempotent"), "")
 		h.endAttempt(uint64(id+1), 0, ResultServed)
 	}
-	for name, v := range map[string]float64{"load level": h.balancer.fleet.loadLevel, "mean load": h.balancer.meanLoad, "reported in flight": h.balancer.traffic.reportedInFlight, "traffic share": h.balancer.trafficShare()} {
+	for name, v := range map[string]float64{"load level": h.balancer.fleet.loadLevel, "mean load": h.balancer.load.mean, "reported in flight": h.balancer.traffic.reportedInFlight, "traffic share": h.balancer.traffic.share()} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			t.Errorf("%s is %v", name, v)
 		}
@@ -65,7 +65,7 @@
 
 // An engine with few requests in flight but more memory granted than it has is swapping, and
 // every further request makes that worse.
-func TestEngineWithOvercommittedMemoryIsAvoided(t *testing.T) {
+func TestLoadReports_EngineWithOvercommittedMemoryIsAvoided(t *testing.T) {
 	for _, c := range []struct {
 		short MemoryShortage
 		avoid bool
@@ -92,9 +92,9 @@
 
 // Among many balancers each hears of an engine only every few seconds: a report must steer
 // it until then.
-func TestLoadReportSteersForSeconds(t *testing.T) {
+func TestLoadReports_SteerForSeconds(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 2))
-	h.balancer.silenceTimeout = time.Hour
+	h.balancer.outliers.silence.timeout = time.Hour
 	to := map[string]int{}
 	for id := uint64(1); id <= 40; id++ {
 		for range 5 {
--- a/policy/rendezvous_test.go
+++ b/policy/locality_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestAffinityMovesNoDatasetBetweenRemainingEngines(t *testing.T) {
+func TestAffinity_MovesNoDatasetBetweenRemainingEngines(t *testing.T) {
 	const engines, datasets = 10, 1000
 	nearest := func(count int, dataset int64) (best int) {
 		highest := uint64(0)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestNthHighest(t *testing.T) {
+func TestNthHighest_CountsFromOne(t *testing.T) {
 	for _, c := range []struct {
 		n    int
 		want uint64
--- /dev/null
+++ b/policy/new.go
@@ -0,0 +1,62 @@
+package policy
+
+import (
+	"fmt"
+	"math/rand/v2"
+)
+
+// New returns a balancer for the settings, or an error that wraps a *SettingsError.
+func New(s Settings, seed uint64) (*Balancer, error) {
+	if err := validate(&s); err != nil {
+		return nil, fmt.Errorf("policy: settings: %w", err)
+	}
+	b := &Balancer{
+		settings: s,
+		rng:      rand.New(rand.NewPCG(seed, seed)),
+		requests: map[uint64]*request{},
+		classes:  map[string]*class{},
+		engines:  newEngineTable(),
+		target:   newConcurrencyTarget(&s),
+		quotas:   newQuotas(s.Tenants),
+	}
+	for _, settings := range s.Classes {
+		b.classes[settings.Name] = newClass(settings)
+	}
+	b.traffic = newTrafficEstimate(s.Replicas, b.quotas.total)
+	b.slowStart = slowStartRules{Rules: &b.settings.Rules}
+	b.ordered = newOrderedRequests(s.Rules.OrderSettleTime + s.TickInterval)
+	b.rules = attemptRules{
+		limits:  &b.settings.Limits,
+		budget:  retryBudget{rules: &b.settings.Rules},
+		ordered: &b.ordered,
+		traffic: &b.traffic,
+	}
+	b.attempts = attemptRunner{
+		settings: &b.settings,
+		actions:  &b.actions,
+		rules:    &b.rules,
+		fleet:    &b.fleet,
+		traffic:  &b.traffic,
+	}
+	b.outliers = outlierDetector{
+		silence:  newSilenceDetector(&s),
+		actions:  &b.actions,
+		attempts: &b.attempts,
+	}
+	b.load = loadReports{
+		threadsPerCore: b.target.threadsPerCore,
+		swaps:          s.Shortage == ShortageSwap,
+		fleet:          &b.fleet,
+		traffic:        &b.traffic,
+	}
+	b.selector = selector{
+		zone:     s.Zone,
+		rng:      b.rng,
+		fleet:    &b.fleet,
+		rules:    &b.rules,
+		load:     &b.load,
+		silence:  &b.outliers.silence,
+		affinity: newDatasetAffinity(s.Zone),
+	}
+	return b, nil
+}
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -1,30 +1,60 @@
 package policy
 
+import (
+	"maps"
+	"time"
+)
+
+// orderedRequests lets the requests of one ordering key run one at a time, in order of arrival. After
+// an attempt that may still run on its engine, it blocks the key until that must have ended.
+type orderedRequests struct {
+	settleTime time.Duration
+	queues     keyQueues  // of all unfinished requests that have an ordering key
+	waiting    []*request // not admitted yet, in order of arrival
+}
+
+func newOrderedRequests(settleTime time.Duration) orderedRequests {
+	return orderedRequests{settleTime: settleTime, queues: keyQueues{}}
+}
+
 // atHead reports whether all earlier requests of the key have finished and the key is settled. Settling
 // doesn't delay retries of the request at the head.
-func (b *Balancer) atHead(req *request) bool {
-	queue := b.keyQueues.of(req)
-	return queue == nil || queue.isHead(req) && (b.now >= queue.blockedUntil || len(req.attempts) > 0)
+func (o *orderedRequests) atHead(req *request, now time.Duration) bool {
+	queue := o.queues.of(req)
+	return queue == nil || queue.isHead(req) && (now >= queue.blockedUntil || len(req.attempts) > 0)
 }
 
 // settle blocks the key after an attempt that may still run on its engine.
-func (b *Balancer) settle(req *request) {
-	if queue := b.keyQueues.of(req); queue != nil {
-		queue.blockUntil(b.now + b.settings.Rules.OrderSettleTime + b.settings.TickInterval)
+func (o *orderedRequests) settle(req *request, now time.Duration) {
+	if queue := o.queues.of(req); queue != nil {
+		queue.blockUntil(now + o.settleTime)
 	}
 }
 
-// dispatchQueued admits queued requests that are at the head of their key, in order of arrival.
-func (b *Balancer) dispatchQueued() {
-	queued := b.queued
-	b.queued = nil
-	for _, req := range queued {
+// wait has the request wait until it is at the head of its key.
+func (o *orderedRequests) wait(req *request) { o.waiting = append(o.waiting, req) }
+
+// takeWaiting removes and returns the requests that wait.
+func (o *orderedRequests) takeWaiting() []*request {
+	waiting := o.waiting
+	o.waiting = nil
+	return waiting
+}
+
+// prune drops the queues that are empty and not blocked.
+func (o *orderedRequests) prune(now time.Duration) {
+	maps.DeleteFunc(o.queues, func(_ string, queue *keyQueue) bool { return queue.idle(now) })
+}
+
+// admitQueued admits queued requests that are at the head of their key, in order of arrival.
+func (b *Balancer) admitQueued() {
+	for _, req := range b.ordered.takeWaiting() {
 		switch {
-		case req.answered:
-		case b.atHead(req):
+		case req.completed:
+		case b.ordered.atHead(req, b.now):
 			b.admit(req)
 		default:
-			b.queued = append(b.queued, req)
+			b.ordered.wait(req)
 		}
 	}
 }
--- a/policy/ordering_test.go
+++ b/policy/ordering_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-func TestOrderedRequestWaitsUntilEarlierEndedAndSettled(t *testing.T) {
+func TestOrderedRequests_WaitUntilEarlierEndedAndSettled(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
-	ask := func(id uint64) []Action {
+	arrive := func(id uint64) []Action {
 		return h.handle(RequestArrived{RequestID: id, Class: "ordered", OrderKey: "x", Deadline: h.now + 5*time.Second})
 	}
-	h.wantAttempt(ask(1), "e")
-	h.wantNoAttempt(ask(2))
+	h.wantAttempt(arrive(1), "e")
+	h.wantNoAttempt(arrive(2))
 	h.handle(ClientDisconnected{RequestID: 1})
 	h.wantNoAttempt(h.handle(TimerFired{})) // its attempt is still in flight
 	h.endAttempt(1, 0, ResultCancelled)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-func TestSilentEngineIsEjectedAndItsRequestsRetried(t *testing.T) {
-	h := newHarness(t, settings(), readyEngine("hung", "a", 1))
+func TestSilence_EjectsTheEngineAndRetriesItsRequests(t *testing.T) {
+	h := newHarness(t, settings(), readyEngine("silent", "a", 1))
 	h.arrive(1, "wide")
 	h.arrive(2, "idempotent")
 	h.handle(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{readyEngine("good", "a", 1)}})
 	actions := h.runFor(1500 * msec)
-	if !hasAction[CancelAttempt](actions) || !hasAction[Log](actions) {
-		t.Fatalf("want cancellations and a log message, got %+v", actions)
+	if !hasAction[CancelAttempt](actions) || !hasAction[EngineEjected](actions) {
+		t.Fatalf("want cancellations and an ejection, got %+v", actions)
 	}
 	h.wantNoAttempt(actions) // never two attempts at once
 	h.wantAttempt(h.endAttempt(1, 0, ResultCancelled), "good")
 }
 
-func TestOneSilentAttemptEjectsNoEngine(t *testing.T) {
+func TestSilence_OfOneAttemptEjectsNoEngine(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	h.arrive(1, "wide")
 	if actions := h.runFor(1500 * msec); hasAction[CancelAttempt](actions) {
@@ -26,19 +26,19 @@
 	}
 }
 
-func TestOwnPauseEjectsNoEngine(t *testing.T) {
+func TestSilence_OwnPauseEjectsNoEngine(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	h.handle(TimerFired{})
 	for id := uint64(1); id < 4; id++ {
 		h.arrive(id, "wide")
 		h.arrive(id+10, "idempotent")
 	}
-	if actions := h.advance(3 * time.Second).handle(TimerFired{}); hasAction[CancelAttempt](actions) || hasAction[Log](actions) {
+	if actions := h.advance(3 * time.Second).handle(TimerFired{}); hasAction[CancelAttempt](actions) || hasAction[EngineEjected](actions) {
 		t.Fatalf("a pause of the balancer counted as silence of an engine: %+v", actions)
 	}
 }
 
-func TestEngineThatFailsFastIsEjected(t *testing.T) {
+func TestOutlierDetector_EjectsAnEngineThatFailsFast(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("bad", "a", 1), readyEngine("good", "b", 2))
 	sent := 0
 	for id := uint64(1); id < 40; id++ {
@@ -57,14 +57,14 @@
 		}
 	}
 	if sent == 0 || sent > 8 {
-		t.Fatalf("%d of the attempts went to the engine that answers with errors", sent)
+		t.Fatalf("%d of the attempts went to the engine that responds with errors", sent)
 	}
 }
 
 // A connection that breaks ends all attempts on it. That is one fault, and
 // a report on an attempt sent after it, sooner than a process starts, shows that the engine
-// did not restart. After a refused connection it counts as restarted.
-func TestBrokenConnectionIsOneFault(t *testing.T) {
+// did not restart. After a failed connection it counts as restarted.
+func TestOutlierDetector_CountsABrokenConnectionOnce(t *testing.T) {
 	for _, c := range []struct {
 		result  Result
 		ejected bool
@@ -75,12 +75,12 @@
 		for id := uint64(1); id <= 4; id++ {
 			h.arrive(id, "idempotent")
 		}
-		e := h.balancer.engines[0]
+		e := h.balancer.engines.all[0]
 		for id := uint64(1); id <= 2; id++ {
 			h.endAttempt(id, 0, c.result)
 		}
-		if e.ejected != c.ejected {
-			t.Errorf("%v: ejected is %v", c.result, e.ejected)
+		if got := e.outlier.ejected(); got != c.ejected {
+			t.Errorf("%v: ejected is %v", c.result, got)
 		}
 		h.advance(200 * msec)
 		for id := uint64(5); id < 9; id++ {
@@ -89,7 +89,7 @@
 				break
 			}
 		}
-		if warming := h.now < e.warmupEndsAt; warming != c.warming {
+		if warming := e.slowStart.active(h.now); warming != c.warming {
 			t.Errorf("%v: warming up is %v after a report on a later attempt", c.result, warming)
 		}
 	}
@@ -97,7 +97,7 @@
 
 // An error may be the request's own fault: it counts against an engine only once another
 // engine has served the request. A request that fails on two engines is not sent to a third.
-func TestErrorIsFaultOnlyWhereAnotherEngineServes(t *testing.T) {
+func TestOutlierDetector_CountsAnErrorOnlyWhereAnotherEngineServes(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1), readyEngine("g", "a", 1))
 	for id := uint64(1); id < 20; id++ {
 		h.arrive(id, "idempotent")
@@ -106,22 +106,22 @@
 			t.Fatalf("after two errors: %+v", actions)
 		}
 	}
-	for _, e := range h.balancer.engines {
-		if e.faultRate > 0 {
-			t.Errorf("engine %s has fault rate %v for requests that fail everywhere", e.id, e.faultRate)
+	for _, e := range h.balancer.engines.all {
+		if rate := e.outlier.faultRate; rate > 0 {
+			t.Errorf("engine %s has fault rate %v for requests that fail everywhere", e.id, rate)
 		}
 	}
-	first := h.balancer.enginesByID[startedAttempts(h.arrive(20, "idempotent"))[0].Engine]
+	first := h.balancer.engines.byID[startedAttempts(h.arrive(20, "idempotent"))[0].Engine]
 	h.endAttempt(20, 0, ResultFailed)
-	if h.endAttempt(20, 1, ResultServed); first.faultRate == 0 {
+	if h.endAttempt(20, 1, ResultServed); first.outlier.faultRate == 0 {
 		t.Error("no fault for an error on a request that another engine served")
 	}
 }
 
 // An attempt without progress reports, while its engine reports others, has lost its
-// answer: it is retried where its class permits. Waiting attempts are reported
+// response: it is retried where its class permits. Waiting attempts are reported
 // less often.
-func TestLostAnswerIsRetried(t *testing.T) {
+func TestLostResponse_IsRetried(t *testing.T) {
 	for _, c := range []struct {
 		class         string
 		waiting, lost bool
@@ -145,11 +145,16 @@
 	}
 }
 
+// stalled reports whether a class is stalled on the engine.
+func (h *harness) stalled(e *engine, class string) bool {
+	return e.classStalled(h.balancer.classes[class], h.balancer.now)
+}
+
 // One class is stalled on an engine while another runs there: the engine gets no more of the
-// first, but single probes, until one of them reports progress.
-func TestStalledClassIsProbedOneAtATime(t *testing.T) {
+// first, but one request at a time, until one of them reports progress.
+func TestStalledClass_IsProbedOneAtATime(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
-	e := h.balancer.enginesByID["e"]
+	e := h.balancer.engines.byID["e"]
 	to := func(class string) (n int) {
 		for id := uint64(100); id < 110; id++ {
 			for _, s := range startedAttempts(h.arrive(id, class)) {
@@ -176,10 +181,10 @@
 	}
 	for range 4 {
 		h.runFor(300 * msec)
-		e.lastHeardAt = h.now // by way of other classes
+		e.outlier.lastHeardAt = h.now // by way of other classes
 	}
-	if !h.balancer.classStalled(e, h.balancer.classes["idempotent"]) || h.balancer.classStalled(e, h.balancer.classes["non-idempotent"]) {
-		t.Fatalf("lost answers %v should stall the one class only", e.lostAnswers)
+	if !h.stalled(e, "idempotent") || h.stalled(e, "non-idempotent") {
+		t.Fatalf("lost responses %v should stall the one class only", e.lostResponses.inARow)
 	}
 	if n := to("idempotent"); n > 0 {
 		t.Errorf("%d more of the stalled class", n)
@@ -190,21 +195,21 @@
 	if n := to("non-idempotent"); n == 0 {
 		t.Error("none of the class that runs")
 	}
-	h.advance(3 * h.balancer.silenceTimeout)
-	for id := uint64(200); id < 220 && !h.balancer.classStalled(e, h.balancer.classes["idempotent"]); id++ {
+	h.advance(3 * h.balancer.outliers.silence.timeout)
+	for id := uint64(200); id < 220 && !h.stalled(e, "idempotent"); id++ {
 		h.arrive(id, "idempotent")
 	}
-	if !h.balancer.classStalled(e, h.balancer.classes["idempotent"]) {
-		t.Error("no request was sent as a probe, or more than one")
+	if !h.stalled(e, "idempotent") {
+		t.Error("the class is not stalled while one request of it is in flight")
 	}
 	trial := e.inFlight[len(e.inFlight)-1]
 	h.handle(ProgressReported{RequestID: trial.request.id, Attempt: trial.index, Kind: ProgressFraction, Value: 0.5})
-	if h.balancer.classStalled(e, h.balancer.classes["idempotent"]) {
+	if h.stalled(e, "idempotent") {
 		t.Error("stalled after a progress report of the class")
 	}
 }
 
-func TestOverdueAttemptIsRetriedWithoutProgressReports(t *testing.T) {
+func TestOverdueAttempt_IsRetriedWithoutProgressReports(t *testing.T) {
 	s := settings()
 	s.ProgressInterval, s.Limits.MaxAttempts, s.Classes[1].ObjectiveStretch = 0, 2, 2.5
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
--- /dev/null
+++ b/policy/outlierdetector.go
@@ -0,0 +1,102 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// outlierDetector ejects engines that are silent or that fail too often, and readmits them. Attempts
+// that are silent, or whose response is lost, are retried on other engines.
+type outlierDetector struct {
+	silence  silenceDetector
+	actions  *actionList
+	attempts *attemptRunner
+}
+
+// recordFault counts a fault of an engine, and ejects it when there are too many.
+func (d *outlierDetector) recordFault(e *engine, weight float64, reason EjectionReason, now time.Duration) {
+	if e.outlier.recordFault(weight) {
+		d.eject(e, ejectedUntilServed, reason, now)
+	}
+}
+
+// eject ejects an engine.
+func (d *outlierDetector) eject(e *engine, until ejection, reason EjectionReason, now time.Duration) {
+	if e.outlier.eject(until, now, d.silence.probationInterval()) {
+		d.actions.add(EngineEjected{Engine: e.id, Reason: reason, InFlight: len(e.inFlight)})
+	}
+}
+
+// onActivity notes a progress report or response of an attempt: neither its class nor its engine is
+// stalled, and an engine that was ejected for silence is readmitted.
+func (d *outlierDetector) onActivity(a *attempt, now time.Duration) {
+	e := a.engine
+	e.lostResponses.reset(a.request.class)
+	if e.outlier.readmit() {
+		e.limiter.readmit()
+		d.actions.add(EngineReadmitted{Engine: e.id})
+	}
+	e.slowStart.withdrawAssumption(now, a.sentAt, e.outlier.connectionLostAt)
+}
+
+// blameErrors counts earlier errors on a request against their engines. An error may be the request's
+// own fault, but not where another engine serves it.
+func (d *outlierDetector) blameErrors(req *request, servedBy *engine, now time.Duration) {
+	for _, earlier := range req.attempts {
+		if earlier.failed() && earlier.engine != servedBy {
+			d.recordFault(earlier.engine, errorWeight, EjectedErrors, now)
+		}
+	}
+}
+
+// checkSilence ejects an engine when all its attempts are silent, and retries the idempotent ones
+// elsewhere.
+func (d *outlierDetector) checkSilence(e *engine, now time.Duration) {
+	if len(e.inFlight) == 0 {
+		return
+	}
+	silentAttempts := 0
+	for _, a := range slices.Clone(e.inFlight) {
+		switch {
+		case d.silence.progressInterval == 0:
+			d.detectOverdue(a, now)
+		case a.phase != attemptStreaming:
+			if d.silence.attemptSilence(a, now) > d.silence.timeout {
+				silentAttempts++
+			}
+			d.detectLostResponse(a, now)
+		}
+	}
+	if !d.silence.engineSilent(e, silentAttempts, now) {
+		return
+	}
+	d.eject(e, ejectedUntilActive, EjectedSilent, now)
+	for _, a := range e.inFlight {
+		if a.request.class.Effect == Idempotent {
+			d.attempts.retryElsewhere(a, now)
+		}
+	}
+}
+
+// detectLostResponse retries an attempt whose response is lost.
+func (d *outlierDetector) detectLostResponse(a *attempt, now time.Duration) {
+	if a.responseLost || !d.silence.responseLost(a, now) {
+		return
+	}
+	a.responseLost = true
+	c := a.request.class
+	a.engine.lostResponses.add(c, now+d.silence.probationInterval())
+	if c.Effect != NonIdempotent {
+		d.attempts.retryElsewhere(a, now)
+	}
+}
+
+// detectOverdue replaces progress reports where engines send none: an overdue attempt is retried
+// while a retry would meet the objective.
+func (d *outlierDetector) detectOverdue(a *attempt, now time.Duration) {
+	req := a.request
+	if d.silence.overdue(a, now) && req.class.Effect == Idempotent &&
+		req.retryMeetsObjective(now, req.attempts[0].sentAt) && d.attempts.retryElsewhere(a, now) {
+		d.recordFault(a.engine, overdueWeight, EjectedOverdue, now)
+	}
+}
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -11,14 +11,15 @@
 // onProgress handles a progress report of an attempt in flight.
 func (b *Balancer) onProgress(ev ProgressReported) {
 	a := b.attempt(ev.RequestID, ev.Attempt)
-	if a == nil || a.ended {
+	if a == nil || a.ended() {
 		return
 	}
-	a.lastHeardAt, a.engine.lastHeardAt = b.now, b.now
-	a.waiting = ev.Kind == ProgressAwaitingMemory || ev.Kind == ProgressAwaitingLoad
-	b.onActivity(a)
+	a.lastHeardAt = b.now
+	a.engine.outlier.lastHeardAt = b.now
+	a.lastProgress = ev.Kind
+	b.outliers.onActivity(a, b.now)
 	if ev.Kind == ProgressAwaitingLoad {
-		a.engine.datasetLoadingUntil[a.request.dataset] = b.now + 2*b.settings.ProgressInterval
+		a.engine.bulkLoads[a.request.dataset] = b.now + 2*b.settings.ProgressInterval
 	}
 	if ev.Kind == ProgressSpilling {
 		if !b.settings.ReportsCost {
@@ -26,7 +27,7 @@
 		}
 		return
 	}
-	if a.cancelled || a.request.answered || !b.settings.Limits.Cancel {
+	if a.cancelRequested || a.request.completed || !b.settings.Limits.Cancel {
 		return
 	}
 	if ev.Kind == ProgressFraction {
@@ -36,11 +37,16 @@
 	}
 }
 
-// onStreamStarted notes that an attempt's answer has begun.
+// onStreamStarted notes that an attempt's response has begun.
 func (b *Balancer) onStreamStarted(ev StreamStarted) {
-	if a := b.attempt(ev.RequestID, ev.Attempt); a != nil {
-		a.streaming, a.engine.lastHeardAt = true, b.now
+	a := b.attempt(ev.RequestID, ev.Attempt)
+	if a == nil {
+		return
 	}
+	if !a.ended() {
+		a.phase = attemptStreaming
+	}
+	a.engine.outlier.lastHeardAt = b.now
 }
 
 // onBlocked retries elsewhere an attempt that waits on its engine: for memory only once, since where two
@@ -48,9 +54,9 @@
 func (b *Balancer) onBlocked(a *attempt, kind ProgressKind) {
 	req := a.request
 	permitted := kind == ProgressAwaitingLoad || len(req.attempts) == 1
-	if permitted && b.settings.Rules.RetryBudgetWindow == 0 && req.class.Effect == Idempotent &&
-		b.meetsObjective(req, a.sentAt) {
-		b.retryElsewhere(a)
+	if permitted && !b.rules.budget.limited() && req.class.Effect == Idempotent &&
+		req.retryMeetsObjective(b.now, a.sentAt) {
+		b.attempts.retryElsewhere(a, b.now)
 	}
 }
 
@@ -58,16 +64,32 @@
 // the usual latency, or past the deadline, is cancelled where a retry has time to finish; a second one as
 // slow as the first shows that the request itself is expensive.
 func (b *Balancer) onFraction(a *attempt, done float64) {
-	req, e := a.request, a.engine
-	usualMs, timeLeftMs := req.usualLatencyMs(), milliseconds(req.deadline-b.now)
+	req := a.request
+	usualMs := req.usualLatencyMs()
+	timeLeftMs := milliseconds(req.deadline - b.now)
 	remainingMs := milliseconds(b.now-a.sentAt) * (1 - done) / done
 	late := remainingMs > timeLeftMs
-	slow := remainingMs > badPlanFactor*usualMs && b.meetsObjective(req, a.sentAt)
+	slow := remainingMs > badPlanFactor*usualMs && req.retryMeetsObjective(b.now, a.sentAt)
 	retryFits := usualMs*retryTimeFactor < timeLeftMs
+	limiter := &a.engine.limiter
 	switch {
-	case len(req.attempts) == 1 && (slow || late) && retryFits && b.retryElsewhere(a):
-		e.slowdown = ewma(e.slowdown, maxSlowdown, slowAttemptWindow) // the engine may be the cause
+	case len(req.attempts) == 1 && (slow || late) && retryFits && b.attempts.retryElsewhere(a, b.now):
+		// The engine may be the cause.
+		limiter.slowdown = ewma(limiter.slowdown, maxSlowdown, slowAttemptWindow)
 	case remainingMs > hopelessShare*timeLeftMs && mayReject(req): // it would use capacity until its deadline
 		b.rejectOrFail(req, ReasonRetryFutile)
 	}
 }
+
+// observeSpill records the first report that an attempt lacks memory: the class's grant
+// factor rises halfway to the need, and by one step at least.
+func (a *attempt) observeSpill(missingMB float64) {
+	c := a.request.class
+	estimateMB := a.request.estimatedMemoryMB
+	if a.spilled || !(estimateMB > 0) {
+		return
+	}
+	a.spilled = true
+	needed := (a.grantedMB + missingMB) / estimateMB
+	c.grantFactor = max(c.grantFactor*grantIncrease, (c.grantFactor+needed)/2)
+}
--- a/policy/progress_test.go
+++ b/policy/progress_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestAttemptWithBadPlanIsCancelledOnce(t *testing.T) {
+func TestProgress_AttemptWithBadPlanIsCancelledOnce(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	h.handle(RequestArrived{RequestID: 1, Class: "wide", Deadline: h.now + 15*time.Second})
 	h.advance(time.Second)
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestHopelessRequestIsRejectedEarly(t *testing.T) {
+func TestProgress_HopelessRequestIsRejectedEarly(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	h.arrive(1, "wide")
 	h.advance(time.Second).handle(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.01})
@@ -31,7 +31,7 @@
 	h.wantNoAttempt(h.endAttempt(1, 1, ResultCancelled))
 }
 
-func TestLateAttemptFinishesWhereRetryWouldBeLateToo(t *testing.T) {
+func TestProgress_LateAttemptFinishesWhereRetryWouldBeLateToo(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	h.arrive(1, "idempotent")
 	if actions := h.advance(500 * msec).handle(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.4}); hasAction[CancelAttempt](actions) {
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestWaitingAttemptIsRetriedWhereRetryMeetsObjective(t *testing.T) {
+func TestProgress_BlockedAttemptIsRetriedWhereRetryMeetsObjective(t *testing.T) {
 	for _, c := range []struct {
 		class   string
 		after   time.Duration
@@ -61,7 +61,7 @@
 
 // An attempt that waits for memory is retried once: engines that all lack memory would otherwise use
 // up the attempts of every request at once, and leave none for faults.
-func TestAttemptAwaitingMemoryIsRetriedOnce(t *testing.T) {
+func TestProgress_AttemptAwaitingMemoryIsRetriedOnce(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1), readyEngine("g", "a", 1))
 	h.arrive(1, "wide")
 	if actions := h.handle(ProgressReported{RequestID: 1, Kind: ProgressAwaitingMemory}); !hasAction[CancelAttempt](actions) {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -22,12 +22,12 @@
 
 // modelRequest is a request as the model knows it.
 type modelRequest struct {
-	id       uint64
-	class    Class
-	orderKey string
-	deadline time.Duration
-	attempts []modelAttempt
-	answered bool
+	id        uint64
+	class     Class
+	orderKey  string
+	deadline  time.Duration
+	attempts  []modelAttempt
+	completed bool
 }
 
 // modelAttempt is an attempt as the model knows it.
@@ -61,21 +61,21 @@
 				m.fail("a health check of %s", a.Engine)
 			}
 		case Reject:
-			m.checkReject(m.answer(a.RequestID))
+			m.checkReject(m.complete(a.RequestID))
 		case Fail:
-			m.answer(a.RequestID)
+			m.complete(a.RequestID)
 		}
 	}
 }
 
-// answer takes a final answer, of which there must be one.
-func (m *model) answer(requestID uint64) *modelRequest {
+// complete records a response; a request must have one only.
+func (m *model) complete(requestID uint64) *modelRequest {
 	m.t.Helper()
 	req := m.byID[requestID]
-	if req == nil || req.answered {
-		m.fail("request %d: a second final answer", requestID)
+	if req == nil || req.completed {
+		m.fail("request %d: a second response", requestID)
 	}
-	req.answered = true
+	req.completed = true
 	return req
 }
 
@@ -93,7 +93,7 @@
 func (m *model) startAttempt(a StartAttempt) {
 	m.t.Helper()
 	req := m.byID[a.RequestID]
-	if req == nil || req.answered {
+	if req == nil || req.completed {
 		m.fail("request %d sent after its end", a.RequestID)
 	}
 	if m.states[a.Engine] != EngineReady {
@@ -169,8 +169,8 @@
 		if !earlier.class.Ordered || earlier.orderKey != req.orderKey {
 			continue
 		}
-		if !earlier.answered {
-			m.fail("request %d sent before request %d was answered", req.id, earlier.id)
+		if !earlier.completed {
+			m.fail("request %d sent before request %d was completed", req.id, earlier.id)
 		}
 		for _, attempt := range earlier.attempts {
 			settling := attempt.mayStillRun && m.now-attempt.endedAt < m.settings.Rules.OrderSettleTime
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestRulesHoldOnRandomEvents gives legal events in random order, with stale
-// and repeated ones among them, and checks each rule on the actions.
-func TestRulesHoldOnRandomEvents(t *testing.T) {
+// TestBalancer_KeepsTheRulesOnRandomEvents gives legal events in random order, with stale
+// and duplicate ones among them, and checks each rule on the actions.
+func TestBalancer_KeepsTheRulesOnRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		playRandomEvents(t, seed)
 	}
@@ -279,11 +279,11 @@
 		attempt.mayStillRun = result == ResultTimedOut || result == ResultConnectionLost ||
 			result == ResultCancelled || result == ResultUnknown
 		if result == ResultServed {
-			req.answered = true
+			req.completed = true
 		}
 	}
 	m.apply(b.Handle(m.now, AttemptEnded{
-		RequestID: req.id, Attempt: index, Result: result, Elapsed: m.now - attempt.startedAt, Completed: req.answered,
+		RequestID: req.id, Attempt: index, Result: result, Elapsed: m.now - attempt.startedAt, Completed: req.completed,
 	}, nil))
 }
 
@@ -300,7 +300,7 @@
 	}, nil))
 }
 
-// finish lets the deadlines of all requests pass: each must then have its answer.
+// finish lets the deadlines of all requests pass: each must then have its response.
 func (m *model) finish(b *Balancer) {
 	m.t.Helper()
 	for _, req := range m.requests {
@@ -308,8 +308,8 @@
 	}
 	for _, req := range m.requests {
 		m.apply(b.Handle(m.now, DeadlineTimer(req.id), nil))
-		if !req.answered {
-			m.fail("request %d has no final answer", req.id)
+		if !req.completed {
+			m.fail("request %d has no response", req.id)
 		}
 	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -1,30 +1,40 @@
 package policy
 
-import "math"
-
-const (
-	quotaBurstSpread  = 2.0 // standard deviations of a second's arrivals by which a quota may be exceeded
-	maxRateWindow     = 80  // control periods that the arrival rate is averaged over
-	firstRateWindow   = 4   // the same in the first period: one period's arrivals scatter
-	maxInFlightWindow = 40  // control periods, and load reports, that requests in flight are averaged over
-	weightWindow      = 20  // attempts that the mean weight is averaged over
+import (
+	"math"
+	"time"
 )
 
-// overQuota charges a request to this balancer's share of its tenant's quota; unknown tenants have none.
-func (b *Balancer) overQuota(name string) bool {
-	t := b.tenants[name]
-	if t == nil {
-		return len(b.tenants) > 0
+const quotaBurstSpread = 2.0 // standard deviations of a second's arrivals by which a quota may be exceeded
+
+// quotas decides which requests are beyond the quota of their tenant, by this front end's share of it.
+type quotas struct {
+	tenants map[string]*tenant
+	total   float64 // requests a second, of all tenants
+}
+
+// tenant is a Tenant with the state of its quota.
+type tenant struct {
+	Tenant
+	bucket tokenBucket
+}
+
+func newQuotas(tenants []Tenant) quotas {
+	q := quotas{tenants: map[string]*tenant{}}
+	for _, t := range tenants {
+		q.tenants[t.Name] = &tenant{Tenant: t, bucket: tokenBucket{tokens: t.Quota + 1}}
+		q.total += t.Quota
 	}
-	rate := t.Quota * b.trafficShare()
-	return !t.bucket.take(b.now, rate, rate+quotaBurstSpread*math.Sqrt(rate)+1)
+	return q
 }
 
-// trafficShare estimates this balancer's share of all traffic, by arrivals or else by requests in flight.
-func (b *Balancer) trafficShare() float64 {
-	even := 1 / float64(b.settings.Replicas)
-	if b.totalQuota <= 0 {
-		return min(max(b.traffic.ownInFlight/max(b.traffic.reportedInFlight, 1), even), 1)
+// exceeded charges a request to this front end's share of its tenant's quota, and reports whether it
+// is beyond that. Tenants that the settings don't name have no quota.
+func (q *quotas) exceeded(name string, trafficShare float64, now time.Duration) bool {
+	t := q.tenants[name]
+	if t == nil {
+		return len(q.tenants) > 0
 	}
-	return min(max(b.traffic.arrivalRate/b.totalQuota, even), 1)
+	rate := t.Quota * trafficShare
+	return !t.bucket.take(now, rate, rate+quotaBurstSpread*math.Sqrt(rate)+1)
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,14 +5,19 @@
 	"time"
 )
 
-func TestQuotaForgivesUnevenArrivals(t *testing.T) {
+// overQuota charges one request of the tenant to its quota.
+func (h *harness) overQuota(tenant string) bool {
+	return h.balancer.quotas.exceeded(tenant, h.balancer.traffic.share(), h.now)
+}
+
+func TestQuotas_ForgiveUnevenArrivals(t *testing.T) {
 	s := settings()
 	s.Replicas, s.Tenants = 200, []Tenant{{Name: "t", Quota: 100, Share: 1}}
 	h := newHarness(t, s, readyEngine("e", "a", 1))
 	over := 0
 	for id := uint64(1); id < 40; id++ { // one in two seconds, an even share
 		h.advance(2 * time.Second).handle(TimerFired{})
-		if h.balancer.overQuota("t") {
+		if h.overQuota("t") {
 			over++
 		}
 	}
@@ -20,7 +25,7 @@
 		t.Fatalf("%d of 39 requests within the quota counted as beyond it", over)
 	}
 	for id := 0; id < 100; id++ {
-		if h.advance(100 * msec).handle(TimerFired{}); h.balancer.overQuota("t") {
+		if h.advance(100 * msec).handle(TimerFired{}); h.overQuota("t") {
 			over++
 		}
 	}
@@ -29,12 +34,12 @@
 	}
 }
 
-func TestTrafficShareFollowsLoadReportsWithoutTenants(t *testing.T) {
+func TestTrafficShare_FollowsLoadReportsWithoutTenants(t *testing.T) {
 	s := settings()
 	s.Replicas = 100
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
-	h.balancer.settings.ProgressInterval = time.Hour // nothing is silent here
-	h.balancer.silenceTimeout = time.Hour
+	h.balancer.outliers.silence.progressInterval = time.Hour // nothing is silent here
+	h.balancer.outliers.silence.timeout = time.Hour
 	for id := uint64(1); id <= 8; id++ {
 		h.arrive(id, "non-idempotent")
 	}
@@ -46,24 +51,24 @@
 		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: inFlight}})
 		h.runFor(500 * msec)
 	}
-	if got := h.balancer.trafficShare(); got < 0.4 || got > 0.6 {
+	if got := h.balancer.traffic.share(); got < 0.4 || got > 0.6 {
 		t.Fatalf("a share of %.2f where half of the requests in flight are own ones", got)
 	}
 	for range 200 {
 		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: inFlight * 60}})
 	}
-	if got := h.balancer.trafficShare(); got < 0.01 || got > 0.011 {
+	if got := h.balancer.traffic.share(); got < 0.01 || got > 0.011 {
 		t.Fatalf("a share of %v, which is not the even one", got)
 	}
 }
 
-// A balancer with far more than an even share must know it within seconds: its bounds
+// A balancer with far more than an even share must know it within seconds: its limits
 // are for that share, and until then it rejects what the engines have capacity for.
-func TestTrafficShareConvergesOnFirstReports(t *testing.T) {
+func TestTrafficShare_ConvergesOnFirstReports(t *testing.T) {
 	s := settings()
 	s.Replicas = 100
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
-	h.balancer.silenceTimeout = time.Hour
+	h.balancer.outliers.silence.timeout = time.Hour
 	for id := uint64(1); id <= 4; id++ {
 		h.arrive(id, "non-idempotent")
 	}
@@ -74,7 +79,7 @@
 		}
 		h.runFor(500 * msec)
 	}
-	if got := h.balancer.trafficShare(); got < 0.15 || got > 0.25 {
+	if got := h.balancer.traffic.share(); got < 0.15 || got > 0.25 {
 		t.Fatalf("a share of %.3f after 3 s, want a fifth", got)
 	}
 }
--- a/policy/reportedstart.go
+++ b/policy/reportedstart.go
@@ -10,7 +10,7 @@
 	// be believed: a notice is some seconds late, and a wall clock may be wrong by any time. At
 	// this age the capacity, which grows as a square, has hardly grown.
 	maxNoticeShare = 0.25
-	// firstListTime is how long after its first event a balancer still takes a start for one of
+	// firstListTime is how long after its first event a balancer takes a start for one of
 	// the list that it begins with, which may be of any age.
 	firstListTime = time.Second
 )
@@ -19,7 +19,8 @@
 // wall clock. That clock may be stepped between two starts, so a later start may be reported as
 // an earlier instant.
 type reportedStart struct {
-	latest, previous time.Duration
+	latest   time.Duration
+	previous time.Duration
 }
 
 // newReportedStart returns the state before any report.
@@ -27,26 +28,35 @@
 	return reportedStart{latest: math.MinInt64, previous: math.MinInt64}
 }
 
-// isNew reports whether a reported start is another than the latest. The one before it comes
-// from a list that is out of date.
-func (r *reportedStart) isNew(start time.Duration) bool {
+// differs reports whether a reported start is neither the latest nor the one before it. The one
+// before it comes from a list that is out of date.
+func (r *reportedStart) differs(start time.Duration) bool {
 	return start != r.latest && start != r.previous
 }
 
 // set records a new start.
-func (r *reportedStart) set(start time.Duration) { r.previous, r.latest = r.latest, start }
-
-// estimateStart translates a start that has just been reported to the balancer's clock. One
-// ahead of the clock is taken for one right now, and so is one too long ago for its report,
-// unless it comes with the list that the balancer begins with.
-func (b *Balancer) estimateStart(reported time.Duration) time.Duration {
-	if reported > b.now {
-		return b.now
+func (r *reportedStart) set(start time.Duration) {
+	r.previous = r.latest
+	r.latest = start
+}
+
+// newSlowStart returns the state of an engine of which no start is known.
+func newSlowStart(rules *slowStartRules) slowStart {
+	return slowStart{rules: rules, reported: newReportedStart(), startedAt: math.MinInt64}
+}
+
+// estimateStart translates a start that has just been reported to the balancer's clock. A start that
+// lies in the future, or further in the past than a notice can be late, is treated as a start right
+// now: the engine's wall clock was stepped. The list that the balancer begins with may name starts
+// of any age.
+func (r *slowStartRules) estimateStart(now, reported time.Duration) time.Duration {
+	if reported > now {
+		return now
 	}
-	inFirstList := !b.started || b.now < b.startedAt+firstListTime
-	maxNotice := time.Duration(maxNoticeShare * float64(b.settings.Rules.WarmupTime))
-	if !inFirstList && reported < b.now-maxNotice {
-		return b.now
+	inFirstList := now < r.firstEventAt+firstListTime
+	maxNotice := time.Duration(maxNoticeShare * float64(r.WarmupTime))
+	if !inFirstList && reported < now-maxNotice {
+		return now
 	}
 	return reported
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// request is a request that has no final answer yet, or whose attempts have not all ended.
+// request is a request without its final response, or with attempts that have not all ended.
 type request struct {
 	id                uint64
 	class             *class
@@ -16,79 +16,67 @@
 	expectedWorkMs    float64 // of all threads
 	weight            float64 // threads that it counts as in a backlog
 	valueRank         float64 // log2 of priority weight over expected work, relative to the mean
-	quotaFactor       float64 // share of a bound that is open to its tenant
-	valueFactor       float64 // share of a bound that is open to its value rank
+	quotaFactor       float64 // share of a limit that is open to its tenant
+	valueFactor       float64 // share of a limit that is open to its value rank
 	attempts          []*attempt
-	answered          bool // it has its final answer
-}
-
-// attempt is one execution of a request on an engine.
-type attempt struct {
-	request     *request
-	index       int // among the request's attempts
-	engine      *engine
-	sentAt      time.Duration
-	lastHeardAt time.Duration // latest progress report; sentAt before the first
-	grantedMB   float64
-	ended       bool
-	mayHaveRun  bool // until its end tells otherwise
-	cancelled   bool
-	streaming   bool // its answer has begun
-	spilled     bool // it has reported a lack of memory
-	waiting     bool // its latest progress report said that it waits
-	failed      bool // the engine answered with an error
-	answerLost  bool // its answer was given up as lost
+	completed         bool // it has its final response, or its client has disconnected
 }
 
 func newRequest(c *class, ev RequestArrived) *request {
 	return &request{
-		id: ev.RequestID, class: c, orderKey: ev.OrderKey, dataset: ev.Dataset, deadline: ev.Deadline,
-		estimatedMemoryMB: ev.EstimatedMemoryMB, expectedWorkMs: c.workMs, weight: c.Threads,
-		quotaFactor: 1, valueFactor: 1,
-	}
-}
-
-// newAttempt returns the request's next attempt. It may have run until its end tells otherwise.
-func newAttempt(req *request, e *engine, now time.Duration) *attempt {
-	return &attempt{
-		request: req, index: len(req.attempts), engine: e, sentAt: now, lastHeardAt: now, mayHaveRun: true,
+		id:                ev.RequestID,
+		class:             c,
+		orderKey:          ev.OrderKey,
+		dataset:           ev.Dataset,
+		deadline:          ev.Deadline,
+		estimatedMemoryMB: ev.EstimatedMemoryMB,
+		expectedWorkMs:    c.workMs,
+		weight:            c.Threads,
+		quotaFactor:       1,
+		valueFactor:       1,
 	}
 }
 
-// usualLatencyMs is the latency that the request's class leads to expect for its work.
+// usualLatencyMs returns the latency that the request's class leads to expect for its work.
 func (r *request) usualLatencyMs() float64 {
 	return r.class.latencyMs * r.expectedWorkMs / r.class.workMs
 }
 
+// latencyObjectiveMs returns the class's objective, stretched by the expected work up to the class's deadline.
+func (r *request) latencyObjectiveMs() float64 {
+	c := r.class
+	stretchMs := c.ObjectiveStretch * r.expectedWorkMs / c.Threads
+	return min(milliseconds(c.LatencyObjective)+stretchMs, milliseconds(c.Deadline))
+}
+
+// retryMeetsObjective reports whether a retry of usual latency, started now, would meet the latency
+// objective as counted from an earlier instant.
+func (r *request) retryMeetsObjective(now, from time.Duration) bool {
+	return milliseconds(now-from)+r.usualLatencyMs() < r.latencyObjectiveMs()
+}
+
 // isOrdered reports whether the request belongs to an ordering key.
 func (r *request) isOrdered() bool { return r.class.Ordered && r.orderKey != "" }
 
-// failures counts the attempts that ended in an error of the engine.
-func (r *request) failures() (count int) {
+// engineErrors counts the attempts that ended in an error of the engine.
+func (r *request) engineErrors() (count int) {
 	for _, a := range r.attempts {
-		if a.failed {
+		if a.failed() {
 			count++
 		}
 	}
 	return count
 }
 
-// hasOpenAttempt reports whether an attempt has not ended.
-func (r *request) hasOpenAttempt() bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended })
-}
+// mayHaveRun reports whether an attempt may have had an effect.
+func (r *request) mayHaveRun() bool { return slices.ContainsFunc(r.attempts, (*attempt).mayHaveRun) }
 
-// streamOpen reports whether the attempt's answer has begun and not ended.
-func (a *attempt) streamOpen() bool { return a.streaming && !a.ended }
+// streaming reports whether the response of an attempt is being streamed.
+func (r *request) streaming() bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.phase == attemptStreaming })
+}
 
-// observeSpill records the first report that an attempt lacks memory: the class's grant
-// factor rises halfway to the need, and by one step at least.
-func (a *attempt) observeSpill(missingMB float64) {
-	c, estimateMB := a.request.class, a.request.estimatedMemoryMB
-	if a.spilled || !(estimateMB > 0) {
-		return
-	}
-	a.spilled = true
-	needed := (a.grantedMB + missingMB) / estimateMB
-	c.grantFactor = max(c.grantFactor*grantIncrease, (c.grantFactor+needed)/2)
+// hasAttemptInFlight reports whether an attempt has not ended.
+func (r *request) hasAttemptInFlight() bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended() })
 }
--- a/policy/resources.go
+++ b/policy/resources.go
@@ -11,20 +11,17 @@
 	grantDecrease   = 1 - (1-grantCoverage)/10 // in balance at that share
 )
 
-// setResources sets memory and priority of the attempt that is about to start, where engines heed them.
-func (b *Balancer) setResources(a *attempt) {
-	req := a.request
-	resources := SetResources{RequestID: req.id, Priority: defaultPriority}
-	if b.settings.MemoryGrants {
+// resources returns memory and priority of an attempt that is about to start, and whether to set them:
+// where engines heed either.
+func (r *attemptRunner) resources(req *request) (resources SetResources, set bool) {
+	resources = SetResources{RequestID: req.id, Priority: defaultPriority}
+	if r.settings.MemoryGrants {
 		resources.MemoryMB = math.Ceil(req.estimatedMemoryMB * req.class.grantFactor)
-		a.grantedMB = resources.MemoryMB
 	}
-	if b.settings.Priorities {
+	if r.settings.Priorities {
 		resources.Priority = priority(req)
 	}
-	if resources.MemoryMB > 0 || b.settings.Priorities {
-		b.emit(resources)
-	}
+	return resources, resources.MemoryMB > 0 || r.settings.Priorities
 }
 
 // priority rises by one step with each doubling of priority weight over expected work: long requests lose
--- a/policy/resources_test.go
+++ b/policy/resources_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestGrantFollowsReportedNeed(t *testing.T) {
+func TestGrant_FollowsReportedNeed(t *testing.T) {
 	s := settings()
 	s.MemoryGrants, s.ReportsCost = true, true
 	h := newHarness(t, s, readyEngine("e", "a", 1))
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestPriorityFollowsValueOverWork(t *testing.T) {
+func TestPriority_FollowsValueOverWork(t *testing.T) {
 	s := settings()
 	s.Priorities = true
 	h := newHarness(t, s, readyEngine("e", "a", 1))
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestSpillReportsRaiseGrantsWithoutReportedCost(t *testing.T) {
+func TestGrant_RisesWithSpillReportsWithoutReportedCost(t *testing.T) {
 	s := settings()
 	s.MemoryGrants = true
 	h := newHarness(t, s, readyEngine("e", "a", 1))
--- /dev/null
+++ b/policy/selector.go
@@ -0,0 +1,118 @@
+package policy
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+const (
+	slowStartPreference = 2.0 // weights in favour of slow start: an unused budget expires
+	oversizePenalty     = 3.0 // weights against an engine too small for the request
+)
+
+// selector chooses the engine of a request's next attempt: of the engines that may take the request,
+// the one with the most spare capacity, adjusted by locality, reported load, faults and a random
+// term. Scores are in threads. It owns the popularity of data sets and reads the rest.
+type selector struct {
+	zone     string // where this front end runs
+	rng      *rand.Rand
+	fleet    *fleet
+	rules    *attemptRules
+	load     *loadReports
+	silence  *silenceDetector
+	affinity datasetAffinity
+}
+
+// choose returns the engine for the request, or the reason why there is none: the greatest of the
+// reasons of all engines.
+func (s *selector) choose(
+	req *request, engines []*engine, now time.Duration,
+) (best *engine, reason RejectReason) {
+	if !s.fleet.admits(req, now, s.rng) {
+		return nil, ReasonFleetLimit
+	}
+	reason = ReasonNoEndpoint
+	highest := math.Inf(-1)
+	cutoff := s.affinity.cutoff(engines, req.dataset)
+	for _, e := range engines {
+		limit := e.limitFor(req, now)
+		if e.outlier.ejected() && s.startProbation(req, e, now) {
+			return e, reason
+		}
+		if engineReason, rejected := s.rejects(req, e, limit, now); rejected {
+			reason = max(reason, engineReason)
+			continue
+		}
+		near := affinity(e.idHash, req.dataset) >= cutoff
+		if score := s.score(req, e, limit, near, now); score > highest {
+			best = e
+			highest = score
+		}
+	}
+	return best, reason
+}
+
+// rejects reports whether the engine can't take the request, and why.
+func (s *selector) rejects(req *request, e *engine, limit float64, now time.Duration) (RejectReason, bool) {
+	switch {
+	case e.state != EngineReady:
+		return ReasonNoEndpoint, true
+	case e.outlier.ejected() || e.classStalled(req.class, now):
+		return ReasonEjected, true
+	case !e.limiter.admits(req.weight, limit, s.rng):
+		return ReasonEngineLimit, true
+	case !e.slowStartPermits(req, s.rules.traffic.share(), now):
+		return ReasonSlowStart, true
+	case !s.rules.mayStart(req, e, now):
+		return ReasonAttemptsExhausted, true
+	}
+	return 0, false
+}
+
+// startProbation permits an idle ejected engine one idempotent request every probation interval.
+func (s *selector) startProbation(req *request, e *engine, now time.Duration) bool {
+	idle := len(e.inFlight) == 0
+	firstAttempt := len(req.attempts) == 0
+	if req.class.Effect != Idempotent || !idle || !firstAttempt || now < e.outlier.probationAt ||
+		!s.rules.mayStart(req, e, now) {
+		return false
+	}
+	e.outlier.probationAt = now + s.silence.probationInterval()
+	return true
+}
+
+// score returns the engine's score for the request.
+func (s *selector) score(req *request, e *engine, limit float64, near bool, now time.Duration) float64 {
+	score := limit - e.limiter.backlog + s.locality(req, e, near, now)
+	score += math.Log(1-s.rng.Float64()) * req.weight / e.cores
+	score += s.load.penalty(e, now) - e.outlier.faultRate*e.limiter.maxLimit
+	if e.slowStart.recentlyStarted(now) {
+		score += slowStartPreference * req.weight
+	}
+	if slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.engine == e }) {
+		score -= e.limiter.maxLimit // a retry prefers any other engine
+	}
+	if req.weight > limit {
+		score -= oversizePenalty * req.weight
+	}
+	return score
+}
+
+// locality favours engines of the own zone and, among these, the ones that cache the data set.
+func (s *selector) locality(req *request, e *engine, near bool, now time.Duration) float64 {
+	bonus := 0.0
+	if e.zone == s.zone {
+		bonus += req.weight
+		if near && req.class.BulkLoad {
+			bonus -= req.weight // the load would block the data set's readers
+		} else if near {
+			bonus += req.weight
+		}
+	}
+	if (req.class.BulkLoad || req.class.BlockedByLoad) && e.datasetBlocked(req.dataset, now) {
+		bonus -= e.limiter.initialLimit
+	}
+	return bonus
+}
--- a/policy/selection_test.go
+++ b/policy/selector_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestDrainingAndRemovedEnginesGetNoAttempts(t *testing.T) {
+func TestSelector_SendsNothingToDrainingAndRemovedEngines(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	e := readyEngine("e", "a", 1)
 	e.State = EngineDraining
@@ -15,7 +15,7 @@
 	h.wantNoAttempt(h.arrive(2, "idempotent"))
 }
 
-func TestPlacementHoldsWithoutPermittedEngines(t *testing.T) {
+func TestSelector_PlacementHoldsWithoutPermittedEngines(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	h.wantNoAttempt(h.arrive(1, "placed"))
 	h.handle(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{readyEngine("f", "b", 1)}})
@@ -23,23 +23,23 @@
 	h.wantAttempt(h.endAttempt(2, 0, ResultFailed), "f")
 }
 
-func TestReadersAvoidEngineWithBulkLoad(t *testing.T) {
+func TestSelector_ReadersAvoidAnEngineWithBulkLoad(t *testing.T) {
 	s := settings()
 	s.Classes[2].BulkLoad, s.Classes[0].BlockedByLoad = true, true
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 1))
-	ask := func(id uint64, class string) string {
+	arrive := func(id uint64, class string) string {
 		actions := h.handle(RequestArrived{RequestID: id, Class: class, Dataset: 7, Deadline: h.now + 9*time.Second})
 		return startedAttempts(actions)[0].Engine
 	}
-	loading := ask(1, "non-idempotent")
+	loading := arrive(1, "non-idempotent")
 	for id := uint64(2); id < 5; id++ {
-		if got := ask(id, "idempotent"); got == loading {
+		if got := arrive(id, "idempotent"); got == loading {
 			t.Fatalf("request %d went to %s, where a bulk load blocks its data set", id, got)
 		}
 	}
 }
 
-func TestEqualEnginesAreChosenAtRandom(t *testing.T) {
+func TestSelector_ChoosesEqualEnginesAtRandom(t *testing.T) {
 	s, list := manyBalancers(20)
 	chosen := map[string]bool{}
 	for seed := uint64(1); seed < 60; seed++ {
@@ -55,14 +55,14 @@
 	}
 }
 
-func TestOversizedRequestsSpreadOverEngines(t *testing.T) {
+func TestSelector_SpreadsOversizedRequestsOverEngines(t *testing.T) {
 	s, list := manyBalancers(30)
 	chosen := map[string]int{}
 	for seed := uint64(1); seed < 90; seed++ {
 		b := mustNew(t, s, seed)
 		b.Handle(0, EndpointsChanged{Mode: UpdateFull, Engines: list}, nil)
-		for _, e := range b.engines {
-			e.maxBound = 3 // under the weight of four
+		for _, e := range b.engines.all {
+			e.limiter.maxLimit = 3 // under the weight of four
 		}
 		for _, a := range startedAttempts(b.Handle(0, RequestArrived{RequestID: 1, Class: "wide", Dataset: int64(seed), Deadline: time.Second}, nil)) {
 			chosen[a.Engine]++
@@ -78,16 +78,18 @@
 	}
 }
 
-func TestFitIsPreferredToOversizedPlacement(t *testing.T) {
+func TestSelector_PrefersAFitToAnOversizedPlacement(t *testing.T) {
 	s, list := manyBalancers(2)
 	for seed := uint64(1); seed < 60; seed++ {
 		b := mustNew(t, s, seed)
 		b.Handle(0, EndpointsChanged{Mode: UpdateFull, Engines: list}, nil)
-		near, far := b.engines[0], b.engines[1]
-		if affinity(near.hash, 7) < affinity(far.hash, 7) {
+		near := b.engines.all[0]
+		far := b.engines.all[1]
+		if affinity(near.idHash, 7) < affinity(far.idHash, 7) {
 			near, far = far, near
 		}
-		near.maxBound, far.zone = 3.9, "b" // under the weight of four; it is near and in the own zone all the same
+		far.zone = "b"
+		near.limiter.maxLimit = 3.9 // under the weight of four; it is near and in the own zone all the same
 		for _, a := range startedAttempts(b.Handle(0, RequestArrived{RequestID: 1, Class: "wide", Dataset: 7, Deadline: time.Second}, nil)) {
 			if a.Engine != far.id {
 				t.Fatalf("seed %d: sent to %s, which it outweighs, while it fits %s", seed, near.id, far.id)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -15,8 +15,8 @@
 	Priorities       bool           // engines heed the priority of SetResources
 	MaxGrantShare    float64        // share of an engine's memory that one request gets at most
 	Shortage         MemoryShortage // what an engine does when its grants exceed its memory
-	ReportsCost      bool           // answers state the work and memory that the request needed
-	ReportsLoad      bool           // engines report their load, in answers or to health checks
+	ReportsCost      bool           // responses state the work and memory that the request needed
+	ReportsLoad      bool           // engines report their load, in responses or to health checks
 	PullDiscovery    bool           // the endpoint list must be subscribed to (Subscribe)
 	TickInterval     time.Duration  // usual time between two calls of Handle
 	Rules            Rules
@@ -32,20 +32,20 @@
 const (
 	ShortageQueue MemoryShortage = iota // the request waits in the engine's queue
 	ShortageTrim                        // the request gets what is left, and spills to disk
-	ShortageSwap                        // the request runs, and the engine slows down as a whole
+	ShortageSwap                        // the request runs, and the engine slows down for all requests
 )
 
-// Effect says how far a request may be repeated.
+// Effect says whether a request may run more than once.
 type Effect uint8
 
 // The kinds of Effect. NonIdempotent is the zero value, as the most cautious.
 const (
 	NonIdempotent   Effect = iota // may run once at most
-	IdempotentByKey               // engines of one DedupScope drop repeats for a while
-	Idempotent                    // may be repeated freely
+	IdempotentByKey               // engines of one DedupScope drop duplicates for a while
+	Idempotent                    // may run any number of times
 )
 
-// DedupScope is the set of engines that drop each other's repeats of an idempotency key.
+// DedupScope is the set of engines that drop duplicates of each other's idempotency keys.
 type DedupScope uint8
 
 // The sizes of DedupScope. ScopeCell is the zero value, as the most cautious.
@@ -58,16 +58,16 @@
 // Class is one class of requests.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer within this earns the full priority weight; above 0
+	LatencyObjective time.Duration // a response within this earns the full priority weight; above 0
 	ObjectiveStretch float64       // the objective grows by this times work over threads
 	Deadline         time.Duration // time after which a client gives up; above 0
-	PriorityWeight   float64       // of one answer in time
-	LateWeight       float64       // share of the priority weight that a late answer earns
+	PriorityWeight   float64       // of one response in time
+	LateWeight       float64       // share of the priority weight that a late response earns
 	Threads          float64       // threads that a request runs on; 0: one
 	Effect           Effect
 	DedupScope       DedupScope    // for IdempotentByKey
-	DedupWindow      time.Duration // for IdempotentByKey: how long repeats are dropped
-	Streaming        bool          // answers are streamed: StreamStarted tells of their start
+	DedupWindow      time.Duration // for IdempotentByKey: how long duplicates are dropped
+	Streaming        bool          // responses are streamed: StreamStarted reports their start
 	Ordered          bool          // requests of one ordering key run one at a time, in order of arrival
 	BulkLoad         bool          // blocks its data set on its engine while it runs
 	BlockedByLoad    bool          // waits while a bulk load blocks its data set
@@ -89,16 +89,16 @@
 	Share float64 // its share of the service
 }
 
-// Rules are the figures of the rules that every attempt and every answer keeps.
+// Rules are the figures of the rules that every attempt and every response keeps.
 type Rules struct {
-	ResponseSlack     time.Duration // how late a final answer may come
+	ResponseSlack     time.Duration // how late a final response may come
 	DrainGrace        time.Duration // attempts on a draining engine must stop to start within this
 	WarmupCapacity    float64       // share of its capacity that an engine has at least when it starts
-	WarmupTime        time.Duration // an engine has its whole capacity no later than this after its start
+	WarmupTime        time.Duration // an engine has its full capacity no later than this after its start
 	OverloadFactor    float64       // a warming engine that is sent more than this multiple of its capacity
 	OverloadWindow    time.Duration // for this long fails
 	OrderSettleTime   time.Duration // pause of an ordering key after an attempt that may still run
-	RetryBudgetMin    float64       // retries permitted within RetryBudgetWindow whatever the traffic
+	RetryBudgetMin    float64       // retries permitted within RetryBudgetWindow without any traffic
 	RetryBudgetRatio  float64       // plus this share of the requests that arrived within it
 	RetryBudgetWindow time.Duration // 0: retries have no budget
 	ResubscribeWithin time.Duration // a lapsed subscription must be renewed within this
@@ -120,3 +120,13 @@
 
 // Penalties are what each unit of a side effect takes off the goal.
 type Penalties struct{ CrossZone, Waste, LateFail, HealthCheck float64 }
+
+// coresOf returns the cores of a kind, or 0 if the settings don't name it.
+func (s *Settings) coresOf(kind string) (cores float64) {
+	for _, k := range s.Kinds {
+		if k.Name == kind {
+			cores = k.Cores
+		}
+	}
+	return cores
+}
--- /dev/null
+++ b/policy/silence.go
@@ -0,0 +1,70 @@
+package policy
+
+import "time"
+
+const (
+	silentIntervals       = 2.6  // progress intervals without a report after which an attempt is silent
+	lostResponseIntervals = 2.2  // the same, while the engine reports others: its response is lost
+	blockedLostIntervals  = 13.0 // the same for an attempt that waits, which is reported less often
+	overdueDeviations     = 3.0  // mean deviations of latency after which an attempt is overdue
+)
+
+// silenceDetector finds attempts and engines that report nothing any more. Pauses of this process
+// itself, which show as late ticks, don't count as silence.
+type silenceDetector struct {
+	progressInterval time.Duration // between progress reports of an attempt; 0: engines send none
+	timeout          time.Duration // time without a progress report after which an attempt is silent
+	lastTickAt       time.Duration
+	resumedAt        time.Duration // end of the latest pause of this process
+}
+
+func newSilenceDetector(s *Settings) silenceDetector {
+	timeout := time.Duration(silentIntervals * float64(s.ProgressInterval))
+	if s.ProgressInterval == 0 {
+		for _, c := range s.Classes {
+			timeout = max(timeout, c.LatencyObjective)
+		}
+	}
+	return silenceDetector{progressInterval: s.ProgressInterval, timeout: timeout}
+}
+
+// onTick notes a tick. A late one means that this process was paused.
+func (d *silenceDetector) onTick(now time.Duration) {
+	if now-d.lastTickAt > 2*tickInterval {
+		d.resumedAt = now
+	}
+	d.lastTickAt = now
+}
+
+// probationInterval is the time between two requests to an ejected engine.
+func (d *silenceDetector) probationInterval() time.Duration { return 2 * d.timeout }
+
+// attemptSilence is how long an attempt has not been reported.
+func (d *silenceDetector) attemptSilence(a *attempt, now time.Duration) time.Duration {
+	return now - max(a.lastHeardAt, d.resumedAt)
+}
+
+// engineSilent reports whether an engine is silent, of whose attempts so many are. One attempt alone
+// must be silent for twice as long.
+func (d *silenceDetector) engineSilent(e *engine, silentAttempts int, now time.Duration) bool {
+	silence := now - max(e.outlier.lastHeardAt, e.inFlight[0].sentAt, d.resumedAt)
+	return silentAttempts >= 2 && silence > d.timeout || silentAttempts == 1 && silence > 2*d.timeout
+}
+
+// responseLost reports whether the engine reports others but has long not reported this attempt.
+func (d *silenceDetector) responseLost(a *attempt, now time.Duration) bool {
+	intervals := lostResponseIntervals
+	if a.blocked() {
+		intervals = blockedLostIntervals
+	}
+	engineSilent := now-a.engine.outlier.lastHeardAt > d.timeout
+	silence := float64(d.attemptSilence(a, now))
+	return !engineSilent && silence >= intervals*float64(d.progressInterval)
+}
+
+// overdue reports whether an attempt is in flight for longer than the latencies of its class usually vary.
+func (d *silenceDetector) overdue(a *attempt, now time.Duration) bool {
+	inFlightMs := milliseconds(now - max(a.sentAt, d.resumedAt))
+	overdueMs := a.request.usualLatencyMs() * (1 + overdueDeviations*a.request.class.latencySpread)
+	return inFlightMs > overdueMs
+}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,85 +1,143 @@
 package policy
 
-import "time"
+import (
+	"math/rand/v2"
+	"time"
+)
 
 const (
-	minRestartTime     = 2 * time.Second // no process ends and serves again sooner
-	warmupBudgetMargin = 0.7             // share of a warming engine's budget that is used
-	warmupBurst        = 0.5             // share of a window's budget that may be spent at once
-	warmupCostFactor   = 1.3             // expected work is charged this many times: estimates err
-	minDivisor         = 1e-9            // avoids a division by zero at full initial capacity
+	minRestartTime        = 2 * time.Second // no process ends and serves again sooner
+	slowStartBudgetMargin = 0.7             // share of a warming engine's budget that is used
+	slowStartBurst        = 0.5             // share of a window's budget that may be spent at once
+	slowStartCostFactor   = 1.3             // expected work is charged this many times: estimates err
+	minDivisor            = 1e-9            // avoids a division by zero at full initial capacity
 )
 
-// startWarmup treats an engine as warming up. Unless it already is, its slot for large requests is drawn.
-func (b *Balancer) startWarmup(e *engine, until time.Duration) {
-	if b.now >= e.warmupEndsAt {
-		e.budgetSpentUntil, e.warmupSeenAt = max(e.budgetSpentUntil, b.now), b.now
-		e.slotDraw = b.rng.Float64()
+// slowStartRules are the rules that the slow starts of all engines share.
+type slowStartRules struct {
+	*Rules
+	// firstEventAt is when this balancer began. What was sent to engines before, by an earlier
+	// process of the same front end, is unknown.
+	firstEventAt time.Duration
+}
+
+// slowStart is the slow start of one engine as this balancer sees it: from the engine's start on,
+// this balancer sends it no more than its share of what the engine bears while it warms up. The
+// budget is work per overload window; costs are in windows of it. Since the endpoint list reports
+// restarts late, a fault of a connection is taken for a restart until the engine proves otherwise.
+type slowStart struct {
+	rules            *slowStartRules
+	reported         reportedStart
+	startedAt        time.Duration // latest reported, by this balancer's clock; math.MinInt64: none
+	noticedAt        time.Duration // when this balancer learned of the start
+	endsAt           time.Duration
+	budgetSpentUntil time.Duration // this balancer's share of the budget is spent until then
+	firstSlot        float64       // random, 0 to 1: when the first request above a burst may be sent
+
+	restartAssumed         bool          // for a broken connection alone
+	endsAtBeforeAssumption time.Duration // endsAt before that
+}
+
+// active reports whether the engine is warming up.
+func (s *slowStart) active(now time.Duration) bool { return now < s.endsAt }
+
+// begin treats the engine as warming up until an instant. If it was not warming up, the slot for
+// large requests is drawn.
+func (s *slowStart) begin(now, until time.Duration, rng *rand.Rand) {
+	if !s.active(now) {
+		s.budgetSpentUntil = max(s.budgetSpentUntil, now)
+		s.noticedAt = now
+		s.firstSlot = rng.Float64()
 	}
-	e.warmupEndsAt = until
+	s.endsAt = until
 }
 
-// withinWarmupBudget reports whether a request is within this balancer's share of a warming engine's budget.
-// A request above a burst is sent once in as many windows as it costs, from a random start.
-func (b *Balancer) withinWarmupBudget(req *request, e *engine) bool {
-	window := b.settings.Rules.OverloadWindow
-	switch {
-	case b.now >= e.warmupEndsAt || window <= 0:
-		return true
-	case b.now < b.startedAt+window: // what was sent before this process started is unknown
-		return false
+// onReportedStart begins the slow start of an engine whose start the endpoint list has just reported.
+func (s *slowStart) onReportedStart(now, start time.Duration, rng *rand.Rand) {
+	s.reported.set(start)
+	s.startedAt = s.rules.estimateStart(now, start)
+	s.restartAssumed = false
+	s.endsAt = 0 // a new slow start, with a new slot for large requests
+	s.begin(now, s.startedAt+s.rules.WarmupTime, rng)
+}
+
+// recentlyStarted reports whether the engine's latest reported start is less than the warm-up time ago.
+func (s *slowStart) recentlyStarted(now time.Duration) bool {
+	return now < s.startedAt+s.rules.WarmupTime
+}
+
+// assumeRestart treats the engine as warming up after a fault of a connection. A lost connection may
+// be just that, which withdrawAssumption finds out; a failed one may not.
+func (s *slowStart) assumeRestart(now time.Duration, result Result, rng *rand.Rand) {
+	if result == ResultConnectFailed {
+		s.restartAssumed = false
+	} else if !s.restartAssumed {
+		s.restartAssumed = true
+		s.endsAtBeforeAssumption = s.endsAt
 	}
-	windows := b.warmupCost(req, e)
-	from := e.budgetSpentUntil
-	if windows > warmupBurst {
-		from = max(from, e.warmupSeenAt+time.Duration(e.slotDraw*windows*float64(window)))
+	s.begin(now, max(s.endsAt, now+s.rules.WarmupTime), rng)
+}
+
+// withdrawAssumption ends an assumed slow start when the engine responds to an attempt that was sent
+// after the connection broke, sooner than a process starts: only the connection was lost.
+func (s *slowStart) withdrawAssumption(now, sentAt, connectionLostAt time.Duration) {
+	if s.restartAssumed && sentAt > connectionLostAt && now < connectionLostAt+minRestartTime {
+		s.restartAssumed = false
+		s.endsAt = s.endsAtBeforeAssumption
 	}
-	return from <= b.now+time.Duration(max(0, warmupBurst-windows)*float64(window))
 }
 
-// spendWarmupBudget charges a sent request to the budget of a warming engine.
-func (b *Balancer) spendWarmupBudget(req *request, e *engine) {
-	if b.now < e.warmupEndsAt {
-		spent := time.Duration(b.warmupCost(req, e) * float64(b.settings.Rules.OverloadWindow))
-		e.budgetSpentUntil = max(e.budgetSpentUntil, b.now) + spent
+// capacity returns the share of its full capacity that the engine is taken to have, growing linearly
+// over the slow start.
+func (s *slowStart) capacity(now time.Duration) float64 {
+	left := float64(s.endsAt-now) / float64(max(s.rules.WarmupTime, 1))
+	return 1 - (1-s.rules.WarmupCapacity)*min(max(left, 0), 1)
+}
+
+// permits reports whether a request of this cost is within this balancer's share of the budget. A
+// request that costs more than a burst is permitted once every `cost` windows. The first slot is
+// drawn at random, so that front ends do not send such requests at the same time.
+func (s *slowStart) permits(now time.Duration, cost float64) bool {
+	window := s.rules.OverloadWindow
+	switch {
+	case !s.active(now) || window <= 0:
+		return true
+	case now < s.rules.firstEventAt+window:
+		return false
+	}
+	from := s.budgetSpentUntil
+	if cost > slowStartBurst {
+		from = max(from, s.noticedAt+time.Duration(s.firstSlot*cost*float64(window)))
 	}
+	return from <= now+time.Duration(max(0, slowStartBurst-cost)*float64(window))
 }
 
-// warmupCost is the request's expected work in windows of the engine's budget.
-func (b *Balancer) warmupCost(req *request, e *engine) float64 {
-	return warmupCostFactor * req.expectedWorkMs / b.warmupBudget(e)
+// charge charges the cost of a request that was sent to the budget.
+func (s *slowStart) charge(now time.Duration, cost float64) {
+	spent := time.Duration(cost * float64(s.rules.OverloadWindow))
+	s.budgetSpentUntil = max(s.budgetSpentUntil, now) + spent
 }
 
-// warmupBudget is the work in ms that this balancer may send a warming engine in a window. How its
-// capacity grows is unknown: it is taken to come late, as a square.
-func (b *Balancer) warmupBudget(e *engine) float64 {
-	rules, grown := b.settings.Rules, b.warmCapacity(e)-b.settings.Rules.WarmupCapacity
+// cost returns what a request of the expected work costs, in overload windows of this balancer's
+// share of the budget. How the capacity grows is unknown: the budget takes it to come late, as a square.
+func (s *slowStart) cost(now time.Duration, workMs, cores, trafficShare float64) float64 {
+	rules := s.rules
+	grown := s.capacity(now) - rules.WarmupCapacity
 	capacity := rules.WarmupCapacity + grown*grown/max(1-rules.WarmupCapacity, minDivisor)
 	windowMs := milliseconds(rules.OverloadWindow)
-	return warmupBudgetMargin * rules.OverloadFactor * capacity * e.cores * windowMs * b.trafficShare()
-}
-
-// warmCapacity is the share of its capacity that an engine is taken to have, growing over its warm-up.
-func (b *Balancer) warmCapacity(e *engine) float64 {
-	left := float64(e.warmupEndsAt-b.now) / float64(max(b.settings.Rules.WarmupTime, 1))
-	return 1 - (1-b.settings.Rules.WarmupCapacity)*min(max(left, 0), 1)
+	budgetMs := slowStartBudgetMargin * rules.OverloadFactor * capacity * cores * windowMs * trafficShare
+	return slowStartCostFactor * workMs / budgetMs
 }
 
-// assumeRestart treats an engine as warming up after a connection fault: the list reports restarts late.
-func (b *Balancer) assumeRestart(e *engine, result Result) {
-	if result == ResultConnectFailed {
-		e.restartAssumed = false
-	} else if !e.restartAssumed {
-		e.restartAssumed, e.previousWarmupEndsAt = true, e.warmupEndsAt
-	}
-	b.startWarmup(e, max(e.warmupEndsAt, b.now+b.settings.Rules.WarmupTime))
+// slowStartPermits reports whether the engine is not warming up, or the request is within the budget.
+func (e *engine) slowStartPermits(req *request, trafficShare float64, now time.Duration) bool {
+	return !e.slowStart.active(now) ||
+		e.slowStart.permits(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, trafficShare))
 }
 
-// withdrawRestart ends the warm-up of an engine that answers an attempt sent after its connection broke
-// and sooner than a process starts: only the connection was lost.
-func (b *Balancer) withdrawRestart(a *attempt) {
-	e := a.engine
-	if e.restartAssumed && a.sentAt > e.connectionLostAt && b.now < e.connectionLostAt+minRestartTime {
-		e.restartAssumed, e.warmupEndsAt = false, e.previousWarmupEndsAt
+// chargeSlowStart charges a request that was sent to the budget of an engine that is warming up.
+func (e *engine) chargeSlowStart(req *request, trafficShare float64, now time.Duration) {
+	if e.slowStart.active(now) {
+		e.slowStart.charge(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, trafficShare))
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestWarmingEngineStaysWithinBudget(t *testing.T) {
+func TestSlowStart_EngineIsSentNoMoreThanTheBudget(t *testing.T) {
 	s := settings()
 	h := newHarness(t, s, readyEngine("warm", "a", 1))
 	warming := readyEngine("warming", "a", 1)
@@ -23,11 +23,11 @@
 	}
 }
 
-// TestManyBalancersKeepToOneWarmupBudget adds up what all balancers together send one warming
+// TestSlowStart_ManyBalancersKeepToOneBudget adds up what all balancers together send one warming
 // engine within any overload window, with many requests of all sizes. With a negative number
 // the engine was down before: failed connections began a warm-up at each balancer,
 // and the start that the endpoint list reports must begin another.
-func TestManyBalancersKeepToOneWarmupBudget(t *testing.T) {
+func TestSlowStart_ManyBalancersKeepToOneBudget(t *testing.T) {
 	for _, n := range []int{2, 9, 40, 200, -9, -40, -200} {
 		down := n < 0
 		n = max(n, -n)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestBrokenConnectionStartsWarmup(t *testing.T) {
+func TestSlowStart_BeginsAfterABrokenConnection(t *testing.T) {
 	s, list := manyBalancers(1)
 	h := newHarness(t, s, list...)
 	h.advance(3 * time.Second).handle(TimerFired{})
@@ -102,7 +102,7 @@
 
 // The balancers with most of the traffic must be able to spend a warming engine's budget, and it
 // grows with the engine: otherwise a half-replaced fleet is idle while the rest is overloaded.
-func TestWarmupBudgetFollowsTrafficShareAndWarmth(t *testing.T) {
+func TestSlowStart_BudgetFollowsTrafficShareAndCapacity(t *testing.T) {
 	s := settings()
 	s.Replicas = 100
 	warming := readyEngine("warming", "a", 1)
@@ -150,9 +150,8 @@
 	return before, atStart, h.sendBurst()
 }
 
-// TestWarmupDoesNotFollowASteppedClock: the warm-up is a span of real time from the start on,
-// whatever the engine's wall clock says.
-func TestWarmupDoesNotFollowASteppedClock(t *testing.T) {
+// The slow start is a span of real time from the start on, even if the engine's wall clock is stepped.
+func TestSlowStart_DoesNotFollowASteppedClock(t *testing.T) {
 	_, want, _ := restartWith(t, 0)
 	for _, step := range []time.Duration{
 		-5 * time.Second, -20 * time.Second, -40 * time.Second, -time.Hour, 5 * time.Second, time.Hour,
@@ -169,7 +168,7 @@
 
 // A start that the balancer's own list holds as it begins, and that is ahead of its clock, is
 // taken for one right now.
-func TestWarmupOfAStartAheadInTheFirstList(t *testing.T) {
+func TestSlowStart_OfAStartInTheFutureInTheFirstListBeginsNow(t *testing.T) {
 	s := settings()
 	s.Replicas = 1
 	engine := readyEngine("stepped", "a", 1)
@@ -195,7 +194,7 @@
 
 // What one balancer sends a warming engine is checked against what the engine bears from all: the
 // budget keeps to it, and a budget that did not would be reported.
-func TestCheckWarmupReportsAnOverload(t *testing.T) {
+func TestCheckOverload_ReportsWhatExceedsTheLimit(t *testing.T) {
 	s := settings()
 	s.Replicas = 1
 	warming := readyEngine("warming", "a", 1)
@@ -205,7 +204,7 @@
 	reports := func(spend bool) (n int) {
 		for id := uint64(1); id <= 400; id++ {
 			if !spend {
-				h.balancer.enginesByID["warming"].budgetSpentUntil = 0 // as if nothing had been sent
+				h.balancer.engines.byID["warming"].slowStart.budgetSpentUntil = 0 // as if nothing had been sent
 			}
 			for _, action := range h.arrive(id+uint64(h.now), "idempotent") {
 				report, ok := action.(ReportOverload)
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTokenBucketPermitsItsRateAndCapacity(t *testing.T) {
+func TestTokenBucket_PermitsItsRateAndCapacity(t *testing.T) {
 	const rate, capacity = 2, 3
 	var bucket tokenBucket
 	for _, c := range []struct {
