--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -38,7 +38,7 @@
 }
 
 // testOnlyPackages hold nothing but tests and belong to no layer.
-var testOnlyPackages = []string{"internal/e2e", "internal/layering"}
+var testOnlyPackages = []string{"internal/e2e", "internal/layering", "internal/observability"}
 
 // testSupportPackages are imported by tests and by each other alone. They may belong to
 // no layer.
