--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -28,7 +28,7 @@
 // side without a response goes through here.
 func (c *connection) closeUnused(reason closeReason) bool {
 	answered := c.state != stateInFlight
-	if !c.server.dispatcher.Invariants().Check(answered, invariant.CloseAnswered, "reason", string(reason)) {
+	if !c.server.dispatcher.Invariants().Check(answered, invariant.ResponseDropped, "reason", string(reason)) {
 		return false
 	}
 	if !c.socket.CloseIfIdle() {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -9,29 +9,30 @@
 	"flaxrelay/internal/metrics"
 )
 
-// Rule names one rule, as the last word of its counter.
+// Rule names one rule. It is the last word of the rule's counter.
 type Rule string
 
 // The rules.
 const (
-	// SendPending: nothing is sent for a request that was answered or whose client has left.
-	SendPending Rule = "send-pending"
-	// SendReady: nothing is sent to an engine that drains or was removed.
-	SendReady Rule = "send-ready"
-	// RepeatBounded: a request has no more attempts than the settings permit.
-	RepeatBounded Rule = "repeat-bounded"
-	// RepeatAlone: a request has one attempt in flight at a time.
-	RepeatAlone Rule = "repeat-alone"
-	// RepeatSafe: a request that may have run is repeated only where that is safe.
-	RepeatSafe Rule = "repeat-safe"
-	// CloseAnswered: no connection is closed from this side over an unanswered request.
-	CloseAnswered Rule = "close-answered"
-	// AnswerInTime: a final response comes no later than the rules grant.
-	AnswerInTime Rule = "answer-in-time"
-	// AnswerOnce: each request has one final response, or its client has left.
-	AnswerOnce Rule = "answer-once"
-	// StartWarmup: this front end alone does not overload an engine that is warming up.
-	StartWarmup Rule = "start-warmup"
+	// SendAfterCompletion: nothing is sent for a request that has its response or whose client has
+	// disconnected.
+	SendAfterCompletion Rule = "send-after-completion"
+	// DrainedEndpoint: nothing is sent to an engine that is draining or removed.
+	DrainedEndpoint Rule = "drained-endpoint"
+	// RetryLimit: a request has no more attempts than the settings permit.
+	RetryLimit Rule = "retry-limit"
+	// SingleInFlight: a request has one attempt in flight at a time.
+	SingleInFlight Rule = "single-in-flight"
+	// RetryIdempotency: a request that may have run is retried only where it is idempotent.
+	RetryIdempotency Rule = "retry-idempotency"
+	// ResponseDropped: no connection is closed from this side over a pending request.
+	ResponseDropped Rule = "response-dropped"
+	// ResponseDeadline: a response comes no later than the rules grant.
+	ResponseDeadline Rule = "response-deadline"
+	// ResponseOnce: each request has one response, or its client has disconnected.
+	ResponseOnce Rule = "response-once"
+	// SlowStartOverload: this front end alone does not overload an engine that is warming up.
+	SlowStartOverload Rule = "slow-start-overload"
 )
 
 // counterPrefix begins the names of the counters.
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -15,13 +15,13 @@
 	var out bytes.Buffer
 	counters := metrics.New()
 	checker := New(counters, slog.New(slog.NewTextHandler(&out, nil)))
-	if !checker.Check(true, SendReady) || checker.Check(false, SendReady, "engine", "e1") {
+	if !checker.Check(true, DrainedEndpoint) || checker.Check(false, DrainedEndpoint, "engine", "e1") {
 		t.Error("Check does not return whether the rule holds")
 	}
-	if n := counters.Get("invariants.violated.send-ready"); n != 1 {
+	if n := counters.Get("invariants.violated.drained-endpoint"); n != 1 {
 		t.Errorf("%d violations counted", n)
 	}
-	if got := out.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "msg=invariant.violated rule=send-ready engine=e1") {
+	if got := out.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "msg=invariant.violated rule=drained-endpoint engine=e1") {
 		t.Errorf("log: %q", got)
 	}
 }
--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -45,7 +45,7 @@
 			d.handleEvent(policy.TimerFired{Token: action.Token})
 		})
 	case policy.ReportOverload:
-		d.invariants.Check(false, invariant.StartWarmup, "engine", action.Engine, "sent", action.Sent, "limit", action.Limit)
+		d.invariants.Check(false, invariant.SlowStartOverload, "engine", action.Engine, "sent", action.Sent, "limit", action.Limit)
 	case policy.EngineEjected:
 		d.logger.Info("engine.ejected", "engine", action.Engine, "reason", action.Reason.String(), "in_flight", action.InFlight)
 	case policy.EngineReadmitted:
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -26,7 +26,7 @@
 	r := a.Request
 	pending := !a.Ended() && !r.completed()
 	ready := d.endpoints[a.Engine].State == policy.EngineReady
-	return d.check(pending, invariant.SendPending, a) && d.check(ready, invariant.SendReady, a)
+	return d.check(pending, invariant.SendAfterCompletion, a) && d.check(ready, invariant.DrainedEndpoint, a)
 }
 
 // permitStart is the guard of repeating: it checks a new attempt against the earlier ones.
@@ -38,8 +38,8 @@
 		alone = alone && (earlier.Ended() || d.limits.Hedging)
 		safe = safe && (earlier.state == attemptNeverRan || d.classes[r.Class].Effect != policy.NonIdempotent)
 	}
-	return d.check(bounded, invariant.RepeatBounded, a) && d.check(alone, invariant.RepeatAlone, a) &&
-		d.check(safe, invariant.RepeatSafe, a)
+	return d.check(bounded, invariant.RetryLimit, a) && d.check(alone, invariant.SingleInFlight, a) &&
+		d.check(safe, invariant.RetryIdempotency, a)
 }
 
 // check checks a rule for an attempt.
@@ -53,7 +53,7 @@
 // checkAnswer checks the time of a final response.
 func (d *Dispatcher) checkAnswer(r *Request) {
 	if late := d.clock.Now() - r.Deadline; late > d.responseSlack+lateAnswerMargin {
-		d.invariants.Check(false, invariant.AnswerInTime, "request", r.ID, "late", late)
+		d.invariants.Check(false, invariant.ResponseDeadline, "request", r.ID, "late", late)
 	}
 }
 
@@ -69,7 +69,7 @@
 		d.checkAnswer(r)
 	}
 	if pending != d.pending {
-		d.invariants.Check(false, invariant.AnswerOnce, "pending", pending, "counted", d.pending)
+		d.invariants.Check(false, invariant.ResponseOnce, "pending", pending, "counted", d.pending)
 	}
 }
 
--- a/internal/lifecycle/guard_internal_test.go
+++ b/internal/lifecycle/guard_internal_test.go
@@ -35,9 +35,9 @@
 		"first":                    {nil, policy.NonIdempotent, ""},
 		"repeat of what never ran": {[]attemptState{attemptNeverRan}, policy.NonIdempotent, ""},
 		"repeat that is harmless":  {[]attemptState{attemptMayHaveRun}, policy.Idempotent, ""},
-		"unsafe repeat":            {[]attemptState{attemptMayHaveRun}, policy.NonIdempotent, "repeat-safe"},
-		"two in flight":            {[]attemptState{attemptInFlight}, policy.Idempotent, "repeat-alone"},
-		"too many":                 {[]attemptState{attemptNeverRan, attemptNeverRan, attemptNeverRan}, policy.Idempotent, "repeat-bounded"},
+		"unsafe repeat":            {[]attemptState{attemptMayHaveRun}, policy.NonIdempotent, "retry-idempotency"},
+		"two in flight":            {[]attemptState{attemptInFlight}, policy.Idempotent, "single-in-flight"},
+		"too many":                 {[]attemptState{attemptNeverRan, attemptNeverRan, attemptNeverRan}, policy.Idempotent, "retry-limit"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			counters := metrics.New()
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -29,12 +29,12 @@
 	if f.PermitSend(attempt) {
 		t.Error("sent to an engine that drains")
 	}
-	f.assertViolations("send-ready", 1)
+	f.assertViolations("drained-endpoint", 1)
 	f.ClientDisconnected(request)
 	if f.PermitSend(attempt) {
 		t.Error("sent although the client has left")
 	}
-	f.assertViolations("send-pending", 1)
+	f.assertViolations("send-after-completion", 1)
 }
 
 // An attempt whose time is over is withheld. That is no violation: its timer is due.
@@ -45,7 +45,7 @@
 	if f.PermitSend(f.attempt(0)) {
 		t.Error("sent past its deadline")
 	}
-	f.assertViolations("send-pending", 0)
+	f.assertViolations("send-after-completion", 0)
 	if n := f.counters.Get("attempts.withheld.late"); n != 1 {
 		t.Errorf("%d attempts withheld, want 1", n)
 	}
@@ -57,15 +57,15 @@
 	f := newFixture(t)
 	f.accept(readClass)
 	f.CheckPending()
-	f.assertViolations("answer-in-time", 0)
+	f.assertViolations("response-deadline", 0)
 	f.now += requestDeadline + time.Second
 	f.CheckPending()
-	f.assertViolations("answer-in-time", 1)
+	f.assertViolations("response-deadline", 1)
 	f.end(0, lifecycle.StatusServed)
-	f.assertViolations("answer-in-time", 2)
+	f.assertViolations("response-deadline", 2)
 	f.CheckPending()
-	f.assertViolations("answer-in-time", 2)
-	f.assertViolations("answer-once", 0)
+	f.assertViolations("response-deadline", 2)
+	f.assertViolations("response-once", 0)
 }
 
 // Once a graceful shutdown has given all final responses, what is accepted is rejected at once.
