--- a/cmd/flaxrelay/metrics.go
+++ b/cmd/flaxrelay/metrics.go
@@ -2,6 +2,9 @@
 
 import (
 	"time"
+
+	"flaxrelay/internal/logevent"
+	"flaxrelay/internal/metrics"
 )
 
 // metricsReportInterval is how often the log gets the counters' changes: often enough
@@ -19,7 +22,7 @@
 	s.dispatcher.CheckPending()
 	s.publishDropped()
 	if changes := s.counters.Deltas(); len(changes) > 0 {
-		s.logger.Info("metrics.delta", changes...)
+		logevent.MetricsDelta.Log(s.logger, changes...)
 	}
 	s.scheduleMetricsReport()
 }
@@ -27,7 +30,7 @@
 // publishDropped publishes how many lines of the log were lost.
 func (s *server) publishDropped() {
 	if s.output != nil {
-		s.counters.Set("log.dropped", s.output.Dropped())
+		s.counters.Set(metrics.LogDropped, s.output.Dropped())
 	}
 }
 
--- a/cmd/flaxrelay/reload.go
+++ b/cmd/flaxrelay/reload.go
@@ -3,7 +3,11 @@
 import (
 	"errors"
 	"io/fs"
+	"log/slog"
 	"time"
+
+	"flaxrelay/internal/logevent"
+	"flaxrelay/internal/metrics"
 )
 
 const (
@@ -21,7 +25,7 @@
 func (s *server) reloadFile() {
 	s.reloadRetry.Stop() // the file is read anew now
 	if s.reload == nil {
-		s.logger.Info("reload.skipped", "reason", "the configuration names nothing that may change")
+		logevent.ReloadSkipped.Log(s.logger, slog.String("reason", "the configuration names nothing that may change"))
 		return
 	}
 	err := s.reload()
@@ -29,8 +33,8 @@
 		s.reloadCompleted()
 		return
 	}
-	s.counters.Increment("reload.failed")
-	s.logger.Warn("reload.failed", "error", err, "effect", "the old file holds")
+	s.counters.Increment(metrics.ReloadFailed)
+	logevent.ReloadFailed.Log(s.logger, slog.Any("error", err), slog.String("effect", "the old file holds"))
 	s.scheduleReload(err, s.loop.Now()+reloadRetryTime)
 }
 
@@ -42,7 +46,7 @@
 		return
 	}
 	s.reloadRetry = s.loop.Timers.Schedule(next, func() {
-		s.counters.Increment("reload.retried")
+		s.counters.Increment(metrics.ReloadRetried)
 		if err := s.reload(); err != nil {
 			s.scheduleReload(err, giveUpAt)
 			return
@@ -52,6 +56,6 @@
 }
 
 func (s *server) reloadCompleted() {
-	s.counters.Increment("reload.completed")
-	s.logger.Info("reload.completed")
+	s.counters.Increment(metrics.ReloadCompleted)
+	logevent.ReloadCompleted.Log(s.logger)
 }
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"flaxrelay/internal/config"
+	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/logging"
 )
 
@@ -32,7 +33,8 @@
 	files := serveFiles{config: c.Config, postgres: c.Postgres, shapes: c.Shapes}
 	if err := serve(files, logger, output); err != nil {
 		for _, fault := range config.FieldErrorsOf(err) {
-			logger.Error("server.start-failed", "file", fault.File, "line", fault.Line, "field", fault.Field, "error", fault.Problem)
+			logevent.ServerStartFailed.Log(logger, slog.String("file", fault.File), slog.Int("line", fault.Line),
+				slog.String("field", fault.Field), slog.String("error", fault.Problem))
 		}
 		return errReported
 	}
@@ -65,10 +67,10 @@
 		return err
 	}
 	if s.frontEnd == nil {
-		logger.Info("server.disabled", "reason", "the deploy file names no address to listen at")
+		logevent.ServerDisabled.Log(logger, slog.String("reason", "the deploy file names no address to listen at"))
 		return nil
 	}
-	logger.Info("server.listening", "addr", s.frontEnd.Addr())
+	logevent.ServerListening.Log(logger, slog.String("addr", s.frontEnd.Addr()))
 	s.scheduleMetricsReport()
 	go s.handleSignals(received)
 	s.loop.Run()
--- a/cmd/flaxrelay/shutdown.go
+++ b/cmd/flaxrelay/shutdown.go
@@ -1,6 +1,10 @@
 package main
 
-import "time"
+import (
+	"time"
+
+	"flaxrelay/internal/logevent"
+)
 
 // The schedule of a graceful shutdown, counted from SIGTERM.
 const (
@@ -35,7 +39,7 @@
 func (s *server) startShutdown() {
 	startedAt := s.loop.Now()
 	untilKill := min(s.dispatcher.LongestDeadline(), maxKillDeadline) + killGrace
-	s.logger.Info("shutdown.started")
+	logevent.ShutdownStarted.Log(s.logger)
 	if s.shapes != nil {
 		// The snapshot is written now because the end waits for nothing: what is learned
 		// from here on is lost.
--- a/internal/discovery/consul/reconcile.go
+++ b/internal/discovery/consul/reconcile.go
@@ -1,10 +1,13 @@
 package consul
 
 import (
+	"log/slog"
 	"slices"
 	"strings"
 
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/logevent"
+	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
 )
 
@@ -15,7 +18,7 @@
 	if w.registered == nil || w.health == nil {
 		return
 	}
-	w.counters.Increment("consul.events")
+	w.counters.Increment(metrics.ConsulEvents)
 	changes, current := changedEndpoints(w.notified, w.currentEndpoints())
 	w.notified = current
 	if len(changes) > 0 {
@@ -30,7 +33,8 @@
 	for i := range w.registered {
 		r := &w.registered[i]
 		if !r.valid() {
-			w.log.Warn("consul.invalid-registration", "consul", w.opts.Address, "reason", "it has no id or no port, and is passed by")
+			logevent.ConsulInvalidRegistration.Log(w.log, slog.String("consul", w.opts.Address),
+				slog.String("reason", "it has no id or no port, and is passed by"))
 			continue
 		}
 		engine := r.endpoint(w.opts)
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -9,6 +9,7 @@
 
 	"flaxrelay/internal/discovery"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
 )
@@ -100,8 +101,9 @@
 				return
 			}
 			delay := backoff.Next()
-			w.post(func() { w.counters.Increment("consul.errors") })
-			w.log.Warn("consul.request-failed", "consul", opts.Address, "path", path, "error", err, "retry_in", delay)
+			w.post(func() { w.counters.Increment(metrics.ConsulErrors) })
+			logevent.ConsulRequestFailed.Log(w.log, slog.String("consul", opts.Address), slog.String("path", path),
+				slog.Any("error", err), slog.Duration("retry_in", delay))
 			sleep(ctx, delay)
 			index = 0 // the next query returns at once what changed meanwhile
 			continue
--- a/internal/discovery/consul/watcher_test.go
+++ b/internal/discovery/consul/watcher_test.go
@@ -10,6 +10,7 @@
 
 	"flaxrelay/internal/discovery/discoverytest"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
 
 	"github.com/google/go-cmp/cmp"
@@ -118,7 +119,7 @@
 		}
 	}
 	post(func() {
-		if n := counters.Get("consul.errors"); n != 2 {
+		if n := counters.Get(metrics.ConsulErrors); n != 2 {
 			t.Errorf("%d errors counted, want 2", n)
 		}
 	})
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -11,6 +11,7 @@
 
 	"flaxrelay/internal/discovery"
 	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
@@ -110,7 +111,8 @@
 	if w.state == stateStopped || addr == w.addr && w.state == stateConnected {
 		return
 	}
-	w.log.Info("eventbus.moved", "from", w.addr, "to", addr, "last_event", w.lastEvent)
+	logevent.EventBusMoved.Log(w.log,
+		slog.String("from", w.addr), slog.String("to", addr), slog.Uint64("last_event", w.lastEvent))
 	w.disconnect()
 	w.addr = addr
 	w.backoff.Reset()
@@ -195,8 +197,9 @@
 	w.state = stateDisconnected
 	w.idleTimer.Stop()
 	delay := w.backoff.Next()
-	w.counters.Increment("eventbus.reconnects")
-	w.log.Warn("eventbus.disconnected", "bus", w.addr, "error", err, "retry_in", delay)
+	w.counters.Increment(metrics.EventBusReconnects)
+	logevent.EventBusDisconnected.Log(w.log,
+		slog.String("bus", w.addr), slog.Any("error", err), slog.Duration("retry_in", delay))
 	w.retryTimer = w.loop.Timers.Schedule(w.loop.Now()+delay, w.connect)
 }
 
@@ -272,7 +275,7 @@
 		return &eventError{Event: f.event, Err: err}
 	}
 	w.lastEvent = f.event
-	w.counters.Increment("eventbus.events")
+	w.counters.Increment(metrics.EventBusEvents)
 	w.sink.UpdateEndpoints(mode, engines)
 	return nil
 }
--- a/internal/e2e/query_shapes_test.go
+++ b/internal/e2e/query_shapes_test.go
@@ -91,7 +91,7 @@
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
 	service := enableQueryShapes(t, front, stmtstats.Settings{SnapshotPath: path, SnapshotInterval: time.Hour})
-	if n := front.counters.Get("shapes.snapshot-unusable"); n != 1 {
+	if n := front.counters.GetByName("shapes.snapshot-unusable"); n != 1 {
 		t.Errorf("%d snapshots found unusable, want 1", n)
 	}
 	if got := readFile(t, path+".unusable"); got != string(damaged) {
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -86,7 +86,7 @@
 	if leastRecent == nil {
 		return false
 	}
-	c.Counters.Increment("engine-connections.evicted")
+	c.Counters.IncrementByName("engine-connections.evicted")
 	leastRecent.protocol.Retire()
 	return true
 }
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -130,7 +130,7 @@
 	c.StopAccepting()
 	c.state, c.socket = StateClosed, nil
 	c.stallTimer.Stop()
-	c.client.Counters.Increment("engine-connections.closed." + status.String())
+	c.client.Counters.IncrementByName("engine-connections.closed." + status.String())
 	c.engine.remove(c.protocol)
 	c.protocol.HandleClosed(status)
 }
--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -122,7 +122,7 @@
 			if c.State() != StateClosed || len(c.engine.Connections) != 0 || len(client.accepting) != 0 {
 				t.Error("the connection is still held")
 			}
-			if client.Counters.Get("engine-connections.closed."+test.want.String()) != 1 {
+			if client.Counters.GetByName("engine-connections.closed."+test.want.String()) != 1 {
 				t.Error("the end is not counted")
 			}
 		})
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -10,7 +10,7 @@
 	c.client, c.engine, c.protocol = client, engine, protocol
 	engine.Connections = append(engine.Connections, protocol)
 	client.accepting[c] = struct{}{}
-	client.Counters.Increment("engine-connections.dialed")
+	client.Counters.IncrementByName("engine-connections.dialed")
 	client.Loop.Dial(engine.Address, client.options.ConnectTimeout, client.options.ReadBufferBytes, c, c.dialed)
 }
 
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -196,7 +196,7 @@
 		x.write(id + " DONE batches=1 0\r\n\r\n")
 		x.AwaitEnd(a)
 		var progress int64
-		x.Do(func() { progress = x.Counters.Get("attempts.progress") })
+		x.Do(func() { progress = x.Counters.GetByName("attempts.progress") })
 		x.Printf("= %d notes\n", progress)
 		x.RemoveEngine()
 	}},
--- a/internal/engine/lineclient/pages.go
+++ b/internal/engine/lineclient/pages.go
@@ -34,7 +34,7 @@
 // and another may still serve the client.
 func (c *connection) handleResult(s *stream, r response) error {
 	if s.pages != nil {
-		c.client.shared.Counters.Increment("engine-connections.duplicate-responses")
+		c.client.shared.Counters.IncrementByName("engine-connections.duplicate-responses")
 		return nil
 	}
 	text, _ := r.fields.value("batches")
--- a/internal/engine/lineclient/responses.go
+++ b/internal/engine/lineclient/responses.go
@@ -30,7 +30,7 @@
 func (c *connection) handleResponse(r response) error {
 	s := c.streams[r.requestID]
 	if s == nil {
-		c.client.shared.Counters.Increment("engine-connections.late-responses")
+		c.client.shared.Counters.IncrementByName("engine-connections.late-responses")
 		return nil
 	}
 	switch r.word {
--- a/internal/engine/pgclient/cancel.go
+++ b/internal/engine/pgclient/cancel.go
@@ -14,7 +14,7 @@
 // cancel closes the connection and requests the engine to cancel the query that runs on it.
 func (c *connection) cancel() {
 	shared := c.client.shared
-	shared.Counters.Increment("engine-connections.cancel-requests")
+	shared.Counters.IncrementByName("engine-connections.cancel-requests")
 	c.Close(lifecycle.StatusCancelled)
 	if c.cancelKey == nil {
 		return
--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -48,5 +48,5 @@
 	default:
 		reason = closeByClient
 	}
-	c.server.counters.Increment("http.closed." + string(reason))
+	c.server.counters.IncrementByName("http.closed." + string(reason))
 }
--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -147,7 +147,7 @@
 	if c.state == stateClosing {
 		return
 	}
-	c.server.counters.Increment("http.read-timeouts")
+	c.server.counters.IncrementByName("http.read-timeouts")
 	if c.closeUnused(closeReadTimeout) {
 		return
 	}
--- a/internal/frontend/httpserver/eviction.go
+++ b/internal/frontend/httpserver/eviction.go
@@ -21,7 +21,7 @@
 	now := s.loop.Now()
 	for c := range s.connections {
 		if c.idle() && now-c.lastActive > maxIdleTime && c.closeUnused(closeIdleTimeout) {
-			s.counters.Increment("http.idle-closed")
+			s.counters.IncrementByName("http.idle-closed")
 		}
 	}
 	s.loop.Timers.Schedule(now+idleCheckInterval, s.closeIdle)
@@ -57,7 +57,7 @@
 		c.evicting = true
 		c.socket.Redeliver()
 	}
-	c.server.counters.Increment("http.evicted")
+	c.server.counters.IncrementByName("http.evicted")
 }
 
 // findVictim counts the open connections and returns the one to evict first, or nil if
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -37,7 +37,7 @@
 // request that can't be read can't be trusted, and a client that sends invalid requests
 // without pause has to connect for each.
 func (c *connection) reject(err *statusError) {
-	c.server.counters.Increment("http.bad-requests")
+	c.server.counters.IncrementByName("http.bad-requests")
 	c.closeAfterResponse, c.closeReason = true, closeInvalidRequest
 	c.write(err.status, 0, encodeError(err.message))
 }
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -86,7 +86,7 @@
 }
 
 func (s *Server) accept(socket *eventloop.Conn) eventloop.Handler {
-	s.counters.Increment("http.connections")
+	s.counters.IncrementByName("http.connections")
 	c := &connection{server: s, socket: socket, lastActive: s.loop.Now()}
 	s.connections[c] = struct{}{}
 	if len(s.connections) > s.options.MaxClients {
--- a/internal/frontend/pgserver/cancel.go
+++ b/internal/frontend/pgserver/cancel.go
@@ -18,7 +18,7 @@
 	if c == nil || c.state != stateInFlight || subtle.ConstantTimeCompare(c.secretKey[:], body[4:]) != 1 {
 		return
 	}
-	s.counters.Increment("postgres.cancel-requests")
+	s.counters.IncrementByName("postgres.cancel-requests")
 	request := c.request
 	c.endRequest()
 	e := newError(codeQueryCanceled, "canceling statement due to user request")
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -57,7 +57,7 @@
 	if verdict.Effect == sqltext.EffectReads || verdict.Effect == sqltext.EffectUnknown && choice.readOnly {
 		return classification{class: class, keyParameter: choice.keyParameter, classByShape: !choice.explicit}, nil
 	}
-	s.counters.Increment("postgres.may-write")
+	s.counters.IncrementByName("postgres.may-write")
 	if choice.explicit {
 		e := newError(codeInvalidParameterValue, "class %s is safe to repeat, and the statement may write (%v)", choice.class, verdict)
 		e.Hint = "Name no class, or one for writes or loads. Functions that only read belong in the gateway's read_only_functions."
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -105,7 +105,7 @@
 
 // rejectMalformed ends a connection whose input can't be read.
 func (c *connection) rejectMalformed(err error) {
-	c.server.counters.Increment("postgres.malformed")
+	c.server.counters.IncrementByName("postgres.malformed")
 	var response *pgproto.Error
 	if !errors.As(err, &response) {
 		response = newError(codeProtocolViolation, "%v", err)
@@ -121,7 +121,7 @@
 		return
 	}
 	c.stallTimer = c.server.loop.Timers.Schedule(c.server.loop.Now()+stallTimeout, func() {
-		c.server.counters.Increment("postgres.stalled")
+		c.server.counters.IncrementByName("postgres.stalled")
 		c.fatal(newError(codeProtocolViolation, "a message stopped in the middle"))
 	})
 }
@@ -153,7 +153,7 @@
 // sendError sends the one ErrorResponse of a message. After a Query the client may go
 // on; otherwise what follows is skipped up to the next Sync.
 func (c *connection) sendError(e *pgproto.Error) {
-	c.server.counters.Increment("postgres.errors." + e.Code)
+	c.server.counters.IncrementByName("postgres.errors." + e.Code)
 	c.send(pgproto.ServerErrorResponse, e.Body())
 	if c.simpleQuery {
 		c.endSimpleQuery()
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -74,7 +74,7 @@
 }
 
 func (s *Server) accept(socket *eventloop.Conn) eventloop.Handler {
-	s.counters.Increment("postgres.connections")
+	s.counters.IncrementByName("postgres.connections")
 	s.lastProcessID++
 	c := &connection{
 		server: s, socket: socket, processID: s.lastProcessID,
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -6,6 +6,7 @@
 import (
 	"log/slog"
 
+	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/metrics"
 )
 
@@ -35,9 +36,6 @@
 	SlowStartOverload Rule = "slow-start-overload"
 )
 
-// counterPrefix begins the names of the counters.
-const counterPrefix = "invariants.violated."
-
 // Checker counts and logs violations. It belongs to the goroutine of the event loop.
 type Checker struct {
 	counters *metrics.Counters
@@ -49,12 +47,13 @@
 	return &Checker{counters: counters, log: log}
 }
 
-// Check reports whether the rule holds. Where it doesn't, the violation is counted and logged
-// with the attributes.
+// Check reports whether the rule holds. Where it doesn't, the violation is counted and logged with
+// the attributes: slog.Attr values, or keys and values in turn.
 func (c *Checker) Check(holds bool, rule Rule, attributes ...any) bool {
 	if !holds {
-		c.counters.Increment(counterPrefix + string(rule))
-		c.log.Error("invariant.violated", append([]any{"rule", string(rule)}, attributes...)...)
+		c.counters.Increment(metrics.InvariantsViolated.With(string(rule)))
+		fields := slog.Group("", attributes...).Value.Group()
+		logevent.InvariantViolated.Log(c.log, append([]slog.Attr{slog.String("rule", string(rule))}, fields...)...)
 	}
 	return holds
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -18,7 +18,7 @@
 	if !checker.Check(true, DrainedEndpoint) || checker.Check(false, DrainedEndpoint, "engine", "e1") {
 		t.Error("Check does not return whether the rule holds")
 	}
-	if n := counters.Get("invariants.violated.drained-endpoint"); n != 1 {
+	if n := counters.Get(metrics.InvariantsViolated.With("drained-endpoint")); n != 1 {
 		t.Errorf("%d violations counted", n)
 	}
 	if got := out.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "msg=invariant.violated rule=drained-endpoint engine=e1") {
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -34,7 +34,10 @@
 	{"internal/discovery"},
 	{"internal/lifecycle", "internal/eventloop"},
 	{decisionPrefix},
-	{"policy", "internal/sqltext", "internal/pgproto", "internal/timerqueue", "internal/metrics", "internal/logging", "internal/invariant"},
+	{
+		"policy", "internal/sqltext", "internal/pgproto", "internal/timerqueue",
+		"internal/metrics", "internal/logevent", "internal/logging", "internal/invariant",
+	},
 }
 
 // testOnlyPackages hold nothing but tests and belong to no layer.
--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -33,7 +33,7 @@
 			d.cancelAttempt(r, action.Attempt)
 		}
 	case policy.Reject:
-		d.counters.Increment("rejections." + action.Reason.String())
+		d.counters.IncrementByName("rejections." + action.Reason.String())
 		if d.tracing {
 			d.trace("request.rejected", d.requests[action.RequestID], "reason", action.Reason.String(), "retry_after", action.RetryAfter)
 		}
@@ -53,7 +53,7 @@
 	case policy.CheckHealth, policy.Subscribe:
 		// Health checks are never permitted in this program's deployments, and
 		// discovery reports endpoints without a subscription.
-		d.counters.Increment("policy.unsupported-actions")
+		d.counters.IncrementByName("policy.unsupported-actions")
 	}
 }
 
@@ -72,10 +72,10 @@
 	}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	d.counters.Increment("attempts.started." + r.Class)
+	d.counters.IncrementByName("attempts.started." + r.Class)
 	if a.index > 0 {
-		d.counters.Increment("attempts.retried." + r.Class)
-		d.counters.Increment("attempts.retried-after." + r.attempts[a.index-1].endStatus.String())
+		d.counters.IncrementByName("attempts.retried." + r.Class)
+		d.counters.IncrementByName("attempts.retried-after." + r.attempts[a.index-1].endStatus.String())
 	}
 	if d.tracing {
 		d.trace("attempt.started", r, "attempt", a.index, "engine", a.Engine, "timeout", a.Timeout)
--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -57,7 +57,7 @@
 // engine's answer may arrive after the attempt timed out or was cancelled.
 func (d *Dispatcher) EndAttempt(a *Attempt, status AttemptStatus, report AttemptReport) {
 	if a.Ended() {
-		d.counters.Increment("attempts.late-end." + status.String())
+		d.counters.IncrementByName("attempts.late-end." + status.String())
 		return
 	}
 	r := a.Request
@@ -106,10 +106,10 @@
 
 // countEnd counts the end of an attempt, and separately those at engines that were warming up.
 func (d *Dispatcher) countEnd(a *Attempt, status AttemptStatus) {
-	d.counters.Increment("attempts.ended." + status.String())
+	d.counters.IncrementByName("attempts.ended." + status.String())
 	engine := d.endpoints[a.Engine]
 	if engine.StartKnown && a.StartedAt < engine.StartedAt+d.warmupTime {
-		d.counters.Increment("attempts.ended-warming." + status.String())
+		d.counters.IncrementByName("attempts.ended-warming." + status.String())
 	}
 }
 
@@ -118,6 +118,6 @@
 	if a.Ended() {
 		return
 	}
-	d.counters.Increment("attempts.progress")
+	d.counters.IncrementByName("attempts.progress")
 	d.handleEvent(policy.ProgressReported{RequestID: a.Request.policyID, Attempt: a.index, Kind: kind, Value: value})
 }
--- a/internal/lifecycle/dispatcher_test.go
+++ b/internal/lifecycle/dispatcher_test.go
@@ -128,7 +128,7 @@
 // wantCount checks a counter.
 func (f *fixture) wantCount(name string, want int64) {
 	f.t.Helper()
-	if got := f.counters.Get(name); got != want {
+	if got := f.counters.GetByName(name); got != want {
 		f.t.Errorf("%s is %d, want %d", name, got, want)
 	}
 }
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -16,7 +16,7 @@
 
 // UpdateEndpoints applies the endpoint list or a change to it, according to mode.
 func (d *Dispatcher) UpdateEndpoints(mode policy.UpdateMode, endpoints []Endpoint) {
-	d.counters.Increment("discovery.updates")
+	d.counters.IncrementByName("discovery.updates")
 	previous := d.endpoints
 	complete := mode == policy.UpdateFull || mode == policy.UpdateCached
 	if complete {
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -20,7 +20,7 @@
 func (d *Dispatcher) PermitSend(a *Attempt) bool {
 	now := d.clock.Now()
 	if a.DedupWindowClosed(now) || now >= a.StartedAt+max(a.Timeout, minAttemptTimeout) {
-		d.counters.Increment("attempts.withheld.late") // its timer is due
+		d.counters.IncrementByName("attempts.withheld.late") // its timer is due
 		return false
 	}
 	r := a.Request
--- a/internal/lifecycle/guard_internal_test.go
+++ b/internal/lifecycle/guard_internal_test.go
@@ -60,8 +60,8 @@
 			if started != (test.want == "") {
 				t.Errorf("started: %v", started)
 			}
-			if test.want != "" && counters.Get("invariants.violated."+test.want) != 1 || counters.Sum("invariants.violated.") > 1 {
-				t.Errorf("violations: %d of %q, %d in all", counters.Get("invariants.violated."+test.want), test.want, counters.Sum("invariants.violated."))
+			if test.want != "" && counters.GetByName("invariants.violated."+test.want) != 1 || counters.Sum("invariants.violated.") > 1 {
+				t.Errorf("violations: %d of %q, %d in all", counters.GetByName("invariants.violated."+test.want), test.want, counters.Sum("invariants.violated."))
 			}
 		})
 	}
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -11,7 +11,7 @@
 // assertViolations checks how often a rule was violated so far.
 func (f *fixture) assertViolations(rule string, want int64) {
 	f.t.Helper()
-	if got := f.counters.Get("invariants.violated." + rule); got != want {
+	if got := f.counters.GetByName("invariants.violated." + rule); got != want {
 		f.t.Errorf("%s: %d violations, want %d", rule, got, want)
 	}
 }
@@ -46,7 +46,7 @@
 		t.Error("sent past its deadline")
 	}
 	f.assertViolations("send-after-completion", 0)
-	if n := f.counters.Get("attempts.withheld.late"); n != 1 {
+	if n := f.counters.GetByName("attempts.withheld.late"); n != 1 {
 		t.Errorf("%d attempts withheld, want 1", n)
 	}
 }
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -64,12 +64,12 @@
 	r.state = requestPending
 	d.requests[r.policyID] = r
 	d.pending++
-	d.counters.Increment("requests.accepted." + r.Class)
+	d.counters.IncrementByName("requests.accepted." + r.Class)
 	if d.tracing {
 		d.trace("request.accepted", r, "class", r.Class, "time_left", r.Deadline-d.clock.Now())
 	}
 	if d.finishing {
-		d.counters.Increment("rejections.shutdown")
+		d.counters.IncrementByName("rejections.shutdown")
 		d.respond(r.policyID, Response{Verdict: VerdictRejected, RetryAfter: d.RetryAfter()})
 		return
 	}
@@ -92,7 +92,7 @@
 	if r.state != requestPending {
 		return
 	}
-	d.counters.Increment("requests.disconnected." + r.Class)
+	d.counters.IncrementByName("requests.disconnected." + r.Class)
 	if d.tracing {
 		d.trace("request.disconnected", r)
 	}
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -44,9 +44,9 @@
 	response.MayHaveRun = d.MayHaveRun(r)
 	response.Forwarded = len(r.attempts) > 0
 	response.ErrorDetail = r.lastErrorDetail
-	d.counters.Increment("requests.completed." + response.Verdict.String() + "." + r.Class)
+	d.counters.IncrementByName("requests.completed." + response.Verdict.String() + "." + r.Class)
 	if response.DeadlinePassed {
-		d.counters.Increment("requests.completed-late." + r.Class)
+		d.counters.IncrementByName("requests.completed-late." + r.Class)
 	}
 	d.checkAnswer(r)
 	if d.tracing {
--- /dev/null
+++ b/internal/logevent/catalog.go
@@ -0,0 +1,102 @@
+package logevent
+
+import "log/slog"
+
+// The process.
+var (
+	ServerListening = declare("server.listening", slog.LevelInfo,
+		"The front end accepts requests.",
+		"addr")
+	ServerStartFailed = declare("server.start-failed", slog.LevelError,
+		"A fault keeps the front end from starting; one line for each.",
+		"file", "line", "field", "error")
+	ServerDisabled = declare("server.disabled", slog.LevelInfo,
+		"The deploy file names no address to listen at.",
+		"reason")
+	ShutdownStarted = declare("shutdown.started", slog.LevelInfo,
+		"SIGTERM or SIGINT has begun the graceful shutdown.")
+	MetricsDelta = declare("metrics.delta", slog.LevelInfo,
+		"Every 5 s: by how much each counter has changed since the previous line.",
+		CounterField)
+	ReloadCompleted = declare("reload.completed", slog.LevelInfo,
+		"A reload by SIGHUP was carried out.")
+	ReloadFailed = declare("reload.failed", slog.LevelWarn,
+		"The file could not be used; the previous configuration stays in use.",
+		"error", "effect")
+	ReloadSkipped = declare("reload.skipped", slog.LevelInfo,
+		"Nothing in this configuration may change while the front end runs.",
+		"reason")
+	InvariantViolated = declare("invariant.violated", slog.LevelError,
+		"A rule that must always hold was about to be broken, or was.",
+		"rule", "request", "engine", "attempt", "reason", "late", "pending", "counted", "sent", "limit")
+)
+
+// Discovery.
+var (
+	EventBusMoved = declare("eventbus.moved", slog.LevelInfo,
+		"SIGHUP named another event bus.",
+		"from", "to", "last_event")
+	EventBusDisconnected = declare("eventbus.disconnected", slog.LevelWarn,
+		"The event bus closed the connection, sent no byte for 2.5 s or cannot be reached.",
+		"bus", "error", "retry_in")
+	ConsulRequestFailed = declare("consul.request-failed", slog.LevelWarn,
+		"A blocking query failed; the last list stays in use.",
+		"consul", "path", "error", "retry_in")
+	ConsulInvalidRegistration = declare("consul.invalid-registration", slog.LevelWarn,
+		"A registration without id or port was skipped.",
+		"consul", "reason")
+)
+
+// Engines.
+var (
+	EngineEjected = declare("engine.ejected", slog.LevelInfo,
+		"An engine was ejected as an outlier.",
+		"engine", "reason", "in_flight")
+	EngineReadmitted = declare("engine.readmitted", slog.LevelInfo,
+		"An ejected engine serves again.",
+		"engine")
+	EngineConnectFailed = declare("engine.connect-failed", slog.LevelWarn,
+		"A connection to an engine was not established; refused connections are only counted.",
+		"engine", "error")
+	EngineProtocolError = declare("engine.protocol-error", slog.LevelWarn,
+		"A response could not be read or stopped in the middle; the connection was closed with all attempts on it.",
+		"engine", "error")
+)
+
+// Statement statistics.
+var (
+	ShapesRestored = declare("shapes.restored", slog.LevelInfo,
+		"Statement statistics were read from the snapshot.",
+		"file", "shapes")
+	ShapesSnapshotFailed = declare("shapes.snapshot-failed", slog.LevelWarn,
+		"A snapshot could not be written.",
+		"file", "error")
+	ShapesSnapshotUnreadable = declare("shapes.snapshot-unreadable", slog.LevelWarn,
+		"The snapshot could not be read in five attempts; learning starts anew.",
+		"file", "error")
+	ShapesSnapshotUnusable = declare("shapes.snapshot-unusable", slog.LevelWarn,
+		"The snapshot is damaged or of another version; it was renamed and learning starts anew.",
+		"file", "error", "renamed_to", "rename_error")
+)
+
+// Steps of requests.
+var (
+	RequestAccepted = declare("request.accepted", slog.LevelDebug,
+		"A request has arrived completely.",
+		"request", "class", "time_left")
+	RequestRejected = declare("request.rejected", slog.LevelDebug,
+		"No engine was chosen for a request.",
+		"request", "reason", "retry_after")
+	RequestCompleted = declare("request.completed", slog.LevelDebug,
+		"A request got its final response.",
+		"request", "verdict", "attempts")
+	RequestDisconnected = declare("request.disconnected", slog.LevelDebug,
+		"The client cancelled or closed its connection before the response.",
+		"request")
+	AttemptStarted = declare("attempt.started", slog.LevelDebug,
+		"An attempt was started.",
+		"request", "attempt", "engine", "timeout")
+	AttemptEnded = declare("attempt.ended", slog.LevelDebug,
+		"An attempt ended.",
+		"request", "attempt", "engine", "status", "elapsed")
+)
--- /dev/null
+++ b/internal/metrics/catalog.go
@@ -0,0 +1,147 @@
+package metrics
+
+// The labels of families of counters.
+const (
+	LabelClass    = "CLASS"    // a class of requests of the settings
+	LabelVerdict  = "VERDICT"  // the kind of a final response
+	LabelReason   = "REASON"   // why no engine was chosen
+	LabelRule     = "RULE"     // an invariant
+	LabelStatus   = "STATUS"   // how an attempt or a connection to an engine ended
+	LabelCause    = "CAUSE"    // why a client connection ended
+	LabelSQLState = "SQLSTATE" // a PostgreSQL error code
+)
+
+// Requests.
+var (
+	RequestsAccepted = declareVec("requests.accepted", LabelClass,
+		"Requests that have arrived completely; each gets one final response.")
+	RequestsCompleted = declareVec2("requests.completed", LabelVerdict, LabelClass,
+		"Requests that got their final response.")
+	RequestsCompletedLate = declareVec("requests.completed-late", LabelClass,
+		"Requests rejected or failed whose deadline had passed.")
+	RequestsDisconnected = declareVec("requests.disconnected", LabelClass,
+		"Requests whose client cancelled or closed its connection before the response.")
+	Rejections = declareVec("rejections", LabelReason,
+		"Requests for which no engine was chosen.")
+	InvariantsViolated = declareVec("invariants.violated", LabelRule,
+		"Violations of an invariant, prevented or not.")
+)
+
+// RejectionsShutdown counts the rejections at the end of a graceful shutdown.
+var RejectionsShutdown = Rejections.With("shutdown")
+
+// Attempts.
+var (
+	AttemptsStarted = declareVec("attempts.started", LabelClass,
+		"Attempts started.")
+	AttemptsRetried = declareVec("attempts.retried", LabelClass,
+		"Attempts started that were the second or third of their request.")
+	AttemptsEnded = declareVec("attempts.ended", LabelStatus,
+		"Attempts ended.")
+	AttemptsEndedWarming = declareVec("attempts.ended-warming", LabelStatus,
+		"Attempts ended that were sent to an engine in slow start.")
+	AttemptsLateEnd = declareVec("attempts.late-end", LabelStatus,
+		"Results of attempts that had ended already; they are ignored.")
+	AttemptsRetriedAfter = declareVec("attempts.retried-after", LabelStatus,
+		"Attempts started after one that ended with the status.")
+	AttemptsWithheldLate = declare("attempts.withheld.late",
+		"Attempts not written because their time or the deduplication window was over; no violation.")
+	AttemptsProgress = declare("attempts.progress",
+		"Progress reports of engines on attempts in flight.")
+)
+
+// Connections to engines.
+var (
+	EngineConnectionsDialed = declare("engine-connections.dialed",
+		"Connections to engines begun.")
+	EngineConnectionsClosed = declareVec("engine-connections.closed", LabelStatus,
+		"Connections to engines ended.")
+	EngineConnectionsEvicted = declare("engine-connections.evicted",
+		"Idle connections to engines closed to make a descriptor available.")
+	EngineConnectionsLateResponses = declare("engine-connections.late-responses",
+		"Responses to abandoned attempts; they are ignored.")
+	EngineConnectionsDuplicateResponses = declare("engine-connections.duplicate-responses",
+		"Duplicates of responses; they are ignored.")
+	EngineConnectionsCancelRequests = declare("engine-connections.cancel-requests",
+		"Cancel requests sent to PostgreSQL engines.")
+)
+
+// Client connections.
+var (
+	HTTPConnections = declare("http.connections",
+		"Client connections accepted.")
+	HTTPBadRequests = declare("http.bad-requests",
+		"Malformed or invalid requests; each closes its connection.")
+	HTTPReadTimeouts = declare("http.read-timeouts",
+		"Requests that were not complete within 2 s.")
+	HTTPClosed = declareVec("http.closed", LabelCause,
+		"Client connections ended.")
+	HTTPEvicted = declare("http.evicted",
+		"Idle client connections closed to make a descriptor available.")
+	HTTPIdleClosed = declare("http.idle-closed",
+		"Client connections closed after 30 s without a request.")
+	PostgresConnections = declare("postgres.connections",
+		"Client connections accepted.")
+	PostgresMalformed = declare("postgres.malformed",
+		"Malformed messages of clients; each closes its connection.")
+	PostgresStalled = declare("postgres.stalled",
+		"Messages of clients that were not complete in time; each closes its connection.")
+	PostgresErrors = declareVec("postgres.errors", LabelSQLState,
+		"Errors sent to clients.")
+	PostgresCancelRequests = declare("postgres.cancel-requests",
+		"Cancel requests of clients.")
+	PostgresMayWrite = declare("postgres.may-write",
+		"Statements that may write though their class is idempotent.")
+)
+
+// Discovery.
+var (
+	DiscoveryUpdates = declare("discovery.updates",
+		"Changes of the endpoint list that were applied.")
+	EventBusEvents = declare("eventbus.events",
+		"Events of the event bus that were applied.")
+	EventBusReconnects = declare("eventbus.reconnects",
+		"Lost connections to the event bus, and failed attempts to connect.")
+	ConsulEvents = declare("consul.events",
+		"Results of Consul that were applied.")
+	ConsulErrors = declare("consul.errors",
+		"Failed queries to Consul.")
+)
+
+// Statement statistics.
+var (
+	ShapesHits = declare("shapes.hits",
+		"Lookups of a statement shape that was cached; set when counters are printed.")
+	ShapesMisses = declare("shapes.misses",
+		"Lookups of a statement shape that was not cached; set when counters are printed.")
+	ShapesHeld = declare("shapes.held",
+		"Statement shapes in the cache; set when counters are printed.")
+	ShapesBytes = declare("shapes.bytes",
+		"Size of the cache of statement shapes; set when counters are printed.")
+	ShapesLearned = declare("shapes.learned",
+		"Served requests learned from; set when counters are printed.")
+	ShapesCorrected = declare("shapes.corrected",
+		"Requests whose estimate replaced the client's; set when counters are printed.")
+	ShapesSnapshots = declare("shapes.snapshots",
+		"Snapshots written.")
+	ShapesSnapshotFailed = declare("shapes.snapshot-failed",
+		"Snapshots that could not be written.")
+	ShapesSnapshotUnusable = declare("shapes.snapshot-unusable",
+		"Snapshots found damaged or of another version.")
+	ShapesSnapshotUnreadable = declare("shapes.snapshot-unreadable",
+		"Snapshots that could not be read in five attempts.")
+)
+
+// The process.
+var (
+	PolicyUnsupportedActions = declare("policy.unsupported-actions",
+		"Actions of the policy that this program does not carry out.")
+	ReloadCompleted = declare("reload.completed",
+		"Reloads by SIGHUP that were carried out.")
+	ReloadFailed = declare("reload.failed",
+		"Reloads by SIGHUP whose file could not be used.")
+	ReloadRetried = declare("reload.retried",
+		"Repeated readings of a file that could not be read.")
+	LogDropped = declare("log.dropped",
+		"Lines of the log that standard error did not take in time.")
+)
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,18 +1,20 @@
-// Package metrics holds the named counters of a program.
+// Package metrics declares the counters of the program and holds their values. catalog.go lists
+// all of them; docs/operations.md explains them to operators.
 package metrics
 
 import (
 	"fmt"
 	"io"
+	"log/slog"
 	"maps"
 	"slices"
 	"strings"
 )
 
-// Counters maps names to counts. It is not safe for concurrent use: the
+// Counters holds the values of counters. It is not safe for concurrent use: the
 // goroutine of the event loop owns it.
 type Counters struct {
-	counts   map[string]int64
+	counts   map[string]int64 // by name
 	reported map[string]int64 // as of the latest call of Deltas
 }
 
@@ -21,18 +23,27 @@
 	return &Counters{counts: map[string]int64{}, reported: map[string]int64{}}
 }
 
-// Increment increments a counter by one. A name is a list of words joined by dots, from
-// the stage of processing to the detail.
-func (c *Counters) Increment(name string) { c.counts[name]++ }
+// Increment increments a counter by one.
+func (c *Counters) Increment(counter Counter) { c.counts[counter.name]++ }
 
 // Set sets a counter to a value that is kept elsewhere.
-func (c *Counters) Set(name string, value int64) { c.counts[name] = value }
+func (c *Counters) Set(counter Counter, value int64) { c.counts[counter.name] = value }
 
 // Get returns the value of a counter.
-func (c *Counters) Get(name string) int64 { return c.counts[name] }
+func (c *Counters) Get(counter Counter) int64 { return c.counts[counter.name] }
+
+// IncrementByName increments a counter by one. It is for packages that do not use the catalog yet.
+func (c *Counters) IncrementByName(name string) { c.counts[name]++ }
+
+// SetByName sets a counter. It is for packages that do not use the catalog yet.
+func (c *Counters) SetByName(name string, value int64) { c.counts[name] = value }
+
+// GetByName returns the value of a counter. It is for tests that do not use the catalog yet.
+func (c *Counters) GetByName(name string) int64 { return c.counts[name] }
 
 // Sum returns the total of all counters whose names begin with the prefix.
-func (c *Counters) Sum(prefix string) (sum int64) {
+func (c *Counters) Sum(prefix string) int64 {
+	var sum int64
 	for name, count := range c.counts {
 		if strings.HasPrefix(name, prefix) {
 			sum += count
@@ -41,19 +52,19 @@
 	return sum
 }
 
-// Deltas returns by how much each counter has changed since the previous call,
-// without the unchanged ones: alternating names and numbers in order of name, as
-// the arguments of a slog call.
-func (c *Counters) Deltas() (attrs []any) {
+// Deltas returns by how much each counter has changed since the previous call, in order of name,
+// as the fields of a log event. Unchanged counters are left out.
+func (c *Counters) Deltas() []slog.Attr {
+	var deltas []slog.Attr
 	for _, name := range c.sortedNames() {
 		delta := c.counts[name] - c.reported[name]
 		if delta == 0 {
 			continue
 		}
 		c.reported[name] = c.counts[name]
-		attrs = append(attrs, name, delta)
+		deltas = append(deltas, slog.Int64(name, delta))
 	}
-	return attrs
+	return deltas
 }
 
 // Print writes one line for each counter, in order of name. It is a best effort:
--- /dev/null
+++ b/internal/observability/labels_test.go
@@ -0,0 +1,39 @@
+package observability
+
+import (
+	"path"
+	"slices"
+	"strings"
+	"testing"
+
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
+)
+
+// labelValues returns the values of each label that has a fixed set of them, sorted.
+func labelValues(t *testing.T) map[string][]string {
+	t.Helper()
+	sources := parseServingSources(t)
+	values := map[string][]string{
+		metrics.LabelRule:   sources.constantsOfType("Rule"),
+		metrics.LabelCause:  sources.constantsOfType("closeReason"),
+		metrics.LabelReason: {strings.TrimPrefix(path.Ext(metrics.RejectionsShutdown.Name()), ".")},
+	}
+	for status := lifecycle.StatusUnknown; status <= lifecycle.StatusIdleClosed; status++ {
+		values[metrics.LabelStatus] = append(values[metrics.LabelStatus], status.String())
+	}
+	for reason := policy.ReasonUnknownClass; reason <= policy.ReasonDeadline; reason++ {
+		values[metrics.LabelReason] = append(values[metrics.LabelReason], reason.String())
+	}
+	for verdict := lifecycle.VerdictFailed; verdict <= lifecycle.VerdictServed; verdict++ {
+		values[metrics.LabelVerdict] = append(values[metrics.LabelVerdict], verdict.String())
+	}
+	for label := range values {
+		slices.Sort(values[label])
+		if len(values[label]) < 2 {
+			t.Errorf("only the values %v are found for the label %s", values[label], label)
+		}
+	}
+	return values
+}
--- a/internal/observability/names_test.go
+++ b/internal/observability/names_test.go
@@ -9,8 +9,8 @@
 	"testing"
 
 	"flaxrelay/internal/golden"
-	"flaxrelay/internal/lifecycle"
-	"flaxrelay/policy"
+	"flaxrelay/internal/logevent"
+	"flaxrelay/internal/metrics"
 )
 
 // TestNames_AreThoseThatOperatorsKnow fails where a counter, a log event, one of its fields or a
@@ -18,27 +18,57 @@
 // these names: a renaming belongs into the table "Names before this version" of
 // docs/operations.md, and then into the golden file (go test ./internal/observability -update).
 func TestNames_AreThoseThatOperatorsKnow(t *testing.T) {
-	sources := parseServingSources(t)
 	var lines []string
-	for _, use := range sources.uses() {
-		lines = append(lines, use.String())
+	for _, counter := range metrics.Catalog() {
+		lines = append(lines, "counter "+withoutLabels(counter.Name, "*"))
 	}
-	for _, value := range sources.constantsOfType("Rule") {
-		lines = append(lines, "rule "+value)
+	for _, event := range logevent.Catalog() {
+		words := []string{"event", strings.ToLower(event.Level.String()), event.Name}
+		for _, field := range event.Fields {
+			words = append(words, withoutLabels(field, "..."))
+		}
+		lines = append(lines, strings.Join(words, " "))
 	}
-	for _, value := range sources.constantsOfType("closeReason") {
-		lines = append(lines, "cause "+value)
+	for label, values := range labelValues(t) {
+		for _, value := range values {
+			lines = append(lines, strings.ToLower(label)+" "+value)
+		}
 	}
-	for status := lifecycle.StatusUnknown; status <= lifecycle.StatusIdleClosed; status++ {
-		lines = append(lines, "status "+status.String())
+	slices.Sort(lines)
+	golden.Compare(t, "testdata/names.golden", fmt.Appendln(nil, strings.Join(lines, "\n")))
+}
+
+// withoutLabels returns a declared name with a placeholder for each label.
+func withoutLabels(name, placeholder string) string {
+	parts := strings.Split(name, ".")
+	for i, part := range parts {
+		if isLabel(part) {
+			parts[i] = placeholder
+		}
+	}
+	return strings.Join(parts, ".")
+}
+
+// isLabel reports whether a part of a declared name is a label, which is in capitals.
+func isLabel(part string) bool { return part == strings.ToUpper(part) }
+
+// TestCatalogs_DeclareEachNameOnceWithASentence checks the form of the declarations.
+func TestCatalogs_DeclareEachNameOnceWithASentence(t *testing.T) {
+	seen := map[string]bool{}
+	check := func(kind, name, help string) {
+		t.Helper()
+		if seen[kind+name] {
+			t.Errorf("%s %s is declared twice", kind, name)
+		}
+		seen[kind+name] = true
+		if len(help) < len("Ended.") || !strings.HasSuffix(help, ".") || help[:1] != strings.ToUpper(help[:1]) {
+			t.Errorf("%s %s: the help %q is not a sentence", kind, name, help)
+		}
 	}
-	for reason := policy.ReasonUnknownClass; reason <= policy.ReasonDeadline; reason++ {
-		lines = append(lines, "reason "+reason.String())
+	for _, counter := range metrics.Catalog() {
+		check("counter", counter.Name, counter.Help)
 	}
-	for verdict := lifecycle.VerdictFailed; verdict <= lifecycle.VerdictServed; verdict++ {
-		lines = append(lines, "verdict "+verdict.String())
+	for _, event := range logevent.Catalog() {
+		check("event", event.Name, event.Help)
 	}
-	slices.Sort(lines)
-	lines = slices.Compact(lines)
-	golden.Compare(t, "testdata/names.golden", fmt.Appendln(nil, strings.Join(lines, "\n")))
 }
--- a/internal/observability/sources_test.go
+++ b/internal/observability/sources_test.go
@@ -1,6 +1,7 @@
 package observability
 
 import (
+	"fmt"
 	"go/ast"
 	"go/parser"
 	"go/token"
@@ -10,6 +11,8 @@
 	"strconv"
 	"strings"
 	"testing"
+
+	"flaxrelay/internal/logevent"
 )
 
 const repositoryRoot = "../.."
@@ -20,12 +23,6 @@
 // labDirectory holds sources that are linked into no program that serves requests.
 const labDirectory = "internal/lab"
 
-// unknownPart stands for a part of a counter's name that the source computes.
-const unknownPart = "*"
-
-// openFields stands for fields of a log event that the source computes.
-const openFields = "..."
-
 // sourceFiles are the parsed sources of the programs that serve requests, without tests.
 type sourceFiles []*ast.File
 
@@ -34,7 +31,8 @@
 	t.Helper()
 	var files sourceFiles
 	for _, directory := range servingDirectories {
-		err := filepath.WalkDir(filepath.Join(repositoryRoot, directory), func(path string, entry fs.DirEntry, err error) error {
+		root := filepath.Join(repositoryRoot, directory)
+		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 			if err != nil {
 				return err
 			}
@@ -45,8 +43,11 @@
 				return nil
 			}
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return fmt.Errorf("parse a source: %w", err)
+			}
 			files = append(files, file)
-			return err
+			return nil
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -55,56 +56,98 @@
 	return files
 }
 
-// use is one place where a counter is counted or a log event is written.
-type use struct {
-	kind   string // "counter", or "event" and its level
-	name   string
-	fields []string // the keys of an event's fields
-}
-
-func (u use) String() string {
-	return strings.Join(append([]string{u.kind, u.name}, u.fields...), " ")
-}
-
-// uses returns all counters and log events of the sources, in order of the files.
-func (files sourceFiles) uses() []use {
-	var found []use
-	for _, file := range files {
+// TestSources_LogTheDeclaredFields holds the keys of the fields at each place where an event is
+// logged against the event's declaration.
+func TestSources_LogTheDeclaredFields(t *testing.T) {
+	sources := parseServingSources(t)
+	variables := sources.declaredVariables("logevent")
+	fields := map[string][]string{}
+	for _, event := range logevent.Catalog() {
+		fields[event.Name] = event.Fields
+	}
+	calls := 0
+	for _, file := range sources {
 		ast.Inspect(file, func(node ast.Node) bool {
 			call, isCall := node.(*ast.CallExpr)
-			if !isCall || len(call.Args) == 0 {
+			if !isCall {
 				return true
 			}
-			function, isMethod := call.Fun.(*ast.SelectorExpr)
-			if !isMethod {
+			variable, isEvent := eventOf(call)
+			if !isEvent {
 				return true
 			}
-			if u, isUse := files.useOf(call, lastName(function.X), function.Sel.Name); isUse {
-				found = append(found, u)
+			calls++
+			event := variables[variable]
+			for _, key := range attributeKeys(call.Args) {
+				if !slices.Contains(fields[event], key) {
+					t.Errorf("%s is logged with the field %s, which is not declared", event, key)
+				}
 			}
 			return true
 		})
 	}
-	return found
+	if calls == 0 {
+		t.Error("no call logs an event")
+	}
 }
 
-// useOf interprets a call of a method of the receiver, which is known by its name.
-func (files sourceFiles) useOf(call *ast.CallExpr, receiver, method string) (use, bool) {
-	switch receiver {
-	case "counters", "Counters":
-		if method == "Increment" || method == "Set" {
-			return use{kind: "counter", name: files.counterName(call.Args[0])}, true
+// eventOf returns the variable of package logevent that a call logs: as the receiver of Log, or as
+// an argument of a function that logs it.
+func eventOf(call *ast.CallExpr) (variable string, isEvent bool) {
+	candidates := slices.Clone(call.Args)
+	if method, isMethod := call.Fun.(*ast.SelectorExpr); isMethod {
+		candidates = append(candidates, method.X)
+	}
+	for _, candidate := range candidates {
+		selector, isSelector := candidate.(*ast.SelectorExpr)
+		if isSelector && lastName(selector.X) == "logevent" {
+			return selector.Sel.Name, true
+		}
+	}
+	return "", false
+}
+
+// attributeKeys returns the keys of the calls of slog's constructors among the arguments.
+func attributeKeys(arguments []ast.Expr) []string {
+	var keys []string
+	for _, argument := range arguments {
+		constructor, isCall := argument.(*ast.CallExpr)
+		if !isCall || len(constructor.Args) == 0 {
+			continue
 		}
-	case "log", "logger", "Log", "Logger":
-		level := strings.ToLower(method)
-		if name, isLiteral := stringLiteral(call.Args[0]); isLiteral {
-			return use{kind: "event " + level, name: name, fields: fieldsOf(call, call.Args[1:])}, true
+		function, isSelector := constructor.Fun.(*ast.SelectorExpr)
+		if !isSelector || lastName(function.X) != "slog" {
+			continue
+		}
+		if key, isLiteral := stringLiteral(constructor.Args[0]); isLiteral {
+			keys = append(keys, key)
 		}
 	}
-	if name, isLiteral := stringLiteral(call.Args[0]); isLiteral && method == "trace" {
-		return use{kind: "event debug", name: name, fields: append([]string{"request"}, fieldsOf(call, call.Args[2:])...)}, true
+	return keys
+}
+
+// declaredVariables returns the declarations of a package's catalog: the names of counters or
+// events by the variables that hold them.
+func (files sourceFiles) declaredVariables(packageName string) map[string]string {
+	variables := map[string]string{}
+	for _, file := range files {
+		if file.Name.Name != packageName {
+			continue
+		}
+		sourceFiles{file}.eachValueSpec(func(spec *ast.ValueSpec) {
+			if len(spec.Values) != 1 {
+				return
+			}
+			declaration, isCall := spec.Values[0].(*ast.CallExpr)
+			if !isCall || !strings.HasPrefix(lastName(declaration.Fun), "declare") {
+				return
+			}
+			if name, isLiteral := stringLiteral(declaration.Args[0]); isLiteral {
+				variables[spec.Names[0].Name] = name
+			}
+		})
 	}
-	return use{}, false
+	return variables
 }
 
 // lastName returns the last name of an expression such as s.counters.
@@ -127,52 +170,6 @@
 	return text, err == nil
 }
 
-// counterName returns the name of a counter, with unknownPart where the source computes a part.
-func (files sourceFiles) counterName(expression ast.Expr) string {
-	switch expression := expression.(type) {
-	case *ast.BinaryExpr:
-		return files.counterName(expression.X) + files.counterName(expression.Y)
-	case *ast.Ident:
-		if text, isConstant := files.constantNamed(expression.Name); isConstant {
-			return text
-		}
-	}
-	if text, isLiteral := stringLiteral(expression); isLiteral {
-		return text
-	}
-	return unknownPart
-}
-
-// fieldsOf returns the keys of a log call's arguments, which alternate with the values.
-func fieldsOf(call *ast.CallExpr, arguments []ast.Expr) []string {
-	if call.Ellipsis.IsValid() {
-		return []string{openFields}
-	}
-	var keys []string
-	for i := 0; i < len(arguments); i += 2 {
-		key, isLiteral := stringLiteral(arguments[i])
-		if !isLiteral {
-			key = openFields
-		}
-		keys = append(keys, key)
-	}
-	return keys
-}
-
-// constantNamed returns the value of the constant of that name whose value is a string.
-func (files sourceFiles) constantNamed(name string) (value string, found bool) {
-	files.eachValueSpec(func(constants *ast.ValueSpec) {
-		if len(constants.Values) == 1 && constants.Names[0].Name == name {
-			text, isLiteral := stringLiteral(constants.Values[0])
-			if isLiteral {
-				value = text
-				found = true
-			}
-		}
-	})
-	return value, found
-}
-
 // constantsOfType returns the values of all constants of a string type, which is known by its
 // name.
 func (files sourceFiles) constantsOfType(name string) []string {
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -104,19 +104,19 @@
 func (s *Service) snapshotWritten(err error) {
 	s.savingSnapshot = false
 	if err != nil {
-		s.counters.Increment("shapes.snapshot-failed")
+		s.counters.IncrementByName("shapes.snapshot-failed")
 		s.log.Warn("shapes.snapshot-failed", "file", s.settings.SnapshotPath, "error", err)
 		return
 	}
-	s.counters.Increment("shapes.snapshots")
+	s.counters.IncrementByName("shapes.snapshots")
 }
 
 // PublishCounters publishes the service's figures among the counters.
 func (s *Service) PublishCounters() {
-	s.counters.Set("shapes.corrected", s.corrected)
-	s.counters.Set("shapes.held", int64(s.store.Len()))
-	s.counters.Set("shapes.bytes", int64(s.store.Bytes()))
-	s.counters.Set("shapes.hits", int64(s.store.Stats.Hits))
-	s.counters.Set("shapes.misses", int64(s.store.Stats.Misses))
-	s.counters.Set("shapes.learned", int64(s.store.Stats.Learned))
+	s.counters.SetByName("shapes.corrected", s.corrected)
+	s.counters.SetByName("shapes.held", int64(s.store.Len()))
+	s.counters.SetByName("shapes.bytes", int64(s.store.Bytes()))
+	s.counters.SetByName("shapes.hits", int64(s.store.Stats.Hits))
+	s.counters.SetByName("shapes.misses", int64(s.store.Stats.Misses))
+	s.counters.SetByName("shapes.learned", int64(s.store.Stats.Learned))
 }
--- a/internal/stmtstats/service_restore.go
+++ b/internal/stmtstats/service_restore.go
@@ -19,10 +19,10 @@
 		s.log.Info("shapes.restored", "file", path, "shapes", store.Len())
 	case errors.Is(err, fs.ErrNotExist):
 	case errors.As(err, &unreadable):
-		s.counters.Increment("shapes.snapshot-unreadable")
+		s.counters.IncrementByName("shapes.snapshot-unreadable")
 		s.log.Warn("shapes.snapshot-unreadable", "file", path, "error", err)
 	default:
-		s.counters.Increment("shapes.snapshot-unusable")
+		s.counters.IncrementByName("shapes.snapshot-unusable")
 		unusablePath := path + ".unusable"
 		renameErr := os.Rename(path, unusablePath)
 		s.log.Warn("shapes.snapshot-unusable", "file", path, "error", err, "renamed_to", unusablePath, "rename_error", renameErr)
--- a/internal/stmtstats/snapshot_disk_test.go
+++ b/internal/stmtstats/snapshot_disk_test.go
@@ -59,10 +59,10 @@
 	if _, err := os.Stat(path); err != nil {
 		t.Errorf("the snapshot was moved: %v", err)
 	}
-	if n := counters.Get("shapes.snapshot-unreadable"); n != 1 {
+	if n := counters.GetByName("shapes.snapshot-unreadable"); n != 1 {
 		t.Errorf("%d unreadable snapshots counted, want 1", n)
 	}
-	if n := counters.Get("shapes.snapshot-unusable"); n != 0 {
+	if n := counters.GetByName("shapes.snapshot-unusable"); n != 0 {
 		t.Errorf("%d snapshots counted as damaged", n)
 	}
 }
