--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant checks at run time the rules that a front end must never break. The guards
-// of the program prevent a violation where they can, and report it here in any case: a counter
-// that is not zero is a fault of the program.
+// Package invariant checks at run time the rules that a front end must never break. The guards of
+// the program prevent a violation where they can, and report it here in any case. A counter of this
+// package that is not zero means a fault of the program.
 package invariant
 
 import (
@@ -36,13 +36,13 @@
 	SlowStartOverload Rule = "slow-start-overload"
 )
 
-// Checker counts and logs violations. It belongs to the goroutine of the event loop.
+// Checker counts and logs violations. It is owned by the goroutine of the event loop.
 type Checker struct {
 	counters *metrics.Counters
 	log      *slog.Logger
 }
 
-// New returns a checker that reports to the counters and the log.
+// New returns a checker that reports violations to the counters and the log.
 func New(counters *metrics.Counters, log *slog.Logger) *Checker {
 	return &Checker{counters: counters, log: log}
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -9,9 +9,7 @@
 	"flaxrelay/internal/metrics"
 )
 
-// A violation is counted under its rule and logged with its attributes; a rule that holds is
-// neither.
-func TestCheck(t *testing.T) {
+func TestCheck_CountsAndLogsViolationsOnly(t *testing.T) {
 	var out bytes.Buffer
 	counters := metrics.New()
 	checker := New(counters, slog.New(slog.NewTextHandler(&out, nil)))
@@ -21,7 +19,8 @@
 	if n := counters.Get(metrics.InvariantsViolated.With("drained-endpoint")); n != 1 {
 		t.Errorf("%d violations counted", n)
 	}
-	if got := out.String(); strings.Count(got, "\n") != 1 || !strings.Contains(got, "msg=invariant.violated rule=drained-endpoint engine=e1") {
+	got := out.String()
+	if strings.Count(got, "\n") != 1 || !strings.Contains(got, "msg=invariant.violated rule=drained-endpoint engine=e1") {
 		t.Errorf("log: %q", got)
 	}
 }
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -21,10 +21,9 @@
 	repositoryRoot = "../.."
 )
 
-// layers lists the packages from the top layer down: a name stands for the package
-// and for those below it, a name that ends in a slash for those below it alone. A
-// package may import packages of its own layer and of the layers below it; packages
-// of one layer that need each other stand together.
+// layers lists the packages from the top layer down. A name stands for the package and for all
+// packages below it, a name that ends in a slash only for the packages below it. A package may
+// import packages of its own layer and of lower layers.
 var layers = [][]string{
 	{"cmd/"},
 	{"internal/frontend/", "internal/simprotocol"},
@@ -40,11 +39,11 @@
 	},
 }
 
-// testOnlyPackages hold nothing but tests and belong to no layer.
+// testOnlyPackages contain only tests and belong to no layer.
 var testOnlyPackages = []string{"internal/e2e", "internal/layering", "internal/observability"}
 
-// testSupportPackages are imported by tests and by each other alone. They may belong to
-// no layer.
+// testSupportPackages are imported only by tests and by each other. They need not belong to a
+// layer.
 var testSupportPackages = []string{
 	"internal/clitest",
 	"internal/discovery/discoverytest",
@@ -86,14 +85,15 @@
 	"net", "os", "syscall", "log", "log/slog", "math/rand", "math/rand/v2", "io", "hash/maphash",
 }
 
-// TestImports checks that imports point downwards only, that decision packages
-// are free of I/O and randomness, and that no lab package is linked into a
-// program that serves requests.
-func TestImports(t *testing.T) {
+// TestImports_PointToLowerLayers also checks that decision packages import nothing for I/O or
+// randomness, and that no package of a serving program imports a lab package.
+func TestImports_PointToLowerLayers(t *testing.T) {
 	for _, line := range goList(t, "-f", "{{.ImportPath}}: {{join .Imports \" \"}}", "./...") {
 		pkg, imports, _ := strings.Cut(line, ": ")
 		pkg = strings.TrimPrefix(pkg, modulePrefix)
-		if layerOf(pkg) < 0 && !strings.HasPrefix(pkg, labPrefix) && !slices.Contains(testOnlyPackages, pkg) && !slices.Contains(testSupportPackages, pkg) {
+		needsNoLayer := strings.HasPrefix(pkg, labPrefix) ||
+			slices.Contains(testOnlyPackages, pkg) || slices.Contains(testSupportPackages, pkg)
+		if layerOf(pkg) < 0 && !needsNoLayer {
 			t.Errorf("%s belongs to no layer", pkg)
 		}
 		for _, path := range strings.Fields(imports) {
@@ -114,7 +114,8 @@
 	if slices.Contains(testSupportPackages, imported) && !slices.Contains(testSupportPackages, pkg) {
 		t.Errorf("%s imports %s outside its tests", pkg, imported)
 	}
-	lab, layer := strings.HasPrefix(pkg, labPrefix), layerOf(pkg)
+	lab := strings.HasPrefix(pkg, labPrefix)
+	layer := layerOf(pkg)
 	switch {
 	case strings.HasPrefix(imported, labPrefix) && !lab && pkg != "cmd/flaxlab":
 		t.Errorf("%s imports %s: lab packages are not for serving", pkg, imported)
@@ -125,9 +126,9 @@
 	}
 }
 
-// TestDependencies checks the transitive dependencies of decisions and of the
-// programs that serve requests.
-func TestDependencies(t *testing.T) {
+// TestDependencies_HaveNoImpureOrLabPackages checks the transitive dependencies of decision packages
+// and of the programs that serve requests.
+func TestDependencies_HaveNoImpureOrLabPackages(t *testing.T) {
 	for _, dependency := range goList(t, "-deps", "./"+decisionPrefix+"...") {
 		if slices.Contains([]string{"net", "log", "os/exec", "net/http"}, dependency) {
 			t.Errorf("decision packages depend on %s", dependency)
@@ -137,7 +138,7 @@
 		switch {
 		case strings.HasPrefix(dependency, modulePrefix+labPrefix),
 			strings.HasPrefix(dependency, "gonum.org/"),
-			dependency == "testing": // by way of a package of test helpers
+			dependency == "testing": // through a package of test helpers
 			t.Errorf("a serving program depends on %s", dependency)
 		}
 	}
@@ -146,9 +147,7 @@
 // clockOrGoroutine matches a read of the clock and the start of a goroutine.
 var clockOrGoroutine = regexp.MustCompile(`time\.(Now|Since|After|Sleep|Tick)|\bgo func`)
 
-// TestDecisionsReadNoClock checks that decision packages read no clock and start
-// no goroutine.
-func TestDecisionsReadNoClock(t *testing.T) {
+func TestDecisions_ReadNoClockAndStartNoGoroutine(t *testing.T) {
 	for _, dir := range []string{decisionPrefix, "policy"} {
 		files := 0
 		err := filepath.WalkDir(filepath.Join(repositoryRoot, dir), func(path string, _ fs.DirEntry, err error) error {
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// maxQueuedBytes bounds the lines that wait to be written.
+	// maxQueuedBytes limits the total size of the lines that wait to be written.
 	maxQueuedBytes = 256 << 10
-	// flushPollInterval is how often Flush looks whether all is written.
+	// flushPollInterval is how often Flush checks whether all lines are written.
 	flushPollInterval = time.Millisecond
 )
 
-// AsyncWriter writes lines on a goroutine of its own. Its Write never waits: while the output
-// takes nothing, as a pipe that nobody reads, lines are dropped and counted. It is safe for
-// concurrent use.
+// AsyncWriter writes lines on a goroutine of its own, so that Write never blocks. While the output
+// blocks, such as a pipe that nobody reads, lines are queued up to a limit; lines beyond it are
+// dropped and counted. It is safe for concurrent use.
 type AsyncWriter struct {
 	out    io.Writer
 	wakeUp chan struct{} // holds a value while lines wait
 
-	mu          sync.Mutex
-	queue       [][]byte // guarded by mu, as are those below
+	mu          sync.Mutex // guards the fields below
+	queue       [][]byte
 	queuedBytes int
-	writing     bool // a line has been taken off the queue and is not written yet
+	writing     bool // a line was removed from the queue and is not written yet
 	dropped     int64
 }
 
-// NewAsyncWriter returns a writer to the output. Its goroutine lasts as long as the process.
+// NewAsyncWriter returns a writer to the output. Its goroutine runs until the process ends.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	w := &AsyncWriter{out: out, wakeUp: make(chan struct{}, 1)}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It never fails: a log has no better place to say so.
+// Write implements io.Writer. It never fails: a log has no better place to report it.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.queuedBytes+len(line) > maxQueuedBytes {
@@ -58,7 +58,7 @@
 	return w.dropped
 }
 
-// Flush waits until all lines are written, for no longer than the timeout.
+// Flush blocks until all lines are written or the timeout expires.
 func (w *AsyncWriter) Flush(timeout time.Duration) {
 	for deadline := time.Now().Add(timeout); !w.idle() && time.Now().Before(deadline); {
 		time.Sleep(flushPollInterval)
@@ -81,7 +81,7 @@
 	}
 }
 
-// next takes the next line off the queue, or returns nil.
+// next removes the next line from the queue and returns it, or nil if the queue is empty.
 func (w *AsyncWriter) next() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/logging/asyncwriter_test.go
+++ b/internal/logging/asyncwriter_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// gate is an output that takes nothing while it is locked.
+// gate is an output that blocks while it is locked.
 type gate struct {
 	mu  sync.Mutex
 	out bytes.Buffer
@@ -23,9 +23,9 @@
 	return g.out.Write(p)
 }
 
-// Lines come out whole and in order; while the output takes none, Write does not wait, the
-// queue stays bounded, and what does not fit is counted.
-func TestAsyncWriter_NeverWaits(t *testing.T) {
+// Lines are written complete and in order. While the output blocks, Write does not, the queue stays
+// limited, and lines that do not fit are counted.
+func TestAsyncWriter_WriteDoesNotBlockWhileTheOutputDoes(t *testing.T) {
 	const lines = 20000
 	var output gate
 	writer := NewAsyncWriter(&output)
@@ -53,8 +53,7 @@
 
 func (brokenOutput) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
-// An output that fails costs lines and nothing else.
-func TestAsyncWriter_OutlastsAnOutputThatFails(t *testing.T) {
+func TestAsyncWriter_CountsLinesThatTheOutputFailsToWrite(t *testing.T) {
 	writer := NewAsyncWriter(brokenOutput{})
 	if _, err := io.WriteString(writer, "line\n"); err != nil {
 		t.Fatal(err)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging makes the loggers of the programs: events with stable names
-// and keys, coloured on a terminal and as JSON elsewhere, and limited in rate
-// for each event.
+// Package logging makes the loggers of the programs. They write events with stable names and keys,
+// coloured text on a terminal and JSON elsewhere, and limit the rate of each event. Package logevent
+// declares the events.
 package logging
 
 import (
@@ -19,26 +19,28 @@
 	formatText = "text"
 )
 
-// terminalTimeFormat leaves the date out: who reads a terminal knows the day.
+// terminalTimeFormat has no date: a reader at the terminal knows it.
 const terminalTimeFormat = "15:04:05.000"
 
 // Options configure a logger.
 type Options struct {
-	Format string // auto, json or text; auto is text on a terminal and else JSON
+	Format string // auto, json or text; auto is text on a terminal and JSON elsewhere
 	Level  string // debug, info, warn or error
-	// Writer gets the lines in place of the file, which then only selects the format of auto.
+	// Writer receives the lines instead of the file if it is not nil. The file then only selects the
+	// format for auto.
 	Writer io.Writer
 }
 
 // FormatError reports a log format that does not exist.
 type FormatError struct{ Format string }
 
+// Error implements error.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("log format: %q is none of auto, json, text", e.Format)
 }
 
-// New returns a logger that writes to the file. The error is a *FormatError or
-// wraps the fault of the level.
+// New returns a logger that writes to the file. The error is a *FormatError or wraps the error of
+// the level.
 func New(out *os.File, opts Options) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(opts.Level)); err != nil {
@@ -64,7 +66,8 @@
 	}
 	switch format {
 	case formatText:
-		return tint.NewTextHandler(out, &tint.Options{Level: level, TimeFormat: terminalTimeFormat, NoColor: !terminal}), nil
+		options := &tint.Options{Level: level, TimeFormat: terminalTimeFormat, NoColor: !terminal}
+		return tint.NewTextHandler(out, options), nil
 	case formatJSON:
 		return slog.NewJSONHandler(out, &slog.HandlerOptions{Level: level}), nil
 	default:
@@ -72,14 +75,13 @@
 	}
 }
 
-// isTerminal takes every character device for a terminal.
+// isTerminal reports whether the file is a character device, such as a terminal.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// NewPlain returns a logger for tools: text without times, to any writer and with
-// no limit of its rate.
+// NewPlain returns a logger for tools. It writes text without times and does not limit the rate.
 func NewPlain(out io.Writer) *slog.Logger {
 	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: dropTime}))
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestNew_FormatsOfAFile(t *testing.T) {
+func TestNew_WritesAFileInEachFormat(t *testing.T) {
 	for _, tc := range []struct{ format, want string }{
 		{"auto", `"level":"INFO","msg":"serving","port":1}`},
 		{"json", `"level":"INFO","msg":"serving","port":1}`},
@@ -45,7 +45,8 @@
 	if !errors.As(err, &formatError) || formatError.Format != "xml" {
 		t.Errorf("format xml: error is %v, want a FormatError of xml", err)
 	}
-	if _, err = New(os.Stderr, Options{Format: "json", Level: "loud"}); err == nil || !strings.HasPrefix(err.Error(), "log level: ") {
+	_, err = New(os.Stderr, Options{Format: "json", Level: "loud"})
+	if err == nil || !strings.HasPrefix(err.Error(), "log level: ") {
 		t.Errorf("level loud: error is %v, want a fault of the log level", err)
 	}
 }
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -9,24 +9,23 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits of the rate at which one event is written.
+// Limits on the rate at which one event is written.
 const (
 	eventsPerSecond = 5 // on average
 	eventBurst      = 20
 )
 
-// maxTrackedEvents bounds the memory of the limiters. Event names are constants
-// of the program, so that more names can only come from a mistake; these are not
-// limited.
+// maxTrackedEvents limits the memory of the limiters. Package logevent declares far fewer events;
+// the rate of any further ones is not limited.
 const maxTrackedEvents = 1000
 
-// suppressedKey is the attribute that gives the number of suppressed records.
+// suppressedKey is the key of the field that gives the number of suppressed records.
 const suppressedKey = "suppressed"
 
-// rateLimitHandler limits how often one event, identified by its message, is
-// written, which prevents a peer from filling the log. The next record of the
-// event that is written carries the number of suppressed ones. Errors are always
-// written, and so are the steps of requests at level debug, which are of use only in full.
+// rateLimitHandler limits how often each event, identified by its message, is written, so that a
+// peer cannot fill the log. The next record of the event that is written carries the number of
+// suppressed ones. Errors are always written. So are records at level debug: the steps of a request
+// are useful only if they are complete.
 type rateLimitHandler struct {
 	slog.Handler
 	limiters *eventLimiters
@@ -75,11 +74,11 @@
 // eventLimiter is the limiter of one event.
 type eventLimiter struct {
 	*rate.Limiter
-	suppressed int // records since the last one that was written
+	suppressed int // number of records since the last one that was written
 }
 
-// allow reports whether a record of the event may be written, and how many were
-// suppressed before it.
+// allow reports whether a record of the event may be written, and how many were suppressed since
+// the last one that was.
 func (l *eventLimiters) allow(event string, at time.Time) (allowed bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,6 +94,7 @@
 		limiter.suppressed++
 		return false, 0
 	}
-	suppressed, limiter.suppressed = limiter.suppressed, 0
+	suppressed = limiter.suppressed
+	limiter.suppressed = 0
 	return true, suppressed
 }
--- a/internal/logging/ratelimit_test.go
+++ b/internal/logging/ratelimit_test.go
@@ -9,11 +9,12 @@
 	"time"
 )
 
-// A peer that causes the same event again and again cannot fill the log, other
-// events go on, and errors are never suppressed.
+// A peer that causes the same event again and again cannot fill the log. Other events are still
+// written, and errors are never suppressed.
 func TestRateLimitHandler_LimitsEachEventButNoErrors(t *testing.T) {
 	var out bytes.Buffer
-	handler := newRateLimitHandler(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}), 1, 3).WithAttrs([]slog.Attr{slog.String("engine", "e1")})
+	text := slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug})
+	handler := newRateLimitHandler(text, 1, 3).WithAttrs([]slog.Attr{slog.String("engine", "e1")})
 	at := time.Unix(1000, 0)
 	write := func(level slog.Level, event string, times int) {
 		t.Helper()
@@ -29,7 +30,9 @@
 	write(slog.LevelDebug, "attempt.started", 50)
 	at = at.Add(time.Second)
 	write(slog.LevelWarn, "engine.protocol-error", 2)
-	for text, want := range map[string]int{"engine.protocol-error": 4, "serving": 1, "stopped": 5, "attempt.started": 50, "suppressed=97": 1, "engine=e1": 60} {
+	for text, want := range map[string]int{
+		"engine.protocol-error": 4, "serving": 1, "stopped": 5, "attempt.started": 50, "suppressed=97": 1, "engine=e1": 60,
+	} {
 		if got := strings.Count(out.String(), text); got != want {
 			t.Errorf("%q occurs %d times, want %d:\n%s", text, got, want, out.String())
 		}
