--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Backoff gives the delays between the attempts to reach a source: each is twice the one
-// before. It is not safe for concurrent use.
+// Backoff returns the delays between attempts to reach a source. Each delay is twice the previous
+// one, up to a maximum. It is not safe for concurrent use.
 type Backoff struct {
-	// Initial is the first delay, and the first after Reset, also where Max is less.
+	// Initial is the first delay, and the first after Reset, even if Max is less.
 	Initial time.Duration
-	// Max bounds the delays after the first.
+	// Max limits all delays but the first.
 	Max time.Duration
 
 	next time.Duration // 0: Initial
 }
 
-// Next returns the delay before the next attempt, and doubles the one after it.
+// Next returns the delay before the next attempt.
 func (b *Backoff) Next() time.Duration {
 	delay := b.next
 	if delay == 0 {
@@ -23,5 +23,5 @@
 	return delay
 }
 
-// Reset starts again at Initial, after an attempt that succeeded.
+// Reset makes Initial the next delay. It must be called after an attempt that succeeded.
 func (b *Backoff) Reset() { b.next = 0 }
--- a/internal/discovery/consul/client.go
+++ b/internal/discovery/consul/client.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// maxResponseSize bounds the body of a response, in bytes.
+	// maxResponseSize limits the body of a response, in bytes.
 	maxResponseSize = 8 << 20
 	// queryWait is the wait parameter of a blocking query: how long Consul waits for a change.
 	queryWait = 30 * time.Second
-	// queryWaitMargin is how much longer than queryWait a response may take: Consul adds
-	// some jitter to the wait.
+	// queryWaitMargin is how much longer than queryWait a response may take, because Consul adds
+	// jitter to the wait.
 	queryWaitMargin = 5 * time.Second
-	// maxErrorText bounds how much of an error response's body is logged, in characters.
+	// maxErrorText limits how much of the body of an error response is logged, in characters.
 	maxErrorText = 100
 )
 
-// indexHeader is the response header with the index that the next query waits on.
+// indexHeader is the response header that contains the index for the next query.
 const indexHeader = "X-Consul-Index"
 
 var errResponseTooLarge = errors.New("response too large")
@@ -33,7 +33,7 @@
 // statusError is a response whose status is not 200.
 type statusError struct {
 	Status string
-	Body   string // its start
+	Body   string // up to maxErrorText characters
 }
 
 // Error implements error.
@@ -50,9 +50,11 @@
 
 func (c *client) closeIdleConnections() { c.http.CloseIdleConnections() }
 
-// query makes one blocking query, which returns once the index differs from the given one
-// or the wait is over. It decodes the response's body into list.
-func (c *client) query(ctx context.Context, opts Options, path string, index uint64, list any) (received uint64, err error) {
+// query makes one blocking query. It returns when Consul's index differs from the given one or
+// queryWait has passed. It decodes the body of the response into list and returns the new index.
+func (c *client) query(
+	ctx context.Context, opts Options, path string, index uint64, list any,
+) (received uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, queryWait+queryWaitMargin)
 	defer cancel()
 	req, err := newRequest(ctx, opts, path, index)
@@ -61,16 +63,16 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("send the query: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := readBody(resp)
 	if err != nil {
 		return 0, err
 	}
-	received, err = strconv.ParseUint(resp.Header.Get(indexHeader), 10, 64)
+	received, err = parseIndex(resp.Header)
 	if err != nil {
-		return 0, fmt.Errorf("%s: %w", indexHeader, err)
+		return 0, err
 	}
 	if err := json.Unmarshal(body, list); err != nil {
 		return 0, fmt.Errorf("decode the response: %w", err)
@@ -78,6 +80,15 @@
 	return received, nil
 }
 
+// parseIndex returns the index of a response.
+func parseIndex(header http.Header) (uint64, error) {
+	index, err := strconv.ParseUint(header.Get(indexHeader), 10, 64)
+	if err != nil {
+		return 0, fmt.Errorf("%s: %w", indexHeader, err)
+	}
+	return index, nil
+}
+
 func newRequest(ctx context.Context, opts Options, path string, index uint64) (*http.Request, error) {
 	parameters := url.Values{
 		"index": {strconv.FormatUint(index, 10)},
@@ -91,7 +102,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("make the query: %w", err)
 	}
 	if opts.Token != "" {
 		req.Header.Set("X-Consul-Token", opts.Token)
--- a/internal/discovery/consul/client_test.go
+++ b/internal/discovery/consul/client_test.go
@@ -11,8 +11,7 @@
 	"testing"
 )
 
-// Each response that can't be used is an error that says why.
-func TestQueryErrors(t *testing.T) {
+func TestQuery_ReturnsWhyAResponseIsUnusable(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		status int
@@ -43,7 +42,7 @@
 			opts := Options{Address: strings.TrimPrefix(server.URL, "http://"), Service: "stock"}
 			var list []registration
 			if _, err := newClient().query(context.Background(), opts, catalogPath, 0, &list); !test.match(err) {
-				t.Errorf("error %v", err)
+				t.Errorf("error is %v", err)
 			}
 		})
 	}
--- a/internal/discovery/consul/decoding.go
+++ b/internal/discovery/consul/decoding.go
@@ -10,7 +10,7 @@
 	"flaxrelay/policy"
 )
 
-// The ids of the checks that Consul registers for an engine in maintenance mode.
+// The ids of the health checks that Consul registers for an engine in maintenance mode.
 const (
 	nodeMaintenanceCheck          = "_node_maintenance"
 	serviceMaintenanceCheckPrefix = "_service_maintenance"
@@ -18,7 +18,7 @@
 
 const maxPort = 65535
 
-// registration is what is read of one element of the catalogue's response.
+// registration is an element of the catalogue's response. Other keys are ignored.
 type registration struct {
 	Node           string            `json:"Node"`
 	Address        string            `json:"Address"`
@@ -30,13 +30,13 @@
 	ServiceMeta    map[string]string `json:"ServiceMeta"`
 }
 
-// valid reports whether the engine can be named and connected to.
+// valid reports whether the registration has an id and a port.
 func (r *registration) valid() bool {
 	return r.ServiceID != "" && r.ServicePort >= 1 && r.ServicePort <= maxPort
 }
 
-// endpoint returns the engine, without its state. Metadata of the service come before
-// those of the node, and both before the options.
+// endpoint returns the engine without its state. Metadata of the service take precedence over those
+// of the node, and both over the options.
 func (r *registration) endpoint(opts Options) lifecycle.Endpoint {
 	host := firstNonEmpty(r.ServiceAddress, r.Address)
 	engine := lifecycle.Endpoint{
@@ -53,7 +53,7 @@
 	return engine
 }
 
-// healthEntry is what is read of one element of the health API's response.
+// healthEntry is an element of the health API's response. Other keys are ignored.
 type healthEntry struct {
 	Node struct {
 		Node string `json:"Node"`
@@ -70,8 +70,8 @@
 
 func (e *healthEntry) engineID() string { return engineID(e.Node.Node, e.Service.ID) }
 
-// state maps the checks: an engine in maintenance is draining, and so is one whose
-// metadata mark it, unless a critical check removes it. All others are ready.
+// state returns the state of the engine: draining in maintenance mode, else removed if a health check
+// is critical, else draining if the service's metadata say so, else ready.
 func (e *healthEntry) state() policy.EngineState {
 	state := policy.EngineReady
 	if e.Service.Meta["draining"] == "true" {
@@ -88,7 +88,7 @@
 	return state
 }
 
-// engineID names an engine: service ids are unique on their node only.
+// engineID returns the id of an engine. Ids of services are unique only on their node.
 func engineID(node, service string) string { return node + "/" + service }
 
 func firstNonEmpty(names ...string) string {
--- a/internal/discovery/consul/decoding_test.go
+++ b/internal/discovery/consul/decoding_test.go
@@ -7,27 +7,38 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Every key that is read of the catalogue's and the health API's answers reaches its field.
-func TestAnswerKeys(t *testing.T) {
-	var r registration
-	if err := json.Unmarshal([]byte(`{"Node": "n", "Address": "a", "Datacenter": "d", "NodeMeta": {"m": "1"}, "ServiceID": "i",
-"ServiceAddress": "s", "ServicePort": 2, "ServiceMeta": {"m": "3"}, "Unknown": 4}`), &r); err != nil {
+func TestRegistration_DecodesEachKey(t *testing.T) {
+	var got registration
+	raw := `{"Node": "n", "Address": "a", "Datacenter": "d", "NodeMeta": {"m": "1"}, "ServiceID": "i",
+"ServiceAddress": "s", "ServicePort": 2, "ServiceMeta": {"m": "3"}, "Unknown": 4}`
+	if err := json.Unmarshal([]byte(raw), &got); err != nil {
 		t.Fatal(err)
 	}
 	want := registration{
 		Node: "n", Address: "a", Datacenter: "d", NodeMeta: map[string]string{"m": "1"}, ServiceID: "i",
 		ServiceAddress: "s", ServicePort: 2, ServiceMeta: map[string]string{"m": "3"},
 	}
-	if diff := cmp.Diff(want, r); diff != "" {
-		t.Error(diff)
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("registration (-want +got):\n%s", diff)
 	}
-	var e healthEntry
-	if err := json.Unmarshal([]byte(`{"Node": {"Node": "n"}, "Service": {"ID": "i", "Meta": {"m": "1"}},
-"Checks": [{"CheckID": "c", "Status": "critical", "Name": "x"}]}`), &e); err != nil {
+}
+
+func TestHealthEntry_DecodesEachKey(t *testing.T) {
+	var got healthEntry
+	raw := `{"Node": {"Node": "n"}, "Service": {"ID": "i", "Meta": {"m": "1"}},
+"Checks": [{"CheckID": "c", "Status": "critical", "Name": "x"}]}`
+	if err := json.Unmarshal([]byte(raw), &got); err != nil {
 		t.Fatal(err)
 	}
-	if e.Node.Node != "n" || e.Service.ID != "i" || e.Service.Meta["m"] != "1" || len(e.Checks) != 1 ||
-		e.Checks[0].CheckID != "c" || e.Checks[0].Status != "critical" {
-		t.Errorf("%+v", e)
+	var want healthEntry
+	want.Node.Node = "n"
+	want.Service.ID = "i"
+	want.Service.Meta = map[string]string{"m": "1"}
+	want.Checks = append(want.Checks, struct {
+		CheckID string `json:"CheckID"`
+		Status  string `json:"Status"`
+	}{CheckID: "c", Status: "critical"})
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("health entry (-want +got):\n%s", diff)
 	}
 }
--- a/internal/discovery/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -20,20 +20,21 @@
 
 const goldenFile = "testdata/golden/exchange.txt"
 
-// transcript is a sink that writes each notification as text, one line for each engine.
+// transcript is a sink that sends each notification as text, with one line for each engine.
 type transcript chan string
 
 func (c transcript) UpdateEndpoints(mode policy.UpdateMode, engines []lifecycle.Endpoint) {
 	text := fmt.Sprintf("= changes %t, of %d\n", mode == policy.UpdateDelta, len(engines))
 	for _, engine := range engines {
 		text += fmt.Sprintf("= %s at %s, zone %q, kind %q, %s, late start %t at %v\n",
-			engine.ID, engine.Address, engine.Zone, engine.Kind, discoverytest.StateNames[engine.State], engine.StartKnown, engine.StartedAt)
+			engine.ID, engine.Address, engine.Zone, engine.Kind, discoverytest.StateNames[engine.State],
+			engine.StartKnown, engine.StartedAt)
 	}
 	c <- text
 }
 
-// scriptedAgent is a Consul agent with given responses. Queries on the two paths are
-// concurrent, and on any connection: each path has its own responses and its own log.
+// scriptedAgent is a Consul agent with given responses. The queries on its two paths are concurrent
+// and may use any connection, so that each path has its own responses and its own log.
 type scriptedAgent struct {
 	mu        sync.Mutex
 	logs      map[string]*bytes.Buffer // guarded by mu
@@ -49,8 +50,8 @@
 	}
 }
 
-// port is the only part of a request that differs from run to run.
-var port = regexp.MustCompile(`(?m)^Host: 127\.0\.0\.1:[0-9]+\r$`)
+// hostHeader matches the only part of a request that differs between runs: the port.
+var hostHeader = regexp.MustCompile(`(?m)^Host: 127\.0\.0\.1:[0-9]+\r$`)
 
 func (a *scriptedAgent) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
@@ -67,10 +68,10 @@
 		if strings.Contains(request, catalogPath) {
 			path = catalogPath
 		}
-		a.record(path, ">", port.ReplaceAllString(request, "Host: 127.0.0.1:PORT\r"))
+		a.record(path, ">", hostHeader.ReplaceAllString(request, "Host: 127.0.0.1:PORT\r"))
 		a.queried[path] <- struct{}{}
-		response, ok := <-a.responses[path]
-		if !ok {
+		response, open := <-a.responses[path]
+		if !open {
 			return
 		}
 		a.record(path, "<", response)
@@ -93,12 +94,12 @@
 func jsonList(elements ...string) string { return "[" + strings.Join(elements, ",") + "]" }
 
 const (
-	one = `{"Node":"n1","Address":"127.0.0.1","Datacenter":"dc1","ServiceID":"e1","ServicePort":70,
+	firstEngine = `{"Node":"n1","Address":"127.0.0.1","Datacenter":"dc1","ServiceID":"e1","ServicePort":70,
 		"ServiceMeta":{"kind":"std-8","boot_ms":"5000"},"NodeMeta":null}`
-	two = `{"Node":"n2","Address":"127.0.0.2","Datacenter":"dc1","ServiceID":"e2","ServiceAddress":"127.0.0.9","ServicePort":71,
+	secondEngine = `{"Node":"n2","Address":"127.0.0.2","Datacenter":"dc1","ServiceID":"e2","ServiceAddress":"127.0.0.9","ServicePort":71,
 		"ServiceMeta":{"zone":"hall-b"},"NodeMeta":{"kind":"std-4"}}`
-	noPort = `{"Node":"n3","Address":"127.0.0.3","ServiceID":"e3","ServicePort":0}`
-	unsaid = `{"Node":"n4","Address":"127.0.0.4","ServiceID":"e4","ServicePort":72}`
+	engineWithoutPort   = `{"Node":"n3","Address":"127.0.0.3","ServiceID":"e3","ServicePort":0}`
+	engineWithoutHealth = `{"Node":"n4","Address":"127.0.0.4","ServiceID":"e4","ServicePort":72}`
 )
 
 func health(node, service, meta, checks string) string {
@@ -106,33 +107,38 @@
 }
 
 const (
-	passing     = `{"CheckID":"serf","Status":"passing"}`
-	critical    = `{"CheckID":"serf","Status":"critical"}`
-	maintenance = `{"CheckID":"_service_maintenance:e1","Status":"critical"}`
-	nodeDown    = `{"CheckID":"_node_maintenance","Status":"critical"}`
+	passing         = `{"CheckID":"serf","Status":"passing"}`
+	critical        = `{"CheckID":"serf","Status":"critical"}`
+	maintenance     = `{"CheckID":"_service_maintenance:e1","Status":"critical"}`
+	nodeMaintenance = `{"CheckID":"_node_maintenance","Status":"critical"}`
 )
 
-// steps are the responses in their order, and whether a notification comes of each.
+// steps are the responses in their order. notified says whether the sink is notified after one.
 var steps = []struct {
 	path, response string
 	notified       bool
 }{
-	{catalogPath, response("200 OK", "7", jsonList(one, two, noPort, unsaid)), false},
-	{healthPath, response("200 OK", "9", jsonList(health("n1", "e1", "", passing), health("n2", "e2", `"draining":"true"`, passing))), true},
-	{healthPath, response("200 OK", "9", jsonList()), false}, // the wait was over: no change
-	{healthPath, response("200 OK", "10", jsonList(health("n1", "e1", "", maintenance), health("n2", "e2", "", critical))), true},
+	{catalogPath, response("200 OK", "7", jsonList(firstEngine, secondEngine, engineWithoutPort, engineWithoutHealth)), false},
+	{healthPath, response("200 OK", "9", jsonList(
+		health("n1", "e1", "", passing), health("n2", "e2", `"draining":"true"`, passing))), true},
+	{healthPath, response("200 OK", "9", jsonList()), false}, // no change within the wait
+	{healthPath, response("200 OK", "10", jsonList(
+		health("n1", "e1", "", maintenance), health("n2", "e2", "", critical))), true},
 	{healthPath, response("500 Internal Server Error", "11", "no leader"), false},
 	{healthPath, response("200 OK", "x", "[]"), false},
 	{healthPath, response("200 OK", "11", "{"), false},
-	{healthPath, response("200 OK", "12", jsonList(health("n1", "e1", "", nodeDown), health("n2", "e2", "", passing))), true},
-	{healthPath, response("200 OK", "3", jsonList(health("n1", "e1", "", passing), health("n2", "e2", "", passing))), true}, // restored
-	{healthPath, response("200 OK", "0", jsonList(health("n1", "e1", "", critical), health("n2", "e2", "", passing))), false},
-	{catalogPath, response("200 OK", "8", jsonList(two)), true},
+	{healthPath, response("200 OK", "12", jsonList(
+		health("n1", "e1", "", nodeMaintenance), health("n2", "e2", "", passing))), true},
+	{healthPath, response("200 OK", "3", jsonList( // the index goes back: Consul was restored from a backup
+		health("n1", "e1", "", passing), health("n2", "e2", "", passing))), true},
+	{healthPath, response("200 OK", "0", jsonList(
+		health("n1", "e1", "", critical), health("n2", "e2", "", passing))), false},
+	{catalogPath, response("200 OK", "8", jsonList(secondEngine)), true},
 }
 
-// All requests are compared byte for byte (but for the port in Host), and the
-// notifications that come of the responses.
-func TestGoldenExchange(t *testing.T) {
+// The golden file has the bytes of all requests, except for the port in Host, and the notifications
+// after each response.
+func TestWatcher_ExchangeMatchesTheGoldenFile(t *testing.T) {
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	agent := newScriptedAgent()
 	go tcptest.Serve(listener, agent.serve)
@@ -144,7 +150,7 @@
 	var log bytes.Buffer
 	discoverytest.Receive(t, agent.queried[catalogPath], "first query")
 	discoverytest.Receive(t, agent.queried[healthPath], "first query")
-	for n, step := range steps {
+	for i, step := range steps {
 		agent.responses[step.path] <- step.response
 		discoverytest.Receive(t, agent.queried[step.path], "the next query") // the response has been handled
 		text := "= nothing\n"
@@ -153,9 +159,9 @@
 		default:
 		}
 		if step.notified != (text != "= nothing\n") {
-			t.Errorf("step %d: notified of %q", n, text)
+			t.Errorf("step %d: notified of %q", i, text)
 		}
-		fmt.Fprintf(&log, "after step %d on %s\n%s", n, step.path, text)
+		fmt.Fprintf(&log, "after step %d on %s\n%s", i, step.path, text)
 	}
 	agent.mu.Lock()
 	for _, path := range []string{catalogPath, healthPath} {
--- a/internal/discovery/consul/helpers_test.go
+++ b/internal/discovery/consul/helpers_test.go
@@ -10,15 +10,15 @@
 	"flaxrelay/internal/metrics"
 )
 
-// startWatcher follows a service until the test's end. The returned function runs another
-// as the sink's goroutine would, one at a time with the watcher's own.
+// startWatcher starts a watcher that runs until the end of the test. The returned function runs
+// another one as the sink's goroutine would, never at the same time as those of the watcher.
 func startWatcher(t *testing.T, opts Options, sink discovery.Sink) (post func(func()), counters *metrics.Counters) {
 	t.Helper()
 	var owner sync.Mutex
-	post = func(f func()) {
+	post = func(function func()) {
 		owner.Lock()
 		defer owner.Unlock()
-		f()
+		function()
 	}
 	counters = metrics.New()
 	w := New(post, sink, counters, slog.New(slog.DiscardHandler))
--- a/internal/discovery/consul/reconcile.go
+++ b/internal/discovery/consul/reconcile.go
@@ -11,9 +11,9 @@
 	"flaxrelay/policy"
 )
 
-// reconcile notifies the sink of what has changed since it was last notified. An engine
-// that is no longer registered is removed, and so is one that the health API does not
-// list; one that it has never listed is left out.
+// reconcile notifies the sink of all changes since the last notification. An engine is removed when
+// it is no longer registered or no longer listed by the health API. An engine that the health API
+// has never listed is ignored.
 func (w *Watcher) reconcile() {
 	if w.registered == nil || w.health == nil {
 		return
@@ -31,13 +31,13 @@
 func (w *Watcher) currentEndpoints() []lifecycle.Endpoint {
 	var current []lifecycle.Endpoint
 	for i := range w.registered {
-		r := &w.registered[i]
-		if !r.valid() {
+		registered := &w.registered[i]
+		if !registered.valid() {
 			logevent.ConsulInvalidRegistration.Log(w.log, slog.String("consul", w.opts.Address),
 				slog.String("reason", "it has no id or no port, and is passed by"))
 			continue
 		}
-		engine := r.endpoint(w.opts)
+		engine := registered.endpoint(w.opts)
 		state, known := w.health[engine.ID]
 		if !known {
 			continue
@@ -48,20 +48,20 @@
 	return current
 }
 
-// changedEndpoints returns the engines that are new or differ from before, and as removed
-// those that are missing, in the order of their ids. It also returns the list as a map.
+// changedEndpoints returns the engines that are new or have changed, and the missing ones as
+// removed, in the order of their ids. It also returns the list as a map by id.
 func changedEndpoints(
 	before map[string]lifecycle.Endpoint, list []lifecycle.Endpoint,
 ) (changes []lifecycle.Endpoint, now map[string]lifecycle.Endpoint) {
 	now = make(map[string]lifecycle.Endpoint, len(list))
 	for _, engine := range list {
 		now[engine.ID] = engine
-		if old, ok := before[engine.ID]; !ok || old != engine {
+		if old, known := before[engine.ID]; !known || old != engine {
 			changes = append(changes, engine)
 		}
 	}
 	for id, engine := range before {
-		if _, ok := now[id]; !ok && engine.State != policy.EngineRemoved {
+		if _, listed := now[id]; !listed && engine.State != policy.EngineRemoved {
 			engine.State = policy.EngineRemoved
 			changes = append(changes, engine)
 		}
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -1,5 +1,5 @@
-// Package consul follows a service in Consul by blocking queries to its catalogue and
-// its health API, and notifies a sink of the engines that are ready, draining or removed.
+// Package consul follows a service in Consul with blocking queries to its catalogue and its health
+// API, and notifies a sink of the engines that are ready, draining or removed.
 package consul
 
 import (
@@ -17,8 +17,8 @@
 const (
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 5 * time.Second
-	// minQueryInterval is the least time between the starts of two queries that succeed.
-	// It protects the agent against an index that changes without pause.
+	// minQueryInterval is the least time between the starts of two successful queries. It limits
+	// the load on the agent if its index changes all the time.
 	minQueryInterval = 20 * time.Millisecond
 )
 
@@ -27,18 +27,19 @@
 	healthPath  = "/v1/health/service/"
 )
 
-// Options name the service and what its engines lack. They come from the deploy file.
+// Options name the service, and the values for engines whose metadata lack them. They come from the
+// deploy file.
 type Options struct {
 	Address string // host:port of the HTTP API
 	Service string
 	Token   string // ACL token; "": none
-	Zone    string // of engines whose metadata name none
-	Kind    string // of engines whose metadata name none
+	Zone    string // zone of engines without one in their metadata
+	Kind    string // kind of engines without one in their metadata
 }
 
-// Watcher follows one service: the catalogue lists which engines are registered and
-// where, the health API whether they accept requests. Its state belongs to the sink's
-// goroutine; the queries run on two goroutines of their own, whose results are posted.
+// Watcher follows one service. The catalogue lists the registered engines and their addresses, the
+// health API says whether they accept requests. The sink's goroutine owns the state of a Watcher.
+// The queries run on two goroutines of their own, which post their results to it.
 type Watcher struct {
 	post     func(func()) // runs a function on the sink's goroutine
 	sink     discovery.Sink
@@ -49,8 +50,8 @@
 	opts          Options
 	cancelQueries context.CancelFunc            // ends the queries of the latest Watch
 	registered    []registration                // nil until received
-	health        map[string]policy.EngineState // by the engine's id; nil until received
-	notified      map[string]lifecycle.Endpoint // what the sink was last notified of, by id
+	health        map[string]policy.EngineState // by id of the engine; nil until received
+	notified      map[string]lifecycle.Endpoint // the engines as the sink knows them, by id
 }
 
 // New returns a watcher that notifies the sink through post.
@@ -66,16 +67,18 @@
 	}
 }
 
-// Watch follows the service that the options name, until the context ends or Watch is
-// called again. The engines known so far stay until both new lists are here; those that
-// the new lists lack are removed then. Watch is for the sink's goroutine and does not block.
+// Watch follows the service that the options name until the context ends or Watch is called again.
+// The engines known so far stay until both new lists are received; then those that the new lists
+// lack are removed. Watch must be called on the sink's goroutine and does not block.
 func (w *Watcher) Watch(ctx context.Context, opts Options) {
 	w.cancelQueries()
 	ctx, w.cancelQueries = context.WithCancel(ctx)
 	w.client.closeIdleConnections()
-	w.opts, w.registered, w.health = opts, nil, nil
+	w.opts = opts
+	w.registered = nil
+	w.health = nil
 	go poll(ctx, w, opts, catalogPath, func(list []registration) {
-		w.registered = append([]registration{}, list...) // an empty list is not nil
+		w.registered = append([]registration{}, list...) // not nil, even if the list is empty
 		w.reconcile()
 	})
 	go poll(ctx, w, opts, healthPath, func(list []healthEntry) {
@@ -87,8 +90,8 @@
 	})
 }
 
-// poll makes blocking queries on one path until the context ends, and has each changed
-// result handled on the sink's goroutine.
+// poll makes blocking queries on one path until the context ends. It posts each changed result to
+// the handler, which runs on the sink's goroutine.
 func poll[T any](ctx context.Context, w *Watcher, opts Options, path string, handle func([]T)) {
 	backoff := discovery.Backoff{Initial: initialBackoff, Max: maxBackoff}
 	index := uint64(0)
@@ -101,31 +104,36 @@
 				return
 			}
 			delay := backoff.Next()
-			w.post(func() { w.counters.Increment(metrics.ConsulErrors) })
-			logevent.ConsulRequestFailed.Log(w.log, slog.String("consul", opts.Address), slog.String("path", path),
-				slog.Any("error", err), slog.Duration("retry_in", delay))
+			w.reportFailure(opts.Address, path, err, delay)
 			sleep(ctx, delay)
-			index = 0 // the next query returns at once what changed meanwhile
+			index = 0 // the next query returns at once with what has changed meanwhile
 			continue
 		}
 		backoff.Reset()
 		if received != index {
 			w.post(func() {
-				if ctx.Err() == nil { // else Watch has been called again meanwhile
+				if ctx.Err() == nil { // otherwise Watch was called again meanwhile
 					handle(list)
 				}
 			})
 		}
 		index = nextIndex(index, received)
-		if rest := minQueryInterval - time.Since(startedAt); rest > 0 {
-			sleep(ctx, rest)
+		if pause := minQueryInterval - time.Since(startedAt); pause > 0 {
+			sleep(ctx, pause)
 		}
 	}
 }
 
-// nextIndex returns the index for the query after one that was sent with index and
-// received another. It starts again at 0 where the index went back, as it does when
-// Consul's servers were restored or replaced.
+// reportFailure counts and logs a failed query. It runs on the goroutine of the query.
+func (w *Watcher) reportFailure(address, path string, err error, retryIn time.Duration) {
+	w.post(func() { w.counters.Increment(metrics.ConsulErrors) })
+	logevent.ConsulRequestFailed.Log(w.log, slog.String("consul", address), slog.String("path", path),
+		slog.Any("error", err), slog.Duration("retry_in", retryIn))
+}
+
+// nextIndex returns the index for the next query, from that of the previous query and that of its
+// response. It returns 0 if the index went back, which happens when Consul's servers are restored
+// from a backup or replaced.
 func nextIndex(index, received uint64) uint64 {
 	if received < index {
 		return 0
@@ -133,10 +141,10 @@
 	return max(received, 1) // Consul does not block on an index of 0
 }
 
-// sleep waits for the duration or the end of the context.
-func sleep(ctx context.Context, d time.Duration) {
+// sleep blocks for the duration or until the context ends.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 }
--- a/internal/discovery/consul/watcher_test.go
+++ b/internal/discovery/consul/watcher_test.go
@@ -16,7 +16,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// recorder is a sink that passes on each notification in one line.
+// recorder is a sink that sends each notification as one line of text.
 type recorder chan string
 
 func (r recorder) UpdateEndpoints(_ policy.UpdateMode, engines []lifecycle.Endpoint) {
@@ -27,18 +27,18 @@
 	r <- strings.Join(lines, "; ")
 }
 
-// fakeAgent is a Consul agent that holds a query until its index differs from the
-// query's, and fails as many queries as it is told to.
+// fakeAgent is a Consul agent. It responds to a query when its index differs from that of the query,
+// and fails a given number of queries.
 type fakeAgent struct {
 	mu       sync.Mutex
 	changed  chan struct{} // closed by the next change
 	index    uint64
-	failures int               // queries still to fail
+	failures int               // number of next queries that fail
 	checks   map[string]string // by service id: "passing", "warning", "critical" or "maintenance"
 	queries  []string
 }
 
-// update changes the agent's state and wakes the queries that it holds.
+// update changes the agent's state and wakes the queries that wait for it.
 func (a *fakeAgent) update(change func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -86,15 +86,15 @@
 func healthElement(id, check string) string {
 	checkID := "serf"
 	if check == "maintenance" {
-		checkID, check = "_service_maintenance:"+id, "critical"
+		checkID = "_service_maintenance:" + id
+		check = "critical"
 	}
 	return fmt.Sprintf(`{"Node":{"Node":"n1"},"Service":{"ID":%q},"Checks":[{"CheckID":%q,"Status":%q}]}`, id, checkID, check)
 }
 
-// An engine is ready, in maintenance, critical and deregistered in turn; queries
-// fail meanwhile, and the index goes back as after a restore. The sink is notified of
-// each change once.
-func TestFollowsHealth(t *testing.T) {
+// An engine is ready, in maintenance, critical and deregistered in turn. Meanwhile queries fail, and
+// the index goes back as after a restore from a backup.
+func TestWatcher_NotifiesOfEachChangeOnce(t *testing.T) {
 	agent := &fakeAgent{index: 50, checks: map[string]string{"e1": "passing"}, changed: make(chan struct{})}
 	server := httptest.NewServer(agent)
 	t.Cleanup(server.Close)
@@ -107,10 +107,23 @@
 		want   string
 	}{
 		{func() {}, "ready"},
-		{func() { agent.index++; agent.checks["e1"] = "maintenance" }, "draining"},
-		{func() { agent.failures = 2; agent.index++; agent.checks["e1"] = "critical" }, "gone"},
-		{func() { agent.index = 3; agent.checks["e1"] = "warning" }, "ready"},
-		{func() { agent.index++; delete(agent.checks, "e1") }, "gone"},
+		{func() {
+			agent.index++
+			agent.checks["e1"] = "maintenance"
+		}, "draining"},
+		{func() {
+			agent.failures = 2
+			agent.index++
+			agent.checks["e1"] = "critical"
+		}, "gone"},
+		{func() {
+			agent.index = 3
+			agent.checks["e1"] = "warning"
+		}, "ready"},
+		{func() {
+			agent.index++
+			delete(agent.checks, "e1")
+		}, "gone"},
 	} {
 		agent.update(step.change)
 		got := discoverytest.Receive(t, notifications, "notification that it is "+step.want)
@@ -120,7 +133,7 @@
 	}
 	post(func() {
 		if n := counters.Get(metrics.ConsulErrors); n != 2 {
-			t.Errorf("%d errors counted, want 2", n)
+			t.Errorf("%d errors are counted, want 2", n)
 		}
 	})
 	agent.update(func() {
@@ -137,13 +150,13 @@
 	}
 }
 
-func TestNextIndex(t *testing.T) {
+func TestNextIndex_StartsAgainAtZeroIfTheIndexWentBack(t *testing.T) {
 	for _, test := range []struct {
 		name                  string
 		index, received, want uint64
 	}{
 		{"it advances", 7, 9, 9},
-		{"the wait was over", 7, 7, 7},
+		{"it did not change within the wait", 7, 7, 7},
 		{"it went back", 7, 3, 0},
 		{"the first response says 0", 0, 0, 1},
 	} {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-func TestBackoff(t *testing.T) {
+func TestBackoff_DoublesItsDelaysUpToTheMaximum(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		backoff Backoff
 		want    []time.Duration
 	}{
 		{"doubles up to Max", Backoff{Initial: 50, Max: 250}, []time.Duration{50, 100, 200, 250, 250}},
-		{"starts at Initial, also past Max", Backoff{Initial: 50, Max: 30}, []time.Duration{50, 30, 30, 30, 30}},
+		{"starts at Initial even if Max is less", Backoff{Initial: 50, Max: 30}, []time.Duration{50, 30, 30, 30, 30}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for range 2 {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestStartTime(t *testing.T) {
+func TestStartTime_IsKnownWithinItsRange(t *testing.T) {
 	for _, test := range []struct {
 		milliseconds int64
 		at           time.Duration
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -1,5 +1,5 @@
-// Package discoverytest holds the helpers that the tests of the endpoint list's sources
-// share. Only tests import it.
+// Package discoverytest contains helpers for the tests of the sources of the endpoint list. Only
+// tests import it.
 package discoverytest
 
 import (
@@ -9,17 +9,17 @@
 	"flaxrelay/policy"
 )
 
-// Patience bounds a wait for something that is expected to happen.
-const Patience = 10 * time.Second
+// Timeout limits each wait of a test for an event that must come.
+const Timeout = 10 * time.Second
 
-// StateNames words the states of engines, as golden files do.
+// StateNames are the names of the states of engines in golden files.
 var StateNames = map[policy.EngineState]string{
 	policy.EngineReady:    "ready",
 	policy.EngineDraining: "draining",
 	policy.EngineRemoved:  "gone",
 }
 
-// Must ends the test where there is an error.
+// Must ends the test if there is an error.
 func Must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -27,14 +27,14 @@
 	}
 }
 
-// Receive returns the channel's next value, and ends the test where none comes.
-func Receive[T any](t *testing.T, c <-chan T, what string) T {
+// Receive returns the next value of a channel, and ends the test if none comes in time.
+func Receive[T any](t *testing.T, values <-chan T, description string) T {
 	t.Helper()
 	select {
-	case v := <-c:
-		return v
-	case <-time.After(Patience):
-		t.Fatalf("%s: nothing came", what)
+	case value := <-values:
+		return value
+	case <-time.After(Timeout):
+		t.Fatalf("%s: not received within %v", description, Timeout)
 		panic("unreachable")
 	}
 }
--- a/internal/discovery/eventbus/frames.go
+++ b/internal/discovery/eventbus/frames.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// The layout of a frame: its length in four bytes, which counts what follows; then the
-// event's number, the kind and the payload. Numbers are big-endian.
+// The layout of a frame: four bytes with the length of the rest, then the number of the event, the
+// kind and the payload. Numbers are big-endian.
 const (
 	lengthSize     = 4
 	eventOffset    = lengthSize
@@ -15,26 +15,26 @@
 	payloadOffset  = kindOffset + 1
 	minFrameLength = payloadOffset - lengthSize // of a frame without payload
 	maxFrameLength = 1 << 20
-	maxMessageSize = lengthSize + maxFrameLength // what the read buffer has to hold
+	maxMessageSize = lengthSize + maxFrameLength // size of the read buffer
 )
 
-// frameKind says what a frame's payload is.
+// frameKind is the kind of a frame and defines its payload.
 type frameKind byte
 
 const (
-	frameHeartbeat frameKind = 0 // nothing: the bus is alive
-	frameFull      frameKind = 1 // records of all engines
-	frameDelta     frameKind = 2 // records of the engines that changed
+	frameHeartbeat frameKind = 0 // no payload; the bus is alive
+	frameFull      frameKind = 1 // the records of all engines
+	frameDelta     frameKind = 2 // the records of the engines that changed
 )
 
 // frame is one message of the bus.
 type frame struct {
-	event   uint64 // the event's number
+	event   uint64 // number of the event
 	kind    frameKind
-	payload []byte // part of the read buffer
+	payload []byte // in the read buffer
 }
 
-// size is the number of bytes that the frame took.
+// size returns the size of the encoded frame in bytes.
 func (f frame) size() int { return payloadOffset + len(f.payload) }
 
 // Protocol errors. Each ends the connection.
@@ -43,38 +43,38 @@
 	errUnknownFrameKind = errors.New("unknown frame kind")
 )
 
-// errFrameIncomplete means that more bytes have to be read.
+// errFrameIncomplete means that the rest of the frame has not been received yet.
 var errFrameIncomplete = errors.New("frame incomplete")
 
 // eventError is a protocol error in the records of one event.
 type eventError struct {
-	Event uint64 // the event's number
+	Event uint64 // number of the event
 	Err   error
 }
 
 // Error implements error.
 func (e *eventError) Error() string { return fmt.Sprintf("event %d: %v", e.Event, e.Err) }
 
-// Unwrap returns what is wrong with the records.
+// Unwrap returns the error of the records.
 func (e *eventError) Unwrap() error { return e.Err }
 
-// parseFrame reads the frame at the start of b. Its error is errFrameIncomplete where b
+// parseFrame parses the frame at the start of the input. It returns errFrameIncomplete if the input
 // ends before the frame does.
-func parseFrame(b []byte) (frame, error) {
-	if len(b) < lengthSize {
+func parseFrame(input []byte) (frame, error) {
+	if len(input) < lengthSize {
 		return frame{}, errFrameIncomplete
 	}
-	length := binary.BigEndian.Uint32(b)
+	length := binary.BigEndian.Uint32(input)
 	if length < minFrameLength || length > maxFrameLength {
 		return frame{}, fmt.Errorf("%w: %d bytes", errFrameLength, length)
 	}
 	size := lengthSize + int(length)
-	if len(b) < size {
+	if len(input) < size {
 		return frame{}, errFrameIncomplete
 	}
 	return frame{
-		event:   binary.BigEndian.Uint64(b[eventOffset:]),
-		kind:    frameKind(b[kindOffset]),
-		payload: b[payloadOffset:size],
+		event:   binary.BigEndian.Uint64(input[eventOffset:]),
+		kind:    frameKind(input[kindOffset]),
+		payload: input[payloadOffset:size],
 	}, nil
 }
--- a/internal/discovery/eventbus/frames_test.go
+++ b/internal/discovery/eventbus/frames_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-func TestParseFrameErrors(t *testing.T) {
-	whole := encodeFrame(4, frameDelta, record{id: 7}.encode())
+func TestParseFrame_ReturnsWhyThereIsNoFrame(t *testing.T) {
+	complete := encodeFrame(4, frameDelta, record{id: 7}.encode())
 	for _, test := range []struct {
 		name string
 		in   []byte
 		want error
 	}{
 		{"nothing", nil, errFrameIncomplete},
-		{"half a length", whole[:2], errFrameIncomplete},
-		{"all but the last byte", whole[:len(whole)-1], errFrameIncomplete},
-		{"whole", whole, nil},
+		{"half a length", complete[:2], errFrameIncomplete},
+		{"all but the last byte", complete[:len(complete)-1], errFrameIncomplete},
+		{"complete", complete, nil},
 		{"too short to hold a kind", []byte{0, 0, 0, 8}, errFrameLength},
 		{"longest", []byte{0, 0x10, 0, 0}, errFrameIncomplete},
 		{"too long", []byte{0, 0x10, 0, 1}, errFrameLength},
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestDecodeErrors(t *testing.T) {
+func TestDecode_ReturnsWhyAPayloadIsInvalid(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		payload []byte
@@ -47,21 +47,21 @@
 	}
 }
 
-// Frames of a broken bus are refused, never read past their end.
-func FuzzParse(f *testing.F) {
+// Frames of a faulty bus are rejected and never read past their end.
+func FuzzParseFrame_NeverReadsPastTheInput(f *testing.F) {
 	f.Add(encodeFrame(4, frameDelta, record{id: 7, port: 70}.encode()))
 	f.Add([]byte{0, 0, 0, 1, 0})
 	decoder := &recordDecoder{}
-	f.Fuzz(func(t *testing.T, b []byte) {
-		parsed, err := parseFrame(b)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		parsed, err := parseFrame(input)
 		if err != nil {
 			if parsed.payload != nil {
 				t.Fatalf("%d bytes of payload with %v", len(parsed.payload), err)
 			}
 			return
 		}
-		if parsed.size() > len(b) {
-			t.Fatalf("a frame of %d bytes in %d", parsed.size(), len(b))
+		if parsed.size() > len(input) {
+			t.Fatalf("a frame of %d bytes in %d", parsed.size(), len(input))
 		}
 		engines, err := decoder.decode(parsed.payload)
 		if err == nil && len(engines)*recordSize != len(parsed.payload) {
--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -17,10 +17,10 @@
 
 const goldenFile = "testdata/golden/exchange.txt"
 
-// modeNames words the modes, as the golden file does.
+// modeNames are the names of the modes in the golden file.
 var modeNames = map[policy.UpdateMode]string{policy.UpdateFull: "whole list", policy.UpdateDelta: "changes"}
 
-// transcript is a sink that writes each notification as text, one line for each engine.
+// transcript is a sink that sends each notification as text, with one line for each engine.
 type transcript chan string
 
 func (c transcript) UpdateEndpoints(mode policy.UpdateMode, engines []lifecycle.Endpoint) {
@@ -33,11 +33,11 @@
 	c <- text
 }
 
-// session is what the bus does with one connection.
+// session describes what the bus sends on one connection and what follows from it.
 type session struct {
-	frames  [][]byte
-	updates int  // notifications that come of the frames
-	refused bool // the connection is closed by the watcher, not by the bus
+	frames          [][]byte
+	updates         int  // number of notifications after the frames
+	closedByWatcher bool // and not by the bus
 }
 
 // goldenIP is the address of the engines in the golden file.
@@ -64,14 +64,16 @@
 	// Cut off.
 	{frames: [][]byte{encodeFrame(1<<40+3, frameDelta, record{id: 1, ip: goldenIP, port: 80}.encode())[:30]}},
 	// Unknown kind.
-	{refused: true, frames: [][]byte{encodeFrame(1<<40+3, 3)}},
-	// No whole number of records.
-	{refused: true, frames: [][]byte{encodeFrame(1<<40+3, frameDelta, []byte("no record"))}},
+	{closedByWatcher: true, frames: [][]byte{encodeFrame(1<<40+3, 3)}},
+	// Not a multiple of the size of a record.
+	{closedByWatcher: true, frames: [][]byte{encodeFrame(1<<40+3, frameDelta, []byte("no record"))}},
 	// Unknown state.
-	{refused: true, frames: [][]byte{encodeFrame(1<<40+3, frameDelta, record{id: 1, ip: goldenIP, port: 80, state: 3}.encode())}},
-	// Too short a frame, and too long a one.
-	{refused: true, frames: [][]byte{{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 0}}},
-	{refused: true, frames: [][]byte{{0x7f, 0, 0, 0}}},
+	{closedByWatcher: true, frames: [][]byte{
+		encodeFrame(1<<40+3, frameDelta, record{id: 1, ip: goldenIP, port: 80, state: 3}.encode()),
+	}},
+	// Lengths below the minimum and above the maximum.
+	{closedByWatcher: true, frames: [][]byte{{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 0}}},
+	{closedByWatcher: true, frames: [][]byte{{0x7f, 0, 0, 0}}},
 	{updates: 1, frames: [][]byte{
 		encodeFrame(1<<40+3, frameDelta, record{
 			id: 1, ip: goldenIP, port: 80, state: 1, zone: 1, weight: 1, startTime: 5000,
@@ -79,9 +81,9 @@
 	}},
 }
 
-// All that the watcher writes on each connection, and the notifications that come of the
-// frames, are compared byte for byte: `> ` by the watcher, `< ` by the bus, `= ` to the sink.
-func TestGoldenExchange(t *testing.T) {
+// The golden file has all bytes of each connection and the notifications that follow from them: `> `
+// by the watcher, `< ` by the bus, `= ` to the sink.
+func TestWatcher_ExchangeMatchesTheGoldenFile(t *testing.T) {
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	notifications := make(transcript, 10)
 	startWatcher(t, options{
@@ -89,27 +91,27 @@
 		zones: []string{"east", "west"}, kinds: []string{"std", "big"}, sink: notifications,
 	})
 	var log bytes.Buffer
-	for n, s := range sessions {
-		fmt.Fprintf(&log, "connection %d\n", n)
-		s.play(t, listener, notifications, &log)
+	for i, session := range sessions {
+		fmt.Fprintf(&log, "connection %d\n", i)
+		session.play(t, listener, notifications, &log)
 	}
 	golden.Compare(t, goldenFile, log.Bytes())
 }
 
-// play serves one connection of the watcher and writes the exchange to the log.
+// play accepts one connection of the watcher and writes the exchange to the log.
 func (s session) play(t *testing.T, listener *net.TCPListener, notifications transcript, log *bytes.Buffer) {
 	t.Helper()
 	conn, lastEvent := accept(t, listener)
 	fmt.Fprintf(log, "> %q\n", binary.BigEndian.AppendUint64(nil, lastEvent))
-	for _, f := range s.frames {
-		fmt.Fprintf(log, "< %q\n", f)
-		_, err := conn.Write(f)
+	for _, sent := range s.frames {
+		fmt.Fprintf(log, "< %q\n", sent)
+		_, err := conn.Write(sent)
 		discoverytest.Must(t, err)
 	}
 	for range s.updates {
 		log.WriteString(discoverytest.Receive(t, notifications, "notification"))
 	}
-	if !s.refused {
+	if !s.closedByWatcher {
 		discoverytest.Must(t, conn.CloseWrite())
 		log.WriteString("< end of the connection\n")
 	}
--- a/internal/discovery/eventbus/helpers_test.go
+++ b/internal/discovery/eventbus/helpers_test.go
@@ -20,9 +20,10 @@
 // encodeFrame returns a frame whose payload is the records one after the other.
 func encodeFrame(event uint64, kind frameKind, records ...[]byte) []byte {
 	payload := bytes.Join(records, nil)
-	b := binary.BigEndian.AppendUint32(nil, uint32(minFrameLength+len(payload)))
-	b = append(binary.BigEndian.AppendUint64(b, event), byte(kind))
-	return append(b, payload...)
+	encoded := binary.BigEndian.AppendUint32(nil, uint32(minFrameLength+len(payload)))
+	encoded = binary.BigEndian.AppendUint64(encoded, event)
+	encoded = append(encoded, byte(kind))
+	return append(encoded, payload...)
 }
 
 // record is one engine as the bus sends it.
@@ -39,16 +40,16 @@
 }
 
 func (r record) encode() []byte {
-	b := binary.BigEndian.AppendUint32(nil, r.id)
-	b = append(b, r.ip[:]...)
-	b = binary.BigEndian.AppendUint16(b, r.port)
-	b = append(b, r.state, r.zone, r.kind)
-	b = binary.BigEndian.AppendUint16(b, r.cell)
-	b = binary.BigEndian.AppendUint32(b, r.weight)
-	return binary.BigEndian.AppendUint64(b, r.startTime)
+	encoded := binary.BigEndian.AppendUint32(nil, r.id)
+	encoded = append(encoded, r.ip[:]...)
+	encoded = binary.BigEndian.AppendUint16(encoded, r.port)
+	encoded = append(encoded, r.state, r.zone, r.kind)
+	encoded = binary.BigEndian.AppendUint16(encoded, r.cell)
+	encoded = binary.BigEndian.AppendUint32(encoded, r.weight)
+	return binary.BigEndian.AppendUint64(encoded, r.startTime)
 }
 
-// options are what a test's watcher is made with.
+// options configure the watcher of a test.
 type options struct {
 	addr      string
 	lastEvent uint64
@@ -59,7 +60,7 @@
 	configure func(*Watcher)
 }
 
-// startWatcher starts a watcher on a loop that runs until the test's end.
+// startWatcher starts a watcher on a loop that runs until the end of the test.
 func startWatcher(t *testing.T, opts options) {
 	t.Helper()
 	loop, err := eventloop.New()
@@ -67,17 +68,19 @@
 	if opts.log == nil {
 		opts.log = slog.DiscardHandler
 	}
-	w := New(loop, opts.addr, opts.lastEvent, opts.zones, opts.kinds, opts.sink, metrics.New(), slog.New(opts.log))
+	watcher := New(
+		loop, opts.addr, opts.lastEvent, opts.zones, opts.kinds, opts.sink, metrics.New(), slog.New(opts.log),
+	)
 	if opts.configure != nil {
-		opts.configure(w)
+		opts.configure(watcher)
 	}
-	loop.Post(w.Start)
+	loop.Post(watcher.Start)
 	eventlooptest.Run(t, loop)
-	t.Cleanup(func() { eventlooptest.Do(loop, w.Stop) }) // before the loop stops
+	t.Cleanup(func() { eventlooptest.Do(loop, watcher.Stop) }) // before the loop stops
 }
 
-// disconnects is a log handler that passes on the reason of each lost connection and of
-// each failed attempt to connect.
+// disconnects is a log handler that sends the reason of each lost connection and of each failed
+// attempt to connect to a channel.
 type disconnects struct {
 	slog.Handler
 	reasons chan error
@@ -93,8 +96,8 @@
 	if record.Message != "eventbus.disconnected" {
 		return nil
 	}
-	record.Attrs(func(a slog.Attr) bool {
-		if err, ok := a.Value.Any().(error); ok {
+	record.Attrs(func(attribute slog.Attr) bool {
+		if err, ok := attribute.Value.Any().(error); ok {
 			d.reasons <- err
 		}
 		return true
@@ -102,15 +105,15 @@
 	return nil
 }
 
-// accept waits for the watcher's next connection and returns it with the number of the
-// last event that the watcher sent.
+// accept blocks until the watcher's next connection. It returns the connection and the number of the
+// last event that the watcher sends on it.
 func accept(t *testing.T, listener *net.TCPListener) (conn *net.TCPConn, lastEvent uint64) {
 	t.Helper()
-	discoverytest.Must(t, listener.SetDeadline(time.Now().Add(discoverytest.Patience)))
+	discoverytest.Must(t, listener.SetDeadline(time.Now().Add(discoverytest.Timeout)))
 	conn, err := listener.AcceptTCP()
 	discoverytest.Must(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	discoverytest.Must(t, conn.SetDeadline(time.Now().Add(discoverytest.Patience)))
+	discoverytest.Must(t, conn.SetDeadline(time.Now().Add(discoverytest.Timeout)))
 	var number [8]byte
 	_, err = io.ReadFull(conn, number[:])
 	discoverytest.Must(t, err)
--- a/internal/discovery/eventbus/records.go
+++ b/internal/discovery/eventbus/records.go
@@ -11,7 +11,7 @@
 	"flaxrelay/policy"
 )
 
-// The layout of a record: one engine, in big-endian numbers. The weight is not read.
+// The layout of a record, which describes one engine. Numbers are big-endian. The weight is ignored.
 const (
 	idOffset        = 0
 	ipOffset        = 4
@@ -27,21 +27,21 @@
 
 // Protocol errors in the payload of a frame.
 var (
-	errPayloadLength = errors.New("payload is no whole number of records")
+	errPayloadLength = errors.New("payload is not a multiple of the size of a record")
 	errUnknownState  = errors.New("unknown engine state")
 )
 
-// recordStates are the engine states by their number in a record.
+// recordStates are the states of engines by their number in a record.
 var recordStates = [...]policy.EngineState{policy.EngineReady, policy.EngineDraining, policy.EngineRemoved}
 
-// recordDecoder decodes the records of a payload. Zones and kinds are the names that
-// records refer to by index.
+// recordDecoder decodes the records of a payload. Records refer to the names of zones and kinds by
+// index.
 type recordDecoder struct {
 	zones []string
 	kinds []string
 }
 
-// decode returns the engines of a payload, in its order.
+// decode returns the engines of a payload in their order.
 func (d *recordDecoder) decode(payload []byte) ([]lifecycle.Endpoint, error) {
 	if len(payload)%recordSize != 0 {
 		return nil, fmt.Errorf("%w: %d bytes", errPayloadLength, len(payload))
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -22,11 +22,11 @@
 	initialBackoff = 50 * time.Millisecond
 	// defaultMaxBackoff is the MaxBackoff of a new watcher.
 	defaultMaxBackoff = 250 * time.Millisecond
-	// defaultIdleTimeout is the longest time without a byte: the bus sends a heartbeat each
-	// second.
+	// defaultIdleTimeout is how long a connection may receive nothing. The bus sends a heartbeat
+	// every second.
 	defaultIdleTimeout = 2500 * time.Millisecond
-	// maxFrameTimeouts is how many of these times a frame may take that comes in pieces. The
-	// list of a large fleet, from a crowded bus, takes some.
+	// maxFrameTimeouts is how many idle timeouts a frame may take that arrives in pieces, such as
+	// the endpoint list of a large fleet from a busy bus.
 	maxFrameTimeouts = 8
 )
 
@@ -39,22 +39,32 @@
 type watcherState int
 
 const (
-	// stateDisconnected: there is no connection; a timer starts the next attempt.
+	// stateDisconnected: there is no connection. retryTimer starts the next dial.
 	stateDisconnected watcherState = iota
-	// stateDialing: the latest dial is under way.
+	// stateDialing: the latest dial is in progress.
 	stateDialing
-	// stateConnected: conn is up; the idle timer runs.
+	// stateConnected: conn is established. idleTimer is running.
 	stateConnected
 	// stateStopped is final.
 	stateStopped
 )
 
-// Watcher keeps one connection to the event bus and notifies its sink of each event. All
-// of its state belongs to the loop's goroutine.
+// Watcher maintains one connection to the event bus and notifies its sink of each event. The loop's
+// goroutine owns all of its state; its methods must be called there.
+//
+//	state         event                                  next state
+//	disconnected  Start, retryTimer, MoveTo              dialing
+//	dialing       dial succeeds                          connected
+//	dialing       dial fails                             disconnected
+//	dialing       MoveTo                                 dialing (the earlier dial becomes stale)
+//	connected     end of the connection, idle timeout,
+//	              protocol error                         disconnected
+//	connected     MoveTo another address                 dialing
+//	any           Stop                                   stopped
 type Watcher struct {
-	// MaxBackoff is the longest delay between two attempts to connect. The bus counts its
-	// events as received once it is back, so that the delay has to be well under the grace
-	// period of a draining engine. It must be set before Start.
+	// MaxBackoff is the longest delay between two attempts to connect. It must be set before Start,
+	// well below the grace period of a draining engine: an event counts as received as soon as
+	// the bus can be reached again.
 	MaxBackoff time.Duration
 
 	loop     *eventloop.Loop
@@ -64,22 +74,22 @@
 	log      *slog.Logger
 
 	addr        string
-	lastEvent   uint64 // number of the last event processed
+	lastEvent   uint64 // number of the last processed event
 	backoff     discovery.Backoff
 	idleTimeout time.Duration
 
 	state      watcherState
-	attempt    int    // dials begun; a dial of an earlier attempt is stale
-	cancelDial func() // cancels the latest dial; may be called when it is over
+	attempt    int    // number of dials; a dial of an earlier attempt is stale
+	cancelDial func() // cancels the latest dial; has no effect once that has ended
 	conn       *eventloop.Conn
-	retryTimer *timerqueue.Timer // starts the next attempt
-	idleTimer  *timerqueue.Timer // ends a connection that brings nothing
-	// partialSince is when the first part of an incomplete frame came; 0: none has.
+	retryTimer *timerqueue.Timer // starts the next dial
+	idleTimer  *timerqueue.Timer // closes a connection that receives nothing
+	// partialSince is when the first part of an incomplete frame was received; 0: there is none.
 	partialSince time.Duration
 }
 
-// New returns a watcher that requests the events after the one numbered lastEvent. Zones
-// and kinds are the lists of the settings that records refer to by index.
+// New returns a watcher that requests the events after the one with the number lastEvent. Zones and
+// kinds are the lists of the settings that records refer to by index.
 func New(
 	loop *eventloop.Loop, addr string, lastEvent uint64, zones, kinds []string,
 	sink discovery.Sink, counters *metrics.Counters, log *slog.Logger,
@@ -98,15 +108,15 @@
 	}
 }
 
-// Start connects, and from then on reconnects whenever the connection ends or is idle.
+// Start connects to the bus. From then on the watcher reconnects whenever the connection ends or is
+// idle for too long.
 func (w *Watcher) Start() {
 	w.backoff.Max = w.MaxBackoff
 	w.connect()
 }
 
-// MoveTo switches to the bus at another address and requests the events after the last
-// one processed. Where the address is the same, it reconnects only if there is no
-// connection.
+// MoveTo connects to the bus at another address and requests the events after the last processed
+// one. If the address is the same, it reconnects only if there is no connection.
 func (w *Watcher) MoveTo(addr string) {
 	if w.state == stateStopped || addr == w.addr && w.state == stateConnected {
 		return
@@ -119,13 +129,13 @@
 	w.connect()
 }
 
-// Stop ends the connection and all further attempts.
+// Stop closes the connection for good.
 func (w *Watcher) Stop() {
 	w.disconnect()
 	w.state = stateStopped
 }
 
-// disconnect gives up the connection, the dial and the next attempt, whichever there is.
+// disconnect closes the connection, cancels the dial and stops the timers.
 func (w *Watcher) disconnect() {
 	w.idleTimer.Stop()
 	w.retryTimer.Stop()
@@ -136,12 +146,12 @@
 	w.state = stateDisconnected
 }
 
-// closeConn closes the connection, if there is one. As conn is nil then, OnClosed ignores
-// its end.
+// closeConn closes the connection, if there is one. It sets conn to nil first, so that OnClosed
+// ignores the end of the connection.
 func (w *Watcher) closeConn() {
-	if c := w.conn; c != nil {
+	if conn := w.conn; conn != nil {
 		w.conn = nil
-		c.Close()
+		conn.Close()
 	}
 }
 
@@ -152,16 +162,16 @@
 	w.state = stateDialing
 	w.attempt++
 	attempt := w.attempt
-	w.cancelDial = w.loop.Dial(w.addr, dialTimeout, maxMessageSize, w, func(c *eventloop.Conn, err error) {
-		w.dialed(attempt, c, err)
+	w.cancelDial = w.loop.Dial(w.addr, dialTimeout, maxMessageSize, w, func(conn *eventloop.Conn, err error) {
+		w.onDialed(attempt, conn, err)
 	})
 }
 
-// dialed handles the result of a dial.
-func (w *Watcher) dialed(attempt int, c *eventloop.Conn, err error) {
-	if w.state != stateDialing || attempt != w.attempt { // the dial is stale, or the watcher has stopped
+// onDialed handles the result of a dial.
+func (w *Watcher) onDialed(attempt int, conn *eventloop.Conn, err error) {
+	if w.state != stateDialing || attempt != w.attempt { // the dial is stale or the watcher was stopped
 		if err == nil {
-			c.Close()
+			conn.Close()
 		}
 		return
 	}
@@ -170,13 +180,14 @@
 		return
 	}
 	w.state = stateConnected
-	w.conn, w.partialSince = c, 0
-	c.Write(binary.BigEndian.AppendUint64(nil, w.lastEvent))
+	w.conn = conn
+	w.partialSince = 0
+	conn.Write(binary.BigEndian.AppendUint64(nil, w.lastEvent))
 	w.restartIdleTimer()
 }
 
-// restartIdleTimer bounds the wait for the next bytes. It protects against a bus that
-// vanishes without closing the connection, which would stay open forever.
+// restartIdleTimer limits the time until the next bytes arrive. Without it, a connection whose bus
+// vanished without closing it would stay open forever.
 func (w *Watcher) restartIdleTimer() {
 	w.idleTimer.Stop()
 	w.idleTimer = w.loop.Timers.Schedule(w.loop.Now()+w.idleTimeout, func() {
@@ -186,13 +197,13 @@
 	})
 }
 
-// fail closes the connection because of err, and schedules the next attempt.
+// fail closes the connection because of an error and schedules the next dial.
 func (w *Watcher) fail(err error) {
 	w.closeConn()
 	w.retry(err)
 }
 
-// retry schedules the next attempt to connect, after the end of a dial or a connection.
+// retry schedules the next dial after a failed dial or the end of a connection.
 func (w *Watcher) retry(err error) {
 	w.state = stateDisconnected
 	w.idleTimer.Stop()
@@ -203,19 +214,21 @@
 	w.retryTimer = w.loop.Timers.Schedule(w.loop.Now()+delay, w.connect)
 }
 
-// OnData processes the complete frames. The sink may move or stop the watcher meanwhile,
-// which ends the connection.
-func (w *Watcher) OnData(c *eventloop.Conn, in *eventloop.Buffer) {
-	for c == w.conn {
-		f, err := parseFrame(in.Bytes())
+// OnData handles all complete frames of the input. The sink may move or stop the watcher meanwhile,
+// which replaces conn.
+func (w *Watcher) OnData(conn *eventloop.Conn, input *eventloop.Buffer) {
+	for conn == w.conn {
+		received, err := parseFrame(input.Bytes())
 		if errors.Is(err, errFrameIncomplete) {
-			w.awaitRest(in.Len() > 0)
+			if input.Len() > 0 {
+				w.onPartialFrame()
+			}
 			return
 		}
 		w.partialSince = 0
 		if err == nil {
-			err = w.take(f)
-			in.Consume(f.size())
+			err = w.handleFrame(received)
+			input.Consume(received.size())
 		}
 		if err != nil {
 			w.fail(err)
@@ -224,12 +237,10 @@
 	}
 }
 
-// awaitRest waits for the rest of a frame of which a part has come: its bytes are a sign of
-// life as good as a frame, for so long as one may take.
-func (w *Watcher) awaitRest(partial bool) {
-	if !partial {
-		return
-	}
+// onPartialFrame restarts the idle timer when a part of a frame arrives: the bus is alive. It stops
+// doing so after maxFrameTimeouts, so that a frame that never ends does not occupy the connection
+// forever.
+func (w *Watcher) onPartialFrame() {
 	now := w.loop.Now()
 	if w.partialSince == 0 {
 		w.partialSince = now
@@ -239,9 +250,9 @@
 	}
 }
 
-// OnClosed schedules the next attempt to connect.
-func (w *Watcher) OnClosed(c *eventloop.Conn, err error) {
-	if c != w.conn {
+// OnClosed schedules the next dial after the end of the connection.
+func (w *Watcher) OnClosed(conn *eventloop.Conn, err error) {
+	if conn != w.conn {
 		return
 	}
 	w.conn = nil
@@ -251,13 +262,13 @@
 	w.retry(err)
 }
 
-// take notifies the sink of a frame's event, unless it was processed before: the bus
-// may repeat events after a reconnection.
-func (w *Watcher) take(f frame) error {
+// handleFrame notifies the sink of the event of a frame, unless the event was processed before: the
+// bus may repeat events after a reconnection.
+func (w *Watcher) handleFrame(received frame) error {
 	w.backoff.Reset()
 	w.restartIdleTimer()
 	var mode policy.UpdateMode
-	switch f.kind {
+	switch received.kind {
 	case frameHeartbeat:
 		return nil
 	case frameFull:
@@ -265,16 +276,16 @@
 	case frameDelta:
 		mode = policy.UpdateDelta
 	default:
-		return fmt.Errorf("%w %d", errUnknownFrameKind, f.kind)
+		return fmt.Errorf("%w %d", errUnknownFrameKind, received.kind)
 	}
-	if f.event <= w.lastEvent {
+	if received.event <= w.lastEvent {
 		return nil
 	}
-	engines, err := w.records.decode(f.payload)
+	engines, err := w.records.decode(received.payload)
 	if err != nil {
-		return &eventError{Event: f.event, Err: err}
+		return &eventError{Event: received.event, Err: err}
 	}
-	w.lastEvent = f.event
+	w.lastEvent = received.event
 	w.counters.Increment(metrics.EventBusEvents)
 	w.sink.UpdateEndpoints(mode, engines)
 	return nil
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -21,17 +21,16 @@
 	Engines []lifecycle.Endpoint
 }
 
-// recorder is a sink that keeps its notifications.
+// recorder is a sink that sends its notifications to a channel.
 type recorder chan update
 
 func (r recorder) UpdateEndpoints(mode policy.UpdateMode, engines []lifecycle.Endpoint) {
 	r <- update{mode, engines}
 }
 
-// The bus dies between two events, in the middle of a frame, and comes back: the watcher
-// resumes after the last event that it has taken. A repeated event counts once, and a
-// malformed frame ends the connection alone.
-func TestResumesFromTheLastNumber(t *testing.T) {
+// The bus dies in the middle of a frame and comes back. A repeated event is ignored, and a malformed
+// frame only ends the connection.
+func TestWatcher_ResumesAfterTheLastProcessedEvent(t *testing.T) {
 	first := record{id: 7, ip: [4]byte{127, 0, 0, 9}, port: 70, zone: 1, cell: 3, weight: 1000}
 	second := record{id: 8, ip: [4]byte{127, 0, 0, 9}, port: 80, zone: 1, cell: 3, weight: 1000, startTime: 5000}
 	draining := second
@@ -46,17 +45,20 @@
 	startWatcher(t, options{
 		addr: listener.Addr().String(), lastEvent: 3, zones: []string{"a", "b"}, kinds: []string{"std"}, sink: updates,
 	})
-	var starts []uint64
-	for n, stream := range streams {
+	var requested []uint64
+	for i, stream := range streams {
 		conn, lastEvent := accept(t, listener)
-		starts = append(starts, lastEvent)
+		requested = append(requested, lastEvent)
 		_, err := conn.Write(stream)
 		discoverytest.Must(t, err)
-		if n < len(streams)-1 {
+		if i < len(streams)-1 {
 			discoverytest.Must(t, conn.Close())
 		}
 	}
-	got := []update{discoverytest.Receive(t, updates, "first event"), discoverytest.Receive(t, updates, "second event")}
+	got := []update{
+		discoverytest.Receive(t, updates, "first event"),
+		discoverytest.Receive(t, updates, "second event"),
+	}
 	want := []update{
 		{policy.UpdateFull, []lifecycle.Endpoint{{Address: "127.0.0.9:70", Engine: policy.Engine{
 			ID: "s-00000007", Zone: "b", Kind: "std", Cell: 3, State: policy.EngineReady,
@@ -69,25 +71,23 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]uint64{3, 4, 4}, starts); diff != "" {
-		t.Error("numbers sent on connecting:", diff)
+	if diff := cmp.Diff([]uint64{3, 4, 4}, requested); diff != "" {
+		t.Error("last events of the connections:", diff)
 	}
 }
 
-// A bus that vanishes without closing is given up, and connected to anew.
-func TestSilentBus(t *testing.T) {
+func TestWatcher_ReconnectsIfTheBusIsSilent(t *testing.T) {
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	startWatcher(t, options{
 		addr: listener.Addr().String(), sink: make(recorder, 1),
 		configure: func(w *Watcher) { w.idleTimeout = 50 * time.Millisecond },
 	})
-	for range 2 { // both stay open
+	for range 2 { // the test closes neither connection
 		accept(t, listener)
 	}
 }
 
-// A protocol error ends the connection, and the log tells which it was.
-func TestProtocolErrorsAreLogged(t *testing.T) {
+func TestWatcher_LogsTheProtocolErrorThatEndedAConnection(t *testing.T) {
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	log := newDisconnects()
 	startWatcher(t, options{addr: listener.Addr().String(), sink: make(recorder, 1), log: log})
@@ -115,17 +115,17 @@
 	}
 }
 
-// A bus that was away for long is asked again well within the time that a drain leaves:
-// its events count as received from its return on.
-func TestBusReturns(t *testing.T) {
-	// At an address of its own: a connection out could else take the port while it is free.
+// The watcher reconnects well within the grace period of a draining engine, even after the bus was
+// unreachable for long: an event counts as received as soon as the bus can be reached again.
+func TestWatcher_ReconnectsSoonAfterTheBusReturns(t *testing.T) {
+	// The address is used by nothing else, so that no outgoing connection takes the free port.
 	listener, err := net.Listen("tcp", "127.0.0.77:0")
 	discoverytest.Must(t, err)
 	addr := listener.Addr().String()
 	discoverytest.Must(t, listener.Close())
 	log := newDisconnects()
 	startWatcher(t, options{addr: addr, sink: make(recorder, 1), log: log})
-	for range 8 { // just refused, and at the longest delay by now
+	for range 8 { // enough for the longest delay
 		if err := discoverytest.Receive(t, log.reasons, "failed attempt"); !eventloop.IsConnectionRefused(err) {
 			t.Fatalf("an attempt failed with %v, want a refused connection", err)
 		}
@@ -134,15 +134,18 @@
 	discoverytest.Must(t, returned.SetDeadline(time.Now().Add(500*time.Millisecond)))
 	conn, err := returned.Accept()
 	if err != nil {
-		t.Fatalf("the bus is back and not connected to: %v", err)
+		t.Fatalf("no connection after the bus returned: %v", err)
 	}
 	discoverytest.Must(t, conn.Close())
 }
 
-// A frame that comes slowly, in pieces, is waited for: a connection that is given up over it
-// would have to begin again, and never get further on a crowded bus.
-func TestSlowBus(t *testing.T) {
-	const idleTimeout, pieces = 200 * time.Millisecond, 12
+// The watcher waits for a frame that arrives slowly and in pieces. If it closed the connection, a
+// busy bus would have to send the frame from its start again and again.
+func TestWatcher_WaitsForAFrameThatArrivesInPieces(t *testing.T) {
+	const (
+		idleTimeout = 200 * time.Millisecond
+		pieces      = 12
+	)
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	updates := make(recorder, 1)
 	startWatcher(t, options{
@@ -151,16 +154,15 @@
 	})
 	conn, _ := accept(t, listener)
 	frame := encodeFrame(1, frameFull, record{id: 7, port: 70}.encode())
-	for n := range pieces {
-		_, err := conn.Write(frame[n*len(frame)/pieces : (n+1)*len(frame)/pieces])
+	for i := range pieces {
+		_, err := conn.Write(frame[i*len(frame)/pieces : (i+1)*len(frame)/pieces])
 		discoverytest.Must(t, err)
 		time.Sleep(idleTimeout / 3)
 	}
-	discoverytest.Receive(t, updates, "the event")
+	discoverytest.Receive(t, updates, "event")
 }
 
-// A frame that never ends does not hold the connection for good.
-func TestEndlessFrame(t *testing.T) {
+func TestWatcher_ReconnectsIfAFrameNeverEnds(t *testing.T) {
 	const idleTimeout = 40 * time.Millisecond
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	startWatcher(t, options{
@@ -169,7 +171,7 @@
 	})
 	conn, _ := accept(t, listener)
 	go func() {
-		_, _ = conn.Write([]byte{0, 1, 0, 0}) // 64 KB follow, by its length
+		_, _ = conn.Write([]byte{0, 1, 0, 0}) // the length of the frame: 64 KB
 		for {
 			if _, err := conn.Write([]byte{0}); err != nil {
 				return
