--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -9,8 +9,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// decodeTOML reads TOML strictly: an unknown field is a fault. It reports whether the
-// text could be decoded at all.
+// decodeTOML decodes TOML and reports unknown fields as faults. It returns false if the text could
+// not be decoded at all.
 func decodeTOML(v *validator, raw []byte, into any) bool {
 	v.locate = func(field string) int { return tomlLine(raw, field) }
 	metadata, err := toml.Decode(string(raw), into)
@@ -24,24 +24,34 @@
 	return true
 }
 
-// tomlFault returns the fault that an error of decoding TOML reports.
+// tomlFault translates an error of the TOML decoder.
 func tomlFault(file string, err error) FieldError {
 	var parseError toml.ParseError
 	if !errors.As(err, &parseError) {
 		return FieldError{File: file, Problem: err.Error()}
 	}
-	fault := FieldError{File: file, Line: parseError.Position.Line, Field: parseError.LastKey, Problem: parseError.Message}
+	fault := FieldError{
+		File:    file,
+		Line:    parseError.Position.Line,
+		Field:   parseError.LastKey,
+		Problem: parseError.Message,
+	}
 	if fault.Problem == "" {
 		fault.Problem = err.Error()
 	}
 	return fault
 }
 
-// decodeSettings reads the settings object. It reports whether that could be decoded,
-// and adds the fault of the field that could not.
-func decodeSettings(v *validator, raw []byte, into *Settings) bool {
+// decodeJSON decodes JSON whose faults are located by their fields.
+func decodeJSON(v *validator, raw []byte, into any) error {
 	v.locate = func(field string) int { return jsonLine(raw, field) }
-	err := json.Unmarshal(raw, into)
+	return json.Unmarshal(raw, into) //nolint:wrapcheck // jsonFault translates the error
+}
+
+// decodeSettings decodes the settings object. If it cannot be decoded, decodeSettings reports the
+// fault and returns false.
+func decodeSettings(v *validator, raw []byte, into *Settings) bool {
+	err := decodeJSON(v, raw, into)
 	if err == nil {
 		return true
 	}
@@ -50,21 +60,14 @@
 	return false
 }
 
-// decodePlatform reads the platform's configuration, like decodeSettings.
+// decodePlatform decodes the platform's configuration, like decodeSettings.
 func decodePlatform(v *validator, raw []byte, into *platformObject) bool {
-	v.locate = func(field string) int { return jsonLine(raw, field) }
-	err := json.Unmarshal(raw, into)
+	err := decodeJSON(v, raw, into)
 	if err == nil {
 		return true
 	}
 	fault := jsonFault(err)
-	field := fault.Field
-	// A fault that the settings object found names its field from there.
-	inSettings := settingsKey + "." + field
-	if field != "" && jsonLine(raw, inSettings) > jsonLine(raw, settingsKey) {
-		field = inSettings
-	}
-	v.report(field, "%s", fault.Problem)
+	v.report(platformField(raw, fault.Field), "%s", fault.Problem)
 	var syntaxError *json.SyntaxError
 	if errors.As(err, &syntaxError) {
 		v.faults[0].Line = lineAt(raw, syntaxError.Offset)
@@ -72,7 +75,17 @@
 	return false
 }
 
-// jsonFault returns the field and the problem that an error of decoding JSON reports.
+// platformField returns the path of a faulty field from the top of the platform's configuration. A
+// fault that was found while the settings object was decoded names its field from there.
+func platformField(raw []byte, field string) string {
+	inSettings := settingsKey + "." + field
+	if field != "" && jsonLine(raw, inSettings) > jsonLine(raw, settingsKey) {
+		return inSettings
+	}
+	return field
+}
+
+// jsonFault translates an error of the JSON decoder. The result has neither file nor line.
 func jsonFault(err error) FieldError {
 	var typeError *json.UnmarshalTypeError
 	var fieldError FieldError
@@ -85,7 +98,7 @@
 	return FieldError{Problem: err.Error()}
 }
 
-// lineAt returns the line, from 1, of a byte offset.
+// lineAt returns the line, from 1, at a byte offset.
 func lineAt(raw []byte, offset int64) int {
 	end := min(int(offset), len(raw))
 	return 1 + bytes.Count(raw[:end], []byte("\n"))
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// FieldError is one thing that is wrong with a file of settings.
+// FieldError is one fault of a configuration file.
 type FieldError struct {
-	File    string // empty where the text did not come from a file
-	Line    int    // from 1; 0: the field is missing or its place is not known
+	File    string // "" if the text was not read from a file
+	Line    int    // from 1; 0: the field is missing or its line is unknown
 	Field   string // as in statement[0].class
-	Problem string // what is wrong with it, and what is wanted
+	Problem string // what is wrong and what is expected
 }
 
-// Error returns the place, the field and the problem, without what is not known.
+// Error returns file, line, field and problem, without those that are unknown.
 func (f FieldError) Error() string {
 	var parts []string
 	switch {
@@ -30,30 +30,30 @@
 	return strings.Join(parts, ": ")
 }
 
-// FieldErrors are all faults that one pass over a file found.
+// FieldErrors are all faults of a file.
 type FieldErrors []FieldError
 
 // Error returns one line for each fault.
 func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.Error()
+	for i, fault := range f {
+		lines[i] = fault.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// FieldErrorsOf returns the faults that an error reports. An error without any counts as
-// one fault of no known place.
+// FieldErrorsOf returns the faults that an error wraps. Any other error becomes one fault without a
+// place.
 func FieldErrorsOf(err error) FieldErrors {
-	var all FieldErrors
-	var one FieldError
+	var faults FieldErrors
+	var fault FieldError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &all):
-		return all
-	case errors.As(err, &one):
-		return FieldErrors{one}
+	case errors.As(err, &faults):
+		return faults
+	case errors.As(err, &fault):
+		return FieldErrors{fault}
 	}
 	return FieldErrors{{Problem: err.Error()}}
 }
--- /dev/null
+++ b/internal/config/json_location.go
@@ -0,0 +1,99 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"strings"
+)
+
+// jsonLine returns the line, from 1, of a field like known.batch[0].topology. If the field is missing
+// it returns the line of the innermost object or list on its path, or 0 if there is none. The text
+// may be malformed after the field.
+func jsonLine(raw []byte, field string) int {
+	locator := &jsonLocator{
+		raw:     raw,
+		decoder: json.NewDecoder(bytes.NewReader(raw)),
+		field:   field,
+		matched: noMatch,
+	}
+	// An error ends the walk early. The line found by then is still right.
+	_ = locator.walkValue("")
+	return locator.line
+}
+
+// jsonLocator walks a JSON document for the line of a field.
+type jsonLocator struct {
+	raw     []byte
+	decoder *json.Decoder
+	field   string
+	line    int // line of the longest path so far that leads to the field
+	matched int // length of that path, or noMatch
+}
+
+// noMatch is less than the length of any path.
+const noMatch = -1
+
+// visit records the line of a path if it leads to the field and is the longest such path so far.
+func (l *jsonLocator) visit(path string) {
+	if len(path) > l.matched && leadsTo(path, l.field) {
+		l.line = lineAt(l.raw, l.decoder.InputOffset())
+		l.matched = len(path)
+	}
+}
+
+// leadsTo reports whether the path is that of the field or of an object or list that contains it.
+func leadsTo(path, field string) bool {
+	rest, isPrefix := strings.CutPrefix(field, path)
+	return isPrefix && (rest == "" || rest[0] == '.' || rest[0] == '[')
+}
+
+// walkValue reads one value with all that it contains.
+func (l *jsonLocator) walkValue(path string) error {
+	token, err := l.decoder.Token()
+	if err != nil {
+		return err
+	}
+	switch token {
+	case json.Delim('{'):
+		err = l.walkObject(path)
+	case json.Delim('['):
+		err = l.walkArray(path)
+	default:
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	_, err = l.decoder.Token() // the closing delimiter
+	return err
+}
+
+func (l *jsonLocator) walkObject(path string) error {
+	for l.decoder.More() {
+		token, err := l.decoder.Token()
+		if err != nil {
+			return err
+		}
+		key, _ := token.(string) // the decoder accepts nothing else as a key
+		if path != "" {
+			key = path + "." + key
+		}
+		l.visit(key)
+		if err := l.walkValue(key); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (l *jsonLocator) walkArray(path string) error {
+	for i := 0; l.decoder.More(); i++ {
+		element := fmt.Sprintf("%s[%d]", path, i)
+		l.visit(element)
+		if err := l.walkValue(element); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/config/location_test.go
+++ b/internal/config/location_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each line of the documents holds its own number, so that a case can be read off them.
+// Each line of the documents contains its own number.
 const (
 	tomlDocument = `one = 1
 [two]
@@ -22,10 +22,19 @@
 }`
 )
 
-func TestTOMLLine(t *testing.T) {
+func TestTOMLLine_ReturnsTheLineOfAFieldOrOfItsTable(t *testing.T) {
 	for path, want := range map[string]int{
-		"one": 1, "one[3]": 1, "two.three": 3, "two": 2, "two.missing": 2, "four[0].five": 5, "four[1].six": 7,
-		"four[1].five": 6, "four[2].five": 0, "missing": 0, "missing.five": 0,
+		"one":          1,
+		"one[3]":       1,
+		"two.three":    3,
+		"two":          2,
+		"two.missing":  2,
+		"four[0].five": 5,
+		"four[1].six":  7,
+		"four[1].five": 6,
+		"four[2].five": 0,
+		"missing":      0,
+		"missing.five": 0,
 	} {
 		if got := tomlLine([]byte(tomlDocument), path); got != want {
 			t.Errorf("%s: line %d, want %d", path, got, want)
@@ -33,17 +42,27 @@
 	}
 }
 
-func TestJSONLine(t *testing.T) {
+func TestJSONLine_ReturnsTheLineOfAFieldOrOfItsObject(t *testing.T) {
 	for path, want := range map[string]int{
-		"two": 2, "two.three": 3, "two.missing": 2, "four": 4, "four[0].five": 5, "four[1].six": 6,
-		"twofold": 0, "missing": 0, "": 0,
+		"two":          2,
+		"two.three":    3,
+		"two.missing":  2,
+		"four":         4,
+		"four[0].five": 5,
+		"four[1].six":  6,
+		"twofold":      0,
+		"missing":      0,
+		"":             0,
 	} {
 		if got := jsonLine([]byte(jsonDocument), path); got != want {
 			t.Errorf("%s: line %d, want %d", path, got, want)
 		}
 	}
+}
+
+func TestJSONLine_ReturnsTheLineOfAFieldBeforeAFault(t *testing.T) {
 	malformed := []byte(jsonDocument[:len(jsonDocument)/2])
 	if got := jsonLine(malformed, "two.three"); got != 3 {
-		t.Errorf("of a document that is cut off: line %d, want 3", got)
+		t.Errorf("line %d, want 3", got)
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -17,18 +17,18 @@
 	MaxDescriptors int
 	EventBus       string
 	LastEvent      uint64  // number of the last known event
-	InitialEvents  []Event // the events of the endpoint list up to now
+	InitialEvents  []Event // changes of the endpoint list up to the last known event
 	Settings       Settings
 }
 
-// Event is one change of the endpoint list, or the whole list.
+// Event is a change of the endpoint list.
 type Event struct {
-	Full    bool
+	Full    bool // the engines are the complete list; otherwise only those that changed
 	Engines []lifecycle.Endpoint
 }
 
-// Load reads the configuration at the path. Its error reports all faults, each with its
-// line and field (see FieldErrorsOf).
+// Load reads the configuration at the path. The error contains all faults with their lines and
+// fields (see FieldErrorsOf).
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return parsePlatform(raw, path)
 }
 
-// parsePlatform reads a configuration and validates it; the path is for its faults.
+// parsePlatform decodes and validates a configuration. The path is that of its faults.
 func parsePlatform(raw []byte, path string) (*Config, error) {
 	v := &validator{file: path}
 	var object platformObject
@@ -58,33 +58,28 @@
 	return configuration, nil
 }
 
-// translate returns the configuration without its settings, and reports the fields that
-// can't be used.
+// translate returns the configuration without its settings, and reports invalid fields.
 func (o *platformObject) translate(v *validator) *Config {
-	addresses := []struct{ field, address string }{{"listen", o.Listen}, {"bus", o.Bus}}
-	for _, a := range addresses {
-		if a.address != "" { // both may be left out
-			v.requireAddress(a.field, a.address)
-		}
-	}
+	v.requireOptionalAddress("listen", o.Listen)
+	v.requireOptionalAddress("bus", o.Bus)
 	configuration := &Config{
 		Name:           o.Name,
 		Listen:         o.Listen,
+		Seed:           parseSeed(v, o.Seed),
 		MemoryMB:       int(o.Limits.MemoryMB),
 		MaxDescriptors: int(o.Limits.Sockets),
 		EventBus:       o.Bus,
-		LastEvent:      o.Known.Offset,
-	}
-	if o.Seed != "" {
-		seed, err := strconv.ParseUint(o.Seed, 16, 64)
-		v.require(err == nil, "seed", "%q is not a number of up to 16 hex digits", o.Seed)
-		configuration.Seed = seed
-	}
-	for i := range o.Known.Batch {
-		event := &o.Known.Batch[i]
-		path := fmt.Sprintf("known.batch[%d].topology", i)
-		configuration.LastEvent = max(configuration.LastEvent, event.Offset)
-		configuration.InitialEvents = append(configuration.InitialEvents, event.Topology.translate(v, path))
 	}
+	configuration.LastEvent, configuration.InitialEvents = o.Known.translate(v)
 	return configuration
 }
+
+// parseSeed returns the seed of the configuration, 0 if it has none, and reports an invalid one.
+func parseSeed(v *validator, text string) uint64 {
+	if text == "" {
+		return 0
+	}
+	seed, err := strconv.ParseUint(text, 16, 64)
+	v.require(err == nil, "seed", "%q is not a number of up to 16 hex digits", text)
+	return seed
+}
--- a/internal/config/platform_object.go
+++ b/internal/config/platform_object.go
@@ -11,8 +11,7 @@
 // settingsKey is the key of the settings object in the platform's configuration.
 const settingsKey = "settings"
 
-// platformObject is the JSON object of the platform's configuration. Keys that it does
-// not name are skipped.
+// platformObject is the JSON object of the platform's configuration. Other keys are ignored.
 type platformObject struct {
 	Name     string               `json:"name"`
 	Listen   string               `json:"listen"`
@@ -23,13 +22,13 @@
 	Settings *Settings            `json:"settings"`
 }
 
-// platformLimitsObject holds the resource limits of the process.
+// platformLimitsObject contains the resource limits of the process.
 type platformLimitsObject struct {
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  float64 `json:"sockets"`
 }
 
-// knownEventsObject holds the events of the event bus up to a number.
+// knownEventsObject contains the events of the event bus up to a number.
 type knownEventsObject struct {
 	Offset uint64        `json:"offset"`
 	Batch  []eventObject `json:"batch"`
@@ -41,7 +40,7 @@
 	Topology topologyObject `json:"topology"`
 }
 
-// topologyObject is a change of the endpoint list, or the whole list.
+// topologyObject is a change of the endpoint list, or the complete list.
 type topologyObject struct {
 	All     bool             `json:"all"`
 	Targets []endpointObject `json:"targets"`
@@ -58,14 +57,27 @@
 	BootMS   float64 `json:"boot_ms"`
 }
 
-// endpointStates are the states of engines as the endpoint list spells them.
+// endpointStates are the states of engines by their names in the endpoint list.
 var endpointStates = map[string]policy.EngineState{
 	"in_service":  policy.EngineReady,
 	"terminating": policy.EngineDraining,
 	"terminated":  policy.EngineRemoved,
 }
 
-// translate returns the event, and reports the fields that can't be used.
+// translate returns the number of the last event and the changes of the endpoint list, and reports
+// invalid fields.
+func (o *knownEventsObject) translate(v *validator) (lastEvent uint64, changes []Event) {
+	lastEvent = o.Offset
+	for i := range o.Batch {
+		event := &o.Batch[i]
+		path := fmt.Sprintf("known.batch[%d].topology", i)
+		lastEvent = max(lastEvent, event.Offset)
+		changes = append(changes, event.Topology.translate(v, path))
+	}
+	return lastEvent, changes
+}
+
+// translate returns the change of the endpoint list, and reports invalid fields.
 func (o *topologyObject) translate(v *validator, path string) Event {
 	event := Event{Full: o.All}
 	for i := range o.Targets {
@@ -75,10 +87,10 @@
 	return event
 }
 
-// translate returns the endpoint, and reports the fields that can't be used.
+// translate returns the endpoint, and reports invalid fields.
 func (o *endpointObject) translate(v *validator, path string) lifecycle.Endpoint {
 	state, known := endpointStates[o.State]
-	v.require(known, path+".state", "unknown value %q", o.State)
+	v.require(known, path+".state", unknownValueText, o.State)
 	v.require(o.UID != "", path+".uid", "missing")
 	v.requireAddress(path+".endpoint", o.Endpoint)
 	endpoint := lifecycle.Endpoint{
@@ -89,8 +101,8 @@
 	return endpoint
 }
 
-// bootTime translates a Unix time in milliseconds into the policy module's time, which
-// counts from the same origin. Engines that started long ago have none.
+// bootTime converts a Unix time in milliseconds into a time of package policy, which has the same
+// origin. Engines that started long ago have none.
 func bootTime(unixMS float64) (at time.Duration, known bool) {
 	if unixMS <= 0 {
 		return 0, false
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -9,16 +9,16 @@
 
 // Postgres is the deploy file of the PostgreSQL front end.
 type Postgres struct {
-	Listen            string      `toml:"listen"`   // where clients connect; "": the front end is off
+	Listen            string      `toml:"listen"`   // address for clients; "": the front end is off
 	SettingsFile      string      `toml:"settings"` // file of the settings object, relative to this file's folder
 	MemoryMB          int         `toml:"memory_mb"`
 	MaxDescriptors    int         `toml:"sockets"`
 	MaxClients        int         `toml:"most_clients"`
 	DefaultClass      string      `toml:"default_class"`
-	WriteClass        string      `toml:"write_class"`         // of writing statements without a class; "": the first that is not idempotent
-	ReadOnlyFunctions []string    `toml:"read_only_functions"` // names, with their schema where they need one
+	WriteClass        string      `toml:"write_class"`         // of statements that may write and have no class; see firstWriteClass
+	ReadOnlyFunctions []string    `toml:"read_only_functions"` // names, with their schema if they need one
 	Statements        []Statement `toml:"statement"`
-	User              string      `toml:"user"` // that the front end connects to engines as
+	User              string      `toml:"user"` // the front end connects to engines as this user
 	Database          string      `toml:"database"`
 	ConnectTimeoutMS  float64     `toml:"connect_timeout_ms"`
 	IdleTimeoutMS     float64     `toml:"idle_close_ms"`
@@ -27,8 +27,8 @@
 	Settings          Settings    `toml:"-"` // read from SettingsFile
 }
 
-// Statement gives a class to statements that begin with some words, and names
-// the parameter that holds their idempotency key.
+// Statement assigns a class to statements that begin with some words, and names the parameter that
+// contains their idempotency key.
 type Statement struct {
 	Prefix       string `toml:"starts"`
 	Class        string `toml:"class"`
@@ -36,18 +36,18 @@
 	ReadOnly     bool   `toml:"read_only"`
 }
 
-// Consul says where the endpoint list is read.
+// Consul names the Consul service whose instances are the engines.
 type Consul struct {
 	Address string `toml:"address"`
 	Service string `toml:"service"`
 	Token   string `toml:"token"`
-	Zone    string `toml:"zone"` // of engines whose metadata name none
-	Kind    string `toml:"kind"` // likewise
+	Zone    string `toml:"zone"` // zone of engines without one in their metadata
+	Kind    string `toml:"kind"` // kind of engines without one in their metadata
 }
 
-// LoadPostgres reads the deploy file of the PostgreSQL front end, and the settings that
-// it names. Its error reports all faults, each with its file, line and field (see
-// FieldErrorsOf). Nothing else is validated or read where the front end is off.
+// LoadPostgres reads the deploy file of the PostgreSQL front end and the settings file that it names.
+// The error contains all faults with their files, lines and fields (see FieldErrorsOf). If the front
+// end is off, the deploy file is only decoded.
 func LoadPostgres(path string) (*Postgres, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return &deploy, nil
 }
 
-// complete validates what the file says and fills in what it leaves out. The classes can
-// only be validated once the settings are read from the folder.
+// complete validates the deploy file, reads the settings from its folder and sets the defaults of
+// missing fields. Classes can only be validated against the settings.
 func (p *Postgres) complete(v *validator, folder string) {
 	p.validateServer(v)
 	if p.Database == "" {
@@ -86,8 +86,7 @@
 	p.Shapes.validate(v, "shapes.", classes)
 }
 
-// loadSettings reads the settings that the file names. It reports whether they could be
-// decoded.
+// loadSettings reads the settings file. It returns false if that could not be decoded.
 func (p *Postgres) loadSettings(v *validator, folder string) bool {
 	path := p.SettingsFile
 	if !filepath.IsAbs(path) {
@@ -104,7 +103,7 @@
 	return decoded
 }
 
-// Classes lists the classes that statements are given.
+// Classes returns the classes that statements may get.
 func (p *Postgres) Classes() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		if !yield(p.DefaultClass) || p.WriteClass != "" && !yield(p.WriteClass) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,25 +8,25 @@
 	"flaxrelay/policy"
 )
 
-// Settings holds one deployment's settings: those of the policy module, and those that only
-// the packages around it need.
+// Settings contains the settings of a deployment: those of package policy, and those that only other
+// packages need.
 type Settings struct {
 	Policy           policy.Settings
-	LoadFields       []string // names of the load report's values, in order
-	Zones            []string // names by index
-	Kinds            []string
+	LoadFields       []string      // names of the values in a load report, in order
+	Zones            []string      // names by index
+	Kinds            []string      // names by index
 	MaxStreams       int           // attempts in flight on one connection
-	ConnectTimeout   time.Duration // a connection not established by then has failed
-	IdleClose        time.Duration // engines close connections that are idle for so long
-	ProgressInterval time.Duration
+	ConnectTimeout   time.Duration // limit on the time to establish a connection
+	IdleClose        time.Duration // idle time after which engines close a connection
+	ProgressInterval time.Duration // between two progress reports of an engine
 }
 
-// UnmarshalJSON reads the settings object, as the platform's configuration and the
-// simulator's first message hold it.
+// UnmarshalJSON decodes the settings object, which is part of the platform's configuration and of the
+// simulator's first message.
 func (s *Settings) UnmarshalJSON(raw []byte) error {
 	var object settingsObject
 	if err := json.Unmarshal(raw, &object); err != nil {
-		return err
+		return err //nolint:wrapcheck // jsonFault translates the error
 	}
 	settings, err := object.policySettings()
 	if err != nil {
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// CheckSettings reports what is wrong with a file that holds the settings object alone.
+// CheckSettings validates a file that contains only the settings object. The error contains all
+// faults (see FieldErrorsOf).
 func CheckSettings(path string, raw []byte) error {
 	v := &validator{file: path}
 	var settings Settings
@@ -56,7 +57,7 @@
 	return v.err()
 }
 
-// FromMilliseconds turns fractional milliseconds, exact to the microsecond, into a duration.
+// FromMilliseconds converts fractional milliseconds to a duration, rounded to the microsecond.
 func FromMilliseconds(ms float64) time.Duration {
 	const microsecondsPerMS = 1000
 	return time.Duration(math.Round(ms*microsecondsPerMS)) * time.Microsecond
--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -1,8 +1,8 @@
 package config
 
-// settingsObject is the JSON settings object, under "settings" in the platform's
-// configuration and in INIT of the simulator's protocol. Keys that it does not name are
-// skipped. Fields that end in MS are fractional milliseconds.
+// settingsObject is the JSON settings object: the value of "settings" in the platform's configuration
+// and in INIT of the simulator's protocol. Other keys are ignored. Fields whose names end in MS are
+// fractional milliseconds.
 type settingsObject struct {
 	Replicas        int                `json:"balancers"`
 	Zone            string             `json:"zone"`
@@ -45,7 +45,7 @@
 	Share float64 `json:"share"`
 }
 
-// goalObject holds the weights of the objective that the policy works for.
+// goalObject contains the weights of the objective that the policy optimises.
 type goalObject struct {
 	Total       float64 `json:"whole"`
 	WorstClass  float64 `json:"worst-class"`
@@ -53,7 +53,7 @@
 	WorstWindow float64 `json:"worst-window"`
 }
 
-// penaltiesObject holds what the policy pays for its choices.
+// penaltiesObject contains what the policy pays for its choices.
 type penaltiesObject struct {
 	CrossZone   float64 `json:"cross-zone"`
 	Waste       float64 `json:"waste"`
@@ -61,13 +61,13 @@
 	HealthCheck float64 `json:"probe"`
 }
 
-// loadReportObject says how engines report their load, and which values.
+// loadReportObject says how engines report their load, and names the values of a report.
 type loadReportObject struct {
 	Transport string   `json:"how"`
 	Names     []string `json:"names"`
 }
 
-// contractObject holds the rules that front ends and engines have agreed on.
+// contractObject contains the rules that front ends and engines have agreed on.
 type contractObject struct {
 	ResponseSlackMS     float64 `json:"answer-slack-ms"`
 	ResubscribeWithinMS float64 `json:"ask-within-ms"`
@@ -82,8 +82,7 @@
 	RetryBudgetWindowMS float64 `json:"look-back-ms"`
 }
 
-// policyLimitsObject says what a front end may do with a request, and its connections to
-// engines.
+// policyLimitsObject limits what a front end may do with a request and with connections to engines.
 type policyLimitsObject struct {
 	Cancel           bool    `json:"cancel"`
 	HealthChecks     bool    `json:"may-probe"`
@@ -96,8 +95,8 @@
 	Hedging          bool    `json:"second-copies"`
 }
 
-// extraObject says what engines do beyond the common protocol. Its lists run parallel to
-// the lists of kinds or classes, and may be shorter.
+// extraObject describes engines beyond the common protocol. Its lists are parallel to the lists of
+// kinds or classes, and may be shorter.
 type extraObject struct {
 	CoresByKind        []float64 `json:"cores-by-kind"`
 	MemoryMBByKind     []float64 `json:"memory-by-kind-mb"`
--- a/internal/config/settings_policy.go
+++ b/internal/config/settings_policy.go
@@ -6,13 +6,15 @@
 	"flaxrelay/policy"
 )
 
-// Values of the settings object that the translation compares to.
+// Values of the settings object.
 const (
-	pullDiscovery    = "on_request" // of membership-mode
-	noReportedLoad   = "silent"     // of report.how
-	unknownValueText = "unknown value %q"
+	pullDiscovery  = "on_request" // of membership-mode
+	noReportedLoad = "silent"     // of report.how
 )
 
+// unknownValueText is the problem of a field whose value is none of the possible ones.
+const unknownValueText = "unknown value %q"
+
 var effects = map[string]policy.Effect{
 	"read_like":       policy.Idempotent,
 	"idempotency_key": policy.IdempotentByKey,
@@ -33,8 +35,8 @@
 	"":      policy.ShortageQueue,
 }
 
-// lookUp translates a value of the field, and returns a FieldError for one that the
-// table does not have.
+// lookUp translates the value of a field. It returns a FieldError if the table does not have the
+// value.
 func lookUp[T any](table map[string]T, field, value string) (T, error) {
 	translated, known := table[value]
 	if !known {
@@ -43,7 +45,7 @@
 	return translated, nil
 }
 
-// policySettings translates the settings object into the policy module's settings.
+// policySettings translates the settings object into the settings of package policy.
 func (o *settingsObject) policySettings() (policy.Settings, error) {
 	shortage, err := lookUp(memoryShortages, "extra.when-short", o.Extra.Shortage)
 	if err != nil {
@@ -168,7 +170,7 @@
 	}
 }
 
-// elementOrZero returns an element of a list that a deployment may leave out or keep short.
+// elementOrZero returns an element of a list, or the zero value if the list is too short.
 func elementOrZero[T any](list []T, index int) (element T) {
 	if index < len(list) {
 		return list[index]
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -8,26 +8,35 @@
 	"flaxrelay/internal/decision/costmodel"
 )
 
-// Shapes configures the classification and cost estimates by query shape: the table
-// [shapes] of the PostgreSQL front end's deploy file, or a file of its own for the
-// platform's front end.
+// Shapes configures classification and cost estimates by statement shape. It is the table [shapes] of
+// the deploy file of the PostgreSQL front end, or a file of its own for the HTTP front end.
 type Shapes struct {
-	Enabled          bool         `toml:"enabled"`           // false: classes and estimates are those of clients and rules
-	MemoryKB         int          `toml:"memory_kb"`         // of records and bookkeeping; at most a quarter of memory_mb
-	Hysteresis       float64      `toml:"hysteresis"`        // factor past the bound of a class at which a shape changes class
-	CorrectEstimates bool         `toml:"correct_estimates"` // expected costs replace the client's estimates
-	Snapshot         string       `toml:"snapshot"`          // file that preserves the statistics over a restart; "": none
-	SnapshotSeconds  float64      `toml:"snapshot_every_s"`  // time between snapshots
-	Classes          []ShapeClass `toml:"class"`             // of read-only statements, the cheapest first; none: not classified
+	// Enabled turns statement statistics on. Without them, classes and estimates come from clients
+	// and rules only.
+	Enabled bool `toml:"enabled"`
+	// MemoryKB limits the memory for records and bookkeeping; at most a quarter of memory_mb.
+	MemoryKB int `toml:"memory_kb"`
+	// Hysteresis is the factor beyond the limit of its class at which a shape changes class.
+	Hysteresis float64 `toml:"hysteresis"`
+	// CorrectEstimates says that expected costs replace the estimates of clients.
+	CorrectEstimates bool `toml:"correct_estimates"`
+	// Snapshot is the file that preserves the statistics over a restart; "": none.
+	Snapshot string `toml:"snapshot"`
+	// SnapshotSeconds is the time between snapshots.
+	SnapshotSeconds float64 `toml:"snapshot_every_s"`
+	// Classes are the classes of read-only statements, the cheapest first. Without any, statements
+	// are not classified by their shape.
+	Classes []ShapeClass `toml:"class"`
 }
 
 // ShapeClass is a class that read-only statements may get.
 type ShapeClass struct {
 	Name   string  `toml:"name"`
-	UpToMS float64 `toml:"up_to_ms"` // expected time; the last class has none
+	UpToMS float64 `toml:"up_to_ms"` // limit on the expected execution time; 0 for the last class
 }
 
-// LoadShapes reads the file of query shape settings of the platform's front end.
+// LoadShapes reads the file of shape settings of the HTTP front end. The error contains all faults
+// (see FieldErrorsOf).
 func LoadShapes(path string) (*Shapes, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -36,7 +45,7 @@
 	var shapes Shapes
 	v := &validator{file: path}
 	if decodeTOML(v, raw, &shapes) {
-		v.require(len(shapes.Classes) == 0, "class", "the platform's front is told its classes by the path, and sorts nothing into them")
+		v.require(len(shapes.Classes) == 0, "class", "the HTTP front end takes the class of a request from its path")
 		shapes.setDefaults()
 		shapes.validate(v, "", nil)
 	}
@@ -56,4 +65,7 @@
 }
 
 // SnapshotInterval returns the time between snapshots.
-func (s *Shapes) SnapshotInterval() time.Duration { return FromMilliseconds(s.SnapshotSeconds * 1000) }
+func (s *Shapes) SnapshotInterval() time.Duration {
+	const millisecondsPerSecond = 1000
+	return FromMilliseconds(s.SnapshotSeconds * millisecondsPerSecond)
+}
--- a/internal/config/validation_test.go
+++ b/internal/config/validation_test.go
@@ -9,14 +9,13 @@
 	"flaxrelay/policy"
 )
 
-// A configuration that can't be used is rejected with the name of the field.
-func TestPlatformFaultsNameTheField(t *testing.T) {
+func TestParsePlatform_FaultsNameTheField(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/toy/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	good := string(raw)
-	for _, tt := range []struct{ old, new, field string }{
+	for _, test := range []struct{ old, new, field string }{
 		{`"listen": "127.0.0.1:9090"`, `"listen": "nowhere"`, "listen"},
 		{`"listen": "127.0.0.1:9090"`, `"listen": 5`, "listen"},
 		{`"seed": "8c`, `"seed": "zz`, "seed"},
@@ -30,29 +29,45 @@
 		{``, ``, ""},
 		{`"when-short": "queue"`, `"when-short": "odd"`, "extra.when-short"},
 	} {
-		_, err := parsePlatform([]byte(strings.Replace(good, tt.old, tt.new, 1)), "configuration")
-		if tt.field == "" {
-			if err != nil {
-				t.Errorf("a good one: %v", err)
-			}
-			continue
-		}
-		if err == nil || !strings.Contains(err.Error(), tt.field) {
-			t.Errorf("%s: got %v, want the name %s", tt.new, err, tt.field)
+		_, err := parsePlatform([]byte(strings.Replace(good, test.old, test.new, 1)), "configuration")
+		assertFaultOf(t, err, test.field, test.new)
+	}
+}
+
+// assertFaultOf checks that the error names the field, or that there is none if the field is "".
+func assertFaultOf(t *testing.T, err error, field, replacement string) {
+	t.Helper()
+	if field == "" {
+		if err != nil {
+			t.Errorf("%s: error is %v, want none", replacement, err)
 		}
+		return
 	}
-	c, err := parsePlatform(raw, "configuration")
+	if err == nil || !strings.Contains(err.Error(), field) {
+		t.Errorf("%s: error is %v, want a fault of %s", replacement, err, field)
+	}
+}
+
+func TestParsePlatform_DecodesTheExample(t *testing.T) {
+	raw, err := os.ReadFile("../../examples/toy/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	configuration, err := parsePlatform(raw, "configuration")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e := c.InitialEvents[0].Engines[0]; e.ID != "s-00000001" || e.State != policy.EngineReady || e.StartKnown || c.LastEvent != 1 {
-		t.Errorf("read %+v", c)
+	engine := configuration.InitialEvents[0].Engines[0]
+	if engine.ID != "s-00000001" || engine.State != policy.EngineReady || engine.StartKnown {
+		t.Errorf("the engine is %+v", engine)
+	}
+	if configuration.LastEvent != 1 {
+		t.Errorf("the last event is %d, want 1", configuration.LastEvent)
 	}
 }
 
-// A deploy file that can't be used is rejected with the name of the field. Without a
-// listen address the front end is off, and that is no fault.
-func TestPostgresFaultsNameTheField(t *testing.T) {
+// Without a listen address the front end is off, which is not a fault.
+func TestLoadPostgres_FaultsNameTheField(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/postgres.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +80,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "postgres-settings.json"), settings, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, tt := range []struct{ old, new, field string }{
+	for _, test := range []struct{ old, new, field string }{
 		{``, ``, ""},
 		{`listen = "127.0.0.1:5433"`, `listen = ""`, ""},
 		{`listen = "127.0.0.1:5433"`, `listen = "x"`, "listen"},
@@ -83,12 +98,10 @@
 		{`key = 1`, `read_only = true`, "statement[0].read_only"},
 	} {
 		path := filepath.Join(dir, "postgres.toml")
-		if err := os.WriteFile(path, []byte(strings.Replace(string(raw), tt.old, tt.new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(string(raw), test.old, test.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := LoadPostgres(path)
-		if (err == nil) != (tt.field == "") || err != nil && !strings.Contains(err.Error(), tt.field) {
-			t.Errorf("%s: got %v, want the name %q", tt.new, err, tt.field)
-		}
+		assertFaultOf(t, err, test.field, test.new)
 	}
 }
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -9,7 +9,7 @@
 // validator collects the faults of one file.
 type validator struct {
 	file   string
-	locate func(field string) int // line of a field; nil where lines are not known
+	locate func(field string) int // returns the line of a field; nil if lines are unknown
 	faults FieldErrors
 }
 
@@ -22,17 +22,24 @@
 	v.faults = append(v.faults, fault)
 }
 
-// require reports a fault of a field unless the condition holds.
+// require reports a fault of a field if the condition is false.
 func (v *validator) require(condition bool, field, format string, args ...any) {
 	if !condition {
 		v.report(field, format, args...)
 	}
 }
 
-// requireAddress reports a fault of a field that holds no address of the form host:port.
+// requireAddress reports a fault of a field unless its value has the form HOST:PORT.
 func (v *validator) requireAddress(field, address string) {
 	if err := checkAddress(address); err != nil {
-		v.report(field, "%v; wanted is HOST:PORT", err)
+		v.report(field, "%v; expected is HOST:PORT", err)
+	}
+}
+
+// requireOptionalAddress is like requireAddress, but the value may be missing.
+func (v *validator) requireOptionalAddress(field, address string) {
+	if address != "" {
+		v.requireAddress(field, address)
 	}
 }
 
@@ -48,14 +55,14 @@
 type portError struct{ address string }
 
 func (e *portError) Error() string {
-	return fmt.Sprintf("%q: the port is no number up to 65535", e.address)
+	return fmt.Sprintf("%q: the port is not a number up to 65535", e.address)
 }
 
-// checkAddress returns what is wrong with an address of the form host:port.
+// checkAddress returns an error unless the address has the form HOST:PORT.
 func checkAddress(address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
-		return err
+		return err //nolint:wrapcheck // the error names the address already
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
 		return &portError{address: address}
