--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -11,10 +11,10 @@
 
 // checkCommand validates files.
 type checkCommand struct {
-	Files []string `arg:"" name:"file" help:"Settings (JSON), deploy files of the PostgreSQL front end, or shape settings (TOML)."`
+	Files []string `arg:"" name:"file" help:"Settings (JSON), deploy files or shape settings (TOML)."`
 }
 
-// Run prints every fault of every file in one pass, and fails if there is any.
+// Run prints all faults of all files. It returns an error if there are any.
 func (c *checkCommand) Run() error {
 	faultCount := 0
 	for _, path := range c.Files {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// checkFile returns the faults of one file, read as the kind of file that it looks like.
+// checkFile returns the faults of a file. Its kind is found from its name and content.
 func checkFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -50,7 +50,7 @@
 	case shapesFile:
 		_, err = config.LoadShapes(path)
 	case unknownFile:
-		err = config.FieldError{File: path, Problem: "no .json and no .toml: what it is can't be told"}
+		err = config.FieldError{File: path, Problem: "the kind of this file is unknown: it is neither .json nor .toml"}
 	}
 	return err
 }
@@ -66,8 +66,8 @@
 	shapesFile            // query shape settings of the HTTP front end
 )
 
-// kindOf tells the kind of a file from its extension and the keys in it. Only deploy
-// files have an address to listen at or a Consul table; they need no .toml extension.
+// kindOf returns the kind of a file, from its extension and its keys. Only deploy files have a listen
+// address or a Consul table; their extension does not matter.
 func kindOf(path string, raw []byte) fileKind {
 	extension := filepath.Ext(path)
 	switch {
--- a/cmd/flaxrelay/client_test.go
+++ b/cmd/flaxrelay/client_test.go
@@ -12,12 +12,13 @@
 
 // lookupRequest formats a request of an idempotent class with the given id.
 func lookupRequest(requestID string) string {
-	return "POST /rpc/lookup HTTP/1.1\r\nReq-Id: " + requestID + "\r\nReq-Wait-Ms: 6000\r\nContent-Length: 8\r\n\r\nSELECT 1"
+	return "POST /rpc/lookup HTTP/1.1\r\nReq-Id: " + requestID +
+		"\r\nReq-Wait-Ms: 6000\r\nContent-Length: 8\r\n\r\nSELECT 1"
 }
 
 const healthRequest = "GET /health HTTP/1.1\r\n\r\n"
 
-// httpClient sends requests one after the other on one connection.
+// httpClient sends requests one after another on one connection.
 type httpClient struct {
 	t         *testing.T
 	conn      net.Conn
@@ -33,7 +34,7 @@
 	return &httpClient{t: t, conn: conn, responses: bufio.NewReader(conn)}
 }
 
-// expectOK sends a request and checks that it is answered with 200.
+// expectOK sends a request and checks that the status of its response is 200.
 func (c *httpClient) expectOK(request string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, request); err != nil {
@@ -49,8 +50,8 @@
 	}
 }
 
-// sendLookup sends one request on a connection of its own. The channel gets the
-// response's status, with a remark where the response has a time to retry after.
+// sendLookup sends one request on a connection of its own. The channel receives the status of the
+// response, followed by ", retry after" if the response has a Retry-After time.
 func sendLookup(t *testing.T, address, requestID string) <-chan string {
 	t.Helper()
 	client := newHTTPClient(t, address, 10*time.Second)
@@ -83,8 +84,8 @@
 	return conn
 }
 
-// closeQuietly closes what the test has no further use for.
+// closeQuietly closes a resource that the test no longer needs.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// sequentialRequestID returns a request id that is unlike that of any other number.
+// sequentialRequestID returns a request id that is unique to the number.
 func sequentialRequestID(n int) string { return fmt.Sprintf("%016x", n) }
--- a/cmd/flaxrelay/completion.go
+++ b/cmd/flaxrelay/completion.go
@@ -9,8 +9,8 @@
 
 const zshPrologue = "autoload -U +X bashcompinit && bashcompinit\n"
 
-// completionScript completes the words that the case statement in its middle gives for
-// the commands typed so far.
+// completionScript is a bash script. Its case statement, which is inserted at %s, sets the words that
+// may follow the commands typed so far.
 const completionScript = `_flaxrelay() {
   local path="" word words="" i
   for ((i = 1; i < COMP_CWORD; i++)); do
@@ -29,7 +29,7 @@
 	Shell string `name:"shell" arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
 }
 
-// Run prints a script that is made from the grammar, so that it can't fall behind it.
+// Run prints a script that is generated from the grammar of the command line.
 //
 //nolint:unparam // kong only calls a Run method that returns an error
 func (c *completionCommand) Run(parser *kong.Kong) error {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// writeCompletionCases writes a branch of the shell's case statement for the command at
-// the path, and for each command below it.
+// writeCompletionCases writes a branch of the case statement for the command at the path and for each
+// command below it.
 func writeCompletionCases(cases *strings.Builder, command *kong.Node, path string) {
 	var words []string
 	for _, child := range command.Children {
--- a/cmd/flaxrelay/descriptors_test.go
+++ b/cmd/flaxrelay/descriptors_test.go
@@ -13,14 +13,13 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// smallTable is a descriptor limit that clients and engines together would fill.
+// smallTable is a limit on descriptors that clients and engines together would reach.
 const smallTable = 64
 
-// While discovery is down, idle clients take all the connections that they can get and
-// requests go to more engines than there are descriptors. Discovery still has a
-// descriptor to reconnect with once it is back, and requests and health checks are
-// answered all the while.
-func TestDiscoveryReconnectsWhenDescriptorsRunOut(t *testing.T) {
+// While the event bus is down, idle clients open all the connections that they can, and requests go to
+// more engines than there are descriptors. Requests and health checks still get responses, and
+// discovery has a descriptor to reconnect with when the bus is back.
+func TestDiscovery_ReconnectsWhenDescriptorsRunOut(t *testing.T) {
 	limitDescriptorsOfChild(t)
 	if serveInChild(t) {
 		return
@@ -38,11 +37,11 @@
 
 	client := newHTTPClient(t, address, 15*time.Second)
 	client.expectOK(healthRequest)
-	for range 3 * smallTable { // some are not accepted, some replace others
+	for range 3 * smallTable { // some are not accepted, some evict others
 		dial(t, address)
 	}
-	for n := range 8 * smallTable {
-		client.expectOK(lookupRequest(sequentialRequestID(n)))
+	for i := range 8 * smallTable {
+		client.expectOK(lookupRequest(sequentialRequestID(i)))
 	}
 	expectSubscription(t, busAddress)
 	client.expectOK(healthRequest)
@@ -51,7 +50,7 @@
 	p.wait()
 }
 
-// limitDescriptorsOfChild lowers the descriptor limit of a process that serves.
+// limitDescriptorsOfChild lowers the limit on descriptors if this is a process that serves.
 func limitDescriptorsOfChild(t *testing.T) {
 	t.Helper()
 	if !inChild() {
@@ -63,8 +62,8 @@
 	}
 }
 
-// unusedAddress returns an address where nobody listens. Its host is not that of
-// outgoing connections, one of which could otherwise take the port.
+// unusedAddress returns an address without a listener. Outgoing connections do not use its host, so
+// that none of them takes the port.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener := tcptest.Listen(t, "127.0.0.77:0")
@@ -72,8 +71,7 @@
 	return listener.Addr().String()
 }
 
-// smallTableConfig returns a configuration with as many engines as the table has
-// descriptors.
+// smallTableConfig returns a configuration with as many engines as there are descriptors.
 func smallTableConfig(t *testing.T, busAddress string) string {
 	t.Helper()
 	var configuration map[string]any
@@ -83,8 +81,8 @@
 	var targets []any
 	for i := range smallTable {
 		targets = append(targets, map[string]any{
-			"uid": fmt.Sprintf("s-%08x", i), "endpoint": startEngine(t, answerWithoutRows), "az": "hall-a", "model": "std-8",
-			"pod_group": 0, "state": "in_service", "capacity_hint": 1, "boot_ms": 0,
+			"uid": fmt.Sprintf("s-%08x", i), "endpoint": startEngine(t, respondWithoutRows),
+			"az": "hall-a", "model": "std-8", "pod_group": 0, "state": "in_service", "capacity_hint": 1, "boot_ms": 0,
 		})
 	}
 	configuration["listen"], configuration["bus"] = tcptest.AnyLoopbackPort, busAddress
@@ -99,8 +97,8 @@
 	return string(raw)
 }
 
-// expectSubscription brings the event bus up and checks that the front end connects to
-// it in time and asks for the events after the first.
+// expectSubscription starts the event bus and checks that the front end connects to it in time and
+// requests the events after the first.
 func expectSubscription(t *testing.T, busAddress string) {
 	t.Helper()
 	bus := tcptest.Listen(t, busAddress)
@@ -109,7 +107,7 @@
 	}
 	conn, err := bus.Accept()
 	if err != nil {
-		t.Fatalf("discovery is back and is not connected to: %v", err)
+		t.Fatalf("no connection after the event bus returned: %v", err)
 	}
 	t.Cleanup(func() { closeQuietly(conn) })
 	var lastEvent uint64
--- a/cmd/flaxrelay/engine_test.go
+++ b/cmd/flaxrelay/engine_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// startEngine returns the address of an engine of the line protocol that gives each
-// request to the handler.
+// startEngine starts an engine of the line protocol that passes each request to the handler. It
+// returns its address.
 func startEngine(t *testing.T, handle func(conn net.Conn, requestID string)) (address string) {
 	t.Helper()
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
@@ -27,7 +27,7 @@
 	}
 }
 
-// answerWithoutRows completes a request of an engine's connection.
-func answerWithoutRows(conn net.Conn, requestID string) {
-	_, _ = fmt.Fprintf(conn, "%s DONE batches=1 0\r\n\r\n", requestID) // a lost connection shows at the client
+// respondWithoutRows sends a complete result without rows.
+func respondWithoutRows(conn net.Conn, requestID string) {
+	_, _ = fmt.Fprintf(conn, "%s DONE batches=1 0\r\n\r\n", requestID) // the client notices a lost connection
 }
--- a/cmd/flaxrelay/files_test.go
+++ b/cmd/flaxrelay/files_test.go
@@ -2,7 +2,11 @@
 
 import (
 	"os"
+	"path/filepath"
+	"strings"
 	"testing"
+
+	"flaxrelay/internal/tcptest"
 )
 
 const (
@@ -13,10 +17,20 @@
 	exampleSettings         = "../../deploy/postgres-settings.json"
 	examplePostgresAddress  = "127.0.0.1:5433" // in exampleDeploy
 	exampleConsulAddress    = "127.0.0.1:8500" // in exampleDeploy
-	closedLoopbackPort      = "127.0.0.1:1"    // nobody listens there
-	otherClosedLoopbackPort = "127.0.0.1:2"    // nor there
+	closedLoopbackPort      = "127.0.0.1:1"    // has no listener
+	otherClosedLoopbackPort = "127.0.0.1:2"    // has no listener
 )
 
+// writeExampleConfig writes the example configuration with replacements, which are pairs of texts, and
+// returns its path. The listen address is replaced by any free port, unless the replacements do that.
+func writeExampleConfig(t *testing.T, replacements ...string) (path string) {
+	t.Helper()
+	replacements = append(replacements, exampleListenAddress, tcptest.AnyLoopbackPort)
+	path = filepath.Join(t.TempDir(), "config.json")
+	writeFile(t, path, strings.NewReplacer(replacements...).Replace(readFile(t, exampleConfig)))
+	return path
+}
+
 func readFile(t *testing.T, path string) string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
--- a/cmd/flaxrelay/flags_test.go
+++ b/cmd/flaxrelay/flags_test.go
@@ -6,7 +6,6 @@
 	"flaxrelay/internal/clitest"
 )
 
-// Commands, flags and arguments keep their names.
-func TestCommandLineNames(t *testing.T) {
+func TestCommandLine_KeepsItsNames(t *testing.T) {
 	clitest.CheckNames(t, "flaxrelay", &cli{}, "testdata/flags.golden")
 }
--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -11,8 +11,8 @@
 	"flaxrelay/policy"
 )
 
-// listenAddressVariable names the environment variable that overrides the
-// configuration's address to listen at.
+// listenAddressVariable is the environment variable that overrides the listen address of the
+// configuration.
 const listenAddressVariable = "LB_LISTEN"
 
 var (
@@ -20,8 +20,8 @@
 	errNoEventBus      = errors.New("configuration: bus: missing")
 )
 
-// listenHTTP composes the server for the platform's HTTP protocol, with engines that
-// speak the line protocol and the event bus as discovery, and opens its listener.
+// listenHTTP composes the server for the platform's HTTP protocol and opens its listener. Engines
+// speak the line protocol; the event bus is the source of the endpoint list.
 func (s *server) listenHTTP(configPath, shapesPath string) error {
 	settings, err := loadHTTPConfig(configPath)
 	if err != nil {
@@ -50,8 +50,7 @@
 	return frontEnd.Listen(settings.Listen)
 }
 
-// loadHTTPConfig reads the configuration, with the environment's listen address where
-// that is set.
+// loadHTTPConfig reads the configuration and applies the environment's listen address, if it is set.
 func loadHTTPConfig(path string) (*config.Config, error) {
 	settings, err := config.Load(path)
 	if err != nil {
@@ -66,7 +65,7 @@
 	return settings, nil
 }
 
-// applyInitialEvents gives the dispatcher the endpoints that the configuration knows.
+// applyInitialEvents applies the changes of the endpoint list that the configuration contains.
 func (s *server) applyInitialEvents(events []config.Event) {
 	for _, event := range events {
 		mode := policy.UpdateDelta
@@ -77,15 +76,15 @@
 	}
 }
 
-// watchEventBus follows the event bus from the last event that the configuration knows.
-// A reload moves the watcher to the event bus that the file names by then.
+// watchEventBus follows the event bus from the last event of the configuration. A reload moves the
+// watcher to the event bus that the file names then.
 func (s *server) watchEventBus(settings *config.Config, configPath string) {
 	watcher := eventbus.New(
 		s.loop, settings.EventBus, settings.LastEvent, settings.Settings.Zones, settings.Settings.Kinds,
 		s.dispatcher, s.counters, s.logger,
 	)
 	if grace := settings.Settings.Policy.Rules.DrainGrace; grace > 0 {
-		// An engine that starts draining must be seen well within its grace period.
+		// The notice that an engine drains must arrive well within its grace period.
 		watcher.MaxBackoff = grace / 2
 	}
 	watcher.Start()
@@ -102,7 +101,8 @@
 	}
 }
 
-// learnHTTPShapes starts query shape statistics as their own file says; "" turns them off.
+// learnHTTPShapes starts the statement statistics that the file configures. Without a file they are
+// off.
 func (s *server) learnHTTPShapes(path string, settings *config.Config, limits resourceLimits) error {
 	if path == "" {
 		return nil
--- a/cmd/flaxrelay/limits.go
+++ b/cmd/flaxrelay/limits.go
@@ -12,51 +12,53 @@
 	bytesPerKB = 1 << 10
 )
 
-// Limits of a configuration that sets none.
+// Defaults of limits that are not configured.
 const (
 	defaultMemoryMB    = 192
 	defaultDescriptors = 1024
 )
 
-// The parts of the memory limit that its users may take, as divisors. Without query
-// shapes, the HTTP front end's parts add up to less than a third of it and the PostgreSQL
-// front end's to less than six tenths; the rest is for the program itself and the
-// garbage collector.
+// The memory limit divided by one of these is the share of a part of the program. Without statement
+// statistics, the shares add up to less than a third of the limit in the HTTP front end, and to less
+// than six tenths in the PostgreSQL front end. The rest is for the program itself and the garbage
+// collector.
 const (
 	loopBufferDivisor      = 6 // read buffers of all connections of the event loop
-	bufferedResultsDivisor = 8 // HTTP results that wait for their next page to be fetched
+	bufferedResultsDivisor = 8 // HTTP results whose next page is not fetched yet
 	openPortalsDivisor     = 6 // rows in open portals of PostgreSQL clients
-	engineBufferDivisor    = 4 // results of PostgreSQL engines that no client has read yet
-	shapeStatisticsDivisor = 4 // the most that query shape statistics may be configured to take
+	engineBufferDivisor    = 4 // results of PostgreSQL engines that are not sent to their clients yet
+	shapeStatisticsDivisor = 4 // statement statistics, at most
 )
 
-// The part of the memory limit from which the garbage collector bounds
-// the heap's growth: well below the limit, as buffers outside the heap count too.
+// The part of the memory limit at which the garbage collector limits the growth of the heap. It is
+// well below 1, because buffers outside the heap count too.
 const (
 	heapLimitTenths = 6
 	tenths          = 10
 )
 
-// The descriptor budget. Clients get three quarters of the table without
-// closingClientReserve, engines what is left without reservedDescriptors.
+// The budget of descriptors. Clients get three quarters of the table minus closingClientReserve, engines
+// get the rest minus reservedDescriptors.
 const (
-	// closingClientReserve is for connections of clients that are being closed while
-	// others are accepted.
+	clientShareQuarters = 3
+	quarters            = 4
+	// closingClientReserve is for connections of clients that are being closed while others are
+	// accepted.
 	closingClientReserve = 32
-	// reservedDescriptors may be taken by neither clients nor engines: they are for the
-	// program itself, for connections that are being closed, and for discovery, which
-	// has to reconnect even if it was away while the table filled up.
+	// reservedDescriptors are available to neither clients nor engines. They are for the program
+	// itself, for connections that are being closed, and for discovery, which must be able to
+	// reconnect even if the table filled up while its source was unreachable.
 	reservedDescriptors = 24
-	// Least numbers that keep a front end with a very small table working.
+	// The least numbers of connections, which keep a front end with a very small table working.
 	minClients           = 8
 	minEngineConnections = 4
 )
 
-// maxProcessors is more than one even on one core, as the poller's wait holds one.
+// maxProcessors is the value of GOMAXPROCS. It is more than one even on one core, because the wait of
+// the event loop's poller occupies one.
 const maxProcessors = 3
 
-// resourceLimits are the limits of the process as configured; 0 or less selects the
-// default.
+// resourceLimits are the configured limits of the process; 0 or less stands for the default.
 type resourceLimits struct {
 	memoryMB    int
 	descriptors int
@@ -79,20 +81,19 @@
 	return l.descriptors
 }
 
-// maxClients returns how many client connections the front end accepts.
+// maxClients returns the limit on client connections.
 func (l resourceLimits) maxClients() int {
-	return max(l.descriptorTable()*3/4-closingClientReserve, minClients)
+	return max(l.descriptorTable()*clientShareQuarters/quarters-closingClientReserve, minClients)
 }
 
-// maxEngineConnections returns how many connections to engines the clients leave
-// descriptors for.
+// maxEngineConnections returns the limit on connections to engines.
 func (l resourceLimits) maxEngineConnections() int {
 	remaining := l.descriptorTable() - l.maxClients() - httpserver.SpareClients - reservedDescriptors
 	return max(remaining, minEngineConnections)
 }
 
-// applyToRuntime sets the limits of the Go runtime. Without a configured memory limit
-// the garbage collector keeps its default.
+// applyToRuntime sets the limits of the Go runtime. Without a configured memory limit the garbage
+// collector keeps its default.
 func (l resourceLimits) applyToRuntime() {
 	if l.memoryMB > 0 {
 		debug.SetMemoryLimit(int64(l.memoryMB) * bytesPerMB * heapLimitTenths / tenths)
--- a/cmd/flaxrelay/log_test.go
+++ b/cmd/flaxrelay/log_test.go
@@ -2,64 +2,60 @@
 
 import (
 	"os"
-	"path/filepath"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
-
-	"flaxrelay/internal/tcptest"
 )
 
-// startWithLog starts a front end in a process of its own, and returns the address it listens
-// at once it does. Nothing of its log is read after that.
-func startWithLog(t *testing.T) (p *process, address string) {
+// startListening starts a front end with one engine in a process of its own. It returns the address
+// of the listener as soon as the log has it, and reads nothing more of the log.
+func startListening(t *testing.T) (p *process, address string) {
 	t.Helper()
-	engine := startEngine(t, answerWithoutRows)
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, path, strings.NewReplacer(exampleEngineAddress, engine, exampleListenAddress, tcptest.AnyLoopbackPort).
-		Replace(readFile(t, exampleConfig)))
+	path := writeExampleConfig(t, exampleEngineAddress, startEngine(t, respondWithoutRows))
 	p = startProcess(t, configVariable, path)
 	match := listeningAddress.FindStringSubmatch(p.awaitLog("server.listening"))
 	if match == nil {
-		t.Fatal("no address in the log")
+		t.Fatal("the log has no address")
 	}
 	return p, match[1]
 }
 
-// A log that nobody reads does not stop the service: lines are dropped instead.
-func TestLogThatIsNotReadDoesNotStopTheService(t *testing.T) {
+// expectServed sends a request on a connection of its own and checks that it is served.
+func expectServed(t *testing.T, address string) {
+	t.Helper()
+	if status, err := lookupOnce(address, sequentialRequestID(1)); err != nil || status != "200 OK" {
+		t.Fatalf("got %q, %v", status, err)
+	}
+}
+
+// Lines of a log that nobody reads are dropped.
+func TestLog_ThatIsNotReadDoesNotStopTheService(t *testing.T) {
 	if serveInChild(t) {
 		return
 	}
-	p, address := startWithLog(t)
-	for range 300 { // each prints all counters: far more than a pipe holds
+	p, address := startListening(t)
+	for range 300 { // each prints all counters: far more than a pipe's buffer
 		p.signal(syscall.SIGUSR1)
 		time.Sleep(2 * time.Millisecond)
-		if status, err := lookupOnce(address, sequentialRequestID(1)); err != nil || status != "200 OK" {
-			t.Fatalf("got %q, %v", status, err)
-		}
+		expectServed(t, address)
 	}
 	p.signal(os.Kill)
 	p.drainLog()
 	_ = p.cmd.Wait() // killed
 }
 
-// A log whose reader has ended does not end the service.
-func TestLogWhoseReaderHasEndedDoesNotEndTheService(t *testing.T) {
+func TestLog_WhoseReaderHasEndedDoesNotEndTheService(t *testing.T) {
 	if serveInChild(t) {
 		return
 	}
-	p, address := startWithLog(t)
+	p, address := startListening(t)
 	if err := p.logPipe.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
 		p.signal(syscall.SIGUSR1)
 		time.Sleep(50 * time.Millisecond)
-		if status, err := lookupOnce(address, sequentialRequestID(1)); err != nil || status != "200 OK" {
-			t.Fatalf("got %q, %v", status, err)
-		}
+		expectServed(t, address)
 	}
 	p.signal(syscall.SIGTERM)
 	p.wait()
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -1,11 +1,10 @@
-// Command flaxrelay is a layer-7 proxy with admission control between query clients
-// and engines: it accepts requests, lets package policy decide where each one runs,
-// and relays the answers.
+// Command flaxrelay is a layer-7 proxy with admission control between query clients and engines. It
+// accepts requests, lets package policy decide where each one runs, and relays the responses.
 //
-// Without a command it serves the platform's HTTP protocol as its configuration says
-// ($LB_CONFIG); with --postgres it serves the PostgreSQL wire protocol as a deploy file
-// says. SIGHUP reloads that file, SIGUSR1 prints the counters, and SIGTERM and SIGINT
-// start a graceful shutdown. Other commands validate files and inspect query shapes.
+// Without a command it serves the platform's HTTP protocol with the configuration $LB_CONFIG; with
+// --postgres it serves the PostgreSQL wire protocol with a deploy file. SIGHUP reloads that file,
+// SIGUSR1 prints the counters, and SIGTERM and SIGINT start a graceful shutdown. Other commands
+// validate files and inspect statement shapes.
 package main
 
 import (
@@ -16,33 +15,37 @@
 	"github.com/alecthomas/kong"
 )
 
-const programName = "flaxrelay"
+const (
+	programName = "flaxrelay"
+	description = "An L7 proxy with admission control for query engines. " +
+		"$LB_CONFIG, --config or --postgres selects what it serves."
+)
 
 // cli is the grammar of the command line.
 type cli struct {
-	LogFormat string `name:"log-format" enum:"auto,json,text" default:"auto" help:"Log format: ${enum}; auto is text on a terminal, else JSON."`
+	LogFormat string `name:"log-format" enum:"auto,json,text" default:"auto" help:"${enum}; auto: text on a terminal."`
 	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" help:"Minimum log level: ${enum}."`
 
 	Serve      serveCommand      `name:"serve" cmd:"" default:"withargs" help:"Serve requests (the default command)."`
 	Check      checkCommand      `name:"check" cmd:"" help:"Check settings and deploy files and report every fault."`
-	Shapes     shapesCommand     `name:"shapes" cmd:"" help:"Show what is known of statement shapes."`
-	Completion completionCommand `name:"completion" cmd:"" help:"Print a script that completes commands and flags in a shell."`
+	Shapes     shapesCommand     `name:"shapes" cmd:"" help:"Show the statistics of statement shapes."`
+	Completion completionCommand `name:"completion" cmd:"" help:"Print a completion script for a shell."`
 	Version    versionCommand    `name:"version" cmd:"" help:"Print the version."`
 }
 
-// errReported is returned by a command that has already printed or logged what went
-// wrong: main exits with a failure and prints nothing more.
+// errReported is returned by a command that has already printed or logged its error. main then exits
+// with a failure and prints nothing more.
 var errReported = errors.New("already reported")
 
-// legacyFlags maps the single-dash flags of versions that had no commands to the
-// flags that replace them, so that existing command lines go on working.
+// legacyFlags maps the flags of versions without commands, which have a single dash, to the flags that
+// replace them.
 var legacyFlags = map[string]string{"-config": "--config", "-postgres": "--postgres"}
 
 // modernArguments returns the arguments with legacy flags replaced.
 func modernArguments(arguments []string) []string {
 	modern := make([]string, len(arguments))
 	for i, argument := range arguments {
-		if replacement, ok := legacyFlags[argument]; ok {
+		if replacement, isLegacy := legacyFlags[argument]; isLegacy {
 			argument = replacement
 		}
 		modern[i] = argument
@@ -62,12 +65,11 @@
 // runCommandLine parses the arguments and runs the command that they name.
 func runCommandLine(arguments []string) error {
 	var grammar cli
-	parser, err := kong.New(&grammar, kong.Name(programName), kong.UsageOnError(),
-		kong.Description("An L7 proxy with admission control for query engines. $LB_CONFIG, --config or --postgres selects what it serves."))
+	parser, err := kong.New(&grammar, kong.Name(programName), kong.UsageOnError(), kong.Description(description))
 	if err != nil {
-		return err
+		return fmt.Errorf("command line grammar: %w", err)
 	}
 	ctx, err := parser.Parse(modernArguments(arguments))
 	parser.FatalIfErrorf(err)
-	return ctx.Run(&grammar, parser)
+	return ctx.Run(&grammar, parser) //nolint:wrapcheck // the error is that of a command
 }
--- a/cmd/flaxrelay/metrics.go
+++ b/cmd/flaxrelay/metrics.go
@@ -7,8 +7,8 @@
 	"flaxrelay/internal/metrics"
 )
 
-// metricsReportInterval is how often the log gets the counters' changes: often enough
-// that the log shows the time before and during a fault without a request for either.
+// metricsReportInterval is how often changes of counters are logged. It is short enough for the log to
+// show the time before a fault beside the fault itself.
 const metricsReportInterval = 5 * time.Second
 
 // scheduleMetricsReport sets the timer of the next report.
@@ -16,8 +16,8 @@
 	s.loop.Timers.Schedule(s.loop.Now()+metricsReportInterval, s.reportMetrics)
 }
 
-// reportMetrics logs the counters that have changed since the last report, if any, and
-// schedules the next one.
+// reportMetrics logs the counters that have changed since the previous report and schedules the next
+// report. It also checks the invariants of pending requests.
 func (s *server) reportMetrics() {
 	s.dispatcher.CheckPending()
 	s.publishDropped()
@@ -27,14 +27,14 @@
 	s.scheduleMetricsReport()
 }
 
-// publishDropped publishes how many lines of the log were lost.
+// publishDropped sets the counter of dropped log lines.
 func (s *server) publishDropped() {
 	if s.output != nil {
 		s.counters.Set(metrics.LogDropped, s.output.Dropped())
 	}
 }
 
-// printCounters writes all counters to the log's output.
+// printCounters writes all counters to the output of the log.
 func (s *server) printCounters() {
 	if s.output == nil {
 		return
--- a/cmd/flaxrelay/postgres.go
+++ b/cmd/flaxrelay/postgres.go
@@ -16,17 +16,18 @@
 
 var errNoPostgresListenAddress = errors.New("deploy file: listen: missing")
 
-// unknownClassError reports a reloaded deploy file that names a class which the
-// settings did not have at the start. Settings are not reloaded.
+// unknownClassError reports a reloaded deploy file that names a class which the settings did not have
+// at the start. Settings are not reloaded.
 type unknownClassError struct{ class string }
 
+// Error implements error.
 func (e *unknownClassError) Error() string {
 	return fmt.Sprintf("deploy file: class %q is not among the settings that this program started with", e.class)
 }
 
-// listenPostgres composes the server for the PostgreSQL wire protocol, with Consul as
-// discovery, and opens its listener. A deploy file without a listen address leaves the
-// server without a front end.
+// listenPostgres composes the server for the PostgreSQL wire protocol and opens its listener. Consul
+// is the source of the endpoint list. If the deploy file has no listen address, the server remains
+// without a front end.
 func (s *server) listenPostgres(ctx context.Context, path string) error {
 	deploy, err := config.LoadPostgres(path)
 	if err != nil {
@@ -36,7 +37,7 @@
 		return nil
 	}
 	limits := postgresLimits(deploy)
-	// The deploy file has no seed. The process ID makes it differ between the replicas of one host.
+	// The deploy file has no seed. The process id differs between the replicas on one host.
 	seed := uint64(os.Getpid())
 	if err := s.startCore(deploy.Settings.Policy, seed, limits); err != nil {
 		return err
@@ -61,18 +62,18 @@
 	return frontEnd.Listen(deploy.Listen)
 }
 
-// postgresReloader applies changes of the deploy file while the server runs. It belongs
-// to the event loop's goroutine.
+// postgresReloader applies changes of the deploy file while the server runs. It is owned by the event
+// loop's goroutine.
 type postgresReloader struct {
 	server   *server
 	path     string
-	deploy   *config.Postgres // as applied last
+	deploy   *config.Postgres // the file that is in use
 	frontEnd *pgserver.Server
 	watcher  *consul.Watcher
 }
 
-// reload reads the deploy file and applies its statement rules, client limit and Consul
-// address. A file that can't be used changes nothing.
+// reload reads the deploy file and applies its statement rules, client limit and Consul service. If
+// it returns an error, nothing has changed.
 func (r *postgresReloader) reload(ctx context.Context) error {
 	next, err := config.LoadPostgres(r.path)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return resourceLimits{memoryMB: deploy.MemoryMB, descriptors: deploy.MaxDescriptors}
 }
 
-// postgresOptions translates the deploy file into options of the front end.
+// postgresOptions returns the options of the front end that the deploy file sets.
 func postgresOptions(deploy *config.Postgres, estimator *stmtstats.Service) pgserver.Options {
 	limits := postgresLimits(deploy)
 	options := pgserver.Options{
@@ -127,7 +128,7 @@
 	return options
 }
 
-// consulOptions translates the deploy file's Consul table into options of the watcher.
+// consulOptions returns the options of the watcher that the deploy file sets.
 func consulOptions(settings config.Consul) consul.Options {
 	return consul.Options{
 		Address: settings.Address,
--- a/cmd/flaxrelay/process_test.go
+++ b/cmd/flaxrelay/process_test.go
@@ -13,17 +13,16 @@
 	"flaxrelay/internal/logging"
 )
 
-// Environment variables that tell a test binary started by startProcess what to serve.
+// Environment variables with the files that a process of startProcess serves.
 const (
 	configVariable   = "FLAXRELAY_TEST_CONFIG"
 	postgresVariable = "FLAXRELAY_TEST_POSTGRES"
 )
 
-// processTimeout ends a process whose test waits for a log line that never comes.
+// processTimeout limits the time of a process, so that no test waits forever for a line of its log.
 const processTimeout = 20 * time.Second
 
-// childFiles returns what a process that startProcess started serves; it has no files in
-// any other process.
+// childFiles returns the files that this process has to serve, if startProcess started it.
 func childFiles() serveFiles {
 	return serveFiles{config: os.Getenv(configVariable), postgres: os.Getenv(postgresVariable)}
 }
@@ -31,8 +30,8 @@
 // inChild reports whether startProcess started this process.
 func inChild() bool { return childFiles() != serveFiles{} }
 
-// serveInChild serves in a process that startProcess started, until it is shut down, and
-// reports whether this is such a process. A test whose process is started calls it first.
+// serveInChild reports whether startProcess started this process. If so, it serves until the process
+// is shut down. A test that starts a process must call it first.
 func serveInChild(t *testing.T) bool {
 	t.Helper()
 	if !inChild() {
@@ -50,13 +49,13 @@
 type process struct {
 	t   *testing.T
 	cmd *exec.Cmd
-	log *bufio.Scanner
+	log *bufio.Scanner // reads logPipe
 
 	logPipe io.Closer // the reading end of the log
 }
 
-// startProcess runs the calling test, which must call serveInChild, in a process of its
-// own that serves what the environment variable names.
+// startProcess runs the calling test, which must call serveInChild, in a process of its own. The
+// environment variable is one of those above; the process serves the file at the path.
 func startProcess(t *testing.T, variable, path string) *process {
 	t.Helper()
 	p := &process{t: t, cmd: exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")}
@@ -70,13 +69,15 @@
 	}
 	watchdog := time.AfterFunc(processTimeout, func() { _ = p.cmd.Process.Kill() })
 	t.Cleanup(func() { watchdog.Stop() })
-	p.log, p.logPipe = bufio.NewScanner(stderr), stderr
+	p.log = bufio.NewScanner(stderr)
+	p.logPipe = stderr
 	return p
 }
 
-func (p *process) signal(s os.Signal) { _ = p.cmd.Process.Signal(s) }
+// signal sends a signal, unless the process has ended.
+func (p *process) signal(sig os.Signal) { _ = p.cmd.Process.Signal(sig) }
 
-// awaitLog reads the log up to a line with the text, and returns that line.
+// awaitLog reads the log up to a line that contains the text, and returns that line.
 func (p *process) awaitLog(text string) string {
 	p.t.Helper()
 	for p.log.Scan() {
@@ -88,15 +89,14 @@
 	return ""
 }
 
-// drainLog reads the log to its end, so that the pipe doesn't fill up.
+// drainLog reads the log to its end, so that the pipe does not fill up.
 func (p *process) drainLog() {
 	for p.log.Scan() {
 		continue
 	}
 }
 
-// wait checks that the process ends without a failure. The log must be read to its end
-// before.
+// wait checks that the process ends without a failure. The log must have been read to its end.
 func (p *process) wait() {
 	p.t.Helper()
 	if err := p.cmd.Wait(); err != nil {
--- a/cmd/flaxrelay/reload.go
+++ b/cmd/flaxrelay/reload.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// reloadRetryTime is how long a reload whose file can't be read is tried again: what the
-	// new event bus has to tell counts as told 4 s after SIGHUP.
+	// reloadRetryTime is how long a reload is retried whose file cannot be read. Events of a new
+	// event bus count as received 4 s after SIGHUP.
 	reloadRetryTime = 3 * time.Second
-	// reloadRetryDelay is the pause between two of these attempts.
+	// reloadRetryDelay is the pause between two retries.
 	reloadRetryDelay = 50 * time.Millisecond
 )
 
-// reloadFile applies what may change while the server runs from its file. A file that
-// can't be used changes nothing. One that can't be read is read again for a while, as
-// another signal need not come: a descriptor may have been missing, or the file is being
-// replaced. It must be called on the event loop's goroutine.
+// reloadFile applies the parts of the configuration file that may change while the server runs. An
+// invalid file changes nothing. A file that cannot be read is retried for some time, because the
+// reason may be temporary and no further signal comes: there was no free descriptor, or the file is
+// being replaced. reloadFile must be called on the event loop's goroutine.
 func (s *server) reloadFile() {
-	s.reloadRetry.Stop() // the file is read anew now
+	s.reloadRetry.Stop() // this reload replaces the earlier one
 	if s.reload == nil {
 		logevent.ReloadSkipped.Log(s.logger, slog.String("reason", "the configuration names nothing that may change"))
 		return
@@ -38,7 +38,8 @@
 	s.scheduleReload(err, s.loop.Now()+reloadRetryTime)
 }
 
-// scheduleReload has the file read again that could not be read, until the given time.
+// scheduleReload schedules a retry if the error says that the file could not be read. It gives up at
+// the given time.
 func (s *server) scheduleReload(err error, giveUpAt time.Duration) {
 	var unreadable *fs.PathError
 	next := s.loop.Now() + reloadRetryDelay
--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -14,18 +14,19 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// startEventBus accepts subscriptions and answers each with one event of the given
-// number. The channel gets the event number that each subscription starts from.
+// startEventBus starts an event bus that responds to each subscription with one event of the given
+// number. The channel receives the event number that each subscription starts from.
 func startEventBus(t *testing.T, eventNumber uint64) (address string, subscriptions <-chan uint64) {
 	t.Helper()
 	const (
-		eventLength    = 9
-		unchangedEvent = 2 // the kind of an event that changes nothing
+		eventLength = 9 // of the number and the kind
+		emptyDelta  = 2 // the kind of an event that changes some engines; here none
 	)
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	received := make(chan uint64, 10)
 	event := binary.BigEndian.AppendUint32(nil, eventLength)
-	event = append(binary.BigEndian.AppendUint64(event, eventNumber), unchangedEvent)
+	event = binary.BigEndian.AppendUint64(event, eventNumber)
+	event = append(event, emptyDelta)
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -38,13 +39,13 @@
 				continue
 			}
 			received <- binary.BigEndian.Uint64(lastEvent)
-			_, _ = conn.Write(event) // the front end may have left already
+			_, _ = conn.Write(event) // the front end may have disconnected already
 		}
 	}()
 	return listener.Addr().String(), received
 }
 
-// shutDown ends the process and checks that it ends well, having printed the text.
+// shutDown shuts the process down and checks that it prints the text and ends without a failure.
 func (p *process) shutDown(text string) {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
@@ -53,32 +54,34 @@
 	p.wait()
 }
 
-// A SIGHUP reloads the configuration: a file that can't be used is logged and changes
-// nothing, a good one moves the server to its event bus, from the last event taken. The
-// server goes on serving.
-func TestReloadMovesToTheNewEventBus(t *testing.T) {
+// configWithBus returns the example configuration with an event bus.
+func configWithBus(t *testing.T, address string) string {
+	t.Helper()
+	listenAndBus := fmt.Sprintf(`%q, "bus": %q`, tcptest.AnyLoopbackPort, address)
+	return strings.Replace(readFile(t, exampleConfig), `"`+exampleListenAddress+`"`, listenAndBus, 1)
+}
+
+// A reload with an invalid file is logged and changes nothing. A reload with a valid one moves the
+// server to its event bus, where it continues after the last event.
+func TestReload_MovesToTheNewEventBus(t *testing.T) {
 	if serveInChild(t) {
 		return
 	}
 	firstBus, firstSubscriptions := startEventBus(t, 7)
 	secondBus, secondSubscriptions := startEventBus(t, 8)
-	example := readFile(t, exampleConfig)
-	configWithBus := func(bus string) string {
-		return strings.Replace(example, `"`+exampleListenAddress+`"`, fmt.Sprintf(`%q, "bus": %q`, tcptest.AnyLoopbackPort, bus), 1)
-	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, path, configWithBus(firstBus))
+	writeFile(t, path, configWithBus(t, firstBus))
 	p := startProcess(t, configVariable, path)
 	p.awaitLog("server.listening")
 	if got := <-firstSubscriptions; got != 1 {
 		t.Errorf("the first bus got a subscription from event %d", got)
 	}
-	for _, bad := range []string{"{", configWithBus("nowhere"), example} {
-		writeFile(t, path, bad)
+	for _, invalid := range []string{"{", configWithBus(t, "nowhere"), readFile(t, exampleConfig)} {
+		writeFile(t, path, invalid)
 		p.signal(syscall.SIGHUP)
 		p.awaitLog("the old file holds")
 	}
-	writeFile(t, path, configWithBus(secondBus))
+	writeFile(t, path, configWithBus(t, secondBus))
 	p.signal(syscall.SIGHUP)
 	p.awaitLog("eventbus.moved")
 	if got := <-secondSubscriptions; got != 7 {
@@ -87,16 +90,18 @@
 	p.shutDown("count reload.completed 1")
 }
 
-// A SIGHUP reloads the deploy file of the PostgreSQL front end: one that names an unknown
-// class changes nothing, one with another Consul address has the server ask there.
-func TestReloadOfDeployFileChangesConsul(t *testing.T) {
+// A reload with a deploy file that names an unknown class changes nothing. A reload with another Consul
+// address makes the server query that one.
+func TestReload_OfTheDeployFileChangesConsul(t *testing.T) {
 	if serveInChild(t) {
 		return
 	}
 	dir := t.TempDir()
 	writeFile(t, filepath.Join(dir, filepath.Base(exampleSettings)), readFile(t, exampleSettings))
-	deploy := strings.NewReplacer(examplePostgresAddress, tcptest.AnyLoopbackPort, exampleConsulAddress, closedLoopbackPort).
-		Replace(readFile(t, exampleDeploy))
+	deploy := strings.NewReplacer(
+		examplePostgresAddress, tcptest.AnyLoopbackPort,
+		exampleConsulAddress, closedLoopbackPort,
+	).Replace(readFile(t, exampleDeploy))
 	path := filepath.Join(dir, "postgres.toml")
 	writeFile(t, path, deploy)
 	p := startProcess(t, postgresVariable, path)
@@ -111,19 +116,16 @@
 	p.shutDown("count reload.failed 1")
 }
 
-// A SIGHUP whose file can't be read for a moment, as without a free descriptor, is carried out
-// as soon as it can be: no further signal comes for it.
-func TestReloadOutlastsAFileThatCannotBeRead(t *testing.T) {
+// A reload whose file cannot be read for a moment is carried out as soon as it can be, without another
+// signal.
+func TestReload_RetriesAFileThatCannotBeRead(t *testing.T) {
 	if serveInChild(t) {
 		return
 	}
 	firstBus, firstSubscriptions := startEventBus(t, 7)
 	secondBus, secondSubscriptions := startEventBus(t, 8)
-	configWithBus := func(bus string) string {
-		return strings.Replace(readFile(t, exampleConfig), `"`+exampleListenAddress+`"`, fmt.Sprintf(`%q, "bus": %q`, tcptest.AnyLoopbackPort, bus), 1)
-	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, path, configWithBus(firstBus))
+	writeFile(t, path, configWithBus(t, firstBus))
 	p := startProcess(t, configVariable, path)
 	p.awaitLog("server.listening")
 	<-firstSubscriptions
@@ -132,11 +134,11 @@
 	}
 	p.signal(syscall.SIGHUP)
 	p.awaitLog("reload.failed")
-	writeFile(t, path, configWithBus(secondBus))
+	writeFile(t, path, configWithBus(t, secondBus))
 	select {
 	case <-secondSubscriptions:
 	case <-time.After(2 * time.Second):
-		t.Error("the reload was given up")
+		t.Error("the file was not read again")
 	}
 	p.shutDown("count reload.completed 1")
 }
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -17,16 +17,19 @@
 // serveCommand runs a front end.
 type serveCommand struct {
 	Config   string `name:"config" env:"LB_CONFIG" placeholder:"FILE" help:"Configuration of the HTTP front end (JSON)."`
-	Postgres string `name:"postgres" placeholder:"FILE" help:"Serve the PostgreSQL protocol as this deploy file says, instead of HTTP."`
-	Shapes   string `name:"shapes" placeholder:"FILE" help:"Shape settings of the HTTP front end; the PostgreSQL front end has [shapes] in its deploy file."`
+	Postgres string `name:"postgres" placeholder:"FILE" help:"Serve PostgreSQL with this deploy file instead of HTTP."`
+	Shapes   string `name:"shapes" placeholder:"FILE" help:"Shape settings of the HTTP front end (TOML)."`
 }
 
-// Run serves until a graceful shutdown ends. It logs each fault that keeps the server
-// from starting.
+// Run serves until a graceful shutdown ends. It logs each fault that keeps the server from starting.
 func (c *serveCommand) Run(global *cli) error {
 	output := logging.NewAsyncWriter(os.Stderr)
 	defer output.Flush(finalFlushTime)
-	logger, err := logging.New(os.Stderr, logging.Options{Format: global.LogFormat, Level: global.LogLevel, Writer: output})
+	logger, err := logging.New(os.Stderr, logging.Options{
+		Format: global.LogFormat,
+		Level:  global.LogLevel,
+		Writer: output,
+	})
 	if err != nil {
 		return err
 	}
@@ -41,24 +44,23 @@
 	return nil
 }
 
-// finalFlushTime bounds how long the end of the program waits for its log to be written.
+// finalFlushTime limits how long the program waits at its end until the log is written.
 const finalFlushTime = 500 * time.Millisecond
 
-// serveFiles are the paths of the files that say what to serve.
+// serveFiles are the paths of the files that configure a front end.
 type serveFiles struct {
 	config   string // configuration of the HTTP front end
 	postgres string // deploy file of the PostgreSQL front end; "" selects the HTTP front end
-	shapes   string // query shape settings of the HTTP front end; "" turns shapes off
+	shapes   string // shape settings of the HTTP front end; "" turns statement statistics off
 }
 
 var errNothingToServe = errors.New("nothing to serve: set LB_CONFIG, --config or --postgres")
 
-// serve runs the front end that the files select until it has shut down. The logger writes to
-// the output, which also gets the counters.
+// serve runs the front end that the files select until it has shut down. The logger writes to the
+// output; the counters are printed to it too.
 func serve(files serveFiles, logger *slog.Logger, output *logging.AsyncWriter) error {
-	// This comes first: until then, a signal ends the process at once.
-	received := subscribeSignals()
-	signal.Ignore(syscall.SIGPIPE) // of a log whose reader has ended
+	received := subscribeSignals() // first, because an earlier signal ends the process at once
+	signal.Ignore(syscall.SIGPIPE) // sent when the reader of the log has ended
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s := newServer(logger)
--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -15,27 +15,33 @@
 	"flaxrelay/policy"
 )
 
-// server is one front end with its event loop, dispatcher and engine client. Once the
-// loop runs, its goroutine owns every field; other goroutines go through loop.Post.
+// server is one front end with its event loop, dispatcher and engine client. When the loop runs, its
+// goroutine owns all fields; other goroutines use loop.Post.
 type server struct {
 	loop       *eventloop.Loop
 	dispatcher *lifecycle.Dispatcher
-	frontEnd   frontEnd // nil where the deploy file turns the front end off
+	frontEnd   frontEnd // nil if the deploy file turns the front end off
 	counters   *metrics.Counters
 	logger     *slog.Logger
-	output     *logging.AsyncWriter // of the log and the counters; nil: none are printed
-	shapes     *stmtstats.Service   // query shape statistics; nil where they are off
-	reload     func() error         // applies the changed file; nil where nothing in it may change
-	// reloadRetry reads the file again that could not be read; nil: none could not.
+	output     *logging.AsyncWriter // of the log and the counters; nil: counters are not printed
+	shapes     *stmtstats.Service   // statement statistics; nil if they are off
+	reload     func() error         // applies a changed file; nil if nothing in it may change
+	// reloadRetry retries a reload whose file could not be read; nil if there was none.
 	reloadRetry *timerqueue.Timer
 }
 
-// frontEnd is what the composition and a graceful shutdown need of a protocol's server.
+// frontEnd is the server of a client protocol. All methods but Addr must be called on the event loop's
+// goroutine.
 type frontEnd interface {
+	// Addr returns the address of the listener.
 	Addr() string
+	// CloseListener stops accepting connections.
 	CloseListener()
+	// Drain begins a graceful shutdown: each connection is closed as soon as it has no request.
 	Drain()
+	// Finish ends a graceful shutdown. It must be called after Dispatcher.CompleteAll.
 	Finish()
+	// Idle reports whether all clients have received their responses.
 	Idle() bool
 }
 
@@ -56,30 +62,32 @@
 	}
 }
 
-// startCore makes the event loop and the dispatcher, which every protocol needs.
-func (s *server) startCore(settings policy.Settings, seed uint64, limits resourceLimits) (err error) {
+// startCore makes the event loop and the dispatcher, which all protocols need.
+func (s *server) startCore(settings policy.Settings, seed uint64, limits resourceLimits) error {
 	limits.applyToRuntime()
-	if s.loop, err = eventloop.New(); err != nil {
+	loop, err := eventloop.New()
+	if err != nil {
 		return err
 	}
-	s.loop.BufferBudget = int64(limits.memoryFraction(loopBufferDivisor))
-	s.dispatcher, err = lifecycle.NewDispatcher(settings, seed, s.loop, s.loop.Timers, s.counters, s.logger)
+	loop.BufferBudget = int64(limits.memoryFraction(loopBufferDivisor))
+	s.loop = loop
+	s.dispatcher, err = lifecycle.NewDispatcher(settings, seed, loop, loop.Timers, s.counters, s.logger)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	return nil
 }
 
-// shapeLearning says how query shapes are learned.
+// shapeLearning configures statement statistics.
 type shapeLearning struct {
 	shapes             *config.Shapes // nil: off
 	classes            []policy.Class
 	limits             resourceLimits
-	enginesReportCosts bool // false: execution times stand for the work
+	enginesReportCosts bool // false: the execution time is taken as the work
 }
 
-// learnShapes starts the query shape statistics where the settings turn them on.
-func (s *server) learnShapes(learning shapeLearning) (err error) {
+// learnShapes starts statement statistics if the settings turn them on.
+func (s *server) learnShapes(learning shapeLearning) error {
 	shapes := learning.shapes
 	if shapes == nil || !shapes.Enabled {
 		return nil
@@ -87,7 +95,7 @@
 	if limit := learning.limits.memoryFraction(shapeStatisticsDivisor) / bytesPerKB; shapes.MemoryKB > limit {
 		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", shapes.MemoryKB, limit)
 	}
-	s.shapes, err = stmtstats.NewService(stmtstats.Settings{
+	service, err := stmtstats.NewService(stmtstats.Settings{
 		CostModel:         shapes.CostModel(),
 		MaxBytes:          shapes.MemoryKB * bytesPerKB,
 		ApplyEstimates:    shapes.CorrectEstimates,
@@ -95,8 +103,10 @@
 		SnapshotInterval:  shapes.SnapshotInterval(),
 		EnginesReportWork: learning.enginesReportCosts,
 	}, learning.classes, s.loop, s.counters, s.logger)
-	if err == nil {
-		s.dispatcher.SetCostObserver(s.shapes)
+	if err != nil {
+		return err
 	}
-	return err
+	s.shapes = service
+	s.dispatcher.SetCostObserver(service)
+	return nil
 }
--- a/cmd/flaxrelay/shapes.go
+++ b/cmd/flaxrelay/shapes.go
@@ -11,20 +11,20 @@
 	"flaxrelay/internal/stmtstats"
 )
 
-// shapesCommand groups the commands that inspect query shapes.
+// shapesCommand groups the commands that inspect statement shapes.
 type shapesCommand struct {
-	Explain explainCommand `name:"explain" cmd:"" help:"Show how a statement is parsed, classified and estimated, and why."`
+	Explain explainCommand `name:"explain" cmd:"" help:"Show how a statement is parsed, classified and estimated."`
 	Top     topCommand     `name:"top" cmd:"" help:"List the shapes of a snapshot that take the most work."`
 	Diff    diffCommand    `name:"diff" cmd:"" help:"List the shapes whose cost differs most between two snapshots."`
 }
 
-// columnGap is the number of spaces between two columns of a table.
+// columnGap is the number of spaces between the columns of a table.
 const columnGap = 2
 
-// table collects rows of tab-separated cells and prints them with aligned columns.
+// table collects rows of cells, which are separated by tabs, and prints them with aligned columns.
 type table struct{ rows strings.Builder }
 
-// row adds one line; the cells of its format are separated by tabs.
+// row adds one row.
 func (t *table) row(format string, args ...any) {
 	fmt.Fprintf(&t.rows, format+"\n", args...)
 }
@@ -33,13 +33,16 @@
 func (t *table) print() error {
 	aligned := tabwriter.NewWriter(os.Stdout, 0, 0, columnGap, ' ', 0)
 	if _, err := io.WriteString(aligned, t.rows.String()); err != nil {
-		return err
+		return fmt.Errorf("print the table: %w", err)
 	}
-	return aligned.Flush()
+	if err := aligned.Flush(); err != nil {
+		return fmt.Errorf("print the table: %w", err)
+	}
+	return nil
 }
 
-// typicalCost returns the work of a usual execution of a shape in milliseconds, 0 without
-// executions. Statistics hold it as a power of two.
+// typicalCost returns the median work of the executions of a shape in milliseconds, or 0 if there are
+// none. Records contain its binary logarithm.
 func typicalCost(shape *stmtstats.SavedShape) float64 {
 	if shape.Record.Work.Samples == 0 {
 		return 0
@@ -47,10 +50,10 @@
 	return math.Exp2(float64(shape.Record.Work.Median))
 }
 
-// maxShapeWidth keeps a table's rows within a wide terminal.
+// maxShapeWidth limits the length of a shape in a table, so that a row fits on a wide terminal.
 const maxShapeWidth = 160
 
-// abbreviate cuts a shape's text that is too wide for a table.
+// abbreviate shortens the text of a shape to maxShapeWidth.
 func abbreviate(text string) string {
 	const ellipsis = "..."
 	if len(text) <= maxShapeWidth {
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -17,19 +17,21 @@
 	Over float64 `name:"over" default:"1.5" help:"Smallest factor between the two that is listed."`
 }
 
-// costChange is a shape that both snapshots have, with its cost in each in milliseconds.
+// costChange is a shape of both snapshots, with its cost in each, in milliseconds.
 type costChange struct {
-	norm          string
-	before, after float64
+	normalForm string
+	before     float64
+	after      float64
 }
 
-// magnitude returns how far the two costs are apart, as the logarithm of their factor.
+// magnitude returns the absolute logarithm of the factor between the two costs.
 func (c costChange) magnitude() float64 { return math.Abs(math.Log(c.after / c.before)) }
 
-// snapshotDiff is what has changed between two snapshots.
+// snapshotDiff is the difference between two snapshots.
 type snapshotDiff struct {
-	changes        []costChange
-	added, removed int // shapes that only the newer or only the older snapshot has
+	changes []costChange
+	added   int // number of shapes that only the newer snapshot has
+	removed int // number of shapes that only the older snapshot has
 }
 
 // Run lists the shapes whose cost has changed, and counts those that were added or removed.
@@ -47,14 +49,14 @@
 	t.row("was ms\tis ms\tfactor\tshape")
 	for _, change := range diff.changes[:min(c.Most, len(diff.changes))] {
 		factor := strconv.FormatFloat(change.after/change.before, 'g', 3, 64)
-		t.row("%.4g\t%.4g\t%s\t%s", change.before, change.after, factor, abbreviate(change.norm))
+		t.row("%.4g\t%.4g\t%s\t%s", change.before, change.after, factor, abbreviate(change.normalForm))
 	}
 	t.row("\n%d changed\t%d came\t%d went\t", len(diff.changes), diff.added, diff.removed)
 	return t.print()
 }
 
-// compareSnapshots returns what has changed, the largest changes of cost first. Changes
-// by less than the factor are left out.
+// compareSnapshots returns the difference between two snapshots, the largest changes of cost first.
+// Changes by less than the factor are omitted.
 func compareSnapshots(before, after *stmtstats.Snapshot, leastFactor float64) snapshotDiff {
 	remaining := make(map[string]*stmtstats.SavedShape, len(before.Shapes))
 	for i := range before.Shapes {
@@ -70,7 +72,7 @@
 			continue
 		}
 		delete(remaining, shape.NormalForm)
-		change := costChange{norm: shape.NormalForm, before: typicalCost(old), after: typicalCost(shape)}
+		change := costChange{normalForm: shape.NormalForm, before: typicalCost(old), after: typicalCost(shape)}
 		if change.before > 0 && change.after > 0 && change.magnitude() >= leastMagnitude {
 			diff.changes = append(diff.changes, change)
 		}
--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -12,21 +12,21 @@
 // explainCommand explains how one statement is classified and estimated.
 type explainCommand struct {
 	SQL      string    `name:"sql" arg:"" help:"The statement."`
-	Bind     []string  `name:"bind" sep:"none" placeholder:"VALUE" help:"A bound value as text, in order; NULL is null. May be repeated."`
-	Snapshot string    `name:"snapshot" placeholder:"FILE" help:"Snapshot to use; by default only the statement itself is used."`
+	Bind     []string  `name:"bind" sep:"none" placeholder:"VALUE" help:"Value of the next parameter; NULL is null."`
+	Snapshot string    `name:"snapshot" placeholder:"FILE" help:"Snapshot to use; by default there are no statistics."`
 	Hint     float64   `name:"hint" placeholder:"MS" help:"The client's estimate of the work, in ms."`
 	Known    int       `name:"known" default:"-1" help:"Index of the class if it is known, from 0; -1: unknown."`
-	Bounds   []float64 `name:"bounds" default:"800" help:"Work at which one class of reading statements ends and the next begins, in ms."`
+	Bounds   []float64 `name:"bounds" default:"800" help:"Limits between the classes of reading statements, in ms of work."`
 	Readers  []string  `name:"readers" help:"Read-only functions besides PostgreSQL's own."`
 }
 
-// explainStoreBytes holds any snapshot that a front end writes with usual settings.
+// explainStoreBytes is enough for any snapshot that a front end writes with usual settings.
 const explainStoreBytes = 64 << 20
 
-// nullArgument is how the command line spells a bound null.
+// nullArgument is the null value on the command line.
 const nullArgument = "NULL"
 
-// Run prints what a front end would make of the statement.
+// Run prints how a front end would classify and estimate the statement.
 func (c *explainCommand) Run() error {
 	classes := c.costModel()
 	store, err := c.openStore(classes)
@@ -38,7 +38,8 @@
 	analysis := c.explainAnalysis(&t, binds)
 	estimate := store.Estimate(store.Parse(c.SQL), binds, c.Known, stmtstats.Hint{WorkMillis: c.Hint}).Estimate
 	if estimate.Known {
-		t.row("expected\t%.4g ms, nine tenths under %.4g ms", estimate.WorkMillis, estimate.WorkMillis*estimate.SpreadFactor)
+		nineTenths := estimate.WorkMillis * estimate.SpreadFactor
+		t.row("expected\t%.4g ms, nine tenths under %.4g ms", estimate.WorkMillis, nineTenths)
 		if estimate.MemoryMB > 0 {
 			t.row("memory\t%.3g MB", estimate.MemoryMB)
 		}
@@ -50,19 +51,19 @@
 	return t.print()
 }
 
-// costModel returns classes of read-only statements that end at the bounds, and one
-// without an end.
+// costModel returns a class of read-only statements for each limit, and a last one without a limit.
 func (c *explainCommand) costModel() costmodel.Config {
 	var model costmodel.Config
-	for i, bound := range c.Bounds {
-		model.Classes = append(model.Classes, costmodel.Class{Name: fmt.Sprintf("class %d", i), MaxWorkMillis: bound})
+	for i, limit := range c.Bounds {
+		class := costmodel.Class{Name: fmt.Sprintf("class %d", i), MaxWorkMillis: limit}
+		model.Classes = append(model.Classes, class)
 	}
 	last := costmodel.Class{Name: fmt.Sprintf("class %d", len(c.Bounds))}
 	model.Classes = append(model.Classes, last)
 	return model
 }
 
-// openStore returns the statistics of the snapshot, or empty ones where none is named.
+// openStore returns the statistics of the snapshot, or empty ones if no snapshot is given.
 func (c *explainCommand) openStore(model costmodel.Config) (*stmtstats.Store, error) {
 	options := stmtstats.Options{CostModel: model, MaxBytes: explainStoreBytes}
 	store, err := stmtstats.New(options)
@@ -89,14 +90,15 @@
 	return binds
 }
 
-// explainAnalysis adds what the statement's text and bound values show to the table.
+// explainAnalysis analyses the statement with its bound values and adds the result to the table.
 func (c *explainCommand) explainAnalysis(t *table, binds *sqltext.Binds) *sqltext.Analysis {
 	readOnly := sqltext.Functions{}
 	for _, name := range c.Readers {
 		readOnly[name] = true
 	}
 	analyzer := sqltext.NewAnalyzer()
-	analyzer.ClassifyEffect, analyzer.ReadOnlyFunctions = true, readOnly
+	analyzer.ClassifyEffect = true
+	analyzer.ReadOnlyFunctions = readOnly
 	analysis := analyzer.Analyze(c.SQL)
 	t.row("tokens\t%s", formatTokens(c.SQL))
 	t.row("shape\t%s", analysis.NormalForm)
@@ -110,7 +112,7 @@
 	return analysis
 }
 
-// maxTokensLength is where the list of tokens is cut off, in bytes.
+// maxTokensLength limits the list of tokens, in bytes.
 const maxTokensLength = 2000
 
 // formatTokens lists the tokens of a statement.
@@ -130,7 +132,7 @@
 	return list.String()
 }
 
-// formatProfile describes what the bound values say about the cost of an execution.
+// formatProfile describes the properties of the bound values that affect the cost of an execution.
 func formatProfile(profile *sqltext.Profile) string {
 	var parts []string
 	addIf := func(condition bool, format string, args ...any) {
--- a/cmd/flaxrelay/shapes_top.go
+++ b/cmd/flaxrelay/shapes_top.go
@@ -13,7 +13,7 @@
 	Most     int    `name:"most" default:"20" help:"Maximum number of rows."`
 }
 
-// Run lists shapes by the work that all their executions took together.
+// Run lists shapes by the total work of their executions.
 func (c *topCommand) Run() error {
 	snapshot, err := stmtstats.ReadSnapshot(c.Snapshot)
 	if err != nil {
@@ -26,18 +26,19 @@
 	t.row("seen\twork ms\tprofiles\tshape")
 	for i := range snapshot.Shapes[:min(c.Most, len(snapshot.Shapes))] {
 		shape := &snapshot.Shapes[i]
-		t.row("%d\t%.4g\t%d\t%s", shape.Record.Executions, typicalCost(shape), countProfiles(shape), abbreviate(shape.NormalForm))
+		t.row("%d\t%.4g\t%d\t%s",
+			shape.Record.Executions, typicalCost(shape), countProfiles(shape), abbreviate(shape.NormalForm))
 	}
 	t.row("\n%d shapes\t\t\t%d more were too long to keep", len(snapshot.Shapes), snapshot.Truncated)
 	return t.print()
 }
 
-// totalCost returns the work of all executions of a shape in milliseconds.
+// totalCost returns the approximate work of all executions of a shape in milliseconds.
 func totalCost(shape *stmtstats.SavedShape) float64 {
 	return float64(shape.Record.Executions) * typicalCost(shape)
 }
 
-// countProfiles returns how many parameter profiles of a shape have executions.
+// countProfiles returns the number of parameter profiles of a shape that have executions.
 func countProfiles(shape *stmtstats.SavedShape) int {
 	count := 0
 	for _, bucket := range shape.Record.Buckets {
--- a/cmd/flaxrelay/shutdown.go
+++ b/cmd/flaxrelay/shutdown.go
@@ -8,47 +8,48 @@
 
 // The schedule of a graceful shutdown, counted from SIGTERM.
 const (
-	// Clients go on connecting for up to 0.4 s and sending requests for 0.2 s more.
+	// Clients connect for up to 0.4 s after SIGTERM, and send requests for 0.2 s more.
 	acceptPeriod = 500 * time.Millisecond
 	readPeriod   = 800 * time.Millisecond
 
-	// The platform kills the process no sooner than the longest deadline, as far as
-	// maxKillDeadline, and killGrace after SIGTERM. Requests still in flight
-	// finalAnswerLead before that are completed by the front end itself.
-	maxKillDeadline = 3 * time.Second
-	killGrace       = 700 * time.Millisecond
-	finalAnswerLead = 250 * time.Millisecond
+	// The platform kills the process no sooner than the longest deadline plus killGrace after
+	// SIGTERM, where the longest deadline counts as maxKillDeadline at most. Requests that are in
+	// flight finalResponseLead before that get their final response then.
+	maxKillDeadline   = 3 * time.Second
+	killGrace         = 700 * time.Millisecond
+	finalResponseLead = 250 * time.Millisecond
 
-	// flushPeriod lets the last writes leave the process before the loop stops.
+	// flushPeriod is the time for the last writes before the loop stops.
 	flushPeriod = 50 * time.Millisecond
 
-	// idlePollInterval is how often the shutdown looks whether all work has ended.
+	// idlePollInterval is how often the shutdown checks whether nothing is in flight.
 	idlePollInterval = 20 * time.Millisecond
 )
 
-// shutdown is a graceful shutdown in progress. Its times are those of the event loop,
-// whose goroutine owns it.
+// shutdown is a graceful shutdown in progress. Its times are those of the event loop, whose goroutine
+// owns it.
 type shutdown struct {
 	server     *server
-	drainAt    time.Duration // the front end reads no further requests from here on
-	completeAt time.Duration // requests in flight get their final answer here
+	drainAt    time.Duration // the front end reads no further requests from this time on
+	completeAt time.Duration // requests in flight get their final response at this time
 }
 
-// startShutdown keeps the server serving for as long as clients may come, then ends it
-// once nothing is in flight. It must be called on the event loop's goroutine.
+// startShutdown starts a graceful shutdown. The server continues to serve as long as new clients may
+// arrive, and ends when nothing is in flight. startShutdown must be called on the event loop's
+// goroutine.
 func (s *server) startShutdown() {
 	startedAt := s.loop.Now()
 	untilKill := min(s.dispatcher.LongestDeadline(), maxKillDeadline) + killGrace
 	logevent.ShutdownStarted.Log(s.logger)
 	if s.shapes != nil {
-		// The snapshot is written now because the end waits for nothing: what is learned
-		// from here on is lost.
+		// The snapshot is written now, because the process ends without waiting for a write. What
+		// is learned from here on is lost.
 		s.shapes.SaveSnapshot()
 	}
 	progress := &shutdown{
 		server:     s,
 		drainAt:    startedAt + readPeriod,
-		completeAt: startedAt + untilKill - finalAnswerLead,
+		completeAt: startedAt + untilKill - finalResponseLead,
 	}
 	s.loop.Timers.Schedule(startedAt+acceptPeriod, s.frontEnd.CloseListener)
 	s.loop.Timers.Schedule(progress.drainAt, s.frontEnd.Drain)
@@ -59,22 +60,21 @@
 	progress.poll()
 }
 
-// poll stops the loop once the shutdown is finished, and else looks again later.
-func (d *shutdown) poll() {
-	loop := d.server.loop
+// poll stops the loop if the shutdown is finished. Otherwise it schedules the next check.
+func (p *shutdown) poll() {
+	loop := p.server.loop
 	now := loop.Now()
-	if d.finished(now) {
+	if p.finished(now) {
 		loop.Timers.Schedule(now+flushPeriod, loop.Stop)
 		return
 	}
-	loop.Timers.Schedule(now+idlePollInterval, d.poll)
+	loop.Timers.Schedule(now+idlePollInterval, p.poll)
 }
 
-// finished reports whether nothing is in flight any more, or the kill is too near to
-// wait for what still is.
-func (d *shutdown) finished(now time.Duration) bool {
-	if now >= d.completeAt+flushPeriod {
+// finished reports whether nothing is in flight, or all requests were given their final responses.
+func (p *shutdown) finished(now time.Duration) bool {
+	if now >= p.completeAt+flushPeriod {
 		return true
 	}
-	return now >= d.drainAt && d.server.frontEnd.Idle() && d.server.dispatcher.Pending() == 0
+	return now >= p.drainAt && p.server.frontEnd.Idle() && p.server.dispatcher.Pending() == 0
 }
--- a/cmd/flaxrelay/shutdown_test.go
+++ b/cmd/flaxrelay/shutdown_test.go
@@ -5,21 +5,15 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"path/filepath"
-	"strings"
 	"testing"
 	"time"
-
-	"flaxrelay/internal/tcptest"
 )
 
-// startServer runs a server of the HTTP protocol with one engine, in this process. Replacements
-// are pairs of texts in the example configuration. The channel is closed when its loop has ended.
+// startServer runs a server of the HTTP protocol with one engine in this process. Replacements are
+// pairs of texts in the example configuration. The channel is closed at the end of the server's loop.
 func startServer(t *testing.T, engine string, replacements ...string) (s *server, ended <-chan struct{}) {
 	t.Helper()
-	replacements = append(replacements, exampleEngineAddress, engine, exampleListenAddress, tcptest.AnyLoopbackPort)
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, path, strings.NewReplacer(replacements...).Replace(readFile(t, exampleConfig)))
+	path := writeExampleConfig(t, append(replacements, exampleEngineAddress, engine)...)
 	s = newServer(slog.New(slog.DiscardHandler))
 	if err := s.listenHTTP(path, ""); err != nil {
 		t.Fatal(err)
@@ -32,48 +26,49 @@
 	return s, done
 }
 
-// A graceful shutdown: a client that comes right after SIGTERM is still served, what is
-// in flight goes on, what no engine answers gets its final answer before the kill, and
-// then the server ends.
-func TestGracefulShutdown(t *testing.T) {
+// A client that connects right after SIGTERM is still served. A request to which no engine responds
+// gets its final response before the kill. Then the server ends.
+func TestGracefulShutdown_GivesEachRequestItsResponseBeforeTheKill(t *testing.T) {
 	const (
-		unansweredID = "9b1f03aa5c7e2d41"
-		answeredID   = "9b1f03aa5c7e2d42"
+		pendingID = "9b1f03aa5c7e2d41" // the engine does not respond to it
+		servedID  = "9b1f03aa5c7e2d42"
 	)
 	arrived := make(chan string, 10)
 	engine := startEngine(t, func(conn net.Conn, requestID string) {
-		if !strings.HasSuffix(requestID, "1") {
-			answerWithoutRows(conn, requestID)
+		if requestID != pendingID {
+			respondWithoutRows(conn, requestID)
 		}
 		arrived <- requestID
 	})
 	s, ended := startServer(t, engine)
-	unanswered := sendLookup(t, s.frontEnd.Addr(), unansweredID)
+	pending := sendLookup(t, s.frontEnd.Addr(), pendingID)
 	<-arrived
 	startedAt := time.Now()
 	s.loop.Post(s.startShutdown)
-	if got := <-sendLookup(t, s.frontEnd.Addr(), answeredID); got != "200 OK" {
-		t.Errorf("a client right after SIGTERM got %s", got)
+	if got := <-sendLookup(t, s.frontEnd.Addr(), servedID); got != "200 OK" {
+		t.Errorf("a request right after SIGTERM got %s", got)
 	}
-	// Its class is idempotent: the client is told to retry elsewhere, and after how long.
-	if got := <-unanswered; got != "503 Service Unavailable, retry after" {
-		t.Errorf("what no engine answers got %s", got)
+	// The request is idempotent, so that it is rejected with a Retry-After time.
+	if got := <-pending; got != "503 Service Unavailable, retry after" {
+		t.Errorf("the pending request got %s", got)
 	}
 	<-ended
 	if took := time.Since(startedAt); took > 3700*time.Millisecond {
-		t.Errorf("the shutdown took %v: the kill comes first", took)
+		t.Errorf("the shutdown took %v, longer than the time until the kill", took)
 	}
 	if conn, err := net.Dial("tcp", s.frontEnd.Addr()); err == nil {
 		closeQuietly(conn)
-		t.Error("still listening")
+		t.Error("the listener is still open")
 	}
 }
 
-// A request whose last bytes come after the final answers of a graceful shutdown, just before
-// its end, is answered too.
-func TestGracefulShutdown_RequestThatCompletesAtItsEndIsAnswered(t *testing.T) {
-	engine := startEngine(t, func(net.Conn, string) {}) // it never answers
-	s, ended := startServer(t, engine, `"hard-limit-ms": 6000`, `"hard-limit-ms": 1000`, `"hard-limit-ms": 20000`, `"hard-limit-ms": 1000`)
+// The last bytes of the request arrive after the final responses of a graceful shutdown, just before
+// its end.
+func TestGracefulShutdown_RequestThatCompletesAtItsEndGetsAResponse(t *testing.T) {
+	engine := startEngine(t, func(net.Conn, string) {}) // never responds
+	s, ended := startServer(t, engine,
+		`"hard-limit-ms": 6000`, `"hard-limit-ms": 1000`,
+		`"hard-limit-ms": 20000`, `"hard-limit-ms": 1000`)
 	client := newHTTPClient(t, s.frontEnd.Addr(), 10*time.Second)
 	request := lookupRequest("9b1f03aa5c7e2d43")
 	half := len(request) / 2
@@ -83,13 +78,13 @@
 	s.loop.Post(func() {
 		s.startShutdown()
 		const killAfter = time.Second + killGrace
-		s.loop.Timers.Schedule(s.loop.Now()+killAfter-finalAnswerLead+10*time.Millisecond, func() {
-			_, _ = io.WriteString(client.conn, request[half:]) // it may have its answer already
+		s.loop.Timers.Schedule(s.loop.Now()+killAfter-finalResponseLead+10*time.Millisecond, func() {
+			_, _ = io.WriteString(client.conn, request[half:]) // the request may have its response already
 		})
 	})
 	response, err := http.ReadResponse(client.responses, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	if response.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("got %s", response.Status)
--- a/cmd/flaxrelay/syscalls_test.go
+++ b/cmd/flaxrelay/syscalls_test.go
@@ -16,31 +16,30 @@
 	"time"
 
 	"flaxrelay/internal/lab/syscallfault"
-	"flaxrelay/internal/tcptest"
 )
 
-// clientTimeout is how long a client of a faulty process waits for an answer.
+// clientTimeout is how long a client of a faulty process waits for a response.
 const clientTimeout = 2200 * time.Millisecond
 
 // listeningAddress matches the address in the log event server.listening.
 var listeningAddress = regexp.MustCompile(`msg=server.listening addr=([0-9.:]+)`)
 
-// startFaulty runs the calling test, which must call serveInChild, in a traced process of
-// its own with one engine, and returns the process and the address it listens at.
-func startFaulty(t *testing.T, engine string, faults syscallfault.Faults) (p *syscallfault.Process, address string) {
+// startFaulty runs the calling test, which must call serveInChild, in a traced process of its own with
+// one engine. It returns the process and the address of its listener.
+func startFaulty(
+	t *testing.T, engine string, faults syscallfault.Faults,
+) (p *syscallfault.Process, address string) {
 	t.Helper()
-	dir := t.TempDir()
-	config := filepath.Join(dir, "config.json")
-	writeFile(t, config, strings.NewReplacer(exampleEngineAddress, engine, exampleListenAddress, tcptest.AnyLoopbackPort).
-		Replace(readFile(t, exampleConfig)))
-	logPath := filepath.Join(dir, "log")
+	environment := append(os.Environ(), configVariable+"="+writeExampleConfig(t, exampleEngineAddress, engine))
+	logPath := filepath.Join(t.TempDir(), "log")
 	log, err := os.Create(logPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeQuietly(log)
-	name, _, _ := strings.Cut(t.Name(), "/")
-	p, err = syscallfault.Start(os.Args[0], []string{"-test.run=^" + name + "$"}, append(os.Environ(), configVariable+"="+config), log, 1, faults)
+	testName, _, _ := strings.Cut(t.Name(), "/")
+	arguments := []string{"-test.run=^" + testName + "$"}
+	p, err = syscallfault.Start(os.Args[0], arguments, environment, log, 1, faults)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,16 +47,18 @@
 		_ = p.Signal(syscall.SIGKILL) // it may have ended
 		<-p.Ended()
 	})
-	for deadline := time.Now().Add(processTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+	deadline := time.Now().Add(processTimeout)
+	for time.Now().Before(deadline) {
 		if match := listeningAddress.FindStringSubmatch(readFile(t, logPath)); match != nil {
 			return p, match[1]
 		}
+		time.Sleep(10 * time.Millisecond)
 	}
 	t.Fatalf("the process does not listen: %s", readFile(t, logPath))
 	return nil, ""
 }
 
-// lookupOnce sends one request on a connection of its own and returns the answer's status.
+// lookupOnce sends one request on a connection of its own and returns the status of the response.
 func lookupOnce(address, requestID string) (status string, err error) {
 	conn, err := net.DialTimeout("tcp", address, clientTimeout)
 	if err != nil {
@@ -82,8 +83,8 @@
 	return response.Status, nil
 }
 
-// TestFaultySystemCalls_EveryRequestIsServed plays clients against a front end whose system
-// calls are cut short or interrupted. None of these faults excuses a missing answer.
+// System calls of the front end are cut short, interrupted or fail. None of these faults excuses a
+// missing response.
 func TestFaultySystemCalls_EveryRequestIsServed(t *testing.T) {
 	if serveInChild(t) {
 		return
@@ -97,30 +98,31 @@
 		"failing connects":   {FailSocket: 0.3, FailConnect: 0.3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, address := startFaulty(t, startEngine(t, answerWithoutRows), faults)
-			unserved := playClients(address)
+			p, address := startFaulty(t, startEngine(t, respondWithoutRows), faults)
+			unserved := runClients(address)
 			if len(unserved) > 0 {
-				t.Errorf("%d of %d requests not served, such as %s; faults %v", len(unserved), clients*requestsPerClient, unserved[0], p.Counts())
+				t.Errorf("%d of %d requests were not served, such as %s; faults %v",
+					len(unserved), clients*requestsPerClient, unserved[0], p.Counts())
 			}
 		})
 	}
 }
 
-// The load of playClients.
+// The load of runClients.
 const (
 	clients           = 8
 	requestsPerClient = 15
 )
 
-// playClients has clients send requests one after the other, and returns what became of
-// those that were not served.
-func playClients(address string) (unserved []string) {
-	var mu sync.Mutex
-	var done sync.WaitGroup
+// runClients runs clients concurrently, each of which sends requests one after another. It returns the
+// outcome of each request that was not served.
+func runClients(address string) (unserved []string) {
+	var mu sync.Mutex // guards unserved
+	var running sync.WaitGroup
 	for client := range clients {
-		done.Go(func() {
-			for n := range requestsPerClient {
-				id := sequentialRequestID(client*requestsPerClient + n)
+		running.Go(func() {
+			for i := range requestsPerClient {
+				id := sequentialRequestID(client*requestsPerClient + i)
 				status, err := lookupOnce(address, id)
 				if status == "200 OK" && err == nil {
 					continue
@@ -131,6 +133,6 @@
 			}
 		})
 	}
-	done.Wait()
+	running.Wait()
 	return unserved
 }
--- a/cmd/flaxrelay/version.go
+++ b/cmd/flaxrelay/version.go
@@ -17,7 +17,8 @@
 	if !ok {
 		return errNoBuildInfo
 	}
-	revision, modified := "unknown", ""
+	revision := "unknown"
+	modified := ""
 	for _, setting := range info.Settings {
 		switch {
 		case setting.Key == "vcs.revision":
