--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -1,12 +1,24 @@
 package lifecycle
 
 import (
+	"log/slog"
 	"time"
 
+	"flaxrelay/internal/logevent"
+	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
 )
 
+const (
+	// dedupWindowMargin is how long before the end of a deduplication window a
+	// retry is written at the latest, so that it reaches its engine within the window.
+	dedupWindowMargin = 50 * time.Millisecond
+
+	// minAttemptTimeout keeps an attempt from timing out before it was started.
+	minAttemptTimeout = time.Millisecond
+)
+
 // Attempt is one execution of a request at one engine. The exported fields are
 // for the engine client; all others belong to the Dispatcher.
 type Attempt struct {
@@ -25,7 +37,13 @@
 	timeoutTimer *timerqueue.Timer
 }
 
-// attemptState is the state of an attempt. An attempt leaves attemptInFlight exactly once.
+// attemptState is the state of an attempt, which leaves attemptInFlight exactly once:
+//
+//	attemptInFlight:  EndAttempt, with a status that proves it did not run -> attemptNeverRan
+//	attemptInFlight:  EndAttempt, with any other status -> attemptMayHaveRun
+//
+// A timeout, a cancellation and a withdrawal end an attempt from this side; what the engine
+// sends later has no effect.
 type attemptState uint8
 
 const (
@@ -53,64 +71,127 @@
 	return a.sendDeadline > 0 && now >= a.sendDeadline
 }
 
+// timeoutAt returns the instant at which the attempt times out.
+func (a *Attempt) timeoutAt() time.Duration {
+	return a.StartedAt + max(a.Timeout, minAttemptTimeout)
+}
+
+// end records the end of the attempt.
+func (a *Attempt) end(status AttemptStatus) {
+	a.Request.inFlight--
+	a.state = stateAfter(status)
+	a.endStatus = status
+	a.timeoutTimer.Stop()
+	a.ClientData = nil
+}
+
+// stateAfter returns the state of an attempt that has ended with the status.
+func stateAfter(status AttemptStatus) attemptState {
+	switch status.Result() {
+	case policy.ResultOverloaded, policy.ResultConnectFailed, policy.ResultNotSent:
+		return attemptNeverRan
+	default:
+		return attemptMayHaveRun
+	}
+}
+
+// newAttempt adds the next attempt to a request.
+func newAttempt(r *Request, action policy.StartAttempt, class policy.Class, now time.Duration) *Attempt {
+	a := &Attempt{
+		Request:      r,
+		Engine:       action.Engine,
+		Timeout:      action.Timeout,
+		StartedAt:    now,
+		MemoryMB:     r.memoryGrantMB,
+		Priority:     r.priority,
+		index:        len(r.attempts),
+		sendDeadline: retrySendDeadline(r, class),
+	}
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
+	return a
+}
+
+// retrySendDeadline returns the instant at which a request with an idempotency
+// key may no longer be written again, or 0 if none of its attempts may have run.
+// The balancer observes the deduplication window too, but does not know how long
+// an attempt waits for its connection.
+func retrySendDeadline(r *Request, class policy.Class) time.Duration {
+	first := r.firstThatMayHaveRun()
+	if class.Effect != policy.IdempotentByKey || first == nil {
+		return 0
+	}
+	return max(first.StartedAt+class.DedupWindow-dedupWindowMargin, 1) // 0 would mean none
+}
+
+// startAttempt starts an attempt of the request. Every attempt ends exactly once, in EndAttempt.
+func (d *Dispatcher) startAttempt(r *Request, action policy.StartAttempt) {
+	attempt := newAttempt(r, action, d.classes[r.Class], d.clock.Now())
+	d.counters.Increment(metrics.AttemptsStarted.With(r.Class))
+	if attempt.index > 0 {
+		previous := r.attempts[attempt.index-1]
+		d.counters.Increment(metrics.AttemptsRetried.With(r.Class))
+		d.counters.Increment(metrics.AttemptsRetriedAfter.With(previous.endStatus.String()))
+	}
+	if d.trace.enabled {
+		d.trace.step(logevent.AttemptStarted, r, slog.Int("attempt", attempt.index),
+			slog.String("engine", attempt.Engine), slog.Duration("timeout", attempt.Timeout))
+	}
+	// Where the request is completed the balancer has not been notified yet that the client
+	// disconnected.
+	if r.completed() || !d.guard.permitStart(attempt, d.classes[r.Class].Effect) {
+		d.EndAttempt(attempt, StatusNotSent, AttemptReport{})
+		return
+	}
+	attempt.timeoutTimer = d.timers.Schedule(attempt.timeoutAt(), func() {
+		d.engineClient.Abandon(attempt)
+		d.EndAttempt(attempt, StatusTimeout, AttemptReport{})
+	})
+	d.engineClient.Start(attempt)
+}
+
 // EndAttempt ends an attempt. Only the first call for an attempt counts: an
-// engine's answer may arrive after the attempt timed out or was cancelled.
-func (d *Dispatcher) EndAttempt(a *Attempt, status AttemptStatus, report AttemptReport) {
-	if a.Ended() {
-		d.counters.IncrementByName("attempts.late-end." + status.String())
+// engine's response may arrive after the attempt timed out or was cancelled.
+func (d *Dispatcher) EndAttempt(attempt *Attempt, status AttemptStatus, report AttemptReport) {
+	if attempt.Ended() {
+		d.counters.Increment(metrics.AttemptsLateEnd.With(status.String()))
 		return
 	}
-	r := a.Request
-	r.inFlight--
-	a.state, a.endStatus = stateAfter(status), status
-	if d.tracing {
-		d.trace("attempt.ended", r, "attempt", a.index, "engine", a.Engine, "status", status.String(), "elapsed", d.clock.Now()-a.StartedAt)
+	request := attempt.Request
+	attempt.end(status)
+	if d.trace.enabled {
+		d.trace.step(logevent.AttemptEnded, request, slog.Int("attempt", attempt.index),
+			slog.String("engine", attempt.Engine), slog.String("status", status.String()),
+			slog.Duration("elapsed", d.clock.Now()-attempt.StartedAt))
 	}
-	a.timeoutTimer.Stop()
-	a.ClientData = nil
-	d.countEnd(a, status)
-	// The final response must not carry the error of an attempt that never ran if
+	d.counters.Increment(metrics.AttemptsEnded.With(status.String()))
+	if d.endpoints.warmingUp(attempt.Engine, attempt.StartedAt) {
+		d.counters.Increment(metrics.AttemptsEndedWarming.With(status.String()))
+	}
+	// The response must not carry the error of an attempt that never ran if
 	// another one may have run and the request is not idempotent: it would hide that.
-	if a.state == attemptMayHaveRun || report.ErrorDetail != nil && !d.MayHaveRun(r) {
-		r.lastErrorDetail = report.ErrorDetail
+	if attempt.state == attemptMayHaveRun || report.ErrorDetail != nil && !d.MayHaveRun(request) {
+		request.lastErrorDetail = report.ErrorDetail
 	}
-	d.observeCost(a, status, report)
+	d.costs.observe(attempt, status, report, d.clock.Now()-attempt.StartedAt)
 	switch status {
 	case StatusServed:
-		d.respond(r.policyID, Response{Verdict: VerdictServed, Result: report.Result})
+		d.respond(request.policyID, Response{Verdict: VerdictServed, Result: report.Result})
 	case StatusStatementRejected, StatusResultTooLarge: // any other engine would fail likewise
-		d.respond(r.policyID, Response{Verdict: VerdictFailed})
+		d.respond(request.policyID, Response{Verdict: VerdictFailed})
+	default: // the balancer decides on a retry
 	}
 	d.handleEvent(policy.AttemptEnded{
-		RequestID: r.policyID,
-		Attempt:   a.index,
+		RequestID: request.policyID,
+		Attempt:   attempt.index,
 		Result:    status.Result(),
-		Elapsed:   d.clock.Now() - a.StartedAt,
-		Completed: r.completed(),
+		Elapsed:   d.clock.Now() - attempt.StartedAt,
+		Completed: request.completed(),
 		Work:      report.Work,
 		MemoryMB:  report.MemoryMB,
 		Load:      report.Load,
 	})
-	d.releaseIfIdle(r)
-}
-
-// stateAfter returns the state of an attempt that has ended with the status.
-func stateAfter(status AttemptStatus) attemptState {
-	switch status.Result() {
-	case policy.ResultOverloaded, policy.ResultConnectFailed, policy.ResultNotSent:
-		return attemptNeverRan
-	default:
-		return attemptMayHaveRun
-	}
-}
-
-// countEnd counts the end of an attempt, and separately those at engines that were warming up.
-func (d *Dispatcher) countEnd(a *Attempt, status AttemptStatus) {
-	d.counters.IncrementByName("attempts.ended." + status.String())
-	engine := d.endpoints[a.Engine]
-	if engine.StartKnown && a.StartedAt < engine.StartedAt+d.warmupTime {
-		d.counters.IncrementByName("attempts.ended-warming." + status.String())
-	}
+	d.releaseIfIdle(request)
 }
 
 // ReportProgress passes an engine's progress report of an attempt in flight to the balancer.
@@ -118,6 +199,6 @@
 	if a.Ended() {
 		return
 	}
-	d.counters.IncrementByName("attempts.progress")
+	d.counters.Increment(metrics.AttemptsProgress)
 	d.handleEvent(policy.ProgressReported{RequestID: a.Request.policyID, Attempt: a.index, Kind: kind, Value: value})
 }
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -1,15 +1,20 @@
-// Package lifecycle carries each request from its arrival to its one final
-// response: it accepts requests, has a policy.Balancer admit and place them,
-// starts attempts at engines and relays their results. It knows no protocol:
-// front ends, engine clients and discovery meet it through its interfaces.
+// Package lifecycle carries each request from its arrival to its one final response.
+//
+// A front end makes a Dispatcher, sets its EngineClient, reports the endpoint list with UpdateEndpoints
+// and passes each request that has arrived to Accept. The Dispatcher has a policy.Balancer admit and
+// place it, starts attempts at engines through the EngineClient, and gives the response to the request's
+// Client. Engine clients report the end of each attempt with EndAttempt.
+//
+// The package knows no protocol: front ends, engine clients and discovery meet it through its
+// interfaces.
 package lifecycle
 
 import (
-	"context"
 	"log/slog"
 	"time"
 
 	"flaxrelay/internal/invariant"
+	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
@@ -20,65 +25,59 @@
 	Now() time.Duration
 }
 
-// Dispatcher tracks all requests and their attempts, and connects the balancer
-// that decides with the clients and engines that act.
+// Dispatcher connects the balancer that decides with the clients and engines that act. The requests,
+// the endpoints, the event queue and the guards are types of their own; the Dispatcher passes each
+// event from one to the other.
 //
 // It is not safe for concurrent use: the goroutine of the event loop owns it,
 // with its balancer, its requests and their attempts. Clients, engine clients and
 // observers may call its methods while it calls them.
 type Dispatcher struct {
-	balancer      *policy.Balancer
-	clock         Clock
-	timers        *timerqueue.Queue
-	engineClient  EngineClient
-	costObserver  CostObserver // may be nil
-	counters      *metrics.Counters
-	logger        *slog.Logger
-	tickInterval  time.Duration
-	warmupTime    time.Duration // for this long after its start an engine counts as warming up
-	limits        policy.Limits
-	responseSlack time.Duration // how late a final response may be
-	invariants    *invariant.Checker
-	tracing       bool // the steps of requests are logged
-	classes       map[string]policy.Class
-	endpoints     map[string]Endpoint // by engine ID; without removed engines
-
-	lastPolicyID uint64
-	requests     map[uint64]*Request // by policy ID, until they are released
-	pending      int                 // requests in requestPending
-	finishing    bool                // CompleteAll was called: whatever is accepted is rejected
-
-	handling   bool // handleEvent is on the stack
-	events     []policy.Event
-	actions    []policy.Action // reused between calls of the balancer
-	releasable []*Request      // to be released once the event queue is empty
+	clock        Clock
+	timers       *timerqueue.Queue
+	engineClient EngineClient
+	counters     *metrics.Counters
+	logger       *slog.Logger
+	trace        tracer
+	costs        costReporter
+	tickInterval time.Duration
+	limits       policy.Limits
+	classes      map[string]policy.Class
+	endpoints    endpointTable
+	requests     requestTable
+	queue        eventQueue
+	guard        guard
+	completeAll  bool // CompleteAll was called: what is accepted from then on is rejected
 }
 
 // NewDispatcher returns a dispatcher for the settings. SetEngineClient must follow before
 // any request or endpoint.
 func NewDispatcher(
-	settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue, counters *metrics.Counters, logger *slog.Logger,
+	settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue,
+	counters *metrics.Counters, logger *slog.Logger,
 ) (*Dispatcher, error) {
 	balancer, err := policy.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
 	d := &Dispatcher{
-		balancer:      balancer,
-		clock:         clock,
-		timers:        timers,
-		counters:      counters,
-		logger:        logger,
-		tickInterval:  settings.TickInterval,
-		warmupTime:    settings.Rules.WarmupTime,
-		limits:        settings.Limits,
-		responseSlack: settings.Rules.ResponseSlack,
-		invariants:    invariant.New(counters, logger),
-		tracing:       logger.Enabled(context.Background(), slog.LevelDebug),
-		classes:       map[string]policy.Class{},
-		endpoints:     map[string]Endpoint{},
-		requests:      map[uint64]*Request{},
+		clock:        clock,
+		timers:       timers,
+		counters:     counters,
+		logger:       logger,
+		trace:        newTracer(logger),
+		tickInterval: settings.TickInterval,
+		limits:       settings.Limits,
+		classes:      map[string]policy.Class{},
+		endpoints:    newEndpointTable(settings.Rules.WarmupTime),
+		requests:     newRequestTable(),
+		guard: guard{
+			limits:        settings.Limits,
+			responseSlack: settings.Rules.ResponseSlack,
+			invariants:    invariant.New(counters, logger),
+		},
 	}
+	d.queue = eventQueue{balancer: balancer, clock: clock, perform: d.perform}
 	for _, class := range settings.Classes {
 		d.classes[class.Name] = class
 	}
@@ -89,7 +88,7 @@
 func (d *Dispatcher) SetEngineClient(client EngineClient) { d.engineClient = client }
 
 // SetCostObserver sets the observer of what requests cost at their engines.
-func (d *Dispatcher) SetCostObserver(observer CostObserver) { d.costObserver = observer }
+func (d *Dispatcher) SetCostObserver(observer CostObserver) { d.costs.observer = observer }
 
 // Class looks up a class by name.
 func (d *Dispatcher) Class(name string) (policy.Class, bool) {
@@ -108,29 +107,121 @@
 // Now returns the time of the dispatcher's clock.
 func (d *Dispatcher) Now() time.Duration { return d.clock.Now() }
 
-// Pending returns the number of requests that await their final response.
-func (d *Dispatcher) Pending() int { return d.pending }
+// Pending returns the number of requests that await their response.
+func (d *Dispatcher) Pending() int { return d.requests.pending }
+
+// Invariants returns the checker of the rules that this program must never break.
+func (d *Dispatcher) Invariants() *invariant.Checker { return d.guard.invariants }
+
+// RetryAfter returns the Retry-After of a request that is rejected before it was accepted; 0 where
+// settings don't permit one.
+func (d *Dispatcher) RetryAfter() time.Duration {
+	if !d.limits.RetryAfter {
+		return 0
+	}
+	return d.limits.MaxRetryAfter
+}
 
-// handleEvent hands an event to the balancer and performs the actions that it
-// returns. Events that arise meanwhile are queued, since the balancer must not be
-// called again before its actions are performed.
+// handleEvent passes an event to the balancer and performs the actions that it returns. Once all queued
+// events are handled, the requests whose release was deferred are released.
 func (d *Dispatcher) handleEvent(event policy.Event) {
-	d.events = append(d.events, event)
-	if d.handling {
+	if empty := d.queue.handle(event); !empty {
+		return
+	}
+	for _, r := range d.requests.releasable {
+		d.releaseIfIdle(r)
+	}
+	d.requests.releasable = d.requests.releasable[:0]
+}
+
+// Accept accepts a request that has arrived completely. From here on it is pending; its response may be
+// given before Accept returns.
+func (d *Dispatcher) Accept(request *Request) {
+	d.requests.add(request)
+	d.counters.Increment(metrics.RequestsAccepted.With(request.Class))
+	if d.trace.enabled {
+		d.trace.step(logevent.RequestAccepted, request, slog.String("class", request.Class),
+			slog.Duration("time_left", request.Deadline-d.clock.Now()))
+	}
+	if d.completeAll {
+		d.counters.Increment(metrics.RejectionsShutdown)
+		d.respond(request.policyID, Response{Verdict: VerdictRejected, RetryAfter: d.RetryAfter()})
+		return
+	}
+	d.handleEvent(policy.RequestArrived{
+		RequestID:         request.policyID,
+		Class:             request.Class,
+		Tenant:            request.Tenant,
+		OrderKey:          request.OrderKey,
+		Dataset:           request.Dataset,
+		Deadline:          request.Deadline,
+		EstimatedWork:     request.EstimatedWork,
+		EstimatedMemoryMB: request.EstimatedMemoryMB,
+		ClientRetry:       request.ClientRetry,
+	})
+}
+
+// ClientDisconnected announces that the client no longer waits for its response.
+// It has no effect on a request that is not pending.
+func (d *Dispatcher) ClientDisconnected(r *Request) {
+	if r.state != requestPending {
 		return
 	}
-	d.handling = true
-	for next := 0; next < len(d.events); next++ {
-		d.actions = d.balancer.Handle(d.clock.Now(), d.events[next], d.actions[:0])
-		for _, action := range d.actions {
-			d.perform(action)
+	d.counters.Increment(metrics.RequestsDisconnected.With(r.Class))
+	if d.trace.enabled {
+		d.trace.step(logevent.RequestDisconnected, r)
+	}
+	d.complete(r)
+	d.abandonRemaining(r)
+}
+
+// abandonRemaining makes the balancer cancel the attempts of a completed request
+// that are still in flight.
+func (d *Dispatcher) abandonRemaining(r *Request) {
+	d.handleEvent(policy.ClientDisconnected{RequestID: r.policyID})
+	d.releaseIfIdle(r)
+}
+
+// complete marks a request as completed and withdraws its
+// attempts that still wait for a connection. These need no permission to cancel,
+// since their engines have received nothing of them.
+func (d *Dispatcher) complete(r *Request) {
+	d.requests.complete(r)
+	for _, a := range r.attempts {
+		if !a.Ended() && d.engineClient.Withdraw(a) {
+			d.EndAttempt(a, StatusNotSent, AttemptReport{})
 		}
 	}
-	clear(d.events)
-	d.events = d.events[:0]
-	d.handling = false
-	for _, r := range d.releasable {
-		d.releaseIfIdle(r)
+}
+
+// releaseIfIdle releases a completed request that has no attempt in flight. While
+// events are queued the release is deferred, since the balancer may still start an attempt of
+// the request, and each attempt must end.
+func (d *Dispatcher) releaseIfIdle(r *Request) {
+	switch {
+	case r.state != requestCompleted || r.inFlight > 0:
+	case d.queue.handling:
+		d.requests.releasable = append(d.requests.releasable, r)
+	default:
+		d.requests.release(r)
+		d.costs.release(r)
+	}
+}
+
+// CompleteAll gives every pending request its response. It is for the end
+// of a graceful shutdown, when clients would otherwise receive none: the balancer
+// is notified that the deadlines have passed, and decides which requests may be
+// retried and when.
+// What is accepted from here on is rejected at once.
+func (d *Dispatcher) CompleteAll() {
+	d.completeAll = true
+	for policyID, r := range d.requests.byID {
+		if r.state == requestPending {
+			d.handleEvent(policy.DeadlineTimer(policyID))
+		}
+		if r.state == requestPending { // the balancer lets a response that is being streamed go on
+			d.respond(policyID, Response{Verdict: VerdictFailed})
+			d.abandonRemaining(r)
+		}
 	}
-	d.releasable = d.releasable[:0]
 }
--- a/internal/lifecycle/dispatcher_test.go
+++ b/internal/lifecycle/dispatcher_test.go
@@ -27,17 +27,17 @@
 // fixture is a dispatcher with two engines, and fakes of all that it talks to.
 type fixture struct {
 	*lifecycle.Dispatcher
-	t         *testing.T
-	now       time.Duration
-	timers    *timerqueue.Queue
-	counters  *metrics.Counters
-	started   []*lifecycle.Attempt
-	abandoned []*lifecycle.Attempt
-	unsent    bool // attempts wait for a connection
-	refused   bool // attempts end at their start
-	updates   []lifecycle.Endpoint
-	responses []lifecycle.Response
-	released  int
+	t           *testing.T
+	now         time.Duration
+	timers      *timerqueue.Queue
+	counters    *metrics.Counters
+	started     []*lifecycle.Attempt
+	abandoned   []*lifecycle.Attempt
+	unsent      bool // attempts wait for a connection
+	endsAtStart bool // attempts end within Start, as connections are refused
+	updates     []lifecycle.Endpoint
+	responses   []lifecycle.Response
+	released    int
 }
 
 func newFixture(t *testing.T, changes ...func(*policy.Settings)) *fixture {
@@ -45,26 +45,34 @@
 	f := &fixture{t: t, now: time.Hour, timers: timerqueue.New(), counters: metrics.New()}
 	class := func(name string, effect policy.Effect) policy.Class {
 		return policy.Class{
-			Name: name, LatencyObjective: 100 * time.Millisecond, Deadline: requestDeadline, PriorityWeight: 1, Threads: 1,
-			Effect: effect, DedupScope: policy.ScopeAll, DedupWindow: dedupWindow,
+			Name: name, LatencyObjective: 100 * time.Millisecond, Deadline: requestDeadline,
+			PriorityWeight: 1, Threads: 1, Effect: effect, DedupScope: policy.ScopeAll, DedupWindow: dedupWindow,
 		}
 	}
 	settings := policy.Settings{
 		Replicas: 1, Zone: "a", Kinds: []policy.Kind{{Name: "small", Cores: 4}}, TickInterval: tickInterval,
-		Classes: []policy.Class{class(readClass, policy.Idempotent), class(keyedClass, policy.IdempotentByKey), class(writeClass, policy.NonIdempotent)},
-		Limits:  policy.Limits{MaxAttempts: 3, Cancel: true},
+		Classes: []policy.Class{
+			class(readClass, policy.Idempotent), class(keyedClass, policy.IdempotentByKey),
+			class(writeClass, policy.NonIdempotent),
+		},
+		Limits: policy.Limits{MaxAttempts: 3, Cancel: true},
 	}
 	for _, change := range changes {
 		change(&settings)
 	}
 	var err error
-	f.Dispatcher, err = lifecycle.NewDispatcher(settings, 1, clockFunc(func() time.Duration { return f.now }), f.timers, f.counters, slog.New(slog.DiscardHandler))
+	clock := clockFunc(func() time.Duration { return f.now })
+	f.Dispatcher, err = lifecycle.NewDispatcher(
+		settings, 1, clock, f.timers, f.counters, slog.New(slog.DiscardHandler),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.SetEngineClient(f)
 	f.SetCostObserver(f)
-	f.UpdateEndpoints(policy.UpdateFull, []lifecycle.Endpoint{endpoint("e1", policy.EngineReady), endpoint("e2", policy.EngineReady)})
+	f.UpdateEndpoints(policy.UpdateFull, []lifecycle.Endpoint{
+		endpoint("e1", policy.EngineReady), endpoint("e2", policy.EngineReady),
+	})
 	f.updates = nil
 	return f
 }
@@ -81,7 +89,7 @@
 
 func (f *fixture) Start(a *lifecycle.Attempt) {
 	f.started = append(f.started, a)
-	if f.refused {
+	if f.endsAtStart {
 		f.EndAttempt(a, lifecycle.StatusConnectionRefused, lifecycle.AttemptReport{})
 	}
 }
@@ -100,7 +108,9 @@
 }
 
 func (f *fixture) accept(class string) *lifecycle.Request {
-	r := &lifecycle.Request{ID: "client-id", Class: class, Deadline: f.now + requestDeadline, Client: f, ObserverData: "observed"}
+	r := &lifecycle.Request{
+		ID: "client-id", Class: class, Deadline: f.now + requestDeadline, Client: f, ObserverData: "observed",
+	}
 	f.Accept(r)
 	return r
 }
@@ -126,10 +136,10 @@
 }
 
 // wantCount checks a counter.
-func (f *fixture) wantCount(name string, want int64) {
+func (f *fixture) wantCount(counter metrics.Counter, want int64) {
 	f.t.Helper()
-	if got := f.counters.GetByName(name); got != want {
-		f.t.Errorf("%s is %d, want %d", name, got, want)
+	if got := f.counters.Get(counter); got != want {
+		f.t.Errorf("%s is %d, want %d", counter.Name(), got, want)
 	}
 }
 
@@ -149,7 +159,8 @@
 			f.end(1, lifecycle.StatusServed)
 		}, lifecycle.Response{Verdict: lifecycle.VerdictServed, Forwarded: true}},
 		{
-			"a write in doubt is not retried", writeClass, func(f *fixture) { f.end(0, lifecycle.StatusConnectionReset) },
+			"a write in doubt is not retried", writeClass,
+			func(f *fixture) { f.end(0, lifecycle.StatusConnectionReset) },
 			lifecycle.Response{Verdict: lifecycle.VerdictFailed, Forwarded: true, MayHaveRun: true},
 		},
 		{
@@ -159,7 +170,9 @@
 		{"unknown class", "unheard-of", func(*fixture) {}, lifecycle.Response{Verdict: lifecycle.VerdictRejected}},
 		{
 			"deadline passes", writeClass, func(f *fixture) { f.advance(requestDeadline) },
-			lifecycle.Response{Verdict: lifecycle.VerdictFailed, DeadlinePassed: true, Forwarded: true, MayHaveRun: true},
+			lifecycle.Response{
+				Verdict: lifecycle.VerdictFailed, DeadlinePassed: true, Forwarded: true, MayHaveRun: true,
+			},
 		},
 		{
 			"shutdown completes all", writeClass, func(f *fixture) { f.CompleteAll() },
@@ -172,7 +185,7 @@
 				f := newFixture(t, func(settings *policy.Settings) { settings.Limits.Cancel = mayCancel })
 				r := f.accept(tc.class)
 				tc.run(f)
-				// Whatever follows must not give a second response.
+				// Nothing that follows may give a second response.
 				for index := range f.started {
 					f.end(index, lifecycle.StatusServed)
 				}
@@ -219,7 +232,7 @@
 			if tc.unsent == (len(f.abandoned) > 0) {
 				t.Errorf("%d attempts were abandoned", len(f.abandoned))
 			}
-			f.wantCount("attempts.ended."+tc.status.String(), 1)
+			f.wantCount(metrics.AttemptsEnded.With(tc.status.String()), 1)
 		})
 	}
 }
@@ -248,7 +261,8 @@
 			f := newFixture(t)
 			f.unsent = tc.unsent
 			f.accept(readClass)
-			used, other := f.attempt(0).Engine, "e1"
+			used := f.attempt(0).Engine
+			other := "e1"
 			if used == other {
 				other = "e2"
 			}
@@ -286,14 +300,14 @@
 			f := newFixture(t, func(settings *policy.Settings) { settings.Limits.Cancel = tc.mayCancel })
 			f.accept(readClass)
 			f.advance(requestDeadline)
-			f.wantCount("attempts.ended."+tc.status.String(), 1)
+			f.wantCount(metrics.AttemptsEnded.With(tc.status.String()), 1)
 			if len(f.abandoned) != 1 {
 				t.Errorf("%d attempts were abandoned, want 1", len(f.abandoned))
 			}
 			responses := len(f.responses)
 			f.end(0, lifecycle.StatusServed)
-			f.wantCount("attempts.late-end.served", 1)
-			f.wantCount("attempts.ended.served", 0)
+			f.wantCount(metrics.AttemptsLateEnd.With(lifecycle.StatusServed.String()), 1)
+			f.wantCount(metrics.AttemptsEnded.With(lifecycle.StatusServed.String()), 0)
 			if len(f.responses) != responses {
 				t.Errorf("the late end gave the response %+v", f.responses[responses:])
 			}
@@ -332,13 +346,13 @@
 
 func TestDispatcher_RetriesAnAttemptThatEndsWithinItsStart(t *testing.T) {
 	f := newFixture(t)
-	f.refused = true
+	f.endsAtStart = true
 	f.accept(readClass)
 	want := []lifecycle.Response{{Verdict: lifecycle.VerdictRejected, Forwarded: true}}
 	if diff := cmp.Diff(want, f.responses); diff != "" {
 		t.Errorf("responses (-want +got):\n%s", diff)
 	}
-	f.wantCount("attempts.ended.connection-refused", int64(len(f.started)))
+	f.wantCount(metrics.AttemptsEnded.With(lifecycle.StatusConnectionRefused.String()), int64(len(f.started)))
 	if len(f.started) < 2 || f.released != 1 {
 		t.Errorf("%d attempts, %d released; want a retry, and 1 released", len(f.started), f.released)
 	}
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -3,7 +3,9 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
+	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
 )
 
@@ -14,40 +16,64 @@
 	Address string // that the engine listens on
 }
 
+// endpointTable is the endpoint list as last reported, without removed engines.
+type endpointTable struct {
+	byID       map[string]Endpoint
+	warmupTime time.Duration // for this long after its start an engine counts as warming up
+}
+
+func newEndpointTable(warmupTime time.Duration) endpointTable {
+	return endpointTable{byID: map[string]Endpoint{}, warmupTime: warmupTime}
+}
+
+// ready reports whether an engine may be sent requests.
+func (t *endpointTable) ready(engineID string) bool {
+	return t.byID[engineID].State == policy.EngineReady
+}
+
+// warmingUp reports whether an engine was warming up at an instant.
+func (t *endpointTable) warmingUp(engineID string, at time.Duration) bool {
+	engine := t.byID[engineID]
+	return engine.StartKnown && at < engine.StartedAt+t.warmupTime
+}
+
+// set adds, updates or removes an endpoint.
+func (t *endpointTable) set(e Endpoint) {
+	if e.State == policy.EngineRemoved {
+		delete(t.byID, e.ID)
+	} else {
+		t.byID[e.ID] = e
+	}
+}
+
+// clear empties the table and returns what it held.
+func (t *endpointTable) clear() (previous map[string]Endpoint) {
+	previous = t.byID
+	t.byID = map[string]Endpoint{}
+	return previous
+}
+
 // UpdateEndpoints applies the endpoint list or a change to it, according to mode.
 func (d *Dispatcher) UpdateEndpoints(mode policy.UpdateMode, endpoints []Endpoint) {
-	d.counters.IncrementByName("discovery.updates")
-	previous := d.endpoints
-	complete := mode == policy.UpdateFull || mode == policy.UpdateCached
-	if complete {
-		d.endpoints = map[string]Endpoint{}
+	d.counters.Increment(metrics.DiscoveryUpdates)
+	var previous map[string]Endpoint // of a complete list
+	if mode == policy.UpdateFull || mode == policy.UpdateCached {
+		previous = d.endpoints.clear()
 	}
 	event := policy.EndpointsChanged{Mode: mode}
 	for _, e := range endpoints {
 		event.Engines = append(event.Engines, e.Engine)
 		d.engineClient.UpdateEndpoint(e) // before the balancer may start an attempt there
-		if e.State == policy.EngineRemoved {
-			delete(d.endpoints, e.ID)
-		} else {
-			d.endpoints[e.ID] = e
-		}
+		d.endpoints.set(e)
 	}
-	if complete {
-		d.removeUnlisted(previous)
-	}
-	d.handleEvent(event)
-	d.withdrawFromUnready()
-}
-
-// removeUnlisted removes the endpoints that a complete list no longer names, so that
-// connections to them are retired.
-func (d *Dispatcher) removeUnlisted(previous map[string]Endpoint) {
 	for id, e := range previous {
-		if _, listed := d.endpoints[id]; !listed {
+		if _, listed := d.endpoints.byID[id]; !listed { // connections to it are retired
 			e.State = policy.EngineRemoved
 			d.engineClient.UpdateEndpoint(e)
 		}
 	}
+	d.handleEvent(event)
+	d.withdrawFromUnready()
 }
 
 // withdrawFromUnready ends the attempts that wait for a connection to an engine
@@ -55,9 +81,9 @@
 // engine may still be sent requests.
 func (d *Dispatcher) withdrawFromUnready() {
 	var withdrawn []*Attempt
-	for _, r := range d.requests {
+	for _, r := range d.requests.byID {
 		for _, a := range r.attempts {
-			if !a.Ended() && d.endpoints[a.Engine].State != policy.EngineReady && d.engineClient.Withdraw(a) {
+			if !a.Ended() && !d.endpoints.ready(a.Engine) && d.engineClient.Withdraw(a) {
 				withdrawn = append(withdrawn, a)
 			}
 		}
--- a/internal/lifecycle/guard_internal_test.go
+++ b/internal/lifecycle/guard_internal_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"flaxrelay/internal/invariant"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
@@ -24,44 +25,57 @@
 
 func (c fixedClock) Now() time.Duration { return time.Duration(c) }
 
-// The guard of repeating stops an attempt that breaks a rule, whatever the balancer says, and
-// counts it.
-func TestPermitStart_StopsWhatTheBalancerMustNotAskFor(t *testing.T) {
+// permitStart stops an attempt that breaks a rule, even if the balancer asks for it, and counts it.
+func TestPermitStart_StopsWhatBreaksARule(t *testing.T) {
 	for name, test := range map[string]struct {
 		earlier []attemptState
 		effect  policy.Effect
-		want    string // the rule that is violated; "": none
+		want    invariant.Rule // the rule that is violated; "": none
 	}{
-		"first":                    {nil, policy.NonIdempotent, ""},
-		"repeat of what never ran": {[]attemptState{attemptNeverRan}, policy.NonIdempotent, ""},
-		"repeat that is harmless":  {[]attemptState{attemptMayHaveRun}, policy.Idempotent, ""},
-		"unsafe repeat":            {[]attemptState{attemptMayHaveRun}, policy.NonIdempotent, "retry-idempotency"},
-		"two in flight":            {[]attemptState{attemptInFlight}, policy.Idempotent, "single-in-flight"},
-		"too many":                 {[]attemptState{attemptNeverRan, attemptNeverRan, attemptNeverRan}, policy.Idempotent, "retry-limit"},
+		"first":                   {nil, policy.NonIdempotent, ""},
+		"retry of what never ran": {[]attemptState{attemptNeverRan}, policy.NonIdempotent, ""},
+		"idempotent retry":        {[]attemptState{attemptMayHaveRun}, policy.Idempotent, ""},
+		"retry that is not idempotent": {
+			[]attemptState{attemptMayHaveRun}, policy.NonIdempotent, invariant.RetryIdempotency,
+		},
+		"two in flight": {[]attemptState{attemptInFlight}, policy.Idempotent, invariant.SingleInFlight},
+		"too many": {
+			[]attemptState{attemptNeverRan, attemptNeverRan, attemptNeverRan}, policy.Idempotent, invariant.RetryLimit,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			counters := metrics.New()
 			settings := policy.Settings{
 				Replicas: 1, TickInterval: time.Millisecond, Limits: policy.Limits{MaxAttempts: 3},
-				Classes: []policy.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1, Effect: test.effect}},
+				Classes: []policy.Class{{
+					Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1,
+					Effect: test.effect,
+				}},
 			}
-			d, err := NewDispatcher(settings, 1, fixedClock(time.Hour), timerqueue.New(), counters, slog.New(slog.DiscardHandler))
+			d, err := NewDispatcher(
+				settings, 1, fixedClock(time.Hour), timerqueue.New(), counters, slog.New(slog.DiscardHandler),
+			)
 			if err != nil {
 				t.Fatal(err)
 			}
 			d.SetEngineClient(idleClient{})
-			r := &Request{ID: "r", Class: "c", Client: idleClient{}, state: requestPending, Deadline: time.Hour + time.Second}
+			r := &Request{
+				ID: "r", Class: "c", Client: idleClient{}, state: requestPending, Deadline: time.Hour + time.Second,
+			}
 			for i, state := range test.earlier {
 				r.attempts = append(r.attempts, &Attempt{Request: r, index: i, state: state})
 			}
-			d.requests[r.policyID], d.pending = r, 1
+			d.requests.byID[r.policyID] = r
+			d.requests.pending = 1
 			d.startAttempt(r, policy.StartAttempt{Engine: "e", Timeout: time.Second})
 			started := !r.attempts[len(test.earlier)].Ended()
 			if started != (test.want == "") {
 				t.Errorf("started: %v", started)
 			}
-			if test.want != "" && counters.GetByName("invariants.violated."+test.want) != 1 || counters.Sum("invariants.violated.") > 1 {
-				t.Errorf("violations: %d of %q, %d in all", counters.GetByName("invariants.violated."+test.want), test.want, counters.Sum("invariants.violated."))
+			violations := counters.Get(metrics.InvariantsViolated.With(string(test.want)))
+			all := counters.Sum("invariants.violated.")
+			if test.want != "" && violations != 1 || all > 1 {
+				t.Errorf("violations: %d of %q, %d in all", violations, test.want, all)
 			}
 		})
 	}
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -4,21 +4,22 @@
 	"testing"
 	"time"
 
+	"flaxrelay/internal/invariant"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
 )
 
 // assertViolations checks how often a rule was violated so far.
-func (f *fixture) assertViolations(rule string, want int64) {
+func (f *fixture) assertViolations(rule invariant.Rule, want int64) {
 	f.t.Helper()
-	if got := f.counters.GetByName("invariants.violated." + rule); got != want {
+	if got := f.counters.Get(metrics.InvariantsViolated.With(string(rule))); got != want {
 		f.t.Errorf("%s: %d violations, want %d", rule, got, want)
 	}
 }
 
-// The guard of sending permits what the rules permit, and counts what an engine client should
-// not even have asked.
-func TestPermitSend(t *testing.T) {
+// PermitSend permits what the rules permit, and counts what an engine client should not have tried.
+func TestPermitSend_WithholdsWhatBreaksARule(t *testing.T) {
 	f := newFixture(t)
 	request := f.accept(readClass)
 	attempt := f.attempt(0)
@@ -27,14 +28,14 @@
 	}
 	f.UpdateEndpoints(policy.UpdateDelta, []lifecycle.Endpoint{endpoint(attempt.Engine, policy.EngineDraining)})
 	if f.PermitSend(attempt) {
-		t.Error("sent to an engine that drains")
+		t.Error("sent to a draining engine")
 	}
-	f.assertViolations("drained-endpoint", 1)
+	f.assertViolations(invariant.DrainedEndpoint, 1)
 	f.ClientDisconnected(request)
 	if f.PermitSend(attempt) {
-		t.Error("sent although the client has left")
+		t.Error("sent although the client has disconnected")
 	}
-	f.assertViolations("send-after-completion", 1)
+	f.assertViolations(invariant.SendAfterCompletion, 1)
 }
 
 // An attempt whose time is over is withheld. That is no violation: its timer is due.
@@ -45,8 +46,8 @@
 	if f.PermitSend(f.attempt(0)) {
 		t.Error("sent past its deadline")
 	}
-	f.assertViolations("send-after-completion", 0)
-	if n := f.counters.GetByName("attempts.withheld.late"); n != 1 {
+	f.assertViolations(invariant.SendAfterCompletion, 0)
+	if n := f.counters.Get(metrics.AttemptsWithheldLate); n != 1 {
 		t.Errorf("%d attempts withheld, want 1", n)
 	}
 }
@@ -57,15 +58,15 @@
 	f := newFixture(t)
 	f.accept(readClass)
 	f.CheckPending()
-	f.assertViolations("response-deadline", 0)
+	f.assertViolations(invariant.ResponseDeadline, 0)
 	f.now += requestDeadline + time.Second
 	f.CheckPending()
-	f.assertViolations("response-deadline", 1)
+	f.assertViolations(invariant.ResponseDeadline, 1)
 	f.end(0, lifecycle.StatusServed)
-	f.assertViolations("response-deadline", 2)
+	f.assertViolations(invariant.ResponseDeadline, 2)
 	f.CheckPending()
-	f.assertViolations("response-deadline", 2)
-	f.assertViolations("response-once", 0)
+	f.assertViolations(invariant.ResponseDeadline, 2)
+	f.assertViolations(invariant.ResponseOnce, 0)
 }
 
 // Once a graceful shutdown has given all final responses, what is accepted is rejected at once.
--- a/internal/lifecycle/observer.go
+++ b/internal/lifecycle/observer.go
@@ -14,21 +14,31 @@
 	Release(r *Request)
 }
 
-// observes reports whether the cost observer is notified of the request.
-func (d *Dispatcher) observes(r *Request) bool {
-	return d.costObserver != nil && r.ObserverData != nil
+// costReporter notifies the CostObserver, if there is one, of the requests that have ObserverData.
+type costReporter struct{ observer CostObserver }
+
+// observes reports whether the observer is notified of the request.
+func (c *costReporter) observes(r *Request) bool {
+	return c.observer != nil && r.ObserverData != nil
 }
 
-// observeCost reports the cost of an attempt that has ended.
-func (d *Dispatcher) observeCost(a *Attempt, status AttemptStatus, report AttemptReport) {
-	if !d.observes(a.Request) {
+// observe reports the cost of an attempt that has ended.
+func (c *costReporter) observe(a *Attempt, status AttemptStatus, report AttemptReport, elapsed time.Duration) {
+	if !c.observes(a.Request) {
 		return
 	}
-	elapsed := d.clock.Now() - a.StartedAt
 	switch status {
 	case StatusServed:
-		d.costObserver.ObserveServed(a.Request, report, elapsed)
+		c.observer.ObserveServed(a.Request, report, elapsed)
 	case StatusTimeout:
-		d.costObserver.ObserveTimeout(a.Request, elapsed)
+		c.observer.ObserveTimeout(a.Request, elapsed)
+	default: // says nothing of the cost
+	}
+}
+
+// release announces that nothing more will be reported of the request.
+func (c *costReporter) release(r *Request) {
+	if c.observes(r) {
+		c.observer.Release(r)
 	}
 }
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -3,8 +3,6 @@
 import (
 	"slices"
 	"time"
-
-	"flaxrelay/policy"
 )
 
 // defaultPriority is the priority of attempts until the balancer sets another one.
@@ -18,7 +16,7 @@
 	Class             string        // name of its class
 	Tenant            string        // whose quota it uses; "": none
 	OrderKey          string        // requests of one key run one at a time, in order; "": none
-	IdempotencyKey    string        // engines recognise repeats by it; "": none
+	IdempotencyKey    string        // engines recognise duplicates by it; "": none
 	Statement         any           // as parsed by the front end, for an engine client of its protocol
 	Dataset           int64         // group of tables that it reads or writes
 	Deadline          time.Duration // instant at which the client gives up
@@ -37,17 +35,24 @@
 	lastErrorDetail any // of the latest engine error that the response may pass on
 }
 
-// requestState is the state of a request. States only advance.
+// requestState is the state of a request, which only advances:
+//
+//	requestNew:        Dispatcher.Accept -> requestPending
+//	requestPending:    its response is given -> requestCompleted
+//	requestPending:    Dispatcher.ClientDisconnected -> requestCompleted
+//	requestCompleted:  its attempts have ended, and the balancer was notified -> requestReleased
+//
+// A completed request may have attempts in flight that its engines finish in vain.
 type requestState uint8
 
 const (
 	requestNew       requestState = iota // not accepted yet
-	requestPending                       // accepted: a final response is owed
-	requestCompleted                     // responded to, or its client disconnected; attempts may be in flight
-	requestReleased                      // no attempt is in flight, and the balancer has been notified of every end
+	requestPending                       // accepted, without its response
+	requestCompleted                     // it has its response, or its client has disconnected
+	requestReleased                      // nothing refers to it any more
 )
 
-// completed reports whether no response is owed any more.
+// completed reports whether the request needs no response any more.
 func (r *Request) completed() bool { return r.state >= requestCompleted }
 
 // mayHaveRun reports whether an engine may have run an attempt of the request.
@@ -55,84 +60,12 @@
 	return slices.ContainsFunc(r.attempts, func(a *Attempt) bool { return a.state != attemptNeverRan })
 }
 
-// Accept accepts a request that has arrived completely. From here on one final
-// response is owed; it may be given before Accept returns.
-func (d *Dispatcher) Accept(r *Request) {
-	d.lastPolicyID++
-	r.policyID = d.lastPolicyID
-	r.priority = defaultPriority
-	r.state = requestPending
-	d.requests[r.policyID] = r
-	d.pending++
-	d.counters.IncrementByName("requests.accepted." + r.Class)
-	if d.tracing {
-		d.trace("request.accepted", r, "class", r.Class, "time_left", r.Deadline-d.clock.Now())
-	}
-	if d.finishing {
-		d.counters.IncrementByName("rejections.shutdown")
-		d.respond(r.policyID, Response{Verdict: VerdictRejected, RetryAfter: d.RetryAfter()})
-		return
-	}
-	d.handleEvent(policy.RequestArrived{
-		RequestID:         r.policyID,
-		Class:             r.Class,
-		Tenant:            r.Tenant,
-		OrderKey:          r.OrderKey,
-		Dataset:           r.Dataset,
-		Deadline:          r.Deadline,
-		EstimatedWork:     r.EstimatedWork,
-		EstimatedMemoryMB: r.EstimatedMemoryMB,
-		ClientRetry:       r.ClientRetry,
-	})
-}
-
-// ClientDisconnected announces that the client no longer waits for its response.
-// It has no effect on a request that is not pending.
-func (d *Dispatcher) ClientDisconnected(r *Request) {
-	if r.state != requestPending {
-		return
-	}
-	d.counters.IncrementByName("requests.disconnected." + r.Class)
-	if d.tracing {
-		d.trace("request.disconnected", r)
-	}
-	d.markCompleted(r)
-	d.abandonRemaining(r)
-}
-
-// abandonRemaining makes the balancer cancel the attempts of a completed request
-// that are still in flight.
-func (d *Dispatcher) abandonRemaining(r *Request) {
-	d.handleEvent(policy.ClientDisconnected{RequestID: r.policyID})
-	d.releaseIfIdle(r)
-}
-
-// markCompleted records that no response is owed any more, and withdraws the
-// attempts that still wait for a connection. These need no permission to cancel,
-// since their engines have received nothing of them.
-func (d *Dispatcher) markCompleted(r *Request) {
-	r.state = requestCompleted
-	d.pending--
+// firstThatMayHaveRun returns the first attempt that an engine may have run, or nil.
+func (r *Request) firstThatMayHaveRun() *Attempt {
 	for _, a := range r.attempts {
-		if !a.Ended() && d.engineClient.Withdraw(a) {
-			d.EndAttempt(a, StatusNotSent, AttemptReport{})
-		}
-	}
-}
-
-// releaseIfIdle drops a completed request that has no attempt in flight. While
-// events are queued that waits, since the balancer may still start an attempt of
-// the request, and each attempt must end.
-func (d *Dispatcher) releaseIfIdle(r *Request) {
-	switch {
-	case r.state != requestCompleted || r.inFlight > 0:
-	case d.handling:
-		d.releasable = append(d.releasable, r)
-	default:
-		r.state = requestReleased
-		delete(d.requests, r.policyID)
-		if d.observes(r) {
-			d.costObserver.Release(r)
+		if a.state != attemptNeverRan {
+			return a
 		}
 	}
+	return nil
 }
--- a/internal/lifecycle/status.go
+++ b/internal/lifecycle/status.go
@@ -11,18 +11,18 @@
 	StatusServed                          // the complete result has arrived
 	StatusStatementRejected               // the engine found the statement itself at fault; it had no effect
 	StatusResultTooLarge                  // it ran, but its result exceeds what may be buffered here
-	StatusEngineError                     // the engine answered with an error
+	StatusEngineError                     // the engine responded with an error
 	StatusOverloaded                      // the engine shed it before looking at it
 	StatusDeadlinePassed                  // the engine found its deadline passed before it ran
 	StatusPagesLost                       // it ran, but some pages of its result are no longer available
-	StatusTimeout                         // no answer within the attempt's timeout
+	StatusTimeout                         // no response within the attempt's timeout
 	StatusConnectionRefused               // the engine refused the connection
 	StatusConnectTimeout                  // no connection in time
 	StatusNoDescriptor                    // no file descriptor was free for a connection
 	StatusLocalFailure                    // a connection failed on this machine
 	StatusUnknownEngine                   // the endpoint list has no address of the engine
 	StatusConnectionReset                 // the connection broke
-	StatusProtocolError                   // the engine's answer was malformed
+	StatusProtocolError                   // the engine's response was malformed
 	StatusCancelled                       // cancelled from this side
 	StatusNotSent                         // ended before any of it was written
 	StatusIdleClosed                      // a connection with no attempt open was closed
@@ -75,7 +75,7 @@
 		return policy.ResultConnectFailed
 	case StatusConnectionReset:
 		return policy.ResultConnectionLost
-	case StatusProtocolError: // the network may have damaged a healthy engine's answer
+	case StatusProtocolError: // the network may have damaged a healthy engine's response
 		return policy.ResultUnknown
 	case StatusCancelled:
 		return policy.ResultCancelled
@@ -83,6 +83,8 @@
 		return policy.ResultNotSent
 	case StatusNoDescriptor, StatusLocalFailure: // the fault is on this side, not the engine's
 		return policy.ResultNotSent
+	case StatusUnknown, StatusIdleClosed, statusCount:
+		return policy.ResultUnknown
 	}
 	return policy.ResultUnknown
 }
--- a/internal/lifecycle/trace.go
+++ b/internal/lifecycle/trace.go
@@ -1,11 +1,24 @@
 package lifecycle
 
-// trace logs a step in the life of a request, at level debug, under the request's id. By these
-// steps a log tells why each attempt, each retry and each refusal came about. Callers check
-// d.tracing first, as the arguments cost something.
-func (d *Dispatcher) trace(event string, r *Request, attributes ...any) {
-	if r == nil {
-		return
-	}
-	d.logger.Debug(event, append([]any{"request", r.ID}, attributes...)...)
+import (
+	"context"
+	"log/slog"
+
+	"flaxrelay/internal/logevent"
+)
+
+// tracer logs the steps of each request, at level debug, under the request's id: they tell why each
+// attempt, retry and rejection came about.
+type tracer struct {
+	logger  *slog.Logger
+	enabled bool // callers check it first, since the attributes of a step cost time
+}
+
+func newTracer(logger *slog.Logger) tracer {
+	return tracer{logger: logger, enabled: logger.Enabled(context.Background(), slog.LevelDebug)}
+}
+
+// step logs a step of a request.
+func (t tracer) step(event logevent.Event, r *Request, fields ...slog.Attr) {
+	event.Log(t.logger, append([]slog.Attr{slog.String("request", r.ID)}, fields...)...)
 }
