--- a/policy/actions.go
+++ b/policy/actions.go
@@ -48,10 +48,14 @@
 	ReasonEjected                               // the others are ejected, or its class is stalled there
 	ReasonAttemptsExhausted                     // a rule forbids an attempt
 	ReasonEngineLimit                           // the request exceeds the limits of the others
-	ReasonSlowStart                             // the others are in slow start, and this balancer's share of their budget is spent
-	ReasonFleetLimit                            // the request exceeds the limit of all engines together
-	ReasonRetryFutile                           // an attempt failed or is too slow, and a retry would be too late or fail as well
-	ReasonDeadline                              // the request's deadline is reached
+	// ReasonSlowStart says that the others are in slow start, and this balancer's share of their
+	// budget is spent.
+	ReasonSlowStart
+	ReasonFleetLimit // the request exceeds the limit of all engines together
+	// ReasonRetryFutile says that an attempt failed or is too slow, and a retry would be too late or
+	// fail as well.
+	ReasonRetryFutile
+	ReasonDeadline // the request's deadline is reached
 )
 
 var rejectReasonNames = [...]string{
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -27,7 +27,9 @@
 	s := settings()
 	h := newHarness(t, s, readyEngine("e", "a", 1))
 	for id := uint64(1); id <= 100; id++ {
-		h.handle(RequestArrived{RequestID: id, Class: "wide", EstimatedWork: time.Millisecond, Deadline: h.now + 9*time.Second})
+		h.handle(RequestArrived{
+			RequestID: id, Class: "wide", EstimatedWork: time.Millisecond, Deadline: h.now + 9*time.Second,
+		})
 		h.endAttempt(id, 0, ResultServed)
 	}
 	h.handle(RequestArrived{RequestID: 200, Class: "wide", EstimatedWork: time.Second, Deadline: h.now + 9*time.Second})
@@ -53,7 +55,9 @@
 	for range 50 {
 		limit("idempotent", 100*msec)
 	}
-	short, usual, long := limit("idempotent", 20*msec), limit("idempotent", 100*msec), limit("idempotent", 900*msec)
+	short := limit("idempotent", 20*msec)
+	usual := limit("idempotent", 100*msec)
+	long := limit("idempotent", 900*msec)
 	if short <= usual || usual <= long || short > 3.1*long {
 		t.Fatalf("limits of a short, a usual and a long request: %.1f, %.1f, %.1f", short, usual, long)
 	}
@@ -71,7 +75,8 @@
 
 func TestReject_ReasonNamesTheCause(t *testing.T) {
 	warming := readyEngine("e", "a", 1)
-	warming.StartKnown, warming.StartedAt = true, time.Minute
+	warming.StartKnown = true
+	warming.StartedAt = time.Minute
 	draining := readyEngine("e", "a", 1)
 	draining.State = EngineDraining
 	for _, c := range []struct {
@@ -112,6 +117,9 @@
 	e.limiter.limit = all
 	pressured := e.limitFor(expensive, h.now)
 	if unpressured != all || pressured != all/2 {
-		t.Errorf("of %.1f such a request may use %.1f without pressure and %.1f under it, want all and half", all, unpressured, pressured)
+		t.Errorf(
+			"of %.1f such a request may use %.1f without pressure and %.1f under it, want all and half", all,
+			unpressured, pressured,
+		)
 	}
 }
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -4,10 +4,9 @@
 
 // attemptPhase is the phase of an attempt, which only advances:
 //
-//	phase              event          next phase
-//	attemptWaiting     StreamStarted  attemptStreaming
-//	attemptWaiting     AttemptEnded   attemptEnded
-//	attemptStreaming   AttemptEnded   attemptEnded
+//	attemptWaiting:    StreamStarted -> attemptStreaming
+//	attemptWaiting:    AttemptEnded -> attemptEnded
+//	attemptStreaming:  AttemptEnded -> attemptEnded
 type attemptPhase uint8
 
 const (
--- a/policy/attemptrules_test.go
+++ b/policy/attemptrules_test.go
@@ -13,7 +13,8 @@
 		h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 		h.arrive(1, "non-idempotent")
 		actions := h.endAttempt(1, 0, result)
-		if (len(startedAttempts(actions)) == 1) != again || hasAction[Reject](actions) || hasAction[Fail](actions) == again {
+		retried := len(startedAttempts(actions)) == 1
+		if retried != again || hasAction[Reject](actions) || hasAction[Fail](actions) == again {
 			t.Errorf("after result %d: %+v", result, actions)
 		}
 	}
@@ -32,7 +33,9 @@
 
 func TestRetryBudget_LimitsRetries(t *testing.T) {
 	s := settings()
-	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin, s.Rules.RetryBudgetRatio = time.Second, 1, 0.1
+	s.Rules.RetryBudgetWindow = time.Second
+	s.Rules.RetryBudgetMin = 1
+	s.Rules.RetryBudgetRatio = 0.1
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	h.arrive(1, "idempotent")
 	h.arrive(2, "idempotent")
@@ -43,7 +46,8 @@
 func TestRetryBudget_IsNotSpentOnBlockedAttempts(t *testing.T) {
 	for _, back := range []time.Duration{0, 10 * time.Second} {
 		s := settings()
-		s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin = back, 5
+		s.Rules.RetryBudgetWindow = back
+		s.Rules.RetryBudgetMin = 5
 		h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 		h.arrive(1, "wide")
 		actions := h.advance(500 * msec).handle(ProgressReported{RequestID: 1, Kind: ProgressAwaitingMemory, Value: 1})
--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -56,21 +56,36 @@
 	quotas.OverQuotaWeight = 0.2
 	quotas.Shortage = policy.ShortageTrim
 	paging := characterizationSettings()
-	paging.Shortage, paging.ReportsCost, paging.ReportsLoad = policy.ShortageSwap, true, true
+	paging.Shortage = policy.ShortageSwap
+	paging.ReportsCost = true
+	paging.ReportsLoad = true
 	paging.Priorities = true
-	paging.Limits.Cancel, paging.Limits.MaxAttempts = false, 3
+	paging.Limits.Cancel = false
+	paging.Limits.MaxAttempts = 3
 	probing := characterizationSettings()
-	probing.ReportsLoad, probing.PullDiscovery, probing.Limits.HealthChecks = true, true, true
-	probing.MemoryGrants, probing.Priorities, probing.MaxGrantShare = true, true, 0.5
+	probing.ReportsLoad = true
+	probing.PullDiscovery = true
+	probing.Limits.HealthChecks = true
+	probing.MemoryGrants = true
+	probing.Priorities = true
+	probing.MaxGrantShare = 0.5
 	silent := characterizationSettings()
-	silent.ProgressInterval, silent.ReportsLoad = 0, true
+	silent.ProgressInterval = 0
+	silent.ReportsLoad = true
 	rationed := characterizationSettings()
-	rationed.Rules.RetryBudgetWindow, rationed.Rules.RetryBudgetMin, rationed.Rules.RetryBudgetRatio = 2*time.Second, 3, 0.1
+	rationed.Rules.RetryBudgetWindow = 2 * time.Second
+	rationed.Rules.RetryBudgetMin = 3
+	rationed.Rules.RetryBudgetRatio = 0.1
 	rationed.Limits.RetryAfter = false
 	crowd := characterizationSettings()
-	crowd.Replicas, crowd.ReportsLoad, crowd.ReportsCost, crowd.Shortage = 60, true, true, policy.ShortageSwap
+	crowd.Replicas = 60
+	crowd.ReportsLoad = true
+	crowd.ReportsCost = true
+	crowd.Shortage = policy.ShortageSwap
 	copies := characterizationSettings()
-	copies.Limits.Hedging, copies.Replicas, copies.MemoryGrants = true, 1, true
+	copies.Limits.Hedging = true
+	copies.Replicas = 1
+	copies.MemoryGrants = true
 	return []scenario{
 		{name: "plain", settings: plain, engines: 6, rate: 60, speed: 1, faults: 0.02},
 		{name: "tenants", settings: quotas, engines: 5, rate: 90, speed: 1, faults: 0.05, estimate: true},
@@ -89,24 +104,62 @@
 		Replicas: 3, Zone: "a", ProgressInterval: 500 * msec, TickInterval: 5 * msec,
 		Kinds: []policy.Kind{{Name: "small", Cores: 4, MemoryMB: 4096}, {Name: "large", Cores: 8, MemoryMB: 8192}},
 		Classes: []policy.Class{
-			{Name: "lookup", LatencyObjective: 300 * msec, ObjectiveStretch: 1.5, Deadline: 2 * second, PriorityWeight: 1, Threads: 1, Effect: policy.Idempotent},
-			{Name: "report", LatencyObjective: 3 * second, ObjectiveStretch: 2.5, Deadline: 15 * second, PriorityWeight: 10, LateWeight: 0.3, Threads: 3, Effect: policy.Idempotent},
-			{Name: "write", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 5, Threads: 2, Effect: policy.NonIdempotent},
-			{Name: "keyed", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 5, Threads: 2, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeCell, DedupWindow: 2 * second},
-			{Name: "keyed-zone", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 2, Threads: 1, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, DedupWindow: second},
-			{Name: "keyed-all", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 2, Threads: 1, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, DedupWindow: second},
-			{Name: "ordered", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 1, Threads: 1, Effect: policy.Idempotent, Ordered: true},
-			{Name: "ordered-write", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 3, Threads: 1, Effect: policy.NonIdempotent, Ordered: true},
-			{Name: "load", LatencyObjective: 4 * second, Deadline: 12 * second, PriorityWeight: 4, Threads: 2, Effect: policy.Idempotent, BulkLoad: true},
-			{Name: "reader", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 2, Threads: 1, Effect: policy.Idempotent, BlockedByLoad: true},
-			{Name: "stream", LatencyObjective: 2 * second, Deadline: 8 * second, PriorityWeight: 2, Threads: 1, Effect: policy.Idempotent, Streaming: true},
-			{Name: "placed", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Threads: 1, Effect: policy.Idempotent, Zones: []string{"b"}, Kinds: []string{"large"}},
+			{
+				Name: "lookup", LatencyObjective: 300 * msec, ObjectiveStretch: 1.5, Deadline: 2 * second,
+				PriorityWeight: 1, Threads: 1, Effect: policy.Idempotent,
+			},
+			{
+				Name: "report", LatencyObjective: 3 * second, ObjectiveStretch: 2.5, Deadline: 15 * second,
+				PriorityWeight: 10, LateWeight: 0.3, Threads: 3, Effect: policy.Idempotent,
+			},
+			{
+				Name: "write", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 5, Threads: 2,
+				Effect: policy.NonIdempotent,
+			},
+			{
+				Name: "keyed", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 5, Threads: 2,
+				Effect: policy.IdempotentByKey, DedupScope: policy.ScopeCell, DedupWindow: 2 * second,
+			},
+			{
+				Name: "keyed-zone", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 2, Threads: 1,
+				Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, DedupWindow: second,
+			},
+			{
+				Name: "keyed-all", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 2, Threads: 1,
+				Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, DedupWindow: second,
+			},
+			{
+				Name: "ordered", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 1, Threads: 1,
+				Effect: policy.Idempotent, Ordered: true,
+			},
+			{
+				Name: "ordered-write", LatencyObjective: second, Deadline: 6 * second, PriorityWeight: 3, Threads: 1,
+				Effect: policy.NonIdempotent, Ordered: true,
+			},
+			{
+				Name: "load", LatencyObjective: 4 * second, Deadline: 12 * second, PriorityWeight: 4, Threads: 2,
+				Effect: policy.Idempotent, BulkLoad: true,
+			},
+			{
+				Name: "reader", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 2, Threads: 1,
+				Effect: policy.Idempotent, BlockedByLoad: true,
+			},
+			{
+				Name: "stream", LatencyObjective: 2 * second, Deadline: 8 * second, PriorityWeight: 2, Threads: 1,
+				Effect: policy.Idempotent, Streaming: true,
+			},
+			{
+				Name: "placed", LatencyObjective: second, Deadline: 5 * second, PriorityWeight: 1, Threads: 1,
+				Effect: policy.Idempotent, Zones: []string{"b"}, Kinds: []string{"large"},
+			},
 		},
 		Rules: policy.Rules{
 			ResponseSlack: 20 * msec, DrainGrace: 500 * msec, WarmupCapacity: 0.3, WarmupTime: 10 * second,
 			OverloadFactor: 2.5, OverloadWindow: 3 * second, OrderSettleTime: 700 * msec, ResubscribeWithin: second,
 		},
-		Limits: policy.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * second, ConnectTimeout: 200 * msec},
+		Limits: policy.Limits{
+			MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * second, ConnectTimeout: 200 * msec,
+		},
 	}
 }
 
@@ -214,7 +267,8 @@
 
 func (p *player) push(after time.Duration, s scheduled) {
 	p.pushed++
-	s.at, s.sequence = p.now+after, p.pushed
+	s.at = p.now + after
+	s.sequence = p.pushed
 	heap.Push(&p.queue, s)
 }
 
@@ -249,7 +303,8 @@
 func (p *player) addEngine(fresh bool) *fakeEngine {
 	n := len(p.engines)
 	e := &fakeEngine{slowdown: 0.8 + 0.4*p.random.Float64(), entry: policy.Engine{
-		ID: fmt.Sprintf("s-%08x", n*2654435761), Zone: []string{"a", "b"}[n%2], Kind: []string{"large", "small", "large"}[n%3],
+		ID: fmt.Sprintf("s-%08x", n*2654435761), Zone: []string{"a", "b"}[n%2],
+		Kind: []string{"large", "small", "large"}[n%3],
 		Cell: int64(n % 3), State: policy.EngineReady, StartedAt: p.now, StartKnown: fresh,
 	}}
 	p.engines = append(p.engines, e)
@@ -288,11 +343,15 @@
 		e.entry.State = policy.EngineRemoved
 		if p.random.IntN(2) == 0 {
 			replacement := p.addEngine(true)
-			return policy.EndpointsChanged{Mode: policy.UpdateDelta, Engines: []policy.Engine{e.entry, replacement.entry}}
+			return policy.EndpointsChanged{
+				Mode: policy.UpdateDelta, Engines: []policy.Engine{e.entry, replacement.entry},
+			}
 		}
 	default:
 		if e.entry.State != policy.EngineReady {
-			e.entry.State, e.entry.StartKnown, e.entry.StartedAt = policy.EngineReady, true, p.now
+			e.entry.State = policy.EngineReady
+			e.entry.StartKnown = true
+			e.entry.StartedAt = p.now
 		}
 	}
 	return policy.EndpointsChanged{Mode: policy.UpdateDelta, Engines: []policy.Engine{e.entry}}
@@ -353,7 +412,10 @@
 		p.in(time.Millisecond, func() policy.Event { return p.end(a.RequestID, a.Attempt, policy.ResultCancelled) })
 	case policy.CheckHealth:
 		p.record(3, a.Engine)
-		p.event(2*time.Millisecond, policy.HealthChecked{Engine: a.Engine, Result: policy.ResultServed, Load: p.load(p.byID[a.Engine])})
+		p.event(
+			2*time.Millisecond,
+			policy.HealthChecked{Engine: a.Engine, Result: policy.ResultServed, Load: p.load(p.byID[a.Engine])},
+		)
 	case policy.Reject:
 		p.record(4, a.RequestID, a.RetryAfter, int(a.Reason))
 		p.complete(a.RequestID)
@@ -385,7 +447,8 @@
 }
 
 func (p *player) send(send policy.StartAttempt) {
-	req, e := p.requests[send.RequestID], p.byID[send.Engine]
+	req := p.requests[send.RequestID]
+	e := p.byID[send.Engine]
 	a := &fakeAttempt{engine: e, sent: p.now}
 	n := len(req.attempts)
 	req.attempts = append(req.attempts, a)
@@ -406,7 +469,8 @@
 		return
 	case p.random.Float64() < p.faults:
 		results := []policy.Result{
-			policy.ResultFailed, policy.ResultOverloaded, policy.ResultConnectFailed, policy.ResultConnectionLost, policy.ResultUnknown, policy.ResultNotSent, policy.ResultTimedOut,
+			policy.ResultFailed, policy.ResultOverloaded, policy.ResultConnectFailed, policy.ResultConnectionLost,
+			policy.ResultUnknown, policy.ResultNotSent, policy.ResultTimedOut,
 		}
 		if k := p.random.IntN(len(results) + 1); k < len(results) {
 			end(time.Duration(float64(took)*p.random.Float64()), results[k])
@@ -433,10 +497,13 @@
 		return
 	}
 	for at := p.settings.ProgressInterval; at < took; at += p.settings.ProgressInterval {
-		report := policy.ProgressReported{RequestID: id, Attempt: n, Kind: policy.ProgressFraction, Value: float64(at) / float64(took)}
+		report := policy.ProgressReported{
+			RequestID: id, Attempt: n, Kind: policy.ProgressFraction, Value: float64(at) / float64(took),
+		}
 		switch p.random.IntN(12) {
 		case 0:
-			report.Kind, report.Value = policy.ProgressSpilling, 100*p.random.Float64()
+			report.Kind = policy.ProgressSpilling
+			report.Value = 100 * p.random.Float64()
 		case 1:
 			report.Kind = policy.ProgressAwaitingMemory
 		case 2:
@@ -457,12 +524,17 @@
 	a := req.attempts[n]
 	a.ended = true
 	a.engine.attempts--
-	outcome := policy.AttemptEnded{RequestID: requestID, Attempt: n, Result: result, Elapsed: p.now - a.sent, Load: policy.LoadReport{CPUShare: -1, InFlight: -1}}
+	outcome := policy.AttemptEnded{
+		RequestID: requestID, Attempt: n, Result: result, Elapsed: p.now - a.sent,
+		Load: policy.LoadReport{CPUShare: -1, InFlight: -1},
+	}
 	if result == policy.ResultServed {
 		req.completed = true
-		outcome.Work, outcome.MemoryMB = req.work, 30+100*p.random.Float64()
+		outcome.Work = req.work
+		outcome.MemoryMB = 30 + 100*p.random.Float64()
 		if !p.settings.ReportsCost {
-			outcome.Work, outcome.MemoryMB = 0, 0
+			outcome.Work = 0
+			outcome.MemoryMB = 0
 		}
 	}
 	if result == policy.ResultServed || result == policy.ResultFailed {
@@ -524,7 +596,10 @@
 	now := time.Minute
 	list := policy.EndpointsChanged{Mode: policy.UpdateFull}
 	for i := range 40 {
-		list.Engines = append(list.Engines, policy.Engine{ID: fmt.Sprint("engine-", i), Zone: "a", Kind: "large", State: policy.EngineReady})
+		list.Engines = append(
+			list.Engines,
+			policy.Engine{ID: fmt.Sprint("engine-", i), Zone: "a", Kind: "large", State: policy.EngineReady},
+		)
 	}
 	actions := balancer.Handle(now, list, nil)
 	b.ReportAllocs()
@@ -532,8 +607,14 @@
 	for i := range b.N {
 		now += time.Millisecond
 		id := uint64(i + 1)
-		actions = balancer.Handle(now, policy.RequestArrived{RequestID: id, Class: "lookup", Dataset: int64(i % 20), Deadline: now + time.Second}, actions[:0])
-		actions = balancer.Handle(now, policy.AttemptEnded{RequestID: id, Result: policy.ResultServed, Elapsed: 90 * time.Millisecond, Completed: true}, actions[:0])
+		actions = balancer.Handle(
+			now,
+			policy.RequestArrived{RequestID: id, Class: "lookup", Dataset: int64(i % 20), Deadline: now + time.Second},
+			actions[:0],
+		)
+		actions = balancer.Handle(now, policy.AttemptEnded{
+			RequestID: id, Result: policy.ResultServed, Elapsed: 90 * time.Millisecond, Completed: true,
+		}, actions[:0])
 		if i%100 == 0 {
 			actions = balancer.Handle(now, policy.TimerFired{}, actions[:0])
 		}
--- a/policy/decisionfiles_test.go
+++ b/policy/decisionfiles_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("%s has no policy list", deployFile)
 	}
 	var files []string
-	for _, entry := range strings.Split(string(list[1]), ",") {
+	for entry := range strings.SplitSeq(string(list[1]), ",") {
 		directory, file := path.Split(strings.Trim(strings.TrimSpace(entry), `"`))
 		if directory != "policy/" {
 			t.Fatalf("%s lists %s, which is not of this package", deployFile, entry)
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 		lines := 0
-		for _, line := range strings.Split(string(source), "\n") {
+		for line := range strings.SplitSeq(string(source), "\n") {
 			if strings.TrimSpace(line) != "" {
 				lines++
 			}
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -9,14 +9,19 @@
 func TestBalancer_StateStaysBoundedOverLongRun(t *testing.T) {
 	s := settings()
 	s.Classes[0].BlockedByLoad = true
-	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin, s.Rules.RetryBudgetRatio = time.Second, 3, 0.1
+	s.Rules.RetryBudgetWindow = time.Second
+	s.Rules.RetryBudgetMin = 3
+	s.Rules.RetryBudgetRatio = 0.1
 	h := newHarness(t, s)
 	for id := uint64(1); id < 5000; id++ {
 		removed := readyEngine(fmt.Sprintf("e%d", id-1), "a", 1)
 		added := readyEngine(fmt.Sprintf("e%d", id), "a", 1)
 		removed.State = EngineRemoved
 		h.advance(100 * msec).handle(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{removed, added}})
-		h.handle(RequestArrived{RequestID: id, Class: "ordered", OrderKey: fmt.Sprint("k", id), Dataset: int64(id), Deadline: h.now + time.Second})
+		h.handle(RequestArrived{
+			RequestID: id, Class: "ordered", OrderKey: fmt.Sprint("k", id), Dataset: int64(id),
+			Deadline: h.now + time.Second,
+		})
 		h.handle(ProgressReported{RequestID: id, Kind: ProgressAwaitingLoad})
 		h.endAttempt(id, 0, []Result{ResultServed, ResultConnectionLost, ResultCancelled}[id%3])
 		if req := h.balancer.requests[id]; req != nil {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -14,7 +14,8 @@
 		Zone:     "a",
 		Kinds:    []policy.Kind{{Name: "small", Cores: 1}},
 		Classes: []policy.Class{{
-			Name: "lookup", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, Threads: 2, Effect: policy.Idempotent,
+			Name: "lookup", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second,
+			PriorityWeight: 1, Threads: 2, Effect: policy.Idempotent,
 		}},
 		Limits: policy.Limits{MaxAttempts: 3, Cancel: true},
 	}, 42)
@@ -36,7 +37,9 @@
 	handle(policy.RequestArrived{RequestID: 1, Class: "lookup", Deadline: clock + time.Second})
 	handle(policy.RequestArrived{RequestID: 2, Class: "lookup", Deadline: clock + time.Second})
 	clock += 50 * time.Millisecond
-	handle(policy.AttemptEnded{RequestID: 1, Result: policy.ResultServed, Elapsed: 50 * time.Millisecond, Completed: true})
+	handle(policy.AttemptEnded{
+		RequestID: 1, Result: policy.ResultServed, Elapsed: 50 * time.Millisecond, Completed: true,
+	})
 	handle(policy.RequestArrived{RequestID: 3, Class: "lookup", Deadline: clock + time.Second})
 	// Output:
 	// policy.StartAttempt {RequestID:1 Engine:engine-1 Timeout:1s}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -22,15 +22,30 @@
 		Replicas: 2, Zone: "a", ProgressInterval: 500 * msec, TickInterval: 5 * msec,
 		Kinds: []Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
 		Classes: []Class{
-			{Name: "idempotent", LatencyObjective: 300 * msec, Deadline: 2 * time.Second, PriorityWeight: 1, Threads: 1, Effect: Idempotent},
-			{Name: "wide", LatencyObjective: 3 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 9, Threads: 4, Effect: Idempotent},
-			{Name: "non-idempotent", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 5, Threads: 2, Effect: NonIdempotent},
+			{
+				Name: "idempotent", LatencyObjective: 300 * msec, Deadline: 2 * time.Second, PriorityWeight: 1,
+				Threads: 1, Effect: Idempotent,
+			},
+			{
+				Name: "wide", LatencyObjective: 3 * time.Second, Deadline: 15 * time.Second, PriorityWeight: 9,
+				Threads: 4, Effect: Idempotent,
+			},
+			{
+				Name: "non-idempotent", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 5,
+				Threads: 2, Effect: NonIdempotent,
+			},
 			{
 				Name: "keyed", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 5, Threads: 2,
 				Effect: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: time.Second,
 			},
-			{Name: "ordered", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Threads: 1, Effect: Idempotent, Ordered: true},
-			{Name: "placed", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Threads: 1, Effect: Idempotent, Zones: []string{"b"}},
+			{
+				Name: "ordered", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 1,
+				Threads: 1, Effect: Idempotent, Ordered: true,
+			},
+			{
+				Name: "placed", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, Threads: 1,
+				Effect: Idempotent, Zones: []string{"b"},
+			},
 		},
 		Rules: Rules{
 			ResponseSlack: 20 * msec, DrainGrace: time.Second, WarmupCapacity: 0.3, WarmupTime: 10 * time.Second,
@@ -94,7 +109,9 @@
 }
 
 func (h *harness) arrive(id uint64, class string) []Action {
-	return h.handle(RequestArrived{RequestID: id, Class: class, Deadline: h.now + h.balancer.classes["non-idempotent"].Deadline})
+	return h.handle(RequestArrived{
+		RequestID: id, Class: class, Deadline: h.now + h.balancer.classes["non-idempotent"].Deadline,
+	})
 }
 
 func (h *harness) endAttempt(requestID uint64, attempt int, result Result) []Action {
--- a/policy/keyqueue_test.go
+++ b/policy/keyqueue_test.go
@@ -6,8 +6,10 @@
 )
 
 func TestKeyQueues_KeepOrderPerKey(t *testing.T) {
-	ordered, unordered := &class{Class: Class{Ordered: true}}, &class{}
-	first, second := &request{class: ordered, orderKey: "x"}, &request{class: ordered, orderKey: "x"}
+	ordered := &class{Class: Class{Ordered: true}}
+	unordered := &class{}
+	first := &request{class: ordered, orderKey: "x"}
+	second := &request{class: ordered, orderKey: "x"}
 	other := &request{class: ordered, orderKey: "y"}
 	queues := keyQueues{}
 	for _, req := range []*request{first, second, other} {
--- a/policy/limiter_test.go
+++ b/policy/limiter_test.go
@@ -28,7 +28,7 @@
 	if limiter.limit != before.limit || limiter.alpha != before.alpha {
 		t.Fatalf("an idle period moved the loop to %v, %v", limiter.limit, limiter.alpha)
 	}
-	for i := 0; i < 50; i++ {
+	for range 50 {
 		limiter.latencySum = 50
 		limiter.samples = 1
 		limiter.endPeriod(h.now)
@@ -41,9 +41,12 @@
 func TestMaxLimit_FollowsTrafficShare(t *testing.T) {
 	s := settings()
 	s.Tenants = []Tenant{{Name: "t", Quota: 40, Share: 1}}
-	busy, idle := newHarness(t, s, readyEngine("e", "a", 1)), newHarness(t, s, readyEngine("e", "a", 1))
+	busy := newHarness(t, s, readyEngine("e", "a", 1))
+	idle := newHarness(t, s, readyEngine("e", "a", 1))
 	for id := uint64(1); id < 800; id++ {
-		busy.advance(25 * msec).handle(RequestArrived{RequestID: id, Class: "idempotent", Tenant: "t", Deadline: busy.now + time.Second})
+		busy.advance(25 * msec).handle(RequestArrived{
+			RequestID: id, Class: "idempotent", Tenant: "t", Deadline: busy.now + time.Second,
+		})
 		busy.endAttempt(id, 0, ResultServed)
 		if id%4 == 0 {
 			busy.handle(TimerFired{})
@@ -133,7 +136,9 @@
 	fleet := &h.balancer.fleet.limiter
 	before := fleet.maxLimit
 	if h.runWithLoadReports(0.2); fleet.maxLimit < 1.5*before {
-		t.Fatalf("maximum limit of the fleet %v with all engines reported idle, %v without reports", fleet.maxLimit, before)
+		t.Fatalf(
+			"maximum limit of the fleet %v with all engines reported idle, %v without reports", fleet.maxLimit, before,
+		)
 	}
 }
 
@@ -163,6 +168,9 @@
 		}
 	}
 	if limit := 4 * 40 * 8 / 200.0; inFlight == 0 || inFlight > 4*limit {
-		t.Fatalf("one of 200 balancers has %v threads in flight at 40 engines; its share of four threads a core is %v", inFlight, limit)
+		t.Fatalf(
+			"one of 200 balancers has %v threads in flight at 40 engines; its share of four threads a core is %v",
+			inFlight, limit,
+		)
 	}
 }
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -12,13 +12,20 @@
 	if actions := h.arrive(1, "idempotent"); hasAction[CheckHealth](actions) {
 		t.Fatalf("a health check where none is permitted: %+v", actions)
 	}
-	s.Limits.HealthChecks, s.ReportsLoad = true, true
+	s.Limits.HealthChecks = true
+	s.ReportsLoad = true
 	h = newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 	checks := 0
 	for id := uint64(1); id <= 40; id++ {
-		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 1, InFlight: 60}})
-		h.handle(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.1, InFlight: 2}})
-		h.handle(HealthChecked{Engine: "unlisted", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 9, InFlight: 1e9}})
+		h.handle(HealthChecked{
+			Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 1, InFlight: 60},
+		})
+		h.handle(HealthChecked{
+			Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.1, InFlight: 2},
+		})
+		h.handle(HealthChecked{
+			Engine: "unlisted", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 9, InFlight: 1e9},
+		})
 		if hasAction[CheckHealth](h.arrive(id, "idempotent")) {
 			checks++
 		}
@@ -44,10 +51,15 @@
 
 func TestLoadReports_MalformedOnesAreHarmless(t *testing.T) {
 	s := settings()
-	s.Limits.HealthChecks, s.ReportsLoad = true, true
+	s.Limits.HealthChecks = true
+	s.ReportsLoad = true
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 	for id, odd := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
-		for _, load := range []LoadReport{{Reported: true, CPUShare: odd, InFlight: -1}, {Reported: true, CPUShare: 0.5, InFlight: odd}, {Reported: true, CPUShare: odd, InFlight: odd}} {
+		for _, load := range []LoadReport{
+			{Reported: true, CPUShare: odd, InFlight: -1},
+			{Reported: true, CPUShare: 0.5, InFlight: odd},
+			{Reported: true, CPUShare: odd, InFlight: odd},
+		} {
 			h.handle(HealthChecked{Engine: "e", Result: ResultTimedOut, Load: load})
 			h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: load})
 			h.handle(HealthChecked{Engine: "", Result: ResultServed, Load: load})
@@ -56,7 +68,10 @@
 		h.wantAttempt(h.arrive(uint64(id+1), "idempotent"), "")
 		h.endAttempt(uint64(id+1), 0, ResultServed)
 	}
-	for name, v := range map[string]float64{"load level": h.balancer.fleet.loadLevel, "mean load": h.balancer.load.mean, "reported in flight": h.balancer.traffic.reportedInFlight, "traffic share": h.balancer.traffic.share()} {
+	for name, v := range map[string]float64{
+		"load level": h.balancer.fleet.loadLevel, "mean load": h.balancer.load.mean,
+		"reported in flight": h.balancer.traffic.reportedInFlight, "traffic share": h.balancer.traffic.share(),
+	} {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			t.Errorf("%s is %v", name, v)
 		}
@@ -76,8 +91,14 @@
 		to := map[string]int{}
 		for id := uint64(1); id <= 40; id++ {
 			for range 5 {
-				h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2, MemoryShare: 1.5}})
-				h.handle(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2, MemoryShare: 0.3}})
+				h.handle(HealthChecked{
+					Engine: "e", Result: ResultServed,
+					Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2, MemoryShare: 1.5},
+				})
+				h.handle(HealthChecked{
+					Engine: "f", Result: ResultServed,
+					Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2, MemoryShare: 0.3},
+				})
 			}
 			for _, a := range startedAttempts(h.arrive(id, "idempotent")) {
 				to[a.Engine]++
@@ -98,8 +119,12 @@
 	to := map[string]int{}
 	for id := uint64(1); id <= 40; id++ {
 		for range 5 {
-			h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 30}})
-			h.handle(HealthChecked{Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2}})
+			h.handle(HealthChecked{
+				Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 30},
+			})
+			h.handle(HealthChecked{
+				Engine: "f", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: 2},
+			})
 		}
 		for _, a := range startedAttempts(h.advance(4*time.Second).arrive(id, "idempotent")) {
 			to[a.Engine]++
--- a/policy/locality_test.go
+++ b/policy/locality_test.go
@@ -11,14 +11,16 @@
 		highest := uint64(0)
 		for i := range count {
 			if score := affinity(hashID(fmt.Sprint("engine-", i)), dataset); score >= highest {
-				best, highest = i, score
+				best = i
+				highest = score
 			}
 		}
 		return best
 	}
 	perEngine := make([]int, engines)
 	for dataset := range int64(datasets) {
-		before, after := nearest(engines, dataset), nearest(engines-1, dataset)
+		before := nearest(engines, dataset)
+		after := nearest(engines-1, dataset)
 		if before < engines-1 && before != after {
 			t.Errorf("data set %d moved from engine %d to %d when another was removed", dataset, before, after)
 		}
--- a/policy/new.go
+++ b/policy/new.go
@@ -6,25 +6,25 @@
 )
 
 // New returns a balancer for the settings, or an error that wraps a *SettingsError.
-func New(s Settings, seed uint64) (*Balancer, error) {
-	if err := validate(&s); err != nil {
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := validate(&settings); err != nil {
 		return nil, fmt.Errorf("policy: settings: %w", err)
 	}
 	b := &Balancer{
-		settings: s,
+		settings: settings,
 		rng:      rand.New(rand.NewPCG(seed, seed)),
 		requests: map[uint64]*request{},
 		classes:  map[string]*class{},
 		engines:  newEngineTable(),
-		target:   newConcurrencyTarget(&s),
-		quotas:   newQuotas(s.Tenants),
+		target:   newConcurrencyTarget(&settings),
+		quotas:   newQuotas(settings.Tenants),
 	}
-	for _, settings := range s.Classes {
+	for _, settings := range settings.Classes {
 		b.classes[settings.Name] = newClass(settings)
 	}
-	b.traffic = newTrafficEstimate(s.Replicas, b.quotas.total)
+	b.traffic = newTrafficEstimate(settings.Replicas, b.quotas.total)
 	b.slowStart = slowStartRules{Rules: &b.settings.Rules}
-	b.ordered = newOrderedRequests(s.Rules.OrderSettleTime + s.TickInterval)
+	b.ordered = newOrderedRequests(settings.Rules.OrderSettleTime + settings.TickInterval)
 	b.rules = attemptRules{
 		limits:  &b.settings.Limits,
 		budget:  retryBudget{rules: &b.settings.Rules},
@@ -39,24 +39,24 @@
 		traffic:  &b.traffic,
 	}
 	b.outliers = outlierDetector{
-		silence:  newSilenceDetector(&s),
+		silence:  newSilenceDetector(&settings),
 		actions:  &b.actions,
 		attempts: &b.attempts,
 	}
 	b.load = loadReports{
 		threadsPerCore: b.target.threadsPerCore,
-		swaps:          s.Shortage == ShortageSwap,
+		swaps:          settings.Shortage == ShortageSwap,
 		fleet:          &b.fleet,
 		traffic:        &b.traffic,
 	}
 	b.selector = selector{
-		zone:     s.Zone,
+		zone:     settings.Zone,
 		rng:      b.rng,
 		fleet:    &b.fleet,
 		rules:    &b.rules,
 		load:     &b.load,
 		silence:  &b.outliers.silence,
-		affinity: newDatasetAffinity(s.Zone),
+		affinity: newDatasetAffinity(settings.Zone),
 	}
 	return b, nil
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -7,22 +7,22 @@
 )
 
 // onAttemptEnded ends an attempt and, where the client still waits, retries or responds.
-func (b *Balancer) onAttemptEnded(ev AttemptEnded) {
-	a := b.attempt(ev.RequestID, ev.Attempt)
+func (b *Balancer) onAttemptEnded(end AttemptEnded) {
+	a := b.attempt(end.RequestID, end.Attempt)
 	if a == nil || a.ended() {
 		return
 	}
 	req := a.request
 	a.phase = attemptEnded
-	a.result = ev.Result
+	a.result = end.Result
 	b.fleet.release(a)
-	b.learn(a, ev)
-	b.load.record(a.engine, ev.Load, b.now)
-	if ev.Result.mayStillRun() {
+	b.learn(a, end)
+	b.load.record(a.engine, end.Load, b.now)
+	if end.Result.mayStillRun() {
 		b.ordered.settle(req, b.now)
 	}
 	switch {
-	case ev.Completed || req.completed:
+	case end.Completed || req.completed:
 		b.complete(req)
 	case req.hasAttemptInFlight(): // its end will decide
 	case req.engineErrors() > maxEngineErrors,
@@ -34,23 +34,23 @@
 }
 
 // learn updates what is known of the attempt's class and engine from its end.
-func (b *Balancer) learn(a *attempt, ev AttemptEnded) {
+func (b *Balancer) learn(a *attempt, end AttemptEnded) {
 	e := a.engine
-	switch ev.Result {
+	switch end.Result {
 	case ResultServed:
-		b.learnServed(a, ev)
+		b.learnServed(a, end)
 	case ResultTimedOut: // the slowdown is unknown
-		relativeLatency := milliseconds(ev.Elapsed) / a.request.latencyObjectiveMs()
+		relativeLatency := milliseconds(end.Elapsed) / a.request.latencyObjectiveMs()
 		e.limiter.observe(relativeLatency, e.limiter.slowdown)
 		b.fleet.limiter.observe(relativeLatency, b.fleet.limiter.slowdown)
 	case ResultOverloaded:
 		e.limiter.pressuredUntil = b.now + overloadPeriods*controlPeriod
 		e.outlier.lastHeardAt = b.now
 	case ResultConnectFailed, ResultConnectionLost:
-		if e.outlier.recordConnectionFault(b.now, ev.Result) {
+		if e.outlier.recordConnectionFault(b.now, end.Result) {
 			b.outliers.recordFault(e, faultWeight, EjectedConnectionFaults, b.now)
 		}
-		e.slowStart.assumeRestart(b.now, ev.Result, b.rng)
+		e.slowStart.assumeRestart(b.now, end.Result, b.rng)
 	case ResultFailed:
 		e.outlier.lastHeardAt = b.now
 	case ResultUnknown, ResultCancelled, ResultNotSent: // say nothing of the engine
@@ -58,21 +58,21 @@
 }
 
 // learnServed updates the class, the limits and the outlier state from a request that was served.
-func (b *Balancer) learnServed(a *attempt, ev AttemptEnded) {
+func (b *Balancer) learnServed(a *attempt, end AttemptEnded) {
 	req := a.request
 	c := req.class
-	latencyMs := milliseconds(ev.Elapsed)
+	latencyMs := milliseconds(end.Elapsed)
 	c.observeLatency(latencyMs, req.expectedWorkMs)
 	relativeLatency := latencyMs / req.latencyObjectiveMs()
 	slowdown := latencyMs / c.quickLatencyMs
 	a.engine.limiter.observe(relativeLatency, slowdown)
 	b.fleet.limiter.observe(relativeLatency, slowdown)
-	if ev.Work > 0 {
-		c.observeWork(milliseconds(ev.Work))
+	if end.Work > 0 {
+		c.observeWork(milliseconds(end.Work))
 	} else if !b.settings.ReportsCost {
 		c.observeWork(latencyMs * c.Threads)
 	}
-	c.observeMemory(req.estimatedMemoryMB, ev.MemoryMB, a.spilled)
+	c.observeMemory(req.estimatedMemoryMB, end.MemoryMB, a.spilled)
 	a.engine.outlier.recordServed(b.now)
 	b.outliers.onActivity(a, b.now)
 	b.outliers.blameErrors(req, a.engine, b.now)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -11,12 +11,11 @@
 
 // ejection says whether an engine is ejected, and what readmits it:
 //
-//	state                 event                             next state
-//	notEjected            all attempts are silent           ejectedUntilActive
-//	any                   fault rate above the threshold    ejectedUntilServed
-//	ejectedUntilServed    a request is served               ejectedUntilActive
-//	ejectedUntilActive    a progress report or a response   notEjected
-//	any                   the engine restarts               notEjected
+//	notEjected:          all attempts are silent -> ejectedUntilActive
+//	any:                 fault rate above the threshold -> ejectedUntilServed
+//	ejectedUntilServed:  a request is served -> ejectedUntilActive
+//	ejectedUntilActive:  a progress report or a response -> notEjected
+//	any:                 the engine restarts -> notEjected
 type ejection uint8
 
 const (
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -33,7 +33,9 @@
 		h.arrive(id, "wide")
 		h.arrive(id+10, "idempotent")
 	}
-	if actions := h.advance(3 * time.Second).handle(TimerFired{}); hasAction[CancelAttempt](actions) || hasAction[EngineEjected](actions) {
+	if actions := h.advance(
+		3 * time.Second,
+	).handle(TimerFired{}); hasAction[CancelAttempt](actions) || hasAction[EngineEjected](actions) {
 		t.Fatalf("a pause of the balancer counted as silence of an engine: %+v", actions)
 	}
 }
@@ -43,7 +45,7 @@
 	sent := 0
 	for id := uint64(1); id < 40; id++ {
 		h.arrive(id, "idempotent")
-		for n := 0; n < 4; n++ {
+		for n := range 4 {
 			req := h.balancer.requests[id]
 			if req == nil {
 				break
@@ -102,7 +104,9 @@
 	for id := uint64(1); id < 20; id++ {
 		h.arrive(id, "idempotent")
 		h.endAttempt(id, 0, ResultFailed)
-		if actions := h.endAttempt(id, 1, ResultFailed); len(startedAttempts(actions)) > 0 || !hasAction[Reject](actions) {
+		if actions := h.endAttempt(
+			id, 1, ResultFailed,
+		); len(startedAttempts(actions)) > 0 || !hasAction[Reject](actions) {
 			t.Fatalf("after two errors: %+v", actions)
 		}
 	}
@@ -125,7 +129,12 @@
 	for _, c := range []struct {
 		class         string
 		waiting, lost bool
-	}{{"idempotent", false, true}, {"keyed", false, true}, {"non-idempotent", false, false}, {"idempotent", true, false}} {
+	}{
+		{"idempotent", false, true},
+		{"keyed", false, true},
+		{"non-idempotent", false, false},
+		{"idempotent", true, false},
+	} {
 		s := settings()
 		s.Classes[3].DedupWindow = 5 * time.Second
 		h := newHarness(t, s, readyEngine("e", "a", 1))
@@ -211,7 +220,9 @@
 
 func TestOverdueAttempt_IsRetriedWithoutProgressReports(t *testing.T) {
 	s := settings()
-	s.ProgressInterval, s.Limits.MaxAttempts, s.Classes[1].ObjectiveStretch = 0, 2, 2.5
+	s.ProgressInterval = 0
+	s.Limits.MaxAttempts = 2
+	s.Classes[1].ObjectiveStretch = 2.5
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 	first := startedAttempts(h.arrive(1, "wide"))
 	if len(first) != 1 {
@@ -220,7 +231,8 @@
 	if actions := h.runFor(1500 * msec); hasAction[CancelAttempt](actions) {
 		t.Fatalf("cancelled within the usual variation: %+v", actions)
 	}
-	if actions := h.runFor(700 * msec); !hasAction[CancelAttempt](actions) { // 1 s is usual, twice that is overdue; the objective is 5.5 s
+	// 1 s is usual, twice that is overdue; the objective is 5.5 s
+	if actions := h.runFor(700 * msec); !hasAction[CancelAttempt](actions) {
 		t.Fatalf("an attempt of twice the usual latency was not cancelled: %+v", actions)
 	}
 	again := startedAttempts(h.endAttempt(1, 0, ResultCancelled))
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -9,31 +9,31 @@
 )
 
 // onProgress handles a progress report of an attempt in flight.
-func (b *Balancer) onProgress(ev ProgressReported) {
-	a := b.attempt(ev.RequestID, ev.Attempt)
+func (b *Balancer) onProgress(report ProgressReported) {
+	a := b.attempt(report.RequestID, report.Attempt)
 	if a == nil || a.ended() {
 		return
 	}
 	a.lastHeardAt = b.now
 	a.engine.outlier.lastHeardAt = b.now
-	a.lastProgress = ev.Kind
+	a.lastProgress = report.Kind
 	b.outliers.onActivity(a, b.now)
-	if ev.Kind == ProgressAwaitingLoad {
+	if report.Kind == ProgressAwaitingLoad {
 		a.engine.bulkLoads[a.request.dataset] = b.now + 2*b.settings.ProgressInterval
 	}
-	if ev.Kind == ProgressSpilling {
+	if report.Kind == ProgressSpilling {
 		if !b.settings.ReportsCost {
-			a.observeSpill(ev.Value)
+			a.observeSpill(report.Value)
 		}
 		return
 	}
 	if a.cancelRequested || a.request.completed || !b.settings.Limits.Cancel {
 		return
 	}
-	if ev.Kind == ProgressFraction {
-		b.onFraction(a, min(max(ev.Value, minProgress), 1))
+	if report.Kind == ProgressFraction {
+		b.onFraction(a, min(max(report.Value, minProgress), 1))
 	} else {
-		b.onBlocked(a, ev.Kind)
+		b.onBlocked(a, report.Kind)
 	}
 }
 
--- a/policy/progress_test.go
+++ b/policy/progress_test.go
@@ -9,12 +9,16 @@
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	h.handle(RequestArrived{RequestID: 1, Class: "wide", Deadline: h.now + 15*time.Second})
 	h.advance(time.Second)
-	if actions := h.handle(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.01}); !hasAction[CancelAttempt](actions) {
+	if actions := h.handle(ProgressReported{
+		RequestID: 1, Kind: ProgressFraction, Value: 0.01,
+	}); !hasAction[CancelAttempt](actions) {
 		t.Fatalf("a hopeless attempt was not cancelled: %+v", actions)
 	}
 	h.wantAttempt(h.endAttempt(1, 0, ResultCancelled), "")
 	h.advance(time.Second)
-	if actions := h.handle(ProgressReported{RequestID: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.15}); hasAction[CancelAttempt](actions) {
+	if actions := h.handle(ProgressReported{
+		RequestID: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.15,
+	}); hasAction[CancelAttempt](actions) {
 		t.Fatalf("an expensive request was cancelled twice: %+v", actions)
 	}
 }
@@ -24,7 +28,9 @@
 	h.arrive(1, "wide")
 	h.advance(time.Second).handle(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.01})
 	h.endAttempt(1, 0, ResultCancelled)
-	actions := h.advance(time.Second).handle(ProgressReported{RequestID: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.01})
+	actions := h.advance(time.Second).handle(ProgressReported{
+		RequestID: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.01,
+	})
 	if !hasAction[Reject](actions) || !hasAction[CancelAttempt](actions) {
 		t.Fatalf("a second attempt far past the deadline was kept: %+v", actions)
 	}
@@ -34,7 +40,9 @@
 func TestProgress_LateAttemptFinishesWhereRetryWouldBeLateToo(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	h.arrive(1, "idempotent")
-	if actions := h.advance(500 * msec).handle(ProgressReported{RequestID: 1, Kind: ProgressFraction, Value: 0.4}); hasAction[CancelAttempt](actions) {
+	if actions := h.advance(500 * msec).handle(ProgressReported{
+		RequestID: 1, Kind: ProgressFraction, Value: 0.4,
+	}); hasAction[CancelAttempt](actions) {
 		t.Fatalf("cancelled though no attempt is left: %+v", actions)
 	}
 }
@@ -52,7 +60,9 @@
 			t.Fatalf("%s after %v: %+v", c.class, c.after, actions)
 		}
 		if c.retried {
-			if actions = h.endAttempt(1, 0, ResultCancelled); len(startedAttempts(actions)) != 1 || startedAttempts(actions)[0].Engine == first {
+			if actions = h.endAttempt(
+				1, 0, ResultCancelled,
+			); len(startedAttempts(actions)) != 1 || startedAttempts(actions)[0].Engine == first {
 				t.Fatalf("it was not retried elsewhere than %s: %+v", first, actions)
 			}
 		}
@@ -64,11 +74,15 @@
 func TestProgress_AttemptAwaitingMemoryIsRetriedOnce(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1), readyEngine("g", "a", 1))
 	h.arrive(1, "wide")
-	if actions := h.handle(ProgressReported{RequestID: 1, Kind: ProgressAwaitingMemory}); !hasAction[CancelAttempt](actions) {
+	if actions := h.handle(ProgressReported{
+		RequestID: 1, Kind: ProgressAwaitingMemory,
+	}); !hasAction[CancelAttempt](actions) {
 		t.Fatalf("it was not retried: %+v", actions)
 	}
 	h.endAttempt(1, 0, ResultCancelled)
-	if actions := h.handle(ProgressReported{RequestID: 1, Attempt: 1, Kind: ProgressAwaitingMemory}); hasAction[CancelAttempt](actions) {
+	if actions := h.handle(ProgressReported{
+		RequestID: 1, Attempt: 1, Kind: ProgressAwaitingMemory,
+	}); hasAction[CancelAttempt](actions) {
 		t.Fatalf("it was retried again: %+v", actions)
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -192,10 +192,15 @@
 func playRandomEvents(t *testing.T, seed uint64) {
 	t.Helper()
 	s := settings()
-	s.Rules.RetryBudgetWindow, s.Rules.RetryBudgetMin, s.Rules.RetryBudgetRatio = 2*time.Second, 3, 0.2
+	s.Rules.RetryBudgetWindow = 2 * time.Second
+	s.Rules.RetryBudgetMin = 3
+	s.Rules.RetryBudgetRatio = 0.2
 	if seed%2 == 0 { // no progress reports, but load: retries come in bursts, at ticks and after pauses
-		s.ProgressInterval, s.Priorities, s.MemoryGrants = 0, true, true
-		s.Limits.HealthChecks, s.ReportsLoad = true, true
+		s.ProgressInterval = 0
+		s.Priorities = true
+		s.MemoryGrants = true
+		s.Limits.HealthChecks = true
+		s.ReportsLoad = true
 	}
 	b := mustNew(t, s, seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -236,7 +241,8 @@
 		clear(m.states)
 	}
 	for _, e := range engines {
-		m.states[e.ID], m.engines[e.ID] = e.State, e
+		m.states[e.ID] = e.State
+		m.engines[e.ID] = e
 	}
 	m.apply(b.Handle(m.now, EndpointsChanged{Mode: mode, Engines: engines}, nil))
 }
@@ -248,15 +254,20 @@
 	if rng.IntN(3) > 0 {
 		e.State = EngineReady
 	}
-	e.StartKnown, e.StartedAt = rng.IntN(4) == 0, m.now
+	e.StartKnown = rng.IntN(4) == 0
+	e.StartedAt = m.now
 	return e
 }
 
 func (m *model) arrive(b *Balancer, rng *rand.Rand, id uint64) {
 	m.t.Helper()
 	class := m.settings.Classes[rng.IntN(len(m.settings.Classes))]
-	req := &modelRequest{id: id, class: class, deadline: m.now + class.Deadline, orderKey: string(rune('x' + rng.IntN(2)))}
-	m.byID[id], m.requests, m.arrivals = req, append(m.requests, req), append(m.arrivals, m.now)
+	req := &modelRequest{
+		id: id, class: class, deadline: m.now + class.Deadline, orderKey: string(rune('x' + rng.IntN(2))),
+	}
+	m.byID[id] = req
+	m.requests = append(m.requests, req)
+	m.arrivals = append(m.arrivals, m.now)
 	m.apply(b.Handle(m.now, RequestArrived{
 		RequestID: id, Class: class.Name, OrderKey: req.orderKey, Deadline: req.deadline,
 		EstimatedWork: time.Duration(rng.IntN(3000)) * msec, EstimatedMemoryMB: rng.Float64() * 500,
@@ -274,7 +285,8 @@
 	attempt := &req.attempts[index]
 	result := Result(rng.IntN(int(ResultNotSent) + 1))
 	if attempt.inFlight {
-		attempt.inFlight, attempt.endedAt = false, m.now
+		attempt.inFlight = false
+		attempt.endedAt = m.now
 		attempt.mayHaveRun = result != ResultOverloaded && result != ResultConnectFailed && result != ResultNotSent
 		attempt.mayStillRun = result == ResultTimedOut || result == ResultConnectionLost ||
 			result == ResultCancelled || result == ResultUnknown
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -12,7 +12,8 @@
 
 func TestQuotas_ForgiveUnevenArrivals(t *testing.T) {
 	s := settings()
-	s.Replicas, s.Tenants = 200, []Tenant{{Name: "t", Quota: 100, Share: 1}}
+	s.Replicas = 200
+	s.Tenants = []Tenant{{Name: "t", Quota: 100, Share: 1}}
 	h := newHarness(t, s, readyEngine("e", "a", 1))
 	over := 0
 	for id := uint64(1); id < 40; id++ { // one in two seconds, an even share
@@ -24,7 +25,7 @@
 	if over > 0 {
 		t.Fatalf("%d of 39 requests within the quota counted as beyond it", over)
 	}
-	for id := 0; id < 100; id++ {
+	for range 100 {
 		if h.advance(100 * msec).handle(TimerFired{}); h.overQuota("t") {
 			over++
 		}
@@ -48,14 +49,18 @@
 		t.Fatalf("%v requests in flight, too few to test with", inFlight)
 	}
 	for range 100 { // half of the requests in flight at the two engines are own ones
-		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: inFlight}})
+		h.handle(HealthChecked{
+			Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: inFlight},
+		})
 		h.runFor(500 * msec)
 	}
 	if got := h.balancer.traffic.share(); got < 0.4 || got > 0.6 {
 		t.Fatalf("a share of %.2f where half of the requests in flight are own ones", got)
 	}
 	for range 200 {
-		h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: inFlight * 60}})
+		h.handle(HealthChecked{
+			Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: inFlight * 60},
+		})
 	}
 	if got := h.balancer.traffic.share(); got < 0.01 || got > 0.011 {
 		t.Fatalf("a share of %v, which is not the even one", got)
@@ -75,7 +80,10 @@
 	inFlight := float64(len(h.balancer.requests))
 	for range 6 { // 3 s in which a fifth of the requests in flight are own ones
 		for range 10 {
-			h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: -1, InFlight: inFlight * 2.5}})
+			h.handle(HealthChecked{
+				Engine: "e", Result: ResultServed,
+				Load: LoadReport{Reported: true, CPUShare: -1, InFlight: inFlight * 2.5},
+			})
 		}
 		h.runFor(500 * msec)
 	}
--- a/policy/resources_test.go
+++ b/policy/resources_test.go
@@ -7,11 +7,14 @@
 
 func TestGrant_FollowsReportedNeed(t *testing.T) {
 	s := settings()
-	s.MemoryGrants, s.ReportsCost = true, true
+	s.MemoryGrants = true
+	s.ReportsCost = true
 	h := newHarness(t, s, readyEngine("e", "a", 1))
 	var grant float64
 	for id := uint64(1); id < 60; id++ {
-		actions := h.handle(RequestArrived{RequestID: id, Class: "idempotent", EstimatedMemoryMB: 100, Deadline: h.now + time.Second})
+		actions := h.handle(RequestArrived{
+			RequestID: id, Class: "idempotent", EstimatedMemoryMB: 100, Deadline: h.now + time.Second,
+		})
 		grant = resourcesOf(actions).MemoryMB
 		h.handle(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true, MemoryMB: 50})
 	}
@@ -27,7 +30,9 @@
 	id := uint64(0)
 	rank := func(work time.Duration) int {
 		id++
-		actions := h.handle(RequestArrived{RequestID: id, Class: "idempotent", EstimatedWork: work, Deadline: h.now + time.Second})
+		actions := h.handle(RequestArrived{
+			RequestID: id, Class: "idempotent", EstimatedWork: work, Deadline: h.now + time.Second,
+		})
 		h.endAttempt(id, 0, ResultServed)
 		return resourcesOf(actions).Priority
 	}
@@ -45,7 +50,9 @@
 	h := newHarness(t, s, readyEngine("e", "a", 1))
 	var grant float64
 	for id := uint64(1); id < 20; id++ { // each needs twice its estimate
-		grant = resourcesOf(h.handle(RequestArrived{RequestID: id, Class: "idempotent", EstimatedMemoryMB: 100, Deadline: h.now + time.Second})).MemoryMB
+		grant = resourcesOf(h.handle(RequestArrived{
+			RequestID: id, Class: "idempotent", EstimatedMemoryMB: 100, Deadline: h.now + time.Second,
+		})).MemoryMB
 		if grant < 200 {
 			h.handle(ProgressReported{RequestID: id, Kind: ProgressSpilling, Value: 200 - grant})
 		}
--- a/policy/selector_test.go
+++ b/policy/selector_test.go
@@ -25,7 +25,8 @@
 
 func TestSelector_ReadersAvoidAnEngineWithBulkLoad(t *testing.T) {
 	s := settings()
-	s.Classes[2].BulkLoad, s.Classes[0].BlockedByLoad = true, true
+	s.Classes[2].BulkLoad = true
+	s.Classes[0].BlockedByLoad = true
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	arrive := func(id uint64, class string) string {
 		actions := h.handle(RequestArrived{RequestID: id, Class: class, Dataset: 7, Deadline: h.now + 9*time.Second})
@@ -45,7 +46,9 @@
 	for seed := uint64(1); seed < 60; seed++ {
 		b := mustNew(t, s, seed)
 		b.Handle(0, EndpointsChanged{Mode: UpdateFull, Engines: list}, nil)
-		actions := b.Handle(0, RequestArrived{RequestID: 1, Class: "idempotent", Dataset: int64(seed), Deadline: time.Second}, nil)
+		actions := b.Handle(
+			0, RequestArrived{RequestID: 1, Class: "idempotent", Dataset: int64(seed), Deadline: time.Second}, nil,
+		)
 		for _, a := range startedAttempts(actions) {
 			chosen[a.Engine] = true
 		}
@@ -64,7 +67,9 @@
 		for _, e := range b.engines.all {
 			e.limiter.maxLimit = 3 // under the weight of four
 		}
-		for _, a := range startedAttempts(b.Handle(0, RequestArrived{RequestID: 1, Class: "wide", Dataset: int64(seed), Deadline: time.Second}, nil)) {
+		for _, a := range startedAttempts(b.Handle(
+			0, RequestArrived{RequestID: 1, Class: "wide", Dataset: int64(seed), Deadline: time.Second}, nil,
+		)) {
 			chosen[a.Engine]++
 		}
 	}
@@ -90,7 +95,9 @@
 		}
 		far.zone = "b"
 		near.limiter.maxLimit = 3.9 // under the weight of four; it is near and in the own zone all the same
-		for _, a := range startedAttempts(b.Handle(0, RequestArrived{RequestID: 1, Class: "wide", Dataset: 7, Deadline: time.Second}, nil)) {
+		for _, a := range startedAttempts(b.Handle(
+			0, RequestArrived{RequestID: 1, Class: "wide", Dataset: 7, Deadline: time.Second}, nil,
+		)) {
 			if a.Engine != far.id {
 				t.Fatalf("seed %d: sent to %s, which it outweighs, while it fits %s", seed, near.id, far.id)
 			}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -9,7 +9,8 @@
 	s := settings()
 	h := newHarness(t, s, readyEngine("warm", "a", 1))
 	warming := readyEngine("warming", "a", 1)
-	warming.StartedAt, warming.StartKnown = h.now+5*time.Second, true
+	warming.StartedAt = h.now + 5*time.Second
+	warming.StartKnown = true
 	h.advance(5 * time.Second).handle(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{warming}})
 	work := 0.0
 	for id := uint64(1); id < 200; id++ {
@@ -34,7 +35,8 @@
 		s := settings()
 		s.Replicas = n
 		warming := readyEngine("warming", "a", 1)
-		warming.StartedAt, warming.StartKnown = time.Minute, true
+		warming.StartedAt = time.Minute
+		warming.StartKnown = true
 		type sent struct {
 			at   time.Duration
 			work float64
@@ -45,8 +47,14 @@
 			balancers[i] = mustNew(t, s, uint64(i))
 			balancers[i].Handle(30*time.Second, TimerFired{}, nil)
 			if down {
-				balancers[i].Handle(30*time.Second, EndpointsChanged{Mode: UpdateFull, Engines: []Engine{readyEngine("warming", "a", 1)}}, nil)
-				balancers[i].Handle(51*time.Second, RequestArrived{RequestID: 1 << 40, Class: "idempotent", Deadline: 55 * time.Second}, nil)
+				balancers[i].Handle(
+					30*time.Second,
+					EndpointsChanged{Mode: UpdateFull, Engines: []Engine{readyEngine("warming", "a", 1)}}, nil,
+				)
+				balancers[i].Handle(
+					51*time.Second, RequestArrived{RequestID: 1 << 40, Class: "idempotent", Deadline: 55 * time.Second},
+					nil,
+				)
 				balancers[i].Handle(51*time.Second, AttemptEnded{RequestID: 1 << 40, Result: ResultConnectFailed}, nil)
 			}
 			balancers[i].Handle(time.Minute, EndpointsChanged{Mode: UpdateFull, Engines: []Engine{warming}}, nil)
@@ -56,14 +64,21 @@
 			for _, b := range balancers {
 				for _, class := range []string{"idempotent", "wide", "non-idempotent"} {
 					id++
-					for range startedAttempts(b.Handle(now, RequestArrived{RequestID: id, Class: class, Deadline: now + 9*time.Second}, nil)) {
+					for range startedAttempts(b.Handle(
+						now, RequestArrived{RequestID: id, Class: class, Deadline: now + 9*time.Second}, nil,
+					)) {
 						all = append(all, sent{now, b.classes[class].workMs})
-						b.Handle(now, AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: s.Classes[0].LatencyObjective, Completed: true}, nil)
+						b.Handle(now, AttemptEnded{
+							RequestID: id, Result: ResultServed, Elapsed: s.Classes[0].LatencyObjective,
+							Completed: true,
+						}, nil)
 					}
 				}
 			}
 		}
-		peak, total := 0.0, 0.0 // the most work within a window, over the capacity as it begins
+		// the most work within a window, over the capacity as it begins
+		peak := 0.0
+		total := 0.0
 		for i, from := range all {
 			sum := 0.0
 			for _, a := range all[i:] {
@@ -73,11 +88,15 @@
 			}
 			grown := float64(from.at-time.Minute) / float64(s.Rules.WarmupTime) // capacity comes late, as a square
 			capacity := s.Rules.WarmupCapacity + (1-s.Rules.WarmupCapacity)*grown*grown
-			peak, total = max(peak, sum/capacity), total+from.work
+			peak = max(peak, sum/capacity)
+			total += from.work
 		}
 		limit := s.Rules.OverloadFactor * 8 * milliseconds(s.Rules.OverloadWindow)
 		if peak > limit || total < 0.1*limit*s.Rules.WarmupCapacity*float64(s.Rules.WarmupTime/s.Rules.OverloadWindow) {
-			t.Errorf("%d balancers: %.0f ms of work within a window over the capacity, %.0f in all; the limit is %.0f", n, peak, total, limit)
+			t.Errorf(
+				"%d balancers: %.0f ms of work within a window over the capacity, %.0f in all; the limit is %.0f", n,
+				peak, total, limit,
+			)
 		}
 	}
 }
@@ -95,7 +114,8 @@
 			h.endAttempt(id, 0, ResultServed)
 		}
 	}
-	if part := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 200; work > part+h.balancer.classes["idempotent"].workMs {
+	part := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 200
+	if work > part+h.balancer.classes["idempotent"].workMs {
 		t.Fatalf("%v ms of work after a broken connection; this balancer's share of a warm-up budget is %v", work, part)
 	}
 }
@@ -106,19 +126,24 @@
 	s := settings()
 	s.Replicas = 100
 	warming := readyEngine("warming", "a", 1)
-	warming.StartedAt, warming.StartKnown = time.Minute, true
+	warming.StartedAt = time.Minute
+	warming.StartKnown = true
 	sent := func(ownInFlight float64, from time.Duration) (n int) {
 		h := newHarness(t, s)
 		h.advance(5 * time.Second).handle(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{warming}})
 		h.advance(from - 5*time.Second)
 		for id := uint64(1); id <= 30; id++ {
-			h.balancer.traffic.ownInFlight, h.balancer.traffic.reportedInFlight = ownInFlight, 10 // of ten requests in flight at an engine
+			// of ten requests in flight at an engine
+			h.balancer.traffic.ownInFlight = ownInFlight
+			h.balancer.traffic.reportedInFlight = 10
 			n += len(startedAttempts(h.advance(100*msec).arrive(id, "idempotent")))
 			h.endAttempt(id, 0, ResultServed)
 		}
 		return n
 	}
-	even, heavy, later := sent(0.1, 5*time.Second), sent(2, 5*time.Second), sent(0.1, 9*time.Second)
+	even := sent(0.1, 5*time.Second)
+	heavy := sent(2, 5*time.Second)
+	later := sent(0.1, 9*time.Second)
 	if heavy < 10*max(even, 1) {
 		t.Errorf("a balancer with a fifth of the traffic sent %d within a window, one with a hundredth %d", heavy, even)
 	}
@@ -138,7 +163,8 @@
 	s := settings()
 	s.Replicas = 1
 	engine := readyEngine("stepped", "a", 1)
-	engine.StartedAt, engine.StartKnown = 2*time.Hour, true
+	engine.StartedAt = 2 * time.Hour
+	engine.StartKnown = true
 	h := newHarness(t, s)
 	h.advance(2 * time.Hour).handle(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{engine}})
 	h.runFor(30 * time.Second)
@@ -161,7 +187,10 @@
 			t.Errorf("stepped by %v: %d requests sent right after the start, %d without a step", step, atStart, want)
 		}
 		if before != burst || afterwards != burst {
-			t.Errorf("stepped by %v: %d of %d requests sent before the restart and %d when the warm-up was over", step, before, burst, afterwards)
+			t.Errorf(
+				"stepped by %v: %d of %d requests sent before the restart and %d when the warm-up was over", step,
+				before, burst, afterwards,
+			)
 		}
 	}
 }
@@ -172,7 +201,8 @@
 	s := settings()
 	s.Replicas = 1
 	engine := readyEngine("stepped", "a", 1)
-	engine.StartedAt, engine.StartKnown = 3*time.Hour, true
+	engine.StartedAt = 3 * time.Hour
+	engine.StartKnown = true
 	h := newHarness(t, s, engine)
 	h.runFor(s.Rules.WarmupTime + time.Second)
 	if n := h.sendBurst(); n != burst {
@@ -198,7 +228,8 @@
 	s := settings()
 	s.Replicas = 1
 	warming := readyEngine("warming", "a", 1)
-	warming.StartedAt, warming.StartKnown = time.Minute, true
+	warming.StartedAt = time.Minute
+	warming.StartKnown = true
 	h := newHarness(t, s)
 	h.advance(5 * time.Second).handle(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{warming}})
 	reports := func(spend bool) (n int) {
