--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -51,27 +51,27 @@
 	if !b.started {
 		b.onFirstEvent(now)
 	}
-	switch ev := event.(type) {
+	switch event := event.(type) {
 	case RequestArrived:
-		b.onRequestArrived(ev)
+		b.onRequestArrived(event)
 	case AttemptEnded:
-		b.onAttemptEnded(ev)
+		b.onAttemptEnded(event)
 	case HealthChecked:
-		if e := b.engines.byID[ev.Engine]; e != nil {
-			b.load.record(e, ev.Load, b.now)
+		if e := b.engines.byID[event.Engine]; e != nil {
+			b.load.record(e, event.Load, b.now)
 		}
 	case ProgressReported:
-		b.onProgress(ev)
+		b.onProgress(event)
 	case StreamStarted:
-		b.onStreamStarted(ev)
+		b.onStreamStarted(event)
 	case ClientDisconnected:
-		if req := b.requests[ev.RequestID]; req != nil {
+		if req := b.requests[event.RequestID]; req != nil {
 			b.complete(req)
 		}
 	case TimerFired:
-		b.onTimer(ev.Token)
+		b.onTimer(event.Token)
 	case EndpointsChanged:
-		b.onEndpointsChanged(ev)
+		b.onEndpointsChanged(event)
 	}
 	actions = b.actions.list
 	b.actions.list = nil
--- /dev/null
+++ b/policy/outlier_state_test.go
@@ -0,0 +1,114 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestEjection_FollowsItsDiagram(t *testing.T) {
+	const now, interval = time.Minute, 2 * time.Second
+	silent := func(o *outlierState) { o.eject(ejectedUntilActive, now, interval) }
+	failing := func(o *outlierState) { o.eject(ejectedUntilServed, now, interval) }
+	active := func(o *outlierState) { o.readmit() }
+	served := func(o *outlierState) { o.recordServed(now) }
+	restarted := func(o *outlierState) { o.reset() }
+	for _, c := range []struct {
+		name   string
+		events []func(*outlierState)
+		want   ejection
+	}{
+		{"silent", []func(*outlierState){silent}, ejectedUntilActive},
+		{"silent, then active", []func(*outlierState){silent, active}, notEjected},
+		{"failing, then active", []func(*outlierState){failing, active}, ejectedUntilServed},
+		{"failing, then served", []func(*outlierState){failing, served}, ejectedUntilActive},
+		{"failing, then served and active", []func(*outlierState){failing, served, active}, notEjected},
+		{"silent, then failing", []func(*outlierState){silent, failing}, ejectedUntilServed},
+		{"failing, then silent", []func(*outlierState){failing, silent}, ejectedUntilServed},
+		{"failing, then restarted", []func(*outlierState){failing, restarted}, notEjected},
+	} {
+		var state outlierState
+		for _, event := range c.events {
+			event(&state)
+		}
+		if state.ejection != c.want {
+			t.Errorf("%s: state %d, want %d", c.name, state.ejection, c.want)
+		}
+	}
+}
+
+func TestEject_SetsProbationOnceAndReportsTheChange(t *testing.T) {
+	var state outlierState
+	if !state.eject(ejectedUntilActive, time.Second, time.Second) {
+		t.Error("the first ejection is no change")
+	}
+	if state.eject(ejectedUntilServed, time.Minute, time.Second) {
+		t.Error("the second ejection is a change")
+	}
+	if want := 2 * time.Second; state.probationAt != want {
+		t.Errorf("probation at %v, want %v", state.probationAt, want)
+	}
+}
+
+func TestRecordFault_ExceedsTheThresholdAfterTwoConnectionFaults(t *testing.T) {
+	var state outlierState
+	if state.recordFault(faultWeight) {
+		t.Error("one fault exceeds the threshold")
+	}
+	if !state.recordFault(faultWeight) {
+		t.Errorf("two faults in a row do not exceed the threshold, at a rate of %v", state.faultRate)
+	}
+}
+
+func TestRecordConnectionFault_CountsConnectionsThatBreakTogetherOnce(t *testing.T) {
+	var state outlierState
+	now := time.Minute
+	if !state.recordConnectionFault(now, ResultConnectionLost) {
+		t.Error("the first one does not count")
+	}
+	if state.recordConnectionFault(now+tickInterval-1, ResultConnectionLost) {
+		t.Error("another one at the same time counts")
+	}
+	if !state.recordConnectionFault(now+tickInterval, ResultConnectFailed) {
+		t.Error("a failed connection does not count")
+	}
+	if !state.recordConnectionFault(now+2*tickInterval, ResultConnectionLost) {
+		t.Error("one that breaks a tick later does not count")
+	}
+}
+
+func TestSilenceDetector_DoesNotCountItsOwnPauses(t *testing.T) {
+	detector := newSilenceDetector(&Settings{ProgressInterval: 500 * msec})
+	now := time.Minute
+	detector.onTick(now)
+	detector.onTick(now + tickInterval)
+	a := &attempt{lastHeardAt: now}
+	if got := detector.attemptSilence(a, now+tickInterval); got != tickInterval {
+		t.Errorf("silent for %v, want %v", got, tickInterval)
+	}
+	resumed := now + 10*time.Second
+	detector.onTick(resumed)
+	if got := detector.attemptSilence(a, resumed+tickInterval); got != tickInterval {
+		t.Errorf("silent for %v since this process resumed, want %v", got, tickInterval)
+	}
+}
+
+func TestLostResponses_StallAClassAfterTwoInARow(t *testing.T) {
+	e := newEngine("e", &slowStartRules{Rules: &Rules{}})
+	lookup, report := &class{}, &class{}
+	until := time.Minute
+	e.lostResponses.add(lookup, until)
+	if e.classStalled(lookup, 0) {
+		t.Error("stalled after one")
+	}
+	e.lostResponses.add(lookup, until)
+	if !e.classStalled(lookup, until-1) || e.classStalled(report, until-1) {
+		t.Error("after two, that class alone should be stalled")
+	}
+	if e.classStalled(lookup, until) {
+		t.Error("still stalled at the end of its time, with nothing in flight")
+	}
+	e.lostResponses.reset(lookup)
+	if e.classStalled(lookup, until-1) {
+		t.Error("stalled after a report of the class")
+	}
+}
