--- /dev/null
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -0,0 +1,518 @@
+package e2e
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/internal/pgproto"
+)
+
+const (
+	selectPart = "SELECT part FROM stock_1.parts WHERE id = $1"
+	insertPart = "INSERT INTO stock_1.parts VALUES ($1)"
+)
+
+// closeMessage is a Close of a statement ("S") or a portal ("P").
+func closeMessage(kind, name string) []byte {
+	return pgproto.AppendMessage(nil, 'C', []byte(kind), pgproto.CString(name))
+}
+
+// bindBinaryResult is a Bind of one value whose results are to have the binary format.
+func bindBinaryResult(portal, statement, value string) []byte {
+	values := append([]byte{0, 0, 0, 1}, pgproto.Int32(len(value))...)
+	values = append(values, value...)
+	resultFormats := []byte{0, 1, 0, 1}
+	return pgproto.AppendMessage(nil, 'B', pgproto.CString(portal), pgproto.CString(statement), values, resultFormats)
+}
+
+// openPortal is the beginning of a batch that prepares the statement s and binds the portal p, with
+// further messages.
+func openPortal(further ...[]byte) [][]byte {
+	return append([][]byte{parse("s", selectPart), bind("p", "s", "a")}, further...)
+}
+
+// phasePgEngine is the script of goldenPgEngine with two more answers: the description of an INSERT
+// has no columns, and the statement empty_reply is answered with an EmptyQueryResponse.
+func phasePgEngine(request pgRequest) []byte {
+	switch {
+	case request.describe && strings.Contains(strings.ToLower(request.query), "insert"):
+		return bytes.Join([][]byte{parseComplete, pgproto.AppendMessage(nil, 't', oneParameter), noData}, nil)
+	case !request.describe && strings.Contains(request.query, "empty_reply"):
+		return bytes.Join([][]byte{parseComplete, bindComplete, noData, pgproto.AppendMessage(nil, 'I')}, nil)
+	}
+	return goldenPgEngine(request)
+}
+
+// Each batch is sent as a whole and answered up to ReadyForQuery. An empty batch only reads the
+// answer to what an earlier one has sent.
+func TestGoldenPostgres_EachPhaseAnswersItsBatches(t *testing.T) {
+	message := func(kind byte, body string) []byte { return pgproto.AppendMessage(nil, kind, []byte(body)) }
+	const missing = "SELECT * FROM missing"
+	describeP := describe("P", "p")
+	bindMissing := [][]byte{parse("s", missing), bind("p", "s")}
+	for name, batches := range map[string][][][]byte{
+		// The description of a portal waits for the next message.
+		"describe-other-execute": {openPortal(bind("q", "s", "b"), describeP, execute("q", 0), syncMessage)},
+		"describe-query":         {openPortal(describeP, query("SELECT 1")), {execute("p", 0), syncMessage}},
+		"describe-twice":         {openPortal(describeP, describeP, describe("S", "s"), syncMessage)},
+		"describe-close":         {openPortal(describeP, closeMessage("P", "p"), syncMessage)},
+		"describe-flush":         {openPortal(describeP, flushMessage, execute("p", 0), syncMessage)},
+		"describe-bind":          {openPortal(describeP, bind("", "s", "b"), execute("", 0), syncMessage)},
+		"describe-parse":         {openPortal(describeP, parse("", insertPart), execute("p", 0), syncMessage)},
+		"describe-after-run":     {openPortal(execute("p", 1), describeP, execute("p", 0), syncMessage)},
+		"describe-unnamed": {
+			{parse("", selectPart), bind("", ""), describe("P", ""), bind("", "", "b"), execute("", 0), syncMessage},
+		},
+		"describe-empty": {
+			{parse("e", ""), describe("S", "e"), bind("", "e"), describe("P", ""), execute("", 0), syncMessage},
+			{bind("", "e"), describe("P", ""), syncMessage},
+		},
+		"describe-no-columns": {
+			{parse("s", insertPart), bind("", "s", "key"), describe("P", ""), execute("", 0), syncMessage},
+			{describe("S", "s"), bind("", "s", "other"), describe("P", ""), syncMessage},
+		},
+		"describe-error": {
+			{parse("s", missing), describe("S", "s"), describe("S", "s"), syncMessage},
+			{describe("S", "s"), syncMessage},
+		},
+		"describe-error-deferred": {append(bindMissing, describeP, query("SELECT 1"), syncMessage)},
+		"describe-error-sync":     {append(bindMissing, describeP, syncMessage), {query("SELECT 1")}},
+		"describe-binary": {
+			{
+				parse("s", selectPart), bindBinaryResult("p", "s", "a"), describeP, flushMessage, execute("p", 0),
+				syncMessage,
+			},
+			{bindBinaryResult("", "s", "a"), describe("P", ""), execute("", 0), syncMessage},
+		},
+		"describe-execute-malformed": {openPortal(describeP, message('E', "p\x00"), syncMessage)},
+
+		// Statements and portals.
+		"portal-keeps-statement": {
+			openPortal(closeMessage("S", "s"), execute("p", 0), bind("q", "s", "a"), syncMessage),
+			{parse("s", insertPart), syncMessage},
+		},
+		"portal-keeps-unnamed-statement": {
+			{parse("", selectPart), bind("p", "", "a"), parse("", insertPart), execute("p", 0), syncMessage},
+		},
+		"portal-closed":       {openPortal(execute("p", 1), closeMessage("P", "p"), execute("p", 0), syncMessage)},
+		"portal-exact-rows":   {openPortal(execute("p", 3), execute("p", 0), execute("p", 0), syncMessage)},
+		"portal-negative-max": {openPortal(execute("p", -1), syncMessage)},
+		"portal-replaced": {
+			openPortal(bind("", "s", "a"), execute("", 1), bind("", "s", "b"), execute("", 0), syncMessage),
+		},
+		"portal-load-limited": {{parse("", insertPart), bind("", "", "key"), execute("", 1), syncMessage}},
+		"portal-empty-reply": {
+			{parse("", "SELECT empty_reply"), bind("p", ""), execute("p", 0), syncMessage},
+			{query("SELECT empty_reply")},
+		},
+		"set-by-parse": {{parse("", "SET statement_timeout = '80ms'"), syncMessage}},
+
+		// A Query among the messages of a batch.
+		"query-in-batch": {openPortal(query("SELECT 1")), {execute("p", 0), syncMessage}},
+		"query-error-in-batch": {
+			{parse("s", selectPart), query("BEGIN")},
+			{bind("", "s", "a"), execute("", 0), syncMessage},
+		},
+		"query-pipelined":       {{query("SELECT 1"), query(missing), query("SELECT 2")}, {}, {}},
+		"query-set-pipelined":   {{query("SET statement_timeout = 500"), query("SELECT 1"), query("")}, {}, {}},
+		"query-malformed-first": {{message('Q', "SELECT 1"), query("SELECT 2")}, {}},
+
+		// After an error everything up to Sync is skipped.
+		"skipping-each-kind": {
+			append([][]byte{bind("", "none")}, openPortal(
+				describe("S", "s"), describeP, execute("p", 0), closeMessage("S", "s"), query("SELECT 1"),
+				message('F', "\x00"), message('p', "x\x00"), message('d', "x"), message('P', "malformed"),
+				flushMessage, syncMessage)...),
+			{bind("", "s", "a"), syncMessage},
+		},
+		"skipping-behind-response": {
+			append(bindMissing, execute("p", 0), parse("t", selectPart), query("SELECT 1"), syncMessage),
+			{bind("", "t", "a"), syncMessage},
+		},
+		"sync-only": {{syncMessage}, {flushMessage, syncMessage, syncMessage}, {}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			addr, _ := startPgEngine(t, phasePgEngine)
+			recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
+			recorder.start()
+			for _, messages := range batches {
+				recorder.send(messages...)
+				recorder.receiveUntilReady()
+			}
+			recorder.disconnect()
+			recorder.compare("pgwire/phase-" + name)
+		})
+	}
+}
+
+// A description that no engine could give is rejected while its message is being served.
+func TestGoldenPostgres_EachPhaseRejectsAtOnce(t *testing.T) {
+	recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
+	recorder.start()
+	for _, messages := range [][][]byte{
+		{parse("s", selectPart), describe("S", "s"), execute("", 0), syncMessage},
+		{bind("p", "s", "a"), describe("P", "p"), syncMessage},
+		{bind("p", "s", "a"), describe("P", "p"), query("SELECT 1"), syncMessage},
+		{bind("p", "s", "a"), describe("P", "p"), execute("p", 0), syncMessage},
+		{query("SELECT 1"), query("SELECT 2")},
+		{},
+	} {
+		recorder.send(messages...)
+		recorder.receiveUntilReady()
+	}
+	recorder.disconnect()
+	recorder.compare("pgwire/phase-rejection")
+}
+
+// Startups in parts, with messages behind them, and with further options.
+func TestGoldenPostgres_StartupComesInPartsOrPipelined(t *testing.T) {
+	startup := func(params ...string) []byte {
+		return startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...)
+	}
+	encryption := pgproto.AppendStartup(nil, pgproto.SSLRequestCode, nil)
+	cancelNone := pgproto.AppendStartup(nil, pgproto.CancelRequestCode, make([]byte, 8))
+	noUser := startupMessage(pgproto.ProtocolVersion, "database", "register")
+	for name, tt := range map[string]struct {
+		first    [][]byte // sent in one piece
+		answers  int      // how many ReadyForQuery come
+		answered bool     // the connection stays open
+	}{
+		"pipelined":          {[][]byte{startup(), query("SELECT 1"), query("SELECT 2")}, 3, true},
+		"unknown-option":     {[][]byte{startup("_pq_.unknown", "1", "_pq_.other", "2")}, 1, true},
+		"options-kept":       {[][]byte{startup("options", "-c work_mem=1GB -x --statement-timeout=5s")}, 1, true},
+		"options-joined":     {[][]byte{startup("options", "-cstatement_timeout=soon")}, 0, false},
+		"options-long":       {[][]byte{startup("options", "--statement-timeout=soon")}, 0, false},
+		"cancel-pipelined":   {[][]byte{cancelNone, startup()}, 0, false},
+		"rejected-pipelined": {[][]byte{noUser, query("SELECT 1")}, 0, false},
+		"twice":              {[][]byte{startup(), startup()}, 1, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			addr, _ := startPgEngine(t, goldenPgEngine)
+			recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
+			recorder.send(tt.first...)
+			for range tt.answers {
+				recorder.receiveUntilReady()
+			}
+			if tt.answered {
+				recorder.disconnect()
+			} else {
+				recorder.recordClose()
+			}
+			recorder.compare("pgwire/phase-startup-" + name)
+		})
+	}
+	t.Run("in-parts", func(t *testing.T) {
+		front := startPostgres(t)
+		recorder := newTranscript(t).recordPostgres("", front.addr)
+		recorder.send(encryption[:3])
+		front.awaitBuffered(3)
+		recorder.send(encryption[3:])
+		recorder.receiveByte()
+		packet := startup("database", "register")
+		recorder.send(packet[:7])
+		front.awaitBuffered(7)
+		recorder.send(packet[7:])
+		recorder.receiveUntilReady()
+		recorder.disconnect()
+		recorder.compare("pgwire/phase-startup-in-parts")
+	})
+	t.Run("cancel-after-encryption", func(t *testing.T) {
+		recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
+		recorder.send(encryption)
+		recorder.receiveByte()
+		recorder.send(cancelNone)
+		recorder.recordClose()
+		recorder.compare("pgwire/phase-startup-cancel-after-encryption")
+	})
+}
+
+// awaitBuffered waits until the front end holds some received bytes that it has not consumed.
+func (f *frontEnd) awaitBuffered(size int64) {
+	f.t.Helper()
+	if !poll(func() bool { return f.loop.BufferedBytes() >= size }) {
+		f.t.Fatalf("%d bytes are buffered after %v, want %d", f.loop.BufferedBytes(), waitLimit, size)
+	}
+}
+
+// Past the limit of clients a startup is rejected, and a CancelRequest is still carried out.
+func TestGoldenPostgres_ClientPastTheLimitMayOnlyCancel(t *testing.T) {
+	addr, seen := startPgEngine(t, goldenPgEngine)
+	front := newFrontEnd(t, nil)
+	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxClients: 1}
+	front.servePostgres(addr)
+	tr := newTranscript(t)
+	first := tr.recordPostgres("first", front.addr)
+	first.start()
+	second := tr.recordPostgres("second", front.addr)
+	second.send(startupMessage(pgproto.ProtocolVersion, "user", "desk"), query("SELECT 1"))
+	second.recordClose()
+	first.send(query("SELECT silent"))
+	await(t, seen)
+	tr.recordCancel("cancel", front.addr, first.keyData)
+	first.receiveUntilReady()
+	first.disconnect()
+	tr.compare("pgwire/phase-too-many-clients")
+	front.assertCount("postgres.errors.53300", 0) // an error that closes a connection is not counted
+	front.assertCount("postgres.malformed", 0)
+}
+
+// A Terminate and messages that can't be framed, in each phase.
+func TestGoldenPostgres_EachPhaseEndsWithItsLastMessage(t *testing.T) {
+	unknownKind := []byte{'#', 0, 0, 0, 4}
+	for name, tt := range map[string]struct {
+		messages  [][]byte
+		malformed int64
+	}{
+		"terminate-behind-describe": {openPortal(describe("P", "p"), terminateMessage), 0},
+		"unknown-behind-describe":   {openPortal(describe("P", "p"), unknownKind), 1},
+		"unknown-behind-execute":    {openPortal(execute("p", 1), unknownKind), 1},
+		"unknown-while-skipping":    {[][]byte{bind("", "none"), unknownKind, syncMessage}, 1},
+		"terminate-while-skipping":  {[][]byte{bind("", "none"), terminateMessage, syncMessage}, 0},
+		"terminate-behind-query":    {[][]byte{query("SELECT 1"), terminateMessage, query("SELECT 2")}, 0},
+		"terminate-behind-error":    {[][]byte{query("SELECT * FROM missing"), terminateMessage}, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			addr, _ := startPgEngine(t, goldenPgEngine)
+			front := startPostgres(t, addr)
+			recorder := newTranscript(t).recordPostgres("", front.addr)
+			recorder.start()
+			recorder.send(tt.messages...)
+			recorder.recordClose()
+			recorder.compare("pgwire/phase-last-" + name)
+			front.assertCount("postgres.malformed", tt.malformed)
+		})
+	}
+}
+
+// A client that stops in the middle of a message is disconnected with an error; in its startup,
+// without.
+func TestGoldenPostgres_EachPhaseEndsAStalledClient(t *testing.T) {
+	const partOfMessage = 9
+	tr, front := newTranscript(t), startPostgres(t)
+	startup := tr.recordPostgres("startup", startPostgres(t).addr)
+	startup.send(startupMessage(pgproto.ProtocolVersion, "user", "desk")[:partOfMessage])
+	batch := tr.recordPostgres("batch", front.addr)
+	batch.start()
+	batch.send(parse("", selectPart), bind("", "")[:partOfMessage])
+	front.awaitBuffered(partOfMessage)
+	skipping := tr.recordPostgres("skipping", front.addr)
+	skipping.start()
+	skipping.send(bind("", "none"), parse("", selectPart)[:partOfMessage])
+	startup.recordClose()
+	batch.recordClose()
+	skipping.recordClose()
+	tr.compare("pgwire/phase-stalls")
+	front.assertCount("postgres.stalled", 2)
+	front.assertCount("postgres.malformed", 0)
+	front.assertCount("postgres.errors.", 1) // of the Bind
+}
+
+// A CancelRequest ends whatever its connection has in flight, and nothing else.
+func TestGoldenPostgres_CancelRequestEndsWhatIsInFlight(t *testing.T) {
+	const silent = "SELECT silent"
+	for name, tt := range map[string]struct {
+		messages [][]byte // the first request that they make is cancelled
+		answers  int      // how many ReadyForQuery come
+	}{
+		"query":           {[][]byte{query(silent)}, 1},
+		"query-pipelined": {[][]byte{query(silent), query("SELECT 1")}, 2},
+		"describe": {
+			[][]byte{parse("s", silent), describe("S", "s"), bind("", "s"), execute("", 0), syncMessage}, 1,
+		},
+		"describe-deferred": {
+			[][]byte{parse("s", silent), bind("p", "s"), describe("P", "p"), syncMessage, query("SELECT 1")}, 2,
+		},
+		"describe-write": {[][]byte{parse("s", "UPDATE silent SET a = 1"), describe("S", "s"), syncMessage}, 1},
+		"execute-batch": {
+			[][]byte{parse("s", silent), bind("", "s"), execute("", 0), flushMessage, syncMessage, query("")}, 2,
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			addr, seen := startPgEngine(t, goldenPgEngine)
+			tr, front := newTranscript(t), startPostgres(t, addr)
+			client := tr.recordPostgres("client", front.addr)
+			client.start()
+			tr.recordCancel("early", front.addr, client.keyData) // nothing is in flight
+			client.send(tt.messages...)
+			await(t, seen)
+			tr.recordCancel("cancel", front.addr, client.keyData)
+			for range tt.answers {
+				client.receiveUntilReady()
+			}
+			tr.recordCancel("late", front.addr, client.keyData)
+			client.send(syncMessage)
+			client.receiveUntilReady()
+			client.disconnect()
+			tr.compare("pgwire/phase-cancel-" + name)
+			front.assertCount("postgres.cancel-requests", 1)
+		})
+	}
+}
+
+// A drain closes each connection that has no request in flight at once, and the others behind the
+// ReadyForQuery that ends what they were sent.
+func TestGoldenPostgres_DrainEndsEachPhase(t *testing.T) {
+	release := make(chan struct{})
+	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
+		<-release
+		return goldenPgEngine(request)
+	})
+	tr, front := newTranscript(t), startPostgres(t, addr)
+	connect := func(name, answered string, messages ...[]byte) *pgRecorder {
+		t.Helper()
+		recorder := tr.recordPostgres(name, front.addr)
+		recorder.start()
+		recorder.send(messages...)
+		for range answered { // the kinds of messages that come before the drain
+			recorder.receiveMessage()
+		}
+		return recorder
+	}
+	starting := tr.recordPostgres("starting", front.addr)
+	front.awaitCount("postgres.connections", 1)
+	idle := []*pgRecorder{
+		starting,
+		connect("batch", "12", openPortal()...),
+		connect("describe", "12", openPortal(describe("P", "p"))...),
+		connect("skipping", "E", bind("", "none"), parse("", selectPart)),
+	}
+	busy := []*pgRecorder{
+		connect("query", "", query("SELECT 1"), query("SELECT 2")),
+		connect("error", "", query("SELECT * FROM missing")),
+		connect("extended", "", openPortal(execute("p", 0), bind("", "s", "b"), execute("", 0), syncMessage)...),
+		connect("unsynced", "", openPortal(execute("p", 0))...),
+	}
+	front.awaitCount("attempts.started.", int64(len(busy)))
+	front.onLoop(front.drain)
+	tr.event("", "the drain begins")
+	for _, recorder := range idle {
+		recorder.recordClose()
+	}
+	close(release)
+	for _, recorder := range busy[:len(busy)-1] {
+		recorder.recordClose()
+	}
+	unsynced := busy[len(busy)-1]
+	for range "12DDDC" {
+		unsynced.receiveMessage()
+	}
+	tr.event("", "the drain ends")
+	front.onLoop(front.drain)
+	unsynced.recordClose()
+	tr.compare("pgwire/phase-drain")
+}
+
+// receiveMessage reads one message.
+func (r *pgRecorder) receiveMessage() {
+	r.t.Helper()
+	for {
+		_, n := r.message()
+		if n > 0 {
+			return
+		}
+		if !r.readMore() {
+			r.t.Fatalf("the connection was closed; unread: %q", r.unread)
+		}
+	}
+}
+
+// A connection has a bounded number of prepared statements and of portals. One that is closed
+// leaves its place to another.
+func TestPostgres_StatementsAndPortalsAreBounded(t *testing.T) {
+	const limit = 1000
+	addr, _ := startPgEngine(t, oneRowReply)
+	for name, tt := range map[string]struct {
+		before [][]byte
+		open   func(name string) []byte
+		target string // of a Close
+		opened string // kind of the answer to open
+	}{
+		"statements": {
+			nil, func(name string) []byte { return parse(name, selectPart) }, "S", "1",
+		},
+		"portals": {
+			[][]byte{parse("", selectPart)}, func(name string) []byte { return bind(name, "", "a") }, "P", "2",
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client := connectPostgres(t, startPostgres(t, addr).addr)
+			messages := append([][]byte{}, tt.before...)
+			for n := range limit {
+				messages = append(messages, tt.open(fmt.Sprintf("n%d", n)))
+			}
+			messages = append(messages, closeMessage(tt.target, "n7"), tt.open("n7"), tt.open("further"), syncMessage)
+			client.send(bytes.Join(messages, nil))
+			got := strings.Fields(client.receiveUntilReady())
+			opened := strings.Repeat(tt.opened+" ", limit)
+			want := opened + "3 " + tt.opened + " E(54000) Z"
+			assertEqual(t, "answers", strings.Join(got[len(tt.before):], " "), want)
+		})
+	}
+}
+
+// The rows that wait in open portals have a budget. Each way in which a portal ends returns what
+// it held.
+func TestPostgres_EndedPortalReturnsItsRowsToTheBudget(t *testing.T) {
+	const budget = 30 // bytes: the two rows that wait after one of three was fetched, and not twice so many
+	addr, _ := startPgEngine(t, goldenPgEngine)
+	fetchOne := func(portal string) [][]byte { return [][]byte{bind(portal, "s", "a"), execute(portal, 1)} }
+	const first, second = "2 D(a) s", "2 D(a) s Z"
+	for name, tt := range map[string]struct {
+		portal  string
+		between [][]byte
+		want    string
+	}{
+		"open":     {"p", nil, first + " 2 D(a) s E(53200) Z"},
+		"fetched":  {"p", [][]byte{execute("p", 0)}, first + " D(b\x00\xff) D(c) C(SELECT 2) " + second},
+		"closed":   {"p", [][]byte{closeMessage("P", "p")}, first + " 3 " + second},
+		"synced":   {"p", [][]byte{syncMessage}, first + " Z " + second},
+		"replaced": {"", [][]byte{bind("", "s", "b")}, first + " 2 " + second},
+	} {
+		t.Run(name, func(t *testing.T) {
+			front := newFrontEnd(t, nil)
+			front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxBufferedBytes: budget}
+			front.servePostgres(addr)
+			client := connectPostgres(t, front.addr)
+			client.send(parse("s", selectPart), syncMessage)
+			assertEqual(t, "prepared", client.receiveUntilReady(), "1 Z")
+			client.send(fetchOne(tt.portal)...)
+			client.send(tt.between...)
+			client.send(append(fetchOne("q"), syncMessage)...)
+			got := client.receiveUntilReady()
+			if name == "synced" {
+				got += " " + client.receiveUntilReady()
+			}
+			assertEqual(t, "answers", got, tt.want)
+		})
+	}
+}
+
+// A client that disconnects with an open portal returns the portal's rows to the budget.
+func TestPostgres_DisconnectedClientReturnsItsRowsToTheBudget(t *testing.T) {
+	const budget = 30
+	addr, _ := startPgEngine(t, goldenPgEngine)
+	front := newFrontEnd(t, nil)
+	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxBufferedBytes: budget}
+	front.servePostgres(addr)
+	holder, other := connectPostgres(t, front.addr), connectPostgres(t, front.addr)
+	fetchOne := [][]byte{parse("", selectPart), bind("p", "", "a"), execute("p", 1)}
+	holder.send(append(fetchOne, flushMessage)...)
+	assertEqual(t, "holder", holder.receiveUntil('s'), "1 2 D(a) s")
+	fetchOne = append(fetchOne, syncMessage)
+	other.send(fetchOne...)
+	assertEqual(t, "while the rows wait", other.receiveUntilReady(), "1 2 D(a) s E(53200) Z")
+	if err := holder.conn.Close(); err != nil {
+		t.Fatal(err)
+	}
+	answer := ""
+	if !poll(func() bool {
+		other.send(fetchOne...)
+		answer = other.receiveUntilReady()
+		return answer == "1 2 D(a) s Z"
+	}) {
+		t.Errorf("the rows are still held after %v: %s", waitLimit, answer)
+	}
+}
