--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -84,7 +84,7 @@
 // reserveRows counts the rows that a portal keeps. A portal past the budget keeps
 // nothing, and the batch fails.
 func (c *connection) reserveRows(p *portal) {
-	if c.server.rowBudget.TryReserve(len(p.unsentRows)) {
+	if len(p.unsentRows) == 0 || c.server.rowBudget.TryReserve(len(p.unsentRows)) {
 		return
 	}
 	p.unsentRows = nil
