--- a/internal/pgproto/doc.go
+++ b/internal/pgproto/doc.go
@@ -1,3 +1,3 @@
-// Package pgproto frames and reads the messages of the PostgreSQL wire protocol,
-// version 3.0, for both of its sides. It holds no state.
+// Package pgproto encodes and decodes the messages of the PostgreSQL wire protocol,
+// version 3.0, for clients and for servers. It holds no state.
 package pgproto
--- a/internal/pgproto/error_response.go
+++ b/internal/pgproto/error_response.go
@@ -1,10 +1,8 @@
 package pgproto
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// Types of the fields in an ErrorResponse that are read or written.
+// Types of the fields of an ErrorResponse that are read or written.
 const (
 	fieldSeverity          byte = 'S'
 	fieldSeverityUnchanged byte = 'V' // the severity in English, whatever the locale
@@ -22,7 +20,8 @@
 	Code     string // SQLSTATE
 	Message  string
 	Hint     string // "": none
-	// Raw is the body as an engine sent it, which passes unchanged; nil: the server's own error.
+	// Raw is the body as an engine sent it, which Body returns unchanged; nil for an error
+	// of this program's own.
 	Raw []byte
 }
 
@@ -55,27 +54,31 @@
 
 // ParseError reads the body of an ErrorResponse or a NoticeResponse.
 func ParseError(body []byte) (*Error, error) {
-	e := &Error{Raw: append([]byte{}, body...)}
-	r := Reader{Unread: body}
+	parsed := &Error{Raw: append([]byte{}, body...)} // not nil, also for an empty body
+	reader := Reader{Unread: body}
 	for {
-		kind := r.Byte()
+		kind := reader.Byte()
 		if kind == 0 {
 			break
 		}
-		value := r.CString()
-		switch kind {
-		case fieldSeverity:
-			e.Severity = value
-		case fieldCode:
-			e.Code = value
-		case fieldMessage:
-			e.Message = value
-		case fieldHint:
-			e.Hint = value
-		}
+		parsed.setField(kind, reader.CString())
 	}
-	if !r.Complete() || len(e.Code) != sqlStateLength {
+	if !reader.Complete() || len(parsed.Code) != sqlStateLength {
 		return nil, fmt.Errorf("%w: an error response", ErrMalformed)
 	}
-	return e, nil
+	return parsed, nil
+}
+
+// setField stores a field. Those of other types are kept in Raw only.
+func (e *Error) setField(kind byte, value string) {
+	switch kind {
+	case fieldSeverity:
+		e.Severity = value
+	case fieldCode:
+		e.Code = value
+	case fieldMessage:
+		e.Message = value
+	case fieldHint:
+		e.Hint = value
+	}
 }
--- a/internal/pgproto/fields.go
+++ b/internal/pgproto/fields.go
@@ -5,17 +5,23 @@
 	"encoding/binary"
 )
 
-// CString returns a string as messages hold it: ended by a zero byte.
+// Sizes of the numbers in messages, in bytes.
+const (
+	int16Size = 2
+	int32Size = 4
+)
+
+// CString returns the encoding of a string, which ends with a zero byte.
 func CString(s string) []byte { return append([]byte(s), 0) }
 
-// Int32 returns a number as messages hold it.
+// Int32 returns the encoding of a number of four bytes.
 func Int32(n int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
 
-// Reader reads the fields of a body in turn. Past the end it returns zero values and sets
-// Malformed.
+// Reader reads the fields of a message's body one after another. If a field is missing or
+// cut short, it sets Malformed, and this and all later reads return zero values.
 type Reader struct {
-	Unread    []byte // what is not read yet
-	Malformed bool   // a field was missing or cut short
+	Unread    []byte // the rest of the body
+	Malformed bool
 }
 
 // Bytes reads n bytes.
@@ -51,24 +57,32 @@
 
 // Int16 reads a signed number of two bytes.
 func (r *Reader) Int16() int {
-	if field := r.Bytes(2); field != nil {
+	if field := r.Bytes(int16Size); field != nil {
 		return int(int16(binary.BigEndian.Uint16(field)))
 	}
 	return 0
 }
 
 // Count reads an unsigned number of two bytes, which counts the fields that follow.
-func (r *Reader) Count() int { return r.Int16() & 0xffff }
+func (r *Reader) Count() int {
+	if field := r.Bytes(int16Size); field != nil {
+		return int(binary.BigEndian.Uint16(field))
+	}
+	return 0
+}
 
 // Int32 reads a signed number of four bytes.
 func (r *Reader) Int32() int {
-	if field := r.Bytes(4); field != nil {
+	if field := r.Bytes(int32Size); field != nil {
 		return int(int32(binary.BigEndian.Uint32(field)))
 	}
 	return 0
 }
 
-// Complete reports whether all was read and nothing was missing.
+// Complete reports whether the whole body was read and no field was missing.
 func (r *Reader) Complete() bool { return !r.Malformed && len(r.Unread) == 0 }
 
-func (r *Reader) fail() { r.Malformed, r.Unread = true, nil }
+func (r *Reader) fail() {
+	r.Malformed = true
+	r.Unread = nil
+}
--- a/internal/pgproto/messages.go
+++ b/internal/pgproto/messages.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// ErrMalformed is wrapped by the errors of messages that can't be read.
+// ErrMalformed is wrapped by the errors for messages that can't be decoded.
 var ErrMalformed = errors.New("malformed message")
 
 // Kinds of messages that a client sends after its startup.
@@ -46,13 +46,13 @@
 	ServerRowDescription           byte = 'T'
 )
 
-// What a Describe or a Close names.
+// Targets of a Describe or a Close.
 const (
 	TargetStatement byte = 'S'
 	TargetPortal    byte = 'P'
 )
 
-// TransactionIdle is the status of a ReadyForQuery outside a transaction.
+// TransactionIdle is the status in a ReadyForQuery outside a transaction.
 const TransactionIdle byte = 'I'
 
 // Format codes of values.
@@ -61,10 +61,12 @@
 	FormatBinary = 1
 )
 
-const messageHeaderSize = 1 + lengthSize // a kind and a length, which does not count the kind
+// messageHeaderSize is the size of a kind and a length, which does not count the kind.
+const messageHeaderSize = 1 + lengthSize
 
-// ParseMessage reads one message: its kind and its body. It returns the size of the message, or 0
-// while that is incomplete. A length above maxLength is an error.
+// ParseMessage decodes the first message of the input: its kind and its body, which lies
+// within the input. It returns the size of the message, or 0 while the message is
+// incomplete. A length above maxLength is an error.
 func ParseMessage(input []byte, maxLength int) (kind byte, body []byte, size int, err error) {
 	if len(input) < messageHeaderSize {
 		return 0, nil, 0, nil
@@ -81,14 +83,15 @@
 }
 
 // AppendMessage appends one message, whose body is given in parts.
-func AppendMessage(b []byte, kind byte, body ...[]byte) []byte {
+func AppendMessage(output []byte, kind byte, body ...[]byte) []byte {
 	length := lengthSize
 	for _, part := range body {
 		length += len(part)
 	}
-	b = binary.BigEndian.AppendUint32(append(b, kind), uint32(length))
+	output = append(output, kind)
+	output = binary.BigEndian.AppendUint32(output, uint32(length))
 	for _, part := range body {
-		b = append(b, part...)
+		output = append(output, part...)
 	}
-	return b
+	return output
 }
--- a/internal/pgproto/messages_test.go
+++ b/internal/pgproto/messages_test.go
@@ -2,17 +2,20 @@
 
 import "testing"
 
-// Whatever a peer sends, a message lies within it and its fields within that.
-func FuzzMessages(f *testing.F) {
-	f.Add(AppendMessage(nil, 'E', (&Error{Severity: "ERROR", Code: "42P01", Message: "m", Hint: "h"}).Body()), []byte{0, 0, 0, 0, 0, 1, 0, 1})
+// A decoded message lies within the input, its body lies within the message, and no input
+// makes the decoders of bodies panic.
+func FuzzMessages_LieWithinTheInput(f *testing.F) {
+	const maxLength = 1 << 16
+	errorResponse := (&Error{Severity: "ERROR", Code: "42P01", Message: "m", Hint: "h"}).Body()
+	f.Add(AppendMessage(nil, 'E', errorResponse), []byte{0, 0, 0, 0, 0, 1, 0, 1})
 	f.Add(AppendStartup(nil, ProtocolVersion, []byte("user\x00x\x00\x00")), []byte{})
-	f.Fuzz(func(t *testing.T, b, bind []byte) {
-		if _, body, n, err := ParseStartup(b); n > len(b) || len(body) > n || err != nil && n != 0 {
-			t.Fatalf("startup: %d of %d bytes, %v", n, len(b), err)
+	f.Fuzz(func(t *testing.T, input, bind []byte) {
+		if _, body, size, err := ParseStartup(input); size > len(input) || len(body) > size || err != nil && size != 0 {
+			t.Fatalf("startup: %d of %d bytes, %v", size, len(input), err)
 		}
-		_, body, n, err := ParseMessage(b, 1<<16)
-		if n > len(b) || len(body) > n || err != nil && n != 0 {
-			t.Fatalf("%d of %d bytes, %v", n, len(b), err)
+		_, body, size, err := ParseMessage(input, maxLength)
+		if size > len(input) || len(body) > size || err != nil && size != 0 {
+			t.Fatalf("%d of %d bytes, %v", size, len(input), err)
 		}
 		_, _ = ParseError(body)
 		_, _ = ApplyResultFormats(body, bind)
--- a/internal/pgproto/results.go
+++ b/internal/pgproto/results.go
@@ -2,7 +2,8 @@
 
 import "encoding/binary"
 
-// Statement is one bound execution, or a request to describe a statement.
+// Statement is one execution of a statement with bound values, or a request to describe a
+// statement.
 type Statement struct {
 	Query          string
 	ParameterTypes []byte // the count and the types of the parameters, as in Parse
@@ -10,37 +11,41 @@
 	DescribeOnly   bool   // describe only: nothing runs
 }
 
-// Result is what an engine answered: the bodies of its messages, unchanged.
+// Result is the response of an engine: the bodies of its messages, unchanged.
 type Result struct {
-	ParameterDescription []byte // of ParameterDescription, where only a description was requested
-	RowDescription       []byte // of RowDescription; nil: NoData
+	ParameterDescription []byte // set if only a description was requested
+	RowDescription       []byte // nil: NoData
 	DataRows             []byte // complete DataRow messages in order
-	RowCount             int    // of rows
+	RowCount             int
 	CommandTag           string // of CommandComplete
-	EmptyQuery           bool   // EmptyQueryResponse came in place of CommandComplete
+	EmptyQuery           bool   // EmptyQueryResponse was received in place of CommandComplete
 }
 
-// fixedColumnSize is the bytes between a column's name and its format in a
+// fixedColumnSize is the number of bytes between a column's name and its format in a
 // RowDescription.
 const fixedColumnSize = 16
 
-// ApplyResultFormats returns a copy of the body of a RowDescription that has the result formats of a
-// Bind, whose body past its names is given. A statement's own description has none yet.
+// formatSize is the size of a format code in bytes.
+const formatSize = int16Size
+
+// ApplyResultFormats returns a copy of the body of a RowDescription with the result
+// formats of a Bind, whose body past its names is given. The description of a statement
+// has no formats of its own.
 func ApplyResultFormats(fields, bind []byte) ([]byte, error) {
 	formats, err := resultFormats(bind)
 	if err != nil {
 		return nil, err
 	}
 	described := append([]byte{}, fields...)
-	r := Reader{Unread: described}
-	for column := range r.Count() {
-		r.CString()
-		r.Bytes(fixedColumnSize)
-		format := r.Bytes(2)
+	reader := Reader{Unread: described}
+	for column := range reader.Count() {
+		reader.CString()
+		reader.Bytes(fixedColumnSize)
+		format := reader.Bytes(formatSize)
 		switch {
-		case r.Malformed:
+		case reader.Malformed:
 			return nil, ErrMalformed
-		case len(formats) == 1: // it holds for all columns
+		case len(formats) == 1: // one format applies to all columns
 			binary.BigEndian.PutUint16(format, uint16(formats[0]))
 		case column < len(formats):
 			binary.BigEndian.PutUint16(format, uint16(formats[column]))
@@ -51,19 +56,19 @@
 
 // resultFormats returns the result formats of a Bind, whose body past its names is given.
 func resultFormats(bind []byte) ([]int, error) {
-	r := Reader{Unread: bind}
-	r.Bytes(2 * r.Count())
-	for range r.Count() {
-		if length := r.Int32(); length > 0 {
-			r.Bytes(length)
+	reader := Reader{Unread: bind}
+	reader.Bytes(formatSize * reader.Count())
+	for range reader.Count() {
+		if length := reader.Int32(); length > 0 {
+			reader.Bytes(length)
 		}
-		if r.Malformed {
+		if reader.Malformed {
 			return nil, ErrMalformed
 		}
 	}
-	formats := make([]int, r.Count())
+	formats := make([]int, reader.Count())
 	for i := range formats {
-		if formats[i] = r.Int16(); r.Malformed {
+		if formats[i] = reader.Int16(); reader.Malformed {
 			return nil, ErrMalformed
 		}
 	}
--- a/internal/pgproto/startup.go
+++ b/internal/pgproto/startup.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Codes that the first message of a connection begins with: a protocol version, or a
-// request in its place.
+// Codes at the beginning of a connection's first message: a protocol version, or a request
+// in its place.
 const (
 	ProtocolVersion   = 3 << 16
 	CancelRequestCode = 80877102
@@ -14,16 +14,18 @@
 	GSSENCRequestCode = 80877104
 )
 
-// maxStartup bounds the bytes of a connection's first message, as PostgreSQL does.
+// maxStartup is the largest first message of a connection in bytes, as in PostgreSQL.
 const maxStartup = 10000
 
 const (
-	lengthSize        = 4 // bytes of a message's length, which counts itself
-	startupHeaderSize = lengthSize + 4
+	lengthSize        = int32Size // of a message's length, which counts itself
+	codeSize          = int32Size
+	startupHeaderSize = lengthSize + codeSize
 )
 
-// ParseStartup reads a connection's first message: its code and what follows. It returns the
-// size of the message, or 0 while that is incomplete.
+// ParseStartup decodes a connection's first message: its code and its body, which lies
+// within the input. It returns the size of the message, or 0 while the message is
+// incomplete.
 func ParseStartup(input []byte) (code uint32, body []byte, size int, err error) {
 	if len(input) < lengthSize {
 		return 0, nil, 0, nil
@@ -39,8 +41,8 @@
 }
 
 // AppendStartup appends a connection's first message.
-func AppendStartup(b []byte, code uint32, body []byte) []byte {
-	b = binary.BigEndian.AppendUint32(b, uint32(startupHeaderSize+len(body)))
-	b = binary.BigEndian.AppendUint32(b, code)
-	return append(b, body...)
+func AppendStartup(output []byte, code uint32, body []byte) []byte {
+	output = binary.BigEndian.AppendUint32(output, uint32(startupHeaderSize+len(body)))
+	output = binary.BigEndian.AppendUint32(output, code)
+	return append(output, body...)
 }
