--- a/internal/frontend/pgserver/bind.go
+++ b/internal/frontend/pgserver/bind.go
@@ -17,48 +17,48 @@
 
 // readBind reads a Bind past its names: formats, values and result formats. The values
 // lie within the message.
-func readBind(r *pgproto.Reader) (binds sqltext.Binds, ok bool) {
-	start := r.Unread
-	formatCount, ok := readFormats(r)
+func readBind(reader *pgproto.Reader) (binds sqltext.Binds, ok bool) {
+	start := reader.Unread
+	formatCount, ok := readFormats(reader)
 	if !ok {
 		return binds, false
 	}
 	binds.Formats = start[countSize : countSize+formatCount*formatSize]
-	valueCount := r.Count()
-	if formatCount > 1 && formatCount != valueCount || r.Malformed {
+	valueCount := reader.Count()
+	if formatCount > 1 && formatCount != valueCount || reader.Malformed {
 		return binds, false
 	}
 	for range valueCount {
-		value, ok := readValue(r)
+		value, ok := readValue(reader)
 		if !ok {
 			return binds, false
 		}
 		binds.Values = append(binds.Values, value)
 	}
-	if _, ok = readFormats(r); !ok {
+	if _, ok = readFormats(reader); !ok {
 		return binds, false
 	}
-	return binds, r.Complete()
+	return binds, reader.Complete()
 }
 
 // readFormats skips a count and as many format codes, each of which must be known.
-func readFormats(r *pgproto.Reader) (count int, ok bool) {
-	count = r.Count()
+func readFormats(reader *pgproto.Reader) (count int, ok bool) {
+	count = reader.Count()
 	for range count {
-		if format := r.Int16(); format != pgproto.FormatText && format != pgproto.FormatBinary {
+		if format := reader.Int16(); format != pgproto.FormatText && format != pgproto.FormatBinary {
 			return count, false
 		}
 	}
-	return count, !r.Malformed
+	return count, !reader.Malformed
 }
 
 // readValue reads one value, which is nil if it is null.
-func readValue(r *pgproto.Reader) (value []byte, ok bool) {
-	length := r.Int32()
+func readValue(reader *pgproto.Reader) (value []byte, ok bool) {
+	length := reader.Int32()
 	if length >= 0 {
-		value = r.Bytes(length)
+		value = reader.Bytes(length)
 	} else if length != nullLength {
 		return nil, false
 	}
-	return value, !r.Malformed
+	return value, !reader.Malformed
 }
--- a/internal/frontend/pgserver/bind_test.go
+++ b/internal/frontend/pgserver/bind_test.go
@@ -7,27 +7,32 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// Whatever a client binds, its values lie within the message, and the formats of a
-// description can be set from any Bind that was taken.
-func FuzzReadBind(f *testing.F) {
+// The values of a Bind lie within the message, and the result formats of any Bind that is
+// accepted can be applied to a description.
+func FuzzReadBind_ValuesLieWithinTheMessage(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 1, 0, 2, 0, 0, 0, 1, 'k', 255, 255, 255, 255, 0, 1, 0, 1})
 	f.Add([]byte{255, 255})
-	fields := append([]byte{0, 1, 'c', 0}, make([]byte, 18)...)
-	f.Fuzz(func(t *testing.T, b []byte) {
-		binds, ok := readBind(&pgproto.Reader{Unread: b})
+	const (
+		lengthSize   = 4  // of a value's length
+		formatOffset = 20 // of the column's format in the description
+	)
+	fields := append([]byte{0, 1, 'c', 0}, make([]byte, 18)...) // one column, named c
+	f.Fuzz(func(t *testing.T, input []byte) {
+		binds, ok := readBind(&pgproto.Reader{Unread: input})
 		if !ok {
 			return
 		}
 		size := 0
-		for _, v := range binds.Values {
-			size += 4 + len(v)
+		for _, value := range binds.Values {
+			size += lengthSize + len(value)
 		}
-		if size > len(b) {
-			t.Fatalf("%d bytes of values in %d", size, len(b))
+		if size > len(input) {
+			t.Fatalf("%d bytes of values in %d", size, len(input))
 		}
-		out, err := pgproto.ApplyResultFormats(fields, b)
-		if err != nil || len(out) != len(fields) || binary.BigEndian.Uint16(out[20:]) > 1 {
-			t.Fatalf("formats %v, %v", out, err)
+		described, err := pgproto.ApplyResultFormats(fields, input)
+		if err != nil || len(described) != len(fields) ||
+			binary.BigEndian.Uint16(described[formatOffset:]) > pgproto.FormatBinary {
+			t.Fatalf("formats %v, %v", described, err)
 		}
 	})
 }
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -19,32 +19,32 @@
 	Starts   string // the words, in any case, after comments
 	Class    string
 	Key      int  // the parameter's number from 1; 0: none
-	ReadOnly bool // the operator declares such statements read-only, where their text doesn't show it
+	ReadOnly bool // the operator declares such statements read-only, if their text doesn't show it
 }
 
-// classification is what decides how a statement is served.
+// classification decides how a statement is served.
 type classification struct {
 	class        policy.Class
 	keyParameter int  // the parameter that has the idempotency key, from 1; 0: none
-	classByShape bool // no rule or comment names a class: the query shape may choose another
+	classByShape bool // no rule or comment names a class, so that the query shape may choose another
 }
 
-// classChoice is the class that a statement's leading comment and the rules give it.
+// classChoice is the class that a statement's leading comment and the rules name.
 type classChoice struct {
 	class        string
 	keyParameter int
 	readOnly     bool // as a rule declares
-	explicit     bool // a comment or a rule has named the class
+	explicit     bool // a comment or a rule names the class
 }
 
-// classify finds a statement's class: its leading comment overrides the rules, and these
-// the default. What the statement may do overrides all three: one that may write never
-// gets an idempotent class. Unless it has a class with a key, it gets the one for writes,
-// of which one attempt is made.
+// classify returns a statement's class. Its leading comment overrides the rules, and the
+// rules override the default. A statement that may write never gets an idempotent class:
+// unless its class has an idempotency key, it gets the class for writes, which permits
+// one attempt.
 func (s *Server) classify(query string, parsed *stmtstats.Statement) (classification, *pgproto.Error) {
-	choice, e := s.chooseClass(query)
-	if e != nil {
-		return classification{}, e
+	choice, failure := s.chooseClass(query)
+	if failure != nil {
+		return classification{}, failure
 	}
 	class, ok := s.dispatcher.Class(choice.class)
 	if !ok {
@@ -59,18 +59,27 @@
 	}
 	s.counters.IncrementByName("postgres.may-write")
 	if choice.explicit {
-		e := newError(codeInvalidParameterValue, "class %s is safe to repeat, and the statement may write (%v)", choice.class, verdict)
-		e.Hint = "Name no class, or one for writes or loads. Functions that only read belong in the gateway's read_only_functions."
-		return classification{}, e
+		return classification{}, errIdempotentClass(choice.class, verdict)
 	}
 	class, ok = s.dispatcher.Class(s.options.WriteClass)
 	if !ok || class.Effect != policy.NonIdempotent {
-		return classification{}, newError(codeFeatureNotSupported, "the statement may write (%v), and this gateway has no class for writes", verdict)
+		return classification{}, newError(codeFeatureNotSupported,
+			"the statement may write (%v), and this gateway has no class for writes", verdict)
 	}
 	return classification{class: class}, nil
 }
 
-// effectOf returns what a statement may do to what is stored.
+// errIdempotentClass is the response to a statement that may write, and for which a
+// comment or a rule names an idempotent class.
+func errIdempotentClass(class string, verdict sqltext.Verdict) *pgproto.Error {
+	failure := newError(codeInvalidParameterValue,
+		"class %s is safe to repeat, and the statement may write (%v)", class, verdict)
+	failure.Hint = "Name no class, or one for writes or loads. " +
+		"Functions that only read belong in the gateway's read_only_functions."
+	return failure
+}
+
+// effectOf returns what a statement may do to stored data.
 func (s *Server) effectOf(query string, parsed *stmtstats.Statement) sqltext.Verdict {
 	if parsed != nil {
 		return parsed.Effect()
@@ -95,11 +104,13 @@
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "class":
-			choice.class, choice.explicit = value, true
+			choice.class = value
+			choice.explicit = true
 		case "key":
 			parameter, err := strconv.Atoi(strings.TrimPrefix(value, "$"))
 			if err != nil || parameter < 1 || parameter > maxParameters {
-				return choice, newError(codeSyntaxError, "the comment's key=%s names no parameter such as $1", value)
+				return choice, newError(codeSyntaxError,
+					"the comment's key=%s names no parameter such as $1", value)
 			}
 			choice.keyParameter = parameter
 		}
@@ -109,26 +120,31 @@
 
 func separatesDirectives(char rune) bool { return char == ' ' || char == ',' || char == ';' }
 
-// idempotencyKey returns the key of an execution, from the bound values. One that needs a
-// key and has none is never forwarded: nothing would drop a repeat of it.
+// idempotencyKey returns the key of an execution, from the bound values; "" if the class
+// needs none. It returns an error if the class needs a key and the execution has none:
+// such an execution is never forwarded, because engines could not drop a duplicate of it.
 func (c classification) idempotencyKey(values [][]byte) (string, *pgproto.Error) {
 	if c.class.Effect != policy.IdempotentByKey {
 		return "", nil
 	}
-	name, parameter := c.class.Name, c.keyParameter
+	name := c.class.Name
+	parameter := c.keyParameter
 	switch {
 	case parameter == 0:
-		return "", newError(codeInvalidParameterValue, "class %s needs a key: name its parameter, as in /* class=%s key=$1 */", name, name)
+		return "", newError(codeInvalidParameterValue,
+			"class %s needs a key: name its parameter, as in /* class=%s key=$1 */", name, name)
 	case parameter > len(values):
-		return "", newError(codeInvalidParameterValue, "the key of class %s is parameter $%d, and only %d are bound", name, parameter, len(values))
+		return "", newError(codeInvalidParameterValue,
+			"the key of class %s is parameter $%d, and only %d are bound", name, parameter, len(values))
 	case len(values[parameter-1]) == 0:
-		return "", newError(codeNullValueNotAllowed, "the key of class %s, parameter $%d, is null or empty", name, parameter)
+		return "", newError(codeNullValueNotAllowed,
+			"the key of class %s, parameter $%d, is null or empty", name, parameter)
 	}
 	return string(values[parameter-1]), nil
 }
 
-// unsupportedCommands need a session of their own at an engine, whose sessions are shared
-// by all clients.
+// unsupportedCommands are the first words of statements that need a session of their own
+// at an engine. All clients share the sessions there.
 var unsupportedCommands = map[string]bool{
 	"BEGIN": true, "START": true, "COMMIT": true, "END": true, "ROLLBACK": true, "ABORT": true, "SAVEPOINT": true,
 	"RELEASE": true, "COPY": true, "PREPARE": true, "EXECUTE": true, "DEALLOCATE": true, "DECLARE": true,
@@ -138,11 +154,12 @@
 
 // checkSupported returns an error for an unsupported statement, and reports whether the
 // text has no statement.
-func checkSupported(query string, parsed *stmtstats.Statement) (empty bool, e *pgproto.Error) {
+func checkSupported(query string, parsed *stmtstats.Statement) (empty bool, failure *pgproto.Error) {
 	var command string
 	var several bool
 	if parsed != nil {
-		command, several = strings.ToUpper(parsed.FirstWord()), parsed.MultipleStatements()
+		command = strings.ToUpper(parsed.FirstWord())
+		several = parsed.MultipleStatements()
 	} else {
 		command, several = sqltext.FirstWord(query)
 	}
@@ -150,7 +167,8 @@
 	case several:
 		return false, newError(codeFeatureNotSupported, "only one statement at a time is supported")
 	case unsupportedCommands[command]:
-		return false, newError(codeFeatureNotSupported, "%s is not supported: statements share their engines' sessions", command)
+		return false, newError(codeFeatureNotSupported,
+			"%s is not supported: statements share their engines' sessions", command)
 	}
 	return command == "", nil
 }
--- a/internal/frontend/pgserver/errors.go
+++ b/internal/frontend/pgserver/errors.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"flaxrelay/internal/frontend/clientconn"
 	"flaxrelay/internal/lifecycle"
@@ -45,8 +46,18 @@
 	return newError(codeStatementCompletionUnknown, "the statement failed on its way or at its engine; it may have run")
 }
 
-// responseError is the error for a final response that is no completion. Each kind has a
-// code of its own; an engine's error on the statement passes unchanged.
+// errRejected is the response to a statement that was not run, and may be retried.
+func errRejected(retryAfter time.Duration) *pgproto.Error {
+	failure := newError(codeInsufficientResources,
+		"the engines are busy; the statement was refused, and trying again is harmless")
+	if retryAfter > 0 {
+		failure.Hint = fmt.Sprintf("Try again in %d ms.", clientconn.CeilMilliseconds(retryAfter))
+	}
+	return failure
+}
+
+// responseError returns the error for a final response that is not a completion. Each
+// kind has a code of its own; an engine's error on the statement passes unchanged.
 func responseError(response lifecycle.Response) *pgproto.Error {
 	engineError, _ := response.ErrorDetail.(*pgproto.Error)
 	switch {
@@ -58,11 +69,7 @@
 	case response.DeadlinePassed:
 		return newError(codeQueryCanceled, "canceling statement due to statement timeout")
 	case response.Verdict == lifecycle.VerdictRejected:
-		e := newError(codeInsufficientResources, "the engines are busy; the statement was refused, and trying again is harmless")
-		if response.RetryAfter > 0 {
-			e.Hint = fmt.Sprintf("Try again in %d ms.", clientconn.CeilMilliseconds(response.RetryAfter))
-		}
-		return e
+		return errRejected(response.RetryAfter)
 	case engineError != nil:
 		return engineError
 	case response.Forwarded:
