--- a/cmd/flaxrelay/syscalls_test.go
+++ b/cmd/flaxrelay/syscalls_test.go
@@ -70,15 +70,15 @@
 	}
 	request := strings.Replace(lookupRequest(requestID), "Req-Wait-Ms: 6000", "Req-Wait-Ms: 1500", 1)
 	if _, err := io.WriteString(conn, request); err != nil {
-		return "", err
+		return "", fmt.Errorf("send the request: %w", err)
 	}
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("read the response: %w", err)
 	}
 	defer closeQuietly(response.Body)
 	if _, err := io.ReadAll(response.Body); err != nil {
-		return "", err
+		return "", fmt.Errorf("read the body: %w", err)
 	}
 	return response.Status, nil
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -68,8 +68,7 @@
 	}
 	fault := jsonFault(err)
 	v.report(platformField(raw, fault.Field), "%s", fault.Problem)
-	var syntaxError *json.SyntaxError
-	if errors.As(err, &syntaxError) {
+	if syntaxError, isSyntaxError := errors.AsType[*json.SyntaxError](err); isSyntaxError {
 		v.faults[0].Line = lineAt(raw, syntaxError.Offset)
 	}
 	return false
--- a/internal/config/json_location.go
+++ b/internal/config/json_location.go
@@ -48,9 +48,18 @@
 	return isPrefix && (rest == "" || rest[0] == '.' || rest[0] == '[')
 }
 
+// nextToken returns the next token. It returns an error at the end of the text or at a syntax error.
+func (l *jsonLocator) nextToken() (json.Token, error) {
+	token, err := l.decoder.Token()
+	if err != nil {
+		return nil, fmt.Errorf("read a token: %w", err)
+	}
+	return token, nil
+}
+
 // walkValue reads one value with all that it contains.
 func (l *jsonLocator) walkValue(path string) error {
-	token, err := l.decoder.Token()
+	token, err := l.nextToken()
 	if err != nil {
 		return err
 	}
@@ -65,13 +74,13 @@
 	if err != nil {
 		return err
 	}
-	_, err = l.decoder.Token() // the closing delimiter
+	_, err = l.nextToken() // the closing delimiter
 	return err
 }
 
 func (l *jsonLocator) walkObject(path string) error {
 	for l.decoder.More() {
-		token, err := l.decoder.Token()
+		token, err := l.nextToken()
 		if err != nil {
 			return err
 		}
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -97,7 +97,8 @@
 
 // completeSettings has every key of the settings object, and an unknown one.
 const completeSettings = `{"balancers": 1, "zone": "z", "unknown": 0, "over-share-worth": 2,
-"membership-mode": "on_request", "round-ms": 3, "kinds": ["k"], "zones": ["z"], "projects": [{"name": "p", "quota-per-s": 4, "share": 5}],
+"membership-mode": "on_request", "round-ms": 3, "kinds": ["k"], "zones": ["z"],
+"projects": [{"name": "p", "quota-per-s": 4, "share": 5}],
 "classes": [{"name": "c", "aim-ms": 6, "aim-stretch": 7, "hard-limit-ms": 8, "effect": "idempotency_key",
  "group": "zone", "importance": 9, "late-share": 10, "streamed": true, "window-ms": 11, "in-order": true,
  "runs-in": ["r"], "kinds-open": ["o"]}],
@@ -105,11 +106,13 @@
 "costs": {"cross-zone": 16, "waste": 17, "late-fail": 18, "probe": 19},
 "report": {"how": "told", "names": ["n"]},
 "contract": {"answer-slack-ms": 20, "ask-within-ms": 21, "cold-ms": 22, "fall-ms": 23, "start-capacity": 24,
- "stop-sending-within-ms": 25, "tip-multiple": 26, "settle-after-doubt-ms": 27, "extra-free": 28, "resend-ratio": 29, "look-back-ms": 30},
+ "stop-sending-within-ms": 25, "tip-multiple": 26, "settle-after-doubt-ms": 27, "extra-free": 28,
+ "resend-ratio": 29, "look-back-ms": 30},
 "limits": {"cancel": true, "may-probe": true, "connect-timeout-ms": 31, "idle-close-ms": 32, "max-streams": 33,
  "max-retry-after-ms": 34, "most-tries": 35, "retry-after": true, "second-copies": true},
 "extra": {"cores-by-kind": [36], "memory-by-kind-mb": [37], "grant-cap": 38, "grants-count": true,
- "is-load": [true], "parallelism": [39], "takes-priority": true, "tells-cost": true, "tells-every-ms": 40, "when-short": "swap", "yields-to-loads": [true]}}`
+ "is-load": [true], "parallelism": [39], "takes-priority": true, "tells-cost": true, "tells-every-ms": 40,
+ "when-short": "swap", "yields-to-loads": [true]}}`
 
 // decodedSettings returns the settings of completeSettings.
 func decodedSettings() Settings {
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -62,7 +62,7 @@
 func checkAddress(address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
-		return err //nolint:wrapcheck // the error names the address already
+		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
 		return &portError{address: address}
--- a/internal/discovery/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -43,11 +43,17 @@
 }
 
 func newScriptedAgent() *scriptedAgent {
-	return &scriptedAgent{
-		logs:      map[string]*bytes.Buffer{catalogPath: {}, healthPath: {}},
-		responses: map[string]chan string{catalogPath: make(chan string), healthPath: make(chan string)},
-		queried:   map[string]chan struct{}{catalogPath: make(chan struct{}, 100), healthPath: make(chan struct{}, 100)},
+	agent := &scriptedAgent{
+		logs:      map[string]*bytes.Buffer{},
+		responses: map[string]chan string{},
+		queried:   map[string]chan struct{}{},
 	}
+	for _, path := range []string{catalogPath, healthPath} {
+		agent.logs[path] = &bytes.Buffer{}
+		agent.responses[path] = make(chan string)
+		agent.queried[path] = make(chan struct{}, 100)
+	}
+	return agent
 }
 
 // hostHeader matches the only part of a request that differs between runs: the port.
@@ -88,7 +94,8 @@
 }
 
 func response(status, index, body string) string {
-	return fmt.Sprintf("HTTP/1.1 %s\r\nX-Consul-Index: %s\r\nContent-Length: %d\r\n\r\n%s", status, index, len(body), body)
+	return fmt.Sprintf("HTTP/1.1 %s\r\nX-Consul-Index: %s\r\nContent-Length: %d\r\n\r\n%s",
+		status, index, len(body), body)
 }
 
 func jsonList(elements ...string) string { return "[" + strings.Join(elements, ",") + "]" }
@@ -96,14 +103,16 @@
 const (
 	firstEngine = `{"Node":"n1","Address":"127.0.0.1","Datacenter":"dc1","ServiceID":"e1","ServicePort":70,
 		"ServiceMeta":{"kind":"std-8","boot_ms":"5000"},"NodeMeta":null}`
-	secondEngine = `{"Node":"n2","Address":"127.0.0.2","Datacenter":"dc1","ServiceID":"e2","ServiceAddress":"127.0.0.9","ServicePort":71,
+	secondEngine = `{"Node":"n2","Address":"127.0.0.2","Datacenter":"dc1","ServiceID":"e2",` +
+		`"ServiceAddress":"127.0.0.9","ServicePort":71,
 		"ServiceMeta":{"zone":"hall-b"},"NodeMeta":{"kind":"std-4"}}`
 	engineWithoutPort   = `{"Node":"n3","Address":"127.0.0.3","ServiceID":"e3","ServicePort":0}`
 	engineWithoutHealth = `{"Node":"n4","Address":"127.0.0.4","ServiceID":"e4","ServicePort":72}`
 )
 
 func health(node, service, meta, checks string) string {
-	return fmt.Sprintf(`{"Node":{"Node":%q},"Service":{"ID":%q,"Meta":{%s}},"Checks":[%s]}`, node, service, meta, checks)
+	return fmt.Sprintf(`{"Node":{"Node":%q},"Service":{"ID":%q,"Meta":{%s}},"Checks":[%s]}`,
+		node, service, meta, checks)
 }
 
 const (
@@ -118,7 +127,8 @@
 	path, response string
 	notified       bool
 }{
-	{catalogPath, response("200 OK", "7", jsonList(firstEngine, secondEngine, engineWithoutPort, engineWithoutHealth)), false},
+	{catalogPath, response("200 OK", "7", jsonList(
+		firstEngine, secondEngine, engineWithoutPort, engineWithoutHealth)), false},
 	{healthPath, response("200 OK", "9", jsonList(
 		health("n1", "e1", "", passing), health("n2", "e2", `"draining":"true"`, passing))), true},
 	{healthPath, response("200 OK", "9", jsonList()), false}, // no change within the wait
--- a/internal/discovery/consul/watcher_test.go
+++ b/internal/discovery/consul/watcher_test.go
@@ -21,8 +21,9 @@
 
 func (r recorder) UpdateEndpoints(_ policy.UpdateMode, engines []lifecycle.Endpoint) {
 	var lines []string
-	for _, e := range engines {
-		lines = append(lines, fmt.Sprintf("%s %s %s/%s %s", e.ID, e.Address, e.Zone, e.Kind, discoverytest.StateNames[e.State]))
+	for _, engine := range engines {
+		lines = append(lines, fmt.Sprintf("%s %s %s/%s %s",
+			engine.ID, engine.Address, engine.Zone, engine.Kind, discoverytest.StateNames[engine.State]))
 	}
 	r <- strings.Join(lines, "; ")
 }
@@ -89,7 +90,8 @@
 		checkID = "_service_maintenance:" + id
 		check = "critical"
 	}
-	return fmt.Sprintf(`{"Node":{"Node":"n1"},"Service":{"ID":%q},"Checks":[{"CheckID":%q,"Status":%q}]}`, id, checkID, check)
+	return fmt.Sprintf(`{"Node":{"Node":"n1"},"Service":{"ID":%q},"Checks":[{"CheckID":%q,"Status":%q}]}`,
+		id, checkID, check)
 }
 
 // An engine is ready, in maintenance, critical and deregistered in turn. Meanwhile queries fail, and
--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -53,11 +53,13 @@
 				startTime: 1764654000123,
 			}.encode()),
 		encodeFrame(42, frameHeartbeat),
-		encodeFrame(43, frameDelta, record{id: 0x00c41f7a, ip: goldenIP, port: 9090, state: 2, cell: 2, weight: 4000}.encode()),
+		encodeFrame(43, frameDelta,
+			record{id: 0x00c41f7a, ip: goldenIP, port: 9090, state: 2, cell: 2, weight: 4000}.encode()),
 		// Repeated.
 		encodeFrame(43, frameDelta, record{id: 0x00c41f7a, ip: goldenIP, port: 9090, cell: 2, weight: 4000}.encode()),
 		// A zone, a kind and a start time out of range.
-		encodeFrame(1<<40, frameDelta, record{id: 1, ip: goldenIP, port: 80, zone: 7, kind: 9, startTime: 1 << 43}.encode()),
+		encodeFrame(1<<40, frameDelta,
+			record{id: 1, ip: goldenIP, port: 80, zone: 7, kind: 9, startTime: 1 << 43}.encode()),
 		encodeFrame(1<<40+1, frameDelta),
 	}},
 	{updates: 1, frames: [][]byte{encodeFrame(1<<40+2, frameFull)}},
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -52,15 +52,13 @@
 // Watcher maintains one connection to the event bus and notifies its sink of each event. The loop's
 // goroutine owns all of its state; its methods must be called there.
 //
-//	state         event                                  next state
-//	disconnected  Start, retryTimer, MoveTo              dialing
-//	dialing       dial succeeds                          connected
-//	dialing       dial fails                             disconnected
-//	dialing       MoveTo                                 dialing (the earlier dial becomes stale)
-//	connected     end of the connection, idle timeout,
-//	              protocol error                         disconnected
-//	connected     MoveTo another address                 dialing
-//	any           Stop                                   stopped
+//	disconnected -> dialing       Start, MoveTo, retryTimer
+//	dialing      -> connected     the dial succeeds
+//	dialing      -> disconnected  the dial fails
+//	dialing      -> dialing       MoveTo; the earlier dial becomes stale
+//	connected    -> disconnected  end of the connection, idle timeout, protocol error
+//	connected    -> dialing       MoveTo another address
+//	any state    -> stopped       Stop
 type Watcher struct {
 	// MaxBackoff is the longest delay between two attempts to connect. It must be set before Start,
 	// well below the grace period of a draining engine: an event counts as received as soon as
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -20,7 +20,8 @@
 		t.Errorf("%d violations counted", n)
 	}
 	got := out.String()
-	if strings.Count(got, "\n") != 1 || !strings.Contains(got, "msg=invariant.violated rule=drained-endpoint engine=e1") {
+	const want = "msg=invariant.violated rule=drained-endpoint engine=e1"
+	if strings.Count(got, "\n") != 1 || !strings.Contains(got, want) {
 		t.Errorf("log: %q", got)
 	}
 }
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"io/fs"
 	"os"
 	"os/exec"
@@ -96,7 +97,7 @@
 		if layerOf(pkg) < 0 && !needsNoLayer {
 			t.Errorf("%s belongs to no layer", pkg)
 		}
-		for _, path := range strings.Fields(imports) {
+		for path := range strings.FieldsSeq(imports) {
 			checkImport(t, pkg, path)
 		}
 	}
@@ -156,12 +157,15 @@
 			}
 			files++
 			text, err := os.ReadFile(path)
+			if err != nil {
+				return fmt.Errorf("read a source: %w", err)
+			}
 			for number, line := range bytes.Split(text, []byte("\n")) {
 				if clockOrGoroutine.Match(line) {
 					t.Errorf("%s:%d: %s", path, number+1, line)
 				}
 			}
-			return err
+			return nil
 		})
 		if err != nil {
 			t.Error(err)
--- a/internal/logging/asyncwriter_test.go
+++ b/internal/logging/asyncwriter_test.go
@@ -20,7 +20,7 @@
 func (g *gate) Write(p []byte) (int, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.out.Write(p)
+	return g.out.Write(p) //nolint:wrapcheck // a bytes.Buffer returns no error
 }
 
 // Lines are written complete and in order. While the output blocks, Write does not, the queue stays
--- a/internal/logging/ratelimit_test.go
+++ b/internal/logging/ratelimit_test.go
@@ -31,7 +31,12 @@
 	at = at.Add(time.Second)
 	write(slog.LevelWarn, "engine.protocol-error", 2)
 	for text, want := range map[string]int{
-		"engine.protocol-error": 4, "serving": 1, "stopped": 5, "attempt.started": 50, "suppressed=97": 1, "engine=e1": 60,
+		"engine.protocol-error": 4,
+		"serving":               1,
+		"stopped":               5,
+		"attempt.started":       50,
+		"suppressed=97":         1,
+		"engine=e1":             60,
 	} {
 		if got := strings.Count(out.String(), text); got != want {
 			t.Errorf("%q occurs %d times, want %d:\n%s", text, got, want, out.String())
