--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -26,10 +26,7 @@
 	Count     int32 // number of alternatives in a list of literals
 }
 
-// maxSlots bounds the slots of one statement; further values are only counted.
-const maxSlots = 24
-
-// Verb is the command that decides the kind of a statement; 0: another one.
+// Verb is the command that decides the kind of a statement; 0: none of those below.
 type Verb byte
 
 // The verbs.
@@ -63,7 +60,7 @@
 type Analysis struct {
 	// Fingerprint identifies the normal form by two hashes of 64 bits. Their seeds belong to
 	// this process and are secret, so that a client can't write a statement that collides
-	// with another one. It means nothing to another process.
+	// with another one. Other processes have other fingerprints of the same normal form.
 	Fingerprint [2]uint64
 	// NormalForm is the normal form: the statement without values, comments, case and spacing,
 	// and with lists of alternatives and rows of values folded into one. The number in the
@@ -71,20 +68,23 @@
 	NormalForm []byte
 	// Truncated means that the normal form was too long and NormalForm is only its last part. The
 	// fingerprint covers all of it.
-	Truncated  bool
+	Truncated bool
+	Classification
 	Features   Features
 	Slots      []Slot
-	Dataset    int64 // the dataset, as of the function DatasetOf
+	Dataset    int64 // the dataset, as returned by DatasetOf
 	HasDataset bool  // the statement names a dataset
-	// Effect is the result of EffectOf, and FirstWord and MultipleStatements are those of
-	// the function FirstWord, where Analyzer.ClassifyEffect is set. Else Effect is EffectUnknown, the most
-	// cautious.
-	Effect             Verdict
-	FirstWord          string // as written in the text
-	MultipleStatements bool
 	// Restrictions is the number of comparisons between a name and a value, which can narrow
 	// the result.
 	Restrictions int
 	// Unrestricted means that a restriction holds for all rows, as in NULL IS NULL OR a = 1.
 	Unrestricted bool
 }
+
+// Classification is the part of an Analysis that is filled in only if Analyzer.ClassifyEffect is set.
+// Its zero value has the most cautious effect, EffectUnknown.
+type Classification struct {
+	Effect             Verdict // as returned by EffectOf
+	FirstWord          string  // as returned by the function FirstWord, but in the case of the text
+	MultipleStatements bool    // the text holds more than one statement
+}
--- a/internal/sqltext/analyzer.go
+++ b/internal/sqltext/analyzer.go
@@ -1,44 +1,32 @@
 package sqltext
 
-import "hash/maphash"
-
-// Analyzer analyzes statements. It allocates only while its buffer grows, and belongs to
-// one goroutine.
+// Analyzer analyzes statements. It allocates only when its buffer grows. It may be used by one
+// goroutine at a time.
 type Analyzer struct {
 	// ClassifyEffect enables the classification of effects.
 	ClassifyEffect bool
 	// ReadOnlyFunctions are read-only functions beside PostgreSQL's own.
 	ReadOnlyFunctions Functions
 
-	seeds        [2]maphash.Seed
-	prefixHashes [2]maphash.Hash // of the parts of a long normal form that left the buffer
-	buffer       []byte
-	slots        [maxSlots]Slot
-	lists        [maxNestedLists]foldedList
-	// These two are not part of the pass, which is cleared for each statement.
+	hasher fingerprintHasher
+	buffer []byte // of the normal form
+
+	// These are not part of the pass, which is cleared for each statement: clearing them too
+	// would cost more than most statements do.
+	slots  slotBuffer
+	lists  listStack
 	effect effectClassifier
 	result Analysis
 }
 
-// NewAnalyzer returns an analyzer with seeds of its own.
-func NewAnalyzer() *Analyzer {
-	return &Analyzer{seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}}
-}
+// NewAnalyzer returns an analyzer with random seeds.
+func NewAnalyzer() *Analyzer { return &Analyzer{hasher: newFingerprintHasher()} }
 
-const (
-	// maxRetainedBuffer is the largest buffer that an analyzer keeps for the next statement.
-	maxRetainedBuffer = 64 << 10
-	// maxPendingNormalForm is the length from which on a normal form is hashed in parts.
-	maxPendingNormalForm = 16 << 10
-)
+// maxRetainedBuffer is the largest buffer, in bytes, that an analyzer keeps for the next statement.
+const maxRetainedBuffer = 64 << 10
 
 // Fingerprint returns the fingerprint of a normal form that is not truncated.
-func (a *Analyzer) Fingerprint(normalForm string) (fingerprint [2]uint64) {
-	for i, seed := range a.seeds {
-		fingerprint[i] = maphash.String(seed, normalForm)
-	}
-	return fingerprint
-}
+func (a *Analyzer) Fingerprint(normalForm string) [2]uint64 { return a.hasher.ofString(normalForm) }
 
 // Analyze analyzes a statement. The result is valid until the next call.
 func (a *Analyzer) Analyze(stmt string) *Analysis {
@@ -47,53 +35,40 @@
 	}
 	a.buffer = a.buffer[:0]
 	a.result = Analysis{}
-	p := pass{lexer: Lexer{Src: stmt}, analyzer: a, result: &a.result, normalForm: a.buffer}
+	a.slots.count = 0
+	a.lists.count = 0
 	if a.ClassifyEffect {
 		a.effect = effectClassifier{readOnly: a.ReadOnlyFunctions}
 	}
-	for t := p.lexer.Next(); t.Kind != EndOfText; t = p.lexer.Next() {
-		if a.ClassifyEffect {
-			p.trackStatements(t)
-			if !a.effect.decided() {
-				a.effect.token(&p.lexer, t)
-			}
-		}
-		p.token(t)
-	}
-	if a.ClassifyEffect {
-		a.result.Effect = a.effect.verdict(&p.lexer)
+	pass := analysisPass{
+		lexer:  Lexer{Src: stmt},
+		result: &a.result,
+		hasher: &a.hasher,
+		slots:  &a.slots,
+		lists:  &a.lists,
+		normal: normalForm{text: a.buffer},
 	}
-	p.endLists(-1)
-	p.trimSpace()
-	p.hashNormalForm()
-	a.buffer = p.normalForm
-	a.result.NormalForm = p.normalForm
-	a.result.Slots = a.slots[:p.slotCount]
-	a.result.Dataset, a.result.HasDataset = p.dataset.dataset, p.dataset.found
+	a.run(&pass)
+	a.buffer = pass.normal.text
 	return &a.result
 }
 
-// hashPrefix hashes the buffered part of a long normal form and empties the buffer.
-func (p *pass) hashPrefix() {
-	a := p.analyzer
-	for i := range a.prefixHashes {
-		if !p.result.Truncated {
-			a.prefixHashes[i].SetSeed(a.seeds[i])
+// run passes all tokens of a statement to the pass and, where that is enabled, to the classifier.
+func (a *Analyzer) run(pass *analysisPass) {
+	var statements statementCounter
+	for t := pass.lexer.Next(); t.Kind != EndOfText; t = pass.lexer.Next() {
+		if a.ClassifyEffect {
+			statements.token(&pass.lexer, t)
+			if !a.effect.decided() {
+				a.effect.token(&pass.lexer, t)
+			}
 		}
-		_, _ = a.prefixHashes[i].Write(p.normalForm) // it never fails
+		pass.token(t)
 	}
-	p.normalForm, p.result.Truncated = p.normalForm[:0], true
-}
-
-// hashNormalForm sets the fingerprint.
-func (p *pass) hashNormalForm() {
-	a := p.analyzer
-	for i, seed := range a.seeds {
-		if p.result.Truncated {
-			_, _ = a.prefixHashes[i].Write(p.normalForm) // it never fails
-			p.result.Fingerprint[i] = a.prefixHashes[i].Sum64()
-		} else {
-			p.result.Fingerprint[i] = maphash.Bytes(seed, p.normalForm)
-		}
+	if a.ClassifyEffect {
+		a.result.Effect = a.effect.verdict(&pass.lexer)
+		a.result.FirstWord = statements.firstWord
+		a.result.MultipleStatements = statements.multiple
 	}
+	pass.finish()
 }
--- a/internal/sqltext/binds.go
+++ b/internal/sqltext/binds.go
@@ -9,8 +9,11 @@
 	TypeOIDs []byte   // type OIDs of four bytes each, as of Parse or the engine; may be shorter than Values
 }
 
-// binaryFormat is the format code of binary values.
-const binaryFormat = 1
+const (
+	formatSize   = 2 // size in bytes of a format code
+	typeOIDSize  = 4 // size in bytes of a type OID
+	binaryFormat = 1 // the format code of binary values
+)
 
 // parameter returns the value of a parameter. ok is false where none is bound.
 func (b *Binds) parameter(number int32) (value []byte, binaryForm, ok bool) {
@@ -18,11 +21,11 @@
 	if n < 1 || n > len(b.Values) {
 		return nil, false, false
 	}
-	switch formats := b.Formats; {
-	case len(formats) == 2:
-		binaryForm = formats[1] == binaryFormat
-	case len(formats) >= 2*n:
-		binaryForm = formats[2*n-1] == binaryFormat
+	switch {
+	case len(b.Formats) == formatSize: // one for all values
+		binaryForm = b.Formats[formatSize-1] == binaryFormat
+	case len(b.Formats) >= formatSize*n:
+		binaryForm = b.Formats[formatSize*n-1] == binaryFormat
 	}
 	return b.Values[n-1], binaryForm, true
 }
@@ -30,10 +33,10 @@
 // typeOID returns the type of a parameter, or 0 where it is unknown.
 func (b *Binds) typeOID(number int32) uint32 {
 	n := int(number)
-	if n < 1 || len(b.TypeOIDs) < 4*n {
+	if n < 1 || len(b.TypeOIDs) < typeOIDSize*n {
 		return 0
 	}
-	return binary.BigEndian.Uint32(b.TypeOIDs[4*n-4:])
+	return binary.BigEndian.Uint32(b.TypeOIDs[typeOIDSize*(n-1):])
 }
 
 // slotValue is the value of a slot in one execution.
@@ -49,7 +52,8 @@
 // slotValue returns the value of a slot of the statement.
 func (b *Binds) slotValue(stmt string, slot *Slot) (v slotValue) {
 	if slot.Parameter <= 0 {
-		v.text, v.known = stmt[slot.From:slot.To], true
+		v.text = stmt[slot.From:slot.To]
+		v.known = true
 		return v
 	}
 	v.bound, v.binaryForm, v.known = b.parameter(slot.Parameter)
--- a/internal/sqltext/chars.go
+++ b/internal/sqltext/chars.go
@@ -11,48 +11,65 @@
 	charNonASCII
 )
 
+const (
+	// lowerCaseBit is the bit by which a lower-case ASCII letter differs from the upper-case one.
+	lowerCaseBit = 0x20
+	// firstNonASCII is the first byte value that is not ASCII.
+	firstNonASCII = 0x80
+)
+
+// byteValues is the number of values of a byte.
+const byteValues = 256
+
 // charClasses holds the classes of each byte.
-var charClasses = func() (t [256]uint8) {
+var charClasses = func() (classes [byteValues]uint8) {
 	for _, c := range " \t\r\n\f\v" {
-		t[c] |= charSpace
+		classes[c] |= charSpace
 	}
-	for c := range 256 {
+	for c := range byteValues {
 		switch {
-		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c == '_', c >= 0x80:
-			t[c] |= charNameStart | charName
+		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c == '_', c >= firstNonASCII:
+			classes[c] |= charNameStart | charName
 		case c >= '0' && c <= '9':
-			t[c] |= charDigit | charName
+			classes[c] |= charDigit | charName
 		case c == '$':
-			t[c] |= charName
+			classes[c] |= charName
 		}
 	}
 	for c := 'A'; c <= 'Z'; c++ {
-		t[c] |= charUpper
+		classes[c] |= charUpper
 	}
-	for c := 0x80; c < 256; c++ {
-		t[c] |= charNonASCII
+	for c := firstNonASCII; c < byteValues; c++ {
+		classes[c] |= charNonASCII
 	}
 	for _, c := range "~!@#^&|`?+-*/%<>=" {
-		t[c] |= charOperator
+		classes[c] |= charOperator
 	}
-	return t
+	return classes
 }()
 
 // foldedChars holds the lower case of each byte that may be part of a name, and 0 for others.
-var foldedChars = func() (t [256]uint8) {
-	for c := range t {
+var foldedChars = func() (folded [byteValues]uint8) {
+	for c := range folded {
 		if charClasses[c]&charName != 0 {
-			t[c] = uint8(c)
+			folded[c] = uint8(c)
 		}
 		if c >= 'A' && c <= 'Z' {
-			t[c] |= 0x20
+			folded[c] |= lowerCaseBit
 		}
 	}
-	return t
+	return folded
 }()
 
+// decimal is the base of the numbers that are parsed and formatted here.
+const decimal = 10
+
 func isDigit(c byte) bool { return charClasses[c]&charDigit != 0 }
-func isHex(c byte) bool   { return isDigit(c) || c|0x20 >= 'a' && c|0x20 <= 'f' }
+
+func isHexDigit(c byte) bool {
+	letter := c | lowerCaseBit
+	return isDigit(c) || letter >= 'a' && letter <= 'f'
+}
 
 // equalFold reports whether a text equals a lower-case name, regardless of case.
 func equalFold(s, lower string) bool { return len(s) == len(lower) && matchesFolded(s, lower) }
--- a/internal/sqltext/dataset.go
+++ b/internal/sqltext/dataset.go
@@ -23,13 +23,14 @@
 // datasetFinder finds the dataset in a sequence of tokens.
 type datasetFinder struct {
 	dataset        int64
-	found, certain bool // certain: the name was in the position of a table
+	found          bool
+	certain        bool // the name was in the position of a table
 	afterTableWord bool // the name of a table is expected
 	previousName   Token
 	previousKind   Kind
 }
 
-// token takes the next token, and reports whether the result is final.
+// token adds the next token, and reports whether the result is final.
 func (f *datasetFinder) token(l *Lexer, t Token) (done bool) {
 	if f.certain {
 		return true
@@ -37,7 +38,8 @@
 	switch t.Kind {
 	case Identifier, QuotedIdentifier:
 		if f.previousKind != Dot && t.class()&tableWord != 0 {
-			f.afterTableWord, f.previousKind = true, Operator
+			f.afterTableWord = true
+			f.previousKind = Operator
 			return false
 		}
 		f.previousName = t // of a.b.c, the last but one is the schema
@@ -53,11 +55,13 @@
 	return f.certain
 }
 
-// schema takes a name that qualifies another one.
+// schema adds a name that qualifies another one.
 func (f *datasetFinder) schema(name string) {
 	dataset, ok := schemaDataset(name)
 	if ok && (f.afterTableWord || !f.found) {
-		f.dataset, f.found, f.certain = dataset, true, f.afterTableWord
+		f.dataset = dataset
+		f.found = true
+		f.certain = f.afterTableWord
 	}
 }
 
@@ -75,7 +79,7 @@
 		if c < '0' || c > '9' {
 			return 0, false
 		}
-		dataset = dataset*10 + int64(c-'0')
+		dataset = dataset*decimal + int64(c-'0')
 	}
 	return dataset, true
 }
--- a/internal/sqltext/doc.go
+++ b/internal/sqltext/doc.go
@@ -1,8 +1,13 @@
-// Package sqltext extracts what the proxy needs of a statement without parsing SQL: its
-// tokens by PostgreSQL's lexical rules, what it may do, the dataset that it touches, its
-// fingerprint, and what its values indicate of its result's size. All of it is built on one Lexer, takes
-// time linear in the length of the text and, apart from results that are strings of their
-// own, allocates nothing.
+// Package sqltext extracts from a statement, without parsing SQL, what the proxy needs:
+//
+//   - its tokens by PostgreSQL's lexical rules (Lexer);
+//   - whether it may write (EffectOf);
+//   - the dataset that it touches (DatasetOf);
+//   - its normal form with a fingerprint, and features that indicate its cost (Analyzer);
+//   - what the values of one execution indicate of the size of its result (Profile).
+//
+// All functions take time linear in the length of the text. They allocate nothing except results
+// that are strings of their own. An Analyzer does all of it in one pass over the tokens.
 //
 // The rules are those of src/backend/parser/scan.l, as documented in chapter 4.1 ("Lexical
 // Structure") of the PostgreSQL manual. Where versions differ (a number followed by a
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -40,19 +40,20 @@
 func (f Functions) has(name string) bool { return f[name] || f[strings.ToLower(name)] }
 
 // EffectOf classifies a statement, and errs on the side of writing: it is read-only only if
-// its first word begins a read-only statement, no word of it writes or locks, and all functions and operators
-// that it names are known to be read-only. readOnly names functions beside PostgreSQL's own.
+// its first word begins a read-only statement, no word of it writes or locks, and all functions
+// and operators that it names are known to be read-only. readOnly names functions beside
+// PostgreSQL's own.
 //
-// What the text doesn't show is not detected: a view or an operator over a function that
+// Writes that the text doesn't show are not detected: a view or an operator over a function that
 // writes, a cast with a function of its own, and a column that is a function (t.f).
 func EffectOf(stmt string, readOnly Functions) Verdict {
 	l := Lexer{Src: stmt}
-	c := effectClassifier{readOnly: readOnly}
+	classifier := effectClassifier{readOnly: readOnly}
 	for t := l.Next(); t.Kind != EndOfText; t = l.Next() {
-		c.token(&l, t)
-		if c.decided() {
-			return c.worst
+		classifier.token(&l, t)
+		if classifier.decided() {
+			return classifier.worst
 		}
 	}
-	return c.verdict(&l)
+	return classifier.verdict(&l)
 }
--- a/internal/sqltext/effect_call.go
+++ b/internal/sqltext/effect_call.go
@@ -3,20 +3,18 @@
 import "strings"
 
 // leftParen classifies a parenthesis, which begins a call behind the name of a function.
-func (c *effectClassifier) leftParen(l *Lexer) {
-	if !c.begun || c.inOptions || c.planOnly || !c.beginsCall() {
+func (c *effectClassifier) leftParen(lexer *Lexer) {
+	if c.phase != executed || !c.beginsCall() {
 		return
 	}
-	name := l.Text(c.previous)
+	name := lexer.Text(c.previous)
 	quoted := c.previous.Kind == QuotedIdentifier
 	if quoted {
 		name = unquoteIdentifier(name)
 	}
 	if c.qualified() {
-		if schema := unquoteIdentifier(l.Text(c.previousSchema)); !equalFold(schema, "pg_catalog") {
-			if name = schema + "." + name; !c.readOnly.has(name) {
-				c.report(EffectUnknown, name, unknownFunction)
-			}
+		if schema := unquoteIdentifier(lexer.Text(c.previousSchema)); !equalFold(schema, "pg_catalog") {
+			c.qualifiedCall(schema + "." + name)
 			return
 		}
 	}
@@ -26,6 +24,14 @@
 	}
 }
 
+// qualifiedCall classifies a call of a function of another schema than pg_catalog.
+func (c *effectClassifier) qualifiedCall(name string) {
+	if !c.readOnly.has(name) {
+		c.report(EffectUnknown, name, unknownFunction)
+	}
+}
+
+// unknownFunction is the reason for which a call has no known effect.
 const unknownFunction = "a function not known to read only"
 
 // qualified reports whether the previous name has a schema.
@@ -48,18 +54,17 @@
 // inAlias reports whether a parenthesis holds the columns of an alias.
 func (c *effectClassifier) inAlias() bool {
 	return c.keywordBefore == keywordAs ||
-		c.kindBefore == RightParen && !c.distinctOn && c.previousClass&(reservedWord|infixWord) == 0
+		c.kindBefore == RightParen && !c.hasDistinctOn && c.previousClass&(reservedWord|infixWord) == 0
 }
 
 // wordBeginsCall reports whether a parenthesis behind an unquoted, unqualified word may
 // begin a call.
 func (c *effectClassifier) wordBeginsCall() bool {
-	if c.previousClass&(reservedWord|typeWord) != 0 || c.afterCTEName {
+	if c.previousClass&(reservedWord|typeWord) != 0 || c.ctes.afterName {
 		return false
 	}
-	switch c.previousKeyword {
-	case keywordOver, keywordFilter:
-		return c.kindBefore != RightParen // behind a call, it belongs to that
+	if c.previousKeyword == keywordOver || c.previousKeyword == keywordFilter {
+		return c.kindBefore != RightParen // behind a call, it belongs to that call
 	}
 	if c.previousClass&infixWord != 0 {
 		return !c.afterOperand()
@@ -73,8 +78,9 @@
 		return c.keywordBefore != keywordFetch
 	case keywordMaterialized:
 		return c.keywordBefore != keywordAs && c.keywordBefore != keywordNot
+	default:
+		return true
 	}
-	return true
 }
 
 // afterOperand reports whether the previous word follows an operand, or a word that can't
@@ -87,10 +93,12 @@
 		if c.keywordBefore == keywordNone {
 			return true
 		}
+	default:
 	}
 	switch c.keywordBefore {
 	case keywordNot, keywordNatural, keywordNull, keywordTrue, keywordFalse:
 		return true
+	default:
+		return false
 	}
-	return false
 }
--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -5,28 +5,45 @@
 	"unicode/utf8"
 )
 
+// classifierPhase is how far the classifier is in a text, and whether the statement will be executed.
+//
+//	beforeFirstWord --EXPLAIN--> planOptions --another word--> planOnly
+//	beforeFirstWord --another word--> executed
+//	planOptions --ANALYZE--> executeOptions --another word--> executed
+type classifierPhase uint8
+
+const (
+	beforeFirstWord classifierPhase = iota
+	planOptions                     // among the options of EXPLAIN, none of which has executed the statement so far
+	executeOptions                  // among the options of EXPLAIN, behind ANALYZE
+	planOnly                        // in a statement that is only planned
+	executed                        // in a statement that is executed
+)
+
+// onlyPlans reports whether the statement is not executed, as far as the options so far show.
+func (p classifierPhase) onlyPlans() bool { return p == planOptions || p == planOnly }
+
+// inOptions reports whether the options of EXPLAIN may continue.
+func (p classifierPhase) inOptions() bool { return p == planOptions || p == executeOptions }
+
 // effectClassifier classifies a sequence of tokens.
 type effectClassifier struct {
 	readOnly Functions
 	worst    Verdict // the first that is not EffectReads; EffectWrites takes precedence over EffectUnknown
+	phase    classifierPhase
+	depth    int // of parentheses
+
+	// The last tokens. A name qualified by a schema counts as one token, except in kindBefore.
+	previous        Token
+	previousSchema  Token // of previous, where that is qualified
+	previousClass   keywordClass
+	previousKeyword keyword
+	previousKind    Kind
+	keywordBefore   keyword // of the token before previous
+	kindBefore      Kind
 
-	begun     bool // the first word was read
-	planOnly  bool // behind EXPLAIN, and no option so far executes the statement
-	inOptions bool // between EXPLAIN and its statement
-	depth     int  // of parentheses
-
-	// The last tokens. A name qualified by a schema counts as one, apart from kindBefore.
-	previous                       Token
-	previousSchema                 Token // of previous, where that is qualified
-	previousClass                  keywordClass
-	previousKeyword, keywordBefore keyword
-	previousKind, kindBefore       Kind
-
-	distinctOn bool // the statement has a DISTINCT ON: a call may follow a parenthesis
-	// cteLists and cteNameNext have a bit for each depth. The former is set within a list of
-	// common table expressions, the latter where the next name begins one.
-	cteLists, cteNameNext uint64
-	afterCTEName          bool // previous is the name of a common table expression
+	hasDistinctOn bool // the statement has a DISTINCT ON: a call may follow a parenthesis
+	ctes          cteTracker
 }
 
 // decided reports whether no further token can change the verdict.
@@ -40,76 +57,79 @@
 	}
 }
 
-// depthBit returns the bit of a depth. Deeper lists than 64 are not tracked; their columns
-// look like calls, which errs on the side of writing.
-func depthBit(depth int) uint64 {
-	if depth < 0 || depth > 63 {
-		return 0
-	}
-	return 1 << depth
-}
-
-// token takes the next token.
-func (c *effectClassifier) token(l *Lexer, t Token) {
-	word, class := t.keyword(), t.class()
+// token adds the next token.
+func (c *effectClassifier) token(lexer *Lexer, t Token) {
+	word := t.keyword()
+	class := t.class()
 	schema := Token{}
 	switch t.Kind {
 	case Identifier, QuotedIdentifier:
 		if c.previousKind == Dot { // part of a qualified name
-			word, class = keywordNone, 0
+			word = keywordNone
+			class = 0
 			if c.kindBefore == Identifier || c.kindBefore == QuotedIdentifier {
 				schema = c.previous
 			}
 		}
-		c.identifier(l, t, word, class)
+		c.identifier(lexer, t, word, class)
 	case LeftParen:
-		c.leftParen(l)
+		c.leftParen(lexer)
 		c.depth++
-		c.cteLists &^= depthBit(c.depth)
-		c.cteNameNext &^= depthBit(c.depth)
+		c.ctes.enter(c.depth)
 	case RightParen:
 		c.depth--
 	case Comma:
-		if c.cteLists&depthBit(c.depth) != 0 {
-			c.cteNameNext |= depthBit(c.depth)
-		}
+		c.ctes.comma(c.depth)
 	case Operator:
-		if !isReadOnlyOperator(l.Text(t)) {
-			c.report(EffectUnknown, l.Text(t), "an operator that is not known")
+		if !isReadOnlyOperator(lexer.Text(t)) {
+			c.report(EffectUnknown, lexer.Text(t), "an operator that is not known")
 		}
+	default: // other tokens have no effect
 	}
+	c.remember(t, word, class, schema)
+}
+
+// remember makes a token the previous one.
+func (c *effectClassifier) remember(t Token, word keyword, class keywordClass, schema Token) {
+	c.kindBefore = c.previousKind
+	c.previousKind = t.Kind
 	if t.Kind == Dot { // the name continues
-		c.kindBefore, c.previousKind = c.previousKind, Dot
 		return
 	}
-	c.keywordBefore, c.previousKeyword = c.previousKeyword, word
-	c.kindBefore, c.previousKind = c.previousKind, t.Kind
-	c.previousClass, c.previous, c.previousSchema = class, t, schema
+	c.keywordBefore = c.previousKeyword
+	c.previousKeyword = word
+	c.previousClass = class
+	c.previous = t
+	c.previousSchema = schema
 }
 
-// identifier takes a key word or a name.
-func (c *effectClassifier) identifier(l *Lexer, t Token, word keyword, class keywordClass) {
-	c.afterCTEName = false
-	text := l.Text(t)
-	beginsStatement := !c.begun || c.previousKind == LeftParen
-	if !c.begun {
-		c.begun = true
+// identifier adds a key word or a name.
+func (c *effectClassifier) identifier(lexer *Lexer, t Token, word keyword, class keywordClass) {
+	c.ctes.afterName = false
+	text := lexer.Text(t)
+	beginsStatement := c.phase == beforeFirstWord || c.previousKind == LeftParen
+	if c.phase == beforeFirstWord {
 		c.firstToken(text, t.Kind, word, class)
-	} else if c.inOptions {
+	} else if c.phase.inOptions() {
 		c.explainOption(text, t.Kind, class)
-		beginsStatement = beginsStatement || !c.inOptions
+		beginsStatement = beginsStatement || !c.phase.inOptions()
 	}
-	if word == keywordNone && class == 0 && c.cteNameNext == 0 {
+	if word == keywordNone && class == 0 && c.ctes.nameExpected == 0 {
 		return // a plain name changes nothing below
 	}
-	if class&writingWord != 0 && c.previousKeyword != keywordAs && !c.planOnly && c.previous.Kind != EndOfText {
+	isFirstToken := c.previous.Kind == EndOfText
+	if class&writingWord != 0 && c.previousKeyword != keywordAs && !c.phase.onlyPlans() && !isFirstToken {
 		c.report(EffectWrites, text, "it writes")
 	}
-	c.trackCTEs(word, class, beginsStatement)
-	if c.previousKeyword == keywordFor && !c.planOnly {
+	if word == keywordOn && c.previousKeyword == keywordDistinct && !c.ctes.isNameExpected(c.depth) {
+		c.hasDistinctOn = true
+	}
+	c.ctes.word(c.depth, word, class, c.previousKeyword, beginsStatement)
+	if c.previousKeyword == keywordFor && !c.phase.onlyPlans() {
 		switch word {
 		case keywordUpdate, keywordNo, keywordShare, keywordKey:
 			c.report(EffectWrites, "FOR "+strings.ToUpper(text), "it locks rows")
+		default:
 		}
 	}
 	if word == keywordOperator {
@@ -117,29 +137,14 @@
 	}
 }
 
-// trackCTEs tracks lists of common table expressions, and DISTINCT ON.
-func (c *effectClassifier) trackCTEs(word keyword, class keywordClass, beginsStatement bool) {
-	bit := depthBit(c.depth)
-	switch {
-	case word == keywordWith && beginsStatement: // else it is WITH ORDINALITY, WITH TIES or the like
-		c.cteLists |= bit
-		c.cteNameNext |= bit
-	case word == keywordRecursive && c.previousKeyword == keywordWith:
-	case c.cteNameNext&bit != 0:
-		c.cteNameNext &^= bit
-		c.afterCTEName = true
-	case class&(readingWord|writingWord) != 0:
-		c.cteLists &^= bit
-	case word == keywordOn && c.previousKeyword == keywordDistinct:
-		c.distinctOn = true
-	}
-}
-
 // firstToken classifies the first word or name of the text.
 func (c *effectClassifier) firstToken(text string, kind Kind, word keyword, class keywordClass) {
+	if word == keywordExplain {
+		c.phase = planOptions
+		return
+	}
+	c.phase = executed
 	switch {
-	case word == keywordExplain:
-		c.planOnly, c.inOptions = true, true
 	case class&readingWord != 0:
 	case class&writingWord != 0:
 		c.report(EffectWrites, text, "it writes")
@@ -164,20 +169,24 @@
 	c.report(EffectUnknown, text, "it begins no statement that is known to read")
 }
 
-// explainOption takes a word between EXPLAIN and its statement. ANALYZE in any form
+// explainOption classifies a word between EXPLAIN and its statement. ANALYZE in any form
 // executes the statement. A word that is not known as an option begins the statement.
 func (c *effectClassifier) explainOption(text string, kind Kind, class keywordClass) {
 	name := unquoteIdentifier(text)
 	if strings.EqualFold(name, "analyze") || strings.EqualFold(name, "analyse") {
-		c.planOnly = false
+		c.phase = executeOptions
 		return
 	}
 	if c.depth > 0 && class&readingWord == 0 || strings.EqualFold(text, "verbose") {
 		return
 	}
-	c.inOptions = false
+	if c.phase == planOptions {
+		c.phase = planOnly
+		return
+	}
+	c.phase = executed
 	switch {
-	case class&readingWord != 0 || c.planOnly:
+	case class&readingWord != 0:
 	case class&writingWord != 0:
 		c.report(EffectWrites, text, "EXPLAIN ANALYZE runs it")
 	default:
@@ -185,22 +194,31 @@
 	}
 }
 
+// flawReasons are the reasons for which a text with a flaw has no known effect, the most important first.
+var flawReasons = []struct {
+	flaw   Flaw
+	reason string
+}{
+	{Unterminated, "a string, a name or a comment in it does not end"},
+	{BackslashQuote, "a backslash before a quote reads differently without standard_conforming_strings"},
+	{UnicodeEscape, "U& hides what it spells"},
+	{InvalidCharacter, "a character in it is of no statement"},
+}
+
 // verdict returns the result at the end of the text.
-func (c *effectClassifier) verdict(l *Lexer) Verdict {
-	switch {
-	case c.worst.Reason != "":
+func (c *effectClassifier) verdict(lexer *Lexer) Verdict {
+	if c.worst.Reason != "" {
 		return c.worst
-	case !c.begun:
+	}
+	if c.phase == beforeFirstWord {
 		return Verdict{Effect: EffectUnknown, Reason: "no word begins it"}
-	case l.Flaws&Unterminated != 0:
-		return Verdict{Effect: EffectUnknown, Reason: "a string, a name or a comment in it does not end"}
-	case l.Flaws&BackslashQuote != 0:
-		return Verdict{Effect: EffectUnknown, Reason: "a backslash before a quote reads differently without standard_conforming_strings"}
-	case l.Flaws&UnicodeEscape != 0:
-		return Verdict{Effect: EffectUnknown, Reason: "U& hides what it spells"}
-	case l.Flaws&InvalidCharacter != 0:
-		return Verdict{Effect: EffectUnknown, Reason: "a character in it is of no statement"}
-	case l.Flaws&NonASCII != 0 && !utf8.ValidString(l.Src):
+	}
+	for _, known := range flawReasons {
+		if lexer.Flaws&known.flaw != 0 {
+			return Verdict{Effect: EffectUnknown, Reason: known.reason}
+		}
+	}
+	if lexer.Flaws&NonASCII != 0 && !utf8.ValidString(lexer.Src) {
 		return Verdict{Effect: EffectUnknown, Reason: "it is not UTF-8"}
 	}
 	return Verdict{Effect: EffectReads, Reason: "all its words and functions read"}
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -8,7 +8,7 @@
 )
 
 // A statement that may write is never classified as read-only, however it is written.
-func TestEffect(t *testing.T) {
+func TestEffectOf_NeverReadsWhereStatementMayWrite(t *testing.T) {
 	more := Functions{"stock.price_of": true, "is_open": true}
 	for stmt, want := range map[string]Effect{
 		"DELETE FROM t":                EffectWrites,
@@ -50,24 +50,30 @@
 		"EXPLAIN ANALYZE SELECT evil()":                           EffectUnknown,
 		"EXPLAIN ANALYZE EXECUTE p":                               EffectUnknown,
 		"DO $$ BEGIN DELETE FROM t; END $$":                       EffectUnknown,
-		"CALL f()":                                                EffectUnknown, "EXECUTE p": EffectUnknown, "NOTIFY x": EffectUnknown, "": EffectUnknown, "xyz": EffectUnknown,
-		"SELECT 'open":                     EffectUnknown,
-		"SELECT 1 /* open":                 EffectUnknown,
-		"SELECT 'a\\' || 'b'":              EffectUnknown,
-		"SELECT U&'\\0061'":                EffectUnknown,
-		"SELECT U&\"\\0073etval\"('s', 1)": EffectUnknown,
-		"SELECT a OPERATOR(evil.+) b":      EffectUnknown,
-		"SELECT a <<<>>> b":                EffectUnknown,
-		"SELECT '\xff'":                    EffectUnknown,
-		"SELECT query_to_xml('DELETE FROM t', true, true, '')": EffectUnknown,
+		"CALL f()":                                                EffectUnknown,
+		"EXECUTE p":                                               EffectUnknown,
+		"NOTIFY x":                                                EffectUnknown,
+		"":                                                        EffectUnknown,
+		"xyz":                                                     EffectUnknown,
+		"SELECT 'open":                                            EffectUnknown,
+		"SELECT 1 /* open":                                        EffectUnknown,
+		"SELECT 'a\\' || 'b'":                                     EffectUnknown,
+		"SELECT U&'\\0061'":                                       EffectUnknown,
+		"SELECT U&\"\\0073etval\"('s', 1)":                        EffectUnknown,
+		"SELECT a OPERATOR(evil.+) b":                             EffectUnknown,
+		"SELECT a <<<>>> b":                                       EffectUnknown,
+		"SELECT '\xff'":                                           EffectUnknown,
+		"SELECT query_to_xml('DELETE FROM t', true, true, '')":    EffectUnknown,
 
 		"SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day": EffectReads,
 		"select pg_catalog.now(), is_open(x), Stock.Price_Of(y) from t":                        EffectReads,
 		"(SELECT 1) UNION ALL (SELECT 2)":                                                      EffectReads,
-		"VALUES (1), (2)":                                                                      EffectReads, "TABLE t": EffectReads, "SHOW timezone": EffectReads,
-		"EXPLAIN DELETE FROM t":              EffectReads,
-		"EXPLAIN (COSTS off) SELECT evil()":  EffectReads,
-		"EXPLAIN ANALYZE VERBOSE (SELECT 1)": EffectReads,
+		"VALUES (1), (2)":                                                                      EffectReads,
+		"TABLE t":                                                                              EffectReads,
+		"SHOW timezone":                                                                        EffectReads,
+		"EXPLAIN DELETE FROM t":                                                                EffectReads,
+		"EXPLAIN (COSTS off) SELECT evil()":                                                    EffectReads,
+		"EXPLAIN ANALYZE VERBOSE (SELECT 1)":                                                   EffectReads,
 		"WITH a (x, y) AS MATERIALIZED (SELECT 1, 2), b(z) AS (SELECT 3) SELECT * FROM a":               EffectReads,
 		"SELECT t.update, 'DELETE', \"insert\" AS delete FROM t -- INSERT":                              EffectReads,
 		"SELECT a::numeric(10,2), CAST(b AS varchar(3)) FROM t AS u(a, b)":                              EffectReads,
@@ -82,17 +88,20 @@
 		if got.Effect != want {
 			t.Errorf("%s: %v (%v), want %v", stmt, got.Effect, got, want)
 		}
-		r := NewAnalyzer()
-		r.ClassifyEffect, r.ReadOnlyFunctions = true, more
-		if also := r.Analyze(stmt).Effect; also != got {
-			t.Errorf("%s: %v on the way, %v by itself", stmt, also, got)
+		analyzer := NewAnalyzer()
+		analyzer.ClassifyEffect = true
+		analyzer.ReadOnlyFunctions = more
+		if analyzed := analyzer.Analyze(stmt).Effect; analyzed != got {
+			t.Errorf("%s: %v by Analyze, %v by EffectOf", stmt, analyzed, got)
 		}
 	}
 }
 
 // A lock at the end of a long or deeply nested text is detected.
-func TestEffectOfLongText(t *testing.T) {
-	for _, fill := range []string{"(", "[", "a,", "'x' ", "/* */", "E'\\\\' ", "$$x$$ ", "1.", "\"q\"", "WITH a AS (", "f.", "'a'\n"} {
+func TestEffectOf_FindsLockBehindLongText(t *testing.T) {
+	for _, fill := range []string{
+		"(", "[", "a,", "'x' ", "/* */", "E'\\\\' ", "$$x$$ ", "1.", "\"q\"", "WITH a AS (", "f.", "'a'\n",
+	} {
 		text := "SELECT " + strings.Repeat(fill, 1<<20/len(fill)) + " 1 FOR UPDATE"
 		if got := EffectOf(text, nil); got.Effect == EffectReads {
 			t.Errorf("%d bytes of %q: %v", len(text), fill, got)
@@ -103,8 +112,11 @@
 // Tokens lie within the text, in order and without overlap, and no statement that locks rows
 // at its end is classified as read-only.
 func FuzzLexer(f *testing.F) {
-	for _, s := range []string{"SELECT 'a''b', $x$ y $x$ FROM s_1.t -- c\n/* d /* e */", "E'\\", "$a$", "U&\"x", "1..2", "a<--b\r'c'\n'd'", "::=:", "$1$$x$$"} {
-		f.Add(s)
+	for _, stmt := range []string{
+		"SELECT 'a''b', $x$ y $x$ FROM s_1.t -- c\n/* d /* e */", "E'\\", "$a$", "U&\"x", "1..2", "a<--b\r'c'\n'd'",
+		"::=:", "$1$$x$$",
+	} {
+		f.Add(stmt)
 	}
 	f.Fuzz(func(t *testing.T, stmt string) {
 		l := Lexer{Src: stmt}
@@ -123,7 +135,8 @@
 		SkipComments(stmt)
 		HasTokenPrefix(stmt, stmt)
 		if EffectOf(stmt, nil).Effect == EffectReads && l.Flaws&^NonASCII == 0 {
-			if got := EffectOf(stmt+"\n FOR UPDATE", nil); got.Effect == EffectReads && !strings.HasPrefix(strings.ToUpper(SkipComments(stmt)), "EXPLAIN") {
+			isExplain := strings.HasPrefix(strings.ToUpper(SkipComments(stmt)), "EXPLAIN")
+			if got := EffectOf(stmt+"\n FOR UPDATE", nil); got.Effect == EffectReads && !isExplain {
 				t.Fatalf("%q reads also with FOR UPDATE behind it", stmt)
 			}
 		}
@@ -132,30 +145,34 @@
 
 // A write is detected whatever comments, spaces and upper-case letters separate its words,
 // and whatever read-only statement encloses it.
-func TestWritesInDisguise(t *testing.T) {
+func TestEffectOf_DetectsDisguisedWrites(t *testing.T) {
 	writes := []string{
-		"DELETE FROM t", "UPDATE t SET a = 1", "INSERT INTO t VALUES ( 1 )", "SELECT a INTO x FROM t", "SELECT setval ( 's' , 1 )",
-		"SELECT a FROM t FOR NO KEY UPDATE", "CALL f ( )", "SELECT public . lower ( 'a' )", "SELECT \"Count\" ( a ) FROM t",
-		"SELECT a FROM t , LATERAL evil ( t . b ) x", "SELECT CASE WHEN evil ( a ) THEN 1 END FROM t", "SELECT a [ evil ( 1 ) ] FROM t",
-		"SELECT DISTINCT ON ( a ) evil ( b ) FROM t", "SELECT a FROM t ORDER BY evil ( a )", "SELECT a FROM t WHERE a IN ( evil ( 1 ) )",
+		"DELETE FROM t", "UPDATE t SET a = 1", "INSERT INTO t VALUES ( 1 )", "SELECT a INTO x FROM t",
+		"SELECT setval ( 's' , 1 )", "SELECT a FROM t FOR NO KEY UPDATE", "CALL f ( )", "SELECT public . lower ( 'a' )",
+		"SELECT \"Count\" ( a ) FROM t", "SELECT a FROM t , LATERAL evil ( t . b ) x",
+		"SELECT CASE WHEN evil ( a ) THEN 1 END FROM t", "SELECT a [ evil ( 1 ) ] FROM t",
+		"SELECT DISTINCT ON ( a ) evil ( b ) FROM t", "SELECT a FROM t ORDER BY evil ( a )",
+		"SELECT a FROM t WHERE a IN ( evil ( 1 ) )",
 	}
 	separators := []string{" ", "\n", "\t", "/**/", "/* a /* b */ 'c */", "--x\n", "-- '\r", " /* ; */ ", "\f"}
 	wraps := []string{
-		"%s", "WITH q AS ( %s ) SELECT 1", "EXPLAIN ANALYZE %s", "EXPLAIN ( ANALYZE , COSTS off ) %s", "explain analyse verbose %s",
-		"SELECT 1 FROM ( %s ) z", "( %s )", "WITH a ( b ) AS ( SELECT 1 ) , q AS MATERIALIZED ( %s ) SELECT 2",
+		"%s", "WITH q AS ( %s ) SELECT 1", "EXPLAIN ANALYZE %s", "EXPLAIN ( ANALYZE , COSTS off ) %s",
+		"explain analyse verbose %s", "SELECT 1 FROM ( %s ) z", "( %s )",
+		"WITH a ( b ) AS ( SELECT 1 ) , q AS MATERIALIZED ( %s ) SELECT 2",
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		text := strings.Replace(rapid.SampledFrom(wraps).Draw(t, "wrap"), "%s", rapid.SampledFrom(writes).Draw(t, "write"), 1)
-		var b strings.Builder
-		for _, word := range strings.Fields(text) {
+		wrap := rapid.SampledFrom(wraps).Draw(t, "wrap")
+		write := rapid.SampledFrom(writes).Draw(t, "write")
+		var stmt strings.Builder
+		for word := range strings.FieldsSeq(strings.Replace(wrap, "%s", write, 1)) {
 			if !strings.ContainsAny(word, "'\"") && rapid.Bool().Draw(t, "small") {
 				word = strings.ToLower(word)
 			}
-			b.WriteString(word)
-			b.WriteString(rapid.SampledFrom(separators).Draw(t, "separator"))
+			stmt.WriteString(word)
+			stmt.WriteString(rapid.SampledFrom(separators).Draw(t, "separator"))
 		}
-		if got := EffectOf(b.String(), nil); got.Effect == EffectReads {
-			t.Fatalf("%q is taken as reading", b.String())
+		if got := EffectOf(stmt.String(), nil); got.Effect == EffectReads {
+			t.Fatalf("%q is classified as read-only", stmt.String())
 		}
 	})
 }
--- a/internal/sqltext/golden_test.go
+++ b/internal/sqltext/golden_test.go
@@ -77,8 +77,8 @@
 // goldenBinds are the bound values of each profile, in text and in binary form.
 func goldenBinds() []*Binds {
 	values := [][]byte{[]byte("{a,\"b,c\",d}"), nil, []byte("2026-01-01")}
-	binary := [][]byte{be(4711, 4), binaryArray(7), be(86400e6*7, 8)}
-	typeOIDs := append(append(be(oidInt4, 4), be(1009, 4)...), be(oidTimestamp, 4)...)
+	binary := [][]byte{bigEndian(4711, 4), binaryArray(7), bigEndian(86400e6*7, 8)}
+	typeOIDs := append(append(bigEndian(oidInt4, 4), bigEndian(1009, 4)...), bigEndian(oidTimestamp, 4)...)
 	return []*Binds{{}, {Values: values}, {Values: binary, Formats: []byte{0, 1}, TypeOIDs: typeOIDs}}
 }
 
--- a/internal/sqltext/keyword_table.go
+++ b/internal/sqltext/keyword_table.go
@@ -10,8 +10,8 @@
 // keywordTableSize is a power of two well above the number of key words.
 const keywordTableSize = 1024
 
-// keywordsByHash is a hash table with linear probing. Its hash is the one that the lexer
-// computes of each name anyway.
+// keywordsByHash is a hash table with linear probing. Its hash is nameHash, which the
+// lexer computes for each name anyway.
 var keywordsByHash = func() (table [keywordTableSize]keywordEntry) {
 	for _, entry := range lexicon {
 		for i := nameHash(entry.text, 0, len(entry.text)); ; i++ {
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -4,7 +4,7 @@
 type keywordClass uint16
 
 const (
-	// reservedWord: the word names no function, so that a parenthesis behind it is no call.
+	// reservedWord: the word names no function, so a parenthesis behind it begins no call.
 	reservedWord keywordClass = 1 << iota
 	// typeWord: the word is a type or a built-in form with a parenthesis behind it, which
 	// can't be the name of a function either.
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -13,7 +13,8 @@
 
 // Next returns the next token. White space and comments before it are skipped.
 func (l *Lexer) Next() Token {
-	src, start := l.Src, l.Pos
+	src := l.Src
+	start := l.Pos
 	if start < len(src) && src[start] == ' ' { // most tokens are one space apart
 		start++
 		l.Pos = start
@@ -45,9 +46,9 @@
 	return l.scanPunctuation()
 }
 
-// singleKinds holds the kinds of the tokens that are always one character long. It is End
-// for all other bytes.
-var singleKinds = [256]Kind{
+// singleKinds holds the kinds of the tokens that are always one character long. It is
+// EndOfText for all other bytes.
+var singleKinds = [byteValues]Kind{
 	'(': LeftParen,
 	')': RightParen,
 	',': Comma,
@@ -59,7 +60,8 @@
 // scanPunctuation scans a token that begins with a character of no class: a double
 // quote, a dollar sign, or a punctuation mark that may be part of a longer token.
 func (l *Lexer) scanPunctuation() Token {
-	src, start := l.Src, l.Pos
+	src := l.Src
+	start := l.Pos
 	switch src[start] {
 	case '"':
 		l.Pos++
@@ -99,16 +101,20 @@
 	return t
 }
 
+// commentMark is the length in bytes of each of the marks --, /* and */.
+const commentMark = 2
+
 // skipSpace skips white space and comments.
 func (l *Lexer) skipSpace() {
-	src, i := l.Src, l.Pos
+	src := l.Src
+	i := l.Pos
 	for i < len(src) {
 		c := src[i]
 		switch {
 		case charClasses[c]&charSpace != 0:
 			i++
 		case c == '-' && i+1 < len(src) && src[i+1] == '-':
-			i = lineCommentEnd(src, i+2)
+			i = lineCommentEnd(src, i+commentMark)
 		case c == '/' && i+1 < len(src) && src[i+1] == '*':
 			end, ok := blockCommentEnd(src, i)
 			if !ok {
@@ -140,10 +146,10 @@
 		switch {
 		case src[i] == '/' && src[i+1] == '*':
 			depth++
-			i += 2
+			i += commentMark
 		case src[i] == '*' && src[i+1] == '/':
 			depth--
-			i += 2
+			i += commentMark
 			if depth == 0 {
 				return i, true
 			}
--- a/internal/sqltext/lexer_identifier.go
+++ b/internal/sqltext/lexer_identifier.go
@@ -5,10 +5,12 @@
 // scanIdentifier scans a key word or a name. A string or a quoted name whose prefix looks
 // like one, such as E'..', is scanned as what it is.
 func (l *Lexer) scanIdentifier() Token {
-	src, start := l.Src, l.Pos
-	i, seen := start, uint8(0)
-	for ; i < len(src); i++ {
-		class := charClasses[src[i]]
+	src := l.Src
+	start := l.Pos
+	end := start
+	seen := uint8(0) // the classes of all characters
+	for ; end < len(src); end++ {
+		class := charClasses[src[end]]
 		if class&charName == 0 {
 			break
 		}
@@ -17,27 +19,27 @@
 	if seen&charNonASCII != 0 {
 		l.Flaws |= NonASCII
 	}
-	l.Pos = i
-	if i-start == 1 && i < len(src) && (src[i] == '\'' || src[i] == '&') {
+	l.Pos = end
+	if end-start == 1 && end < len(src) && (src[end] == '\'' || src[end] == '&') {
 		if t, ok := l.scanPrefixed(start); ok {
 			return t
 		}
 	}
-	info := identifierInfo(nameHash(src, start, i))
+	info := identifierInfo(nameHash(src, start, end))
 	if seen&charUpper != 0 {
 		info |= 1 << infoUpperShift
 	}
-	if i-start <= maxKeywordLength {
-		info |= lookupKeyword(src[start:i], info)
+	if end-start <= maxKeywordLength {
+		info |= lookupKeyword(src[start:end], info)
 	}
-	return Token{Kind: Identifier, Start: start, End: i, info: info}
+	return Token{Kind: Identifier, Start: start, End: end, info: info}
 }
 
 // scanPrefixed scans a string or a quoted name behind a prefix of one letter, which has
 // been scanned. ok is false where the letter is no prefix.
 func (l *Lexer) scanPrefixed(start int) (t Token, ok bool) {
-	src := l.Src
-	prefix, next := src[start]|0x20, src[start+1]
+	prefix := l.Src[start] | lowerCaseBit
+	next := l.Src[start+1]
 	if next == '&' && prefix == 'u' {
 		return l.scanUnicodeEscaped(start)
 	}
@@ -76,11 +78,12 @@
 
 // skipQuotedIdentifier skips a quoted name from behind its opening quote.
 func (l *Lexer) skipQuotedIdentifier() {
-	src, i := l.Src, l.Pos
+	src := l.Src
+	i := l.Pos
 	for i < len(src) {
 		c := src[i]
 		switch {
-		case c >= 0x80:
+		case c >= firstNonASCII:
 			l.Flaws |= NonASCII
 			i++
 		case c == 0:
@@ -101,7 +104,7 @@
 
 // unquoteIdentifier removes the quotes of a name. Doubled quotes within it stay.
 func unquoteIdentifier(name string) string {
-	if len(name) >= 2 && name[0] == '"' {
+	if len(name) >= len(`""`) && name[0] == '"' {
 		return strings.TrimSuffix(name[1:], `"`)
 	}
 	return name
@@ -118,29 +121,30 @@
 // different names having different hashes.
 func nameHash(src string, start, end int) uint32 {
 	const (
-		multiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
-		lowerCase  = 0x2020202020202020
+		multiplier   = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
+		lowerCase    = 0x2020202020202020 // lowerCaseBit of each byte
+		wordBytes    = 8
+		bitsPerByte  = 8
+		mixShift     = 29
+		upper32Shift = 32
 	)
-	n := end - start
+	length := end - start
 	var first, last uint64
 	switch {
-	case n >= 8:
-		first, last = load8(src[start:end]), load8(src[end-8:end])
-	case start+8 <= len(src):
-		first = load8(src[start:]) & (1<<(8*n) - 1)
+	case length >= wordBytes:
+		first = load8(src[start:end]) | lowerCase
+		last = load8(src[end-wordBytes:end]) | lowerCase
+	case start+wordBytes <= len(src):
+		mask := uint64(1)<<(bitsPerByte*length) - 1
+		first = (load8(src[start:]) | lowerCase) & mask
 	default:
 		for i := end - 1; i >= start; i-- {
-			first = first<<8 | uint64(src[i])
+			first = first<<bitsPerByte | uint64(src[i]|lowerCaseBit)
 		}
 	}
-	if n < 8 {
-		first |= lowerCase & (1<<(8*n) - 1)
-	} else {
-		first, last = first|lowerCase, last|lowerCase
-	}
-	h := (first ^ uint64(n)) * multiplier
-	h = (h ^ h>>29 ^ last) * multiplier
-	return uint32(h >> 32)
+	hash := (first ^ uint64(length)) * multiplier
+	hash = (hash ^ hash>>mixShift ^ last) * multiplier
+	return uint32(hash >> upper32Shift)
 }
 
 // load8 reads eight bytes, little-endian; the compiler turns it into one load.
--- a/internal/sqltext/lexer_number.go
+++ b/internal/sqltext/lexer_number.go
@@ -3,11 +3,11 @@
 // scanNumber scans a number. What follows without a space, such as a letter, is the next
 // token, as it was up to PostgreSQL 14; later versions reject it.
 func (l *Lexer) scanNumber() Token {
-	src, start := l.Src, l.Pos
-	i := start
-	if src[i] == '0' && i+2 < len(src) {
-		if ok := radixDigits(src[i+1]); ok != nil && ok(src[i+2]) {
-			return l.numberUpTo(skipDigits(src, i+2, ok))
+	src := l.Src
+	i := l.Pos
+	if digits := i + len("0x"); src[i] == '0' && digits < len(src) {
+		if isRadixDigit := radixDigits(src[i+1]); isRadixDigit != nil && isRadixDigit(src[digits]) {
+			return l.numberUpTo(skipDigits(src, digits, isRadixDigit))
 		}
 	}
 	i = skipDigits(src, i, isDigit)
@@ -26,9 +26,9 @@
 // radixDigits returns the test for the digits of a number that begins with 0 and the given
 // letter, or nil where the letter is no radix prefix.
 func radixDigits(letter byte) func(byte) bool {
-	switch letter | 0x20 {
+	switch letter | lowerCaseBit {
 	case 'x':
-		return isHex
+		return isHexDigit
 	case 'o', 'b':
 		return isDigit
 	}
@@ -36,8 +36,8 @@
 }
 
 // skipDigits returns the end of a run of digits, which single underscores may separate.
-func skipDigits(src string, i int, ok func(byte) bool) int {
-	for i < len(src) && (ok(src[i]) || src[i] == '_' && i+1 < len(src) && ok(src[i+1])) {
+func skipDigits(src string, i int, isDigit func(byte) bool) int {
+	for i < len(src) && (isDigit(src[i]) || src[i] == '_' && i+1 < len(src) && isDigit(src[i+1])) {
 		i++
 	}
 	return i
@@ -45,7 +45,7 @@
 
 // skipExponent returns the end of the exponent at i, or i where there is none.
 func skipExponent(src string, i int) int {
-	if i >= len(src) || src[i]|0x20 != 'e' {
+	if i >= len(src) || src[i]|lowerCaseBit != 'e' {
 		return i
 	}
 	digits := i + 1
--- a/internal/sqltext/lexer_operator.go
+++ b/internal/sqltext/lexer_operator.go
@@ -3,21 +3,23 @@
 // scanOperator scans a run of operator characters. A comment within it ends it, and it
 // ends in + or - only if one of ~ ! @ # % ^ & | ` ? is part of it.
 func (l *Lexer) scanOperator() Token {
-	src, start := l.Src, l.Pos
-	i, mayEndInSign := start, false
-	for i < len(src) && charClasses[src[i]]&charOperator != 0 {
-		if i+1 < len(src) && (src[i] == '-' && src[i+1] == '-' || src[i] == '/' && src[i+1] == '*') {
+	src := l.Src
+	start := l.Pos
+	end := start
+	mayEndInSign := false
+	for end < len(src) && charClasses[src[end]]&charOperator != 0 {
+		if end+1 < len(src) && (src[end] == '-' && src[end+1] == '-' || src[end] == '/' && src[end+1] == '*') {
 			break
 		}
-		switch src[i] {
+		switch src[end] {
 		case '~', '!', '@', '#', '%', '^', '&', '|', '`', '?':
 			mayEndInSign = true
 		}
-		i++
+		end++
 	}
-	for !mayEndInSign && i > start+1 && (src[i-1] == '+' || src[i-1] == '-') {
-		i--
+	for !mayEndInSign && end > start+1 && (src[end-1] == '+' || src[end-1] == '-') {
+		end--
 	}
-	l.Pos = i
-	return Token{Kind: Operator, Start: start, End: i}
+	l.Pos = end
+	return Token{Kind: Operator, Start: start, End: end}
 }
--- a/internal/sqltext/lexer_string.go
+++ b/internal/sqltext/lexer_string.go
@@ -5,7 +5,8 @@
 // continues behind its closing quote where only white space with a line end separates it
 // from another quote.
 func (l *Lexer) skipString(backslashEscapes bool) {
-	src, i := l.Src, l.Pos
+	src := l.Src
+	i := l.Pos
 	for i < len(src) {
 		c := src[i]
 		switch {
@@ -17,7 +18,7 @@
 			}
 			i++
 		case c != '\'':
-			if c >= 0x80 {
+			if c >= firstNonASCII {
 				l.Flaws |= NonASCII
 			} else if c == 0 {
 				l.Flaws |= InvalidCharacter
@@ -50,7 +51,7 @@
 		case charClasses[c]&charSpace != 0:
 			i++
 		case c == '-' && i+1 < len(src) && src[i+1] == '-':
-			i = lineCommentEnd(src, i+2)
+			i = lineCommentEnd(src, i+commentMark)
 		case c == '\'' && lineEnded:
 			return i + 1, true
 		default:
@@ -62,7 +63,8 @@
 
 // scanDollar scans a dollar-quoted string, or a parameter such as $1.
 func (l *Lexer) scanDollar() Token {
-	src, start := l.Src, l.Pos
+	src := l.Src
+	start := l.Pos
 	i := start + 1
 	if i < len(src) && isDigit(src[i]) {
 		for i < len(src) && isDigit(src[i]) {
@@ -79,14 +81,14 @@
 		return l.single(Invalid)
 	}
 	tag := src[start : i+1]
-	if end := indexTag(src, i+1, tag); end < 0 {
+	if end, ok := indexTag(src, i+1, tag); ok {
+		l.Pos = end + len(tag)
+	} else {
 		l.Flaws |= Unterminated
 		l.Pos = len(src)
-	} else {
-		l.Pos = end + len(tag)
 	}
 	for _, c := range []byte(src[start:l.Pos]) {
-		if c >= 0x80 {
+		if c >= firstNonASCII {
 			l.Flaws |= NonASCII
 			break
 		}
@@ -94,9 +96,10 @@
 	return Token{Kind: DollarString, Start: start, End: l.Pos}
 }
 
-// indexTag returns the first position of the tag from i on, or -1. Candidates begin at
-// dollar signs, and no byte is compared twice, as tags hold no dollar sign within.
-func indexTag(src string, i int, tag string) int {
+// indexTag returns the first position of the tag from i on. ok is false where there is none.
+// Candidates begin at dollar signs, and no byte is compared twice, as tags hold no dollar sign
+// within.
+func indexTag(src string, i int, tag string) (index int, ok bool) {
 	for i+len(tag) <= len(src) {
 		if src[i] != '$' {
 			i++
@@ -107,9 +110,9 @@
 			matched++
 		}
 		if matched == len(tag) {
-			return i
+			return i, true
 		}
 		i += max(matched-1, 1)
 	}
-	return -1
+	return 0, false
 }
--- a/internal/sqltext/lists.go
+++ b/internal/sqltext/lists.go
@@ -3,54 +3,78 @@
 import "bytes"
 
 // foldedList is a list whose elements are folded into one in the normal form: the
-// alternatives of IN or ARRAY, or the rows of VALUES.
+// alternatives of IN or ARRAY, or the rows of VALUES. Positions and lengths are in bytes of the
+// normal form.
 type foldedList struct {
 	depth          int // of its commas
 	isRows         bool
-	start          int // of the first element in the normal form
-	firstLength    int // length of the first element; -1: it is not complete yet
+	start          int // of the first element
+	firstLength    int // length of the first element; unknownLength: it is not complete yet
 	elementStart   int // of the current element
 	count          int // of complete elements
-	slot           int // that counts the elements, or noSlot
+	slot           int // index of the slot that counts the elements, or noSlot
 	plainRowLength int // number of values in the first row if it holds nothing else, or 0
 }
 
-// noSlot marks a list that no slot counts.
-const noSlot = -1
+const (
+	unknownLength = -1
+	noSlot        = -1
+)
+
+func newFoldedList(depth, start int) foldedList {
+	return foldedList{depth: depth, start: start, elementStart: start, firstLength: unknownLength, slot: noSlot}
+}
 
 // maxNestedLists bounds how deep nested lists are folded.
 const maxNestedLists = 8
 
-// beginList begins a list of alternatives behind its parenthesis or bracket.
-func (p *pass) beginList() {
-	list := foldedList{depth: p.depth, start: len(p.normalForm), elementStart: len(p.normalForm), firstLength: -1, slot: noSlot}
-	if p.slotCount < maxSlots {
-		p.analyzer.slots[p.slotCount] = Slot{Role: RoleList, Column: p.comparedColumn}
-		list.slot = p.slotCount
-		p.slotCount++
+// listStack holds the lists that are open, the innermost last.
+type listStack struct {
+	entries [maxNestedLists]foldedList
+	count   int
+}
+
+func (s *listStack) full() bool { return s.count == maxNestedLists }
+
+// push adds a list. The stack must not be full.
+func (s *listStack) push(list foldedList) {
+	s.entries[s.count] = list
+	s.count++
+}
+
+// innermost returns the innermost list. There must be one.
+func (s *listStack) innermost() *foldedList { return &s.entries[s.count-1] }
+
+// beginAlternatives begins a list of alternatives behind its parenthesis or bracket.
+func (p *analysisPass) beginAlternatives() {
+	list := newFoldedList(p.depth, len(p.normal.text))
+	if !p.slots.full() {
+		list.slot = p.slots.add(Slot{Role: RoleList, Column: p.expected.comparedColumn})
 	}
 	p.result.Restrictions++
-	p.pendingRole = RoleList
-	p.pushList(list)
+	p.expected.role = RoleList
+	p.lists.push(list)
 }
 
-func (p *pass) pushList(list foldedList) {
-	p.analyzer.lists[p.openLists] = list
-	p.openLists++
+// beginRows begins the rows of VALUES.
+func (p *analysisPass) beginRows() {
+	list := newFoldedList(p.depth, len(p.normal.text))
+	list.isRows = true
+	p.lists.push(list)
 }
 
-// inOpenList reports whether a value here is an element of a list of alternatives.
-func (p *pass) inOpenList() bool {
-	if p.openLists == 0 {
+// inAlternatives reports whether a value here is an element of a list of alternatives.
+func (p *analysisPass) inAlternatives() bool {
+	if p.lists.count == 0 {
 		return false
 	}
-	list := &p.analyzer.lists[p.openLists-1]
+	list := p.lists.innermost()
 	return !list.isRows && list.depth == p.depth
 }
 
-// trackElement ends the current element, or the list, where a token does.
-func (p *pass) trackElement(t Token) {
-	list := &p.analyzer.lists[p.openLists-1]
+// trackElement ends the current element, or the list, if the token does so. A list must be open.
+func (p *analysisPass) trackElement(t Token) {
+	list := p.lists.innermost()
 	switch {
 	case p.depth < list.depth:
 		p.endLists(p.depth)
@@ -60,10 +84,10 @@
 		switch {
 		case list.isRows && list.plainRowLength > 0:
 			p.skipRows(list)
-		case !list.isRows && list.firstLength == 1 && p.normalForm[list.start] == '?':
+		case !list.isRows && list.firstLength == 1 && p.normal.text[list.start] == '?':
 			p.skipElements(list)
 		}
-		list.elementStart = len(p.normalForm)
+		list.elementStart = len(p.normal.text)
 	case t.Kind == RightParen || t.Kind == RightBracket:
 		p.endLists(p.depth - 1)
 	case list.isRows && t.Kind != LeftParen:
@@ -72,8 +96,8 @@
 }
 
 // skipElements skips further plain values, all but the last one, in a list whose first
-// element is a plain value. Lists of thousands are the longest statements that occur.
-func (p *pass) skipElements(list *foldedList) {
+// element is a plain value. Lists of thousands of values make the longest statements.
+func (p *analysisPass) skipElements(list *foldedList) {
 	for {
 		next := p.lexer
 		if kind := next.Next().Kind; kind != String && kind != Number {
@@ -91,21 +115,24 @@
 // plainRowLength returns the number of values of a row that holds nothing else, such as
 // (?, ?, ?), and 0 for other rows.
 func plainRowLength(row []byte) int {
-	const values = "(?, ?, "
-	if len(row) < 3 || len(row)%3 != 0 || row[0] != '(' || row[len(row)-1] != ')' {
+	const (
+		values        = "?, "
+		bytesPerValue = len(values) // the parentheses count as the last separator
+	)
+	if len(row) < bytesPerValue || len(row)%bytesPerValue != 0 || row[0] != '(' || row[len(row)-1] != ')' {
 		return 0
 	}
-	for i := 1; i < len(row)-1; i++ {
-		if row[i] != values[1+(i-1)%3] {
+	for i, c := range row[1 : len(row)-1] {
+		if c != values[i%bytesPerValue] {
 			return 0
 		}
 	}
-	return len(row) / 3
+	return len(row) / bytesPerValue
 }
 
 // skipRows skips further rows of plain values, all but the last one, behind a row of the
 // same kind.
-func (p *pass) skipRows(list *foldedList) {
+func (p *analysisPass) skipRows(list *foldedList) {
 	for {
 		next := p.lexer
 		if !skipPlainRow(&next, list.plainRowLength) || next.Next().Kind != Comma {
@@ -137,18 +164,20 @@
 	}
 }
 
-// endElement ends the current element. One that repeats the first is removed from the
+// endElement ends the current element. If it repeats the first element, it is removed from the
 // normal form.
-func (p *pass) endElement(list *foldedList) {
+func (p *analysisPass) endElement(list *foldedList) {
 	list.count++
-	switch {
-	case list.firstLength < 0:
-		list.firstLength = len(p.normalForm) - list.start
+	first := p.normal.text[list.start:]
+	if list.firstLength == unknownLength {
+		list.firstLength = len(first)
 		if list.isRows {
-			list.plainRowLength = plainRowLength(trimSeparator(p.normalForm[list.start:]))
+			list.plainRowLength = plainRowLength(trimSeparator(first))
 		}
-	case sameElement(p.normalForm[list.elementStart:], p.normalForm[list.start:list.start+list.firstLength]):
-		p.normalForm = p.normalForm[:list.elementStart]
+		return
+	}
+	if sameElement(p.normal.text[list.elementStart:], first[:list.firstLength]) {
+		p.normal.text = p.normal.text[:list.elementStart]
 	}
 }
 
@@ -166,16 +195,16 @@
 }
 
 // endLists ends the lists that are deeper than the given depth.
-func (p *pass) endLists(depth int) {
-	for p.openLists > 0 && p.analyzer.lists[p.openLists-1].depth > depth {
-		list := &p.analyzer.lists[p.openLists-1]
+func (p *analysisPass) endLists(depth int) {
+	for p.lists.count > 0 && p.lists.innermost().depth > depth {
+		list := p.lists.innermost()
 		p.endElement(list)
 		if list.isRows {
 			p.result.Features.Rows += int32(list.count)
-		} else if list.slot >= 0 {
-			p.analyzer.slots[list.slot].Count = int32(list.count)
+		} else if list.slot != noSlot {
+			p.slots.entries[list.slot].Count = int32(list.count)
 		}
-		p.openLists--
-		p.pendingRole = RoleOther
+		p.lists.count--
+		p.expected.role = RoleOther
 	}
 }
--- a/internal/sqltext/names.go
+++ b/internal/sqltext/names.go
@@ -1,113 +1,112 @@
 package sqltext
 
 // identifier adds a key word or a name.
-func (p *pass) identifier(t Token, word keyword, class keywordClass) {
-	p.space()
-	p.nameStart = len(p.normalForm)
+func (p *analysisPass) identifier(t Token, word keyword, class keywordClass) {
+	p.normal.addSpace(p.previousKind)
 	text := p.lexer.Src[t.Start:t.End]
-	switch {
-	case t.Kind == QuotedIdentifier:
-		p.normalForm = appendQuoted(p.normalForm, text)
-	case t.hasUpper():
-		p.normalForm = appendLower(p.normalForm, text)
-	default:
-		p.normalForm = append(p.normalForm, text...)
-	}
-	p.afterInterval = word == keywordInterval
+	p.normal.addName(t, text)
+	p.expected.afterInterval = word == keywordInterval
 	if p.previousKind != Cast && word != keywordIs {
-		p.parameter = 0
+		p.expected.parameter = 0
 	}
 	if word == keywordNone && class == 0 {
 		p.name(t, text)
 		return
 	}
-	p.countFeature(word)
-	if word == keywordValues && p.openLists < maxNestedLists {
-		p.pushList(foldedList{
-			depth: p.depth, isRows: true, start: len(p.normalForm), elementStart: len(p.normalForm), firstLength: -1, slot: noSlot,
-		})
+	p.result.Features.countKeyword(word, p.previousKeyword)
+	if word == keywordValues && !p.lists.full() {
+		p.beginRows()
 	}
 	p.expectValue(word, class)
 }
 
-// countFeature updates the features with a key word.
-func (p *pass) countFeature(word keyword) {
-	f := &p.result.Features
+// countKeyword updates the features with a key word and the one directly before it.
+func (f *Features) countKeyword(word, previous keyword) {
 	switch word {
 	case keywordSelect:
 		f.Selects++
-		p.setVerb(VerbSelect)
+		f.setVerb(VerbSelect)
 	case keywordInsert:
-		p.setVerb(VerbInsert)
+		f.setVerb(VerbInsert)
 	case keywordUpdate:
-		if p.previousKeyword != keywordFor {
-			p.setVerb(VerbUpdate)
+		if previous != keywordFor {
+			f.setVerb(VerbUpdate)
 		}
 	case keywordDelete:
-		p.setVerb(VerbDelete)
+		f.setVerb(VerbDelete)
 	case keywordMerge:
-		p.setVerb(VerbMerge)
+		f.setVerb(VerbMerge)
 	case keywordExplain:
-		p.setVerb(VerbExplain)
+		f.setVerb(VerbExplain)
 	case keywordFrom:
 		f.Tables++
 	case keywordJoin:
 		f.Tables++
 		f.Joins++
 	case keywordGroup:
-		if p.previousKeyword != keywordWithin {
+		if previous != keywordWithin {
 			f.Groups++
 		}
 	case keywordOrder:
 		f.Sorts++
 	case keywordDistinct:
-		if p.previousKeyword != keywordIs && p.previousKeyword != keywordNot {
+		if previous != keywordIs && previous != keywordNot {
 			f.Distincts++
 		}
 	case keywordOver:
 		f.Windows++
 	case keywordWhere:
 		f.Where = true
+	default: // other words say nothing of the cost
 	}
 }
 
 // setVerb sets the verb. A verb that writes replaces a SELECT before it.
-func (p *pass) setVerb(verb Verb) {
-	f := &p.result.Features
+func (f *Features) setVerb(verb Verb) {
 	if f.Verb == 0 || f.Verb == VerbSelect && verb != VerbSelect {
 		f.Verb = verb
 	}
 }
 
-// maxAggregateName is the length of the longest aggregate function's name, with some room.
+// maxAggregateName is the length in bytes of the longest aggregate function's name, rounded up.
 const maxAggregateName = 12
 
 // name handles a name that is no key word.
-func (p *pass) name(t Token, text string) {
-	p.column = t.hash()
+func (p *analysisPass) name(t Token, text string) {
+	p.expected.column = t.hash()
 	if t.Kind == QuotedIdentifier {
-		p.column = hashName(text)
+		p.expected.column = hashName(text)
 	}
-	if end := p.lexer.Pos; end < len(p.lexer.Src) && len(text) <= maxAggregateName {
-		switch p.lexer.Src[end] { // the next character rules out most names at once
-		case '(', ' ', '/', '\n', '\t', '\r':
-			if t.Kind == Identifier && isAggregate(text) {
-				next := p.lexer
-				if next.Next().Kind == LeftParen {
-					p.result.Features.Aggregates++
-				}
-			}
-		}
+	if p.isAggregateCall(t, text) {
+		p.result.Features.Aggregates++
 	}
-	if p.pendingRole != RoleOther && (equalFold(text, "date") || equalFold(text, "timestamptz")) {
+	if p.expected.role != RoleOther && (equalFold(text, "date") || equalFold(text, "timestamptz")) {
 		return // the type of the literal that follows
 	}
-	p.pendingRole = RoleOther
+	p.expected.role = RoleOther
+}
+
+// isAggregateCall reports whether a name is that of an aggregate function and a parenthesis follows.
+func (p *analysisPass) isAggregateCall(t Token, text string) bool {
+	end := p.lexer.Pos
+	if end >= len(p.lexer.Src) || len(text) > maxAggregateName {
+		return false
+	}
+	switch p.lexer.Src[end] { // the next character rules out most names at once
+	case '(', ' ', '/', '\n', '\t', '\r':
+	default:
+		return false
+	}
+	if t.Kind != Identifier || !isAggregate(text) {
+		return false
+	}
+	next := p.lexer
+	return next.Next().Kind == LeftParen
 }
 
 // isAggregate reports whether a function of this name aggregates many rows into one.
 func isAggregate(name string) bool {
-	switch name[0] | 0x20 {
+	switch name[0] | lowerCaseBit {
 	case 'c':
 		return equalFold(name, "count")
 	case 's':
--- a/internal/sqltext/normalform.go
+++ b/internal/sqltext/normalform.go
@@ -1,116 +1,62 @@
 package sqltext
 
-// joinsNext holds the kinds of token that no space follows in the normal form.
-var joinsNext = [Invalid + 1]bool{EndOfText: true, Dot: true, LeftParen: true, LeftBracket: true, Cast: true}
+// normalForm builds the normal form of a statement.
+type normalForm struct {
+	text      []byte
+	nameStart int // of the name that was added last, in text
 
-// space separates the next word from the previous token.
-func (p *pass) space() {
-	if !joinsNext[p.previousKind] {
-		p.normalForm = append(p.normalForm, ' ')
-	}
+	// A sign is part of the literal behind it. signStart is its position in text, or 0 where
+	// there is none, and signOffset that in the statement.
+	signStart  int
+	signOffset int
 }
 
-// punctuation adds a punctuation mark or an operator.
-func (p *pass) punctuation(t Token) {
-	p.afterInterval = false
-	if t.Kind != Cast {
-		p.parameter = 0
-	}
-	switch t.Kind {
-	case LeftParen:
-		p.leftParen()
-	case LeftBracket:
-		p.normalForm = append(p.normalForm, '[')
-		p.depth++
-		if p.previousKeyword == keywordArray && p.openLists < maxNestedLists {
-			p.beginList()
-		}
-	case RightParen, RightBracket:
-		p.normalForm = append(p.normalForm, p.lexer.Src[t.Start])
-		p.depth--
-	case Comma:
-		if p.openLists == 0 && len(p.normalForm) > maxPendingNormalForm {
-			p.hashPrefix()
-		}
-		p.normalForm = append(p.normalForm, ',')
-		if p.pendingRole != RoleList {
-			p.pendingRole, p.column = RoleOther, 0
-		}
-	case Dot:
-		p.maskDataset()
-		p.normalForm = append(p.normalForm, '.')
-	case Semicolon:
-	case Operator:
-		p.operator(p.lexer.Src[t.Start:t.End])
-	default:
-		p.normalForm = append(p.normalForm, p.lexer.Src[t.Start:t.End]...)
-	}
-}
+// spacelessKinds holds the kinds of token that no space follows in the normal form.
+var spacelessKinds = [Invalid + 1]bool{EndOfText: true, Dot: true, LeftParen: true, LeftBracket: true, Cast: true}
 
-// leftParen adds a parenthesis, which may begin a list of alternatives or a subquery.
-func (p *pass) leftParen() {
-	if p.previousKind == Operator || p.previousKind == Comma || p.previousKeyword != keywordNone {
-		p.space()
-	}
-	p.normalForm = append(p.normalForm, '(')
-	p.depth++
-	if p.pendingRole != RoleList {
-		return
-	}
-	switch p.previousKeyword {
-	case keywordIn, keywordAny, keywordSome:
-	default:
-		return
-	}
-	next := p.lexer
-	if next.Next().class()&readingWord != 0 {
-		p.pendingRole = RoleOther
-	} else if p.previousKeyword == keywordIn && p.openLists < maxNestedLists {
-		p.beginList()
+// addSpace separates the next word from the previous token.
+func (n *normalForm) addSpace(previous Kind) {
+	if !spacelessKinds[previous] {
+		n.text = append(n.text, ' ')
 	}
 }
 
-// operator adds an operator, and sets the role of a value behind it.
-func (p *pass) operator(text string) {
-	p.signStart = 0
-	signed := text == "-" && p.expectsOperand()
-	p.space()
-	start := len(p.normalForm)
-	p.normalForm = append(p.normalForm, text...)
-	if signed && p.startsOperand(start) {
-		p.signStart, p.signOffset = start, p.lexer.Pos-1
-		return
-	}
-	switch text {
-	case "=":
-		p.pendingRole, p.comparedColumn = RoleEqual, p.column
-	case "<", "<=":
-		p.pendingRole, p.comparedColumn = RoleUpperBound, p.column
-	case ">", ">=":
-		p.pendingRole, p.comparedColumn = RoleLowerBound, p.column
-	case "~", "~~", "~*", "~~*":
-		p.pendingRole, p.comparedColumn = RolePattern, p.column
+// addName adds a key word or a name, in lower case unless its case is significant.
+func (n *normalForm) addName(t Token, name string) {
+	n.nameStart = len(n.text)
+	switch {
+	case t.Kind == QuotedIdentifier:
+		n.text = appendQuoted(n.text, name)
+	case t.hasUpper():
+		n.text = appendLower(n.text, name)
 	default:
-		p.pendingRole = RoleOther
+		n.text = append(n.text, name...)
 	}
 }
 
-// expectsOperand reports whether an operand follows, so that a minus is a sign.
-func (p *pass) expectsOperand() bool {
-	switch p.previousKind {
-	case Operator, LeftParen, Comma, LeftBracket:
-		return true
-	}
-	return p.previousKeyword != keywordNone
+// addPlaceholder adds a placeholder in place of a value and its sign. It returns the position of the
+// sign in the statement; ok is false where there is none.
+func (n *normalForm) addPlaceholder(previous Kind) (signOffset int, ok bool) {
+	ok = n.signStart > 0
+	if ok {
+		n.text = n.text[:n.signStart]
+	} else {
+		n.addSpace(previous)
+	}
+	n.text = append(n.text, '?')
+	return n.signOffset, ok
 }
 
-// startsOperand reports whether a sign at start in the normal form can be removed together
-// with its value. It must have a separator before it.
-func (p *pass) startsOperand(start int) bool {
+// forgetSign makes the last operator an operator between values, not a sign.
+func (n *normalForm) forgetSign() { n.signStart = 0 }
+
+// canRemoveSign reports whether a sign at start can be removed together with its value. It must have
+// a separator before it.
+func (n *normalForm) canRemoveSign(start int) bool {
 	if start == 0 {
 		return false
 	}
-	switch p.normalForm[start-1] {
+	switch n.text[start-1] {
 	case ' ', '(', '[':
 		return true
 	}
@@ -119,45 +65,46 @@
 
 // maskDataset replaces the number in a schema's name by #. It is called at the dot behind
 // a name, which shows that it is the name of a schema.
-func (p *pass) maskDataset() {
-	if p.previousKind != Identifier && p.previousKind != QuotedIdentifier || p.nameStart >= len(p.normalForm) {
+func (n *normalForm) maskDataset(previous Kind) {
+	if previous != Identifier && previous != QuotedIdentifier || n.nameStart >= len(n.text) {
 		return
 	}
-	end := len(p.normalForm)
-	for end > p.nameStart && isDigit(p.normalForm[end-1]) {
+	end := len(n.text)
+	for end > n.nameStart && isDigit(n.text[end-1]) {
 		end--
 	}
-	if end < len(p.normalForm) && end > p.nameStart+1 && p.normalForm[end-1] == '_' {
-		p.normalForm = append(p.normalForm[:end], '#')
+	if end < len(n.text) && end > n.nameStart+1 && n.text[end-1] == '_' {
+		n.text = append(n.text[:end], '#')
 	}
 }
 
 // trimSpace removes trailing spaces.
-func (p *pass) trimSpace() {
-	for n := len(p.normalForm); n > 0 && p.normalForm[n-1] == ' '; n-- {
-		p.normalForm = p.normalForm[:n-1]
+func (n *normalForm) trimSpace() {
+	for length := len(n.text); length > 0 && n.text[length-1] == ' '; length-- {
+		n.text = n.text[:length-1]
 	}
 }
 
 // appendLower appends a name in lower case.
-func appendLower(b []byte, name string) []byte {
-	start := len(b)
-	b = append(b, name...)
-	for i, c := range b[start:] {
-		b[start+i] = foldedChars[c]
+func appendLower(buffer []byte, name string) []byte {
+	start := len(buffer)
+	buffer = append(buffer, name...)
+	for i, c := range buffer[start:] {
+		buffer[start+i] = foldedChars[c]
 	}
-	return b
+	return buffer
 }
 
-// appendQuoted appends a quoted name, without its quotes where it means the same without.
-func appendQuoted(b []byte, name string) []byte {
-	if len(name) < 3 || name[0] != '"' || charClasses[name[1]]&charNameStart == 0 {
-		return append(b, name...)
+// appendQuoted appends a quoted name, without its quotes if it means the same without them.
+func appendQuoted(buffer []byte, name string) []byte {
+	const shortest = len(`"a"`)
+	if len(name) < shortest || name[0] != '"' || charClasses[name[1]]&charNameStart == 0 {
+		return append(buffer, name...)
 	}
 	inner := name[1 : len(name)-1]
 	l := Lexer{Src: inner}
 	if t := l.scanIdentifier(); t.End < len(inner) || t.hasUpper() || t.keyword() != keywordNone || t.class() != 0 {
-		return append(b, name...)
+		return append(buffer, name...)
 	}
-	return append(b, inner...)
+	return append(buffer, inner...)
 }
--- a/internal/sqltext/pass.go
+++ b/internal/sqltext/pass.go
@@ -1,85 +1,93 @@
 package sqltext
 
-// pass is the state of the analysis of one statement.
-type pass struct {
-	lexer      Lexer
-	analyzer   *Analyzer
-	result     *Analysis
-	normalForm []byte
-	slotCount  int
-	dataset    datasetFinder
+// analysisPass is the state of the analysis of one statement. It adds each token to the normal
+// form, the slots and the features.
+type analysisPass struct {
+	lexer   Lexer
+	result  *Analysis
+	hasher  *fingerprintHasher
+	slots   *slotBuffer
+	lists   *listStack
+	normal  normalForm
+	dataset datasetFinder
 
 	depth           int // of parentheses and brackets
 	previousKind    Kind
 	previousKeyword keyword
 	keywordBefore   keyword // of the token before the previous one
-
-	nameStart      int    // of the last name, in the normal form
-	column         uint32 // hash of the last name
-	pendingRole    Role   // of the next value
-	comparedColumn uint32 // that the next value is compared with
-	inBetween      bool   // behind BETWEEN: AND leads to the upper bound
-	afterInterval  bool   // the previous token is the word INTERVAL
-	parameter      int    // number of the last parameter, as long as only casts follow it
-
-	// A sign is part of the literal behind it. signStart is its position in the normal form,
-	// or 0 where there is none, and signOffset that in the text.
-	signStart  int
-	signOffset int
-
-	openLists      int // number of the analyzer's lists in use
-	afterSemicolon bool
-}
-
-// trackStatements sets the first word, and whether a second statement follows.
-func (p *pass) trackStatements(t Token) {
-	switch {
-	case t.Kind == Semicolon:
-		p.afterSemicolon = p.result.FirstWord != ""
-	case p.afterSemicolon:
-		p.result.MultipleStatements = true
-	case p.result.FirstWord != "":
-	case t.Kind == Identifier:
-		p.result.FirstWord = p.lexer.Text(t)
-	default:
-		p.result.FirstWord = noWord
-	}
+	expected        expectedValue
 }
 
-// token adds one token to the normal form, the slots and the features.
-func (p *pass) token(t Token) {
-	keyword, class := t.keyword(), t.class()
+// token adds one token.
+func (p *analysisPass) token(t Token) {
+	word := t.keyword()
+	class := t.class()
 	if p.previousKind == Dot { // part of a qualified name
-		keyword, class = keywordNone, 0
+		word = keywordNone
+		class = 0
 	}
 	if finder := &p.dataset; !finder.certain {
-		// This does what datasetFinder.token does, but calls it only for the tokens that can
+		// This does the same as datasetFinder.token, but calls it only for the tokens that can
 		// change the result: the call is too expensive for each token.
 		switch {
 		case t.Kind == Dot || t.class()&tableWord != 0:
 			finder.token(&p.lexer, t)
 		case t.Kind <= QuotedIdentifier:
-			finder.previousName, finder.previousKind = t, t.Kind
+			finder.previousName = t
+			finder.previousKind = t.Kind
 		case t.Kind == LeftParen:
 			finder.previousKind = LeftParen
 		default:
-			finder.afterTableWord, finder.previousKind = false, t.Kind
+			finder.afterTableWord = false
+			finder.previousKind = t.Kind
 		}
 	}
-	if p.openLists > 0 {
+	if p.lists.count > 0 {
 		p.trackElement(t)
 	}
 	switch t.Kind {
 	case Identifier, QuotedIdentifier:
-		p.identifier(t, keyword, class)
+		p.identifier(t, word, class)
 	case String, BitString, DollarString, Number, Parameter:
 		p.value(t)
 	default:
 		p.punctuation(t)
 	}
 	if t.Kind != Operator {
-		p.signStart = 0
+		p.normal.forgetSign()
 	}
-	p.keywordBefore, p.previousKeyword = p.previousKeyword, keyword
+	p.keywordBefore = p.previousKeyword
+	p.previousKeyword = word
 	p.previousKind = t.Kind
 }
+
+// finish completes the result at the end of the text.
+func (p *analysisPass) finish() {
+	p.endLists(-1)
+	p.normal.trimSpace()
+	p.result.Fingerprint = p.fingerprint()
+	p.result.NormalForm = p.normal.text
+	p.result.Slots = p.slots.used()
+	p.result.Dataset = p.dataset.dataset
+	p.result.HasDataset = p.dataset.found
+}
+
+// fingerprint returns the fingerprint of the complete normal form.
+func (p *analysisPass) fingerprint() [2]uint64 {
+	if !p.result.Truncated {
+		return p.hasher.ofBytes(p.normal.text)
+	}
+	p.hasher.addPart(p.normal.text, false)
+	return p.hasher.sumParts()
+}
+
+// maxPendingNormalForm is the length in bytes from which on a normal form is hashed in parts.
+const maxPendingNormalForm = 16 << 10
+
+// hashPending hashes the normal form so far and empties its buffer, so that a long statement
+// needs no long buffer.
+func (p *analysisPass) hashPending() {
+	p.hasher.addPart(p.normal.text, !p.result.Truncated)
+	p.normal.text = p.normal.text[:0]
+	p.result.Truncated = true
+}
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -29,9 +29,9 @@
 const maxSpan = 1e12
 
 // Profile evaluates the values of one execution, both literals and bound values. seed is
-// that of the hash of the key.
+// the seed of the hash of the key.
 func (a *Analysis) Profile(stmt string, binds *Binds, seed uint64) Profile {
-	b := profileBuilder{
+	builder := profileBuilder{
 		profile:      Profile{Rows: int(a.Features.Rows)},
 		restrictions: a.Restrictions,
 		seed:         seed,
@@ -40,19 +40,19 @@
 		slot := &a.Slots[i]
 		v := binds.slotValue(stmt, slot)
 		if !v.null {
-			b.add(slot, &v)
+			builder.add(slot, &v)
 		} else if slot.Role != RoleOther && slot.Role != RoleLimit && a.hasNullGuard(slot.Parameter) {
-			b.profile.DisabledRestrictions++
-			b.restrictions--
+			builder.profile.DisabledRestrictions++
+			builder.restrictions--
 		}
 	}
-	b.matchBounds()
-	p := &b.profile
-	p.Unrestricted = a.Unrestricted || b.restrictions <= 0 && a.Features.Verb != VerbInsert
-	if !(p.Span >= 0 && p.Span <= maxSpan) {
-		p.Span = maxSpan
+	builder.matchBounds()
+	profile := &builder.profile
+	profile.Unrestricted = a.Unrestricted || builder.restrictions <= 0 && a.Features.Verb != VerbInsert
+	if !(profile.Span >= 0 && profile.Span <= maxSpan) { // also where it is not a number
+		profile.Span = maxSpan
 	}
-	return *p
+	return *profile
 }
 
 // hasNullGuard reports whether a null in the parameter switches its restriction off.
@@ -71,8 +71,8 @@
 	restrictions int // that are in effect
 	seed         uint64
 
-	lower, upper           [maxSlots]bound
-	lowerCount, upperCount int
+	lower boundList
+	upper boundList
 }
 
 // bound is one bound of a range.
@@ -81,69 +81,82 @@
 	column uint32
 }
 
+// boundList holds the lower or the upper bounds of all ranges.
+type boundList struct {
+	entries [maxSlots]bound
+	count   int
+}
+
+func (l *boundList) add(value float64, column uint32) {
+	l.entries[l.count] = bound{value, column}
+	l.count++
+}
+
+func (l *boundList) all() []bound { return l.entries[:l.count] }
+
 // add evaluates one value that is not null.
-func (b *profileBuilder) add(slot *Slot, v *slotValue) {
-	p := &b.profile
+func (b *profileBuilder) add(slot *Slot, value *slotValue) {
+	profile := &b.profile
 	switch slot.Role {
 	case RoleEqual:
-		if p.Key == 0 && v.known {
-			p.Key = hashKey(v, b.seed)
+		if profile.Key == 0 && value.known {
+			profile.Key = hashKey(value, b.seed)
 		}
 	case RoleList:
-		if n := v.listLength(slot); n > p.Alternatives {
-			p.Alternatives, p.Column = n, slot.Column
+		if length := value.listLength(slot); length > profile.Alternatives {
+			profile.Alternatives = length
+			profile.Column = slot.Column
 		}
 	case RoleLowerBound, RoleUpperBound:
-		b.addBound(slot, v)
+		b.addBound(slot, value)
 	case RoleInterval:
-		if days, ok := parseInterval(unquote(v.text)); ok {
-			p.Span = max(p.Span, days)
+		if days, ok := parseInterval(unquote(value.text)); ok {
+			profile.Span = max(profile.Span, days)
 		}
 	case RolePattern:
-		wildcard := firstWildcard(v.pattern(slot))
-		p.Wildcard = max(p.Wildcard, wildcard)
+		wildcard := firstWildcard(value.pattern(slot))
+		profile.Wildcard = max(profile.Wildcard, wildcard)
 		if wildcard == LeadingWildcard {
 			b.restrictions--
 		}
 	case RoleLimit:
-		if rows, ok := v.number(); ok && rows > 0 {
-			p.RowLimit = rows
+		if rows, ok := value.number(); ok && rows > 0 {
+			profile.RowLimit = rows
 		}
+	case RoleOther: // it shows nothing
 	}
 }
 
-func (b *profileBuilder) addBound(slot *Slot, v *slotValue) {
-	value, ok := v.number()
+func (b *profileBuilder) addBound(slot *Slot, value *slotValue) {
+	number, ok := value.number()
 	switch {
 	case !ok:
 		b.profile.HalfOpen = true
 	case slot.Role == RoleLowerBound:
-		b.lower[b.lowerCount] = bound{value, slot.Column}
-		b.lowerCount++
+		b.lower.add(number, slot.Column)
 	default:
-		b.upper[b.upperCount] = bound{value, slot.Column}
-		b.upperCount++
+		b.upper.add(number, slot.Column)
 	}
 }
 
 // matchBounds pairs the bounds of each column to ranges.
 func (b *profileBuilder) matchBounds() {
-	p := &b.profile
-	for _, lower := range b.lower[:b.lowerCount] {
+	profile := &b.profile
+	for _, lower := range b.lower.all() {
 		matched := false
-		for _, upper := range b.upper[:b.upperCount] {
+		for _, upper := range b.upper.all() {
 			if upper.column != lower.column {
 				continue
 			}
 			matched = true
-			if span := upper.value - lower.value; span > p.Span {
-				p.Span = span
-				if p.Alternatives == 0 {
-					p.Column = lower.column
+			if span := upper.value - lower.value; span > profile.Span {
+				profile.Span = span
+				if profile.Alternatives == 0 {
+					profile.Column = lower.column
 				}
 			}
 		}
-		p.HalfOpen = p.HalfOpen || !matched
+		profile.HalfOpen = profile.HalfOpen || !matched
 	}
-	p.HalfOpen = p.HalfOpen || b.upperCount > 0 && b.lowerCount == 0
+	profile.HalfOpen = profile.HalfOpen || b.upper.count > 0 && b.lower.count == 0
 }
--- /dev/null
+++ b/internal/sqltext/punctuation.go
@@ -0,0 +1,97 @@
+package sqltext
+
+// punctuation adds a punctuation mark or an operator.
+func (p *analysisPass) punctuation(t Token) {
+	p.expected.afterInterval = false
+	if t.Kind != Cast {
+		p.expected.parameter = 0
+	}
+	switch t.Kind {
+	case LeftParen:
+		p.leftParen()
+	case LeftBracket:
+		p.normal.text = append(p.normal.text, '[')
+		p.depth++
+		if p.previousKeyword == keywordArray && !p.lists.full() {
+			p.beginAlternatives()
+		}
+	case RightParen, RightBracket:
+		p.normal.text = append(p.normal.text, p.lexer.Src[t.Start])
+		p.depth--
+	case Comma:
+		if p.lists.count == 0 && len(p.normal.text) > maxPendingNormalForm {
+			p.hashPending()
+		}
+		p.normal.text = append(p.normal.text, ',')
+		if p.expected.role != RoleList {
+			p.expected.endComparison()
+		}
+	case Dot:
+		p.normal.maskDataset(p.previousKind)
+		p.normal.text = append(p.normal.text, '.')
+	case Semicolon:
+	case Operator:
+		p.operator(p.lexer.Src[t.Start:t.End])
+	default:
+		p.normal.text = append(p.normal.text, p.lexer.Src[t.Start:t.End]...)
+	}
+}
+
+// leftParen adds a parenthesis, which may begin a list of alternatives or a subquery.
+func (p *analysisPass) leftParen() {
+	if p.previousKind == Operator || p.previousKind == Comma || p.previousKeyword != keywordNone {
+		p.normal.addSpace(p.previousKind)
+	}
+	p.normal.text = append(p.normal.text, '(')
+	p.depth++
+	if p.expected.role != RoleList {
+		return
+	}
+	switch p.previousKeyword {
+	case keywordIn, keywordAny, keywordSome:
+	default:
+		return
+	}
+	next := p.lexer
+	if next.Next().class()&readingWord != 0 {
+		p.expected.role = RoleOther
+	} else if p.previousKeyword == keywordIn && !p.lists.full() {
+		p.beginAlternatives()
+	}
+}
+
+// operator adds an operator, and sets the role of a value behind it.
+func (p *analysisPass) operator(text string) {
+	p.normal.forgetSign()
+	signed := text == "-" && p.expectsOperand()
+	p.normal.addSpace(p.previousKind)
+	start := len(p.normal.text)
+	p.normal.text = append(p.normal.text, text...)
+	if signed && p.normal.canRemoveSign(start) {
+		p.normal.signStart = start
+		p.normal.signOffset = p.lexer.Pos - 1
+		return
+	}
+	switch text {
+	case "=":
+		p.expected.compare(RoleEqual)
+	case "<", "<=":
+		p.expected.compare(RoleUpperBound)
+	case ">", ">=":
+		p.expected.compare(RoleLowerBound)
+	case "~", "~~", "~*", "~~*":
+		p.expected.compare(RolePattern)
+	default:
+		p.expected.role = RoleOther
+	}
+}
+
+// expectsOperand reports whether an operand follows, so that a minus is a sign.
+func (p *analysisPass) expectsOperand() bool {
+	switch p.previousKind {
+	case Operator, LeftParen, Comma, LeftBracket:
+		return true
+	default:
+		return p.previousKeyword != keywordNone
+	}
+}
--- a/internal/sqltext/readonly.go
+++ b/internal/sqltext/readonly.go
@@ -1,8 +1,6 @@
 package sqltext
 
-import (
-	"strings"
-)
+import "strings"
 
 // readOnlyFunctions are functions of pg_catalog that change neither stored data nor any
 // state of a session that a later statement could observe. Left out on purpose: sequences
@@ -10,8 +8,8 @@
 // other sessions, and all that execute a statement given as text (query_to_xml, ts_stat,
 // ts_rewrite, dblink).
 var readOnlyFunctions = func() Functions {
-	f := Functions{}
-	for _, name := range strings.Fields(`
+	functions := Functions{}
+	for name := range strings.FieldsSeq(`
 abs acos acosd acosh age any_value array_agg array_append array_cat array_dims array_fill array_length array_lower
 array_ndims array_position array_positions array_prepend array_remove array_replace array_reverse array_sample
 array_shuffle array_sort array_to_json array_to_string array_upper ascii asin asind asinh atan atan2 atan2d atand atanh
@@ -58,27 +56,28 @@
 ts_delete ts_filter ts_headline ts_lexize ts_rank ts_rank_cd tsmultirange tsquery_phrase tsrange tstzmultirange
 tstzrange tsvector_to_array unistr unnest upper upper_inc upper_inf uuid uuid_extract_timestamp uuid_extract_version
 uuidv4 uuidv7 var_pop var_samp variance varchar version websearch_to_tsquery width width_bucket xmlagg`) {
-		f[name] = true
+		functions[name] = true
 	}
-	return f
+	return functions
 }()
 
 // readOnlyOperators are the operators of pg_catalog, all of which are read-only. Others may
 // call any function.
 var readOnlyOperators = func() map[string]bool {
-	o := map[string]bool{}
-	for _, op := range strings.Fields("+ - * / % ^ |/ ||/ @ & | # ~ << >> < > <= >= = <> != || ~* !~ !~* ~~ ~~* !~~ !~~* " +
-		"-> ->> #> #>> @> <@ ? ?| ?& #- @? @@ @@@ && &< &> <<| |>> &<| |&> ^@ -|- <-> ## ?- ?# ?-| ?|| <^ >^ ~= ~<~ ~<=~ " +
-		"~>=~ ~>~ <<= >>= *= *<> *< *> *<= *>= @-@ @@ !! => =-") {
-		o[op] = true
+	operators := map[string]bool{}
+	for operator := range strings.FieldsSeq(
+		"+ - * / % ^ |/ ||/ @ & | # ~ << >> < > <= >= = <> != || ~* !~ !~* ~~ ~~* !~~ !~~* -> ->> #> #>> @> <@ ? ?| " +
+			"?& #- @? @@ @@@ && &< &> <<| |>> &<| |&> ^@ -|- <-> ## ?- ?# ?-| ?|| <^ >^ ~= ~<~ ~<=~ ~>=~ ~>~ <<= >>= " +
+			"*= *<> *< *> *<= *>= @-@ @@ !! => =-") {
+		operators[operator] = true
 	}
-	return o
+	return operators
 }()
 
 // isReadOnlyOperator reports whether an operator is known to be read-only.
-func isReadOnlyOperator(op string) bool {
-	if len(op) == 1 && op[0] != '`' && op[0] != '!' {
+func isReadOnlyOperator(operator string) bool {
+	if len(operator) == 1 && operator[0] != '`' && operator[0] != '!' {
 		return true
 	}
-	return readOnlyOperators[op]
+	return readOnlyOperators[operator]
 }
--- a/internal/sqltext/slots.go
+++ b/internal/sqltext/slots.go
@@ -1,21 +1,68 @@
 package sqltext
 
+// maxSlots bounds the slots of one statement; further values are only counted.
+const maxSlots = 24
+
+// slotBuffer holds the slots of one statement.
+type slotBuffer struct {
+	entries [maxSlots]Slot
+	count   int
+}
+
+func (b *slotBuffer) full() bool { return b.count == maxSlots }
+
+// add adds a slot and returns its index. The buffer must not be full.
+func (b *slotBuffer) add(slot Slot) (index int) {
+	index = b.count
+	b.entries[index] = slot
+	b.count++
+	return index
+}
+
+// used returns the slots that were added. They are valid until the next statement.
+func (b *slotBuffer) used() []Slot { return b.entries[:b.count] }
+
+// expectedValue is what the tokens so far show about the next value: its role, and what it is
+// compared with.
+type expectedValue struct {
+	role           Role
+	comparedColumn uint32 // hash of the column that the value is compared with
+	column         uint32 // hash of the last name, a column that a comparison may follow
+	afterBetween   bool   // AND leads to the upper bound of BETWEEN
+	afterInterval  bool   // the previous token is the word INTERVAL
+	parameter      int    // number of the last parameter, as long as only casts follow it
+}
+
+// compare expects a value of the given role, which is compared with the last name.
+func (e *expectedValue) compare(role Role) {
+	e.role = role
+	e.comparedColumn = e.column
+}
+
+// endComparison forgets the last name and the expected role.
+func (e *expectedValue) endComparison() {
+	e.role = RoleOther
+	e.column = 0
+}
+
 // expectValue sets the role of a value behind a key word.
-func (p *pass) expectValue(word keyword, class keywordClass) {
+func (p *analysisPass) expectValue(word keyword, class keywordClass) {
 	switch word {
 	case keywordBetween:
-		p.pendingRole, p.comparedColumn, p.inBetween = RoleLowerBound, p.column, true
+		p.expected.compare(RoleLowerBound)
+		p.expected.afterBetween = true
 	case keywordSymmetric, keywordNot, keywordSimilar, keywordInterval, keywordArray:
 	case keywordAnd:
-		if p.inBetween {
-			p.pendingRole, p.inBetween = RoleUpperBound, false
+		if p.expected.afterBetween {
+			p.expected.role = RoleUpperBound
+			p.expected.afterBetween = false
 		} else {
-			p.pendingRole, p.column = RoleOther, 0
+			p.expected.endComparison()
 		}
 	case keywordWhere, keywordOr, keywordOn, keywordHaving:
-		p.pendingRole, p.column = RoleOther, 0
+		p.expected.endComparison()
 	case keywordLike, keywordIlike:
-		p.pendingRole, p.comparedColumn = RolePattern, p.column
+		p.expected.compare(RolePattern)
 	case keywordLimit:
 		p.expectLimit()
 	case keywordFirst, keywordNext:
@@ -23,97 +70,98 @@
 			p.expectLimit()
 		}
 	case keywordIn, keywordAny, keywordSome:
-		p.pendingRole, p.comparedColumn = RoleList, p.column
+		p.expected.compare(RoleList)
 	case keywordIs:
 		p.markNullGuard()
 	default:
 		if class&typeWord == 0 { // types such as timestamp leave the comparison as it is
-			p.pendingRole = RoleOther
+			p.expected.role = RoleOther
 		}
 	}
 }
 
-func (p *pass) expectLimit() {
-	p.pendingRole = RoleLimit
+func (p *analysisPass) expectLimit() {
+	p.expected.role = RoleLimit
 	p.result.Features.Limited = true
 }
 
 // markNullGuard handles IS behind a parameter or NULL.
-func (p *pass) markNullGuard() {
-	for i := range p.slotCount {
-		if slot := &p.analyzer.slots[i]; p.parameter > 0 && slot.Parameter == int32(p.parameter) {
+func (p *analysisPass) markNullGuard() {
+	used := p.slots.used()
+	for i := range used {
+		if slot := &used[i]; p.expected.parameter > 0 && slot.Parameter == int32(p.expected.parameter) {
 			slot.NullGuard = true
 		}
 	}
 	if p.previousKeyword == keywordNull {
 		p.result.Unrestricted = true
 	}
-	p.parameter, p.pendingRole = 0, RoleOther
+	p.expected.parameter = 0
+	p.expected.role = RoleOther
 }
 
 // value adds a literal or a parameter.
-func (p *pass) value(t Token) {
-	f := &p.result.Features
-	f.Values++
-	signStart := p.signStart
-	if signStart > 0 {
-		p.normalForm = p.normalForm[:signStart]
-	} else {
-		p.space()
-	}
-	p.normalForm = append(p.normalForm, '?')
-	role := p.pendingRole
-	if p.afterInterval && t.Kind == String {
+func (p *analysisPass) value(t Token) {
+	p.result.Features.Values++
+	signOffset, signed := p.normal.addPlaceholder(p.previousKind)
+	role := p.expected.role
+	if p.expected.afterInterval && t.Kind == String {
 		role = RoleInterval
 	}
-	p.afterInterval = false
-	if role == RoleList && p.inOpenList() {
+	p.expected.afterInterval = false
+	if role == RoleList && p.inAlternatives() {
 		return // the slot of the list counts it
 	}
-	guard := p.keywordBefore == keywordCoalesce && p.previousKind == LeftParen
-	p.parameter = 0
+	isNullGuard := p.keywordBefore == keywordCoalesce && p.previousKind == LeftParen
+	p.expected.parameter = 0
 	if t.Kind == Parameter {
-		p.parameter = parameterNumber(p.lexer.Src[t.Start+1 : t.End])
+		p.expected.parameter = parameterNumber(p.lexer.Src[t.Start+1 : t.End])
 	}
 	role = p.countRestriction(role)
 	// Of the values without a role, only parameters can turn out to be null guards.
-	if role == RoleOther && (t.Kind != Parameter || f.Verb == VerbInsert) || p.slotCount == maxSlots {
+	isFixed := t.Kind != Parameter || p.result.Features.Verb == VerbInsert
+	if role == RoleOther && isFixed || p.slots.full() {
 		return
 	}
-	slot := Slot{Role: role, NullGuard: guard, Column: p.comparedColumn, Count: 1}
+	slot := Slot{Role: role, NullGuard: isNullGuard, Column: p.expected.comparedColumn, Count: 1}
 	if t.Kind == Parameter {
-		slot.Parameter = int32(p.parameter)
-	} else if slot.From, slot.To = int32(t.Start), int32(t.End); signStart > 0 {
-		slot.From = int32(p.signOffset)
+		slot.Parameter = int32(p.expected.parameter)
+	} else {
+		slot.From = int32(t.Start)
+		slot.To = int32(t.End)
+		if signed {
+			slot.From = int32(signOffset)
+		}
 	}
-	p.analyzer.slots[p.slotCount] = slot
-	p.slotCount++
-	p.pendingRole = RoleOther
+	p.slots.add(slot)
+	p.expected.role = RoleOther
 }
 
 // countRestriction counts a value that narrows the result. It returns RoleOther for a
 // value that is compared with no column, as in 1 = 1.
-func (p *pass) countRestriction(role Role) Role {
+func (p *analysisPass) countRestriction(role Role) Role {
 	switch role {
 	case RoleInterval:
 		p.result.Restrictions++
 	case RoleEqual, RoleList, RoleLowerBound, RoleUpperBound, RolePattern:
-		if p.comparedColumn == 0 {
+		if p.expected.comparedColumn == 0 {
 			return RoleOther
 		}
 		p.result.Restrictions++
+	case RoleOther, RoleLimit:
 	}
 	return role
 }
 
-// parameterNumber parses the number of a parameter. Numbers above those that the protocol
-// allows are all the same.
-func parameterNumber(digits string) (n int) {
+// parameterNumber parses the number of a parameter. All numbers above those that the protocol
+// allows give the same result.
+func parameterNumber(digits string) (number int) {
 	const limit = 1 << 16
 	for i := range len(digits) {
-		if n = n*10 + int(digits[i]-'0'); n > limit {
+		number = number*decimal + int(digits[i]-'0')
+		if number > limit {
 			return limit
 		}
 	}
-	return n
+	return number
 }
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -5,16 +5,17 @@
 // LeadingComment returns the text of the comment that a statement begins with, if it does.
 // Only white space may precede it.
 func LeadingComment(stmt string) (text string, ok bool) {
-	s := strings.TrimLeft(stmt, " \t\r\n\f\v")
+	stmt = strings.TrimLeft(stmt, " \t\r\n\f\v")
 	switch {
-	case strings.HasPrefix(s, "--"):
-		return strings.TrimSpace(s[2:lineCommentEnd(s, 2)]), true
-	case strings.HasPrefix(s, "/*"):
-		end, ok := blockCommentEnd(s, 0)
+	case strings.HasPrefix(stmt, "--"):
+		end := lineCommentEnd(stmt, commentMark)
+		return strings.TrimSpace(stmt[commentMark:end]), true
+	case strings.HasPrefix(stmt, "/*"):
+		end, ok := blockCommentEnd(stmt, 0)
 		if !ok {
 			return "", false
 		}
-		return strings.TrimSpace(s[2 : end-2]), true
+		return strings.TrimSpace(stmt[commentMark : end-commentMark]), true
 	}
 	return "", false
 }
@@ -22,25 +23,38 @@
 // noWord is returned in place of a first word in a statement that begins with another token.
 const noWord = "("
 
+// statementCounter finds the first word of a text, and whether the text holds more than one statement.
+type statementCounter struct {
+	firstWord string // as written; noWord: the text begins with another token; "": with none so far
+	ended     bool   // the first statement has ended
+	multiple  bool
+}
+
+// token adds the next token.
+func (s *statementCounter) token(l *Lexer, t Token) {
+	switch {
+	case t.Kind == Semicolon:
+		s.ended = s.firstWord != ""
+	case s.ended:
+		s.multiple = true
+	case s.firstWord != "":
+	case t.Kind == Identifier:
+		s.firstWord = l.Text(t)
+	default:
+		s.firstWord = noWord
+	}
+}
+
 // FirstWord returns the first word of a statement in upper case, comments aside, and
 // whether the text holds more than one statement. Where the statement begins with no word,
 // the word is "(".
 func FirstWord(stmt string) (word string, several bool) {
 	l := Lexer{Src: stmt}
-	ended := false
-	for t := l.Next(); t.Kind != EndOfText; t = l.Next() {
-		switch {
-		case t.Kind == Semicolon:
-			ended = word != ""
-		case ended:
-			return word, true
-		case word == "" && t.Kind == Identifier:
-			word = strings.ToUpper(l.Text(t))
-		case word == "":
-			word = noWord
-		}
+	var statements statementCounter
+	for t := l.Next(); t.Kind != EndOfText && !statements.multiple; t = l.Next() {
+		statements.token(&l, t)
 	}
-	return word, false
+	return strings.ToUpper(statements.firstWord), statements.multiple
 }
 
 // SkipComments returns the statement without leading white space and comments.
@@ -53,7 +67,8 @@
 // HasTokenPrefix reports whether a statement begins with the tokens of a non-empty prefix. White
 // space and comments don't count, nor does case in key words and unquoted names.
 func HasTokenPrefix(stmt, prefix string) bool {
-	statementLexer, prefixLexer := Lexer{Src: stmt}, Lexer{Src: prefix}
+	statementLexer := Lexer{Src: stmt}
+	prefixLexer := Lexer{Src: prefix}
 	for matched := 0; ; matched++ {
 		want := prefixLexer.Next()
 		if want.Kind == EndOfText {
--- a/internal/sqltext/statement_test.go
+++ b/internal/sqltext/statement_test.go
@@ -6,7 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestGroup(t *testing.T) {
+// Only the schema of a table names the dataset; strings, comments and aliases don't.
+func TestDatasetOf_FindsSchemaOfTable(t *testing.T) {
 	for stmt, want := range map[string]int64{
 		"SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day": 17,
 		`select a from "sales_3"."orders"`:                                          3,
@@ -19,7 +20,10 @@
 		"UPDATE sales_11.t SET a = $$ FROM s_1.t $$ WHERE b = E'it\\'s FROM s_2.t'": 11,
 		"SELECT * FROM (SELECT a FROM my_sales_12 . t) x":                           12,
 		"SELECT 1 FROM register.sales_13.t":                                         13,
-		"SELECT 1":                                                                  -1, "SELECT a.b FROM c": -1, "SELECT 'open": -1, "SELECT s_x.t FROM s_.t": -1,
+		"SELECT 1":                                                                  -1,
+		"SELECT a.b FROM c":                                                         -1,
+		"SELECT 'open":                                                              -1,
+		"SELECT s_x.t FROM s_.t":                                                    -1,
 	} {
 		got, ok := DatasetOf(stmt)
 		if !ok {
@@ -31,7 +35,7 @@
 	}
 }
 
-func TestFirstWord(t *testing.T) {
+func TestFirstWord_SkipsCommentsAndSeesFurtherStatements(t *testing.T) {
 	for stmt, want := range map[string]struct {
 		word string
 		more bool
--- a/internal/sqltext/token.go
+++ b/internal/sqltext/token.go
@@ -35,7 +35,7 @@
 	info       identifierInfo
 }
 
-// identifierInfo is what the lexer learns of an Identifier on its way: the
+// identifierInfo holds what the lexer has found out about an Identifier: the
 // case-insensitive hash (bits 0 to 31), the class and the number as a key word (32 to 47
 // and 48 to 55), and whether it has upper-case letters (56).
 type identifierInfo uint64
@@ -63,12 +63,12 @@
 	// BackslashQuote means that a backslash precedes a quote in an ordinary string. Where
 	// standard_conforming_strings is off, the string does not end there.
 	BackslashQuote
-	// UnicodeEscape means that a name or string is written U&; its characters are not those
-	// it shows.
+	// UnicodeEscape means that a name or string is written U&: its escapes hide the characters
+	// that it stands for.
 	UnicodeEscape
 	// InvalidCharacter means that no lexical rule accepts a character, such as NUL.
 	InvalidCharacter
-	// NonASCII means that the text holds bytes above 0x7f. That is no flaw by itself, but
-	// the positions of tokens are reliable only if the text is valid UTF-8.
+	// NonASCII means that the text holds bytes above 0x7f. That is no flaw by itself:
+	// the positions of tokens are unreliable only if the text is not valid UTF-8.
 	NonASCII
 )
--- a/internal/sqltext/value_hash.go
+++ b/internal/sqltext/value_hash.go
@@ -13,24 +13,28 @@
 
 // hashKey hashes a value that is compared for equality. The hash does not depend on
 // whether the value is a literal or bound, in text or in binary form. It is never 0.
-func hashKey(v *slotValue, seed uint64) uint64 {
-	h := seed ^ fnvOffset
+func hashKey(value *slotValue, seed uint64) uint64 {
+	const (
+		maxIntDigits = 24 // above the digits of any int64 with its sign
+		upper32Shift = 32
+	)
+	hash := seed ^ fnvOffset
 	switch {
-	case v.bound != nil && v.binaryForm && isIntegerType(v.typeOID):
-		x, _ := parseBinaryNumber(v.bound, v.typeOID)
-		var digits [24]byte
-		h = fnv(h, strconv.AppendInt(digits[:0], int64(x), 10))
-	case v.bound != nil:
-		h = fnv(h, v.bound[:min(len(v.bound), maxHashedBytes)])
+	case value.bound != nil && value.binaryForm && isIntegerType(value.typeOID):
+		number, _ := parseBinaryNumber(value.bound, value.typeOID)
+		var digits [maxIntDigits]byte
+		hash = fnv(hash, strconv.AppendInt(digits[:0], int64(number), decimal))
+	case value.bound != nil:
+		hash = fnv(hash, value.bound[:min(len(value.bound), maxHashedBytes)])
 	default:
-		text := unquote(v.text)
-		h = fnv(h, text[:min(len(text), maxHashedBytes)])
+		text := unquote(value.text)
+		hash = fnv(hash, text[:min(len(text), maxHashedBytes)])
 	}
-	h ^= h >> 32
-	if h == 0 {
-		h = 1
+	hash ^= hash >> upper32Shift
+	if hash == 0 {
+		hash = 1
 	}
-	return h
+	return hash
 }
 
 func isIntegerType(typeOID uint32) bool {
@@ -38,9 +42,9 @@
 }
 
 // fnv continues an FNV-1a hash with some bytes.
-func fnv[T string | []byte](h uint64, data T) uint64 {
+func fnv[T string | []byte](hash uint64, data T) uint64 {
 	for i := range len(data) {
-		h = (h ^ uint64(data[i])) * fnvPrime
+		hash = (hash ^ uint64(data[i])) * fnvPrime
 	}
-	return h
+	return hash
 }
--- a/internal/sqltext/values.go
+++ b/internal/sqltext/values.go
@@ -14,16 +14,19 @@
 		return strings.TrimSuffix(s, "'")
 	}
 	if len(s) > 1 && s[0] == '$' {
-		if i := strings.IndexByte(s[1:], '$'); i >= 0 && len(s) >= 2*(i+2) {
-			return s[i+2 : len(s)-i-2]
+		if i := strings.IndexByte(s[1:], '$'); i >= 0 {
+			tagLength := i + len("$$")
+			if len(s) >= tagLength+tagLength {
+				return s[tagLength : len(s)-tagLength]
+			}
 		}
 	}
 	return s
 }
 
 // firstWildcard returns the position of the first wildcard of a pattern. A regular
-// expression counts as one with a leading wildcard where its first special character
-// stands at the start, an anchor aside.
+// expression has a leading wildcard if its first special character stands at its start or
+// directly behind the anchor ^.
 func firstWildcard(pattern string) Wildcard {
 	for i := range len(pattern) {
 		switch pattern[i] {
@@ -41,10 +44,12 @@
 
 // textArrayLength counts the elements of an array in text form, such as {a,"b,c"}.
 func textArrayLength(s string) int {
-	if len(s) < 3 || s[0] != '{' {
+	const shortest = len("{a}")
+	if len(s) < shortest || s[0] != '{' {
 		return 0
 	}
-	length, quoted := 1, false
+	length := 1
+	quoted := false
 	for i := 1; i < len(s); i++ {
 		switch s[i] {
 		case '\\':
@@ -60,8 +65,11 @@
 	return length
 }
 
+// floatBits is the size of a number, as strconv counts it.
+const floatBits = 64
+
 // parseNumber parses a literal or a value in text form as a number, or a date as days.
-func parseNumber(text string) (x float64, ok bool) {
+func parseNumber(text string) (number float64, ok bool) {
 	text = unquote(text)
 	if days, ok := parseDate(text); ok {
 		return days, true
@@ -69,73 +77,92 @@
 	if len(text) > maxNumberBytes || len(text) == 0 {
 		return 0, false
 	}
-	x, err := strconv.ParseFloat(text, 64)
+	number, err := strconv.ParseFloat(text, floatBits)
 	if err != nil {
-		return x, false
+		return number, false
 	}
-	return finite(x)
+	return finite(number)
 }
 
 // parseDate parses the date that a text begins with, as days since 2000-01-01.
 func parseDate(s string) (days float64, ok bool) {
-	if len(s) < 10 || s[4] != '-' || s[7] != '-' {
+	const (
+		yearEnd     = len("2000")
+		monthEnd    = len("2000-01")
+		dayEnd      = len("2000-01-01")
+		firstMonth  = 1
+		latestMonth = 12
+	)
+	if len(s) < dayEnd || s[yearEnd] != '-' || s[monthEnd] != '-' {
 		return 0, false
 	}
-	year, ok1 := parseDigits(s[:4])
-	month, ok2 := parseDigits(s[5:7])
-	day, ok3 := parseDigits(s[8:10])
-	if !ok1 || !ok2 || !ok3 || month < 1 || month > 12 {
+	year, yearOK := parseDigits(s[:yearEnd])
+	month, monthOK := parseDigits(s[yearEnd+1 : monthEnd])
+	day, dayOK := parseDigits(s[monthEnd+1 : dayEnd])
+	if !yearOK || !monthOK || !dayOK || month < firstMonth || month > latestMonth {
 		return 0, false
 	}
 	return float64(daysFromCivil(year, month, day)), true
 }
 
+// parseDigits parses a text that consists of digits.
 func parseDigits(s string) (n int, ok bool) {
 	for _, c := range []byte(s) {
 		if c < '0' || c > '9' {
 			return 0, false
 		}
-		n = n*10 + int(c-'0')
+		n = n*decimal + int(c-'0')
 	}
 	return n, true
 }
 
 // daysFromCivil returns the number of days from 2000-01-01 to a date of the Gregorian
 // calendar (Hinnant, "chrono-Compatible Low-Level Date Algorithms").
+//
+//nolint:mnd // the numbers are those of the published algorithm
 func daysFromCivil(year, month, day int) int {
 	const epoch = 730425 // 2000-01-01, in days since 0000-03-01
 	if month <= 2 {      // the year begins in March, so that the leap day is its last
 		year--
 		month += 12
 	}
-	return 365*year + year/4 - year/100 + year/400 + (153*(month-3)+2)/5 + day - 1 - epoch
+	leapDays := year/4 - year/100 + year/400
+	daysBeforeMonth := (153*(month-3) + 2) / 5
+	return 365*year + leapDays + daysBeforeMonth + day - 1 - epoch
 }
 
 // parseInterval parses an interval such as '3 months' or '1 year 2 days', as days. ok is
 // false where it begins with no number.
-func parseInterval(s string) (days float64, ok bool) {
+func parseInterval(text string) (days float64, ok bool) {
 	const maxFields = 4
-	for n := 0; n < maxFields && s != ""; n++ {
-		s = strings.TrimLeft(s, " ")
-		i := 0
-		for i < len(s) && (isDigit(s[i]) || s[i] == '.' || s[i] == '-' || s[i] == '+') {
-			i++
-		}
-		quantity, err := strconv.ParseFloat(s[:i], 64)
+	for n := 0; n < maxFields && text != ""; n++ {
+		text = strings.TrimLeft(text, " ")
+		number := text[:prefixLength(text, isNumberChar)]
+		quantity, err := strconv.ParseFloat(number, floatBits)
 		if err != nil {
 			return days, ok
 		}
-		s = strings.TrimLeft(s[i:], " ")
-		i = 0
-		for i < len(s) && charClasses[s[i]]&charNameStart != 0 {
-			i++
-		}
-		days += unitDays(quantity, s[:i])
-		s, ok = s[i:], true
+		text = strings.TrimLeft(text[len(number):], " ")
+		unit := text[:prefixLength(text, isUnitChar)]
+		days += unitDays(quantity, unit)
+		text = text[len(unit):]
+		ok = true
 	}
 	return days, ok
 }
 
+// prefixLength returns the length of the longest prefix whose characters all have a property.
+func prefixLength(text string, has func(byte) bool) int {
+	length := 0
+	for length < len(text) && has(text[length]) {
+		length++
+	}
+	return length
+}
+
+func isNumberChar(c byte) bool { return isDigit(c) || c == '.' || c == '-' || c == '+' }
+func isUnitChar(c byte) bool   { return charClasses[c]&charNameStart != 0 }
+
 // unitDays returns the absolute length in days of an interval of one unit, which may be
 // abbreviated. Without a unit, the quantity is in seconds.
 func unitDays(quantity float64, unit string) float64 {
--- a/internal/sqltext/values_binary.go
+++ b/internal/sqltext/values_binary.go
@@ -21,18 +21,23 @@
 
 // parseBinaryNumber parses a number in binary form. Dates and timestamps are returned as
 // days since 2000-01-01.
-func parseBinaryNumber(v []byte, typeOID uint32) (x float64, ok bool) {
-	switch len(v) {
-	case 2:
-		return float64(int16(binary.BigEndian.Uint16(v))), true
-	case 4:
-		bits := binary.BigEndian.Uint32(v)
+func parseBinaryNumber(value []byte, typeOID uint32) (number float64, ok bool) {
+	const (
+		size16 = 2
+		size32 = 4
+		size64 = 8
+	)
+	switch len(value) {
+	case size16:
+		return float64(int16(binary.BigEndian.Uint16(value))), true
+	case size32:
+		bits := binary.BigEndian.Uint32(value)
 		if typeOID == oidFloat4 {
 			return finite(float64(math.Float32frombits(bits)))
 		}
 		return float64(int32(bits)), true // a date is in days already
-	case 8:
-		bits := binary.BigEndian.Uint64(v)
+	case size64:
+		bits := binary.BigEndian.Uint64(value)
 		switch typeOID {
 		case oidFloat8:
 			return finite(math.Float64frombits(bits))
@@ -44,7 +49,8 @@
 	return 0, false
 }
 
-func finite(x float64) (float64, bool) { return x, !math.IsNaN(x) && !math.IsInf(x, 0) }
+// finite returns a number and whether it is finite.
+func finite(x float64) (number float64, ok bool) { return x, !math.IsNaN(x) && !math.IsInf(x, 0) }
 
 // The header of an array in binary form: the number of dimensions, a flag and the type of
 // the elements, of four bytes each, and eight bytes for each dimension.
@@ -59,22 +65,25 @@
 const maxCountedArrayBytes = 1 << 16
 
 // arrayLength returns the number of elements of a bound array, or 0 where it is malformed.
-func arrayLength(v []byte, binaryForm bool) int {
+func arrayLength(array []byte, binaryForm bool) int {
 	if !binaryForm {
-		counted := v[:min(len(v), maxCountedArrayBytes)]
-		return textArrayLength(string(counted)) * max(1, len(v)/maxCountedArrayBytes)
+		counted := array[:min(len(array), maxCountedArrayBytes)]
+		return textArrayLength(string(counted)) * max(1, len(array)/maxCountedArrayBytes)
 	}
-	if len(v) < arrayHeaderBytes {
+	if len(array) < arrayHeaderBytes {
 		return 0
 	}
-	dimensions := int(binary.BigEndian.Uint32(v))
-	if dimensions < 1 || dimensions > maxArrayDimensions || len(v) < arrayHeaderBytes+arrayDimensionBytes*dimensions {
+	dimensions := int(binary.BigEndian.Uint32(array))
+	if dimensions < 1 || dimensions > maxArrayDimensions {
+		return 0
+	}
+	if len(array) < arrayHeaderBytes+arrayDimensionBytes*dimensions {
 		return 0
 	}
 	length := 1
 	for i := range dimensions {
-		size := int(int32(binary.BigEndian.Uint32(v[arrayHeaderBytes+arrayDimensionBytes*i:])))
-		if size < 0 || length*size > len(v) { // each element takes at least four bytes
+		size := int(int32(binary.BigEndian.Uint32(array[arrayHeaderBytes+arrayDimensionBytes*i:])))
+		if size < 0 || length*size > len(array) { // each element takes at least four bytes
 			return 0
 		}
 		length *= size
