--- a/internal/decision/costmodel/classify.go
+++ b/internal/decision/costmodel/classify.go
@@ -1,7 +1,7 @@
 package costmodel
 
-// classify returns the index of the class for an expected work. A bucket keeps its class
-// until the estimate has passed the bound by the hysteresis.
+// classify returns the index of the class for an expected work, and stores it in the bucket, if any. A
+// bucket keeps its class until the estimate has passed the bound by the hysteresis.
 func (m *Model) classify(work float64, bucket *Bucket) int {
 	if len(m.cfg.Classes) == 0 {
 		return NoClass
@@ -28,6 +28,7 @@
 	return m.classFor(work*m.cfg.Hysteresis) >= current
 }
 
+// classFor returns the index of the first class whose bound is not exceeded.
 func (m *Model) classFor(work float64) int {
 	for i, class := range m.cfg.Classes {
 		if class.MaxWorkMillis <= 0 || work <= class.MaxWorkMillis {
--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -18,8 +18,8 @@
 // Reported costs are not trusted one by one: see Tracker.
 package costmodel
 
-// Bounds of plausible reports. What lies outside is ignored: an hour of work on one core
-// is more than any class waits for.
+// Bounds of plausible reports. Reports outside these bounds are ignored: an hour of work on one core
+// exceeds the deadlines of all classes.
 const (
 	minWork     = 0.01  // ms
 	maxWork     = 3.6e6 // ms
@@ -27,9 +27,8 @@
 	maxMemoryMB = 1e6
 )
 
-func plausibleWork(ms float64) bool     { return ms >= minWork && ms <= maxWork }
-func plausibleMemory(mb float64) bool   { return mb >= minMemoryMB && mb <= maxMemoryMB }
-func (m *Model) usesHint(q *Query) bool { return !m.cfg.NoHint && plausibleWork(q.HintWork) }
+func plausibleWork(ms float64) bool   { return ms >= minWork && ms <= maxWork }
+func plausibleMemory(mb float64) bool { return mb >= minMemoryMB && mb <= maxMemoryMB }
 
 // NoClass is the class index of an execution whose class is not decided.
 const NoClass = -1
@@ -48,14 +47,18 @@
 	// Hysteresis is the factor by which an estimate must pass the bound between two
 	// classes before a bucket changes its class. It is at least 1, which means none.
 	Hysteresis float64
-	// These switch off parts of the model, to measure what each contributes.
-	NoParameters, NoPrior, NoForgetting, NoHint bool
+	// These switch off parts of the model independently of each other, to measure what each
+	// contributes.
+	NoParameters bool // no profiles, similar values and frequent values
+	NoPrior      bool
+	NoForgetting bool // old observations keep their weight
+	NoHint       bool
 }
 
 // DefaultHysteresis is used where a configuration sets none.
 const DefaultHysteresis = 1.3
 
-// Model learns from executions and estimates others. It belongs to one goroutine.
+// Model learns from executions and estimates others. It may be used by one goroutine at a time.
 type Model struct {
 	cfg   Config
 	prior *prior
@@ -63,7 +66,7 @@
 	noErrors Tracker // used in place of a tracker without errors
 }
 
-// New returns a model that has learned nothing yet.
+// New returns a model without observations.
 func New(cfg Config) *Model {
 	if cfg.Hysteresis < 1 {
 		cfg.Hysteresis = DefaultHysteresis
@@ -71,5 +74,8 @@
 	return &Model{cfg: cfg, prior: newPrior()}
 }
 
+// usesHint reports whether the hint of a query takes part in its estimate.
+func (m *Model) usesHint(query *Query) bool { return !m.cfg.NoHint && plausibleWork(query.HintWork) }
+
 // forgets reports whether old observations lose their weight.
 func (m *Model) forgets() bool { return !m.cfg.NoForgetting }
--- a/internal/decision/costmodel/costmodel_test.go
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -19,7 +19,11 @@
 }
 
 func newShapeFixture(cfg Config) *shapeFixture {
-	return &shapeFixture{model: New(cfg), query: Query{Record: &ShapeRecord{}, Features: &sqltext.Features{Verb: 's', Tables: 1, Where: true}, KnownClass: NoClass}}
+	features := &sqltext.Features{Verb: sqltext.VerbSelect, Tables: 1, Where: true}
+	return &shapeFixture{
+		model: New(cfg),
+		query: Query{Record: &ShapeRecord{}, Features: features, KnownClass: NoClass},
+	}
 }
 
 // learn has the model learn a number of executions of the given work.
@@ -38,36 +42,34 @@
 
 // Whatever engines report, an estimate is a number within bounds, its class is one of those
 // configured, and an implausible cost changes nothing.
-func TestEstimatesStayWithinBounds(t *testing.T) {
+func TestEstimate_StaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newShapeFixture(Config{Classes: classes()})
-		figure := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)}))
+		odd := rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)})
+		figure := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), odd)
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			q := f.query
 			q.HintWork = figure.Draw(t, "hint")
 			q.Profile = sqltext.Profile{
-				Alternatives: rapid.IntRange(0, 1e6).Draw(t, "alternatives"), Span: rapid.Float64Range(0, 1e12).Draw(t, "span"),
-				RowLimit: rapid.Float64Range(0, 1e9).Draw(t, "limit"), Key: rapid.Uint64Range(0, 5).Draw(t, "key"),
+				Alternatives: rapid.IntRange(0, 1e6).Draw(t, "alternatives"),
+				Span:         rapid.Float64Range(0, 1e12).Draw(t, "span"),
+				RowLimit:     rapid.Float64Range(0, 1e9).Draw(t, "limit"),
+				Key:          rapid.Uint64Range(0, 5).Draw(t, "key"),
+			}
+			observed := Observation{
+				WorkMillis: figure.Draw(t, "work"),
+				MemoryMB:   figure.Draw(t, "memory"),
+				LowerBound: rapid.Bool().Draw(t, "at least"),
 			}
-			truth := Observation{WorkMillis: figure.Draw(t, "work"), MemoryMB: figure.Draw(t, "memory"), LowerBound: rapid.Bool().Draw(t, "at least")}
 			before := *f.query.Record
-			f.model.Learn(&q, truth)
-			if !(truth.WorkMillis >= minWork && truth.WorkMillis <= maxWork) {
+			f.model.Learn(&q, observed)
+			if !(observed.WorkMillis >= minWork && observed.WorkMillis <= maxWork) {
 				before.Executions++
 				if before != *f.query.Record {
-					t.Fatalf("a cost of %g was learned", truth.WorkMillis)
+					t.Fatalf("a cost of %g was learned", observed.WorkMillis)
 				}
 			}
-			e := f.model.Estimate(&q)
-			if !e.Known {
-				continue
-			}
-			if !(e.WorkMillis >= minWork*0.99 && e.WorkMillis <= maxWork*1.01) || !(e.SpreadFactor >= 1) || math.IsInf(e.SpreadFactor, 0) || !(e.MemoryMB >= 0) || math.IsInf(e.MemoryMB, 0) {
-				t.Fatalf("estimate %+v", e)
-			}
-			if e.Class < 0 || e.Class > 1 || e.Explain() == "" {
-				t.Fatalf("class %d, why %q", e.Class, e.Explain())
-			}
+			checkBounds(t, f.model.Estimate(&q))
 		}
 		if err := f.query.Record.Check(); err != nil {
 			t.Fatal(err)
@@ -78,14 +80,35 @@
 	})
 }
 
+// checkBounds checks that a known estimate consists of finite numbers within bounds and one of two classes.
+func checkBounds(t *rapid.T, estimate Estimate) {
+	t.Helper()
+	if !estimate.Known {
+		return
+	}
+	if !(estimate.WorkMillis >= minWork*0.99 && estimate.WorkMillis <= maxWork*1.01) {
+		t.Fatalf("work of the estimate %+v", estimate)
+	}
+	if !(estimate.SpreadFactor >= 1) || math.IsInf(estimate.SpreadFactor, 0) {
+		t.Fatalf("spread of the estimate %+v", estimate)
+	}
+	if !(estimate.MemoryMB >= 0) || math.IsInf(estimate.MemoryMB, 0) {
+		t.Fatalf("memory of the estimate %+v", estimate)
+	}
+	if estimate.Class < 0 || estimate.Class > 1 || estimate.Explain() == "" {
+		t.Fatalf("class %d, explanation %q", estimate.Class, estimate.Explain())
+	}
+}
+
 // The same calls give the same estimates.
-func TestEstimatesAreDeterministic(t *testing.T) {
+func TestEstimate_IsDeterministic(t *testing.T) {
 	run := func() Estimate {
 		f := newShapeFixture(Config{Classes: classes()})
 		rng := rand.New(rand.NewPCG(1, 2))
 		for range 500 {
 			q := f.query
-			q.Profile.Key, q.HintWork = rng.Uint64N(50), 100*rng.Float64()
+			q.Profile.Key = rng.Uint64N(50)
+			q.HintWork = 100 * rng.Float64()
 			f.model.Learn(&q, Observation{WorkMillis: 100 + 900*rng.Float64(), MemoryMB: 5})
 		}
 		q := f.query
@@ -99,19 +122,20 @@
 
 // A cost that changes by a factor of ten is followed within some ten observations, and not
 // without forgetting.
-func TestForgettingFollowsChangedCost(t *testing.T) {
+func TestLearn_FollowsChangedCostOnlyWithForgetting(t *testing.T) {
 	for _, forget := range []bool{true, false} {
 		f := newShapeFixture(Config{Classes: classes(), NoForgetting: !forget})
 		f.learn(200, 150)
 		f.learn(25, 1500)
-		if got := f.estimate().WorkMillis; forget && (got < 1000 || got > 2000) || !forget && got > 1000 {
+		got := f.estimate().WorkMillis
+		if forget && (got < 1000 || got > 2000) || !forget && got > 1000 {
 			t.Errorf("forgetting %v: %.0f ms after the cost went from 150 to 1500", forget, got)
 		}
 	}
 }
 
 // One nonsensical report, or one plan that went wrong, has little influence.
-func TestOutlierHasLittleInfluence(t *testing.T) {
+func TestLearn_OutlierHasLittleInfluence(t *testing.T) {
 	for _, odd := range []float64{-1, 0, math.NaN(), math.Inf(1), 1e12, 3.5e6, 0.011} {
 		f := newShapeFixture(Config{Classes: classes()})
 		f.learn(40, 200)
@@ -124,31 +148,32 @@
 }
 
 // A hint that is wrong by a factor of ten is corrected.
-func TestHintIsCorrected(t *testing.T) {
-	m := New(Config{Classes: classes()})
+func TestHint_IsCorrected(t *testing.T) {
+	model := New(Config{Classes: classes()})
 	rng := rand.New(rand.NewPCG(3, 4))
-	features := &sqltext.Features{Verb: 's', Tables: 1}
+	features := &sqltext.Features{Verb: sqltext.VerbSelect, Tables: 1}
 	for range 300 {
-		work := math.Exp(5 + rng.NormFloat64()*1.2) // widely spread, and the hint knows of it
-		m.Learn(&Query{Features: features, KnownClass: 0, HintWork: work / 10}, Observation{WorkMillis: work})
+		work := math.Exp(5 + rng.NormFloat64()*1.2) // widely spread, and the hint is proportional to it
+		model.Learn(&Query{Features: features, KnownClass: 0, HintWork: work / 10}, Observation{WorkMillis: work})
 	}
-	e := m.Estimate(&Query{Features: features, KnownClass: 0, HintWork: 50})
+	e := model.Estimate(&Query{Features: features, KnownClass: 0, HintWork: 50})
 	if e.WorkMillis < 350 || e.WorkMillis > 700 {
 		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.WorkMillis, e.Explain())
 	}
 }
 
 // A shape whose cost lies at a bound keeps its class until it is well past the bound.
-func TestHysteresisKeepsClassAtBound(t *testing.T) {
+func TestHysteresis_KeepsClassAtBound(t *testing.T) {
 	f := newShapeFixture(Config{Classes: classes(), Hysteresis: 1.3})
 	rng := rand.New(rand.NewPCG(5, 6))
 	f.learn(20, 700)
-	changes, last := 0, -1
+	changes := 0
+	last := NoClass
 	for range 500 {
 		f.learn(1, 800*math.Exp(0.1*rng.NormFloat64()))
-		if c := f.estimate().Class; c != last {
+		if class := f.estimate().Class; class != last {
 			changes++
-			last = c
+			last = class
 		}
 	}
 	if changes > 2 {
@@ -161,7 +186,7 @@
 }
 
 // A cancelled execution is learned as a lower bound of the cost, and as nothing more.
-func TestCancelledExecutionIsLowerBound(t *testing.T) {
+func TestLearn_CancelledExecutionIsLowerBound(t *testing.T) {
 	f := newShapeFixture(Config{Classes: classes()})
 	f.learn(30, 200)
 	for range 20 {
@@ -176,19 +201,20 @@
 		f.model.Learn(&q, Observation{WorkMillis: 6000, LowerBound: true})
 	}
 	if got := f.estimate().WorkMillis; got < 2000 {
-		t.Errorf("%.0f ms after 30 executions were given up at 6000", got)
+		t.Errorf("%.0f ms after 30 executions were cancelled at 6000", got)
 	}
 }
 
 // A value that is requested often and costs ten times the usual gets an estimate of its own.
-func TestFrequentValueIsCorrected(t *testing.T) {
+func TestFrequentValue_IsCorrected(t *testing.T) {
 	f := newShapeFixture(Config{Classes: classes()})
 	for i := range 3000 {
 		q := f.query
 		q.Profile.Key = 1e6 + uint64(i)
 		work := 150.0
 		if i%20 == 0 {
-			q.Profile.Key, work = 42, 1500
+			q.Profile.Key = 42
+			work = 1500
 		}
 		f.model.Learn(&q, Observation{WorkMillis: work})
 	}
--- a/internal/decision/costmodel/ensemble.go
+++ b/internal/decision/costmodel/ensemble.go
@@ -6,13 +6,17 @@
 type Component struct {
 	Log2Cost  float64 // the expected cost
 	Deviation float64 // its expected error, as a base-2 logarithm
-	Samples   float64 // number of observations it rests on; 0: it takes no part
+	Samples   float64 // number of its observations; 0: it takes no part in the estimate
 	Weight    float64 // its share of the estimate, 0 to 1
 }
 
 // componentOf returns the estimator that adds the tracked offset to a base.
-func componentOf(t *Tracker, base float64) Component {
-	return Component{Log2Cost: base + float64(t.Median), Deviation: math.Sqrt(t.Variance()), Samples: float64(t.Samples)}
+func componentOf(tracker *Tracker, base float64) Component {
+	return Component{
+		Log2Cost:  base + float64(tracker.Median),
+		Deviation: math.Sqrt(tracker.Variance()),
+		Samples:   float64(tracker.Samples),
+	}
 }
 
 // combine weights the components by the inverse of their variances. ok is false where none
@@ -36,7 +40,7 @@
 }
 
 const (
-	// minHintSamples is how many errors of the hint must be known before it is corrected by them.
+	// minHintSamples is the number of known errors of the hint from which on it is corrected by them.
 	minHintSamples = 3
 	// uncorrectedHintDeviation is the expected error of a hint about whose errors nothing is
 	// known: a factor of four.
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -18,13 +18,14 @@
 }
 
 const (
-	// wellKnownSamples is how many executions of a bucket must be known until its record and
-	// the hint suffice as components, and until only a sample of its executions is learned
-	// from while these cost what is expected. Most traffic is of such shapes.
+	// wellKnownSamples is the number of executions from which on a bucket's record and the hint
+	// suffice as components. From then on the model also learns only from a sample of the bucket's
+	// executions, as long as their cost is as expected. Most traffic belongs to such buckets.
 	wellKnownSamples = 200
 	// minTrackedSamples is the least number of observations that make an offset usable.
 	minTrackedSamples = 2
-	// minClassMemorySamples is how many observations make the usual memory of a class usable.
+	// minClassMemorySamples is the least number of observations that make the usual memory of a class
+	// usable.
 	minClassMemorySamples = 3
 	// percentile90 is the 90th percentile of the standard normal distribution.
 	percentile90 = 1.28
@@ -32,90 +33,94 @@
 
 // Estimate returns the expected cost of an execution. It changes nothing but the class of
 // the bucket.
-func (m *Model) Estimate(q *Query) Estimate {
-	q.estimate = m.estimate(q)
-	return q.estimate
+func (m *Model) Estimate(query *Query) Estimate {
+	query.estimate = m.estimate(query)
+	return query.estimate
 }
 
-func (m *Model) estimate(q *Query) Estimate {
-	est := Estimate{Class: NoClass}
+func (m *Model) estimate(query *Query) Estimate {
+	estimate := Estimate{Class: NoClass}
 	var bucket *Bucket
-	if q.Record != nil {
-		bucket = q.Record.find(m.bucketKey(q))
+	if query.Record != nil {
+		bucket = query.Record.find(m.bucketKey(query))
 	}
 	if bucket != nil {
-		est.Record = componentOf(&bucket.Work, 0)
+		estimate.Record = componentOf(&bucket.Work, 0)
 	}
-	m.estimateComponents(q, bucket, &est)
-	log2Cost, variance, ok := combine(&est.Record, &est.Similar, &est.Prior, &est.Hint)
+	m.estimateComponents(query, bucket, &estimate)
+	log2Cost, variance, ok := combine(&estimate.Record, &estimate.Similar, &estimate.Prior, &estimate.Hint)
 	if !ok {
-		return est
+		return estimate
 	}
-	if value := m.FrequentValues.find(q.Profile.Key); !m.cfg.NoParameters && value != nil && value.significant() {
-		est.FrequentValue = frequentValueComponent(value)
-		log2Cost += est.FrequentValue.Log2Cost
+	value := m.FrequentValues.find(query.Profile.Key)
+	if !m.cfg.NoParameters && value != nil && value.significant() {
+		estimate.FrequentValue = frequentValueComponent(value)
+		log2Cost += estimate.FrequentValue.Log2Cost
 	}
-	est.Known = true
-	est.WorkMillis = math.Exp2(max(min(log2Cost, math.Log2(maxWork)), math.Log2(minWork)))
-	est.SpreadFactor = math.Exp2(percentile90 * math.Sqrt(variance))
-	est.MemoryMB = m.memory(q, bucket)
-	est.Class = m.classify(est.WorkMillis, bucket)
-	return est
+	estimate.Known = true
+	estimate.WorkMillis = math.Exp2(max(min(log2Cost, math.Log2(maxWork)), math.Log2(minWork)))
+	estimate.SpreadFactor = math.Exp2(percentile90 * math.Sqrt(variance))
+	estimate.MemoryMB = m.memory(query, bucket)
+	estimate.Class = m.classify(estimate.WorkMillis, bucket)
+	return estimate
 }
 
 // estimateComponents sets the components beside the shape's own record.
-func (m *Model) estimateComponents(q *Query, bucket *Bucket, est *Estimate) {
+func (m *Model) estimateComponents(query *Query, bucket *Bucket, estimate *Estimate) {
+	record := query.Record
 	wellKnown := bucket != nil && bucket.Work.Samples >= wellKnownSamples
 	atypicality := 0.0
 	if !wellKnown && !m.cfg.NoPrior && m.prior.ready() {
-		est.Prior, atypicality = m.priorComponent(q)
+		estimate.Prior, atypicality = m.priorComponent(query)
 	}
-	if m.usesHint(q) {
+	if m.usesHint(query) {
 		var shapeErrors *Tracker
-		if q.Record != nil {
-			shapeErrors = &q.Record.HintError
+		if record != nil {
+			shapeErrors = &record.HintError
 		}
-		est.Hint = hintComponent(q.HintWork, shapeErrors, &m.classStatistics(q.KnownClass).HintError)
+		classErrors := &m.classStatistics(query.KnownClass).HintError
+		estimate.Hint = hintComponent(query.HintWork, shapeErrors, classErrors)
 	}
-	similar := m.findSimilar(q)
+	similar := m.findSimilar(query)
 	similarKnown := similar != nil && similar.Offset.Samples >= minTrackedSamples
-	if r := q.Record; r != nil && r.Work.Samples >= minTrackedSamples && similarKnown {
-		est.Similar = componentOf(&similar.Offset, float64(r.Work.Median))
+	if record != nil && record.Work.Samples >= minTrackedSamples && similarKnown {
+		estimate.Similar = componentOf(&similar.Offset, float64(record.Work.Median))
 	}
-	if !wellKnown {
-		priorErrors, hintErrors := m.relevantErrors(q, bucket, similar, atypicality)
-		priorErrors.adjust(&est.Prior, atypicality)
-		hintErrors.adjust(&est.Hint, atypicality)
+	if wellKnown {
+		return
 	}
+	errors := m.relevantErrors(query, bucket, similar, atypicality)
+	errors.prior.adjust(&estimate.Prior, atypicality)
+	errors.hint.adjust(&estimate.Hint, atypicality)
 }
 
 // priorComponent returns the prior's estimator, and how far the prior's prediction for this
 // execution lies from its usual ones for the shape.
-func (m *Model) priorComponent(q *Query) (c Component, atypicality float64) {
-	prediction := m.prior.predict(m.featuresOf(q))
-	if r := q.Record; r != nil && r.PriorError.Samples >= minTrackedSamples {
-		return componentOf(&r.PriorError, prediction), prediction - float64(r.PriorPrediction.Median)
+func (m *Model) priorComponent(query *Query) (component Component, atypicality float64) {
+	prediction := m.prior.predict(m.featuresOf(query))
+	if record := query.Record; record != nil && record.PriorError.Samples >= minTrackedSamples {
+		return componentOf(&record.PriorError, prediction), prediction - float64(record.PriorPrediction.Median)
 	}
 	return componentOf(&m.prior.Errors, prediction), 0
 }
 
 // memory returns the expected memory in MB: an ensemble of the record and the corrected
 // hint. It is 0 where nothing is known.
-func (m *Model) memory(q *Query, bucket *Bucket) float64 {
+func (m *Model) memory(query *Query, bucket *Bucket) float64 {
 	var record, hint Component
-	class := m.classStatistics(q.KnownClass)
+	class := m.classStatistics(query.KnownClass)
 	switch {
 	case bucket != nil && bucket.Memory.Samples > 0:
 		record = componentOf(&bucket.Memory, 0)
 	case class.Memory.Samples >= minClassMemorySamples:
 		record = componentOf(&class.Memory, 0)
 	}
-	if !m.cfg.NoHint && plausibleMemory(q.HintMemoryMB) {
+	if !m.cfg.NoHint && plausibleMemory(query.HintMemoryMB) {
 		var shapeErrors *Tracker
-		if q.Record != nil {
-			shapeErrors = &q.Record.MemoryHintError
+		if query.Record != nil {
+			shapeErrors = &query.Record.MemoryHintError
 		}
-		hint = hintComponent(q.HintMemoryMB, shapeErrors, &class.MemoryHintError)
+		hint = hintComponent(query.HintMemoryMB, shapeErrors, &class.MemoryHintError)
 	}
 	log2Memory, _, ok := combine(&record, &hint)
 	if !ok {
--- a/internal/decision/costmodel/explain.go
+++ b/internal/decision/costmodel/explain.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// Explain explains in words what an estimate rests on.
+// Explain describes in words the components that an estimate consists of.
 func (e Estimate) Explain() string {
 	if !e.Known {
 		return "nothing is known: no record, no hint, and the prior has seen too little"
 	}
+	const percent = 100
 	var parts []string
-	for _, part := range []struct {
+	for _, component := range []struct {
 		name string
 		Component
 	}{
@@ -21,13 +22,15 @@
 		{"prior over features", e.Prior},
 		{"hint as it has been right", e.Hint},
 	} {
-		if part.Samples > 0 {
+		if component.Samples > 0 {
 			parts = append(parts, fmt.Sprintf("%s %.4g ms, within a factor of %.2g, from %.0f values: %.0f %%",
-				part.name, math.Exp2(part.Log2Cost), math.Exp2(part.Deviation), part.Samples, 100*part.Weight))
+				component.name, math.Exp2(component.Log2Cost), math.Exp2(component.Deviation),
+				component.Samples, percent*component.Weight))
 		}
 	}
 	if e.FrequentValue.Samples > 0 {
-		parts = append(parts, fmt.Sprintf("its value is asked for often and costs %.2g times the usual", math.Exp2(e.FrequentValue.Log2Cost)))
+		parts = append(parts, fmt.Sprintf("its value is asked for often and costs %.2g times the usual",
+			math.Exp2(e.FrequentValue.Log2Cost)))
 	}
 	return strings.Join(parts, "; ")
 }
--- a/internal/decision/costmodel/features.go
+++ b/internal/decision/costmodel/features.go
@@ -6,7 +6,7 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// Positions in a vector that are set apart from the list of features.
+// Positions in a vector that are set behind the list of features.
 const (
 	largeListFeature  = 22
 	largeSpanFeature  = 23
@@ -23,45 +23,59 @@
 
 // newVector computes the features of a statement and its values. class is the index of the
 // class where it is known, else NoClass. The order is part of the stored state's layout.
-func newVector(f *sqltext.Features, p *sqltext.Profile, class int) (x vector) {
-	const maxJoins = 6
-	x = vector{
+func newVector(features *sqltext.Features, profile *sqltext.Profile, class int) vector {
+	const (
+		maxJoins = 6
+		// Logarithms are scaled so that usual values are of the order of 1.
+		listScale  = 4
+		spanScale  = 4
+		limitScale = 8
+		rowsScale  = 4
+		// Values above these base-2 logarithms are large.
+		largeList       = 4
+		largeListScale  = 2
+		largeSpan       = 4
+		largeSpanScale  = 2
+		largeLimit      = 8
+		largeLimitScale = 4
+	)
+	values := vector{
 		1, // the intercept
-		math.Log2(1 + float64(f.Tables)),
-		float64(min(f.Joins, maxJoins)),
-		math.Log2(1 + float64(f.Aggregates)),
-		indicator(f.Windows > 0),
-		indicator(f.Groups > 0),
-		indicator(f.Sorts > 0),
-		indicator(f.Distincts > 0),
-		math.Log2(1 + float64(max(f.Selects-1, 0))),
-		indicator(f.Verb == sqltext.VerbInsert),
-		indicator(f.Verb != sqltext.VerbInsert && f.Verb != sqltext.VerbSelect),
-		indicator(f.Where),
-		indicator(f.Limited),
-		math.Log2(1+float64(p.Alternatives)) / 4,
-		math.Log2(1+p.Span) / 4,
-		indicator(p.HalfOpen),
-		indicator(p.Wildcard == sqltext.InnerWildcard),
-		indicator(p.Wildcard == sqltext.LeadingWildcard),
-		math.Log2(1+p.RowLimit) / 8,
-		indicator(p.DisabledRestrictions > 0),
-		indicator(p.Unrestricted),
-		math.Log2(1+float64(p.Rows)) / 4,
+		math.Log2(1 + float64(features.Tables)),
+		float64(min(features.Joins, maxJoins)),
+		math.Log2(1 + float64(features.Aggregates)),
+		indicator(features.Windows > 0),
+		indicator(features.Groups > 0),
+		indicator(features.Sorts > 0),
+		indicator(features.Distincts > 0),
+		math.Log2(1 + float64(max(features.Selects-1, 0))),
+		indicator(features.Verb == sqltext.VerbInsert),
+		indicator(features.Verb != sqltext.VerbInsert && features.Verb != sqltext.VerbSelect),
+		indicator(features.Where),
+		indicator(features.Limited),
+		math.Log2(1+float64(profile.Alternatives)) / listScale,
+		math.Log2(1+profile.Span) / spanScale,
+		indicator(profile.HalfOpen),
+		indicator(profile.Wildcard == sqltext.InnerWildcard),
+		indicator(profile.Wildcard == sqltext.LeadingWildcard),
+		math.Log2(1+profile.RowLimit) / limitScale,
+		indicator(profile.DisabledRestrictions > 0),
+		indicator(profile.Unrestricted),
+		math.Log2(1+float64(profile.Rows)) / rowsScale,
 	}
-	// Beyond some size each doubling counts for more: short lists are found by an index,
-	// long ones are not.
-	x[largeListFeature] = math.Max(0, math.Log2(1+float64(p.Alternatives))-4) / 2
-	x[largeSpanFeature] = math.Max(0, math.Log2(1+p.Span)-4) / 2
-	x[largeLimitFeature] = math.Max(0, math.Log2(1+p.RowLimit)-8) / 4
+	// Above some size each doubling raises the cost by more: an index serves short lists only.
+	values[largeListFeature] = math.Max(0, math.Log2(1+float64(profile.Alternatives))-largeList) / largeListScale
+	values[largeSpanFeature] = math.Max(0, math.Log2(1+profile.Span)-largeSpan) / largeSpanScale
+	values[largeLimitFeature] = math.Max(0, math.Log2(1+profile.RowLimit)-largeLimit) / largeLimitScale
 	if class >= 0 && class < featureClasses {
-		x[classFeatures+class] = 1
+		values[classFeatures+class] = 1
 	}
-	return x
+	return values
 }
 
-func indicator(b bool) float64 {
-	if b {
+// indicator returns 1 for a property that holds, else 0.
+func indicator(holds bool) float64 {
+	if holds {
 		return 1
 	}
 	return 0
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// The prior serves new shapes and values, and an update takes microseconds. It therefore
+// The prior is needed for new shapes and values, and its update takes microseconds. It therefore
 // learns from the first executions of a shape and from a sample of the others.
 const (
 	priorFirstExecutions = 24
@@ -13,58 +13,58 @@
 const learnSampleInterval = 4
 
 // Learn updates the model with the cost of an execution. Implausible costs are ignored.
-func (m *Model) Learn(q *Query, truth Observation) {
-	record := q.Record
+func (m *Model) Learn(query *Query, observed Observation) {
+	record := query.Record
 	if record != nil && record.Executions < math.MaxUint32 {
 		record.Executions++
 	}
-	if !plausibleWork(truth.WorkMillis) || m.skips(q) {
+	if !plausibleWork(observed.WorkMillis) || m.skips(query) {
 		return
 	}
-	before := q.estimate
-	if !before.Known {
-		before = m.estimate(q)
+	expected := query.estimate
+	if !expected.Known {
+		expected = m.estimate(query)
 	}
-	if truth.LowerBound && before.Known && before.WorkMillis >= truth.WorkMillis {
+	if observed.LowerBound && expected.Known && expected.WorkMillis >= observed.WorkMillis {
 		return // a lower bound below the estimate gives no information
 	}
-	log2Work := math.Log2(truth.WorkMillis)
+	log2Work := math.Log2(observed.WorkMillis)
 	if record != nil {
-		newValue := before.Record.Samples < newValueSamples
-		m.learnSimilar(q, log2Work, newValue)
-		m.learnShape(q, log2Work, truth.MemoryMB)
+		isNewValue := expected.Record.Samples < newValueSamples
+		m.learnSimilar(query, log2Work, isNewValue)
+		m.learnShape(query, log2Work, observed.MemoryMB)
 	}
 	if record == nil || record.Executions < priorFirstExecutions || record.Executions%priorSampleInterval == 0 {
-		m.prior.learn(m.featuresOf(q), log2Work, m.forgets())
+		m.prior.learn(m.featuresOf(query), log2Work, m.forgets())
 	}
-	m.learnHint(q, log2Work)
-	m.learnMemory(q, truth.MemoryMB)
-	if before.Known && q.Profile.Key != 0 && !m.cfg.NoParameters {
-		uncorrected := math.Log2(before.WorkMillis) - before.FrequentValue.Log2Cost
-		m.FrequentValues.add(q.Profile.Key).Offset.Add(log2Work-uncorrected, m.forgets())
+	m.learnHint(query, log2Work)
+	m.learnMemory(query, observed.MemoryMB)
+	if expected.Known && query.Profile.Key != 0 && !m.cfg.NoParameters {
+		uncorrected := math.Log2(expected.WorkMillis) - expected.FrequentValue.Log2Cost
+		m.FrequentValues.add(query.Profile.Key).Offset.Add(log2Work-uncorrected, m.forgets())
 	}
 }
 
 // skips reports whether sampling leaves an execution out: its bucket is well known and its
 // recent costs were as expected.
-func (m *Model) skips(q *Query) bool {
-	if q.Record == nil || q.Record.Executions%learnSampleInterval == 0 {
+func (m *Model) skips(query *Query) bool {
+	if query.Record == nil || query.Record.Executions%learnSampleInterval == 0 {
 		return false
 	}
-	bucket := q.Record.find(m.bucketKey(q))
+	bucket := query.Record.find(m.bucketKey(query))
 	return bucket != nil && bucket.Work.Samples >= wellKnownSamples && bucket.Work.steady()
 }
 
 // learnShape updates the record of the shape.
-func (m *Model) learnShape(q *Query, log2Work, memoryMB float64) {
-	record := q.Record
+func (m *Model) learnShape(query *Query, log2Work, memoryMB float64) {
+	record := query.Record
 	if m.prior.ready() {
-		prediction := m.prior.predict(m.featuresOf(q))
+		prediction := m.prior.predict(m.featuresOf(query))
 		record.PriorError.Add(log2Work-prediction, m.forgets())
 		record.PriorPrediction.Add(prediction, m.forgets())
 	}
 	record.Work.Add(log2Work, m.forgets())
-	bucket := record.findOrReplace(m.bucketKey(q))
+	bucket := record.findOrReplace(m.bucketKey(query))
 	bucket.LastUsed = record.Executions
 	bucket.Work.Add(log2Work, m.forgets())
 	if plausibleMemory(memoryMB) {
@@ -73,63 +73,63 @@
 }
 
 // learnHint updates the errors of the hint, for the class and for the shape.
-func (m *Model) learnHint(q *Query, log2Work float64) {
-	if !plausibleWork(q.HintWork) {
+func (m *Model) learnHint(query *Query, log2Work float64) {
+	if !plausibleWork(query.HintWork) {
 		return
 	}
-	hintError := log2Work - math.Log2(q.HintWork)
-	m.classStatistics(q.KnownClass).HintError.Add(hintError, m.forgets())
-	if q.Record != nil {
-		q.Record.HintError.Add(hintError, m.forgets())
+	hintError := log2Work - math.Log2(query.HintWork)
+	m.classStatistics(query.KnownClass).HintError.Add(hintError, m.forgets())
+	if query.Record != nil {
+		query.Record.HintError.Add(hintError, m.forgets())
 	}
 }
 
 // learnMemory updates the memory of the class and the errors of its hint.
-func (m *Model) learnMemory(q *Query, memoryMB float64) {
+func (m *Model) learnMemory(query *Query, memoryMB float64) {
 	if !plausibleMemory(memoryMB) {
 		return
 	}
-	class := m.classStatistics(q.KnownClass)
+	class := m.classStatistics(query.KnownClass)
 	log2Memory := math.Log2(memoryMB)
 	class.Memory.Add(log2Memory, m.forgets())
-	if !plausibleMemory(q.HintMemoryMB) {
+	if !plausibleMemory(query.HintMemoryMB) {
 		return
 	}
-	hintError := log2Memory - math.Log2(q.HintMemoryMB)
+	hintError := log2Memory - math.Log2(query.HintMemoryMB)
 	class.MemoryHintError.Add(hintError, m.forgets())
-	if q.Record != nil {
-		q.Record.MemoryHintError.Add(hintError, m.forgets())
+	if query.Record != nil {
+		query.Record.MemoryHintError.Add(hintError, m.forgets())
 	}
 }
 
 // learnSimilar updates the errors made on similar values and, where the values are new to
-// the shape, on new values. It runs before the shape's record learns of the execution.
-func (m *Model) learnSimilar(q *Query, log2Work float64, newValue bool) {
-	record := q.Record
+// the shape, on new values. It must run before the record of the shape is updated.
+func (m *Model) learnSimilar(query *Query, log2Work float64, isNewValue bool) {
+	record := query.Record
 	if record.Work.Samples < minTrackedSamples {
 		return
 	}
 	similar := &valueStatistics{}
 	if !m.cfg.NoParameters {
-		similar = m.SimilarValues.add(similarKey(m.bucketKey(q), q.Profile.Column))
+		similar = m.SimilarValues.add(similarKey(m.bucketKey(query), query.Profile.Column))
 		similar.Offset.Add(log2Work-float64(record.Work.Median), m.forgets())
 	}
 	if !m.prior.ready() || record.PriorError.Samples < minTrackedSamples {
 		return
 	}
-	prediction := m.prior.predict(m.featuresOf(q))
+	prediction := m.prior.predict(m.featuresOf(query))
 	newValues := &m.NewValues[atypicalityLevel(prediction-float64(record.PriorPrediction.Median))]
 	priorError := log2Work - prediction - float64(record.PriorError.Median)
 	similar.PriorError.Add(priorError, m.forgets())
-	if newValue {
+	if isNewValue {
 		newValues.Prior.Add(priorError, m.forgets())
 	}
-	if record.HintError.Samples < minHintSamples || !plausibleWork(q.HintWork) {
+	if record.HintError.Samples < minHintSamples || !plausibleWork(query.HintWork) {
 		return
 	}
-	hintError := log2Work - math.Log2(q.HintWork) - float64(record.HintError.Median)
+	hintError := log2Work - math.Log2(query.HintWork) - float64(record.HintError.Median)
 	similar.HintError.Add(hintError, m.forgets())
-	if newValue {
+	if isNewValue {
 		newValues.Hint.Add(hintError, m.forgets())
 	}
 }
--- a/internal/decision/costmodel/prior.go
+++ b/internal/decision/costmodel/prior.go
@@ -14,9 +14,9 @@
 	priorForgetting = 0.9995 // the forgetting factor for one observation
 	priorRidge      = 0.05   // regularization of the weights
 	priorClip       = 3      // bound of an error, as a base-2 logarithm: a factor of eight
-	priorMinSamples = 30     // observations before it makes predictions
-	// priorMaxTrace bounds the covariance's trace. Above it the prior stops forgetting, which
-	// prevents wind-up in directions that no traffic shows any more.
+	priorMinSamples = 30     // number of observations before it makes predictions
+	// priorMaxTrace bounds the covariance's trace. Above it the prior stops forgetting. Otherwise the
+	// covariance would grow without bound in directions that the traffic no longer shows.
 	priorMaxTrace = 1e4
 )
 
@@ -59,7 +59,8 @@
 // update makes one step of the recursive least squares.
 func (p *prior) update(x *vector, predictionError, forgetting float64) {
 	var product vector // of the covariance and the features
-	scale, trace := forgetting, 0.0
+	scale := forgetting
+	trace := 0.0
 	for i := range dimensions {
 		for j := range dimensions {
 			product[i] += p.Covariance[i][j] * x[j]
--- a/internal/decision/costmodel/record.go
+++ b/internal/decision/costmodel/record.go
@@ -7,9 +7,9 @@
 // constant.
 type ShapeRecord struct {
 	Executions      uint32             `cbor:"Seen"`   // number of executions, saturating
-	Work            Tracker            `cbor:"All"`    // cost, whatever the values
+	Work            Tracker            `cbor:"All"`    // cost, over all values
 	PriorError      Tracker            `cbor:"Offset"` // cost relative to the prior's prediction
-	PriorPrediction Tracker            `cbor:"Usual"`  // what the prior predicted for its executions
+	PriorPrediction Tracker            `cbor:"Usual"`  // the prior's predictions for its executions
 	HintError       Tracker            `cbor:"Hint"`   // cost relative to the hint
 	MemoryHintError Tracker            `cbor:"Memory"` // memory relative to its hint
 	Buckets         [maxBuckets]Bucket `cbor:"Buckets"`
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// findOrReplace returns the bucket of a key. Where there is none, it takes an empty bucket
-// or replaces the least recently used one.
+// findOrReplace returns the bucket of a key. Where there is none, it returns an empty bucket, which may
+// replace the least recently used one.
 func (r *ShapeRecord) findOrReplace(key uint32) *Bucket {
 	if bucket := r.find(key); bucket != nil {
 		return bucket
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// A component's errors for a shape say little of values unlike those seen before. The
-// estimate then uses the errors that the component made on such values, over all shapes.
-// That prevents a broad report from passing as the lookup whose shape it has.
+// The errors that a component made for a shape say little about values that differ from those seen
+// before. The estimate then uses the errors that the component made on such values over all shapes.
+// Otherwise a broad report would get the estimate of the lookup whose shape it shares.
 
 const (
-	// newValueSamples is how many executions a bucket needs until its values no longer count
-	// as new to the shape.
+	// newValueSamples is the number of executions from which on a bucket's values are no longer
+	// new to the shape.
 	newValueSamples = 5
-	// similarValueSamples is how many executions a bucket needs until the errors made on
-	// similar values no longer count.
+	// similarValueSamples is the number of executions of a bucket from which on the errors made on
+	// similar values are ignored.
 	similarValueSamples = 10
 )
 
@@ -21,13 +21,22 @@
 	Hint  Tracker `cbor:"Hint"`
 }
 
+// componentErrors are the errors by which two components are to be corrected.
+type componentErrors struct {
+	prior *Tracker
+	hint  *Tracker
+}
+
 // atypicalityLevels is the number of levels that atypicalityLevel returns.
 const atypicalityLevels = 3
 
 // atypicalityLevel grades the distance between the prior's predictions for an execution
 // and for the shape's usual ones.
 func atypicalityLevel(atypicality float64) int {
-	const moderate, strong = 0.7, 2 // base-2 logarithms: factors of 1.6 and 4
+	const (
+		moderate = 0.7 // a base-2 logarithm: a factor of 1.6
+		strong   = 2   // a factor of 4
+	)
 	switch distance := math.Abs(atypicality); {
 	case distance < moderate:
 		return 0
@@ -38,54 +47,62 @@
 }
 
 // findSimilar returns the statistics of values like those of the query, or nil.
-func (m *Model) findSimilar(q *Query) *valueStatistics {
+func (m *Model) findSimilar(query *Query) *valueStatistics {
 	if m.cfg.NoParameters {
 		return nil
 	}
-	return m.SimilarValues.find(similarKey(m.bucketKey(q), q.Profile.Column))
+	return m.SimilarValues.find(similarKey(m.bucketKey(query), query.Profile.Column))
 }
 
-// relevantErrors returns the errors by which the prior and the hint are to be adjusted.
-func (m *Model) relevantErrors(q *Query, bucket *Bucket, similar *valueStatistics, atypicality float64) (prior, hint *Tracker) {
-	prior, hint = &m.noErrors, &m.noErrors
-	if q.Record != nil && (bucket == nil || bucket.Work.Samples < newValueSamples) {
-		errors := &m.NewValues[atypicalityLevel(atypicality)]
-		prior, hint = &errors.Prior, &errors.Hint
+// relevantErrors returns the errors by which the prior and the hint are to be corrected.
+func (m *Model) relevantErrors(
+	query *Query, bucket *Bucket, similar *valueStatistics, atypicality float64,
+) componentErrors {
+	errors := componentErrors{prior: &m.noErrors, hint: &m.noErrors}
+	if query.Record != nil && (bucket == nil || bucket.Work.Samples < newValueSamples) {
+		newValues := &m.NewValues[atypicalityLevel(atypicality)]
+		errors = componentErrors{prior: &newValues.Prior, hint: &newValues.Hint}
 	}
 	if similar == nil || bucket != nil && bucket.Work.Samples >= similarValueSamples {
-		return prior, hint
+		return errors
 	}
 	if similar.PriorError.Samples >= minTrackedSamples {
-		prior = &similar.PriorError
+		errors.prior = &similar.PriorError
 	}
 	if similar.HintError.Samples >= minTrackedSamples {
-		hint = &similar.HintError
+		errors.hint = &similar.HintError
 	}
-	return prior, hint
+	return errors
 }
 
 // adjust corrects a component by the tracked errors and raises its deviation to theirs.
-// Where too few errors are known, the atypicality takes their place.
-func (t *Tracker) adjust(c *Component, atypicality float64) {
+// Where too few errors are known, it raises the deviation by the atypicality instead.
+func (t *Tracker) adjust(component *Component, atypicality float64) {
 	switch {
-	case c.Samples == 0:
+	case component.Samples == 0:
 	case t.Samples >= minTrackedSamples:
-		c.Log2Cost += float64(t.Median)
-		c.Deviation = math.Max(c.Deviation, math.Sqrt(t.Variance()))
+		component.Log2Cost += float64(t.Median)
+		component.Deviation = math.Max(component.Deviation, math.Sqrt(t.Variance()))
 	default:
-		c.Deviation = math.Hypot(c.Deviation, atypicality)
+		component.Deviation = math.Hypot(component.Deviation, atypicality)
 	}
 }
 
-// similarKey identifies similar values, whatever the shape: by their bucket and by the
-// column of the longest list or the widest range. An array of all districts means the same
-// to each statement that takes one.
+// similarKey identifies similar values across all shapes: by their bucket and by the column of the
+// longest list or the widest range. An array of all districts, for example, has similar effects on
+// each statement.
 func similarKey(bucket, column uint32) uint64 {
-	const multiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
-	h := uint64(bucket)<<32 | uint64(column)
-	h = (h ^ h>>31) * multiplier
-	if h ^= h >> 29; h == 0 {
-		h = 1 // 0 means no key
+	const (
+		multiplier  = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
+		bucketShift = 32
+		firstShift  = 31
+		secondShift = 29
+	)
+	hash := uint64(bucket)<<bucketShift | uint64(column)
+	hash = (hash ^ hash>>firstShift) * multiplier
+	hash ^= hash >> secondShift
+	if hash == 0 {
+		return 1 // 0 means no key
 	}
-	return h
+	return hash
 }
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -12,20 +12,21 @@
 const (
 	frequentSets = 64
 	frequentWays = 8
-	// minFrequentSamples is how often a value must occur before its cost is corrected.
+	// minFrequentSamples is the number of occurrences of a value from which on its cost is corrected.
 	minFrequentSamples = 6
-	// minFrequentOffset is how far its cost must deviate, as a base-2 logarithm: by half.
+	// minFrequentOffset is the least deviation of its cost that is corrected, as a base-2 logarithm:
+	// a factor of 1.5.
 	minFrequentOffset = 0.6
 )
 
-// valueStatistics is what is known of one value, or of similar values.
+// valueStatistics holds the statistics of one value, or of similar values.
 type valueStatistics struct {
 	Key   uint64 `cbor:"Key"`
 	Count uint32 `cbor:"Count"`
 	// Offset is the cost of a frequent value relative to the estimate, and that of similar
 	// values relative to the usual cost of their shape.
 	Offset Tracker `cbor:"Offset"`
-	// The errors of two components on similar values.
+	// The errors that two components made on similar values.
 	PriorError Tracker `cbor:"Prior"`
 	HintError  Tracker `cbor:"Hint"`
 }
--- a/internal/decision/costmodel/state.go
+++ b/internal/decision/costmodel/state.go
@@ -11,13 +11,13 @@
 // changes its meaning; a state of another layout can't be restored.
 const Layout = 1
 
-// State is what a model has learned, in a form that can be stored.
+// State is the state of a model in a form that can be stored.
 type State struct {
 	Prior  prior `cbor:"Prior"`
 	Common state `cbor:"Common"`
 }
 
-// state is what a model has learned beside its prior.
+// state is the state of a model except for its prior.
 type state struct {
 	ByClass        [knownClasses]classStatistics     `cbor:"All"`   // for shapes without a record
 	FrequentValues spaceSaving                       `cbor:"Heavy"` // values that are requested often
@@ -25,15 +25,15 @@
 	NewValues      [atypicalityLevels]newValueErrors `cbor:"Fresh"` // by how atypical the execution is
 }
 
-// classStatistics is what is known of all executions of one class.
+// classStatistics holds the statistics of all executions of one class.
 type classStatistics struct {
 	HintError       Tracker `cbor:"Hint"`
 	MemoryHintError Tracker `cbor:"HintMB"`
 	Memory          Tracker `cbor:"Memory"`
 }
 
-// knownClasses is how many classes have statistics of their own; the last is shared by all
-// further classes and for executions without one.
+// knownClasses is the number of classStatistics. The last of them is shared by all further classes and
+// by executions without a class.
 const knownClasses = 5
 
 func (m *Model) classStatistics(class int) *classStatistics {
@@ -43,48 +43,51 @@
 	return &m.ByClass[class]
 }
 
-// State returns a copy of what the model has learned.
+// State returns a copy of the model's state.
 func (m *Model) State() *State { return &State{Prior: *m.prior, Common: m.state} }
 
-// ErrState means that a stored state holds a figure that no model can have learned.
+// ErrState means that a stored state holds a number that no model can have learned.
 var ErrState = errors.New("a state that can't be")
 
-// Restore returns a model that continues from a state. A state that holds a figure that is
-// no finite number is rejected: it would make every estimate invalid.
-func Restore(cfg Config, s *State) (*Model, error) {
-	if err := checkFinite(reflect.ValueOf(s).Elem(), "state"); err != nil {
+// Restore returns a model that continues from a state. It rejects a state that holds a number that is
+// not finite: every estimate would be invalid.
+func Restore(cfg Config, stored *State) (*Model, error) {
+	if err := checkFinite(reflect.ValueOf(stored).Elem(), "state"); err != nil {
 		return nil, err
 	}
-	m := New(cfg)
-	restored := s.Prior
-	m.prior, m.state = &restored, s.Common
-	return m, nil
+	model := New(cfg)
+	restoredPrior := stored.Prior
+	model.prior = &restoredPrior
+	model.state = stored.Common
+	return model, nil
 }
 
-// Check returns an error that wraps ErrState where the record holds an invalid figure.
+// Check returns an error that wraps ErrState where the record holds a number that is not finite.
 func (r *ShapeRecord) Check() error { return checkFinite(reflect.ValueOf(r).Elem(), "entry") }
 
 // checkFinite checks all floating-point numbers within a value. path names the value in
 // errors, by the field names of the stored form.
-func checkFinite(v reflect.Value, path string) error {
+func checkFinite(value reflect.Value, path string) error {
 	const largest = 1e12 // above any logarithm, weight or covariance that can be learned
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Float32, reflect.Float64:
-		if x := v.Float(); math.IsNaN(x) || math.Abs(x) > largest {
-			return fmt.Errorf("%w: %s is %g", ErrState, path, x)
+		if number := value.Float(); math.IsNaN(number) || math.Abs(number) > largest {
+			return fmt.Errorf("%w: %s is %g", ErrState, path, number)
 		}
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if err := checkFinite(v.Field(i), path+"."+v.Type().Field(i).Tag.Get("cbor")); err != nil {
+		for i := range value.NumField() {
+			name := value.Type().Field(i).Tag.Get("cbor")
+			if err := checkFinite(value.Field(i), path+"."+name); err != nil {
 				return err
 			}
 		}
 	case reflect.Array:
-		for i := range v.Len() {
-			if err := checkFinite(v.Index(i), fmt.Sprintf("%s[%d]", path, i)); err != nil {
+		for i := range value.Len() {
+			if err := checkFinite(value.Index(i), fmt.Sprintf("%s[%d]", path, i)); err != nil {
 				return err
 			}
 		}
+	default: // integers have no invalid values
 	}
 	return nil
 }
--- a/internal/decision/costmodel/state_test.go
+++ b/internal/decision/costmodel/state_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A state or a record with a figure that is no finite number is rejected, with an error
-// that names the figure by its name in the stored form.
-func TestInvalidFiguresAreRejected(t *testing.T) {
+// A state or a record with a number that is not finite is rejected, with an error that gives the
+// name of the number in the stored form.
+func TestCheck_RejectsNumbersThatAreNotFinite(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		check func() error
--- a/internal/decision/costmodel/tracker.go
+++ b/internal/decision/costmodel/tracker.go
@@ -28,13 +28,14 @@
 	changeClip = 4
 	maxRun     = 100
 
-	// A run up to steadyRun is no sign of a change.
+	// A run of up to steadyRun errors is no sign of a change.
 	steadyRun = 1
 
-	minDeviation     = 0.15 // no figure is known better than by this
+	minDeviation     = 0.15 // lower bound of the deviation that is assumed
 	initialDeviation = 1.5  // after the first observation
 
-	// Errors are clipped to so many deviations or, while these are not known, to a constant.
+	// Errors are clipped to clipDeviations deviations or, for the first earlySamples observations, to
+	// earlyClip.
 	clipDeviations = 3
 	earlySamples   = 4
 	earlyClip      = 6
@@ -43,7 +44,9 @@
 // Add updates the tracker with one observation, a base-2 logarithm.
 func (t *Tracker) Add(x float64, forget bool) {
 	if t.Samples == 0 {
-		t.Median, t.Deviation, t.Samples = float32(x), initialDeviation, 1
+		t.Median = float32(x)
+		t.Deviation = initialDeviation
+		t.Samples = 1
 		return
 	}
 	residual := x - float64(t.Median)
@@ -57,7 +60,8 @@
 		gain = max(gain, minGain)
 		t.extendRun(residual, deviation)
 		if t.Run >= changeRun || t.Run <= -changeRun {
-			gain, clip = changeGain, changeClip
+			gain = changeGain
+			clip = changeClip
 			t.Run = max(min(t.Run, maxRun), -maxRun)
 		}
 	}
@@ -84,7 +88,10 @@
 
 // Variance returns the expected squared error of the median for one observation.
 func (t *Tracker) Variance() float64 {
-	const perMeanDeviation = 1.25 // standard deviation by mean absolute deviation, of a normal distribution
-	d := perMeanDeviation * max(float64(t.Deviation), minDeviation)
-	return d * d * (1 + 4/float64(t.Samples))
+	const (
+		perMeanDeviation = 1.25 // standard deviation by mean absolute deviation, of a normal distribution
+		medianVariance   = 4    // of the median itself, by the variance and for one observation
+	)
+	deviation := perMeanDeviation * max(float64(t.Deviation), minDeviation)
+	return deviation * deviation * (1 + medianVariance/float64(t.Samples))
 }
