--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -15,14 +15,14 @@
 
 // Faults in the order of messages.
 var (
-	errBatchStillOpen   = errors.New(messageClock + ": batch still open")
+	errBatchStillOpen   = errors.New(string(messageClock) + ": batch still open")
 	errInputEndsInBatch = errors.New("input ended inside the batch")
 )
 
 // notInBatchError reports a message between two batches.
-type notInBatchError struct{ message string }
+type notInBatchError struct{ message messageName }
 
-func (e *notInBatchError) Error() string { return e.message + ": no batch is open" }
+func (e *notInBatchError) Error() string { return string(e.message) + ": no batch is open" }
 
 // BatchError reports what is wrong with the input, and in which batch.
 type BatchError struct {
@@ -35,7 +35,7 @@
 // Unwrap returns the fault itself.
 func (e *BatchError) Unwrap() error { return e.Err }
 
-// batchState says whether a message must open a batch or belong to one.
+// batchState decides whether the next message must open a batch or belong to one.
 type batchState int
 
 const (
@@ -52,59 +52,60 @@
 	now    time.Duration // the time of that batch
 }
 
-// Run answers batches until the input ends. An end between batches is no error. Faults
-// of the input are a *BatchError.
+// Run answers batches until the input ends. An end between batches is no error. A fault of the input is
+// returned as a *BatchError.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, initialLineBuffer), maxLineLength)
-	r := &batchReader{host: h, output: bufio.NewWriter(out)}
+	reader := &batchReader{host: h, output: bufio.NewWriter(out)}
 	for lines.Scan() {
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		if err := r.handleLine(lines.Bytes()); err != nil {
+		if err := reader.handleLine(lines.Bytes()); err != nil {
 			return err
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return r.fault(fmt.Errorf("read: %w", err))
+		return reader.fault(fmt.Errorf("read: %w", err))
 	}
-	if r.state == inBatch {
-		return r.fault(errInputEndsInBatch)
+	if reader.state == inBatch {
+		return reader.fault(errInputEndsInBatch)
 	}
 	return nil
 }
 
+// fault returns a fault of the input with the number of the batch.
 func (r *batchReader) fault(err error) error { return &BatchError{Batch: r.batch, Err: err} }
 
-// handleLine carries out one line of input.
+// handleLine handles one line of input.
 func (r *batchReader) handleLine(line []byte) error {
-	m, err := parseMessage(line)
+	message, err := parseMessage(line)
 	if err != nil {
 		return r.fault(err)
 	}
 	switch {
-	case m.name == messageClock && r.state == inBatch:
+	case message.name == messageClock && r.state == inBatch:
 		return r.fault(errBatchStillOpen)
-	case m.name == messageClock:
-		r.open(m)
+	case message.name == messageClock:
+		r.open(message)
 	case r.state == betweenBatches:
-		return r.fault(&notInBatchError{message: m.name})
-	case m.name == messageEndBatch:
+		return r.fault(&notInBatchError{message: message.name})
+	case message.name == messageEndBatch:
 		return r.close()
 	default:
-		r.host.handleMessage(r.now, m)
+		r.host.handleMessage(r.now, message)
 	}
-	if m.err != nil {
-		return r.fault(m.err)
+	if message.err != nil {
+		return r.fault(message.err)
 	}
 	return nil
 }
 
 // open starts a batch at the time of its message.
-func (r *batchReader) open(m *message) {
-	r.now = milliseconds(m.float(clockTimeMS))
-	r.batch = m.integer(clockBatch)
+func (r *batchReader) open(message *inputMessage) {
+	r.now = milliseconds(clockTimeMS.required(message))
+	r.batch = clockBatch.required(message)
 	r.state = inBatch
 	r.host.output = r.host.output[:0]
 }
@@ -114,7 +115,10 @@
 	r.state = betweenBatches
 	r.host.output = encodeBatchDone(r.host.output, r.batch)
 	if _, err := r.output.Write(r.host.output); err != nil {
-		return err
+		return fmt.Errorf("write: %w", err)
 	}
-	return r.output.Flush()
+	if err := r.output.Flush(); err != nil {
+		return fmt.Errorf("write: %w", err)
+	}
+	return nil
 }
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -8,64 +8,67 @@
 	"flaxrelay/policy"
 )
 
-// milliseconds translates the protocol's fractional milliseconds, exact to the
-// microsecond.
+// milliseconds converts the protocol's fractional milliseconds, exact to the microsecond.
 func milliseconds(ms float64) time.Duration { return config.FromMilliseconds(ms) }
 
-// decodeEvent turns one message to an instance into an event; nil for one that the
-// policy module has no use for.
-func (h *Host) decodeEvent(target *instance, m *message) policy.Event {
-	switch m.name {
+// decodeEvent returns the event of a message to an instance, or nil where the policy module
+// ignores the message.
+func (h *Host) decodeEvent(target *instance, message *inputMessage) policy.Event {
+	switch message.name {
 	case messageEndpoints:
-		return h.decodeEndpoints(m)
+		return h.decodeEndpoints(message)
 	case messageRequest:
-		return decodeRequest(m)
+		return decodeRequest(message)
 	case messageAttemptEnded:
-		return decodeAttemptEnded(target, m)
+		return decodeAttemptEnded(target, message)
 	case messageProgress:
-		return decodeProgress(m)
+		return decodeProgress(message)
 	case messageStreamStarted:
-		return policy.StreamStarted{RequestID: m.unsigned(fieldRequestID), Attempt: int(m.integer(fieldAttempt))}
+		return policy.StreamStarted{
+			RequestID: fieldRequestID.required(message),
+			Attempt:   int(fieldAttempt.required(message)),
+		}
 	case messageDisconnected:
-		return policy.ClientDisconnected{RequestID: m.unsigned(fieldRequestID)}
+		return policy.ClientDisconnected{RequestID: fieldRequestID.required(message)}
 	case messageTimerFired:
-		return policy.TimerFired{Token: m.unsigned(timerToken)}
+		return policy.TimerFired{Token: timerToken.required(message)}
 	case messageHealthChecked:
 		return policy.HealthChecked{
-			Engine: m.text(healthEngine),
-			Result: resultCodes[m.integer(healthResult)],
-			Load:   target.decodeLoad(m, healthLoad),
+			Engine: healthEngine.required(message),
+			Result: resultCodes[healthResult.required(message)],
+			Load:   target.decodeLoad(message, healthLoad),
 		}
 	case messageFromReplica:
 		return nil
+	default:
+		message.fail("message", "unknown name")
+		return nil
 	}
-	m.fail(field{name: "message"}, "unknown name")
-	return nil
 }
 
-// decodeEndpoints reads a change of the endpoint list, whose engines are those of a table.
-func (h *Host) decodeEndpoints(m *message) policy.Event {
-	spelling := m.text(endpointsMode)
+// decodeEndpoints decodes a change of the endpoint list, whose engines are those of a table.
+func (h *Host) decodeEndpoints(message *inputMessage) policy.Event {
+	spelling := endpointsMode.required(message)
 	mode, known := updateModes[spelling]
 	if !known {
-		m.fail(endpointsMode, "unknown mode %q", spelling)
+		message.fail(endpointsMode.name, "unknown mode %q", spelling)
 		return nil
 	}
 	if mode == policy.UpdateFailed { // without a list
 		return policy.EndpointsChanged{Mode: mode}
 	}
-	table := h.decodeTableNumber(m, endpointsTable)
-	if m.err != nil {
+	table := h.decodeTableNumber(message, endpointsTable)
+	if message.err != nil {
 		return nil
 	}
 	return policy.EndpointsChanged{Mode: mode, Engines: h.engineTables[table]}
 }
 
-// decodeTableNumber reads the number of an engine table.
-func (h *Host) decodeTableNumber(m *message, f field) int64 {
-	number := m.integer(f)
-	if m.err == nil && (number < 0 || number >= int64(len(h.engineTables))) {
-		m.fail(f, "%d is not within 0 to %d", number, len(h.engineTables)-1)
+// decodeTableNumber decodes the number of an engine table.
+func (h *Host) decodeTableNumber(message *inputMessage, table field[int64]) int64 {
+	number := table.required(message)
+	if message.err == nil && (number < 0 || number >= int64(len(h.engineTables))) {
+		message.fail(table.name, "%d is not within 0 to %d", number, len(h.engineTables)-1)
 	}
 	return number
 }
@@ -76,17 +79,18 @@
 	flagClientRetry
 )
 
-func decodeRequest(m *message) policy.Event {
-	event := policy.RequestArrived{RequestID: m.unsigned(fieldRequestID), Class: m.text(requestClass)}
-	var flags int64
-	var workMS float64
-	m.decodeOptional(requestOrderKey, &event.OrderKey)
-	m.decodeOptional(requestMemoryMB, &event.EstimatedMemoryMB)
-	m.decodeOptional(requestFlags, &flags)
-	m.decodeOptional(requestWorkMS, &workMS)
-	event.Deadline = milliseconds(m.float(requestDeadlineMS))
-	event.Tenant = decodeTenant(m)
-	m.decodeOptional(requestDataset, &event.Dataset)
+func decodeRequest(message *inputMessage) policy.Event {
+	event := policy.RequestArrived{
+		RequestID:         fieldRequestID.required(message),
+		Class:             requestClass.required(message),
+		OrderKey:          requestOrderKey.optional(message),
+		EstimatedMemoryMB: requestMemoryMB.optional(message),
+	}
+	flags := requestFlags.optional(message)
+	workMS := requestWorkMS.optional(message)
+	event.Deadline = milliseconds(requestDeadlineMS.required(message))
+	event.Tenant = decodeTenant(message)
+	event.Dataset = requestDataset.optional(message)
 	if flags&flagHasWorkEstimate != 0 {
 		event.EstimatedWork = milliseconds(workMS)
 	}
@@ -94,14 +98,14 @@
 	return event
 }
 
-// noTenant is the tenant of a request without one. Others are strings.
+// noTenant stands in place of the tenant of a request without one. Other tenants are strings.
 const noTenant = "0"
 
-func decodeTenant(m *message) (tenant string) {
-	if m.present(requestTenant) && string(m.values[requestTenant.index]) != noTenant {
-		m.decodeOptional(requestTenant, &tenant)
+func decodeTenant(message *inputMessage) string {
+	if requestTenant.present(message) && string(message.values[requestTenant.index]) == noTenant {
+		return ""
 	}
-	return tenant
+	return requestTenant.optional(message)
 }
 
 // The cost of an attempt is one number: its work in milliseconds times costMemorySteps,
@@ -111,19 +115,18 @@
 	costMemoryStepMB = 4
 )
 
-func decodeAttemptEnded(target *instance, m *message) policy.Event {
+func decodeAttemptEnded(target *instance, message *inputMessage) policy.Event {
 	event := policy.AttemptEnded{
-		RequestID: m.unsigned(fieldRequestID),
-		Attempt:   int(m.integer(fieldAttempt)),
-		Result:    resultCodes[m.integer(endedResult)],
-		Elapsed:   milliseconds(m.float(endedElapsedMS)),
-		Completed: m.flag(endedCompleted),
-	}
-	var cost int64
-	m.decodeOptional(endedCost, &cost)
+		RequestID: fieldRequestID.required(message),
+		Attempt:   int(fieldAttempt.required(message)),
+		Result:    resultCodes[endedResult.required(message)],
+		Elapsed:   milliseconds(endedElapsedMS.required(message)),
+		Completed: endedCompleted.required(message),
+	}
+	cost := endedCost.optional(message)
 	event.Work = time.Duration(cost/costMemorySteps) * time.Millisecond
 	event.MemoryMB = float64(cost%costMemorySteps) * costMemoryStepMB
-	event.Load = target.decodeLoad(m, endedLoad)
+	event.Load = target.decodeLoad(message, endedLoad)
 	return event
 }
 
@@ -136,13 +139,13 @@
 	waitingForLoad   = 2
 )
 
-func decodeProgress(m *message) policy.Event {
+func decodeProgress(message *inputMessage) policy.Event {
 	event := policy.ProgressReported{
-		RequestID: m.unsigned(fieldRequestID),
-		Attempt:   int(m.integer(fieldAttempt)),
-		Value:     m.float(progressValue),
+		RequestID: fieldRequestID.required(message),
+		Attempt:   int(fieldAttempt.required(message)),
+		Value:     progressValue.required(message),
 	}
-	switch kind := m.integer(progressKind); {
+	switch kind := progressKind.required(message); {
 	case kind == progressFraction:
 		event.Kind = policy.ProgressFraction
 	case kind == progressSpilling:
@@ -152,7 +155,7 @@
 	case kind == progressWaiting:
 		event.Kind = policy.ProgressAwaitingMemory
 	default:
-		m.fail(progressKind, "unknown sort %d", kind)
+		message.fail(progressKind.name, "unknown sort %d", kind)
 	}
 	return event
 }
@@ -160,49 +163,56 @@
 // notReported is the value of a load report's field that the engine did not report.
 const notReported = -1
 
-// decodeLoad reads a load report, whose values stand in the order of the instance's
-// settings. Names that the policy module has no use for are skipped.
-func (in *instance) decodeLoad(m *message, f field) policy.LoadReport {
+// decodeLoad decodes a load report, whose values are in the order of the names in the instance's
+// settings. Names that the policy module does not use are skipped.
+func (in *instance) decodeLoad(message *inputMessage, report field[[]float64]) policy.LoadReport {
 	load := policy.LoadReport{
-		CPUShare: notReported, InFlight: notReported, Queued: notReported, MemoryShare: notReported, DiskShare: notReported,
+		CPUShare:    notReported,
+		InFlight:    notReported,
+		Queued:      notReported,
+		MemoryShare: notReported,
+		DiskShare:   notReported,
 	}
-	var values []float64
-	m.decodeOptional(f, &values)
-	if m.err == nil && values != nil && len(values) != len(in.loadFields) {
-		m.fail(f, "%d values for %d names", len(values), len(in.loadFields))
+	values := report.optional(message)
+	if message.err == nil && values != nil && len(values) != len(in.loadFields) {
+		message.fail(report.name, "%d values for %d names", len(values), len(in.loadFields))
 		return load
 	}
 	for i, value := range values {
 		load.Reported = true
 		switch in.loadFields[i] {
-		case "cpu":
+		case loadCPUShare:
 			load.CPUShare = value
-		case "active":
+		case loadInFlight:
 			load.InFlight = value
-		case "waiting":
+		case loadQueued:
 			load.Queued = value
-		case "x0":
+		case loadMemoryShare:
 			load.MemoryShare = value
-		case "x1":
+		case loadDiskShare:
 			load.DiskShare = value
 		}
 	}
 	return load
 }
 
-// decodeEngine reads one row of an engine table.
+// decodeEngine decodes one row of an engine table.
 func decodeEngine(row []json.RawMessage) (policy.Engine, error) {
-	m := &message{name: messageEngineTable, values: row}
-	engine := policy.Engine{Zone: m.text(rowZone), Kind: m.text(rowKind), ID: m.text(rowEngine)}
-	m.decodeOptional(rowCell, &engine.Cell)
-	var startedMS float64
-	m.decodeOptional(rowStartedMS, &startedMS)
-	engine.StartedAt, engine.StartKnown = milliseconds(startedMS), startedMS > 0
-	spelling := m.text(rowState)
+	message := &inputMessage{name: messageEngineTable, values: row}
+	engine := policy.Engine{
+		Zone: rowZone.required(message),
+		Kind: rowKind.required(message),
+		ID:   rowEngine.required(message),
+		Cell: rowCell.optional(message),
+	}
+	startedMS := rowStartedMS.optional(message)
+	engine.StartedAt = milliseconds(startedMS)
+	engine.StartKnown = startedMS > 0
+	spelling := rowState.required(message)
 	state, known := engineStates[spelling]
 	if !known {
-		m.fail(rowState, "unknown state %q", spelling)
+		message.fail(rowState.name, "unknown state %q", spelling)
 	}
 	engine.State = state
-	return engine, m.err
+	return engine, message.err
 }
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -9,27 +9,34 @@
 	"flaxrelay/policy"
 )
 
+// Forms of numbers, as strconv names them.
+const (
+	decimal   = 10
+	shortest  = -1 // as few digits as the exact value needs
+	floatBits = 64
+)
+
 // outputLine is a message that is being appended to the output.
 type outputLine []byte
 
 // beginLine appends the start of a message of an instance to the output.
-func beginLine(output []byte, name string, instanceID int64) outputLine {
+func beginLine(output []byte, name messageName, instanceID int64) outputLine {
 	output = append(output, `["`...)
 	output = append(output, name...)
 	output = append(output, `",`...)
-	return strconv.AppendInt(output, instanceID, 10)
+	return strconv.AppendInt(output, instanceID, decimal)
 }
 
 func (l outputLine) unsigned(value uint64) outputLine {
-	return strconv.AppendUint(append(l, ','), value, 10)
+	return strconv.AppendUint(append(l, ','), value, decimal)
 }
 
 func (l outputLine) integer(value int64) outputLine {
-	return strconv.AppendInt(append(l, ','), value, 10)
+	return strconv.AppendInt(append(l, ','), value, decimal)
 }
 
 func (l outputLine) float(value float64) outputLine {
-	return strconv.AppendFloat(append(l, ','), value, 'f', -1, 64)
+	return strconv.AppendFloat(append(l, ','), value, 'f', shortest, floatBits)
 }
 
 // milliseconds appends a duration in fractional milliseconds.
@@ -54,29 +61,33 @@
 
 // encodeAction appends the message for an action of an instance to the output.
 func encodeAction(output []byte, instanceID int64, action policy.Action) []byte {
-	switch a := action.(type) {
+	switch action := action.(type) {
 	case policy.StartAttempt:
-		return beginLine(output, messageStartAttempt, instanceID).unsigned(a.RequestID).text(a.Engine).milliseconds(a.Timeout).end()
+		line := beginLine(output, messageStartAttempt, instanceID)
+		return line.unsigned(action.RequestID).text(action.Engine).milliseconds(action.Timeout).end()
 	case policy.SetResources:
-		return beginLine(output, messageSetResources, instanceID).unsigned(a.RequestID).float(a.MemoryMB).integer(int64(a.Priority)).end()
+		line := beginLine(output, messageSetResources, instanceID)
+		return line.unsigned(action.RequestID).float(action.MemoryMB).integer(int64(action.Priority)).end()
 	case policy.CancelAttempt:
-		return beginLine(output, messageCancelAttempt, instanceID).unsigned(a.RequestID).integer(int64(a.Attempt)).end()
+		line := beginLine(output, messageCancelAttempt, instanceID)
+		return line.unsigned(action.RequestID).integer(int64(action.Attempt)).end()
 	case policy.CheckHealth:
-		return beginLine(output, messageCheckHealth, instanceID).text(a.Engine).end()
+		return beginLine(output, messageCheckHealth, instanceID).text(action.Engine).end()
 	case policy.Reject:
-		return beginLine(output, messageReject, instanceID).unsigned(a.RequestID).milliseconds(a.RetryAfter).end()
+		line := beginLine(output, messageReject, instanceID)
+		return line.unsigned(action.RequestID).milliseconds(action.RetryAfter).end()
 	case policy.Fail:
-		return beginLine(output, messageFail, instanceID).unsigned(a.RequestID).end()
+		return beginLine(output, messageFail, instanceID).unsigned(action.RequestID).end()
 	case policy.SetTimer:
-		return beginLine(output, messageSetTimer, instanceID).milliseconds(a.After).unsigned(a.Token).end()
+		return beginLine(output, messageSetTimer, instanceID).milliseconds(action.After).unsigned(action.Token).end()
 	case policy.Subscribe:
 		return beginLine(output, messageSubscribe, instanceID).flag(true).end()
-	case policy.ReportOverload: // the simulator judges by its own count
+	case policy.ReportOverload: // the simulator counts overloads itself
 		return output
 	case policy.EngineEjected:
-		return beginLine(output, messageLog, instanceID).text(ejectionText(a)).end()
+		return beginLine(output, messageLog, instanceID).text(ejectionText(action)).end()
 	case policy.EngineReadmitted:
-		return beginLine(output, messageLog, instanceID).text("engine " + a.Engine + " serves again").end()
+		return beginLine(output, messageLog, instanceID).text("engine " + action.Engine + " serves again").end()
 	}
 	panic(fmt.Sprintf("wire: no line for action %T", action))
 }
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -10,9 +10,8 @@
 	"flaxrelay/internal/golden"
 )
 
-// goldenBatches are the recorded inputs under testdata/golden, and what each of them
-// has the host write at least once. The names of actions protect against an update that
-// loses a line: such a golden file would still match.
+// goldenBatches are the recorded inputs under testdata/golden, and the messages that the host writes at
+// least once for each of them. The names protect against an update of the golden files that loses a line.
 var goldenBatches = map[string][]string{
 	"queries":   {"ALLOT", "FORWARD", "ABORT_ATTEMPT", "SLEEP", "DROP_REQUEST"},
 	"loads":     {"ALLOT", "FORWARD", "SLEEP"},
@@ -21,10 +20,10 @@
 	"faults":    {"ASK_LOAD", "SAY_LOG", "FORWARD", "SLEEP"},
 }
 
-// The host's replies to whole runs are held byte for byte: each event of the wire comes
-// in, and each action that the host writes goes out. All inputs carry their own clock
-// and seeds, so nothing in the replies has to be normalised.
-func TestGoldenBatches(t *testing.T) {
+// The host's replies to complete runs are compared byte for byte. Together the runs contain each event
+// of the protocol and each action that the host writes. All inputs carry their own clock and seeds, so
+// nothing in the replies has to be normalized.
+func TestRun_MatchesGoldenBatches(t *testing.T) {
 	for name, actions := range goldenBatches {
 		t.Run(name, func(t *testing.T) {
 			base := filepath.Join("testdata", "golden", name)
@@ -46,8 +45,8 @@
 	}
 }
 
-// Together the inputs hold every event that the wire knows.
-func TestGoldenBatchesHoldEveryEvent(t *testing.T) {
+// Together the inputs contain every event of the protocol.
+func TestGoldenBatches_HoldEveryEvent(t *testing.T) {
 	var all []byte
 	for name := range goldenBatches {
 		in, err := os.ReadFile(filepath.Join("testdata", "golden", name+".in"))
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -4,18 +4,16 @@
 package simprotocol
 
 import (
-	"encoding/json"
 	"fmt"
 	"time"
 
-	"flaxrelay/internal/config"
 	"flaxrelay/policy"
 )
 
 // engineTableCount is how many engine tables the protocol numbers, from 0.
 const engineTableCount = 16
 
-// Host holds the instances of one process. It belongs to the goroutine that calls Run.
+// Host holds the instances of one process. Run may be called by one goroutine at a time.
 type Host struct {
 	instances    map[int64]*instance
 	engineTables [engineTableCount][]policy.Engine
@@ -33,38 +31,42 @@
 // NewHost returns a host without instances.
 func NewHost() *Host { return &Host{instances: make(map[int64]*instance)} }
 
-// handleMessage carries out one message of a batch. Its fault is left in the message.
-func (h *Host) handleMessage(now time.Duration, m *message) {
-	switch m.name {
+// handleMessage handles one message of a batch. A fault is set in the message.
+func (h *Host) handleMessage(now time.Duration, message *inputMessage) {
+	switch message.name {
 	case messageStart:
-		h.startInstance(m)
-		return
+		h.startInstance(message)
 	case messageEngineTable:
-		h.setEngineTable(m)
-		return
+		h.setEngineTable(message)
+	default:
+		h.handleInstanceMessage(now, message)
 	}
-	id := m.integer(fieldInstance)
-	if m.err != nil {
+}
+
+// handleInstanceMessage handles a message to one instance.
+func (h *Host) handleInstanceMessage(now time.Duration, message *inputMessage) {
+	id := fieldInstance.required(message)
+	if message.err != nil {
 		return
 	}
 	target := h.instances[id]
 	if target == nil {
-		m.fail(fieldInstance, "no instance %d", id)
+		message.fail(fieldInstance.name, "no instance %d", id)
 		return
 	}
-	if m.name == messageStop {
+	if message.name == messageStop {
 		delete(h.instances, id)
 		return
 	}
-	event := h.decodeEvent(target, m)
-	if m.err != nil || event == nil || target.broken {
+	event := h.decodeEvent(target, message)
+	if message.err != nil || event == nil || target.broken {
 		return
 	}
 	h.output = h.handleEvent(id, target, now, event)
 }
 
-// handleEvent gives an event to the policy module and returns the output with its
-// actions. A panic of the module becomes a BROKEN message in their place.
+// handleEvent passes an event to the policy module and returns the output with its
+// actions. If the module panics, the output has a BROKEN message in place of the actions.
 func (h *Host) handleEvent(id int64, target *instance, now time.Duration, event policy.Event) (output []byte) {
 	output = h.output
 	defer func() {
@@ -80,35 +82,34 @@
 	return output
 }
 
-// startInstance starts an instance, in place of the one with its number if there is one.
-func (h *Host) startInstance(m *message) {
-	id, seed := m.integer(fieldInstance), m.unsigned(startSeed)
-	var settings config.Settings
-	m.decode(startSettings, &settings)
-	if m.err != nil {
+// startInstance starts an instance. It replaces an instance of the same number.
+func (h *Host) startInstance(message *inputMessage) {
+	id := fieldInstance.required(message)
+	seed := startSeed.required(message)
+	settings := startSettings.required(message)
+	if message.err != nil {
 		return
 	}
 	balancer, err := policy.New(settings.Policy, seed)
 	if err != nil {
-		m.fail(startSettings, "%v", err)
+		message.fail(startSettings.name, "%v", err)
 		return
 	}
 	h.instances[id] = &instance{balancer: balancer, loadFields: settings.LoadFields}
 }
 
 // setEngineTable replaces one engine table. Messages name such tables by their number.
-func (h *Host) setEngineTable(m *message) {
-	table := h.decodeTableNumber(m, engineTableNumber)
-	var rows [][]json.RawMessage
-	m.decode(engineTableRows, &rows)
-	if m.err != nil {
+func (h *Host) setEngineTable(message *inputMessage) {
+	table := h.decodeTableNumber(message, engineTableNumber)
+	rows := engineTableRows.required(message)
+	if message.err != nil {
 		return
 	}
 	engines := make([]policy.Engine, len(rows))
 	for i, row := range rows {
 		engine, err := decodeEngine(row)
 		if err != nil {
-			m.fail(engineTableRows, "entry %d: %v", i, err)
+			message.fail(engineTableRows.name, "entry %d: %v", i, err)
 			return
 		}
 		engines[i] = engine
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -10,7 +10,8 @@
 	"flaxrelay/internal/golden"
 )
 
-func TestBatchesWithRestartAndReusedTable(t *testing.T) {
+// The input restarts an instance and replaces an engine table that is in use.
+func TestRun_HandlesRestartAndReusedTable(t *testing.T) {
 	in, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +23,7 @@
 	golden.Compare(t, "testdata/batch.out", out.Bytes())
 }
 
-func TestFaultsNameMessageFieldAndBatch(t *testing.T) {
+func TestRun_FaultsNameMessageFieldAndBatch(t *testing.T) {
 	open := "[\"CLOCK\",1,9]\n"
 	for in, want := range map[string]string{
 		open + "nonsense":                     "batch 9: malformed line",
@@ -41,8 +42,7 @@
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: want one line with %q, got %v", in, want, err)
 		}
-		var batchError *BatchError
-		if !errors.As(err, &batchError) {
+		if _, ok := errors.AsType[*BatchError](err); !ok {
 			t.Errorf("%q: %T is no *BatchError", in, err)
 		}
 		if out.Len() != 0 {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestEndBetweenBatchesIsNoError(t *testing.T) {
+func TestRun_EndBetweenBatchesIsNoError(t *testing.T) {
 	var out bytes.Buffer
 	err := NewHost().Run(strings.NewReader("[\"CLOCK\",1,3]\n[\"OVER_TO_YOU\"]\n"), &out)
 	if err != nil || out.String() != "[\"NEXT\",3]\n" {
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestPanicBecomesBrokenMessage(t *testing.T) {
+func TestRun_ReportsPanicAsBrokenMessage(t *testing.T) {
 	h := NewHost()
 	h.instances[3] = &instance{} // no balancer: the call panics
 	var out bytes.Buffer
@@ -88,9 +88,9 @@
 	})
 }
 
-// A health check goes out where the settings permit it, and its answer, late, failed or
-// from an unknown engine, ends nothing.
-func TestHealthCheckGoesOutAndItsAnswerComesBack(t *testing.T) {
+// A health check is sent where the settings permit it. A response that is late, failed or from an
+// unknown engine is no fault.
+func TestRun_SendsHealthCheckAndAcceptsResponses(t *testing.T) {
 	batch, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
 		t.Fatal(err)
@@ -98,8 +98,8 @@
 	in := strings.NewReplacer(`"cancel": true`, `"cancel": true, "may-probe": true`,
 		`"how": "silent", "names": []`, `"how": "pull", "names": ["active", "cpu"]`).Replace(string(batch))
 	in += `["CLOCK",9000,900]` + "\n"
-	for _, answer := range []string{`"e1:1",200,1.5,[12,0.7]`, `"e1:1",408,250,null`, `"nobody:1",200,1,[1e300,-4]`} {
-		in += `["PROBED",1,` + answer + "]\n"
+	for _, response := range []string{`"e1:1",200,1.5,[12,0.7]`, `"e1:1",408,250,null`, `"nobody:1",200,1,[1e300,-4]`} {
+		in += `["PROBED",1,` + response + "]\n"
 	}
 	in += `["FROM_PEER",1,0,"any bytes"]` + "\n" + `["OVER_TO_YOU"]` + "\n"
 	var out bytes.Buffer
@@ -107,10 +107,11 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), `["ASK_LOAD",1,"`) || !strings.HasSuffix(out.String(), "[\"NEXT\",900]\n") {
-		t.Fatalf("no health check, or no answer to its batch:\n%s", out.String())
+		t.Fatalf("no health check, or no response to its batch:\n%s", out.String())
 	}
 	bad := strings.Replace(in, `[12,0.7]`, `[12]`, 1)
-	if err := NewHost().Run(strings.NewReader(bad), &out); err == nil || !strings.Contains(err.Error(), "PROBED: usage") {
+	err = NewHost().Run(strings.NewReader(bad), &out)
+	if err == nil || !strings.Contains(err.Error(), "PROBED: usage") {
 		t.Fatalf("want a fault that names PROBED and usage, got %v", err)
 	}
 }
--- a/internal/simprotocol/message.go
+++ b/internal/simprotocol/message.go
@@ -19,23 +19,19 @@
 	return e.Message + ": " + e.Field + ": " + e.Problem
 }
 
-// field is the place of a value in a message, counted after the message's name, and the
-// value's name in errors.
-type field struct {
-	index int
-	name  string
-}
+// messageName is the name of a message, as the protocol spells it.
+type messageName string
 
-// message is one line of input. Its reading methods return zero values once a field
-// could not be used; err then holds the first such fault.
-type message struct {
-	name   string
+// inputMessage is one line of input. Once a field could not be used, err holds that first
+// fault, and the values of fields are no longer meaningful.
+type inputMessage struct {
+	name   messageName
 	values []json.RawMessage
 	err    error
 }
 
-// parseMessage reads a line, which is a JSON array that starts with the message's name.
-func parseMessage(line []byte) (*message, error) {
+// parseMessage parses a line, which is a JSON array that starts with the message's name.
+func parseMessage(line []byte) (*inputMessage, error) {
 	var elements []json.RawMessage
 	if err := json.Unmarshal(line, &elements); err != nil {
 		return nil, fmt.Errorf("malformed line: %w", err)
@@ -43,65 +39,48 @@
 	if len(elements) == 0 {
 		return nil, errEmptyArray
 	}
-	var name string
+	var name messageName
 	if err := json.Unmarshal(elements[0], &name); err != nil {
 		return nil, fmt.Errorf("malformed line: message name: %w", err)
 	}
-	return &message{name: name, values: elements[1:]}, nil
+	return &inputMessage{name: name, values: elements[1:]}, nil
 }
 
-// fail notes that a field can't be used, unless an earlier fault is noted.
-func (m *message) fail(f field, format string, args ...any) {
+// fail sets the message's error, unless an earlier fault is set. field is the field's name in errors.
+func (m *inputMessage) fail(field, format string, args ...any) {
 	if m.err == nil {
-		m.err = &MessageError{Message: m.name, Field: f.name, Problem: fmt.Sprintf(format, args...)}
+		m.err = &MessageError{Message: string(m.name), Field: field, Problem: fmt.Sprintf(format, args...)}
 	}
 }
 
-// present reports whether a value is there and not null.
-func (m *message) present(f field) bool {
-	return f.index < len(m.values) && string(m.values[f.index]) != "null"
+// field is the place of a value in a message, counted after the message's name, and the value's name
+// in errors. The type parameter is the type of the value.
+type field[T any] struct {
+	index int
+	name  string
 }
 
-// decode reads a value that must be present.
-func (m *message) decode(f field, into any) {
-	if !m.present(f) {
-		m.fail(f, "missing")
-		return
-	}
-	m.decodeOptional(f, into)
+// present reports whether the value is there and not null.
+func (f field[T]) present(message *inputMessage) bool {
+	return f.index < len(message.values) && string(message.values[f.index]) != "null"
 }
 
-// decodeOptional reads a value, and leaves the target alone where none is present.
-func (m *message) decodeOptional(f field, into any) {
-	if !m.present(f) {
-		return
-	}
-	if err := json.Unmarshal(m.values[f.index], into); err != nil {
-		m.fail(f, "%v", err)
+// required returns a value that must be present.
+func (f field[T]) required(message *inputMessage) (value T) {
+	if !f.present(message) {
+		message.fail(f.name, "missing")
+		return value
 	}
+	return f.optional(message)
 }
 
-func (m *message) float(f field) (value float64) {
-	m.decode(f, &value)
-	return value
-}
-
-func (m *message) integer(f field) (value int64) {
-	m.decode(f, &value)
-	return value
-}
-
-func (m *message) unsigned(f field) (value uint64) {
-	m.decode(f, &value)
-	return value
-}
-
-func (m *message) text(f field) (value string) {
-	m.decode(f, &value)
-	return value
-}
-
-func (m *message) flag(f field) (value bool) {
-	m.decode(f, &value)
+// optional returns a value, or the zero value where none is present.
+func (f field[T]) optional(message *inputMessage) (value T) {
+	if !f.present(message) {
+		return value
+	}
+	if err := json.Unmarshal(message.values[f.index], &value); err != nil {
+		message.fail(f.name, "%v", err)
+	}
 	return value
 }
--- a/internal/simprotocol/names.go
+++ b/internal/simprotocol/names.go
@@ -1,115 +1,123 @@
 package simprotocol
 
-import "flaxrelay/policy"
+import (
+	"encoding/json"
+
+	"flaxrelay/internal/config"
+	"flaxrelay/policy"
+)
 
 // Names of the messages that the simulator sends.
 const (
-	messageClock         = "CLOCK"
-	messageEndBatch      = "OVER_TO_YOU"
-	messageStart         = "INIT"
-	messageStop          = "EXIT"
-	messageEngineTable   = "POOL"
-	messageEndpoints     = "PEERS_KNOWN"
-	messageRequest       = "REQ"
-	messageAttemptEnded  = "SETTLED"
-	messageProgress      = "INTERIM"
-	messageStreamStarted = "HEAD_RECEIVED"
-	messageDisconnected  = "LAPSED"
-	messageTimerFired    = "TICK_DUE"
-	messageHealthChecked = "PROBED"
-	messageFromReplica   = "FROM_PEER"
+	messageClock         messageName = "CLOCK"
+	messageEndBatch      messageName = "OVER_TO_YOU"
+	messageStart         messageName = "INIT"
+	messageStop          messageName = "EXIT"
+	messageEngineTable   messageName = "POOL"
+	messageEndpoints     messageName = "PEERS_KNOWN"
+	messageRequest       messageName = "REQ"
+	messageAttemptEnded  messageName = "SETTLED"
+	messageProgress      messageName = "INTERIM"
+	messageStreamStarted messageName = "HEAD_RECEIVED"
+	messageDisconnected  messageName = "LAPSED"
+	messageTimerFired    messageName = "TICK_DUE"
+	messageHealthChecked messageName = "PROBED"
+	messageFromReplica   messageName = "FROM_PEER"
 )
 
 // Names of the messages that the host writes.
 const (
-	messageBatchDone     = "NEXT"
-	messageBroken        = "BROKEN"
-	messageStartAttempt  = "FORWARD"
-	messageSetResources  = "ALLOT"
-	messageCancelAttempt = "ABORT_ATTEMPT"
-	messageCheckHealth   = "ASK_LOAD"
-	messageReject        = "SAY_NO"
-	messageFail          = "DROP_REQUEST"
-	messageSetTimer      = "SLEEP"
-	messageSubscribe     = "LISTEN"
-	messageLog           = "SAY_LOG"
+	messageBatchDone     messageName = "NEXT"
+	messageBroken        messageName = "BROKEN"
+	messageStartAttempt  messageName = "FORWARD"
+	messageSetResources  messageName = "ALLOT"
+	messageCancelAttempt messageName = "ABORT_ATTEMPT"
+	messageCheckHealth   messageName = "ASK_LOAD"
+	messageReject        messageName = "SAY_NO"
+	messageFail          messageName = "DROP_REQUEST"
+	messageSetTimer      messageName = "SLEEP"
+	messageSubscribe     messageName = "LISTEN"
+	messageLog           messageName = "SAY_LOG"
 )
 
+// The fields of each message. The same fields are at other places in other messages, so each message has
+// a list of its own, although these lists look alike.
+
 // Fields of CLOCK.
 var (
-	clockTimeMS = field{0, "clock-ms"}
-	clockBatch  = field{1, "batch"}
+	clockTimeMS = field[float64]{0, "clock-ms"}
+	clockBatch  = field[int64]{1, "batch"}
 )
 
 // fieldInstance is the first field of every message to one instance.
-var fieldInstance = field{0, "who"}
+var fieldInstance = field[int64]{0, "who"}
 
 // Fields of INIT.
 var (
-	startSeed     = field{1, "prng"}
-	startSettings = field{2, "profile-data"}
+	startSeed     = field[uint64]{1, "prng"}
+	startSettings = field[config.Settings]{2, "profile-data"}
 )
 
 // Fields of POOL, and of each row of its engines.
 var (
-	engineTableNumber = field{0, "table"}
-	engineTableRows   = field{1, "elements"}
-
-	rowZone      = field{0, "zone"}
-	rowKind      = field{1, "family-type"}
-	rowEngine    = field{2, "engine"}
-	rowCell      = field{3, "cluster"}
-	rowStartedMS = field{4, "last-start-ms"}
-	rowState     = field{6, "availability"}
+	engineTableNumber = field[int64]{0, "table"}
+	engineTableRows   = field[[][]json.RawMessage]{1, "elements"}
+
+	rowZone      = field[string]{0, "zone"}
+	rowKind      = field[string]{1, "family-type"}
+	rowEngine    = field[string]{2, "engine"}
+	rowCell      = field[int64]{3, "cluster"}
+	rowStartedMS = field[float64]{4, "last-start-ms"}
+	rowState     = field[string]{6, "availability"}
 )
 
 // Fields of PEERS_KNOWN.
 var (
-	endpointsMode  = field{1, "mode"}
-	endpointsTable = field{3, "table"}
+	endpointsMode  = field[string]{1, "mode"}
+	endpointsTable = field[int64]{3, "table"}
 )
 
 // Fields that messages about one request have at the same place.
 var (
-	fieldRequestID = field{1, "xid"}
-	fieldAttempt   = field{2, "attempt"}
+	fieldRequestID = field[uint64]{1, "xid"}
+	fieldAttempt   = field[int64]{2, "attempt"}
 )
 
 // Fields of REQ.
 var (
-	requestOrderKey   = field{2, "order-key"}
-	requestMemoryMB   = field{3, "est-memory-mb"}
-	requestFlags      = field{4, "bits"}
-	requestWorkMS     = field{5, "guess-ms"}
-	requestClass      = field{6, "profile"}
-	requestDeadlineMS = field{7, "client-deadline-ms"}
-	requestTenant     = field{8, "account"}
-	requestDataset    = field{9, "schema-no"}
+	requestOrderKey   = field[string]{2, "order-key"}
+	requestMemoryMB   = field[float64]{3, "est-memory-mb"}
+	requestFlags      = field[int64]{4, "bits"}
+	requestWorkMS     = field[float64]{5, "guess-ms"}
+	requestClass      = field[string]{6, "profile"}
+	requestDeadlineMS = field[float64]{7, "client-deadline-ms"}
+	requestTenant     = field[string]{8, "account"}
+	requestDataset    = field[int64]{9, "schema-no"}
 )
 
 // Fields of SETTLED.
 var (
-	endedResult    = field{4, "rc"}
-	endedElapsedMS = field{5, "rtt-ms"}
-	endedCompleted = field{6, "last"}
-	endedCost      = field{7, "note"}
-	endedLoad      = field{8, "usage"}
+	endedResult    = field[int64]{4, "rc"}
+	endedElapsedMS = field[float64]{5, "rtt-ms"}
+	endedCompleted = field[bool]{6, "last"}
+	endedCost      = field[int64]{7, "note"}
+	endedLoad      = field[[]float64]{8, "usage"}
 )
 
 // Fields of INTERIM.
 var (
-	progressKind  = field{4, "sort"}
-	progressValue = field{5, "value"}
+	progressKind  = field[int64]{4, "sort"}
+	progressValue = field[float64]{5, "value"}
 )
 
 // timerToken is the field of TICK_DUE.
-var timerToken = field{1, "nonce"}
+var timerToken = field[uint64]{1, "nonce"}
 
 // Fields of PROBED.
 var (
-	healthEngine = field{1, "engine"}
-	healthResult = field{2, "rc"}
-	healthLoad   = field{4, "usage"}
+	healthEngine = field[string]{1, "engine"}
+	healthResult = field[int64]{2, "rc"}
+	healthLoad   = field[[]float64]{4, "usage"}
 )
 
 // resultCodes are the results of attempts and health checks as the protocol numbers them.
@@ -124,6 +132,15 @@
 	409: policy.ResultNotSent,
 }
 
+// Names of the values of load reports that the policy module uses.
+const (
+	loadCPUShare    = "cpu"
+	loadInFlight    = "active"
+	loadQueued      = "waiting"
+	loadMemoryShare = "x0"
+	loadDiskShare   = "x1"
+)
+
 // engineStates are the states of engines as POOL spells them.
 var engineStates = map[string]policy.EngineState{
 	"live":      policy.EngineReady,
