--- a/internal/decision/hotrestart/actions.go
+++ b/internal/decision/hotrestart/actions.go
@@ -1,6 +1,6 @@
 package hotrestart
 
-// Action is an output of a state machine, which its caller carries out.
+// Action is an output of a state machine, which its caller must carry out.
 type Action interface{ action() }
 
 // Actions of the predecessor.
@@ -22,7 +22,7 @@
 	ReleaseConn struct{ Conn ConnID }
 	// KillSuccessor kills the successor. SuccessorExited follows.
 	KillSuccessor struct{}
-	// ReclaimConn takes a connection back. Recover decides on its request, once the kernel
+	// ReclaimConn takes a connection back. Recover decides on its request, after the kernel
 	// has reported how much of the response was written.
 	ReclaimConn struct {
 		Conn    ConnID
@@ -30,7 +30,7 @@
 	}
 	// ReportResult reports to the requester how the hot restart ended; no failure means success.
 	ReportResult struct{ Failure string }
-	// BeginShutdown begins the planned shutdown.
+	// BeginShutdown begins the graceful shutdown.
 	BeginShutdown struct{}
 )
 
@@ -55,7 +55,7 @@
 	LoadState struct{}
 	// AdoptConn takes a transferred connection over.
 	AdoptConn struct{ Conn ConnID }
-	// StopRecording ends the records of requests, as nothing would be reclaimed any more.
+	// StopRecording ends the records of requests, as nothing can be reclaimed any more.
 	StopRecording struct{}
 )
 
--- a/internal/decision/hotrestart/events.go
+++ b/internal/decision/hotrestart/events.go
@@ -7,7 +7,7 @@
 type (
 	// StartUpgrade requests a hot restart.
 	StartUpgrade struct{}
-	// Shutdown requests a planned shutdown.
+	// Shutdown requests a graceful shutdown.
 	Shutdown struct{}
 	// ConnAccepted reports a new connection of this process.
 	ConnAccepted struct{ Conn ConnID }
@@ -27,8 +27,8 @@
 
 // Messages of the successor to the predecessor.
 type (
-	// Hello identifies the successor. Problem says why it can't take over, such as an invalid
-	// configuration or a limit that is too low; "" means that it can.
+	// Hello identifies the successor. Problem is the reason for which it can't take over, such as an
+	// invalid configuration or a limit that is too low; "" means that it can.
 	Hello struct {
 		Version Version
 		Problem string
@@ -50,8 +50,8 @@
 
 // Events of the successor's own process.
 type (
-	// Started reports that the process runs and has read its configuration. Problem says why
-	// it can't serve; "" means that it can.
+	// Started reports that the process runs and has read its configuration. Problem is the reason
+	// for which it can't serve; "" means that it can.
 	Started struct{ Problem string }
 	// StateLoaded reports that the state was loaded.
 	StateLoaded struct{}
@@ -63,11 +63,11 @@
 type (
 	// State carries the state of the predecessor.
 	State struct{}
-	// Activate tells the successor to accept connections.
+	// Activate requests that the successor accepts connections.
 	Activate struct{}
 	// ConnTransferred carries a connection with its state.
 	ConnTransferred struct{ Conn ConnID }
-	// Commit tells the successor that it is the owner for good.
+	// Commit notifies the successor that it is the final owner.
 	Commit struct{}
 )
 
--- a/internal/decision/hotrestart/hotrestart.go
+++ b/internal/decision/hotrestart/hotrestart.go
@@ -1,24 +1,33 @@
-// Package hotrestart models a hot restart: one process of flaxrelay (the predecessor)
-// hands its listeners, its client connections and its work over to a newer one (the
-// successor), and reclaims them if that fails. It consists of two state machines without
-// I/O. Predecessor and Successor take events (messages of the other process, changes of
-// connections, ticks) and return actions, which their caller carries out in order. No
-// program links the package yet; its model test explores all interleavings.
+// Package hotrestart models a hot restart; no program links it, and only its model test uses it.
+//
+// In a hot restart, one process of flaxrelay (the predecessor) hands its listeners, its client
+// connections and its work over to a newer one (the successor), and reclaims them if that fails.
+// The package consists of two state machines without I/O, Predecessor and Successor. Their method
+// Step handles an event (a message of the other process, a change of a connection, a tick) and
+// returns actions, which the caller must carry out in order. The model test explores all
+// interleavings.
 //
 // The protocol relies on three properties of the system:
 //
 //   - The predecessor is the parent of the successor. It can kill it, and the kernel
-//     reports its exit, so silence is never mistaken for death: what was transferred is
-//     reclaimed only once the successor is known to have exited and all that it had written
-//     to the channel has been read.
+//     reports its exit, so silence is never mistaken for an exit: connections are reclaimed only
+//     when the successor is known to have exited and all its messages in the channel have been
+//     read.
 //   - The predecessor never closes the channel while both processes live. So the end of the
 //     channel proves to the successor that the predecessor has exited.
 //   - A descriptor sent over a unix socket is in the kernel once it is sent, and is received
 //     even if its sender exits at once (unix(7), SCM_RIGHTS).
 //
-// So no acknowledgements are needed: a connection belongs to the successor from the moment
-// the predecessor has sent it, and never to both. Requests in flight stay with their
-// process until they are answered; their connection is transferred then.
+// Therefore no acknowledgements are needed: a connection belongs to the successor from the moment
+// the predecessor has sent it, and never to both. Requests in flight stay with their process until
+// they have their response; their connection is transferred then.
+//
+// The phases of the predecessor:
+//
+//	Idle --StartUpgrade--> AwaitingHello --Hello--> TransferringState --Ready--> Probation
+//	  --enough Heartbeats--> Draining --last connection closed or transferred--> Exited
+//	AwaitingHello, TransferringState, Probation --timeout, problem, Shutdown--> RollingBack
+//	AwaitingHello, TransferringState, Probation, RollingBack --SuccessorExited--> Idle
 package hotrestart
 
 import "time"
@@ -29,12 +38,12 @@
 // Phases of the predecessor.
 const (
 	Idle              Phase = iota // no hot restart is in progress
-	AwaitingHello                  // the successor was started and has not identified itself
-	TransferringState              // it loads the state and has not reported ready
-	Probation                      // it accepts and serves; everything can still be reclaimed
-	Draining                       // it is the owner for good; requests in flight end here
-	RollingBack                    // it was killed; nothing is reclaimed before it has exited
-	Exited                         // nothing is left to do
+	AwaitingHello                  // the successor was started and has not sent its hello
+	TransferringState              // the successor loads the state and has not reported that it is ready
+	Probation                      // the successor accepts and serves; everything can still be reclaimed
+	Draining                       // the successor is the final owner; requests in flight of this process end
+	RollingBack                    // the successor was killed; nothing is reclaimed before it has exited
+	Exited                         // the process ends
 )
 
 var phaseNames = [...]string{
@@ -46,17 +55,17 @@
 
 // Config bounds a hot restart. Phases are timed from their start.
 type Config struct {
-	HelloTimeout     time.Duration // for the successor's hello; if too short, a slow disk fails restarts
+	HelloTimeout     time.Duration // for the successor's hello; too short: a slow disk fails restarts
 	StateTimeout     time.Duration // for loading the state and reporting ready
 	MinProbation     time.Duration // least length of the probation
-	MaxProbation     time.Duration // its length without enough requests; above MinProbation
+	MaxProbation     time.Duration // length of the probation without enough requests; above MinProbation
 	HeartbeatTimeout time.Duration // longest time without a message during the probation
 	MinSuccesses     int           // successful responses that end the probation, where there are requests
 	MaxFailureRate   float64       // share of responses that may be errors of the successor itself, 0 to 1
 	MaxMemoryBytes   int64         // of the successor; 0: unbounded
 }
 
-// DefaultConfig suits a machine that runs both processes side by side without strain.
+// DefaultConfig returns bounds for a machine that has the capacity for both processes at once.
 func DefaultConfig() Config {
 	return Config{
 		HelloTimeout:     5 * time.Second,
--- a/internal/decision/hotrestart/model_test.go
+++ b/internal/decision/hotrestart/model_test.go
@@ -6,8 +6,8 @@
 )
 
 // explore visits all reachable states, breadth first, up to a bound. It stops at the first
-// fault and returns the steps that lead to it.
-func explore(f faults, most int) (states, depth int, fault string, trace []string) {
+// violation and returns the steps that lead to it.
+func explore(f faults, most int) (states, depth int, violation string, trace []string) {
 	type node struct {
 		parent int
 		name   string
@@ -24,21 +24,21 @@
 		return names
 	}
 	for at := 0; at < len(queue) && at < most; at++ {
-		w := queue[at]
+		current := queue[at]
 		queue[at] = world{}
 		depth = max(depth, nodes[at].depth)
-		if why := w.violation(); why != "" {
-			return len(seen), depth, why, path(at)
+		if violation := current.violation(); violation != "" {
+			return len(seen), depth, violation, path(at)
 		}
-		next := w.steps(f)
-		if !slices.ContainsFunc(next, func(s step) bool { return s.name != stepSuccessorCrashes && s.name != stepPredecessorCrashes }) {
-			if why := w.deadlock(); why != "" {
-				return len(seen), depth, why, path(at)
+		next := current.steps(f)
+		if !slices.ContainsFunc(next, step.isProgress) {
+			if violation := current.deadlock(); violation != "" {
+				return len(seen), depth, violation, path(at)
 			}
 		}
 		for _, s := range next {
-			if k := s.next.key(); !seen[k] {
-				seen[k] = true
+			if key := s.next.key(); !seen[key] {
+				seen[key] = true
 				nodes = append(nodes, node{at, s.name, nodes[at].depth + 1})
 				queue = append(queue, s.next)
 			}
@@ -51,13 +51,13 @@
 const maxStates = 3e6
 
 // All interleavings of a hot restart with two requests and up to two crashes keep the
-// invariants: a connection has one owner and a request one response, no request is repeated
-// against its effect, the listener is never closed, and everything completes.
-func TestModel(t *testing.T) {
-	states, depth, fault, trace := explore(faults{}, maxStates)
+// invariants: a connection has one owner and a request one response, no request is retried that must
+// not be, the listener is never closed, and every request completes.
+func TestModel_KeepsInvariantsInAllInterleavings(t *testing.T) {
+	states, depth, violation, trace := explore(faults{}, maxStates)
 	t.Logf("%d states, depth %d", states, depth)
-	if fault != "" {
-		t.Fatalf("%s after %d states:\n%q", fault, states, trace)
+	if violation != "" {
+		t.Fatalf("%s after %d states:\n%q", violation, states, trace)
 	}
 	if states < 10000 {
 		t.Errorf("only %d states were reached", states)
@@ -65,7 +65,7 @@
 }
 
 // Each safeguard is needed: without it, the exploration finds a violation.
-func TestModelFindsSeededFaults(t *testing.T) {
+func TestModel_FindsSeededFaults(t *testing.T) {
 	for name, seeded := range map[string]faults{
 		"reclaimed before exit":   {reclaimBeforeExit: true},
 		"reclaimed before drain":  {reclaimBeforeDrain: true},
@@ -73,11 +73,11 @@
 		"retried whatever effect": {retryAnything: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			states, _, fault, trace := explore(seeded, maxStates)
-			if fault == "" {
-				t.Fatalf("nothing found in %d states", states)
+			states, _, violation, trace := explore(seeded, maxStates)
+			if violation == "" {
+				t.Fatalf("no violation found in %d states", states)
 			}
-			t.Logf("%s after %d steps", fault, len(trace))
+			t.Logf("%s after %d steps", violation, len(trace))
 		})
 	}
 }
--- a/internal/decision/hotrestart/predecessor.go
+++ b/internal/decision/hotrestart/predecessor.go
@@ -5,16 +5,17 @@
 // connection is the predecessor's record of a connection.
 type connection struct {
 	id ConnID
-	// transferred means that the successor has it. A duplicate of its descriptor is kept.
+	// transferred means that the successor owns the connection. This process keeps a duplicate of
+	// its descriptor.
 	transferred bool
 	// busy means that the connection is owned here and can't be transferred: a request is in
-	// flight, or a part of a message was read or is to be written.
+	// flight, or a part of a message was read or has to be written.
 	busy    bool
-	request Request // as the successor has recorded it
+	request Request // as recorded by the successor
 }
 
-// Predecessor is the state machine of the process that hands over. It belongs to one
-// goroutine.
+// Predecessor is the state machine of the process that hands over. It may be used by one goroutine
+// at a time.
 type Predecessor struct {
 	cfg     Config
 	version Version
@@ -26,17 +27,19 @@
 	failures      int
 	failureReason string // of the rollback
 
-	shutdownRequested bool // it follows the end of the hot restart
+	shutdownRequested bool // the shutdown follows the end of the hot restart
 	conns             []connection
 }
 
 // NewPredecessor returns the state machine of a process that serves.
-func NewPredecessor(cfg Config, v Version) *Predecessor { return &Predecessor{cfg: cfg, version: v} }
+func NewPredecessor(cfg Config, version Version) *Predecessor {
+	return &Predecessor{cfg: cfg, version: version}
+}
 
 // Phase returns the phase of the hot restart.
 func (p *Predecessor) Phase() Phase { return p.phase }
 
-// Step takes one event and returns the actions to carry out, in order.
+// Step handles one event and returns the actions to carry out, in order.
 func (p *Predecessor) Step(now time.Duration, event Event) []Action {
 	switch event := event.(type) {
 	case StartUpgrade:
@@ -73,16 +76,20 @@
 	return nil
 }
 
+// startUpgrade starts a hot restart, unless one is in progress.
 func (p *Predecessor) startUpgrade(now time.Duration) []Action {
 	if p.phase != Idle || p.shutdownRequested {
 		return []Action{ReportResult{"another upgrade or a stop is under way"}}
 	}
 	p.enter(AwaitingHello, now)
-	p.lastMessage, p.successes, p.failures, p.failureReason = now, 0, 0, ""
+	p.lastMessage = now
+	p.successes = 0
+	p.failures = 0
+	p.failureReason = ""
 	return []Action{SpawnSuccessor{}}
 }
 
-// shutdown handles the request for a planned shutdown. A hot restart that is not committed
+// shutdown handles the request for a graceful shutdown. A hot restart that is not committed
 // is rolled back first.
 func (p *Predecessor) shutdown(now time.Duration) []Action {
 	if p.shutdownRequested {
@@ -95,7 +102,7 @@
 	case p.canRollBack():
 		return p.rollBack(now, "a planned stop came first")
 	}
-	return nil // behind a rollback, the shutdown follows; when draining, the exit is near anyway
+	return nil // RollingBack: the shutdown follows the rollback; Draining: the process exits anyway
 }
 
 // message handles a message of the successor.
@@ -118,6 +125,7 @@
 	return nil
 }
 
+// hello checks whether the successor can take over.
 func (p *Predecessor) hello(now time.Duration, hello Hello) []Action {
 	switch {
 	case p.phase != AwaitingHello:
@@ -147,19 +155,23 @@
 		if now-p.lastMessage >= p.cfg.HeartbeatTimeout {
 			return p.rollBack(now, "it went silent")
 		}
+	case Idle, Draining, RollingBack, Exited: // without a timeout
 	}
 	return nil
 }
 
-func (p *Predecessor) enter(phase Phase, now time.Duration) { p.phase, p.phaseStart = phase, now }
+func (p *Predecessor) enter(phase Phase, now time.Duration) {
+	p.phase = phase
+	p.phaseStart = now
+}
 
-// canRollBack reports whether the successor lives and can still be killed.
+// canRollBack reports whether the successor runs and may still be killed.
 func (p *Predecessor) canRollBack() bool {
 	return p.phase == AwaitingHello || p.phase == TransferringState || p.phase == Probation
 }
 
 // rollBack kills the successor. Nothing is reclaimed before it is known to have exited:
-// until then it may still write to the connections that it has.
+// until then it may still write to its connections.
 func (p *Predecessor) rollBack(now time.Duration, reason string) []Action {
 	p.failureReason = reason
 	p.enter(RollingBack, now)
--- a/internal/decision/hotrestart/predecessor_conns.go
+++ b/internal/decision/hotrestart/predecessor_conns.go
@@ -31,6 +31,7 @@
 	return nil
 }
 
+// forget removes the record of a connection.
 func (p *Predecessor) forget(id ConnID) {
 	p.conns = slices.DeleteFunc(p.conns, func(c connection) bool { return c.id == id })
 }
@@ -38,6 +39,7 @@
 // handsOver reports whether idle connections are transferred.
 func (p *Predecessor) handsOver() bool { return p.phase == Probation || p.phase == Draining }
 
+// connIdle handles a connection that can be transferred.
 func (p *Predecessor) connIdle(id ConnID) []Action {
 	c := p.owned(id)
 	if c == nil {
@@ -72,8 +74,8 @@
 	return nil
 }
 
-// beginProbation begins the handover: from now on the successor accepts, and every
-// connection that is idle is transferred.
+// beginProbation begins the handover: the successor accepts new connections, and every idle
+// connection is transferred.
 func (p *Predecessor) beginProbation(now time.Duration) []Action {
 	p.enter(Probation, now)
 	actions := []Action{StopAccepting{}, SendActivate{}}
@@ -85,15 +87,17 @@
 	return actions
 }
 
-// transfer hands a connection over. When draining, nothing is reclaimed any more, so that
-// no duplicate is kept.
+// transfer hands a connection over. When draining, nothing is reclaimed any more, so no
+// duplicate is kept.
 func (p *Predecessor) transfer(id ConnID) []Action {
 	if p.phase == Draining {
 		p.forget(id)
 		return []Action{TransferConn{id}, ReleaseConn{id}}
 	}
 	c := p.connection(id)
-	c.transferred, c.busy, c.request = true, false, Request{}
+	c.transferred = true
+	c.busy = false
+	c.request = Request{}
 	return []Action{TransferConn{id}}
 }
 
@@ -102,7 +106,9 @@
 	for i := range p.conns {
 		if c := &p.conns[i]; c.transferred {
 			actions = append(actions, ReclaimConn{Conn: c.id, Request: c.request})
-			c.transferred, c.busy, c.request = false, c.request.InFlight, Request{}
+			c.transferred = false
+			c.busy = c.request.InFlight
+			c.request = Request{}
 		}
 	}
 	return actions
@@ -126,7 +132,7 @@
 	return p.commit(now)
 }
 
-// commit makes the successor the owner for good.
+// commit makes the successor the final owner.
 func (p *Predecessor) commit(now time.Duration) []Action {
 	p.enter(Draining, now)
 	actions := []Action{SendCommit{}}
@@ -139,7 +145,7 @@
 	return append(append(actions, ReportResult{}), p.exitWhenDrained()...)
 }
 
-// exitWhenDrained ends the process once it has no connection left.
+// exitWhenDrained ends the process if it is draining and has no connection.
 func (p *Predecessor) exitWhenDrained() []Action {
 	if p.phase != Draining || len(p.conns) > 0 {
 		return nil
--- a/internal/decision/hotrestart/recovery.go
+++ b/internal/decision/hotrestart/recovery.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Effect says how far a request may be repeated, as in package policy.
+// Effect classifies requests by whether they may be retried, as in package policy.
 type Effect uint8
 
 // Effects. The zero value is the most cautious.
@@ -19,30 +19,30 @@
 	Effect            Effect
 	Forwarded         bool          // to an engine: it may have been executed
 	FirstForwardedAt  time.Duration // by either process, on their common clock
-	IdempotencyWindow time.Duration // in which engines drop a repeated key, of IdempotentByKey
+	IdempotencyWindow time.Duration // in which engines drop duplicates of a key; for IdempotentByKey
 	Deadline          time.Duration // of the client
 	ResponseBytes     int           // length of the response that is being written; 0: none yet
 }
 
-// Recovery is what happens to a request whose process has exited.
+// Recovery is the treatment of a request whose process has exited.
 type Recovery uint8
 
 // Recoveries.
 const (
-	NoRecovery             Recovery = iota // there is no request, or it was answered
+	NoRecovery             Recovery = iota // there is no request, or it has its response
 	Retry                                  // forward it (again), with its key and the time of its first attempt
-	ReportUnknownOutcome                   // it may have been executed and must not be repeated; the client is told at once
+	ReportUnknownOutcome                   // respond at once that it may have run; a retry is not permitted
 	ReportDeadlineExceeded                 // its deadline has passed
-	CloseConnection                        // a part of its response was written, so only a close tells the client
+	CloseConnection                        // a part of its response was written, so no other response is possible
 )
 
-// windowMargin is the least time left in an idempotency window for a request to reach its
-// engine.
+// windowMargin is the least remaining time of an idempotency window in which a retry is forwarded: the
+// request has to reach its engine within the window.
 const windowMargin = 50 * time.Millisecond
 
-// Recover decides on a request of a process that has exited. written is how many bytes of
-// the response the kernel has taken on this connection since the record with
-// ResponseBytes. The kernel reports it for a socket whoever wrote to it (tcp(7), TCP_INFO).
+// Recover decides on a request of a process that has exited. written is the number of bytes of the
+// response that were written to this connection since the record with ResponseBytes. The kernel
+// reports it for a socket, regardless of which process wrote (tcp(7), TCP_INFO).
 func Recover(r Request, written int, now time.Duration) Recovery {
 	switch {
 	case !r.InFlight:
--- a/internal/decision/hotrestart/successor.go
+++ b/internal/decision/hotrestart/successor.go
@@ -2,27 +2,37 @@
 
 import "time"
 
-// Successor is the state machine of the process that takes over. It belongs to one
-// goroutine.
+// stateProgress is how far the successor is with the predecessor's state.
+//
+//	stateAwaited --State--> stateLoading --StateLoaded--> stateLoaded
+type stateProgress uint8
+
+const (
+	stateAwaited stateProgress = iota
+	stateLoading
+	stateLoaded
+)
+
+// Successor is the state machine of the process that takes over. It may be used by one goroutine at a
+// time.
 type Successor struct {
-	version      Version
-	loadingState bool // the state has arrived
-	stateLoaded  bool
-	accepting    bool
-	owner        bool // for good: the predecessor reclaims nothing any more
-	orphaned     bool // the predecessor has exited
+	version   Version
+	state     stateProgress
+	accepting bool
+	owner     bool // final: the predecessor reclaims nothing any more
+	orphaned  bool // the predecessor has exited
 }
 
 // NewSuccessor returns the state machine of a process that was started to take over.
-func NewSuccessor(v Version) *Successor { return &Successor{version: v} }
+func NewSuccessor(version Version) *Successor { return &Successor{version: version} }
 
-// Owner reports whether the process is the owner for good.
+// Owner reports whether the process is the final owner.
 func (s *Successor) Owner() bool { return s.owner }
 
 // Accepting reports whether the process accepts and serves connections.
 func (s *Successor) Accepting() bool { return s.accepting }
 
-// Step takes one event and returns the actions to carry out, in order.
+// Step handles one event and returns the actions to carry out, in order.
 func (s *Successor) Step(_ time.Duration, event Event) []Action {
 	switch event := event.(type) {
 	case Started:
@@ -32,18 +42,18 @@
 		}
 		return []Action{hello}
 	case State:
-		if !s.loadingState {
-			s.loadingState = true
+		if s.state == stateAwaited {
+			s.state = stateLoading
 			return []Action{LoadState{}}
 		}
 	case StateLoaded:
-		s.stateLoaded = true
+		s.state = stateLoaded
 		if s.orphaned {
 			return s.takeOwnership()
 		}
 		return []Action{SendReady{}}
 	case Activate:
-		if s.stateLoaded && !s.accepting {
+		if s.state == stateLoaded && !s.accepting {
 			s.accepting = true
 			return []Action{StartAccepting{}}
 		}
@@ -60,18 +70,18 @@
 	return nil
 }
 
-// predecessorExited takes ownership. While the state is being loaded, that waits for its
-// end; without any state, the process serves like one that was just started.
+// predecessorExited takes ownership, or does so later if the state is being loaded. Without any
+// state, the process serves like one that was just started.
 func (s *Successor) predecessorExited() []Action {
 	s.orphaned = true
-	if s.owner || s.loadingState && !s.stateLoaded {
+	if s.owner || s.state == stateLoading {
 		return nil
 	}
 	return s.takeOwnership()
 }
 
-// takeOwnership makes the process the owner of all that was transferred, after the exit of
-// the predecessor.
+// takeOwnership makes the process the owner of all transferred connections after the exit of the
+// predecessor.
 func (s *Successor) takeOwnership() []Action {
 	s.owner = true
 	if s.accepting {
--- a/internal/decision/hotrestart/world_steps_test.go
+++ b/internal/decision/hotrestart/world_steps_test.go
@@ -5,35 +5,55 @@
 // steps returns all possible next states. Crashes come last; there are at most maxCrashes.
 func (w world) steps(f faults) (all []step) {
 	do := func(name string, change func(*world)) {
-		n := w.clone()
-		change(&n)
-		all = append(all, step{name, n})
+		next := w.clone()
+		change(&next)
+		all = append(all, step{name, next})
 	}
 	if w.predecessorAlive && w.upgrades < 1 && w.predecessor.phase == Idle {
-		do("upgrade requested", func(n *world) { n.upgrades++; n.stepPredecessor(f, 0, StartUpgrade{}) })
+		do("upgrade requested", func(n *world) {
+			n.upgrades++
+			n.stepPredecessor(f, 0, StartUpgrade{})
+		})
 	}
 	if w.successorAlive && !w.started {
-		do("successor starts", func(n *world) { n.started = true; n.stepSuccessor(Started{}) })
-		do("successor can't serve", func(n *world) { n.started = true; n.stepSuccessor(Started{"port"}) })
+		do("successor starts", func(n *world) {
+			n.started = true
+			n.stepSuccessor(Started{})
+		})
+		do("successor can't serve", func(n *world) {
+			n.started = true
+			n.stepSuccessor(Started{"port"})
+		})
 	}
 	if w.successorAlive && w.loadingState {
-		do("successor has loaded the state", func(n *world) { n.loadingState = false; n.stepSuccessor(StateLoaded{}) })
+		do("successor has loaded the state", func(n *world) {
+			n.loadingState = false
+			n.stepSuccessor(StateLoaded{})
+		})
 	}
 	if w.successorAlive && w.started && len(w.toSuccessor) > 0 {
-		do("message to successor", func(n *world) { m := n.toSuccessor[0]; n.toSuccessor = n.toSuccessor[1:]; n.stepSuccessor(m) })
+		do("message to successor", func(n *world) {
+			message := n.toSuccessor[0]
+			n.toSuccessor = n.toSuccessor[1:]
+			n.stepSuccessor(message)
+		})
 	}
 	if w.successorAlive && w.started && !w.predecessorAlive && len(w.toSuccessor) == 0 && !w.successor.orphaned {
 		do("successor reads the end of the channel", func(n *world) { n.stepSuccessor(PredecessorExited{}) })
 	}
 	if w.predecessorAlive && len(w.toPredecessor) > 0 {
 		do("message to predecessor", func(n *world) {
-			m := n.toPredecessor[0]
+			message := n.toPredecessor[0]
 			n.toPredecessor = n.toPredecessor[1:]
-			n.stepPredecessor(f, 0, m)
+			n.stepPredecessor(f, 0, message)
 		})
 	}
 	if w.predecessorAlive && w.spawned && !w.successorAlive && (len(w.toPredecessor) == 0 || f.reclaimBeforeDrain) {
-		do("successor is reaped", func(n *world) { n.spawned = false; n.toPredecessor = nil; n.stepPredecessor(f, 0, SuccessorExited{}) })
+		do("successor is reaped", func(n *world) {
+			n.spawned = false
+			n.toPredecessor = nil
+			n.stepPredecessor(f, 0, SuccessorExited{})
+		})
 	}
 	if w.predecessorAlive && w.predecessor.canRollBack() {
 		do("time passes", func(n *world) { n.stepPredecessor(f, limit, Tick{}) })
@@ -49,10 +69,16 @@
 	}
 	if w.crashes < maxCrashes {
 		if w.successorAlive {
-			do(stepSuccessorCrashes, func(n *world) { n.crashes++; n.killSuccessor() })
+			do(stepSuccessorCrashes, func(n *world) {
+				n.crashes++
+				n.killSuccessor()
+			})
 		}
 		if w.predecessorAlive {
-			do(stepPredecessorCrashes, func(n *world) { n.crashes++; n.endPredecessor() })
+			do(stepPredecessorCrashes, func(n *world) {
+				n.crashes++
+				n.endPredecessor()
+			})
 		}
 	}
 	return all
@@ -66,34 +92,48 @@
 		do(name("client sends request"), func(n *world) { n.conns[i].requested = true })
 	}
 	if c.requested && c.handler == handlerNone && c.predecessorOwns && w.predecessorAlive {
-		do(name("predecessor reads request"), func(n *world) { n.conns[i].handler = handlerPredecessor; n.stepPredecessor(f, 0, ConnBusy{ConnID(i)}) })
+		do(name("predecessor reads request"), func(n *world) {
+			n.conns[i].handler = handlerPredecessor
+			n.stepPredecessor(f, 0, ConnBusy{ConnID(i)})
+		})
 	}
 	if c.handler == handlerPredecessor && w.predecessorAlive {
 		do(name("predecessor responds"), func(n *world) {
-			k := &n.conns[i]
-			n.execute(k)
-			k.responses++
-			k.handler = handlerDone
+			responding := &n.conns[i]
+			n.execute(responding)
+			responding.responses++
+			responding.handler = handlerDone
 			n.stepPredecessor(f, 0, ConnIdle{ConnID(i)})
 		})
 	}
 	if !c.successorOwns || !w.successorAlive {
 		return
 	}
+	forward := func(n *world) {
+		n.conns[i].stage = stageForwarded
+		n.execute(&n.conns[i])
+	}
 	switch {
 	case c.requested && c.handler == handlerNone:
 		do(name("successor reads request"), func(n *world) {
-			n.conns[i].handler, n.conns[i].stage = handlerSuccessor, stageReceived
+			n.conns[i].handler = handlerSuccessor
+			n.conns[i].stage = stageReceived
 			n.record(i, stageReceived)
 		})
 	case c.handler == handlerSuccessor && c.stage == stageReceived && f.forwardBeforeRecord:
-		do(name("successor forwards request"), func(n *world) { n.conns[i].stage = stageForwarded; n.execute(&n.conns[i]) })
+		do(name("successor forwards request"), forward)
 	case c.handler == handlerSuccessor && c.stage == stageReceived:
-		do(name("successor records the forwarding"), func(n *world) { n.conns[i].stage = stageForwardRecorded; n.record(i, stageForwardRecorded) })
+		do(name("successor records the forwarding"), func(n *world) {
+			n.conns[i].stage = stageForwardRecorded
+			n.record(i, stageForwardRecorded)
+		})
 	case c.handler == handlerSuccessor && c.stage == stageForwardRecorded:
-		do(name("successor forwards request"), func(n *world) { n.conns[i].stage = stageForwarded; n.execute(&n.conns[i]) })
+		do(name("successor forwards request"), forward)
 	case c.handler == handlerSuccessor && c.stage == stageForwarded:
-		do(name("successor records the response"), func(n *world) { n.conns[i].stage = stageResponseRecorded; n.record(i, stageResponseRecorded) })
+		do(name("successor records the response"), func(n *world) {
+			n.conns[i].stage = stageResponseRecorded
+			n.record(i, stageResponseRecorded)
+		})
 	case c.handler == handlerSuccessor && c.stage == stageResponseRecorded:
 		do(name("successor responds"), func(n *world) {
 			n.conns[i].responseWritten = true
@@ -114,7 +154,7 @@
 		case c.effect == NonIdempotent && c.executions > 1:
 			return fmt.Sprintf("request %d, which may be executed once, was executed twice", i)
 		case c.executedPastWindow:
-			return fmt.Sprintf("request %d was repeated after its window", i)
+			return fmt.Sprintf("request %d was retried after its window", i)
 		}
 	}
 	if (w.predecessorAlive || w.successorAlive) && !w.predecessorListenerOpen && !w.successorListenerOpen {
@@ -123,19 +163,20 @@
 	return ""
 }
 
-// deadlock returns what never completes in a state from which only crashes lead on, or "".
+// deadlock returns what never completes in a state in which only crashes are possible, or "".
 func (w *world) deadlock() string {
 	if !w.predecessorAlive && !w.successorAlive {
-		return "" // nobody is left to answer
+		return "" // no process runs that could respond
 	}
 	accepting := w.predecessorAlive && w.predecessorAccepts || w.successorAlive && w.successorAccepts
 	if !accepting {
-		return "nobody accepts"
+		return "no process accepts connections"
 	}
 	for i, c := range w.conns {
-		connected := c.predecessorOwns && w.predecessorAlive || c.successorOwns && w.successorAlive // else the kernel has closed it
+		// The kernel closes the connections of a process that exits.
+		connected := c.predecessorOwns && w.predecessorAlive || c.successorOwns && w.successorAlive
 		if c.requested && c.responses == 0 && !c.closed && connected {
-			return fmt.Sprintf("request %d is never answered", i)
+			return fmt.Sprintf("request %d has no response", i)
 		}
 	}
 	return ""
--- a/internal/decision/hotrestart/world_test.go
+++ b/internal/decision/hotrestart/world_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// world is two processes, the channel between them, clients and engines. It is the smallest
-// one that shows every interleaving: each client has one connection and one request.
+// world is two processes, the channel between them, clients and engines. It is the smallest world
+// that shows every interleaving: each client has one connection and one request. Its many booleans
+// are independent facts; every combination that can occur is a state of its own.
 type world struct {
 	predecessor Predecessor
 	successor   Successor
@@ -21,8 +22,10 @@
 	toSuccessor   []Event // messages in the channel
 	toPredecessor []Event
 
-	predecessorAccepts, successorAccepts           bool
-	predecessorListenerOpen, successorListenerOpen bool
+	predecessorAccepts      bool
+	successorAccepts        bool
+	predecessorListenerOpen bool
+	successorListenerOpen   bool
 
 	conns       [2]client
 	windowsOver bool // all idempotency windows have ended
@@ -37,7 +40,7 @@
 	handlerNone        handler = iota // the request is in the socket, or not sent yet
 	handlerPredecessor                // the predecessor has read it
 	handlerSuccessor                  // the successor has read it
-	handlerDone                       // nobody handles it any more
+	handlerDone                       // no process handles it any more
 )
 
 // stage is how far the successor is with a request.
@@ -60,14 +63,14 @@
 	handler            handler
 	stage              stage
 	executions         int  // by engines
-	executedPastWindow bool // it was repeated after its window
+	executedPastWindow bool // it was retried after its window
 	responses          int
 	closed             bool // without a response
 	responseWritten    bool // by the successor
 }
 
-// limit is the length of all timeouts: steps happen at 0, and those that let time pass at
-// limit.
+// limit is the length of all timeouts. Steps happen at 0, except those that let time pass: these happen
+// at limit.
 const limit = time.Second
 
 func modelConfig() Config {
@@ -102,14 +105,17 @@
 
 func (w world) clone() world {
 	w.predecessor.conns = slices.Clone(w.predecessor.conns)
-	w.toSuccessor, w.toPredecessor = slices.Clone(w.toSuccessor), slices.Clone(w.toPredecessor)
+	w.toSuccessor = slices.Clone(w.toSuccessor)
+	w.toPredecessor = slices.Clone(w.toPredecessor)
 	return w
 }
 
 // key identifies the state, with the types of the messages in the channel. It clears what
 // does not influence the next steps.
 func (w *world) key() string {
-	w.predecessor.phaseStart, w.predecessor.lastMessage, w.predecessor.failureReason = 0, 0, ""
+	w.predecessor.phaseStart = 0
+	w.predecessor.lastMessage = 0
+	w.predecessor.failureReason = ""
 	return fmt.Sprintf("%#v", *w)
 }
 
@@ -118,7 +124,7 @@
 	reclaimBeforeExit   bool // connections are reclaimed before the successor has exited
 	reclaimBeforeDrain  bool // they are reclaimed before all its messages were read
 	forwardBeforeRecord bool // the successor forwards a request before it records that
-	retryAnything       bool // what may have been executed is retried whatever its effect
+	retryAnything       bool // a request that may have run is retried even if it is not idempotent
 }
 
 // The names of the steps that are faults of the environment.
@@ -133,13 +139,17 @@
 	next world
 }
 
+// isProgress reports whether the step is not a fault of the environment.
+func (s step) isProgress() bool {
+	return s.name != stepSuccessorCrashes && s.name != stepPredecessorCrashes
+}
+
 // stepPredecessor has the predecessor handle an event and carries out its actions.
 func (w *world) stepPredecessor(f faults, now time.Duration, event Event) {
 	for _, action := range w.predecessor.Step(now, event) {
 		switch action := action.(type) {
 		case SpawnSuccessor:
-			w.spawned, w.successorAlive, w.successorListenerOpen = true, true, true
-			w.successor, w.toSuccessor, w.toPredecessor, w.started, w.loadingState = *NewSuccessor(Version{1, 1}), nil, nil, false, false
+			w.spawnSuccessor()
 		case SendState:
 			w.toSuccessor = append(w.toSuccessor, State{})
 		case SendActivate:
@@ -166,14 +176,29 @@
 	}
 }
 
+// spawnSuccessor starts a successor with a new channel and the listener.
+func (w *world) spawnSuccessor() {
+	w.spawned = true
+	w.successorAlive = true
+	w.successorListenerOpen = true
+	w.successor = *NewSuccessor(Version{1, 1})
+	w.toSuccessor = nil
+	w.toPredecessor = nil
+	w.started = false
+	w.loadingState = false
+}
+
 func (w *world) endPredecessor() {
-	w.predecessorAlive, w.predecessorAccepts, w.predecessorListenerOpen = false, false, false
+	w.predecessorAlive = false
+	w.predecessorAccepts = false
+	w.predecessorListenerOpen = false
 }
 
+// killSuccessor ends the successor, which may have exited already.
 func (w *world) killSuccessor() {
-	if w.successorAlive {
-		w.successorAlive, w.successorAccepts, w.successorListenerOpen = false, false, false
-	}
+	w.successorAlive = false
+	w.successorAccepts = false
+	w.successorListenerOpen = false
 }
 
 // reclaim has the predecessor take a connection back and recover its request.
@@ -199,13 +224,15 @@
 	case NoRecovery:
 		if !action.Request.InFlight { // never recorded: the predecessor reads it again, if it is still in the socket
 			if c.stage <= stageReceived {
-				c.handler, c.stage = handlerNone, stageNone
+				c.handler = handlerNone
+				c.stage = stageNone
 			}
 			return
 		}
 		c.handler = handlerDone
 	case CloseConnection:
-		c.closed, c.handler = true, handlerDone
+		c.closed = true
+		c.handler = handlerDone
 	case ReportUnknownOutcome, ReportDeadlineExceeded:
 		c.responses++
 		c.handler = handlerDone
