--- a/internal/clitest/clitest.go
+++ b/internal/clitest/clitest.go
@@ -1,5 +1,4 @@
-// Package clitest holds what the tests of the programs' command lines share. Only tests
-// import it.
+// Package clitest checks the command lines of programs. Only tests import it.
 package clitest
 
 import (
@@ -12,9 +11,9 @@
 	"github.com/alecthomas/kong"
 )
 
-// CheckNames compares the names of a program's commands, flags and arguments, with
-// their defaults, enumerations and environment variables, to those of the golden file.
-// The grammar is a pointer to the struct that kong parses into.
+// CheckNames compares the names of a program's commands, flags and arguments, with their defaults,
+// enumerations and environment variables, with the golden file at the path. grammar is a pointer to
+// the struct that kong parses into.
 func CheckNames(t *testing.T, program string, grammar any, goldenPath string) {
 	t.Helper()
 	parser, err := kong.New(grammar, kong.Name(program))
@@ -29,8 +28,8 @@
 // writeCommand writes a command with its flags and arguments, and the commands below it.
 func writeCommand(b *strings.Builder, command *kong.Node, path string) {
 	fmt.Fprintf(b, "%s\n", path)
-	for _, f := range command.Flags {
-		fmt.Fprintf(b, "  --%s default=%q enum=%q env=%q\n", f.Name, f.Default, f.Enum, f.Envs)
+	for _, flag := range command.Flags {
+		fmt.Fprintf(b, "  --%s default=%q enum=%q env=%q\n", flag.Name, flag.Default, flag.Enum, flag.Envs)
 	}
 	for _, argument := range command.Positional {
 		fmt.Fprintf(b, "  <%s> required=%v\n", argument.Name, argument.Required)
--- a/internal/golden/difference.go
+++ b/internal/golden/difference.go
@@ -7,7 +7,7 @@
 
 // firstDifference returns the number, counted from 1, of the first line that differs
 // between texts that are not equal, and the line of each, with its line ending. The line
-// is empty where that text has ended.
+// of a text that has ended is empty.
 func firstDifference(got, want []byte) (number int, gotLine, wantLine []byte) {
 	for {
 		number++
@@ -29,7 +29,7 @@
 	return text[:end], text[end:]
 }
 
-// describeLine quotes a line, so that its line ending and other control characters show.
+// describeLine quotes a line, so that its line ending and other control characters are visible.
 func describeLine(line []byte) string {
 	if len(line) == 0 {
 		return "(end of the text)"
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what a test produced with a golden file. Only tests and the
+// Package golden compares the output of a test with a golden file. Only tests and the
 // packages that support them import it.
 package golden
 
@@ -16,33 +16,34 @@
 	directoryMode = 0o755
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files")
 
-// Compare fails the test unless the bytes are those of the golden file at the path, and
-// names the first line that differs. The flag -update writes the file anew first.
-func Compare(t testing.TB, path string, got []byte) {
-	t.Helper()
+// Compare marks the test as failed if the bytes differ from the golden file at the path, and reports
+// the first line that differs. With the flag -update it first writes the bytes to the file.
+func Compare(tb testing.TB, path string, got []byte) {
+	tb.Helper()
 	if *update {
-		write(t, path, got)
+		write(tb, path, got)
 	}
 	want, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if bytes.Equal(got, want) {
 		return
 	}
 	number, gotLine, wantLine := firstDifference(got, want)
-	t.Errorf("%s differs first at line %d (%d bytes, want %d)\n got: %s\nwant: %s",
+	tb.Errorf("%s differs first at line %d (%d bytes, want %d)\n got: %s\nwant: %s",
 		path, number, len(got), len(want), describeLine(gotLine), describeLine(wantLine))
 }
 
-func write(t testing.TB, path string, content []byte) {
-	t.Helper()
+// write writes a golden file and creates its directory.
+func write(tb testing.TB, path string, content []byte) {
+	tb.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), directoryMode); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if err := os.WriteFile(path, content, fileMode); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// recorder is a test that keeps its failures in place of failing.
+// recorder is a test that records its failures and does not fail.
 type recorder struct {
 	testing.TB
 	failures []string
@@ -26,7 +26,7 @@
 	runtime.Goexit()
 }
 
-// compare returns the failures of a comparison, where the flag -update stands as given.
+// compare returns the failures of a comparison with the flag -update set as given.
 func compare(t *testing.T, path, got string, updates bool) []string {
 	t.Helper()
 	before := *update
@@ -34,7 +34,7 @@
 	defer func() { *update = before }()
 	r := &recorder{TB: t}
 	done := make(chan struct{})
-	go func() { // of its own, which Fatal ends
+	go func() { // Fatal ends its goroutine
 		defer close(done)
 		Compare(r, path, []byte(got))
 	}()
