--- /dev/null
+++ b/internal/lab/soak/frontend_test.go
@@ -0,0 +1,121 @@
+package soak
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"flaxrelay/internal/lab/syscallfault"
+)
+
+// What a front end logs of its own violations and crashes is found.
+func TestCheckLog_FindsViolationsAndCrashes(t *testing.T) {
+	for _, c := range []struct {
+		line   string
+		broken []string
+	}{
+		{`{"msg":"attempt"}`, nil},
+		{`{"msg":"invariant.violated","rule":"x"}`, []string{ruleInvariant}},
+		{`{"msg":"counts","text":"count invariants.violated.x 1"}`, []string{ruleInvariant}},
+		{"panic: runtime error", []string{ruleInvariant}},
+		{"fatal error: concurrent map writes", []string{ruleInvariant}},
+		{"WARNING: DATA RACE", []string{ruleInvariant}},
+	} {
+		r := newTestRun("")
+		f := r.frontEnds[0]
+		f.log = filepath.Join(t.TempDir(), "log")
+		if err := os.WriteFile(f.log, []byte("first line\n"+c.line+"\nlast line\n"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		f.checkLog()
+		if !slices.Equal(rulesBroken(r), c.broken) {
+			t.Errorf("%s: broken %q, want %q", c.line, rulesBroken(r), c.broken)
+		}
+	}
+	r := newTestRun("")
+	r.frontEnds[0].log = filepath.Join(t.TempDir(), "none")
+	r.frontEnds[0].checkLog()
+	if !slices.Equal(rulesBroken(r), []string{ruleProcess}) {
+		t.Errorf("without a log: broken %q", rulesBroken(r))
+	}
+}
+
+// A process that ends without a signal of the run breaks the rule.
+func TestWatch_ReportsAnEndThatWasNotAskedFor(t *testing.T) {
+	for name, c := range map[string]struct {
+		endingAt time.Time
+		broken   []string
+	}{
+		"asked for":     {time.Now(), nil},
+		"not asked for": {time.Time{}, []string{ruleProcess}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			output, err := os.Create(filepath.Join(t.TempDir(), "output"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = output.Close() }()
+			process, err := syscallfault.Start(os.Args[0], []string{"-test.run=^$"}, os.Environ(), output, 1, syscallfault.Faults{})
+			if err != nil {
+				t.Fatal(err)
+			}
+			r := newTestRun("")
+			f := r.frontEnds[0]
+			f.endingAt = c.endingAt
+			f.watch(process)
+			if !slices.Equal(rulesBroken(r), c.broken) || f.ready {
+				t.Errorf("broken %q, want %q; ready %v", rulesBroken(r), c.broken, f.ready)
+			}
+		})
+	}
+}
+
+// A span contains a kill at its ends too.
+func TestKilledWithin_LooksForAKillInTheSpan(t *testing.T) {
+	at := time.Now()
+	f := &frontEnd{kills: []time.Time{at}}
+	for _, c := range []struct {
+		from, until time.Time
+		want        bool
+	}{
+		{at, at, true},
+		{at.Add(-time.Second), at.Add(-time.Nanosecond), false},
+		{at.Add(time.Nanosecond), at.Add(time.Second), false},
+	} {
+		if got := f.killedWithin(c.from, c.until); got != c.want {
+			t.Errorf("killed from %v to %v: %v", c.from.Sub(at), c.until.Sub(at), got)
+		}
+	}
+}
+
+// Clients come on new connections for 300 ms after a SIGTERM, and use open ones for 500 ms.
+func TestUsable_EndsSomeTimeAfterTheSignal(t *testing.T) {
+	f := &frontEnd{ready: true}
+	now := time.Now()
+	for _, c := range []struct {
+		since       time.Duration
+		takesNew    bool
+		stillUsable bool
+	}{
+		{0, true, true},
+		{299 * time.Millisecond, true, true},
+		{300 * time.Millisecond, false, true},
+		{499 * time.Millisecond, false, true},
+		{500 * time.Millisecond, false, false},
+	} {
+		f.endingAt = now.Add(-c.since)
+		if takesNew, usable := f.takesNew(now), f.usable(now); takesNew != c.takesNew || usable != c.stillUsable {
+			t.Errorf("%v after SIGTERM: new %v, open %v", c.since, takesNew, usable)
+		}
+	}
+	f.endingAt = time.Time{}
+	if !f.takesNew(now) || !f.usable(now) {
+		t.Error("a front end that was not signalled takes no requests")
+	}
+	f.ready = false
+	if f.takesNew(now) || f.usable(now) {
+		t.Error("a front end that is not ready takes requests")
+	}
+}
