--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -138,9 +138,7 @@
 	case <-ctx.Done():
 		return nil
 	case err = <-f.http.Exited:
-		f.http.Exited <- err // for stop, which waits for it too
 	case err = <-f.postgres.Exited:
-		f.postgres.Exited <- err
 	}
 	return errors.Join(errFrontEndEnded, err)
 }
--- a/internal/lab/fake/consul.go
+++ b/internal/lab/fake/consul.go
@@ -2,18 +2,18 @@
 
 import (
 	"encoding/json"
-	"net"
 	"net/http"
+	"net/netip"
 	"time"
 )
 
 // Instance is one registration in the catalogue.
 type Instance struct {
 	ID   string
-	Addr *net.TCPAddr
+	Addr netip.AddrPort
 }
 
-// catalogueEntry is an element of the answer to /v1/catalog/service.
+// catalogueEntry is an element of the response to /v1/catalog/service.
 type catalogueEntry struct {
 	Node        string `json:"Node"`
 	Address     string `json:"Address"`
@@ -22,7 +22,7 @@
 	ServicePort int    `json:"ServicePort"`
 }
 
-// healthEntry is an element of the answer to /v1/health/service.
+// healthEntry is an element of the response to /v1/health/service.
 type healthEntry struct {
 	Node    healthNode    `json:"Node"`
 	Service healthService `json:"Service"`
@@ -48,19 +48,19 @@
 const (
 	nodeName       = "emulated"
 	datacenterName = "dc1"
-	// onlyIndex is the index of all answers, as nothing ever changes.
+	// onlyIndex is the index of all responses, since nothing ever changes.
 	onlyIndex = "1"
 )
 
-// ConsulHandler serves the catalogue and the health of instances that never change. A query that
-// has the only index waits until its time is over, as the API's blocking queries do.
+// ConsulHandler serves the catalogue and the health of instances that never change. A query that names
+// the only index waits until its time is over, like the blocking queries of the API.
 func ConsulHandler(service string, instances []Instance) http.Handler {
 	var catalogue []catalogueEntry
 	var health []healthEntry
 	for _, instance := range instances {
 		catalogue = append(catalogue, catalogueEntry{
-			Node: nodeName, Address: instance.Addr.IP.String(), Datacenter: datacenterName,
-			ServiceID: instance.ID, ServicePort: instance.Addr.Port,
+			Node: nodeName, Address: instance.Addr.Addr().String(), Datacenter: datacenterName,
+			ServiceID: instance.ID, ServicePort: int(instance.Addr.Port()),
 		})
 		health = append(health, healthEntry{
 			Node: healthNode{nodeName}, Service: healthService{instance.ID},
@@ -73,7 +73,8 @@
 	return mux
 }
 
-// blockingQuery answers with a body, after the wait of a query that has the index already.
+// blockingQuery responds with a body. If the query names the index, it waits for the query's time
+// before.
 func blockingQuery(body any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
--- a/internal/lab/fake/consul_test.go
+++ b/internal/lab/fake/consul_test.go
@@ -1,20 +1,23 @@
 package fake
 
 import (
-	"net"
+	"net/http"
 	"net/http/httptest"
+	"net/netip"
 	"testing"
 )
 
-// The stand-in's answers have the keys of Consul's API, to the byte.
-func TestConsul_AnswersHaveTheKeysOfTheAPI(t *testing.T) {
-	h := ConsulHandler("s", []Instance{{ID: "i", Addr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 5}}})
+// The responses are those of Consul's API, to the byte.
+func TestConsulHandler_RespondsWithTheKeysOfTheAPI(t *testing.T) {
+	handler := ConsulHandler("s", []Instance{{ID: "i", Addr: netip.MustParseAddrPort("127.0.0.1:5")}})
 	for path, want := range map[string]string{
-		"/v1/catalog/service/s": `[{"Node":"emulated","Address":"127.0.0.1","Datacenter":"dc1","ServiceID":"i","ServicePort":5}]` + "\n",
-		"/v1/health/service/s":  `[{"Node":{"Node":"emulated"},"Service":{"ID":"i"},"Checks":[{"CheckID":"serfHealth","Status":"passing"}]}]` + "\n",
+		"/v1/catalog/service/s": `[{"Node":"emulated","Address":"127.0.0.1","Datacenter":"dc1",` +
+			`"ServiceID":"i","ServicePort":5}]` + "\n",
+		"/v1/health/service/s": `[{"Node":{"Node":"emulated"},"Service":{"ID":"i"},` +
+			`"Checks":[{"CheckID":"serfHealth","Status":"passing"}]}]` + "\n",
 	} {
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, httptest.NewRequest("GET", path, nil))
+		handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 		if got := w.Body.String(); got != want {
 			t.Errorf("%s: %s, want %s", path, got, want)
 		}
--- a/internal/lab/fake/doc.go
+++ b/internal/lab/fake/doc.go
@@ -1,4 +1,4 @@
-// Package fake implements substitutes for the systems that flaxrelay works with, by their
-// published protocols: engines of both wire protocols, the event bus, and Consul's catalogue and health
-// API. All of them serve loopback addresses alone.
+// Package fake implements substitutes for the systems that flaxrelay works with, by their published
+// protocols: engines of both wire protocols, the event bus, and Consul's catalogue and health API. All
+// of them serve loopback addresses only.
 package fake
--- /dev/null
+++ b/internal/lab/fake/endpointlist.go
@@ -0,0 +1,38 @@
+package fake
+
+// Target is an engine of the endpoint list, as a platform configuration names it.
+type Target struct {
+	UID          string `json:"uid"`
+	Endpoint     string `json:"endpoint"`
+	AZ           string `json:"az"`
+	Model        string `json:"model"`
+	PodGroup     int    `json:"pod_group"`
+	State        string `json:"state"`
+	CapacityHint int    `json:"capacity_hint"`
+	BootMS       int64  `json:"boot_ms"` // start in Unix milliseconds; 0: long ago
+}
+
+// KnownEvents are the events of the bus that a platform configuration holds.
+type KnownEvents struct {
+	Offset int          `json:"offset"` // of the last event
+	Batch  []KnownEvent `json:"batch"`
+}
+
+// KnownEvent is one event of KnownEvents.
+type KnownEvent struct {
+	Offset   int      `json:"offset"`
+	Topology Topology `json:"topology"`
+}
+
+// Topology is a change of the endpoint list, or the whole list.
+type Topology struct {
+	Revision int      `json:"rev"`
+	All      bool     `json:"all"` // whether Targets is the whole list
+	Targets  []Target `json:"targets"`
+}
+
+// KnownList returns the events up to an offset as one event with the whole list.
+func KnownList(offset int, targets []Target) KnownEvents {
+	event := KnownEvent{Offset: offset, Topology: Topology{Revision: offset, All: true, Targets: targets}}
+	return KnownEvents{Offset: offset, Batch: []KnownEvent{event}}
+}
--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -2,9 +2,11 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"log/slog"
 	"net"
 	"regexp"
+	"slices"
 	"strconv"
 	"time"
 
@@ -14,14 +16,19 @@
 // maxMessageLength bounds a message of a front end.
 const maxMessageLength = 1 << 20
 
-// Object ids of PostgreSQL's types.
+// oidText is the object id of PostgreSQL's type for text.
 const oidText = 25
 
 // rowDescription is the body of a RowDescription with one column of text.
-var rowDescription = append([]byte{0, 1}, append([]byte("asked\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, oidText, 255, 255, 255, 255, 255, 255, 0, 0)...)
+var rowDescription = slices.Concat(
+	[]byte{0, 1}, pgproto.CString("asked"), // one column, with its name
+	[]byte{0, 0, 0, 0, 0, 0},                               // of no table
+	[]byte{0, 0, 0, oidText, 255, 255, 255, 255, 255, 255}, // its type, of variable size
+	[]byte{0, 0}, // in text
+)
 
-// ServePostgres serves the PostgreSQL wire protocol on a listener until that is closed, one
-// statement at a time on a connection, with one row that repeats the statement.
+// ServePostgres serves the PostgreSQL wire protocol on a listener until that is closed. A connection
+// runs one statement at a time, with one row that repeats the statement.
 func ServePostgres(listener net.Listener, work Work, log *slog.Logger) {
 	serveConnections(listener, func(conn net.Conn) {
 		c := &postgresConnection{conn: conn, work: work, log: log, prepared: map[string]string{}}
@@ -31,24 +38,24 @@
 	})
 }
 
-// postgresConnection is one connection of a front end.
+// postgresConnection is one connection of a front end. It is for one goroutine.
 type postgresConnection struct {
 	conn     net.Conn
 	work     Work
 	log      *slog.Logger
 	unread   []byte
 	unsent   []byte
-	query    string            // that was parsed, bound or described last
-	prepared map[string]string // query by the name of its statement
+	query    string            // was parsed, bound or described last
+	prepared map[string]string // queries by the names of their statements
 }
 
-// serve answers one connection message by message.
+// serve responds to the messages of the connection, one after the other.
 func (c *postgresConnection) serve() error {
 	cancelRequest, err := c.readStartup()
 	if err != nil || cancelRequest {
 		return err
 	}
-	c.queueStartupReply()
+	c.queueStartupResponse()
 	for {
 		if err := c.flush(); err != nil {
 			return err
@@ -58,25 +65,30 @@
 			return err
 		}
 		if n == 0 {
-			if c.readMore() != nil {
+			if !c.readMore() {
 				return nil // the front end has disconnected
 			}
 			continue
 		}
-		c.answer(kind, body)
+		c.respond(kind, body)
 		c.unread = c.unread[n:]
 	}
 }
 
-// readMore appends what arrives to unread.
-func (c *postgresConnection) readMore() error {
-	chunk := make([]byte, 8192)
+// readMore appends the bytes that arrive next to unread, and reports whether the front end is still
+// connected.
+func (c *postgresConnection) readMore() bool {
+	const chunkSize = 8192
+	chunk := make([]byte, chunkSize)
 	n, err := c.conn.Read(chunk)
 	c.unread = append(c.unread, chunk[:n]...)
-	return err
+	return err == nil
 }
 
-// readStartup reads the first message, which may be the only one: a CancelRequest.
+// errNoStartup reports a connection that ended without a complete first message.
+var errNoStartup = errors.New("the front end disconnected before its startup message")
+
+// readStartup reads the first message. It may be a CancelRequest, after which no other follows.
 func (c *postgresConnection) readStartup() (cancelRequest bool, err error) {
 	for {
 		code, _, n, err := pgproto.ParseStartup(c.unread)
@@ -91,20 +103,23 @@
 		if n > 0 {
 			return false, nil
 		}
-		if err := c.readMore(); err != nil {
-			return false, err
+		if !c.readMore() {
+			return false, errNoStartup
 		}
 	}
 }
 
-func (c *postgresConnection) queueStartupReply() {
-	const processNumber, secret = 1, 1
+func (c *postgresConnection) queueStartupResponse() {
+	const (
+		processNumber = 1
+		secret        = 1
+	)
 	c.queue('R', pgproto.Int32(0))
 	c.queue('K', pgproto.Int32(processNumber), pgproto.Int32(secret))
 	c.queue('Z', []byte("I"))
 }
 
-// queue adds a message to those that wait to be sent.
+// queue adds a message to the unsent ones.
 func (c *postgresConnection) queue(kind byte, parts ...[]byte) {
 	c.unsent = pgproto.AppendMessage(c.unsent, kind, parts...)
 }
@@ -118,8 +133,8 @@
 	return err
 }
 
-// answer queues the answer to one message.
-func (c *postgresConnection) answer(kind byte, body []byte) {
+// respond queues the response to one message.
+func (c *postgresConnection) respond(kind byte, body []byte) {
 	r := pgproto.Reader{Unread: body}
 	switch kind {
 	case 'P':
@@ -150,7 +165,8 @@
 
 var parameterPattern = regexp.MustCompile(`\$([0-9]+)`)
 
-// parameterDescription describes as many text parameters as the statement names.
+// parameterDescription returns a ParameterDescription with as many text parameters as the statement
+// names.
 func parameterDescription(query string) []byte {
 	const maxParameters = 100
 	count := 0
--- a/internal/lab/fake/engine_test.go
+++ b/internal/lab/fake/engine_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"log/slog"
 	"net"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -17,8 +18,8 @@
 // waitLimit bounds every wait.
 const waitLimit = 10 * time.Second
 
-// startEngine serves an engine whose statements take no time, save those that name "endless",
-// and connects to it.
+// startEngine serves an engine whose statements take no time, except those that contain "endless", and
+// connects to it.
 func startEngine(t *testing.T, serve func(net.Listener, Work, *slog.Logger)) net.Conn {
 	t.Helper()
 	listener, err := Listen("127.0.0.1:0")
@@ -42,8 +43,8 @@
 	return conn
 }
 
-// The engine reports its progress three times and answers with the request; a cancelled
-// statement has no answer.
+// The engine reports its progress three times and responds with the request. A cancelled statement has
+// no response.
 func TestServeLineProtocol_ReportsProgressAndRepeatsTheRequest(t *testing.T) {
 	conn := startEngine(t, ServeLineProtocol)
 	const endless, cancel, quick = "want e k=1 7\r\nendless\r\n", "never_mind e\r\n", "want a k=1 8\r\nSELECT 1\r\n"
@@ -59,12 +60,13 @@
 	}
 }
 
-// The engine describes as many parameters as the statement names, and answers an execution with
-// the statement.
+// The engine describes as many parameters as the statement names, and responds to an execution with the
+// statement.
 func TestServePostgres_DescribesParametersAndRepeatsTheStatement(t *testing.T) {
 	conn := startEngine(t, ServePostgres)
 	const statement = "SELECT $2, $1"
-	out := pgproto.AppendStartup(nil, pgproto.ProtocolVersion, append(append(pgproto.CString("user"), pgproto.CString("lab")...), 0))
+	startupParameters := slices.Concat(pgproto.CString("user"), pgproto.CString("lab"), []byte{0})
+	out := pgproto.AppendStartup(nil, pgproto.ProtocolVersion, startupParameters)
 	out = pgproto.AppendMessage(out, 'P', pgproto.CString("s"), pgproto.CString(statement), []byte{0, 0})
 	out = pgproto.AppendMessage(out, 'D', []byte("S"), pgproto.CString("s"))
 	out = pgproto.AppendMessage(out, 'B', pgproto.CString(""), pgproto.CString("s"), []byte{0, 0, 0, 0, 0, 0})
@@ -81,7 +83,8 @@
 	if kinds != "1tT2DCZ" {
 		t.Fatalf("batch: %s", kinds)
 	}
-	if parameters := bodies[1]; !bytes.Equal(parameters, []byte{0, 2, 0, 0, 0, oidText, 0, 0, 0, oidText}) {
+	twoTexts := []byte{0, 2, 0, 0, 0, oidText, 0, 0, 0, oidText}
+	if parameters := bodies[1]; !bytes.Equal(parameters, twoTexts) {
 		t.Errorf("parameters: %v", parameters)
 	}
 	if row := bodies[4]; !bytes.HasSuffix(row, []byte(statement)) {
--- a/internal/lab/fake/eventbus.go
+++ b/internal/lab/fake/eventbus.go
@@ -7,19 +7,18 @@
 )
 
 const (
-	// busRequestLength is the length of a watch request: the offset from which to resume.
-	busRequestLength = 8
-	// busHeartbeat is the interval of the empty frames, in the pace of the real bus.
-	busHeartbeat = time.Second
-	// emptyBatch is the encoded list of no events.
+	// BusRequestLength is the length of a watch request in bytes: the offset from which to resume.
+	BusRequestLength = 8
+	// BusHeartbeat is the interval of the heartbeats, which is that of the real bus.
+	BusHeartbeat = time.Second
+	// emptyBatch is an encoded list without events.
 	emptyBatch = 0
 )
 
-// ServeEventBus serves the event bus on a listener: there never is an event, and an empty frame each
-// second is its heartbeat.
+// ServeEventBus serves an event bus on a listener that publishes no events, only heartbeats.
 func ServeEventBus(listener net.Listener, lastOffset uint64) {
 	serveConnections(listener, func(conn net.Conn) {
-		if _, err := conn.Read(make([]byte, busRequestLength)); err != nil {
+		if _, err := conn.Read(make([]byte, BusRequestLength)); err != nil {
 			return
 		}
 		frame := heartbeatFrame(lastOffset)
@@ -27,12 +26,12 @@
 			if _, err := conn.Write(frame); err != nil {
 				return
 			}
-			time.Sleep(busHeartbeat)
+			time.Sleep(BusHeartbeat)
 		}
 	})
 }
 
-// heartbeatFrame is a frame without an event: its length, the last offset and an empty batch.
+// heartbeatFrame returns a frame without events: its length, the last offset and an empty batch.
 func heartbeatFrame(lastOffset uint64) []byte {
 	body := append(binary.BigEndian.AppendUint64(nil, lastOffset), emptyBatch)
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
--- /dev/null
+++ b/internal/lab/fake/line_echo.go
@@ -0,0 +1,68 @@
+package fake
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"strings"
+	"time"
+)
+
+// progressReports is in how many parts an engine does its work. It reports its progress after each
+// but the last.
+const progressReports = 4
+
+// ServeLineProtocol serves the platform's line protocol on a listener until that is closed, with an
+// engine that answers each statement, after reports of its progress, with rows that repeat the
+// request.
+func ServeLineProtocol(listener net.Listener, work Work, log *slog.Logger) {
+	ServeLineEngine(listener, &echoEngine{work: work, log: log})
+}
+
+// echoEngine is a LineHandler whose results repeat the request.
+type echoEngine struct {
+	work Work
+	log  *slog.Logger
+}
+
+// Received implements LineHandler.
+func (e *echoEngine) Received(request LineRequest) {
+	statement := abbreviate(request.Statement)
+	e.log.Info("request received", "id", request.ID, "fields", request.Fields, "statement", statement)
+}
+
+// Cancelled implements LineHandler.
+func (e *echoEngine) Cancelled(request LineRequest) {
+	e.log.Info("request cancelled", "id", request.ID)
+}
+
+// Page implements LineHandler. The results have a single page.
+func (*echoEngine) Page(string, string) (text string, ok bool) { return "", false }
+
+// Handle implements LineHandler.
+func (e *echoEngine) Handle(ctx context.Context, exchange *LineExchange) {
+	request := exchange.Request
+	took, memoryMB := e.work(request.Statement)
+	for part := 1; part <= progressReports; part++ {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(took / progressReports):
+		}
+		if part < progressReports {
+			progress := fmt.Sprintf("res=p,num=%.2f", float64(part)/progressReports)
+			exchange.Send(LineMessage(request.ID, MessageProgress, progress, ""))
+		}
+	}
+	cost := fmt.Sprintf("batches=1,cpu=%d,used=%.0f,gauges=util:0.1;queue:0;x1:0;x0:0", took.Milliseconds(), memoryMB)
+	if exchange.Finish(func() {}) {
+		exchange.Send(LineMessage(request.ID, MessageResult, cost, echoRows(request)))
+	}
+}
+
+// echoRows are the rows of a result: the fields of the request and its statement on one line.
+func echoRows(request LineRequest) string {
+	oneLine := strings.NewReplacer("\t", " ", "\n", " ", "\r", " ").Replace(request.Statement)
+	return fmt.Sprintf("fields\t%s\ttoy\nstatement\t%s\ttoy\n", request.Fields, oneLine)
+}
--- /dev/null
+++ b/internal/lab/fake/line_server.go
@@ -0,0 +1,199 @@
+package fake
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+)
+
+// maxStatementLength bounds a statement, as the front end's own limit does.
+const maxStatementLength = 1 << 20
+
+// LineMessageKind says what a message from an engine to a front end is, in the word of the line
+// protocol.
+type LineMessageKind string
+
+// The kinds of messages from an engine to a front end.
+const (
+	MessageProgress LineMessageKind = "TELL"
+	MessageResult   LineMessageKind = "DONE" // the first page, with the cost of the request
+	MessagePage     LineMessageKind = "MORE" // a further page
+	MessageRejected LineMessageKind = "WAIT" // the engine has no capacity
+	MessageFailed   LineMessageKind = "BROKE"
+)
+
+// LineMessage returns a message about a request, with its fields and its body.
+func LineMessage(requestID string, kind LineMessageKind, fields, body string) string {
+	return fmt.Sprintf("%s %s %s %d\r\n%s\r\n", requestID, kind, fields, len(body), body)
+}
+
+// LineRequest is a request of the line protocol as it arrives at an engine.
+type LineRequest struct {
+	ID        string
+	Fields    string // NAME=VALUE, separated by commas
+	Statement string
+}
+
+// Field returns the value of a field, or "" without it.
+func (r LineRequest) Field(name string) string {
+	value := ""
+	for field := range strings.SplitSeq(r.Fields, ",") {
+		if fieldName, fieldValue, _ := strings.Cut(field, "="); fieldName == name {
+			value = fieldValue
+		}
+	}
+	return value
+}
+
+// LineHandler is what a stand-in for an engine does with requests of the line protocol. Its methods
+// are called from the goroutines of all connections.
+type LineHandler interface {
+	// Received is called with each request as it arrives, before Handle.
+	Received(request LineRequest)
+	// Handle works on a request and responds, on a goroutine of its own. The context ends when the
+	// request is cancelled or its connection ends.
+	Handle(ctx context.Context, exchange *LineExchange)
+	// Cancelled is called once for a request that is cancelled, or whose connection ends, before it
+	// was finished. It must not call the exchange.
+	Cancelled(request LineRequest)
+	// Page returns a further page of a result, and whether the engine serves pages at all.
+	Page(requestID, page string) (text string, ok bool)
+}
+
+// ServeLineEngine serves the platform's line protocol on a listener until that is closed. Requests
+// of one connection run at the same time and do not wait for each other.
+func ServeLineEngine(listener net.Listener, handler LineHandler) {
+	serveConnections(listener, func(conn net.Conn) {
+		(&lineConnection{conn: conn, handler: handler, inFlight: map[string]*LineExchange{}}).serve()
+	})
+}
+
+// LineExchange is a request in flight and the way to respond to it.
+type LineExchange struct {
+	Request LineRequest
+
+	connection *lineConnection
+	cancel     context.CancelFunc
+}
+
+// Finish takes the request out of flight, calls record and returns true, unless it was cancelled
+// before. A cancellation from then on has no effect. Record is called before anything else can be
+// sent on the connection, and must not call the exchange.
+func (x *LineExchange) Finish(record func()) bool {
+	return x.connection.finish(x.Request.ID, func(LineRequest) { record() })
+}
+
+// Send sends a message. A connection that has ended needs none.
+func (x *LineExchange) Send(message string) { x.connection.send(message) }
+
+// lineConnection is one connection of a front end. One goroutine reads it; the requests in flight
+// write to it from theirs.
+type lineConnection struct {
+	conn    net.Conn
+	handler LineHandler
+
+	mu       sync.Mutex               // guards writes to conn, and what follows
+	inFlight map[string]*LineExchange // by request id
+}
+
+// serve reads the connection until it ends, which cancels all requests in flight.
+func (c *lineConnection) serve() {
+	defer c.end()
+	in := bufio.NewReader(c.conn)
+	for {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return
+		}
+		words := strings.Fields(line)
+		switch {
+		case len(words) == 4 && words[0] == "want":
+			statement, err := readStatement(in, words[3])
+			if err != nil {
+				return
+			}
+			c.start(LineRequest{ID: words[1], Fields: words[2], Statement: statement})
+		case len(words) == 2 && words[0] == "never_mind":
+			c.finish(words[1], c.handler.Cancelled)
+		case len(words) == 3 && words[0] == "turn":
+			c.sendPage(words[1], words[2])
+		}
+	}
+}
+
+// statementLengthError reports a statement whose length is no number or out of bounds.
+type statementLengthError struct{ word string }
+
+func (e *statementLengthError) Error() string {
+	return fmt.Sprintf("a statement of length %q", e.word)
+}
+
+// readStatement reads the statement behind a request line, and the CR LF behind it.
+func readStatement(in io.Reader, lengthWord string) (string, error) {
+	var length int
+	if _, err := fmt.Sscan(lengthWord, &length); err != nil || length < 0 || length > maxStatementLength {
+		return "", &statementLengthError{word: lengthWord}
+	}
+	text := make([]byte, length+len("\r\n"))
+	if _, err := io.ReadFull(in, text); err != nil {
+		return "", fmt.Errorf("read a statement: %w", err)
+	}
+	return string(text[:length]), nil
+}
+
+func (c *lineConnection) start(request LineRequest) {
+	c.handler.Received(request)
+	ctx, cancel := context.WithCancel(context.Background())
+	exchange := &LineExchange{Request: request, connection: c, cancel: cancel}
+	c.mu.Lock()
+	c.inFlight[request.ID] = exchange
+	c.mu.Unlock()
+	go func() {
+		defer cancel()
+		c.handler.Handle(ctx, exchange)
+	}()
+}
+
+// finish takes a request out of flight, cancels its context, calls record with it and returns true,
+// or returns false for a request that is not in flight.
+func (c *lineConnection) finish(id string, record func(LineRequest)) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	exchange, ok := c.inFlight[id]
+	if !ok {
+		return false
+	}
+	delete(c.inFlight, id)
+	exchange.cancel()
+	record(exchange.Request)
+	return true
+}
+
+// end closes the connection first, so that no blocked write keeps mu locked, and then cancels what
+// is in flight.
+func (c *lineConnection) end() {
+	_ = c.conn.Close()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, exchange := range c.inFlight {
+		exchange.cancel()
+		c.handler.Cancelled(exchange.Request)
+	}
+	clear(c.inFlight)
+}
+
+func (c *lineConnection) sendPage(requestID, page string) {
+	if text, ok := c.handler.Page(requestID, page); ok {
+		c.send(LineMessage(requestID, MessagePage, "batch="+page, text))
+	}
+}
+
+func (c *lineConnection) send(message string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, _ = io.WriteString(c.conn, message) // a connection that has ended needs no message
+}
--- a/internal/lab/fake/listener.go
+++ b/internal/lab/fake/listener.go
@@ -1,6 +1,7 @@
 package fake
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"sync"
@@ -13,14 +14,14 @@
 
 // Error implements error.
 func (e *NotLoopbackError) Error() string {
-	return fmt.Sprintf("emulator: %s is no loopback address", e.Addr)
+	return fmt.Sprintf("fake: %s is not a loopback address", e.Addr)
 }
 
 // Listen opens a listener at a loopback address.
 func Listen(addr string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("emulator: %w", err)
+		return nil, fmt.Errorf("fake: %w", err)
 	}
 	if tcpAddr, ok := listener.Addr().(*net.TCPAddr); !ok || !tcpAddr.IP.IsLoopback() {
 		_ = listener.Close()
@@ -29,22 +30,25 @@
 	return listener, nil
 }
 
-// connections are the open connections of a listener.
+// connections are the open connections of a listener. They are safe for concurrent use.
 type connections struct {
-	mu   sync.Mutex
+	mu   sync.Mutex // guards open
 	open map[net.Conn]bool
 }
 
-// serveConnections serves every connection of a listener in a goroutine of its own, and closes
-// them with it.
+// serveConnections serves each connection of a listener on a goroutine of its own until the listener
+// is closed, and then closes all of them. It passes over a failure to accept one connection.
 func serveConnections(listener net.Listener, serve func(net.Conn)) {
 	all := &connections{open: map[net.Conn]bool{}}
 	defer all.close()
 	for {
 		conn, err := listener.Accept()
-		if err != nil {
+		if errors.Is(err, net.ErrClosed) {
 			return
 		}
+		if err != nil {
+			continue
+		}
 		all.add(conn)
 		go func() {
 			defer all.remove(conn)
--- a/internal/lab/fake/work.go
+++ b/internal/lab/fake/work.go
@@ -7,23 +7,44 @@
 )
 
 // Work returns how long a statement takes, and the memory that it needs in MB.
-type Work func(statement string) (time.Duration, float64)
+type Work func(statement string) (took time.Duration, memoryMB float64)
 
-// PlausibleWork is the work that a reader of a statement would expect: a load or a summary takes
-// seconds, a lookup a fifth of one, and each text differs a little.
-func PlausibleWork(statement string) (time.Duration, float64) {
-	const minFactor, factorRange = 0.7, 0.6
-	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(statement)) // it never fails
-	factor := minFactor + factorRange*float64(hash.Sum32()%1000)/1000
-	usualMS, memoryMB := 200.0, 20.0
+// usualWork is the work of a kind of statement.
+type usualWork struct {
+	milliseconds float64
+	memoryMB     float64
+}
+
+var (
+	lookupWork    = usualWork{milliseconds: 200, memoryMB: 20}
+	loadWork      = usualWork{milliseconds: 1500, memoryMB: 60}
+	aggregateWork = usualWork{milliseconds: 1800, memoryMB: 120}
+)
+
+// PlausibleWork is a Work as a reader of the statement would expect it: a load or an aggregate takes
+// seconds, a lookup a fifth of a second, and each text differs a little.
+func PlausibleWork(statement string) (took time.Duration, memoryMB float64) {
+	usual := lookupWork
 	switch upper := strings.ToUpper(statement); {
 	case strings.Contains(upper, "INSERT"):
-		usualMS, memoryMB = 1500, 60
+		usual = loadWork
 	case strings.Contains(upper, "COUNT(") || strings.Contains(upper, "SUM(") || strings.Contains(upper, "GROUP BY"):
-		usualMS, memoryMB = 1800, 120
+		usual = aggregateWork
 	}
-	return time.Duration(usualMS * factor * float64(time.Millisecond)), memoryMB * factor
+	factor := textFactor(statement)
+	return time.Duration(usual.milliseconds * factor * float64(time.Millisecond)), usual.memoryMB * factor
+}
+
+// textFactor returns a factor between 0.7 and 1.3 that depends on the text.
+func textFactor(text string) float64 {
+	const (
+		minFactor   = 0.7
+		factorRange = 0.6
+		steps       = 1000
+	)
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(text)) // never fails
+	return minFactor + factorRange*float64(hash.Sum32()%steps)/steps
 }
 
 // abbreviate shortens a statement for the log.
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -6,9 +6,11 @@
 	"os"
 	"path/filepath"
 	"strings"
+
+	"flaxrelay/internal/lab/fake"
 )
 
-// Files of the deploy folder, and their settings that the harness changes.
+// Files of the deploy folder, and the settings in them that the harness changes.
 const (
 	deployFile   = "postgres.toml"
 	settingsFile = "postgres-settings.json"
@@ -18,36 +20,11 @@
 	deployedConsulAddr = `"127.0.0.1:8500"`
 )
 
-// target is an engine as a platform configuration names it.
-type target struct {
-	UID      string `json:"uid"`
-	Endpoint string `json:"endpoint"`
-	AZ       string `json:"az"`
-	Model    string `json:"model"`
-	State    string `json:"state"`
-}
-
-// topology is the event of the bus that lists all engines.
-type topology struct {
-	Revision int      `json:"rev"`
-	All      bool     `json:"all"`
-	Targets  []target `json:"targets"`
-}
-
-// busEvent is one event of the bus.
-type busEvent struct {
-	Offset   int      `json:"offset"`
-	Topology topology `json:"topology"`
-}
-
-// knownEvents are the events that a platform configuration holds.
-type knownEvents struct {
-	Offset int        `json:"offset"`
-	Batch  []busEvent `json:"batch"`
-}
+// fileMode is the mode of the written files.
+const fileMode = 0o600
 
 // writeFiles writes the files of both front ends.
-func (e *Environment) writeFiles(opts Options, targets []target, bus, agent string) error {
+func (e *Environment) writeFiles(opts Options, targets []fake.Target, bus, consul string) error {
 	if err := e.writeConfig(opts, targets, bus); err != nil {
 		return err
 	}
@@ -57,35 +34,35 @@
 			return fmt.Errorf("harness: %w", err)
 		}
 		changed := strings.Replace(string(text), deployedListenAddr, fmt.Sprintf("%q", opts.PostgresAddr), 1)
-		changed = strings.Replace(changed, deployedConsulAddr, fmt.Sprintf("%q", agent), 1)
+		changed = strings.Replace(changed, deployedConsulAddr, fmt.Sprintf("%q", consul), 1)
 		if opts.EnableShapes {
 			changed = strings.Replace(changed, "enabled = false", "enabled = true", 1)
 		}
-		if err := os.WriteFile(filepath.Join(opts.Dir, name), []byte(changed), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(opts.Dir, name), []byte(changed), fileMode); err != nil {
 			return fmt.Errorf("harness: %w", err)
 		}
 	}
 	return nil
 }
 
-// writeConfig writes the platform configuration of the HTTP front end: that of the example, with
+// writeConfig writes the platform configuration of the HTTP front end: that of the example, with the
 // addresses and engines of the harness.
-func (e *Environment) writeConfig(opts Options, targets []target, bus string) error {
+func (e *Environment) writeConfig(opts Options, targets []fake.Target, bus string) error {
 	raw, err := os.ReadFile(filepath.Join(opts.Root, "examples/toy/config.json"))
 	if err != nil {
 		return fmt.Errorf("start this from the repository's root: %w", err)
 	}
-	var config map[string]any // of which all but three fields stay as they are
+	var config map[string]any // a map, since all but three keys stay as they are
 	if err := json.Unmarshal(raw, &config); err != nil {
 		return fmt.Errorf("harness: %w", err)
 	}
-	event := busEvent{Offset: onlyOffset, Topology: topology{Revision: 1, All: true, Targets: targets}}
-	config["listen"], config["bus"] = opts.HTTPAddr, bus
-	config["known"] = knownEvents{Offset: onlyOffset, Batch: []busEvent{event}}
+	config["listen"] = opts.HTTPAddr
+	config["bus"] = bus
+	config["known"] = fake.KnownList(onlyOffset, targets)
 	if raw, err = json.MarshalIndent(config, "", " "); err != nil {
 		return fmt.Errorf("harness: %w", err)
 	}
-	if err := os.WriteFile(e.ConfigFile, raw, 0o600); err != nil {
+	if err := os.WriteFile(e.ConfigFile, raw, fileMode); err != nil {
 		return fmt.Errorf("harness: %w", err)
 	}
 	return nil
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -1,5 +1,5 @@
-// Package harness sets up flaxrelay with emulated surroundings on loopback addresses: engines,
-// event bus, catalogue, the files that name them, and flaxrelay's own processes.
+// Package harness sets up flaxrelay with emulated surroundings on loopback addresses: engines, event
+// bus, catalogue, the files that name them, and flaxrelay's own processes.
 package harness
 
 import (
@@ -7,6 +7,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"net/netip"
 	"path/filepath"
 
 	"flaxrelay/internal/lab/fake"
@@ -23,8 +24,8 @@
 
 // Options say what to set up.
 type Options struct {
-	Root         string // the repository, whose deploy files are taken
-	Dir          string // for files
+	Root         string // the repository, whose deploy files are used
+	Dir          string // for the written files
 	Engines      int    // of each wire protocol
 	Work         fake.Work
 	HTTPAddr     string // where the HTTP front end listens
@@ -33,43 +34,52 @@
 	Log          *slog.Logger
 }
 
-// Environment is the emulated surroundings of flaxrelay. The emulated systems end with Close.
+// Environment is the emulated surroundings of flaxrelay. The caller must close it.
 type Environment struct {
-	ConfigFile, DeployFile, ShapesFile string // the files of flaxrelay
-	listeners                          []net.Listener
+	ConfigFile string // the platform configuration of the HTTP front end
+	DeployFile string // of the PostgreSQL front end
+	ShapesFile string // of query shapes, for both
+
+	listeners []net.Listener // of the emulated systems
 }
 
 // New starts the emulated systems and writes the files.
-func New(opts Options) (environment *Environment, err error) {
-	environment = &Environment{
+func New(opts Options) (*Environment, error) {
+	environment := &Environment{
 		ConfigFile: filepath.Join(opts.Dir, "config.json"),
 		DeployFile: filepath.Join(opts.Dir, deployFile),
 		ShapesFile: filepath.Join(opts.Dir, shapesFile),
 	}
-	defer func() {
-		if err != nil {
-			environment.Close()
-		}
-	}()
-	targets, err := environment.startLineEngines(opts)
-	if err != nil {
+	if err := environment.start(opts); err != nil {
+		environment.Close()
 		return nil, err
 	}
-	instances, err := environment.startPostgresEngines(opts)
+	return environment, nil
+}
+
+// start starts the emulated systems and writes the files.
+func (e *Environment) start(opts Options) error {
+	targets, err := e.startLineEngines(opts)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	bus, err := environment.listen()
+	instances, err := e.startPostgresEngines(opts)
 	if err != nil {
-		return nil, err
+		return err
+	}
+	bus, err := e.listen()
+	if err != nil {
+		return err
 	}
 	go fake.ServeEventBus(bus, onlyOffset)
-	agent, err := environment.listen()
+	consul, err := e.listen()
 	if err != nil {
-		return nil, err
+		return err
 	}
-	go func() { _ = http.Serve(agent, fake.ConsulHandler(catalogueService, instances)) }() // it ends with its listener
-	return environment, environment.writeFiles(opts, targets, bus.Addr().String(), agent.Addr().String())
+	go func() {
+		_ = http.Serve(consul, fake.ConsulHandler(catalogueService, instances)) // it ends with its listener
+	}()
+	return e.writeFiles(opts, targets, bus.Addr().String(), consul.Addr().String())
 }
 
 // Close ends the emulated systems.
@@ -79,16 +89,20 @@
 	}
 }
 
-// listen opens a listener that ends with the environment.
+// listen opens a listener that is closed with the environment.
 func (e *Environment) listen() (net.Listener, error) {
 	listener, err := fake.Listen(anyLoopbackPort)
-	if err == nil {
-		e.listeners = append(e.listeners, listener)
+	if err != nil {
+		return nil, err
 	}
-	return listener, err
+	e.listeners = append(e.listeners, listener)
+	return listener, nil
 }
 
-func (e *Environment) startLineEngines(opts Options) (targets []target, err error) {
+// startLineEngines starts the engines of the line protocol and returns them as the endpoint list names
+// them.
+func (e *Environment) startLineEngines(opts Options) ([]fake.Target, error) {
+	var targets []fake.Target
 	for i := range opts.Engines {
 		listener, err := e.listen()
 		if err != nil {
@@ -96,12 +110,18 @@
 		}
 		name := fmt.Sprintf("s-%08x", i+1)
 		go fake.ServeLineProtocol(listener, opts.Work, opts.Log.With("engine", name))
-		targets = append(targets, target{UID: name, Endpoint: listener.Addr().String(), AZ: "hall-a", Model: "std-8", State: "in_service"})
+		targets = append(targets, fake.Target{
+			UID: name, Endpoint: listener.Addr().String(), AZ: "hall-a", Model: "std-8", State: "in_service",
+			CapacityHint: 1,
+		})
 	}
 	return targets, nil
 }
 
-func (e *Environment) startPostgresEngines(opts Options) (instances []fake.Instance, err error) {
+// startPostgresEngines starts the engines of the PostgreSQL protocol and returns them as the catalogue
+// names them.
+func (e *Environment) startPostgresEngines(opts Options) ([]fake.Instance, error) {
+	var instances []fake.Instance
 	for i := range opts.Engines {
 		listener, err := e.listen()
 		if err != nil {
@@ -109,7 +129,11 @@
 		}
 		name := fmt.Sprintf("engine-%d", i+1)
 		go fake.ServePostgres(listener, opts.Work, opts.Log.With("engine", name))
-		instances = append(instances, fake.Instance{ID: name, Addr: listener.Addr().(*net.TCPAddr)})
+		addr, err := netip.ParseAddrPort(listener.Addr().String())
+		if err != nil {
+			return nil, fmt.Errorf("harness: %w", err)
+		}
+		instances = append(instances, fake.Instance{ID: name, Addr: addr})
 	}
 	return instances, nil
 }
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	// shutdownLimit is how long a graceful shutdown may take; flaxrelay bounds its own below it.
-	shutdownLimit = 8 * time.Second
-	// dialLimit bounds one attempt to connect.
-	dialLimit = time.Second
+	// shutdownTimeout bounds a graceful shutdown. The bound of flaxrelay itself is lower.
+	shutdownTimeout = 8 * time.Second
+	// dialTimeout bounds one attempt to connect.
+	dialTimeout = time.Second
 	// dialInterval is the pause between attempts to connect.
 	dialInterval = 50 * time.Millisecond
 )
 
-// ErrNotListening says that nothing listens at an address.
+// ErrNotListening reports that nothing listens at an address.
 var ErrNotListening = errors.New("nothing listens")
 
 // Build builds flaxrelay into a folder and returns its path.
 func Build(ctx context.Context, root, dir string) (string, error) {
 	program := filepath.Join(dir, "flaxrelay")
 	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/flaxrelay")
-	build.Dir, build.Stderr = root, os.Stderr
+	build.Dir = root
+	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
-		return "", fmt.Errorf("build of flaxrelay (start this from the repository's root, or name a program): %w", err)
+		return "", fmt.Errorf("build flaxrelay (run this from the repository's root, or name a program): %w", err)
 	}
 	return program, nil
 }
@@ -42,7 +43,7 @@
 // Proxy is one process of flaxrelay.
 type Proxy struct {
 	Process *os.Process
-	Exited  chan error // receives the end of the process, once
+	Exited  <-chan error // receives the exit of the process once, nil for status 0
 
 	done chan struct{} // closed when the process has ended
 }
@@ -50,25 +51,27 @@
 // Start starts flaxrelay, without the environment variables that would change its settings.
 func Start(program string, out io.Writer, args ...string) (*Proxy, error) {
 	cmd := exec.Command(program, args...)
-	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Stdout = out
+	cmd.Stderr = out
 	cmd.Env = append(os.Environ(), "LB_CONFIG=", "LB_LISTEN=")
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("harness: %w", err)
 	}
-	p := &Proxy{Process: cmd.Process, Exited: make(chan error, 1), done: make(chan struct{})}
+	exited := make(chan error, 1)
+	p := &Proxy{Process: cmd.Process, Exited: exited, done: make(chan struct{})}
 	go func() {
-		p.Exited <- cmd.Wait()
+		exited <- cmd.Wait()
 		close(p.done)
 	}()
 	return p, nil
 }
 
-// Stop ends the process by a graceful shutdown, and by force where that takes too long.
+// Stop ends the process by a graceful shutdown, and by force if that takes too long.
 func (p *Proxy) Stop() {
 	_ = p.Process.Signal(syscall.SIGTERM) // a process that has ended needs none
 	select {
 	case <-p.done:
-	case <-time.After(shutdownLimit):
+	case <-time.After(shutdownTimeout):
 		_ = p.Process.Kill()
 		<-p.done
 	}
@@ -76,7 +79,7 @@
 
 // WaitUntilListening waits until something listens at an address.
 func WaitUntilListening(ctx context.Context, addr string) error {
-	dialer := net.Dialer{Timeout: dialLimit}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	for {
 		conn, err := dialer.DialContext(ctx, "tcp", addr)
 		if err == nil {
@@ -90,11 +93,18 @@
 	}
 }
 
-// FreeAddr returns a loopback address at which nothing listens. Its host is drawn at random
-// from 127.64.0.0/10, of which nothing else makes use: a port of 127.0.0.1 could be taken
-// by any connection between here and the start of the process that is to listen there.
+// FreeAddr returns a loopback address at which nothing listens. Its host is drawn from 127.64.0.0/10,
+// which nothing else uses: a port of 127.0.0.1 could be taken by any connection before the process
+// listens that the address is for.
 func FreeAddr() (string, error) {
-	host := fmt.Sprintf("127.%d.%d.%d", 64+rand.IntN(64), rand.IntN(256), 1+rand.IntN(254))
+	const (
+		firstSecondByte = 64 // of 127.64.0.0/10
+		secondBytes     = 64
+		bytes           = 256
+		lastBytes       = 254 // without 0 and 255
+	)
+	host := fmt.Sprintf("127.%d.%d.%d",
+		firstSecondByte+rand.IntN(secondBytes), rand.IntN(bytes), 1+rand.IntN(lastBytes))
 	listener, err := fake.Listen(net.JoinHostPort(host, "0"))
 	if err != nil {
 		return "", err
--- a/internal/lab/harness/process_test.go
+++ b/internal/lab/harness/process_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestFreeAddr_AddressStaysFreeWhileItsPortIsTaken forces what made tests flaky: between FreeAddr
-// and the start of a process, something takes the port on 127.0.0.1.
+// A process can listen at the address even if something takes its port on 127.0.0.1 meanwhile, which
+// has made tests flaky.
 func TestFreeAddr_AddressStaysFreeWhileItsPortIsTaken(t *testing.T) {
 	address, err := FreeAddr()
 	if err != nil {
