--- a/internal/lab/faultproxy/faults.go
+++ b/internal/lab/faultproxy/faults.go
@@ -8,20 +8,20 @@
 // Kind is what a fault does.
 type Kind string
 
-// Kinds of fault. Replies are the bytes from the server to the client.
+// Kinds of fault. Responses are the bytes from the server to the client.
 const (
-	Stall          Kind = "stall"           // both ways: bytes are read and held back until it ends
-	DropReplies    Kind = "drop-replies"    // replies are read and discarded; requests arrive
-	CorruptReplies Kind = "corrupt-replies" // one byte of each chunk of the replies is changed
-	Disconnect     Kind = "disconnect"      // connections are closed, and new ones are refused
-	Reset          Kind = "reset"           // connections are reset (RST), once at its start
-	HalfClose      Kind = "half-close"      // the direction to the server is closed, replies go on
+	Stall            Kind = "stall"             // bytes of both directions are read and held back until it ends
+	DropResponses    Kind = "drop-responses"    // responses are read and discarded; requests arrive
+	CorruptResponses Kind = "corrupt-responses" // one byte of each chunk of the responses is changed
+	Disconnect       Kind = "disconnect"        // connections are closed, and new ones are reset
+	Reset            Kind = "reset"             // connections are reset (RST), once at its start
+	HalfClose        Kind = "half-close"        // the direction to the server is closed, responses go on
 )
 
 // known reports whether the kind exists.
 func (k Kind) known() bool {
 	switch k {
-	case Stall, DropReplies, CorruptReplies, Disconnect, Reset, HalfClose:
+	case Stall, DropResponses, CorruptResponses, Disconnect, Reset, HalfClose:
 		return true
 	}
 	return false
@@ -31,7 +31,7 @@
 type Fault struct {
 	Kind Kind
 	From time.Duration // since the start of the proxy
-	For  time.Duration // 0: to the end; Reset and HalfClose happen once
+	For  time.Duration // 0: until the proxy ends; Reset and HalfClose happen once
 }
 
 // activeAt reports whether the fault is active at a time since the start of the proxy.
@@ -47,7 +47,7 @@
 
 // Error implements error.
 func (e *UnknownKindError) Error() string {
-	return fmt.Sprintf("faultproxy: fault %d: there is no kind %q", e.Index, e.Kind)
+	return fmt.Sprintf("faultproxy: fault %d: unknown kind %q", e.Index, e.Kind)
 }
 
 // active reports whether a fault of the kind is active.
@@ -61,7 +61,7 @@
 	return false
 }
 
-// schedule starts the timers of the faults.
+// schedule starts the timers of the faults. It is called before the first connection is accepted.
 func (p *Proxy) schedule() {
 	for _, fault := range p.opts.Faults {
 		p.timers = append(p.timers, time.AfterFunc(fault.From, func() { p.begin(fault) }))
@@ -71,9 +71,10 @@
 	}
 }
 
-// begin does what a fault does once, at its start.
+// begin does what a fault does once, at its start. The other kinds have their effect in the relays.
 func (p *Proxy) begin(fault Fault) {
 	switch fault.Kind {
+	case Stall, DropResponses, CorruptResponses:
 	case Disconnect:
 		p.forEachRelay(func(r *relay) { r.close(closeGracefully) })
 	case Reset:
@@ -84,7 +85,7 @@
 	p.notifyChange()
 }
 
-// notifyChange wakes those that wait for a fault to begin or to end.
+// notifyChange wakes the goroutines that wait for a fault to begin or to end.
 func (p *Proxy) notifyChange() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +93,7 @@
 	p.change = make(chan struct{})
 }
 
-// nextChange is closed when the next fault begins or ends.
+// nextChange returns a channel that is closed when the next fault begins or ends.
 func (p *Proxy) nextChange() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -1,44 +1,48 @@
-// Package faultproxy is a loopback TCP proxy that does to a connection what networks do: delay
-// with jitter, limited bandwidth, stalls, disconnects, resets, half-closes, corrupt and lost
-// replies. What it does and when follows a schedule and a seed, so that a run can be repeated.
+// Package faultproxy is a loopback TCP proxy that injects the faults of networks: delay with jitter,
+// limited bandwidth, stalls, disconnects, resets, half-closes, corrupt and lost responses. The faults
+// follow from a schedule and a seed, so that a run can be repeated.
 package faultproxy
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"net/netip"
 	"sync"
 	"time"
 )
 
 const (
-	// serverDialLimit bounds the connection to the server.
-	serverDialLimit = 2 * time.Second
+	// serverDialTimeout bounds the attempt to connect to the server.
+	serverDialTimeout = 2 * time.Second
 	// randomStream is the second word of the seed: distinct from other uses of it.
 	randomStream = 0x6c696e6b
 )
 
+// anyLoopbackPort lets the kernel choose a free port.
+var anyLoopbackPort = netip.MustParseAddrPort("127.0.0.1:0")
+
 // Options say how the proxy relays.
 type Options struct {
-	Delay     time.Duration // one way
-	Jitter    time.Duration // added, uniform from 0 to this; the order is kept
-	Bandwidth int           // bytes a second each way; 0: no limit
+	Delay     time.Duration // of each direction
+	Jitter    time.Duration // is added to the delay, uniform from 0 to this; the order of bytes stays
+	Bandwidth int           // bytes per second of each direction; 0: no limit
 	Faults    []Fault
 	Seed      uint64
 }
 
-// Proxy is a TCP proxy that listens.
+// Proxy is a TCP proxy that listens. It is safe for concurrent use.
 type Proxy struct {
 	opts     Options
 	server   string
-	listener net.Listener
+	listener *net.TCPListener
 	start    time.Time
+	timers   []*time.Timer // of the faults
 
 	mu     sync.Mutex // guards what follows
 	relays map[*relay]bool
 	random *rand.Rand
 	change chan struct{} // closed and replaced when a fault begins or ends
-	timers []*time.Timer
 	closed bool
 }
 
@@ -49,7 +53,7 @@
 
 // Error implements error.
 func (e *NotLoopbackError) Error() string {
-	return fmt.Sprintf("faultproxy: %q is no loopback address", e.Addr)
+	return fmt.Sprintf("faultproxy: %q is not a loopback address", e.Addr)
 }
 
 // Listen opens a proxy to a server, both on loopback.
@@ -62,7 +66,7 @@
 	if host, _, err := net.SplitHostPort(server); err != nil || !net.ParseIP(host).IsLoopback() {
 		return nil, &NotLoopbackError{Addr: server}
 	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(anyLoopbackPort))
 	if err != nil {
 		return nil, fmt.Errorf("faultproxy: %w", err)
 	}
@@ -76,7 +80,7 @@
 	return p, nil
 }
 
-// Addr is where clients connect.
+// Addr returns the address at which clients connect.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
 // Close ends the proxy and all connections through it.
@@ -91,7 +95,8 @@
 	p.forEachRelay(func(r *relay) { r.close(closeGracefully) })
 }
 
-// forEachRelay calls do for the relays that are open now, without the lock, which do may need.
+// forEachRelay calls do for the relays that are open now. It does not hold mu meanwhile, so that do may
+// lock it.
 func (p *Proxy) forEachRelay(do func(*relay)) {
 	p.mu.Lock()
 	all := make([]*relay, 0, len(p.relays))
@@ -106,28 +111,48 @@
 
 func (p *Proxy) acceptAll() {
 	for {
-		conn, err := p.listener.Accept()
+		client, err := p.listener.AcceptTCP()
 		if err != nil {
 			return
 		}
-		client := conn.(*net.TCPConn) // of a TCP listener
 		if p.active(Disconnect) {
 			reset(client)
 			continue
 		}
-		server, err := net.DialTimeout("tcp", p.server, serverDialLimit)
+		server, err := dialTCP(p.server)
 		if err != nil {
 			reset(client)
 			continue
 		}
-		r := &relay{proxy: p, client: client, server: server.(*net.TCPConn), done: make(chan struct{})}
+		r := &relay{proxy: p, client: client, server: server, done: make(chan struct{})}
 		if !p.add(r) {
 			r.close(closeGracefully)
 			return
 		}
 		go r.copy(client, r.server, requests)
-		go r.copy(r.server, client, replies)
+		go r.copy(r.server, client, responses)
+	}
+}
+
+// notTCPError reports a connection of another kind than TCP.
+type notTCPError struct{ conn net.Conn }
+
+func (e *notTCPError) Error() string {
+	return fmt.Sprintf("faultproxy: %T is not a TCP connection", e.conn)
+}
+
+// dialTCP connects to a server.
+func dialTCP(server string) (*net.TCPConn, error) {
+	conn, err := net.DialTimeout("tcp", server, serverDialTimeout)
+	if err != nil {
+		return nil, fmt.Errorf("faultproxy: %w", err)
+	}
+	tcpConn, ok := conn.(*net.TCPConn)
+	if !ok {
+		_ = conn.Close()
+		return nil, &notTCPError{conn: conn}
 	}
+	return tcpConn, nil
 }
 
 // add registers a relay, and reports whether the proxy is still open.
@@ -147,7 +172,7 @@
 	delete(p.relays, r)
 }
 
-// delay draws how long one chunk is in transit.
+// delay draws the time for which one chunk is in transit.
 func (p *Proxy) delay() time.Duration {
 	if p.opts.Jitter <= 0 {
 		return p.opts.Delay
@@ -157,7 +182,7 @@
 	return p.opts.Delay + time.Duration(p.random.Int64N(int64(p.opts.Jitter)))
 }
 
-// randomIndex is an index below n.
+// randomIndex draws an index below n.
 func (p *Proxy) randomIndex(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -15,22 +15,22 @@
 // waitLimit bounds every wait.
 const waitLimit = 10 * time.Second
 
-// startEchoServer answers each byte with the same byte, and reports what it received.
-func startEchoServer(t *testing.T) (addr string, seen chan byte) {
+// startEchoServer sends each byte back, and reports the bytes that it received.
+func startEchoServer(t *testing.T) (addr string, received chan byte) {
 	t.Helper()
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
-	seen = make(chan byte, 100)
-	go tcptest.Serve(listener, func(conn net.Conn) { echo(conn, seen) })
-	return listener.Addr().String(), seen
+	received = make(chan byte, 100)
+	go tcptest.Serve(listener, func(conn net.Conn) { echo(conn, received) })
+	return listener.Addr().String(), received
 }
 
-func echo(conn net.Conn, seen chan<- byte) {
+func echo(conn net.Conn, received chan<- byte) {
 	b := make([]byte, 1)
 	for {
 		if _, err := conn.Read(b); err != nil {
 			return
 		}
-		seen <- b[0]
+		received <- b[0]
 		if _, err := conn.Write(b); err != nil {
 			return
 		}
@@ -40,13 +40,13 @@
 // connection is a client's connection through a proxy to an echo server.
 type connection struct {
 	net.Conn
-	proxy *Proxy
-	seen  chan byte // what the server received
+	proxy    *Proxy
+	received chan byte // by the server
 }
 
 func openThroughProxy(t *testing.T, opts Options) *connection {
 	t.Helper()
-	addr, seen := startEchoServer(t)
+	addr, received := startEchoServer(t)
 	proxy, err := Listen(addr, opts)
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(waitLimit))
-	return &connection{conn, proxy, seen}
+	return &connection{conn, proxy, received}
 }
 
 // roundTrip sends a byte and reads one.
@@ -67,17 +67,18 @@
 		return 0, err
 	}
 	got := make([]byte, 1)
-	_, err := io.ReadFull(c, got)
+	_, err := c.Read(got)
 	return got[0], err
 }
 
-// readError is how the connection ends; a byte that arrives is no end.
+// readError returns how the connection ends, or nil if a byte arrives.
 func (c *connection) readError() error {
 	_, err := c.Read(make([]byte, 1))
 	return err
 }
 
-// Chunks are delayed both ways at least so long, and keep their order whatever the jitter.
+// Chunks of both directions are delayed by at least the delay, and the jitter does not change their
+// order.
 func TestProxy_DelaysBothWaysAndKeepsTheOrder(t *testing.T) {
 	const delay = 20 * time.Millisecond
 	conn := openThroughProxy(t, Options{Delay: delay, Jitter: delay / 2, Seed: 1})
@@ -85,7 +86,7 @@
 	if got, err := conn.roundTrip('a'); err != nil || got != 'a' || time.Since(start) < 2*delay {
 		t.Errorf("%q, %v after %v", got, err, time.Since(start))
 	}
-	want := []byte("the order is kept")
+	want := []byte("in this order")
 	for _, b := range want {
 		if _, err := conn.Write([]byte{b}); err != nil {
 			t.Fatal(err)
@@ -97,23 +98,23 @@
 	}
 }
 
-// Each fault has its effect, and no more, while it is under way.
+// Each fault has its effect while it is active.
 func TestProxy_EachFaultHasItsEffect(t *testing.T) {
 	const from, duration = 100 * time.Millisecond, 200 * time.Millisecond
 	for kind, check := range map[Kind]func(*testing.T, *connection){
-		DropReplies:    checkDroppedReplies,
-		CorruptReplies: checkCorruptReplies,
-		Disconnect:     checkDisconnect,
-		Reset:          checkReset,
-		HalfClose:      checkHalfClose,
-		Stall:          checkStall,
+		DropResponses:    checkDroppedResponses,
+		CorruptResponses: checkCorruptResponses,
+		Disconnect:       checkDisconnect,
+		Reset:            checkReset,
+		HalfClose:        checkHalfClose,
+		Stall:            checkStall,
 	} {
 		t.Run(string(kind), func(t *testing.T) {
 			conn := openThroughProxy(t, Options{Faults: []Fault{{Kind: kind, From: from, For: duration}}, Seed: 1})
 			if got, err := conn.roundTrip('a'); err != nil || got != 'a' {
 				t.Fatalf("before the fault: %q, %v", got, err)
 			}
-			<-conn.seen
+			<-conn.received
 			if change := conn.proxy.nextChange(); !conn.proxy.active(kind) {
 				<-change // it begins
 			}
@@ -122,14 +123,15 @@
 	}
 }
 
-func checkDroppedReplies(t *testing.T, conn *connection) {
+func checkDroppedResponses(t *testing.T, conn *connection) {
+	t.Helper()
 	_, _ = conn.Write([]byte{'b'})
-	if got := <-conn.seen; got != 'b' {
+	if got := <-conn.received; got != 'b' {
 		t.Errorf("the server received %q", got)
 	}
 	for {
-		change := conn.proxy.nextChange() // taken first: a change after the check is not missed
-		if !conn.proxy.active(DropReplies) {
+		change := conn.proxy.nextChange() // before the check, so that no change after it is missed
+		if !conn.proxy.active(DropResponses) {
 			break
 		}
 		<-change
@@ -139,14 +141,16 @@
 	}
 }
 
-func checkCorruptReplies(t *testing.T, conn *connection) {
+func checkCorruptResponses(t *testing.T, conn *connection) {
+	t.Helper()
 	if got, err := conn.roundTrip('b'); err != nil || got == 'b' {
-		t.Errorf("%q, %v: the reply came unchanged", got, err)
+		t.Errorf("%q, %v: the response came unchanged", got, err)
 	}
 }
 
 func checkStall(t *testing.T, conn *connection) {
-	const leastStall = 20 * time.Millisecond // what is left of the fault at the latest
+	t.Helper()
+	const leastStall = 20 * time.Millisecond // of the fault's time, when the byte is sent late
 	start := time.Now()
 	if got, err := conn.roundTrip('b'); err != nil || got != 'b' || time.Since(start) < leastStall {
 		t.Errorf("%q, %v after %v: it was not held back", got, err, time.Since(start))
@@ -154,12 +158,14 @@
 }
 
 func checkReset(t *testing.T, conn *connection) {
+	t.Helper()
 	if err := conn.readError(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("read: %v, want a reset", err)
 	}
 }
 
 func checkDisconnect(t *testing.T, conn *connection) {
+	t.Helper()
 	if conn.readError() == nil {
 		t.Error("the connection stays open")
 	}
@@ -174,12 +180,13 @@
 }
 
 func checkHalfClose(t *testing.T, conn *connection) {
+	t.Helper()
 	if err := conn.readError(); !errors.Is(err, io.EOF) {
-		t.Errorf("read: %v, want the end of the replies", err)
+		t.Errorf("read: %v, want the end of the responses", err)
 	}
 }
 
-// A schedule with an unknown kind of fault and an address off the loopback are rejected.
+// A schedule with an unknown kind of fault, and an address that is not on loopback, are rejected.
 func TestListen_RejectsUnknownFaultsAndOtherHosts(t *testing.T) {
 	var unknown *UnknownKindError
 	if _, err := Listen("127.0.0.1:1", Options{Faults: []Fault{{Kind: "odd"}}}); !errors.As(err, &unknown) {
--- a/internal/lab/faultproxy/relay.go
+++ b/internal/lab/faultproxy/relay.go
@@ -14,7 +14,7 @@
 	// maxChunksInTransit bounds the chunks in transit in one direction, so that a slow direction
 	// applies back pressure to its sender.
 	maxChunksInTransit = 64
-	// corruption is what a changed byte is combined with by exclusive or.
+	// corruption is combined with a byte by exclusive or to change it.
 	corruption = 0x55
 )
 
@@ -22,8 +22,8 @@
 type direction int
 
 const (
-	requests direction = iota // from the client to the server
-	replies                   // from the server to the client
+	requests  direction = iota // from the client to the server
+	responses                  // from the server to the client
 )
 
 // closeMode is how a connection is closed.
@@ -36,21 +36,24 @@
 
 // reset closes a connection with a RST.
 func reset(conn *net.TCPConn) {
-	_ = conn.SetLinger(0) // else it would be closed gracefully
+	_ = conn.SetLinger(0) // without it Close would end the connection gracefully
 	_ = conn.Close()
 }
 
-// relay is one connection through the proxy. Each direction has a goroutine that reads and one
-// that writes.
+// relay is one connection through the proxy. Each direction has a goroutine that reads and one that
+// writes.
 type relay struct {
-	proxy          *Proxy
-	client, server *net.TCPConn
-	once           sync.Once
-	done           chan struct{}
+	proxy     *Proxy
+	client    *net.TCPConn
+	server    *net.TCPConn
+	closeOnce sync.Once
+	done      chan struct{} // closed when the relay is closed
 }
 
+// close closes both connections and ends all goroutines of the relay. It may be called from any
+// goroutine; calls after the first have no effect.
 func (r *relay) close(mode closeMode) {
-	r.once.Do(func() {
+	r.closeOnce.Do(func() {
 		close(r.done)
 		for _, conn := range []*net.TCPConn{r.client, r.server} {
 			if mode == closeByReset {
@@ -63,22 +66,22 @@
 	})
 }
 
-// chunk is what is in transit: bytes, or the end of the sender's side.
+// chunk is in transit: bytes, or the end of the sender's direction.
 type chunk struct {
 	bytes []byte
-	due   time.Time
+	due   time.Time // when it is written
 	end   bool
 }
 
-// copy carries one direction: a reader stamps chunks with the time at which they are due, and
-// a writer waits for it.
+// copy relays one direction until the relay ends: a reader sets the time at which each chunk is due,
+// and a writer waits for that time.
 func (r *relay) copy(from, to *net.TCPConn, way direction) {
 	transit := make(chan chunk, maxChunksInTransit)
 	go r.read(from, way, transit)
 	r.write(to, transit)
 }
 
-// read puts in transit what arrives, until the sender's side or the relay ends.
+// read puts the received bytes in transit until the sender's direction or the relay ends.
 func (r *relay) read(from *net.TCPConn, way direction, transit chan<- chunk) {
 	defer close(transit)
 	var lastDue time.Time
@@ -86,7 +89,7 @@
 		bytes := make([]byte, chunkSize)
 		n, err := from.Read(bytes)
 		if n > 0 {
-			if way == replies && r.proxy.active(DropReplies) {
+			if way == responses && r.proxy.active(DropResponses) {
 				continue
 			}
 			due := time.Now().Add(r.proxy.delay())
@@ -94,7 +97,7 @@
 				due = lastDue
 			}
 			lastDue = due
-			if way == replies && r.proxy.active(CorruptReplies) {
+			if way == responses && r.proxy.active(CorruptResponses) {
 				bytes[r.proxy.randomIndex(n)] ^= corruption
 			}
 			if !r.send(transit, chunk{bytes: bytes[:n], due: due}) {
@@ -122,7 +125,7 @@
 	}
 }
 
-// write writes what is in transit once it is due.
+// write writes each chunk in transit when it is due.
 func (r *relay) write(to *net.TCPConn, transit <-chan chunk) {
 	for c := range transit {
 		if !r.waitUntil(c.due) {
@@ -143,13 +146,13 @@
 	}
 }
 
-// transferTime is how long the bytes take at a bandwidth in bytes a second.
+// transferTime returns how long the bytes take at a bandwidth in bytes per second.
 func transferTime(length, bandwidth int) time.Duration {
 	return time.Duration(float64(length) / float64(bandwidth) * float64(time.Second))
 }
 
-// waitUntil waits until a time, and then for the end of a stall. It returns false where the
-// relay ends before.
+// waitUntil waits until a time, and then for the end of a stall. It returns false if the relay ends
+// before.
 func (r *relay) waitUntil(moment time.Time) bool {
 	if wait := time.Until(moment); wait > 0 {
 		timer := time.NewTimer(wait)
@@ -161,7 +164,7 @@
 		}
 	}
 	for {
-		change := r.proxy.nextChange() // taken first: a change after the check is not missed
+		change := r.proxy.nextChange() // before the check, so that no change after it is missed
 		if !r.proxy.active(Stall) {
 			return true
 		}
--- a/internal/lab/soak/troubles.go
+++ b/internal/lab/soak/troubles.go
@@ -265,7 +265,7 @@
 	options := faultproxy.Options{
 		Delay: time.Duration(r.random.Int64N(int64(5 * time.Millisecond))), Jitter: 2 * time.Millisecond, Seed: r.random.Uint64(),
 	}
-	kinds := []faultproxy.Kind{faultproxy.Stall, faultproxy.DropReplies, faultproxy.Reset, faultproxy.Disconnect}
+	kinds := []faultproxy.Kind{faultproxy.Stall, faultproxy.DropResponses, faultproxy.Reset, faultproxy.Disconnect}
 	for at := time.Second; at < r.options.Duration; at += time.Second + time.Duration(r.random.Int64N(int64(4*time.Second))) {
 		options.Faults = append(options.Faults, faultproxy.Fault{
 			Kind: kinds[r.random.IntN(len(kinds))], From: at, For: 100*time.Millisecond + time.Duration(r.random.Int64N(int64(time.Second))),
