--- a/cmd/flaxlab/soak.go
+++ b/cmd/flaxlab/soak.go
@@ -55,7 +55,7 @@
 		if c.Verbose {
 			options.Log = os.Stdout
 		}
-		result, err := soak.Play(options)
+		result, err := soak.Run(options)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/soak/bus.go
+++ b/internal/lab/soak/bus.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net"
@@ -13,48 +12,50 @@
 	"flaxrelay/internal/lab/fake"
 )
 
-// engineState is the state of an engine on the bus, by its number in a record.
+// engineState is the state of an engine on the bus, by its number in an event.
 type engineState byte
 
 const (
 	stateReady engineState = iota
 	stateDraining
-	stateGone
+	stateRemoved
 )
 
-var stateNames = [...]string{"in_service", "terminating", "terminated"}
+// stateNames are the states as a configuration names them.
+var stateNames = [...]string{
+	stateReady:    "in_service",
+	stateDraining: "terminating",
+	stateRemoved:  "terminated",
+}
 
 // listEntry is an engine of the endpoint list.
 type listEntry struct {
 	id     uint32
 	addr   netip.AddrPort
 	state  engineState
-	bootMS int64 // by the engine's own clock; 0: it started long ago
+	bootMS int64 // start by the engine's own clock, in Unix milliseconds; 0: it started long ago
 }
 
 func (e *listEntry) name() string { return fmt.Sprintf("s-%08x", e.id) }
 
-// busEvent is a change of the list.
-type busEvent struct{ entries []listEntry }
-
 // busMode is how the bus behaves.
 type busMode int
 
 const (
-	busNormal busMode = iota
-	busDown           // connections are closed and new ones are closed at once
-	busSilent         // connections stay open and bring nothing
-	busTorn           // the next event breaks off in the middle, and its connection closes
+	busNormal     busMode = iota
+	busDown               // open and new connections are closed at once
+	busSilent             // connections stay open and bring nothing
+	busTruncating         // the next event breaks off in the middle, and its connection closes
 )
 
-// eventBus serves the events of the endpoint list.
+// eventBus publishes changes of the endpoint list. It is safe for concurrent use.
 type eventBus struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards what follows
 	listener net.Listener
 	mode     busMode
 	entries  map[uint32]listEntry
-	events   []busEvent
-	changed  chan struct{} // closed and replaced with each change of this struct
+	events   [][]listEntry // the entries that each event changed
+	changed  chan struct{} // closed and replaced when mode or events change
 }
 
 func newEventBus() (*eventBus, error) {
@@ -62,10 +63,13 @@
 	return b, b.move()
 }
 
-// move opens a new address. The old one takes no new connections from then on, and closes the
-// open ones after a while.
+// move opens a new address. The old one takes no new connections from then on, and closes the open
+// ones after a while.
 func (b *eventBus) move() error {
-	const closeAfter = 1500 * time.Millisecond
+	const (
+		closeAfter   = 1500 * time.Millisecond
+		pollInterval = closeAfter / 10
+	)
 	listener, err := fake.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
@@ -80,8 +84,8 @@
 		_ = old.Close()
 	}
 	go func() {
-		for b.current(listener) {
-			time.Sleep(closeAfter / 10)
+		for b.listensAt(listener) {
+			time.Sleep(pollInterval)
 		}
 		time.Sleep(closeAfter)
 		close(moved)
@@ -89,7 +93,8 @@
 	return nil
 }
 
-func (b *eventBus) current(listener net.Listener) bool {
+// listensAt reports whether the listener is that of the present address.
+func (b *eventBus) listensAt(listener net.Listener) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.listener == listener
@@ -113,46 +118,41 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.mode = mode
-	b.notify()
+	b.wakeConnections()
 }
 
-// notify wakes the connections. The caller holds mu.
-func (b *eventBus) notify() {
+// wakeConnections makes the connections look at the changed state. The caller holds mu.
+func (b *eventBus) wakeConnections() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// tell adds an event.
-func (b *eventBus) tell(entries ...listEntry) {
+// publish adds an event that changes the entries.
+func (b *eventBus) publish(entries ...listEntry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, entry := range entries {
 		b.entries[entry.id] = entry
 	}
-	b.events = append(b.events, busEvent{entries: entries})
-	b.notify()
+	b.events = append(b.events, entries)
+	b.wakeConnections()
 }
 
-// known returns what a front end's configuration holds of the events so far.
-func (b *eventBus) known() json.RawMessage {
+// known returns the events so far as a front end's configuration holds them: as one event with the
+// whole list.
+func (b *eventBus) known() fake.KnownEvents {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	targets := []map[string]any{}
+	targets := []fake.Target{}
 	for _, entry := range b.entries {
-		if entry.state != stateGone {
-			targets = append(targets, map[string]any{
-				"uid": entry.name(), "endpoint": entry.addr.String(), "az": "hall-a", "model": "std-8", "pod_group": 0,
-				"state": stateNames[entry.state], "capacity_hint": 1, "boot_ms": entry.bootMS,
+		if entry.state != stateRemoved {
+			targets = append(targets, fake.Target{
+				UID: entry.name(), Endpoint: entry.addr.String(), AZ: engineZone, Model: engineKind,
+				State: stateNames[entry.state], CapacityHint: 1, BootMS: entry.bootMS,
 			})
 		}
 	}
-	topology := map[string]any{"rev": len(b.events), "all": true, "targets": targets}
-	event := map[string]any{"offset": len(b.events), "topology": topology}
-	encoded, err := json.Marshal(map[string]any{"offset": len(b.events), "batch": []any{event}})
-	if err != nil {
-		panic(err) // all of it can be encoded
-	}
-	return encoded
+	return fake.KnownList(len(b.events), targets)
 }
 
 func (b *eventBus) accept(listener net.Listener, moved <-chan struct{}) {
@@ -168,59 +168,93 @@
 	}
 }
 
+// busView is what a connection sees of the bus at one moment.
+type busView struct {
+	mode      busMode
+	changed   <-chan struct{}
+	published int    // events so far
+	frame     []byte // the next event for the connection; nil: none yet
+}
+
+// view returns the present state of the bus for a connection that has been sent the given number of
+// events.
+func (b *eventBus) view(sent int) busView {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	view := busView{mode: b.mode, changed: b.changed, published: len(b.events)}
+	if sent < len(b.events) {
+		view.frame = encodeFrame(sent+1, eventFrame, b.events[sent])
+	}
+	return view
+}
+
 // serve sends the events after the one that the connection names, and a heartbeat each second.
 func (b *eventBus) serve(conn net.Conn, moved <-chan struct{}) {
-	request := make([]byte, 8)
-	if _, err := io.ReadFull(conn, request); err != nil {
+	const overlap = 1 // an event that the front end has already is sent again
+	sent, err := readResumeOffset(conn)
+	if err != nil {
 		return
 	}
-	const overlap = 1 // an event that the front end has already is sent again
-	next := max(int(binary.BigEndian.Uint64(request))-overlap, 0)
+	sent = max(sent-overlap, 0)
 	for {
-		b.mu.Lock()
-		mode, changed, total := b.mode, b.changed, len(b.events)
-		var frame []byte
-		if next < total {
-			frame = encodeFrame(uint64(next+1), 2, b.events[next].entries)
-		}
-		b.mu.Unlock()
+		view := b.view(sent)
 		switch {
-		case mode == busDown:
+		case view.mode == busDown:
 			return
-		case mode == busTorn && frame != nil:
-			_, _ = conn.Write(frame[:len(frame)/2])
+		case view.mode == busTruncating && view.frame != nil:
+			_, _ = conn.Write(view.frame[:len(view.frame)/2])
 			return
-		case mode != busSilent && frame != nil:
-			if _, err := conn.Write(frame); err != nil {
+		case view.mode != busSilent && view.frame != nil:
+			if _, err := conn.Write(view.frame); err != nil {
 				return
 			}
-			next++
+			sent++
 			continue
 		}
 		select {
-		case <-changed:
+		case <-view.changed:
 		case <-moved:
 			return
-		case <-time.After(time.Second):
-			if mode != busSilent {
-				if _, err := conn.Write(encodeFrame(uint64(total), 0, nil)); err != nil {
-					return
-				}
+		case <-time.After(fake.BusHeartbeat):
+			if view.mode == busSilent {
+				continue
+			}
+			if _, err := conn.Write(encodeFrame(view.published, heartbeatFrame, nil)); err != nil {
+				return
 			}
 		}
 	}
 }
 
-// encodeFrame encodes an event, or a heartbeat.
-func encodeFrame(number uint64, kind byte, entries []listEntry) []byte {
-	body := append(binary.BigEndian.AppendUint64(nil, number), kind)
+// readResumeOffset reads the first message of a connection: the number of the last event that the
+// front end knows.
+func readResumeOffset(conn net.Conn) (int, error) {
+	request := make([]byte, fake.BusRequestLength)
+	if _, err := io.ReadFull(conn, request); err != nil {
+		return 0, fmt.Errorf("read the offset of a watch: %w", err)
+	}
+	return int(binary.BigEndian.Uint64(request)), nil
+}
+
+// frameKind is the kind of a frame of the bus, by its number.
+type frameKind byte
+
+const (
+	heartbeatFrame frameKind = 0
+	eventFrame     frameKind = 2
+)
+
+// encodeFrame encodes an event with its number, or a heartbeat with the number of the last event.
+func encodeFrame(number int, kind frameKind, entries []listEntry) []byte {
+	const capacityHint = 1000 // thousandths
+	body := append(binary.BigEndian.AppendUint64(nil, uint64(number)), byte(kind))
 	for _, entry := range entries {
 		ip := entry.addr.Addr().As4()
 		body = binary.BigEndian.AppendUint32(body, entry.id)
 		body = append(body, ip[:]...)
 		body = binary.BigEndian.AppendUint16(body, entry.addr.Port())
 		body = append(body, byte(entry.state), 0, 0, 0, 0)
-		body = binary.BigEndian.AppendUint32(body, 1000)
+		body = binary.BigEndian.AppendUint32(body, capacityHint)
 		body = binary.BigEndian.AppendUint64(body, uint64(entry.bootMS))
 	}
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
--- /dev/null
+++ b/internal/lab/soak/checker.go
@@ -0,0 +1,184 @@
+package soak
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Allowances of the checker.
+const (
+	// tolerance is by how much times that two processes measure may differ.
+	tolerance = 100 * time.Millisecond
+	// reportedEndTolerance is by how much an attempt may begin before the end of the one before
+	// it, where that end is a response: an engine process reports it before it writes it.
+	reportedEndTolerance = 5 * time.Millisecond
+	// remainingTimeSlack is by how much the time that an engine is given may exceed the client's.
+	remainingTimeSlack = 150 * time.Millisecond
+	// disconnectGrace is how long after its client has disconnected an attempt may begin.
+	disconnectGrace = 100 * time.Millisecond
+	// notificationGraceAfterFault is how long after the begin of a fault of the bus all front ends
+	// count as notified of what the bus has published meanwhile.
+	notificationGraceAfterFault = 4 * time.Second
+	// notificationSlack is the same after the end of a fault of the bus, and after a front end has
+	// started.
+	notificationSlack = time.Second
+)
+
+// checker reads the history of a run that has ended and collects the violations.
+type checker struct {
+	history    *history
+	readyTimes map[string][]time.Time // of the processes of each front end, by its name
+	violations []Violation
+}
+
+// check returns all violations: first those that were seen while the run went on, then those that
+// the checker finds.
+func (h *history) check(readyTimes map[string][]time.Time) []Violation {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	c := &checker{history: h, readyTimes: readyTimes, violations: slices.Clone(h.violations)}
+	byRequest := map[string][]*attempt{}
+	for _, a := range h.attempts {
+		byRequest[a.requestID] = append(byRequest[a.requestID], a)
+	}
+	for _, r := range h.requests {
+		attempts := byRequest[r.id]
+		sortByBegin(attempts)
+		c.checkRequest(r, attempts)
+	}
+	c.checkDrainedEngines()
+	c.checkSlowStarts()
+	return c.violations
+}
+
+func sortByBegin(attempts []*attempt) {
+	slices.SortFunc(attempts, func(a, b *attempt) int { return a.beganAt.Compare(b.beganAt) })
+}
+
+func (c *checker) report(rule Rule, requestID, format string, args ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, Request: requestID, Detail: fmt.Sprintf(format, args...)})
+}
+
+// checkRequest checks a request with its attempts, in the order of their begin.
+func (c *checker) checkRequest(r *request, attempts []*attempt) {
+	description := describeAttempts(attempts, r.sentAt)
+	if r.outcome == outcomeLost {
+		c.report(RuleResponse, r.id, "%s at %s: %s; attempts: %s", r.class, r.frontEnd, r.detail, description)
+	}
+	if len(attempts) > maxAttempts {
+		c.report(RuleRetryLimit, r.id, "%s", description)
+	}
+	runs := 0
+	for i, a := range attempts {
+		if a.response != responseRejected {
+			runs++
+		}
+		c.checkBegin(r, a)
+		if i > 0 {
+			c.checkOverlap(r, attempts[i-1], a)
+		}
+	}
+	if r.class == classWrite && runs > 1 {
+		c.report(RuleRetryIdempotency, r.id, "%s", description)
+	}
+}
+
+// checkBegin checks when an attempt began, and the time that its engine was given.
+func (c *checker) checkBegin(r *request, a *attempt) {
+	if a.delayed {
+		return
+	}
+	if remaining := r.deadline().Sub(a.beganAt); a.remainingTime > remaining+remainingTimeSlack {
+		c.report(RuleRemainingTime, r.id, "%v given, %v left", a.remainingTime, remaining)
+	}
+	if r.outcome == outcomeDisconnected && a.beganAt.After(r.endedAt.Add(disconnectGrace+tolerance)) {
+		since := a.beganAt.Sub(r.endedAt)
+		c.report(RuleSendAfterDisconnect, r.id, "an attempt began %v after the client had disconnected", since)
+	}
+}
+
+// checkOverlap checks that an attempt had ended when the next began.
+func (c *checker) checkOverlap(r *request, earlier, later *attempt) {
+	// An attempt that ends as it begins was read from a connection that the front end had closed.
+	readAfterClose := later.response == responseNone && !later.endedAt.IsZero() &&
+		later.endedAt.Sub(later.beganAt) < tolerance
+	if earlier.delayed || later.delayed || readAfterClose {
+		return
+	}
+	allowed := tolerance
+	if earlier.response != responseNone {
+		allowed = reportedEndTolerance
+	}
+	if earlier.endedAt.IsZero() || earlier.endedAt.After(later.beganAt.Add(allowed)) {
+		c.report(RuleSingleInFlight, r.id, "%s", describeAttempts([]*attempt{earlier, later}, r.sentAt))
+	}
+}
+
+// describeAttempts lists the attempts with their times since the given one.
+func describeAttempts(attempts []*attempt, since time.Time) string {
+	var text strings.Builder
+	for _, a := range attempts {
+		end := "in flight"
+		if !a.endedAt.IsZero() {
+			end = a.endedAt.Sub(since).Round(time.Millisecond).String()
+		}
+		begin := a.beganAt.Sub(since).Round(time.Millisecond)
+		fmt.Fprintf(&text, "[%s %v to %s %s]", a.engine, begin, end, a.response)
+	}
+	return text.String()
+}
+
+// notifiedAt returns the time from which every front end counts as notified of a change: when the
+// bus published it, or later where a fault of the bus or the start of a front end delayed it.
+func (c *checker) notifiedAt(change engineChange) time.Time {
+	notified := change.publishedAt
+	delayUntil := func(t time.Time) {
+		if t.After(notified) {
+			notified = t
+		}
+	}
+	for _, fault := range c.history.busFaults {
+		if (span{fault.from.Add(-tolerance), fault.until}).contains(change.publishedAt) {
+			delayUntil(fault.from.Add(notificationGraceAfterFault))
+			delayUntil(fault.until.Add(notificationSlack))
+		}
+	}
+	for _, readyTimes := range c.readyTimes {
+		for _, ready := range readyTimes {
+			if ready.After(change.publishedAt) && ready.Before(change.publishedAt.Add(notificationGraceAfterFault)) {
+				delayUntil(ready.Add(notificationSlack))
+			}
+		}
+	}
+	return notified
+}
+
+// checkDrainedEngines checks that no attempt begins at an engine after the notification that it
+// drains or is removed, and the grace that the settings give.
+func (c *checker) checkDrainedEngines() {
+	for _, change := range c.history.changes {
+		if change.state == stateReady {
+			continue
+		}
+		latestBegin := c.notifiedAt(change).Add(drainGrace + tolerance)
+		for _, a := range c.history.attempts {
+			if a.engine != change.engine || a.delayed {
+				continue
+			}
+			if a.beganAt.After(latestBegin) && !c.readyAgain(change, a.beganAt) {
+				since := a.beganAt.Sub(change.publishedAt)
+				c.report(RuleDrainedEndpoint, a.requestID, "%s: began %v after the notification", a.engine, since)
+			}
+		}
+	}
+}
+
+// readyAgain reports whether a later change made the engine ready before the time.
+func (c *checker) readyAgain(change engineChange, at time.Time) bool {
+	return slices.ContainsFunc(c.history.changes, func(later engineChange) bool {
+		return later.engine == change.engine && later.state == stateReady &&
+			later.publishedAt.After(change.publishedAt) && later.publishedAt.Before(at)
+	})
+}
--- /dev/null
+++ b/internal/lab/soak/checker_slowstart.go
@@ -0,0 +1,88 @@
+package soak
+
+import (
+	"math"
+	"time"
+)
+
+// slowStartLimit returns how many requests of mean work an engine that is warming up may be sent in
+// one overload window, by the specification's rule: N requests and an allowance for chance.
+//
+// The front end computes its budget from the same rule in internal/decision/policy. That
+// code is not called here, on purpose: a checker that shared it would share its errors.
+func slowStartLimit(sinceStart time.Duration, meanWorkSeconds float64) float64 {
+	const (
+		minMeanWork  = 1e-3 // seconds
+		smallN       = 30   // below it the allowance is larger
+		smallRoots   = 3
+		smallSurplus = 3
+		roots        = 2
+		surplus      = 2
+	)
+	progress := min(max(float64(sinceStart)/float64(warmUpTime), 0), 1)
+	capacity := startCapacity + (1-startCapacity)*progress
+	n := overloadFactor * capacity * engineCores * overloadWindow.Seconds() / max(meanWorkSeconds, minMeanWork)
+	if n < smallN {
+		return n + smallRoots*math.Sqrt(n) + smallSurplus
+	}
+	return n + roots*math.Sqrt(n) + surplus
+}
+
+// checkSlowStarts checks each overload window after a start of which the front ends were notified.
+// It reports one window of a start at most.
+func (c *checker) checkSlowStarts() {
+	meanWork := c.meanWorkSeconds()
+	for _, change := range c.history.changes {
+		if !change.startedAt.IsZero() {
+			c.checkSlowStart(change, meanWork)
+		}
+	}
+}
+
+func (c *checker) checkSlowStart(start engineChange, meanWorkSeconds float64) {
+	sent := c.attemptsInSlowStart(start)
+	for first, from := range sent {
+		windowEnd := from.beganAt.Add(overloadWindow)
+		work := 0.0 // in requests of mean work
+		for _, a := range sent[first:] {
+			if a.beganAt.Before(windowEnd) {
+				work += workTimes[a.class].Seconds() / meanWorkSeconds
+			}
+		}
+		sinceStart := from.beganAt.Sub(start.startedAt)
+		if limit := slowStartLimit(sinceStart, meanWorkSeconds); work > limit {
+			c.report(RuleSlowStart, "",
+				"%s: %.0f requests of mean work in a window from %v after its start, %.0f at most",
+				start.engine, work, sinceStart.Round(time.Millisecond), limit)
+			return
+		}
+	}
+}
+
+// attemptsInSlowStart returns the attempts that began while the engine was warming up and all front
+// ends were notified of its start, in the order of their begin.
+func (c *checker) attemptsInSlowStart(start engineChange) []*attempt {
+	notifiedAt := c.notifiedAt(start)
+	warmUpEnd := start.startedAt.Add(warmUpTime)
+	var sent []*attempt
+	for _, a := range c.history.attempts {
+		if a.engine == start.engine && !a.delayed && !a.beganAt.Before(notifiedAt) && a.beganAt.Before(warmUpEnd) {
+			sent = append(sent, a)
+		}
+	}
+	sortByBegin(sent)
+	return sent
+}
+
+// meanWorkSeconds returns the mean work of the attempts that ended with work, in seconds of one core.
+func (c *checker) meanWorkSeconds() float64 {
+	sum := 0.0
+	count := 0
+	for _, a := range c.history.attempts {
+		if a.workTime > 0 {
+			sum += a.workTime.Seconds()
+			count++
+		}
+	}
+	return max(sum/float64(max(count, 1)), time.Millisecond.Seconds())
+}
--- a/internal/lab/soak/oracle_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -19,13 +19,15 @@
 // builtHistory is a history with the ready times of its front ends.
 type builtHistory struct {
 	*history
-	starts map[string][]time.Time
+	readyTimes map[string][]time.Time
 }
 
-// addAttempt records an attempt, and its end where end is above 0.
-func (h *builtHistory) addAttempt(requestID string, begin, end time.Duration, word string, change ...func(*attempt)) {
+// addAttempt records an attempt, and its end if that is above 0.
+func (h *builtHistory) addAttempt(
+	requestID string, begin, end time.Duration, response responseKind, change ...func(*attempt),
+) {
 	a := &attempt{
-		requestID: requestID, engine: "s-1", class: classLookup, beganAt: after(begin), word: word,
+		requestID: requestID, engine: "s-1", class: classLookup, beganAt: after(begin), response: response,
 		workTime: workTimes[classLookup],
 	}
 	if end > 0 {
@@ -37,7 +39,7 @@
 	h.attempts = append(h.attempts, a)
 }
 
-func proxied(a *attempt) { a.proxied = true }
+func delayed(a *attempt) { a.delayed = true }
 
 // addServed records a request that was served, sent at the start of the run.
 func (h *builtHistory) addServed(id, class string) *request {
@@ -52,254 +54,259 @@
 // addLookups records attempts at the engine that begin at the same time.
 func (h *builtHistory) addLookups(count int, begin time.Duration, change ...func(*attempt)) {
 	for i := range count {
-		h.addAttempt(fmt.Sprintf("lookup-%v-%d", begin, i), begin, begin+40*ms, wordDone, change...)
+		h.addAttempt(fmt.Sprintf("lookup-%v-%d", begin, i), begin, begin+40*ms, responseServed, change...)
 	}
 }
 
 // addLoads is the same for loads, which are twice the work.
 func (h *builtHistory) addLoads(count int, begin time.Duration) {
 	for i := range count {
-		h.addAttempt(fmt.Sprintf("load-%v-%d", begin, i), begin, begin+80*ms, wordDone, func(a *attempt) {
+		h.addAttempt(fmt.Sprintf("load-%v-%d", begin, i), begin, begin+80*ms, responseServed, func(a *attempt) {
 			a.class = classLoad
 			a.workTime = workTimes[classLoad]
 		})
 	}
 }
 
-// addState records a change of the engine that is told at the time.
-func (h *builtHistory) addState(state engineState, told time.Duration) {
-	h.addChange(engineChange{engine: "s-1", state: state, toldAt: after(told)})
+// addState records a change of the engine that is published at the time.
+func (h *builtHistory) addState(state engineState, published time.Duration) {
+	h.addChange(engineChange{engine: "s-1", state: state, publishedAt: after(published)})
 }
 
-// addStart records a start of the engine at the start of the run, told at the time.
-func (h *builtHistory) addStart(told time.Duration) {
-	h.addChange(engineChange{engine: "s-1", state: stateReady, toldAt: after(told), startedAt: runStart})
+// addStart records a start of the engine at the start of the run, published at the time.
+func (h *builtHistory) addStart(published time.Duration) {
+	h.addChange(engineChange{engine: "s-1", state: stateReady, publishedAt: after(published), startedAt: runStart})
 }
 
-// verdictCase is a built history and the rules that it breaks, each with its request.
-type verdictCase struct {
+// checkerCase is a built history and the violations of it: the rules with the ids of the requests.
+type checkerCase struct {
 	name  string
 	build func(h *builtHistory)
 	want  []string
 }
 
-func runVerdictCases(t *testing.T, cases []verdictCase) {
+func runCheckerCases(t *testing.T, cases []checkerCase) {
 	t.Helper()
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := &builtHistory{history: newHistory(), starts: map[string][]time.Time{}}
+			h := &builtHistory{history: newHistory(), readyTimes: map[string][]time.Time{}}
 			c.build(h)
 			var got []string
-			for _, v := range h.judge(h.starts) {
-				got = append(got, strings.TrimSpace(v.Rule+" "+v.Request))
+			for _, v := range h.check(h.readyTimes) {
+				got = append(got, strings.TrimSpace(string(v.Rule)+" "+v.Request))
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("the verdict is %q, want %q", got, c.want)
+				t.Errorf("the violations are %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// Every outcome but the lost one keeps the rule of one response in time.
-func TestVerdict_OnlyALostRequestLacksItsResponse(t *testing.T) {
-	cases := []verdictCase{{name: "empty history", build: func(*builtHistory) {}}}
-	for _, o := range []outcome{outcomeServed, outcomeRejected, outcomeFailed, outcomeLeft, outcomeExcused, outcomeLost} {
-		c := verdictCase{name: string(o), build: func(h *builtHistory) { h.addServed("r", classLookup).outcome = o }}
+// Only a lost request violates the rule of one response in time.
+func TestCheck_OnlyALostRequestLacksItsResponse(t *testing.T) {
+	cases := []checkerCase{{name: "empty history", build: func(*builtHistory) {}}}
+	outcomes := []outcome{
+		outcomeServed, outcomeRejected, outcomeFailed, outcomeDisconnected, outcomeExcused, outcomeLost,
+	}
+	for _, o := range outcomes {
+		c := checkerCase{name: string(o), build: func(h *builtHistory) { h.addServed("r", classLookup).outcome = o }}
 		if o == outcomeLost {
-			c.want = []string{ruleAnswer + " r"}
+			c.want = []string{string(RuleResponse) + " r"}
 		}
 		cases = append(cases, c)
 	}
-	runVerdictCases(t, cases)
+	runCheckerCases(t, cases)
 }
 
 // Violations that were seen while the run went on come first, unchanged.
-func TestVerdict_KeepsTheViolationsOfTheRun(t *testing.T) {
+func TestCheck_KeepsTheViolationsOfTheRun(t *testing.T) {
 	h := newHistory()
-	seen := Violation{Rule: ruleProcess, Detail: "it has ended"}
-	h.violate(seen)
+	seen := Violation{Rule: RuleProcess, Detail: "it has ended"}
+	h.addViolation(seen)
 	h.addRequest(&request{id: "r", outcome: outcomeLost})
-	got := h.judge(nil)
-	if len(got) != 2 || got[0] != seen || got[1].Rule != ruleAnswer || got[1].Request != "r" {
-		t.Errorf("the verdict is %v", got)
+	got := h.check(nil)
+	if len(got) != 2 || got[0] != seen || got[1].Rule != RuleResponse || got[1].Request != "r" {
+		t.Errorf("the violations are %v", got)
 	}
 }
 
 // A request has three attempts at most, each of which begins after the end of the one before.
-func TestVerdict_LimitsTheAttemptsOfARequest(t *testing.T) {
+func TestCheck_LimitsTheAttemptsOfARequest(t *testing.T) {
 	sequence := func(count int) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addServed("r", classLookup)
 			for i := range count {
 				begin := time.Duration(i) * 10 * ms
-				h.addAttempt("r", begin+ms, begin+9*ms, wordBroke)
+				h.addAttempt("r", begin+ms, begin+9*ms, responseFailed)
 			}
 		}
 	}
-	// pair is a served attempt that lasts 20 ms to 70 ms, and one that begins at the time.
-	pair := func(earlierWord string, laterBegin time.Duration) func(h *builtHistory) {
+	// pair is an attempt from 20 ms to 170 ms, and one that begins at the time.
+	pair := func(earlierResponse responseKind, laterBegin time.Duration) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addServed("r", classLookup)
-			h.addAttempt("r", laterBegin, 300*ms, wordDone) // out of order: the checker sorts
-			h.addAttempt("r", 20*ms, 170*ms, earlierWord)
+			h.addAttempt("r", laterBegin, 300*ms, responseServed) // out of order: the checker sorts
+			h.addAttempt("r", 20*ms, 170*ms, earlierResponse)
 		}
 	}
 	overlap := func(earlier, later func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addServed("r", classLookup)
-			h.addAttempt("r", 20*ms, 600*ms, wordDone, earlier)
-			h.addAttempt("r", 300*ms, 700*ms, wordDone, later)
+			h.addAttempt("r", 20*ms, 600*ms, responseServed, earlier)
+			h.addAttempt("r", 300*ms, 700*ms, responseServed, later)
 		}
 	}
 	unchanged := func(*attempt) {}
-	endsAfter := func(d time.Duration, word string) func(*attempt) {
+	endsAfter := func(d time.Duration, response responseKind) func(*attempt) {
 		return func(a *attempt) {
 			a.endedAt = a.beganAt.Add(d)
-			a.word = word
+			a.response = response
 		}
 	}
-	inFlight := []string{ruleInFlight + " r"}
-	runVerdictCases(t, []verdictCase{
+	inFlight := []string{string(RuleSingleInFlight) + " r"}
+	runCheckerCases(t, []checkerCase{
 		{"three attempts", sequence(3), nil},
-		{"four attempts", sequence(4), []string{ruleAttempts + " r"}},
-		{"next attempt 5 ms before the reported end", pair(wordBroke, 165*ms), nil},
-		{"next attempt 6 ms before the reported end", pair(wordBroke, 164*ms), inFlight},
-		{"next attempt 100 ms before the end of the connection", pair("", 70*ms), nil},
-		{"next attempt 101 ms before the end of the connection", pair("", 69*ms), inFlight},
+		{"four attempts", sequence(4), []string{string(RuleRetryLimit) + " r"}},
+		{"next attempt 5 ms before the reported end", pair(responseFailed, 165*ms), nil},
+		{"next attempt 6 ms before the reported end", pair(responseFailed, 164*ms), inFlight},
+		{"next attempt 100 ms before the end of the connection", pair(responseNone, 70*ms), nil},
+		{"next attempt 101 ms before the end of the connection", pair(responseNone, 69*ms), inFlight},
 		{"overlap", overlap(unchanged, unchanged), inFlight},
-		{"earlier attempt open", overlap(func(a *attempt) { a.endedAt = time.Time{} }, unchanged), inFlight},
-		{"earlier attempt proxied", overlap(proxied, unchanged), nil},
-		{"later attempt proxied", overlap(unchanged, proxied), nil},
-		{"later attempt cut after 99 ms", overlap(unchanged, endsAfter(99*ms, "")), nil},
-		{"later attempt cut after 100 ms", overlap(unchanged, endsAfter(100*ms, "")), inFlight},
-		{"later attempt with a response after 99 ms", overlap(unchanged, endsAfter(99*ms, wordDone)), inFlight},
-		{"later attempt open", overlap(unchanged, func(a *attempt) {
+		{"earlier attempt in flight", overlap(func(a *attempt) { a.endedAt = time.Time{} }, unchanged), inFlight},
+		{"earlier attempt delayed", overlap(delayed, unchanged), nil},
+		{"later attempt delayed", overlap(unchanged, delayed), nil},
+		{"later attempt cancelled after 99 ms", overlap(unchanged, endsAfter(99*ms, responseNone)), nil},
+		{"later attempt cancelled after 100 ms", overlap(unchanged, endsAfter(100*ms, responseNone)), inFlight},
+		{"later attempt with a response after 99 ms", overlap(unchanged, endsAfter(99*ms, responseServed)), inFlight},
+		{"later attempt in flight", overlap(unchanged, func(a *attempt) {
 			a.endedAt = time.Time{}
-			a.word = ""
+			a.response = responseNone
 		}), inFlight},
 		{"attempts of two requests at a time", func(h *builtHistory) {
 			h.addServed("r", classLookup)
 			h.addServed("s", classLookup)
-			h.addAttempt("r", 10*ms, 50*ms, wordDone)
-			h.addAttempt("s", 10*ms, 50*ms, wordDone)
+			h.addAttempt("r", 10*ms, 50*ms, responseServed)
+			h.addAttempt("s", 10*ms, 50*ms, responseServed)
 		}, nil},
 	})
 }
 
 // A request that is not idempotent runs once. An attempt that the engine rejected has not run.
-func TestVerdict_RunsANonIdempotentRequestOnce(t *testing.T) {
-	twoAttempts := func(class, firstWord string) func(h *builtHistory) {
+func TestCheck_RunsANonIdempotentRequestOnce(t *testing.T) {
+	twoAttempts := func(class string, firstResponse responseKind) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addServed("r", class)
-			h.addAttempt("r", 10*ms, 20*ms, firstWord)
-			h.addAttempt("r", 130*ms, 160*ms, wordDone)
+			h.addAttempt("r", 10*ms, 20*ms, firstResponse)
+			h.addAttempt("r", 130*ms, 160*ms, responseServed)
 		}
 	}
-	runVerdictCases(t, []verdictCase{
-		{"write rejected first", twoAttempts(classWrite, wordFull), nil},
-		{"write failed first", twoAttempts(classWrite, wordBroke), []string{ruleRepeat + " r"}},
-		{"write spoilt first", twoAttempts(classWrite, wordSpoilt), []string{ruleRepeat + " r"}},
-		{"write cut first", twoAttempts(classWrite, ""), []string{ruleRepeat + " r"}},
-		{"lookup failed first", twoAttempts(classLookup, wordBroke), nil},
-		{"load failed first", twoAttempts(classLoad, wordBroke), nil},
+	broken := []string{string(RuleRetryIdempotency) + " r"}
+	runCheckerCases(t, []checkerCase{
+		{"write rejected first", twoAttempts(classWrite, responseRejected), nil},
+		{"write failed first", twoAttempts(classWrite, responseFailed), broken},
+		{"write malformed first", twoAttempts(classWrite, responseMalformed), broken},
+		{"write cancelled first", twoAttempts(classWrite, responseNone), broken},
+		{"lookup failed first", twoAttempts(classLookup, responseFailed), nil},
+		{"load failed first", twoAttempts(classLoad, responseFailed), nil},
 	})
 }
 
-// No attempt begins more than 100 ms, and the tolerance of 100 ms, after the client has left.
-func TestVerdict_BeginsNoAttemptForAClientThatLeft(t *testing.T) {
+// No attempt begins more than 100 ms, and the tolerance of 100 ms, after its client has disconnected.
+func TestCheck_BeginsNoAttemptAfterADisconnect(t *testing.T) {
 	begins := func(o outcome, begin time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			r := h.addServed("r", classLookup)
 			r.outcome = o
 			r.endedAt = after(50 * ms)
-			h.addAttempt("r", begin, begin+10*ms, wordDone, change...)
+			h.addAttempt("r", begin, begin+10*ms, responseServed, change...)
 		}
 	}
-	runVerdictCases(t, []verdictCase{
-		{"200 ms later", begins(outcomeLeft, 250*ms), nil},
-		{"201 ms later", begins(outcomeLeft, 251*ms), []string{ruleGone + " r"}},
-		{"201 ms later, proxied", begins(outcomeLeft, 251*ms, proxied), nil},
+	runCheckerCases(t, []checkerCase{
+		{"200 ms later", begins(outcomeDisconnected, 250*ms), nil},
+		{"201 ms later", begins(outcomeDisconnected, 251*ms), []string{string(RuleSendAfterDisconnect) + " r"}},
+		{"201 ms later, delayed", begins(outcomeDisconnected, 251*ms, delayed), nil},
 		{"201 ms after a failure", begins(outcomeFailed, 251*ms), nil},
 	})
 }
 
 // An engine is given at most the client's remaining time, with 150 ms of slack.
-func TestVerdict_PassesOnNoMoreThanTheRemainingTime(t *testing.T) {
-	given := func(timeLeft time.Duration, change ...func(*attempt)) func(h *builtHistory) {
+func TestCheck_PassesOnNoMoreThanTheRemainingTime(t *testing.T) {
+	given := func(remainingTime time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addServed("r", classLookup) // waits 1 s
-			change = append(change, func(a *attempt) { a.timeLeft = timeLeft })
-			h.addAttempt("r", 200*ms, 240*ms, wordDone, change...)
+			change = append(change, func(a *attempt) { a.remainingTime = remainingTime })
+			h.addAttempt("r", 200*ms, 240*ms, responseServed, change...)
 		}
 	}
-	runVerdictCases(t, []verdictCase{
+	runCheckerCases(t, []checkerCase{
 		{"950 ms of 800 ms", given(950 * ms), nil},
-		{"951 ms of 800 ms", given(951 * ms), []string{ruleTimeLeft + " r"}},
-		{"951 ms of 800 ms, proxied", given(951*ms, proxied), nil},
+		{"951 ms of 800 ms", given(951 * ms), []string{string(RuleRemainingTime) + " r"}},
+		{"951 ms of 800 ms, delayed", given(951*ms, delayed), nil},
 	})
 }
 
-// Nothing begins at an engine over 500 ms, and the tolerance of 100 ms, after a notice that it
-// drains or is gone; a disturbed bus or a starting front end may learn of it later.
-func TestVerdict_SendsNothingToADrainingEngine(t *testing.T) {
-	const told = 10 * time.Second
-	broken := []string{ruleDrain + " r"}
+// No attempt begins at an engine more than 500 ms, and the tolerance of 100 ms, after the notification
+// that it is draining or removed. A fault of the bus and the start of a front end may delay the
+// notification.
+func TestCheck_SendsNothingToADrainedEngine(t *testing.T) {
+	const published = 10 * time.Second
+	broken := []string{string(RuleDrainedEndpoint) + " r"}
 	begins := func(state engineState, delay time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
-			h.addState(state, told)
-			h.addAttempt("r", told+delay, told+delay+40*ms, wordDone, change...)
+			h.addState(state, published)
+			h.addAttempt("r", published+delay, published+delay+40*ms, responseServed, change...)
 		}
 	}
-	disturbed := func(from, until, delay time.Duration) func(h *builtHistory) {
+	busFault := func(from, until, delay time.Duration) func(h *builtHistory) {
 		return func(h *builtHistory) {
-			h.addBusTrouble(after(told+from), after(told+until))
+			h.addBusFault(after(published+from), after(published+until))
 			begins(stateDraining, delay)(h)
 		}
 	}
 	started := func(ready, delay time.Duration) func(h *builtHistory) {
 		return func(h *builtHistory) {
-			h.starts["n1"] = []time.Time{after(told + ready)}
+			h.readyTimes["n1"] = []time.Time{after(published + ready)}
 			begins(stateDraining, delay)(h)
 		}
 	}
 	readyAgain := func(ready, delay time.Duration) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			begins(stateDraining, delay)(h)
-			h.addState(stateReady, told+ready)
+			h.addState(stateReady, published+ready)
 		}
 	}
-	runVerdictCases(t, []verdictCase{
+	runCheckerCases(t, []checkerCase{
 		{"draining, 600 ms", begins(stateDraining, 600*ms), nil},
 		{"draining, 601 ms", begins(stateDraining, 601*ms), broken},
-		{"gone, 600 ms", begins(stateGone, 600*ms), nil},
-		{"gone, 601 ms", begins(stateGone, 601*ms), broken},
+		{"removed, 600 ms", begins(stateRemoved, 600*ms), nil},
+		{"removed, 601 ms", begins(stateRemoved, 601*ms), broken},
 		{"ready, 601 ms", begins(stateReady, 601*ms), nil},
-		{"proxied, 601 ms", begins(stateDraining, 601*ms, proxied), nil},
+		{"delayed, 601 ms", begins(stateDraining, 601*ms, delayed), nil},
 		{"another engine, 601 ms", begins(stateDraining, 601*ms, func(a *attempt) { a.engine = "s-2" }), nil},
 		{"ready again before", readyAgain(700*ms, 701*ms), nil},
 		{"ready again at the same time", readyAgain(701*ms, 701*ms), broken},
 		{"ready again after", readyAgain(702*ms, 701*ms), broken},
-		{"ready before the notice", readyAgain(-ms, 701*ms), broken},
-		{"bus disturbed, 4 s after it began", disturbed(-time.Second, 100*ms, 3600*ms), nil},
-		{"bus disturbed, later", disturbed(-time.Second, 100*ms, 3601*ms), broken},
-		{"bus disturbed for long, 1 s after its end", disturbed(-time.Second, 5*time.Second, 6600*ms), nil},
-		{"bus disturbed for long, later", disturbed(-time.Second, 5*time.Second, 6601*ms), broken},
-		{"bus disturbed 100 ms later", disturbed(100*ms, 200*ms, 4700*ms), nil},
-		{"bus disturbed 101 ms later", disturbed(101*ms, 200*ms, 601*ms), broken},
-		{"bus disturbed to the notice", disturbed(-time.Second, 0, 3600*ms), nil},
-		{"bus disturbed until before it", disturbed(-time.Second, -ms, 601*ms), broken},
+		{"ready before the notification", readyAgain(-ms, 701*ms), broken},
+		{"bus fault, 4 s after it began", busFault(-time.Second, 100*ms, 3600*ms), nil},
+		{"bus fault, later", busFault(-time.Second, 100*ms, 3601*ms), broken},
+		{"long bus fault, 1 s after its end", busFault(-time.Second, 5*time.Second, 6600*ms), nil},
+		{"long bus fault, later", busFault(-time.Second, 5*time.Second, 6601*ms), broken},
+		{"bus fault begins 100 ms later", busFault(100*ms, 200*ms, 4700*ms), nil},
+		{"bus fault begins 101 ms later", busFault(101*ms, 200*ms, 601*ms), broken},
+		{"bus fault ends with the notification", busFault(-time.Second, 0, 3600*ms), nil},
+		{"bus fault ends before it", busFault(-time.Second, -ms, 601*ms), broken},
 		{"front end started, 1 s later", started(2*time.Second, 3600*ms), nil},
 		{"front end started, later", started(2*time.Second, 3601*ms), broken},
 		{"front end started 3.999 s later", started(3999*ms, 5599*ms), nil},
 		{"front end started 4 s later", started(4*time.Second, 601*ms), broken},
-		{"front end started with the notice", started(0, 601*ms), broken},
+		{"front end started with the notification", started(0, 601*ms), broken},
 	})
 }
 
-// The work that reaches a starting engine in a window stays within its limit, which grows with
+// The work that an engine in slow start is sent in a window stays within its limit, which grows with
 // the time since the start.
-func TestVerdict_DoesNotOverloadAStartingEngine(t *testing.T) {
-	broken := []string{ruleSlowStart}
+func TestCheck_DoesNotOverloadAnEngineInSlowStart(t *testing.T) {
+	broken := []string{string(RuleSlowStart)}
 	lookups := func(count int, begin time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addStart(0)
@@ -322,7 +329,7 @@
 			h.addLoads(count, 0)
 		}
 	}
-	toldLate := func(h *builtHistory) {
+	publishedLate := func(h *builtHistory) {
 		h.addStart(time.Second)
 		h.addLookups(200, 999*ms)
 	}
@@ -343,22 +350,22 @@
 			a.workTime = 0
 		})
 	}
-	runVerdictCases(t, []verdictCase{
+	runCheckerCases(t, []checkerCase{
 		{"N 37.5: 51 at once", lookups(51, 0), nil},
 		{"N 37.5: 52 at once", lookups(52, 0), broken},
 		{"N 18.75: 34 at once", loads(34), nil},
 		{"N 18.75: 35 at once", loads(35), broken},
-		{"N 25, mixed: 43 at once", mixed(21), nil},
-		{"N 25, mixed: 44 at once", mixed(22), broken},
+		{"N 25: 21 lookups and 21 loads", mixed(21), nil},
+		{"N 25: 22 lookups and 22 loads", mixed(22), broken},
 		{"N 81.25 after 4 s: 101 at once", lookups(101, 4*time.Second), nil},
 		{"N 81.25 after 4 s: 102 at once", lookups(102, 4*time.Second), broken},
 		{"after the slow start", lookups(200, 8*time.Second), nil},
 		{"just before its end", lookups(200, 8*time.Second-ms), broken},
 		{"within a window", both(lookups(26, 0), more(26, 999*ms)), broken},
 		{"in two windows", both(lookups(26, 0), more(26, time.Second)), nil},
-		{"before the front ends are told", toldLate, nil},
+		{"before the notification", publishedLate, nil},
 		{"no start", notAStart, nil},
-		{"proxied", lookups(200, 0, proxied), nil},
+		{"delayed", lookups(200, 0, delayed), nil},
 		{"another engine", lookups(200, 0, func(a *attempt) { a.engine = "s-2" }), nil},
 		{"attempts without work don't count for the mean", both(lookups(51, 0), otherMean), nil},
 		{"two overloaded windows are one violation", both(lookups(60, 0), more(150, 3*time.Second)), broken},
@@ -366,7 +373,7 @@
 }
 
 // The limit is N and 2 roots of N and 2, and for N under 30 3 roots of N and 3.
-func TestColdLimit_FollowsTheGrowthOfCapacity(t *testing.T) {
+func TestSlowStartLimit_FollowsTheGrowthOfCapacity(t *testing.T) {
 	for _, c := range []struct {
 		sinceStart time.Duration
 		meanWork   float64
@@ -383,7 +390,7 @@
 		{0, 0.08, 34.74038105676658},
 		{0, 0.0001, 1579.459666924148},
 	} {
-		got := coldLimit(c.sinceStart, c.meanWork)
+		got := slowStartLimit(c.sinceStart, c.meanWork)
 		if difference := got - c.want; difference > 1e-6 || difference < -1e-6 {
 			t.Errorf("%v after the start with a mean of %v s: %v, want %v", c.sinceStart, c.meanWork, got, c.want)
 		}
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -16,59 +16,82 @@
 
 // newTestRun returns a run without processes, whose front end is said to listen at the address.
 func newTestRun(addr string) *run {
-	r := &run{history: newHistory(), site: siteOptions{retryAfter: true}}
+	r := &run{history: newHistory(), settings: runSettings{retryAfter: true}}
 	r.frontEnds = []*frontEnd{{run: r, name: "n1", addr: addr, ready: true}}
 	return r
 }
 
 // rulesBroken lists the rules of the violations that were seen while the run went on.
-func rulesBroken(r *run) (rules []string) {
+func rulesBroken(r *run) (rules []Rule) {
 	for _, v := range r.history.violations {
 		rules = append(rules, v.Rule)
 	}
 	return rules
 }
 
-// The answer decides the outcome of a request, and the rules that it breaks.
-func TestReceive_JudgesTheAnswer(t *testing.T) {
+// The response decides the outcome of a request, and the rules that it breaks.
+func TestReceive_ClassifiesTheResponse(t *testing.T) {
 	const id = "000000000000000a" // whose result has two pages
-	answer := func(status, header, body string) string {
-		return "HTTP/1.1 " + status + "\r\n" + header + fmt.Sprintf("Content-Length: %d", len(body)) + "\r\n\r\n" + body
+	response := func(status, header, body string) string {
+		length := fmt.Sprintf("Content-Length: %d\r\n", len(body))
+		return "HTTP/1.1 " + status + "\r\n" + header + length + "\r\n" + body
 	}
-	rows := func(rows ...string) string { return `{"result":[[` + strings.Join(rows, `],[`) + `]]}` }
-	first, second := `"`+id+`","0","2"`, `"`+id+`","1","2"`
+	result := func(rows ...string) string {
+		return response("200 OK", "", `{"result":[[`+strings.Join(rows, `],[`)+`]]}`)
+	}
+	first := `"` + id + `","0","2"`
+	second := `"` + id + `","1","2"`
+	firstPage := response("200 OK", "", `{"more":"/more","result":[[`+first+`]]}`)
+	const retryAfter = "Srv-Wait-Ms: 5\r\n"
+	incomplete := []Rule{RuleCompleteResult}
+	noRetryAfter := []Rule{RuleRetryAfter}
 	for _, c := range []struct {
-		name, answers string
-		want          outcome
-		broken        []string
-		fails         bool
+		name, responses string
+		want            outcome
+		broken          []Rule
+		fails           bool
 	}{
-		{name: "whole result", answers: answer("200 OK", "", rows(first, second)), want: outcomeServed},
+		{name: "complete result", responses: result(first, second), want: outcomeServed},
+		{name: "complete result in two pages", responses: firstPage + result(second), want: outcomeServed},
+		{name: "half a result", responses: result(first), want: outcomeServed, broken: incomplete},
+		{name: "rows out of order", responses: result(second, first), want: outcomeServed, broken: incomplete},
+		{
+			name: "rows of another request", responses: result(`"x","0","2"`, `"x","1","2"`),
+			want: outcomeServed, broken: incomplete,
+		},
+		{name: "short row", responses: result(`"`+id+`"`, second), want: outcomeServed, broken: incomplete},
+		{name: "503 with Retry-After", responses: response("503 Busy", retryAfter, "{}"), want: outcomeRejected},
+		{
+			name: "503 without Retry-After", responses: response("503 Busy", "", "{}"),
+			want: outcomeRejected, broken: noRetryAfter,
+		},
+		{name: "429 with Retry-After", responses: response("429 Busy", retryAfter, "{}"), want: outcomeRejected},
+		{
+			name: "429 without Retry-After", responses: response("429 Busy", "", "{}"),
+			want: outcomeRejected, broken: noRetryAfter,
+		},
+		{
+			name: "busy with Retry-After", responses: response("200 OK", retryAfter, `{"fault":"Busy"}`),
+			want: outcomeRejected,
+		},
+		{
+			name: "busy without Retry-After", responses: response("200 OK", "", `{"fault":"Busy"}`),
+			want: outcomeRejected, broken: noRetryAfter,
+		},
+		{name: "fault", responses: response("200 OK", "", `{"fault":"Broken"}`), want: outcomeFailed},
+		{name: "500", responses: response("500 Broken", "", "{}"), want: outcomeFailed},
+		{name: "no JSON", responses: response("200 OK", "", "{"), fails: true},
+		{name: "truncated", responses: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{", fails: true},
+		{name: "nothing", responses: "", fails: true},
 		{
-			name: "whole result in two pages", want: outcomeServed,
-			answers: answer("200 OK", "", `{"more":"/more","result":[[`+first+`]]}`) + answer("200 OK", "", rows(second)),
+			name: "pages without end", fails: true,
+			responses: strings.Repeat(response("200 OK", "", `{"more":"/more"}`), maxPages),
 		},
-		{name: "half a result", answers: answer("200 OK", "", rows(first)), want: outcomeServed, broken: []string{ruleWholeAnswer}},
-		{name: "rows out of order", answers: answer("200 OK", "", rows(second, first)), want: outcomeServed, broken: []string{ruleWholeAnswer}},
-		{name: "rows of another request", answers: answer("200 OK", "", rows(`"x","0","2"`, `"x","1","2"`)), want: outcomeServed, broken: []string{ruleWholeAnswer}},
-		{name: "short row", answers: answer("200 OK", "", rows(`"`+id+`"`, second)), want: outcomeServed, broken: []string{ruleWholeAnswer}},
-		{name: "503 with a wait", answers: answer("503 Busy", "Srv-Wait-Ms: 5\r\n", "{}"), want: outcomeRejected},
-		{name: "503 without a wait", answers: answer("503 Busy", "", "{}"), want: outcomeRejected, broken: []string{ruleRetryAfter}},
-		{name: "429 with a wait", answers: answer("429 Busy", "Srv-Wait-Ms: 5\r\n", "{}"), want: outcomeRejected},
-		{name: "429 without a wait", answers: answer("429 Busy", "", "{}"), want: outcomeRejected, broken: []string{ruleRetryAfter}},
-		{name: "busy with a wait", answers: answer("200 OK", "Srv-Wait-Ms: 5\r\n", `{"fault":"Busy"}`), want: outcomeRejected},
-		{name: "busy without a wait", answers: answer("200 OK", "", `{"fault":"Busy"}`), want: outcomeRejected, broken: []string{ruleRetryAfter}},
-		{name: "fault", answers: answer("200 OK", "", `{"fault":"Broken"}`), want: outcomeFailed},
-		{name: "500", answers: answer("500 Broken", "", "{}"), want: outcomeFailed},
-		{name: "no JSON", answers: answer("200 OK", "", "{"), fails: true},
-		{name: "cut off", answers: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{", fails: true},
-		{name: "nothing", answers: "", fails: true},
-		{name: "pages without end", answers: strings.Repeat(answer("200 OK", "", `{"more":"/more"}`), maxPages), fails: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 			go tcptest.Serve(listener, func(conn net.Conn) {
-				_, _ = io.WriteString(conn, c.answers)
+				_, _ = io.WriteString(conn, c.responses)
 				_ = conn.(*net.TCPConn).CloseWrite()
 				_, _ = io.Copy(io.Discard, conn)
 			})
@@ -77,7 +100,7 @@
 			if !client.connect() {
 				t.Fatal("no connection")
 			}
-			defer client.drop()
+			defer client.disconnect()
 			request := &request{id: id, sentAt: time.Now(), wait: 5 * time.Second}
 			err := client.receive(request)
 			if (err != nil) != c.fails || request.outcome != c.want || !slices.Equal(rulesBroken(r), c.broken) {
@@ -87,20 +110,20 @@
 	}
 }
 
-// Without the setting a rejection needs no time to come back.
-func TestReceive_NeedsNoWaitWhereSettingsHaveNone(t *testing.T) {
+// A rejection needs no Retry-After unless the settings have one.
+func TestReceive_NeedsNoRetryAfterUnlessSettingsSaySo(t *testing.T) {
 	r := newTestRun("")
-	r.site.retryAfter = false
+	r.settings.retryAfter = false
 	request := &request{id: "a"}
 	c := &client{run: r}
-	c.judge(request, &http.Response{StatusCode: http.StatusServiceUnavailable}, answerBody{}, nil)
+	c.classifyResponse(request, &http.Response{StatusCode: http.StatusServiceUnavailable}, responseBody{}, nil)
 	if request.outcome != outcomeRejected || rulesBroken(r) != nil {
 		t.Errorf("outcome %q, broken %q", request.outcome, rulesBroken(r))
 	}
 }
 
-// A request without an answer is lost, unless its front end was killed.
-func TestExplain_ExcusesOnlyWhatAKillCutOff(t *testing.T) {
+// A request without a response is lost, unless its front end was killed.
+func TestClassifyMissingResponse_ExcusesOnlyAKill(t *testing.T) {
 	sentAt := time.Now()
 	for _, c := range []struct {
 		name  string
@@ -116,29 +139,30 @@
 		r := newTestRun("")
 		r.frontEnds[0].kills = c.kills
 		request := &request{id: "a", sentAt: sentAt}
-		(&client{run: r, target: r.frontEnds[0]}).explain(request, io.EOF, true)
+		(&client{run: r, target: r.frontEnds[0]}).classifyMissingResponse(request, io.EOF, true)
 		if request.outcome != c.want {
 			t.Errorf("%s: outcome %q, want %q", c.name, request.outcome, c.want)
 		}
 	}
 }
 
-// A bad client gets an answer or a close; a front end that does neither breaks the rule.
-func TestMisbehave_WantsAnAnswerOrAClose(t *testing.T) {
+// A malformed request gets a response or a close. A front end that does neither breaks the rule.
+func TestSendMalformedRequest_WantsAResponseOrAClose(t *testing.T) {
+	t.Parallel()
 	for name, c := range map[string]struct {
 		serve  func(net.Conn)
-		broken []string
+		broken []Rule
 	}{
-		"answer and close": {func(conn net.Conn) { _, _ = io.WriteString(conn, "HTTP/1.1 400 Bad\r\n\r\n") }, nil},
-		"close":            {func(net.Conn) {}, nil},
-		"silence":          {func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }, []string{ruleBadClient}},
+		"response and close": {func(conn net.Conn) { _, _ = io.WriteString(conn, "HTTP/1.1 400 Bad\r\n\r\n") }, nil},
+		"close":              {func(net.Conn) {}, nil},
+		"silence":            {func(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }, []Rule{RuleMalformedRequest}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 			go tcptest.Serve(listener, c.serve)
 			r := newTestRun(listener.Addr().String())
-			(&client{run: r, random: rand.New(rand.NewPCG(1, 1))}).misbehave()
+			(&client{run: r, random: rand.New(rand.NewPCG(1, 1))}).sendMalformedRequest()
 			if !slices.Equal(rulesBroken(r), c.broken) {
 				t.Errorf("broken %q, want %q", rulesBroken(r), c.broken)
 			}
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,13 +1,16 @@
-// Package soak plays randomized faults against real front-end processes on loopback and checks
-// what must hold whatever happens.
+// Package soak injects randomized faults into real front-end processes on loopback and checks what
+// must hold under every fault.
 //
 // A run starts front ends under internal/lab/syscallfault, engines as processes of their own, an
-// event bus, proxies with faults before some engines, and clients of several kinds. Troubles
-// drawn from the run's seed overlap in time: shutdowns, kills, reloads, drains, restarts, hangs,
-// stepped clocks, failing system calls and disks, a bus that is down or silent. Engines report
-// each request as it arrives and ends; the oracle compares these reports with what clients saw
-// and what the bus has told.
+// event bus, proxies with faults in front of some engines, and the clients of the workload. The
+// fault schedule is drawn from the run's seed: graceful shutdowns, kills, reloads, drained,
+// restarted and hanging engines, stepped clocks, failing system calls and disks, a bus that is
+// down or silent. Faults overlap in time.
 //
-// The troubles and their times follow from the seed; what they meet does not, since processes
-// run in real time.
+// Clients, engine processes and the injector of faults record a history: each request with its
+// outcome, each attempt as it begins and ends at an engine, and each change that the bus
+// publishes. The checker reads the history after the run and reports each violation of a Rule.
+//
+// The schedule follows from the seed. What the faults meet does not, because the processes run in
+// real time.
 package soak
--- a/internal/lab/soak/engineprocess.go
+++ b/internal/lab/soak/engineprocess.go
@@ -1,12 +1,11 @@
 package soak
 
 import (
-	"bufio"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"os"
 	"strconv"
 	"strings"
@@ -16,80 +15,103 @@
 	"flaxrelay/internal/lab/fake"
 )
 
-// engineVariable holds the engineOptions of a process that is to be an engine.
+// engineVariable is the environment variable that holds the engineOptions of a process that is to
+// be an engine, as JSON.
 const engineVariable = "FLAXLAB_SOAK_ENGINE"
 
 // engineOptions say how an engine process behaves.
 type engineOptions struct {
-	Addr string  `json:"addr"`
-	Seed uint64  `json:"seed"`
-	Odd  float64 `json:"odd"` // share of requests with an answer that is no plain result
+	Addr                string  `json:"addr"`
+	Seed                uint64  `json:"seed"`
+	FaultyResponseShare float64 `json:"faulty_response_share"` // of requests whose response is no plain result
 }
 
-// Events that an engine process prints, one a line: the event, the time in Unix nanoseconds, the
-// request's id and details.
-const (
-	reportReady = "ready"
-	reportBegin = "begin" // class and milliseconds left
-	reportEnd   = "end"   // word and nanoseconds of work
-	reportCut   = "cut"   // the connection ended, or the attempt was given up
-)
+// engineEventKind says what has happened at an engine process.
+type engineEventKind string
 
-// Words of answers of the line protocol, and what stands for them in reports.
 const (
-	wordDone   = "DONE"
-	wordFull   = "WAIT"
-	wordBroke  = "BROKE"
-	wordSpoilt = "spoilt" // not on the wire: an answer that can't be read
+	eventListening        engineEventKind = "listening"         // the process accepts connections
+	eventAttemptBegan     engineEventKind = "attempt began"     // a request has arrived
+	eventAttemptEnded     engineEventKind = "attempt ended"     // its response is about to be written
+	eventAttemptCancelled engineEventKind = "attempt cancelled" // it was cancelled, or its connection has ended
 )
 
-// RunEngineProcess serves as an engine if this process was started as one, and reports whether
-// it was. Programs and test binaries that start runs call it first.
+// engineEvent is a message from an engine process to its parent, a line of JSON on standard output.
+type engineEvent struct {
+	Kind          engineEventKind `json:"kind"`
+	At            time.Time       `json:"at"` // by the wall clock, which all processes of a run share
+	RequestID     string          `json:"request_id,omitempty"`
+	Class         string          `json:"class,omitempty"`             // of an attempt that began
+	RemainingTime time.Duration   `json:"remaining_time_ns,omitempty"` // of an attempt that began
+	Response      responseKind    `json:"response,omitempty"`          // of an attempt that ended
+	WorkTime      time.Duration   `json:"work_time_ns,omitempty"`      // of an attempt that ended
+}
+
+// RunEngineProcess serves as an engine if this process was started as one, and reports whether it
+// was. Programs and test binaries that start runs call it first.
 func RunEngineProcess() bool {
 	encoded := os.Getenv(engineVariable)
 	if encoded == "" {
 		return false
 	}
-	var options engineOptions
-	if err := json.Unmarshal([]byte(encoded), &options); err != nil {
+	if err := serveEngine(encoded); err != nil {
 		fmt.Fprintln(os.Stderr, "soak engine:", err)
 		os.Exit(1)
 	}
+	return true
+}
+
+// serveEngine serves as an engine with the encoded options until the parent ends.
+func serveEngine(encodedOptions string) error {
+	var options engineOptions
+	if err := json.Unmarshal([]byte(encodedOptions), &options); err != nil {
+		return fmt.Errorf("decode %s: %w", engineVariable, err)
+	}
 	listener, err := fake.Listen(options.Addr)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "soak engine:", err)
-		os.Exit(1)
-	}
-	go func() { // the parent holds the other end for as long as it lives
-		_, _ = io.Copy(io.Discard, os.Stdin)
-		os.Exit(0)
-	}()
-	e := &engineProcess{options: options, random: rand.New(rand.NewPCG(options.Seed, 1))}
-	e.report(reportReady, "-")
-	for {
-		conn, err := listener.Accept()
-		if err != nil {
-			continue
-		}
-		c := &engineConnection{process: e, conn: conn, running: map[string]chan struct{}{}}
-		go c.serve()
+		return err
 	}
+	go exitWithParent()
+	e := newEngineProcess(options, os.Stdout)
+	e.report(engineEvent{Kind: eventListening})
+	fake.ServeLineEngine(listener, e)
+	return nil
 }
 
-// engineProcess is the process's state.
+// exitWithParent ends the process with its parent, which holds the other end of standard input for
+// as long as it lives.
+func exitWithParent() {
+	_, _ = io.Copy(io.Discard, os.Stdin)
+	os.Exit(0)
+}
+
+// engineProcess is the engine of a run, a fake.LineHandler. It reports each attempt to its parent,
+// and responds to some in the ways in which an engine may fail.
 type engineProcess struct {
-	options engineOptions
+	faultyResponseShare float64
 
-	mu     sync.Mutex
-	random *rand.Rand // guarded by mu
+	mu     sync.Mutex // guards what follows
+	random *rand.Rand
+	events *json.Encoder
 }
 
-// report prints an event. The parent reads the process's standard output.
-func (e *engineProcess) report(event, requestID string, details ...any) {
+// newEngineProcess returns an engine that writes its events to the given writer.
+func newEngineProcess(options engineOptions, events io.Writer) *engineProcess {
+	const randomStream = 1 // second word of the seed
+	return &engineProcess{
+		faultyResponseShare: options.FaultyResponseShare,
+		random:              rand.New(rand.NewPCG(options.Seed, randomStream)),
+		events:              json.NewEncoder(events),
+	}
+}
+
+// report writes an event with the present time.
+func (e *engineProcess) report(event engineEvent) {
 	e.mu.Lock()
-	defer e.mu.Unlock()
-	line := fmt.Sprintln(append([]any{event, time.Now().UnixNano(), requestID}, details...)...)
-	if _, err := os.Stdout.WriteString(line); err != nil {
+	event.At = time.Now()
+	err := e.events.Encode(event)
+	e.mu.Unlock()
+	if err != nil {
 		os.Exit(1) // the parent has ended
 	}
 }
@@ -100,134 +122,126 @@
 	return e.random.Float64()
 }
 
-// engineConnection is one connection of a front end.
-type engineConnection struct {
-	process *engineProcess
-	conn    net.Conn
+// Received implements fake.LineHandler.
+func (e *engineProcess) Received(request fake.LineRequest) {
+	// A front end always names both fields; the checker sees the zero value of one that is missing.
+	remainingMS, _ := strconv.Atoi(request.Field("ms"))
+	e.report(engineEvent{
+		Kind: eventAttemptBegan, RequestID: request.ID, Class: request.Field("kind"),
+		RemainingTime: time.Duration(remainingMS) * time.Millisecond,
+	})
+}
 
-	mu      sync.Mutex // guards writes and running
-	running map[string]chan struct{}
+// Cancelled implements fake.LineHandler.
+func (e *engineProcess) Cancelled(request fake.LineRequest) {
+	e.report(engineEvent{Kind: eventAttemptCancelled, RequestID: request.ID})
 }
 
-func (c *engineConnection) serve() {
-	defer func() {
-		_ = c.conn.Close()
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		for id, cancelled := range c.running {
-			close(cancelled)
-			c.process.report(reportCut, id)
-		}
-		clear(c.running)
-	}()
-	in := bufio.NewReader(c.conn)
-	for {
-		line, err := in.ReadString('\n')
-		if err != nil {
-			return
-		}
-		words := strings.Fields(line)
-		switch {
-		case len(words) == 4 && words[0] == "want":
-			length, err := strconv.Atoi(words[3])
-			if err != nil {
-				return
-			}
-			if _, err := io.CopyN(io.Discard, in, int64(length+len("\r\n"))); err != nil {
-				return
-			}
-			c.begin(words[1], words[2])
-		case len(words) == 2 && words[0] == "never_mind":
-			c.finish(words[1], func() { c.process.report(reportCut, words[1]) })
-		case len(words) == 3 && words[0] == "turn":
-			c.write("%s MORE batch=%s %s", words[1], words[2], pageOf(words[1], words[2]))
-		}
-	}
+// Page implements fake.LineHandler.
+func (e *engineProcess) Page(requestID, page string) (text string, ok bool) {
+	return resultPage(requestID, page), true
 }
 
 // pageCount is how many pages the result of a request has.
-func pageCount(requestID string) int { return 1 + int(requestID[len(requestID)-1]%3) }
-
-// pageOf is a page with its length: the request's id, the page's number and the number of pages.
-func pageOf(requestID, page string) string {
-	text := fmt.Sprintf("%s\t%s\t%d\n", requestID, page, pageCount(requestID))
-	return fmt.Sprintf("%d\r\n%s\r\n", len(text), text)
-}
-
-func (c *engineConnection) begin(id, fields string) {
-	class, left := "", ""
-	for _, field := range strings.Split(fields, ",") {
-		name, value, _ := strings.Cut(field, "=")
-		switch name {
-		case "kind":
-			class = value
-		case "ms":
-			left = value
+func pageCount(requestID string) int {
+	const maxPageCount = 3
+	return 1 + int(requestID[len(requestID)-1]%maxPageCount)
+}
+
+// resultPage is a page of a result: one row with the request's id, the page's number and the number
+// of pages.
+func resultPage(requestID, page string) string {
+	return fmt.Sprintf("%s\t%s\t%d\n", requestID, page, pageCount(requestID))
+}
+
+// responseBehavior is how an engine responds to one request.
+type responseBehavior int
+
+const (
+	respondNormally responseBehavior = iota
+	rejectAtOnce
+	failAfterWork
+	sendNoise
+	truncateResult
+	neverRespond
+	duplicateResult
+)
+
+// behaviorEighths say how the share of faulty responses is divided: each behavior has so many
+// eighths of it.
+var behaviorEighths = []struct {
+	behavior responseBehavior
+	eighths  float64
+}{
+	{rejectAtOnce, 2}, {failAfterWork, 2}, {sendNoise, 1}, {truncateResult, 1}, {neverRespond, 1}, {duplicateResult, 1},
+}
+
+// behaviorFor returns the behavior for a number that was drawn from 0 to 1.
+func behaviorFor(drawn, faultyShare float64) responseBehavior {
+	const allEighths = 8
+	eighths := 0.0
+	for _, part := range behaviorEighths {
+		eighths += part.eighths
+		if drawn < faultyShare*eighths/allEighths {
+			return part.behavior
 		}
 	}
-	c.process.report(reportBegin, id, class, left)
-	cancelled := make(chan struct{})
-	c.mu.Lock()
-	c.running[id] = cancelled
-	c.mu.Unlock()
-	go c.run(id, class, cancelled)
-}
-
-// run works on a request and answers it.
-func (c *engineConnection) run(id, class string, cancelled <-chan struct{}) {
-	workTime := time.Duration((0.5 + c.process.draw()) * float64(workTimes[class]))
-	odd := c.process.draw()
-	share := c.process.options.Odd
-	if odd < share/4 {
-		c.end(id, wordFull, 0, "%s WAIT - 0\r\n\r\n", id)
+	return respondNormally
+}
+
+// Handle implements fake.LineHandler: it works on a request and responds.
+func (e *engineProcess) Handle(ctx context.Context, exchange *fake.LineExchange) {
+	request := exchange.Request
+	const minWorkFactor = 0.5 // of the mean; the factor is uniform up to 1.5
+	workTime := time.Duration((minWorkFactor + e.draw()) * float64(workTimes[request.Field("kind")]))
+	behavior := behaviorFor(e.draw(), e.faultyResponseShare)
+	if behavior == rejectAtOnce {
+		e.respond(exchange, responseRejected, 0, fake.LineMessage(request.ID, fake.MessageRejected, "-", ""))
 		return
 	}
 	select {
-	case <-cancelled:
+	case <-ctx.Done():
 		return
 	case <-time.After(workTime):
 	}
-	done := fmt.Sprintf("%s DONE batches=%d,cpu=%.1f,used=4,gauges=cpu:0.3;waiting:0;x1:0;x0:0 %s", id, pageCount(id), workTime.Seconds()*1000, pageOf(id, "0"))
-	switch {
-	case odd < share/2:
-		c.end(id, wordBroke, workTime, "%s BROKE - 0\r\n\r\n", id)
-	case odd < share*5/8:
-		c.end(id, wordSpoilt, workTime, "%s DONE batches=1 999999999\r\nnoise", id)
-	case odd < share*6/8:
-		c.end(id, wordSpoilt, workTime, "%s", done[:len(done)/2]) // stops in the middle
-	case odd < share*7/8:
-		return // never answered
-	default:
-		c.end(id, wordDone, workTime, "%s", done)
-		if odd < share {
-			c.write("%s", done) // a second copy
-		}
+	result := resultMessage(request.ID, workTime)
+	switch behavior {
+	case failAfterWork:
+		e.respond(exchange, responseFailed, workTime, fake.LineMessage(request.ID, fake.MessageFailed, "-", ""))
+	case sendNoise:
+		e.respond(exchange, responseMalformed, workTime, request.ID+" DONE batches=1 999999999\r\nnoise")
+	case truncateResult:
+		e.respond(exchange, responseMalformed, workTime, result[:len(result)/2])
+	case neverRespond:
+	case duplicateResult:
+		e.respond(exchange, responseServed, workTime, result)
+		exchange.Send(result)
+	case respondNormally, rejectAtOnce: // a rejection was sent above
+		e.respond(exchange, responseServed, workTime, result)
 	}
 }
 
-// finish takes a request off the connection and calls report, unless it is off already.
-func (c *engineConnection) finish(id string, report func()) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	cancelled, ok := c.running[id]
-	if !ok {
-		return false
+// resultMessage is the first page of a result with the request's cost and the engine's load report.
+func resultMessage(requestID string, workTime time.Duration) string {
+	milliseconds := float64(workTime) / float64(time.Millisecond)
+	fields := []string{
+		fmt.Sprintf("batches=%d", pageCount(requestID)), fmt.Sprintf("cpu=%.1f", milliseconds),
+		"used=4", "gauges=cpu:0.3;waiting:0;x1:0;x0:0",
 	}
-	delete(c.running, id)
-	close(cancelled)
-	report()
-	return true
+	return fake.LineMessage(requestID, fake.MessageResult, strings.Join(fields, ","), resultPage(requestID, "0"))
 }
 
-// end reports the end of a request and writes the answer.
-func (c *engineConnection) end(id, word string, workTime time.Duration, format string, args ...any) {
-	if c.finish(id, func() { c.process.report(reportEnd, id, word, int64(workTime)) }) {
-		c.write(format, args...)
+// respond reports the end of an attempt and then sends the response, unless the attempt was
+// cancelled.
+func (e *engineProcess) respond(
+	exchange *fake.LineExchange, kind responseKind, workTime time.Duration, message string,
+) {
+	ended := exchange.Finish(func() {
+		e.report(engineEvent{
+			Kind: eventAttemptEnded, RequestID: exchange.Request.ID, Response: kind, WorkTime: workTime,
+		})
+	})
+	if ended {
+		exchange.Send(message)
 	}
 }
-
-func (c *engineConnection) write(format string, args ...any) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	_, _ = fmt.Fprintf(c.conn, format, args...) // a connection that has ended needs no answer
-}
--- /dev/null
+++ b/internal/lab/soak/faults.go
@@ -0,0 +1,263 @@
+package soak
+
+import (
+	"math/rand/v2"
+	"syscall"
+	"time"
+
+	"flaxrelay/internal/lab/faultproxy"
+	"flaxrelay/internal/lab/harness"
+	"flaxrelay/internal/lab/syscallfault"
+)
+
+// clockSteps are by how much a wall clock may be wrong.
+var clockSteps = []time.Duration{0, 0, 0, -5 * time.Second, -time.Hour, time.Hour}
+
+func drawClockStep(random *rand.Rand) time.Duration { return clockSteps[random.IntN(len(clockSteps))] }
+
+func (r *run) terminateFrontEnd(random *rand.Rand) {
+	if f, ok := r.frontEndPool.claim(random); ok {
+		defer r.frontEndPool.release(f)
+		f.terminate()
+		r.check(f.start(random.Uint64()))
+	}
+}
+
+func (r *run) killFrontEnd(random *rand.Rand) {
+	if f, ok := r.frontEndPool.claim(random); ok {
+		defer r.frontEndPool.release(f)
+		f.signal(syscall.SIGKILL)
+		<-f.process.Ended()
+		r.check(f.start(random.Uint64()))
+	}
+}
+
+// engineRestart is how one engine is restarted.
+type engineRestart struct {
+	downtime          time.Duration
+	notificationDelay time.Duration // from its start until the bus publishes it
+	clockStep         time.Duration // of its own clock, by which the bus publishes its start
+}
+
+func drawEngineRestart(random *rand.Rand) engineRestart {
+	const maxDowntime, maxNotificationDelay = 800 * time.Millisecond, 600 * time.Millisecond
+	downtime := drawDuration(random, 0, maxDowntime)
+	notificationDelay := drawDuration(random, 0, maxNotificationDelay)
+	return engineRestart{downtime: downtime, notificationDelay: notificationDelay, clockStep: drawClockStep(random)}
+}
+
+// restartEngine kills an engine's process and starts another.
+func (r *run) restartEngine(random *rand.Rand) {
+	e, ok := r.engines.claim(random)
+	if !ok {
+		return
+	}
+	defer r.engines.release(e)
+	restart := drawEngineRestart(random)
+	e.kill()
+	time.Sleep(restart.downtime)
+	startedAt := time.Now()
+	if !r.check(e.start()) {
+		return
+	}
+	time.Sleep(restart.notificationDelay)
+	e.publishStart(startedAt, restart.clockStep)
+}
+
+// engineReplacement is how one engine is replaced by another.
+type engineReplacement struct {
+	drainTime  time.Duration // between the notifications that it is draining and that it is removed
+	newAddress bool          // whether the successor has an address of its own
+	proxied    bool          // whether the successor is reached through a proxy
+	clockStep  time.Duration // of the successor's own clock
+}
+
+func drawEngineReplacement(random *rand.Rand) engineReplacement {
+	const (
+		minDrainTime    = time.Second
+		drainTimeRange  = 2 * time.Second
+		newAddressOneIn = 2
+		proxiedOneIn    = 3
+	)
+	drainTime := drawDuration(random, minDrainTime, drainTimeRange)
+	newAddress := random.IntN(newAddressOneIn) == 0
+	proxied := random.IntN(proxiedOneIn) == 0
+	return engineReplacement{
+		drainTime: drainTime, newAddress: newAddress, proxied: proxied, clockStep: drawClockStep(random),
+	}
+}
+
+// replaceEngine drains an engine, removes it and adds a new one.
+func (r *run) replaceEngine(random *rand.Rand) {
+	e, ok := r.engines.claim(random)
+	if !ok {
+		return
+	}
+	replacement := drawEngineReplacement(random)
+	e.publishState(stateDraining)
+	time.Sleep(replacement.drainTime)
+	e.publishState(stateRemoved)
+	time.Sleep(drainGrace)
+	e.end()
+	addr := e.addr
+	if replacement.newAddress {
+		var err error
+		if addr, err = harness.FreeAddr(); !r.check(err) {
+			return
+		}
+	}
+	startedAt := time.Now()
+	successor, err := newEngine(r, r.nextEngineID(), addr, replacement.proxied)
+	if !r.check(err) {
+		return
+	}
+	r.engines.replace(e, successor)
+	successor.publishStart(startedAt, replacement.clockStep)
+}
+
+func drawFreezeTime(random *rand.Rand) time.Duration {
+	const minTime, timeRange = 300 * time.Millisecond, 3 * time.Second
+	return drawDuration(random, minTime, timeRange)
+}
+
+func (r *run) freezeEngine(random *rand.Rand) {
+	if e, ok := r.engines.claim(random); ok {
+		defer r.engines.release(e)
+		e.freeze(drawFreezeTime(random))
+	}
+}
+
+// moveBus gives the bus another address and has all front ends reload.
+func (r *run) moveBus(random *rand.Rand) {
+	r.busMove.Lock() // one configuration after the other
+	defer r.busMove.Unlock()
+	now := time.Now()
+	r.history.addBusFault(now, now.Add(notificationGraceAfterFault))
+	if !r.check(r.bus.move()) {
+		return
+	}
+	for _, f := range r.frontEnds {
+		if !r.check(f.writeConfig(random.Uint64())) {
+			return
+		}
+		if process, _ := f.settledProcess(); process != nil {
+			_ = process.Signal(syscall.SIGHUP) // a process that has ended reads the file when it starts
+		} else {
+			r.faults.Go(func() { r.reloadLater(f) })
+		}
+	}
+}
+
+// reloadLater makes a front end that has just started reload once it has settled.
+func (r *run) reloadLater(f *frontEnd) {
+	const pollInterval, maxPolls = 100 * time.Millisecond, 100
+	for range maxPolls {
+		time.Sleep(pollInterval)
+		if process, draining := f.settledProcess(); process != nil && !draining {
+			_ = process.Signal(syscall.SIGHUP)
+			return
+		}
+	}
+}
+
+func drawBusFaultTime(random *rand.Rand) time.Duration {
+	const minTime, timeRange = 200 * time.Millisecond, 2 * time.Second
+	return drawDuration(random, minTime, timeRange)
+}
+
+// disturbBus puts the bus into a mode for a while.
+func (r *run) disturbBus(mode busMode, random *rand.Rand) {
+	duration := drawBusFaultTime(random)
+	now := time.Now()
+	r.history.addBusFault(now, now.Add(duration+notificationSlack))
+	r.bus.setMode(mode)
+	time.Sleep(duration)
+	r.bus.setMode(busNormal)
+}
+
+// backgroundFaults are those that a front end always has. They are rare, so that the schedule's
+// faults stand out, except for those of files, which are written seldom.
+func backgroundFaults() syscallfault.Faults {
+	const (
+		socketFaultRate = 0.01
+		fileFaultRate   = 0.2
+	)
+	return syscallfault.Faults{
+		ShortWrite: socketFaultRate, InterruptWrite: socketFaultRate, ShortRead: socketFaultRate,
+		InterruptRead: socketFaultRate, FailFile: fileFaultRate, TornFile: fileFaultRate,
+	}
+}
+
+// drawSystemCallFaults draws the faults of a front end's system calls and how long they last. About
+// half of the kinds occur.
+func drawSystemCallFaults(random *rand.Rand) (faults syscallfault.Faults, duration time.Duration) {
+	const (
+		minTime        = 300 * time.Millisecond
+		timeRange      = 2 * time.Second
+		maxRate        = 0.3
+		rateOneIn      = 2
+		maxShortLength = 80
+	)
+	rate := func() float64 {
+		if random.IntN(rateOneIn) == 0 {
+			return 0
+		}
+		return maxRate * random.Float64()
+	}
+	faults = syscallfault.Faults{
+		ShortWrite: rate(), InterruptWrite: rate(), ShortRead: rate(), InterruptRead: rate(), InterruptWait: rate(),
+		FailAccept: rate(), FailSocket: rate(), FailConnect: rate(), FailFile: rate(), TornFile: rate(),
+		ShortLength: 1 + random.IntN(maxShortLength), ClockStep: drawClockStep(random),
+	}
+	return faults, drawDuration(random, minTime, timeRange)
+}
+
+// failSystemCalls makes the system calls of a front end fail for a while.
+func (r *run) failSystemCalls(random *rand.Rand) {
+	f, ok := r.frontEndPool.claim(random)
+	if !ok {
+		return
+	}
+	defer r.frontEndPool.release(f)
+	faults, duration := drawSystemCallFaults(random)
+	f.process.SetFaults(faults)
+	time.Sleep(duration)
+	f.process.SetFaults(backgroundFaults())
+}
+
+// stepClock steps the wall clock of a front end's machine. The clock stays wrong until the next
+// fault of the front end.
+func (r *run) stepClock(random *rand.Rand) {
+	const duration = 2 * time.Second
+	if f, ok := r.frontEndPool.claim(random); ok {
+		defer r.frontEndPool.release(f)
+		faults := backgroundFaults()
+		faults.ClockStep = drawClockStep(random)
+		f.process.SetFaults(faults)
+		time.Sleep(duration)
+	}
+}
+
+// drawProxyOptions draws the faults of a proxy in front of an engine.
+func (r *run) drawProxyOptions() faultproxy.Options {
+	const (
+		maxDelay   = 5 * time.Millisecond
+		jitter     = 2 * time.Millisecond
+		firstFault = time.Second
+		minPause   = time.Second
+		pauseRange = 4 * time.Second
+		minTime    = 100 * time.Millisecond
+		timeRange  = time.Second
+	)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delay := drawDuration(r.random, 0, maxDelay)
+	options := faultproxy.Options{Delay: delay, Jitter: jitter, Seed: r.random.Uint64()}
+	kinds := []faultproxy.Kind{faultproxy.Stall, faultproxy.DropResponses, faultproxy.Reset, faultproxy.Disconnect}
+	for at := firstFault; at < r.options.Duration; at += drawDuration(r.random, minPause, pauseRange) {
+		kind := kinds[r.random.IntN(len(kinds))]
+		duration := drawDuration(r.random, minTime, timeRange)
+		options.Faults = append(options.Faults, faultproxy.Fault{Kind: kind, From: at, For: duration})
+	}
+	return options
+}
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -5,11 +5,10 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net/http"
 	"os"
 	"path/filepath"
-	"strings"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -19,36 +18,40 @@
 )
 
 const (
-	readyLimit = 20 * time.Second
-	// newConnectionsEnd and openConnectionsEnd are how long after SIGTERM clients go on to come
-	// on new connections and on open ones.
+	// startTimeout bounds the start of a front end or an engine.
+	startTimeout = 20 * time.Second
+	// newConnectionsEnd and openConnectionsEnd are how long after SIGTERM clients still open new
+	// connections, and send requests on open ones.
 	newConnectionsEnd  = 300 * time.Millisecond
 	openConnectionsEnd = 500 * time.Millisecond
-	// killGrace is how long after SIGTERM and the longest deadline the kill may come.
+	// maxShutdownTime bounds the part of a graceful shutdown in which pending requests end.
+	maxShutdownTime = 3 * time.Second
+	// killGrace is how long after SIGTERM and the longest deadline the platform may kill.
 	killGrace = 700 * time.Millisecond
-	// exitSlack is how much longer an exit may take on a busy machine, as seen by its parent.
+	// exitSlack is how much longer an exit may take on a busy machine, as its parent sees it.
 	exitSlack = 300 * time.Millisecond
+	// fileMode is the mode of the files of a run.
+	fileMode = 0o600
 )
 
 var errNotReady = errors.New("not ready in time")
 
-// frontEnd is one front end that is started again after each end, under its name and address.
+// frontEnd is a front end that is started again after each end, under its name and address. One
+// fault at a time ends and starts it; clients read its state from their goroutines.
 type frontEnd struct {
-	run    *run
-	name   string
-	addr   string
-	config string
-	log    string
-
-	mu          sync.Mutex
-	process     *syscallfault.Process
-	processes   []*syscallfault.Process // all so far
-	incarnation int
-	ready       bool
-	endingAt    time.Time // of the latest SIGTERM or SIGKILL to this process; zero: none
-	kills       []time.Time
-	readyTimes  []time.Time
-	busy        bool // a trouble has it
+	run        *run
+	name       string
+	addr       string
+	configPath string
+	logPath    string
+
+	mu         sync.Mutex // guards what follows
+	process    *syscallfault.Process
+	processes  []*syscallfault.Process // all so far
+	ready      bool                    // whether the process serves
+	endingAt   time.Time               // when it was sent the latest SIGTERM or SIGKILL; zero: none
+	kills      []time.Time
+	readyTimes []time.Time // of all processes
 }
 
 func newFrontEnd(r *run, number int) (*frontEnd, error) {
@@ -59,17 +62,28 @@
 	name := fmt.Sprintf("n%d", number)
 	return &frontEnd{
 		run: r, name: name, addr: addr,
-		config: filepath.Join(r.folder, name+".json"), log: filepath.Join(r.folder, name+".log"),
+		configPath: filepath.Join(r.folder, name+".json"), logPath: filepath.Join(r.folder, name+".log"),
 	}, nil
 }
 
-// writeConfig writes the configuration as it is now, atomically.
+// writeConfig replaces the configuration by one with the present state of the bus, atomically.
 func (f *frontEnd) writeConfig(seed uint64) error {
-	temporary := f.config + ".new"
-	if err := os.WriteFile(temporary, configOf(f.name, f.addr, seed, f.run.site, len(f.run.frontEnds), f.run.bus), 0o600); err != nil {
+	config := frontEndConfig{
+		Name: f.name, Listen: f.addr, Seed: formatSeed(seed), Limits: frontEndLimits, Bus: f.run.bus.addr(),
+		Known: f.run.bus.known(), Settings: settingsObject(f.run.settings, len(f.run.frontEnds)),
+	}
+	encoded, err := config.encode()
+	if err != nil {
 		return err
 	}
-	return os.Rename(temporary, f.config)
+	temporary := f.configPath + ".new"
+	if err := os.WriteFile(temporary, encoded, fileMode); err != nil {
+		return fmt.Errorf("configuration of %s: %w", f.name, err)
+	}
+	if err := os.Rename(temporary, f.configPath); err != nil {
+		return fmt.Errorf("configuration of %s: %w", f.name, err)
+	}
+	return nil
 }
 
 // start starts a process and waits until it is ready.
@@ -77,40 +91,50 @@
 	if err := f.writeConfig(seed); err != nil {
 		return err
 	}
-	output, err := os.OpenFile(f.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	output, err := os.OpenFile(f.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
-		return err
+		return fmt.Errorf("log of %s: %w", f.name, err)
 	}
 	defer func() { _ = output.Close() }()
-	env := append(os.Environ(), "LB_CONFIG="+f.config, "LB_LISTEN=", "GOTRACEBACK=all")
-	process, err := syscallfault.Start(f.run.options.Program, []string{"--log-format=json", "--log-level=debug", "serve", "--shapes", f.run.shapes(f.name)}, env, output, seed, f.run.faults())
+	args := []string{"--log-format=json", "--log-level=debug", "serve", "--shapes", f.run.writeShapesFile(f.name)}
+	env := append(os.Environ(), "LB_CONFIG="+f.configPath, "LB_LISTEN=", "GOTRACEBACK=all")
+	process, err := syscallfault.Start(f.run.options.Program, args, env, output, seed, backgroundFaults())
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.process, f.endingAt = process, time.Time{}
+	f.process = process
+	f.endingAt = time.Time{}
 	f.processes = append(f.processes, process)
-	f.incarnation++
 	f.mu.Unlock()
 	go f.watch(process)
 	return f.awaitReady()
 }
 
-// watch reports a process that ends without having been told to.
+// watch waits for the end of a process and reports one that was not asked for.
 func (f *frontEnd) watch(process *syscallfault.Process) {
 	status, err := process.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ready = false
 	if f.endingAt.IsZero() || err != nil {
-		f.run.history.violate(Violation{Rule: ruleProcess, Detail: fmt.Sprintf("%s ended with status %#x, %v; see %s", f.name, int(status), err, f.log)})
+		f.violate(RuleProcess, "%s ended with status %#x, %v; see %s", f.name, int(status), err, f.logPath)
 	}
 }
 
-// awaitReady waits until a health check is answered.
+// violate records a violation of the front end.
+func (f *frontEnd) violate(rule Rule, format string, args ...any) {
+	f.run.history.addViolation(Violation{Rule: rule, Detail: fmt.Sprintf(format, args...)})
+}
+
+// awaitReady waits until the front end responds to a health check.
 func (f *frontEnd) awaitReady() error {
-	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for deadline := time.Now().Add(readyLimit); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	const (
+		checkTimeout  = time.Second
+		checkInterval = 20 * time.Millisecond
+	)
+	client := http.Client{Timeout: checkTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(checkInterval) {
 		response, err := client.Get("http://" + f.addr + "/health")
 		if err != nil {
 			continue
@@ -125,87 +149,89 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: %w; see %s", f.name, errNotReady, f.log)
+	return fmt.Errorf("%s: %w; see %s", f.name, errNotReady, f.logPath)
+}
+
+// takesNewConnections reports whether clients open new connections.
+func (f *frontEnd) takesNewConnections(now time.Time) bool {
+	return f.servesFor(newConnectionsEnd, now)
 }
 
-// takesNew reports whether clients come on new connections.
-func (f *frontEnd) takesNew(now time.Time) bool {
+// takesRequests reports whether clients send requests on open connections.
+func (f *frontEnd) takesRequests(now time.Time) bool { return f.servesFor(openConnectionsEnd, now) }
+
+// servesFor reports whether the front end is ready, and was not signalled to end longer ago than
+// the time.
+func (f *frontEnd) servesFor(afterSignal time.Duration, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ready && (f.endingAt.IsZero() || now.Before(f.endingAt.Add(newConnectionsEnd)))
+	return f.ready && (f.endingAt.IsZero() || now.Before(f.endingAt.Add(afterSignal)))
 }
 
-// usable reports whether clients go on using an open connection.
-func (f *frontEnd) usable(now time.Time) bool {
+// settledProcess returns the process, and whether it was signalled to end, if it has been ready for
+// longer than settleTime, else nil.
+func (f *frontEnd) settledProcess() (process *syscallfault.Process, ending bool) {
+	const settleTime = time.Second
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ready && (f.endingAt.IsZero() || now.Before(f.endingAt.Add(openConnectionsEnd)))
+	if !f.ready || len(f.readyTimes) == 0 || time.Since(f.readyTimes[len(f.readyTimes)-1]) <= settleTime {
+		return nil, false
+	}
+	return f.process, !f.endingAt.IsZero()
 }
 
-// killedWithin reports whether a SIGKILL was sent within the span.
+// killedWithin reports whether a SIGKILL was sent within the span, which includes its ends.
 func (f *frontEnd) killedWithin(from, until time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, at := range f.kills {
-		if !at.Before(from) && !at.After(until) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(f.kills, span{from, until}.contains)
 }
 
-// signal sends a signal. SIGTERM and SIGKILL announce the process's end.
+// signal sends a signal. SIGTERM and SIGKILL announce the end of the process.
 func (f *frontEnd) signal(signal syscall.Signal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	switch signal {
-	case syscall.SIGKILL:
-		f.kills = append(f.kills, now)
-		f.endingAt, f.ready = now, false
-	case syscall.SIGTERM:
+	if signal == syscall.SIGTERM || signal == syscall.SIGKILL {
 		f.endingAt = now
 	}
+	if signal == syscall.SIGKILL {
+		f.kills = append(f.kills, now)
+		f.ready = false
+	}
 	_ = f.process.Signal(signal) // a process that has ended needs none
 }
 
-// terminate ends the process gracefully, and by force where that takes too long.
+// terminate ends the process gracefully, and by force if that takes too long.
 func (f *frontEnd) terminate() {
+	const limit = min(longestDeadline, maxShutdownTime) + killGrace + exitSlack
 	f.signal(syscall.SIGTERM)
-	limit := min(longestDeadline, 3*time.Second) + killGrace
 	select {
 	case <-f.process.Ended():
-	case <-time.After(limit + exitSlack):
-		f.run.history.violate(Violation{Rule: ruleProcess, Detail: fmt.Sprintf("%s has not ended %v after SIGTERM; see %s", f.name, limit+exitSlack, f.log)})
+	case <-time.After(limit):
+		f.violate(RuleProcess, "%s has not ended %v after SIGTERM; see %s", f.name, limit, f.logPath)
 		_ = f.process.Signal(syscall.SIGKILL)
 		<-f.process.Ended()
 	}
 }
 
-// checkLog looks for what a front end itself has found wrong.
+// violationSigns stand in the log lines of a violated invariant, a crash or a data race.
+var violationSigns = []string{
+	`"invariant.violated"`, "count invariants.violated", "panic:", "fatal error:", "DATA RACE",
+}
+
+// checkLog looks for violations that the front end itself has reported, and for crashes.
 func (f *frontEnd) checkLog() {
-	text, err := os.ReadFile(f.log)
+	text, err := os.ReadFile(f.logPath)
 	if err != nil {
-		f.run.history.violate(Violation{Rule: ruleProcess, Detail: err.Error()})
+		f.violate(RuleProcess, "%v", err)
 		return
 	}
 	for line := range bytes.Lines(text) {
-		for _, sign := range []string{`"invariant.violated"`, "count invariants.violated", "panic:", "fatal error:", "DATA RACE"} {
-			if strings.Contains(string(line), sign) {
-				f.run.history.violate(Violation{Rule: ruleInvariant, Detail: f.name + ": " + strings.TrimSpace(string(line))})
+		for _, sign := range violationSigns {
+			if bytes.Contains(line, []byte(sign)) {
+				f.violate(RuleInvariant, "%s: %s", f.name, bytes.TrimSpace(line))
 			}
 		}
 	}
 }
-
-// pick returns a front end that takes new connections, or nil.
-func (r *run) pick(random *rand.Rand) *frontEnd {
-	now := time.Now()
-	offset := random.IntN(len(r.frontEnds))
-	for i := range r.frontEnds {
-		if f := r.frontEnds[(offset+i)%len(r.frontEnds)]; f.takesNew(now) {
-			return f
-		}
-	}
-	return nil
-}
--- a/internal/lab/soak/frontend_test.go
+++ b/internal/lab/soak/frontend_test.go
@@ -14,19 +14,19 @@
 func TestCheckLog_FindsViolationsAndCrashes(t *testing.T) {
 	for _, c := range []struct {
 		line   string
-		broken []string
+		broken []Rule
 	}{
 		{`{"msg":"attempt"}`, nil},
-		{`{"msg":"invariant.violated","rule":"x"}`, []string{ruleInvariant}},
-		{`{"msg":"counts","text":"count invariants.violated.x 1"}`, []string{ruleInvariant}},
-		{"panic: runtime error", []string{ruleInvariant}},
-		{"fatal error: concurrent map writes", []string{ruleInvariant}},
-		{"WARNING: DATA RACE", []string{ruleInvariant}},
+		{`{"msg":"invariant.violated","rule":"x"}`, []Rule{RuleInvariant}},
+		{`{"msg":"counts","text":"count invariants.violated.x 1"}`, []Rule{RuleInvariant}},
+		{"panic: runtime error", []Rule{RuleInvariant}},
+		{"fatal error: concurrent map writes", []Rule{RuleInvariant}},
+		{"WARNING: DATA RACE", []Rule{RuleInvariant}},
 	} {
 		r := newTestRun("")
 		f := r.frontEnds[0]
-		f.log = filepath.Join(t.TempDir(), "log")
-		if err := os.WriteFile(f.log, []byte("first line\n"+c.line+"\nlast line\n"), 0o600); err != nil {
+		f.logPath = filepath.Join(t.TempDir(), "log")
+		if err := os.WriteFile(f.logPath, []byte("first line\n"+c.line+"\nlast line\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		f.checkLog()
@@ -35,9 +35,9 @@
 		}
 	}
 	r := newTestRun("")
-	r.frontEnds[0].log = filepath.Join(t.TempDir(), "none")
+	r.frontEnds[0].logPath = filepath.Join(t.TempDir(), "none")
 	r.frontEnds[0].checkLog()
-	if !slices.Equal(rulesBroken(r), []string{ruleProcess}) {
+	if !slices.Equal(rulesBroken(r), []Rule{RuleProcess}) {
 		t.Errorf("without a log: broken %q", rulesBroken(r))
 	}
 }
@@ -46,10 +46,10 @@
 func TestWatch_ReportsAnEndThatWasNotAskedFor(t *testing.T) {
 	for name, c := range map[string]struct {
 		endingAt time.Time
-		broken   []string
+		broken   []Rule
 	}{
 		"asked for":     {time.Now(), nil},
-		"not asked for": {time.Time{}, []string{ruleProcess}},
+		"not asked for": {time.Time{}, []Rule{RuleProcess}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			output, err := os.Create(filepath.Join(t.TempDir(), "output"))
@@ -57,7 +57,8 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = output.Close() }()
-			process, err := syscallfault.Start(os.Args[0], []string{"-test.run=^$"}, os.Environ(), output, 1, syscallfault.Faults{})
+			args := []string{"-test.run=^$"}
+			process, err := syscallfault.Start(os.Args[0], args, os.Environ(), output, 1, syscallfault.Faults{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -91,13 +92,13 @@
 }
 
 // Clients come on new connections for 300 ms after a SIGTERM, and use open ones for 500 ms.
-func TestUsable_EndsSomeTimeAfterTheSignal(t *testing.T) {
+func TestTakesRequests_EndsSomeTimeAfterTheSignal(t *testing.T) {
 	f := &frontEnd{ready: true}
 	now := time.Now()
 	for _, c := range []struct {
-		since       time.Duration
-		takesNew    bool
-		stillUsable bool
+		since         time.Duration
+		takesNew      bool
+		takesRequests bool
 	}{
 		{0, true, true},
 		{299 * time.Millisecond, true, true},
@@ -106,16 +107,18 @@
 		{500 * time.Millisecond, false, false},
 	} {
 		f.endingAt = now.Add(-c.since)
-		if takesNew, usable := f.takesNew(now), f.usable(now); takesNew != c.takesNew || usable != c.stillUsable {
-			t.Errorf("%v after SIGTERM: new %v, open %v", c.since, takesNew, usable)
+		takesNew := f.takesNewConnections(now)
+		takesRequests := f.takesRequests(now)
+		if takesNew != c.takesNew || takesRequests != c.takesRequests {
+			t.Errorf("%v after SIGTERM: new %v, open %v", c.since, takesNew, takesRequests)
 		}
 	}
 	f.endingAt = time.Time{}
-	if !f.takesNew(now) || !f.usable(now) {
+	if !f.takesNewConnections(now) || !f.takesRequests(now) {
 		t.Error("a front end that was not signalled takes no requests")
 	}
 	f.ready = false
-	if f.takesNew(now) || f.usable(now) {
+	if f.takesNewConnections(now) || f.takesRequests(now) {
 		t.Error("a front end that is not ready takes requests")
 	}
 }
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// outcome is what became of a request, as its client saw it.
+// outcome is how a request ended, as its client saw it.
 type outcome string
 
 const (
-	outcomeServed   outcome = "served"
-	outcomeRejected outcome = "rejected"
-	outcomeFailed   outcome = "failed"
-	outcomeLeft     outcome = "left"    // the client closed its connection or cancelled
-	outcomeExcused  outcome = "excused" // the front end was killed, or the request crossed an idle close
-	outcomeLost     outcome = "lost"    // no answer, a late one, or one that is not whole
+	outcomeServed       outcome = "served"
+	outcomeRejected     outcome = "rejected"
+	outcomeFailed       outcome = "failed"
+	outcomeDisconnected outcome = "disconnected" // the client closed its connection before the response
+	outcomeExcused      outcome = "excused"      // no response, since the front end was killed
+	outcomeLost         outcome = "lost"         // no response, a late one, or an incomplete one
 )
 
 // request is one request of a client.
@@ -24,47 +24,68 @@
 	frontEnd string
 	sentAt   time.Time // when its last byte was written
 	wait     time.Duration
-	endedAt  time.Time // when the answer was complete, or the client left
+	endedAt  time.Time // when the response was complete, or the client disconnected
 	outcome  outcome
 	detail   string
 }
 
-// attempt is one request as it reached an engine.
+// deadline is when the client gives up.
+func (r *request) deadline() time.Time { return r.sentAt.Add(r.wait) }
+
+// responseKind is how an engine responded to an attempt.
+type responseKind string
+
+const (
+	responseNone      responseKind = ""          // none was written
+	responseServed    responseKind = "served"    // a result
+	responseRejected  responseKind = "rejected"  // the engine has no capacity; the request has not run
+	responseFailed    responseKind = "failed"    // the request may have run
+	responseMalformed responseKind = "malformed" // cannot be parsed
+)
+
+// attempt is one execution of a request at an engine.
 type attempt struct {
-	requestID string
-	engine    string
-	proxied   bool // it came through a proxy, or to a frozen engine: its times are not those of the front end
-	class     string
-	beganAt   time.Time
-	timeLeft  time.Duration // that the front end passed on
-	endedAt   time.Time     // when its end was written, its connection ended or its engine was killed
-	word      string        // of the answer; "": none was written
-	workTime  time.Duration
+	requestID     string
+	engine        string
+	class         string
+	beganAt       time.Time     // when it arrived at the engine
+	remainingTime time.Duration // until the client's deadline, as the front end passed it on
+	endedAt       time.Time     // when its response was written, its connection ended or its engine was killed
+	response      responseKind
+	workTime      time.Duration
+
+	// delayed says that a proxy or a frozen engine may have delayed the attempt, so that its times
+	// are not those of the front end.
+	delayed bool
 }
 
-// engineChange is a change of the endpoint list that the bus has told.
+// engineChange is a change of the endpoint list that the bus publishes.
 type engineChange struct {
-	engine    string
-	state     engineState
-	toldAt    time.Time
-	startedAt time.Time // by the real clock; zero: no start
+	engine      string
+	state       engineState
+	publishedAt time.Time
+	startedAt   time.Time // by the real clock; zero: the change is no start
 }
 
-// span is a time in which the bus may tell late.
+// span is a time in which a fault of the bus may delay notifications.
 type span struct{ from, until time.Time }
 
-// history is what happened in a run. It is safe for concurrent use.
+// contains reports whether the time lies in the span, which includes its ends.
+func (s span) contains(t time.Time) bool { return !t.Before(s.from) && !t.After(s.until) }
+
+// history is what clients, engine processes and the injector of faults have recorded in a run. It
+// is safe for concurrent use.
 type history struct {
 	mu         sync.Mutex
 	requests   []*request
 	attempts   []*attempt
-	open       map[string]map[string]*attempt // by engine process and request id
+	inFlight   map[string]map[string]*attempt // by engine process and request id
 	changes    []engineChange
-	busTrouble []span
-	violations []Violation
+	busFaults  []span
+	violations []Violation // that were seen while the run went on
 }
 
-func newHistory() *history { return &history{open: map[string]map[string]*attempt{}} }
+func newHistory() *history { return &history{inFlight: map[string]map[string]*attempt{}} }
 
 func (h *history) addRequest(r *request) {
 	h.mu.Lock()
@@ -78,49 +99,77 @@
 	h.changes = append(h.changes, c)
 }
 
-func (h *history) addBusTrouble(from, until time.Time) {
+func (h *history) addBusFault(from, until time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.busTrouble = append(h.busTrouble, span{from, until})
+	h.busFaults = append(h.busFaults, span{from, until})
 }
 
-// violate records a violation that was seen while the run went on.
-func (h *history) violate(v Violation) {
+// addViolation records a violation that was seen while the run went on.
+func (h *history) addViolation(v Violation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.violations = append(h.violations, v)
 }
 
-// begin records an attempt that has reached an engine process.
-func (h *history) begin(process string, a *attempt) {
+// beginAttempt records an attempt that has arrived at an engine process.
+func (h *history) beginAttempt(process string, a *attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.attempts = append(h.attempts, a)
-	if h.open[process] == nil {
-		h.open[process] = map[string]*attempt{}
+	if h.inFlight[process] == nil {
+		h.inFlight[process] = map[string]*attempt{}
 	}
-	h.open[process][a.requestID] = a
+	h.inFlight[process][a.requestID] = a
+}
+
+// attemptEnd is how an attempt ended.
+type attemptEnd struct {
+	at       time.Time
+	response responseKind
+	workTime time.Duration
+	delayed  bool // whether the engine process may have noticed the end late
 }
 
-// end records the end of an attempt; word is "" where none was written. Where the process may
-// have noticed it late, its times count no more.
-func (h *history) end(process, requestID, word string, at time.Time, workTime time.Duration, late bool) {
+// endAttempt records the end of an attempt that is in flight at an engine process.
+func (h *history) endAttempt(process, requestID string, end attemptEnd) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a := h.open[process][requestID]
+	a := h.inFlight[process][requestID]
 	if a == nil {
 		return
 	}
-	delete(h.open[process], requestID)
-	a.endedAt, a.word, a.workTime, a.proxied = at, word, workTime, a.proxied || late
+	delete(h.inFlight[process], requestID)
+	a.endedAt = end.at
+	a.response = end.response
+	a.workTime = end.workTime
+	a.delayed = a.delayed || end.delayed
 }
 
-// endProcess records that an engine process has ended, and with it its attempts.
+// endProcess records that an engine process has ended, and with it its attempts in flight.
 func (h *history) endProcess(process string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, a := range h.open[process] {
+	for _, a := range h.inFlight[process] {
 		a.endedAt = at
 	}
-	delete(h.open, process)
+	delete(h.inFlight, process)
+}
+
+// outcomeCounts counts the requests by their outcome.
+func (h *history) outcomeCounts() map[string]int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	counts := map[string]int{}
+	for _, r := range h.requests {
+		counts[string(r.outcome)]++
+	}
+	return counts
+}
+
+// attemptCount returns how many attempts arrived at engines.
+func (h *history) attemptCount() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return len(h.attempts)
 }
--- /dev/null
+++ b/internal/lab/soak/malformed.go
@@ -0,0 +1,55 @@
+package soak
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"time"
+)
+
+// malformedResponseTimeout is within which time a client with a malformed request gets a response
+// or a close: 3 s by the specification, and slack for a busy machine.
+const malformedResponseTimeout = 4 * time.Second
+
+// malformedRequests returns the requests of misbehaving clients. Their order is part of the meaning
+// of a seed.
+func malformedRequests(id string) []string {
+	const tooLongPath = 40000
+	return []string{
+		"hello\r\n\r\n",
+		"POST /rpc/lookup HTTP/1.1\r\nContent-Length: -5\r\n\r\n",
+		"POST /rpc/lookup HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Wait-Ms: NaN\r\nContent-Length: 1\r\n\r\nx",
+		"POST /rpc/nowhere HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Wait-Ms: 100\r\nContent-Length: 1\r\n\r\nx",
+		"GET /" + strings.Repeat("x", tooLongPath),
+		"POST /rpc/lookup HTTP/1.1\r\nReq-Id: " + id + "\r\nContent-Le", // ends in its head
+		"", // nothing is sent at all
+	}
+}
+
+// sendMalformedRequest sends a malformed request on a connection of its own and checks that it gets
+// a response or a close. Nothing else is required.
+func (c *client) sendMalformedRequest() {
+	target := c.run.pickFrontEnd(c.random)
+	if target == nil {
+		return
+	}
+	conn, err := net.DialTimeout("tcp", target.addr, dialTimeout)
+	if err != nil {
+		return
+	}
+	defer func() { _ = conn.Close() }()
+	startedAt := time.Now()
+	_ = conn.SetDeadline(startedAt.Add(malformedResponseTimeout))
+	texts := malformedRequests(fmt.Sprintf("ffff%04x%08x", c.number, c.sent))
+	if _, err := io.WriteString(conn, texts[c.random.IntN(len(texts))]); err != nil {
+		return // closed already
+	}
+	_, err = io.Copy(io.Discard, conn)
+	var netError net.Error
+	timedOut := errors.As(err, &netError) && netError.Timeout()
+	if timedOut && !target.killedWithin(startedAt, time.Now()) {
+		target.violate(RuleMalformedRequest, "%s: nothing within %v", target.name, malformedResponseTimeout)
+	}
+}
--- /dev/null
+++ b/internal/lab/soak/result.go
@@ -0,0 +1,42 @@
+package soak
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Result is what a run has found.
+type Result struct {
+	Seed       uint64
+	Folder     string // with the logs
+	Outcomes   map[string]int
+	Attempts   int
+	Faults     map[string]int // that the schedule began, by kind
+	Injected   map[string]int // faults of system calls, by kind
+	Violations []Violation
+}
+
+// String describes the result: its counts, and one line for each violation.
+func (r *Result) String() string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "seed %d: %d attempts", r.Seed, r.Attempts)
+	for _, counts := range []map[string]int{r.Outcomes, r.Faults, r.Injected} {
+		text.WriteString("; " + formatCounts(counts))
+	}
+	fmt.Fprintf(&text, "; %d violations\n", len(r.Violations))
+	for _, v := range r.Violations {
+		fmt.Fprintf(&text, "  %s\n", v)
+	}
+	return text.String()
+}
+
+// formatCounts lists the counts in the order of their names.
+func formatCounts(counts map[string]int) string {
+	var parts []string
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%s %d", name, counts[name]))
+	}
+	return strings.Join(parts, ", ")
+}
--- /dev/null
+++ b/internal/lab/soak/rules.go
@@ -0,0 +1,55 @@
+package soak
+
+// Rule is what must hold in every run. Where the front end checks the same at run time, the rule has
+// the name of its invariant (docs/glossary.md).
+type Rule string
+
+// The rules that the checker reads from the history.
+const (
+	// RuleResponse: every request has one complete response in time, unless its client has
+	// disconnected or its front end was killed.
+	RuleResponse Rule = "response-deadline"
+	// RuleRetryLimit: a request has at most three attempts.
+	RuleRetryLimit Rule = "retry-limit"
+	// RuleSingleInFlight: one attempt of a request is in flight at a time.
+	RuleSingleInFlight Rule = "single-in-flight"
+	// RuleRetryIdempotency: a request that is not idempotent runs once.
+	RuleRetryIdempotency Rule = "retry-idempotency"
+	// RuleSendAfterDisconnect: no attempt begins for a client that has disconnected.
+	RuleSendAfterDisconnect Rule = "send-after-completion"
+	// RuleRemainingTime: an engine is given no more time than remains for the client.
+	RuleRemainingTime Rule = "remaining-time"
+	// RuleDrainedEndpoint: no attempt begins at an engine that is draining or removed.
+	RuleDrainedEndpoint Rule = "drained-endpoint"
+	// RuleSlowStart: an engine that is warming up is not overloaded.
+	RuleSlowStart Rule = "slow-start-overload"
+)
+
+// The rules that are checked while the run goes on.
+const (
+	// RuleCompleteResult: a served response holds the complete result of an engine.
+	RuleCompleteResult Rule = "complete-result"
+	// RuleRetryAfter: a rejection has a Retry-After.
+	RuleRetryAfter Rule = "retry-after"
+	// RuleMalformedRequest: a client with a malformed request gets a response or a close.
+	RuleMalformedRequest Rule = "malformed-request"
+	// RuleProcess: a front end serves until it is signalled to end, and then ends in time.
+	RuleProcess Rule = "process-lifetime"
+	// RuleInvariant: a front end reports no violation of its invariants and does not crash.
+	RuleInvariant Rule = "invariant"
+)
+
+// Violation is one break of a rule.
+type Violation struct {
+	Rule    Rule
+	Request string // id; "": of no single request
+	Detail  string
+}
+
+// String describes the violation in one line.
+func (v Violation) String() string {
+	if v.Request == "" {
+		return string(v.Rule) + ": " + v.Detail
+	}
+	return string(v.Rule) + ": request " + v.Request + ": " + v.Detail
+}
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -6,15 +6,14 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
-	"slices"
-	"strings"
 	"sync"
+	"syscall"
 	"time"
 
-	"flaxrelay/internal/lab/syscallfault"
+	"flaxrelay/internal/lab/harness"
 )
 
-// Options say what to play.
+// Options say what to run.
 type Options struct {
 	Program   string // the front end
 	Self      string // a program that calls RunEngineProcess first, for the engines
@@ -24,80 +23,90 @@
 	FrontEnds int
 	Engines   int
 	Clients   int
-	Log       io.Writer // of the troubles; nil: none
+	Log       io.Writer // for a line about each fault; nil: none
 }
 
-// Result is what a run has found.
-type Result struct {
-	Seed       uint64
-	Folder     string // with the logs
-	Outcomes   map[string]int
-	Attempts   int
-	Troubles   map[string]int
-	Injected   map[string]int // faults of system calls, by kind
-	Violations []Violation
-}
+// Second words of the seeds of a run's random numbers, beside that of the run itself.
+const (
+	scheduleStream    = 0
+	firstClientStream = 1 // and one more for each further client
+)
+
+// Faults leave one front end in two and one engine in three alone.
+const (
+	frontEndReserveDivisor = 2
+	engineReserveDivisor   = 3
+)
 
-// run is a run in progress.
+// run is a run in progress. Its front ends, engines and clients refer to it.
 type run struct {
-	options Options
-	folder  string
-	site    siteOptions
-	odd     float64
-	history *history
-	bus     *eventBus
-	started time.Time
-
-	troubles sync.WaitGroup
-	busMove  sync.Mutex
-
-	frontEnds []*frontEnd
-
-	mu       sync.Mutex // guards what follows, and busy of front ends and engines
-	random   *rand.Rand
-	engines  []*engine
-	engineID uint32
-	played   map[string]int
+	options             Options
+	folder              string
+	settings            runSettings
+	faultyResponseShare float64 // of the requests that engines run
+	history             *history
+	bus                 *eventBus
+	startedAt           time.Time
+
+	frontEnds    []*frontEnd // all; complete before the first is started
+	frontEndPool *pool[*frontEnd]
+	engines      *pool[*engine]
+
+	faults  sync.WaitGroup // that are in progress
+	busMove sync.Mutex     // held while the bus moves and the front ends learn its new address
+
+	mu           sync.Mutex // guards what follows
+	random       *rand.Rand
+	lastEngineID uint32
+	faultCounts  map[string]int // of the faults that began, by kind
 }
 
-// seedText is a seed in the form of the configuration.
-func seedText(seed uint64) string { return fmt.Sprintf("%016x", seed) }
-
-// Play plays one run to its end.
-func Play(options Options) (result *Result, err error) {
+// newRun draws the settings of a run from its seed.
+func newRun(options Options) *run {
+	const maxFaultyResponseShare = 0.08
 	random := rand.New(rand.NewPCG(options.Seed, options.Seed))
-	r := &run{
-		options: options, history: newHistory(), random: random, site: drawSite(random),
-		odd: 0.08 * random.Float64(), played: map[string]int{}, started: time.Now(),
+	settings := drawRunSettings(random)
+	return &run{
+		options: options, settings: settings, faultyResponseShare: maxFaultyResponseShare * random.Float64(),
+		history: newHistory(), startedAt: time.Now(), random: random, faultCounts: map[string]int{},
+		frontEndPool: newPool[*frontEnd](frontEndReserveDivisor), engines: newPool[*engine](engineReserveDivisor),
 	}
-	if r.folder, err = os.MkdirTemp(options.Folder, fmt.Sprintf("soak-%d-", options.Seed)); err != nil {
-		return nil, err
+}
+
+// Run runs the workload under the faults of a seed to its end and checks the history.
+func Run(options Options) (*Result, error) {
+	r := newRun(options)
+	folder, err := os.MkdirTemp(options.Folder, fmt.Sprintf("soak-%d-", options.Seed))
+	if err != nil {
+		return nil, fmt.Errorf("folder of the run: %w", err)
 	}
+	r.folder = folder
 	if r.bus, err = newEventBus(); err != nil {
 		return nil, err
 	}
 	defer r.bus.close()
-	defer r.endAll()
-	if err := r.startAll(); err != nil {
+	defer r.endProcesses()
+	if err := r.startProcesses(); err != nil {
 		return nil, err
 	}
-	r.playAll()
-	return r.judge(), nil
+	r.serveWorkload()
+	return r.result(), nil
 }
 
-// startAll starts engines and front ends.
-func (r *run) startAll() error {
+// startProcesses starts engines and front ends.
+func (r *run) startProcesses() error {
+	const proxiedEngineOneIn = 4
 	for i := range r.options.Engines {
-		addr, err := newEngineAddr()
+		addr, err := harness.FreeAddr()
 		if err != nil {
 			return err
 		}
-		e, err := newEngine(r, r.nextEngineID(), addr, i%4 == 3)
+		e, err := newEngine(r, r.nextEngineID(), addr, i%proxiedEngineOneIn == proxiedEngineOneIn-1)
 		if err != nil {
 			return err
 		}
-		r.engines = append(r.engines, e)
-		e.tell(stateReady, time.Time{}, 0)
+		r.engines.add(e)
+		e.publishState(stateReady)
 	}
 	for i := range r.options.FrontEnds {
 		f, err := newFrontEnd(r, i+1)
@@ -105,6 +114,7 @@
 			return err
 		}
 		r.frontEnds = append(r.frontEnds, f)
+		r.frontEndPool.add(f)
 	}
 	for _, f := range r.frontEnds {
 		if err := f.start(r.random.Uint64()); err != nil {
@@ -114,105 +124,78 @@
 	return nil
 }
 
-// playAll plays clients and troubles, and lets all that is open end.
-func (r *run) playAll() {
-	stopClients, stopTroubles := make(chan struct{}), make(chan struct{})
-	var clients, scheduler sync.WaitGroup
+// serveWorkload runs clients and faults for the duration of the run, waits until all faults are
+// over and all requests have ended, and then ends the front ends gracefully.
+func (r *run) serveWorkload() {
+	stopClients := make(chan struct{})
+	stopFaults := make(chan struct{})
+	var clients, injector sync.WaitGroup
 	for i := range r.options.Clients {
-		c := &client{run: r, number: i, random: rand.New(rand.NewPCG(r.options.Seed, uint64(i)+1))}
+		random := rand.New(rand.NewPCG(r.options.Seed, uint64(i)+firstClientStream))
+		c := &client{run: r, number: i, random: random}
 		clients.Go(func() { c.serve(stopClients) })
 	}
-	scheduler.Go(func() { r.playTroubles(rand.New(rand.NewPCG(r.options.Seed, 0)), stopTroubles) })
+	schedule := rand.New(rand.NewPCG(r.options.Seed, scheduleStream))
+	injector.Go(func() { r.injectFaults(schedule, stopFaults) })
 	time.Sleep(r.options.Duration)
-	close(stopTroubles)
-	scheduler.Wait()
-	r.troubles.Wait()
+	close(stopFaults)
+	injector.Wait()
+	r.faults.Wait()
 	close(stopClients)
 	clients.Wait()
-	for _, f := range r.frontEnds { // all at once, as at the end of a day
-		r.troubles.Go(f.terminate)
+	for _, f := range r.frontEnds { // all at the same time
+		r.faults.Go(f.terminate)
 	}
-	r.troubles.Wait()
+	r.faults.Wait()
 }
 
-// endAll ends what still runs.
-func (r *run) endAll() {
+// endProcesses ends what still runs.
+func (r *run) endProcesses() {
 	for _, f := range r.frontEnds {
 		if f.process != nil {
-			f.signal(9)
+			f.signal(syscall.SIGKILL)
 			<-f.process.Ended()
 		}
 	}
-	for _, e := range r.engines {
+	for _, e := range r.engines.all() {
 		e.end()
 	}
 }
 
-// judge collects the result.
-func (r *run) judge() *Result {
-	starts := map[string][]time.Time{}
+// result checks the history and collects the result.
+func (r *run) result() *Result {
+	readyTimes := map[string][]time.Time{}
+	injected := map[string]int{}
 	for _, f := range r.frontEnds {
 		f.checkLog()
-		starts[f.name] = f.readyTimes
-	}
-	result := &Result{Seed: r.options.Seed, Folder: r.folder, Outcomes: map[string]int{}, Troubles: r.played, Injected: map[string]int{}}
-	for _, f := range r.frontEnds {
+		readyTimes[f.name] = f.readyTimes
 		for _, process := range f.processes {
 			for kind, count := range process.Counts() {
-				result.Injected[string(kind)] += count
+				injected[string(kind)] += count
 			}
 		}
 	}
-	result.Violations = r.history.judge(starts)
-	r.history.mu.Lock()
-	defer r.history.mu.Unlock()
-	for _, request := range r.history.requests {
-		result.Outcomes[string(request.outcome)]++
+	return &Result{
+		Seed: r.options.Seed, Folder: r.folder, Outcomes: r.history.outcomeCounts(), Attempts: r.history.attemptCount(),
+		Faults: r.faultCounts, Injected: injected, Violations: r.history.check(readyTimes),
 	}
-	result.Attempts = len(r.history.attempts)
-	return result
 }
 
-// String describes the result: its counts, and one line for each violation.
-func (r *Result) String() string {
-	var text strings.Builder
-	fmt.Fprintf(&text, "seed %d: %d attempts", r.Seed, r.Attempts)
-	for _, counts := range []map[string]int{r.Outcomes, r.Troubles, r.Injected} {
-		names := []string{}
-		for name := range counts {
-			names = append(names, name)
-		}
-		slices.Sort(names)
-		text.WriteString("; ")
-		for i, name := range names {
-			if i > 0 {
-				text.WriteString(", ")
-			}
-			fmt.Fprintf(&text, "%s %d", name, counts[name])
-		}
-	}
-	fmt.Fprintf(&text, "; %d violations\n", len(r.Violations))
-	for _, v := range r.Violations {
-		fmt.Fprintf(&text, "  %s\n", v)
-	}
-	return text.String()
-}
-
-// note counts a trouble and writes it to the log.
-func (r *run) note(name string) {
+// recordFault counts a fault that begins and writes it to the log.
+func (r *run) recordFault(kind string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.played[name]++
+	r.faultCounts[kind]++
 	if r.options.Log != nil {
-		_, _ = fmt.Fprintf(r.options.Log, "%8.3f %s\n", time.Since(r.started).Seconds(), name)
+		_, _ = fmt.Fprintf(r.options.Log, "%8.3f %s\n", time.Since(r.startedAt).Seconds(), kind)
 	}
 }
 
-// check records an error of the run itself as a violation, so that it is not passed over, and
+// check records an error of the run itself as a violation, so that it is not overlooked, and
 // reports whether there was none.
 func (r *run) check(err error) bool {
 	if err != nil {
-		r.history.violate(Violation{Rule: ruleProcess, Detail: err.Error()})
+		r.history.addViolation(Violation{Rule: RuleProcess, Detail: err.Error()})
 	}
 	return err == nil
 }
@@ -220,25 +203,36 @@
 func (r *run) nextEngineID() uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.engineID++
-	return r.engineID
+	r.lastEngineID++
+	return r.lastEngineID
 }
 
-// faults are those that a front end always has: few, so that it is not all that happens, but for
-// those of files, which are written seldom.
-func (r *run) faults() syscallfault.Faults {
-	return syscallfault.Faults{
-		ShortWrite: 0.01, InterruptWrite: 0.01, ShortRead: 0.01, InterruptRead: 0.01, FailFile: 0.2, TornFile: 0.2,
-	}
+// shapesFileFormat is the file of statement statistics; its argument is the path of the snapshot.
+const shapesFileFormat = `enabled = true
+correct_estimates = true
+memory_kb = 256
+hysteresis = 1.3
+snapshot = %q
+snapshot_every_s = 10
+`
+
+// writeShapesFile writes the file of statement statistics for a front end and returns its path. The
+// snapshot lasts from one process of the front end to the next.
+func (r *run) writeShapesFile(frontEnd string) string {
+	path := filepath.Join(r.folder, frontEnd+"-shapes.toml")
+	text := fmt.Sprintf(shapesFileFormat, filepath.Join(r.folder, frontEnd+".snapshot"))
+	r.check(os.WriteFile(path, []byte(text), fileMode))
+	return path
 }
 
-// shapes writes the file of statement statistics for a front end, whose folder lasts, and returns
-// its path.
-func (r *run) shapes(name string) string {
-	path := filepath.Join(r.folder, name+"-shapes.toml")
-	text := fmt.Sprintf("enabled = true\ncorrect_estimates = true\nmemory_kb = 256\nhysteresis = 1.3\nsnapshot = %q\nsnapshot_every_s = 10\n", filepath.Join(r.folder, name+".snapshot"))
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		r.check(err)
+// pickFrontEnd returns a front end that takes new connections, or nil.
+func (r *run) pickFrontEnd(random *rand.Rand) *frontEnd {
+	now := time.Now()
+	offset := random.IntN(len(r.frontEnds))
+	for i := range r.frontEnds {
+		if f := r.frontEnds[(offset+i)%len(r.frontEnds)]; f.takesNewConnections(now) {
+			return f
+		}
 	}
-	return path
+	return nil
 }
--- /dev/null
+++ b/internal/lab/soak/schedule.go
@@ -0,0 +1,68 @@
+package soak
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// faultKind is one kind of fault.
+type faultKind struct {
+	name   string
+	inject func(r *run, random *rand.Rand) // returns when the fault is over
+}
+
+// faultKinds are drawn with equal chance; a kind that stands twice is drawn twice as often. Their
+// order is part of the meaning of a seed.
+var faultKinds = []faultKind{
+	{"terminate a front end", (*run).terminateFrontEnd},
+	{"kill a front end", (*run).killFrontEnd},
+	{"restart an engine", (*run).restartEngine},
+	{"replace an engine", (*run).replaceEngine},
+	{"replace an engine", (*run).replaceEngine},
+	{"freeze an engine", (*run).freezeEngine},
+	{"move the bus", (*run).moveBus},
+	{"bus down", func(r *run, random *rand.Rand) { r.disturbBus(busDown, random) }},
+	{"bus silent", func(r *run, random *rand.Rand) { r.disturbBus(busSilent, random) }},
+	{"bus event truncated", func(r *run, random *rand.Rand) { r.disturbBus(busTruncating, random) }},
+	{"failing system calls", (*run).failSystemCalls},
+	{"failing system calls", (*run).failSystemCalls},
+	{"step a front end's clock", (*run).stepClock},
+}
+
+// scheduledFault is one fault of the schedule.
+type scheduledFault struct {
+	pause time.Duration // since the start of the fault before
+	kind  faultKind
+	seed  uint64 // of the fault's own random numbers
+}
+
+// nextFault draws the next fault of a schedule.
+func nextFault(random *rand.Rand) scheduledFault {
+	const (
+		minPause   = 150 * time.Millisecond
+		pauseRange = 700 * time.Millisecond
+	)
+	pause := drawDuration(random, minPause, pauseRange)
+	kind := faultKinds[random.IntN(len(faultKinds))]
+	return scheduledFault{pause: pause, kind: kind, seed: random.Uint64()}
+}
+
+// drawDuration draws from the range that begins at the minimum.
+func drawDuration(random *rand.Rand, minimum, rangeSize time.Duration) time.Duration {
+	return minimum + time.Duration(random.Int64N(int64(rangeSize)))
+}
+
+// injectFaults starts one fault of the schedule after the other until stop is closed. It does not
+// wait for their ends, so that several overlap.
+func (r *run) injectFaults(random *rand.Rand, stop <-chan struct{}) {
+	for {
+		fault := nextFault(random)
+		select {
+		case <-stop:
+			return
+		case <-time.After(fault.pause):
+		}
+		r.recordFault(fault.kind.name)
+		r.faults.Go(func() { fault.kind.inject(r, rand.New(rand.NewPCG(fault.seed, fault.seed))) })
+	}
+}
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -2,95 +2,144 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"math/rand/v2"
 	"time"
+
+	"flaxrelay/internal/lab/fake"
 )
 
 // The classes of every run, by their effect.
 const (
-	classLookup = "lookup" // may be repeated freely
-	classLoad   = "load"   // may be repeated under its key
-	classWrite  = "write"  // may run once
+	classLookup = "lookup" // idempotent
+	classLoad   = "load"   // idempotent under its key
+	classWrite  = "write"  // not idempotent
 )
 
 var classes = []string{classLookup, classLoad, classWrite}
 
 // workTimes are the mean times that an engine works on a request.
 var workTimes = map[string]time.Duration{
-	classLookup: 40 * time.Millisecond, classLoad: 80 * time.Millisecond, classWrite: 60 * time.Millisecond,
+	classLookup: 40 * time.Millisecond,
+	classLoad:   80 * time.Millisecond,
+	classWrite:  60 * time.Millisecond,
 }
 
-// Figures of the settings that the oracle needs.
+// Settings of every run that the checker and the clients know too.
 const (
 	longestDeadline = 2 * time.Second
-	answerSlack     = 500 * time.Millisecond // beyond a client's time: later is lost
 	drainGrace      = 500 * time.Millisecond
-	coldTime        = 8 * time.Second
-	startCapacity   = 0.3
-	overloadFactor  = 2.5
-	overloadWindow  = time.Second
-	engineCores     = 2
 	maxAttempts     = 3
 	maxRetryAfter   = 300 * time.Millisecond
 )
 
-// siteOptions are the parts of the settings that vary from run to run.
-type siteOptions struct {
-	cancel     bool // running requests may be cancelled
-	retryAfter bool
-	dedupMS    int
+// The slow start of an engine in every run.
+const (
+	warmUpTime     = 8 * time.Second
+	startCapacity  = 0.3 // share of the capacity right after the start
+	overloadFactor = 2.5 // times the capacity from which an engine is overloaded
+	overloadWindow = time.Second
+	engineCores    = 2
+)
+
+// The only zone and kind of engines.
+const (
+	engineZone = "hall-a"
+	engineKind = "std-8"
+)
+
+// runSettings are the settings that vary from run to run.
+type runSettings struct {
+	cancel              bool // whether front ends may cancel attempts in flight
+	retryAfter          bool // whether rejections have a Retry-After
+	deduplicationWindow time.Duration
 }
 
-func drawSite(random *rand.Rand) siteOptions {
-	return siteOptions{cancel: random.IntN(2) == 0, retryAfter: random.IntN(4) > 0, dedupMS: 1000 + random.IntN(5000)}
+func drawRunSettings(random *rand.Rand) runSettings {
+	const (
+		cancelOneIn          = 2
+		noRetryAfterOneIn    = 4
+		minDeduplicationMS   = 1000
+		deduplicationRangeMS = 5000
+	)
+	cancel := random.IntN(cancelOneIn) == 0
+	retryAfter := random.IntN(noRetryAfterOneIn) > 0
+	window := time.Duration(minDeduplicationMS+random.IntN(deduplicationRangeMS)) * time.Millisecond
+	return runSettings{cancel: cancel, retryAfter: retryAfter, deduplicationWindow: window}
 }
 
-// settingsOf returns the settings object of a front end's configuration.
-func settingsOf(site siteOptions, frontEnds int) map[string]any {
-	milliseconds := func(d time.Duration) int64 { return d.Milliseconds() }
+// settingsObject returns the settings object of a front end's configuration. It is a map, since its
+// keys are words of the specification; a type with a field for each would repeat the one that the
+// program decodes.
+func settingsObject(varying runSettings, frontEnds int) map[string]any {
+	deadlineMS := longestDeadline.Milliseconds()
 	return map[string]any{
-		"balancers": frontEnds, "zone": "hall-a", "zones": []string{"hall-a"}, "kinds": []string{"std-8"},
+		"balancers": frontEnds, "zone": engineZone, "zones": []string{engineZone}, "kinds": []string{engineKind},
 		"membership-mode": "pushed", "round-ms": 5,
 		"classes": []map[string]any{
 			{
-				"name": classLookup, "aim-ms": 300, "aim-stretch": 1.5, "hard-limit-ms": milliseconds(longestDeadline),
+				"name": classLookup, "aim-ms": 300, "aim-stretch": 1.5, "hard-limit-ms": deadlineMS,
 				"importance": 1, "late-share": 0.1, "effect": "read_like", "group": "all",
 			},
 			{
-				"name": classLoad, "aim-ms": 500, "aim-stretch": 1.5, "hard-limit-ms": milliseconds(longestDeadline),
-				"importance": 3, "late-share": 0.1, "effect": "idempotency_key", "group": "all", "window-ms": site.dedupMS,
+				"name": classLoad, "aim-ms": 500, "aim-stretch": 1.5, "hard-limit-ms": deadlineMS,
+				"importance": 3, "late-share": 0.1, "effect": "idempotency_key", "group": "all",
+				"window-ms": varying.deduplicationWindow.Milliseconds(),
 			},
 			{
-				"name": classWrite, "aim-ms": 500, "aim-stretch": 1.5, "hard-limit-ms": milliseconds(longestDeadline),
+				"name": classWrite, "aim-ms": 500, "aim-stretch": 1.5, "hard-limit-ms": deadlineMS,
 				"importance": 5, "late-share": 0.1, "effect": "non_idempotent", "group": "all",
 			},
 		},
 		"contract": map[string]any{
-			"answer-slack-ms": 20, "cold-ms": milliseconds(coldTime), "fall-ms": milliseconds(overloadWindow),
-			"start-capacity": startCapacity, "stop-sending-within-ms": milliseconds(drainGrace), "tip-multiple": overloadFactor,
+			"answer-slack-ms": 20, "cold-ms": warmUpTime.Milliseconds(), "fall-ms": overloadWindow.Milliseconds(),
+			"start-capacity": startCapacity, "stop-sending-within-ms": drainGrace.Milliseconds(),
+			"tip-multiple": overloadFactor,
 		},
 		"limits": map[string]any{
-			"cancel": site.cancel, "connect-timeout-ms": 250, "idle-close-ms": 5000, "max-retry-after-ms": milliseconds(maxRetryAfter),
-			"max-streams": 32, "most-tries": maxAttempts, "retry-after": site.retryAfter, "second-copies": false,
+			"cancel": varying.cancel, "connect-timeout-ms": 250, "idle-close-ms": 5000,
+			"max-retry-after-ms": maxRetryAfter.Milliseconds(), "max-streams": 32, "most-tries": maxAttempts,
+			"retry-after": varying.retryAfter, "second-copies": false,
 		},
 		"report": map[string]any{"how": "piggyback", "names": []string{"cpu", "waiting", "x1", "x0"}},
 		"extra": map[string]any{
 			"cores-by-kind": []int{engineCores}, "memory-by-kind-mb": []int{8192}, "grants-count": false,
-			"is-load": []bool{false, true, false}, "parallelism": []int{1, 1, 1}, "takes-priority": true, "tells-cost": true,
-			"tells-every-ms": 0, "when-short": "queue", "yields-to-loads": []bool{false, false, false},
+			"is-load": []bool{false, true, false}, "parallelism": []int{1, 1, 1}, "takes-priority": true,
+			"tells-cost": true, "tells-every-ms": 0, "when-short": "queue",
+			"yields-to-loads": []bool{false, false, false},
 		},
 	}
 }
 
-// configOf returns a front end's configuration.
-func configOf(name, listen string, seed uint64, site siteOptions, frontEnds int, bus *eventBus) []byte {
-	encoded, err := json.MarshalIndent(map[string]any{
-		"name": name, "listen": listen, "seed": seedText(seed),
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 512},
-		"bus":    bus.addr(), "known": bus.known(), "settings": settingsOf(site, frontEnds),
-	}, "", " ")
+// frontEndConfig is the configuration of a front end, as its file holds it.
+type frontEndConfig struct {
+	Name     string           `json:"name"`
+	Listen   string           `json:"listen"`
+	Seed     string           `json:"seed"` // 16 hexadecimal digits
+	Limits   machineLimits    `json:"limits"`
+	Bus      string           `json:"bus"`
+	Known    fake.KnownEvents `json:"known"`
+	Settings map[string]any   `json:"settings"`
+}
+
+// machineLimits are what a front end may use of its machine.
+type machineLimits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+// frontEndLimits are the limits of every front end.
+var frontEndLimits = machineLimits{Cores: 1, MemoryMB: 192, Sockets: 512}
+
+// formatSeed writes a seed in the form of the configuration.
+func formatSeed(seed uint64) string { return fmt.Sprintf("%016x", seed) }
+
+// encode returns the configuration as the content of a file.
+func (c *frontEndConfig) encode() ([]byte, error) {
+	encoded, err := json.MarshalIndent(c, "", " ")
 	if err != nil {
-		panic(err) // all of it can be encoded
+		return nil, fmt.Errorf("encode the configuration of %s: %w", c.Name, err)
 	}
-	return encoded
+	return encoded, nil
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -18,13 +18,13 @@
 	os.Exit(m.Run())
 }
 
-// A short run with overlapping troubles breaks no rule.
-func TestPlay_BreaksNoRule(t *testing.T) {
+// A short run with overlapping faults violates no rule.
+func TestRun_ViolatesNoRule(t *testing.T) {
 	program, err := harness.Build(context.Background(), repositoryRoot, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	result, err := Play(Options{
+	result, err := Run(Options{
 		Program: program, Self: os.Args[0], Folder: t.TempDir(), Seed: 1, Duration: 6 * time.Second,
 		FrontEnds: 4, Engines: 8, Clients: 16,
 	})
@@ -33,6 +33,6 @@
 	}
 	t.Log(result)
 	if len(result.Violations) > 0 || result.Outcomes[string(outcomeServed)] == 0 {
-		t.Errorf("rules were broken; logs were in %s", result.Folder)
+		t.Errorf("rules were violated, or no request was served; logs were in %s", result.Folder)
 	}
 }
