--- a/internal/lab/syscallfault/faults.go
+++ b/internal/lab/syscallfault/faults.go
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Faults say which system calls fail, and how often. A zero field means that none does.
-// Rates are shares of the calls of that kind.
+// Faults say which system calls fail, and how often. Rates are shares of the calls of a kind; a zero
+// rate means that none fails.
 type Faults struct {
-	ShortWrite     float64 // writes to sockets take at most ShortLength bytes
+	ShortWrite     float64 // writes to sockets write at most ShortLength bytes
 	InterruptWrite float64 // writes to sockets return EINTR
-	ShortRead      float64 // reads from sockets take at most ShortLength bytes
+	ShortRead      float64 // reads from sockets return at most ShortLength bytes
 	InterruptRead  float64 // reads from sockets return EINTR
 	ResetRead      float64 // reads from sockets return ETIMEDOUT or EHOSTUNREACH
 	InterruptWait  float64 // waits of epoll return EINTR
@@ -22,14 +22,14 @@
 	FailSocket     float64 // socket returns ENFILE, EMFILE or ENOBUFS
 	FailConnect    float64 // connect returns EADDRNOTAVAIL, ENETUNREACH or ENOBUFS
 	FailFile       float64 // writes to files and syncs return ENOSPC or EIO
-	TornFile       float64 // writes to files take half of their bytes
+	TornFile       float64 // writes to files write half of their bytes
 	ShortLength    int     // 0: defaultShortLength
 
 	// ClockStep is added to the wall clock that the program reads.
 	ClockStep time.Duration
 }
 
-// defaultShortLength is how many bytes a cut read or write takes at most.
+// defaultShortLength bounds the bytes of a short read or write.
 const defaultShortLength = 60
 
 // Kind names a fault in Counts.
@@ -51,7 +51,7 @@
 	KindClock          Kind = "stepped-clock-read"
 )
 
-// The errors of each call that its manual page lists for passing conditions.
+// The errors of each call that its manual page lists for transient conditions.
 var (
 	acceptErrors  = []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EINTR}
 	socketErrors  = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS}
@@ -60,9 +60,10 @@
 	fileErrors    = []unix.Errno{unix.ENOSPC, unix.EIO}
 )
 
-// injector decides on the fate of each call. It is safe for concurrent use.
+// injector decides for each call whether a fault happens, and counts the faults. It is safe for
+// concurrent use.
 type injector struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards what follows
 	random *rand.Rand
 	faults Faults
 	counts map[Kind]int
@@ -86,13 +87,13 @@
 	return maps.Clone(i.counts)
 }
 
-// outcome is what becomes of one call.
+// outcome is the decision on one call. The zero value makes the call as it is.
 type outcome struct {
 	err    unix.Errno // the call is not made and returns this; 0: it is made
-	length int        // the call is made with at most this length; 0: as it is
+	length int        // the call is made with this length; 0: with its own
 }
 
-// draw reports whether a fault of the given rate happens, and counts it. The caller holds mu.
+// draw decides whether a fault of the given rate happens, and counts it. The caller holds mu.
 func (i *injector) draw(rate float64, kind Kind) bool {
 	if rate <= 0 || i.random.Float64() >= rate {
 		return false
@@ -106,11 +107,11 @@
 	return outcome{err: errors[i.random.IntN(len(errors))]}
 }
 
-// call decides on one system call. isFile says whether its descriptor is a regular file's.
-func (i *injector) call(number uint64, length int, isFile bool) outcome {
+// decide returns the outcome of one system call. isFile says whether its descriptor is a regular
+// file's.
+func (i *injector) decide(number uint64, length int, isFile bool) outcome {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	f := &i.faults
 	switch number {
 	case unix.SYS_WRITE:
 		if isFile {
@@ -123,30 +124,31 @@
 		}
 		return i.socketRead(length)
 	case unix.SYS_FSYNC:
-		if i.draw(f.FailFile, KindFile) {
+		if i.draw(i.faults.FailFile, KindFile) {
 			return i.oneOf(fileErrors)
 		}
 	case unix.SYS_EPOLL_WAIT, unix.SYS_EPOLL_PWAIT:
-		if i.draw(f.InterruptWait, KindInterruptWait) {
+		if i.draw(i.faults.InterruptWait, KindInterruptWait) {
 			return outcome{err: unix.EINTR}
 		}
 	case unix.SYS_ACCEPT4:
-		if i.draw(f.FailAccept, KindAccept) {
+		if i.draw(i.faults.FailAccept, KindAccept) {
 			return i.oneOf(acceptErrors)
 		}
 	case unix.SYS_SOCKET:
-		if i.draw(f.FailSocket, KindSocket) {
+		if i.draw(i.faults.FailSocket, KindSocket) {
 			return i.oneOf(socketErrors)
 		}
 	case unix.SYS_CONNECT:
-		if i.draw(f.FailConnect, KindConnect) {
+		if i.draw(i.faults.FailConnect, KindConnect) {
 			return i.oneOf(connectErrors)
 		}
 	}
 	return outcome{}
 }
 
-// shortLength returns the length of a cut call, which is at least a byte and less than length.
+// shortLength returns the length of a short call, which is at least 1 and less than length. The caller
+// holds mu.
 func (i *injector) shortLength(length int) int {
 	limit := i.faults.ShortLength
 	if limit <= 0 {
@@ -155,6 +157,7 @@
 	return min(limit, length-1)
 }
 
+// socketWrite decides on a write to a socket. The caller holds mu.
 func (i *injector) socketWrite(length int) outcome {
 	switch {
 	case length > 1 && i.draw(i.faults.ShortWrite, KindShortWrite):
@@ -165,6 +168,7 @@
 	return outcome{}
 }
 
+// socketRead decides on a read from a socket. The caller holds mu.
 func (i *injector) socketRead(length int) outcome {
 	switch {
 	case length > 1 && i.draw(i.faults.ShortRead, KindShortRead):
@@ -177,6 +181,7 @@
 	return outcome{}
 }
 
+// fileWrite decides on a write to a file. The caller holds mu.
 func (i *injector) fileWrite(length int) outcome {
 	switch {
 	case i.draw(i.faults.FailFile, KindFile):
@@ -187,7 +192,7 @@
 	return outcome{}
 }
 
-// wallClock returns the time that the program reads.
+// wallClock returns the time that the program reads, and counts a stepped one.
 func (i *injector) wallClock() time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/lab/syscallfault/filter.go
+++ b/internal/lab/syscallfault/filter.go
@@ -18,11 +18,12 @@
 	dataArgumentOffset = 16 // the lower half of the first argument
 )
 
-// instruction is one of a classic BPF program, a struct sock_filter.
+// instruction is an instruction of a classic BPF program, a struct sock_filter.
 type instruction struct {
-	code                uint16
-	jumpTrue, jumpFalse uint8
-	value               uint32
+	code      uint16
+	jumpTrue  uint8 // instructions to skip if the condition holds
+	jumpFalse uint8 // instructions to skip otherwise
+	value     uint32
 }
 
 // instructionSize is the size of a struct sock_filter in bytes.
@@ -31,21 +32,25 @@
 // filterProgram returns the seccomp filter in the kernel's form: it stops the program at the
 // traced calls and where it reads the wall clock, and allows all others.
 func filterProgram() []byte {
-	const load, jumpEqual, answer = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, unix.BPF_RET | unix.BPF_K
+	const (
+		load       = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS
+		jumpEqual  = unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K
+		returnCode = unix.BPF_RET | unix.BPF_K
+	)
 	program := []instruction{{code: load, value: dataNumberOffset}}
 	for _, number := range tracedCalls {
 		program = append(program,
 			instruction{code: jumpEqual, jumpFalse: 1, value: number},
-			instruction{code: answer, value: unix.SECCOMP_RET_TRACE},
+			instruction{code: returnCode, value: unix.SECCOMP_RET_TRACE},
 		)
 	}
 	program = append(program,
 		instruction{code: jumpEqual, jumpTrue: 1, value: unix.SYS_CLOCK_GETTIME},
-		instruction{code: answer, value: unix.SECCOMP_RET_ALLOW},
+		instruction{code: returnCode, value: unix.SECCOMP_RET_ALLOW},
 		instruction{code: load, value: dataArgumentOffset},
 		instruction{code: jumpEqual, jumpFalse: 1, value: unix.CLOCK_REALTIME},
-		instruction{code: answer, value: unix.SECCOMP_RET_TRACE},
-		instruction{code: answer, value: unix.SECCOMP_RET_ALLOW},
+		instruction{code: returnCode, value: unix.SECCOMP_RET_TRACE},
+		instruction{code: returnCode, value: unix.SECCOMP_RET_ALLOW},
 	)
 	encoded := make([]byte, 0, len(program)*instructionSize)
 	for _, i := range program {
--- a/internal/lab/syscallfault/tracer.go
+++ b/internal/lab/syscallfault/tracer.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"os"
 	"runtime"
+	"slices"
 	"strings"
 	"syscall"
 
@@ -24,18 +25,19 @@
 // redZone is how far below the stack pointer a program may keep data, in bytes.
 const redZone = 4096
 
-// Process is a traced program.
+// Process is a traced program. Its exported methods are safe for concurrent use. The others run on the
+// thread of the tracer.
 type Process struct {
 	pid      int
 	injector *injector
-	ended    chan struct{} // closed once the program has ended
-	status   syscall.WaitStatus
-	err      error // of the tracer
+	ended    chan struct{}      // closed when the program has ended
+	status   syscall.WaitStatus // valid after ended
+	err      error              // of the tracer; valid after ended
 }
 
-// Start starts a program under the faults. Standard output and error go to the given file. The
-// random numbers that decide on each call come from the seed; which call gets which depends on
-// the program's threads.
+// Start starts a program under the faults. Standard output and error go to the given file. The random
+// numbers that decide on the calls come from the seed, but the order of the calls depends on the
+// program's threads.
 func Start(path string, args, env []string, output *os.File, seed uint64, faults Faults) (*Process, error) {
 	p := &Process{injector: newInjector(seed, faults), ended: make(chan struct{})}
 	started := make(chan error, 1)
@@ -47,7 +49,12 @@
 }
 
 // Signal sends a signal to the program.
-func (p *Process) Signal(signal syscall.Signal) error { return syscall.Kill(p.pid, signal) }
+func (p *Process) Signal(signal syscall.Signal) error {
+	if err := syscall.Kill(p.pid, signal); err != nil {
+		return fmt.Errorf("signal process %d: %w", p.pid, err)
+	}
+	return nil
+}
 
 // SetFaults replaces the faults from the next system call on.
 func (p *Process) SetFaults(faults Faults) { p.injector.set(faults) }
@@ -58,7 +65,7 @@
 // PID returns the process id.
 func (p *Process) PID() int { return p.pid }
 
-// Ended returns a channel that is closed once the program has ended.
+// Ended returns a channel that is closed when the program has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
 // Wait waits for the end of the program and returns its status.
@@ -92,7 +99,7 @@
 	p.err = p.run()
 }
 
-// prepare takes the program, which stands at its first instruction, under the filter.
+// prepare puts the program, which is stopped at its first instruction, under the filter.
 func (p *Process) prepare() error {
 	var status syscall.WaitStatus
 	if _, err := syscall.Wait4(p.pid, &status, syscall.WALL, nil); err != nil {
@@ -111,7 +118,10 @@
 	if err := p.installFilter(); err != nil {
 		return err
 	}
-	return syscall.PtraceCont(p.pid, 0)
+	if err := syscall.PtraceCont(p.pid, 0); err != nil {
+		return fmt.Errorf("continue: %w", err)
+	}
+	return nil
 }
 
 // hideVDSO removes the vDSO from the auxiliary vector, so that the program reads its clocks by
@@ -125,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	// Above the count stand the arguments and the environment, each with a zero behind it.
+	// The arguments and the environment follow the count, each with a zero word after it.
 	address := uintptr(registers.Rsp) + wordSize*uintptr(argumentCount+2)
 	for {
 		word, err := p.peekWord(uint64(address))
@@ -167,8 +177,8 @@
 	return nil
 }
 
-// installFilter has the program make the two system calls that install the filter, by an
-// instruction that stands in place of its first one for so long.
+// installFilter makes the program execute the two system calls that install the filter. A system call
+// instruction replaces the program's first one meanwhile.
 func (p *Process) installFilter() error {
 	var registers syscall.PtraceRegs
 	if err := syscall.PtraceGetRegs(p.pid, &registers); err != nil {
@@ -178,7 +188,8 @@
 	if _, err := syscall.PtracePeekText(p.pid, uintptr(registers.Rip), code); err != nil {
 		return fmt.Errorf("read code: %w", err)
 	}
-	if _, err := syscall.PtracePokeText(p.pid, uintptr(registers.Rip), append(append([]byte{}, syscallInstruction...), code[len(syscallInstruction):]...)); err != nil {
+	patched := slices.Concat(syscallInstruction, code[len(syscallInstruction):])
+	if _, err := syscall.PtracePokeText(p.pid, uintptr(registers.Rip), patched); err != nil {
 		return fmt.Errorf("write code: %w", err)
 	}
 	program := filterProgram()
@@ -189,36 +200,54 @@
 	if err := errors.Join(p.poke(programAddress, program), p.poke(headerAddress, header)); err != nil {
 		return err
 	}
-	if err := p.injectCall(registers, unix.SYS_PRCTL, unix.PR_SET_NO_NEW_PRIVS, 1, 0); err != nil {
+	noNewPrivileges := systemCall{number: unix.SYS_PRCTL, arguments: [3]uint64{unix.PR_SET_NO_NEW_PRIVS, 1}}
+	if err := p.injectCall(registers, noNewPrivileges); err != nil {
 		return fmt.Errorf("set no_new_privs: %w", err)
 	}
-	if err := p.injectCall(registers, unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, 0, headerAddress); err != nil {
+	setFilter := systemCall{
+		number: unix.SYS_SECCOMP, arguments: [3]uint64{unix.SECCOMP_SET_MODE_FILTER, 0, headerAddress},
+	}
+	if err := p.injectCall(registers, setFilter); err != nil {
 		return fmt.Errorf("install the filter: %w", err)
 	}
 	if _, err := syscall.PtracePokeText(p.pid, uintptr(registers.Rip), code); err != nil {
 		return fmt.Errorf("restore code: %w", err)
 	}
-	return syscall.PtraceSetRegs(p.pid, &registers)
+	if err := syscall.PtraceSetRegs(p.pid, &registers); err != nil {
+		return fmt.Errorf("restore registers: %w", err)
+	}
+	return nil
 }
 
-// injectCall has the program make one system call at its present instruction.
-func (p *Process) injectCall(registers syscall.PtraceRegs, number, first, second, third uint64) error {
-	registers.Rax, registers.Rdi, registers.Rsi, registers.Rdx = number, first, second, third
-	registers.R10, registers.R8 = 0, 0
+// systemCall is a system call that the program is made to execute. Its other arguments are 0.
+type systemCall struct {
+	number    uint64
+	arguments [3]uint64
+}
+
+// injectCall makes the program execute one system call at its present instruction, from the given
+// registers.
+func (p *Process) injectCall(registers syscall.PtraceRegs, call systemCall) error {
+	registers.Rax = call.number
+	registers.Rdi = call.arguments[0]
+	registers.Rsi = call.arguments[1]
+	registers.Rdx = call.arguments[2]
+	registers.R10 = 0
+	registers.R8 = 0
 	if err := syscall.PtraceSetRegs(p.pid, &registers); err != nil {
-		return err
+		return fmt.Errorf("write registers: %w", err)
 	}
 	if err := syscall.PtraceSingleStep(p.pid); err != nil {
-		return err
+		return fmt.Errorf("single step: %w", err)
 	}
 	if _, err := syscall.Wait4(p.pid, nil, syscall.WALL, nil); err != nil {
-		return err
+		return fmt.Errorf("wait: %w", err)
 	}
 	if err := syscall.PtraceGetRegs(p.pid, &registers); err != nil {
-		return err
+		return fmt.Errorf("read registers: %w", err)
 	}
 	if result := int64(registers.Rax); result < 0 {
-		return syscall.Errno(-result)
+		return fmt.Errorf("system call %d: %w", call.number, syscall.Errno(-result))
 	}
 	return nil
 }
@@ -244,8 +273,8 @@
 	}
 }
 
-// resume handles one stop of a thread. A thread that was killed meanwhile makes the requests
-// fail; its end is reported by the next wait.
+// resume handles one stop of a thread. Its requests fail if the thread was killed meanwhile; the next
+// wait reports its end.
 func (p *Process) resume(thread int, status syscall.WaitStatus) {
 	signal := status.StopSignal()
 	switch {
@@ -258,14 +287,14 @@
 	_ = syscall.PtraceCont(thread, int(signal))
 }
 
-// handleCall decides on the system call at which a thread has stopped.
+// handleCall applies the decision of the injector to the system call at which a thread has stopped.
 func (p *Process) handleCall(thread int) {
 	var registers syscall.PtraceRegs
 	if syscall.PtraceGetRegs(thread, &registers) != nil {
 		return
 	}
 	if registers.Orig_rax == unix.SYS_CLOCK_GETTIME {
-		p.answerWallClock(thread, &registers)
+		p.returnWallClock(thread, &registers)
 		return
 	}
 	isTransfer := registers.Orig_rax == unix.SYS_READ || registers.Orig_rax == unix.SYS_WRITE
@@ -280,7 +309,7 @@
 			return // a pipe, a counter of events or the log
 		}
 	}
-	switch o := p.injector.call(registers.Orig_rax, int(registers.Rdx), isFile); {
+	switch o := p.injector.decide(registers.Orig_rax, int(registers.Rdx), isFile); {
 	case o.err != 0:
 		skipCall(thread, &registers, -int64(o.err))
 	case o.length > 0:
@@ -289,15 +318,15 @@
 	}
 }
 
-// skipCall has the call return a result without being made.
+// skipCall makes the call return a result without executing it.
 func skipCall(thread int, registers *syscall.PtraceRegs, result int64) {
 	registers.Orig_rax = ^uint64(0)
 	registers.Rax = uint64(result)
 	_ = syscall.PtraceSetRegs(thread, registers)
 }
 
-// answerWallClock answers a read of the wall clock in the kernel's place.
-func (p *Process) answerWallClock(thread int, registers *syscall.PtraceRegs) {
+// returnWallClock makes a read of the wall clock return the injector's time.
+func (p *Process) returnWallClock(thread int, registers *syscall.PtraceRegs) {
 	now := p.injector.wallClock()
 	value := binary.LittleEndian.AppendUint64(nil, uint64(now.Unix()))
 	value = binary.LittleEndian.AppendUint64(value, uint64(now.Nanosecond()))
--- a/internal/lab/syscallfault/tracer_test.go
+++ b/internal/lab/syscallfault/tracer_test.go
@@ -14,11 +14,14 @@
 	"time"
 )
 
-// roleVariable tells a test binary that a test has started what to do.
+// roleVariable is the environment variable that makes a test binary run as the traced program. It
+// holds the address to connect to.
 const roleVariable = "SYSCALLFAULT_TEST_ROLE"
 
-// testFaults makes every kind of fault frequent; the clock is an hour ahead.
-var testFaults = Faults{ShortWrite: 0.5, ShortRead: 0.3, InterruptWait: 0.3, FailConnect: 0.5, FailFile: 0.5, ClockStep: time.Hour}
+// testFaults makes several kinds of faults frequent and the clock an hour fast.
+var testFaults = Faults{
+	ShortWrite: 0.5, ShortRead: 0.3, InterruptWait: 0.3, FailConnect: 0.5, FailFile: 0.5, ClockStep: time.Hour,
+}
 
 func TestMain(m *testing.M) {
 	if os.Getenv(roleVariable) != "" {
@@ -28,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// runTraced makes the calls whose outcome the parent checks, and prints what it saw.
+// runTraced makes the calls that the parent checks, and prints their outcomes.
 func runTraced() {
 	startedAt := time.Now()
 	fmt.Println("clock", startedAt.Unix())
@@ -48,7 +51,8 @@
 	fmt.Println("failed connects", failures)
 	failures = 0
 	for range 40 {
-		if err := os.WriteFile(filepath.Join(os.TempDir(), "syscallfault-test"), []byte("content"), 0o600); errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EIO) {
+		err := os.WriteFile(filepath.Join(os.TempDir(), "syscallfault-test"), []byte("content"), 0o600)
+		if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EIO) {
 			failures++
 		}
 	}
@@ -71,7 +75,8 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = output.Close() }()
-	p, err = Start(os.Args[0], nil, append(os.Environ(), roleVariable+"="+listener.Addr().String(), "TMPDIR="+t.TempDir()), output, 1, faults)
+	env := append(os.Environ(), roleVariable+"="+listener.Addr().String(), "TMPDIR="+t.TempDir())
+	p, err = Start(os.Args[0], nil, env, output, 1, faults)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +107,7 @@
 	}
 }
 
-// printedNumber returns the number behind the words.
+// printedNumber returns the number after the words.
 func printedNumber(t *testing.T, printed, words string) (n int64) {
 	t.Helper()
 	_, rest, found := strings.Cut(printed, words)
@@ -115,8 +120,7 @@
 	return n
 }
 
-// Each kind of fault reaches the program, the wall clock is stepped, and spans of real time
-// are not.
+// Each kind of fault happens to the program. Its wall clock is stepped, its monotonic clock is not.
 func TestStart_InjectsFaultsAndStepsTheWallClock(t *testing.T) {
 	p, printed := startTraced(t, testFaults)
 	counts := p.Counts()
@@ -139,7 +143,7 @@
 	}
 }
 
-// Without faults the program runs as it would untraced.
+// Without faults the program runs as if it were not traced.
 func TestStart_WithoutFaultsChangesNothing(t *testing.T) {
 	p, printed := startTraced(t, Faults{})
 	if counts := p.Counts(); len(counts) != 0 {
