--- a/internal/lab/traffic/arrivals.go
+++ b/internal/lab/traffic/arrivals.go
@@ -34,7 +34,7 @@
 
 const microsPerSecond = 1e6
 
-// arrivals draws the arrival times of statements.
+// arrivals draws the arrival times of statements. It is for one goroutine.
 type arrivals struct {
 	process   ArrivalProcess
 	random    *rand.Rand
@@ -51,13 +51,23 @@
 
 	// Bursts have four times the rate for 0.2 s on average, and pauses of 0.6 s on average.
 	burstRateFactor = 4
-	meanBurst       = 0.2
-	minPause        = 0.2
+	meanBurst       = 0.2 // seconds
+	minPause        = 0.2 // seconds
 	pauseExponent   = 1.5
-	maxPause        = 30
+	maxPause        = 30 // seconds
+)
 
-	// maxSeasonFactor is the highest rate of the season over the average.
-	maxSeasonFactor = 3
+// The rate of the season over the average: a day's curve for each working day, and a festival as a
+// bell curve towards the end. Times are shares of the whole duration.
+const (
+	maxSeasonFactor = 3 // highest rate, which bounds the sum
+	seasonDays      = 10
+	meanDayFactor   = 0.6
+	dayAmplitude    = 0.4
+	dayPhase        = 0.25 // of a day, so that each begins at its lowest rate
+	festivalFactor  = 1.6
+	festivalAt      = 0.85
+	festivalWidth   = 0.08
 )
 
 func newArrivals(process ArrivalProcess, rate float64, number int, seed uint64) (*arrivals, error) {
@@ -66,7 +76,7 @@
 	default:
 		return nil, ArrivalProcessError(process)
 	}
-	if !(rate > 0) { // also where it is no number
+	if !(rate > 0) { // not rate <= 0, which a NaN passes
 		return nil, RateError(rate)
 	}
 	random := rand.New(rand.NewPCG(seed, arrivalStream))
@@ -107,12 +117,11 @@
 	}
 }
 
-// seasonFactor is the present rate over the average: a day of work in each tenth of the
-// duration, and a festival towards the end.
+// seasonFactor returns the present rate of the season over the average.
 func (a *arrivals) seasonFactor() float64 {
 	progress := a.now / a.duration
-	day := 0.6 + 0.4*math.Sin(2*math.Pi*(10*progress-0.25))
-	distance := (progress - 0.85) / 0.08
-	festival := 1.6 * math.Exp(-(distance * distance))
+	day := meanDayFactor + dayAmplitude*math.Sin(2*math.Pi*(seasonDays*progress-dayPhase))
+	distance := (progress - festivalAt) / festivalWidth
+	festival := festivalFactor * math.Exp(-(distance * distance))
 	return math.Min(day+festival, maxSeasonFactor)
 }
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -4,8 +4,8 @@
 // A file is "RWTRAFF" and a version byte, then blocks. A block is its length, the xxhash
 // of its bytes and the number of its records (4, 8 and 4 bytes, big-endian), then a zstd
 // frame of CBOR items: one Head in the first block, Records in the others. A block of
-// length 0 that holds the number of all records in place of the hash ends the file; without
-// it the file is truncated, and Reader says so after the records that are complete.
+// length 0 that holds the number of all records in place of the hash ends the file. Without
+// it the file is truncated, which Reader reports after the complete records.
 package traffic
 
 import (
@@ -20,9 +20,9 @@
 
 // Errors of files.
 var (
-	ErrTruncated = errors.New("the file was cut off")
+	ErrTruncated = errors.New("the file is truncated")
 	ErrDamaged   = errors.New("the file is damaged")
-	ErrForeign   = errors.New("this is no traffic file")
+	ErrForeign   = errors.New("not a traffic file")
 	ErrVersion   = errors.New("the file has another version")
 )
 
@@ -38,7 +38,7 @@
 	ModelOptions  string  `cbor:"2,keyasint"` // the options of the workload, as text
 	RatePerSecond float64 `cbor:"3,keyasint"` // statements a second on average
 	Arrivals      string  `cbor:"4,keyasint"` // the arrival process: poisson, bursts or season
-	Records       int     `cbor:"5,keyasint"` // of the records
+	Records       int     `cbor:"5,keyasint"` // how many there are
 }
 
 // Record is one statement.
@@ -69,20 +69,24 @@
 	records  uint32
 }
 
-// blockHeaderLength is the length of an encoded blockHeader.
-const blockHeaderLength = 16
+// Layout of an encoded blockHeader.
+const (
+	checksumOffset    = 4
+	recordsOffset     = 12
+	blockHeaderLength = 16
+)
 
 // put encodes the header into the first bytes of a block.
 func (h blockHeader) put(block []byte) {
 	binary.BigEndian.PutUint32(block, h.length)
-	binary.BigEndian.PutUint64(block[4:], h.checksum)
-	binary.BigEndian.PutUint32(block[12:], h.records)
+	binary.BigEndian.PutUint64(block[checksumOffset:], h.checksum)
+	binary.BigEndian.PutUint32(block[recordsOffset:], h.records)
 }
 
 func parseBlockHeader(b []byte) blockHeader {
 	return blockHeader{
 		length:   binary.BigEndian.Uint32(b),
-		checksum: binary.BigEndian.Uint64(b[4:]),
-		records:  binary.BigEndian.Uint32(b[12:]),
+		checksum: binary.BigEndian.Uint64(b[checksumOffset:]),
+		records:  binary.BigEndian.Uint32(b[recordsOffset:]),
 	}
 }
--- a/internal/lab/traffic/generate.go
+++ b/internal/lab/traffic/generate.go
@@ -10,14 +10,19 @@
 // progressStep is the number of records after which Generate reports its progress.
 const progressStep = 1000
 
-// Generate writes the given number of statements of a workload. It reports to progress, which may be nil,
-// how many records were written since its last report.
-func Generate(w io.Writer, options workload.Options, number int, rate float64, process ArrivalProcess, progress func(int)) error {
+// Generate writes the given number of statements of a workload. It calls progress, which may be nil,
+// now and then with the number of records that were written since the last call.
+func Generate(
+	w io.Writer, options workload.Options, number int, rate float64, process ArrivalProcess, progress func(int),
+) error {
 	arrivals, err := newArrivals(process, rate, number, options.Seed)
 	if err != nil {
 		return err
 	}
-	head := Head{Seed: options.Seed, ModelOptions: modelOptions(options), RatePerSecond: rate, Arrivals: string(process), Records: number}
+	head := Head{
+		Seed: options.Seed, ModelOptions: modelOptions(options), RatePerSecond: rate, Arrivals: string(process),
+		Records: number,
+	}
 	writer, err := NewWriter(w, head)
 	if err != nil {
 		return err
@@ -36,17 +41,20 @@
 	return writer.Close()
 }
 
-// modelOptions writes the options as the head of a file holds them. The names are part
-// of the format, whatever the fields are called.
+// modelOptions formats the options as the head of a file holds them. The names are part of the
+// format and do not follow those of the fields.
 func modelOptions(o workload.Options) string {
-	return fmt.Sprintf("{Seed:%v Templates:%v OneOff:%v Hard:%v Writes:%v DriftAt:%v Drift:%v HintNoise:%v HintMissing:%v}",
-		o.Seed, o.Templates, o.OneOffShare, o.HardShare, o.WriteShare, o.DriftFrom, o.DriftFactor, o.HintSigma, o.HintMissingShare)
+	const format = "{Seed:%v Templates:%v OneOff:%v Hard:%v Writes:%v DriftAt:%v Drift:%v HintNoise:%v HintMissing:%v}"
+	return fmt.Sprintf(format, o.Seed, o.Templates, o.OneOffShare, o.HardShare, o.WriteShare,
+		o.DriftFrom, o.DriftFactor, o.HintSigma, o.HintMissingShare)
 }
 
 // RecordOf turns a statement of a workload into a record without its arrival time.
 func RecordOf(s workload.Statement) Record {
 	return Record{
-		Statement: s.Text, Values: s.Values, Formats: s.Formats, Types: s.Types, HintWorkMS: s.HintWorkMS, HintMB: s.HintMB, Key: s.Key,
-		Class: s.Class, HardCase: s.HardCase, Template: s.Template, WorkMS: s.WorkMS, MemoryMB: s.MemoryMB, Weight: s.Weight,
+		Statement: s.Text, Values: s.Values, Formats: s.Formats, Types: s.Types,
+		HintWorkMS: s.HintWorkMS, HintMB: s.HintMB, Key: s.Key,
+		Class: s.Class, HardCase: s.HardCase, Template: s.Template,
+		WorkMS: s.WorkMS, MemoryMB: s.MemoryMB, Weight: s.Weight,
 	}
 }
--- a/internal/lab/traffic/reader.go
+++ b/internal/lab/traffic/reader.go
@@ -17,7 +17,7 @@
 	maxMapPairs      = 64
 )
 
-// Reader reads a file block by block. It is for one goroutine.
+// Reader reads a file block by block. It is for one goroutine, and has to be closed.
 type Reader struct {
 	Head Head
 
@@ -25,9 +25,9 @@
 	decompressor *zstd.Decoder
 	decoding     cbor.DecMode
 	items        *cbor.Decoder // of the present block
-	blockRecords uint32        // that are left in the present block
-	records      uint64        // that were read
-	ended        bool          // the last block of the file was read
+	blockRecords uint32        // left in the present block
+	records      uint64        // read so far
+	ended        bool          // whether the last block of the file was read
 }
 
 // NewReader reads the head of a file.
@@ -39,7 +39,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("traffic: %w", err)
 	}
-	decoding, err := cbor.DecOptions{MaxNestedLevels: maxNesting, MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs}.DecMode()
+	limits := cbor.DecOptions{MaxNestedLevels: maxNesting, MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs}
+	decoding, err := limits.DecMode()
 	if err != nil {
 		return nil, fmt.Errorf("traffic: %w", err)
 	}
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// readBlock reads the next block; it returns io.EOF for the last one.
+// readBlock reads the next block. It returns io.EOF after the last one.
 func (r *Reader) readBlock() error {
 	encoded := make([]byte, blockHeaderLength)
 	if _, err := io.ReadFull(r.in, encoded); err != nil {
@@ -97,19 +98,19 @@
 // readEnd checks the block that ends the file.
 func (r *Reader) readEnd(header blockHeader) error {
 	if header.checksum != r.records || header.records != 0 {
-		return fmt.Errorf("%w: it tells of %d records and holds %d", ErrDamaged, header.checksum, r.records)
+		return fmt.Errorf("%w: it announces %d records and holds %d", ErrDamaged, header.checksum, r.records)
 	}
 	r.ended = true
 	return io.EOF
 }
 
-// damagedBy gives the cause as text and does not wrap it: an io.EOF within it would say that the
-// file ended in order.
+// damagedBy returns an ErrDamaged that has the cause as text and does not wrap it: a wrapped io.EOF
+// would mean a complete file.
 func damagedBy(where string, cause error) error {
 	return fmt.Errorf("%w: %s", ErrDamaged, where+cause.Error())
 }
 
-// Next reads a record; it returns io.EOF behind the last one.
+// Next reads a record. It returns io.EOF after the last one.
 func (r *Reader) Next(record *Record) error {
 	if r.ended {
 		return io.EOF
--- a/internal/lab/traffic/stored_test.go
+++ b/internal/lab/traffic/stored_test.go
@@ -25,15 +25,18 @@
 // describe writes every field of a file, floats to their last digit.
 func describe(h Head, records []Record) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed=%d rate=%v comes=%s number=%d model=%s\n", h.Seed, h.RatePerSecond, h.Arrivals, h.Records, h.ModelOptions)
+	fmt.Fprintf(&b, "seed=%d rate=%v comes=%s number=%d model=%s\n",
+		h.Seed, h.RatePerSecond, h.Arrivals, h.Records, h.ModelOptions)
 	for _, r := range records {
-		fmt.Fprintf(&b, "at=%d statement=%q values=%q formats=%x types=%x hint-work=%v hint-mb=%v key=%d class=%s hard=%q template=%d work=%v memory-mb=%v worth=%v\n",
-			r.ArrivalMicros, r.Statement, r.Values, r.Formats, r.Types, r.HintWorkMS, r.HintMB, r.Key, r.Class, r.HardCase, r.Template, r.WorkMS, r.MemoryMB, r.Weight)
+		fmt.Fprintf(&b, "at=%d statement=%q values=%q formats=%x types=%x ",
+			r.ArrivalMicros, r.Statement, r.Values, r.Formats, r.Types)
+		fmt.Fprintf(&b, "hint-work=%v hint-mb=%v key=%d class=%s hard=%q template=%d work=%v memory-mb=%v worth=%v\n",
+			r.HintWorkMS, r.HintMB, r.Key, r.Class, r.HardCase, r.Template, r.WorkMS, r.MemoryMB, r.Weight)
 	}
 	return b.String()
 }
 
-// A traffic file that an earlier version wrote is read as it was meant, field by field.
+// A traffic file of an earlier version is read with all of its fields.
 func TestReader_ReadsAFileOfAnEarlierVersion(t *testing.T) {
 	raw, err := os.ReadFile(storedFile)
 	if err != nil {
@@ -52,30 +55,30 @@
 	golden.Compare(t, storedGolden, []byte(got))
 }
 
-// items are the CBOR items of all blocks, as bytes.
+// items returns the bytes of the CBOR items of all blocks.
 func items(t *testing.T, file []byte) (all []byte) {
 	t.Helper()
-	dec, err := zstd.NewReader(nil)
+	decompressor, err := zstd.NewReader(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer dec.Close()
+	defer decompressor.Close()
 	for rest := file[len(magic)+1:]; ; {
 		length := binary.BigEndian.Uint32(rest)
 		if length == 0 {
 			return all
 		}
 		end := blockHeaderLength + int(length)
-		if all, err = dec.DecodeAll(rest[blockHeaderLength:end], all); err != nil {
+		if all, err = decompressor.DecodeAll(rest[blockHeaderLength:end], all); err != nil {
 			t.Fatal(err)
 		}
 		rest = rest[end:]
 	}
 }
 
-// The same seed gives the items that an earlier version wrote, to the byte: the keys of
-// records and the text of the head are part of the format.
-func TestGenerate_WritesTheItemsOfAnEarlierVersion(t *testing.T) {
+// A seed gives the same items as in an earlier version, to the byte: the keys of records and the
+// text of the head are part of the format.
+func TestGenerate_WritesTheSameItemsAsAnEarlierVersion(t *testing.T) {
 	want, err := os.ReadFile(storedFile)
 	if err != nil {
 		t.Fatal(err)
@@ -85,9 +88,9 @@
 	}
 }
 
-// The generated traffic is the same to the byte as that of an earlier version, for every family
-// of statements: the digests are of its items for three seeds.
-func TestGenerate_KeepsTheDigestsOfAnEarlierVersion(t *testing.T) {
+// The generated traffic is the same to the byte as that of an earlier version, for every family of
+// statements. The digests are of its items for three seeds.
+func TestGenerate_KeepsItsDigests(t *testing.T) {
 	const records, rate = 5000, 99
 	for seed, want := range map[uint64]string{
 		1: "886ee5a4e687b6780947e4eb5e5c6e8bc883ace0fe455a42b08ee585e6101f7c",
--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/lab/traffic/traffic_test.go
@@ -11,37 +11,40 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func generate(t testing.TB, process ArrivalProcess, number int) []byte {
+// generate returns a file of seed 7.
+func generate(tb testing.TB, process ArrivalProcess, number int) []byte {
+	tb.Helper()
 	var b bytes.Buffer
 	if err := Generate(&b, workload.Defaults(7), number, 99, process, nil); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b.Bytes()
 }
 
+// read returns the records of a file, and the error that ended it.
 func read(b []byte) (all []Record, err error) {
-	t, err := NewReader(bytes.NewReader(b))
+	reader, err := NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, err
 	}
-	defer t.Close()
+	defer reader.Close()
 	for {
-		var r Record
-		if err := t.Next(&r); err != nil {
+		var record Record
+		if err := reader.Next(&record); err != nil {
 			return all, err
 		}
-		all = append(all, r)
+		all = append(all, record)
 	}
 }
 
-// The same seed gives the same bytes, and what is read is what was written.
+// The same seed gives the same bytes, and the records that are read are those that were written.
 func TestGenerate_SameSeedGivesTheSameFileAndItsRecords(t *testing.T) {
 	for _, process := range []ArrivalProcess{Poisson, Bursts, Season} {
-		one, two := generate(t, process, 3000), generate(t, process, 3000)
-		if !bytes.Equal(one, two) {
+		file := generate(t, process, 3000)
+		if !bytes.Equal(file, generate(t, process, 3000)) {
 			t.Errorf("%s: one seed, two files", process)
 		}
-		all, err := read(one)
+		all, err := read(file)
 		if !errors.Is(err, io.EOF) || len(all) != 3000 {
 			t.Fatalf("%s: %d records, %v", process, len(all), err)
 		}
@@ -64,9 +67,9 @@
 	}
 }
 
-// A truncated file is reported as such, behind the records that are complete. A changed file is
-// reported as damaged, and one of another kind or version by errors of their own.
-func TestReader_NamesTruncationDamageAndForeignFiles(t *testing.T) {
+// A truncated file is reported as such after its complete records, and a changed file as damaged.
+// Files of another kind or version have errors of their own.
+func TestReader_TellsTruncatedDamagedAndForeignFilesApart(t *testing.T) {
 	good := generate(t, Poisson, 4000)
 	for _, n := range []int{len(good) - 1, len(good) - 20, len(good) / 2, 40, 9} {
 		all, err := read(good[:n])
@@ -96,7 +99,7 @@
 	f.Add([]byte("RWTRAFF\x01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if _, err := read(b); err == nil {
-			t.Fatal("it never ended")
+			t.Fatal("a reader without an end")
 		}
 	})
 }
--- a/internal/lab/traffic/writer.go
+++ b/internal/lab/traffic/writer.go
@@ -13,7 +13,7 @@
 // flushSize is the size of the items from which a block is written.
 const flushSize = 512 << 10
 
-// Writer writes a file. It is for one goroutine.
+// Writer writes a file. It is for one goroutine. A file without a call of Close is truncated.
 type Writer struct {
 	out          io.Writer
 	compressor   *zstd.Encoder
@@ -60,14 +60,15 @@
 	return nil
 }
 
-// flush writes the block that is being filled, where it holds anything.
+// flush writes the block that is being filled, unless it is empty.
 func (w *Writer) flush() error {
 	if w.block.Len() == 0 {
 		return nil
 	}
 	block := w.compressor.EncodeAll(w.block.Bytes(), make([]byte, blockHeaderLength))
 	compressed := block[blockHeaderLength:]
-	blockHeader{length: uint32(len(compressed)), checksum: xxhash.Sum64(compressed), records: w.blockRecords}.put(block)
+	header := blockHeader{length: uint32(len(compressed)), checksum: xxhash.Sum64(compressed), records: w.blockRecords}
+	header.put(block)
 	w.block.Reset()
 	w.blockRecords = 0
 	if _, err := w.out.Write(block); err != nil {
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// Close ends the file. Without it the file counts as truncated.
+// Close ends the file. It does not close the underlying writer.
 func (w *Writer) Close() error {
 	if err := w.flush(); err != nil {
 		return err
@@ -86,5 +87,8 @@
 	if _, err := w.out.Write(end); err != nil {
 		return fmt.Errorf("traffic: %w", err)
 	}
-	return w.compressor.Close()
+	if err := w.compressor.Close(); err != nil {
+		return fmt.Errorf("traffic: %w", err)
+	}
+	return nil
 }
--- a/internal/lab/workload/cost.go
+++ b/internal/lab/workload/cost.go
@@ -24,14 +24,16 @@
 	returnedRowMS = 0.004
 )
 
-// Cost of a table group that is not in the engine's memory.
+// A share of the statements reaches a table group that is not in the engine's memory, which costs more.
 const (
-	coldShare  = 0.15
-	coldFactor = 1.5
+	uncachedShare  = 0.15
+	uncachedFactor = 1.5
 )
 
+// workMS returns the work of the access in milliseconds on one core.
 func (a access) workMS() float64 {
-	work := baseMS + indexedRowMS*a.indexed + scannedRowMS*a.scanned + joinedRowMS*a.joined + groupedRowMS*a.grouped + returnedRowMS*a.returned
+	work := baseMS + indexedRowMS*a.indexed + scannedRowMS*a.scanned + joinedRowMS*a.joined +
+		groupedRowMS*a.grouped + returnedRowMS*a.returned
 	if a.sorted > 1 {
 		work += sortedRowMS * a.sorted * math.Log2(a.sorted)
 	}
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -19,7 +19,7 @@
 	Templates   int     // recurring query shapes; 0: DefaultTemplates
 	OneOffShare float64 // share of statements whose shape never recurs
 	HardShare   float64 // share of lookups whose values make them broad reports
-	WriteShare  float64 // share of statements that write and are no loads
+	WriteShare  float64 // share of statements that write and are not loads
 	// DriftFrom is when the table of orders has grown, as a share of the statements; from
 	// then on a statement that reaches it costs DriftFactor times as much. 0: never.
 	DriftFrom   float64
@@ -34,11 +34,29 @@
 // DefaultTemplates is the number of recurring query shapes where the options name none.
 const DefaultTemplates = 200
 
-// Defaults returns the figures of the modelled deployment, as far as they are known.
+// Figures of the modelled deployment, as far as they are known.
+const (
+	defaultOneOffShare      = 0.05
+	defaultHardShare        = 0.04
+	defaultWriteShare       = 0.02
+	defaultDriftFrom        = 0.6
+	defaultDriftFactor      = 3
+	defaultHintSigma        = 0.7
+	defaultHintMissingShare = 0.15
+)
+
+// Defaults returns the options of the modelled deployment.
 func Defaults(seed uint64) Options {
 	return Options{
-		Seed: seed, Templates: DefaultTemplates, OneOffShare: 0.05, HardShare: 0.04, WriteShare: 0.02,
-		DriftFrom: 0.6, DriftFactor: 3, HintSigma: 0.7, HintMissingShare: 0.15,
+		Seed:             seed,
+		Templates:        DefaultTemplates,
+		OneOffShare:      defaultOneOffShare,
+		HardShare:        defaultHardShare,
+		WriteShare:       defaultWriteShare,
+		DriftFrom:        defaultDriftFrom,
+		DriftFactor:      defaultDriftFactor,
+		HintSigma:        defaultHintSigma,
+		HintMissingShare: defaultHintMissingShare,
 	}
 }
 
@@ -53,7 +71,7 @@
 // ReportFromMS is the true work from which a read-only statement is a report, in milliseconds.
 const ReportFromMS = 800
 
-// Values of Statement.Template for statements of no recurring template.
+// Values of Statement.Template for statements without a recurring template.
 const (
 	TemplateOneOff = -1
 	TemplateWrite  = -2
@@ -76,7 +94,8 @@
 	Key        int     // number of the bound value that is its idempotency key; 0: none
 }
 
-// Generator generates the statements of a workload. It is for one goroutine.
+// Generator generates the statements of a workload. The same options give the same statements. It is
+// for one goroutine.
 type Generator struct {
 	options           Options
 	random            *rand.Rand
@@ -93,10 +112,19 @@
 const (
 	randomStream  = 0x7265676973746572 // second word of the seed: distinct from other uses of it
 	scatterSigma  = 0.3                // of work and memory, as a standard deviation of the natural logarithm
-	minHintSigma  = 1e-9               // the distribution takes no 0
+	minHintSigma  = 1e-9               // the distribution rejects 0
 	oneOffOrdinal = 1 << 20            // rank beyond that of every recurring template
 )
 
+// Popularity of parts and table groups, by Zipf's law: the k-th has a weight of
+// (offset + k)^-exponent.
+const (
+	partExponent  = 1.25
+	partOffset    = 8
+	groupExponent = 1.2
+	groupOffset   = 3
+)
+
 // New returns a generator for a workload of the given number of statements.
 func New(options Options, total int) *Generator {
 	if options.Templates <= 0 {
@@ -105,8 +133,8 @@
 	random := rand.New(rand.NewPCG(options.Seed, randomStream))
 	g := &Generator{
 		options: options, random: random, total: max(total, 1),
-		partPopularity:  rand.NewZipf(random, 1.25, 8, partCount-1),
-		groupPopularity: rand.NewZipf(random, 1.2, 3, groupCount-1),
+		partPopularity:  rand.NewZipf(random, partExponent, partOffset, partCount-1),
+		groupPopularity: rand.NewZipf(random, groupExponent, groupOffset, groupCount-1),
 		scatter:         distuv.LogNormal{Sigma: scatterSigma, Src: random},
 		hintError:       distuv.LogNormal{Sigma: max(options.HintSigma, minHintSigma), Src: random},
 	}
@@ -137,7 +165,7 @@
 	return g.fromTemplate(g.templates[index], index, growth)
 }
 
-// growth is the factor by which the table of orders has grown so far.
+// growth returns the factor by which the table of orders has grown so far.
 func (g *Generator) growth() float64 {
 	progress := float64(g.generated) / float64(g.total)
 	if g.options.DriftFrom > 0 && progress >= g.options.DriftFrom {
@@ -153,28 +181,36 @@
 	return g.finish(s, usualMS)
 }
 
-// hintBias is the factor by which the hints of a class are wrong on average.
+// hintBias is the factor by which the hints of the work of a class are wrong on average.
 var hintBias = map[string]float64{ClassLookup: 0.45, ClassReport: 2.4, ClassLoad: 0.7, ClassWrite: 1}
 
 // priorityWeights are the priority weights of the classes.
 var priorityWeights = map[string]float64{ClassLookup: 1, ClassReport: 4, ClassLoad: 5, ClassWrite: 4}
 
-// finish adds scatter, hint and priority weight. usualMS is what a planner would expect that
-// does not know the values.
+// finish adds scatter, hint and priority weight. usualMS is the work that a planner would expect
+// that does not know the values.
 func (g *Generator) finish(s Statement, usualMS float64) Statement {
-	const minMemoryMB, memoryAt200MS, memoryExponent = 2, 6, 0.7
+	// Memory grows with a power of the work: referenceMemoryMB at referenceWorkMS.
+	const (
+		minMemoryMB       = 2
+		referenceMemoryMB = 6
+		referenceWorkMS   = 200
+		memoryExponent    = 0.7
+		memoryHintBias    = 1.2 // factor by which hints of the memory are wrong on average
+	)
 	truth := s.WorkMS
 	s.WorkMS *= g.scatter.Rand()
-	s.MemoryMB = math.Max(minMemoryMB, memoryAt200MS*math.Pow(truth/200, memoryExponent)*g.scatter.Rand())
+	memory := referenceMemoryMB * math.Pow(truth/referenceWorkMS, memoryExponent) * g.scatter.Rand()
+	s.MemoryMB = math.Max(minMemoryMB, memory)
 	if g.random.Float64() >= g.options.HintMissingShare {
 		s.HintWorkMS = usualMS * hintBias[hintedClass(s.Class, usualMS)] * g.hintError.Rand()
-		s.HintMB = s.MemoryMB * g.hintError.Rand() * 1.2
+		s.HintMB = s.MemoryMB * g.hintError.Rand() * memoryHintBias
 	}
 	s.Weight = priorityWeights[s.Class]
 	return s
 }
 
-// hintedClass is the class that a planner would expect that does not know the values.
+// hintedClass returns the class that a planner would expect that does not know the values.
 func hintedClass(class string, usualMS float64) string {
 	switch {
 	case class == ClassLoad || class == ClassWrite:
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -15,7 +15,7 @@
 	group     int
 	rows      float64 // of the table so far
 	rowsOfOne float64 // rows of one usual part
-	broad     bool    // its values are to make a lookup a report, where the family has such values
+	broad     bool    // whether its values make a lookup a report, in a family that has such values
 	hardCase  string  // why broad values make its class hard to tell
 	tableName string
 	from      string // the table with its alias
@@ -26,7 +26,8 @@
 // newInstance draws the table group, whether the values are broad, and the names.
 func (g *Generator) newInstance(t *template, growth float64) *instance {
 	i := &instance{generator: g, random: g.random, template: t}
-	i.style, i.lowerCase = t.style, t.lowerCase
+	i.style = t.style
+	i.lowerCase = t.lowerCase
 	i.group = 1 + int(g.groupPopularity.Uint64())
 	i.rows = t.table.rows
 	if t.table == &tables[ordersTable] {
@@ -45,7 +46,7 @@
 		i.alias = t.table.name[:1]
 	}
 	if t.oneOff {
-		const names = 1 << 30 // so many that none recurs
+		const names = 1 << 30 // so many that no name is drawn twice
 		i.tableName = fmt.Sprintf("stock_%d.%s_%d", i.group, t.table.name, i.random.IntN(names))
 		i.alias = fmt.Sprintf("t_%d", i.random.IntN(names))
 	}
@@ -60,7 +61,7 @@
 	i.columns = strings.Join(qualified, ", ")
 }
 
-// column is the name of a column, qualified where the table has an alias.
+// column returns the name of a column, qualified if the table has an alias.
 func (i *instance) column(name string) string {
 	if i.alias == "" {
 		return name
@@ -68,11 +69,11 @@
 	return i.alias + "." + name
 }
 
-// dayColumn is the column of the table's day.
+// dayColumn returns the name of the column that holds the day of a row.
 func (i *instance) dayColumn() string { return i.column(i.template.table.dayColumn) }
 
-// instantiate generates a statement of a template with values of its own. usualMS is what the
-// shape costs with values as they usually are, as a planner would say that does not know them.
+// instantiate generates a statement of a template with values of its own. usualMS is what the shape
+// costs with usual values, which is what a planner would estimate that does not know the values.
 func (g *Generator) instantiate(t *template, growth float64) (s Statement, usualMS float64) {
 	i := g.newInstance(t, growth)
 	if t.family == loadBatch {
@@ -81,17 +82,18 @@
 	actual, usual := familySpecs[t.family].generate(i)
 	s = i.statement()
 	s.WorkMS = actual.workMS()
-	if g.random.Float64() < coldShare {
-		s.WorkMS *= coldFactor
+	if g.random.Float64() < uncachedShare {
+		s.WorkMS *= uncachedFactor
 	}
 	s.Class = ClassLookup
 	if s.WorkMS >= ReportFromMS { // below it broad values reach so few rows that it stays a lookup
-		s.Class, s.HardCase = ClassReport, i.hardCase
+		s.Class = ClassReport
+		s.HardCase = i.hardCase
 	}
 	return s, usual.workMS()
 }
 
-// statement is the text with its bound values.
+// statement returns the text with its bound values.
 func (i *instance) statement() Statement {
 	return Statement{Text: i.text.String(), Values: i.values, Formats: i.formats, Types: i.types}
 }
--- a/internal/lab/workload/lookups.go
+++ b/internal/lab/workload/lookups.go
@@ -37,11 +37,18 @@
 
 // generatePartList reads the rows of a list of parts; the hard case is a list of thousands.
 func generatePartList(i *instance) (actual, usual access) {
-	const probeRows = 12 // that the search for one part costs
-	const usualParts, usualProbeRows = 5, 60
-	n := 2 + i.random.IntN(7)
+	const (
+		probeRows       = 12 // rows that cost as much as the search for one part
+		minParts        = 2
+		partsRange      = 7
+		minBroadParts   = 2000
+		broadPartsRange = 3000
+		usualParts      = 5
+		usualProbeRows  = usualParts * probeRows
+	)
+	n := minParts + i.random.IntN(partsRange)
 	if i.broad {
-		n = 2000 + i.random.IntN(3000)
+		n = minBroadParts + i.random.IntN(broadPartsRange)
 		i.hardCase = hardLongList
 		i.style = literalValues
 	}
@@ -61,9 +68,15 @@
 
 // generateDayRange reads the rows of some days; the hard case is a range of years.
 func generateDayRange(i *instance) (actual, usual access) {
-	span := 1 + i.random.IntN(3)
+	const (
+		maxDays        = 3
+		usualDays      = 2
+		maxBroadDays   = dayCount - 400
+		broadDaysRange = 800
+	)
+	span := 1 + i.random.IntN(maxDays)
 	if i.broad {
-		span = dayCount - 400 - i.random.IntN(800)
+		span = maxBroadDays - i.random.IntN(broadDaysRange)
 		i.hardCase = hardLongRange
 	}
 	start := i.random.IntN(dayCount - span)
@@ -71,17 +84,22 @@
 	i.dayValue(start)
 	i.sql(" AND ")
 	i.dayValue(start + span)
-	rows, usualRows := i.rows*float64(span)/dayCount, 2*i.rows/dayCount
+	rows := i.rows * float64(span) / dayCount
+	usualRows := usualDays * i.rows / dayCount
 	return access{indexed: rows, returned: rows}, access{indexed: usualRows, returned: usualRows}
 }
 
 // generatePattern searches parts by a prefix; the hard case has a wildcard in front, which no
 // index serves.
 func generatePattern(i *instance) (actual, usual access) {
-	const prefixes, broadMatches = 400, 50 // one row in so many matches
+	const (
+		prefixes     = 400 // one row in so many has the prefix
+		infixes      = 1000
+		broadMatches = 50 // one row in so many has the infix
+	)
 	pattern := fmt.Sprintf("p-%03d%%", i.random.IntN(prefixes))
 	if i.broad {
-		pattern = "%" + fmt.Sprint(i.random.IntN(1000)) + "%"
+		pattern = "%" + fmt.Sprint(i.random.IntN(infixes)) + "%"
 		i.hardCase = hardWildcard
 	}
 	i.sql("SELECT %s FROM %s WHERE %s LIKE ", i.columns, i.from, i.column("part"))
@@ -95,9 +113,16 @@
 
 // generateDistricts reads the last days of some districts; the hard case names all of them.
 func generateDistricts(i *instance) (actual, usual access) {
-	const lastDays = 90
-	const scanFrom = 15 // districts from which a scan is cheaper than the index
-	n := 1 + i.random.IntN(2)
+	const (
+		lastDays     = 90
+		maxDistricts = 2
+		scanFrom     = 15 // districts from which a scan is cheaper than the index
+		// The index finds so many rows for one that matches: with the districts of the statement,
+		// and as a planner expects that does not know their number.
+		indexedRowsPerMatch = 6
+		usualIndexedRows    = 9
+	)
+	n := 1 + i.random.IntN(maxDistricts)
 	if i.broad {
 		n = districtCount
 		i.hardCase = hardArray
@@ -111,18 +136,25 @@
 	i.sql(") AND %s >= ", i.dayColumn())
 	i.dayValue(dayCount - lastDays)
 	const share = float64(lastDays) / dayCount
-	actual = access{indexed: i.rows * share * float64(n) / districtCount * 6, returned: i.rows * share * float64(n) / districtCount}
-	usual = access{indexed: i.rows * share / districtCount * 9, returned: i.rows * share / districtCount}
+	matches := i.rows * share * float64(n) / districtCount
+	matchesOfOne := i.rows * share / districtCount
+	actual = access{indexed: matches * indexedRowsPerMatch, returned: matches}
+	usual = access{indexed: matchesOfOne * usualIndexedRows, returned: matchesOfOne}
 	if n > scanFrom {
-		actual.scanned, actual.indexed, actual.sorted = i.rows, 0, i.rows*share
+		actual = access{scanned: i.rows, sorted: i.rows * share, returned: matches}
 	}
 	return actual, usual
 }
 
 // generateLatest reads the latest rows; the hard case has a limit above the table's size.
 func generateLatest(i *instance) (actual, usual access) {
-	const broadLimit, usualLimit = 1000000, 30
-	limit := 10 + i.random.IntN(40)
+	const (
+		minLimit   = 10
+		limitRange = 40
+		usualLimit = 30
+		broadLimit = 1000000
+	)
+	limit := minLimit + i.random.IntN(limitRange)
 	if i.broad {
 		limit = broadLimit
 		i.hardCase = hardLimit
--- a/internal/lab/workload/reports.go
+++ b/internal/lab/workload/reports.go
@@ -2,9 +2,14 @@
 
 // generateDistrictTotals sums the last months by district.
 func generateDistrictTotals(i *instance) (actual, usual access) {
-	const daysOfMonth, usualDays, scannedShare = 31, 186, 0.8
-	months := 1 + i.random.IntN(12)
-	i.sql("SELECT %s, count(*), sum(%s) FROM %s WHERE %s >= ", i.column("district"), i.column("n"), i.from, i.dayColumn())
+	const (
+		maxMonths    = 12
+		usualDays    = 186
+		scannedShare = 0.8 // of the table
+	)
+	months := 1 + i.random.IntN(maxMonths)
+	i.sql("SELECT %s, count(*), sum(%s) FROM %s WHERE %s >= ",
+		i.column("district"), i.column("n"), i.from, i.dayColumn())
 	i.dayValue(dayCount - daysOfMonth*months)
 	i.sql(" AND %s < ", i.dayColumn())
 	i.dayValue(dayCount - 1)
@@ -16,28 +21,39 @@
 
 // generateTopParts joins with the parts and finds those with most rows.
 func generateTopParts(i *instance) (actual, usual access) {
-	const limit = 20
+	const (
+		limit        = 20
+		groupedOneIn = 4 // rows
+	)
 	i.sql("SELECT p.name, max(%s), count(*) FROM %s JOIN stock_%d.parts p USING (part) WHERE p.kind = ",
 		i.column(i.template.columns[0]), i.from, i.group)
 	i.textValue("gear")
 	i.sql(" GROUP BY p.name ORDER BY 3 DESC LIMIT ")
 	i.intValue(limit)
-	actual = access{scanned: i.rows, joined: i.rows, grouped: i.rows / 4, sorted: partCount, returned: limit}
+	actual = access{scanned: i.rows, joined: i.rows, grouped: i.rows / groupedOneIn, sorted: partCount, returned: limit}
 	return actual, actual
 }
 
 // generateRanking ranks the rows of each district.
 func generateRanking(i *instance) (actual, usual access) {
+	const (
+		sortedOneIn   = 2 // rows
+		returnedOneIn = 20
+	)
 	i.sql("SELECT %s, %s, rank() OVER (PARTITION BY %s ORDER BY %s) FROM %s",
 		i.column("district"), i.column("part"), i.column("district"), i.dayColumn(), i.from)
-	actual = access{scanned: i.rows, sorted: i.rows / 2, returned: i.rows / 20}
+	actual = access{scanned: i.rows, sorted: i.rows / sortedOneIn, returned: i.rows / returnedOneIn}
 	return actual, actual
 }
 
 // generateDistinct finds the distinct rows of nearly the whole table.
 func generateDistinct(i *instance) (actual, usual access) {
+	const (
+		sortedOneIn   = 3 // rows
+		returnedOneIn = 8
+	)
 	i.sql("SELECT DISTINCT %s FROM %s WHERE %s <> ", i.columns, i.from, i.column("part"))
 	i.textValue("p-0")
-	actual = access{scanned: i.rows, sorted: i.rows / 3, returned: i.rows / 8}
+	actual = access{scanned: i.rows, sorted: i.rows / sortedOneIn, returned: i.rows / returnedOneIn}
 	return actual, actual
 }
--- a/internal/lab/workload/schema.go
+++ b/internal/lab/workload/schema.go
@@ -38,13 +38,14 @@
 	returnsTable:   {"returns", 20000, []string{"part", "district", "reason"}, "day"},
 }
 
-// popularParts are the parts that every shop sells; each has far more rows than another part.
+// popularParts is the number of parts that every shop sells. Each has popularPartFactor times the
+// rows of another part.
 const (
 	popularParts      = 12
 	popularPartFactor = 30
 )
 
-// part is a part by its popularity, with the factor of its rows over those of a usual part.
+// part draws a part by popularity, and returns how many times the rows of a usual part it has.
 func (g *Generator) part() (name string, rowFactor float64) {
 	number := int(g.partPopularity.Uint64())
 	rowFactor = 1
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -30,7 +30,7 @@
 	firstLoad   = loadBatch
 )
 
-// Chances of the kinds of template. With the weights of the families, 81 % of the statements
+// Shares of the kinds of template, and weights of their families. With them 81 % of the statements
 // are lookups, 14 % reports and 5 % loads, as in the modelled deployment.
 const (
 	lookupTemplates = 0.72
@@ -39,8 +39,8 @@
 	loadWeight      = 0.65
 )
 
-// generateFunc writes the text of one statement and returns how it reaches its rows: with the
-// values it has, and with values as they usually are.
+// generateFunc writes the text of one statement and returns how it reaches its rows: with its own
+// values, and with usual ones.
 type generateFunc func(*instance) (actual, usual access)
 
 // familySpec says how the statements of a family are made.
@@ -91,11 +91,15 @@
 
 // newTemplate draws a template; the ordinal is its rank by frequency.
 func newTemplate(random *rand.Rand, ordinal int) *template {
-	const rankExponent = 0.6
+	const (
+		rankExponent   = 0.6
+		lowerCaseOneIn = 2
+		aliasedOneIn   = 3
+	)
 	t := &template{family: drawFamily(random)}
 	t.style = valueStyle(random.IntN(int(valueStyles)))
-	t.lowerCase = random.IntN(2) == 0
-	t.aliased = random.IntN(3) == 0
+	t.lowerCase = random.IntN(lowerCaseOneIn) == 0
+	t.aliased = random.IntN(aliasedOneIn) == 0
 	t.table = &tables[random.IntN(len(tables))]
 	spec := familySpecs[t.family]
 	if len(spec.tables) > 0 {
--- a/internal/lab/workload/text.go
+++ b/internal/lab/workload/text.go
@@ -20,7 +20,7 @@
 	formatBinary = 1
 )
 
-// textBuilder writes the text of a statement; values are written out or bound, as the style says.
+// textBuilder writes the text of a statement. The style says whether values are written out or bound.
 type textBuilder struct {
 	text      strings.Builder
 	style     valueStyle
@@ -77,14 +77,17 @@
 const (
 	firstYear              = 2016
 	daysOfYear             = 365
+	daysOfMonth            = 31
 	daysFrom2000ToRegister = 16*daysOfYear + 4
 )
 
-// dayValue adds a date by its number in the register. Months are taken to have 31 days, of which
-// those past the 28th are written as the 28th, so that every date is valid.
+// dayValue adds a date by its number in the register. Each month has 31 days, and those past the
+// 28th are written as the 28th, so that every date is valid.
 func (b *textBuilder) dayValue(number int) {
-	const daysOfMonth, lastSafeDay = 31, 28
-	year, month, day := firstYear+number/daysOfYear, 1+number%daysOfYear/daysOfMonth, 1+number%daysOfYear%daysOfMonth
+	const lastSafeDay = 28
+	year := firstYear + number/daysOfYear
+	month := 1 + number%daysOfYear/daysOfMonth
+	day := 1 + number%daysOfYear%daysOfMonth
 	date := fmt.Sprintf("%04d-%02d-%02d", year, month, min(day, lastSafeDay))
 	switch b.style {
 	case literalValues:
@@ -108,7 +111,7 @@
 	}
 }
 
-// binaryArray is PostgreSQL's binary form of a one-dimensional array of texts.
+// binaryArray returns PostgreSQL's binary form of a one-dimensional array of texts.
 func binaryArray(list []string) []byte {
 	const dimensions, noNulls, lowerBound = 1, 0, 1
 	var value []byte
--- a/internal/lab/workload/writes.go
+++ b/internal/lab/workload/writes.go
@@ -11,7 +11,12 @@
 
 // load generates an INSERT of many rows, whose first value is bound: its idempotency key.
 func (i *instance) load() (s Statement, usualMS float64) {
-	rows := 20 + i.random.IntN(180)
+	const (
+		minRows     = 20
+		rowsRange   = 180
+		maxQuantity = 500
+	)
+	rows := minRows + i.random.IntN(rowsRange)
 	if i.style == literalValues {
 		i.style = textValues
 	}
@@ -23,20 +28,22 @@
 		} else {
 			i.literal(", ($1")
 		}
-		i.literal(", '%s', %d)", partName(i.random.IntN(partCount)), i.random.IntN(500))
+		i.literal(", '%s', %d)", partName(i.random.IntN(partCount)), i.random.IntN(maxQuantity))
 	}
 	s = i.statement()
-	s.Class, s.Key = ClassLoad, 1
+	s.Class = ClassLoad
+	s.Key = 1
 	s.WorkMS = loadBaseMS + loadRowMS*float64(rows)
 	return s, loadBaseMS + loadRowMS*usualLoadRows
 }
 
-// writeFormats are statements that change what is stored, evidently or not. Each takes the
-// number of a group and that of a part.
+// writeFormats are statements that change stored data, some of which look like lookups. Their
+// arguments are the number of a table group and the number of a part.
 var writeFormats = []string{
 	"DELETE FROM stock_%d.returns WHERE part = 'p-%05d'",
 	"UPDATE stock_%d.stock SET n = n - 1 WHERE part = 'p-%05d'",
-	"MERGE INTO stock_%d.stock s USING stock_1.parts p ON s.part = p.part AND p.part = 'p-%05d' WHEN MATCHED THEN DELETE",
+	"MERGE INTO stock_%d.stock s USING stock_1.parts p ON s.part = p.part AND p.part = 'p-%05d' " +
+		"WHEN MATCHED THEN DELETE",
 	"WITH gone AS (DELETE FROM stock_%d.returns WHERE part = 'p-%05d' RETURNING *) SELECT count(*) FROM gone",
 	"SELECT part FROM stock_%d.stock WHERE part = 'p-%05d' FOR UPDATE",
 	"SELECT part INTO stock_%d.x FROM stock_2.parts WHERE part = 'p-%05d'",
@@ -55,5 +62,6 @@
 func (g *Generator) write(growth float64) Statement {
 	format := writeFormats[g.random.IntN(len(writeFormats))]
 	text := fmt.Sprintf(format, 1+g.random.IntN(groupCount), g.random.IntN(partCount))
-	return g.finish(Statement{Text: text, Class: ClassWrite, Template: TemplateWrite, WorkMS: writeMS * growth}, writeMS)
+	s := Statement{Text: text, Class: ClassWrite, Template: TemplateWrite, WorkMS: writeMS * growth}
+	return g.finish(s, writeMS)
 }
