--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -1,9 +1,13 @@
 package eventloop
 
 import (
+	"errors"
 	"io"
 	"runtime"
 	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
 
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
@@ -80,6 +84,9 @@
 		{"CloseAfterLinger", (*Conn).CloseAfterLinger, connLingering},
 		{"Close, then CloseAfterLinger", func(c *Conn) { c.Close(); c.CloseAfterLinger() }, connDraining},
 		{"CloseAfterLinger, then Close", func(c *Conn) { c.CloseAfterLinger(); c.Close() }, connLingering},
+		{"CloseIfIdle", func(c *Conn) { c.CloseIfIdle() }, connDraining},
+		{"Close, then CloseIfIdle", func(c *Conn) { c.Close(); c.CloseIfIdle() }, connDraining},
+		{"CloseAfterLinger, then CloseIfIdle", func(c *Conn) { c.CloseAfterLinger(); c.CloseIfIdle() }, connLingering},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l, r, _ := connectedPair(t)
@@ -130,3 +137,111 @@
 		t.Errorf("the peer saw %v, want the end of the stream", err)
 	}
 }
+
+// What a peer sends after Close is read and dropped, up to the size of a read buffer: beyond that it would be read at
+// full speed for nothing.
+func TestClose_DiscardsNoMoreThanABuffer(t *testing.T) {
+	l, r, peer := connectedPair(t)
+	discarded := func() int {
+		r.conn.mu.Lock()
+		defer r.conn.mu.Unlock()
+		return r.conn.discardedOnRead
+	}
+	eventlooptest.Do(l, func() { // the poller reads meanwhile, and no timer ends the connection
+		r.conn.Close()
+		if _, err := peer.Write(make([]byte, 2*readLimit)); err != nil {
+			t.Error(err)
+		}
+		for discarded() <= readLimit {
+			runtime.Gosched()
+		}
+		time.Sleep(20 * time.Millisecond) // time in which too much would be read
+		if got := discarded(); got > readLimit+readSize {
+			t.Errorf("%d bytes discarded, want at most %d", got, readLimit+readSize)
+		}
+	})
+	awaitEnd(t, r.closed, "the connection")
+}
+
+// The end of a connection carries the peer's reset, also while the socket is not read.
+func TestOnClosed_ReportsAReset(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		events uint32
+	}{
+		{"reading", readEvents},
+		{"waiting for the end only", unix.EPOLLRDHUP},
+		{"not reading", 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			l, r, peer := connectedPair(t)
+			eventlooptest.Do(l, func() { r.conn.socket.waitFor(test.events) })
+			if err := peer.SetLinger(0); err != nil {
+				t.Fatal(err)
+			}
+			if err := peer.Close(); err != nil {
+				t.Fatal(err)
+			}
+			if err := <-r.closed; !errors.Is(err, unix.ECONNRESET) {
+				t.Errorf("closed with %v, want %v", err, unix.ECONNRESET)
+			}
+		})
+	}
+}
+
+// Close makes space in a full buffer, so that what the peer still sends is read: left unread, it would reset the
+// connection.
+func TestClose_ReadsOnBehindAFullBuffer(t *testing.T) {
+	const size = readLimit + 2*readSize // more than is read before a pause
+	l, r, peer := connectedPair(t)
+	eventlooptest.Do(l, func() { r.idle = true })
+	if _, err := peer.Write(make([]byte, size)); err != nil {
+		t.Fatal(err)
+	}
+	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == 0 })
+	eventlooptest.Do(l, func() {
+		r.conn.Close()
+		l.Post(func() {
+			if got := r.conn.UnreadBytes(); got != 0 {
+				t.Errorf("%d bytes are still in the buffer", got)
+			}
+			interest := interestOf(r.conn)
+			if interest != readEvents {
+				t.Errorf("the poller waits for events %#x, want %#x", interest, readEvents)
+			}
+		})
+	})
+	awaitEnd(t, r.closed, "the connection")
+}
+
+// CloseAfterLinger sends what is pending, although the poller no longer waits for bytes to read.
+func TestCloseAfterLinger_SendsPendingBytes(t *testing.T) {
+	l, r, peer := connectedPair(t)
+	eventlooptest.Do(l, func() {
+		acceptAgain := refuseWrites(r.conn)
+		r.conn.Write([]byte("response"))
+		r.conn.CloseAfterLinger()
+		acceptAgain()
+	})
+	if got, err := io.ReadAll(peer); string(got) != "response" || err != nil {
+		t.Errorf("the peer read %q, then %v", got, err)
+	}
+	awaitEnd(t, r.closed, "the connection")
+}
+
+// Bytes that were not consumed before the end count no more after it.
+func TestOnClosed_ReleasesUnreadBytes(t *testing.T) {
+	l, r, peer := connectedPair(t)
+	eventlooptest.Do(l, func() { r.idle = true })
+	if _, err := io.WriteString(peer, "part of a request"); err != nil {
+		t.Fatal(err)
+	}
+	awaitOnLoop(t, l, "the bytes are read", func() bool { return r.conn.UnreadBytes() > 0 })
+	if err := peer.Close(); err != nil {
+		t.Fatal(err)
+	}
+	awaitEnd(t, r.closed, "the connection")
+	if got := l.BufferedBytes(); got != 0 {
+		t.Errorf("%d bytes still counted as buffered", got)
+	}
+}
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -58,3 +58,18 @@
 		t.Errorf("got %v after %d calls", err, calls)
 	}
 }
+
+// A cancelled dial ends at once, with the error of its cancellation.
+func TestDial_EndsWhenItIsCancelled(t *testing.T) {
+	l, _ := startLoop(t)
+	l.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) {
+		<-ctx.Done()
+		return nil, ctx.Err()
+	}
+	done := make(chan error, 1)
+	cancel := l.Dial("127.0.0.1:1", time.Hour, readSize, &recorder{}, func(_ *Conn, err error) { done <- err })
+	cancel()
+	if err := <-done; !errors.Is(err, context.Canceled) {
+		t.Errorf("got %v, want %v", err, context.Canceled)
+	}
+}
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -5,24 +5,35 @@
 	"testing"
 	"time"
 
+	"golang.org/x/sys/unix"
+
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
 // patience bounds a wait for something that is expected to happen.
 const patience = 10 * time.Second
 
+// readLimit is the size of the read buffer of each connection that connectTo returns.
+const readLimit = 64 << 10
+
 // recorder is a handler that keeps what it is notified of.
 type recorder struct {
 	conn   *Conn
-	data   []string // of the loop's goroutine
-	idle   bool     // of the loop's goroutine: nothing is consumed
 	closed chan error
+
+	// Of the loop's goroutine.
+	data      []string
+	arrivedAt []time.Duration // of the first byte of each of data
+	idle      bool            // nothing is consumed
 }
 
 func (r *recorder) OnData(_ *Conn, in *Buffer) {
 	if r.idle {
 		return
 	}
+	if in.Len() > 0 {
+		r.arrivedAt = append(r.arrivedAt, in.ArrivedAt(1))
+	}
 	r.data = append(r.data, string(in.Bytes()))
 	in.Consume(in.Len())
 }
@@ -51,7 +62,7 @@
 func connectTo(t *testing.T, l *Loop) (r *recorder, peer *net.TCPConn) {
 	t.Helper()
 	accepted := make(chan *recorder, 1)
-	listener, err := l.Listen("127.0.0.1:0", 64<<10, 0, func(c *Conn) Handler {
+	listener, err := l.Listen("127.0.0.1:0", readLimit, 0, func(c *Conn) Handler {
 		r := &recorder{conn: c, closed: make(chan error, 1)}
 		accepted <- r
 		return r
@@ -71,6 +82,21 @@
 	return <-accepted, conn.(*net.TCPConn)
 }
 
+// awaitOnLoop waits until the condition holds, which is called on the loop's goroutine.
+func awaitOnLoop(t *testing.T, l *Loop, what string, condition func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+		holds := false
+		eventlooptest.Do(l, func() { holds = condition() })
+		if holds {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %v: %s", patience, what)
+		}
+	}
+}
+
 // awaitEnd fails the test where the channel brings nothing.
 func awaitEnd[T any](t *testing.T, c <-chan T, what string) {
 	t.Helper()
@@ -80,3 +106,25 @@
 		t.Fatalf("%s did not end", what)
 	}
 }
+
+// interestOf returns the events that the poller waits for.
+func interestOf(c *Conn) uint32 {
+	c.socket.mu.Lock()
+	defer c.socket.mu.Unlock()
+	return c.socket.interest
+}
+
+// setWrite has the connection write by another function than the kernel's.
+func setWrite(c *Conn, write func(descriptor int, p []byte) (int, error)) {
+	setSystem(c, system{read: unix.Read, write: write})
+}
+
+// checkData fails the test unless OnData was called once, with these bytes.
+func checkData(t *testing.T, l *Loop, r *recorder, want string) {
+	t.Helper()
+	eventlooptest.Do(l, func() {
+		if len(r.data) != 1 || r.data[0] != want {
+			t.Errorf("OnData got %q, want %q", r.data, want)
+		}
+	})
+}
--- a/internal/eventloop/listen_test.go
+++ b/internal/eventloop/listen_test.go
@@ -82,3 +82,33 @@
 		_ = listener.Close()
 	}
 }
+
+// A connection beyond the limit is accepted once another has ended.
+func TestListen_LimitsOpenConnections(t *testing.T) {
+	l, _ := startLoop(t)
+	accepted := make(chan *recorder, 2)
+	listener, err := l.Listen("127.0.0.1:0", readSize, 1, func(c *Conn) Handler {
+		r := &recorder{conn: c, closed: make(chan error, 1)}
+		accepted <- r
+		return r
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	for range 2 {
+		conn, err := net.Dial("tcp", listener.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = conn.Close() })
+	}
+	first := <-accepted
+	select {
+	case <-accepted:
+		t.Error("a connection beyond the limit was accepted")
+	case <-time.After(50 * time.Millisecond):
+	}
+	eventlooptest.Do(l, first.conn.Abort)
+	awaitEnd(t, accepted, "the wait of the second connection")
+}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,6 +1,8 @@
 package eventloop
 
 import (
+	"io"
+	"slices"
 	"testing"
 	"time"
 
@@ -13,3 +15,33 @@
 	eventlooptest.Do(l, func() { l.Timers.Schedule(l.Now()+20*time.Millisecond, l.Stop) })
 	awaitEnd(t, ended, "Run")
 }
+
+// Posted functions run in their order. What they post runs on the next turn, after the timers of this one.
+func TestPost_RunsInOrderAndLetsTimersRunBetweenTurns(t *testing.T) {
+	l, _ := startLoop(t)
+	var got []string
+	done := make(chan struct{})
+	note := func(what string) func() { return func() { got = append(got, what) } }
+	eventlooptest.Do(l, func() {
+		l.Post(func() {
+			l.Timers.Schedule(l.Now(), note("timer"))
+			l.Post(note("third"))
+			l.Post(func() { close(done) })
+			got = append(got, "first")
+		})
+		l.Post(note("second"))
+	})
+	awaitEnd(t, done, "the posted functions")
+	if want := []string{"first", "second", "timer", "third"}; !slices.Equal(got, want) {
+		t.Errorf("ran %q, want %q", got, want)
+	}
+}
+
+// The end of Run closes the connections.
+func TestRun_ClosesConnectionsAtItsEnd(t *testing.T) {
+	l, _, peer := connectedPair(t)
+	eventlooptest.Do(l, l.Stop)
+	if _, err := io.ReadAll(peer); err != nil {
+		t.Errorf("the peer saw %v, want the end of the stream", err)
+	}
+}
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"io"
 	"runtime"
 	"testing"
 	"time"
@@ -114,7 +115,7 @@
 func TestFullBufferDoesNotHideTheEnd(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
-	const readLimit, unread = 64 << 10, 16 << 10
+	const unread = 16 << 10
 	if _, err := peer.Write(make([]byte, readLimit+unread)); err != nil {
 		t.Fatal(err)
 	}
@@ -138,3 +139,121 @@
 		t.Error("the end was not noticed")
 	}
 }
+
+// Reading pauses while the buffer is full, and resumes once the handler has consumed.
+func TestRead_PausesWhileTheBufferIsFull(t *testing.T) {
+	l, r, peer := connectedPair(t)
+	const size = 300 << 10
+	eventlooptest.Do(l, func() { r.idle = true })
+	go func() { _, _ = peer.Write(make([]byte, size)) }()
+	awaitOnLoop(t, l, "the buffer is full", func() bool { return r.conn.UnreadBytes() >= readLimit })
+	time.Sleep(20 * time.Millisecond) // time in which too much would be read
+	eventlooptest.Do(l, func() {
+		if got := r.conn.UnreadBytes(); got >= readLimit+readSize || int64(got) != l.BufferedBytes() {
+			t.Errorf("%d bytes are unread with a limit of %d; %d are counted", got, readLimit, l.BufferedBytes())
+		}
+		r.idle = false
+		r.conn.Redeliver()
+	})
+	awaitOnLoop(t, l, "all bytes are handed on", func() bool {
+		received := 0
+		for _, data := range r.data {
+			received += len(data)
+		}
+		return received == size
+	})
+	if got := l.BufferedBytes(); got != 0 {
+		t.Errorf("%d bytes still counted as buffered", got)
+	}
+}
+
+// With a limited read-ahead, no more than two reads are buffered; Redeliver resumes once the limit is lifted.
+func TestLimitReadAhead_HoldsUntilItIsLifted(t *testing.T) {
+	l, r, peer := connectedPair(t)
+	eventlooptest.Do(l, func() {
+		r.idle = true
+		r.conn.LimitReadAhead(true)
+	})
+	go func() { _, _ = peer.Write(make([]byte, 300<<10)) }()
+	awaitOnLoop(t, l, "one read is buffered", func() bool { return r.conn.UnreadBytes() >= readSize })
+	time.Sleep(20 * time.Millisecond) // time in which too much would be read
+	eventlooptest.Do(l, func() {
+		if got := r.conn.UnreadBytes(); got >= 2*readSize {
+			t.Errorf("%d bytes are unread, want less than %d", got, 2*readSize)
+		}
+		r.conn.LimitReadAhead(false)
+		r.conn.Redeliver()
+	})
+	awaitOnLoop(t, l, "the rest is read", func() bool { return r.conn.UnreadBytes() >= readLimit })
+}
+
+// Bytes that waited in the kernel keep the time at which the kernel received them; later ones are stamped when they
+// are read.
+func TestArrivedAt_CountsTheWaitInTheKernel(t *testing.T) {
+	const wait = 300 * time.Millisecond
+	l, r, peer := connectedPair(t)
+	eventlooptest.Do(l, func() { r.conn.socket.waitFor(0) })
+	sentAt := l.Now()
+	if _, err := io.WriteString(peer, "early"); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(wait)
+	eventlooptest.Do(l, func() { r.conn.socket.waitFor(readEvents) })
+	awaitOnLoop(t, l, "the bytes are handed on", func() bool { return len(r.data) == 1 })
+	if age := r.arrivedAt[0] - sentAt; age < -wait/2 || age > wait/2 {
+		t.Errorf("the first bytes arrived %v after they were sent", age)
+	}
+	eventlooptest.Do(l, func() { r.conn.socket.waitFor(0) })
+	if _, err := io.WriteString(peer, "late"); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(20 * time.Millisecond)
+	readAt := l.Now()
+	eventlooptest.Do(l, func() { r.conn.socket.waitFor(readEvents) })
+	awaitOnLoop(t, l, "the bytes are handed on", func() bool { return len(r.data) == 2 })
+	if r.arrivedAt[1] < readAt {
+		t.Errorf("the second bytes arrived %v before they were read", readAt-r.arrivedAt[1])
+	}
+}
+
+// What is read before the handler is called is delivered by one call.
+func TestRead_PostsOneDeliveryForSeveralReads(t *testing.T) {
+	l, r, peer := connectedPair(t)
+	eventlooptest.Do(l, func() {
+		for _, part := range []string{"first, ", "second"} {
+			before := l.BufferedBytes()
+			if _, err := io.WriteString(peer, part); err != nil {
+				t.Error(err)
+			}
+			for l.BufferedBytes() == before { // the poller reads while the loop is here
+				runtime.Gosched()
+			}
+		}
+	})
+	checkData(t, l, r, "first, second")
+}
+
+// Bytes that waited for space in the buffer keep the time at which the kernel received them.
+func TestArrivedAt_CountsTheWaitForSpace(t *testing.T) {
+	const wait = 300 * time.Millisecond
+	l, r, peer := connectedPair(t)
+	eventlooptest.Do(l, func() { r.idle = true })
+	if _, err := peer.Write(make([]byte, readLimit)); err != nil {
+		t.Fatal(err)
+	}
+	awaitOnLoop(t, l, "the buffer is full", func() bool { return r.conn.UnreadBytes() == readLimit })
+	sentAt := l.Now()
+	if _, err := io.WriteString(peer, "waiting"); err != nil {
+		t.Fatal(err)
+	}
+	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == 0 })
+	time.Sleep(wait)
+	eventlooptest.Do(l, func() {
+		r.idle = false
+		r.conn.Redeliver()
+	})
+	awaitOnLoop(t, l, "the bytes are delivered", func() bool { return len(r.data) == 2 })
+	if age := r.arrivedAt[1] - sentAt; age < -wait/2 || age > wait/2 {
+		t.Errorf("the bytes arrived %v after they were sent", age)
+	}
+}
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -196,3 +196,25 @@
 		r.conn.Abort()
 	})
 }
+
+// If the peer has ended the stream, that counts as the reason of the end, and not the write that failed after it.
+func TestWrite_ReportsThePeersEndBeforeItsFailure(t *testing.T) {
+	l, r, peer := connectedPair(t)
+	eventlooptest.Do(l, func() {
+		r.conn.socket.waitFor(0) // the poller does not read first
+		if _, err := io.WriteString(peer, "a response"); err != nil {
+			t.Error(err)
+		}
+		if err := peer.Close(); err != nil {
+			t.Error(err)
+		}
+		setWrite(r.conn, func(int, []byte) (int, error) { return -1, unix.EPIPE })
+		if r.conn.Write([]byte("a request")) {
+			t.Error("the write was accepted")
+		}
+	})
+	if err := <-r.closed; err != nil {
+		t.Errorf("closed with %v", err)
+	}
+	checkData(t, l, r, "a response")
+}
