--- /dev/null
+++ b/internal/eventloop/arrivallog.go
@@ -0,0 +1,49 @@
+package eventloop
+
+import "time"
+
+// arrivalPrecision is how far apart two reads may be that count as one. It limits the memory for peers that send byte
+// by byte.
+const arrivalPrecision = 10 * time.Millisecond
+
+// arrivalLog records when the bytes of a connection were read. Positions count the bytes since the connection began.
+// It is not safe for concurrent use.
+type arrivalLog struct {
+	received int64     // bytes read so far
+	arrivals []arrival // of the bytes that are not forgotten, in their order
+}
+
+// arrival is one read, or several in close succession.
+type arrival struct {
+	end int64         // position of the last byte
+	at  time.Duration // time of the first of these reads, as of Loop.Now
+}
+
+// note records that n bytes were read.
+func (l *arrivalLog) note(n int, at time.Duration) {
+	l.received += int64(n)
+	if last := len(l.arrivals) - 1; last >= 0 && at-l.arrivals[last].at < arrivalPrecision {
+		l.arrivals[last].end = l.received
+		return
+	}
+	l.arrivals = append(l.arrivals, arrival{end: l.received, at: at})
+}
+
+// timeOf returns when the byte at the position was read.
+func (l *arrivalLog) timeOf(position int64) time.Duration {
+	for _, a := range l.arrivals {
+		if position <= a.end {
+			return a.at
+		}
+	}
+	return 0
+}
+
+// forget drops the arrivals of the bytes up to the position.
+func (l *arrivalLog) forget(position int64) {
+	forgotten := 0
+	for forgotten < len(l.arrivals) && l.arrivals[forgotten].end <= position {
+		forgotten++
+	}
+	l.arrivals = append(l.arrivals[:0], l.arrivals[forgotten:]...)
+}
--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -5,14 +5,12 @@
 // maxIdleBuffer is the capacity, in bytes, up to which an empty buffer keeps its memory.
 const maxIdleBuffer = 16 << 10
 
-// Buffer holds what was received and not yet consumed. It grows as needed and is
-// compacted in place, so that a connection needs no second one. It is not safe for
-// concurrent use.
+// Buffer holds what was received and not yet consumed. It grows as needed and is compacted in place, so that a
+// connection needs no second buffer. It is not safe for concurrent use.
 type Buffer struct {
 	data     []byte
-	consumed int       // bytes at the start of data that have been consumed
-	received int64     // bytes read so far
-	arrivals []arrival // of the bytes that have not been consumed, in their order
+	consumed int // bytes at the start of data that have been consumed
+	arrivals arrivalLog
 }
 
 // Bytes returns what has not been consumed. It is valid until the next call.
@@ -24,23 +22,38 @@
 // Consume drops the first n bytes.
 func (b *Buffer) Consume(n int) {
 	b.consumed += n
-	defer b.forgetArrivals()
-	if b.consumed < len(b.data) {
-		return
-	}
-	b.data, b.consumed = b.data[:0], 0
-	if cap(b.data) > maxIdleBuffer { // one large message must not keep its memory forever
-		b.data = nil
+	if b.consumed >= len(b.data) {
+		b.clear()
 	}
+	b.arrivals.forget(b.position())
 }
 
-// append adds bytes that were read at the given time. It moves the rest to the front of the memory where that
-// may save an allocation.
+// ArrivedAt returns when the n-th byte that has not been consumed was read, as of Loop.Now. Bytes that came later don't
+// change it. n is at least 1 and at most Len.
+func (b *Buffer) ArrivedAt(n int) time.Duration {
+	return b.arrivals.timeOf(b.position() + int64(n))
+}
+
+// position returns how many bytes of the connection have been consumed.
+func (b *Buffer) position() int64 { return b.arrivals.received - int64(b.Len()) }
+
+// append adds bytes that were read at the given time. It moves the rest to the front of the memory if that may save an
+// allocation.
 func (b *Buffer) append(received []byte, at time.Duration) {
 	if b.consumed > 0 && len(b.data)+len(received) > cap(b.data) {
-		rest := copy(b.data, b.data[b.consumed:])
-		b.data, b.consumed = b.data[:rest], 0
+		rest := copy(b.data, b.Bytes())
+		b.data = b.data[:rest]
+		b.consumed = 0
 	}
 	b.data = append(b.data, received...)
-	b.noteArrival(len(received), at)
+	b.arrivals.note(len(received), at)
+}
+
+// clear empties the buffer. One large message must not keep its memory forever.
+func (b *Buffer) clear() {
+	b.consumed = 0
+	b.data = b.data[:0]
+	if cap(b.data) > maxIdleBuffer {
+		b.data = nil
+	}
 }
--- a/internal/eventloop/buffer_test.go
+++ b/internal/eventloop/buffer_test.go
@@ -39,11 +39,11 @@
 	if got := b.ArrivedAt(1); got != 2*time.Second {
 		t.Errorf("the first byte left arrived at %v", got)
 	}
-	if b.ArrivedAt(b.Len()) != 3*time.Second || len(b.arrivals) != 2 {
-		t.Errorf("the last byte arrived at %v; %d arrivals are kept", b.ArrivedAt(b.Len()), len(b.arrivals))
+	if b.ArrivedAt(b.Len()) != 3*time.Second || len(b.arrivals.arrivals) != 2 {
+		t.Errorf("the last byte arrived at %v; %d arrivals are kept", b.ArrivedAt(b.Len()), len(b.arrivals.arrivals))
 	}
 	b.Consume(b.Len())
-	if len(b.arrivals) != 0 {
-		t.Errorf("%d arrivals are kept of an empty buffer", len(b.arrivals))
+	if len(b.arrivals.arrivals) != 0 {
+		t.Errorf("%d arrivals are kept of an empty buffer", len(b.arrivals.arrivals))
 	}
 }
