--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -1,80 +1,155 @@
 package eventloop
 
 import (
+	"sync/atomic"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// maxDrainTime is how long a connection may take, from Close on, to send what is pending.
-const maxDrainTime = 3 * time.Second
+const (
+	// maxDrainTime is how long a connection may take to send what is pending, from Close on.
+	maxDrainTime = 3 * time.Second
 
-// lingerTime is how long a connection stays open behind its last write for its peer to
-// close it. It prevents a close that overtakes the last answer: closing a socket with
-// unread bytes resets the connection, and the peer may then never see that answer.
-const lingerTime = 250 * time.Millisecond
+	// lingerTime is how long a connection stays open after its last write, so that its peer can close it. A socket that
+	// is closed with unread bytes resets the connection, and the peer may then never read the last response.
+	lingerTime = 250 * time.Millisecond
+)
+
+// connState is the state of a connection's close.
+//
+//	state     event                           next state  action
+//	open      Close                           draining    discard what was read, wait for pending writes
+//	open      CloseIfIdle, nothing is unread  draining    as for Close
+//	open      CloseAfterLinger                lingering   stop reading, close the socket after lingerTime
+//	draining  no write is pending             draining    shut the write side, close the socket after lingerTime
+//	draining  maxDrainTime after Close        draining    close the socket
+//	any       the peer ends the stream        unchanged   close the socket
+//	any       a read or a write fails         unchanged   close the socket with the error
+//	any       Abort                           unchanged   close the socket
+//	any       a turn after the socket's end   closed      drop the read buffer, call Handler.OnClosed
+//
+// The socket ends when it is closed. The handler learns of that on a later turn of the loop: bytes that were read before
+// are delivered first. Close and CloseAfterLinger do nothing unless the connection is open. CloseIfIdle, on a connection
+// that is closing and has nothing unread, shuts the write side if no write is pending.
+type connState int32
+
+const (
+	// connOpen: data is handed to the handler, and Write sends.
+	connOpen connState = iota
+	// connDraining: pending writes are sent, then the write side is shut. What is read meanwhile is discarded, so that
+	// no unread bytes reset the connection.
+	connDraining
+	// connLingering: pending writes are sent. Nothing more is read.
+	connLingering
+	// connClosed: the connection has ended, and the handler is notified.
+	connClosed
+)
+
+// atomicConnState holds a connState. The loop's goroutine alone stores; the poller's goroutine loads it to decide what
+// to do with received bytes.
+type atomicConnState struct {
+	value atomic.Int32
+}
+
+func (a *atomicConnState) load() connState { return connState(a.value.Load()) }
+
+func (a *atomicConnState) store(state connState) { a.value.Store(int32(state)) }
+
+// closer runs the state machine of a connection's close; see connState. It decides when the write side is shut and when
+// the socket is closed. Its methods belong to the loop's goroutine.
+type closer struct {
+	// Set once, by newConn.
+	loop   *Loop
+	socket *socket
+	reader *reader
+	writer *writer
 
-// Close ends the connection once what was written has been sent. OnClosed is called later,
-// and OnData no longer.
-func (c *Conn) Close() {
-	if c.loadState() != connOpen {
+	state        atomicConnState
+	disconnected atomic.Bool // the socket is closed; set on any goroutine, before the state becomes closed
+}
+
+func (c *closer) close() {
+	if c.state.load() != connOpen {
 		return
 	}
-	c.setState(connDraining)
+	c.state.store(connDraining)
 	c.drain()
 }
 
-// drain sends what is pending and then shuts the write side. The state is connDraining, or
-// the connection has ended.
-func (c *Conn) drain() {
-	c.Redeliver() // drops what was read, and resumes reading where the buffer was full
-	if c.pendingWrite.Load() == 0 {
-		c.halfClose()
-		return
+// closeIfIdle closes unless bytes of the peer are unread, and reports whether there are none.
+func (c *closer) closeIfIdle() bool {
+	idle := c.startDrainingIfIdle()
+	if idle {
+		c.drain()
 	}
-	c.OnFlushed(nil)
-	c.loop.Timers.Schedule(c.loop.Now()+maxDrainTime, c.Abort)
+	return idle
 }
 
-// CloseAfterLinger ends the connection a moment after its call, in which the peer has
-// time to read the last answer. Nothing more is read.
-func (c *Conn) CloseAfterLinger() {
-	if c.loadState() != connOpen {
+// startDrainingIfIdle reads what the socket holds, and changes the state if nothing is unread. It holds the reader's
+// mutex meanwhile, so that what the poller reads next is discarded.
+func (c *closer) startDrainingIfIdle() (idle bool) {
+	c.reader.mu.Lock()
+	defer c.reader.mu.Unlock()
+	isOpen := c.state.load() == connOpen
+	if isOpen {
+		c.reader.readAndPostLocked(c.loop.readBuffer, false)
+	}
+	idle = c.reader.in.Len() == 0
+	if idle && isOpen {
+		c.state.store(connDraining)
+	}
+	return idle
+}
+
+// drain sends what is pending and then shuts the write side.
+func (c *closer) drain() {
+	c.reader.redeliver() // discards what was read, and resumes reading if the buffer was full
+	if c.writer.pending.Load() == 0 {
+		c.shutdownWrite()
 		return
 	}
-	c.setState(connLingering)
-	c.socket.waitFor(unix.EPOLLRDHUP)
-	c.loop.Timers.Schedule(c.loop.Now()+lingerTime, c.Abort)
+	c.writer.notifyWhenFlushed(nil)
+	c.abortAfter(maxDrainTime)
 }
 
-// Abort ends the connection at once and drops what is pending.
-func (c *Conn) Abort() { c.socket.close(nil) }
+// writesFlushed is called by the writer once nothing is pending.
+func (c *closer) writesFlushed() {
+	if c.state.load() == connDraining {
+		c.shutdownWrite()
+	}
+}
 
-// halfClose shuts the write side, and leaves the peer a moment to close its own. What
-// the peer sends meanwhile is read and discarded.
-func (c *Conn) halfClose() {
+// shutdownWrite shuts the write side, and gives the peer a moment to close its own. What the peer sends meanwhile is
+// read and discarded.
+func (c *closer) shutdownWrite() {
 	if err := c.socket.shutdownWrite(); err != nil {
-		c.Abort()
+		c.abort()
 		return
 	}
-	c.loop.Timers.Schedule(c.loop.Now()+lingerTime, c.Abort)
+	c.abortAfter(lingerTime)
 }
 
-// CloseIfIdle ends the connection as Close does, unless bytes of its peer wait: those read, and
-// those that the socket holds, which are read now. It reports whether the connection is ending;
-// if not, OnData follows. It must not be called from OnData.
-func (c *Conn) CloseIfIdle() bool {
-	c.mu.Lock()
-	if c.loadState() == connOpen {
-		c.readAndPost(c.loop.readBuffer, false)
-	}
-	idle := c.in.Len() == 0
-	if idle && c.loadState() == connOpen {
-		c.setState(connDraining) // under mu: what is read from here on is discarded
-	}
-	c.mu.Unlock()
-	if idle {
-		c.drain()
+func (c *closer) closeAfterLinger() {
+	if c.state.load() != connOpen {
+		return
 	}
-	return idle
+	c.state.store(connLingering)
+	c.socket.waitFor(unix.EPOLLRDHUP)
+	c.abortAfter(lingerTime)
+}
+
+func (c *closer) abortAfter(delay time.Duration) {
+	c.loop.Timers.Schedule(c.loop.Now()+delay, c.abort)
+}
+
+func (c *closer) abort() { c.socket.close(nil) }
+
+// finish changes the state to closed and drops what is unread. It holds the reader's mutex: a read that is in progress
+// on the poller's goroutine ends before, and its bytes are dropped too.
+func (c *closer) finish() {
+	c.reader.mu.Lock()
+	defer c.reader.mu.Unlock()
+	c.state.store(connClosed)
+	c.reader.releaseBufferLocked()
 }
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -92,7 +92,7 @@
 			l, r, _ := connectedPair(t)
 			eventlooptest.Do(l, func() {
 				test.close(r.conn)
-				if got := r.conn.loadState(); got != test.want {
+				if got := r.conn.closer.state.load(); got != test.want {
 					t.Errorf("state %d, want %d", got, test.want)
 				}
 				if r.conn.Write([]byte("late")) {
@@ -101,7 +101,7 @@
 			})
 			awaitEnd(t, r.closed, "the connection")
 			eventlooptest.Do(l, func() {
-				if got := r.conn.loadState(); got != connClosed {
+				if got := r.conn.closer.state.load(); got != connClosed {
 					t.Errorf("state %d at the end, want %d", got, connClosed)
 				}
 			})
@@ -143,9 +143,9 @@
 func TestClose_DiscardsNoMoreThanABuffer(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	discarded := func() int {
-		r.conn.mu.Lock()
-		defer r.conn.mu.Unlock()
-		return r.conn.discardedOnRead
+		r.conn.reader.mu.Lock()
+		defer r.conn.reader.mu.Unlock()
+		return r.conn.reader.discarded
 	}
 	eventlooptest.Do(l, func() { // the poller reads meanwhile, and no timer ends the connection
 		r.conn.Close()
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,75 +1,38 @@
 package eventloop
 
-import (
-	"fmt"
-	"sync"
-	"sync/atomic"
-)
+import "fmt"
 
-// Handler takes the events of one connection, on the loop's goroutine.
+// Handler is called with the events of one connection, on the loop's goroutine.
 type Handler interface {
-	// OnData is called when the buffer has grown. What it doesn't consume stays there.
+	// OnData is called after the buffer has grown, and after Conn.Redeliver. Bytes that it does not consume stay in the
+	// buffer. It must not call Conn.UnreadBytes or Conn.CloseIfIdle.
 	OnData(c *Conn, in *Buffer)
-	// OnClosed is called once, when the connection has ended; err is nil where the peer
-	// or Close ended it in the usual way.
+	// OnClosed is called once, after the connection has ended. The error is nil if the peer ended the stream, or if
+	// the connection was closed from this side.
 	OnClosed(c *Conn, err error)
 }
 
-// connState is the state of a connection between open and closed. The loop's goroutine alone
-// changes it; the poller's reads it to know what to do with received bytes.
-type connState int32
-
-const (
-	// connOpen: data is handed to the handler, and Write sends.
-	connOpen connState = iota
-	// connDraining: Close was called. Pending writes are sent, then the write side is
-	// shut; what is read meanwhile is discarded.
-	connDraining
-	// connLingering: CloseAfterLinger was called. Pending writes are sent; nothing more
-	// is read.
-	connLingering
-	// connClosed: the connection has ended, and the handler has been notified.
-	connClosed
-)
-
-// Conn is one connection. Its methods are for the loop's goroutine.
-//
-// Two goroutines use its fields. The poller's goroutine reads the socket when it becomes
-// readable, and sends queued writes when it becomes writable; the loop's goroutine does
-// everything else, and also reads, once there is room in a buffer that was full.
+// Conn is one connection. It composes a reader, a writer and a closer over one socket; the package comment states the
+// goroutines and the lock rules. Its exported methods belong to the loop's goroutine.
 type Conn struct {
 	// Set once, by adopt.
-	loop      *Loop
-	socket    *socket
-	handler   Handler
-	readLimit int    // the largest size of the read buffer, in bytes
-	onEnded   func() // called once the connection has ended
-
-	// Written by the loop's goroutine alone; the poller's reads them.
-	state            atomic.Int32 // a connState
-	readAheadLimited atomic.Bool
-	flushAwaited     atomic.Bool // the loop's goroutine is to be notified when nothing is pending
-
-	// The loop's goroutine alone.
-	onFlushed func() // called once nothing is pending; may be nil
-
-	pendingWrite atomic.Int64 // bytes not yet sent: added by the loop, subtracted as they are sent
-	disconnected atomic.Bool  // the socket is closed; finish follows
-
-	mu              sync.Mutex
-	in              Buffer // guarded by mu, as are those below
-	deliveryPosted  bool   // a call of deliver is in the loop's queue
-	readPaused      bool   // there may be more to read, and the buffer is full
-	readLate        bool   // the next bytes may have waited in the kernel for long
-	discardedOnRead int    // bytes received after Close
+	loop    *Loop
+	socket  *socket
+	handler Handler
+	onEnded func() // called once the connection has ended
+
+	reader reader
+	writer writer
+	closer closer
 }
 
-// adopt hands a connected socket to the poller. The function onEnded is called once the
-// connection has ended. After an error the socket is closed, and neither newHandler nor
-// onEnded is called.
+// adopt hands a connected socket to the poller. The function onEnded is called once the connection has ended. After an
+// error the socket is closed, and neither newHandler nor onEnded is called. It belongs to the loop's goroutine.
 func (l *Loop) adopt(s *socket, readLimit int, newHandler func(*Conn) Handler, onEnded func()) (*Conn, error) {
-	c := &Conn{loop: l, socket: s, readLimit: readLimit, onEnded: onEnded, readLate: true}
-	s.owner, s.poller = c, l.poller
+	c := newConn(l, s, readLimit)
+	c.onEnded = onEnded
+	s.owner = c
+	s.poller = l.poller
 	if err := l.poller.add(s); err != nil {
 		s.owner = nil
 		s.close(err)
@@ -81,54 +44,94 @@
 	return c, nil
 }
 
-func (c *Conn) loadState() connState { return connState(c.state.Load()) }
+// newConn returns the connection of a socket, without its handler.
+func newConn(l *Loop, s *socket, readLimit int) *Conn {
+	c := &Conn{loop: l, socket: s}
+
+	c.reader.loop = l
+	c.reader.socket = s
+	c.reader.state = &c.closer.state
+	c.reader.limit = readLimit
+	c.reader.onData = func(in *Buffer) { c.handler.OnData(c, in) }
+	c.reader.bytesMayHaveWaited = true // for the connection to be accepted
+
+	c.writer.loop = l
+	c.writer.socket = s
+	c.writer.state = &c.closer.state
+	c.writer.notifyCloser = c.closer.writesFlushed
+
+	c.closer.loop = l
+	c.closer.socket = s
+	c.closer.reader = &c.reader
+	c.closer.writer = &c.writer
+	return c
+}
+
+// Write sends data, or queues what the socket does not accept at once. It returns false if the connection is closing or
+// has ended, or if this write fails. Data was not sent completely then, and OnClosed reports the reason.
+func (c *Conn) Write(data []byte) bool { return c.writer.write(data) }
+
+// PendingWrite returns the number of bytes that wait to be sent.
+func (c *Conn) PendingWrite() int { return int(c.writer.pending.Load()) }
+
+// OnFlushed schedules f to run on a later turn, once no bytes wait to be sent. It replaces the function of an earlier
+// call that has not run yet. A close that waits for pending bytes drops that function.
+func (c *Conn) OnFlushed(f func()) { c.writer.notifyWhenFlushed(f) }
+
+// LimitReadAhead sets whether only a little is read while the handler consumes nothing, as during a client's request in
+// flight. Redeliver must be called after the limit is lifted.
+func (c *Conn) LimitReadAhead(on bool) { c.reader.aheadLimited.Store(on) }
+
+// Redeliver schedules another call of OnData, on a later turn, for the bytes that an earlier call left in the buffer.
+func (c *Conn) Redeliver() { c.reader.redeliver() }
+
+// UnreadBytes returns the number of received bytes that the handler has not consumed. It must not be called from
+// OnData.
+func (c *Conn) UnreadBytes() int { return c.reader.unreadBytes() }
+
+// Close ends the connection once what was written has been sent. OnClosed is called later, and OnData no longer.
+func (c *Conn) Close() { c.closer.close() }
+
+// CloseAfterLinger ends the connection a moment after its call, in which the peer has time to read the last response.
+// Nothing more is read.
+func (c *Conn) CloseAfterLinger() { c.closer.closeAfterLinger() }
 
-func (c *Conn) setState(s connState) { c.state.Store(int32(s)) }
+// CloseIfIdle ends the connection as Close does, unless bytes of its peer wait: those in the read buffer, and those in
+// the socket, which are read now. It reports whether the connection is closing. If it is not, OnData follows.
+// CloseIfIdle must not be called from OnData.
+func (c *Conn) CloseIfIdle() bool { return c.closer.closeIfIdle() }
 
-// writeFailed reads what the peer has sent, and then ends the connection with the error. It
-// may be called from any goroutine, and while mu is held.
+// Abort ends the connection at once and drops what is pending.
+func (c *Conn) Abort() { c.closer.abort() }
+
+// Disconnected reports whether the connection has ended, which it does before OnClosed is called. Bytes that were read
+// before the end are still handed to OnData.
+func (c *Conn) Disconnected() bool { return c.closer.disconnected.Load() }
+
+// readable implements socketOwner.
+func (c *Conn) readable(chunk []byte, streamEnded bool) { c.reader.read(chunk, streamEnded) }
+
+// bytesSent implements socketOwner.
+func (c *Conn) bytesSent(n int) { c.writer.bytesSent(n) }
+
+// writeFailed implements socketOwner. On a later turn, it reads what the peer has sent and then closes the socket.
 func (c *Conn) writeFailed(err error) {
-	c.loop.Post(func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.readAndPost(c.loop.readBuffer, true)
-		c.socket.close(err)
-	})
+	c.loop.Post(func() { c.reader.readToEndAndClose(err) })
 }
 
-// ended notes that the socket is closed. It may be called from any goroutine.
-func (c *Conn) ended(err error) {
-	c.disconnected.Store(true)
+// socketClosed implements socketOwner.
+func (c *Conn) socketClosed(err error) {
+	c.closer.disconnected.Store(true)
 	c.loop.Post(func() { c.finish(err) })
 }
 
 // finish ends the connection for the loop and the handler, once.
 func (c *Conn) finish(err error) {
-	if c.loadState() == connClosed {
+	if c.closer.state.load() == connClosed {
 		return
 	}
 	delete(c.loop.connections, c)
-	c.mu.Lock()
-	c.setState(connClosed)
-	c.releaseBuffer()
-	c.mu.Unlock()
+	c.closer.finish()
 	c.onEnded()
 	c.handler.OnClosed(c, err)
 }
-
-// releaseBuffer drops what was read and not consumed. The caller holds mu.
-func (c *Conn) releaseBuffer() {
-	c.loop.bufferedBytes.Add(-int64(c.in.Len()))
-	c.in = Buffer{}
-}
-
-// UnreadBytes returns the number of received bytes that the handler has not consumed.
-func (c *Conn) UnreadBytes() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.in.Len()
-}
-
-// Disconnected reports whether the connection has ended, which it does before OnClosed
-// is called. What was read until then is still handed to OnData.
-func (c *Conn) Disconnected() bool { return c.disconnected.Load() }
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -116,7 +116,7 @@
 
 // setWrite has the connection write by another function than the kernel's.
 func setWrite(c *Conn, write func(descriptor int, p []byte) (int, error)) {
-	setSystem(c, system{read: unix.Read, write: write})
+	setSystem(c, systemCalls{read: unix.Read, write: write})
 }
 
 // checkData fails the test unless OnData was called once, with these bytes.
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -10,38 +10,37 @@
 )
 
 const (
-	// readSize is how much one read takes, in bytes. A connection whose read-ahead is
-	// limited goes on being read up to this size.
+	// readSize is the size of one read, in bytes. A connection whose read-ahead is limited is still read up to this
+	// size.
 	readSize = 32 << 10
 
-	// maxPendingWrite bounds, in bytes, what is queued for a peer that reads slowly; past
-	// it the connection is closed.
-	maxPendingWrite = 8 << 20
-
-	// eventsPerWait is how many events one wait returns at most.
+	// eventsPerWait is the largest number of events that one wait returns.
 	eventsPerWait = 256
 
-	// waitRetryDelay is the pause after a wait that failed for a passing reason.
+	// waitRetryDelay is the pause after a wait that failed for a transient reason.
 	waitRetryDelay = 10 * time.Millisecond
+
+	// wakeUpToken is the token of the poller's eventfd.
+	wakeUpToken = 0
+
+	// tokenHighShift is where the half of a token begins that unix.EpollEvent.Pad carries.
+	tokenHighShift = 32
 )
 
-// poller waits for the sockets of all connections on a goroutine of its own, by a
-// level-triggered epoll(7): what a read or a write leaves over raises the next event, so
-// that a call which was cut short or interrupted is always followed by another.
+// poller waits for the events of all sockets, on a goroutine of its own. It uses a level-triggered epoll(7): bytes that
+// a read or a write leaves raise the next event, so that a call which was cut short or interrupted is always followed
+// by another. Its methods may be called from any goroutine.
 type poller struct {
 	epoll   int
-	wakeUp  int // an eventfd: readable once the poller is to end
-	stopped chan struct{}
+	wakeUp  int           // an eventfd: readable once the poller is to end
+	stopped chan struct{} // closed once the poller's goroutine has ended
 
 	mu        sync.Mutex
 	sockets   map[uint64]*socket // guarded by mu; by token
 	lastToken uint64             // guarded by mu
 }
 
-// wakeUpToken is the token of the eventfd.
-const wakeUpToken = 0
-
-// startPoller returns a poller that runs.
+// startPoller returns a poller whose goroutine runs.
 func startPoller() (*poller, error) {
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -61,9 +60,9 @@
 	return p, nil
 }
 
-// control changes what the poller waits for on a descriptor.
+// control changes the events for which the poller waits on a descriptor. The kernel returns the token with them.
 func (p *poller) control(operation, descriptor int, token uint64, events uint32) error {
-	event := unix.EpollEvent{Events: events, Fd: int32(token), Pad: int32(token >> 32)}
+	event := unix.EpollEvent{Events: events, Fd: int32(token), Pad: int32(token >> tokenHighShift)}
 	if err := unix.EpollCtl(p.epoll, operation, descriptor, &event); err != nil {
 		return fmt.Errorf("epoll_ctl: %w", err)
 	}
@@ -72,11 +71,11 @@
 
 // tokenOf returns the token that control was given for the event's descriptor.
 func tokenOf(event *unix.EpollEvent) uint64 {
-	return uint64(uint32(event.Fd)) | uint64(uint32(event.Pad))<<32
+	return uint64(uint32(event.Fd)) | uint64(uint32(event.Pad))<<tokenHighShift
 }
 
-// add begins to wait for a socket. Tokens are never used twice: an event of a socket that
-// has been closed meanwhile finds nothing, even where another has its descriptor by then.
+// add begins to wait for a socket. Tokens are never used twice: a late event of a socket that has been closed finds
+// nothing, even if another socket has its descriptor by then.
 func (p *poller) add(s *socket) error {
 	p.mu.Lock()
 	p.lastToken++
@@ -92,20 +91,21 @@
 	return err
 }
 
-// remove forgets a socket. The kernel does when its descriptor is closed.
+// remove forgets a socket. The kernel forgets it when its descriptor is closed.
 func (p *poller) remove(s *socket) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.sockets, s.token)
 }
 
+// find returns the socket of a token, or nil if it was removed.
 func (p *poller) find(token uint64) *socket {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sockets[token]
 }
 
-// run hands events to the sockets until stop.
+// run passes events to the sockets until stop.
 func (p *poller) run() {
 	defer close(p.stopped)
 	events := make([]unix.EpollEvent, eventsPerWait)
@@ -132,7 +132,7 @@
 	}
 }
 
-// stop ends the poller and waits for it, for no longer than the timeout.
+// stop ends the poller and waits for its goroutine, for no longer than the timeout.
 func (p *poller) stop(timeout time.Duration) {
 	const increment = "\x01\x00\x00\x00\x00\x00\x00\x00"
 	for {
--- /dev/null
+++ b/internal/eventloop/reader.go
@@ -0,0 +1,210 @@
+package eventloop
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// reader reads a connection's socket into its buffer, and hands the buffer to the handler. From the state of the
+// connection it decides whether bytes are kept, discarded or left in the socket, and from the size of the buffer, in
+// bytes, when reading pauses.
+//
+// Both goroutines read: the poller's when the socket is readable, the loop's before an idle connection is closed and
+// after a failed write. The mutex mu separates these reads from each other and from the handler's use of the buffer.
+//
+// The booleans are no states of one machine: any combination of them occurs.
+type reader struct {
+	// Set once, by newConn.
+	loop   *Loop
+	socket *socket
+	state  *atomicConnState
+	limit  int           // the largest size of the buffer, in bytes
+	onData func(*Buffer) // calls the handler
+
+	aheadLimited atomic.Bool // written by the loop's goroutine alone
+
+	mu                 sync.Mutex
+	in                 Buffer // guarded by mu, as are those below
+	deliveryPosted     bool   // a call of deliver is in the loop's queue
+	paused             bool   // the buffer is full, and the socket may hold more
+	bytesMayHaveWaited bool   // the next bytes may have been in the socket for long
+	discarded          int    // bytes received after Close
+}
+
+// read reads what the socket holds until the buffer is full, on the poller's goroutine. If the stream has ended it
+// reads to the end before the data is handed to the handler, so that the handler does not act for a client that has
+// disconnected.
+func (r *reader) read(chunk []byte, streamEnded bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.readAndPostLocked(chunk, streamEnded)
+}
+
+// readToEndAndClose reads what the peer has sent, and then closes the socket with the error of a failed write. It
+// belongs to the loop's goroutine.
+func (r *reader) readToEndAndClose(err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.readAndPostLocked(r.loop.readBuffer, true)
+	r.socket.close(err)
+}
+
+// readAndPostLocked reads, and posts the delivery of what was read. If the stream has ended, it closes the socket after
+// that, so that the end of the connection is posted behind the delivery: no byte before the end is lost.
+func (r *reader) readAndPostLocked(chunk []byte, streamEnded bool) {
+	received, ended, err := r.readAvailableLocked(chunk, streamEnded)
+	if received && !r.deliveryPosted {
+		r.deliveryPosted = true
+		r.loop.Post(r.deliver)
+	}
+	if ended {
+		r.socket.close(err)
+	}
+}
+
+// readAvailableLocked reads, and reports whether the handler is to be called and whether the stream has ended, with an
+// error or without.
+func (r *reader) readAvailableLocked(chunk []byte, streamEnded bool) (received, ended bool, err error) {
+	for {
+		if r.state.load() == connLingering {
+			r.socket.waitFor(unix.EPOLLRDHUP)
+			return received, false, nil
+		}
+		if r.in.Len() >= r.currentLimit() {
+			r.pauseLocked()
+			return received, false, nil
+		}
+		n, err := r.socket.read(chunk)
+		switch {
+		case n > 0:
+			deliver, readOn := r.acceptLocked(chunk[:n])
+			received = received || deliver
+			if !readOn || n < len(chunk) && !streamEnded {
+				return received, false, nil // what the socket still holds raises another event
+			}
+		case errors.Is(err, unix.EAGAIN), errors.Is(err, net.ErrClosed):
+			return received, false, nil
+		default: // the end of the stream, or an error
+			return received, true, err
+		}
+	}
+}
+
+// pauseLocked stops the poller's events until there is space in the buffer. The end of a stream whose read-ahead is
+// limited is still noticed; otherwise the bytes before the end come first.
+func (r *reader) pauseLocked() {
+	r.paused = true
+	if r.aheadLimited.Load() {
+		r.socket.waitFor(unix.EPOLLRDHUP)
+	} else {
+		r.socket.waitFor(0)
+	}
+}
+
+// acceptLocked keeps received bytes for the handler, or discards them if the connection is being closed, as it may be
+// since the read began. It reports whether the handler is to be called for them, and whether to read on.
+func (r *reader) acceptLocked(data []byte) (deliver, readOn bool) {
+	if r.state.load() != connOpen {
+		return false, r.discardLocked(len(data))
+	}
+	return true, r.bufferLocked(data)
+}
+
+// discardLocked counts bytes that came after Close and are dropped. They are read because a socket that is closed with
+// unread bytes resets the connection. It reports whether to read on. It does not after more than a full buffer: such a
+// peer may go on sending at full speed.
+func (r *reader) discardLocked(n int) (readOn bool) {
+	r.discarded += n
+	if r.discarded > r.limit {
+		r.socket.waitFor(unix.EPOLLRDHUP)
+		return false
+	}
+	return true
+}
+
+// bufferLocked keeps what was read for the handler, and reports whether to read on. Beyond the loop's budget it closes
+// a connection whose buffer holds more than one read: many peers that each stop in the middle of a long message would
+// take all memory.
+func (r *reader) bufferLocked(data []byte) (readOn bool) {
+	r.in.append(data, r.arrivalTimeLocked())
+	total := r.loop.bufferedBytes.Add(int64(len(data)))
+	if total <= r.loop.BufferBudget || r.in.Len() <= readSize {
+		return true
+	}
+	r.releaseBufferLocked() // at once: other connections need the memory
+	r.socket.close(errBufferBudgetExceeded)
+	return false
+}
+
+// arrivalTimeLocked returns when the bytes that have just been read arrived. That is now, unless they may have waited
+// for the connection to be accepted, or for space in the buffer.
+func (r *reader) arrivalTimeLocked() time.Duration {
+	now := r.loop.Now()
+	if !r.bytesMayHaveWaited {
+		return now
+	}
+	r.bytesMayHaveWaited = false
+	return now - r.socket.lastDataAge()
+}
+
+// currentLimit returns how many bytes the buffer may hold before reading pauses; the peer's own writes wait then. It
+// has to be enough for the largest message. One read may exceed it.
+func (r *reader) currentLimit() int {
+	if r.aheadLimited.Load() {
+		return min(readSize, r.limit)
+	}
+	return r.limit
+}
+
+// redeliver schedules a call of deliver. It may be called while mu is held.
+func (r *reader) redeliver() { r.loop.Post(r.deliver) }
+
+// deliver hands the buffer to the handler, and resumes reading if there is space again. It belongs to the loop's
+// goroutine.
+func (r *reader) deliver() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.deliveryPosted = false
+	before := r.in.Len()
+	switch r.state.load() {
+	case connOpen:
+		r.onData(&r.in)
+	case connDraining, connLingering:
+		// The peer of a closed connection must assume that what it sent last was not acted on.
+		r.in.Consume(before)
+	case connClosed:
+	}
+	r.loop.bufferedBytes.Add(int64(r.in.Len() - before))
+	if r.paused {
+		r.resumeIfSpaceLocked()
+	}
+}
+
+// resumeIfSpaceLocked resumes reading unless the buffer is still full.
+func (r *reader) resumeIfSpaceLocked() {
+	if r.in.Len() >= r.currentLimit() {
+		r.pauseLocked() // again: the handler may have limited the read-ahead
+		return
+	}
+	r.paused = false
+	r.bytesMayHaveWaited = true
+	r.socket.waitFor(readEvents)
+}
+
+// unreadBytes returns the number of bytes in the buffer. It locks mu, and so must not be called from OnData.
+func (r *reader) unreadBytes() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.in.Len()
+}
+
+// releaseBufferLocked drops what was read and not consumed.
+func (r *reader) releaseBufferLocked() {
+	r.loop.bufferedBytes.Add(-int64(r.in.Len()))
+	r.in = Buffer{}
+}
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/reader_test.go
@@ -43,7 +43,7 @@
 				t.Errorf("%d bytes still counted as buffered", n)
 			}
 			eventlooptest.Do(l, func() {
-				if got := r.conn.loadState(); got != connClosed {
+				if got := r.conn.closer.state.load(); got != connClosed {
 					t.Errorf("state %d at the end, want %d", got, connClosed)
 				}
 			})
@@ -65,9 +65,9 @@
 			r, _ := connectTo(t, l)
 			eventlooptest.Do(l, func() {
 				closeConn(r.conn)
-				r.conn.mu.Lock()
-				defer r.conn.mu.Unlock()
-				if delivery, _ := r.conn.take(make([]byte, 2*readSize)); delivery {
+				r.conn.reader.mu.Lock()
+				defer r.conn.reader.mu.Unlock()
+				if delivery, _ := r.conn.reader.acceptLocked(make([]byte, 2*readSize)); delivery {
 					t.Error("the bytes are to be handed to the handler")
 				}
 				if r.conn.Disconnected() {
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -18,53 +18,70 @@
 	errNoDescriptor = errors.New("the connection has no descriptor")
 )
 
-// system holds the system calls that a socket makes, so that a test can make them fail.
-type system struct {
+// systemCalls are the system calls that a socket makes, so that a test can make them fail.
+type systemCalls struct {
 	read  func(descriptor int, p []byte) (int, error)
 	write func(descriptor int, p []byte) (int, error)
 }
 
 // kernel makes the system calls themselves.
-var kernel = system{read: unix.Read, write: unix.Write}
+var kernel = systemCalls{read: unix.Read, write: unix.Write}
 
-// readEvents are the events of a socket that is being read: bytes, and the end of the
-// stream as soon as it has arrived behind them.
+// readEvents are the events of a socket that is being read: bytes, and the end of the stream as soon as it has arrived
+// behind them.
 const readEvents = unix.EPOLLIN | unix.EPOLLRDHUP
 
-// socketEvents is notified of a socket's events, on the poller's goroutine or on that of
-// the call which caused them.
-type socketEvents interface {
-	// read takes what has arrived. Where the peer has ended the stream it reads up to
-	// the end, if it can; see Conn.read.
-	read(chunk []byte, streamEnded bool)
-	// bytesWritten reports that n bytes of the queue were sent.
-	bytesWritten(n int)
-	// writeFailed reports, once, that nothing can be sent any more. The socket is still
-	// open, since the peer may have sent something before.
+// maxDataAge limits lastDataAge. A request that waited longer has no time left in any case.
+const maxDataAge = time.Minute
+
+// socketOwner is notified of a socket's events, on the poller's goroutine or on that of the call which caused them.
+type socketOwner interface {
+	// readable reads what has arrived. If the peer has ended the stream it reads up to the end; see reader.read. The
+	// socket's mutex is not held.
+	readable(chunk []byte, streamEnded bool)
+	// bytesSent reports that n bytes were sent. The socket's mutex is held.
+	bytesSent(n int)
+	// writeFailed reports, once, that nothing can be sent any more. The socket is still open, since the peer may have
+	// sent something before. The socket's mutex is not held; that of the reader may be.
 	writeFailed(err error)
-	// ended reports, once, that the socket is closed.
-	ended(err error)
+	// socketClosed reports, once, that the socket is closed. The socket's mutex is not held; that of the reader may be.
+	socketClosed(err error)
 }
 
-// socket is one connected, non-blocking TCP socket. Its methods may be called from any
-// goroutine.
+// socketState says what a socket can still do. It only changes to a later one of the constants.
+type socketState int
+
+const (
+	// socketOpen: the socket sends and receives.
+	socketOpen socketState = iota
+	// socketWriteFailed: the socket can still be read.
+	socketWriteFailed
+	// socketClosed: the descriptor is closed and must not be used.
+	socketClosed
+)
+
+// socket is one connected, non-blocking TCP socket. It makes the system calls, queues what the kernel does not accept
+// at once, and sets the events that the poller waits for. Its methods may be called from any goroutine.
 type socket struct {
 	descriptor int
-	system     system
-	poller     *poller
-	token      uint64       // set by poller.add
-	owner      socketEvents // set before poller.add
+	poller     *poller     // set before poller.add
+	owner      socketOwner // set before poller.add
+	token      uint64      // set by poller.add
 
 	mu       sync.Mutex
-	closed   bool   // guarded by mu, as are those below
-	broken   bool   // a write has failed
-	queue    []byte // what waits to be sent
-	sent     int    // bytes at the start of queue that have been sent
+	system   systemCalls // guarded by mu, as are those below
+	state    socketState
+	queue    sendQueue
 	interest uint32 // the events that the poller waits for
 }
 
-// convert makes a TCP connection a socket, for which it takes a second descriptor for a
-// moment. The connection is closed where that succeeds.
+// newSocket returns the socket of a descriptor, which it owns.
+func newSocket(descriptor int) *socket {
+	return &socket{descriptor: descriptor, system: kernel, interest: readEvents}
+}
+
+// convert makes a TCP connection a socket. It needs a second descriptor for a moment. The connection is closed unless
+// there is an error.
 func convert(conn net.Conn) (*socket, error) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -81,14 +98,15 @@
 	}
 	unix.CloseOnExec(descriptor)
 	_ = conn.Close()
-	return &socket{descriptor: descriptor, system: kernel, interest: readEvents}, nil
+	return newSocket(descriptor), nil
 }
 
-// handle handles an event of the poller.
+// handle handles an event of the poller, on its goroutine. It reads before it sends: bytes that the peer has sent count
+// even if the send fails.
 func (s *socket) handle(events uint32, readBuffer []byte) {
-	switch { // before the flush: what the peer has sent counts even if that fails
+	switch {
 	case events&unix.EPOLLIN != 0:
-		s.owner.read(readBuffer, events&unix.EPOLLRDHUP != 0)
+		s.owner.readable(readBuffer, events&unix.EPOLLRDHUP != 0)
 	case events&(unix.EPOLLERR|unix.EPOLLHUP|unix.EPOLLRDHUP) != 0:
 		s.close(s.pendingError())
 	}
@@ -101,41 +119,36 @@
 func (s *socket) pendingError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed {
+	if s.state == socketClosed {
 		return nil
 	}
 	code, err := unix.GetsockoptInt(s.descriptor, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil || code == 0 {
 		return nil
 	}
-	return syscall.Errno(code)
+	return syscall.Errno(code) //nolint:wrapcheck // the error of the connection, as read and write return it
 }
 
-// read reads once. Its error is EAGAIN where nothing has arrived; at the end of the stream
-// it returns 0 without an error.
-func (s *socket) read(p []byte) (n int, err error) {
+// read reads once. Its error is EAGAIN if nothing has arrived. At the end of the stream it returns 0 without an error.
+func (s *socket) read(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed {
+	if s.state == socketClosed {
 		return 0, net.ErrClosed
 	}
 	for {
-		n, err = s.system.read(s.descriptor, p)
+		n, err := s.system.read(s.descriptor, p)
 		if !errors.Is(err, unix.EINTR) {
 			return max(n, 0), err
 		}
 	}
 }
 
-// maxDataAge bounds lastDataAge: whatever waited longer has no time left in any case.
-const maxDataAge = time.Minute
-
-// lastDataAge returns how long ago the peer's latest bytes arrived; 0 where the kernel doesn't
-// tell.
+// lastDataAge returns how long ago the peer's latest bytes arrived, or 0 if the kernel does not say.
 func (s *socket) lastDataAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed {
+	if s.state == socketClosed {
 		return 0
 	}
 	info, err := unix.GetsockoptTCPInfo(s.descriptor, unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -149,13 +162,13 @@
 func (s *socket) waitFor(events uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.closed {
-		s.setInterest(events | s.interest&unix.EPOLLOUT)
+	if s.state != socketClosed {
+		s.setInterestLocked(events | s.interest&unix.EPOLLOUT)
 	}
 }
 
-// setInterest sets what the poller waits for. The caller holds mu.
-func (s *socket) setInterest(events uint32) {
+// setInterestLocked sets what the poller waits for.
+func (s *socket) setInterestLocked(events uint32) {
 	if events == s.interest {
 		return
 	}
@@ -168,27 +181,35 @@
 func (s *socket) shutdownWrite() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed {
+	if s.state == socketClosed {
 		return net.ErrClosed
 	}
-	return unix.Shutdown(s.descriptor, unix.SHUT_WR)
+	if err := unix.Shutdown(s.descriptor, unix.SHUT_WR); err != nil {
+		return fmt.Errorf("shutdown: %w", err)
+	}
+	return nil
 }
 
-// close closes the socket at once and drops what is queued. The first call counts.
+// close closes the socket at once and drops what is queued. The owner learns the error of the first call only.
 func (s *socket) close(err error) {
+	if s.closeDescriptor() && s.owner != nil {
+		s.owner.socketClosed(err)
+	}
+}
+
+// closeDescriptor reports whether the descriptor was open. The poller forgets the socket before the kernel can give
+// its descriptor to another.
+func (s *socket) closeDescriptor() bool {
 	s.mu.Lock()
-	if s.closed {
-		s.mu.Unlock()
-		return
+	defer s.mu.Unlock()
+	if s.state == socketClosed {
+		return false
 	}
-	s.closed = true
-	s.queue = nil
+	s.state = socketClosed
+	s.queue.clear()
 	if s.poller != nil {
 		s.poller.remove(s)
 	}
 	_ = unix.Close(s.descriptor)
-	s.mu.Unlock()
-	if s.owner != nil {
-		s.owner.ended(err)
-	}
+	return true
 }
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -14,7 +14,7 @@
 
 // faultySystem makes the kernel's calls, cut short, interrupted and turned away at random,
 // although the socket has room. After limit bytes are written, writes fail with failure.
-func faultySystem(limit int, failure error) system {
+func faultySystem(limit int, failure error) systemCalls {
 	random := rand.New(rand.NewPCG(1, 1))
 	written := 0
 	fault := func(p []byte, call func([]byte) (int, error)) (int, error) {
@@ -29,7 +29,7 @@
 			return call(p)
 		}
 	}
-	return system{
+	return systemCalls{
 		read: func(fd int, p []byte) (int, error) {
 			return fault(p, func(p []byte) (int, error) { return unix.Read(fd, p) })
 		},
@@ -45,10 +45,10 @@
 }
 
 // setSystem has the connection make its calls by another system.
-func setSystem(c *Conn, s system) {
+func setSystem(c *Conn, calls systemCalls) {
 	c.socket.mu.Lock()
 	defer c.socket.mu.Unlock()
-	c.socket.system = s
+	c.socket.system = calls
 }
 
 // Reads and writes that are cut short, interrupted or turned away, whatever the state of the
@@ -92,7 +92,7 @@
 func TestWriteThatFailsInTheMiddle(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		setSystem(r.conn, system{read: unix.Read, write: func(fd int, p []byte) (int, error) {
+		setSystem(r.conn, systemCalls{read: unix.Read, write: func(fd int, p []byte) (int, error) {
 			if len(p) < 1000 {
 				return -1, unix.EHOSTUNREACH
 			}
@@ -131,7 +131,7 @@
 func TestSocketThatCannotBePolled(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		s := &socket{descriptor: -1, system: kernel, interest: readEvents}
+		s := newSocket(-1)
 		_, err := l.adopt(s, readSize, func(*Conn) Handler {
 			t.Error("a handler was asked for")
 			return r
@@ -154,7 +154,7 @@
 		if _, err := io.WriteString(peer, "an answer"); err != nil {
 			t.Error(err)
 		}
-		setSystem(r.conn, system{read: unix.Read, write: func(int, []byte) (int, error) { return -1, unix.EPIPE }})
+		setSystem(r.conn, systemCalls{read: unix.Read, write: func(int, []byte) (int, error) { return -1, unix.EPIPE }})
 		if r.conn.Write([]byte("a request")) || r.conn.Write([]byte("another")) {
 			t.Error("the write was taken")
 		}
@@ -177,7 +177,7 @@
 	eventlooptest.Do(l, func() {
 		l.poller.remove(r.conn.socket) // else its goroutine empties the queue
 		takes := false
-		setSystem(r.conn, system{read: unix.Read, write: func(_ int, p []byte) (int, error) {
+		setSystem(r.conn, systemCalls{read: unix.Read, write: func(_ int, p []byte) (int, error) {
 			if takes = !takes; !takes {
 				return -1, unix.EAGAIN
 			}
@@ -190,7 +190,7 @@
 			}
 			r.conn.socket.flush()
 		}
-		if held, pending := cap(r.conn.socket.queue), r.conn.PendingWrite(); held > 4*pending+1<<20 {
+		if held, pending := cap(r.conn.socket.queue.data), r.conn.PendingWrite(); held > 4*pending+1<<20 {
 			t.Errorf("%d bytes held for %d that wait", held, pending)
 		}
 		r.conn.Abort()
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/writer_test.go
@@ -14,7 +14,7 @@
 // refuseWrites has the kernel accept no byte of the connection until the returned function is called. Both belong to
 // the loop's goroutine.
 func refuseWrites(c *Conn) (acceptAgain func()) {
-	setSystem(c, system{read: unix.Read, write: func(int, []byte) (int, error) { return -1, unix.EAGAIN }})
+	setSystem(c, systemCalls{read: unix.Read, write: func(int, []byte) (int, error) { return -1, unix.EAGAIN }})
 	return func() { setSystem(c, kernel) }
 }
 
