--- a/internal/eventloop/backlog.go
+++ b/internal/eventloop/backlog.go
@@ -2,53 +2,53 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
+	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
 const (
-	// backlogAttempts bounds the accepts that fail for a passing reason at a listener's close,
-	// and backlogRetryDelay is the pause after each.
-	backlogAttempts   = 20
+	// maxBacklogFailures limits the accepts that may fail for a transient reason while a listener is closed.
+	maxBacklogFailures = 20
+	// backlogRetryDelay is the pause after each of them.
 	backlogRetryDelay = time.Millisecond
 )
 
-// drainingListener is a listener whose Close serves the connections of its backlog. The kernel
-// has accepted these: their clients may have sent a request, and closing the listener alone
-// would reset them.
+// errBacklogEmpty ends the draining of a backlog.
+var errBacklogEmpty = errors.New("no connection waits to be accepted")
+
+// drainingListener is a listener whose Close hands the connections of its backlog to the loop. The kernel has accepted
+// these: their clients may have sent a request, and closing the listener alone would reset them.
 type drainingListener struct {
 	net.Listener
 	acceptor *acceptor
 }
 
-// Close implements net.Listener.
+// Close implements net.Listener. It may be called from any goroutine.
 func (l *drainingListener) Close() error {
 	l.acceptor.drainBacklog()
 	return l.Listener.Close()
 }
 
-// drainBacklog hands over what waits to be accepted, without regard to the limit of open
-// connections.
+// drainBacklog hands over the connections that wait to be accepted, without regard to the limit of open connections.
 func (a *acceptor) drainBacklog() {
 	tcp, ok := a.listener.(*net.TCPListener)
 	if !ok {
 		return
 	}
-	raw, err := tcp.SyscallConn()
+	listener, err := tcp.SyscallConn()
 	if err != nil {
 		return
 	}
-	for failures := 0; failures < backlogAttempts; {
-		descriptor, acceptErr := -1, error(nil)
-		controlErr := raw.Control(func(fd uintptr) {
-			descriptor, _, acceptErr = unix.Accept4(int(fd), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-		})
+	for failures := 0; failures < maxBacklogFailures; {
+		descriptor, err := acceptWaiting(listener)
 		switch {
-		case controlErr != nil, errors.Is(acceptErr, unix.EAGAIN): // closed already, or nothing waits
+		case errors.Is(err, errBacklogEmpty):
 			return
-		case acceptErr != nil:
+		case err != nil:
 			failures++
 			time.Sleep(backlogRetryDelay)
 		default:
@@ -57,12 +57,27 @@
 	}
 }
 
+// acceptWaiting accepts a connection without blocking. Its error is errBacklogEmpty if none waits, or if the listener
+// has been closed already.
+func acceptWaiting(listener syscall.RawConn) (descriptor int, err error) {
+	controlErr := listener.Control(func(fd uintptr) {
+		descriptor, _, err = unix.Accept4(int(fd), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	})
+	switch {
+	case controlErr != nil, errors.Is(err, unix.EAGAIN):
+		return -1, errBacklogEmpty
+	case err != nil:
+		return -1, fmt.Errorf("accept: %w", err)
+	}
+	return descriptor, nil
+}
+
 // adoptAccepted hands an accepted descriptor to the loop.
 func (a *acceptor) adoptAccepted(descriptor int) {
-	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // only a matter of speed
-	s := &socket{descriptor: descriptor, system: kernel, interest: readEvents}
+	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // its failure only costs speed
+	s := newSocket(descriptor)
 	a.loop.Post(func() {
-		// A socket that can't be polled is closed: there is no way to answer its client.
+		// A socket that cannot be polled is closed: there is no way to answer its client.
 		_, _ = a.loop.adopt(s, a.readLimit, a.newHandler, func() {})
 	})
 }
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -2,17 +2,26 @@
 
 import (
 	"context"
+	"net"
 	"time"
 )
 
-// Dial connects within the timeout and calls done on the loop's goroutine. The handler's
-// methods are not called before done has returned; the read buffer of the connection
-// holds up to readLimit bytes. The returned function cancels the dial; done is called
-// all the same.
-func (l *Loop) Dial(addr string, timeout time.Duration, readLimit int, h Handler, done func(*Conn, error)) (cancel func()) {
+const (
+	// dialRetryTime is how long a dial that fails locally is retried. It is short beside the time that requests have.
+	dialRetryTime = 100 * time.Millisecond
+	// dialRetryDelay is the pause before the first retry. It doubles.
+	dialRetryDelay = 2 * time.Millisecond
+)
+
+// Dial connects within the timeout and calls done on the loop's goroutine, with the connection or with an error. The
+// handler's methods are not called before done has returned. The read buffer of the connection holds up to readLimit
+// bytes. The returned function cancels the dial; done is called all the same. Dial may be called from any goroutine.
+func (l *Loop) Dial(
+	addr string, timeout time.Duration, readLimit int, h Handler, done func(*Conn, error),
+) (cancel func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	go func() {
-		s, err := l.connect(ctx, addr)
+		s, err := l.dialer.connect(ctx, addr)
 		cancel()
 		l.Post(func() {
 			if err != nil {
@@ -25,21 +34,18 @@
 	return cancel
 }
 
-const (
-	// dialRetryTime is how long a dial is tried again that fails on this machine. It is short
-	// beside the time that requests have.
-	dialRetryTime = 100 * time.Millisecond
-	// dialRetryDelay is the pause before the first of these attempts; it doubles.
-	dialRetryDelay = 2 * time.Millisecond
-)
+// dialer makes connected sockets. Its methods may be called from any goroutine.
+type dialer struct {
+	dialContext func(ctx context.Context, network, addr string) (net.Conn, error) // of net.Dialer, except in tests
+}
 
-// connect dials and makes the connection a socket. What fails for want of something on this
-// machine, and says nothing of the peer, is tried again for a while.
-func (l *Loop) connect(ctx context.Context, addr string) (*socket, error) {
+// connect dials and makes the connection a socket. A failure of this machine, which says nothing of the peer, is
+// retried for a while.
+func (d dialer) connect(ctx context.Context, addr string) (*socket, error) {
 	giveUpAt := time.Now().Add(dialRetryTime)
 	for delay := dialRetryDelay; ; delay *= 2 {
-		s, err := l.connectOnce(ctx, addr)
-		if err == nil || !mayPass(err) || time.Now().Add(delay).After(giveUpAt) {
+		s, err := d.connectOnce(ctx, addr)
+		if err == nil || !isTransientDialFailure(err) || time.Now().Add(delay).After(giveUpAt) {
 			return s, err
 		}
 		select {
@@ -50,8 +56,8 @@
 	}
 }
 
-func (l *Loop) connectOnce(ctx context.Context, addr string) (*socket, error) {
-	conn, err := l.dialer(ctx, "tcp", addr)
+func (d dialer) connectOnce(ctx context.Context, addr string) (*socket, error) {
+	conn, err := d.dialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -22,7 +22,7 @@
 	}
 	t.Cleanup(func() { _ = listener.Close() })
 	var made atomic.Int64
-	l.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	l.dialer.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if made.Add(1) <= failures {
 			return nil, &net.OpError{Op: "dial", Err: failure}
 		}
@@ -62,7 +62,7 @@
 // A cancelled dial ends at once, with the error of its cancellation.
 func TestDial_EndsWhenItIsCancelled(t *testing.T) {
 	l, _ := startLoop(t)
-	l.dialer = func(ctx context.Context, _, _ string) (net.Conn, error) {
+	l.dialer.dialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
--- /dev/null
+++ b/internal/eventloop/listener.go
@@ -0,0 +1,142 @@
+package eventloop
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"time"
+)
+
+const (
+	// listenRetryTime is how long a listen that fails locally is retried. A front end has 30 s to be ready.
+	listenRetryTime = 5 * time.Second
+	// listenRetryDelay is the pause between two attempts to listen.
+	listenRetryDelay = 20 * time.Millisecond
+
+	// acceptRetryDelay is the pause after a failed accept. It prevents a busy loop while the descriptor table is full:
+	// the listener stays readable all that time.
+	acceptRetryDelay = 20 * time.Millisecond
+
+	// maxConvertAttempts limits how often an accepted connection waits for a descriptor.
+	maxConvertAttempts = 250
+)
+
+// acceptor accepts the connections of one listener, on a goroutine of its own, and hands them to the loop.
+type acceptor struct {
+	loop       *Loop
+	listener   net.Listener
+	readLimit  int
+	newHandler func(*Conn) Handler
+	slots      connectionSlots
+}
+
+// Listen accepts connections at the address until the returned listener is closed. The function newHandler is called on
+// the loop's goroutine and returns the handler of each connection, whose read buffer holds up to readLimit bytes.
+//
+// While maxConnections are open (0: no limit), the next connections wait unaccepted, so that clients cannot take the
+// descriptors that connections to engines need. Closing the listener accepts the connections that wait, beyond
+// maxConnections if necessary.
+//
+// Listen may be called from any goroutine. It blocks while it retries a listen that fails locally.
+func (l *Loop) Listen(
+	addr string, readLimit, maxConnections int, newHandler func(*Conn) Handler,
+) (net.Listener, error) {
+	listener, err := l.listenWithRetries(addr)
+	if err != nil {
+		return nil, err
+	}
+	a := &acceptor{
+		loop:       l,
+		listener:   listener,
+		readLimit:  readLimit,
+		newHandler: newHandler,
+		slots:      newConnectionSlots(maxConnections),
+	}
+	go a.run()
+	return &drainingListener{Listener: listener, acceptor: a}, nil
+}
+
+// listenWithRetries listens, and tries again for a while if this machine lacks something that a later attempt may find.
+// An address that this machine does not have is reported at once.
+func (l *Loop) listenWithRetries(addr string) (net.Listener, error) {
+	for giveUpAt := time.Now().Add(listenRetryTime); ; time.Sleep(listenRetryDelay) {
+		listener, err := l.listen("tcp", addr)
+		isTransient := IsLocalFailure(err) && !errors.Is(err, syscall.EADDRNOTAVAIL)
+		if !isTransient || time.Now().After(giveUpAt) {
+			return listener, err
+		}
+	}
+}
+
+// run accepts connections until the listener is closed.
+func (a *acceptor) run() {
+	for {
+		a.slots.acquire()
+		conn, err := a.listener.Accept()
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return
+		case err != nil:
+			a.slots.release()
+			time.Sleep(acceptRetryDelay)
+		default:
+			a.handOver(conn)
+		}
+	}
+}
+
+// handOver passes an accepted connection to the loop, or closes it. Its slot is released when it ends.
+func (a *acceptor) handOver(conn net.Conn) {
+	s := convertAccepted(conn)
+	if s == nil {
+		a.slots.release()
+		return
+	}
+	a.loop.Post(func() {
+		if _, err := a.loop.adopt(s, a.readLimit, a.newHandler, a.slots.release); err != nil {
+			a.slots.release()
+		}
+	})
+}
+
+// convertAccepted makes an accepted connection a socket, which needs a second descriptor for a moment. It returns nil
+// if it cannot. If no descriptor is left, it waits for one before the next connection is accepted: closing this
+// connection would reject a client, and accepting more would leave no descriptor for any.
+func convertAccepted(conn net.Conn) *socket {
+	for range maxConvertAttempts {
+		s, err := convert(conn)
+		if err == nil {
+			return s
+		}
+		if !IsDescriptorExhausted(err) {
+			break
+		}
+		time.Sleep(acceptRetryDelay)
+	}
+	_ = conn.Close()
+	return nil
+}
+
+// connectionSlots limits the open connections of a listener. It holds a value for each; nil means no limit. Its methods
+// may be called from any goroutine.
+type connectionSlots chan struct{}
+
+func newConnectionSlots(limit int) connectionSlots {
+	if limit <= 0 {
+		return nil
+	}
+	return make(connectionSlots, limit)
+}
+
+// acquire blocks while the limit is reached.
+func (s connectionSlots) acquire() {
+	if s != nil {
+		s <- struct{}{}
+	}
+}
+
+func (s connectionSlots) release() {
+	if s != nil {
+		<-s
+	}
+}
--- a/internal/tcptest/tcptest.go
+++ b/internal/tcptest/tcptest.go
@@ -1,5 +1,5 @@
-// Package tcptest lets tests listen on a TCP address and serve what connects there. Only
-// tests and the packages that support them import it.
+// Package tcptest lets tests listen on a TCP address and serve the connections to it. Only tests and the packages that
+// support them import it.
 package tcptest
 
 import (
@@ -11,22 +11,22 @@
 const AnyLoopbackPort = "127.0.0.1:0"
 
 // Listen returns a listener that is closed at the end of the test.
-func Listen(t testing.TB, address string) *net.TCPListener {
-	t.Helper()
+func Listen(tb testing.TB, address string) *net.TCPListener {
+	tb.Helper()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() })
+	tb.Cleanup(func() { _ = listener.Close() })
 	tcpListener, ok := listener.(*net.TCPListener)
 	if !ok {
-		t.Fatalf("%T is no TCP listener", listener)
+		tb.Fatalf("%T is not a TCP listener", listener)
 	}
 	return tcpListener
 }
 
-// Serve accepts connections until the listener is closed. Each is served on a goroutine
-// of its own, and closed after that.
+// Serve accepts connections until the listener is closed. Each is served on a goroutine of its own, and closed after
+// that.
 func Serve(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,6 +1,5 @@
-// Package timerqueue holds every timer of a single-threaded program in one
-// queue that is ordered by due time. Its owner runs the due timers once in each
-// turn of its event loop.
+// Package timerqueue holds every timer of a single-threaded program in one queue that is ordered by due time. Its owner
+// runs the due timers once in each turn of its event loop.
 package timerqueue
 
 import (
@@ -12,8 +11,8 @@
 // treeDegree is the degree of the B-tree: a node holds up to 2*treeDegree-1 timers.
 const treeDegree = 16
 
-// Queue orders timers by due time, and timers of the same due time by the order
-// in which they were scheduled. It is not safe for concurrent use.
+// Queue orders timers by due time, and timers of the same due time by the order in which they were scheduled. It is not
+// safe for concurrent use.
 type Queue struct {
 	tree         *btree.BTreeG[*Timer]
 	lastSequence uint64
@@ -47,8 +46,7 @@
 	return t
 }
 
-// Stop prevents the timer from running. It may be called more than once, after
-// the timer ran, and on nil.
+// Stop prevents the timer from running. It may be called more than once, after the timer ran, and on nil.
 func (t *Timer) Stop() {
 	if t == nil || t.queue == nil {
 		return
@@ -57,15 +55,14 @@
 	t.release()
 }
 
-// release drops the references of a timer that is no longer in its queue: the
-// owner may hold a stopped timer for long.
+// release drops the references of a timer that is no longer in its queue: the owner may keep a stopped timer for long.
 func (t *Timer) release() {
-	t.queue, t.callback = nil, nil
+	t.queue = nil
+	t.callback = nil
 }
 
-// RunDue runs all timers that are due at the instant. Timers that these
-// schedule for the same instant wait for the next call, so that a timer which
-// reschedules itself cannot block the caller forever.
+// RunDue runs all timers that are due at the instant. Timers that these schedule for the same instant wait for the next
+// call, so that a timer which reschedules itself cannot block the caller forever.
 func (q *Queue) RunDue(now time.Duration) {
 	lastBeforeRun := q.lastSequence
 	var postponed []*Timer
