--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -6,6 +6,7 @@
 
 	"flaxrelay/internal/decision/costmodel"
 	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
 )
@@ -92,19 +93,20 @@
 func (s *Service) snapshotWritten(err error) {
 	s.savingSnapshot = false
 	if err != nil {
-		s.counters.IncrementByName("shapes.snapshot-failed")
-		s.log.Warn("shapes.snapshot-failed", "file", s.settings.SnapshotPath, "error", err)
+		s.counters.Increment(metrics.ShapesSnapshotFailed)
+		file := slog.String("file", s.settings.SnapshotPath)
+		logevent.ShapesSnapshotFailed.Log(s.log, file, slog.Any("error", err))
 		return
 	}
-	s.counters.IncrementByName("shapes.snapshots")
+	s.counters.Increment(metrics.ShapesSnapshots)
 }
 
 // PublishCounters sets the counters of the store's figures.
 func (s *Service) PublishCounters() {
-	s.counters.SetByName("shapes.corrected", s.corrected)
-	s.counters.SetByName("shapes.held", int64(s.store.Len()))
-	s.counters.SetByName("shapes.bytes", int64(s.store.Bytes()))
-	s.counters.SetByName("shapes.hits", int64(s.store.Stats.Hits))
-	s.counters.SetByName("shapes.misses", int64(s.store.Stats.Misses))
-	s.counters.SetByName("shapes.learned", int64(s.store.Stats.Learned))
+	s.counters.Set(metrics.ShapesCorrected, s.corrected)
+	s.counters.Set(metrics.ShapesHeld, int64(s.store.Len()))
+	s.counters.Set(metrics.ShapesBytes, int64(s.store.Bytes()))
+	s.counters.Set(metrics.ShapesHits, int64(s.store.Stats.Hits))
+	s.counters.Set(metrics.ShapesMisses, int64(s.store.Stats.Misses))
+	s.counters.Set(metrics.ShapesLearned, int64(s.store.Stats.Learned))
 }
--- a/internal/stmtstats/service_restore.go
+++ b/internal/stmtstats/service_restore.go
@@ -3,8 +3,12 @@
 import (
 	"errors"
 	"io/fs"
+	"log/slog"
 	"os"
 	"time"
+
+	"flaxrelay/internal/logevent"
+	"flaxrelay/internal/metrics"
 )
 
 // restore sets the store from the snapshot file, or leaves it nil where no usable one exists.
@@ -16,17 +20,17 @@
 	switch {
 	case err == nil:
 		s.store = store
-		s.log.Info("shapes.restored", "file", path, "shapes", store.Len())
+		logevent.ShapesRestored.Log(s.log, slog.String("file", path), slog.Int("shapes", store.Len()))
 	case errors.Is(err, fs.ErrNotExist):
 	case errors.As(err, &readError):
-		s.counters.IncrementByName("shapes.snapshot-unreadable")
-		s.log.Warn("shapes.snapshot-unreadable", "file", path, "error", err)
+		s.counters.Increment(metrics.ShapesSnapshotUnreadable)
+		logevent.ShapesSnapshotUnreadable.Log(s.log, slog.String("file", path), slog.Any("error", err))
 	default:
-		s.counters.IncrementByName("shapes.snapshot-unusable")
+		s.counters.Increment(metrics.ShapesSnapshotUnusable)
 		unusablePath := path + ".unusable"
 		renameErr := os.Rename(path, unusablePath)
-		s.log.Warn("shapes.snapshot-unusable",
-			"file", path, "error", err, "renamed_to", unusablePath, "rename_error", renameErr)
+		logevent.ShapesSnapshotUnusable.Log(s.log, slog.String("file", path), slog.Any("error", err),
+			slog.String("renamed_to", unusablePath), slog.Any("rename_error", renameErr))
 	}
 }
 
--- a/internal/stmtstats/snapshot_disk_test.go
+++ b/internal/stmtstats/snapshot_disk_test.go
@@ -61,10 +61,10 @@
 	if _, err := os.Stat(path); err != nil {
 		t.Errorf("the snapshot was moved: %v", err)
 	}
-	if n := counters.GetByName("shapes.snapshot-unreadable"); n != 1 {
+	if n := counters.Get(metrics.ShapesSnapshotUnreadable); n != 1 {
 		t.Errorf("%d unreadable snapshots counted, want 1", n)
 	}
-	if n := counters.GetByName("shapes.snapshot-unusable"); n != 0 {
+	if n := counters.Get(metrics.ShapesSnapshotUnusable); n != 0 {
 		t.Errorf("%d snapshots counted as damaged", n)
 	}
 }
