--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -13,9 +13,9 @@
 //     errors for this shape;
 //   - the client's hint, corrected by its errors for this shape.
 //
-// Work is measured in milliseconds on one core and memory in megabytes. Both are kept as
+// Work is measured in milliseconds on one core and memory in megabytes. Both are stored as
 // base-2 logarithms, since costs spread over orders of magnitude and errors count by ratio.
-// Reported costs are not trusted one by one: see Tracker.
+// A single reported cost has little influence: see Tracker.
 package costmodel
 
 // Bounds of plausible reports. Reports outside these bounds are ignored: an hour of work on one core
--- a/internal/decision/costmodel/costmodel_test.go
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -40,7 +40,7 @@
 	return f.model.Estimate(&q)
 }
 
-// Whatever engines report, an estimate is a number within bounds, its class is one of those
+// For any reports of engines, an estimate is a number within bounds, its class is one of those
 // configured, and an implausible cost changes nothing.
 func TestEstimate_StaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -1,6 +1,6 @@
 package costmodel
 
-// spaceSaving keeps the most frequent values and how their cost deviates, in bounded
+// spaceSaving holds the most frequent values and the deviations of their cost, in bounded
 // memory, by the Space-Saving algorithm (Metwally, Agrawal, El Abbadi, "Efficient
 // Computation of Frequent and Top-k Elements in Data Streams", 2005). It is set-associative,
 // so that adding a value takes bounded time. Keys are seeded hashes: clients can't choose
--- a/internal/decision/costmodel/state.go
+++ b/internal/decision/costmodel/state.go
@@ -47,7 +47,7 @@
 func (m *Model) State() *State { return &State{Prior: *m.prior, Common: m.state} }
 
 // ErrState means that a stored state holds a number that no model can have learned.
-var ErrState = errors.New("a state that can't be")
+var ErrState = errors.New("invalid state")
 
 // Restore returns a model that continues from a state. It rejects a state that holds a number that is
 // not finite: every estimate would be invalid.
--- a/internal/decision/costmodel/state_test.go
+++ b/internal/decision/costmodel/state_test.go
@@ -22,7 +22,7 @@
 				_, err := Restore(Config{}, state)
 				return err
 			},
-			"a state that can't be: state.Prior.W[3] is NaN",
+			"invalid state: state.Prior.W[3] is NaN",
 		},
 		{
 			"frequent value",
@@ -32,7 +32,7 @@
 				_, err := Restore(Config{}, state)
 				return err
 			},
-			"a state that can't be: state.Common.Heavy.Sets[1][2].Prior.Mid is +Inf",
+			"invalid state: state.Common.Heavy.Sets[1][2].Prior.Mid is +Inf",
 		},
 		{
 			"bucket of a shape",
@@ -41,7 +41,7 @@
 				record.Buckets[4].Work.Deviation = 2e12
 				return record.Check()
 			},
-			"a state that can't be: entry.Buckets[4].Work.Dev is 1.999999991808e+12",
+			"invalid state: entry.Buckets[4].Work.Dev is 1.999999991808e+12",
 		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/decision/hotrestart/model_test.go
+++ b/internal/decision/hotrestart/model_test.go
@@ -67,10 +67,10 @@
 // Each safeguard is needed: without it, the exploration finds a violation.
 func TestModel_FindsSeededFaults(t *testing.T) {
 	for name, seeded := range map[string]faults{
-		"reclaimed before exit":   {reclaimBeforeExit: true},
-		"reclaimed before drain":  {reclaimBeforeDrain: true},
-		"forwarded before record": {forwardBeforeRecord: true},
-		"retried whatever effect": {retryAnything: true},
+		"reclaimed before exit":     {reclaimBeforeExit: true},
+		"reclaimed before drain":    {reclaimBeforeDrain: true},
+		"forwarded before record":   {forwardBeforeRecord: true},
+		"retried if not idempotent": {retryAnything: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			states, _, violation, trace := explore(seeded, maxStates)
--- a/internal/decision/hotrestart/predecessor.go
+++ b/internal/decision/hotrestart/predecessor.go
@@ -66,7 +66,7 @@
 		return p.successorExited(now)
 	case SuccessorMemory:
 		if p.cfg.MaxMemoryBytes > 0 && event.Bytes > p.cfg.MaxMemoryBytes && p.canRollBack() {
-			return p.rollBack(now, "it takes too much memory")
+			return p.rollBack(now, "it uses too much memory")
 		}
 	case Tick:
 		return p.tick(now)
@@ -79,7 +79,7 @@
 // startUpgrade starts a hot restart, unless one is in progress.
 func (p *Predecessor) startUpgrade(now time.Duration) []Action {
 	if p.phase != Idle || p.shutdownRequested {
-		return []Action{ReportResult{"another upgrade or a stop is under way"}}
+		return []Action{ReportResult{"another hot restart or a shutdown is in progress"}}
 	}
 	p.enter(AwaitingHello, now)
 	p.lastMessage = now
@@ -100,7 +100,7 @@
 	case p.phase == Idle:
 		return []Action{BeginShutdown{}}
 	case p.canRollBack():
-		return p.rollBack(now, "a planned stop came first")
+		return p.rollBack(now, "a shutdown was requested")
 	}
 	return nil // RollingBack: the shutdown follows the rollback; Draining: the process exits anyway
 }
@@ -133,7 +133,7 @@
 	case hello.Problem != "":
 		return p.rollBack(now, hello.Problem)
 	case !p.version.CompatibleWith(hello.Version):
-		return p.rollBack(now, "its version and this one don't understand each other")
+		return p.rollBack(now, "its protocol version is not compatible")
 	}
 	p.enter(TransferringState, now)
 	return []Action{SendState{}}
@@ -145,7 +145,7 @@
 	switch p.phase {
 	case AwaitingHello:
 		if elapsed >= p.cfg.HelloTimeout {
-			return p.rollBack(now, "it did not say what it is in time")
+			return p.rollBack(now, "no hello in time")
 		}
 	case TransferringState:
 		if elapsed >= p.cfg.StateTimeout {
@@ -153,7 +153,7 @@
 		}
 	case Probation:
 		if now-p.lastMessage >= p.cfg.HeartbeatTimeout {
-			return p.rollBack(now, "it went silent")
+			return p.rollBack(now, "no heartbeat in time")
 		}
 	case Idle, Draining, RollingBack, Exited: // without a timeout
 	}
@@ -184,7 +184,7 @@
 		return nil
 	}
 	if p.phase != RollingBack {
-		p.failureReason = "it died"
+		p.failureReason = "it exited unexpectedly"
 	}
 	accepting := p.phase == AwaitingHello || p.phase == TransferringState
 	p.enter(Idle, now)
--- a/internal/decision/hotrestart/predecessor_conns.go
+++ b/internal/decision/hotrestart/predecessor_conns.go
@@ -120,14 +120,14 @@
 	p.failures += heartbeat.Failures
 	total := p.successes + p.failures
 	if total >= p.cfg.MinSuccesses && float64(p.failures) > p.cfg.MaxFailureRate*float64(total) {
-		return p.rollBack(now, "too many of its answers are errors of its own")
+		return p.rollBack(now, "too many of its responses are its own errors")
 	}
 	elapsed := now - p.phaseStart
 	if elapsed < p.cfg.MinProbation || p.successes < p.cfg.MinSuccesses && elapsed < p.cfg.MaxProbation {
 		return nil
 	}
 	if p.successes == 0 && p.failures > 0 {
-		return p.rollBack(now, "none of its answers was good")
+		return p.rollBack(now, "none of its responses was successful")
 	}
 	return p.commit(now)
 }
--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -43,7 +43,7 @@
 	inBatch
 )
 
-// batchReader answers the batches of one input.
+// batchReader responds to the batches of one input.
 type batchReader struct {
 	host   *Host
 	output *bufio.Writer
@@ -52,7 +52,7 @@
 	now    time.Duration // the time of that batch
 }
 
-// Run answers batches until the input ends. An end between batches is no error. A fault of the input is
+// Run responds to batches until the input ends. An end between batches is no error. A fault of the input is
 // returned as a *BatchError.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
@@ -110,7 +110,7 @@
 	r.host.output = r.host.output[:0]
 }
 
-// close writes the answer to the batch.
+// close writes the response to the batch.
 func (r *batchReader) close() error {
 	r.state = betweenBatches
 	r.host.output = encodeBatchDone(r.host.output, r.batch)
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -104,7 +104,7 @@
 	return fmt.Sprintf("engine %s suspect: %s; %d attempts out", a.Engine, ejectionTexts[a.Reason], a.InFlight)
 }
 
-// encodeBatchDone appends the message that ends the host's answer to a batch.
+// encodeBatchDone appends the message that ends the host's response to a batch.
 func encodeBatchDone(output []byte, batch int64) []byte {
 	return beginLine(output, messageBatchDone, batch).end()
 }
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -18,7 +18,7 @@
 	instances    map[int64]*instance
 	engineTables [engineTableCount][]policy.Engine
 	actions      []policy.Action // reused from event to event
-	output       []byte          // the answer to the open batch; reused from batch to batch
+	output       []byte          // the response to the open batch; reused from batch to batch
 }
 
 // instance is one front end's policy module.
--- a/internal/sqltext/analyzer_test.go
+++ b/internal/sqltext/analyzer_test.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// The fingerprint of a long statement covers also those parts of its normal form that are
-// not kept.
+// The fingerprint of a long statement also covers those parts of its normal form that are not in the
+// result.
 func TestFingerprint_CoversTruncatedNormalForm(t *testing.T) {
 	a := NewAnalyzer()
 	long := strings.Repeat("a_column_of_note, ", 5000) + "b FROM t"
@@ -167,10 +167,10 @@
 	other := *a.Analyze("SELECT y, " + long)
 	equal := string(other.NormalForm) == normalForm
 	if !first.Truncated || !other.Truncated || !equal {
-		t.Fatalf("truncated %v and %v, and the parts kept are equal: %v", first.Truncated, other.Truncated, equal)
+		t.Fatalf("truncated %v and %v, and the returned parts are equal: %v", first.Truncated, other.Truncated, equal)
 	}
 	if first.Fingerprint == other.Fingerprint {
-		t.Error("two statements that differ in a part not kept have one fingerprint")
+		t.Error("two statements that differ in a part that is not returned have one fingerprint")
 	}
 	if again := a.Analyze("select X, " + long); again.Fingerprint != first.Fingerprint {
 		t.Error("a statement of the same normal form has another fingerprint")
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -143,8 +143,8 @@
 	})
 }
 
-// A write is detected whatever comments, spaces and upper-case letters separate its words,
-// and whatever read-only statement encloses it.
+// A write is detected for all comments, spaces and letter cases between and in its words, and within
+// all read-only statements.
 func TestEffectOf_DetectsDisguisedWrites(t *testing.T) {
 	writes := []string{
 		"DELETE FROM t", "UPDATE t SET a = 1", "INSERT INTO t VALUES ( 1 )", "SELECT a INTO x FROM t",
--- a/internal/stmtstats/cache_tinylfu.go
+++ b/internal/stmtstats/cache_tinylfu.go
@@ -8,7 +8,7 @@
 
 // tinyLFU admits a new shape only if it was requested more often than the one it would
 // evict (Einziger, Friedman, Manes, "TinyLFU: A Highly Efficient Cache Admission Policy",
-// 2017). That keeps a flood of one-off shapes from evicting those that recur.
+// 2017). So a flood of shapes that occur once does not evict those that recur.
 type tinyLFU struct {
 	*otter.Cache[Fingerprint, *CachedShape]
 }
--- a/internal/stmtstats/execution_pool.go
+++ b/internal/stmtstats/execution_pool.go
@@ -1,10 +1,10 @@
 package stmtstats
 
-// maxFreeExecutions bounds the executions that are kept for reuse. More requests are
+// maxFreeExecutions bounds the released executions in a pool. More requests are
 // seldom in flight at once; further executions are left to the garbage collector.
 const maxFreeExecutions = 512
 
-// executionPool keeps released executions for reuse, because each request needs one. It may be used
+// executionPool holds released executions for reuse, because each request needs one. It may be used
 // by one goroutine at a time.
 type executionPool struct{ free []*Execution }
 
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -71,7 +71,7 @@
 }
 
 // Classify classifies a read-only statement whose class is given by no rule or comment. ok is false
-// where nothing is known of it yet.
+// where there is no estimate yet.
 func (s *Service) Classify(
 	statement *Statement, binds *sqltext.Binds,
 ) (class policy.Class, execution *Execution, ok bool) {
--- a/internal/stmtstats/service_test.go
+++ b/internal/stmtstats/service_test.go
@@ -25,13 +25,13 @@
 	}
 }
 
-func TestExecutionPool_KeepsBoundedNumber(t *testing.T) {
+func TestExecutionPool_HoldsBoundedNumber(t *testing.T) {
 	var pool executionPool
 	for range maxFreeExecutions + 10 {
 		pool.put(&Execution{})
 	}
 	if len(pool.free) != maxFreeExecutions {
-		t.Errorf("%d executions kept, want %d", len(pool.free), maxFreeExecutions)
+		t.Errorf("%d executions in the pool, want %d", len(pool.free), maxFreeExecutions)
 	}
 }
 
--- a/internal/stmtstats/snapshot_format.go
+++ b/internal/stmtstats/snapshot_format.go
@@ -98,7 +98,7 @@
 		return nil, ErrSnapshotTruncated
 	}
 	if version := binary.BigEndian.Uint32(encoded[versionOffset:]); version != snapshotVersion {
-		return nil, fmt.Errorf("%w: %d, and %d is read here", ErrSnapshotVersion, version, snapshotVersion)
+		return nil, fmt.Errorf("%w: version %d, want %d", ErrSnapshotVersion, version, snapshotVersion)
 	}
 	body := encoded[snapshotHeaderSize:]
 	actual := uint64(len(body))
@@ -107,9 +107,9 @@
 	case actual < stated:
 		return nil, fmt.Errorf("%w: %d of %d bytes", ErrSnapshotTruncated, actual, stated)
 	case actual > stated:
-		return nil, fmt.Errorf("%w: %d bytes where it tells of %d", ErrSnapshotDamaged, actual, stated)
+		return nil, fmt.Errorf("%w: %d bytes where its header says %d", ErrSnapshotDamaged, actual, stated)
 	case xxhash.Sum64(body) != binary.BigEndian.Uint64(encoded[checksumOffset:]):
-		return nil, fmt.Errorf("%w: its checksum is another", ErrSnapshotDamaged)
+		return nil, fmt.Errorf("%w: its checksum differs", ErrSnapshotDamaged)
 	}
 	return body, nil
 }
@@ -146,11 +146,11 @@
 	return snapshot, nil
 }
 
-// check returns an error where the snapshot was written for another layout or holds
-// figures that the model can't work with.
+// check returns an error where the snapshot was written for another layout or holds numbers that are
+// not finite.
 func (s *Snapshot) check() error {
 	if s.Layout != costmodel.Layout || s.Model == nil {
-		return fmt.Errorf("%w: its layout is %d, and %d is read here", ErrSnapshotVersion, s.Layout, costmodel.Layout)
+		return fmt.Errorf("%w: layout %d, want %d", ErrSnapshotVersion, s.Layout, costmodel.Layout)
 	}
 	for i := range s.Shapes {
 		if err := s.Shapes[i].Record.Check(); err != nil {
--- a/internal/stmtstats/store.go
+++ b/internal/stmtstats/store.go
@@ -1,4 +1,4 @@
-// Package stmtstats keeps statistics of query shapes. It parses statements for the front
+// Package stmtstats maintains statistics of statement shapes. It parses statements for the front
 // ends, caches the cost records of recurring shapes within a bound of bytes, asks
 // internal/decision/costmodel for the expected cost and the class of an execution, and
 // writes snapshots. The statistics serve estimates and classification alone: whether a
@@ -43,7 +43,7 @@
 // New returns a store without statistics.
 func New(opts Options) (*Store, error) {
 	if opts.MaxBytes < minBytes && opts.Cache == nil {
-		return nil, fmt.Errorf("shapes: %d bytes are too few, at least %d", opts.MaxBytes, minBytes)
+		return nil, fmt.Errorf("cache of shapes: %d bytes, want at least %d", opts.MaxBytes, minBytes)
 	}
 	store := &Store{
 		analyzer: sqltext.NewAnalyzer(),
