--- a/internal/decision/hotrestart/predecessor.go
+++ b/internal/decision/hotrestart/predecessor.go
@@ -2,15 +2,24 @@
 
 import "time"
 
+// connState is the ownership of a connection, and whether this process can transfer it.
+type connState uint8
+
+const (
+	// connIdle: the connection is owned by this process and can be transferred.
+	connIdle connState = iota
+	// connBusy: the connection is owned by this process and can't be transferred: a request is in
+	// flight, or a part of a message was read or has to be written.
+	connBusy
+	// connTransferred: the successor owns the connection. This process holds a duplicate of its
+	// descriptor.
+	connTransferred
+)
+
 // connection is the predecessor's record of a connection.
 type connection struct {
-	id ConnID
-	// transferred means that the successor owns the connection. This process keeps a duplicate of
-	// its descriptor.
-	transferred bool
-	// busy means that the connection is owned here and can't be transferred: a request is in
-	// flight, or a part of a message was read or has to be written.
-	busy    bool
+	id      ConnID
+	state   connState
 	request Request // as recorded by the successor
 }
 
@@ -53,7 +62,7 @@
 		}
 	case ConnBusy:
 		if c := p.owned(event.Conn); c != nil {
-			c.busy = true
+			c.state = connBusy
 		}
 	case ConnIdle:
 		return p.connIdle(event.Conn)
--- a/internal/decision/hotrestart/predecessor_conns.go
+++ b/internal/decision/hotrestart/predecessor_conns.go
@@ -17,7 +17,7 @@
 
 // owned returns the record of a connection of this process, or nil.
 func (p *Predecessor) owned(id ConnID) *connection {
-	if c := p.connection(id); c != nil && !c.transferred {
+	if c := p.connection(id); c != nil && c.state != connTransferred {
 		return c
 	}
 	return nil
@@ -25,7 +25,7 @@
 
 // transferred returns the record of a connection of the successor, or nil.
 func (p *Predecessor) transferred(id ConnID) *connection {
-	if c := p.connection(id); c != nil && c.transferred {
+	if c := p.connection(id); c != nil && c.state == connTransferred {
 		return c
 	}
 	return nil
@@ -45,7 +45,7 @@
 	if c == nil {
 		return nil
 	}
-	c.busy = false
+	c.state = connIdle
 	if !p.handsOver() {
 		return nil
 	}
@@ -60,7 +60,7 @@
 		if p.phase != Probation && p.phase != RollingBack {
 			return []Action{ReleaseConn(event)}
 		}
-		p.conns = append(p.conns, connection{id: event.Conn, transferred: true})
+		p.conns = append(p.conns, connection{id: event.Conn, state: connTransferred})
 	case RequestRecorded:
 		if c := p.transferred(event.Conn); c != nil {
 			c.request = event.Request
@@ -80,7 +80,7 @@
 	p.enter(Probation, now)
 	actions := []Action{StopAccepting{}, SendActivate{}}
 	for _, c := range p.conns {
-		if !c.busy {
+		if c.state == connIdle {
 			actions = append(actions, p.transfer(c.id)...)
 		}
 	}
@@ -95,8 +95,7 @@
 		return []Action{TransferConn{id}, ReleaseConn{id}}
 	}
 	c := p.connection(id)
-	c.transferred = true
-	c.busy = false
+	c.state = connTransferred
 	c.request = Request{}
 	return []Action{TransferConn{id}}
 }
@@ -104,12 +103,16 @@
 // reclaim takes all transferred connections back.
 func (p *Predecessor) reclaim() (actions []Action) {
 	for i := range p.conns {
-		if c := &p.conns[i]; c.transferred {
-			actions = append(actions, ReclaimConn{Conn: c.id, Request: c.request})
-			c.transferred = false
-			c.busy = c.request.InFlight
-			c.request = Request{}
+		c := &p.conns[i]
+		if c.state != connTransferred {
+			continue
 		}
+		actions = append(actions, ReclaimConn{Conn: c.id, Request: c.request})
+		c.state = connIdle
+		if c.request.InFlight {
+			c.state = connBusy
+		}
+		c.request = Request{}
 	}
 	return actions
 }
@@ -137,11 +140,11 @@
 	p.enter(Draining, now)
 	actions := []Action{SendCommit{}}
 	for _, c := range p.conns {
-		if c.transferred {
+		if c.state == connTransferred {
 			actions = append(actions, ReleaseConn{c.id})
 		}
 	}
-	p.conns = slices.DeleteFunc(p.conns, func(c connection) bool { return c.transferred })
+	p.conns = slices.DeleteFunc(p.conns, func(c connection) bool { return c.state == connTransferred })
 	return append(append(actions, ReportResult{}), p.exitWhenDrained()...)
 }
 
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -1,6 +1,10 @@
-// Package simprotocol speaks the simulator's line protocol: batches of events in,
-// actions out, for many instances of the policy module in one process. It makes no
-// decisions.
+// Package simprotocol implements the simulator's line protocol for many instances of the policy module
+// in one process. It makes no decisions.
+//
+// Each line is a message: a JSON array of the message's name and its fields. The simulator sends
+// batches. A batch begins with CLOCK, which gives the time, and ends with OVER_TO_YOU. The messages
+// between them start and stop instances, set engine tables and carry the events of instances. The host
+// responds to a batch with the actions of all instances and NEXT.
 package simprotocol
 
 import (
@@ -10,7 +14,7 @@
 	"flaxrelay/policy"
 )
 
-// engineTableCount is how many engine tables the protocol numbers, from 0.
+// engineTableCount is the number of engine tables, which messages number from 0.
 const engineTableCount = 16
 
 // Host holds the instances of one process. Run may be called by one goroutine at a time.
