--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -42,7 +42,8 @@
 func (t *Table) Markdown() (string, error) {
 	var b strings.Builder
 	w := tablewriter.NewTable(&b, tablewriter.WithRenderer(renderer.NewMarkdown()),
-		tablewriter.WithHeaderAutoFormat(tw.Off), tablewriter.WithRowAutoWrap(tw.WrapNone), tablewriter.WithHeaderAutoWrap(tw.WrapNone))
+		tablewriter.WithHeaderAutoFormat(tw.Off), tablewriter.WithRowAutoWrap(tw.WrapNone),
+		tablewriter.WithHeaderAutoWrap(tw.WrapNone))
 	w.Header(t.Columns)
 	if err := w.Bulk(t.Rows); err != nil {
 		return "", fmt.Errorf("table: %w", err)
@@ -68,17 +69,19 @@
 
 // Bars is a chart of groups of bars.
 type Bars struct {
-	Title, Axis string
-	Groups      []string    // names along the axis
-	Series      []string    // names of the bars in a group
-	Values      [][]float64 // by series, then by group
+	Title  string
+	Axis   string      // label of the values
+	Groups []string    // names along the axis
+	Series []string    // names of the bars in a group
+	Values [][]float64 // by series, then by group
 }
 
 // SVG draws the chart.
 func (c *Bars) SVG() ([]byte, error) {
 	const allBarsWidth = 240 // points
-	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = c.Title, c.Axis
+	chart := plot.New()
+	chart.Title.Text = c.Title
+	chart.Y.Label.Text = c.Axis
 	width := vg.Points(allBarsWidth / float64(max(len(c.Series)*len(c.Groups), 1)))
 	for i, values := range c.Values {
 		bars, err := plotter.NewBarChart(plotter.Values(values), width)
@@ -88,12 +91,12 @@
 		bars.Color = plotutil.Color(i)
 		bars.LineStyle.Width = 0
 		bars.Offset = width * vg.Length(float64(i)-float64(len(c.Values)-1)/2)
-		p.Add(bars)
-		p.Legend.Add(c.Series[i], bars)
+		chart.Add(bars)
+		chart.Legend.Add(c.Series[i], bars)
 	}
-	p.Legend.Top = true
-	p.NominalX(c.Groups...)
-	return draw(p)
+	chart.Legend.Top = true
+	chart.NominalX(c.Groups...)
+	return draw(chart)
 }
 
 // Size of a chart.
@@ -102,8 +105,9 @@
 	chartHeight = 10 * vg.Centimeter
 )
 
-func draw(p *plot.Plot) ([]byte, error) {
-	w, err := p.WriterTo(chartWidth, chartHeight, "svg")
+// draw returns a chart as SVG.
+func draw(chart *plot.Plot) ([]byte, error) {
+	w, err := chart.WriterTo(chartWidth, chartHeight, "svg")
 	if err != nil {
 		return nil, fmt.Errorf("chart: %w", err)
 	}
@@ -114,13 +118,19 @@
 	return b.Bytes(), nil
 }
 
+// The modes of the folder of results and of its files.
+const (
+	folderMode = 0o755
+	fileMode   = 0o644
+)
+
 // Write writes the files of one experiment, by their names, into a folder.
 func Write(dir string, files map[string][]byte) error {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
+	if err := os.MkdirAll(dir, folderMode); err != nil {
 		return fmt.Errorf("results: %w", err)
 	}
 	for name, content := range files {
-		if err := os.WriteFile(filepath.Join(dir, name), content, 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name), content, fileMode); err != nil {
 			return fmt.Errorf("results: %w", err)
 		}
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -5,27 +5,31 @@
 	"testing"
 )
 
+// Fractions have three significant figures in both forms.
 func TestTable_WritesMarkdownAndCSV(t *testing.T) {
 	table := Table{Columns: []string{"name", "share", "n"}}
-	table.Add("whole", 0.98765, 12)
+	table.Add("first", 0.98765, 12)
 	csv, err := table.CSV()
-	if want := "name,share,n\nwhole,0.988,12\n"; err != nil || csv != want {
+	if want := "name,share,n\nfirst,0.988,12\n"; err != nil || csv != want {
 		t.Errorf("CSV: %q, %v, want %q", csv, err, want)
 	}
 	markdown, err := table.Markdown()
-	if want := "| name  | share | n  |\n|:------|:------|:---|\n| whole | 0.988 | 12 |\n"; err != nil || markdown != want {
-		t.Errorf("Markdown: %q, %v, want %q", markdown, err, want)
+	const wantMarkdown = "| name  | share | n  |\n|:------|:------|:---|\n| first | 0.988 | 12 |\n"
+	if err != nil || markdown != wantMarkdown {
+		t.Errorf("Markdown: %q, %v, want %q", markdown, err, wantMarkdown)
 	}
 }
 
-// The same figures give the same bytes, so that a chart that changed has other figures.
+// The same figures give the same bytes, so that a changed chart has other figures.
 func TestBars_SameFiguresGiveTheSameSVG(t *testing.T) {
-	bars := Bars{Title: "t", Axis: "share", Groups: []string{"a", "b"}, Series: []string{"s"}, Values: [][]float64{{0.5, 1}}}
+	bars := Bars{
+		Title: "t", Axis: "share", Groups: []string{"a", "b"}, Series: []string{"s"}, Values: [][]float64{{0.5, 1}},
+	}
 	first, err := bars.SVG()
 	if err != nil || !bytes.Contains(first, []byte("<svg")) {
 		t.Fatalf("%.60q, %v", first, err)
 	}
 	if second, err := bars.SVG(); err != nil || !bytes.Equal(first, second) {
-		t.Errorf("another drawing, %v", err)
+		t.Errorf("the same figures gave another chart, %v", err)
 	}
 }
