--- a/cmd/flaxlab/files.go
+++ b/cmd/flaxlab/files.go
@@ -2,9 +2,9 @@
 
 import "os"
 
-// closeReadFile closes a file that was only read: nothing can be lost in closing it.
+// closeReadFile closes a file that was only read, so that an error loses nothing.
 func closeReadFile(file *os.File) { _ = file.Close() }
 
-// removeFolder removes a temporary folder. One that can't be removed is left to the
-// system, which cleans up its temporary files.
+// removeFolder removes a temporary folder. If it can't be removed, the system cleans it up with its
+// other temporary files.
 func removeFolder(path string) { _ = os.RemoveAll(path) }
--- a/cmd/flaxlab/flags_test.go
+++ b/cmd/flaxlab/flags_test.go
@@ -7,6 +7,6 @@
 )
 
 // Commands, flags and arguments keep their names.
-func TestCommandLineNames(t *testing.T) {
+func TestCommandLine_KeepsItsNames(t *testing.T) {
 	clitest.CheckNames(t, "flaxlab", &cli{}, "testdata/flags.golden")
 }
--- a/cmd/flaxlab/main.go
+++ b/cmd/flaxlab/main.go
@@ -1,6 +1,6 @@
-// Command flaxlab generates workloads and runs experiments: traffic whose true classes
-// and costs are known, evaluations of parts of the front end on it, and a front end with
-// fake engines and discovery to try out. Serving needs nothing of it.
+// Command flaxlab generates workloads and runs experiments: traffic whose true classes and costs are
+// known, evaluations of parts of the front end on it, front ends with fake engines and discovery to
+// try out, and fault injection. Nothing that serves depends on it.
 package main
 
 import (
@@ -17,9 +17,9 @@
 // cli is the grammar of the command line.
 type cli struct {
 	Traffic trafficCommand `name:"traffic" cmd:"" help:"Generate, show and summarize recorded traffic."`
-	Shapes  shapesCommand  `name:"shapes" cmd:"" help:"Evaluate the classifier of statements, flood its cache and measure its cost."`
-	Try     tryCommand     `name:"try" cmd:"" help:"Start fake engines, an event bus, a Consul stand-in and both front ends on loopback, until Ctrl-C."`
-	Soak    soakCommand    `name:"soak" cmd:"" help:"Play randomized faults against real front ends on loopback and check the rules."`
+	Shapes  shapesCommand  `name:"shapes" cmd:"" help:"Evaluate the classifier of statements, its cache and its cost."`
+	Try     tryCommand     `name:"try" cmd:"" help:"Start fake engines and discovery with both front ends."`
+	Soak    soakCommand    `name:"soak" cmd:"" help:"Inject random faults into real front ends and check the rules."`
 }
 
 func main() {
--- /dev/null
+++ b/cmd/flaxlab/program.go
@@ -0,0 +1,36 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+
+	"flaxrelay/internal/lab/harness"
+)
+
+// repositoryRoot is the folder that flaxlab runs in.
+const repositoryRoot = "."
+
+// programFlag names the program of the front end.
+type programFlag struct {
+	Flaxrelay string `name:"flaxrelay" placeholder:"FILE" help:"The flaxrelay program; by default it is built here."`
+}
+
+// frontEndProgram returns the path of the flag, or builds the program into a temporary folder without
+// one. The caller must call cleanUp.
+func (f *programFlag) frontEndProgram(ctx context.Context) (program string, cleanUp func(), err error) {
+	if f.Flaxrelay != "" {
+		return f.Flaxrelay, func() {}, nil
+	}
+	folder, err := os.MkdirTemp("", "flaxlab-")
+	if err != nil {
+		return "", nil, fmt.Errorf("folder for the program: %w", err)
+	}
+	cleanUp = func() { removeFolder(folder) }
+	program, err = harness.Build(ctx, repositoryRoot, folder)
+	if err != nil {
+		cleanUp()
+		return "", nil, err
+	}
+	return program, cleanUp, nil
+}
--- a/cmd/flaxlab/results.go
+++ b/cmd/flaxlab/results.go
@@ -9,14 +9,13 @@
 
 // experimentResults are the results of one experiment.
 type experimentResults struct {
-	name    string       // of the files that the results are kept in
-	summary report.Table // printed
-	figures report.Table // every single measurement
+	name    string       // of the files
+	summary report.Table // what is printed
+	figures report.Table // all single measurements
 	chart   report.Bars
 }
 
-// publish prints the summary. It writes the summary, the figures and the chart to the
-// folder, unless that is "".
+// publish prints the summary. It writes summary, figures and chart to the folder, unless that is "".
 func (r *experimentResults) publish(folder string) error {
 	markdown, err := r.summary.Markdown()
 	if err != nil {
@@ -42,6 +41,6 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println("kept in", filepath.Join(folder, r.name)+".*")
+	fmt.Println("written to", filepath.Join(folder, r.name)+".*")
 	return nil
 }
--- a/cmd/flaxlab/sample.go
+++ b/cmd/flaxlab/sample.go
@@ -20,10 +20,13 @@
 	return values
 }
 
-func (s sample) median() float64 { return stat.Quantile(0.5, stat.Empirical, s, nil) }
+func (s sample) median() float64 {
+	const half = 0.5
+	return stat.Quantile(half, stat.Empirical, s, nil)
+}
 
-// spread formats the median with the least and the greatest value, each with the
-// given number of digits after the point.
+// spread formats the median with the least and the greatest value, each with the given number of
+// digits after the point.
 func (s sample) spread(digits int) string {
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, s.median(), digits, s[0], digits, s[len(s)-1])
 }
--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -3,28 +3,26 @@
 import (
 	"context"
 	"fmt"
-	"os"
 	"slices"
 	"time"
 
 	"flaxrelay/internal/lab/experiment"
-	"flaxrelay/internal/lab/harness"
 	"flaxrelay/internal/lab/report"
 )
 
 // costCommand measures the CPU time that query shapes add to a request.
 type costCommand struct {
-	Flaxrelay string `name:"flaxrelay" placeholder:"FILE" help:"The flaxrelay program; by default it is built from this directory."`
-	Clients   int    `name:"clients" default:"8" help:"Number of client connections."`
-	Requests  int    `name:"requests" default:"40000" help:"Requests in each round."`
-	Rounds    int    `name:"rounds" default:"5" help:"Pairs of rounds, without shapes and with them."`
-	Prepared  bool   `name:"prepared" help:"Prepare statements once and bind them again, instead of a Query each."`
-	Seed      uint64 `name:"seed" default:"1" help:"Seed of the statements."`
-	Out       string `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-cost-query.* or shapes-cost-prepared.*."`
+	programFlag
+	Clients  int    `name:"clients" default:"8" help:"Number of client connections."`
+	Requests int    `name:"requests" default:"40000" help:"Requests in each round."`
+	Rounds   int    `name:"rounds" default:"5" help:"Pairs of rounds, without shapes and with them."`
+	Prepared bool   `name:"prepared" help:"Prepare statements once and bind them again, instead of a Query each."`
+	Seed     uint64 `name:"seed" default:"1" help:"Seed of the statements."`
+	Out      string `name:"out" placeholder:"FOLDER" help:"Write shapes-cost-query.* or shapes-cost-prepared.* there."`
 }
 
-// costTimeout ends an experiment whose front end has stopped answering. A large one takes
-// a few minutes.
+// costTimeout ends an experiment whose front end no longer responds. A large experiment takes a few
+// minutes.
 const costTimeout = 20 * time.Minute
 
 // Digits after the point of CPU times in microseconds, and of their ratios.
@@ -36,11 +34,14 @@
 // kilobytesPerMB turns the resident memory of a round into megabytes.
 const kilobytesPerMB = 1024
 
+// costSeries are the two kinds of rounds.
+var costSeries = []string{"without", "with shapes"}
+
 // Run measures pairs of rounds, without and with query shapes.
 func (c *costCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), costTimeout)
 	defer cancel()
-	program, cleanUp, err := frontEndProgram(ctx, c.Flaxrelay)
+	program, cleanUp, err := c.frontEndProgram(ctx)
 	if err != nil {
 		return err
 	}
@@ -67,17 +68,17 @@
 	return "shapes-cost-query"
 }
 
-// costResults summarises the rounds without and with query shapes, which run in pairs.
+// costResults summarizes the rounds without and with query shapes, which ran in pairs.
 func costResults(name string, without, with []experiment.CostRound) *experimentResults {
 	results := &experimentResults{
 		name:    name,
-		summary: report.Table{Columns: []string{"", "CPU a request, us", "requests a second", "resident"}},
+		summary: report.Table{Columns: []string{"", "CPU per request, us", "requests per second", "resident memory"}},
 		figures: report.Table{Columns: []string{"shapes", "round", "cpu_us", "rate", "kb"}},
 		chart: report.Bars{
-			Title:  "CPU of the gateway a request",
+			Title:  "CPU time of the front end for one request",
 			Axis:   "us",
-			Series: []string{"without", "with shapes"},
-			Values: make([][]float64, 2),
+			Series: costSeries,
+			Values: make([][]float64, len(costSeries)),
 		},
 	}
 	var ratios sample
@@ -97,33 +98,14 @@
 func addCostRounds(results *experimentResults, seriesIndex int, rounds []experiment.CostRound) {
 	series := results.chart.Series[seriesIndex]
 	for i, round := range rounds {
-		results.figures.Add(series, i+1, fmt.Sprintf("%.2f", round.CPUMicros), fmt.Sprintf("%.0f", round.RequestsPerSecond), round.ResidentKB)
+		cpuMicros := fmt.Sprintf("%.2f", round.CPUMicros)
+		rate := fmt.Sprintf("%.0f", round.RequestsPerSecond)
+		results.figures.Add(series, i+1, cpuMicros, rate, round.ResidentKB)
 		results.chart.Values[seriesIndex] = append(results.chart.Values[seriesIndex], round.CPUMicros)
 	}
 	cpu := newSample(rounds, func(r experiment.CostRound) float64 { return r.CPUMicros })
 	rate := newSample(rounds, func(r experiment.CostRound) float64 { return r.RequestsPerSecond })
 	resident := newSample(rounds, func(r experiment.CostRound) float64 { return float64(r.ResidentKB) })
-	results.summary.Add(series, cpu.spread(cpuDigits), fmt.Sprintf("%.0f", rate.median()), fmt.Sprintf("%.1f MB", resident.median()/kilobytesPerMB))
-}
-
-// repositoryRoot is the folder that flaxlab runs in.
-const repositoryRoot = "."
-
-// frontEndProgram returns the front end's program: the one at the path, or one that is
-// built into a temporary folder where the path is "". The caller must call cleanUp.
-func frontEndProgram(ctx context.Context, path string) (program string, cleanUp func(), err error) {
-	if path != "" {
-		return path, func() {}, nil
-	}
-	folder, err := os.MkdirTemp("", "flaxlab-")
-	if err != nil {
-		return "", nil, err
-	}
-	cleanUp = func() { removeFolder(folder) }
-	program, err = harness.Build(ctx, repositoryRoot, folder)
-	if err != nil {
-		cleanUp()
-		return "", nil, err
-	}
-	return program, cleanUp, nil
+	residentMB := fmt.Sprintf("%.1f MB", resident.median()/kilobytesPerMB)
+	results.summary.Add(series, cpu.spread(cpuDigits), fmt.Sprintf("%.0f", rate.median()), residentMB)
 }
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -13,12 +13,12 @@
 
 // evaluateCommand evaluates the classifier on recorded traffic.
 type evaluateCommand struct {
-	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; by default workloads are generated from the seeds."`
+	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; by default they are generated from the seeds."`
 	Seeds  []uint64 `name:"seeds" default:"1,2,3,4,5" help:"Seeds of generated workloads."`
 	Number int      `name:"number" default:"20000" help:"Statements in each generated workload."`
 	Train  float64  `name:"train" default:"0.5" help:"Share of the records that only trains and is not evaluated."`
 	Kbytes int      `name:"kbytes" default:"2048" help:"Cache size limit in KB."`
-	Out    string   `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-evaluate.*."`
+	Out    string   `name:"out" placeholder:"FOLDER" help:"Write table, figures and chart there, as shapes-evaluate.*."`
 }
 
 // recording is traffic with the seed that it was generated from.
@@ -35,7 +35,7 @@
 
 var chartedFigures = []chartedFigure{
 	{"by count", func(r experiment.Result) float64 { return r.ByCount }},
-	{"by worth", func(r experiment.Result) float64 { return r.ByWeight }},
+	{"by priority weight", func(r experiment.Result) float64 { return r.ByWeight }},
 	{"hard cases", func(r experiment.Result) float64 { return r.ByHardCase }},
 }
 
@@ -50,7 +50,7 @@
 	}
 	results := newEvaluation()
 	variants := experiment.Variants()
-	var baseline []experiment.Result // of the first variant; the client's hints are the same in all
+	var baseline []experiment.Result // of the first variant; the clients' hints are the same in all
 	for i, variant := range variants {
 		evaluated, err := c.evaluate(variant, recordings, &results.figures)
 		if err != nil {
@@ -70,13 +70,18 @@
 	results := &experimentResults{
 		name: "shapes-evaluate",
 		summary: report.Table{Columns: []string{
-			"variant", "class right by count", "by worth", "hard cases alone", "writes taken as reads", "median error", "p90 error",
+			"variant", "class right by count", "by priority weight", "hard cases alone", "writes taken as reads",
+			"median error", "p90 error",
 		}},
 		figures: report.Table{Columns: []string{
-			"variant", "seed", "judged", "by_count", "by_worth", "hard", "hard_judged", "writes_safe", "writes_seen", "reads_denied",
-			"median", "p90", "hint_median", "hint_p90", "mean_median", "mean_p90", "hint_class", "shapes", "bytes", "hit_rate",
+			"variant", "seed", "evaluated", "by_count", "by_weight", "hard", "hard_evaluated",
+			"writes_taken_as_reads", "writes_seen", "reads_taken_as_writes",
+			"median", "p90", "hint_median", "hint_p90", "mean_median", "mean_p90", "hint_class",
+			"shapes", "bytes", "hit_rate",
 		}},
-		chart: report.Bars{Title: "Classes right, median of the seeds", Axis: "share", Values: make([][]float64, len(chartedFigures))},
+		chart: report.Bars{
+			Title: "Classes right, median of the seeds", Axis: "share", Values: make([][]float64, len(chartedFigures)),
+		},
 	}
 	for _, figure := range chartedFigures {
 		results.chart.Series = append(results.chart.Series, figure.series)
@@ -84,7 +89,7 @@
 	return results
 }
 
-// recordings reads the traffic files, or generates traffic from the seeds without any.
+// recordings reads the traffic files, or without files generates traffic from the seeds.
 func (c *evaluateCommand) recordings() ([]recording, error) {
 	var recordings []recording
 	for _, path := range c.Files {
@@ -107,7 +112,7 @@
 func readRecording(path string) (recording, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return recording{}, err
+		return recording{}, fmt.Errorf("traffic file: %w", err)
 	}
 	defer closeReadFile(file)
 	records, head, err := experiment.ReadRecords(bufio.NewReader(file))
@@ -118,7 +123,9 @@
 }
 
 // evaluate runs one variant on every recording and adds a row to the figures for each.
-func (c *evaluateCommand) evaluate(variant experiment.Variant, recordings []recording, figures *report.Table) ([]experiment.Result, error) {
+func (c *evaluateCommand) evaluate(
+	variant experiment.Variant, recordings []recording, figures *report.Table,
+) ([]experiment.Result, error) {
 	options := experiment.EvaluateOptions{TrainShare: c.Train, CacheBytes: c.Kbytes * bytesPerKB}
 	var results []experiment.Result
 	for _, recording := range recordings {
@@ -128,16 +135,17 @@
 		}
 		results = append(results, r)
 		figures.Add(
-			variant.Name, recording.seed, r.Judged, formatShare(r.ByCount), formatShare(r.ByWeight), formatShare(r.ByHardCase),
-			r.HardJudged, r.WritesTakenAsReads, r.WritesSeen, r.ReadsTakenAsWrites,
-			r.MedianError, r.P90Error, r.HintMedianError, r.HintP90Error, r.MeanMedianError, r.MeanP90Error, formatShare(r.HintClass),
-			r.Shapes, r.Bytes, r.HitRate,
+			variant.Name, recording.seed, r.Evaluated, formatShare(r.ByCount), formatShare(r.ByWeight),
+			formatShare(r.ByHardCase), r.HardEvaluated,
+			r.WritesTakenAsReads, r.WritesSeen, r.ReadsTakenAsWrites,
+			r.MedianError, r.P90Error, r.HintMedianError, r.HintP90Error, r.MeanMedianError, r.MeanP90Error,
+			formatShare(r.HintClass), r.Shapes, r.Bytes, r.HitRate,
 		)
 	}
 	return results, nil
 }
 
-// formatShare writes a share with the digits that single figures are kept with.
+// formatShare formats a share with the digits of the single figures.
 func formatShare(share float64) string { return fmt.Sprintf("%.5f", share) }
 
 // addVariant adds one variant to the summary and the chart.
@@ -149,7 +157,8 @@
 		row = append(row, shares.spread(shareDigits))
 		results.chart.Values[i] = append(results.chart.Values[i], shares.median())
 	}
-	writesTakenAsReads, writes := 0, 0
+	writesTakenAsReads := 0
+	writes := 0
 	for _, result := range evaluated {
 		writesTakenAsReads += result.WritesTakenAsReads
 		writes += result.WritesSeen
@@ -162,8 +171,8 @@
 	results.summary.Add(row...)
 }
 
-// addBaselines adds what the client's hint alone, and the mean of the true class, would
-// have estimated.
+// addBaselines adds the figures of two other estimates: the client's hint alone, and the mean of the
+// true class.
 func addBaselines(summary *report.Table, results []experiment.Result) {
 	summary.Add("the client's hint",
 		spreadOf(results, func(r experiment.Result) float64 { return r.HintClass }), "", "", "",
--- a/cmd/flaxlab/shapes_flood.go
+++ b/cmd/flaxlab/shapes_flood.go
@@ -14,10 +14,10 @@
 	OneOff    int      `name:"one-off" default:"1000000" help:"Number of shapes that occur once."`
 	Share     float64  `name:"share" default:"0.2" help:"Share of statements with a recurring shape."`
 	Kbytes    int      `name:"kbytes" default:"1024" help:"Cache size limit in KB."`
-	Out       string   `name:"out" placeholder:"FOLDER" help:"Keep table, figures and chart there, as shapes-flood.*."`
+	Out       string   `name:"out" placeholder:"FOLDER" help:"Write table, figures and chart there, as shapes-flood.*."`
 }
 
-// floodedCaches are the caches that are compared, by their names in package experiment.
+// floodedCaches are the caches that are compared, by their names in the package experiment.
 var floodedCaches = []string{"w-tinylfu", "lru", "2q"}
 
 // Run floods every cache once for each seed.
@@ -25,13 +25,16 @@
 	results := &experimentResults{
 		name: "shapes-flood",
 		summary: report.Table{Columns: []string{
-			"cache", "recurring shapes found", "shapes held", "bytes as counted", "heap grew by", "resident memory of the process",
+			"cache", "hit rate of recurring shapes", "cached shapes", "counted bytes", "heap growth",
+			"resident memory of the process",
+		}},
+		figures: report.Table{Columns: []string{
+			"cache", "seed", "lookups", "hit_rate", "cached_shapes", "counted_bytes", "heap_bytes", "rss_bytes",
 		}},
-		figures: report.Table{Columns: []string{"cache", "seed", "asked", "hits", "held", "counted", "heap", "rss"}},
 		chart: report.Bars{
-			Title:  fmt.Sprintf("Recurring shapes found among %d that come once", c.OneOff),
+			Title:  fmt.Sprintf("Recurring shapes found among %d that occur once", c.OneOff),
 			Axis:   "share",
-			Series: []string{"found"},
+			Series: []string{"hit rate"},
 			Values: make([][]float64, 1),
 		},
 	}
@@ -60,7 +63,8 @@
 			return nil, err
 		}
 		runs = append(runs, run)
-		figures.Add(cache, seed, run.Asked, formatShare(run.HitRate), run.CachedShapes, run.CountedBytes, run.HeapBytes, run.RSSBytes)
+		figures.Add(cache, seed, run.Lookups, formatShare(run.HitRate), run.CachedShapes,
+			run.CountedBytes, run.HeapBytes, run.RSSBytes)
 	}
 	return runs, nil
 }
@@ -68,13 +72,13 @@
 // addFloodedCache adds one cache to the summary and the chart.
 func addFloodedCache(results *experimentResults, cache string, runs []experiment.FloodResult) {
 	hits := newSample(runs, func(r experiment.FloodResult) float64 { return r.HitRate })
-	held := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.CachedShapes) })
+	cached := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.CachedShapes) })
 	counted := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.CountedBytes) })
 	heap := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.HeapBytes) })
 	resident := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.RSSBytes) })
 	results.summary.Add(cache,
 		hits.spread(shareDigits),
-		fmt.Sprintf("%.0f", held.median()),
+		fmt.Sprintf("%.0f", cached.median()),
 		fmt.Sprintf("%.0f KB", counted.median()/bytesPerKB),
 		fmt.Sprintf("%.0f KB", heap.median()/bytesPerKB),
 		fmt.Sprintf("%.1f MB", resident.median()/bytesPerMB))
--- a/cmd/flaxlab/soak.go
+++ b/cmd/flaxlab/soak.go
@@ -7,69 +7,74 @@
 	"os"
 	"time"
 
-	"flaxrelay/internal/lab/harness"
 	"flaxrelay/internal/lab/soak"
 )
 
-// soakCommand plays randomized faults against real front ends.
+// soakCommand injects randomized faults into real front ends.
 type soakCommand struct {
-	Flaxrelay string        `name:"flaxrelay" placeholder:"FILE" help:"The flaxrelay program; by default it is built from this directory."`
+	programFlag
 	Seed      uint64        `name:"seed" default:"1" help:"The first seed."`
-	Seeds     int           `name:"seeds" default:"1" help:"How many seeds to play, one after the other."`
-	Duration  time.Duration `name:"duration" default:"12s" help:"Of one run, without its end."`
+	Seeds     int           `name:"seeds" default:"1" help:"Number of seeds, which run one after the other."`
+	Duration  time.Duration `name:"duration" default:"12s" help:"Duration of one run, without its end."`
 	FrontEnds int           `name:"front-ends" default:"6" help:"Front-end processes."`
 	Engines   int           `name:"engines" default:"12" help:"Engine processes."`
 	Clients   int           `name:"clients" default:"32" help:"Clients."`
-	Folder    string        `name:"folder" placeholder:"DIR" help:"Keeps logs here; by default they go with the run, unless it broke a rule."`
-	Verbose   bool          `name:"verbose" help:"Print each trouble as it begins."`
+	Folder    string        `name:"folder" placeholder:"DIR" help:"Keep all logs, not only those of violations."`
+	Verbose   bool          `name:"verbose" help:"Print each fault as it begins."`
 }
 
-var errRulesBroken = errors.New("rules were broken")
+var errViolations = errors.New("rules were violated")
 
-// Run plays the seeds and fails if any of them broke a rule.
+// Run runs the seeds and fails if any of them violated a rule.
 func (c *soakCommand) Run() error {
-	folder, program := c.Folder, c.Flaxrelay
-	if folder == "" {
-		folder = os.TempDir()
-	}
-	if program == "" {
-		built, err := os.MkdirTemp("", "flaxlab-soak-")
-		if err != nil {
-			return err
-		}
-		defer removeFolder(built)
-		if program, err = harness.Build(context.Background(), repositoryRoot, built); err != nil {
-			return err
-		}
+	program, cleanUp, err := c.frontEndProgram(context.Background())
+	if err != nil {
+		return err
 	}
+	defer cleanUp()
 	self, err := os.Executable()
 	if err != nil {
-		return err
+		return fmt.Errorf("path of the engines' program: %w", err)
 	}
-	broken := 0
+	violated := 0
 	for i := range c.Seeds {
-		options := soak.Options{
-			Program: program, Self: self, Folder: folder, Seed: c.Seed + uint64(i), Duration: c.Duration,
-			FrontEnds: c.FrontEnds, Engines: c.Engines, Clients: c.Clients,
-		}
-		if c.Verbose {
-			options.Log = os.Stdout
-		}
-		result, err := soak.Run(options)
+		result, err := soak.Run(c.options(program, self, c.Seed+uint64(i)))
 		if err != nil {
 			return err
 		}
-		fmt.Print(result)
+		c.report(result)
 		if len(result.Violations) > 0 {
-			broken++
-			fmt.Printf("  logs: %s\n", result.Folder)
-		} else if c.Folder == "" {
-			removeFolder(result.Folder)
+			violated++
 		}
 	}
-	fmt.Printf("%d of %d seeds broke a rule\n", broken, c.Seeds)
-	if broken > 0 {
-		return errRulesBroken
+	fmt.Printf("%d of %d seeds violated a rule\n", violated, c.Seeds)
+	if violated > 0 {
+		return errViolations
 	}
 	return nil
 }
+
+// options returns the options of the run with the seed.
+func (c *soakCommand) options(program, self string, seed uint64) soak.Options {
+	options := soak.Options{
+		Program: program, Self: self, Folder: c.Folder, Seed: seed, Duration: c.Duration,
+		FrontEnds: c.FrontEnds, Engines: c.Engines, Clients: c.Clients,
+	}
+	if options.Folder == "" {
+		options.Folder = os.TempDir()
+	}
+	if c.Verbose {
+		options.Log = os.Stdout
+	}
+	return options
+}
+
+// report prints the result of a run, and removes its logs unless they are to stay.
+func (c *soakCommand) report(result *soak.Result) {
+	fmt.Print(result)
+	if len(result.Violations) > 0 {
+		fmt.Printf("  logs: %s\n", result.Folder)
+	} else if c.Folder == "" {
+		removeFolder(result.Folder)
+	}
+}
--- a/cmd/flaxlab/traffic.go
+++ b/cmd/flaxlab/traffic.go
@@ -17,12 +17,12 @@
 	Stats    statsCommand    `name:"stats" cmd:"" help:"Summarize a file."`
 }
 
-// readRecords passes the records of a file to handle until that returns false. A truncated
-// file is read as far as it is complete, and the error says so.
+// readRecords passes the records of a file to handle until that returns false. It passes the complete
+// records of a truncated file and then returns the error.
 func readRecords(path string, handle func(*traffic.Record) bool) (traffic.Head, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return traffic.Head{}, err
+		return traffic.Head{}, fmt.Errorf("traffic file: %w", err)
 	}
 	defer closeReadFile(file)
 	reader, err := traffic.NewReader(bufio.NewReader(file))
--- a/cmd/flaxlab/traffic_generate.go
+++ b/cmd/flaxlab/traffic_generate.go
@@ -21,9 +21,9 @@
 	OneOff      float64 `name:"one-off" default:"0.05" help:"Share of statements whose shape never recurs."`
 	Hard        float64 `name:"hard" default:"0.04" help:"Share of lookups whose values make them expensive reports."`
 	Writes      float64 `name:"writes" default:"0.02" help:"Share of statements that write and are not loads."`
-	DriftAt     float64 `name:"drift-at" default:"0.6" help:"When the orders table grows, as a share of the statements; 0: never."`
+	DriftAt     float64 `name:"drift-at" default:"0.6" help:"Share of statements before the orders table grows, or 0."`
 	Drift       float64 `name:"drift" default:"3" help:"Factor by which it grows."`
-	HintNoise   float64 `name:"hint-noise" default:"0.7" help:"Standard deviation of the natural logarithm of the clients' estimates."`
+	HintNoise   float64 `name:"hint-noise" default:"0.7" help:"Standard deviation of the log of estimates."`
 	HintMissing float64 `name:"hint-missing" default:"0.15" help:"Share of statements without an estimate."`
 }
 
@@ -49,17 +49,17 @@
 	Comes string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"Arrival process: ${enum}."`
 }
 
-// progressBarWidth is in columns of the terminal.
+// progressBarWidth is the width of the progress bar in columns of the terminal.
 const progressBarWidth = 40
 
 // Run writes the file, with a progress bar on standard error.
 func (c *generateCommand) Run() error {
 	file, err := os.Create(c.File)
 	if err != nil {
-		return err
+		return fmt.Errorf("traffic file: %w", err)
 	}
 	buffered := bufio.NewWriter(file)
-	// What was generated is written even where an error ends it: the file can be read so far.
+	// After an error too, the records so far are written: they can be read.
 	err = firstError(c.generate(buffered), buffered.Flush(), file.Close())
 	if err != nil {
 		return err
@@ -74,13 +74,14 @@
 	bar := progress.AddBar(int64(c.Number),
 		mpb.PrependDecorators(decor.Name("statements ")),
 		mpb.AppendDecorators(decor.CountersNoUnit("%d of %d")))
-	err := traffic.Generate(out, c.options(), c.Number, c.Rate, traffic.ArrivalProcess(c.Comes), func(n int) { bar.IncrBy(n) })
+	process := traffic.ArrivalProcess(c.Comes)
+	err := traffic.Generate(out, c.options(), c.Number, c.Rate, process, func(records int) { bar.IncrBy(records) })
 	bar.SetCurrent(int64(c.Number))
 	progress.Wait()
 	return err
 }
 
-// firstError returns the first of the errors that is not nil. The later ones follow from it.
+// firstError returns the first of the errors that is not nil, of which later ones are consequences.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/cmd/flaxlab/traffic_show.go
+++ b/cmd/flaxlab/traffic_show.go
@@ -17,7 +17,8 @@
 
 // Run prints one line for each record.
 func (c *showCommand) Run() error {
-	read, shown := 0, 0
+	read := 0
+	shown := 0
 	_, err := readRecords(c.File, func(record *traffic.Record) bool {
 		read++
 		if read > c.From && (!c.Hard || record.HardCase != "") {
@@ -29,7 +30,7 @@
 	return err
 }
 
-// maxStatementWidth is where a statement is cut off, in bytes.
+// maxStatementWidth is the length in bytes to which a statement is abbreviated.
 const maxStatementWidth = 200
 
 // formatRecord describes a record in one line.
--- a/cmd/flaxlab/traffic_stats.go
+++ b/cmd/flaxlab/traffic_stats.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"flaxrelay/internal/lab/traffic"
+	"flaxrelay/internal/lab/workload"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -20,8 +21,8 @@
 	File string `name:"file" arg:"" help:"The file."`
 }
 
-// Run prints what the file holds: its classes with their times, and its hard cases. Of a
-// file that was cut off it prints what could be read.
+// Run prints the classes of a file with their times, and its hard cases. Of a truncated file it prints
+// what could be read.
 func (c *statsCommand) Run() error {
 	stats := trafficStats{classes: map[string]*classStats{}, hardCases: map[string]int{}, recurring: map[int]struct{}{}}
 	head, err := readRecords(c.File, func(record *traffic.Record) bool {
@@ -41,10 +42,6 @@
 	microsecondsPerMS     = 1000
 )
 
-// oneOffTemplate is the template of a statement whose shape never recurs. Other
-// negative ones are of statements without a template.
-const oneOffTemplate = -1
-
 // trafficStats sums up the records of a file.
 type trafficStats struct {
 	classes        map[string]*classStats
@@ -73,7 +70,7 @@
 	}
 	class.count++
 	class.weight += record.Weight
-	_ = class.work.RecordValue(max(int64(record.WorkMS*microsecondsPerMS), 1)) // past an hour it would only be left out
+	_ = class.work.RecordValue(max(int64(record.WorkMS*microsecondsPerMS), 1)) // more than maxWork is left out
 	if record.HardCase != "" {
 		class.hard++
 		s.hardCases[record.HardCase]++
@@ -81,7 +78,7 @@
 	switch {
 	case record.Template >= 0:
 		s.recurring[record.Template] = struct{}{}
-	case record.Template == oneOffTemplate:
+	case record.Template == workload.TemplateOneOff:
 		s.oneOff++
 	}
 	s.total++
@@ -91,32 +88,42 @@
 
 func (s *trafficStats) printHead(head traffic.Head) {
 	duration := time.Duration(s.lastArrival) * time.Microsecond
-	fmt.Printf("seed %d, %s arrivals, %d statements in %s; %d shapes recur, %d come once; %d bytes a statement\n%s\n\n",
-		head.Seed, head.Arrivals, s.total, duration, len(s.recurring), s.oneOff, s.statementBytes/max(s.total, 1), head.ModelOptions)
+	bytesPerStatement := s.statementBytes / max(s.total, 1)
+	fmt.Printf("seed %d, %s arrivals, %d statements in %s; ", head.Seed, head.Arrivals, s.total, duration)
+	fmt.Printf("%d shapes recur, %d occur once; %d bytes per statement\n%s\n\n",
+		len(s.recurring), s.oneOff, bytesPerStatement, head.ModelOptions)
 }
 
 // printClasses prints a table of the classes.
 func (s *trafficStats) printClasses() {
 	var rows strings.Builder
-	rows.WriteString("class\tshare\tworth\tmedian ms\tp90 ms\tp99 ms\thard\n")
+	rows.WriteString("class\tshare\tpriority weight\tmedian ms\tp90 ms\tp99 ms\thard\n")
 	for _, name := range slices.Sorted(maps.Keys(s.classes)) {
 		class := s.classes[name]
-		share := 100 * class.count / float64(s.total)
-		fmt.Fprintf(&rows, "%s\t%.1f %%\t%.0f\t%.0f\t%.0f\t%.0f\t%d\n", name, share, class.weight,
-			class.workMS(50), class.workMS(90), class.workMS(99), class.hard)
+		const allPercent = 100
+		percent := allPercent * class.count / float64(s.total)
+		fmt.Fprintf(&rows, "%s\t%.1f %%\t%.0f\t%.0f\t%.0f\t%.0f\t%d\n", name, percent, class.weight,
+			class.workMS(median), class.workMS(p90), class.workMS(p99), class.hard)
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	// As for the lines around it, errors of standard output are ignored.
+	// Errors of standard output are ignored, as those of fmt.Printf are.
 	_, _ = io.WriteString(table, rows.String())
 	_ = table.Flush()
 }
 
+// Percentiles that are printed.
+const (
+	median = 50
+	p90    = 90
+	p99    = 99
+)
+
 // workMS returns a percentile of the work in milliseconds.
 func (c *classStats) workMS(percentile float64) float64 {
 	return float64(c.work.ValueAtQuantile(percentile)) / microsecondsPerMS
 }
 
-// printHardCases lists the hard cases with their numbers, if there are any.
+// printHardCases lists the hard cases with their counts, if there are any.
 func (s *trafficStats) printHardCases() {
 	cases := make([]string, 0, len(s.hardCases))
 	for name, count := range s.hardCases {
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -17,17 +17,17 @@
 
 // tryCommand runs both front ends with emulated surroundings.
 type tryCommand struct {
-	Flaxrelay string        `name:"flaxrelay" placeholder:"FILE" help:"The flaxrelay program; by default it is built from this directory."`
-	Engines   int           `name:"engines" default:"3" help:"Fake engines for each protocol, 1 to 16."`
-	HTTP      string        `name:"http" default:"127.0.0.1:9090" help:"Address of the HTTP front end."`
-	Postgres  string        `name:"postgres" default:"127.0.0.1:5433" help:"Address of the PostgreSQL front end."`
-	For       time.Duration `name:"for" default:"1h" help:"Stop after this time."`
+	programFlag
+	Engines  int           `name:"engines" default:"3" help:"Fake engines for each protocol, 1 to 16."`
+	HTTP     string        `name:"http" default:"127.0.0.1:9090" help:"Address of the HTTP front end."`
+	Postgres string        `name:"postgres" default:"127.0.0.1:5433" help:"Address of the PostgreSQL front end."`
+	For      time.Duration `name:"for" default:"1h" help:"Stop after this time."`
 }
 
-// maxEngines keeps the emulated engines of one machine few enough to read their output.
+// maxEngines bounds the emulated engines, so that their logs stay readable.
 const maxEngines = 16
 
-var errFrontEndEnded = errors.New("a gateway has ended; its log says why")
+var errFrontEndEnded = errors.New("a front end has ended; its log says why")
 
 // engineCountError reports a number of engines out of range.
 type engineCountError struct{ count int }
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("--engines: %d is not from 1 to %d", e.count, maxEngines)
 }
 
-// Run starts both front ends with all that they need, prints commands to paste, and ends
-// everything on Ctrl-C, after the time limit, or once a front end has ended.
+// Run starts both front ends with emulated surroundings, prints commands to paste, and ends everything
+// on Ctrl-C, after the time limit, or when a front end has ended.
 func (c *tryCommand) Run() error {
 	if c.Engines < 1 || c.Engines > maxEngines {
 		return &engineCountError{count: c.Engines}
@@ -48,16 +48,15 @@
 	defer cancel()
 	folder, err := os.MkdirTemp("", "flaxlab-try-")
 	if err != nil {
-		return err
+		return fmt.Errorf("folder of the surroundings: %w", err)
 	}
 	defer removeFolder(folder)
-	program := c.Flaxrelay
-	if program == "" {
-		if program, err = harness.Build(ctx, repositoryRoot, folder); err != nil {
-			return err
-		}
+	program, cleanUp, err := c.frontEndProgram(ctx)
+	if err != nil {
+		return err
 	}
-	rig, err := harness.New(harness.Options{
+	defer cleanUp()
+	environment, err := harness.New(harness.Options{
 		Root:         repositoryRoot,
 		Dir:          folder,
 		Engines:      c.Engines,
@@ -70,10 +69,10 @@
 	if err != nil {
 		return err
 	}
-	defer rig.Close()
+	defer environment.Close()
 	var running frontEnds
 	defer running.stop()
-	if err := running.start(program, rig); err != nil {
+	if err := running.start(program, environment); err != nil {
 		return err
 	}
 	if err := c.awaitListeners(ctx); err != nil {
@@ -96,28 +95,31 @@
 func (c *tryCommand) printInstructions() {
 	host, port, _ := strings.Cut(c.Postgres, ":")
 	fmt.Printf(`
-Both fronts are up. To try, in another terminal:
+Both front ends are running. To try them, in another terminal:
 
   curl -i http://%s/rpc/lookup -H 'Req-Id: 9b1f03aa5c7e2d41' -H 'Req-Wait-Ms: 1500' \
       --data "SELECT day FROM sales_17.orders WHERE tag = '3f9c'"
   psql 'host=%s port=%s user=desk sslmode=disable' -c 'SELECT day FROM stock_17.orders'
 
-Engines say above what they are asked. Ctrl-C stops all.
+Above, the engines log the requests that they receive. Ctrl-C stops everything.
 `, c.HTTP, host, port)
 }
 
-// frontEnds are the running processes of flaxrelay, one of each protocol; nil before
-// they have started.
-type frontEnds struct{ http, postgres *harness.Proxy }
+// frontEnds are the running processes of flaxrelay, one of each protocol.
+type frontEnds struct {
+	http     *harness.Proxy // nil before it has started
+	postgres *harness.Proxy // nil before it has started
+}
 
-// start starts both front ends on the rig.
-func (f *frontEnds) start(program string, rig *harness.Environment) (err error) {
+// start starts both front ends in the environment.
+func (f *frontEnds) start(program string, environment *harness.Environment) (err error) {
 	const textLog = "--log-format=text"
-	f.http, err = harness.Start(program, os.Stdout, textLog, "serve", "--config", rig.ConfigFile, "--shapes", rig.ShapesFile)
+	f.http, err = harness.Start(program, os.Stdout,
+		textLog, "serve", "--config", environment.ConfigFile, "--shapes", environment.ShapesFile)
 	if err != nil {
 		return err
 	}
-	f.postgres, err = harness.Start(program, os.Stdout, textLog, "serve", "--postgres", rig.DeployFile)
+	f.postgres, err = harness.Start(program, os.Stdout, textLog, "serve", "--postgres", environment.DeployFile)
 	return err
 }
 
@@ -131,7 +133,7 @@
 	}
 }
 
-// awaitEnd waits for the context, which is no error, or for the end of a front end.
+// awaitEnd waits for the end of the context, which is no error, or of a front end.
 func (f *frontEnds) awaitEnd(ctx context.Context) error {
 	var err error
 	select {
--- a/cmd/flaxlab/try_test.go
+++ b/cmd/flaxlab/try_test.go
@@ -25,14 +25,15 @@
 	postgresVariable = "FLAXLAB_TEST_POSTGRES"
 )
 
-// Both front ends come up with one command, answer what the page says to paste, and all
-// of it ends on SIGINT.
-func TestTry(t *testing.T) {
+// Both front ends start with one command and respond to the requests of the instructions, and
+// everything ends on SIGINT.
+func TestTry_StartsServesAndEnds(t *testing.T) {
 	if os.Getenv(tryVariable) != "" {
 		runTry(t)
 		return
 	}
-	httpAddress, postgresAddress := freeAddress(t), freeAddress(t)
+	httpAddress := freeAddress(t)
+	postgresAddress := freeAddress(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 90*time.Second)
 	defer cancel()
 	process, logPath := startTry(t, httpAddress, postgresAddress)
@@ -43,13 +44,13 @@
 	}
 	for !servesHTTP(ctx, t, httpAddress) {
 		if ctx.Err() != nil {
-			t.Fatal("the HTTP front end serves nothing")
+			t.Fatal("the HTTP front end does not serve")
 		}
 	}
 	// The PostgreSQL front end learns of its engines a moment after it listens.
 	for !servesPostgres(t, postgresAddress) {
 		if ctx.Err() != nil {
-			t.Fatal("the PostgreSQL front end serves nothing")
+			t.Fatal("the PostgreSQL front end does not serve")
 		}
 	}
 	if err := process.Process.Signal(syscall.SIGINT); err != nil {
@@ -62,7 +63,7 @@
 	for _, address := range []string{httpAddress, postgresAddress} {
 		if conn, err := net.Dial("tcp", address); err == nil {
 			closeQuietly(conn)
-			t.Errorf("somebody still listens at %s", address)
+			t.Errorf("a process still listens at %s", address)
 		}
 	}
 }
@@ -85,13 +86,15 @@
 // startTry runs the command in a process of its own, which logs to the file at the path.
 func startTry(t *testing.T, httpAddress, postgresAddress string) (process *exec.Cmd, logPath string) {
 	t.Helper()
-	process = exec.Command(os.Args[0], "-test.run=^TestTry$", "-test.v")
-	process.Env = append(os.Environ(), tryVariable+"=1", httpVariable+"="+httpAddress, postgresVariable+"="+postgresAddress)
+	process = exec.Command(os.Args[0], "-test.run=^TestTry_StartsServesAndEnds$", "-test.v")
+	process.Env = append(os.Environ(),
+		tryVariable+"=1", httpVariable+"="+httpAddress, postgresVariable+"="+postgresAddress)
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	process.Stdout, process.Stderr = log, log
+	process.Stdout = log
+	process.Stderr = log
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +111,7 @@
 	return address
 }
 
-// servesHTTP reports whether the front end answers a request with rows.
+// servesHTTP reports whether the front end responds to a request with rows.
 func servesHTTP(ctx context.Context, t *testing.T, address string) bool {
 	t.Helper()
 	const tag = "3f9c"
@@ -124,11 +127,11 @@
 		t.Fatal(err)
 	}
 	defer closeQuietly(response.Body)
-	body, _ := io.ReadAll(response.Body) // one that is cut off lacks the tag
+	body, _ := io.ReadAll(response.Body) // a truncated body lacks the tag
 	return response.StatusCode == http.StatusOK && strings.Contains(string(body), tag)
 }
 
-// servesPostgres reports whether the front end answers a statement with a row.
+// servesPostgres reports whether the front end responds to a statement with a row.
 func servesPostgres(t *testing.T, address string) bool {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -143,9 +146,9 @@
 	if _, err := conn.Write(messages); err != nil {
 		t.Fatal(err)
 	}
-	answer, _ := io.ReadAll(conn) // one that is cut off lacks the tag
-	return strings.Contains(string(answer), "SELECT 1")
+	response, _ := io.ReadAll(conn) // a truncated response lacks the tag
+	return strings.Contains(string(response), "SELECT 1")
 }
 
-// closeQuietly closes what the test has no further use for.
+// closeQuietly closes what the test no longer needs.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -14,33 +15,34 @@
 
 // CostOptions say how to measure what query shapes cost flaxrelay.
 type CostOptions struct {
-	Root, Program string
-	Clients       int
-	Requests      int // a round
-	Rounds        int // pairs of one without and one with query shapes
-	Seed          uint64
-	Prepared      bool // statements are prepared once and bound many times; else each is a Query with its values
+	Root     string // the repository
+	Program  string // flaxrelay
+	Clients  int
+	Requests int // of a round
+	Rounds   int // pairs of one round without and one with query shapes
+	Seed     uint64
+	Prepared bool // statements are prepared once and bound many times; else each is a Query with its values
 }
 
-// CostRound is the CPU time of flaxrelay's process a request, in microseconds, and the
-// requests that it served a second.
+// CostRound is the result of one round.
 type CostRound struct {
-	CPUMicros, RequestsPerSecond float64
-	ResidentKB                   int // resident at the end
+	CPUMicros         float64 // CPU time of flaxrelay's process for one request, in microseconds
+	RequestsPerSecond float64
+	ResidentKB        int // resident memory at the end
 }
 
 const (
 	costStatements = 2000 // different statements that the clients send
 	costEngines    = 2
-	warmUpShare    = 5 // the requests of a round are this many times those of the warm-up
+	warmUpDivisor  = 5 // a round is warmed up with this fraction of its requests
 )
 
-// MeasureCost measures pairs of rounds, without query shapes and with them, one after the other, each
-// with a process of its own between the same clients and emulated engines without work.
+// MeasureCost measures pairs of rounds without and with query shapes, one after the other. Each has
+// a process of its own between clients and engines without work.
 func MeasureCost(ctx context.Context, opts CostOptions) (without, with []CostRound, err error) {
 	statements := lookups(opts.Seed, costStatements, opts.Prepared)
 	for i := range 2 * opts.Rounds {
-		shapes := (i+i/2)%2 == 1 // off on, on off, off on: a drift of the machine affects both
+		shapes := (i+i/2)%2 == 1 // off on, on off, off on, so that a drift of the machine affects both
 		round, err := costRound(ctx, opts, statements, shapes)
 		if err != nil {
 			return nil, nil, err
@@ -57,12 +59,12 @@
 // maxPrepared is how many statements a client keeps prepared.
 const maxPrepared = 200
 
-// lookups are read-only statements of the workload, with their values written out or bound.
-func lookups(seed uint64, n int, bound bool) []workload.Statement {
-	generator := workload.New(workload.Options{Seed: seed, Templates: workload.DefaultTemplates}, n)
+// lookups returns read-only statements of the workload, with their values written out or bound.
+func lookups(seed uint64, count int, bound bool) []workload.Statement {
+	generator := workload.New(workload.Options{Seed: seed, Templates: workload.DefaultTemplates}, count)
 	var statements []workload.Statement
 	distinct := map[string]bool{}
-	for len(statements) < n {
+	for len(statements) < count {
 		s := generator.Next()
 		tooMany := bound && !distinct[s.Text] && len(distinct) == maxPrepared
 		if s.Class != workload.ClassLookup || (len(s.Values) > 0) != bound || tooMany {
@@ -75,15 +77,17 @@
 }
 
 // costRound measures one process from its start to its end.
-func costRound(ctx context.Context, opts CostOptions, statements []workload.Statement, shapes bool) (round CostRound, err error) {
+func costRound(
+	ctx context.Context, opts CostOptions, statements []workload.Statement, shapes bool,
+) (CostRound, error) {
 	dir, err := os.MkdirTemp("", "flaxlab-cost-")
 	if err != nil {
-		return round, err
+		return CostRound{}, fmt.Errorf("folder of a round: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	addr, err := harness.FreeAddr()
 	if err != nil {
-		return round, err
+		return CostRound{}, err
 	}
 	environment, err := harness.New(harness.Options{
 		Root: opts.Root, Dir: dir, Engines: costEngines, HTTPAddr: "127.0.0.1:0", PostgresAddr: addr,
@@ -91,45 +95,48 @@
 		Work: func(string) (time.Duration, float64) { return 0, 1 },
 	})
 	if err != nil {
-		return round, err
+		return CostRound{}, err
 	}
 	defer environment.Close()
 	log, err := os.Create(filepath.Join(dir, "log"))
 	if err != nil {
-		return round, err
+		return CostRound{}, fmt.Errorf("log of a round: %w", err)
 	}
 	defer func() { _ = log.Close() }() // it is removed with its folder
 	process, err := harness.Start(opts.Program, log, "serve", "--postgres", environment.DeployFile)
 	if err != nil {
-		return round, err
+		return CostRound{}, err
 	}
 	defer process.Stop()
 	if err := harness.WaitUntilListening(ctx, addr); err != nil {
-		return round, err
+		return CostRound{}, err
 	}
-	return measure(ctx, load{addr: addr, statements: statements, clients: opts.Clients}, opts.Requests, process.Process.Pid)
+	clients := load{addr: addr, statements: statements, clients: opts.Clients}
+	return measure(ctx, clients, opts.Requests, process.Process.Pid)
 }
 
 // measure puts a load on a process, after a warm-up.
-func measure(ctx context.Context, l load, requests, pid int) (round CostRound, err error) {
-	if err := l.run(ctx, requests/warmUpShare); err != nil {
-		return round, err
+func measure(ctx context.Context, clients load, requests, pid int) (CostRound, error) {
+	const bytesPerKB = 1024
+	if err := clients.run(ctx, requests/warmUpDivisor); err != nil {
+		return CostRound{}, err
 	}
-	before, err := cpuTime(pid)
+	cpuBefore, err := cpuTime(pid)
 	if err != nil {
-		return round, err
+		return CostRound{}, err
 	}
 	start := time.Now()
-	if err := l.run(ctx, requests); err != nil {
-		return round, err
+	if err := clients.run(ctx, requests); err != nil {
+		return CostRound{}, err
 	}
-	took := time.Since(start)
-	after, err := cpuTime(pid)
+	elapsed := time.Since(start)
+	cpuAfter, err := cpuTime(pid)
 	if err != nil {
-		return round, err
+		return CostRound{}, err
 	}
-	round.CPUMicros = float64((after - before).Microseconds()) / float64(requests)
-	round.RequestsPerSecond = float64(requests) / took.Seconds()
-	round.ResidentKB = residentBytes(strconv.Itoa(pid)) >> 10
-	return round, nil
+	return CostRound{
+		CPUMicros:         float64((cpuAfter - cpuBefore).Microseconds()) / float64(requests),
+		RequestsPerSecond: float64(requests) / elapsed.Seconds(),
+		ResidentKB:        residentBytes(strconv.Itoa(pid)) / bytesPerKB,
+	}, nil
 }
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -13,21 +13,21 @@
 // FloodOptions say how a cache is flooded with shapes that never recur while others do.
 type FloodOptions struct {
 	Seed           uint64
-	Recurring      int     // shapes that recur
-	OneOff         int     // shapes that don't
-	RecurringShare float64 // of statements that are of recurring shapes
+	Recurring      int     // number of shapes that recur
+	OneOff         int     // number of shapes that occur once
+	RecurringShare float64 // share of the statements that have recurring shapes
 	CacheBytes     int     // limit of the cache
 }
 
 // FloodResult is the result for one cache.
 type FloodResult struct {
 	Cache        string
-	Asked        int     // statements of recurring shapes in the second half, which is judged
-	HitRate      float64 // share of those whose shape was cached
+	Lookups      int     // statements of recurring shapes in the second half, which is evaluated
+	HitRate      float64 // share of them whose shape was cached
 	CachedShapes int     // shapes in the cache at the end
 	CountedBytes int     // bytes by the cache's own count
-	HeapBytes    int     // by which the heap in use grew, after a collection
-	RSSBytes     int     // of the process at the end; 0: not known
+	HeapBytes    int     // by which the reachable heap grew
+	RSSBytes     int     // resident memory of the process at the end; 0: not known
 }
 
 // caches are the caches of shapes that are compared.
@@ -53,7 +53,7 @@
 	floodMemoryMB = 10
 )
 
-// Flood plays statements past one cache.
+// Flood runs a flood of statements through one cache.
 func Flood(name string, opts FloodOptions) (FloodResult, error) {
 	open, ok := caches[name]
 	if !ok {
@@ -69,8 +69,9 @@
 		return FloodResult{}, err
 	}
 	result := FloodResult{Cache: name}
-	playFlood(store, opts, &result)
-	result.CachedShapes, result.CountedBytes = store.Len(), store.Bytes()
+	sendFlood(store, opts, &result)
+	result.CachedShapes = store.Len()
+	result.CountedBytes = store.Bytes()
 	result.HeapBytes = heapInUse() - before
 	debug.FreeOSMemory()
 	result.RSSBytes = residentBytes("self")
@@ -78,11 +79,17 @@
 	return result, nil
 }
 
-// playFlood plays the statements and counts the hits of the second half.
-func playFlood(store *stmtstats.Store, opts FloodOptions, result *FloodResult) {
+// sendFlood runs the statements through the store and counts the hits of the second half.
+func sendFlood(store *stmtstats.Store, opts FloodOptions, result *FloodResult) {
+	// Popularity of the recurring shapes, by Zipf's law: the k-th has a weight of (offset + k)^-exponent.
+	const (
+		exponent = 1.3
+		offset   = 10
+	)
 	random := rand.New(rand.NewPCG(opts.Seed, floodStream))
-	popularity := rand.NewZipf(random, 1.3, 10, uint64(opts.Recurring-1))
+	popularity := rand.NewZipf(random, exponent, offset, uint64(opts.Recurring-1))
 	total := int(float64(opts.OneOff) / (1 - opts.RecurringShare))
+	warmUp := total / 2
 	hits := 0
 	for i := range total {
 		recurring := random.Float64() < opts.RecurringShare
@@ -95,28 +102,33 @@
 		statement := store.Parse(text)
 		hitsBefore := store.Stats.Hits
 		execution := store.Estimate(statement, nil, classUndecided, stmtstats.Hint{})
-		if recurring && i >= total/2 {
-			result.Asked++
+		if recurring && i >= warmUp {
+			result.Lookups++
 			hits += int(store.Stats.Hits - hitsBefore)
 		}
 		store.Learn(execution, decide.Observation{WorkMillis: floodWorkMS, MemoryMB: floodMemoryMB})
 	}
-	result.HitRate = float64(hits) / float64(max(result.Asked, 1))
+	result.HitRate = float64(hits) / float64(max(result.Lookups, 1))
 }
 
-// recurringText is the n-th recurring shape: ordinary words, with a column list of its own.
+// recurringText returns a statement of the n-th recurring shape, which has a column list of its own.
 func recurringText(n int) string {
-	return fmt.Sprintf("SELECT part, c%d, d%d FROM stock_%d.orders WHERE part = 'p-%05d' AND e%d > 4", n%17, n/17, 1+n%30, n, n)
+	const (
+		columns = 17 // of each of the two kinds, so that few columns give many lists
+		groups  = 30
+	)
+	return fmt.Sprintf("SELECT part, c%d, d%d FROM stock_%d.orders WHERE part = 'p-%05d' AND e%d > 4",
+		n%columns, n/columns, 1+n%groups, n, n)
 }
 
-// oneOffText is a shape that does not recur.
+// oneOffText returns a statement of a shape that does not recur.
 func oneOffText(n int, salt uint32) string {
 	return fmt.Sprintf("SELECT t_%d.n FROM stock_3.scratch_%d t_%d WHERE t_%d.part = 'p-1'", n, salt, n, n)
 }
 
-// heapInUse is the heap that is reachable.
+// heapInUse returns the bytes of the heap that are reachable.
 func heapInUse() int {
-	// Two collections: what has a finalizer is freed by the second.
+	// Objects with a finalizer are freed by a second collection.
 	runtime.GC() //nolint:revive // the measurement is of reachable memory
 	runtime.GC() //nolint:revive // see above
 	var stats runtime.MemStats
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// rejectedCode is the SQLSTATE of a statement that is rejected for want of capacity.
+	// rejectedCode is the SQLSTATE of a statement that is rejected for lack of capacity.
 	rejectedCode = "53000"
 	// retryPause is the pause after a rejection.
 	retryPause = 2 * time.Millisecond
@@ -31,7 +31,7 @@
 	clients    int
 }
 
-// run sends the given number of requests and waits for all answers. Rejections are retried:
+// run sends the given number of requests and waits for all responses. It retries rejections, since
 // no engine is known yet at the start.
 func (l load) run(ctx context.Context, requests int) error {
 	var wg sync.WaitGroup
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// client is one PostgreSQL client.
+// client is one PostgreSQL client. It is for one goroutine.
 type client struct {
 	conn     net.Conn
 	in       *bufio.Reader
@@ -75,7 +75,7 @@
 func connect(ctx context.Context, addr string) (*client, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("connect to the front end: %w", err)
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = conn.SetDeadline(deadline)
@@ -95,7 +95,7 @@
 
 func (c *client) close() { _ = c.conn.Close() }
 
-// execute sends a statement and reads its answer.
+// execute sends a statement and reads its response.
 func (c *client) execute(s *workload.Statement) (rejected bool, err error) {
 	c.out = appendMessages(c.out[:0], s, c.prepared)
 	if _, err := c.conn.Write(c.out); err != nil {
@@ -104,17 +104,17 @@
 	return c.readUntilReady()
 }
 
-// readUntilReady reads an answer up to its ReadyForQuery.
+// readUntilReady reads a response up to its ReadyForQuery.
 func (c *client) readUntilReady() (rejected bool, err error) {
-	const lengthSize = 4 // which the length counts too
+	const lengthSize = 4 // included in the length
 	head := make([]byte, 1+lengthSize)
 	for {
 		if _, err := io.ReadFull(c.in, head); err != nil {
-			return false, err
+			return false, fmt.Errorf("read a response: %w", err)
 		}
 		body := make([]byte, int(binary.BigEndian.Uint32(head[1:]))-lengthSize)
 		if _, err := io.ReadFull(c.in, body); err != nil {
-			return false, err
+			return false, fmt.Errorf("read a response: %w", err)
 		}
 		switch head[0] {
 		case 'E':
@@ -132,8 +132,8 @@
 	}
 }
 
-// appendMessages appends what a client sends for one statement: a Query, or a Bind of a statement
-// that it prepares where it has not yet.
+// appendMessages appends the messages for one statement: a Query, or a Bind and Execute with a Parse
+// before them if the statement is not prepared yet.
 func appendMessages(out []byte, s *workload.Statement, prepared map[string]string) []byte {
 	if len(s.Values) == 0 {
 		return pgproto.AppendMessage(out, 'Q', pgproto.CString(s.Text))
@@ -150,7 +150,7 @@
 	return pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
 }
 
-// bindBody is the body of a Bind behind the names of its portal and statement.
+// bindBody returns the body of a Bind after the names of its portal and statement.
 func bindBody(s *workload.Statement) []byte {
 	const formatSize, null = 2, -1
 	body := binary.BigEndian.AppendUint16(nil, uint16(len(s.Formats)/formatSize))
@@ -162,5 +162,5 @@
 		}
 		body = append(append(body, pgproto.Int32(len(value))...), value...)
 	}
-	return append(body, 0, 0) // no formats of the result: text
+	return append(body, 0, 0) // no result formats, which means text
 }
--- a/internal/lab/experiment/process.go
+++ b/internal/lab/experiment/process.go
@@ -9,28 +9,32 @@
 	"time"
 )
 
-// ErrProcessTimes says that the kernel's file of a process has another form than proc(5) gives.
-var ErrProcessTimes = errors.New("can't read the times")
+// ErrProcessTimes reports a /proc/PID/stat that does not have the form of proc(5).
+var ErrProcessTimes = errors.New("unknown form of /proc/PID/stat")
 
-// cpuTime is the CPU time that a process has used, from proc(5).
+// cpuTime returns the CPU time that a process has used, from proc(5).
 func cpuTime(pid int) (time.Duration, error) {
-	const tick = 10 * time.Millisecond    // USER_HZ is 100 on all platforms that Go runs on
-	const userField, systemField = 11, 12 // counted behind the name of the program
+	const (
+		tick        = 10 * time.Millisecond // USER_HZ is 100 on all platforms that Go runs on
+		userField   = 11                    // counted from the field after the name of the program
+		systemField = 12
+	)
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("CPU time of process %d: %w", pid, err)
 	}
 	_, rest, ok := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(rest)
 	if !ok || len(fields) <= systemField {
-		return 0, fmt.Errorf("proc: %w of %d", ErrProcessTimes, pid)
+		return 0, fmt.Errorf("CPU time of process %d: %w", pid, ErrProcessTimes)
 	}
 	user, userErr := strconv.ParseInt(fields[userField], 10, 64)
 	system, systemErr := strconv.ParseInt(fields[systemField], 10, 64)
 	return time.Duration(user+system) * tick, errors.Join(userErr, systemErr)
 }
 
-// residentBytes is the resident memory of a process from proc(5); 0: not known.
+// residentBytes returns the resident memory of a process from proc(5), or 0 if it is not known. The
+// pid may be "self".
 func residentBytes(pid string) int {
 	statm, err := os.ReadFile("/proc/" + pid + "/statm")
 	if err != nil {
@@ -41,6 +45,6 @@
 	if len(fields) <= residentField {
 		return 0
 	}
-	pages, _ := strconv.Atoi(fields[residentField]) // 0 where it is no number
+	pages, _ := strconv.Atoi(fields[residentField]) // 0 if it is not a number
 	return pages * os.Getpagesize()
 }
--- a/internal/lab/experiment/records.go
+++ b/internal/lab/experiment/records.go
@@ -8,8 +8,8 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// ReadRecords reads a whole file. Where it is damaged or truncated, the records before that are
-// returned with the error.
+// ReadRecords reads a whole file. If the file is damaged or truncated, it returns the records before
+// that with the error.
 func ReadRecords(r io.Reader) ([]traffic.Record, traffic.Head, error) {
 	reader, err := traffic.NewReader(r)
 	if err != nil {
