--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -23,7 +23,7 @@
 
 // cli is the grammar of the command line.
 type cli struct {
-	LogFormat string `name:"log-format" enum:"auto,json,text" default:"auto" help:"${enum}; auto: text on a terminal."`
+	LogFormat string `name:"log-format" enum:"auto,json,text" default:"auto" help:"Log format: ${enum}."`
 	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" help:"Minimum log level: ${enum}."`
 
 	Serve      serveCommand      `name:"serve" cmd:"" default:"withargs" help:"Serve requests (the default command)."`
--- a/cmd/flaxrelay/reload.go
+++ b/cmd/flaxrelay/reload.go
@@ -25,7 +25,7 @@
 func (s *server) reloadFile() {
 	s.reloadRetry.Stop() // this reload replaces the earlier one
 	if s.reload == nil {
-		logevent.ReloadSkipped.Log(s.logger, slog.String("reason", "the configuration names nothing that may change"))
+		logevent.ReloadSkipped.Log(s.logger, slog.String("reason", "nothing in this configuration may change"))
 		return
 	}
 	err := s.reload()
@@ -34,7 +34,8 @@
 		return
 	}
 	s.counters.Increment(metrics.ReloadFailed)
-	logevent.ReloadFailed.Log(s.logger, slog.Any("error", err), slog.String("effect", "the old file holds"))
+	logevent.ReloadFailed.Log(s.logger, slog.Any("error", err),
+		slog.String("effect", "the previous configuration stays in use"))
 	s.scheduleReload(err, s.loop.Now()+reloadRetryTime)
 }
 
--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -79,7 +79,7 @@
 	for _, invalid := range []string{"{", configWithBus(t, "nowhere"), readFile(t, exampleConfig)} {
 		writeFile(t, path, invalid)
 		p.signal(syscall.SIGHUP)
-		p.awaitLog("the old file holds")
+		p.awaitLog("the previous configuration stays in use")
 	}
 	writeFile(t, path, configWithBus(t, secondBus))
 	p.signal(syscall.SIGHUP)
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -46,12 +46,12 @@
 	}
 	diff := compareSnapshots(before, after, c.Over)
 	var t table
-	t.row("was ms\tis ms\tfactor\tshape")
+	t.row("before ms\tafter ms\tfactor\tshape")
 	for _, change := range diff.changes[:min(c.Most, len(diff.changes))] {
 		factor := strconv.FormatFloat(change.after/change.before, 'g', 3, 64)
 		t.row("%.4g\t%.4g\t%s\t%s", change.before, change.after, factor, abbreviate(change.normalForm))
 	}
-	t.row("\n%d changed\t%d came\t%d went\t", len(diff.changes), diff.added, diff.removed)
+	t.row("\n%d changed\t%d added\t%d removed\t", len(diff.changes), diff.added, diff.removed)
 	return t.print()
 }
 
--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -38,8 +38,8 @@
 	analysis := c.explainAnalysis(&t, binds)
 	estimate := store.Estimate(store.Parse(c.SQL), binds, c.Known, stmtstats.Hint{WorkMillis: c.Hint}).Estimate
 	if estimate.Known {
-		nineTenths := estimate.WorkMillis * estimate.SpreadFactor
-		t.row("expected\t%.4g ms, nine tenths under %.4g ms", estimate.WorkMillis, nineTenths)
+		ninetiethPercentile := estimate.WorkMillis * estimate.SpreadFactor
+		t.row("expected\t%.4g ms, 90%% below %.4g ms", estimate.WorkMillis, ninetiethPercentile)
 		if estimate.MemoryMB > 0 {
 			t.row("memory\t%.3g MB", estimate.MemoryMB)
 		}
@@ -47,7 +47,7 @@
 			t.row("class\t%s", classes.Classes[estimate.Class].Name)
 		}
 	}
-	t.row("why\t%s", estimate.Explain())
+	t.row("reasons\t%s", estimate.Explain())
 	return t.print()
 }
 
@@ -103,9 +103,9 @@
 	t.row("tokens\t%s", formatTokens(c.SQL))
 	t.row("shape\t%s", analysis.NormalForm)
 	if analysis.HasDataset {
-		t.row("group\t%d", analysis.Dataset)
+		t.row("dataset\t%d", analysis.Dataset)
 	}
-	t.row("may do\t%v (%v)", analysis.Effect.Effect, analysis.Effect)
+	t.row("effect\t%v (%v)", analysis.Effect.Effect, analysis.Effect)
 	t.row("features\t%+v", analysis.Features)
 	profile := analysis.Profile(c.SQL, binds, 0)
 	t.row("profile\t%s", formatProfile(&profile))
@@ -142,15 +142,15 @@
 	}
 	addIf(profile.Alternatives > 0, "%d alternatives", profile.Alternatives)
 	addIf(profile.Span > 0, "a range of %.4g", profile.Span)
-	addIf(profile.HalfOpen, "a range with one end")
+	addIf(profile.HalfOpen, "a half-open range")
 	addIf(profile.Wildcard == sqltext.InnerWildcard, "a pattern with a fixed beginning")
-	addIf(profile.Wildcard == sqltext.LeadingWildcard, "a pattern with a wildcard in front")
+	addIf(profile.Wildcard == sqltext.LeadingWildcard, "a pattern with a leading wildcard")
 	addIf(profile.RowLimit > 0, "at most %.0f rows", profile.RowLimit)
-	addIf(profile.DisabledRestrictions > 0, "%d restrictions switched off by null", profile.DisabledRestrictions)
+	addIf(profile.DisabledRestrictions > 0, "%d restrictions disabled by null", profile.DisabledRestrictions)
 	addIf(profile.Rows > 0, "%d rows to write", profile.Rows)
-	addIf(profile.Unrestricted, "nothing narrows what is read")
+	addIf(profile.Unrestricted, "no restriction on what is read")
 	if len(parts) == 0 {
-		return "nothing of note"
+		return "no property that affects the cost"
 	}
 	return strings.Join(parts, ", ")
 }
--- a/cmd/flaxrelay/shapes_top.go
+++ b/cmd/flaxrelay/shapes_top.go
@@ -23,13 +23,13 @@
 		return cmp.Compare(totalCost(&b), totalCost(&a))
 	})
 	var t table
-	t.row("seen\twork ms\tprofiles\tshape")
+	t.row("executions\twork ms\tprofiles\tshape")
 	for i := range snapshot.Shapes[:min(c.Most, len(snapshot.Shapes))] {
 		shape := &snapshot.Shapes[i]
 		t.row("%d\t%.4g\t%d\t%s",
 			shape.Record.Executions, typicalCost(shape), countProfiles(shape), abbreviate(shape.NormalForm))
 	}
-	t.row("\n%d shapes\t\t\t%d more were too long to keep", len(snapshot.Shapes), snapshot.Truncated)
+	t.row("\n%d shapes\t\t\t%d more were too long to store", len(snapshot.Shapes), snapshot.Truncated)
 	return t.print()
 }
 
--- a/internal/discovery/consul/reconcile.go
+++ b/internal/discovery/consul/reconcile.go
@@ -34,7 +34,7 @@
 		registered := &w.registered[i]
 		if !registered.valid() {
 			logevent.ConsulInvalidRegistration.Log(w.log, slog.String("consul", w.opts.Address),
-				slog.String("reason", "it has no id or no port, and is passed by"))
+				slog.String("reason", "no id or no port"))
 			continue
 		}
 		engine := registered.endpoint(w.opts)
