--- a/internal/observability/labels_test.go
+++ b/internal/observability/labels_test.go
@@ -11,6 +11,9 @@
 	"flaxrelay/policy"
 )
 
+// ejectionReasons stands among the labels for a field of an event.
+const ejectionReasons = "reason of engine.ejected"
+
 // labelValues returns the values of each label that has a fixed set of them, sorted.
 func labelValues(t *testing.T) map[string][]string {
 	t.Helper()
@@ -29,6 +32,9 @@
 	for verdict := lifecycle.VerdictFailed; verdict <= lifecycle.VerdictServed; verdict++ {
 		values[metrics.LabelVerdict] = append(values[metrics.LabelVerdict], verdict.String())
 	}
+	for reason := policy.EjectedSilent; reason <= policy.EjectedOverdue; reason++ {
+		values[ejectionReasons] = append(values[ejectionReasons], reason.String())
+	}
 	for label := range values {
 		slices.Sort(values[label])
 		if len(values[label]) < 2 {
--- a/internal/observability/sources_test.go
+++ b/internal/observability/sources_test.go
@@ -91,11 +91,14 @@
 	}
 }
 
-// eventOf returns the variable of package logevent that a call logs: as the receiver of Log, or as
-// an argument of a function that logs it.
+// eventOf returns the variable of package logevent that a call logs: as the receiver of Log, as an
+// argument of a function that logs it, or through invariant.Checker.
 func eventOf(call *ast.CallExpr) (variable string, isEvent bool) {
 	candidates := slices.Clone(call.Args)
 	if method, isMethod := call.Fun.(*ast.SelectorExpr); isMethod {
+		if method.Sel.Name == "Check" && strings.EqualFold(lastName(method.X), "invariants") {
+			return "InvariantViolated", true
+		}
 		candidates = append(candidates, method.X)
 	}
 	for _, candidate := range candidates {
@@ -150,13 +153,15 @@
 	return variables
 }
 
-// lastName returns the last name of an expression such as s.counters.
+// lastName returns the last name of an expression such as s.counters or s.dispatcher.Invariants().
 func lastName(expression ast.Expr) string {
 	switch expression := expression.(type) {
 	case *ast.Ident:
 		return expression.Name
 	case *ast.SelectorExpr:
 		return expression.Sel.Name
+	case *ast.CallExpr:
+		return lastName(expression.Fun)
 	}
 	return ""
 }
