--- a/internal/frontend/pgserver/cancel.go
+++ b/internal/frontend/pgserver/cancel.go
@@ -1,31 +1,44 @@
 package pgserver
 
 import (
+	"crypto/rand"
 	"crypto/subtle"
 	"encoding/binary"
 )
 
-// cancelRequestSize is the bytes of a CancelRequest past its code: a process ID and a
-// secret key.
-const cancelRequestSize = 8
+const (
+	processIDSize = 4 // bytes
+	secretSize    = 4 // bytes
+)
+
+// cancelKey identifies a connection in a CancelRequest. Only who knows the secret may
+// cancel.
+type cancelKey struct {
+	processID uint32
+	secret    [secretSize]byte
+}
+
+func (k *cancelKey) generateSecret() {
+	_, _ = rand.Read(k.secret[:]) // it never fails
+}
+
+// body returns the body of a BackendKeyData and of a CancelRequest.
+func (k *cancelKey) body() []byte {
+	return append(binary.BigEndian.AppendUint32(nil, k.processID), k.secret[:]...)
+}
 
-// cancel ends the request in flight on the connection that a CancelRequest names.
+// cancel ends the request in flight on the connection that a CancelRequest identifies.
+// A CancelRequest that identifies none, or has the wrong secret, is ignored.
 func (s *Server) cancel(body []byte) {
-	if len(body) != cancelRequestSize {
+	if len(body) != processIDSize+secretSize {
 		return
 	}
-	c := s.connections[binary.BigEndian.Uint32(body)]
-	if c == nil || c.state != stateInFlight || subtle.ConstantTimeCompare(c.secretKey[:], body[4:]) != 1 {
+	processID := binary.BigEndian.Uint32(body)
+	secret := body[processIDSize:]
+	c := s.connections[processID]
+	if c == nil || c.state != stateInFlight || subtle.ConstantTimeCompare(c.key.secret[:], secret) != 1 {
 		return
 	}
 	s.counters.IncrementByName("postgres.cancel-requests")
-	request := c.request
-	c.endRequest()
-	e := newError(codeQueryCanceled, "canceling statement due to user request")
-	if s.dispatcher.MayHaveRun(request) {
-		e = errCompletionUnknown()
-	}
-	s.dispatcher.ClientDisconnected(request)
-	c.sendError(e)
-	c.resume()
+	c.cancel()
 }
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -12,56 +12,92 @@
 )
 
 const (
+	// maxMessage is the largest message that is read from a client, in bytes.
 	maxMessage = 1 << 20
-	maxUnread  = maxMessage + 64<<10
+	// maxUnread is how many bytes may be read ahead of the message that is being served.
+	maxUnread = maxMessage + 64<<10
 	// stallTimeout is how long a client may send nothing within a message.
 	stallTimeout = 2 * time.Second
 	// maxPendingWrite is how many bytes may wait to be sent to a client before no more
 	// of its messages are read.
 	maxPendingWrite = 1 << 20
-	// maxIdleOutput is the largest output buffer that is kept for the next messages.
-	maxIdleOutput = 64 << 10
 )
 
 // connectionState is the state of a connection in the protocol.
 type connectionState uint8
 
 const (
-	// stateStartup has not sent a complete startup packet.
+	// stateStartup: the startup packet has not been read completely.
 	stateStartup connectionState = iota
-	// stateReady awaits the next message.
+	// stateReady: the next message is served once it is complete.
 	stateReady
-	// stateInFlight has a request that the dispatcher has not answered.
+	// stateInFlight: the message being served waits for the response to its request.
 	stateInFlight
-	// stateSkipping ignores messages up to the next Sync, as an error was sent.
+	// stateSkipping: messages up to the next Sync are ignored, since an error was sent.
 	stateSkipping
-	// stateClosing reads and writes nothing more.
+	// stateClosing: nothing more is read or written.
 	stateClosing
 )
 
-// connection is the connection of one client. It belongs to the goroutine of the event
-// loop.
+// connection is the connection of one client. It owns the socket and the state of the
+// protocol, and passes each message to the phase that serves it: startupPhase,
+// simpleQuery or extendedQuery. A phase reads the message and either writes the whole
+// response to the output or returns an execution, which the connection forwards.
+//
+//	state    -> next state  event
+//	startup  -> startup     request for encryption: declined with one byte
+//	startup  -> ready       startup packet of a client that is admitted
+//	startup  -> closing     CancelRequest, client not admitted, time-out
+//	ready    -> ready       message that is served without an engine, error in a Query
+//	ready    -> inFlight    message that needs an engine: its request is forwarded
+//	ready    -> skipping    error in a message that is not a Query
+//	inFlight -> ready       response to a Query, or its CancelRequest
+//	inFlight -> ready       result for a message of the extended query
+//	inFlight -> skipping    error for such a message, or its CancelRequest
+//	skipping -> ready       Sync
+//	skipping -> skipping    any other message, which is ignored
+//	ready, skipping          -> closing  Terminate
+//	startup, ready, skipping -> closing  malformed message, or stop within a message
+//	any                      -> closing  client disconnected
+//
+// A graceful shutdown closes the connection at once unless a request is in flight, and
+// otherwise after the next ReadyForQuery.
+//
+// A connection must be used from the goroutine of the event loop only.
 type connection struct {
-	server    *Server
-	socket    *eventloop.Conn
-	state     connectionState
-	processID uint32  // names the connection in a CancelRequest
-	secretKey [4]byte // that a CancelRequest must have
-
-	statementTimeout time.Duration // as the client set it; 0: the deadline of the class
-	statements       map[string]*statement
-	portals          map[string]*portal
-	// deferredDescribe is the portal whose description waits for the next message: an
-	// Execute brings it.
-	deferredDescribe *portal
-	simpleQuery      bool // the message being served is a Query
-
-	output     []byte            // messages not yet written
+	server   *Server
+	socket   *eventloop.Conn
+	state    connectionState
+	key      cancelKey
+	settings sessionSettings
+
+	startup  *startupPhase // nil once the session has begun
+	simple   simpleQuery
+	extended extendedQuery
+
+	output     messageWriter
 	stallTimer *timerqueue.Timer // closes a connection that stops within a message
 
-	// Both are set in stateInFlight alone.
-	request  *lifecycle.Request
-	onServed func(*pgproto.Result) // continues the message that made the request
+	// Both are set in stateInFlight only.
+	request   *lifecycle.Request
+	execution *execution
+}
+
+func newConnection(server *Server, socket *eventloop.Conn, processID uint32) *connection {
+	c := &connection{
+		server:  server,
+		socket:  socket,
+		key:     cancelKey{processID: processID},
+		startup: &startupPhase{},
+	}
+	c.simple = simpleQuery{server: server, settings: &c.settings, output: &c.output}
+	c.extended = extendedQuery{
+		server:     server,
+		output:     &c.output,
+		statements: map[string]*statement{},
+		portals:    portalSet{byName: map[string]*portal{}, budget: &server.rowBudget},
+	}
+	return c
 }
 
 // awaitsMessage reports whether the next message may be read.
@@ -69,10 +105,10 @@
 	return c.state != stateInFlight && c.state != stateClosing
 }
 
-// OnData reads messages until one waits for its response.
+// OnData serves messages until one waits for its response.
 func (c *connection) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for c.awaitsMessage() {
-		if c.socket.Disconnected() { // nothing is accepted of a client that has left
+		if c.socket.Disconnected() { // nothing is accepted from a client that has disconnected
 			in.Consume(in.Len())
 			return
 		}
@@ -103,78 +139,98 @@
 	return c.readTyped(input)
 }
 
-// rejectMalformed ends a connection whose input can't be read.
-func (c *connection) rejectMalformed(err error) {
-	c.server.counters.IncrementByName("postgres.malformed")
-	var response *pgproto.Error
-	if !errors.As(err, &response) {
-		response = newError(codeProtocolViolation, "%v", err)
+// readStartup serves a message of the startup and returns its size, or 0 while it is
+// incomplete.
+func (c *connection) readStartup(input []byte) (size int, err error) {
+	code, body, size, err := pgproto.ParseStartup(input)
+	if err != nil || size == 0 {
+		return size, err
 	}
-	c.fatal(response)
-}
-
-// restartStallTimer bounds the wait for the rest of a message, where a part of one is
-// here and nothing else delays its reading.
-func (c *connection) restartStallTimer(partial bool) {
-	c.stallTimer.Stop()
-	if !partial || !c.awaitsMessage() || c.socket.PendingWrite() > maxPendingWrite {
-		return
+	switch code {
+	case pgproto.SSLRequestCode, pgproto.GSSENCRequestCode:
+		c.socket.Write([]byte{encryptionDeclined})
+	case pgproto.CancelRequestCode:
+		c.server.cancel(body)
+		c.close()
+	default:
+		return size, c.beginSession(code, body)
 	}
-	c.stallTimer = c.server.loop.Timers.Schedule(c.server.loop.Now()+stallTimeout, func() {
-		c.server.counters.IncrementByName("postgres.stalled")
-		c.fatal(newError(codeProtocolViolation, "a message stopped in the middle"))
-	})
-}
-
-// send appends a message to the output, which flush writes.
-func (c *connection) send(kind byte, body ...[]byte) {
-	c.output = pgproto.AppendMessage(c.output, kind, body...)
+	return size, nil
 }
 
-// flush writes the output.
-func (c *connection) flush() {
-	if len(c.output) > 0 && c.state != stateClosing {
-		c.socket.Write(c.output)
+// beginSession reads the startup packet and begins the session of a client that is
+// admitted.
+func (c *connection) beginSession(version uint32, body []byte) error {
+	if err := c.startup.readPacket(version, body); err != nil {
+		return err
 	}
-	c.output = c.output[:0]
-	if cap(c.output) > maxIdleOutput {
-		c.output = nil
+	if failure := c.server.admit(c.startup); failure != nil {
+		c.fatal(failure)
+		return nil
 	}
+	c.state = stateReady
+	c.settings = c.startup.settings
+	c.key.generateSecret()
+	c.startup.writeSession(&c.output, c.key)
+	c.startup = nil
+	c.sendReady()
+	return nil
 }
 
-// sendReady ends the answer to a Query or a Sync, and the connection in a shutdown.
+// sendReady ends the response to a Query or a Sync, and the connection in a graceful
+// shutdown.
 func (c *connection) sendReady() {
-	c.send(pgproto.ServerReadyForQuery, []byte{pgproto.TransactionIdle})
+	c.output.message(pgproto.ServerReadyForQuery, []byte{pgproto.TransactionIdle})
 	if c.server.draining {
 		c.fatal(errShuttingDown())
 	}
 }
 
-// sendError sends the one ErrorResponse of a message. After a Query the client may go
-// on; otherwise what follows is skipped up to the next Sync.
-func (c *connection) sendError(e *pgproto.Error) {
-	c.server.counters.IncrementByName("postgres.errors." + e.Code)
-	c.send(pgproto.ServerErrorResponse, e.Body())
-	if c.simpleQuery {
-		c.endSimpleQuery()
+// flush writes the output. Once the connection is closing, it drops the output.
+func (c *connection) flush() {
+	if c.state == stateClosing {
+		c.output.discard()
+		return
+	}
+	c.output.flushTo(c.socket)
+}
+
+// restartStallTimer limits the time for the rest of a message. It does so only if a part
+// of the message was received and nothing on this side delays its reading.
+func (c *connection) restartStallTimer(partial bool) {
+	c.stallTimer.Stop()
+	if !partial || !c.awaitsMessage() || c.socket.PendingWrite() > maxPendingWrite {
 		return
 	}
-	c.state = stateSkipping
+	c.stallTimer = c.server.loop.Timers.Schedule(c.server.loop.Now()+stallTimeout, func() {
+		c.server.counters.IncrementByName("postgres.stalled")
+		c.fatal(newError(codeProtocolViolation, "a message stopped in the middle"))
+	})
+}
+
+// rejectMalformed ends a connection whose input can't be read.
+func (c *connection) rejectMalformed(err error) {
+	c.server.counters.IncrementByName("postgres.malformed")
+	var failure *pgproto.Error
+	if !errors.As(err, &failure) {
+		failure = newError(codeProtocolViolation, "%v", err)
+	}
+	c.fatal(failure)
 }
 
 // fatal sends a last ErrorResponse and closes the connection.
-func (c *connection) fatal(e *pgproto.Error) {
+func (c *connection) fatal(failure *pgproto.Error) {
 	if c.state == stateClosing {
 		return
 	}
-	e.Severity = "FATAL"
-	c.send(pgproto.ServerErrorResponse, e.Body())
+	failure.Severity = "FATAL"
+	c.output.errorResponse(failure)
 	c.flush()
-	c.closeNow()
+	c.close()
 }
 
-// closeNow closes the connection from this side once what was written has been sent.
-func (c *connection) closeNow() {
+// close closes the connection from this side once what was written has been sent.
+func (c *connection) close() {
 	c.state = stateClosing
 	c.socket.Close()
 }
@@ -182,12 +238,11 @@
 // OnClosed abandons the request of a client that has disconnected. What the client sent
 // ahead is dropped with the connection.
 func (c *connection) OnClosed(_ *eventloop.Conn, _ error) {
-	request := c.request
-	c.endRequest()
+	request, _ := c.endRequest()
 	c.state = stateClosing
 	c.stallTimer.Stop()
-	delete(c.server.connections, c.processID)
-	c.dropPortals()
+	delete(c.server.connections, c.key.processID)
+	c.extended.portals.closeAll()
 	if request != nil {
 		c.server.dispatcher.ClientDisconnected(request)
 	}
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -4,170 +4,182 @@
 	"bytes"
 
 	"flaxrelay/internal/pgproto"
-	"flaxrelay/internal/stmtstats"
 )
 
-// parse serves a Parse: it prepares a statement.
-func (c *connection) parse(body []byte) *pgproto.Error {
-	r := pgproto.Reader{Unread: body}
-	name, query := r.CString(), r.CString()
-	parameterTypes := r.Unread
-	if r.Bytes(oidSize * r.Count()); !r.Complete() {
+// maxNamed limits the prepared statements, and the portals, of one connection.
+const maxNamed = 1000
+
+// extendedQuery serves the messages of the extended query protocol. It owns the prepared
+// statements and the portals of a connection, and the description that is still to be
+// sent.
+//
+//	state   -> next state  event
+//	none    -> pending     Describe of a portal
+//	pending -> none        first Execute of this portal, which brings the description
+//	pending -> none        any other message; the description is sent before it is served
+type extendedQuery struct {
+	server     *Server
+	output     *messageWriter
+	statements map[string]*statement
+	portals    portalSet
+	// pendingDescribe is the portal whose description waits for the next message, which
+	// may be the Execute that brings it; nil: no description is pending.
+	pendingDescribe *portal
+}
+
+// serve serves one message. It returns an execution if the message needs an engine.
+func (q *extendedQuery) serve(kind byte, body []byte) (*execution, *pgproto.Error) {
+	switch kind {
+	case pgproto.ClientParse:
+		return nil, q.parse(body)
+	case pgproto.ClientBind:
+		return nil, q.bind(body)
+	case pgproto.ClientDescribe:
+		return q.describe(body)
+	case pgproto.ClientExecute:
+		return q.execute(body)
+	case pgproto.ClientClose:
+		return nil, q.closeTarget(body)
+	}
+	// A Flush needs nothing, since all output is written anyway. Copy data follows a COPY
+	// that was rejected.
+	return nil, nil
+}
+
+// sync ends the batch's implicit transaction, and with it the portals.
+func (q *extendedQuery) sync() {
+	q.portals.closeAll()
+}
+
+// parse prepares a statement.
+func (q *extendedQuery) parse(body []byte) *pgproto.Error {
+	reader := pgproto.Reader{Unread: body}
+	name := reader.CString()
+	query := reader.CString()
+	parameterTypes := reader.Unread
+	if reader.Bytes(oidSize * reader.Count()); !reader.Complete() {
 		return errMalformed("Parse")
 	}
-	if name != "" && c.statements[name] != nil {
+	if name != "" && q.statements[name] != nil {
 		return newError(codeDuplicatePreparedStatement, "prepared statement %q already exists", name)
 	}
-	if len(c.statements) >= maxNamed {
+	if len(q.statements) >= maxNamed {
 		return newError(codeProgramLimitExceeded, "more than %d prepared statements", maxNamed)
 	}
-	s, e := c.prepare(query, parameterTypes)
-	if e != nil {
-		return e
+	prepared, failure := q.server.prepare(query, parameterTypes)
+	if failure != nil {
+		return failure
 	}
-	c.statements[name] = s
-	c.send(pgproto.ServerParseComplete)
+	q.statements[name] = prepared
+	q.output.message(pgproto.ServerParseComplete)
 	return nil
 }
 
-// prepare reads and classifies a statement. Nothing is sent to an engine.
-func (c *connection) prepare(query string, parameterTypes []byte) (*statement, *pgproto.Error) {
-	var parsed *stmtstats.Statement
-	if estimator := c.server.options.Estimator; estimator != nil {
-		parsed = estimator.Parse(query, c.server.options.ReadOnlyFunctions)
-	}
-	empty, e := checkSupported(query, parsed)
-	if e != nil {
-		return nil, e
-	}
-	s := &statement{query: query, parameterTypes: bytes.Clone(parameterTypes), empty: empty}
-	if empty {
-		return s, nil
-	}
-	s.classification, e = c.server.classify(query, parsed)
-	if e != nil {
-		return nil, e
-	}
-	s.parsed = parsed
-	return s, nil
-}
-
-// bind serves a Bind: it opens a portal.
-func (c *connection) bind(body []byte) *pgproto.Error {
-	r := pgproto.Reader{Unread: body}
-	name, statementName := r.CString(), r.CString()
-	r.Unread = bytes.Clone(r.Unread) // the portal keeps it, and the values lie within
-	bind := r.Unread
-	binds, ok := readBind(&r)
+// bind opens a portal.
+func (q *extendedQuery) bind(body []byte) *pgproto.Error {
+	reader := pgproto.Reader{Unread: body}
+	name := reader.CString()
+	statementName := reader.CString()
+	reader.Unread = bytes.Clone(reader.Unread) // the portal keeps it, and the values lie within
+	bind := reader.Unread
+	binds, ok := readBind(&reader)
 	if !ok {
 		return errMalformed("Bind")
 	}
-	s := c.statements[statementName]
-	switch {
-	case s == nil:
+	prepared := q.statements[statementName]
+	if prepared == nil {
 		return errNoStatement(statementName)
-	case name != "" && c.portals[name] != nil:
-		return newError(codeDuplicateCursor, "portal %q already exists", name)
-	case len(c.portals) >= maxNamed:
-		return newError(codeProgramLimitExceeded, "more than %d portals", maxNamed)
-	}
-	if e := s.checkValueCount(len(binds.Values)); e != nil {
-		return e
-	}
-	p := &portal{statement: s, bind: bind}
-	if s.parsed != nil {
-		p.binds = binds
-	}
-	if !s.empty {
-		var e *pgproto.Error
-		if p.idempotencyKey, e = s.idempotencyKey(binds.Values); e != nil {
-			return e
-		}
 	}
-	if replaced := c.portals[name]; replaced != nil { // the unnamed one
-		c.releaseRows(replaced)
+	if failure := q.portals.checkOpen(name); failure != nil {
+		return failure
 	}
-	c.portals[name] = p
-	c.send(pgproto.ServerBindComplete)
-	return nil
-}
-
-// checkValueCount compares the number of bound values with the parameters that an engine
-// has described, if one has.
-func (s *statement) checkValueCount(count int) *pgproto.Error {
-	if s.description == nil || len(s.description.ParameterDescription) < countSize {
-		return nil
+	if failure := prepared.checkValueCount(len(binds.Values)); failure != nil {
+		return failure
 	}
-	r := pgproto.Reader{Unread: s.description.ParameterDescription}
-	if required := r.Count(); required != count {
-		return newError(codeProtocolViolation, "bind message supplies %d parameters, but the prepared statement requires %d", count, required)
+	opened := &portal{statement: prepared, bind: bind}
+	if prepared.parsed != nil {
+		opened.binds = binds
 	}
+	if !prepared.empty {
+		key, failure := prepared.idempotencyKey(binds.Values)
+		if failure != nil {
+			return failure
+		}
+		opened.idempotencyKey = key
+	}
+	q.portals.open(name, opened)
+	q.output.message(pgproto.ServerBindComplete)
 	return nil
 }
 
-// execute serves an Execute: it runs a portal, or sends further rows of one that has run.
-func (c *connection) execute(body []byte) *pgproto.Error {
-	describe := c.deferredDescribe != nil
-	c.deferredDescribe = nil
-	r := pgproto.Reader{Unread: body}
-	name, maxRows := r.CString(), r.Int32()
-	if !r.Complete() {
-		return errMalformed("Execute")
-	}
-	p := c.portals[name]
+// execute runs a portal, or sends further rows of a portal that has run.
+func (q *extendedQuery) execute(body []byte) (*execution, *pgproto.Error) {
+	describe := q.pendingDescribe != nil
+	q.pendingDescribe = nil
+	reader := pgproto.Reader{Unread: body}
+	name := reader.CString()
+	maxRows := reader.Int32()
+	if !reader.Complete() {
+		return nil, errMalformed("Execute")
+	}
+	executed := q.portals.byName[name]
 	switch {
-	case p == nil:
-		return errNoPortal(name)
-	case p.statement.empty:
-		c.send(pgproto.ServerEmptyQueryResponse)
-		return nil
-	case p.result != nil:
-		c.releaseRows(p)
-		e := c.sendRows(p, maxRows)
-		c.reserveRows(p)
-		return e
-	}
-	c.runPortal(p, maxRows, describe)
-	return nil
+	case executed == nil:
+		return nil, errNoPortal(name)
+	case executed.statement.empty:
+		q.output.message(pgproto.ServerEmptyQueryResponse)
+		return nil, nil
+	case executed.state != portalBound:
+		return nil, q.portals.fetch(executed, q.output, maxRows)
+	}
+	return q.firstExecution(executed, maxRows, describe), nil
 }
 
-func (c *connection) runPortal(p *portal, maxRows int, describe bool) {
-	s := p.statement
-	message := &pgproto.Statement{Query: s.query, ParameterTypes: s.parameterTypes, Bind: p.bind}
-	p.binds.TypeOIDs = s.parameterOIDs()
-	onServed := func(result *pgproto.Result) {
-		p.result, p.unsentRows = result, result.DataRows
-		result.DataRows = nil
-		if describe {
-			c.sendRowDescription(result.RowDescription)
-		}
-		_ = c.sendRows(p, maxRows) // a portal's first run never fails
-		c.reserveRows(p)
+// firstExecution returns the execution of a portal. If describe is set, the portal's
+// description is sent before its rows.
+func (q *extendedQuery) firstExecution(executed *portal, maxRows int, describe bool) *execution {
+	prepared := executed.statement
+	executed.binds.TypeOIDs = prepared.parameterOIDs()
+	return &execution{
+		protocol:  extendedProtocol,
+		statement: prepared,
+		message: &pgproto.Statement{
+			Query:          prepared.query,
+			ParameterTypes: prepared.parameterTypes,
+			Bind:           executed.bind,
+		},
+		idempotencyKey: executed.idempotencyKey,
+		binds:          &executed.binds,
+		onServed: func(result *pgproto.Result) *pgproto.Error {
+			if describe {
+				q.output.rowDescription(result.RowDescription)
+			}
+			return q.portals.run(executed, result, q.output, maxRows)
+		},
 	}
-	c.forward(execution{statement: s, message: message, idempotencyKey: p.idempotencyKey, binds: &p.binds, onServed: onServed})
 }
 
-// closeNamed serves a Close of a statement or a portal.
-func (c *connection) closeNamed(body []byte) *pgproto.Error {
-	kind, name, e := readTarget(body, "Close")
-	if e != nil {
-		return e
+// closeTarget closes a statement or a portal.
+func (q *extendedQuery) closeTarget(body []byte) *pgproto.Error {
+	kind, name, failure := readTarget(body, "Close")
+	if failure != nil {
+		return failure
 	}
 	if kind == pgproto.TargetStatement {
-		delete(c.statements, name)
-	} else if p := c.portals[name]; p != nil {
-		c.releaseRows(p)
-		delete(c.portals, name)
+		delete(q.statements, name)
+	} else {
+		q.portals.close(name)
 	}
-	c.send(pgproto.ServerCloseComplete)
+	q.output.message(pgproto.ServerCloseComplete)
 	return nil
 }
 
 // readTarget reads a message that names a statement or a portal.
-func readTarget(body []byte, message string) (kind byte, name string, e *pgproto.Error) {
-	r := pgproto.Reader{Unread: body}
-	kind, name = r.Byte(), r.CString()
-	if !r.Complete() || kind != pgproto.TargetStatement && kind != pgproto.TargetPortal {
+func readTarget(body []byte, message string) (kind byte, name string, failure *pgproto.Error) {
+	reader := pgproto.Reader{Unread: body}
+	kind = reader.Byte()
+	name = reader.CString()
+	if !reader.Complete() || kind != pgproto.TargetStatement && kind != pgproto.TargetPortal {
 		return 0, "", errMalformed(message)
 	}
 	return kind, name, nil
--- /dev/null
+++ b/internal/frontend/pgserver/extended_query_test.go
@@ -0,0 +1,117 @@
+package pgserver
+
+import (
+	"testing"
+
+	"flaxrelay/internal/frontend/clientconn"
+	"flaxrelay/internal/pgproto"
+)
+
+// testExtendedQuery has the prepared statement s, the open portals p and q of it, and an empty
+// statement e with the portal e.
+func testExtendedQuery() (*extendedQuery, *messageWriter) {
+	prepared := &statement{query: "SELECT part", parameterTypes: noParameterTypes}
+	empty := &statement{parameterTypes: noParameterTypes, empty: true}
+	output := &messageWriter{}
+	return &extendedQuery{
+		output:     output,
+		statements: map[string]*statement{"s": prepared, "e": empty},
+		portals: portalSet{
+			byName: map[string]*portal{
+				"p": {statement: prepared, bind: emptyBind},
+				"q": {statement: prepared, bind: emptyBind},
+				"e": {statement: empty, bind: emptyBind},
+			},
+			budget: &clientconn.Budget{},
+		},
+	}, output
+}
+
+func describeBody(target byte, name string) []byte {
+	return append([]byte{target}, pgproto.CString(name)...)
+}
+
+func executeBody(portal string) []byte {
+	return append(pgproto.CString(portal), pgproto.Int32(allRows)...)
+}
+
+// The description of a portal waits for the next message. The portal's first Execute brings it;
+// before any other message it is sent, for which an engine may have to describe the statement.
+func TestExtendedQuery_PendingDescriptionIsResolvedByTheNextMessage(t *testing.T) {
+	for name, tt := range map[string]struct {
+		portal    string
+		described bool // an engine has described the statement before
+		kind      byte
+		body      []byte
+		pending   bool // the description is left to the message
+		forwarded bool // an engine has to describe the statement
+		want      string
+	}{
+		"first Execute":                {"p", false, pgproto.ClientExecute, executeBody("p"), true, false, ""},
+		"first Execute, described":     {"p", true, pgproto.ClientExecute, executeBody("p"), true, false, ""},
+		"Execute of another portal":    {"p", false, pgproto.ClientExecute, executeBody("q"), false, true, ""},
+		"Execute of another, known":    {"p", true, pgproto.ClientExecute, executeBody("q"), false, false, "T"},
+		"Execute of an unknown portal": {"p", true, pgproto.ClientExecute, executeBody("x"), false, false, "T"},
+		"Execute of an empty query":    {"e", false, pgproto.ClientExecute, executeBody("e"), false, false, "n"},
+		"Sync":                         {"p", false, pgproto.ClientSync, nil, false, true, ""},
+		"Sync, described":              {"p", true, pgproto.ClientSync, nil, false, false, "T"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			query, output := testExtendedQuery()
+			if tt.described {
+				query.statements["s"].description = &pgproto.Result{RowDescription: []byte{0, 0}}
+			}
+			exec, failure := query.describe(describeBody(pgproto.TargetPortal, tt.portal))
+			if exec != nil || failure != nil || kinds(t, output) != "" || query.pendingDescribe == nil {
+				t.Fatalf("the description does not wait: %v, %v", exec, failure)
+			}
+			exec, failure = query.resolveDescribe(tt.kind, tt.body)
+			got := kinds(t, output)
+			if failure != nil || got != tt.want || (exec != nil) != tt.forwarded {
+				t.Errorf("got %q, %v, %v; want %q", got, exec, failure, tt.want)
+			}
+			if pending := query.pendingDescribe != nil; pending != tt.pending {
+				t.Errorf("pending %v, want %v", pending, tt.pending)
+			}
+		})
+	}
+}
+
+// The description that an engine has given is kept for the next Describe of the statement.
+func TestExtendedQuery_StatementIsDescribedByAnEngineOnce(t *testing.T) {
+	query, output := testExtendedQuery()
+	exec, failure := query.describe(describeBody(pgproto.TargetStatement, "s"))
+	if failure != nil || exec == nil || !exec.message.DescribeOnly {
+		t.Fatalf("got %+v, %v", exec, failure)
+	}
+	description := &pgproto.Result{ParameterDescription: []byte{0, 0}, RowDescription: []byte{0, 0}}
+	if failure := exec.onServed(description); failure != nil {
+		t.Fatal(failure)
+	}
+	if got := kinds(t, output); got != "tT" {
+		t.Errorf("first description: %q", got)
+	}
+	exec, failure = query.describe(describeBody(pgproto.TargetStatement, "s"))
+	if got := kinds(t, output); failure != nil || exec != nil || got != "tT" {
+		t.Errorf("second description: %q, %v, %v", got, exec, failure)
+	}
+}
+
+// A portal runs once. An Execute of a portal that has run is served from its rows.
+func TestExtendedQuery_PortalRunsOnce(t *testing.T) {
+	query, output := testExtendedQuery()
+	exec, failure := query.execute(executeBody("p"))
+	if failure != nil || exec == nil {
+		t.Fatalf("got %+v, %v", exec, failure)
+	}
+	if failure := exec.onServed(resultOfRows("a", "b")); failure != nil {
+		t.Fatal(failure)
+	}
+	if got := kinds(t, output); got != "DDC" {
+		t.Errorf("first execution: %q", got)
+	}
+	exec, failure = query.execute(executeBody("p"))
+	if got := kinds(t, output); failure != nil || exec != nil || got != "C" {
+		t.Errorf("second execution: %q, %v, %v", got, exec, failure)
+	}
+}
--- a/internal/frontend/pgserver/messages.go
+++ b/internal/frontend/pgserver/messages.go
@@ -7,7 +7,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// errUnknownMessage is an input whose first byte names no message of a client.
+// errUnknownMessage is returned for input whose first byte is no message of a client.
 var errUnknownMessage = errors.New("a message of a kind that no client sends")
 
 // clientMessages are the kinds of messages that a client sends after its startup.
@@ -17,7 +17,7 @@
 	pgproto.ClientCopyData, pgproto.ClientCopyDone, pgproto.ClientCopyFail, pgproto.ClientPassword,
 }
 
-// readTyped serves the first message of the input and returns its size, or 0 while it is
+// readTyped serves a message of the session and returns its size, or 0 while it is
 // incomplete or waits for the description of a portal.
 func (c *connection) readTyped(input []byte) (size int, err error) {
 	if len(input) > 0 && !slices.Contains(clientMessages, input[0]) {
@@ -27,49 +27,57 @@
 	if err != nil || size == 0 {
 		return 0, err
 	}
-	if c.deferredDescribe != nil {
-		c.describeDeferred(kind, body)
-		if c.state == stateInFlight {
-			return 0, nil // the message is read again after the description
-		}
+	// A description that is pending precedes the message, which is read again if the
+	// description needs a request.
+	exec, failure := c.extended.resolveDescribe(kind, body)
+	c.finish(extendedProtocol, exec, failure)
+	if c.state == stateInFlight {
+		return 0, nil
 	}
 	switch {
 	case kind == pgproto.ClientTerminate:
-		c.closeNow()
+		c.close()
 	case kind == pgproto.ClientSync:
 		c.state = stateReady
-		c.dropPortals() // a Sync ends the batch's implicit transaction, and with it the portals
+		c.extended.sync()
 		c.sendReady()
-	case c.state == stateSkipping:
-	default:
-		if e := c.serve(kind, body); e != nil {
-			c.sendError(e)
-		}
+	case c.state != stateSkipping:
+		c.serve(kind, body)
 	}
 	return size, nil
 }
 
-// serve serves one message.
-func (c *connection) serve(kind byte, body []byte) *pgproto.Error {
+// serve passes a message to its phase.
+func (c *connection) serve(kind byte, body []byte) {
 	switch kind {
-	case pgproto.ClientParse:
-		return c.parse(body)
-	case pgproto.ClientBind:
-		return c.bind(body)
-	case pgproto.ClientDescribe:
-		return c.describe(body)
-	case pgproto.ClientExecute:
-		return c.execute(body)
-	case pgproto.ClientClose:
-		return c.closeNamed(body)
 	case pgproto.ClientQuery:
-		return c.query(body)
+		exec, failure := c.simple.serve(body)
+		c.finish(simpleProtocol, exec, failure)
 	case pgproto.ClientFunctionCall:
-		return newError(codeFeatureNotSupported, "function calls are not supported")
+		c.finish(extendedProtocol, nil, newError(codeFeatureNotSupported, "function calls are not supported"))
 	case pgproto.ClientPassword:
-		return newError(codeProtocolViolation, "no password was asked for")
+		c.finish(extendedProtocol, nil, newError(codeProtocolViolation, "no password was asked for"))
+	default:
+		exec, failure := c.extended.serve(kind, body)
+		c.finish(extendedProtocol, exec, failure)
+	}
+}
+
+// finish ends the service of a message with what its phase returned: an execution is
+// forwarded and an error is sent. Neither means that the phase has served the message.
+func (c *connection) finish(protocol queryProtocol, exec *execution, failure *pgproto.Error) {
+	if exec != nil {
+		c.forward(exec)
+		return
+	}
+	if failure != nil {
+		c.server.counters.IncrementByName("postgres.errors." + failure.Code)
+		c.output.errorResponse(failure)
+	}
+	switch {
+	case protocol == simpleProtocol:
+		c.sendReady()
+	case failure != nil:
+		c.state = stateSkipping
 	}
-	// Flush needs nothing, as all output is written anyway. Copy data follows a COPY that
-	// was refused.
-	return nil
 }
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -4,35 +4,32 @@
 	"strconv"
 	"strings"
 
+	"flaxrelay/internal/frontend/clientconn"
 	"flaxrelay/internal/pgproto"
 	"flaxrelay/internal/sqltext"
-	"flaxrelay/internal/stmtstats"
 )
 
-// maxNamed bounds the prepared statements, and the portals, of one connection.
-const maxNamed = 1000
-
-// statement is a prepared statement.
-type statement struct {
-	classification
-	query          string
-	parameterTypes []byte               // as in Parse: their count and object IDs
-	empty          bool                 // nothing but space and comments
-	parsed         *stmtstats.Statement // nil without an estimator
-	description    *pgproto.Result      // nil until an engine has given it
-}
+// allRows as the maximum of an Execute asks for all rows. Negative values do so, too.
+const allRows = 0
 
-// parameterOIDs returns the types of the parameters: those that an engine has described,
-// else those that the client gave.
-func (s *statement) parameterOIDs() []byte {
-	if s.description != nil && len(s.description.ParameterDescription) > countSize {
-		return s.description.ParameterDescription[countSize:]
-	}
-	if len(s.parameterTypes) > countSize {
-		return s.parameterTypes[countSize:]
-	}
-	return nil
-}
+// portalState is the state of a portal.
+//
+//	state     -> next state  event
+//	bound     -> suspended   an engine has returned the result for the first Execute
+//	suspended -> suspended   an Execute has been sent as many rows as it asked for
+//	suspended -> completed   all rows and the completion have been sent
+//	completed -> completed   further Execute: a completion of no rows, or an error if the
+//	                         statement returns none
+type portalState uint8
+
+const (
+	// portalBound: the portal has not run.
+	portalBound portalState = iota
+	// portalSuspended: it has run, and its completion has not been sent.
+	portalSuspended
+	// portalCompleted: its completion has been sent.
+	portalCompleted
+)
 
 // portal is a statement with bound values. It runs once: rows that are fetched later come
 // from its buffer, also when its engine has shut down meanwhile.
@@ -41,37 +38,54 @@
 	bind           []byte        // the body of Bind past its names
 	binds          sqltext.Binds // the values, within bind
 	idempotencyKey string
-	result         *pgproto.Result // nil until it has run
+	state          portalState
+	result         *pgproto.Result // nil in portalBound; its DataRows are moved to unsentRows
 	unsentRows     []byte          // DataRow messages
-	completed      bool            // its completion was sent
 }
 
-// sendRows sends rows of a portal that has run, at most maxRows of them if that is above 0.
-func (c *connection) sendRows(p *portal, maxRows int) *pgproto.Error {
-	if p.completed && p.result.RowDescription == nil {
+// start stores the result of the portal's execution.
+func (p *portal) start(result *pgproto.Result) {
+	p.state = portalSuspended
+	p.result = result
+	p.unsentRows = result.DataRows
+	result.DataRows = nil
+}
+
+// sendRows sends rows of a portal that has run, at most maxRows of them if that is
+// positive, and its completion after the last row.
+func (p *portal) sendRows(output *messageWriter, maxRows int) *pgproto.Error {
+	if p.state == portalCompleted && p.result.RowDescription == nil {
 		return newError(codeObjectNotInState, "the portal has run and cannot be run again")
 	}
-	count, size := 0, 0
-	for size < len(p.unsentRows) && (maxRows <= 0 || count < maxRows) {
-		_, _, rowSize, _ := pgproto.ParseMessage(p.unsentRows[size:], len(p.unsentRows))
-		size += rowSize
-		count++
-	}
-	c.output = append(c.output, p.unsentRows[:size]...)
-	p.unsentRows = p.unsentRows[size:]
+	rows, count := p.takeRows(maxRows)
+	output.encoded(rows)
 	switch {
-	case maxRows > 0 && count == maxRows:
-		c.send(pgproto.ServerPortalSuspended)
+	case maxRows > allRows && count == maxRows:
+		output.message(pgproto.ServerPortalSuspended)
 	case p.result.EmptyQuery:
-		c.send(pgproto.ServerEmptyQueryResponse)
-		p.completed = true
+		output.message(pgproto.ServerEmptyQueryResponse)
+		p.state = portalCompleted
 	default:
-		c.send(pgproto.ServerCommandComplete, pgproto.CString(commandTag(p.result, count)))
-		p.completed = true
+		output.commandComplete(commandTag(p.result, count))
+		p.state = portalCompleted
 	}
 	return nil
 }
 
+// takeRows removes the next rows, at most maxRows of them if that is positive, from the
+// buffer and returns them with their number.
+func (p *portal) takeRows(maxRows int) (rows []byte, count int) {
+	size := 0
+	for size < len(p.unsentRows) && (maxRows <= allRows || count < maxRows) {
+		_, _, rowSize, _ := pgproto.ParseMessage(p.unsentRows[size:], len(p.unsentRows))
+		size += rowSize
+		count++
+	}
+	rows = p.unsentRows[:size]
+	p.unsentRows = p.unsentRows[size:]
+	return rows, count
+}
+
 // commandTag returns the tag of a completion that follows count rows of the result.
 func commandTag(result *pgproto.Result, count int) string {
 	verb, _, ok := strings.Cut(result.CommandTag, " ")
@@ -81,23 +95,74 @@
 	return verb + " " + strconv.Itoa(count)
 }
 
-// reserveRows counts the rows that a portal keeps. A portal past the budget keeps
-// nothing, and the batch fails.
-func (c *connection) reserveRows(p *portal) {
-	if len(p.unsentRows) == 0 || c.server.rowBudget.TryReserve(len(p.unsentRows)) {
-		return
+// portalSet owns the open portals of a connection. Between two messages, the rows that
+// wait in them are reserved in the budget, which all connections share.
+type portalSet struct {
+	byName map[string]*portal
+	budget *clientconn.Budget
+}
+
+// checkOpen returns an error if no portal can be opened under the name.
+func (s *portalSet) checkOpen(name string) *pgproto.Error {
+	if name != "" && s.byName[name] != nil {
+		return newError(codeDuplicateCursor, "portal %q already exists", name)
 	}
-	p.unsentRows = nil
-	c.sendError(newError(codeOutOfMemory, "open portals hold too many rows; fetch them, or ask for all at once"))
+	if len(s.byName) >= maxNamed {
+		return newError(codeProgramLimitExceeded, "more than %d portals", maxNamed)
+	}
+	return nil
+}
+
+// open adds a portal. It replaces an unnamed portal.
+func (s *portalSet) open(name string, opened *portal) {
+	s.close(name)
+	s.byName[name] = opened
+}
+
+// run stores the result of a portal's execution and sends its first rows.
+func (s *portalSet) run(p *portal, result *pgproto.Result, output *messageWriter, maxRows int) *pgproto.Error {
+	p.start(result)
+	if failure := p.sendRows(output, maxRows); failure != nil {
+		return failure
+	}
+	return s.reserve(p)
 }
 
-func (c *connection) releaseRows(p *portal) {
-	c.server.rowBudget.Release(len(p.unsentRows))
+// fetch sends further rows of a portal that has run.
+func (s *portalSet) fetch(p *portal, output *messageWriter, maxRows int) *pgproto.Error {
+	s.release(p)
+	if failure := p.sendRows(output, maxRows); failure != nil {
+		return failure
+	}
+	return s.reserve(p)
+}
+
+// close removes a portal, if there is one of the name.
+func (s *portalSet) close(name string) {
+	if closed := s.byName[name]; closed != nil {
+		s.release(closed)
+		delete(s.byName, name)
+	}
+}
+
+// closeAll removes all portals.
+func (s *portalSet) closeAll() {
+	for _, closed := range s.byName {
+		s.release(closed)
+	}
+	clear(s.byName)
 }
 
-func (c *connection) dropPortals() {
-	for _, p := range c.portals {
-		c.releaseRows(p)
+// reserve reserves the rows that a portal holds. If they exceed the budget, it drops them
+// and returns an error, and the batch fails.
+func (s *portalSet) reserve(p *portal) *pgproto.Error {
+	if len(p.unsentRows) == 0 || s.budget.TryReserve(len(p.unsentRows)) {
+		return nil
 	}
-	clear(c.portals)
+	p.unsentRows = nil
+	return newError(codeOutOfMemory, "open portals hold too many rows; fetch them, or ask for all at once")
+}
+
+func (s *portalSet) release(p *portal) {
+	s.budget.Release(len(p.unsentRows))
 }
--- a/internal/frontend/pgserver/portal_test.go
+++ b/internal/frontend/pgserver/portal_test.go
@@ -3,39 +3,126 @@
 import (
 	"testing"
 
-	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/frontend/clientconn"
 	"flaxrelay/internal/pgproto"
 )
 
+// dataRow is a DataRow message with one column.
+func dataRow(value string) []byte {
+	return pgproto.AppendMessage(nil, 'D', []byte{0, 1}, pgproto.Int32(len(value)), []byte(value))
+}
+
+// resultOfRows is the result of a SELECT.
+func resultOfRows(values ...string) *pgproto.Result {
+	result := &pgproto.Result{RowDescription: []byte{0, 1}, RowCount: len(values), CommandTag: "SELECT 2"}
+	for _, value := range values {
+		result.DataRows = append(result.DataRows, dataRow(value)...)
+	}
+	return result
+}
+
+// kinds returns the kinds of the messages in the output, and empties it.
+func kinds(t *testing.T, output *messageWriter) string {
+	t.Helper()
+	text := ""
+	for unread := output.buffer; len(unread) > 0; {
+		kind, _, size, err := pgproto.ParseMessage(unread, len(unread))
+		if err != nil || size == 0 {
+			t.Fatalf("the output is no sequence of messages: %q, %v", output.buffer, err)
+		}
+		text += string(kind)
+		unread = unread[size:]
+	}
+	output.discard()
+	return text
+}
+
+// A portal runs once. It sends as many rows as it is asked for, and its completion after the
+// last row.
+func TestPortal_SendsRowsInPartsAndThenItsCompletion(t *testing.T) {
+	insert := &pgproto.Result{CommandTag: "INSERT 0 1"}
+	emptyQuery := &pgproto.Result{EmptyQuery: true}
+	for name, tt := range map[string]struct {
+		result  *pgproto.Result
+		maxRows []int
+		want    []string // kinds of messages; "55000": an error with this code
+		state   portalState
+	}{
+		"all":            {resultOfRows("a", "b"), []int{allRows}, []string{"DDC"}, portalCompleted},
+		"negative":       {resultOfRows("a", "b"), []int{-1}, []string{"DDC"}, portalCompleted},
+		"in parts":       {resultOfRows("a", "b"), []int{1, 2}, []string{"Ds", "DC"}, portalCompleted},
+		"suspended":      {resultOfRows("a", "b"), []int{2}, []string{"DDs"}, portalSuspended},
+		"nothing left":   {resultOfRows("a", "b"), []int{2, 1}, []string{"DDs", "C"}, portalCompleted},
+		"after its end":  {resultOfRows("a", "b"), []int{allRows, allRows}, []string{"DDC", "C"}, portalCompleted},
+		"without rows":   {insert, []int{1, allRows}, []string{"C", "55000"}, portalCompleted},
+		"empty response": {emptyQuery, []int{allRows, 1}, []string{"I", "55000"}, portalCompleted},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var output messageWriter
+			p := portal{statement: &statement{}}
+			p.start(tt.result)
+			for i, maxRows := range tt.maxRows {
+				failure := p.sendRows(&output, maxRows)
+				got := kinds(t, &output)
+				if failure != nil {
+					got += failure.Code
+				}
+				if got != tt.want[i] {
+					t.Errorf("execution %d: got %q, want %q", i+1, got, tt.want[i])
+				}
+			}
+			if p.state != tt.state {
+				t.Errorf("the portal ends in state %d, want %d", p.state, tt.state)
+			}
+		})
+	}
+}
+
+// The completion counts the rows that this Execute has sent.
+func TestCommandTag_CountsTheRowsOfOneExecute(t *testing.T) {
+	for _, tt := range []struct {
+		tag   string
+		count int
+		want  string
+	}{
+		{"SELECT 3", 3, "SELECT 3"},
+		{"SELECT 3", 1, "SELECT 1"},
+		{"CREATE", 0, "CREATE"},
+	} {
+		const rows = 3
+		got := commandTag(&pgproto.Result{CommandTag: tt.tag, RowCount: rows}, tt.count)
+		if got != tt.want {
+			t.Errorf("%s after %d rows: got %q, want %q", tt.tag, tt.count, got, tt.want)
+		}
+	}
+}
+
 // The budget may be lowered while portals hold more than it permits. An Execute that leaves no
 // rows in its portal is then still served, with one final message.
-func TestPortal_ExecuteThatLeavesNoRowsNeedsNoBudget(t *testing.T) {
+func TestPortalSet_ExecuteThatLeavesNoRowsNeedsNoBudget(t *testing.T) {
 	const held, lowered = 10, 5
-	server := &Server{counters: metrics.New()}
-	server.rowBudget.SetLimit(held)
-	if !server.rowBudget.TryReserve(held) {
+	var budget clientconn.Budget
+	budget.SetLimit(held)
+	if !budget.TryReserve(held) {
 		t.Fatal("the budget is smaller than its limit")
 	}
-	server.rowBudget.SetLimit(lowered)
+	budget.SetLimit(lowered)
 	for name, tt := range map[string]struct {
 		result *pgproto.Result
 		want   []string // kinds of the messages, or the code of the error, of each Execute
 	}{
-		"rows":    {&pgproto.Result{RowDescription: []byte{0, 0}, CommandTag: "SELECT 0"}, []string{"C", "C"}},
+		"rows":    {resultOfRows(), []string{"C", "C"}},
 		"no rows": {&pgproto.Result{CommandTag: "INSERT 0 1"}, []string{"C", codeObjectNotInState}},
 	} {
-		p := &portal{statement: &statement{}, result: tt.result}
-		c := &connection{server: server, portals: map[string]*portal{"": p}}
+		var output messageWriter
+		portals := portalSet{byName: map[string]*portal{}, budget: &budget}
+		p := &portal{statement: &statement{}}
+		p.start(tt.result)
 		for _, want := range tt.want {
-			e := c.execute(append(pgproto.CString(""), pgproto.Int32(0)...))
-			got := ""
-			for len(c.output) > 0 {
-				kind, _, size, _ := pgproto.ParseMessage(c.output, len(c.output))
-				got += string(kind)
-				c.output = c.output[size:]
-			}
-			if e != nil {
-				got += e.Code
+			failure := portals.fetch(p, &output, allRows)
+			got := kinds(t, &output)
+			if failure != nil {
+				got += failure.Code
 			}
 			if got != want {
 				t.Errorf("%s: got %q, want %q", name, got, want)
@@ -43,3 +130,48 @@
 		}
 	}
 }
+
+// testPortals is a set of portals with a budget for one of two rows.
+func testPortals(t *testing.T) (portals *portalSet, budget *clientconn.Budget) {
+	t.Helper()
+	budget = &clientconn.Budget{}
+	budget.SetLimit(len(dataRow("a")))
+	return &portalSet{byName: map[string]*portal{}, budget: budget}, budget
+}
+
+// runFirst opens a portal and fetches the first of its two rows.
+func runFirst(portals *portalSet, name string, output *messageWriter) (*portal, *pgproto.Error) {
+	opened := &portal{statement: &statement{}}
+	portals.open(name, opened)
+	return opened, portals.run(opened, resultOfRows("a", "b"), output, 1)
+}
+
+// A portal that ends returns the rows that wait in it to the budget.
+func TestPortalSet_EndedPortalReturnsItsRows(t *testing.T) {
+	for name, end := range map[string]func(portals *portalSet, p *portal){
+		"closed":     func(portals *portalSet, _ *portal) { portals.close("p") },
+		"all closed": func(portals *portalSet, _ *portal) { portals.closeAll() },
+		"replaced":   func(portals *portalSet, _ *portal) { portals.open("p", &portal{}) },
+		"fetched": func(portals *portalSet, p *portal) {
+			if failure := portals.fetch(p, &messageWriter{}, allRows); failure != nil {
+				t.Error(failure)
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var output messageWriter
+			portals, budget := testPortals(t)
+			opened, failure := runFirst(portals, "p", &output)
+			if failure != nil {
+				t.Fatal(failure)
+			}
+			if _, failure := runFirst(portals, "q", &output); failure == nil || failure.Code != codeOutOfMemory {
+				t.Errorf("a portal past the budget: %v", failure)
+			}
+			end(portals, opened)
+			if !budget.TryReserve(len(dataRow("a"))) {
+				t.Error("the rows are still reserved")
+			}
+		})
+	}
+}
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"time"
 
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/pgproto"
@@ -11,50 +10,80 @@
 	"flaxrelay/policy"
 )
 
-// execution is one run, or one description, of a statement.
+// queryProtocol is the part of the protocol that a message belongs to. It decides how a
+// message ends.
+type queryProtocol uint8
+
+const (
+	// simpleProtocol: a Query ends with a ReadyForQuery, also after an error.
+	simpleProtocol queryProtocol = iota
+	// extendedProtocol: after an error everything up to the next Sync is skipped.
+	extendedProtocol
+)
+
+// execution is one run, or one description, of a statement by an engine.
 type execution struct {
+	protocol       queryProtocol
 	statement      *statement
 	message        *pgproto.Statement // for the engine
 	idempotencyKey string
-	binds          *sqltext.Binds          // nil without values
-	onServed       func(r *pgproto.Result) // continues with the result
+	binds          *sqltext.Binds // nil without values
+	// onServed writes the response of the message that made the execution.
+	onServed func(*pgproto.Result) *pgproto.Error
 }
 
-// forward passes an execution to the dispatcher, which may respond before it returns.
-func (c *connection) forward(exec execution) {
-	dispatcher := c.server.dispatcher
-	class, shapeExecution := c.server.executionClass(exec)
-	request := &lifecycle.Request{
-		ID: fmt.Sprintf("pg%d", c.processID), Class: class.Name, IdempotencyKey: exec.idempotencyKey, Statement: exec.message,
-		Deadline: dispatcher.Now() + c.timeout(class), Client: c,
+// complete writes the result of an execution, or returns the error in its place.
+func (e *execution) complete(response lifecycle.Response) *pgproto.Error {
+	result, ok := response.Result.(*pgproto.Result)
+	if response.Verdict != lifecycle.VerdictServed || !ok {
+		return responseError(response)
 	}
-	c.server.estimate(request, exec, shapeExecution)
-	c.request, c.onServed, c.state = request, exec.onServed, stateInFlight
-	dispatcher.Accept(request)
+	return e.onServed(result)
+}
+
+// forward passes an execution to the dispatcher, which may respond before it returns.
+func (c *connection) forward(exec *execution) {
+	request := c.server.newRequest(exec, c)
+	c.request = request
+	c.execution = exec
+	c.state = stateInFlight
+	c.server.dispatcher.Accept(request)
 }
 
-// Respond continues the message that made the request, and goes on reading.
+// Respond finishes the message that made the request, and continues to read.
 func (c *connection) Respond(_ *lifecycle.Request, response lifecycle.Response) {
 	if c.state != stateInFlight {
 		return
 	}
-	onServed := c.onServed
-	c.endRequest()
-	result, ok := response.Result.(*pgproto.Result)
-	if response.Verdict == lifecycle.VerdictServed && ok {
-		onServed(result)
-	} else {
-		c.sendError(responseError(response))
+	_, exec := c.endRequest()
+	c.finish(exec.protocol, nil, exec.complete(response))
+	c.resume()
+}
+
+// cancel ends the request in flight for a CancelRequest, and continues to read.
+func (c *connection) cancel() {
+	dispatcher := c.server.dispatcher
+	request, exec := c.endRequest()
+	failure := newError(codeQueryCanceled, "canceling statement due to user request")
+	if dispatcher.MayHaveRun(request) {
+		failure = errCompletionUnknown()
 	}
+	dispatcher.ClientDisconnected(request)
+	c.finish(exec.protocol, nil, failure)
 	c.resume()
 }
 
 // endRequest leaves stateInFlight.
-func (c *connection) endRequest() {
-	c.request, c.onServed, c.state = nil, nil, stateReady
+func (c *connection) endRequest() (*lifecycle.Request, *execution) {
+	request := c.request
+	exec := c.execution
+	c.request = nil
+	c.execution = nil
+	c.state = stateReady
+	return request, exec
 }
 
-// resume reads what the client has sent ahead.
+// resume reads what the client has sent during a request.
 func (c *connection) resume() {
 	c.flush()
 	c.socket.LimitReadAhead(false)
@@ -63,17 +92,24 @@
 	}
 }
 
-// timeout returns how long the client waits for a request of the class.
-func (c *connection) timeout(class policy.Class) time.Duration {
-	if c.statementTimeout > 0 {
-		return c.statementTimeout
+// newRequest returns the request for an execution of a connection.
+func (s *Server) newRequest(exec *execution, c *connection) *lifecycle.Request {
+	class, shapeExecution := s.executionClass(exec)
+	request := &lifecycle.Request{
+		ID:             fmt.Sprintf("pg%d", c.key.processID),
+		Class:          class.Name,
+		IdempotencyKey: exec.idempotencyKey,
+		Statement:      exec.message,
+		Deadline:       s.dispatcher.Now() + c.settings.timeout(class),
+		Client:         c,
 	}
-	return class.Deadline
+	s.estimate(request, exec, shapeExecution)
+	return request
 }
 
-// executionClass returns the class of an execution. Where its query shape determines the
-// class, the estimator's execution is returned too.
-func (s *Server) executionClass(exec execution) (policy.Class, *stmtstats.Execution) {
+// executionClass returns the class of an execution. If the query shape determines the
+// class, it returns the estimator's execution, too.
+func (s *Server) executionClass(exec *execution) (policy.Class, *stmtstats.Execution) {
 	if exec.message.DescribeOnly {
 		// A description runs nothing, whatever its statement would do.
 		if class, ok := s.dispatcher.Class(s.options.DefaultClass); ok && class.Effect == policy.Idempotent {
@@ -90,8 +126,9 @@
 }
 
 // estimate sets what is known of the request's data and its cost.
-func (s *Server) estimate(request *lifecycle.Request, exec execution, shapeExecution *stmtstats.Execution) {
-	estimator, parsed := s.options.Estimator, exec.statement.parsed
+func (s *Server) estimate(request *lifecycle.Request, exec *execution, shapeExecution *stmtstats.Execution) {
+	estimator := s.options.Estimator
+	parsed := exec.statement.parsed
 	if parsed == nil || estimator == nil {
 		request.Dataset, _ = sqltext.DatasetOf(exec.statement.query)
 		return
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -19,17 +19,18 @@
 const (
 	// startupTimeout is how long a connection may take until its startup is complete.
 	startupTimeout = 2 * time.Second
-	// spareClients is how many may connect past the limit, to cancel a request or to get
-	// the error that there are too many clients.
+	// spareClients is how many clients may connect past the limit, to cancel a request or
+	// to get the error that there are too many clients.
 	spareClients = 16
-	// defaultMaxBufferedBytes bounds the rows in open portals where the options do not.
+	// defaultMaxBufferedBytes limits the rows in open portals if the options do not, in
+	// bytes.
 	defaultMaxBufferedBytes = 32 << 20
 )
 
 // Options come from the deploy file.
 type Options struct {
 	DefaultClass      string
-	WriteClass        string            // of statements that may write and have no class of their own; "": refused
+	WriteClass        string            // of statements that may write and have no class of their own; "": rejected
 	ReadOnlyFunctions sqltext.Functions // functions that the operators declare read-only
 	Rules             []Rule
 	Estimator         *stmtstats.Service // gives classes and estimates by query shape; nil: off
@@ -37,8 +38,9 @@
 	MaxBufferedBytes  int                // bytes of rows that are buffered in all open portals together
 }
 
-// Server accepts PostgreSQL clients. It and its connections belong to the goroutine of
-// the event loop.
+// Server accepts PostgreSQL clients. It owns their connections, and decides the class of
+// each statement and the request that it makes. The server and its connections must be
+// used from the goroutine of the event loop only.
 type Server struct {
 	clientconn.Listener
 	loop       *eventloop.Loop
@@ -76,14 +78,11 @@
 func (s *Server) accept(socket *eventloop.Conn) eventloop.Handler {
 	s.counters.IncrementByName("postgres.connections")
 	s.lastProcessID++
-	c := &connection{
-		server: s, socket: socket, processID: s.lastProcessID,
-		statements: map[string]*statement{}, portals: map[string]*portal{},
-	}
-	s.connections[c.processID] = c
+	c := newConnection(s, socket, s.lastProcessID)
+	s.connections[s.lastProcessID] = c
 	s.loop.Timers.Schedule(s.loop.Now()+startupTimeout, func() {
 		if c.state == stateStartup {
-			socket.Close()
+			c.close()
 		}
 	})
 	return c
@@ -110,11 +109,11 @@
 	}
 }
 
-// Finish ends a graceful shutdown. All responses have been given, so that Drain closes what
-// is left.
+// Finish ends a graceful shutdown. All responses have been given, so that Drain closes
+// the remaining connections.
 func (s *Server) Finish() { s.Drain() }
 
-// Idle reports whether no client is left.
+// Idle reports whether no client is connected.
 func (s *Server) Idle() bool { return len(s.connections) == 0 }
 
 func errShuttingDown() *pgproto.Error {
--- a/internal/frontend/pgserver/simple_query.go
+++ b/internal/frontend/pgserver/simple_query.go
@@ -6,46 +6,68 @@
 
 // Parts of messages for a statement without parameters.
 var (
-	noParameterTypes = []byte{0, 0}
-	emptyBind        = make([]byte, 6) // no formats, no values, no result formats
+	noParameterTypes = []byte{0, 0}             // a count of 0
+	emptyBind        = []byte{0, 0, 0, 0, 0, 0} // counts of 0: formats, values, result formats
 )
 
-// query serves a Query of one statement.
-func (c *connection) query(body []byte) *pgproto.Error {
-	c.simpleQuery = true
-	r := pgproto.Reader{Unread: body}
-	query := r.CString()
-	if !r.Complete() {
-		return errMalformed("Query")
+// simpleQuery serves Query messages. It keeps nothing from one to the next but the
+// session's settings, which a SET changes.
+type simpleQuery struct {
+	server   *Server
+	settings *sessionSettings
+	output   *messageWriter
+}
+
+// serve serves a Query of one statement. It returns an execution if an engine has to run
+// the statement.
+func (q *simpleQuery) serve(body []byte) (*execution, *pgproto.Error) {
+	reader := pgproto.Reader{Unread: body}
+	query := reader.CString()
+	if !reader.Complete() {
+		return nil, errMalformed("Query")
+	}
+	if value, ok := statementTimeoutValue(query); ok {
+		return nil, q.setStatementTimeout(value)
 	}
-	if done, e := c.applySetting(query); done || e != nil {
-		return e
+	prepared, failure := q.server.prepare(query, noParameterTypes)
+	if failure != nil {
+		return nil, failure
 	}
-	s, e := c.prepare(query, noParameterTypes)
-	if e != nil {
-		return e
+	if prepared.empty {
+		q.output.message(pgproto.ServerEmptyQueryResponse)
+		return nil, nil
 	}
-	if s.empty {
-		c.send(pgproto.ServerEmptyQueryResponse)
-		c.endSimpleQuery()
-		return nil
+	if _, failure = prepared.idempotencyKey(nil); failure != nil {
+		return nil, failure
 	}
-	if _, e = s.idempotencyKey(nil); e != nil {
-		return e
+	return &execution{
+		protocol:  simpleProtocol,
+		statement: prepared,
+		message:   &pgproto.Statement{Query: query, ParameterTypes: noParameterTypes, Bind: emptyBind},
+		onServed: func(result *pgproto.Result) *pgproto.Error {
+			q.sendResult(prepared, result)
+			return nil
+		},
+	}, nil
+}
+
+// setStatementTimeout carries out a SET of statement_timeout, the only SET that is served
+// here.
+func (q *simpleQuery) setStatementTimeout(value string) *pgproto.Error {
+	timeout, failure := parseStatementTimeout(value)
+	if failure != nil {
+		return failure
 	}
-	message := &pgproto.Statement{Query: query, ParameterTypes: noParameterTypes, Bind: emptyBind}
-	c.forward(execution{statement: s, message: message, onServed: func(result *pgproto.Result) {
-		if result.RowDescription != nil {
-			c.sendRowDescription(result.RowDescription)
-		}
-		_ = c.sendRows(&portal{statement: s, result: result, unsentRows: result.DataRows}, 0) // a new portal never fails
-		c.endSimpleQuery()
-	}})
+	q.settings.statementTimeout = timeout
+	q.output.commandComplete("SET")
 	return nil
 }
 
-// endSimpleQuery ends the answer to a Query.
-func (c *connection) endSimpleQuery() {
-	c.simpleQuery = false
-	c.sendReady()
+func (q *simpleQuery) sendResult(prepared *statement, result *pgproto.Result) {
+	if result.RowDescription != nil {
+		q.output.rowDescription(result.RowDescription)
+	}
+	unnamed := portal{statement: prepared}
+	unnamed.start(result)
+	_ = unnamed.sendRows(q.output, allRows) // it fails only in a portal that has run before
 }
--- a/internal/frontend/pgserver/startup.go
+++ b/internal/frontend/pgserver/startup.go
@@ -1,20 +1,30 @@
 package pgserver
 
 import (
-	"crypto/rand"
-	"encoding/binary"
 	"fmt"
 	"strings"
 
 	"flaxrelay/internal/pgproto"
 )
 
-// encryptionRefused is the answer to a request for TLS or GSSAPI encryption.
-const encryptionRefused = 'N'
+// encryptionDeclined is the response to a request for TLS or GSSAPI encryption.
+const encryptionDeclined = 'N'
 
 // protocolOptionPrefix begins the names of protocol options in a startup packet.
 const protocolOptionPrefix = "_pq_."
 
+// Fields of a protocol version, which is a number of 32 bits.
+const (
+	majorVersionShift = 16
+	minorVersionMask  = 0xffff
+)
+
+// Values in messages of the startup.
+const (
+	newestMinorVersion = 0 // of NegotiateProtocolVersion
+	authenticationOk   = 0 // of Authentication
+)
+
 // serverParameters are the ParameterStatus messages that end a startup.
 var serverParameters = [...]struct{ name, value string }{
 	{"server_version", "16.0 (ringwood)"},
@@ -26,98 +36,57 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// startupPacket is what the server uses of a client's startup packet.
-type startupPacket struct {
+// startupPhase holds what the startup packet of a client requests, and writes the
+// messages that begin the session.
+type startupPhase struct {
+	version        uint32
 	user           string
 	unknownOptions [][]byte // names of protocol options, none of which is known here
+	settings       sessionSettings
 }
 
-// readStartup reads one of a connection's first messages and returns its size, or 0
-// while it is incomplete.
-func (c *connection) readStartup(input []byte) (size int, err error) {
-	code, body, size, err := pgproto.ParseStartup(input)
-	if err != nil || size == 0 {
-		return size, err
-	}
-	switch {
-	case code == pgproto.SSLRequestCode || code == pgproto.GSSENCRequestCode:
-		c.socket.Write([]byte{encryptionRefused})
-	case code == pgproto.CancelRequestCode:
-		c.server.cancel(body)
-		c.closeNow()
-	case code>>16 != pgproto.ProtocolVersion>>16:
-		return size, newError(codeProtocolViolation, "protocol version %d.%d is not supported", code>>16, code&0xffff)
-	default:
-		return size, c.start(code, body)
-	}
-	return size, nil
-}
-
-// start reads a startup packet and begins the session, or closes the connection.
-func (c *connection) start(version uint32, body []byte) error {
-	packet, err := c.readStartupPacket(body)
-	if err != nil {
-		return err
+// readPacket reads a startup packet, which begins with a protocol version.
+func (p *startupPhase) readPacket(version uint32, body []byte) error {
+	major := version >> majorVersionShift
+	if major != pgproto.ProtocolVersion>>majorVersionShift {
+		return newError(codeProtocolViolation,
+			"protocol version %d.%d is not supported", major, version&minorVersionMask)
 	}
-	if packet.user == "" {
-		c.fatal(newError(codeInvalidAuthorization, "no user name in the startup packet"))
-		return nil
-	}
-	if maxClients := c.server.options.MaxClients; maxClients > 0 && len(c.server.connections) > maxClients {
-		c.fatal(newError(codeTooManyConnections, "too many clients already"))
-		return nil
-	}
-	c.state = stateReady
-	if version > pgproto.ProtocolVersion || len(packet.unknownOptions) > 0 {
-		const newestMinorVersion = 0
-		parts := [][]byte{pgproto.Int32(newestMinorVersion), pgproto.Int32(len(packet.unknownOptions))}
-		c.send(pgproto.ServerNegotiateProtocolVersion, append(parts, packet.unknownOptions...)...)
-	}
-	const authenticationOk = 0
-	c.send(pgproto.ServerAuthentication, pgproto.Int32(authenticationOk))
-	for _, parameter := range serverParameters {
-		c.send(pgproto.ServerParameterStatus, pgproto.CString(parameter.name), pgproto.CString(parameter.value))
-	}
-	_, _ = rand.Read(c.secretKey[:]) // it never fails
-	c.send(pgproto.ServerBackendKeyData, binary.BigEndian.AppendUint32(nil, c.processID), c.secretKey[:])
-	c.sendReady()
-	return nil
-}
-
-// readStartupPacket reads the parameters of a startup packet and applies those that set
-// the session.
-func (c *connection) readStartupPacket(body []byte) (packet startupPacket, err error) {
-	r := pgproto.Reader{Unread: body}
+	p.version = version
+	reader := pgproto.Reader{Unread: body}
 	for {
-		name := r.CString()
+		name := reader.CString()
 		if name == "" {
 			break
 		}
-		value := r.CString()
-		var err error
-		switch {
-		case strings.HasPrefix(name, protocolOptionPrefix):
-			packet.unknownOptions = append(packet.unknownOptions, pgproto.CString(name))
-		case name == "user":
-			packet.user = value
-		case name == statementTimeoutName:
-			err = c.setStatementTimeout(value)
-		case name == "options":
-			err = c.applyOptions(value)
-		}
-		if err != nil {
-			return packet, err
+		if err := p.applyParameter(name, reader.CString()); err != nil {
+			return err
 		}
 	}
-	if !r.Complete() {
-		return packet, fmt.Errorf("%w: the startup packet", pgproto.ErrMalformed)
+	if !reader.Complete() {
+		return fmt.Errorf("%w: the startup packet", pgproto.ErrMalformed)
 	}
-	return packet, nil
+	return nil
+}
+
+// applyParameter applies one parameter of a startup packet. Unknown ones are ignored.
+func (p *startupPhase) applyParameter(name, value string) error {
+	switch {
+	case strings.HasPrefix(name, protocolOptionPrefix):
+		p.unknownOptions = append(p.unknownOptions, pgproto.CString(name))
+	case name == "user":
+		p.user = value
+	case name == statementTimeoutName:
+		return p.settings.setStatementTimeout(value)
+	case name == "options":
+		return p.applyOptions(value)
+	}
+	return nil
 }
 
 // applyOptions applies the server options of a startup packet, as in
 // "-c statement_timeout=5s". Others are ignored.
-func (c *connection) applyOptions(text string) error {
+func (p *startupPhase) applyOptions(text string) error {
 	words := strings.Fields(text)
 	for i, word := range words {
 		switch {
@@ -132,8 +101,34 @@
 		}
 		name, value, _ := strings.Cut(word, "=")
 		if strings.ReplaceAll(name, "-", "_") == statementTimeoutName {
-			return c.setStatementTimeout(value)
+			return p.settings.setStatementTimeout(value)
 		}
 	}
 	return nil
 }
+
+// writeSession writes the messages that begin the session, up to its first
+// ReadyForQuery.
+func (p *startupPhase) writeSession(output *messageWriter, key cancelKey) {
+	if p.version > pgproto.ProtocolVersion || len(p.unknownOptions) > 0 {
+		parts := [][]byte{pgproto.Int32(newestMinorVersion), pgproto.Int32(len(p.unknownOptions))}
+		output.message(pgproto.ServerNegotiateProtocolVersion, append(parts, p.unknownOptions...)...)
+	}
+	output.message(pgproto.ServerAuthentication, pgproto.Int32(authenticationOk))
+	for _, parameter := range serverParameters {
+		output.message(pgproto.ServerParameterStatus, pgproto.CString(parameter.name), pgproto.CString(parameter.value))
+	}
+	output.message(pgproto.ServerBackendKeyData, key.body())
+}
+
+// admit returns an error for a client that may not begin a session. The client's own
+// connection counts among those that are open.
+func (s *Server) admit(startup *startupPhase) *pgproto.Error {
+	if startup.user == "" {
+		return newError(codeInvalidAuthorization, "no user name in the startup packet")
+	}
+	if maxClients := s.options.MaxClients; maxClients > 0 && len(s.connections) > maxClients {
+		return newError(codeTooManyConnections, "too many clients already")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/frontend/pgserver/statement.go
@@ -0,0 +1,66 @@
+package pgserver
+
+import (
+	"bytes"
+
+	"flaxrelay/internal/pgproto"
+	"flaxrelay/internal/stmtstats"
+)
+
+// statement is a prepared statement.
+type statement struct {
+	classification
+	query          string
+	parameterTypes []byte               // as in Parse: their count and object IDs
+	empty          bool                 // nothing but space and comments
+	parsed         *stmtstats.Statement // nil without an estimator
+	description    *pgproto.Result      // nil until an engine has described the statement
+}
+
+// prepare parses and classifies a statement. Nothing is sent to an engine.
+func (s *Server) prepare(query string, parameterTypes []byte) (*statement, *pgproto.Error) {
+	var parsed *stmtstats.Statement
+	if estimator := s.options.Estimator; estimator != nil {
+		parsed = estimator.Parse(query, s.options.ReadOnlyFunctions)
+	}
+	empty, failure := checkSupported(query, parsed)
+	if failure != nil {
+		return nil, failure
+	}
+	prepared := &statement{query: query, parameterTypes: bytes.Clone(parameterTypes), empty: empty}
+	if empty {
+		return prepared, nil
+	}
+	prepared.classification, failure = s.classify(query, parsed)
+	if failure != nil {
+		return nil, failure
+	}
+	prepared.parsed = parsed
+	return prepared, nil
+}
+
+// checkValueCount compares the number of bound values with the parameters that an engine
+// has described, if one has.
+func (s *statement) checkValueCount(count int) *pgproto.Error {
+	if s.description == nil || len(s.description.ParameterDescription) < countSize {
+		return nil
+	}
+	reader := pgproto.Reader{Unread: s.description.ParameterDescription}
+	if required := reader.Count(); required != count {
+		return newError(codeProtocolViolation,
+			"bind message supplies %d parameters, but the prepared statement requires %d", count, required)
+	}
+	return nil
+}
+
+// parameterOIDs returns the types of the parameters: those that an engine has described,
+// or else those that the client gave.
+func (s *statement) parameterOIDs() []byte {
+	if s.description != nil && len(s.description.ParameterDescription) > countSize {
+		return s.description.ParameterDescription[countSize:]
+	}
+	if len(s.parameterTypes) > countSize {
+		return s.parameterTypes[countSize:]
+	}
+	return nil
+}
--- a/internal/frontend/pgserver/statement_timeout.go
+++ b/internal/frontend/pgserver/statement_timeout.go
@@ -7,6 +7,7 @@
 
 	"flaxrelay/internal/pgproto"
 	"flaxrelay/internal/sqltext"
+	"flaxrelay/policy"
 )
 
 // statementTimeoutName is the only session setting that is supported.
@@ -22,19 +23,36 @@
 	"d":   24 * time.Hour,
 }
 
+// sessionSettings are the settings that a client may change for its session.
+type sessionSettings struct {
+	statementTimeout time.Duration // 0: the deadline of the statement's class
+}
+
 // setStatementTimeout sets the time-out of the client's statements. Its error is a
 // *pgproto.Error.
-func (c *connection) setStatementTimeout(text string) error {
-	timeout, e := parseStatementTimeout(text)
-	if e != nil {
-		return e
+func (s *sessionSettings) setStatementTimeout(text string) error {
+	timeout, failure := parseStatementTimeout(text)
+	if failure != nil {
+		return failure
 	}
-	c.statementTimeout = timeout
+	s.statementTimeout = timeout
 	return nil
 }
 
+// timeout returns how long the client waits for a request of the class.
+func (s *sessionSettings) timeout(class policy.Class) time.Duration {
+	if s.statementTimeout > 0 {
+		return s.statementTimeout
+	}
+	return class.Deadline
+}
+
+// maxTimeoutBits limits the number of a time-out as PostgreSQL does, which stores it as a
+// signed number of 32 bits.
+const maxTimeoutBits = 31
+
 // parseStatementTimeout reads a time as PostgreSQL writes it: in milliseconds, or with a
-// unit. It is 0 for "default".
+// unit. It returns 0 for "default".
 func parseStatementTimeout(text string) (time.Duration, *pgproto.Error) {
 	text = strings.Trim(strings.TrimSpace(text), "'")
 	if strings.EqualFold(text, "default") {
@@ -42,42 +60,30 @@
 	}
 	digits := strings.TrimRight(text, "abcdefghijklmnopqrstuvwxyz ")
 	unit, ok := timeoutUnits[strings.TrimSpace(text[len(digits):])]
-	number, err := strconv.ParseUint(digits, 10, 31)
+	number, err := strconv.ParseUint(digits, 10, maxTimeoutBits)
 	if !ok || err != nil {
 		return 0, newError(codeInvalidParameterValue, "invalid value for parameter \"statement_timeout\": %q", text)
 	}
 	return time.Duration(number) * unit, nil
 }
 
-// applySetting carries out a SET of statement_timeout, the one SET that the server serves
-// itself, and reports whether the query was that.
-func (c *connection) applySetting(query string) (done bool, e *pgproto.Error) {
-	value, ok := statementTimeoutValue(query)
-	if !ok {
-		return false, nil
-	}
-	timeout, e := parseStatementTimeout(value)
-	if e != nil {
-		return false, e
-	}
-	c.statementTimeout = timeout
-	c.send(pgproto.ServerCommandComplete, pgproto.CString("SET"))
-	c.endSimpleQuery()
-	return true, nil
-}
-
-// statementTimeoutValue returns the value of a SET [SESSION] statement_timeout.
+// statementTimeoutValue returns the value of a SET [SESSION] statement_timeout, with = or
+// TO; ok is false for any other query.
 func statementTimeoutValue(query string) (value string, ok bool) {
 	query = strings.TrimRight(sqltext.SkipComments(query), "; \t\r\n")
 	words := strings.Fields(strings.ReplaceAll(query, "=", " = "))
 	if len(words) > 1 && strings.EqualFold(words[1], "SESSION") {
 		words = append(words[:1], words[2:]...)
 	}
-	if len(words) < 4 || !strings.EqualFold(words[0], "SET") || !strings.EqualFold(words[1], statementTimeoutName) {
+	const wordsBeforeValue = 3 // SET, the name, and = or TO
+	if len(words) <= wordsBeforeValue {
+		return "", false
+	}
+	if !strings.EqualFold(words[0], "SET") || !strings.EqualFold(words[1], statementTimeoutName) {
 		return "", false
 	}
 	if words[2] != "=" && !strings.EqualFold(words[2], "TO") {
 		return "", false
 	}
-	return strings.Join(words[3:], " "), true
+	return strings.Join(words[wordsBeforeValue:], " "), true
 }
--- a/internal/frontend/pgserver/statement_timeout_test.go
+++ b/internal/frontend/pgserver/statement_timeout_test.go
@@ -2,15 +2,14 @@
 
 import "testing"
 
-// TestSetStatementTimeout checks that times are read as PostgreSQL writes them, or rejected.
-func TestSetStatementTimeout(t *testing.T) {
+func TestSetStatementTimeout_ReadsTimesAsPostgreSQLWritesThem(t *testing.T) {
 	for text, want := range map[string]int64{
 		"0": 0, "250": 250, "'2s'": 2000, "1 min": 60000, "DEFAULT": 0,
 		"": -1, "-1": -1, "5 weeks": -1, "1.5s": -1, "99999999999": -1,
 	} {
-		c := &connection{}
-		err := c.setStatementTimeout(text)
-		if got := c.statementTimeout.Milliseconds(); (err != nil) != (want < 0) || err == nil && got != want {
+		var settings sessionSettings
+		err := settings.setStatementTimeout(text)
+		if got := settings.statementTimeout.Milliseconds(); (err != nil) != (want < 0) || err == nil && got != want {
 			t.Errorf("%q: got %d ms, %v", text, got, err)
 		}
 	}
