--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -77,7 +77,8 @@
 	loop        *eventloop.Loop
 	dispatcher  *lifecycle.Dispatcher
 	listener    *net.TCPListener
-	connection  net.Conn // nil: none is open
+	startedAt   time.Duration // of the engine; belongs to the event loop's goroutine
+	connection  *net.TCPConn  // nil: none is open
 	printed     map[string]bool
 	transcript  bytes.Buffer
 	served      bytes.Buffer // belongs to the event loop's goroutine
@@ -102,7 +103,7 @@
 	x.Client = protocol.NewClient(env)
 	env.Dispatcher.SetEngineClient(x.Client)
 	eventlooptest.Run(t, x.loop)
-	x.setEngineState(policy.EngineReady)
+	x.Do(func() { x.updateEndpoint(policy.EngineReady) })
 	return x
 }
 
@@ -117,19 +118,59 @@
 // Do runs f on the event loop's goroutine, and waits for it.
 func (x *Exchange) Do(f func()) { eventlooptest.Do(x.loop, f) }
 
-func (x *Exchange) setEngineState(state policy.EngineState) {
-	endpoint := lifecycle.Endpoint{
+// Post has f run on the event loop's goroutine, after what is posted there already.
+func (x *Exchange) Post(f func()) { x.loop.Post(f) }
+
+// BlockLoop runs f while the event loop's goroutine is blocked, and then next on that goroutine
+// before the loop handles what has happened meanwhile.
+func (x *Exchange) BlockLoop(f, next func()) {
+	blocked := make(chan struct{})
+	release := make(chan struct{})
+	done := make(chan struct{})
+	x.Post(func() {
+		close(blocked)
+		<-release
+		next()
+		close(done)
+	})
+	<-blocked
+	func() {
+		defer close(release) // also where f ends the test
+		f()
+	}()
+	<-done
+}
+
+// updateEndpoint applies an entry of the endpoint list. It belongs to the event loop's goroutine.
+func (x *Exchange) updateEndpoint(state policy.EngineState) {
+	x.dispatcher.UpdateEndpoints(policy.UpdateDelta, []lifecycle.Endpoint{{
 		Address: x.listener.Addr().String(),
-		Engine:  policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state},
-	}
-	x.Do(func() { x.dispatcher.UpdateEndpoints(policy.UpdateDelta, []lifecycle.Endpoint{endpoint}) })
+		Engine:  policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state, StartedAt: x.startedAt},
+	}})
+}
+
+// RestartEngine has the endpoint list say that the engine has restarted, which retires its
+// connections. It is to be called by Do.
+func (x *Exchange) RestartEngine() {
+	x.startedAt += time.Second
+	x.updateEndpoint(policy.EngineReady)
+}
+
+// RemoveEngineEntry takes the engine off the endpoint list. It is to be called by Do.
+func (x *Exchange) RemoveEngineEntry() { x.updateEndpoint(policy.EngineRemoved) }
+
+// NewAttempt returns an attempt for the request that has not begun.
+func (x *Exchange) NewAttempt(request *lifecycle.Request, timeout time.Duration) *lifecycle.Attempt {
+	request.ObserverData = "observed" // without it the observer is not called
+	return &lifecycle.Attempt{Request: request, Engine: engineID, StartedAt: fixedClock{}.Now(), Timeout: timeout}
 }
 
 // Start begins an attempt for the request. The function change, if there is one,
 // changes the attempt first.
-func (x *Exchange) Start(request *lifecycle.Request, timeout time.Duration, change func(*lifecycle.Attempt)) *lifecycle.Attempt {
-	request.ObserverData = "observed" // without it the observer is not called
-	attempt := &lifecycle.Attempt{Request: request, Engine: engineID, StartedAt: fixedClock{}.Now(), Timeout: timeout}
+func (x *Exchange) Start(
+	request *lifecycle.Request, timeout time.Duration, change func(*lifecycle.Attempt),
+) *lifecycle.Attempt {
+	attempt := x.NewAttempt(request, timeout)
 	if change != nil {
 		change(attempt)
 	}
@@ -137,11 +178,24 @@
 	return attempt
 }
 
+// Abandon gives the attempt up.
+func (x *Exchange) Abandon(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Abandon(attempt) }) }
+
+// Withdraw takes the attempt back, and ends the test if the client can't.
+func (x *Exchange) Withdraw(attempt *lifecycle.Attempt) {
+	x.t.Helper()
+	withdrawn := false
+	x.Do(func() { withdrawn = x.Client.Withdraw(attempt) })
+	if !withdrawn {
+		x.t.Fatalf("an attempt that was not written could not be withdrawn; up to here:\n%s", x.transcript.String())
+	}
+}
+
 // Accept takes the next connection.
 func (x *Exchange) Accept() {
 	x.t.Helper()
 	x.Check(x.listener.SetDeadline(time.Now().Add(Timeout)))
-	connection, err := x.listener.Accept()
+	connection, err := x.listener.AcceptTCP()
 	x.Check(err)
 	x.t.Cleanup(func() { _ = connection.Close() })
 	x.Check(connection.SetDeadline(time.Now().Add(Timeout)))
@@ -166,26 +220,38 @@
 	x.Check(err)
 }
 
+// Disconnect closes the connection from the engine's side.
+func (x *Exchange) Disconnect() {
+	x.t.Helper()
+	x.Printf("< end of the connection\n")
+	x.Check(x.connection.Close())
+	x.connection = nil
+}
+
+// Reset breaks the connection off from the engine's side.
+func (x *Exchange) Reset() {
+	x.t.Helper()
+	x.Printf("< reset of the connection\n")
+	x.Check(x.connection.SetLinger(0))
+	x.Check(x.connection.Close())
+	x.connection = nil
+}
+
 // AwaitEnd waits until the attempt is over, and prints how it ended and what was read.
 func (x *Exchange) AwaitEnd(attempt *lifecycle.Attempt) {
 	x.t.Helper()
-	for deadline := time.Now().Add(Timeout); ; time.Sleep(pollInterval) {
-		ended := false
-		x.Do(func() { ended = attempt.Ended() })
-		if ended {
-			break
-		}
-		if time.Now().After(deadline) {
-			x.t.Fatalf("the attempt never ended; up to here:\n%s", x.transcript.String())
-		}
-	}
+	x.await("the end of the attempt", attempt.Ended)
+	x.Do(func() { _, _ = x.served.WriteTo(&x.transcript) })
+	x.PrintCounters("attempts.ended.")
+}
+
+// PrintCounters prints the counters whose names begin with the prefix, without those that were
+// printed with the same value before.
+func (x *Exchange) PrintCounters(prefix string) {
 	var counters bytes.Buffer
-	x.Do(func() {
-		x.Counters.Print(&counters)
-		_, _ = x.served.WriteTo(&x.transcript)
-	})
+	x.Do(func() { x.Counters.Print(&counters) })
 	for line := range strings.Lines(counters.String()) {
-		if strings.HasPrefix(line, "count attempts.ended.") && !x.printed[line] {
+		if strings.HasPrefix(line, "count "+prefix) && !x.printed[line] {
 			x.printed[line] = true
 			x.Printf("= %s", strings.TrimPrefix(line, "count "))
 		}
@@ -200,6 +266,30 @@
 // ObserveTimeout does nothing: the counters tell of a timeout.
 func (x *Exchange) ObserveTimeout(*lifecycle.Request, time.Duration) {}
 
+// await waits until the condition holds, which is read on the event loop's goroutine.
+func (x *Exchange) await(what string, condition func() bool) {
+	x.t.Helper()
+	for deadline := time.Now().Add(Timeout); ; time.Sleep(pollInterval) {
+		holds := false
+		x.Do(func() { holds = condition() })
+		if holds {
+			return
+		}
+		if time.Now().After(deadline) {
+			x.t.Fatalf("%s did not come; up to here:\n%s", what, x.transcript.String())
+		}
+	}
+}
+
+// PrintConnections waits until all connections have ended, and prints their counters.
+func (x *Exchange) PrintConnections() {
+	x.t.Helper()
+	x.await("the end of all connections", func() bool {
+		return x.Counters.Sum("engine-connections.closed.") == x.Counters.GetByName("engine-connections.dialed")
+	})
+	x.PrintCounters("engine-connections.")
+}
+
 // Release does nothing: no request holds anything of the observer's.
 func (x *Exchange) Release(*lifecycle.Request) {}
 
@@ -207,7 +297,7 @@
 // connection, and awaits its end.
 func (x *Exchange) RemoveEngine() {
 	x.t.Helper()
-	x.setEngineState(policy.EngineRemoved)
+	x.Do(x.RemoveEngineEntry)
 	x.AwaitClose()
 }
 
@@ -223,6 +313,7 @@
 		x.Check(err)
 	}
 	x.Printf("> end of the connection\n")
+	_ = x.connection.Close()
 	x.connection = nil
 }
 
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -27,12 +27,20 @@
 	t *testing.T
 }
 
-func newExchange(t *testing.T, cancels bool) exchange {
+// options are what differs between the clients of the tests.
+type options struct {
+	cancels        bool // running requests may be cancelled
+	maxConnections int  // 0: unbounded
+}
+
+func newExchange(t *testing.T, options options) exchange {
 	t.Helper()
 	return exchange{t: t, Exchange: enginetest.New(t, enginetest.Protocol{
-		Settings: fmt.Sprintf(settings, cancels),
+		Settings: fmt.Sprintf(settings, options.cancels),
 		NewClient: func(env enginetest.Environment) lifecycle.EngineClient {
-			return lineclient.New(env.Loop, env.Dispatcher, env.Site, env.Counters, env.Log)
+			client := lineclient.New(env.Loop, env.Dispatcher, env.Site, env.Counters, env.Log)
+			client.MaxConnections = options.maxConnections
+			return client
 		},
 		PrintServed: printServed,
 	})}
@@ -94,10 +102,10 @@
 
 // scripts are the exchanges by the name of their golden file.
 var scripts = map[string]struct {
-	cancels bool
+	options options
 	play    func(exchange)
 }{
-	"want": {false, func(x exchange) {
+	"want": {options{}, func(x exchange) {
 		plain := x.start(id, question, nil)
 		x.readCommand()
 		full := x.start("00000000000000ff", "", func(a *lifecycle.Attempt) {
@@ -112,29 +120,29 @@
 		}
 		x.RemoveEngine()
 	}},
-	"cancel-permitted": {true, func(x exchange) {
+	"cancel-permitted": {options{cancels: true}, func(x exchange) {
 		a := x.start(id, question, nil)
 		x.readCommand()
-		x.Do(func() { x.Client.Abandon(a) })
+		x.Abandon(a)
 		x.readCommand()
 		x.RemoveEngine()
 	}},
-	"cancel-not-permitted": {false, func(x exchange) {
+	"cancel-not-permitted": {options{}, func(x exchange) {
 		a := x.start(id, question, nil)
 		x.readCommand()
-		x.Do(func() { x.Client.Abandon(a) })
+		x.Abandon(a)
 		x.RemoveEngine()
 	}},
-	"cancel-between-pages": {false, func(x exchange) { // pages that are not fetched yet are released
+	"cancel-between-pages": {options{}, func(x exchange) { // pages that are not fetched yet are released
 		a := x.start(id, question, nil)
 		x.readCommand()
 		x.write(id + " DONE batches=2 6\r\na\tb\tc\n\r\n")
 		x.readCommand()
-		x.Do(func() { x.Client.Abandon(a) })
+		x.Abandon(a)
 		x.readCommand()
 		x.RemoveEngine()
 	}},
-	"hurry": {false, func(x exchange) {
+	"hurry": {options{}, func(x exchange) {
 		a := x.start(id, question, nil)
 		x.readCommand()
 		for priority := range 4 {
@@ -145,7 +153,7 @@
 		x.AwaitEnd(a)
 		x.RemoveEngine()
 	}},
-	"pages": {false, func(x exchange) {
+	"pages": {options{}, func(x exchange) {
 		a := x.start(id, question, nil)
 		x.readCommand()
 		x.write(id + " DONE batches=4,cpu=12.5,used=3 6\r\na\tb\tc\n\r\n")
@@ -160,7 +168,7 @@
 		x.AwaitEnd(a)
 		x.RemoveEngine()
 	}},
-	"answers": {false, func(x exchange) {
+	"answers": {options{}, func(x exchange) {
 		for n, word := range []string{"WAIT", "BROKE", "PAST"} {
 			a := x.start(fmt.Sprintf("%016x", n), "SELECT 1", nil)
 			x.readCommand()
@@ -184,7 +192,7 @@
 		x.AwaitEnd(a)
 		x.RemoveEngine()
 	}},
-	"words-that-end-nothing": {false, func(x exchange) {
+	"words-that-end-nothing": {options{}, func(x exchange) {
 		a := x.start(id, "SELECT 1", nil)
 		x.readCommand()
 		for _, fields := range []string{"res=p,num=0.5", "res=s,num=64", "res=w,num=1", "res=w,num=2", "res=?,num=1", "num=1", "-"} {
@@ -200,7 +208,7 @@
 		x.Printf("= %d notes\n", progress)
 		x.RemoveEngine()
 	}},
-	"gauges": {false, func(x exchange) {
+	"gauges": {options{}, func(x exchange) {
 		for n, gauges := range []string{
 			"inflight:7;util:0.61", "active:2;cpu:0.5;waiting:3;x0:0.25;x1:1.5", "queue:4;rps:100;avg_ms:3;err_rps:0",
 			"rps:100", "", "util:NaN;inflight:x;x0:1e-3",
@@ -214,11 +222,209 @@
 	}},
 }
 
+// respond sends the complete result of one empty page.
+func (x exchange) respond(id string) {
+	x.t.Helper()
+	x.write(id + " DONE batches=1 0\r\n\r\n")
+}
+
+// newAttempt returns an attempt that has not begun.
+func (x exchange) newAttempt(id string) *lifecycle.Attempt {
+	attempt := x.NewAttempt(&lifecycle.Request{ID: id, Class: "report", Statement: "SELECT 1"}, attemptTimeout)
+	attempt.Priority = 1
+	return attempt
+}
+
+const (
+	otherID = "0000000000000001"
+	// arrival is more than what one host needs to bring what the engine did to the client's socket.
+	arrival = 50 * time.Millisecond
+)
+
+// connectionScripts are the exchanges that show how connections begin, retire and end, by the
+// name of their golden file.
+var connectionScripts = map[string]struct {
+	options options
+	play    func(exchange)
+}{
+	"withdrawn-while-dialing": {options{cancels: true}, func(x exchange) {
+		withdrawn := x.newAttempt(id)
+		next := x.newAttempt(otherID)
+		x.Do(func() {
+			x.Client.Start(withdrawn)
+			if !x.Client.Withdraw(withdrawn) {
+				x.t.Error("an attempt that was not written could not be withdrawn")
+			}
+			x.Client.Start(next)
+		})
+		x.Accept()
+		x.readCommand()
+		x.respond(otherID)
+		x.AwaitEnd(next)
+		again := x.start(id, "SELECT 1", nil) // nothing was written for it: the id may be used
+		x.readCommand()
+		x.Do(func() {
+			if x.Client.Withdraw(again) {
+				x.t.Error("an attempt that was written could be withdrawn")
+			}
+		})
+		x.respond(id)
+		x.AwaitEnd(again)
+		x.RemoveEngine()
+	}},
+	"removed-while-dialing": {options{}, func(x exchange) {
+		attempt := x.newAttempt(id)
+		x.Do(func() {
+			x.Client.Start(attempt)
+			x.RemoveEngineEntry()
+		})
+		x.Accept()
+		x.AwaitEnd(attempt)
+		x.AwaitClose()
+		x.PrintConnections()
+	}},
+	"retired-while-dialing": {options{}, func(x exchange) {
+		attempt := x.newAttempt(id)
+		x.Do(func() {
+			x.Client.Start(attempt)
+			x.RestartEngine()
+		})
+		x.Accept()
+		x.readCommand()
+		x.respond(id)
+		x.AwaitEnd(attempt)
+		x.AwaitClose()
+		next := x.start(otherID, "SELECT 1", nil)
+		x.readCommand()
+		x.respond(otherID)
+		x.AwaitEnd(next)
+		x.RemoveEngine()
+		x.PrintConnections()
+	}},
+	"retired-while-dialing-unused": {options{}, func(x exchange) {
+		attempt := x.newAttempt(id)
+		x.Do(func() {
+			x.Client.Start(attempt)
+			x.Client.Abandon(attempt)
+			x.RestartEngine()
+		})
+		x.Accept()
+		x.AwaitClose()
+		x.PrintConnections()
+	}},
+	"retired-while-busy": {options{cancels: true}, func(x exchange) {
+		served := x.start(id, "SELECT 1", nil)
+		x.readCommand()
+		abandoned := x.start(otherID, "SELECT 2", nil)
+		x.readCommand()
+		x.Do(x.RestartEngine)
+		x.respond(id)
+		x.AwaitEnd(served)
+		x.Abandon(abandoned) // the last attempt on the connection, which closes behind the cancel
+		x.AwaitClose()
+		x.PrintConnections()
+	}},
+	"closed-by-engine": {options{}, func(x exchange) {
+		served := x.start(id, "SELECT 1", nil)
+		x.readCommand()
+		lost := x.start(otherID, "SELECT 2", nil)
+		x.readCommand()
+		x.respond(id) // what was read before the end counts first
+		x.write(otherID + " DONE batches=2 6\r\na\tb\tc\n\r\n")
+		x.readCommand()
+		x.write(otherID + " MORE ba")
+		x.Disconnect()
+		x.AwaitEnd(lost)
+		x.AwaitEnd(served)
+		x.PrintConnections()
+	}},
+	"reset-before-write": {options{}, func(x exchange) {
+		first := x.start(id, "SELECT 1", nil)
+		x.readCommand()
+		x.respond(id)
+		x.AwaitEnd(first)
+		unwritten := x.newAttempt(otherID)
+		x.BlockLoop(func() {
+			x.Reset()
+			time.Sleep(arrival)
+		}, func() { // the client has not been notified of the end yet when it writes
+			x.Client.Start(unwritten)
+		})
+		x.AwaitEnd(unwritten)
+		next := x.start(otherID, "SELECT 1", nil)
+		x.readCommand()
+		x.respond(otherID)
+		x.AwaitEnd(next)
+		x.RemoveEngine()
+	}},
+	"abandoned-after-protocol-error": {options{cancels: true}, func(x exchange) {
+		attempt := x.start(id, "SELECT 1", nil)
+		x.readCommand()
+		x.BlockLoop(func() {
+			x.write(id + " ODD - 0\r\n\r\n")
+			time.Sleep(arrival)
+		}, func() { // the end of the connection is handled after what is posted here
+			x.Post(func() { x.Client.Abandon(attempt) })
+		})
+		x.AwaitClose()
+		x.PrintConnections()
+	}},
+	"abandoned-id": {options{}, func(x exchange) {
+		abandoned := x.start(id, "SELECT 1", nil)
+		x.readCommand()
+		x.Abandon(abandoned)
+		other := x.start(otherID, "SELECT 2", nil) // on the same connection
+		x.readCommand()
+		x.respond(id) // late
+		x.respond(otherID)
+		x.AwaitEnd(other)
+		again := x.newAttempt(id)
+		x.Do(func() { x.Client.Start(again) })
+		x.Accept()
+		x.readCommand()
+		x.respond(id)
+		x.AwaitEnd(again)
+		x.RemoveEngine()
+		x.PrintConnections()
+	}},
+	"evicted": {options{maxConnections: 1}, func(x exchange) {
+		abandoned := x.start(id, "SELECT 1", nil)
+		x.readCommand()
+		x.Abandon(abandoned)
+		busy := x.start(otherID, "SELECT 2", nil)
+		x.readCommand()
+		unconnected := x.start(id, "SELECT 1", nil) // the id can't be used on a connection that is busy
+		x.AwaitEnd(unconnected)
+		x.respond(otherID)
+		x.AwaitEnd(busy)
+		again := x.newAttempt(id)
+		x.Do(func() { x.Client.Start(again) })
+		x.AwaitClose() // the idle connection made way
+		x.Accept()
+		x.readCommand()
+		x.respond(id)
+		x.AwaitEnd(again)
+		x.RemoveEngine()
+		x.PrintConnections()
+	}},
+}
+
+// TestGoldenConnections checks what happens to the attempts of connections that retire or end.
+func TestGoldenConnections(t *testing.T) {
+	for name, script := range connectionScripts {
+		t.Run(name, func(t *testing.T) {
+			x := newExchange(t, script.options)
+			script.play(x)
+			x.CompareGolden(name)
+		})
+	}
+}
+
 // TestGoldenExchanges checks the bytes of both sides, and what the client makes of them.
 func TestGoldenExchanges(t *testing.T) {
 	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) {
-			x := newExchange(t, script.cancels)
+			x := newExchange(t, script.options)
 			script.play(x)
 			x.CompareGolden(name)
 		})
@@ -243,7 +449,7 @@
 		"unreadable-page":        id + " MORE batch=1 0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newExchange(t, true)
+			x := newExchange(t, options{cancels: true})
 			a := x.start(id, "SELECT 1", nil)
 			x.readCommand()
 			other := x.start("0000000000000001", "SELECT 2", nil)
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"strings"
 	"testing"
+	"time"
 
 	"flaxrelay/internal/engine/enginetest"
 	"flaxrelay/internal/engine/pgclient"
@@ -26,9 +27,11 @@
 	t *testing.T
 }
 
-func newExchange(t *testing.T) exchange {
+// defaultOptions are the client's unless the test says otherwise.
+var defaultOptions = pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout}
+
+func newExchange(t *testing.T, options pgclient.Options) exchange {
 	t.Helper()
-	options := pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout}
 	return exchange{t: t, Exchange: enginetest.New(t, enginetest.Protocol{
 		Settings: settings,
 		NewClient: func(env enginetest.Environment) lifecycle.EngineClient {
@@ -149,7 +152,7 @@
 		a := x.start("lookup", statement(question))
 		x.acceptStartup()
 		x.readQuery()
-		x.Do(func() { x.Client.Abandon(a) })
+		x.Abandon(a)
 		x.AwaitClose()
 		x.acceptPacket() // the request to cancel, on a connection of its own
 		x.AwaitClose()
@@ -165,7 +168,7 @@
 		x.acceptPacket()
 		x.Write(authenticated, ready)
 		x.readQuery()
-		x.Do(func() { x.Client.Abandon(a) })
+		x.Abandon(a)
 		x.AwaitClose()
 		next := x.start("lookup", statement(question)) // its connection is the next there is
 		x.acceptStartup()
@@ -177,11 +180,7 @@
 	"withdrawn-before-startup": func(x exchange) {
 		a := x.start("lookup", statement(question))
 		x.acceptPacket()
-		x.Do(func() {
-			if !x.Client.Withdraw(a) {
-				x.t.Error("a query that was not written could not be withdrawn")
-			}
-		})
+		x.Withdraw(a)
 		next := x.start("lookup", statement("SELECT 2"))
 		x.Write(authenticated, key, ready)
 		x.readQuery()
@@ -269,9 +268,204 @@
 func TestGoldenExchanges(t *testing.T) {
 	for name, play := range scripts {
 		t.Run(name, func(t *testing.T) {
-			x := newExchange(t)
+			x := newExchange(t, defaultOptions)
 			play(x)
 			x.CompareGolden(name)
 		})
 	}
 }
+
+// shortTimeout and smallBudget are exceeded on purpose.
+const (
+	shortTimeout = 50 * time.Millisecond
+	smallBudget  = 40 // bytes; two rows of these tests are more
+)
+
+// respond sends the complete response to a query that was parsed.
+func (x exchange) respond() {
+	x.t.Helper()
+	x.Write(parsed, bound, columns, complete, ready)
+}
+
+// connectionScripts are the exchanges that show how connections begin, retire and end, by the
+// name of their golden file.
+var connectionScripts = map[string]struct {
+	options pgclient.Options
+	play    func(exchange)
+}{
+	"retired-during-startup": {defaultOptions, func(x exchange) {
+		a := x.start("lookup", statement(question))
+		x.acceptPacket()
+		x.Do(x.RestartEngine)
+		x.Write(authenticated, key, ready)
+		x.readQuery()
+		x.respond()
+		x.AwaitEnd(a)
+		x.AwaitClose()
+		x.PrintConnections()
+	}},
+	"retired-during-startup-unused": {defaultOptions, func(x exchange) {
+		a := x.start("lookup", statement(question))
+		x.acceptPacket()
+		x.Withdraw(a)
+		x.Do(x.RestartEngine) // the connection has no attempt: it is closed at once
+		x.AwaitClose()
+		x.PrintConnections()
+	}},
+	"retired-while-dialing-unused": {defaultOptions, func(x exchange) {
+		a := x.newAttempt()
+		x.Do(func() {
+			x.Client.Start(a)
+			x.Client.Abandon(a) // not written: nothing is cancelled
+			x.RestartEngine()
+		})
+		x.acceptPacket()
+		x.Write(authenticated, key, ready)
+		x.AwaitClose()
+		x.PrintConnections()
+	}},
+	"statement-not-forgotten": {defaultOptions, func(x exchange) {
+		a := x.start("lookup", statement(question))
+		x.acceptStartup()
+		x.readQuery()
+		x.Write(failure("ERROR", "26000"), ready) // this query has parsed the statement itself
+		x.AwaitEnd(a)
+		a = x.start("lookup", statement(question))
+		x.readQuery()
+		x.respond()
+		x.AwaitEnd(a)
+		a = x.start("lookup", statement(question))
+		x.readQuery()
+		x.Write(bound, failure("ERROR", "0A000"), ready) // the statement may have run
+		x.AwaitEnd(a)
+		a = x.start("lookup", statement(question))
+		x.readQuery()
+		x.Write(bound, columns, complete, ready)
+		x.AwaitEnd(a)
+		x.RemoveEngine()
+	}},
+	"retired-while-busy": {defaultOptions, func(x exchange) {
+		a := x.start("lookup", statement(question))
+		x.acceptStartup()
+		x.readQuery()
+		x.Do(x.RestartEngine)
+		x.respond()
+		x.AwaitEnd(a)
+		x.AwaitClose()
+		x.PrintConnections()
+	}},
+	"abandoned-before-startup": {defaultOptions, func(x exchange) {
+		a := x.start("lookup", statement(question))
+		x.acceptPacket()
+		x.Abandon(a) // not written: nothing is cancelled, and the connection is used again
+		next := x.start("lookup", statement("SELECT 2"))
+		x.Write(authenticated, key, ready)
+		x.readQuery()
+		x.respond()
+		x.AwaitEnd(next)
+		x.RemoveEngine()
+		x.PrintConnections()
+	}},
+	"removed-before-write": {defaultOptions, func(x exchange) {
+		a := x.start("lookup", statement(question))
+		x.acceptPacket()
+		x.Do(x.RemoveEngineEntry)
+		x.Write(authenticated, key, ready)
+		x.AwaitEnd(a)
+		x.AwaitClose()
+		x.PrintConnections()
+	}},
+	"closed-during-startup": {defaultOptions, func(x exchange) {
+		a := x.start("lookup", statement(question))
+		x.acceptPacket()
+		x.Disconnect()
+		x.AwaitEnd(a)
+		x.PrintConnections()
+	}},
+	"closed-in-response": {defaultOptions, func(x exchange) {
+		a := x.start("lookup", statement(question))
+		x.acceptStartup()
+		x.readQuery()
+		x.Write(parsed, bound, columns, failure("ERROR", "42P01")) // the end of the response is missing
+		x.Disconnect()
+		x.AwaitEnd(a)
+		a = x.start("lookup", statement(question))
+		x.acceptStartup()
+		x.readQuery()
+		x.respond() // what was read before the end counts first
+		x.Disconnect()
+		x.AwaitEnd(a)
+		x.PrintConnections()
+	}},
+	"startup-timeout": {
+		pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: shortTimeout},
+		func(x exchange) {
+			a := x.start("lookup", statement(question))
+			x.acceptPacket()
+			x.AwaitEnd(a)
+			x.AwaitClose()
+			x.PrintConnections()
+		},
+	},
+	"buffer-budget": {
+		pgclient.Options{
+			User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout, MaxBufferedBytes: smallBudget,
+		},
+		func(x exchange) {
+			for range 2 { // the second has the whole budget again
+				a := x.start("lookup", statement(question))
+				x.acceptStartup()
+				x.readQuery()
+				x.Write(parsed, bound, columns, row, row, row, complete, ready)
+				x.AwaitEnd(a)
+				x.AwaitClose()
+				x.acceptPacket() // the request to cancel
+				x.AwaitClose()
+			}
+			a := x.start("lookup", statement(question))
+			x.acceptStartup()
+			x.readQuery()
+			x.Write(parsed, bound, columns, row, row, complete, ready)
+			x.AwaitEnd(a)
+			x.RemoveEngine()
+			x.PrintConnections()
+		},
+	},
+	"fatal-while-idle": {defaultOptions, func(x exchange) {
+		for _, code := range []string{"57P01", "57P05"} {
+			a := x.start("lookup", statement(question))
+			x.acceptStartup()
+			x.readQuery()
+			x.respond()
+			x.AwaitEnd(a)
+			x.Write(failure("FATAL", code))
+			x.AwaitClose()
+			x.PrintConnections()
+		}
+		for _, code := range []string{"57P01", "57P05"} { // on a connection on which nothing was written
+			a := x.start("lookup", statement(question))
+			x.acceptPacket()
+			x.Withdraw(a)
+			x.Write(authenticated, ready, failure("FATAL", code))
+			x.AwaitClose()
+			x.PrintConnections()
+		}
+	}},
+}
+
+// newAttempt returns an attempt that has not begun.
+func (x exchange) newAttempt() *lifecycle.Attempt {
+	request := &lifecycle.Request{ID: "1", Class: "lookup", Statement: statement(question)}
+	return x.NewAttempt(request, enginetest.Timeout)
+}
+
+// TestGoldenConnections checks what happens to the attempts of connections that retire or end.
+func TestGoldenConnections(t *testing.T) {
+	for name, script := range connectionScripts {
+		t.Run(name, func(t *testing.T) {
+			x := newExchange(t, script.options)
+			script.play(x)
+			x.CompareGolden(name)
+		})
+	}
+}
