--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -100,9 +100,6 @@
 	c.socket.Close()
 }
 
-// OverrideCloseStatus replaces the status of a connection that is being closed.
-func (c *Connection[P]) OverrideCloseStatus(status lifecycle.AttemptStatus) { c.closeStatus = status }
-
 // beginClose moves the connection to StateClosing.
 func (c *Connection[P]) beginClose(status lifecycle.AttemptStatus) {
 	c.StopAccepting()
--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -78,12 +78,10 @@
 	c.closeIfDrained()
 }
 
-// closeIfDrained closes a draining connection that has no attempt any more. It
-// counts as closed while idle even where a protocol error came first.
+// closeIfDrained closes a draining connection that has no attempt any more.
 func (c *connection) closeIfDrained() {
 	if c.Drained() {
 		c.Close(lifecycle.StatusIdleClosed)
-		c.OverrideCloseStatus(lifecycle.StatusIdleClosed)
 	}
 }
 
