--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -14,27 +14,27 @@
 
 // Options are the limits of the connections of one client.
 type Options struct {
-	// ConnectTimeout bounds the dial.
+	// ConnectTimeout limits the dial.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long a connection stays open without an attempt; 0: forever.
+	// IdleTimeout is how long a connection stays open without an attempt; 0: without limit.
 	IdleTimeout time.Duration
-	// ReadBufferBytes bounds the read buffer of one connection; the rest waits in the socket.
+	// ReadBufferBytes limits the read buffer of one connection. What exceeds it waits in the socket.
 	ReadBufferBytes int
-	// StallTimeout bounds the wait for the next bytes of an incomplete message.
+	// StallTimeout limits the wait for the next bytes of an incomplete message.
 	StallTimeout time.Duration
-	// MessageTimeout bounds the time from the first bytes of an incomplete message to
-	// its last; 0: unbounded.
+	// MessageTimeout limits the time from the first bytes of an incomplete message to
+	// its last; 0: unlimited.
 	MessageTimeout time.Duration
-	// LogDialErrors enables a log event for each failed dial, other than refused ones.
+	// LogDialErrors enables a log event for each failed dial, except for refused connections.
 	LogDialErrors bool
-	// AbortOnProtocolError discards unsent data when a connection ends with a protocol
-	// error.
+	// AbortOnProtocolError closes a connection at once after a protocol error, and discards
+	// what was written and not sent yet.
 	AbortOnProtocolError bool
 }
 
 // Client is the part of an engine client that does not depend on the protocol: the
-// engines, their connections and what these report to. It belongs to the event
-// loop's goroutine.
+// engines, their connections, and what these report to. A protocol's client embeds it. It
+// belongs to the event loop's goroutine.
 type Client[P Protocol] struct {
 	Loop       *eventloop.Loop
 	Dispatcher *lifecycle.Dispatcher
@@ -43,25 +43,34 @@
 
 	options Options
 	pool    *Pool[P]
-	// accepting holds the connections that are not draining, from their dials on.
+	// accepting holds the connections that accept attempts, from their dials on.
 	accepting map[*Connection[P]]struct{}
 }
 
 // NewClient returns a client without engines.
 func NewClient[P Protocol](
-	loop *eventloop.Loop, dispatcher *lifecycle.Dispatcher, options Options, counters *metrics.Counters, log *slog.Logger,
+	loop *eventloop.Loop,
+	dispatcher *lifecycle.Dispatcher,
+	options Options,
+	counters *metrics.Counters,
+	log *slog.Logger,
 ) *Client[P] {
 	return &Client[P]{
-		Loop: loop, Dispatcher: dispatcher, Counters: counters, Log: log,
-		options: options, pool: NewPool[P](), accepting: map[*Connection[P]]struct{}{},
+		Loop:       loop,
+		Dispatcher: dispatcher,
+		Counters:   counters,
+		Log:        log,
+		options:    options,
+		pool:       NewPool[P](),
+		accepting:  map[*Connection[P]]struct{}{},
 	}
 }
 
-// UpdateEndpoint applies an entry of the endpoint list.
+// UpdateEndpoint applies an entry of the endpoint list. It is part of lifecycle.EngineClient.
 func (c *Client[P]) UpdateEndpoint(endpoint lifecycle.Endpoint) { c.pool.UpdateEndpoint(endpoint) }
 
-// EngineOf returns the engine of an attempt. Where the endpoint list has no such
-// engine it ends the attempt and returns nil.
+// EngineOf returns the engine of an attempt. If the endpoint list has no such engine, it
+// ends the attempt and returns nil.
 func (c *Client[P]) EngineOf(attempt *lifecycle.Attempt) *Engine[P] {
 	engine := c.pool.Get(attempt.Engine)
 	if engine == nil {
@@ -71,22 +80,29 @@
 }
 
 // EnsureCapacity reports whether one more connection may be dialed within the limit (0:
-// unbounded). At the limit it evicts the least recently used idle connection.
+// unlimited). At the limit it evicts the least recently used idle connection.
 func (c *Client[P]) EnsureCapacity(limit int) bool {
 	if limit <= 0 || len(c.accepting) < limit {
 		return true
 	}
-	var leastRecent *Connection[P]
-	for connection := range c.accepting {
-		idle := connection.Connected() && connection.protocol.InFlight() == 0
-		if idle && (leastRecent == nil || connection.lastUsed < leastRecent.lastUsed) {
-			leastRecent = connection
-		}
-	}
-	if leastRecent == nil {
+	evicted := c.leastRecentlyUsedIdle()
+	if evicted == nil {
 		return false
 	}
 	c.Counters.IncrementByName("engine-connections.evicted")
-	leastRecent.protocol.Retire()
+	evicted.protocol.Retire()
 	return true
 }
+
+// leastRecentlyUsedIdle returns the connection that has been idle for longest of those that
+// accept attempts, or nil if none is idle.
+func (c *Client[P]) leastRecentlyUsedIdle() *Connection[P] {
+	var found *Connection[P]
+	for connection := range c.accepting {
+		idle := connection.Connected() && connection.protocol.InFlight() == 0
+		if idle && (found == nil || connection.lastUsed < found.lastUsed) {
+			found = connection
+		}
+	}
+	return found
+}
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -7,7 +7,9 @@
 
 // Dial starts a connection to the engine. The protocol is the type that embeds c.
 func (c *Connection[P]) Dial(client *Client[P], engine *Engine[P], protocol P) {
-	c.client, c.engine, c.protocol = client, engine, protocol
+	c.client = client
+	c.engine = engine
+	c.protocol = protocol
 	engine.Connections = append(engine.Connections, protocol)
 	client.accepting[c] = struct{}{}
 	client.Counters.IncrementByName("engine-connections.dialed")
@@ -17,7 +19,8 @@
 // dialed handles the outcome of the dial.
 func (c *Connection[P]) dialed(socket *eventloop.Conn, err error) {
 	if err == nil {
-		c.socket, c.state = socket, StateStartup
+		c.socket = socket
+		c.state = StateStartup
 		c.protocol.HandleConnected()
 		return
 	}
@@ -25,7 +28,7 @@
 	if c.client.options.LogDialErrors && status != lifecycle.StatusConnectionRefused {
 		c.client.Log.Warn("engine.connect-failed", "engine", c.engine.ID, "error", err)
 	}
-	c.ended(status)
+	c.end(status)
 }
 
 // dialStatus returns how a failed dial ends the attempts that waited for it.
@@ -37,6 +40,7 @@
 		return lifecycle.StatusNoDescriptor
 	case eventloop.IsLocalFailure(err):
 		return lifecycle.StatusLocalFailure
+	default:
+		return lifecycle.StatusConnectTimeout
 	}
-	return lifecycle.StatusConnectTimeout
 }
--- a/internal/engine/framing.go
+++ b/internal/engine/framing.go
@@ -2,21 +2,52 @@
 
 import (
 	"errors"
+	"time"
 
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/timerqueue"
 )
 
-// ErrMessageTimeout is the protocol error of a message whose rest does not come in time.
+// ErrMessageTimeout is the protocol error of a message whose rest does not arrive in time.
 var ErrMessageTimeout = errors.New("a message stalled or took too long")
 
-// OnData passes every complete message of the buffer to the protocol.
+// messageTimer limits how long an incomplete message may take. Everything else on the
+// connection waits behind it.
+type messageTimer struct {
+	timer *timerqueue.Timer
+	// partialSince is when the first bytes of the incomplete message were seen, by the
+	// event loop's clock; 0: no message is incomplete.
+	partialSince time.Duration
+}
+
+// messageRead records that a message is complete.
+func (t *messageTimer) messageRead() { t.partialSince = 0 }
+
+// stop stops the timer. The time at which an incomplete message began is retained.
+func (t *messageTimer) stop() { t.timer.Stop() }
+
+// start starts the timer for the incomplete message. More bytes of the message, after which
+// start is called anew, extend the time up to options.MessageTimeout in all.
+func (t *messageTimer) start(loop *eventloop.Loop, options Options, expired func()) {
+	now := loop.Now()
+	if t.partialSince == 0 {
+		t.partialSince = now
+	}
+	deadline := now + options.StallTimeout
+	if options.MessageTimeout > 0 {
+		deadline = min(deadline, t.partialSince+options.MessageTimeout)
+	}
+	t.timer = loop.Timers.Schedule(deadline, expired)
+}
+
+// OnData passes every complete message of the buffer to the protocol. The event loop calls it.
 func (c *Connection[P]) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for c.state != StateClosing {
 		length, err := c.protocol.HandleMessage(in.Bytes())
 		if length > 0 {
 			in.Consume(length)
-			c.partialSince = 0
+			c.messageTimer.messageRead()
 		}
 		if err != nil {
 			c.fail(err)
@@ -26,28 +57,14 @@
 			break
 		}
 	}
-	c.stallTimer.Stop()
+	c.messageTimer.stop()
 	if in.Len() > 0 && c.state != StateClosing {
-		c.watchStall()
-	}
-}
-
-// watchStall bounds the wait for the rest of an incomplete message: all else on the
-// connection waits behind it.
-func (c *Connection[P]) watchStall() {
-	now := c.client.Loop.Now()
-	if c.partialSince == 0 {
-		c.partialSince = now
-	}
-	deadline := now + c.client.options.StallTimeout
-	if limit := c.client.options.MessageTimeout; limit > 0 {
-		deadline = min(deadline, c.partialSince+limit)
+		c.messageTimer.start(c.client.Loop, c.client.options, func() { c.fail(ErrMessageTimeout) })
 	}
-	c.stallTimer = c.client.Loop.Timers.Schedule(deadline, func() { c.fail(ErrMessageTimeout) })
 }
 
-// fail ends the connection, and with it its attempts, on a protocol error: where one
-// message can't be read, nothing tells where the next begins.
+// fail closes the connection on a protocol error, which ends its attempts: after a message
+// that can't be read, the start of the next one is unknown.
 func (c *Connection[P]) fail(err error) {
 	if c.state != StateStartup && c.state != StateOpen {
 		return
--- a/internal/engine/idle.go
+++ b/internal/engine/idle.go
@@ -7,14 +7,14 @@
 	if timeout <= 0 {
 		return
 	}
-	// A connection whose attempt has been running for longer is checked again after one
-	// more timeout, not at once.
+	// A connection whose attempt has been running for longer than the timeout is checked
+	// again after one more timeout, not at once.
 	from := max(c.lastUsed, c.client.Dispatcher.Now()-timeout)
 	c.client.Loop.Timers.Schedule(from+timeout, c.checkIdle)
 }
 
-// checkIdle retires a connection that has been idle for long enough, and looks at
-// any other again later.
+// checkIdle retires a connection that has been idle for the idle timeout, and schedules the
+// next check of any other.
 func (c *Connection[P]) checkIdle() {
 	if !c.Connected() {
 		return
--- a/internal/engine/lineclient/abandoned.go
+++ b/internal/engine/lineclient/abandoned.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// abandonedIDTTL is how long an id that was given up on a connection is not used
-// there again: a late response to the first request would be mistaken for one to the second.
+// abandonedIDTTL is how long an id that was abandoned on a connection is not used there
+// again. A late response to the first request would be taken for one to the second.
 const abandonedIDTTL = 30 * time.Second
 
-// abandonedIDs are the request ids that were given up on one connection and may
-// still be answered there.
+// abandonedIDs are the request ids that were abandoned on one connection and to which a
+// response may still arrive there.
 type abandonedIDs struct {
-	expiry      map[string]time.Duration
-	oldestFirst []string
+	expiry      map[string]time.Duration // when the id may be used again, by the dispatcher's clock
+	oldestFirst []string                 // the ids of expiry, in the order of add
 }
 
 func newAbandonedIDs() abandonedIDs { return abandonedIDs{expiry: map[string]time.Duration{}} }
@@ -18,8 +18,8 @@
 // has reports whether the id may not be used yet.
 func (a *abandonedIDs) has(id string, now time.Duration) bool { return now < a.expiry[id] }
 
-// add keeps an id from being used, and drops the expired ones: a connection that
-// lives for days would otherwise collect all that were ever given up on it.
+// add prevents the use of an id for abandonedIDTTL. It drops the expired ids, so that a
+// connection which lives for days does not collect them all.
 func (a *abandonedIDs) add(id string, now time.Duration) {
 	for len(a.oldestFirst) > 0 && now >= a.expiry[a.oldestFirst[0]] {
 		delete(a.expiry, a.oldestFirst[0])
--- a/internal/engine/lineclient/framing.go
+++ b/internal/engine/lineclient/framing.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// maxLineBytes bounds the first line of a response.
+	// maxLineBytes limits the first line of a response.
 	maxLineBytes = 2 << 10
-	// maxBodyBytes bounds a page, with a margin above what the protocol permits.
+	// maxBodyBytes limits a page, with a margin above what the protocol permits.
 	maxBodyBytes = 16 << 10
 	// wordsPerLine is the number of words of the first line: the request's id, the kind
 	// of the response, its fields and the length of its body.
@@ -21,7 +21,7 @@
 // response is one message of an engine.
 type response struct {
 	requestID string
-	word      string
+	word      string // the kind of the response
 	fields    fieldList
 	body      []byte // within the read buffer
 }
@@ -38,7 +38,7 @@
 
 // parseResponse reads the first response of b and returns its length, or 0 while it
 // is incomplete.
-func parseResponse(b []byte) (r response, length int, err error) {
+func parseResponse(b []byte) (parsed response, length int, err error) {
 	line, complete, err := firstLine(b)
 	if err != nil || !complete {
 		return response{}, 0, err
@@ -53,18 +53,18 @@
 	}
 	bodyStart := len(line) + len(lineEnd)
 	bodyEnd := bodyStart + int(bodyLength)
-	length = bodyEnd + len(lineEnd)
-	if len(b) < length {
+	messageEnd := bodyEnd + len(lineEnd)
+	if len(b) < messageEnd {
 		return response{}, 0, nil
 	}
-	if string(b[bodyEnd:length]) != lineEnd {
+	if string(b[bodyEnd:messageEnd]) != lineEnd {
 		return response{}, 0, errBody
 	}
-	r = response{requestID: words[0], word: words[1], fields: fieldList(words[2]), body: b[bodyStart:bodyEnd]}
-	return r, length, nil
+	parsed = response{requestID: words[0], word: words[1], fields: fieldList(words[2]), body: b[bodyStart:bodyEnd]}
+	return parsed, messageEnd, nil
 }
 
-// firstLine returns the first line of b without its end, if all of it is there.
+// firstLine returns the first line of b without its end, if the line is complete.
 func firstLine(b []byte) (line []byte, complete bool, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxLineBytes)], '\n')
 	switch {
--- a/internal/engine/lineclient/requests.go
+++ b/internal/engine/lineclient/requests.go
@@ -26,19 +26,27 @@
 	request := attempt.Request
 	statement, _ := request.Statement.(string)
 	timeLeft := (attempt.StartedAt + attempt.Timeout - now).Milliseconds()
-	b := append(make([]byte, 0, executeCommandSize+len(statement)), commandExecute...)
-	b = append(append(b, request.ID...), " kind="...)
-	b = append(append(b, request.Class...), ",ms="...)
+	b := make([]byte, 0, executeCommandSize+len(statement))
+	b = append(b, commandExecute...)
+	b = append(b, request.ID...)
+	b = append(b, " kind="...)
+	b = append(b, request.Class...)
+	b = append(b, ",ms="...)
 	b = strconv.AppendInt(b, max(timeLeft, 1), 10)
 	if request.IdempotencyKey != "" {
-		b = append(append(b, ",token="...), request.IdempotencyKey...)
+		b = append(b, ",token="...)
+		b = append(b, request.IdempotencyKey...)
 	}
 	if attempt.MemoryMB >= 1 {
-		b = strconv.AppendInt(append(b, ",mb="...), int64(attempt.MemoryMB), 10)
+		b = append(b, ",mb="...)
+		b = strconv.AppendInt(b, int64(attempt.MemoryMB), 10)
 	}
-	b = strconv.AppendInt(append(b, ",nice="...), int64(attempt.Priority), 10)
-	b = strconv.AppendInt(append(b, ' '), int64(len(statement)), 10)
-	b = append(append(b, lineEnd...), statement...)
+	b = append(b, ",nice="...)
+	b = strconv.AppendInt(b, int64(attempt.Priority), 10)
+	b = append(b, ' ')
+	b = strconv.AppendInt(b, int64(len(statement)), 10)
+	b = append(b, lineEnd...)
+	b = append(b, statement...)
 	return append(b, lineEnd...)
 }
 
@@ -57,8 +65,11 @@
 func fetchCommands(id string, pages int) []byte {
 	var b []byte
 	for page := 1; page < pages; page++ {
-		b = append(append(append(b, commandFetchPage...), id...), ' ')
-		b = append(strconv.AppendInt(b, int64(page), 10), lineEnd...)
+		b = append(b, commandFetchPage...)
+		b = append(b, id...)
+		b = append(b, ' ')
+		b = strconv.AppendInt(b, int64(page), 10)
+		b = append(b, lineEnd...)
 	}
 	return b
 }
--- a/internal/engine/pgclient/cancel.go
+++ b/internal/engine/pgclient/cancel.go
@@ -8,25 +8,29 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// cancelTimeout bounds the dial of a connection for a CancelRequest.
+// cancelTimeout limits the dial of a connection for a CancelRequest.
 const cancelTimeout = time.Second
 
 // cancel closes the connection and requests the engine to cancel the query that runs on it.
+// If the engine can't be reached, the query runs to its end.
 func (c *connection) cancel() {
-	shared := c.client.shared
-	shared.Counters.IncrementByName("engine-connections.cancel-requests")
+	client := c.client
+	client.Counters.IncrementByName("engine-connections.cancel-requests")
 	c.Close(lifecycle.StatusCancelled)
 	if c.cancelKey == nil {
 		return
 	}
-	timeout := min(c.client.options.ConnectTimeout, cancelTimeout)
-	shared.Loop.Dial(c.Engine().Address, timeout, readBufferBytes, discardHandler{}, func(socket *eventloop.Conn, err error) {
-		if err != nil {
-			return // the query then runs to its end, as if it had ended just before the request
-		}
-		socket.Write(pgproto.AppendStartup(nil, pgproto.CancelRequestCode, c.cancelKey))
-		socket.Close()
-	})
+	timeout := min(client.options.ConnectTimeout, cancelTimeout)
+	client.Loop.Dial(c.Engine().Address, timeout, readBufferBytes, discardHandler{}, c.sendCancelRequest)
+}
+
+// sendCancelRequest sends the CancelRequest on a connection of its own.
+func (c *connection) sendCancelRequest(socket *eventloop.Conn, err error) {
+	if err != nil {
+		return
+	}
+	socket.Write(pgproto.AppendStartup(nil, pgproto.CancelRequestCode, c.cancelKey))
+	socket.Close()
 }
 
 // discardHandler discards everything received on a connection.
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -10,44 +10,48 @@
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
-	"flaxrelay/internal/pgproto"
 )
 
 const (
-	// maxResultBytes bounds the rows of one result, which is buffered until it is complete.
+	// maxResultBytes limits the rows of one result, which is buffered until it is complete.
 	maxResultBytes = 4 << 20
-	// maxMessageBytes bounds one message.
+	// maxMessageBytes limits one message.
 	maxMessageBytes = maxResultBytes
-	// readBufferBytes bounds the read buffer of one connection: one message, and what
-	// one read brings beyond it.
+	// readBufferBytes limits the read buffer of one connection: one message, and what
+	// one read adds beyond it.
 	readBufferBytes = maxMessageBytes + 64<<10
 	// stallTimeout is how long an engine may send nothing in the middle of a message.
 	stallTimeout = 2 * time.Second
 	// defaultConnectTimeout applies where the options give none.
 	defaultConnectTimeout = time.Second
-	// defaultBufferedBytes is the bound of Options.MaxBufferedBytes where the options give none.
+	// defaultBufferedBytes applies where the options give no MaxBufferedBytes.
 	defaultBufferedBytes = 48 << 20
 )
 
 // Options configure the connections to engines.
 type Options struct {
-	User, Database   string
-	ConnectTimeout   time.Duration // for the connection and its startup together
+	User             string
+	Database         string
+	ConnectTimeout   time.Duration // for the dial and the startup together
 	IdleTimeout      time.Duration // 0: idle connections stay open
-	MaxBufferedBytes int           // bound of the rows of all results that are incomplete
+	MaxBufferedBytes int           // limit of the rows of all results that are incomplete
 }
 
-// Client holds the connections to all engines. It belongs to the event loop's
-// goroutine.
+// Client is a lifecycle.EngineClient. It belongs to the event loop's goroutine.
 type Client struct {
-	shared        *engine.Client[*connection]
-	options       Options
-	bufferedBytes int // of the rows of incomplete results
+	*engine.Client[*connection]
+
+	options Options
+	budget  resultBudget
 }
 
 // New returns a client that reports to the dispatcher.
 func New(
-	loop *eventloop.Loop, dispatcher *lifecycle.Dispatcher, options Options, counters *metrics.Counters, log *slog.Logger,
+	loop *eventloop.Loop,
+	dispatcher *lifecycle.Dispatcher,
+	options Options,
+	counters *metrics.Counters,
+	log *slog.Logger,
 ) *Client {
 	if options.ConnectTimeout <= 0 {
 		options.ConnectTimeout = defaultConnectTimeout
@@ -61,15 +65,16 @@
 		ReadBufferBytes: readBufferBytes,
 		StallTimeout:    stallTimeout,
 	}
-	return &Client{shared: engine.NewClient[*connection](loop, dispatcher, shared, counters, log), options: options}
+	return &Client{
+		Client:  engine.NewClient[*connection](loop, dispatcher, shared, counters, log),
+		options: options,
+		budget:  resultBudget{limit: options.MaxBufferedBytes},
+	}
 }
 
-// UpdateEndpoint applies an entry of the endpoint list.
-func (c *Client) UpdateEndpoint(endpoint lifecycle.Endpoint) { c.shared.UpdateEndpoint(endpoint) }
-
 // Start begins an attempt on an idle connection, or on a new one.
 func (c *Client) Start(attempt *lifecycle.Attempt) {
-	target := c.shared.EngineOf(attempt)
+	target := c.EngineOf(attempt)
 	if target == nil {
 		return
 	}
@@ -77,56 +82,18 @@
 	if conn == nil {
 		conn = newConnection(c, target)
 	}
-	conn.exchange = exchange{attempt: attempt, result: &pgproto.Result{}}
-	attempt.ClientData = conn
-	if conn.State() == engine.StateOpen {
-		conn.writeQuery()
-	}
+	conn.add(attempt)
 }
 
 // findIdle returns a connection to the engine that has no attempt, or nil.
 func findIdle(target *engine.Engine[*connection]) *connection {
 	for _, conn := range target.Connections {
-		if !conn.Draining() && conn.exchange.attempt == nil {
+		if !conn.Retiring() && conn.exchange.idle() {
 			return conn
 		}
 	}
 	return nil
 }
 
-// connectionOf returns the connection that the attempt is on, or nil.
-func connectionOf(attempt *lifecycle.Attempt) *connection {
-	conn, ok := attempt.ClientData.(*connection)
-	if !ok || conn.exchange.attempt != attempt {
-		return nil
-	}
-	return conn
-}
-
-// Abandon gives an attempt up. Where its query was written, a cancel request is sent on a
-// separate connection, and the attempt's connection is not used again: the cancel
-// request could arrive late and end whatever ran there next.
-func (c *Client) Abandon(attempt *lifecycle.Attempt) {
-	conn := connectionOf(attempt)
-	if conn == nil {
-		return
-	}
-	conn.clearExchange()
-	if conn.exchange.state != queryPending {
-		conn.cancel()
-	}
-}
-
-// Withdraw takes back an attempt whose query is not written yet, and reports whether
-// it could.
-func (c *Client) Withdraw(attempt *lifecycle.Attempt) bool {
-	conn := connectionOf(attempt)
-	if conn == nil || conn.exchange.state != queryPending {
-		return false
-	}
-	conn.clearExchange()
-	return true
-}
-
 // SetPriority does nothing: the protocol has no priorities.
 func (c *Client) SetPriority(*lifecycle.Attempt, int) {}
--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -91,7 +91,7 @@
 // outside its transaction (a sequence, say): no other engine is tried.
 func (c *connection) errorStatus(statement *pgproto.Statement) lifecycle.AttemptStatus {
 	status := statusOf(c.exchange.errorResponse.Code)
-	class, _ := c.client.shared.Dispatcher.Class(c.exchange.attempt.Request.Class)
+	class, _ := c.client.Dispatcher.Class(c.exchange.attempt.Request.Class)
 	if status == lifecycle.StatusOverloaded && class.Effect == policy.NonIdempotent && !statement.DescribeOnly {
 		return lifecycle.StatusEngineError
 	}
@@ -115,11 +115,11 @@
 // fatalStatus returns how an error that ends the connection ends its attempt.
 func (c *connection) fatalStatus() lifecycle.AttemptStatus {
 	status := statusOf(c.exchange.errorResponse.Code)
-	pending := c.exchange.state == queryPending
+	written := c.exchange.written()
 	switch {
-	case pending && status != lifecycle.StatusOverloaded: // the statement was not sent
+	case !written && status != lifecycle.StatusOverloaded: // the statement was not sent
 		return lifecycle.StatusConnectionRefused
-	case !pending && status != lifecycle.StatusTimeout:
+	case written && status != lifecycle.StatusTimeout:
 		// Between a commit and its CommandComplete, the statement may have run or not.
 		return lifecycle.StatusEngineError
 	}
--- /dev/null
+++ b/internal/engine/pgclient/exchange.go
@@ -0,0 +1,62 @@
+package pgclient
+
+import (
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/pgproto"
+)
+
+// exchangeState is how far the query on a connection has got.
+//
+//	event                                          from                              to
+//	the connection is dialed                                                         exchangeNone
+//	an attempt is put on the connection            exchangeNone, exchangeEnded       exchangePending
+//	the startup is complete, the query is written  exchangePending                   exchangeWritten
+//	BindComplete arrives                           exchangeWritten                   exchangeBound
+//	the attempt ends or is abandoned               exchangePending                   exchangeNone
+//	the attempt ends or is abandoned               exchangeWritten, exchangeBound    exchangeEnded
+//
+// In exchangeNone and exchangeEnded the connection is idle.
+type exchangeState uint8
+
+const (
+	exchangeNone    exchangeState = iota // no attempt; of the last one, if any, nothing was written
+	exchangePending                      // an attempt whose query is not written yet
+	exchangeWritten                      // the query is written; as far as is known, nothing of it has run
+	exchangeBound                        // BindComplete has arrived: the statement may be running
+	exchangeEnded                        // no attempt; the query of the last one was written
+)
+
+// exchange is the query on a connection with what has arrived of its response. Its zero value
+// is that of a connection on which there was no attempt yet.
+type exchange struct {
+	state         exchangeState
+	attempt       *lifecycle.Attempt // nil: the connection is idle
+	result        *pgproto.Result    // nil: the connection is idle
+	prepared      preparation
+	complete      bool           // CommandComplete or EmptyQueryResponse has arrived
+	errorResponse *pgproto.Error // the latest; nil: none
+}
+
+// newExchange returns the exchange of an attempt whose query is not written yet.
+func newExchange(attempt *lifecycle.Attempt) exchange {
+	return exchange{state: exchangePending, attempt: attempt, result: &pgproto.Result{}}
+}
+
+// idle reports whether there is no attempt.
+func (e *exchange) idle() bool { return e.attempt == nil }
+
+// written reports whether the query was written: the current one, or the last one if the
+// connection is idle.
+func (e *exchange) written() bool { return e.state != exchangeNone && e.state != exchangePending }
+
+// clear removes the attempt.
+func (e *exchange) clear() {
+	if e.written() {
+		e.state = exchangeEnded
+	} else {
+		e.state = exchangeNone
+	}
+	e.attempt = nil
+	e.result = nil
+	e.errorResponse = nil
+}
--- a/internal/engine/pgclient/messages.go
+++ b/internal/engine/pgclient/messages.go
@@ -48,8 +48,8 @@
 	return length, c.handle(kind, body, in[:length])
 }
 
-// handle handles one message; whole is the message with its kind and length.
-func (c *connection) handle(kind byte, body, whole []byte) error {
+// handle handles one message, which is given with and without its kind and length.
+func (c *connection) handle(kind byte, body, message []byte) error {
 	switch kind {
 	case kindNoticeResponse, kindParameterStatus, kindNotificationResponse:
 		return nil // of the engine's session, which no client owns
@@ -61,10 +61,10 @@
 	switch {
 	case c.State() == engine.StateStartup:
 		return c.handleStartup(kind, body)
-	case c.exchange.attempt == nil:
+	case c.exchange.idle():
 		return &unexpectedMessageError{kind: kind, phase: phaseIdle}
 	}
-	return c.handleResponse(kind, body, whole)
+	return c.handleResponse(kind, body, message)
 }
 
 // transactionIdle is the body of a ReadyForQuery outside a transaction.
@@ -78,7 +78,7 @@
 	case c.State() == engine.StateStartup:
 		c.completeStartup()
 		return nil
-	case c.exchange.attempt == nil:
+	case c.exchange.idle():
 		return &unexpectedMessageError{kind: kindReadyForQuery, phase: phaseIdle}
 	}
 	return c.completeResponse()
--- a/internal/engine/pgclient/prepared.go
+++ b/internal/engine/pgclient/prepared.go
@@ -7,12 +7,22 @@
 )
 
 const (
-	// maxPrepared bounds the statements that stay prepared on one connection.
+	// maxPrepared limits the statements that stay prepared on one connection.
 	maxPrepared = 32
-	// maxPreparedKeyBytes bounds each of them: their texts are kept.
+	// maxPreparedKeyBytes limits the key of each of them, which is retained.
 	maxPreparedKeyBytes = 4 << 10
 )
 
+// unnamed is the name of the statement that the next Parse without a name replaces.
+const unnamed = ""
+
+// preparation is how a query refers to its statement.
+type preparation struct {
+	key   string // of the statement, see statementKey
+	name  string // of the prepared statement; unnamed: it does not stay prepared
+	parse bool   // the query begins with a Parse, as the statement was not prepared before
+}
+
 // preparedStatements are the statements that stay prepared on one connection.
 type preparedStatements struct {
 	names    map[string]string // by key
@@ -28,41 +38,41 @@
 	return statement.Query + "\x00" + string(statement.ParameterTypes)
 }
 
-// newName returns a name for a statement that is not prepared yet, or "" where it is
-// not to stay prepared: it is long, or there are enough already.
-func (p *preparedStatements) newName(key string) string {
+// prepare returns how a query is to refer to the statement. A new statement does not stay
+// prepared if it is long or if there are maxPrepared already.
+func (p *preparedStatements) prepare(statement *pgproto.Statement) preparation {
+	key := statementKey(statement)
+	if known, ok := p.names[key]; ok {
+		return preparation{key: key, name: known}
+	}
 	if len(p.names) >= maxPrepared || len(key) > maxPreparedKeyBytes {
-		return ""
+		return preparation{key: key, name: unnamed, parse: true}
 	}
 	p.lastName++
-	return "s" + strconv.Itoa(p.lastName)
+	return preparation{key: key, name: "s" + strconv.Itoa(p.lastName), parse: true}
 }
 
-// prepare returns the name of the exchange's statement, and a Parse message if the
-// statement is not prepared on this connection yet.
-func (c *connection) prepare(statement *pgproto.Statement) (name, message []byte) {
-	key := statementKey(statement)
-	c.exchange.statementKey = key
-	if known, ok := c.prepared.names[key]; ok {
-		return pgproto.CString(known), nil
+// parsed records that the engine has parsed the statement.
+func (p *preparedStatements) parsed(statement preparation) {
+	if statement.parse && statement.name != unnamed {
+		p.names[statement.key] = statement.name
 	}
-	c.exchange.parsedName = c.prepared.newName(key)
-	name = pgproto.CString(c.exchange.parsedName)
-	return name, pgproto.AppendMessage(nil, kindParse, name, pgproto.CString(statement.Query), statement.ParameterTypes)
 }
 
-// forgetStale reports whether an error concerns a statement that was prepared by an
-// earlier query: the engine has dropped it, or what it refers to has changed. Both show
-// before BindComplete, so nothing has run. The statement is forgotten, since it may well
-// run once it is parsed again.
+// forget records that a prepared statement is no longer valid.
+func (p *preparedStatements) forget(statement preparation) { delete(p.names, statement.key) }
+
+// forgetStale reports whether an error concerns a statement that an earlier query prepared:
+// the engine has dropped it, or what it refers to has changed. Both errors come before
+// BindComplete, so nothing has run. The statement is then forgotten, since it may well run
+// once it is parsed again.
 func (c *connection) forgetStale(sqlState string) bool {
-	_, reused := c.prepared.names[c.exchange.statementKey]
-	if !reused || c.exchange.state == queryBound || c.exchange.parsedName != "" {
+	if c.exchange.prepared.parse || c.exchange.state == exchangeBound {
 		return false
 	}
 	if sqlState != stateInvalidStatementName && sqlState != stateFeatureNotSupported {
 		return false
 	}
-	delete(c.prepared.names, c.exchange.statementKey)
+	c.statements.forget(c.exchange.prepared)
 	return true
 }
--- a/internal/engine/pgclient/query.go
+++ b/internal/engine/pgclient/query.go
@@ -5,29 +5,43 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// writeQuery sends the statement in one piece: parsed where this connection has not
-// prepared it yet, bound, described and executed.
+// writeQuery sends the statement in one piece: parsed if this connection has not prepared it
+// yet, bound, described and executed.
 func (c *connection) writeQuery() {
 	attempt := c.exchange.attempt
 	statement, ok := attempt.Request.Statement.(*pgproto.Statement)
-	if !ok || !c.client.shared.Dispatcher.PermitSend(attempt) {
+	if !ok || !c.client.Dispatcher.PermitSend(attempt) {
 		c.finish(lifecycle.StatusNotSent, lifecycle.AttemptReport{})
 		return
 	}
-	c.exchange.state = queryWritten
-	name, query := c.prepare(statement)
+	c.exchange.state = exchangeWritten
+	c.exchange.prepared = c.statements.prepare(statement)
+	c.Write(encodeQuery(statement, c.exchange.prepared))
+}
+
+// encodeQuery returns the messages of one query, from Parse to Sync.
+func encodeQuery(statement *pgproto.Statement, prepared preparation) []byte {
+	var query []byte
+	name := pgproto.CString(prepared.name)
+	if prepared.parse {
+		text := pgproto.CString(statement.Query)
+		query = pgproto.AppendMessage(query, kindParse, name, text, statement.ParameterTypes)
+	}
 	if statement.DescribeOnly {
 		query = pgproto.AppendMessage(query, kindDescribe, []byte("S"), name)
 	} else {
 		query = appendExecution(query, name, statement.Bind)
 	}
-	c.Write(pgproto.AppendMessage(query, kindSync))
+	return pgproto.AppendMessage(query, kindSync)
 }
 
-// appendExecution adds the messages that run a prepared statement once, with the
+// appendExecution appends the messages that run a prepared statement once, with the
 // unnamed portal and without a limit of rows.
 func appendExecution(query, name, bind []byte) []byte {
-	const unnamedPortal, unlimitedRows = "\x00", 0
+	const (
+		unnamedPortal = "\x00"
+		unlimitedRows = 0
+	)
 	query = pgproto.AppendMessage(query, kindBind, []byte(unnamedPortal), name, bind)
 	query = pgproto.AppendMessage(query, kindDescribe, []byte("P"+unnamedPortal))
 	return pgproto.AppendMessage(query, kindExecute, []byte(unnamedPortal), pgproto.Int32(unlimitedRows))
--- a/internal/engine/pgclient/response.go
+++ b/internal/engine/pgclient/response.go
@@ -7,16 +7,15 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// handleResponse takes one message of the response to a query.
-func (c *connection) handleResponse(kind byte, body, whole []byte) error {
+// handleResponse handles one message of the response to a query; message is the message with
+// its kind and length.
+func (c *connection) handleResponse(kind byte, body, message []byte) error {
 	result := c.exchange.result
 	switch kind {
 	case kindParseComplete:
-		if c.exchange.parsedName != "" {
-			c.prepared.names[c.exchange.statementKey] = c.exchange.parsedName
-		}
+		c.statements.parsed(c.exchange.prepared)
 	case kindBindComplete:
-		c.exchange.state = queryBound
+		c.exchange.state = exchangeBound
 	case kindCloseComplete:
 	case kindParameterDescription:
 		result.ParameterDescription = append([]byte{}, body...)
@@ -25,44 +24,45 @@
 	case kindNoData:
 		result.RowDescription = nil
 	case kindDataRow:
-		c.addRow(whole)
+		c.addRow(message)
 	case kindCommandComplete:
 		tag := pgproto.Reader{Unread: body}
-		result.CommandTag, c.exchange.complete = tag.CString(), true
+		result.CommandTag = tag.CString()
+		c.exchange.complete = true
 		if !tag.Complete() {
 			return fmt.Errorf("%w: CommandComplete", pgproto.ErrMalformed)
 		}
 	case kindEmptyQueryResponse:
-		result.EmptyQuery, c.exchange.complete = true, true
+		result.EmptyQuery = true
+		c.exchange.complete = true
 	default:
 		return &unexpectedMessageError{kind: kind, phase: phaseResponse}
 	}
 	return nil
 }
 
-// addRow adds a DataRow message to the result, or ends the attempt where there is no
-// room for it.
+// addRow adds a DataRow message to the result, or ends the attempt if the row exceeds a limit.
 func (c *connection) addRow(row []byte) {
 	result := c.exchange.result
-	switch {
-	case len(result.DataRows)+len(row) > maxResultBytes:
+	if len(result.DataRows)+len(row) > maxResultBytes {
 		c.rejectResult(stateProgramLimitExceeded, fmt.Sprintf("the result is larger than %d bytes", maxResultBytes))
 		return
-	case c.client.bufferedBytes+len(row) > c.client.options.MaxBufferedBytes:
+	}
+	if !c.client.budget.reserve(len(row)) {
 		c.rejectResult(stateOutOfMemory, "the gateway holds too many results")
 		return
 	}
 	result.DataRows = append(result.DataRows, row...)
 	result.RowCount++
-	c.client.bufferedBytes += len(row)
 }
 
-// rejectResult ends an attempt whose response is still coming, and is too large.
+// rejectResult ends an attempt whose result is too large, and cancels its query.
 func (c *connection) rejectResult(sqlState, message string) {
 	attempt := c.exchange.attempt
-	c.client.Abandon(attempt)
+	c.Abandon()
 	detail := &pgproto.Error{Severity: severityError, Code: sqlState, Message: message}
-	c.client.shared.Dispatcher.EndAttempt(attempt, lifecycle.StatusResultTooLarge, lifecycle.AttemptReport{ErrorDetail: detail})
+	report := lifecycle.AttemptReport{ErrorDetail: detail}
+	c.client.Dispatcher.EndAttempt(attempt, lifecycle.StatusResultTooLarge, report)
 }
 
 // completeResponse ends the attempt at the end of its response.
--- a/internal/engine/pgclient/startup.go
+++ b/internal/engine/pgclient/startup.go
@@ -6,32 +6,36 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// applicationName is shown in the engine's own lists of sessions.
+// applicationName is the name of this program in the engine's lists of sessions.
 const applicationName = "ringwood"
 
-// authenticationOK is the code of an Authentication message that asks for nothing.
+// authenticationOK is the code of an Authentication message that requests no credentials.
 const authenticationOK = 0
 
 // HandleConnected sends the startup message.
 func (c *connection) HandleConnected() {
 	options := c.client.options
 	var parameters []byte
-	for _, text := range []string{"user", options.User, "database", options.Database, "application_name", applicationName} {
+	for _, text := range []string{
+		"user", options.User,
+		"database", options.Database,
+		"application_name", applicationName,
+	} {
 		parameters = append(parameters, pgproto.CString(text)...)
 	}
 	c.Write(pgproto.AppendStartup(nil, pgproto.ProtocolVersion, append(parameters, 0)))
-	c.client.shared.Loop.Timers.Schedule(c.startupDeadline, c.checkStartup)
+	c.client.Loop.Timers.Schedule(c.startupDeadline, c.checkStartup)
 }
 
-// checkStartup closes the connection at the startup's deadline. Prevents waiting for
-// an engine that accepts connections and then sends nothing.
+// checkStartup closes the connection if its startup is not complete at the deadline. An
+// engine may accept connections and then send nothing.
 func (c *connection) checkStartup() {
 	if c.State() == engine.StateStartup {
 		c.Close(lifecycle.StatusConnectTimeout)
 	}
 }
 
-// handleStartup takes one message of the startup.
+// handleStartup handles one message of the startup.
 func (c *connection) handleStartup(kind byte, body []byte) error {
 	switch kind {
 	case kindAuthentication:
@@ -47,14 +51,14 @@
 	return nil
 }
 
-// completeStartup writes the query that waited for the startup.
+// completeStartup records that the startup is complete, and writes the query that waited for it.
 func (c *connection) completeStartup() {
 	c.MarkOpen()
 	c.MarkUsed()
 	c.WatchIdle()
-	if c.exchange.attempt != nil {
-		c.writeQuery()
+	if c.exchange.idle() {
+		c.CloseIfDrained()
 	} else {
-		c.closeIfDrained()
+		c.writeQuery()
 	}
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -8,23 +8,24 @@
 	"flaxrelay/policy"
 )
 
-// Pooled is a connection that a Pool holds, from the start of its dial.
+// Pooled is a connection in a Pool, from the start of its dial to its end.
 type Pooled interface {
 	comparable
 	// Retire makes the connection accept no new attempts and close once none is in flight.
 	Retire()
 }
 
-// Pool holds the engines of the endpoint list by id: a new engine may have the
-// address of a removed one. It belongs to the event loop's goroutine.
+// Pool holds the engines of the endpoint list with their connections. Its key is the engine's
+// id, since a new engine may have the address of a removed one. It belongs to the event loop's
+// goroutine.
 type Pool[C Pooled] struct{ engines map[string]*Engine[C] }
 
-// Engine is one engine of the endpoint list with its connections.
+// Engine is one engine of the endpoint list with its connections, in the order of their dials.
 type Engine[C Pooled] struct {
 	ID          string
 	Address     string
 	Connections []C
-	startedAt   time.Duration
+	startedAt   time.Duration // as the endpoint list reports it
 }
 
 // NewPool returns an empty pool.
@@ -33,14 +34,18 @@
 // Get returns the engine of this id, or nil if the endpoint list has none.
 func (p *Pool[C]) Get(id string) *Engine[C] { return p.engines[id] }
 
-// UpdateEndpoint applies an entry of the endpoint list. Connections to an engine that has
-// changed its address, has restarted or is removed are retired.
+// UpdateEndpoint applies an entry of the endpoint list. It retires the connections to an
+// engine that has changed its address, has restarted or is removed.
 func (p *Pool[C]) UpdateEndpoint(endpoint lifecycle.Endpoint) {
 	removed := endpoint.State == policy.EngineRemoved
 	known := p.engines[endpoint.ID]
 	if known == nil {
 		if !removed {
-			p.engines[endpoint.ID] = &Engine[C]{ID: endpoint.ID, Address: endpoint.Address, startedAt: endpoint.StartedAt}
+			p.engines[endpoint.ID] = &Engine[C]{
+				ID:        endpoint.ID,
+				Address:   endpoint.Address,
+				startedAt: endpoint.StartedAt,
+			}
 		}
 		return
 	}
@@ -49,7 +54,8 @@
 			connection.Retire()
 		}
 	}
-	known.Address, known.startedAt = endpoint.Address, endpoint.StartedAt
+	known.Address = endpoint.Address
+	known.startedAt = endpoint.StartedAt
 	if removed {
 		delete(p.engines, endpoint.ID)
 	}
