--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -22,7 +22,7 @@
 
 	inFlight int
 	retired  bool
-	messages []string // what HandleMessage has taken, a line each
+	messages []string // that HandleMessage has read, a line each
 	closed   chan lifecycle.AttemptStatus
 }
 
@@ -59,7 +59,10 @@
 // newFakeConnection returns a connection in the state, as its dial would leave it.
 func newFakeConnection(client *Client[*fakeConnection], state State) *fakeConnection {
 	c := &fakeConnection{closed: make(chan lifecycle.AttemptStatus, 1)}
-	c.client, c.engine, c.protocol, c.state = client, &Engine[*fakeConnection]{ID: "e1"}, c, state
+	c.client = client
+	c.engine = &Engine[*fakeConnection]{ID: "e1"}
+	c.protocol = c
+	c.state = state
 	c.engine.Connections = append(c.engine.Connections, c)
 	client.accepting[&c.Connection] = struct{}{}
 	return c
@@ -96,7 +99,7 @@
 	}
 }
 
-func TestOnClosed_TellsWhoClosedTheConnection(t *testing.T) {
+func TestOnClosed_ReportsWhoClosedTheConnection(t *testing.T) {
 	for name, test := range map[string]struct {
 		inFlight    int
 		closeStatus lifecycle.AttemptStatus
@@ -120,10 +123,10 @@
 				t.Errorf("closed with %v, want %v", status, test.want)
 			}
 			if c.State() != StateClosed || len(c.engine.Connections) != 0 || len(client.accepting) != 0 {
-				t.Error("the connection is still held")
+				t.Error("the client still refers to the connection")
 			}
 			if client.Counters.GetByName("engine-connections.closed."+test.want.String()) != 1 {
-				t.Error("the end is not counted")
+				t.Error("the end of the connection is not counted")
 			}
 		})
 	}
@@ -167,8 +170,8 @@
 	return loop
 }
 
-// TestConnection_EndsOnProtocolErrors plays an engine that sends two messages and then
-// one that can't be read, or not to its end in time.
+// The engine sends two messages and then one that can't be read, or whose rest does not arrive
+// in time.
 func TestConnection_EndsOnProtocolErrors(t *testing.T) {
 	for name, test := range map[string]struct {
 		last                         string
@@ -179,14 +182,16 @@
 		"too long":  {"thr", testTimeout, time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			loop, listener := runLoop(t), listen(t)
+			loop := runLoop(t)
+			listener := listen(t)
 			options := Options{
 				ConnectTimeout: testTimeout, ReadBufferBytes: 1 << 10,
 				StallTimeout: test.stallTimeout, MessageTimeout: test.messageTimeout,
 			}
 			client := NewClient[*fakeConnection](loop, nil, options, metrics.New(), slog.New(slog.DiscardHandler))
 			c := &fakeConnection{inFlight: 1, closed: make(chan lifecycle.AttemptStatus, 1)}
-			loop.Post(func() { c.Dial(client, &Engine[*fakeConnection]{ID: "e1", Address: listener.Addr().String()}, c) })
+			engine := &Engine[*fakeConnection]{ID: "e1", Address: listener.Addr().String()}
+			loop.Post(func() { c.Dial(client, engine, c) })
 			peer, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -9,9 +9,9 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-// Only a dial that lacked something on this machine says nothing of the engine. A missing route
-// that stays makes the engine count as down, so that others are chosen.
-func TestDialStatus(t *testing.T) {
+// Only a dial that failed for lack of a resource on this machine says nothing about the engine.
+// After a missing route the engine counts as down, so that others are chosen.
+func TestDialStatus_SeparatesLocalFailuresFromThoseOfTheEngine(t *testing.T) {
 	for err, want := range map[error]lifecycle.AttemptStatus{
 		syscall.ECONNREFUSED:     lifecycle.StatusConnectionRefused,
 		syscall.EMFILE:           lifecycle.StatusNoDescriptor,
--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -37,13 +37,13 @@
 	pollInterval = time.Millisecond
 )
 
-// fixedClock stands still: the time that an attempt has left is then its whole timeout,
-// and the golden files need no normalising.
+// fixedClock always shows the same time. The time that an attempt has left is then its whole
+// timeout, and the golden files need no normalising.
 type fixedClock struct{}
 
 func (fixedClock) Now() time.Duration { return time.Hour }
 
-// Environment is what an engine client is made of.
+// Environment is what an engine client is created with.
 type Environment struct {
 	Loop       *eventloop.Loop
 	Dispatcher *lifecycle.Dispatcher
@@ -58,13 +58,13 @@
 	Settings string
 	// NewClient returns the client under test.
 	NewClient func(Environment) lifecycle.EngineClient
-	// PrintServed writes what came with the end of a served attempt.
+	// PrintServed writes the report of a served attempt.
 	PrintServed func(io.Writer, *lifecycle.Request, lifecycle.AttemptReport)
 }
 
 // Exchange is a scripted engine with the client under test, and the transcript of what
 // was exchanged so far: `> ` by the client, `< ` by the engine, `= ` what the client
-// made of it.
+// reported.
 type Exchange struct {
 	// Client is the client under test, to be called by Do.
 	Client lifecycle.EngineClient
@@ -73,7 +73,9 @@
 	// Reader reads what the client writes on the connection accepted last.
 	Reader *bufio.Reader
 
-	t           *testing.T
+	// T is the test that plays the engine.
+	T *testing.T
+
 	loop        *eventloop.Loop
 	dispatcher  *lifecycle.Dispatcher
 	listener    *net.TCPListener
@@ -88,37 +90,50 @@
 // New starts a client whose endpoint list holds the scripted engine.
 func New(t *testing.T, protocol Protocol) *Exchange {
 	t.Helper()
-	x := &Exchange{t: t, Counters: metrics.New(), printed: map[string]bool{}, printServed: protocol.PrintServed}
-	env := Environment{Counters: x.Counters, Log: slog.New(slog.DiscardHandler)}
-	x.Check(json.Unmarshal([]byte(protocol.Settings), &env.Site))
-	x.listener = tcptest.Listen(t, tcptest.AnyLoopbackPort)
+	exchange := &Exchange{
+		T:           t,
+		Counters:    metrics.New(),
+		printed:     map[string]bool{},
+		printServed: protocol.PrintServed,
+	}
+	environment := Environment{Counters: exchange.Counters, Log: slog.New(slog.DiscardHandler)}
+	exchange.Check(json.Unmarshal([]byte(protocol.Settings), &environment.Site))
+	exchange.listener = tcptest.Listen(t, tcptest.AnyLoopbackPort)
+	exchange.startLoop(&environment)
+	exchange.Client = protocol.NewClient(environment)
+	exchange.dispatcher.SetEngineClient(exchange.Client)
+	exchange.Do(func() { exchange.updateEndpoint(policy.EngineReady) })
+	return exchange
+}
+
+// startLoop starts the event loop, with a dispatcher that belongs to its goroutine.
+func (x *Exchange) startLoop(environment *Environment) {
+	x.T.Helper()
 	var err error
 	x.loop, err = eventloop.New()
 	x.Check(err)
-	env.Loop = x.loop
-	env.Dispatcher, err = lifecycle.NewDispatcher(env.Site.Policy, 1, fixedClock{}, timerqueue.New(), x.Counters, env.Log)
+	environment.Loop = x.loop
+	environment.Dispatcher, err = lifecycle.NewDispatcher(
+		environment.Site.Policy, 1, fixedClock{}, timerqueue.New(), x.Counters, environment.Log,
+	)
 	x.Check(err)
-	x.dispatcher = env.Dispatcher
-	env.Dispatcher.SetCostObserver(x)
-	x.Client = protocol.NewClient(env)
-	env.Dispatcher.SetEngineClient(x.Client)
-	eventlooptest.Run(t, x.loop)
-	x.Do(func() { x.updateEndpoint(policy.EngineReady) })
-	return x
+	x.dispatcher = environment.Dispatcher
+	x.dispatcher.SetCostObserver(x)
+	eventlooptest.Run(x.T, x.loop)
 }
 
 // Check ends the test on an error.
 func (x *Exchange) Check(err error) {
-	x.t.Helper()
+	x.T.Helper()
 	if err != nil {
-		x.t.Fatalf("%v; up to here:\n%s", err, x.transcript.String())
+		x.T.Fatalf("%v; up to here:\n%s", err, x.transcript.String())
 	}
 }
 
 // Do runs f on the event loop's goroutine, and waits for it.
 func (x *Exchange) Do(f func()) { eventlooptest.Do(x.loop, f) }
 
-// Post has f run on the event loop's goroutine, after what is posted there already.
+// Post schedules f on the event loop's goroutine, after what is scheduled there already.
 func (x *Exchange) Post(f func()) { x.loop.Post(f) }
 
 // BlockLoop runs f while the event loop's goroutine is blocked, and then next on that goroutine
@@ -135,7 +150,7 @@
 	})
 	<-blocked
 	func() {
-		defer close(release) // also where f ends the test
+		defer close(release) // also if f ends the test
 		f()
 	}()
 	<-done
@@ -149,14 +164,14 @@
 	}})
 }
 
-// RestartEngine has the endpoint list say that the engine has restarted, which retires its
+// RestartEngine makes the endpoint list report a restart of the engine, which retires its
 // connections. It is to be called by Do.
 func (x *Exchange) RestartEngine() {
 	x.startedAt += time.Second
 	x.updateEndpoint(policy.EngineReady)
 }
 
-// RemoveEngineEntry takes the engine off the endpoint list. It is to be called by Do.
+// RemoveEngineEntry removes the engine from the endpoint list. It is to be called by Do.
 func (x *Exchange) RemoveEngineEntry() { x.updateEndpoint(policy.EngineRemoved) }
 
 // NewAttempt returns an attempt for the request that has not begun.
@@ -165,45 +180,35 @@
 	return &lifecycle.Attempt{Request: request, Engine: engineID, StartedAt: fixedClock{}.Now(), Timeout: timeout}
 }
 
-// Start begins an attempt for the request. The function change, if there is one,
-// changes the attempt first.
-func (x *Exchange) Start(
-	request *lifecycle.Request, timeout time.Duration, change func(*lifecycle.Attempt),
-) *lifecycle.Attempt {
-	attempt := x.NewAttempt(request, timeout)
-	if change != nil {
-		change(attempt)
-	}
-	x.Do(func() { x.Client.Start(attempt) })
-	return attempt
-}
+// Start begins the attempt.
+func (x *Exchange) Start(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Start(attempt) }) }
 
-// Abandon gives the attempt up.
+// Abandon abandons the attempt.
 func (x *Exchange) Abandon(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Abandon(attempt) }) }
 
-// Withdraw takes the attempt back, and ends the test if the client can't.
+// Withdraw withdraws the attempt, and ends the test if the client can't.
 func (x *Exchange) Withdraw(attempt *lifecycle.Attempt) {
-	x.t.Helper()
+	x.T.Helper()
 	withdrawn := false
 	x.Do(func() { withdrawn = x.Client.Withdraw(attempt) })
 	if !withdrawn {
-		x.t.Fatalf("an attempt that was not written could not be withdrawn; up to here:\n%s", x.transcript.String())
+		x.T.Fatalf("an attempt that was not written could not be withdrawn; up to here:\n%s", x.transcript.String())
 	}
 }
 
-// Accept takes the next connection.
+// Accept accepts the next connection.
 func (x *Exchange) Accept() {
-	x.t.Helper()
+	x.T.Helper()
 	x.Check(x.listener.SetDeadline(time.Now().Add(Timeout)))
 	connection, err := x.listener.AcceptTCP()
 	x.Check(err)
-	x.t.Cleanup(func() { _ = connection.Close() })
+	x.T.Cleanup(func() { _ = connection.Close() })
 	x.Check(connection.SetDeadline(time.Now().Add(Timeout)))
-	x.connection, x.Reader = connection, bufio.NewReader(connection)
+	x.connection = connection
+	x.Reader = bufio.NewReader(connection)
 }
 
-// Connected reports whether the client's connection is accepted and its end is not
-// awaited yet.
+// Connected reports whether a connection is accepted whose end was not awaited or caused yet.
 func (x *Exchange) Connected() bool { return x.connection != nil }
 
 // Printf writes to the transcript.
@@ -212,7 +217,7 @@
 // Write sends messages of the engine in one piece, each on its own line of the
 // transcript.
 func (x *Exchange) Write(messages ...[]byte) {
-	x.t.Helper()
+	x.T.Helper()
 	for _, message := range messages {
 		x.Printf("< %q\n", message)
 	}
@@ -222,24 +227,24 @@
 
 // Disconnect closes the connection from the engine's side.
 func (x *Exchange) Disconnect() {
-	x.t.Helper()
+	x.T.Helper()
 	x.Printf("< end of the connection\n")
 	x.Check(x.connection.Close())
 	x.connection = nil
 }
 
-// Reset breaks the connection off from the engine's side.
+// Reset resets the connection from the engine's side.
 func (x *Exchange) Reset() {
-	x.t.Helper()
+	x.T.Helper()
 	x.Printf("< reset of the connection\n")
 	x.Check(x.connection.SetLinger(0))
 	x.Check(x.connection.Close())
 	x.connection = nil
 }
 
-// AwaitEnd waits until the attempt is over, and prints how it ended and what was read.
+// AwaitEnd waits until the attempt has ended, and prints how it ended and what was read.
 func (x *Exchange) AwaitEnd(attempt *lifecycle.Attempt) {
-	x.t.Helper()
+	x.T.Helper()
 	x.await("the end of the attempt", attempt.Ended)
 	x.Do(func() { _, _ = x.served.WriteTo(&x.transcript) })
 	x.PrintCounters("attempts.ended.")
@@ -258,17 +263,17 @@
 	}
 }
 
-// ObserveServed prints what came with the end of a served attempt.
+// ObserveServed prints the report of a served attempt.
 func (x *Exchange) ObserveServed(request *lifecycle.Request, report lifecycle.AttemptReport, _ time.Duration) {
 	x.printServed(&x.served, request, report)
 }
 
-// ObserveTimeout does nothing: the counters tell of a timeout.
+// ObserveTimeout does nothing: the counters show a timeout.
 func (x *Exchange) ObserveTimeout(*lifecycle.Request, time.Duration) {}
 
 // await waits until the condition holds, which is read on the event loop's goroutine.
 func (x *Exchange) await(what string, condition func() bool) {
-	x.t.Helper()
+	x.T.Helper()
 	for deadline := time.Now().Add(Timeout); ; time.Sleep(pollInterval) {
 		holds := false
 		x.Do(func() { holds = condition() })
@@ -276,35 +281,35 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			x.t.Fatalf("%s did not come; up to here:\n%s", what, x.transcript.String())
+			x.T.Fatalf("%s did not come; up to here:\n%s", what, x.transcript.String())
 		}
 	}
 }
 
 // PrintConnections waits until all connections have ended, and prints their counters.
 func (x *Exchange) PrintConnections() {
-	x.t.Helper()
+	x.T.Helper()
 	x.await("the end of all connections", func() bool {
 		return x.Counters.Sum("engine-connections.closed.") == x.Counters.GetByName("engine-connections.dialed")
 	})
 	x.PrintCounters("engine-connections.")
 }
 
-// Release does nothing: no request holds anything of the observer's.
+// Release does nothing: a request has no data of the observer's that needs it.
 func (x *Exchange) Release(*lifecycle.Request) {}
 
-// RemoveEngine takes the engine off the endpoint list, which closes the idle
+// RemoveEngine removes the engine from the endpoint list, which closes the idle
 // connection, and awaits its end.
 func (x *Exchange) RemoveEngine() {
-	x.t.Helper()
+	x.T.Helper()
 	x.Do(x.RemoveEngineEntry)
 	x.AwaitClose()
 }
 
-// AwaitClose prints all that the client still writes up to the end of its connection:
-// nothing is left out of the golden file.
+// AwaitClose prints everything that the client still writes, up to the end of its
+// connection, so that nothing is missing in the golden file.
 func (x *Exchange) AwaitClose() {
-	x.t.Helper()
+	x.T.Helper()
 	rest, err := io.ReadAll(x.Reader)
 	if len(rest) > 0 {
 		x.Printf("> %q\n", rest)
@@ -319,6 +324,6 @@
 
 // CompareGolden compares the transcript with the golden file of this name.
 func (x *Exchange) CompareGolden(name string) {
-	x.t.Helper()
-	golden.Compare(x.t, filepath.Join("testdata", "golden", name+".txt"), x.transcript.Bytes())
+	x.T.Helper()
+	golden.Compare(x.T, filepath.Join("testdata", "golden", name+".txt"), x.transcript.Bytes())
 }
--- /dev/null
+++ b/internal/engine/enginetest/script.go
@@ -0,0 +1,43 @@
+package enginetest
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// Script is one golden test: the exchange of a scripted engine with a client of its own.
+type Script interface {
+	// Play plays the engine and returns the exchange with its transcript.
+	Play(t *testing.T) *Exchange
+}
+
+// PlayScripts plays each script as a subtest, and compares the transcript with the golden file
+// that has the script's name.
+func PlayScripts[S Script](t *testing.T, scripts map[string]S) {
+	t.Helper()
+	for name, script := range scripts {
+		t.Run(name, func(t *testing.T) {
+			script.Play(t).CompareGolden(name)
+		})
+	}
+}
+
+// Class returns the settings of a class of requests, as JSON.
+func Class(name, effect string) string {
+	const format = `{"name":%q,"aim-ms":500,"hard-limit-ms":2500,"effect":%q,"group":"all","importance":1}`
+	return fmt.Sprintf(format, name, effect)
+}
+
+// Settings returns a site's settings as JSON, with these fields of its limits beside those that
+// all tests have.
+func Settings(limits string, classes ...string) string {
+	parallelism := strings.TrimSuffix(strings.Repeat("1,", len(classes)), ",")
+	return fmt.Sprintf(`{"balancers":1,"zone":"a","zones":["a"],"kinds":["k"],"round-ms":5,
+		"classes":[%s],
+		"extra":{"cores-by-kind":[4],"memory-by-kind-mb":[4096],"parallelism":[%s],"when-short":"queue"},
+		"limits":{%s,"most-tries":1},
+		"contract":{"cold-ms":10000,"fall-ms":2000,"start-capacity":0.3,
+			"stop-sending-within-ms":500,"tip-multiple":3}}`,
+		strings.Join(classes, ","), parallelism, limits)
+}
--- a/internal/engine/lineclient/framing_test.go
+++ b/internal/engine/lineclient/framing_test.go
@@ -8,24 +8,24 @@
 	"flaxrelay/policy"
 )
 
-// FuzzParse checks that whatever an engine sends, a response lies within it, and that
-// every failure is told to be one of the engine's.
-func FuzzParse(f *testing.F) {
+// FuzzParseResponse checks that a response lies within the bytes that an engine has sent, and
+// that every error wraps errMalformedResponse.
+func FuzzParseResponse(f *testing.F) {
 	f.Add([]byte("9b1f DONE batches=2,cpu=1.5,gauges=util:0.5;x 3\r\na\tb\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r, length, err := parseResponse(b)
-		if length > len(b) || len(r.body) > length || err != nil && length != 0 {
-			t.Fatalf("%d of %d bytes, body %d, %v", length, len(b), len(r.body), err)
+		parsed, length, err := parseResponse(b)
+		if length > len(b) || len(parsed.body) > length || err != nil && length != 0 {
+			t.Fatalf("%d of %d bytes, body %d, %v", length, len(b), len(parsed.body), err)
 		}
 		if err != nil && !errors.Is(err, errMalformedResponse) {
-			t.Fatalf("%v is no %v", err, errMalformedResponse)
+			t.Fatalf("%v does not wrap %q", err, errMalformedResponse)
 		}
-		r.fields.loadReport()
-		r.fields.progress()
+		parsed.fields.loadReport()
+		parsed.fields.progress()
 	})
 }
 
-func TestParseResponse_TellsWhatIsMalformed(t *testing.T) {
+func TestParseResponse_ReportsWhatIsMalformed(t *testing.T) {
 	for name, test := range map[string]struct {
 		in   string
 		want error
@@ -52,9 +52,8 @@
 	}
 }
 
-// TestProgressByFields checks that each progress response has its own meaning to the
-// decisions, and that what is no progress has none.
-func TestProgressByFields(t *testing.T) {
+// Each progress response has a kind of its own; any other response has none.
+func TestFieldList_ProgressHasAKindForEachResource(t *testing.T) {
 	for fields, want := range map[string]struct {
 		kind  policy.ProgressKind
 		value float64
@@ -76,9 +75,9 @@
 	}
 }
 
-// TestNumberTakesFiniteValuesOnly checks that a value which is no finite number counts
-// as absent: the cost figures of a result are used without a further check.
-func TestNumberTakesFiniteValuesOnly(t *testing.T) {
+// A value that is not a finite number counts as absent, since the cost figures of a result are
+// used without a further check.
+func TestFieldList_NumberAcceptsFiniteValuesOnly(t *testing.T) {
 	for fields, want := range map[string]struct {
 		number float64
 		ok     bool
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -12,68 +12,96 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-const (
-	attemptTimeout = 1500 * time.Millisecond
-	settings       = `{"balancers":1,"zone":"a","zones":["a"],"kinds":["k"],"round-ms":5,
-		"classes":[{"name":"report","aim-ms":500,"hard-limit-ms":2500,"effect":"read_like","group":"all","importance":1}],
-		"extra":{"cores-by-kind":[4],"memory-by-kind-mb":[4096],"parallelism":[1],"when-short":"queue"},
-		"limits":{"cancel":%t,"max-streams":32,"most-tries":1},
-		"contract":{"cold-ms":10000,"fall-ms":2000,"start-capacity":0.3,"stop-sending-within-ms":500,"tip-multiple":3}}`
-)
+// attemptTimeout is the timeout of an attempt, which the golden files contain.
+const attemptTimeout = 1500 * time.Millisecond
 
-// exchange is a scripted engine of the line protocol.
-type exchange struct {
-	*enginetest.Exchange
-	t *testing.T
-}
-
-// options are what differs between the clients of the tests.
-type options struct {
+// script is a golden test of the line protocol.
+type script struct {
 	cancels        bool // running requests may be cancelled
-	maxConnections int  // 0: unbounded
+	maxConnections int  // 0: unlimited
+	play           func(exchange)
 }
 
-func newExchange(t *testing.T, options options) exchange {
+// exchange is the exchange with a scripted engine of the line protocol.
+type exchange struct{ *enginetest.Exchange }
+
+// Play implements enginetest.Script.
+func (s script) Play(t *testing.T) *enginetest.Exchange {
 	t.Helper()
-	return exchange{t: t, Exchange: enginetest.New(t, enginetest.Protocol{
-		Settings: fmt.Sprintf(settings, options.cancels),
+	x := exchange{enginetest.New(t, enginetest.Protocol{
+		Settings: enginetest.Settings(
+			fmt.Sprintf(`"cancel":%t,"max-streams":32`, s.cancels), enginetest.Class("report", "read_like"),
+		),
 		NewClient: func(env enginetest.Environment) lifecycle.EngineClient {
 			client := lineclient.New(env.Loop, env.Dispatcher, env.Site, env.Counters, env.Log)
-			client.MaxConnections = options.maxConnections
+			client.MaxConnections = s.maxConnections
 			return client
 		},
 		PrintServed: printServed,
 	})}
+	s.play(x)
+	return x.Exchange
 }
 
-func printServed(out io.Writer, r *lifecycle.Request, rep lifecycle.AttemptReport) {
-	load := rep.Load
-	_, _ = fmt.Fprintf(out, "= served %s: work %v, memory %v MB, load told %t: busy %v held %v waiting %v memory %v disks %v\n",
-		r.ID, rep.Work, rep.MemoryMB, load.Reported, load.CPUShare, load.InFlight, load.Queued, load.MemoryShare, load.DiskShare)
-	for n, page := range rep.Result.(lineclient.Rows) {
-		_, _ = fmt.Fprintf(out, "= page %d %q\n", n, page)
+func printServed(out io.Writer, request *lifecycle.Request, report lifecycle.AttemptReport) {
+	load := report.Load
+	_, _ = fmt.Fprintf(out,
+		"= served %s: work %v, memory %v MB, load told %t: busy %v held %v waiting %v memory %v disks %v\n",
+		request.ID, report.Work, report.MemoryMB,
+		load.Reported, load.CPUShare, load.InFlight, load.Queued, load.MemoryShare, load.DiskShare)
+	rows, _ := report.Result.(lineclient.Rows)
+	for number, page := range rows {
+		_, _ = fmt.Fprintf(out, "= page %d %q\n", number, page)
 	}
 }
 
-// start begins an attempt, and accepts the connection that it dials if there is none.
-func (x exchange) start(id, statement string, change func(*lifecycle.Attempt)) *lifecycle.Attempt {
-	x.t.Helper()
+// newAttempt returns an attempt that has not begun.
+func (x exchange) newAttempt(id, statement string) *lifecycle.Attempt {
 	request := &lifecycle.Request{ID: id, Class: "report", Statement: statement}
-	attempt := x.Start(request, attemptTimeout, func(a *lifecycle.Attempt) {
-		a.Priority = 1
-		if change != nil {
-			change(a)
-		}
-	})
+	attempt := x.NewAttempt(request, attemptTimeout)
+	attempt.Priority = 1
+	return attempt
+}
+
+// begin begins an attempt. If no connection is open, it accepts the one that the client dials.
+func (x exchange) begin(attempt *lifecycle.Attempt) {
+	x.T.Helper()
+	x.Start(attempt)
 	if !x.Connected() {
 		x.Accept()
 	}
+}
+
+// start begins an attempt as begin does, and reads its request.
+func (x exchange) start(id, statement string) *lifecycle.Attempt {
+	x.T.Helper()
+	attempt := x.newAttempt(id, statement)
+	x.begin(attempt)
+	x.readCommand()
+	return attempt
+}
+
+// startOnNewConnection begins an attempt on a connection that the client dials for it, and
+// reads its request.
+func (x exchange) startOnNewConnection(id, statement string) *lifecycle.Attempt {
+	x.T.Helper()
+	attempt := x.newAttempt(id, statement)
+	x.Start(attempt)
+	x.Accept()
+	x.readCommand()
 	return attempt
 }
 
-// readCommand takes one command of the client, with its statement if it has one.
+// respond sends the complete result of one empty page, and awaits the end of the attempt.
+func (x exchange) respond(attempt *lifecycle.Attempt) {
+	x.T.Helper()
+	x.write(attempt.Request.ID + emptyResult)
+	x.AwaitEnd(attempt)
+}
+
+// readCommand reads one command of the client, with its statement if it has one.
 func (x exchange) readCommand() {
-	x.t.Helper()
+	x.T.Helper()
 	line, err := x.Reader.ReadString('\n')
 	x.Check(err)
 	x.Printf("> %q\n", line)
@@ -83,79 +111,82 @@
 	var length int
 	_, err = fmt.Sscan(line[strings.LastIndexByte(line, ' '):], &length)
 	x.Check(err)
-	statement := make([]byte, length+len("\r\n"))
-	_, err = io.ReadFull(x.Reader, statement)
+	body := make([]byte, length+len("\r\n"))
+	_, err = io.ReadFull(x.Reader, body)
 	x.Check(err)
-	x.Printf("> %q\n", statement)
+	x.Printf("> %q\n", body)
 }
 
-// write sends one piece of the engine's side.
+// write sends text of the engine in one piece.
 func (x exchange) write(text string) {
-	x.t.Helper()
+	x.T.Helper()
 	x.Write([]byte(text))
 }
 
 const (
-	id       = "9b1f03aa5c7e2d41"
-	question = "SELECT day FROM sales_17.orders WHERE note = 'é\r\n'"
+	id        = "9b1f03aa5c7e2d41"
+	otherID   = "0000000000000001"
+	nextID    = "0000000000000002"
+	statement = "SELECT 1"
+	question  = "SELECT day FROM sales_17.orders WHERE note = 'é\r\n'"
+	// The responses without the id that they begin with.
+	emptyResult = " DONE batches=1 0\r\n\r\n"
+	firstOfTwo  = " DONE batches=2 6\r\na\tb\tc\n\r\n"
+	unreadable  = " ODD - 0\r\n\r\n"
+	// arrival is more than what one host needs to deliver what the engine did to the client's socket.
+	arrival = 50 * time.Millisecond
 )
 
-// scripts are the exchanges by the name of their golden file.
-var scripts = map[string]struct {
-	options options
-	play    func(exchange)
-}{
-	"want": {options{}, func(x exchange) {
-		plain := x.start(id, question, nil)
-		x.readCommand()
-		full := x.start("00000000000000ff", "", func(a *lifecycle.Attempt) {
-			a.Request.IdempotencyKey, a.MemoryMB, a.Priority, a.Timeout = "key-1", 96.75, 3, 250*time.Millisecond
-		})
-		x.readCommand()
-		expired := x.start("0000000000000100", "SELECT 1", func(a *lifecycle.Attempt) { a.Priority, a.Timeout = 0, 0 })
-		x.readCommand()
-		for _, a := range []*lifecycle.Attempt{expired, full, plain} { // in any order
-			x.write(a.Request.ID + " DONE batches=1 0\r\n\r\n")
-			x.AwaitEnd(a)
+// exchangeScripts are the exchanges by the name of their golden file.
+var exchangeScripts = map[string]script{
+	"want": {play: func(x exchange) {
+		plain := x.start(id, question)
+		full := x.newAttempt("00000000000000ff", "")
+		full.Request.IdempotencyKey = "key-1"
+		full.MemoryMB = 96.75
+		full.Priority = 3
+		full.Timeout = 250 * time.Millisecond
+		x.begin(full)
+		x.readCommand()
+		expired := x.newAttempt("0000000000000100", statement)
+		expired.Priority = 0
+		expired.Timeout = 0
+		x.begin(expired)
+		x.readCommand()
+		for _, attempt := range []*lifecycle.Attempt{expired, full, plain} { // in any order
+			x.respond(attempt)
 		}
 		x.RemoveEngine()
 	}},
-	"cancel-permitted": {options{cancels: true}, func(x exchange) {
-		a := x.start(id, question, nil)
-		x.readCommand()
-		x.Abandon(a)
+	"cancel-permitted": {cancels: true, play: func(x exchange) {
+		x.Abandon(x.start(id, question))
 		x.readCommand()
 		x.RemoveEngine()
 	}},
-	"cancel-not-permitted": {options{}, func(x exchange) {
-		a := x.start(id, question, nil)
-		x.readCommand()
-		x.Abandon(a)
+	"cancel-not-permitted": {play: func(x exchange) {
+		x.Abandon(x.start(id, question))
 		x.RemoveEngine()
 	}},
-	"cancel-between-pages": {options{}, func(x exchange) { // pages that are not fetched yet are released
-		a := x.start(id, question, nil)
-		x.readCommand()
-		x.write(id + " DONE batches=2 6\r\na\tb\tc\n\r\n")
+	"cancel-between-pages": {play: func(x exchange) { // pages that are not fetched yet are released
+		attempt := x.start(id, question)
+		x.write(id + firstOfTwo)
 		x.readCommand()
-		x.Abandon(a)
+		x.Abandon(attempt)
 		x.readCommand()
 		x.RemoveEngine()
 	}},
-	"hurry": {options{}, func(x exchange) {
-		a := x.start(id, question, nil)
-		x.readCommand()
+	"hurry": {play: func(x exchange) {
+		attempt := x.start(id, question)
 		for priority := range 4 {
-			x.Do(func() { x.Client.SetPriority(a, priority) })
+			x.Do(func() { x.Client.SetPriority(attempt, priority) })
 			x.readCommand()
 		}
 		x.write(id + " DONE batches=0 0\r\n\r\n")
-		x.AwaitEnd(a)
+		x.AwaitEnd(attempt)
 		x.RemoveEngine()
 	}},
-	"pages": {options{}, func(x exchange) {
-		a := x.start(id, question, nil)
-		x.readCommand()
+	"pages": {play: func(x exchange) {
+		attempt := x.start(id, question)
 		x.write(id + " DONE batches=4,cpu=12.5,used=3 6\r\na\tb\tc\n\r\n")
 		for range 3 {
 			x.readCommand()
@@ -165,115 +196,98 @@
 		x.write(id + " MORE batch=1 12\r\nd\t\té\nj\tk\tl\n\r\n")
 		x.write(id + " MORE batch=3 0\r\n\r\n")
 		x.readCommand()
-		x.AwaitEnd(a)
+		x.AwaitEnd(attempt)
 		x.RemoveEngine()
 	}},
-	"answers": {options{}, func(x exchange) {
-		for n, word := range []string{"WAIT", "BROKE", "PAST"} {
-			a := x.start(fmt.Sprintf("%016x", n), "SELECT 1", nil)
-			x.readCommand()
-			x.write(a.Request.ID + " " + word + " - 0\r\n\r\n")
-			x.AwaitEnd(a)
+	"answers": {play: func(x exchange) {
+		for number, word := range []string{"WAIT", "BROKE", "PAST"} {
+			attempt := x.start(fmt.Sprintf("%016x", number), statement)
+			x.write(attempt.Request.ID + " " + word + " - 0\r\n\r\n")
+			x.AwaitEnd(attempt)
 		}
-		for n, response := range []string{
-			"DONE batches=0 0\r\n\r\n", "DONE batches=1,cpu=0.25,used=1.5 6\r\na\tb\tc\n\r\n",
-			"DONE used=x,cpu=NaN,batches=1 0\r\n\r\n", "DONE batches=1,cpu=-4 0\r\n\r\n",
+		for number, response := range []string{
+			"DONE batches=0 0\r\n\r\n",
+			"DONE batches=1,cpu=0.25,used=1.5 6\r\na\tb\tc\n\r\n",
+			"DONE used=x,cpu=NaN,batches=1 0\r\n\r\n",
+			"DONE batches=1,cpu=-4 0\r\n\r\n",
 		} {
-			a := x.start(fmt.Sprintf("%016x", 16+n), "SELECT 1", nil)
-			x.readCommand()
-			x.write(a.Request.ID + " " + response)
-			x.AwaitEnd(a)
+			attempt := x.start(fmt.Sprintf("%016x", 16+number), statement)
+			x.write(attempt.Request.ID + " " + response)
+			x.AwaitEnd(attempt)
 		}
-		a := x.start(id, "SELECT 1", nil)
-		x.readCommand()
-		x.write(id + " DONE batches=2 6\r\na\tb\tc\n\r\n")
+		attempt := x.start(id, statement)
+		x.write(id + firstOfTwo)
 		x.readCommand()
 		x.write(id + " BROKE - 0\r\n\r\n") // a page that the engine no longer knows
-		x.AwaitEnd(a)
+		x.AwaitEnd(attempt)
 		x.RemoveEngine()
 	}},
-	"words-that-end-nothing": {options{}, func(x exchange) {
-		a := x.start(id, "SELECT 1", nil)
-		x.readCommand()
-		for _, fields := range []string{"res=p,num=0.5", "res=s,num=64", "res=w,num=1", "res=w,num=2", "res=?,num=1", "num=1", "-"} {
+	"words-that-end-nothing": {play: func(x exchange) {
+		attempt := x.start(id, statement)
+		for _, fields := range []string{
+			"res=p,num=0.5", "res=s,num=64", "res=w,num=1", "res=w,num=2", "res=?,num=1", "num=1", "-",
+		} {
 			x.write(id + " TELL " + fields + " 0\r\n\r\n")
 		}
 		x.write("t1 FIT - 0\r\n\r\n")
 		x.write(id + " FIT - 0\r\n\r\n")
-		x.write("ffffffffffffffff DONE batches=1 0\r\n\r\n") // to no request
-		x.write(id + " DONE batches=1 0\r\n\r\n")
-		x.AwaitEnd(a)
+		x.write("ffffffffffffffff" + emptyResult) // to no request
+		x.respond(attempt)
 		var progress int64
 		x.Do(func() { progress = x.Counters.GetByName("attempts.progress") })
 		x.Printf("= %d notes\n", progress)
 		x.RemoveEngine()
 	}},
-	"gauges": {options{}, func(x exchange) {
-		for n, gauges := range []string{
-			"inflight:7;util:0.61", "active:2;cpu:0.5;waiting:3;x0:0.25;x1:1.5", "queue:4;rps:100;avg_ms:3;err_rps:0",
-			"rps:100", "", "util:NaN;inflight:x;x0:1e-3",
+	"gauges": {play: func(x exchange) {
+		for number, gauges := range []string{
+			"inflight:7;util:0.61",
+			"active:2;cpu:0.5;waiting:3;x0:0.25;x1:1.5",
+			"queue:4;rps:100;avg_ms:3;err_rps:0",
+			"rps:100",
+			"",
+			"util:NaN;inflight:x;x0:1e-3",
 		} {
-			a := x.start(fmt.Sprintf("%016x", n), "SELECT 1", nil)
-			x.readCommand()
-			x.write(a.Request.ID + " DONE batches=1,gauges=" + gauges + " 0\r\n\r\n")
-			x.AwaitEnd(a)
+			attempt := x.start(fmt.Sprintf("%016x", number), statement)
+			x.write(attempt.Request.ID + " DONE batches=1,gauges=" + gauges + " 0\r\n\r\n")
+			x.AwaitEnd(attempt)
 		}
 		x.RemoveEngine()
 	}},
 }
 
-// respond sends the complete result of one empty page.
-func (x exchange) respond(id string) {
-	x.t.Helper()
-	x.write(id + " DONE batches=1 0\r\n\r\n")
-}
-
-// newAttempt returns an attempt that has not begun.
-func (x exchange) newAttempt(id string) *lifecycle.Attempt {
-	attempt := x.NewAttempt(&lifecycle.Request{ID: id, Class: "report", Statement: "SELECT 1"}, attemptTimeout)
-	attempt.Priority = 1
-	return attempt
+// TestClient_ExchangesMatchTheGoldenFiles checks the bytes of both sides, and what the client
+// reports.
+func TestClient_ExchangesMatchTheGoldenFiles(t *testing.T) {
+	enginetest.PlayScripts(t, exchangeScripts)
 }
 
-const (
-	otherID = "0000000000000001"
-	// arrival is more than what one host needs to bring what the engine did to the client's socket.
-	arrival = 50 * time.Millisecond
-)
-
 // connectionScripts are the exchanges that show how connections begin, retire and end, by the
 // name of their golden file.
-var connectionScripts = map[string]struct {
-	options options
-	play    func(exchange)
-}{
-	"withdrawn-while-dialing": {options{cancels: true}, func(x exchange) {
-		withdrawn := x.newAttempt(id)
-		next := x.newAttempt(otherID)
+var connectionScripts = map[string]script{
+	"withdrawn-while-dialing": {cancels: true, play: func(x exchange) {
+		withdrawn := x.newAttempt(id, statement)
+		next := x.newAttempt(otherID, statement)
 		x.Do(func() {
 			x.Client.Start(withdrawn)
 			if !x.Client.Withdraw(withdrawn) {
-				x.t.Error("an attempt that was not written could not be withdrawn")
+				x.T.Error("an attempt that was not written could not be withdrawn")
 			}
 			x.Client.Start(next)
 		})
 		x.Accept()
 		x.readCommand()
-		x.respond(otherID)
-		x.AwaitEnd(next)
-		again := x.start(id, "SELECT 1", nil) // nothing was written for it: the id may be used
-		x.readCommand()
+		x.respond(next)
+		again := x.start(id, statement) // nothing was written for it: the id may be used
 		x.Do(func() {
 			if x.Client.Withdraw(again) {
-				x.t.Error("an attempt that was written could be withdrawn")
+				x.T.Error("an attempt that was written could be withdrawn")
 			}
 		})
-		x.respond(id)
-		x.AwaitEnd(again)
+		x.respond(again)
 		x.RemoveEngine()
 	}},
-	"removed-while-dialing": {options{}, func(x exchange) {
-		attempt := x.newAttempt(id)
+	"removed-while-dialing": {play: func(x exchange) {
+		attempt := x.newAttempt(id, statement)
 		x.Do(func() {
 			x.Client.Start(attempt)
 			x.RemoveEngineEntry()
@@ -283,26 +297,22 @@
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
-	"retired-while-dialing": {options{}, func(x exchange) {
-		attempt := x.newAttempt(id)
+	"retired-while-dialing": {play: func(x exchange) {
+		attempt := x.newAttempt(id, statement)
 		x.Do(func() {
 			x.Client.Start(attempt)
 			x.RestartEngine()
 		})
 		x.Accept()
 		x.readCommand()
-		x.respond(id)
-		x.AwaitEnd(attempt)
+		x.respond(attempt)
 		x.AwaitClose()
-		next := x.start(otherID, "SELECT 1", nil)
-		x.readCommand()
-		x.respond(otherID)
-		x.AwaitEnd(next)
+		x.respond(x.start(otherID, statement))
 		x.RemoveEngine()
 		x.PrintConnections()
 	}},
-	"retired-while-dialing-unused": {options{}, func(x exchange) {
-		attempt := x.newAttempt(id)
+	"retired-while-dialing-unused": {play: func(x exchange) {
+		attempt := x.newAttempt(id, statement)
 		x.Do(func() {
 			x.Client.Start(attempt)
 			x.Client.Abandon(attempt)
@@ -312,25 +322,20 @@
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
-	"retired-while-busy": {options{cancels: true}, func(x exchange) {
-		served := x.start(id, "SELECT 1", nil)
-		x.readCommand()
-		abandoned := x.start(otherID, "SELECT 2", nil)
-		x.readCommand()
+	"retired-while-busy": {cancels: true, play: func(x exchange) {
+		served := x.start(id, statement)
+		abandoned := x.start(otherID, "SELECT 2")
 		x.Do(x.RestartEngine)
-		x.respond(id)
-		x.AwaitEnd(served)
-		x.Abandon(abandoned) // the last attempt on the connection, which closes behind the cancel
+		x.respond(served)
+		x.Abandon(abandoned) // the last attempt on the connection, which closes after the cancel
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
-	"closed-by-engine": {options{}, func(x exchange) {
-		served := x.start(id, "SELECT 1", nil)
-		x.readCommand()
-		lost := x.start(otherID, "SELECT 2", nil)
-		x.readCommand()
-		x.respond(id) // what was read before the end counts first
-		x.write(otherID + " DONE batches=2 6\r\na\tb\tc\n\r\n")
+	"closed-by-engine": {play: func(x exchange) {
+		served := x.start(id, statement)
+		lost := x.start(otherID, "SELECT 2")
+		x.write(id + emptyResult) // what was read before the end counts first
+		x.write(otherID + firstOfTwo)
 		x.readCommand()
 		x.write(otherID + " MORE ba")
 		x.Disconnect()
@@ -338,12 +343,9 @@
 		x.AwaitEnd(served)
 		x.PrintConnections()
 	}},
-	"reset-before-write": {options{}, func(x exchange) {
-		first := x.start(id, "SELECT 1", nil)
-		x.readCommand()
-		x.respond(id)
-		x.AwaitEnd(first)
-		unwritten := x.newAttempt(otherID)
+	"reset-before-write": {play: func(x exchange) {
+		x.respond(x.start(id, statement))
+		unwritten := x.newAttempt(otherID, statement)
 		x.BlockLoop(func() {
 			x.Reset()
 			time.Sleep(arrival)
@@ -351,17 +353,13 @@
 			x.Client.Start(unwritten)
 		})
 		x.AwaitEnd(unwritten)
-		next := x.start(otherID, "SELECT 1", nil)
-		x.readCommand()
-		x.respond(otherID)
-		x.AwaitEnd(next)
+		x.respond(x.start(otherID, statement))
 		x.RemoveEngine()
 	}},
-	"abandoned-after-protocol-error": {options{cancels: true}, func(x exchange) {
-		attempt := x.start(id, "SELECT 1", nil)
-		x.readCommand()
+	"abandoned-after-protocol-error": {cancels: true, play: func(x exchange) {
+		attempt := x.start(id, statement)
 		x.BlockLoop(func() {
-			x.write(id + " ODD - 0\r\n\r\n")
+			x.write(id + unreadable)
 			time.Sleep(arrival)
 		}, func() { // the end of the connection is handled after what is posted here
 			x.Post(func() { x.Client.Abandon(attempt) })
@@ -369,101 +367,68 @@
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
-	"abandoned-id": {options{}, func(x exchange) {
-		abandoned := x.start(id, "SELECT 1", nil)
-		x.readCommand()
+	"abandoned-id": {play: func(x exchange) {
+		abandoned := x.start(id, statement)
 		x.Abandon(abandoned)
-		other := x.start(otherID, "SELECT 2", nil) // on the same connection
-		x.readCommand()
-		x.respond(id) // late
-		x.respond(otherID)
-		x.AwaitEnd(other)
-		again := x.newAttempt(id)
-		x.Do(func() { x.Client.Start(again) })
-		x.Accept()
-		x.readCommand()
-		x.respond(id)
-		x.AwaitEnd(again)
+		other := x.start(otherID, "SELECT 2") // on the same connection
+		x.write(id + emptyResult)             // late
+		x.respond(other)
+		x.respond(x.startOnNewConnection(id, statement))
 		x.RemoveEngine()
 		x.PrintConnections()
 	}},
-	"evicted": {options{maxConnections: 1}, func(x exchange) {
-		abandoned := x.start(id, "SELECT 1", nil)
-		x.readCommand()
-		x.Abandon(abandoned)
-		busy := x.start(otherID, "SELECT 2", nil)
-		x.readCommand()
-		unconnected := x.start(id, "SELECT 1", nil) // the id can't be used on a connection that is busy
+	"evicted": {maxConnections: 1, play: func(x exchange) {
+		x.Abandon(x.start(id, statement))
+		busy := x.start(otherID, "SELECT 2")
+		unconnected := x.newAttempt(id, statement) // the id can't be used on the connection, which is busy
+		x.begin(unconnected)
 		x.AwaitEnd(unconnected)
-		x.respond(otherID)
-		x.AwaitEnd(busy)
-		again := x.newAttempt(id)
-		x.Do(func() { x.Client.Start(again) })
-		x.AwaitClose() // the idle connection made way
+		x.respond(busy)
+		again := x.newAttempt(id, statement)
+		x.Start(again)
+		x.AwaitClose() // of the idle connection
 		x.Accept()
 		x.readCommand()
-		x.respond(id)
-		x.AwaitEnd(again)
+		x.respond(again)
 		x.RemoveEngine()
 		x.PrintConnections()
 	}},
 }
 
-// TestGoldenConnections checks what happens to the attempts of connections that retire or end.
-func TestGoldenConnections(t *testing.T) {
-	for name, script := range connectionScripts {
-		t.Run(name, func(t *testing.T) {
-			x := newExchange(t, script.options)
-			script.play(x)
-			x.CompareGolden(name)
-		})
-	}
+// TestClient_ConnectionsMatchTheGoldenFiles checks how connections and their attempts begin,
+// retire and end.
+func TestClient_ConnectionsMatchTheGoldenFiles(t *testing.T) {
+	enginetest.PlayScripts(t, connectionScripts)
 }
 
-// TestGoldenExchanges checks the bytes of both sides, and what the client makes of them.
-func TestGoldenExchanges(t *testing.T) {
-	for name, script := range scripts {
-		t.Run(name, func(t *testing.T) {
-			x := newExchange(t, script.options)
-			script.play(x)
-			x.CompareGolden(name)
-		})
-	}
+// malformedResponse returns a script in which the engine sends a malformed response. The
+// connection is then closed with all attempts on it, and the next request is sent on a new one.
+func malformedResponse(response string) script {
+	return script{cancels: true, play: func(x exchange) {
+		attempt := x.start(id, statement)
+		other := x.start(otherID, "SELECT 2")
+		x.write(response)
+		x.AwaitEnd(attempt)
+		x.AwaitEnd(other)
+		x.AwaitClose()
+		x.respond(x.start(nextID, "SELECT 3"))
+		x.RemoveEngine()
+	}}
 }
 
-// TestGoldenMalformedResponses checks that after a malformed response the connection is
-// closed with all attempts on it, and that the next request goes out on a new one.
-func TestGoldenMalformedResponses(t *testing.T) {
-	for name, response := range map[string]string{
-		"unreadable-word":        id + " ODD - 0\r\n\r\n",
-		"unreadable-three-words": id + " DONE batches=1\r\n",
-		"unreadable-length":      id + " DONE batches=1 x\r\n",
-		"unreadable-long":        id + " DONE batches=1 16385\r\n",
-		"unreadable-line-end":    id + " DONE batches=1 0\n",
-		"unreadable-body-end":    id + " DONE batches=1 6\r\na\tb\tc\nxx",
-		"unreadable-two-columns": id + " DONE batches=1 4\r\na\tb\n\r\n",
-		"unreadable-half-row":    id + " DONE batches=1 5\r\na\tb\tc\r\n",
-		"unreadable-text":        id + " DONE batches=1 6\r\na\tb\t\xff\n\r\n",
-		"unreadable-no-pages":    id + " DONE - 0\r\n\r\n",
-		"unreadable-many-pages":  id + " DONE batches=65 0\r\n\r\n",
-		"unreadable-page":        id + " MORE batch=1 0\r\n\r\n",
-	} {
-		t.Run(name, func(t *testing.T) {
-			x := newExchange(t, options{cancels: true})
-			a := x.start(id, "SELECT 1", nil)
-			x.readCommand()
-			other := x.start("0000000000000001", "SELECT 2", nil)
-			x.readCommand()
-			x.write(response)
-			x.AwaitEnd(a)
-			x.AwaitEnd(other)
-			x.AwaitClose()
-			next := x.start("0000000000000002", "SELECT 3", nil)
-			x.readCommand()
-			x.write("0000000000000002 DONE batches=1 0\r\n\r\n")
-			x.AwaitEnd(next)
-			x.RemoveEngine()
-			x.CompareGolden(name)
-		})
-	}
+func TestClient_ClosesTheConnectionAfterAMalformedResponse(t *testing.T) {
+	enginetest.PlayScripts(t, map[string]script{
+		"unreadable-word":        malformedResponse(id + unreadable),
+		"unreadable-three-words": malformedResponse(id + " DONE batches=1\r\n"),
+		"unreadable-length":      malformedResponse(id + " DONE batches=1 x\r\n"),
+		"unreadable-long":        malformedResponse(id + " DONE batches=1 16385\r\n"),
+		"unreadable-line-end":    malformedResponse(id + " DONE batches=1 0\n"),
+		"unreadable-body-end":    malformedResponse(id + " DONE batches=1 6\r\na\tb\tc\nxx"),
+		"unreadable-two-columns": malformedResponse(id + " DONE batches=1 4\r\na\tb\n\r\n"),
+		"unreadable-half-row":    malformedResponse(id + " DONE batches=1 5\r\na\tb\tc\r\n"),
+		"unreadable-text":        malformedResponse(id + " DONE batches=1 6\r\na\tb\t\xff\n\r\n"),
+		"unreadable-no-pages":    malformedResponse(id + " DONE - 0\r\n\r\n"),
+		"unreadable-many-pages":  malformedResponse(id + " DONE batches=65 0\r\n\r\n"),
+		"unreadable-page":        malformedResponse(id + " MORE batch=1 0\r\n\r\n"),
+	})
 }
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -14,61 +14,110 @@
 	"flaxrelay/internal/pgproto"
 )
 
-const settings = `{"balancers":1,"zone":"a","zones":["a"],"kinds":["k"],"round-ms":5,
-		"classes":[{"name":"lookup","aim-ms":500,"hard-limit-ms":2500,"effect":"read_like","group":"all","importance":1},
-			{"name":"write","aim-ms":500,"hard-limit-ms":2500,"effect":"non_idempotent","importance":1}],
-		"extra":{"cores-by-kind":[4],"memory-by-kind-mb":[4096],"parallelism":[1,1],"when-short":"queue"},
-		"limits":{"cancel":true,"most-tries":1},
-		"contract":{"cold-ms":10000,"fall-ms":2000,"start-capacity":0.3,"stop-sending-within-ms":500,"tip-multiple":3}}`
+// defaultOptions are the client's unless a script says otherwise.
+var defaultOptions = pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout}
 
-// exchange is a scripted PostgreSQL engine.
-type exchange struct {
-	*enginetest.Exchange
-	t *testing.T
+// script is a golden test of the PostgreSQL protocol.
+type script struct {
+	options pgclient.Options // the zero value: defaultOptions
+	play    func(exchange)
 }
 
-// defaultOptions are the client's unless the test says otherwise.
-var defaultOptions = pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout}
+// exchange is the exchange with a scripted PostgreSQL engine.
+type exchange struct{ *enginetest.Exchange }
 
-func newExchange(t *testing.T, options pgclient.Options) exchange {
+// Play implements enginetest.Script.
+func (s script) Play(t *testing.T) *enginetest.Exchange {
 	t.Helper()
-	return exchange{t: t, Exchange: enginetest.New(t, enginetest.Protocol{
-		Settings: settings,
+	options := s.options
+	if options == (pgclient.Options{}) {
+		options = defaultOptions
+	}
+	x := exchange{enginetest.New(t, enginetest.Protocol{
+		Settings: enginetest.Settings(
+			`"cancel":true`, enginetest.Class("lookup", "read_like"), enginetest.Class("write", "non_idempotent"),
+		),
 		NewClient: func(env enginetest.Environment) lifecycle.EngineClient {
 			return pgclient.New(env.Loop, env.Dispatcher, options, env.Counters, env.Log)
 		},
 		PrintServed: printServed,
 	})}
+	s.play(x)
+	return x.Exchange
 }
 
-func printServed(out io.Writer, _ *lifecycle.Request, rep lifecycle.AttemptReport) {
-	r := rep.Result.(*pgproto.Result)
-	_, _ = fmt.Fprintf(out, "= parameters %q, fields %q, %d rows %q, tag %q, empty %t\n", r.ParameterDescription, r.RowDescription, r.RowCount, r.DataRows, r.CommandTag, r.EmptyQuery)
+func printServed(out io.Writer, _ *lifecycle.Request, report lifecycle.AttemptReport) {
+	result, ok := report.Result.(*pgproto.Result)
+	if !ok {
+		_, _ = fmt.Fprintf(out, "= a result of type %T\n", report.Result)
+		return
+	}
+	_, _ = fmt.Fprintf(out, "= parameters %q, fields %q, %d rows %q, tag %q, empty %t\n",
+		result.ParameterDescription, result.RowDescription, result.RowCount, result.DataRows,
+		result.CommandTag, result.EmptyQuery)
 }
 
+// statement returns a statement without parameters.
 func statement(query string) *pgproto.Statement {
-	// No parameter types; in Bind no formats, no values, no formats of results.
-	return &pgproto.Statement{Query: query, ParameterTypes: make([]byte, 2), Bind: make([]byte, 6)}
+	const (
+		noTypes  = "\x00\x00"
+		noValues = "\x00\x00\x00\x00\x00\x00" // no formats, no values, no formats of results
+	)
+	return &pgproto.Statement{Query: query, ParameterTypes: []byte(noTypes), Bind: []byte(noValues)}
+}
+
+// newAttempt returns an attempt that has not begun.
+func (x exchange) newAttempt(class string, statement *pgproto.Statement) *lifecycle.Attempt {
+	request := &lifecycle.Request{ID: "1", Class: class, Statement: statement}
+	return x.NewAttempt(request, enginetest.Timeout)
 }
 
-// start begins an attempt.
-func (x exchange) start(class string, s *pgproto.Statement) *lifecycle.Attempt {
-	return x.Start(&lifecycle.Request{ID: "1", Class: class, Statement: s}, enginetest.Timeout, nil)
+// start begins an attempt for a statement of the class "lookup".
+func (x exchange) start(statement *pgproto.Statement) *lifecycle.Attempt {
+	attempt := x.newAttempt("lookup", statement)
+	x.Start(attempt)
+	return attempt
 }
 
-// acceptPacket takes the next connection and the packet that it begins with.
+// connectAndStart begins an attempt as start does, and takes it up to the end of its query on
+// the connection that the client dials for it.
+func (x exchange) connectAndStart(statement *pgproto.Statement) *lifecycle.Attempt {
+	x.T.Helper()
+	attempt := x.start(statement)
+	x.acceptStartup()
+	x.readQuery()
+	return attempt
+}
+
+// startOnIdle begins an attempt as start does, and takes it up to the end of its query on the
+// connection that is open.
+func (x exchange) startOnIdle(statement *pgproto.Statement) *lifecycle.Attempt {
+	x.T.Helper()
+	attempt := x.start(statement)
+	x.readQuery()
+	return attempt
+}
+
+// respond sends the end of the attempt's response, and awaits the end of the attempt.
+func (x exchange) respond(attempt *lifecycle.Attempt, messages ...[]byte) {
+	x.T.Helper()
+	x.Write(messages...)
+	x.AwaitEnd(attempt)
+}
+
+// acceptPacket accepts the next connection and reads the packet that it begins with.
 func (x exchange) acceptPacket() {
-	x.t.Helper()
+	x.T.Helper()
 	x.Accept()
 	x.Printf("connection\n")
 	x.readPacket(0)
 }
 
-// readPacket takes one packet, whose length stands after this many bytes, and returns
-// its first byte.
+// readPacket reads one packet, whose length comes after this many bytes, and returns its
+// first byte.
 func (x exchange) readPacket(lengthOffset int) byte {
-	x.t.Helper()
-	head, err := x.Reader.Peek(lengthOffset + 4)
+	x.T.Helper()
+	head, err := x.Reader.Peek(lengthOffset + lengthSize)
 	x.Check(err)
 	packet := make([]byte, lengthOffset+int(binary.BigEndian.Uint32(head[lengthOffset:])))
 	_, err = io.ReadFull(x.Reader, packet)
@@ -77,16 +126,19 @@
 	return packet[0]
 }
 
-// readQuery takes the messages up to and with Sync.
+// readQuery reads the messages of a query, up to its Sync.
 func (x exchange) readQuery() {
-	x.t.Helper()
+	x.T.Helper()
 	for kind := byte(0); kind != 'S'; {
 		kind = x.readPacket(1)
 	}
 }
 
+// lengthSize is the size in bytes of a message's length, which includes itself.
+const lengthSize = 4
+
 func message(kind byte, body string) []byte {
-	b := binary.BigEndian.AppendUint32([]byte{kind}, uint32(4+len(body)))
+	b := binary.BigEndian.AppendUint32([]byte{kind}, uint32(lengthSize+len(body)))
 	return append(b, body...)
 }
 
@@ -94,6 +146,10 @@
 	return message('E', "S"+severity+"\x00V"+severity+"\x00C"+code+"\x00Mwords of the engine\x00\x00")
 }
 
+// columnDescription describes a text column after its name: no table (4 bytes) and attribute (2),
+// the type (4), its size (2) and modifier (4), and the format (2).
+const columnDescription = "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00"
+
 var (
 	authenticated = message('R', "\x00\x00\x00\x00")
 	setting       = message('S', "server_version\x0016.3\x00")
@@ -101,222 +157,191 @@
 	ready         = message('Z', "I")
 	parsed        = message('1', "")
 	bound         = message('2', "")
-	columns       = message('T', "\x00\x01part\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00")
+	columns       = message('T', "\x00\x01part\x00"+columnDescription)
 	parameters    = message('t', "\x00\x01\x00\x00\x00\x19")
 	row           = message('D', "\x00\x01\x00\x00\x00\x05chain")
 	complete      = message('C', "SELECT 1\x00")
 )
 
-// acceptStartup takes a connection and brings its startup to an end.
+// acceptStartup accepts the next connection and completes its startup.
 func (x exchange) acceptStartup() {
-	x.t.Helper()
+	x.T.Helper()
 	x.acceptPacket()
 	x.Write(authenticated, setting, key, ready)
 }
 
 const question = "SELECT part FROM stock_4.parts WHERE id = $1"
 
-// scripts are the exchanges by the name of their golden file.
-var scripts = map[string]func(exchange){
-	"query": func(x exchange) {
-		a := x.start("lookup", statement(question))
-		x.acceptStartup()
-		x.readQuery()
-		x.Write(parsed, bound, columns, row, message('N', "\x00"), row, complete, ready)
-		x.AwaitEnd(a)
-		a = x.start("lookup", statement(question)) // is prepared by now
-		x.readQuery()
-		x.Write(bound, columns, complete, ready)
-		x.AwaitEnd(a)
-		a = x.start("lookup", &pgproto.Statement{Query: question, ParameterTypes: []byte{0, 1, 0, 0, 0, 25}, Bind: []byte("\x00\x01\x00\x01\x00\x01\x00\x00\x00\x02k\xff\x00\x01\x00\x01")})
-		x.readQuery()
-		x.Write(parsed, bound, message('n', ""), message('I', ""), ready)
-		x.AwaitEnd(a)
-		a = x.start("lookup", statement(strings.Repeat("x", 5000))) // too long to stay prepared
-		x.readQuery()
-		x.Write(parsed, bound, message('n', ""), complete, ready)
-		x.AwaitEnd(a)
+// The responses of an engine, up to the end.
+var (
+	emptyResponse  = [][]byte{parsed, bound, columns, complete, ready}
+	reusedResponse = [][]byte{bound, columns, complete, ready} // to a statement that is prepared already
+)
+
+// exchangeScripts are the exchanges by the name of their golden file.
+var exchangeScripts = map[string]script{
+	"query": {play: func(x exchange) {
+		attempt := x.connectAndStart(statement(question))
+		x.respond(attempt, parsed, bound, columns, row, message('N', "\x00"), row, complete, ready)
+		x.respond(x.startOnIdle(statement(question)), reusedResponse...)
+		attempt = x.startOnIdle(&pgproto.Statement{
+			Query:          question,
+			ParameterTypes: []byte{0, 1, 0, 0, 0, 25},
+			Bind:           []byte("\x00\x01\x00\x01\x00\x01\x00\x00\x00\x02k\xff\x00\x01\x00\x01"),
+		})
+		x.respond(attempt, parsed, bound, message('n', ""), message('I', ""), ready)
+		attempt = x.startOnIdle(statement(strings.Repeat("x", 5000))) // too long to stay prepared
+		x.respond(attempt, parsed, bound, message('n', ""), complete, ready)
 		x.RemoveEngine()
-	},
-	"describe": func(x exchange) {
-		s := statement(question)
-		s.DescribeOnly = true
-		a := x.start("lookup", s)
-		x.acceptStartup()
-		x.readQuery()
-		x.Write(parsed, parameters, columns, ready)
-		x.AwaitEnd(a)
+	}},
+	"describe": {play: func(x exchange) {
+		described := statement(question)
+		described.DescribeOnly = true
+		x.respond(x.connectAndStart(described), parsed, parameters, columns, ready)
 		x.RemoveEngine()
-	},
-	"cancel": func(x exchange) {
-		a := x.start("lookup", statement(question))
-		x.acceptStartup()
-		x.readQuery()
-		x.Abandon(a)
+	}},
+	"cancel": {play: func(x exchange) {
+		x.Abandon(x.connectAndStart(statement(question)))
 		x.AwaitClose()
-		x.acceptPacket() // the request to cancel, on a connection of its own
+		x.acceptPacket() // the cancel request, on a connection of its own
 		x.AwaitClose()
-		next := x.start("lookup", statement(question))
-		x.acceptStartup()
-		x.readQuery()
-		x.Write(parsed, bound, columns, complete, ready)
-		x.AwaitEnd(next)
+		x.respond(x.connectAndStart(statement(question)), emptyResponse...)
 		x.RemoveEngine()
-	},
-	"cancel-without-key": func(x exchange) {
-		a := x.start("lookup", statement(question))
+	}},
+	"cancel-without-key": {play: func(x exchange) {
+		attempt := x.start(statement(question))
 		x.acceptPacket()
 		x.Write(authenticated, ready)
 		x.readQuery()
-		x.Abandon(a)
+		x.Abandon(attempt)
 		x.AwaitClose()
-		next := x.start("lookup", statement(question)) // its connection is the next there is
-		x.acceptStartup()
-		x.readQuery()
-		x.Write(parsed, bound, columns, complete, ready)
-		x.AwaitEnd(next)
+		// No cancel request: the next connection is that of the next attempt.
+		x.respond(x.connectAndStart(statement(question)), emptyResponse...)
 		x.RemoveEngine()
-	},
-	"withdrawn-before-startup": func(x exchange) {
-		a := x.start("lookup", statement(question))
+	}},
+	"withdrawn-before-startup": {play: func(x exchange) {
+		attempt := x.start(statement(question))
 		x.acceptPacket()
-		x.Withdraw(a)
-		next := x.start("lookup", statement("SELECT 2"))
-		x.Write(authenticated, key, ready)
-		x.readQuery()
-		x.Write(parsed, bound, columns, complete, ready)
-		x.AwaitEnd(next)
+		x.Withdraw(attempt)
+		x.startDuringStartup(statement("SELECT 2"))
 		x.RemoveEngine()
-	},
-	"errors": func(x exchange) {
-		for n, code := range []string{"53300", "57P01", "57P03", "57014", "57P05", "40001", "08006", "58030", "XX000", "F0000", "42P01", "22012", "0A000"} {
-			a := x.start("lookup", statement(fmt.Sprintf("SELECT %d", n)))
-			if n == 0 {
+	}},
+	"errors": {play: func(x exchange) {
+		for number, code := range []string{
+			"53300", "57P01", "57P03", "57014", "57P05", "40001", "08006",
+			"58030", "XX000", "F0000", "42P01", "22012", "0A000",
+		} {
+			attempt := x.start(statement(fmt.Sprintf("SELECT %d", number)))
+			if number == 0 {
 				x.acceptStartup()
 			}
 			x.readQuery()
-			x.Write(parsed, bound, failure("ERROR", code), ready)
-			x.AwaitEnd(a)
+			x.respond(attempt, parsed, bound, failure("ERROR", code), ready)
 		}
-		a := x.start("write", statement("INSERT 1")) // runs once at most: it may have done some of its work
+		// A statement that may run once only: it may have done some of its work.
+		attempt := x.newAttempt("write", statement("INSERT 1"))
+		x.Start(attempt)
 		x.readQuery()
-		x.Write(parsed, bound, failure("ERROR", "53100"), ready)
-		x.AwaitEnd(a)
+		x.respond(attempt, parsed, bound, failure("ERROR", "53100"), ready)
 		x.RemoveEngine()
-	},
-	"forgotten-statement": func(x exchange) {
-		for n, code := range []string{"", "26000", ""} { // parsed, reused, parsed anew
-			a := x.start("lookup", statement(question))
-			if n == 0 {
-				x.acceptStartup()
-			}
-			x.readQuery()
-			if code == "" {
-				x.Write(parsed, bound, columns, complete, ready)
-			} else {
-				x.Write(failure("ERROR", code), ready)
-			}
-			x.AwaitEnd(a)
-		}
+	}},
+	"forgotten-statement": {play: func(x exchange) {
+		x.respond(x.connectAndStart(statement(question)), emptyResponse...)
+		x.respond(x.startOnIdle(statement(question)), failure("ERROR", "26000"), ready)
+		x.respond(x.startOnIdle(statement(question)), emptyResponse...) // parsed again
 		x.RemoveEngine()
-	},
-	"fatal": func(x exchange) {
+	}},
+	"fatal": {play: func(x exchange) {
 		for _, code := range []string{"57P01", "57014", "53300"} {
-			a := x.start("lookup", statement(question))
-			x.acceptStartup()
-			x.readQuery()
-			x.Write(failure("FATAL", code))
-			x.AwaitEnd(a)
+			x.respond(x.connectAndStart(statement(question)), failure("FATAL", code))
 			x.AwaitClose()
 		}
-	},
-	"fatal-at-startup": func(x exchange) {
+	}},
+	"fatal-at-startup": {play: func(x exchange) {
 		for _, code := range []string{"53300", "57P03", "28000", "3D000"} {
-			a := x.start("lookup", statement(question))
+			attempt := x.start(statement(question))
 			x.acceptPacket()
-			x.Write(failure("FATAL", code))
-			x.AwaitEnd(a)
+			x.respond(attempt, failure("FATAL", code))
 			x.AwaitClose()
 		}
-	},
-	"unreadable": func(x exchange) {
-		for _, answer := range [][]byte{
-			message('?', ""), message('G', "\x00\x00\x00"), message('Z', "T"), ready, message('C', "SELECT"), message('E', "x"),
+	}},
+	"unreadable": {play: func(x exchange) {
+		for _, response := range [][]byte{
+			message('?', ""),
+			message('G', "\x00\x00\x00"),
+			message('Z', "T"),
+			ready,
+			message('C', "SELECT"),
+			message('E', "x"),
 			{'D', 0, 0, 0, 3},
 			{'D', 0x7f, 0, 0, 0},
 		} {
-			a := x.start("lookup", statement(question))
-			x.acceptStartup()
-			x.readQuery()
-			x.Write(answer)
-			x.AwaitEnd(a)
+			x.respond(x.connectAndStart(statement(question)), response)
 			x.AwaitClose()
 		}
-	},
-	"unreadable-at-startup": func(x exchange) {
-		for _, answer := range [][]byte{message('R', "\x00\x00\x00\x03"), message('T', ""), message('Z', "E")} {
-			a := x.start("lookup", statement(question))
+	}},
+	"unreadable-at-startup": {play: func(x exchange) {
+		for _, response := range [][]byte{
+			message('R', "\x00\x00\x00\x03"),
+			message('T', ""),
+			message('Z', "E"),
+		} {
+			attempt := x.start(statement(question))
 			x.acceptPacket()
-			x.Write(answer)
-			x.AwaitEnd(a)
+			x.respond(attempt, response)
 			x.AwaitClose()
 		}
-	},
+	}},
 }
 
-// TestGoldenExchanges checks the bytes of both sides, and what the client makes of them.
-func TestGoldenExchanges(t *testing.T) {
-	for name, play := range scripts {
-		t.Run(name, func(t *testing.T) {
-			x := newExchange(t, defaultOptions)
-			play(x)
-			x.CompareGolden(name)
-		})
-	}
+// startDuringStartup begins an attempt on the connection whose startup packet was read last,
+// completes the startup and serves the attempt.
+func (x exchange) startDuringStartup(statement *pgproto.Statement) {
+	x.T.Helper()
+	attempt := x.start(statement)
+	x.Write(authenticated, key, ready)
+	x.readQuery()
+	x.respond(attempt, emptyResponse...)
+}
+
+// TestClient_ExchangesMatchTheGoldenFiles checks the bytes of both sides, and what the client
+// reports.
+func TestClient_ExchangesMatchTheGoldenFiles(t *testing.T) {
+	enginetest.PlayScripts(t, exchangeScripts)
 }
 
 // shortTimeout and smallBudget are exceeded on purpose.
 const (
 	shortTimeout = 50 * time.Millisecond
-	smallBudget  = 40 // bytes; two rows of these tests are more
+	smallBudget  = 40 // bytes; three rows of these tests are more
 )
 
-// respond sends the complete response to a query that was parsed.
-func (x exchange) respond() {
-	x.t.Helper()
-	x.Write(parsed, bound, columns, complete, ready)
-}
-
 // connectionScripts are the exchanges that show how connections begin, retire and end, by the
 // name of their golden file.
-var connectionScripts = map[string]struct {
-	options pgclient.Options
-	play    func(exchange)
-}{
-	"retired-during-startup": {defaultOptions, func(x exchange) {
-		a := x.start("lookup", statement(question))
+var connectionScripts = map[string]script{
+	"retired-during-startup": {play: func(x exchange) {
+		attempt := x.start(statement(question))
 		x.acceptPacket()
 		x.Do(x.RestartEngine)
 		x.Write(authenticated, key, ready)
 		x.readQuery()
-		x.respond()
-		x.AwaitEnd(a)
+		x.respond(attempt, emptyResponse...)
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
-	"retired-during-startup-unused": {defaultOptions, func(x exchange) {
-		a := x.start("lookup", statement(question))
+	"retired-during-startup-unused": {play: func(x exchange) {
+		attempt := x.start(statement(question))
 		x.acceptPacket()
-		x.Withdraw(a)
+		x.Withdraw(attempt)
 		x.Do(x.RestartEngine) // the connection has no attempt: it is closed at once
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
-	"retired-while-dialing-unused": {defaultOptions, func(x exchange) {
-		a := x.newAttempt()
+	"retired-while-dialing-unused": {play: func(x exchange) {
+		attempt := x.newAttempt("lookup", statement(question))
 		x.Do(func() {
-			x.Client.Start(a)
-			x.Client.Abandon(a) // not written: nothing is cancelled
+			x.Client.Start(attempt)
+			x.Client.Abandon(attempt) // not written: nothing is cancelled
 			x.RestartEngine()
 		})
 		x.acceptPacket()
@@ -324,128 +349,94 @@
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
-	"statement-not-forgotten": {defaultOptions, func(x exchange) {
-		a := x.start("lookup", statement(question))
-		x.acceptStartup()
-		x.readQuery()
-		x.Write(failure("ERROR", "26000"), ready) // this query has parsed the statement itself
-		x.AwaitEnd(a)
-		a = x.start("lookup", statement(question))
-		x.readQuery()
-		x.respond()
-		x.AwaitEnd(a)
-		a = x.start("lookup", statement(question))
-		x.readQuery()
-		x.Write(bound, failure("ERROR", "0A000"), ready) // the statement may have run
-		x.AwaitEnd(a)
-		a = x.start("lookup", statement(question))
-		x.readQuery()
-		x.Write(bound, columns, complete, ready)
-		x.AwaitEnd(a)
+	"statement-not-forgotten": {play: func(x exchange) {
+		// This query has parsed the statement itself.
+		x.respond(x.connectAndStart(statement(question)), failure("ERROR", "26000"), ready)
+		x.respond(x.startOnIdle(statement(question)), emptyResponse...)
+		// The statement may have run.
+		x.respond(x.startOnIdle(statement(question)), bound, failure("ERROR", "0A000"), ready)
+		x.respond(x.startOnIdle(statement(question)), reusedResponse...)
 		x.RemoveEngine()
 	}},
-	"retired-while-busy": {defaultOptions, func(x exchange) {
-		a := x.start("lookup", statement(question))
-		x.acceptStartup()
-		x.readQuery()
+	"retired-while-busy": {play: func(x exchange) {
+		attempt := x.connectAndStart(statement(question))
 		x.Do(x.RestartEngine)
-		x.respond()
-		x.AwaitEnd(a)
+		x.respond(attempt, emptyResponse...)
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
-	"abandoned-before-startup": {defaultOptions, func(x exchange) {
-		a := x.start("lookup", statement(question))
+	"abandoned-before-startup": {play: func(x exchange) {
+		attempt := x.start(statement(question))
 		x.acceptPacket()
-		x.Abandon(a) // not written: nothing is cancelled, and the connection is used again
-		next := x.start("lookup", statement("SELECT 2"))
-		x.Write(authenticated, key, ready)
-		x.readQuery()
-		x.respond()
-		x.AwaitEnd(next)
+		x.Abandon(attempt) // not written: nothing is cancelled, and the connection is used again
+		x.startDuringStartup(statement("SELECT 2"))
 		x.RemoveEngine()
 		x.PrintConnections()
 	}},
-	"removed-before-write": {defaultOptions, func(x exchange) {
-		a := x.start("lookup", statement(question))
+	"removed-before-write": {play: func(x exchange) {
+		attempt := x.start(statement(question))
 		x.acceptPacket()
 		x.Do(x.RemoveEngineEntry)
-		x.Write(authenticated, key, ready)
-		x.AwaitEnd(a)
+		x.respond(attempt, authenticated, key, ready)
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
-	"closed-during-startup": {defaultOptions, func(x exchange) {
-		a := x.start("lookup", statement(question))
+	"closed-during-startup": {play: func(x exchange) {
+		attempt := x.start(statement(question))
 		x.acceptPacket()
 		x.Disconnect()
-		x.AwaitEnd(a)
+		x.AwaitEnd(attempt)
 		x.PrintConnections()
 	}},
-	"closed-in-response": {defaultOptions, func(x exchange) {
-		a := x.start("lookup", statement(question))
-		x.acceptStartup()
-		x.readQuery()
+	"closed-in-response": {play: func(x exchange) {
+		attempt := x.connectAndStart(statement(question))
 		x.Write(parsed, bound, columns, failure("ERROR", "42P01")) // the end of the response is missing
 		x.Disconnect()
-		x.AwaitEnd(a)
-		a = x.start("lookup", statement(question))
-		x.acceptStartup()
-		x.readQuery()
-		x.respond() // what was read before the end counts first
+		x.AwaitEnd(attempt)
+		attempt = x.connectAndStart(statement(question))
+		x.Write(emptyResponse...) // what was read before the end counts first
 		x.Disconnect()
-		x.AwaitEnd(a)
+		x.AwaitEnd(attempt)
 		x.PrintConnections()
 	}},
 	"startup-timeout": {
-		pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: shortTimeout},
-		func(x exchange) {
-			a := x.start("lookup", statement(question))
+		options: pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: shortTimeout},
+		play: func(x exchange) {
+			attempt := x.start(statement(question))
 			x.acceptPacket()
-			x.AwaitEnd(a)
+			x.AwaitEnd(attempt)
 			x.AwaitClose()
 			x.PrintConnections()
 		},
 	},
 	"buffer-budget": {
-		pgclient.Options{
+		options: pgclient.Options{
 			User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout, MaxBufferedBytes: smallBudget,
 		},
-		func(x exchange) {
+		play: func(x exchange) {
 			for range 2 { // the second has the whole budget again
-				a := x.start("lookup", statement(question))
-				x.acceptStartup()
-				x.readQuery()
-				x.Write(parsed, bound, columns, row, row, row, complete, ready)
-				x.AwaitEnd(a)
+				attempt := x.connectAndStart(statement(question))
+				x.respond(attempt, parsed, bound, columns, row, row, row, complete, ready)
 				x.AwaitClose()
-				x.acceptPacket() // the request to cancel
+				x.acceptPacket() // the cancel request
 				x.AwaitClose()
 			}
-			a := x.start("lookup", statement(question))
-			x.acceptStartup()
-			x.readQuery()
-			x.Write(parsed, bound, columns, row, row, complete, ready)
-			x.AwaitEnd(a)
+			x.respond(x.connectAndStart(statement(question)), parsed, bound, columns, row, row, complete, ready)
 			x.RemoveEngine()
 			x.PrintConnections()
 		},
 	},
-	"fatal-while-idle": {defaultOptions, func(x exchange) {
+	"fatal-while-idle": {play: func(x exchange) {
 		for _, code := range []string{"57P01", "57P05"} {
-			a := x.start("lookup", statement(question))
-			x.acceptStartup()
-			x.readQuery()
-			x.respond()
-			x.AwaitEnd(a)
+			x.respond(x.connectAndStart(statement(question)), emptyResponse...)
 			x.Write(failure("FATAL", code))
 			x.AwaitClose()
 			x.PrintConnections()
 		}
 		for _, code := range []string{"57P01", "57P05"} { // on a connection on which nothing was written
-			a := x.start("lookup", statement(question))
+			attempt := x.start(statement(question))
 			x.acceptPacket()
-			x.Withdraw(a)
+			x.Withdraw(attempt)
 			x.Write(authenticated, ready, failure("FATAL", code))
 			x.AwaitClose()
 			x.PrintConnections()
@@ -453,19 +444,8 @@
 	}},
 }
 
-// newAttempt returns an attempt that has not begun.
-func (x exchange) newAttempt() *lifecycle.Attempt {
-	request := &lifecycle.Request{ID: "1", Class: "lookup", Statement: statement(question)}
-	return x.NewAttempt(request, enginetest.Timeout)
-}
-
-// TestGoldenConnections checks what happens to the attempts of connections that retire or end.
-func TestGoldenConnections(t *testing.T) {
-	for name, script := range connectionScripts {
-		t.Run(name, func(t *testing.T) {
-			x := newExchange(t, script.options)
-			script.play(x)
-			x.CompareGolden(name)
-		})
-	}
+// TestClient_ConnectionsMatchTheGoldenFiles checks how connections and their attempts begin,
+// retire and end.
+func TestClient_ConnectionsMatchTheGoldenFiles(t *testing.T) {
+	enginetest.PlayScripts(t, connectionScripts)
 }
