--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -89,7 +89,7 @@
 	if evicted == nil {
 		return false
 	}
-	c.Counters.IncrementByName("engine-connections.evicted")
+	c.Counters.Increment(metrics.EngineConnectionsEvicted)
 	evicted.protocol.Retire()
 	return true
 }
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -5,6 +5,7 @@
 
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
 )
 
 // Protocol is the protocol's own part of a connection, as Connection calls it. A type that
@@ -160,7 +161,7 @@
 	c.state = StateClosed
 	c.socket = nil
 	c.messageTimer.stop()
-	c.client.Counters.IncrementByName("engine-connections.closed." + status.String())
+	c.client.Counters.Increment(metrics.EngineConnectionsClosed.With(status.String()))
 	c.engine.remove(c.protocol)
 	c.protocol.HandleClosed(status)
 }
--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -125,7 +125,7 @@
 			if c.State() != StateClosed || len(c.engine.Connections) != 0 || len(client.accepting) != 0 {
 				t.Error("the client still refers to the connection")
 			}
-			if client.Counters.GetByName("engine-connections.closed."+test.want.String()) != 1 {
+			if client.Counters.Get(metrics.EngineConnectionsClosed.With(test.want.String())) != 1 {
 				t.Error("the end of the connection is not counted")
 			}
 		})
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -1,8 +1,12 @@
 package engine
 
 import (
+	"log/slog"
+
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/logevent"
+	"flaxrelay/internal/metrics"
 )
 
 // Dial starts a connection to the engine. The protocol is the type that embeds c.
@@ -12,7 +16,7 @@
 	c.protocol = protocol
 	engine.Connections = append(engine.Connections, protocol)
 	client.accepting[c] = struct{}{}
-	client.Counters.IncrementByName("engine-connections.dialed")
+	client.Counters.Increment(metrics.EngineConnectionsDialed)
 	client.Loop.Dial(engine.Address, client.options.ConnectTimeout, client.options.ReadBufferBytes, c, c.dialed)
 }
 
@@ -26,7 +30,7 @@
 	}
 	status := dialStatus(err)
 	if c.client.options.LogDialErrors && status != lifecycle.StatusConnectionRefused {
-		c.client.Log.Warn("engine.connect-failed", "engine", c.engine.ID, "error", err)
+		logevent.EngineConnectFailed.Log(c.client.Log, slog.String("engine", c.engine.ID), slog.Any("error", err))
 	}
 	c.end(status)
 }
--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -247,7 +247,7 @@
 	x.T.Helper()
 	x.await("the end of the attempt", attempt.Ended)
 	x.Do(func() { _, _ = x.served.WriteTo(&x.transcript) })
-	x.PrintCounters("attempts.ended.")
+	x.PrintCounters(metrics.AttemptsEnded.With("").Name())
 }
 
 // PrintCounters prints the counters whose names begin with the prefix, without those that were
@@ -290,7 +290,8 @@
 func (x *Exchange) PrintConnections() {
 	x.T.Helper()
 	x.await("the end of all connections", func() bool {
-		return x.Counters.Sum("engine-connections.closed.") == x.Counters.GetByName("engine-connections.dialed")
+		dialed := x.Counters.Get(metrics.EngineConnectionsDialed)
+		return x.Counters.Sum(metrics.EngineConnectionsClosed.With("").Name()) == dialed
 	})
 	x.PrintCounters("engine-connections.")
 }
--- a/internal/engine/framing.go
+++ b/internal/engine/framing.go
@@ -2,10 +2,12 @@
 
 import (
 	"errors"
+	"log/slog"
 	"time"
 
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/timerqueue"
 )
 
@@ -69,7 +71,7 @@
 	if c.state != StateStartup && c.state != StateOpen {
 		return
 	}
-	c.client.Log.Warn("engine.protocol-error", "engine", c.engine.ID, "error", err)
+	logevent.EngineProtocolError.Log(c.client.Log, slog.String("engine", c.engine.ID), slog.Any("error", err))
 	c.beginClose(lifecycle.StatusProtocolError)
 	if c.client.options.AbortOnProtocolError {
 		c.socket.Abort()
--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -6,6 +6,7 @@
 
 	"flaxrelay/internal/engine"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
 )
 
 // connection is one connection with the attempts on it. It is open as soon as it is
@@ -100,7 +101,7 @@
 	}
 	s := c.streams[parsed.requestID]
 	if s == nil { // the request was abandoned
-		c.client.Counters.IncrementByName("engine-connections.late-responses")
+		c.client.Counters.Increment(metrics.EngineConnectionsLateResponses)
 		return length, nil
 	}
 	return length, s.handle(parsed)
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -10,6 +10,7 @@
 	"flaxrelay/internal/engine/enginetest"
 	"flaxrelay/internal/engine/lineclient"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
 )
 
 // attemptTimeout is the timeout of an attempt, which the golden files contain.
@@ -234,7 +235,7 @@
 		x.write("ffffffffffffffff" + emptyResult) // to no request
 		x.respond(attempt)
 		var progress int64
-		x.Do(func() { progress = x.Counters.GetByName("attempts.progress") })
+		x.Do(func() { progress = x.Counters.Get(metrics.AttemptsProgress) })
 		x.Printf("= %d notes\n", progress)
 		x.RemoveEngine()
 	}},
--- a/internal/engine/lineclient/responses.go
+++ b/internal/engine/lineclient/responses.go
@@ -6,6 +6,7 @@
 
 	"flaxrelay/internal/config"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
 )
 
 // The kinds of response, as the second word of the first line names them.
@@ -48,7 +49,7 @@
 // another one may still serve the client.
 func (s *stream) handleResult(received response) error {
 	if s.state == streamFetching {
-		s.conn.client.Counters.IncrementByName("engine-connections.duplicate-responses")
+		s.conn.client.Counters.Increment(metrics.EngineConnectionsDuplicateResponses)
 		return nil
 	}
 	text, _ := received.fields.value("batches")
--- a/internal/engine/pgclient/cancel.go
+++ b/internal/engine/pgclient/cancel.go
@@ -5,6 +5,7 @@
 
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/pgproto"
 )
 
@@ -15,7 +16,7 @@
 // If the engine can't be reached, the query runs to its end.
 func (c *connection) cancel() {
 	client := c.client
-	client.Counters.IncrementByName("engine-connections.cancel-requests")
+	client.Counters.Increment(metrics.EngineConnectionsCancelRequests)
 	c.Close(lifecycle.StatusCancelled)
 	if c.cancelKey == nil {
 		return
