--- a/internal/engine/lineclient/fields.go
+++ b/internal/engine/lineclient/fields.go
@@ -8,8 +8,8 @@
 	"flaxrelay/policy"
 )
 
-// fieldList is the third word of a response's first line: name=value pairs with
-// commas between them, or "-" where there are none.
+// fieldList is the third word of a response's first line: name=value pairs separated by
+// commas, or "-" if there are none.
 type fieldList string
 
 // value returns the value of the first field of this name.
@@ -25,8 +25,8 @@
 	return "", false
 }
 
-// number returns a field's value as a finite number, or 0 and false where the field is
-// absent or holds anything else.
+// number returns a field's value as a finite number, or 0 and false if the field is absent or
+// has any other value.
 func (f fieldList) number(name string) (number float64, ok bool) {
 	text, ok := f.value(name)
 	if !ok {
@@ -44,8 +44,8 @@
 // unreported is the value of a load that the engine does not report.
 const unreported = -1
 
-// loadReport reads the engine's load report. Engines use either the names of the
-// settings or those of the wire protocol.
+// loadReport returns the engine's load report. Engines use either the names of the settings or
+// those of the wire protocol.
 func (f fieldList) loadReport() policy.LoadReport {
 	report := policy.LoadReport{
 		CPUShare: unreported, InFlight: unreported, Queued: unreported, MemoryShare: unreported, DiskShare: unreported,
@@ -63,7 +63,7 @@
 	return report
 }
 
-// setLoad sets the load of this name, and reports whether there is one.
+// setLoad sets the load of this name, and reports whether the name is known.
 func setLoad(report *policy.LoadReport, name string, value float64) bool {
 	switch name {
 	case "util", "cpu":
@@ -92,12 +92,15 @@
 // awaitingLoad is the number of a wait for a bulk load; any other is a wait for memory.
 const awaitingLoad = 2
 
-// progress reads the kind and value of a progress response; ok is false where it has none.
+// progress returns the kind and value of a progress report; ok is false if the fields are not
+// those of one.
 func (f fieldList) progress() (kind policy.ProgressKind, value float64, ok bool) {
 	resource, _ := f.value("res")
 	value, ok = f.number("num")
+	if !ok {
+		return 0, 0, false
+	}
 	switch {
-	case !ok:
 	case resource == progressFraction:
 		return policy.ProgressFraction, value, true
 	case resource == progressSpilling:
@@ -106,6 +109,7 @@
 		return policy.ProgressAwaitingLoad, value, true
 	case resource == progressAwaiting:
 		return policy.ProgressAwaitingMemory, value, true
+	default:
+		return 0, 0, false
 	}
-	return 0, 0, false
 }
--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -10,7 +10,7 @@
 	"flaxrelay/policy"
 )
 
-// The protocol errors of an engine, each of which ends its connection.
+// Protocol errors of an engine. Each of them closes its connection.
 var (
 	errAuthentication     = errors.New("the engine wants a kind of authentication that is not supported")
 	errOpenTransaction    = errors.New("the session is left in a transaction")
@@ -53,8 +53,8 @@
 	stateCannotConnectNow     = "57P03"
 )
 
-// The SQLSTATE classes, the first two characters of a code, of errors that are not the
-// statement's own.
+// The SQLSTATE classes, the first two characters of a code, of errors that are not caused by
+// the statement itself.
 const (
 	classLength                = 2
 	classConnectionException   = "08"
@@ -66,9 +66,9 @@
 	classInternalError         = "XX"
 )
 
-// statusOf returns how an engine's error ends an attempt. A lack of resources at the
-// engine, or its shutdown, is no response to the statement: another engine may serve it.
-// An error of the statement's own would be the same everywhere.
+// statusOf returns how an engine's error ends an attempt. After a lack of resources at the
+// engine, or its shutdown, another engine may serve the statement. An error of the statement
+// itself would be the same at every engine.
 func statusOf(sqlState string) lifecycle.AttemptStatus {
 	switch sqlState {
 	case stateCannotConnectNow, stateAdminShutdown: // a statement that was running is rolled back
@@ -86,9 +86,9 @@
 	return lifecycle.StatusStatementRejected
 }
 
-// errorStatus returns how the engine's error ends the attempt. Where a statement may run
-// only once, an engine that ran out of resources may have done some of it permanently
-// outside its transaction (a sequence, say): no other engine is tried.
+// errorStatus returns how the engine's error ends the attempt. An engine that ran out of
+// resources may have changed something outside its transaction, such as a sequence. A statement
+// that is not idempotent is therefore not retried.
 func (c *connection) errorStatus(statement *pgproto.Statement) lifecycle.AttemptStatus {
 	status := statusOf(c.exchange.errorResponse.Code)
 	class, _ := c.client.Dispatcher.Class(c.exchange.attempt.Request.Class)
@@ -98,8 +98,8 @@
 	return status
 }
 
-// handleError handles an ErrorResponse. What it means for the attempt is decided at the
-// end of the response, unless the engine ends the connection on it.
+// handleError handles an ErrorResponse. The attempt ends with it at the end of the response, or
+// at once if the engine closes the connection after it.
 func (c *connection) handleError(body []byte) error {
 	response, err := pgproto.ParseError(body)
 	if err != nil {
@@ -117,10 +117,10 @@
 	status := statusOf(c.exchange.errorResponse.Code)
 	written := c.exchange.written()
 	switch {
-	case !written && status != lifecycle.StatusOverloaded: // the statement was not sent
+	case !written && status != lifecycle.StatusOverloaded: // the statement has not run
 		return lifecycle.StatusConnectionRefused
 	case written && status != lifecycle.StatusTimeout:
-		// Between a commit and its CommandComplete, the statement may have run or not.
+		// The statement may have run, for instance between its commit and CommandComplete.
 		return lifecycle.StatusEngineError
 	}
 	return status
--- a/internal/engine/pgclient/messages.go
+++ b/internal/engine/pgclient/messages.go
@@ -36,6 +36,13 @@
 	kindEmptyQueryResponse   = 'I'
 )
 
+// message is one message of an engine, within the read buffer.
+type message struct {
+	kind byte
+	body []byte
+	raw  []byte // the whole message, with its kind and length
+}
+
 // HandleMessage handles the first message of in.
 func (c *connection) HandleMessage(in []byte) (length int, err error) {
 	kind, body, length, err := pgproto.ParseMessage(in, maxMessageBytes)
@@ -45,26 +52,26 @@
 	if length == 0 {
 		return 0, nil
 	}
-	return length, c.handle(kind, body, in[:length])
+	return length, c.handle(message{kind: kind, body: body, raw: in[:length]})
 }
 
-// handle handles one message, which is given with and without its kind and length.
-func (c *connection) handle(kind byte, body, message []byte) error {
-	switch kind {
+// handle handles one message.
+func (c *connection) handle(received message) error {
+	switch received.kind {
 	case kindNoticeResponse, kindParameterStatus, kindNotificationResponse:
-		return nil // of the engine's session, which no client owns
+		return nil // they concern the session with this program, not a client
 	case kindErrorResponse:
-		return c.handleError(body)
+		return c.handleError(received.body)
 	case kindReadyForQuery:
-		return c.handleReady(body)
+		return c.handleReady(received.body)
 	}
 	switch {
 	case c.State() == engine.StateStartup:
-		return c.handleStartup(kind, body)
+		return c.handleStartup(received)
 	case c.exchange.idle():
-		return &unexpectedMessageError{kind: kind, phase: phaseIdle}
+		return &unexpectedMessageError{kind: received.kind, phase: phaseIdle}
 	}
-	return c.handleResponse(kind, body, message)
+	return c.handleResponse(received)
 }
 
 // transactionIdle is the body of a ReadyForQuery outside a transaction.
--- a/internal/engine/pgclient/response.go
+++ b/internal/engine/pgclient/response.go
@@ -7,26 +7,25 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// handleResponse handles one message of the response to a query; message is the message with
-// its kind and length.
-func (c *connection) handleResponse(kind byte, body, message []byte) error {
+// handleResponse handles one message of the response to a query.
+func (c *connection) handleResponse(received message) error {
 	result := c.exchange.result
-	switch kind {
+	switch received.kind {
 	case kindParseComplete:
 		c.statements.parsed(c.exchange.prepared)
 	case kindBindComplete:
 		c.exchange.state = exchangeBound
 	case kindCloseComplete:
 	case kindParameterDescription:
-		result.ParameterDescription = append([]byte{}, body...)
+		result.ParameterDescription = append([]byte{}, received.body...)
 	case kindRowDescription:
-		result.RowDescription = append([]byte{}, body...)
+		result.RowDescription = append([]byte{}, received.body...)
 	case kindNoData:
 		result.RowDescription = nil
 	case kindDataRow:
-		c.addRow(message)
+		c.addRow(received.raw)
 	case kindCommandComplete:
-		tag := pgproto.Reader{Unread: body}
+		tag := pgproto.Reader{Unread: received.body}
 		result.CommandTag = tag.CString()
 		c.exchange.complete = true
 		if !tag.Complete() {
@@ -36,7 +35,7 @@
 		result.EmptyQuery = true
 		c.exchange.complete = true
 	default:
-		return &unexpectedMessageError{kind: kind, phase: phaseResponse}
+		return &unexpectedMessageError{kind: received.kind, phase: phaseResponse}
 	}
 	return nil
 }
@@ -57,10 +56,10 @@
 }
 
 // rejectResult ends an attempt whose result is too large, and cancels its query.
-func (c *connection) rejectResult(sqlState, message string) {
+func (c *connection) rejectResult(sqlState, text string) {
 	attempt := c.exchange.attempt
 	c.Abandon()
-	detail := &pgproto.Error{Severity: severityError, Code: sqlState, Message: message}
+	detail := &pgproto.Error{Severity: severityError, Code: sqlState, Message: text}
 	report := lifecycle.AttemptReport{ErrorDetail: detail}
 	c.client.Dispatcher.EndAttempt(attempt, lifecycle.StatusResultTooLarge, report)
 }
--- a/internal/engine/pgclient/startup.go
+++ b/internal/engine/pgclient/startup.go
@@ -36,17 +36,17 @@
 }
 
 // handleStartup handles one message of the startup.
-func (c *connection) handleStartup(kind byte, body []byte) error {
-	switch kind {
+func (c *connection) handleStartup(received message) error {
+	switch received.kind {
 	case kindAuthentication:
-		reader := pgproto.Reader{Unread: body}
+		reader := pgproto.Reader{Unread: received.body}
 		if reader.Int32() != authenticationOK {
 			return errAuthentication
 		}
 	case kindBackendKeyData:
-		c.cancelKey = append([]byte{}, body...)
+		c.cancelKey = append([]byte{}, received.body...)
 	default:
-		return &unexpectedMessageError{kind: kind, phase: phaseStartup}
+		return &unexpectedMessageError{kind: received.kind, phase: phaseStartup}
 	}
 	return nil
 }
