--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -92,7 +92,7 @@
 	panic(fmt.Sprintf("wire: no line for action %T", action))
 }
 
-// ejectionTexts describe the reasons of an ejection, in the words of the wire's log lines.
+// ejectionTexts are the reasons of an ejection as SAY_LOG words them.
 var ejectionTexts = map[policy.EjectionReason]string{
 	policy.EjectedSilent:           "all attempts are silent",
 	policy.EjectedErrors:           "it answers with errors",
@@ -100,8 +100,9 @@
 	policy.EjectedOverdue:          "answers stay out",
 }
 
-func ejectionText(a policy.EngineEjected) string {
-	return fmt.Sprintf("engine %s suspect: %s; %d attempts out", a.Engine, ejectionTexts[a.Reason], a.InFlight)
+func ejectionText(ejected policy.EngineEjected) string {
+	reason := ejectionTexts[ejected.Reason]
+	return fmt.Sprintf("engine %s suspect: %s; %d attempts out", ejected.Engine, reason, ejected.InFlight)
 }
 
 // encodeBatchDone appends the message that ends the host's response to a batch.
