--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -183,6 +183,15 @@
 // Start begins the attempt.
 func (x *Exchange) Start(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Start(attempt) }) }
 
+// StartAnd begins the attempt and calls next in the same turn of the event loop. A dial that
+// the attempt has begun is then still under way.
+func (x *Exchange) StartAnd(attempt *lifecycle.Attempt, next func()) {
+	x.Do(func() {
+		x.Client.Start(attempt)
+		next()
+	})
+}
+
 // Abandon abandons the attempt.
 func (x *Exchange) Abandon(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Abandon(attempt) }) }
 
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -268,8 +268,7 @@
 	"withdrawn-while-dialing": {cancels: true, play: func(x exchange) {
 		withdrawn := x.newAttempt(id, statement)
 		next := x.newAttempt(otherID, statement)
-		x.Do(func() {
-			x.Client.Start(withdrawn)
+		x.StartAnd(withdrawn, func() {
 			if !x.Client.Withdraw(withdrawn) {
 				x.T.Error("an attempt that was not written could not be withdrawn")
 			}
@@ -289,10 +288,7 @@
 	}},
 	"removed-while-dialing": {play: func(x exchange) {
 		attempt := x.newAttempt(id, statement)
-		x.Do(func() {
-			x.Client.Start(attempt)
-			x.RemoveEngineEntry()
-		})
+		x.StartAnd(attempt, x.RemoveEngineEntry)
 		x.Accept()
 		x.AwaitEnd(attempt)
 		x.AwaitClose()
@@ -300,10 +296,7 @@
 	}},
 	"retired-while-dialing": {play: func(x exchange) {
 		attempt := x.newAttempt(id, statement)
-		x.Do(func() {
-			x.Client.Start(attempt)
-			x.RestartEngine()
-		})
+		x.StartAnd(attempt, x.RestartEngine)
 		x.Accept()
 		x.readCommand()
 		x.respond(attempt)
@@ -314,8 +307,7 @@
 	}},
 	"retired-while-dialing-unused": {play: func(x exchange) {
 		attempt := x.newAttempt(id, statement)
-		x.Do(func() {
-			x.Client.Start(attempt)
+		x.StartAnd(attempt, func() {
 			x.Client.Abandon(attempt)
 			x.RestartEngine()
 		})
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -339,8 +339,7 @@
 	}},
 	"retired-while-dialing-unused": {play: func(x exchange) {
 		attempt := x.newAttempt("lookup", statement(question))
-		x.Do(func() {
-			x.Client.Start(attempt)
+		x.StartAnd(attempt, func() {
 			x.Client.Abandon(attempt) // not written: nothing is cancelled
 			x.RestartEngine()
 		})
