--- a/internal/lab/soak/frontend_test.go
+++ b/internal/lab/soak/frontend_test.go
@@ -1,6 +1,8 @@
 package soak
 
 import (
+	"bytes"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"slices"
@@ -8,17 +10,24 @@
 	"time"
 
 	"flaxrelay/internal/lab/syscallfault"
+	"flaxrelay/internal/logevent"
+	"flaxrelay/internal/metrics"
 )
 
-// What a front end logs of its own violations and crashes is found.
+// The violations and crashes that a front end reports in its log are found.
 func TestCheckLog_FindsViolationsAndCrashes(t *testing.T) {
+	var event, counts bytes.Buffer
+	logevent.InvariantViolated.Log(slog.New(slog.NewJSONHandler(&event, nil)), slog.String("rule", "x"))
+	counters := metrics.New()
+	counters.Increment(metrics.InvariantsViolated.With("x"))
+	counters.Print(&counts)
 	for _, c := range []struct {
 		line   string
 		broken []Rule
 	}{
 		{`{"msg":"attempt"}`, nil},
-		{`{"msg":"invariant.violated","rule":"x"}`, []Rule{RuleInvariant}},
-		{`{"msg":"counts","text":"count invariants.violated.x 1"}`, []Rule{RuleInvariant}},
+		{event.String(), []Rule{RuleInvariant}},
+		{counts.String(), []Rule{RuleInvariant}},
 		{"panic: runtime error", []Rule{RuleInvariant}},
 		{"fatal error: concurrent map writes", []Rule{RuleInvariant}},
 		{"WARNING: DATA RACE", []Rule{RuleInvariant}},
