--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -62,26 +62,26 @@
 }
 
 // checkRequest checks a request with its attempts, in the order of their begin.
-func (c *checker) checkRequest(r *request, attempts []*attempt) {
-	description := describeAttempts(attempts, r.sentAt)
-	if r.outcome == outcomeLost {
-		c.report(RuleResponse, r.id, "%s at %s: %s; attempts: %s", r.class, r.frontEnd, r.detail, description)
+func (c *checker) checkRequest(req *request, attempts []*attempt) {
+	description := describeAttempts(attempts, req.sentAt)
+	if req.outcome == outcomeLost {
+		c.report(RuleResponse, req.id, "%s at %s: %s; attempts: %s", req.class, req.frontEnd, req.detail, description)
 	}
 	if len(attempts) > maxAttempts {
-		c.report(RuleRetryLimit, r.id, "%s", description)
+		c.report(RuleRetryLimit, req.id, "%s", description)
 	}
 	runs := 0
 	for i, a := range attempts {
 		if a.response != responseRejected {
 			runs++
 		}
-		c.checkBegin(r, a)
+		c.checkBegin(req, a)
 		if i > 0 {
-			c.checkOverlap(r, attempts[i-1], a)
+			c.checkOverlap(req, attempts[i-1], a)
 		}
 	}
-	if r.class == classWrite && runs > 1 {
-		c.report(RuleRetryIdempotency, r.id, "%s", description)
+	if req.class == classWrite && runs > 1 {
+		c.report(RuleRetryIdempotency, req.id, "%s", description)
 	}
 }
 
--- a/internal/lab/soak/checker_slowstart.go
+++ b/internal/lab/soak/checker_slowstart.go
@@ -8,7 +8,7 @@
 // slowStartLimit returns how many requests of mean work an engine that is warming up may be sent in
 // one overload window, by the specification's rule: N requests and an allowance for chance.
 //
-// The front end computes its budget from the same rule in internal/decision/policy. That
+// The front end's check at run time computes the same limit (overloadLimit in the package policy). That
 // code is not called here, on purpose: a checker that shared it would share its errors.
 func slowStartLimit(sinceStart time.Duration, meanWorkSeconds float64) float64 {
 	const (
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -118,14 +118,14 @@
 // sendRequest sends one request, follows it to its end and records it. A request that crosses the
 // close of an idle connection is sent a second time.
 func (c *client) sendRequest() {
-	r, text := c.newRequest()
+	req, text := c.newRequest()
 	for resent := false; ; resent = true {
 		newConnection := c.conn == nil
 		if newConnection && !c.connect() {
 			return
 		}
-		r.frontEnd = c.target.name
-		if !c.write(r, text) {
+		req.frontEnd = c.target.name
+		if !c.write(req, text) {
 			c.disconnect()
 			if newConnection || resent {
 				return // it was never sent completely
@@ -133,21 +133,21 @@
 			continue
 		}
 		if c.random.IntN(disconnectOneIn) == 0 {
-			c.disconnectEarly(r)
+			c.disconnectEarly(req)
 			return
 		}
-		err := c.receive(r)
+		err := c.receive(req)
 		if err == nil {
 			c.idleSince = time.Now()
-			c.run.history.addRequest(r)
+			c.run.history.addRequest(req)
 			return
 		}
 		c.disconnect()
-		if !newConnection && !resent && !c.killedAround(r, time.Now()) && time.Since(r.sentAt) <= idleCloseRace {
+		if !newConnection && !resent && !c.killedAround(req, time.Now()) && time.Since(req.sentAt) <= idleCloseRace {
 			continue
 		}
-		c.classifyMissingResponse(r, err, newConnection)
-		c.run.history.addRequest(r)
+		c.classifyMissingResponse(req, err, newConnection)
+		c.run.history.addRequest(req)
 		return
 	}
 }
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -33,27 +33,27 @@
 
 // newEngine starts an engine that is not on the list yet, and a proxy in front of it if so wanted.
 func newEngine(r *run, id uint32, addr string, proxied bool) (*engine, error) {
-	e := &engine{run: r, id: id, addr: addr, entry: listEntry{id: id}}
-	if err := e.start(); err != nil {
+	created := &engine{run: r, id: id, addr: addr, entry: listEntry{id: id}}
+	if err := created.start(); err != nil {
 		return nil, err
 	}
 	listedAddr := addr
 	if proxied {
 		proxy, err := faultproxy.Listen(addr, r.drawProxyOptions())
 		if err != nil {
-			e.kill()
+			created.kill()
 			return nil, err
 		}
-		e.proxy = proxy
+		created.proxy = proxy
 		listedAddr = proxy.Addr()
 	}
 	parsed, err := netip.ParseAddrPort(listedAddr)
 	if err != nil {
-		e.end()
-		return nil, fmt.Errorf("address of engine %s: %w", e.name(), err)
+		created.end()
+		return nil, fmt.Errorf("address of engine %s: %w", created.name(), err)
 	}
-	e.entry.addr = parsed
-	return e, nil
+	created.entry.addr = parsed
+	return created, nil
 }
 
 // start starts the process and waits until it listens.
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -89,17 +89,17 @@
 
 // replaceEngine drains an engine, removes it and adds a new one.
 func (r *run) replaceEngine(random *rand.Rand) {
-	e, ok := r.engines.claim(random)
+	replaced, ok := r.engines.claim(random)
 	if !ok {
 		return
 	}
 	replacement := drawEngineReplacement(random)
-	e.publishState(stateDraining)
+	replaced.publishState(stateDraining)
 	time.Sleep(replacement.drainTime)
-	e.publishState(stateRemoved)
+	replaced.publishState(stateRemoved)
 	time.Sleep(drainGrace)
-	e.end()
-	addr := e.addr
+	replaced.end()
+	addr := replaced.addr
 	if replacement.newAddress {
 		var err error
 		if addr, err = harness.FreeAddr(); !r.check(err) {
@@ -111,7 +111,7 @@
 	if !r.check(err) {
 		return
 	}
-	r.engines.replace(e, successor)
+	r.engines.replace(replaced, successor)
 	successor.publishStart(startedAt, replacement.clockStep)
 }
 
--- a/internal/lab/soak/response.go
+++ b/internal/lab/soak/response.go
@@ -73,24 +73,24 @@
 }
 
 // classifyResponse sets the outcome of a request by its complete response, and checks the response.
-func (c *client) classifyResponse(r *request, response *http.Response, body responseBody, rows [][]string) {
-	r.endedAt = time.Now()
+func (c *client) classifyResponse(req *request, response *http.Response, body responseBody, rows [][]string) {
+	req.endedAt = time.Now()
 	rejected := response.StatusCode == http.StatusServiceUnavailable ||
 		response.StatusCode == http.StatusTooManyRequests || body.Fault == "Busy"
 	switch {
 	case response.StatusCode == http.StatusOK && body.Fault == "":
-		r.outcome = outcomeServed
-		if err := checkRows(r.id, rows); err != nil {
-			c.violate(RuleCompleteResult, r, err.Error())
+		req.outcome = outcomeServed
+		if err := checkRows(req.id, rows); err != nil {
+			c.violate(RuleCompleteResult, req, err.Error())
 		}
 	case rejected:
-		r.outcome = outcomeRejected
+		req.outcome = outcomeRejected
 		if c.run.settings.retryAfter && response.Header.Get("Srv-Wait-Ms") == "" {
-			c.violate(RuleRetryAfter, r, "rejected without Retry-After")
+			c.violate(RuleRetryAfter, req, "rejected without Retry-After")
 		}
 	default:
-		r.outcome = outcomeFailed
-		r.detail = response.Status
+		req.outcome = outcomeFailed
+		req.detail = response.Status
 	}
 }
 
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -189,7 +189,7 @@
 
 // finish adds scatter, hint and priority weight. usualMS is the work that a planner would expect
 // that does not know the values.
-func (g *Generator) finish(s Statement, usualMS float64) Statement {
+func (g *Generator) finish(statement Statement, usualMS float64) Statement {
 	// Memory grows with a power of the work: referenceMemoryMB at referenceWorkMS.
 	const (
 		minMemoryMB       = 2
@@ -198,16 +198,16 @@
 		memoryExponent    = 0.7
 		memoryHintBias    = 1.2 // factor by which hints of the memory are wrong on average
 	)
-	truth := s.WorkMS
-	s.WorkMS *= g.scatter.Rand()
+	truth := statement.WorkMS
+	statement.WorkMS *= g.scatter.Rand()
 	memory := referenceMemoryMB * math.Pow(truth/referenceWorkMS, memoryExponent) * g.scatter.Rand()
-	s.MemoryMB = math.Max(minMemoryMB, memory)
+	statement.MemoryMB = math.Max(minMemoryMB, memory)
 	if g.random.Float64() >= g.options.HintMissingShare {
-		s.HintWorkMS = usualMS * hintBias[hintedClass(s.Class, usualMS)] * g.hintError.Rand()
-		s.HintMB = s.MemoryMB * g.hintError.Rand() * memoryHintBias
+		statement.HintWorkMS = usualMS * hintBias[hintedClass(statement.Class, usualMS)] * g.hintError.Rand()
+		statement.HintMB = statement.MemoryMB * g.hintError.Rand() * memoryHintBias
 	}
-	s.Weight = priorityWeights[s.Class]
-	return s
+	statement.Weight = priorityWeights[statement.Class]
+	return statement
 }
 
 // hintedClass returns the class that a planner would expect that does not know the values.
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -74,23 +74,23 @@
 
 // instantiate generates a statement of a template with values of its own. usualMS is what the shape
 // costs with usual values, which is what a planner would estimate that does not know the values.
-func (g *Generator) instantiate(t *template, growth float64) (s Statement, usualMS float64) {
+func (g *Generator) instantiate(t *template, growth float64) (statement Statement, usualMS float64) {
 	i := g.newInstance(t, growth)
 	if t.family == loadBatch {
 		return i.load()
 	}
 	actual, usual := familySpecs[t.family].generate(i)
-	s = i.statement()
-	s.WorkMS = actual.workMS()
+	statement = i.statement()
+	statement.WorkMS = actual.workMS()
 	if g.random.Float64() < uncachedShare {
-		s.WorkMS *= uncachedFactor
+		statement.WorkMS *= uncachedFactor
 	}
-	s.Class = ClassLookup
-	if s.WorkMS >= ReportFromMS { // below it broad values reach so few rows that it stays a lookup
-		s.Class = ClassReport
-		s.HardCase = i.hardCase
+	statement.Class = ClassLookup
+	if statement.WorkMS >= ReportFromMS { // below it broad values reach so few rows that it stays a lookup
+		statement.Class = ClassReport
+		statement.HardCase = i.hardCase
 	}
-	return s, usual.workMS()
+	return statement, usual.workMS()
 }
 
 // statement returns the text with its bound values.
--- a/internal/lab/workload/writes.go
+++ b/internal/lab/workload/writes.go
@@ -10,7 +10,7 @@
 )
 
 // load generates an INSERT of many rows, whose first value is bound: its idempotency key.
-func (i *instance) load() (s Statement, usualMS float64) {
+func (i *instance) load() (statement Statement, usualMS float64) {
 	const (
 		minRows     = 20
 		rowsRange   = 180
@@ -30,11 +30,11 @@
 		}
 		i.literal(", '%s', %d)", partName(i.random.IntN(partCount)), i.random.IntN(maxQuantity))
 	}
-	s = i.statement()
-	s.Class = ClassLoad
-	s.Key = 1
-	s.WorkMS = loadBaseMS + loadRowMS*float64(rows)
-	return s, loadBaseMS + loadRowMS*usualLoadRows
+	statement = i.statement()
+	statement.Class = ClassLoad
+	statement.Key = 1
+	statement.WorkMS = loadBaseMS + loadRowMS*float64(rows)
+	return statement, loadBaseMS + loadRowMS*usualLoadRows
 }
 
 // writeFormats are statements that change stored data, some of which look like lookups. Their
