--- a/cmd/flaxrelay/descriptors_test.go
+++ b/cmd/flaxrelay/descriptors_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"path/filepath"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
@@ -28,7 +27,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, smallTableConfig(t, busAddress))
 	p := startProcess(t, configVariable, path)
-	_, address, _ := strings.Cut(p.awaitLog("server.listening"), "addr=")
+	address := p.awaitAddress()
 	logEnded := make(chan struct{})
 	go func() {
 		defer close(logEnded)
--- a/cmd/flaxrelay/log_test.go
+++ b/cmd/flaxrelay/log_test.go
@@ -13,11 +13,7 @@
 	t.Helper()
 	path := writeExampleConfig(t, exampleEngineAddress, startEngine(t, respondWithoutRows))
 	p = startProcess(t, configVariable, path)
-	match := listeningAddress.FindStringSubmatch(p.awaitLog("server.listening"))
-	if match == nil {
-		t.Fatal("the log has no address")
-	}
-	return p, match[1]
+	return p, p.awaitAddress()
 }
 
 // expectServed sends a request on a connection of its own and checks that it is served.
--- a/cmd/flaxrelay/process_test.go
+++ b/cmd/flaxrelay/process_test.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"os"
 	"os/exec"
+	"regexp"
 	"strings"
 	"testing"
 	"time"
@@ -89,6 +90,19 @@
 	return ""
 }
 
+// listeningAddress matches the address in the log event server.listening.
+var listeningAddress = regexp.MustCompile(`msg=server.listening addr=([0-9.:]+)`)
+
+// awaitAddress reads the log until the process listens, and returns the address of its listener.
+func (p *process) awaitAddress() string {
+	p.t.Helper()
+	match := listeningAddress.FindStringSubmatch(p.awaitLog("server.listening"))
+	if match == nil {
+		p.t.Fatal("the log has no address")
+	}
+	return match[1]
+}
+
 // drainLog reads the log to its end, so that the pipe does not fill up.
 func (p *process) drainLog() {
 	for p.log.Scan() {
--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -72,7 +72,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, configWithBus(t, firstBus))
 	p := startProcess(t, configVariable, path)
-	p.awaitLog("server.listening")
+	p.awaitAddress()
 	if got := <-firstSubscriptions; got != 1 {
 		t.Errorf("the first bus got a subscription from event %d", got)
 	}
@@ -105,7 +105,7 @@
 	path := filepath.Join(dir, "postgres.toml")
 	writeFile(t, path, deploy)
 	p := startProcess(t, postgresVariable, path)
-	p.awaitLog("server.listening")
+	p.awaitAddress()
 	writeFile(t, path, strings.Replace(deploy, `default_class = "lookup"`, `default_class = "odd"`, 1))
 	p.signal(syscall.SIGHUP)
 	p.awaitLog("default_class")
@@ -127,7 +127,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, configWithBus(t, firstBus))
 	p := startProcess(t, configVariable, path)
-	p.awaitLog("server.listening")
+	p.awaitAddress()
 	<-firstSubscriptions
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
--- a/cmd/flaxrelay/syscalls_test.go
+++ b/cmd/flaxrelay/syscalls_test.go
@@ -8,7 +8,6 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"regexp"
 	"strings"
 	"sync"
 	"syscall"
@@ -21,9 +20,6 @@
 // clientTimeout is how long a client of a faulty process waits for a response.
 const clientTimeout = 2200 * time.Millisecond
 
-// listeningAddress matches the address in the log event server.listening.
-var listeningAddress = regexp.MustCompile(`msg=server.listening addr=([0-9.:]+)`)
-
 // startFaulty runs the calling test, which must call serveInChild, in a traced process of its own with
 // one engine. It returns the process and the address of its listener.
 func startFaulty(
