--- a/internal/eventloop/bench_test.go
+++ b/internal/eventloop/bench_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"flaxrelay/internal/eventloop/eventlooptest"
+	"flaxrelay/internal/tcptest"
 )
 
 // echo is a handler that sends back what it receives.
@@ -25,7 +26,7 @@
 		b.Fatal(err)
 	}
 	eventlooptest.Run(b, l)
-	listener, err := l.Listen("127.0.0.1:0", readSize, 0, func(*Conn) Handler { return echo{} })
+	listener, err := l.Listen(tcptest.AnyLoopbackPort, readSize, 0, func(*Conn) Handler { return echo{} })
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/eventloop/buffer_test.go
+++ b/internal/eventloop/buffer_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// What is consumed and appended in turn comes out in order, and an empty buffer gives a
-// large message's memory back.
-func TestBuffer(t *testing.T) {
+// Bytes that are appended and consumed in turn come out in order, and an empty buffer releases the memory of a large
+// message.
+func TestBuffer_KeepsOrderAndReleasesLargeMemory(t *testing.T) {
 	var b Buffer
 	b.append([]byte("first, second"), 0)
 	b.Consume(len("first, "))
@@ -23,27 +23,34 @@
 	}
 }
 
-// A byte keeps the time at which it was read, whatever is read or consumed later.
-func TestBufferArrivedAt(t *testing.T) {
+// A byte keeps the time at which it was read when others are read or consumed later.
+func TestBuffer_KeepsTheArrivalTimeOfEachByte(t *testing.T) {
 	var b Buffer
 	b.append([]byte("first"), time.Second)
 	b.append([]byte("second"), 2*time.Second)
 	b.append([]byte("!"), 2*time.Second+arrivalPrecision/2) // counts as one read with the one before
 	b.append([]byte("third"), 3*time.Second)
-	for n, want := range map[int]time.Duration{1: time.Second, 5: time.Second, 6: 2 * time.Second, 12: 2 * time.Second, 13: 3 * time.Second} {
+	for n, want := range map[int]time.Duration{
+		1:  time.Second,
+		5:  time.Second,
+		6:  2 * time.Second,
+		12: 2 * time.Second,
+		13: 3 * time.Second,
+	} {
 		if got := b.ArrivedAt(n); got != want {
 			t.Errorf("byte %d arrived at %v, want %v", n, got, want)
 		}
 	}
 	b.Consume(len("first") + 1)
 	if got := b.ArrivedAt(1); got != 2*time.Second {
-		t.Errorf("the first byte left arrived at %v", got)
+		t.Errorf("the first unconsumed byte arrived at %v", got)
 	}
-	if b.ArrivedAt(b.Len()) != 3*time.Second || len(b.arrivals.arrivals) != 2 {
-		t.Errorf("the last byte arrived at %v; %d arrivals are kept", b.ArrivedAt(b.Len()), len(b.arrivals.arrivals))
+	recorded := len(b.arrivals.arrivals)
+	if got := b.ArrivedAt(b.Len()); got != 3*time.Second || recorded != 2 {
+		t.Errorf("the last byte arrived at %v; %d arrivals are recorded", got, recorded)
 	}
 	b.Consume(b.Len())
-	if len(b.arrivals.arrivals) != 0 {
-		t.Errorf("%d arrivals are kept of an empty buffer", len(b.arrivals.arrivals))
+	if recorded := len(b.arrivals.arrivals); recorded != 0 {
+		t.Errorf("%d arrivals are recorded of an empty buffer", recorded)
 	}
 }
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -12,15 +12,15 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// Bytes that were read just before Close are not handed to the handler after it: their
-// sender sees the close alone, and may send them again.
-func TestDataThatCrossesClose(t *testing.T) {
+// Bytes that were read just before Close are not delivered after it: their sender sees the close alone, and may send
+// them again.
+func TestClose_DropsBytesReadJustBefore(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		if _, err := io.WriteString(peer, "a call"); err != nil {
+		if _, err := io.WriteString(peer, "a request"); err != nil {
 			t.Error(err)
 		}
-		for l.BufferedBytes() == 0 { // the poller has it, and the loop is here
+		for l.BufferedBytes() == 0 { // the poller reads them while the loop is here
 			runtime.Gosched()
 		}
 		r.conn.Close()
@@ -29,7 +29,7 @@
 		t.Errorf("the peer saw %v, want the end of the stream", err)
 	}
 	_ = peer.Close()
-	awaitEnd(t, r.closed, "the connection")
+	await(t, r.closed, "the end of the connection")
 	eventlooptest.Do(l, func() {
 		if len(r.data) > 0 {
 			t.Errorf("OnData got %q after Close", r.data)
@@ -40,11 +40,11 @@
 	})
 }
 
-// Bytes that come after the last answer do not reset the connection over it.
-func TestCloseOverUnreadBytes(t *testing.T) {
+// Bytes that come after the last response do not reset the connection over it.
+func TestClose_DoesNotResetOverUnreadBytes(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		r.conn.Write([]byte("answer"))
+		r.conn.Write([]byte("response"))
 		r.conn.Close()
 		for range 3 {
 			if _, err := io.WriteString(peer, "more"); err != nil {
@@ -53,28 +53,28 @@
 		}
 	})
 	got, err := io.ReadAll(peer)
-	if string(got) != "answer" || err != nil {
+	if string(got) != "response" || err != nil {
 		t.Errorf("the peer read %q, then %v", got, err)
 	}
 }
 
 // A peer that goes on writing and never closes keeps a closed connection for a moment only.
-func TestCloseEndsWithoutThePeer(t *testing.T) {
+func TestClose_EndsWithoutThePeer(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, r.conn.Close)
 	go func() {
 		for {
-			if _, err := peer.Write(make([]byte, 64<<10)); err != nil {
+			if _, err := peer.Write(make([]byte, readLimit)); err != nil {
 				return
 			}
 		}
 	}()
-	awaitEnd(t, r.closed, "the connection")
+	await(t, r.closed, "the end of the connection")
 }
 
-// What a connection still accepts, by how it was closed: a second close changes nothing,
-// a write is refused, and the handler is notified of the end once.
-func TestCloseStates(t *testing.T) {
+// A second close changes nothing, a write to a closing connection is rejected, and the handler is notified of the end
+// once.
+func TestClose_ChangesTheStateOnce(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		close func(*Conn)
@@ -96,10 +96,10 @@
 					t.Errorf("state %d, want %d", got, test.want)
 				}
 				if r.conn.Write([]byte("late")) {
-					t.Error("a closing connection took a write")
+					t.Error("a closing connection accepted a write")
 				}
 			})
-			awaitEnd(t, r.closed, "the connection")
+			await(t, r.closed, "the end of the connection")
 			eventlooptest.Do(l, func() {
 				if got := r.conn.closer.state.load(); got != connClosed {
 					t.Errorf("state %d at the end, want %d", got, connClosed)
@@ -112,23 +112,21 @@
 	}
 }
 
-// A connection is closed as idle only if nothing has arrived on it, not even bytes that the
-// poller has not read: these are handed on.
-func TestCloseIfIdle(t *testing.T) {
+// A connection is closed as idle only if nothing has arrived on it, not even bytes that the poller has not read: these
+// are delivered.
+func TestCloseIfIdle_DeliversUnreadBytesInstead(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
 		r.conn.socket.waitFor(0) // the poller does not read
-		if _, err := io.WriteString(peer, "a call"); err != nil {
+		if _, err := io.WriteString(peer, "a request"); err != nil {
 			t.Error(err)
 		}
 		if r.conn.CloseIfIdle() { // loopback has carried it by the end of the write
 			t.Error("closed over bytes that had arrived")
 		}
 	})
+	checkData(t, l, r, "a request")
 	eventlooptest.Do(l, func() {
-		if len(r.data) != 1 || r.data[0] != "a call" {
-			t.Errorf("OnData got %q", r.data)
-		}
 		if !r.conn.CloseIfIdle() {
 			t.Error("an idle connection was not closed")
 		}
@@ -160,7 +158,7 @@
 			t.Errorf("%d bytes discarded, want at most %d", got, readLimit+readSize)
 		}
 	})
-	awaitEnd(t, r.closed, "the connection")
+	await(t, r.closed, "the end of the connection")
 }
 
 // The end of a connection carries the peer's reset, also while the socket is not read.
@@ -211,7 +209,7 @@
 			}
 		})
 	})
-	awaitEnd(t, r.closed, "the connection")
+	await(t, r.closed, "the end of the connection")
 }
 
 // CloseAfterLinger sends what is pending, although the poller no longer waits for bytes to read.
@@ -226,7 +224,7 @@
 	if got, err := io.ReadAll(peer); string(got) != "response" || err != nil {
 		t.Errorf("the peer read %q, then %v", got, err)
 	}
-	awaitEnd(t, r.closed, "the connection")
+	await(t, r.closed, "the end of the connection")
 }
 
 // Bytes that were not consumed before the end count no more after it.
@@ -240,8 +238,96 @@
 	if err := peer.Close(); err != nil {
 		t.Fatal(err)
 	}
-	awaitEnd(t, r.closed, "the connection")
+	await(t, r.closed, "the end of the connection")
 	if got := l.BufferedBytes(); got != 0 {
 		t.Errorf("%d bytes still counted as buffered", got)
 	}
 }
+
+// Close sends what is pending before it ends the stream, and drops the function given to OnFlushed.
+func TestClose_SendsPendingBytesFirst(t *testing.T) {
+	l, r, peer := connectedPair(t)
+	const size = 6 << 20 // more than the kernel buffers, less than the limit of the queue
+	eventlooptest.Do(l, func() {
+		if !r.conn.Write(make([]byte, size)) {
+			t.Error("the write failed")
+		}
+		if r.conn.PendingWrite() == 0 {
+			t.Error("nothing is pending")
+		}
+		r.conn.OnFlushed(func() { t.Error("OnFlushed's function was called after Close") })
+		r.conn.Close()
+	})
+	got, err := io.ReadAll(peer)
+	if len(got) != size || err != nil {
+		t.Errorf("the peer read %d bytes of %d, then %v", len(got), size, err)
+	}
+	if err := <-r.closed; err != nil {
+		t.Errorf("closed with %v", err)
+	}
+}
+
+// Each close bounds the time that the connection lasts: by the time to drain while bytes are pending, else by the
+// time to linger.
+func TestClose_LastsNoLongerThanItsLimit(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		pending bool
+		close   func(*Conn)
+		want    time.Duration
+	}{
+		{"Close with pending bytes", true, (*Conn).Close, maxDrainTime},
+		{"Close", false, (*Conn).Close, lingerTime},
+		{"CloseAfterLinger with pending bytes", true, (*Conn).CloseAfterLinger, lingerTime},
+		{"CloseAfterLinger", false, (*Conn).CloseAfterLinger, lingerTime},
+		{"CloseIfIdle with pending bytes", true, func(c *Conn) { c.CloseIfIdle() }, maxDrainTime},
+		{"CloseIfIdle", false, func(c *Conn) { c.CloseIfIdle() }, lingerTime},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			l, r, _ := connectedPair(t)
+			eventlooptest.Do(l, func() {
+				if test.pending {
+					refuseWrites(r.conn)
+					r.conn.Write([]byte("response"))
+				}
+				before := l.Now()
+				test.close(r.conn)
+				after := l.Now()
+				due, ok := l.Timers.NextDue()
+				if !ok || due < before+test.want || due > after+test.want || l.Timers.Len() != 1 {
+					t.Errorf("%d timers, the first in %v; want one in %v", l.Timers.Len(), due-before, test.want)
+				}
+				l.Timers.RunDue(due)
+				if !r.conn.Disconnected() {
+					t.Error("the connection has not ended when its time is up")
+				}
+			})
+			if err := <-r.closed; err != nil {
+				t.Errorf("closed with %v", err)
+			}
+		})
+	}
+}
+
+// After a Close with pending bytes, the write side is shut once they are sent, and the peer has the linger time then.
+func TestClose_LingersOnceThePendingBytesAreSent(t *testing.T) {
+	l, r, peer := connectedPair(t)
+	eventlooptest.Do(l, func() {
+		acceptAgain := refuseWrites(r.conn)
+		r.conn.Write([]byte("response"))
+		r.conn.Close()
+		acceptAgain()
+		r.conn.socket.flush()
+		l.Post(func() { // on the turn on which the connection learns that nothing is pending
+			due, ok := l.Timers.NextDue()
+			if !ok || due > l.Now()+lingerTime || l.Timers.Len() != 2 {
+				t.Errorf("%d timers, the first in %v; want two, the first in %v at most",
+					l.Timers.Len(), due-l.Now(), lingerTime)
+			}
+		})
+	})
+	if got, err := io.ReadAll(peer); string(got) != "response" || err != nil {
+		t.Errorf("the peer read %q, then %v", got, err)
+	}
+	await(t, r.closed, "the end of the connection")
+}
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -9,18 +9,16 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"flaxrelay/internal/tcptest"
 )
 
-// dialWith dials a listener through a dialer whose first calls fail with the error, and returns
-// the number of calls and the error of the dial.
+// dialWith dials a listener through a dialer whose first calls fail with the error, and returns the number of calls and
+// the error of the dial.
 func dialWith(t *testing.T, failures int64, failure error) (calls int64, err error) {
 	t.Helper()
 	l, _ := startLoop(t)
-	listener, listenErr := net.Listen("tcp", "127.0.0.1:0")
-	if listenErr != nil {
-		t.Fatal(listenErr)
-	}
-	t.Cleanup(func() { _ = listener.Close() })
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	var made atomic.Int64
 	l.dialer.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if made.Add(1) <= failures {
@@ -29,23 +27,26 @@
 		return new(net.Dialer).DialContext(ctx, network, addr)
 	}
 	done := make(chan error, 1)
-	l.Dial(listener.Addr().String(), time.Second, readSize, &recorder{closed: make(chan error, 1)}, func(_ *Conn, err error) { done <- err })
+	handler := &recorder{closed: make(chan error, 1)}
+	l.Dial(listener.Addr().String(), time.Second, readSize, handler, func(_ *Conn, err error) { done <- err })
 	err = <-done
 	return made.Load(), err
 }
 
-// A dial that fails for want of something on this machine is tried again within its timeout:
-// the peer is not at fault, and what is missing may be there in a moment.
-func TestDialOutlastsPassingFailuresOfThisMachine(t *testing.T) {
-	for _, failure := range []error{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.ENFILE, unix.EMFILE, unix.EINTR} {
+// A dial that fails locally is retried within its timeout: the peer is not at fault, and what is missing may be there
+// in a moment.
+func TestDial_RetriesLocalFailures(t *testing.T) {
+	for _, failure := range []error{
+		unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.ENFILE, unix.EMFILE, unix.EINTR,
+	} {
 		if calls, err := dialWith(t, 3, failure); err != nil || calls != 4 {
 			t.Errorf("%v: got %v after %d calls", failure, err, calls)
 		}
 	}
 }
 
-// A failure that stays is reported after a moment, and one of the peer at once.
-func TestDialReportsFailuresThatStay(t *testing.T) {
+// A lasting local failure is reported after a moment, and a failure of the peer at once.
+func TestDial_ReportsLastingFailures(t *testing.T) {
 	const always = 1 << 40
 	startedAt := time.Now()
 	if calls, err := dialWith(t, always, unix.ENOBUFS); !errors.Is(err, unix.ENOBUFS) || calls < 2 {
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -8,15 +8,18 @@
 	"golang.org/x/sys/unix"
 
 	"flaxrelay/internal/eventloop/eventlooptest"
+	"flaxrelay/internal/tcptest"
 )
 
-// patience bounds a wait for something that is expected to happen.
-const patience = 10 * time.Second
+const (
+	// patience limits a wait for something that is expected to happen.
+	patience = 10 * time.Second
 
-// readLimit is the size of the read buffer of each connection that connectTo returns.
-const readLimit = 64 << 10
+	// readLimit is the size of the read buffer of each accepted connection.
+	readLimit = 64 << 10
+)
 
-// recorder is a handler that keeps what it is notified of.
+// recorder is a handler that records the events of a connection.
 type recorder struct {
 	conn   *Conn
 	closed chan error
@@ -50,27 +53,25 @@
 	return l, eventlooptest.Run(t, l)
 }
 
-// connectedPair returns a loop with one accepted connection, and its peer.
-func connectedPair(t *testing.T) (l *Loop, r *recorder, peer *net.TCPConn) {
-	t.Helper()
-	l, _ = startLoop(t)
-	r, peer = connectTo(t, l)
-	return l, r, peer
-}
-
-// connectTo returns a connection that the loop has accepted, and its peer.
-func connectTo(t *testing.T, l *Loop) (r *recorder, peer *net.TCPConn) {
+// listen returns a listener of the loop, and the handlers of the connections that it accepts.
+func listen(t *testing.T, l *Loop, maxConnections int) (listener net.Listener, accepted <-chan *recorder) {
 	t.Helper()
-	accepted := make(chan *recorder, 1)
-	listener, err := l.Listen("127.0.0.1:0", readLimit, 0, func(c *Conn) Handler {
+	recorders := make(chan *recorder, 2)
+	listener, err := l.Listen(tcptest.AnyLoopbackPort, readLimit, maxConnections, func(c *Conn) Handler {
 		r := &recorder{conn: c, closed: make(chan error, 1)}
-		accepted <- r
+		recorders <- r
 		return r
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
+	return listener, recorders
+}
+
+// connect returns a connection to the listener, which need not have been accepted.
+func connect(t *testing.T, listener net.Listener) *net.TCPConn {
+	t.Helper()
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -79,10 +80,55 @@
 	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
-	return <-accepted, conn.(*net.TCPConn)
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		t.Fatalf("%T is not a TCP connection", conn)
+	}
+	return tcp
+}
+
+// connectTo returns a connection that the loop has accepted, and its peer.
+func connectTo(t *testing.T, l *Loop) (r *recorder, peer *net.TCPConn) {
+	t.Helper()
+	listener, accepted := listen(t, l, 0)
+	peer = connect(t, listener)
+	return <-accepted, peer
+}
+
+// connectedPair returns a loop with one accepted connection, and its peer.
+func connectedPair(t *testing.T) (l *Loop, r *recorder, peer *net.TCPConn) {
+	t.Helper()
+	l, _ = startLoop(t)
+	r, peer = connectTo(t, l)
+	return l, r, peer
 }
 
-// awaitOnLoop waits until the condition holds, which is called on the loop's goroutine.
+// setSystemCalls has the connection make its calls by others than the kernel's.
+func setSystemCalls(c *Conn, calls systemCalls) {
+	c.socket.mu.Lock()
+	defer c.socket.mu.Unlock()
+	c.socket.system = calls
+}
+
+// setWrite has the connection write by another function than the kernel's.
+func setWrite(c *Conn, write func(descriptor int, p []byte) (int, error)) {
+	setSystemCalls(c, systemCalls{read: unix.Read, write: write})
+}
+
+// refuseWrites has the kernel accept no byte of the connection until the returned function is called.
+func refuseWrites(c *Conn) (acceptAgain func()) {
+	setWrite(c, func(int, []byte) (int, error) { return -1, unix.EAGAIN })
+	return func() { setSystemCalls(c, kernel) }
+}
+
+// interestOf returns the events that the poller waits for.
+func interestOf(c *Conn) uint32 {
+	c.socket.mu.Lock()
+	defer c.socket.mu.Unlock()
+	return c.socket.interest
+}
+
+// awaitOnLoop waits until the condition holds. It calls the condition on the loop's goroutine.
 func awaitOnLoop(t *testing.T, l *Loop, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
@@ -97,28 +143,16 @@
 	}
 }
 
-// awaitEnd fails the test where the channel brings nothing.
-func awaitEnd[T any](t *testing.T, c <-chan T, what string) {
+// await fails the test unless the channel delivers within the patience.
+func await[T any](t *testing.T, c <-chan T, what string) {
 	t.Helper()
 	select {
 	case <-c:
 	case <-time.After(patience):
-		t.Fatalf("%s did not end", what)
+		t.Fatalf("not within %v: %s", patience, what)
 	}
 }
 
-// interestOf returns the events that the poller waits for.
-func interestOf(c *Conn) uint32 {
-	c.socket.mu.Lock()
-	defer c.socket.mu.Unlock()
-	return c.socket.interest
-}
-
-// setWrite has the connection write by another function than the kernel's.
-func setWrite(c *Conn, write func(descriptor int, p []byte) (int, error)) {
-	setSystem(c, systemCalls{read: unix.Read, write: write})
-}
-
 // checkData fails the test unless OnData was called once, with these bytes.
 func checkData(t *testing.T, l *Loop, r *recorder, want string) {
 	t.Helper()
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -9,11 +9,11 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// A Stop by the last timer ends Run at once: nothing else would end its wait.
-func TestStopByTheLastTimer(t *testing.T) {
+// Run ends at once if the last timer calls Stop: nothing else would end its wait.
+func TestStop_ByTheLastTimerEndsRun(t *testing.T) {
 	l, ended := startLoop(t)
 	eventlooptest.Do(l, func() { l.Timers.Schedule(l.Now()+20*time.Millisecond, l.Stop) })
-	awaitEnd(t, ended, "Run")
+	await(t, ended, "the end of Run")
 }
 
 // Posted functions run in their order. What they post runs on the next turn, after the timers of this one.
@@ -31,7 +31,7 @@
 		})
 		l.Post(note("second"))
 	})
-	awaitEnd(t, done, "the posted functions")
+	await(t, done, "the posted functions")
 	if want := []string{"first", "second", "timer", "third"}; !slices.Equal(got, want) {
 		t.Errorf("ran %q, want %q", got, want)
 	}
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -10,14 +10,14 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// Past the budget of all buffers, a connection that needs more than one read is closed,
-// and what it held counts no more. A close by its handler meanwhile changes nothing.
-func TestBufferBudgetClosesTheConnection(t *testing.T) {
+// Beyond the budget of all buffers, a connection that needs more than one read is closed, and its buffer counts no
+// more. A close by its handler meanwhile changes nothing.
+func TestBufferBudget_ClosesTheConnectionThatExceedsIt(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		close func(*Conn)
 	}{
-		{"by itself", nil},
+		{"by itself", func(*Conn) {}},
 		{"and Close", (*Conn).Close},
 		{"and CloseAfterLinger", (*Conn).CloseAfterLinger},
 	} {
@@ -29,12 +29,10 @@
 				r.idle = true
 				// An error is the reset by the closed connection.
 				_, _ = peer.Write(make([]byte, 2*readSize))
-				for !r.conn.Disconnected() { // the poller has closed it, and the loop is here
+				for !r.conn.Disconnected() { // the poller closes it while the loop is here
 					runtime.Gosched()
 				}
-				if test.close != nil {
-					test.close(r.conn)
-				}
+				test.close(r.conn)
 			})
 			if err := <-r.closed; !errors.Is(err, errBufferBudgetExceeded) {
 				t.Errorf("closed with %v, want %v", err, errBufferBudgetExceeded)
@@ -51,10 +49,9 @@
 	}
 }
 
-// TestReadThatCrossesACloseIsDiscarded forces a read that has begun before its connection
-// was closed and ends after: its bytes must neither count against the buffer budget nor
-// end the linger, in which the peer reads the last response.
-func TestReadThatCrossesACloseIsDiscarded(t *testing.T) {
+// A read that began before its connection was closed may end after. Its bytes must neither count against the buffer
+// budget nor end the linger, in which the peer reads the last response.
+func TestRead_DiscardsBytesThatCrossAClose(t *testing.T) {
 	for name, closeConn := range map[string]func(*Conn){
 		"Close":            (*Conn).Close,
 		"CloseAfterLinger": (*Conn).CloseAfterLinger,
@@ -67,8 +64,8 @@
 				closeConn(r.conn)
 				r.conn.reader.mu.Lock()
 				defer r.conn.reader.mu.Unlock()
-				if delivery, _ := r.conn.reader.acceptLocked(make([]byte, 2*readSize)); delivery {
-					t.Error("the bytes are to be handed to the handler")
+				if deliver, _ := r.conn.reader.acceptLocked(make([]byte, 2*readSize)); deliver {
+					t.Error("the bytes are to be delivered")
 				}
 				if r.conn.Disconnected() {
 					t.Error("the connection is closed before its linger has ended")
@@ -84,12 +81,12 @@
 	}
 }
 
-// What a peer sends right before it ends the stream is handed on before the end is told.
-func TestBytesBeforeTheEndAreHandedOn(t *testing.T) {
+// What a peer sends right before it ends the stream is delivered before the end is reported.
+func TestRead_DeliversBytesBeforeTheEnd(t *testing.T) {
 	for range 50 {
 		l, r, peer := connectedPair(t)
 		eventlooptest.Do(l, func() { // both have arrived before the loop goes on
-			if _, err := peer.Write([]byte("an answer")); err != nil {
+			if _, err := peer.Write([]byte("a response")); err != nil {
 				t.Error(err)
 			}
 			if err := peer.Close(); err != nil {
@@ -102,17 +99,13 @@
 		if err := <-r.closed; err != nil {
 			t.Errorf("closed with %v", err)
 		}
-		eventlooptest.Do(l, func() {
-			if len(r.data) != 1 || r.data[0] != "an answer" {
-				t.Errorf("OnData got %q", r.data)
-			}
-		})
+		checkData(t, l, r, "a response")
 	}
 }
 
-// The end of a client is noticed although its bytes are not read on, as behind a request in
-// flight, also where the buffer was full before reading was limited.
-func TestFullBufferDoesNotHideTheEnd(t *testing.T) {
+// The end of a client is noticed although its bytes are not read on, as behind a request in flight, also if the buffer
+// was full before the read-ahead was limited.
+func TestLimitReadAhead_NoticesTheEndBehindAFullBuffer(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
 	const unread = 16 << 10
@@ -142,8 +135,8 @@
 
 // Reading pauses while the buffer is full, and resumes once the handler has consumed.
 func TestRead_PausesWhileTheBufferIsFull(t *testing.T) {
-	l, r, peer := connectedPair(t)
 	const size = 300 << 10
+	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
 	go func() { _, _ = peer.Write(make([]byte, size)) }()
 	awaitOnLoop(t, l, "the buffer is full", func() bool { return r.conn.UnreadBytes() >= readLimit })
@@ -155,7 +148,7 @@
 		r.idle = false
 		r.conn.Redeliver()
 	})
-	awaitOnLoop(t, l, "all bytes are handed on", func() bool {
+	awaitOnLoop(t, l, "all bytes are delivered", func() bool {
 		received := 0
 		for _, data := range r.data {
 			received += len(data)
@@ -167,7 +160,7 @@
 	}
 }
 
-// With a limited read-ahead, no more than two reads are buffered; Redeliver resumes once the limit is lifted.
+// With a limited read-ahead, less than two reads are buffered. Redeliver resumes reading once the limit is lifted.
 func TestLimitReadAhead_HoldsUntilItIsLifted(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -199,7 +192,7 @@
 	}
 	time.Sleep(wait)
 	eventlooptest.Do(l, func() { r.conn.socket.waitFor(readEvents) })
-	awaitOnLoop(t, l, "the bytes are handed on", func() bool { return len(r.data) == 1 })
+	awaitOnLoop(t, l, "the bytes are delivered", func() bool { return len(r.data) == 1 })
 	if age := r.arrivedAt[0] - sentAt; age < -wait/2 || age > wait/2 {
 		t.Errorf("the first bytes arrived %v after they were sent", age)
 	}
@@ -210,7 +203,7 @@
 	time.Sleep(20 * time.Millisecond)
 	readAt := l.Now()
 	eventlooptest.Do(l, func() { r.conn.socket.waitFor(readEvents) })
-	awaitOnLoop(t, l, "the bytes are handed on", func() bool { return len(r.data) == 2 })
+	awaitOnLoop(t, l, "the bytes are delivered", func() bool { return len(r.data) == 2 })
 	if r.arrivedAt[1] < readAt {
 		t.Errorf("the second bytes arrived %v before they were read", readAt-r.arrivedAt[1])
 	}
--- /dev/null
+++ b/internal/eventloop/sendqueue_test.go
@@ -0,0 +1,23 @@
+package eventloop
+
+import "testing"
+
+// The queue returns bytes in order, whatever is sent in between, and an empty queue holds no memory.
+func TestSendQueue_KeepsOrder(t *testing.T) {
+	var q sendQueue
+	q.append([]byte("first, "))
+	q.advance(2)
+	q.append([]byte("second, ")) // less than half is sent: nothing moves
+	if got := string(q.unsent()); got != "rst, second, " || q.sent != 2 {
+		t.Errorf("%q waits, and %d sent bytes are in memory", got, q.sent)
+	}
+	q.advance(len("rst, sec"))
+	q.append([]byte("third"))
+	if got := string(q.unsent()); got != "ond, third" || q.len() != len(got) || q.sent != 0 {
+		t.Errorf("%q of %d bytes waits, and %d sent bytes are in memory", got, q.len(), q.sent)
+	}
+	q.advance(q.len())
+	if q.len() != 0 || q.data != nil {
+		t.Errorf("%d bytes wait in memory of %d once all are sent", q.len(), cap(q.data))
+	}
+}
