--- a/internal/frontend/httpserver/eviction_test.go
+++ b/internal/frontend/httpserver/eviction_test.go
@@ -31,7 +31,7 @@
 // for another client would cut the response off.
 func TestFindVictim_ResponseThatWaitsToBeSentIsNotCutOff(t *testing.T) {
 	const most = 2000 // pages, more than the kernel's buffers hold
-	server := startTestServer(t)
+	server := startTestServer(t, Options{})
 	page := lineclient.Rows{bytes.Repeat([]byte("a\tb\tc\n"), 8000)}
 	var path string
 	eventlooptest.Do(server.loop, func() { path, _ = server.results.add([]lineclient.Rows{page, page}, 1) })
--- /dev/null
+++ b/internal/frontend/httpserver/helpers_test.go
@@ -0,0 +1,135 @@
+package httpserver
+
+import (
+	"encoding/json"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"runtime"
+	"testing"
+	"time"
+
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/eventloop/eventlooptest"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
+	"flaxrelay/policy"
+)
+
+const (
+	// waitLimit bounds every wait of a test.
+	waitLimit = 10 * time.Second
+	// healthRequest is a request that the server answers itself.
+	healthRequest = "GET /health HTTP/1.1\r\n\r\n"
+	// statementRequest is a request that is forwarded.
+	statementRequest = "POST /rpc/lookup HTTP/1.1\r\n" +
+		"Req-Id: 9b1f03aa5c7e2d41\r\nReq-Wait-Ms: 9000\r\nContent-Length: 8\r\n\r\nSELECT 1"
+)
+
+// noEngines is an engine client that reaches no engine: an attempt stays in flight.
+type noEngines struct{}
+
+func (noEngines) Start(*lifecycle.Attempt)            {}
+func (noEngines) Abandon(*lifecycle.Attempt)          {}
+func (noEngines) Withdraw(*lifecycle.Attempt) bool    { return false }
+func (noEngines) SetPriority(*lifecycle.Attempt, int) {}
+func (noEngines) UpdateEndpoint(lifecycle.Endpoint)   {}
+
+// startTestServer returns a server that runs until the end of the test. Its one engine can't be
+// reached.
+func startTestServer(t *testing.T, options Options) *Server {
+	t.Helper()
+	raw, err := os.ReadFile("../../../deploy/postgres-settings.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var site config.Settings
+	if err := json.Unmarshal(raw, &site); err != nil {
+		t.Fatal(err)
+	}
+	loop, err := eventloop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	counters := metrics.New()
+	dispatcher, err := lifecycle.NewDispatcher(site.Policy, 1, loop, loop.Timers, counters, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	dispatcher.SetEngineClient(noEngines{})
+	dispatcher.UpdateEndpoints(policy.UpdateFull, []lifecycle.Endpoint{{
+		Address: "127.0.0.1:1",
+		Engine:  policy.Engine{ID: "e", State: policy.EngineReady},
+	}})
+	server := New(loop, dispatcher, options, counters)
+	if err := server.Listen("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	eventlooptest.Run(t, loop)
+	return server
+}
+
+// firstConnection waits for a client's connection.
+func firstConnection(server *Server) (c *connection) {
+	for c == nil {
+		eventlooptest.Do(server.loop, func() {
+			for open := range server.connections {
+				c = open
+			}
+		})
+	}
+	return c
+}
+
+// connect opens a client's connection, which is closed at the end of the test.
+func connect(t *testing.T, server *Server) net.Conn {
+	t.Helper()
+	client, err := net.Dial("tcp", server.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = client.Close() })
+	if err := client.SetDeadline(time.Now().Add(2 * waitLimit)); err != nil {
+		t.Fatal(err)
+	}
+	return client
+}
+
+// send writes text and does not wait for a response.
+func send(t *testing.T, client net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(client, text); err != nil {
+		t.Error(err)
+	}
+}
+
+// deliver writes text and waits until the poller has read it. It runs on the goroutine of the event
+// loop: the server has the text in a buffer then and has not been called for it.
+func deliver(t *testing.T, server *Server, client net.Conn, text string) {
+	t.Helper()
+	want := server.loop.BufferedBytes() + int64(len(text))
+	send(t, client, text)
+	awaitCondition(t, "the poller to read the text", func() bool { return server.loop.BufferedBytes() >= want })
+}
+
+// awaitCondition polls until the condition holds.
+func awaitCondition(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(waitLimit); !holds(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Errorf("waited %v for %s", waitLimit, what)
+			return
+		}
+	}
+}
+
+// awaitOnLoop polls on the goroutine of the event loop until the condition holds.
+func awaitOnLoop(t *testing.T, server *Server, what string, holds func() bool) {
+	t.Helper()
+	awaitCondition(t, what, func() (held bool) {
+		eventlooptest.Do(server.loop, func() { held = holds() })
+		return held
+	})
+}
