--- a/internal/frontend/clientconn/budget.go
+++ b/internal/frontend/clientconn/budget.go
@@ -1,16 +1,16 @@
 package clientconn
 
-// Budget bounds the bytes of results that are buffered for clients to fetch. It belongs
-// to the goroutine of the event loop.
+// Budget bounds the bytes of results that are buffered for clients to fetch. It belongs to the goroutine of the event
+// loop.
 type Budget struct {
-	limit    int
-	reserved int
+	limit    int // bytes
+	reserved int // bytes
 }
 
-// SetLimit changes the limit. What is reserved already stays so.
+// SetLimit changes the limit. Reservations stay, also where they exceed the new limit.
 func (b *Budget) SetLimit(bytes int) { b.limit = bytes }
 
-// TryReserve reserves bytes and reports whether the budget had room for them.
+// TryReserve reserves bytes and reports whether they were within the limit.
 func (b *Budget) TryReserve(bytes int) bool {
 	if b.reserved+bytes > b.limit {
 		return false
--- a/internal/frontend/clientconn/budget_test.go
+++ b/internal/frontend/clientconn/budget_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-func TestBudget_RefusesWhatExceedsItsLimit(t *testing.T) {
+func TestBudget_RejectsReservationsPastItsLimit(t *testing.T) {
 	var budget Budget
 	budget.SetLimit(10)
 	if !budget.TryReserve(6) || !budget.TryReserve(4) {
-		t.Fatal("a reservation up to the limit was refused")
+		t.Fatal("a reservation up to the limit was rejected")
 	}
 	if budget.TryReserve(1) {
-		t.Error("a reservation past the limit was taken")
+		t.Error("a reservation past the limit succeeded")
 	}
 	budget.Release(4)
 	if !budget.TryReserve(4) {
@@ -17,6 +17,6 @@
 	}
 	budget.SetLimit(5)
 	if budget.TryReserve(0) {
-		t.Error("a reservation was taken while more than the new limit is reserved")
+		t.Error("a reservation succeeded while more than the new limit is reserved")
 	}
 }
--- a/internal/frontend/clientconn/doc.go
+++ b/internal/frontend/clientconn/doc.go
@@ -1,5 +1,4 @@
-// Package clientconn holds what the servers for HTTP and for PostgreSQL clients have in
-// common: the listener, the budget of buffered results, back pressure on clients that
-// do not read, and the form of a Retry-After. What the two protocols only seem to share
-// (eviction, read time-outs, graceful shutdown) stays with each server.
+// Package clientconn holds what the servers for HTTP and for PostgreSQL clients have in common: the listener, the
+// budget of buffered results, back pressure on clients that do not read, and the rounding of a Retry-After. Eviction,
+// read time-outs and graceful shutdown look alike in both servers but depend on the protocol, and stay there.
 package clientconn
--- a/internal/frontend/clientconn/flow_test.go
+++ b/internal/frontend/clientconn/flow_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestCeilMilliseconds(t *testing.T) {
+func TestCeilMilliseconds_RoundsUp(t *testing.T) {
 	for duration, want := range map[time.Duration]int64{
 		0: 0, 1: 1, time.Millisecond: 1, time.Millisecond + 1: 2, 2 * time.Second: 2000,
 	} {
