--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -1,52 +1,113 @@
 package httpserver
 
 import (
+	"cmp"
+	"log/slog"
+
 	"flaxrelay/internal/invariant"
+	"flaxrelay/internal/metrics"
 )
 
-// busyBody is the body of a rejection.
-const busyBody = `{"fault":"Busy"}`
-
-// closeReason says why a connection ended. It is the last word of the counter
-// http.closed.REASON.
+// closeReason says why a connection ended. It is the last word of the counter http.closed.REASON.
 type closeReason string
 
-// The reasons.
 const (
+	closeNone           closeReason = ""                // this side does not close it
 	closeByClient       closeReason = "client"          // the client closed it
 	closeByError        closeReason = "error"           // the connection broke
-	closeBehindResponse closeReason = "response"        // the response said so
-	closeInvalidRequest closeReason = "invalid-request" // behind the response to one
+	closeAfterResponse  closeReason = "response"        // the response said so
+	closeInvalidRequest closeReason = "invalid-request" // after the response to one
 	closeReadTimeout    closeReason = "read-timeout"    // no request came in time
 	closeIdleTimeout    closeReason = "idle"            // no request came for long
-	closeEvicted        closeReason = "evicted"         // others needed its place
+	closeEvicted        closeReason = "evicted"         // a new connection needed its descriptor
 	closeShutdown       closeReason = "shutdown"        // a graceful shutdown
 )
 
-// closeUnused closes a connection on which nothing is open, and reports whether it could: a
-// request, or a part of one, that has arrived meanwhile is owed an answer. Every close from this
-// side without a response goes through here.
+// unused reports whether nothing is outstanding on the connection: no request in flight, no result that is fetched
+// page by page, no part of a request. It must not be called from OnData.
+func (c *connection) unused() bool {
+	return c.state.awaitsRequest() && c.state != statePaging && c.reader.unread() == 0
+}
+
+// closeUnused closes a connection on which no request is in flight, unless a request or a part of one has arrived
+// by now, and reports whether it did. A request that was read and then closed over would be lost: every close from
+// this side without a response goes through here. It must not be called from OnData.
 func (c *connection) closeUnused(reason closeReason) bool {
-	answered := c.state != stateInFlight
-	if !c.server.dispatcher.Invariants().Check(answered, invariant.ResponseDropped, "reason", string(reason)) {
+	responded := c.state != stateInFlight
+	if !c.server.dispatcher.Invariants().Check(responded, invariant.ResponseDropped, slog.String("reason", string(reason))) {
 		return false
 	}
 	if !c.socket.CloseIfIdle() {
 		return false
 	}
-	c.state, c.closeReason = stateClosing, reason
+	c.state = stateClosing
+	c.closeReason = reason
 	return true
 }
 
-// countClose counts the end of the connection by its reason.
+// write sends a response, as the last one where nothing more is to be served after it.
+func (c *connection) write(r response) {
+	switch {
+	case c.state == stateClosing:
+	case c.closesAfterResponse():
+		c.writeLast(r, cmp.Or(c.closeReason, closeAfterResponse))
+	default:
+		c.socket.Write(r.encode())
+	}
+}
+
+// closesAfterResponse reports whether the connection is to be closed after the response that is about to be
+// written: the client wants that, or in eviction and graceful shutdown nothing is outstanding after it.
+func (c *connection) closesAfterResponse() bool {
+	if c.wantsClose {
+		return true
+	}
+	if c.state != stateEvicting && !c.server.draining {
+		return false
+	}
+	return c.state != statePaging && c.reader.unread() == 0
+}
+
+// writeLast sends a response that announces the end of the connection, and closes the connection after it.
+func (c *connection) writeLast(r response, reason closeReason) {
+	c.socket.Write(r.encodeLast())
+	c.state = stateClosing
+	c.closeReason = reason
+	if r.isClientError() {
+		c.socket.CloseAfterLinger() // nothing more is read of the client
+	} else {
+		c.socket.Close()
+	}
+}
+
+// reject responds to an invalid request and closes the connection: what follows a request that can't be read can't
+// be trusted, and a client that sends invalid requests without pause has to connect for each.
+func (c *connection) reject(err *statusError) {
+	c.server.counters.Increment(metrics.HTTPBadRequests)
+	c.writeLast(errorResponse(err), closeInvalidRequest)
+}
+
+// rejectEvicted rejects a request that had arrived before its connection was evicted.
+func (c *connection) rejectEvicted() {
+	c.closeReason = closeEvicted // counted also where the client closes first
+	c.write(rejectedResponse(c.server.dispatcher.RetryAfter()))
+}
+
+// rejectPartial rejects a request of which a part has arrived, and closes the connection. Nothing of the request was
+// forwarded.
+func (c *connection) rejectPartial(reason closeReason) {
+	c.writeLast(rejectedResponse(c.server.dispatcher.RetryAfter()), reason)
+}
+
+// countClose counts the end of the connection by its reason. The error is that of the socket.
 func (c *connection) countClose(err error) {
 	reason := c.closeReason
 	switch {
-	case reason != "":
+	case reason != closeNone:
 	case err != nil:
 		reason = closeByError
 	default:
 		reason = closeByClient
 	}
-	c.server.counters.IncrementByName("http.closed." + string(reason))
+	c.server.counters.Increment(metrics.HTTPClosed.With(string(reason)))
 }
--- a/internal/frontend/httpserver/connection_test.go
+++ b/internal/frontend/httpserver/connection_test.go
@@ -275,7 +275,7 @@
 				s.roundTrip(healthRequest)
 				s.onLoop(func() {
 					s.c.lastActive -= maxIdleTime + time.Millisecond
-					s.server.closeIdle()
+					s.server.evictor.closeIdle()
 				})
 			},
 			wantCounters: map[string]int{"http.closed.idle": 1, "http.idle-closed": 1},
@@ -556,7 +556,7 @@
 					s.deliver(test.arrived)
 				}
 				s.c.lastActive = s.server.loop.Now() - test.inactive
-				if _, victim := s.server.findVictim(); (victim == s.c) != test.want {
+				if _, victim := s.server.evictor.findVictim(); (victim == s.c) != test.want {
 					t.Errorf("victim: %v, want %v", victim == s.c, test.want)
 				}
 			})
--- a/internal/frontend/httpserver/errors.go
+++ b/internal/frontend/httpserver/errors.go
@@ -5,7 +5,8 @@
 	"net/http"
 )
 
-// statusError is an invalid request: the status and the message of its response.
+// statusError is the reason why a request is invalid: the status and the message of its response. Functions return
+// it by its own type, since every such error becomes a response.
 type statusError struct {
 	status  int
 	message string
@@ -18,6 +19,11 @@
 	return &statusError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
+func headTooLarge() *statusError {
+	return &statusError{http.StatusRequestHeaderFieldsTooLarge, "the head of the request is too large"}
+}
+
+// wrongContentLength is the error of a request that is followed by bytes that can't be a request.
 func wrongContentLength() *statusError {
 	return badRequest("what follows the call is no other: Content-Length is wrong")
 }
--- a/internal/frontend/httpserver/eviction_test.go
+++ b/internal/frontend/httpserver/eviction_test.go
@@ -13,10 +13,10 @@
 )
 
 func TestEvictedBefore_PrefersConnectionsWithoutAValidRequest(t *testing.T) {
-	newSilent := &connection{lastActive: 9}
-	oldSilent := &connection{lastActive: 5}
-	newUsed := &connection{lastActive: 8, validRequestSeen: true}
-	oldUsed := &connection{lastActive: 1, validRequestSeen: true}
+	newSilent := &connection{lastActive: 9, state: stateNew}
+	oldSilent := &connection{lastActive: 5, state: stateNew}
+	newUsed := &connection{lastActive: 8, state: stateIdle}
+	oldUsed := &connection{lastActive: 1, state: stateIdle}
 	order := []*connection{oldSilent, newSilent, oldUsed, newUsed}
 	for i, first := range order {
 		for j, second := range order {
@@ -62,10 +62,11 @@
 		if c.socket.PendingWrite() == 0 {
 			t.Error("nothing waits to be sent")
 		}
-		server.findVictim()
+		server.evictor.findVictim()
 	})
 	received, err := io.ReadAll(client)
-	if got := bytes.Count(received, []byte("HTTP/1.1 200 OK")); err != nil || got != pages || !bytes.HasSuffix(received, []byte("]}")) {
+	got := bytes.Count(received, []byte("HTTP/1.1 200 OK"))
+	if err != nil || got != pages || !bytes.HasSuffix(received, []byte("]}")) {
 		t.Errorf("%d of %d responses, then %v", got, pages, err)
 	}
 }
--- a/internal/frontend/httpserver/helpers_test.go
+++ b/internal/frontend/httpserver/helpers_test.go
@@ -54,7 +54,9 @@
 		t.Fatal(err)
 	}
 	counters := metrics.New()
-	dispatcher, err := lifecycle.NewDispatcher(site.Policy, 1, loop, loop.Timers, counters, slog.New(slog.DiscardHandler))
+	const seed = 1
+	logger := slog.New(slog.DiscardHandler)
+	dispatcher, err := lifecycle.NewDispatcher(site.Policy, seed, loop, loop.Timers, counters, logger)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/httpserver/parse.go
+++ b/internal/frontend/httpserver/parse.go
@@ -33,25 +33,35 @@
 
 // knownFields has the header fields that are read; all others are ignored.
 var knownFields = map[string]bool{
-	fieldContentLength: true, fieldTransferEncoding: true, fieldConnection: true, fieldRequestID: true, fieldWait: true,
-	fieldRetry: true, fieldIdempotencyKey: true, fieldWork: true, fieldMemory: true, fieldTenant: true, fieldOrderKey: true,
+	fieldContentLength:    true,
+	fieldTransferEncoding: true,
+	fieldConnection:       true,
+	fieldRequestID:        true,
+	fieldWait:             true,
+	fieldRetry:            true,
+	fieldIdempotencyKey:   true,
+	fieldWork:             true,
+	fieldMemory:           true,
+	fieldTenant:           true,
+	fieldOrderKey:         true,
 }
 
 // httpRequest is one request of a client.
 type httpRequest struct {
-	method, path string
-	header       map[string]string // known fields by name in lower case
-	body         []byte            // within the input
-	wantsClose   bool              // the client wants the connection closed after the response
-	arrivedAt    time.Duration     // when its last byte was read, as of Loop.Now
+	method     string
+	path       string
+	header     map[string]string // known fields by name in lower case
+	body       []byte            // within the input
+	wantsClose bool              // the client wants the connection closed after the response
+	arrivedAt  time.Duration     // when its last byte was read, as of Loop.Now; set by requestReader
 }
 
-// parse reads one request and returns its size, which is 0 while it is incomplete.
+// parse reads the request at the start of the input and returns its size, which is 0 while it is incomplete.
 func parse(input []byte) (request httpRequest, size int, err *statusError) {
 	headSize := bytes.Index(input[:min(len(input), maxHead)], []byte(headEnd))
 	if headSize < 0 {
 		if len(input) >= maxHead {
-			return request, 0, &statusError{http.StatusRequestHeaderFieldsTooLarge, "the head of the request is too large"}
+			return request, 0, headTooLarge()
 		}
 		return request, 0, nil
 	}
@@ -74,17 +84,16 @@
 
 // parseHead reads the request line and the header fields.
 func parseHead(head []byte) (request httpRequest, err *statusError) {
-	// Prevents request smuggling: a line that ends in a lone CR or LF, which other
-	// programs read otherwise, could hide a field.
+	// Prevents request smuggling: a line that ends in a lone CR or LF, which other programs read otherwise, could
+	// hide a field.
 	if bytes.ContainsAny(bytes.ReplaceAll(head, []byte(lineEnd), nil), "\r\n\x00") {
 		return request, badRequest("a line of the head has a stray CR, LF or NUL")
 	}
 	lines := strings.Split(string(head), lineEnd)
-	words := strings.Split(lines[0], " ")
-	if len(words) != 3 || words[0] == "" || !strings.HasPrefix(words[1], "/") {
-		return request, badRequest("malformed request line")
+	method, path, version, err := parseRequestLine(lines[0])
+	if err != nil {
+		return request, err
 	}
-	method, path, version := words[0], words[1], words[2]
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
 		return request, &statusError{http.StatusHTTPVersionNotSupported, "only HTTP/1.1 is spoken here"}
 	}
@@ -94,7 +103,7 @@
 			return request, err
 		}
 	}
-	// Refused even when empty: beside a Content-Length, its body might hide another request.
+	// Rejected even when empty: beside a Content-Length, its body might hide another request.
 	if _, ok := request.header[fieldTransferEncoding]; ok {
 		return request, &statusError{http.StatusNotImplemented, "transfer encodings are not taken; send Content-Length"}
 	}
@@ -102,7 +111,17 @@
 	return request, nil
 }
 
-// parseField reads one header field and keeps it if it is a known one.
+// parseRequestLine reads the first line of a request.
+func parseRequestLine(line string) (method, path, version string, err *statusError) {
+	const partsOfRequestLine = 3
+	parts := strings.Split(line, " ")
+	if len(parts) != partsOfRequestLine || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
+		return "", "", "", badRequest("malformed request line")
+	}
+	return parts[0], parts[1], parts[2], nil
+}
+
+// parseField reads one header field and adds it to the header if it is a known one.
 func parseField(header map[string]string, line string) *statusError {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsAny(name, " \t") {
@@ -123,10 +142,11 @@
 func bodyLength(request httpRequest) (int, *statusError) {
 	length := uint64(0)
 	if text, ok := request.header[fieldContentLength]; ok {
-		var err error
-		if length, err = strconv.ParseUint(text, 10, 63); err != nil {
+		parsed, err := strconv.ParseUint(text, 10, 63)
+		if err != nil {
 			return 0, badRequest("Content-Length is no number")
 		}
+		length = parsed
 	}
 	if length > maxBody {
 		return 0, &statusError{http.StatusRequestEntityTooLarge, "the body of the request is too large"}
@@ -137,8 +157,8 @@
 	return int(length), nil
 }
 
-// canStartRequest reports whether what follows a request can be the start of another.
-// Where it can't, the length of the request was wrong, and so is its statement.
+// canStartRequest reports whether what follows a request can be the start of another. Where it can't, the length of
+// the request was wrong, and so is its statement.
 func canStartRequest(input []byte) bool {
 	for _, start := range []string{"GET /", "POST /", "DELETE /"} {
 		if n := min(len(input), len(start)); string(input[:n]) == start[:n] {
--- a/internal/frontend/httpserver/parse_test.go
+++ b/internal/frontend/httpserver/parse_test.go
@@ -2,15 +2,17 @@
 
 import (
 	"encoding/json"
+	"slices"
 	"testing"
 
 	"flaxrelay/internal/engine/lineclient"
 )
 
-// Whatever the input, a request lies within it, and a longer input never turns a
+// For every input, a request lies within it, and a longer input never turns a
 // complete request into another one.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte("POST /rpc/lookup HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 2\r\n\r\nab"), []byte("GET / HTTP/1.1\r\n\r\n"))
+	const statement = "POST /rpc/lookup HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 2\r\n\r\nab"
+	f.Add([]byte(statement), []byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, input, more []byte) {
 		request, size, err := parse(input)
 		if size > len(input) || len(request.body) > size || err != nil && size != 0 {
@@ -19,14 +21,17 @@
 		if size == 0 || err != nil {
 			return
 		}
-		longer, longerSize, err := parse(append(input[:len(input):len(input)], more...))
-		if longerSize != size || err != nil || longer.path != request.path || string(longer.body) != string(request.body) {
+		longer, longerSize, err := parse(append(slices.Clip(input), more...))
+		if longerSize != size || err != nil {
+			t.Fatalf("%d bytes, %v; want %d", longerSize, err, size)
+		}
+		if longer.path != request.path || string(longer.body) != string(request.body) {
 			t.Fatalf("%q turned into %q", request.path, longer.path)
 		}
 	})
 }
 
-// Responses are JSON whatever the rows hold.
+// Responses are JSON for all bytes of the rows.
 func FuzzEncodeRows(f *testing.F) {
 	f.Add("a\t\"b\"\\\x01\nc\td\n")
 	f.Fuzz(func(t *testing.T, page string) {
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -11,6 +11,7 @@
 	"flaxrelay/internal/config"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/sqltext"
+	"flaxrelay/internal/stmtstats"
 	"flaxrelay/policy"
 )
 
@@ -22,13 +23,33 @@
 	maxEstimatedMemoryMB    = 1e9
 )
 
-// newRequest validates the header fields and the statement of a request to a class.
-func (c *connection) newRequest(className string, request httpRequest) (*lifecycle.Request, *statusError) {
-	class, ok := c.server.dispatcher.Class(className)
+// requestBuilder builds the dispatcher's requests from those of HTTP clients: it validates their header fields and
+// statements, adds estimates, and guards that no two requests in flight have one id. It belongs to the goroutine of
+// the event loop.
+type requestBuilder struct {
+	dispatcher  *lifecycle.Dispatcher
+	estimator   *stmtstats.Service // nil: off
+	inFlightIDs map[string]struct{}
+}
+
+func newRequestBuilder(dispatcher *lifecycle.Dispatcher, estimator *stmtstats.Service) *requestBuilder {
+	return &requestBuilder{dispatcher: dispatcher, estimator: estimator, inFlightIDs: map[string]struct{}{}}
+}
+
+// addInFlight reserves the id of a request that is passed to the dispatcher, until removeInFlight.
+func (b *requestBuilder) addInFlight(id string) { b.inFlightIDs[id] = struct{}{} }
+
+func (b *requestBuilder) removeInFlight(id string) { delete(b.inFlightIDs, id) }
+
+// build returns the request to a class, whose response the client receives.
+func (b *requestBuilder) build(
+	className string, request httpRequest, client lifecycle.Client,
+) (*lifecycle.Request, *statusError) {
+	class, ok := b.dispatcher.Class(className)
 	if !ok {
 		return nil, &statusError{http.StatusNotFound, "no such class"}
 	}
-	id, err := c.server.parseRequestID(request)
+	id, err := b.parseRequestID(request.header[fieldRequestID])
 	if err != nil {
 		return nil, err
 	}
@@ -43,34 +64,44 @@
 	if !utf8.Valid(request.body) || bytes.IndexByte(request.body, 0) >= 0 {
 		return nil, badRequest("the statement is no text in UTF-8")
 	}
-	statement := string(request.body)
-	r := &lifecycle.Request{
-		ID: id, Class: className, Statement: statement, ClientRetry: retry == "1", Client: c,
-		Tenant: request.header[fieldTenant], OrderKey: request.header[fieldOrderKey],
-		// From its last byte, not from its turn behind another request on the connection.
+	built := &lifecycle.Request{
+		ID:          id,
+		Class:       className,
+		Statement:   string(request.body),
+		ClientRetry: retry == "1",
+		Client:      client,
+		Tenant:      request.header[fieldTenant],
+		OrderKey:    request.header[fieldOrderKey],
+		// The client waits from the last byte of the request on, also while the request waits for its turn after
+		// another one on the connection.
 		Deadline: request.arrivedAt + wait,
 	}
-	if err := setEstimates(r, request); err != nil {
+	if err := setEstimates(built, request); err != nil {
 		return nil, err
 	}
-	if err := setIdempotencyKey(r, class, request); err != nil {
+	if err := setIdempotencyKey(built, class, request); err != nil {
 		return nil, err
 	}
-	if estimator := c.server.options.Estimator; estimator != nil {
-		estimator.EstimateText(r, statement)
-	} else {
-		r.Dataset, _ = sqltext.DatasetOf(statement)
-	}
-	return r, nil
+	b.observeStatement(built, string(request.body))
+	return built, nil
+}
+
+// observeStatement fills in what the text of the statement tells: the dataset, and with statistics of query shapes
+// the estimated cost.
+func (b *requestBuilder) observeStatement(request *lifecycle.Request, statement string) {
+	if b.estimator != nil {
+		b.estimator.EstimateText(request, statement)
+		return
+	}
+	request.Dataset, _ = sqltext.DatasetOf(statement)
 }
 
-func (s *Server) parseRequestID(request httpRequest) (string, *statusError) {
-	id := request.header[fieldRequestID]
+func (b *requestBuilder) parseRequestID(id string) (string, *statusError) {
 	if len(id) != requestIDLength || strings.Trim(id, "0123456789abcdefABCDEF") != "" {
 		return "", badRequest("Req-Id: not 16 hex digits")
 	}
 	// An engine could not distinguish two requests with one id.
-	if _, inFlight := s.inFlightIDs[id]; inFlight {
+	if _, inFlight := b.inFlightIDs[id]; inFlight {
 		return "", &statusError{http.StatusConflict, "Req-Id: a request of this id is open"}
 	}
 	return id, nil
@@ -86,27 +117,27 @@
 }
 
 // setEstimates reads the client's estimates of the request's cost, if it gives any.
-func setEstimates(r *lifecycle.Request, request httpRequest) *statusError {
-	if text, ok := request.header[fieldWork]; ok {
+func setEstimates(built *lifecycle.Request, request httpRequest) *statusError {
+	if text, given := request.header[fieldWork]; given {
 		work, ok := parsePositive(text, milliseconds(maxEstimatedWork))
 		if !ok {
 			return badRequest("Req-Cost: not a number above 0, up to %.0f", milliseconds(maxEstimatedWork))
 		}
-		r.EstimatedWork = config.FromMilliseconds(work)
+		built.EstimatedWork = config.FromMilliseconds(work)
 	}
-	if text, ok := request.header[fieldMemory]; ok {
+	if text, given := request.header[fieldMemory]; given {
 		memoryMB, ok := parsePositive(text, maxEstimatedMemoryMB)
 		if !ok {
 			return badRequest("Req-Kb: not a number above 0, up to %.0f", maxEstimatedMemoryMB)
 		}
-		r.EstimatedMemoryMB = memoryMB
+		built.EstimatedMemoryMB = memoryMB
 	}
 	return nil
 }
 
-// setIdempotencyKey reads the key of a request whose class needs one: without it nothing
-// would drop a repeat of the request.
-func setIdempotencyKey(r *lifecycle.Request, class policy.Class, request httpRequest) *statusError {
+// setIdempotencyKey reads the key of a request whose class needs one: without it no engine would drop a duplicate of
+// the request.
+func setIdempotencyKey(built *lifecycle.Request, class policy.Class, request httpRequest) *statusError {
 	if class.Effect != policy.IdempotentByKey {
 		return nil
 	}
@@ -114,7 +145,7 @@
 	if !validIdempotencyKey(key) {
 		return badRequest("Req-Token: missing or not of 1 to 64 letters, digits, - and _")
 	}
-	r.IdempotencyKey = key
+	built.IdempotencyKey = key
 	return nil
 }
 
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -1,7 +1,6 @@
 package httpserver
 
 import (
-	"bytes"
 	"net/http"
 	"strconv"
 	"time"
@@ -27,132 +26,80 @@
 	http.StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
 }
 
-// Sizes that buffers are allocated with, so that they seldom need to grow.
+// usualHeadSize is how many bytes a response usually has before its body. Buffers are allocated with it, so that they
+// seldom need to grow.
+const usualHeadSize = 160
+
+// Bodies of responses without details.
 const (
-	usualHeadSize     = 160 // bytes of a response before its body
-	usualEnvelopeSize = 64  // bytes of JSON around the rows
+	emptyBody    = `{}`
+	rejectedBody = `{"fault":"Busy"}`
+	failedBody   = `{"fault":"Failed"}`
+	notFound     = "nothing is held under this path"
 )
 
-// reject responds to an invalid request and closes the connection: what follows a
-// request that can't be read can't be trusted, and a client that sends invalid requests
-// without pause has to connect for each.
-func (c *connection) reject(err *statusError) {
-	c.server.counters.IncrementByName("http.bad-requests")
-	c.closeAfterResponse, c.closeReason = true, closeInvalidRequest
-	c.write(err.status, 0, encodeError(err.message))
+// response is one response to a client.
+type response struct {
+	status     int
+	retryAfter time.Duration // the Srv-Wait-Ms field; 0: the response has none
+	body       []byte
 }
 
-// write sends one response in one piece. It has a Srv-Wait-Ms field where retryAfter is
-// above 0.
-func (c *connection) write(status int, retryAfter time.Duration, body []byte) {
-	if c.state == stateClosing {
-		return
-	}
-	if (c.server.draining || c.evicting) && c.state != statePaging && !c.hasUnread() {
-		c.closeAfterResponse = true
-	}
-	c.socket.Write(appendResponse(make([]byte, 0, usualHeadSize+len(body)), status, retryAfter, c.closeAfterResponse, body))
-	if !c.closeAfterResponse {
-		return
-	}
-	c.state = stateClosing
-	if c.closeReason == "" {
-		c.closeReason = closeBehindResponse
-	}
-	if status >= 400 && status < 500 {
-		c.socket.CloseAfterLinger()
-	} else {
-		c.socket.Close()
-	}
+// emptyResponse confirms a request that has no result.
+func emptyResponse() response { return response{status: http.StatusOK, body: []byte(emptyBody)} }
+
+// rowsResponse has rows of a result, and the path of the next page unless it is empty.
+func rowsResponse(rows lineclient.Rows, nextPath string) response {
+	return response{status: http.StatusOK, body: encodeRows(rows, nextPath)}
 }
 
-func appendResponse(b []byte, status int, retryAfter time.Duration, closes bool, body []byte) []byte {
-	b = append(b, "HTTP/1.1 "...)
-	b = strconv.AppendInt(b, int64(status), 10)
-	b = append(b, ' ')
-	b = append(b, reasonPhrases[status]...)
-	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
-	b = strconv.AppendInt(b, int64(len(body)), 10)
-	b = append(b, "\r\n"...)
-	if retryAfter > 0 {
-		b = append(b, "Srv-Wait-Ms: "...)
-		b = strconv.AppendInt(b, clientconn.CeilMilliseconds(retryAfter), 10)
-		b = append(b, "\r\n"...)
-	}
-	if closes {
-		b = append(b, "Connection: close\r\n"...)
-	}
-	b = append(b, "\r\n"...)
-	return append(b, body...)
+// resultNotFoundResponse responds to a path that no result is buffered under, as after a restart.
+func resultNotFoundResponse() response {
+	return response{status: http.StatusNotFound, body: encodeError(notFound)}
 }
 
-// encodeRows encodes rows of tab-separated columns as JSON arrays of strings, and the
-// path of the next page unless it is empty.
-func encodeRows(rows lineclient.Rows, nextPath string) []byte {
-	size := usualEnvelopeSize
-	for _, page := range rows {
-		size += len(page) + len(page)/2 // quotes and commas add about half
-	}
-	b := append(make([]byte, 0, size), '{')
-	if nextPath != "" {
-		b = append(b, `"more":`...)
-		b = appendString(b, []byte(nextPath))
-		b = append(b, ',')
-	}
-	b = append(b, `"result":[`...)
-	first := true
-	for _, page := range rows {
-		for len(page) > 0 {
-			var row []byte
-			row, page, _ = bytes.Cut(page, []byte{'\n'})
-			if !first {
-				b = append(b, ',')
-			}
-			first = false
-			b = appendRow(b, row)
-		}
-	}
-	return append(b, "]}"...)
+// rejectedResponse responds to a request that did not run.
+func rejectedResponse(retryAfter time.Duration) response {
+	return response{status: http.StatusServiceUnavailable, retryAfter: retryAfter, body: []byte(rejectedBody)}
 }
 
-func appendRow(b, row []byte) []byte {
-	b = append(b, '[')
-	for i, column := range bytes.Split(row, []byte{'\t'}) {
-		if i > 0 {
-			b = append(b, ',')
-		}
-		b = appendString(b, column)
-	}
-	return append(b, ']')
+// failedResponse responds to a request that may have run.
+func failedResponse() response {
+	return response{status: http.StatusInternalServerError, body: []byte(failedBody)}
 }
 
-// refuse answers what has arrived of a request by a rejection and closes the connection.
-// Nothing of it was forwarded.
-func (c *connection) refuse(reason closeReason) {
-	c.closeAfterResponse, c.closeReason = true, reason
-	c.state = stateReady // not paging: the response is the last
-	c.write(http.StatusServiceUnavailable, c.server.dispatcher.RetryAfter(), []byte(busyBody))
+// errorResponse responds to an invalid request.
+func errorResponse(err *statusError) response {
+	return response{status: err.status, body: encodeError(err.message)}
 }
 
-func encodeError(message string) []byte {
-	b := appendString([]byte(`{"fault":`), []byte(message))
-	return append(b, '}')
+// isClientError reports whether the client caused the response by an invalid request.
+func (r response) isClientError() bool {
+	return r.status >= http.StatusBadRequest && r.status < http.StatusInternalServerError
 }
 
-// appendString appends a JSON string. All bytes stay as they are except those that JSON
-// needs escaped.
-func appendString(b, s []byte) []byte {
-	const hexDigits = "0123456789abcdef"
-	b = append(b, '"')
-	for _, char := range s {
-		switch {
-		case char == '"' || char == '\\':
-			b = append(b, '\\', char)
-		case char < 0x20:
-			b = append(b, '\\', 'u', '0', '0', hexDigits[char>>4], hexDigits[char&15])
-		default:
-			b = append(b, char)
-		}
+// encode returns the response in one piece.
+func (r response) encode() []byte { return r.encodeWith("") }
+
+// encodeLast returns the response in one piece, as the last one of its connection.
+func (r response) encodeLast() []byte { return r.encodeWith("Connection: close\r\n") }
+
+// encodeWith returns the response with a further header field.
+func (r response) encodeWith(field string) []byte {
+	b := make([]byte, 0, usualHeadSize+len(r.body))
+	b = append(b, "HTTP/1.1 "...)
+	b = strconv.AppendInt(b, int64(r.status), 10)
+	b = append(b, ' ')
+	b = append(b, reasonPhrases[r.status]...)
+	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
+	b = strconv.AppendInt(b, int64(len(r.body)), 10)
+	b = append(b, lineEnd...)
+	if r.retryAfter > 0 {
+		b = append(b, "Srv-Wait-Ms: "...)
+		b = strconv.AppendInt(b, clientconn.CeilMilliseconds(r.retryAfter), 10)
+		b = append(b, lineEnd...)
 	}
-	return append(b, '"')
+	b = append(b, field...)
+	b = append(b, lineEnd...)
+	return append(b, r.body...)
 }
--- a/internal/frontend/httpserver/results_test.go
+++ b/internal/frontend/httpserver/results_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"flaxrelay/internal/engine/lineclient"
+	"flaxrelay/internal/timerqueue"
 )
 
 func TestPaginate_StartsAPageWhereTheNextPartExceedsIt(t *testing.T) {
@@ -39,14 +40,14 @@
 }
 
 func TestResultStore_ServesPagesUntilReleased(t *testing.T) {
-	store := newResultStore("start", 10)
+	store := newResultStore(timerqueue.New(), "start", 10)
 	pages := []lineclient.Rows{{[]byte("a")}, {[]byte("b")}, {[]byte("c")}}
 	path, ok := store.add(pages, 10)
 	if !ok {
-		t.Fatal("a result within the budget was refused")
+		t.Fatal("a result within the budget was rejected")
 	}
 	if _, ok := store.add(pages, 1); ok {
-		t.Error("a result past the budget was taken")
+		t.Error("a result past the budget was buffered")
 	}
 	if _, next, ok := store.page(path + "/1"); !ok || next != path+"/2" || store.allServed() {
 		t.Errorf("page 1: next %q, %v, all served %v", next, ok, store.allServed())
--- a/internal/frontend/httpserver/routing.go
+++ b/internal/frontend/httpserver/routing.go
@@ -3,70 +3,115 @@
 import (
 	"net/http"
 	"strings"
+	"time"
+
+	"flaxrelay/internal/engine/lineclient"
 )
 
 // Paths that are served.
 const (
-	healthPath     = "/health"
-	classPrefix    = "/rpc/"  // POST: a statement of the class that the last segment names
-	resultsPrefix  = "/more/" // GET: a further page of a result; DELETE: releases the result
-	emptyJSON      = `{}`
-	resultNotFound = "nothing is held under this path"
+	healthPath    = "/health"
+	classPrefix   = "/rpc/"  // POST: a statement of the class that the last segment names
+	resultsPrefix = "/more/" // GET: a further page of a result; DELETE: releases the result
 )
 
-// route serves one request by its method and path.
-func (c *connection) route(request httpRequest) {
-	if c.evicting {
-		c.closeReason = closeEvicted
-		c.write(http.StatusServiceUnavailable, c.server.dispatcher.RetryAfter(), []byte(busyBody))
-		return
-	}
-	var err *statusError
-	switch path, method := request.path, request.method; {
+// route is what a request asks for.
+type route uint8
+
+const (
+	routeHealth    route = iota // whether the front end serves
+	routeStatement              // a statement, which an engine runs
+	routePage                   // a further page of a result
+	routeRelease                // the end of a result that the client does not want to fetch to its end
+)
+
+// routeOf returns the route of a method and a path.
+func routeOf(method, path string) (route, *statusError) {
+	switch {
 	case path == healthPath && method == http.MethodGet:
-		c.validRequestSeen = true
-		c.write(http.StatusOK, 0, []byte(emptyJSON))
+		return routeHealth, nil
+	case strings.HasPrefix(path, classPrefix) && method == http.MethodPost:
+		return routeStatement, nil
 	case strings.HasPrefix(path, classPrefix):
-		err = c.routeStatement(request)
+		return 0, &statusError{http.StatusMethodNotAllowed, "statements come by POST"}
 	case strings.HasPrefix(path, resultsPrefix) && method == http.MethodGet:
-		c.validRequestSeen = true
-		c.writePage(path)
+		return routePage, nil
 	case strings.HasPrefix(path, resultsPrefix) && method == http.MethodDelete:
-		c.validRequestSeen = true
-		c.releaseResult(path)
+		return routeRelease, nil
 	default:
-		err = &statusError{http.StatusNotFound, "no such path"}
+		return 0, &statusError{http.StatusNotFound, "no such path"}
+	}
+}
+
+// serve responds to a complete request, or forwards it.
+func (c *connection) serve(request httpRequest) {
+	if c.state == stateEvicting {
+		c.rejectEvicted()
+		return
 	}
+	target, err := routeOf(request.method, request.path)
 	if err != nil {
 		c.reject(err)
+		return
+	}
+	switch target {
+	case routeHealth:
+		c.state = stateIdle
+		c.write(emptyResponse())
+	case routeStatement:
+		c.serveStatement(request)
+	case routePage:
+		c.servePage(request.path)
+	case routeRelease:
+		c.serveRelease(request.path)
 	}
 }
 
-// routeStatement forwards a statement of the class that the last segment of the path names.
-func (c *connection) routeStatement(request httpRequest) *statusError {
-	if request.method != http.MethodPost {
-		return &statusError{http.StatusMethodNotAllowed, "statements come by POST"}
-	}
+// serveStatement forwards a statement of the class that the last segment of the path names.
+func (c *connection) serveStatement(request httpRequest) {
 	className := request.path[strings.LastIndexByte(request.path, '/')+1:]
-	forwarded, err := c.newRequest(className, request)
+	forwarded, err := c.server.requests.build(className, request, c)
 	if err != nil {
-		return err
+		c.reject(err)
+		return
 	}
 	c.forward(forwarded)
-	return nil
 }
 
-// releaseResult drops a result that the client does not want to fetch to its end.
-func (c *connection) releaseResult(path string) {
-	if c.server.results.release(resultPath(path)) {
-		c.write(http.StatusOK, 0, []byte(emptyJSON))
+// servePage writes a further page of a result.
+func (c *connection) servePage(path string) {
+	c.state = stateIdle
+	rows, nextPath, ok := c.server.results.page(path)
+	if !ok {
+		c.write(resultNotFoundResponse())
 		return
 	}
-	c.writeResultNotFound()
+	if nextPath != "" {
+		c.state = statePaging
+	}
+	c.write(rowsResponse(rows, nextPath))
 }
 
-// writeResultNotFound responds to a path that no result is buffered under, as after a
-// restart.
-func (c *connection) writeResultNotFound() {
-	c.write(http.StatusNotFound, 0, encodeError(resultNotFound))
+// serveRelease drops a result that the client does not want to fetch to its end.
+func (c *connection) serveRelease(path string) {
+	c.state = stateIdle
+	if !c.server.results.release(resultPath(path)) {
+		c.write(resultNotFoundResponse())
+		return
+	}
+	c.write(emptyResponse())
+}
+
+// writeResult writes the result of the request in flight: complete, or its first page, where it has several. During
+// a graceful shutdown it is written completely, since there might not be time to fetch the others.
+func (c *connection) writeResult(rows lineclient.Rows, deadline time.Duration) {
+	if !c.server.draining {
+		first, nextPath, paged := c.server.results.addPages(rows, deadline)
+		if paged {
+			c.state = statePaging
+			c.write(rowsResponse(first, nextPath))
+			return
+		}
+	}
+	c.write(rowsResponse(rows, ""))
 }
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -1,5 +1,9 @@
-// Package httpserver serves HTTP/1.1 clients: it reads one request at a time from each
-// connection, passes it to the dispatcher and writes the response.
+// Package httpserver serves HTTP/1.1 clients: it reads one request at a time from each connection, passes it to the
+// dispatcher and writes the response.
+//
+// A Server accepts connections and holds what they share: the ids of requests in flight (requestBuilder), the results
+// that are fetched page by page (resultStore) and the limit of open connections (evictor). Each connection is a state
+// machine, whose diagram stands at connectionState; its requestReader finds the requests in what has arrived.
 package httpserver
 
 import (
@@ -21,8 +25,7 @@
 	defaultReadTimeout      = 2 * time.Second
 )
 
-// SpareClients is how many connections may be accepted past the limit while others are
-// being closed for them.
+// SpareClients is how many connections may be accepted past the limit while others are being closed for them.
 const SpareClients = 16
 
 // Options bound the resources that clients may use.
@@ -30,7 +33,7 @@
 	MaxClients       int                // open connections; past it the longest idle ones are evicted
 	MaxBufferedBytes int                // bytes of results that are buffered for clients to fetch
 	Estimator        *stmtstats.Service // estimates costs by query shape; nil: off
-	ReadTimeout      time.Duration      // within which a connection's first request, and any begun, must be complete
+	ReadTimeout      time.Duration      // a connection's first request, and any begun, must be complete within it
 }
 
 func (o Options) withDefaults() Options {
@@ -46,8 +49,8 @@
 	return o
 }
 
-// Server accepts HTTP clients. It and its connections belong to the goroutine of the
-// event loop.
+// Server accepts HTTP clients. Its methods must be called on the goroutine of the event loop, which owns it and its
+// connections; New and Listen may also be called before the loop runs.
 type Server struct {
 	clientconn.Listener
 	loop       *eventloop.Loop
@@ -55,22 +58,34 @@
 	options    Options
 	counters   *metrics.Counters
 
-	connections      map[*connection]struct{}
-	inFlightIDs      map[string]struct{} // of requests that are not answered yet
-	results          *resultStore
-	draining         bool // a graceful shutdown has begun
-	finishing        bool // it is about to end: nothing more is waited for
-	evictionRetrySet bool // a timer will call evictExcess again
+	connections map[*connection]struct{} // shared with the evictor
+	evictor     *evictor
+	requests    *requestBuilder
+	results     *resultStore
+
+	// Drain and Finish set these, in either order: where all deadlines are short the end of a graceful shutdown
+	// comes before its drain.
+	draining  bool // connections are closed as soon as they are unused
+	finishing bool // the process is about to end: no part of a request is waited for
 }
 
 // New returns a server that passes its requests to the dispatcher.
 func New(loop *eventloop.Loop, dispatcher *lifecycle.Dispatcher, options Options, counters *metrics.Counters) *Server {
 	options = options.withDefaults()
-	instanceID := strconv.FormatInt(int64(dispatcher.Now()), 36)
+	const instanceIDBase = 36
+	instanceID := strconv.FormatInt(int64(dispatcher.Now()), instanceIDBase)
+	connections := map[*connection]struct{}{}
 	return &Server{
-		loop: loop, dispatcher: dispatcher, options: options, counters: counters,
-		connections: map[*connection]struct{}{}, inFlightIDs: map[string]struct{}{},
-		results: newResultStore(instanceID, options.MaxBufferedBytes),
+		loop:        loop,
+		dispatcher:  dispatcher,
+		options:     options,
+		counters:    counters,
+		connections: connections,
+		evictor: &evictor{
+			loop: loop, counters: counters, connections: connections, maxClients: options.MaxClients,
+		},
+		requests: newRequestBuilder(dispatcher, options.Estimator),
+		results:  newResultStore(loop.Timers, instanceID, options.MaxBufferedBytes),
 	}
 }
 
@@ -81,39 +96,40 @@
 		return fmt.Errorf("listen for clients: %w", err)
 	}
 	s.Listener = listener
-	s.closeIdle()
+	s.evictor.closeIdle()
 	return nil
 }
 
 func (s *Server) accept(socket *eventloop.Conn) eventloop.Handler {
-	s.counters.IncrementByName("http.connections")
-	c := &connection{server: s, socket: socket, lastActive: s.loop.Now()}
+	s.counters.Increment(metrics.HTTPConnections)
+	c := &connection{
+		server: s, socket: socket, reader: requestReader{socket: socket}, lastActive: s.loop.Now(),
+	}
 	s.connections[c] = struct{}{}
 	if len(s.connections) > s.options.MaxClients {
-		s.evictExcess()
+		s.evictor.evictExcess()
 	}
 	c.startReadTimer()
 	return c
 }
 
-// Drain begins a graceful shutdown: each connection is closed as soon as it is idle. A
-// request that has partly arrived is still served once it is complete; its read timer
-// bounds the wait for it.
+// Drain begins a graceful shutdown: each connection is closed as soon as it is unused. A request that has partly
+// arrived is still served once it is complete; its read timer bounds the wait for it.
 func (s *Server) Drain() {
 	s.draining = true
 	for c := range s.connections {
-		if c.idle() {
+		if c.unused() {
 			c.closeUnused(closeShutdown)
 		}
 	}
 }
 
-// Finish ends a graceful shutdown, once the dispatcher rejects whatever comes: the requests that
-// have arrived are rejected by it, and one that has partly arrived is refused.
+// Finish ends a graceful shutdown, once the dispatcher rejects all new requests: those that have arrived are rejected
+// by it, and one that has partly arrived is rejected here.
 func (s *Server) Finish() {
 	s.finishing = true
 	for c := range s.connections {
-		if c.awaitsRequest() && !c.closeUnused(closeShutdown) {
+		if c.state.awaitsRequest() && !c.closeUnused(closeShutdown) {
 			c.socket.Redeliver()
 		}
 	}
