--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -11,8 +11,11 @@
 // closeReason says why a connection ended. It is the last word of the counter http.closed.REASON.
 type closeReason string
 
+// closeNone says that this side does not close the connection. It is not counted.
+const closeNone = closeReason("")
+
+// The reasons that are counted.
 const (
-	closeNone           closeReason = ""                // this side does not close it
 	closeByClient       closeReason = "client"          // the client closed it
 	closeByError        closeReason = "error"           // the connection broke
 	closeAfterResponse  closeReason = "response"        // the response said so
