--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -73,6 +73,9 @@
 	// Reader reads what the client writes on the connection accepted last.
 	Reader *bufio.Reader
 
+	// OnServed is called on the event loop's goroutine when an attempt is served, before the
+	// client handles what follows the response; nil: nothing is. It is to be set by Do.
+	OnServed func()
 	// T is the test that plays the engine.
 	T *testing.T
 
@@ -275,6 +278,9 @@
 // ObserveServed prints the report of a served attempt.
 func (x *Exchange) ObserveServed(request *lifecycle.Request, report lifecycle.AttemptReport, _ time.Duration) {
 	x.printServed(&x.served, request, report)
+	if x.OnServed != nil {
+		x.OnServed()
+	}
 }
 
 // ObserveTimeout does nothing: the counters show a timeout.
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -134,8 +134,8 @@
 	emptyResult = " DONE batches=1 0\r\n\r\n"
 	firstOfTwo  = " DONE batches=2 6\r\na\tb\tc\n\r\n"
 	unreadable  = " ODD - 0\r\n\r\n"
-	// arrival is more than what one host needs to deliver what the engine did to the client's socket.
-	arrival = 50 * time.Millisecond
+	// arrival is more than what one host needs to deliver a reset to the client's socket.
+	arrival = 200 * time.Millisecond
 )
 
 // exchangeScripts are the exchanges by the name of their golden file.
@@ -350,13 +350,14 @@
 		x.RemoveEngine()
 	}},
 	"abandoned-after-protocol-error": {cancels: true, play: func(x exchange) {
-		attempt := x.start(id, statement)
-		x.BlockLoop(func() {
-			x.write(id + unreadable)
-			time.Sleep(arrival)
-		}, func() { // the end of the connection is handled after what is posted here
-			x.Post(func() { x.Client.Abandon(attempt) })
+		served := x.start(id, statement)
+		abandoned := x.start(otherID, "SELECT 2")
+		// The end of the connection is posted after this, when the second response is read.
+		x.Do(func() {
+			x.OnServed = func() { x.Post(func() { x.Client.Abandon(abandoned) }) }
 		})
+		x.write(id + emptyResult + otherID + unreadable)
+		x.AwaitEnd(served)
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
