--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -8,9 +8,9 @@
 	"flaxrelay/policy"
 )
 
-// Where the settings name tenants, one within its share has the whole limit; who names none of
-// them has the part that is open beyond the shares.
-func TestAdmission_TenantWithinItsShareHasTheWholeLimit(t *testing.T) {
+// Where the settings name tenants, a tenant within its quota has the full limit. A request without a
+// tenant has the part beyond the quotas.
+func TestAdmission_TenantWithinItsQuotaHasTheFullLimit(t *testing.T) {
 	const requests = 80
 	const tenantHeader, noHeader = "Req-Owner: north\r\n", ""
 	started := map[string]int64{}
@@ -32,7 +32,7 @@
 }
 
 // Requests of one order key run one at a time, in the order of their arrival. The request of a
-// client that disconnects while it waits for its turn is not forwarded.
+// client that disconnects while the request is queued is not forwarded.
 func TestAdmission_RequestsOfOneOrderKeyRunOneAtATime(t *testing.T) {
 	running := make(chan string, seenCapacity)
 	finish := make(chan string)
@@ -62,14 +62,14 @@
 	}
 	first := send(1)
 	assertEqual(t, "first at the engine", await(t, running), numberedID(1))
-	leaving := send(2)
+	disconnecting := send(2)
 	last := send(3)
 	front.assertCount("attempts.started.", 1)
-	leaving.close()
+	disconnecting.close()
 	front.awaitCount("requests.disconnected.", 1)
 	finish <- numberedID(1)
-	assertEqual(t, "first answer", first.receive(), emptyResult)
+	assertEqual(t, "first response", first.receive(), emptyResult)
 	assertEqual(t, "next at the engine", await(t, running), numberedID(3))
 	finish <- numberedID(3)
-	assertEqual(t, "last answer", last.receive(), emptyResult)
+	assertEqual(t, "last response", last.receive(), emptyResult)
 }
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -25,30 +25,30 @@
 		if _, err := io.WriteString(conn, request); err != nil {
 			b.Fatal(err)
 		}
-		answer, err := http.ReadResponse(in, nil)
+		response, err := http.ReadResponse(in, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
-		_, err = io.Copy(io.Discard, answer.Body)
-		if err != nil || answer.StatusCode != http.StatusOK {
-			b.Fatalf("status %d, %v", answer.StatusCode, err)
+		_, err = io.Copy(io.Discard, response.Body)
+		if err != nil || response.StatusCode != http.StatusOK {
+			b.Fatalf("status %d, %v", response.StatusCode, err)
 		}
 	}
 }
 
-// startPromptEngine is an engine of the line protocol that answers each request at once with one
-// row. It does not report what it saw, which would be part of the measurement, and has no
-// deadline, as the run may be long.
+// startPromptEngine is an engine of the line protocol that serves each request at once with one
+// row. It does not report the requests, which would be part of the measurement, and has no
+// deadline, since the run may be long.
 func startPromptEngine(b *testing.B) (addr string) {
 	b.Helper()
 	return listen(b, func(conn net.Conn) {
 		_ = conn.SetDeadline(time.Time{})
-		answerPromptly(conn)
+		servePromptly(conn)
 	})
 }
 
-// answerPromptly serves one connection until it ends.
-func answerPromptly(conn net.Conn) {
+// servePromptly serves one connection until it ends.
+func servePromptly(conn net.Conn) {
 	const row = "a\tb\tc\n"
 	in := bufio.NewReader(conn)
 	for {
@@ -67,7 +67,8 @@
 		if _, err := in.Discard(length + len("\r\n")); err != nil {
 			return
 		}
-		if _, err := fmt.Fprintf(conn, "%s DONE batches=1,cpu=1,used=1 %d\r\n%s\r\n", words[1], len(row), row); err != nil {
+		_, err = fmt.Fprintf(conn, "%s DONE batches=1,cpu=1,used=1 %d\r\n%s\r\n", words[1], len(row), row)
+		if err != nil {
 			return
 		}
 	}
--- a/internal/e2e/client_disconnect_test.go
+++ b/internal/e2e/client_disconnect_test.go
@@ -10,9 +10,9 @@
 	"flaxrelay/policy"
 )
 
-// The attempt of a client that disconnects is cancelled, and an answer that comes late on the
-// same connection answers nothing else.
-func TestClientDisconnect_CancelsTheAttemptAndDiscardsItsLateAnswer(t *testing.T) {
+// The attempt of a client that disconnects is cancelled, and a response that comes late on the
+// same connection is the response to nothing else.
+func TestClientDisconnect_CancelsTheAttemptAndDiscardsItsLateResponse(t *testing.T) {
 	var first string
 	addr, seen := startLineEngine(t, func(line string) string {
 		if strings.HasPrefix(line, "never_mind") {
@@ -52,16 +52,17 @@
 			front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = cancelPermitted })
 			front.site.ConnectTimeout = waitLimit
 			front.serveHTTP(addr)
-			leaving, staying := connectHTTP(t, front.addr), connectHTTP(t, front.addr)
-			leaving.send(queryRequest("lookup", ""))
+			disconnecting := connectHTTP(t, front.addr)
+			staying := connectHTTP(t, front.addr)
+			disconnecting.send(queryRequest("lookup", ""))
 			front.awaitCount("attempts.started.", 1)
 			other := numberedID(2)
 			staying.send(withID(withWait(queryRequest("lookup", ""), longWait), other))
-			leaving.close()
+			disconnecting.close()
 			front.awaitCount("requests.disconnected.", 1)
 			front.assertCount("attempts.ended.not-sent", 1)
 			accept()
-			assertEqual(t, "the other client's answer", staying.receive(), emptyResult)
+			assertEqual(t, "the other client's response", staying.receive(), emptyResult)
 			assertEqual(t, "the engine received first", await(t, received), other)
 		})
 	}
--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -1,16 +1,10 @@
 package e2e
 
 import (
-	"bufio"
-	"fmt"
-	"io"
-	"os"
-	"os/exec"
-	"strings"
-	"syscall"
 	"testing"
 	"time"
 
+	"flaxrelay/internal/frontend/httpserver"
 	"flaxrelay/policy"
 )
 
@@ -20,7 +14,8 @@
 func TestConnectionLimit_EvictsTheLongestIdleClient(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := newFrontEnd(t, nil)
-	front.httpOptions.MaxClients, front.httpOptions.ReadTimeout = 4, time.Minute
+	front.httpOptions.MaxClients = 4
+	front.httpOptions.ReadTimeout = time.Minute
 	front.serveHTTP(addr)
 	connectHTTP(t, front.addr).send(queryRequest("lookup", ""))
 	await(t, seen)
@@ -51,7 +46,8 @@
 	unresponsive, seen := startLineEngine(t, noReply)
 	last, _ := startLineEngine(t, emptyReply)
 	front := newFrontEnd(t, nil)
-	front.maxEngineConnections, front.maxStreams = 2, 1
+	front.maxEngineConnections = 2
+	front.maxStreams = 1
 	front.serveHTTP()
 	client := connectHTTP(t, front.addr)
 	queryOnly := func(addr string) string { // while no other engine is ready
@@ -75,71 +71,40 @@
 	front.assertCount("engine-connections.dialed", dialed)
 }
 
-const (
-	// descriptorTestEnv marks the process that TestDescriptorLimit starts for the front end.
-	descriptorTestEnv = "FLAXRELAY_DESCRIPTOR_TEST_CHILD"
-	// descriptorLimit bounds the descriptors of that process.
-	descriptorLimit = 40
-	// readyPrefix stands before the address in the line that the process prints.
-	readyPrefix = "serving at "
-)
-
-// startLimitedFrontEnd starts an HTTP front end in a process with few descriptors, which runs the
-// named test and lives until the end of this one.
-func startLimitedFrontEnd(t *testing.T) (addr string) {
+// evictAfterReading starts a front end that reads the text of a new client just before it evicts the client's
+// connection in favour of another.
+func evictAfterReading(t *testing.T, text string) (*frontEnd, *httpClient) {
 	t.Helper()
-	cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
-	cmd.Env = append(os.Environ(), descriptorTestEnv+"=1")
-	in, err := cmd.StdinPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	out, err := cmd.StdoutPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = in.Close(); _ = cmd.Wait() })
-	line, err := bufio.NewReader(out).ReadString('\n')
-	if err != nil {
-		t.Fatal(err)
-	}
-	return strings.TrimSpace(strings.TrimPrefix(line, readyPrefix))
+	addr, _ := startLineEngine(t, emptyReply)
+	front := newFrontEnd(t, nil)
+	front.httpOptions = httpserver.Options{MaxClients: 1}
+	front.serveHTTP(addr)
+	client := connectHTTP(t, front.addr)
+	front.awaitCount("http.connections", 1)
+	const pastMinSilentTime = 30 * time.Millisecond
+	time.Sleep(pastMinSilentTime)
+	front.onLoop(func() { // the new client is accepted on the next turn, and before the text is handed on
+		dial(t, front.addr)
+		time.Sleep(pastMinSilentTime)
+		front.deliver(client, text)
+	})
+	return front, client
 }
 
-// serveWithLimitedDescriptors is what that process does, until its standard input ends.
-func serveWithLimitedDescriptors(t *testing.T) {
-	t.Helper()
-	limit := syscall.Rlimit{Cur: descriptorLimit, Max: descriptorLimit}
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-		t.Fatal(err)
-	}
-	fmt.Println(readyPrefix + startHTTP(t).addr)
-	_, _ = io.Copy(io.Discard, os.Stdin)
+// A request has a response that was read on a new connection just before the connection is to be closed in favour of
+// another client.
+func TestConnectionLimit_RequestReadBeforeEvictionHasAResponse(t *testing.T) {
+	_, client := evictAfterReading(t, queryRequest("lookup", ""))
+	assertEqual(t, "response", client.receive(), busyResult)
 }
 
-// A full descriptor table neither ends the program nor disturbs the connected clients. Clients
-// that wait are served once others leave, and none is rejected.
-func TestDescriptorLimit_WaitingClientsAreServedOnceOthersLeave(t *testing.T) {
-	if os.Getenv(descriptorTestEnv) != "" {
-		serveWithLimitedDescriptors(t)
-		return
-	}
-	const allClients, leavingClients = 60, 50
-	addr := startLimitedFrontEnd(t)
-	var clients []*httpClient
-	for range allClients {
-		clients = append(clients, connectHTTP(t, addr))
-	}
-	got, _ := clients[0].roundTrip(bareHealthRequest)
-	assertEqual(t, "first client", got, "200 {}")
-	for _, client := range clients[:leavingClients] {
-		client.close()
-	}
-	for _, client := range clients[leavingClients:] {
-		got, _ := client.roundTrip(bareHealthRequest)
-		assertEqual(t, "client that waited", got, "200 {}")
+// Each of several requests that such a client has pipelined has a response, and so has a partial request after them.
+func TestConnectionLimit_AllRequestsReadBeforeEvictionHaveResponses(t *testing.T) {
+	request := queryRequest("lookup", "")
+	front, client := evictAfterReading(t, request+withID(request, numberedID(2))+request[:len(request)/2])
+	for range 3 {
+		assertEqual(t, "response", client.receive(), busyResult)
 	}
+	client.assertClosed()
+	front.assertCount("attempts.started.", 0)
 }
--- a/internal/e2e/discovery_test.go
+++ b/internal/e2e/discovery_test.go
@@ -42,7 +42,7 @@
 			} else {
 				front.updateEndpoints(policy.EngineDraining, draining)
 			}
-			assertEqual(t, "answer", client.receive(), emptyResult)
+			assertEqual(t, "response", client.receive(), emptyResult)
 			front.assertCount("attempts.ended.not-sent", 1)
 			accept()
 			front.updateEndpoints(policy.EngineRemoved, draining)
@@ -62,7 +62,7 @@
 	front.replaceEndpoints(remaining)
 	front.awaitCount("engine-connections.closed.idle-closed", 1)
 	got, _ := client.roundTrip(queryRequest("lookup", ""))
-	assertEqual(t, "answer", got, emptyResult)
+	assertEqual(t, "response", got, emptyResult)
 }
 
 // A new engine at the address of a removed one is another engine: connections to the old one
@@ -71,7 +71,10 @@
 	var retired []string
 	pool := engine.NewPool[*recordingConnection]()
 	update := func(id string, state policy.EngineState, started time.Duration) {
-		pool.UpdateEndpoint(lifecycle.Endpoint{Address: "127.0.0.1:1", Engine: policy.Engine{ID: id, State: state, StartedAt: started}})
+		pool.UpdateEndpoint(lifecycle.Endpoint{
+			Address: "127.0.0.1:1",
+			Engine:  policy.Engine{ID: id, State: state, StartedAt: started},
+		})
 	}
 	connect := func(id string) {
 		pool.Get(id).Connections = append(pool.Get(id).Connections, &recordingConnection{id, &retired})
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -2,14 +2,16 @@
 
 import "testing"
 
-// A request arrives on an idle connection in the moment in which a graceful shutdown closes
-// those: it is answered once, and its connection ends behind the answer.
+// A request arrives on an idle connection at the moment at which a graceful shutdown closes idle
+// connections: it has one response, and its connection ends after it.
 func TestDrain_RequestInTransitIsServed(t *testing.T) {
 	const partLength = len("POST /rpc/lookup HTT")
 	const want = `200 {"result":[["a","b","c"]]}`
 	addr, seen := startLineEngine(t, func(line string) string { return doneReply(line, "a\tb\tc\n") })
 	front := startHTTP(t, addr)
-	complete, partial, idle := connectHTTP(t, front.addr), connectHTTP(t, front.addr), connectHTTP(t, front.addr)
+	complete := connectHTTP(t, front.addr)
+	partial := connectHTTP(t, front.addr)
+	idle := connectHTTP(t, front.addr)
 	for _, client := range []*httpClient{complete, partial, idle} {
 		client.roundTrip(bareHealthRequest)
 	}
@@ -31,9 +33,9 @@
 	front.assertCount("requests.disconnected.", 0)
 }
 
-// Requests that a client has sent at once are all answered in a graceful shutdown: the connection
-// closes behind the response to the last one.
-func TestDrain_PipelinedRequestsAreAllAnswered(t *testing.T) {
+// Pipelined requests all have a response in a graceful shutdown: the connection closes after the
+// last one.
+func TestDrain_PipelinedRequestsAllHaveResponses(t *testing.T) {
 	const want = `200 {"result":[["a","b","c"]]}`
 	addr, _ := startLineEngine(t, func(line string) string { return doneReply(line, "a\tb\tc\n") })
 	front := startHTTP(t, addr)
@@ -48,13 +50,13 @@
 		front.httpServer.Drain()
 	})
 	for range 3 {
-		assertEqual(t, "answer", client.receive(), want)
+		assertEqual(t, "response", client.receive(), want)
 	}
 	client.assertClosed()
 }
 
-// The end of a shutdown rejects each of the requests that a client has sent at once behind one
-// that is in flight.
+// The end of a shutdown rejects each of the requests that a client has pipelined after a request in
+// flight.
 func TestFinish_PipelinedRequestsAreAllRejected(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := startHTTP(t, addr)
@@ -63,12 +65,13 @@
 	await(t, seen)
 	front.onLoop(func() {
 		front.httpServer.Drain()
-		front.deliver(client, withID(queryRequest("lookup", ""), numberedID(1))+withID(queryRequest("lookup", ""), numberedID(2)))
+		request := queryRequest("lookup", "")
+		front.deliver(client, withID(request, numberedID(1))+withID(request, numberedID(2)))
 		front.dispatcher.CompleteAll()
 		front.httpServer.Finish()
 	})
 	for range 3 {
-		assertEqual(t, "answer", client.receive(), busyResult)
+		assertEqual(t, "response", client.receive(), busyResult)
 	}
 	client.assertClosed()
 }
--- a/internal/e2e/engine_faults_test.go
+++ b/internal/e2e/engine_faults_test.go
@@ -11,11 +11,11 @@
 	"flaxrelay/policy"
 )
 
-// A malformed answer of an engine ends its connection, and the client has its one answer all the
-// same.
-func TestEngineFault_MalformedAnswerIsAProtocolError(t *testing.T) {
-	for name, answer := range map[string]string{
-		"no answer line":      "nonsense\r\n",
+// A malformed response of an engine ends its connection, and the client still has its one
+// response.
+func TestEngineFault_MalformedResponseIsAProtocolError(t *testing.T) {
+	for name, response := range map[string]string{
+		"no response line":    "nonsense\r\n",
 		"body too long":       requestID + " DONE - 99999999\r\n",
 		"body longer":         requestID + " DONE - 2\r\nabcd",
 		"unknown kind":        requestID + " HUH - 0\r\n\r\n",
@@ -29,11 +29,11 @@
 		"length past 32 bits": requestID + " DONE batches=1 3000000000\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, _ := startLineEngine(t, func(string) string { return answer })
+			addr, _ := startLineEngine(t, func(string) string { return response })
 			front := startHTTP(t, addr)
 			got, _ := connectHTTP(t, front.addr).roundTrip(queryRequest("lookup", ""))
 			if !strings.HasPrefix(got, "503") && !strings.HasPrefix(got, "500") {
-				t.Errorf("answer %s", got)
+				t.Errorf("response %s", got)
 			}
 			if n := front.count("attempts.ended.protocol-error"); n == 0 {
 				t.Error("no attempt ended with a protocol error")
@@ -42,9 +42,9 @@
 	}
 }
 
-// A duplicate of a good answer, or one under an unknown id, does not disturb the connection and
+// A duplicate of a good response, or one under an unknown id, does not disturb the connection and
 // the other requests on it.
-func TestEngineFault_DuplicateAnswersKeepTheConnection(t *testing.T) {
+func TestEngineFault_DuplicateResponsesKeepTheConnection(t *testing.T) {
 	addr, _ := startLineEngine(t, func(line string) string {
 		words := strings.Fields(line)
 		switch words[0] {
@@ -61,14 +61,14 @@
 	client := connectHTTP(t, front.addr)
 	for n := range 3 {
 		got, _ := client.roundTrip(withID(queryRequest("lookup", ""), numberedID(n+1)))
-		assertEqual(t, "answer", got, `200 {"result":[["a","",""],["b","",""]]}`)
+		assertEqual(t, "response", got, `200 {"result":[["a","",""],["b","",""]]}`)
 	}
 	front.assertCount("engine-connections.dialed", 1)
 }
 
-// An answer stalls in the middle while its connection stays open: the connection is closed soon,
+// A response stalls in the middle while its connection stays open: the connection is closed soon,
 // with all attempts on it, and another one serves both requests.
-func TestEngineFault_StalledAnswerEndsTheConnectionAndIsRetried(t *testing.T) {
+func TestEngineFault_StalledResponseEndsTheConnectionAndIsRetried(t *testing.T) {
 	stalled := false
 	addr, seen := startLineEngine(t, func(line string) string {
 		words := strings.Fields(line)
@@ -82,52 +82,51 @@
 		return fmt.Sprintf("%s DONE batches=1 0\r\n\r\n", words[1])
 	})
 	front := startHTTP(t, addr)
-	one, two := connectHTTP(t, front.addr), connectHTTP(t, front.addr)
+	one := connectHTTP(t, front.addr)
+	two := connectHTTP(t, front.addr)
 	one.send(queryRequest("lookup", "")) // its id ends in 1
 	await(t, seen)
 	got, _ := two.roundTrip(withID(queryRequest("lookup", ""), numberedID(2)))
-	assertEqual(t, "the request whose answer stalled", got, emptyResult)
+	assertEqual(t, "the request whose response stalled", got, emptyResult)
 	assertEqual(t, "the other on that connection", one.receive(), emptyResult)
 	front.assertCount("attempts.ended.protocol-error", 2)
 }
 
-// dripInterval is the pace at which an engine sends an answer byte by byte. It is a step of the
-// scenario in real time: shorter than what the front end takes for a stall.
+// dripInterval is the pace at which an engine sends a response byte by byte. It is a step of the
+// scenario in real time, and shorter than the pause that the front end treats as a stall.
 const dripInterval = 100 * time.Millisecond
 
-// writeEndlessAnswer answers a byte at a time until the front end closes the connection.
-func writeEndlessAnswer(conn net.Conn, id string) {
+// writeEndlessResponse sends a response a byte at a time until the front end closes the connection.
+func writeEndlessResponse(conn net.Conn, id string) {
 	_, err := fmt.Fprintf(conn, "%s DONE batches=1 9000\r\n", id)
 	for ; err == nil; _, err = io.WriteString(conn, "a") {
 		time.Sleep(dripInterval)
 	}
 }
 
-// An answer comes a byte at a time and never ends. Its connection is closed while the clients
+// A response comes a byte at a time and never ends. Its connection is closed while the clients
 // still wait, and another engine, or the same one on a new connection, serves them.
-func TestEngineFault_EndlessAnswerEndsTheConnectionAndIsRetried(t *testing.T) {
-	dripping := make(chan struct{}, 1)
+func TestEngineFault_EndlessResponseEndsTheConnectionAndIsRetried(t *testing.T) {
+	isFirst := firstCall()
 	addr := listen(t, func(conn net.Conn) {
 		readRequestIDs(conn, func(id string) bool {
-			select {
-			case dripping <- struct{}{}:
-				writeEndlessAnswer(conn, id)
+			if isFirst() {
+				writeEndlessResponse(conn, id)
 				return false
-			default:
-				_, err := io.WriteString(conn, doneReply("want "+id, ""))
-				return err == nil
 			}
+			_, err := io.WriteString(conn, doneReply("want "+id, ""))
+			return err == nil
 		})
 	})
 	front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = false }).serveHTTP(addr)
 	client := connectHTTP(t, front.addr)
 	got, _ := client.roundTrip(withWait(queryRequest("lookup", ""), longWait))
-	assertEqual(t, "answer", got, emptyResult)
+	assertEqual(t, "response", got, emptyResult)
 	front.assertCount("attempts.ended.protocol-error", 1)
 }
 
-// An attempt times out at an engine that does not answer: it is cancelled there only where the
-// settings permit that, and the client has its one answer either way.
+// An attempt times out at an engine that does not respond: it is cancelled there only where the
+// settings permit that, and the client has its one response in either case.
 func TestEngineFault_TimeoutIsCancelledOnlyWherePermitted(t *testing.T) {
 	for cancelPermitted, wantCancels := range map[bool]int{true: 1, false: 0} {
 		t.Run(fmt.Sprintf("permitted=%v", cancelPermitted), func(t *testing.T) {
@@ -141,11 +140,11 @@
 			client := connectHTTP(t, front.addr)
 			got, _ := client.roundTrip(withWait(queryRequest("lookup", ""), "200"))
 			if !strings.HasPrefix(got, "50") {
-				t.Errorf("answer %s", got)
+				t.Errorf("response %s", got)
 			}
 			front.awaitCount("attempts.ended.", 1)
 			got, _ = client.roundTrip(withID(queryRequest("lookup", ""), numberedID(2)))
-			assertEqual(t, "the next answer", got, emptyResult)
+			assertEqual(t, "the next response", got, emptyResult)
 			cancels := 0
 			for line := ""; !strings.HasPrefix(line, "want "+numberedID(2)); {
 				if line = await(t, seen); strings.HasPrefix(line, "never_mind") {
--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -46,35 +46,38 @@
 	closeListener func()
 }
 
-// newFrontEnd reads the settings of the deploy folder, which change may change.
-func newFrontEnd(t testing.TB, change func(*policy.Settings)) *frontEnd {
-	t.Helper()
+// newFrontEnd returns a front end with the settings of the deploy folder, after change has changed them; nil: as they
+// are.
+func newFrontEnd(tb testing.TB, change func(*policy.Settings)) *frontEnd {
+	tb.Helper()
 	raw, err := os.ReadFile("../../deploy/postgres-settings.json")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	front := &frontEnd{t: t, counters: metrics.New(), logger: slog.New(slog.DiscardHandler)}
+	front := &frontEnd{t: tb, counters: metrics.New(), logger: slog.New(slog.DiscardHandler)}
 	if err := json.Unmarshal(raw, &front.site); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if change != nil {
 		change(&front.site.Policy)
 	}
 	if front.loop, err = eventloop.New(); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	const seed = 1
-	front.dispatcher, err = lifecycle.NewDispatcher(front.site.Policy, seed, front.loop, front.loop.Timers, front.counters, front.logger)
+	front.dispatcher, err = lifecycle.NewDispatcher(
+		front.site.Policy, seed, front.loop, front.loop.Timers, front.counters, front.logger,
+	)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return front
 }
 
 // startHTTP starts an HTTP front end with engines of the line protocol at the addresses.
-func startHTTP(t testing.TB, engines ...string) *frontEnd {
-	t.Helper()
-	return newFrontEnd(t, nil).serveHTTP(engines...)
+func startHTTP(tb testing.TB, engines ...string) *frontEnd {
+	tb.Helper()
+	return newFrontEnd(tb, nil).serveHTTP(engines...)
 }
 
 func (f *frontEnd) serveHTTP(engines ...string) *frontEnd {
@@ -90,19 +93,22 @@
 	if err := server.Listen("127.0.0.1:0"); err != nil {
 		f.t.Fatal(err)
 	}
-	f.addr, f.httpServer, f.drain, f.closeListener = server.Addr(), server, server.Drain, server.CloseListener
+	f.addr = server.Addr()
+	f.httpServer = server
+	f.drain = server.Drain
+	f.closeListener = server.CloseListener
 	f.run()
 	f.updateEndpoints(policy.EngineReady, engines...)
 	return f
 }
 
 // startPostgres starts a PostgreSQL front end with engines at the addresses.
-func startPostgres(t testing.TB, engines ...string) *frontEnd {
-	t.Helper()
-	return newFrontEnd(t, nil).servePostgres(engines...)
+func startPostgres(tb testing.TB, engines ...string) *frontEnd {
+	tb.Helper()
+	return newFrontEnd(tb, nil).servePostgres(engines...)
 }
 
-// loadRule takes each INSERT for a load whose idempotency key is its first value.
+// loadRule classifies each INSERT as a load whose idempotency key is its first value.
 var loadRule = pgserver.Rule{Starts: "insert into", Class: "load", Key: 1}
 
 func (f *frontEnd) servePostgres(engines ...string) *frontEnd {
@@ -116,7 +122,9 @@
 	if err := server.Listen("127.0.0.1:0"); err != nil {
 		f.t.Fatal(err)
 	}
-	f.addr, f.drain, f.closeListener = server.Addr(), server.Drain, server.CloseListener
+	f.addr = server.Addr()
+	f.drain = server.Drain
+	f.closeListener = server.CloseListener
 	f.run()
 	f.updateEndpoints(policy.EngineReady, engines...)
 	return f
@@ -133,25 +141,28 @@
 	})
 }
 
-// checkAccounting checks, at the end of every test, that each accepted request had one final
-// answer or a client that disconnected, and each attempt that started had one end.
+// checkAccounting checks, at the end of every test, that each accepted request had one final response or a client that
+// disconnected, and that each attempt that started had one end.
 func (f *frontEnd) checkAccounting() {
 	if f.dispatcher.Pending() > 0 { // cut off by the end of the test
 		return
 	}
-	accepted, over := f.counters.Sum("requests.accepted."), f.counters.Sum("requests.completed.")+f.counters.Sum("requests.disconnected.")
-	if accepted != over {
-		f.t.Errorf("%d requests accepted, %d answered or disconnected", accepted, over)
+	accepted := f.counters.Sum("requests.accepted.")
+	ended := f.counters.Sum("requests.completed.") + f.counters.Sum("requests.disconnected.")
+	if accepted != ended {
+		f.t.Errorf("%d requests accepted, %d completed or disconnected", accepted, ended)
 	}
-	if started, ended := f.counters.Sum("attempts.started."), f.counters.Sum("attempts.ended."); started != ended {
-		f.t.Errorf("%d attempts started, %d ended", started, ended)
+	startedAttempts := f.counters.Sum("attempts.started.")
+	endedAttempts := f.counters.Sum("attempts.ended.")
+	if startedAttempts != endedAttempts {
+		f.t.Errorf("%d attempts started, %d ended", startedAttempts, endedAttempts)
 	}
 }
 
 // onLoop runs do on the loop's goroutine and waits for it.
 func (f *frontEnd) onLoop(do func()) { eventlooptest.Do(f.loop, do) }
 
-// count is the sum of the counters whose names begin with the prefix.
+// count returns the sum of the counters whose names begin with the prefix.
 func (f *frontEnd) count(prefix string) (sum int64) {
 	f.onLoop(func() { sum = f.counters.Sum(prefix) })
 	return sum
@@ -173,17 +184,20 @@
 	}
 }
 
-// endpointAt is an engine whose identity follows from its address.
+// endpointAt returns an engine whose ID follows from its address.
 func endpointAt(addr string, state policy.EngineState) lifecycle.Endpoint {
-	return lifecycle.Endpoint{Address: addr, Engine: policy.Engine{ID: "e" + addr, Zone: "hall-a", Kind: "std-8", State: state}}
+	return lifecycle.Endpoint{
+		Address: addr,
+		Engine:  policy.Engine{ID: "e" + addr, Zone: "hall-a", Kind: "std-8", State: state},
+	}
 }
 
-// updateEndpoints has the endpoint list bring a new state of the engines at the addresses.
+// updateEndpoints delivers a watch event with a new state of the engines at the addresses.
 func (f *frontEnd) updateEndpoints(state policy.EngineState, addrs ...string) {
 	f.applyUpdate(policy.UpdateDelta, state, addrs...)
 }
 
-// replaceEndpoints has the endpoint list name the engines at the addresses and no other.
+// replaceEndpoints delivers an endpoint list that has the engines at the addresses and no other.
 func (f *frontEnd) replaceEndpoints(addrs ...string) {
 	f.applyUpdate(policy.UpdateFull, policy.EngineReady, addrs...)
 }
@@ -196,8 +210,8 @@
 	f.onLoop(func() { f.dispatcher.UpdateEndpoints(kind, list) })
 }
 
-// deliver writes text, and holds the loop's goroutine, on which it runs, until the poller has
-// read the text: what the loop does next meets it in transit.
+// deliver writes text and waits until the poller has read it. It runs on the loop's goroutine, which has not handled
+// the text then: what the loop does next crosses the text.
 func (f *frontEnd) deliver(client *httpClient, text string) {
 	f.t.Helper()
 	before := f.loop.BufferedBytes()
--- a/internal/e2e/golden_helpers_test.go
+++ b/internal/e2e/golden_helpers_test.go
@@ -21,7 +21,10 @@
 	text strings.Builder
 }
 
-func newTranscript(t *testing.T) *transcript { return &transcript{t: t} }
+func newTranscript(t *testing.T) *transcript {
+	t.Helper()
+	return &transcript{t: t}
+}
 
 // add records one piece; a run of one byte is written as its length and the byte.
 func (tr *transcript) add(connection, direction string, piece []byte) {
@@ -39,7 +42,7 @@
 	tr.text.WriteByte('\n')
 }
 
-// splitAtRun gives what stands before the first long run of one byte, and the run's length.
+// splitAtRun returns the bytes before the first long run of one byte, and the length of the run.
 func splitAtRun(piece []byte) (plain []byte, run int) {
 	start := 0
 	for i := range piece {
@@ -65,7 +68,7 @@
 	}
 }
 
-// event records what is not a piece of a stream.
+// event records an event other than a piece of a stream.
 func (tr *transcript) event(connection, what string) {
 	fmt.Fprintf(&tr.text, "%s# %s\n", connection, what)
 }
--- a/internal/e2e/golden_http_helpers_test.go
+++ b/internal/e2e/golden_http_helpers_test.go
@@ -13,7 +13,7 @@
 
 // Two values of the HTTP front end differ from run to run, and only these are replaced in the
 // transcripts: the start time in the paths of further pages, and the value of Srv-Wait-Ms,
-// which has random jitter. The length of an answer that holds such a path is checked against
+// which has random jitter. The length of a response that holds such a path is checked against
 // its body and then recorded as that of the replaced body.
 var (
 	startTime   = regexp.MustCompile(`/more/[0-9a-z]+-`)
@@ -28,16 +28,16 @@
 	name string
 	conn net.Conn
 	in   *bufio.Reader
-	more string // the path of further pages that the latest answer named
+	more string // the path of further pages that the latest response named
 }
 
-// recordHTTP connects to an HTTP front end; the name stands before each line of the transcript.
+// recordHTTP connects to an HTTP front end; the name precedes each line of the transcript.
 func (tr *transcript) recordHTTP(name, addr string) *httpRecorder {
 	conn := dial(tr.t, addr)
 	return &httpRecorder{transcript: tr, name: name, conn: conn, in: bufio.NewReader(conn)}
 }
 
-// send writes bytes, in which MORE stands for the path that the latest answer named.
+// send writes bytes, in which MORE stands for the path that the latest response named.
 func (r *httpRecorder) send(text string) {
 	r.t.Helper()
 	text = strings.ReplaceAll(text, "MORE", r.more)
@@ -47,7 +47,7 @@
 	}
 }
 
-// receive reads one answer without the help of an HTTP client, which would hide its bytes.
+// receive reads one response without the help of an HTTP client, which would hide its bytes.
 func (r *httpRecorder) receive() {
 	r.t.Helper()
 	var head []byte
@@ -77,7 +77,7 @@
 	r.lines(r.name, "<", body)
 }
 
-// roundTrip sends one request and reads its answer.
+// roundTrip sends one request and reads its response.
 func (r *httpRecorder) roundTrip(text string) {
 	r.t.Helper()
 	r.send(text)
@@ -91,7 +91,7 @@
 	r.event(r.name, "closed by the front end")
 }
 
-// disconnect closes the connection as the client does; whatever else has come is recorded.
+// disconnect closes the connection as the client does; all that has arrived is recorded.
 func (r *httpRecorder) disconnect() {
 	r.t.Helper()
 	closeWrite(r.t, r.conn)
@@ -99,10 +99,10 @@
 	r.event(r.name, "closed by the client")
 }
 
-// healthRequest is a health check as a client of the field sends it.
+// healthRequest is a health check with a header, as usual clients send it.
 const healthRequest = "GET /health HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
-// goldenEngine is the script of an engine that answers by the table of the statement.
+// goldenEngine is the script of an engine that responds by the table of the statement.
 func goldenEngine(line string) string {
 	words := strings.Fields(line)
 	switch {
@@ -135,6 +135,6 @@
 
 // goldenPage is a page of one long row that holds its number.
 func goldenPage(n int) string {
-	const cellLength = 5900 // so that the pages of a result need more than one answer
+	const cellLength = 5900 // so that the pages of a result need more than one response
 	return fmt.Sprintf("%d\t%s\tz\n", n, strings.Repeat(string(rune('a'+n)), cellLength))
 }
--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -8,17 +8,27 @@
 )
 
 // Requests that an engine serves, and those that are accepted and end otherwise.
-func TestGoldenHTTP_Answers(t *testing.T) {
+func TestGoldenHTTP_EachRequestHasItsRecordedResponse(t *testing.T) {
 	const token = "Req-Token: k-1\r\n"
 	for name, requests := range map[string][]string{
-		"health":                  {healthRequest},
-		"served":                  {queryRequest("lookup", "")},
-		"served-no-rows":          {tableRequest("lookup", "no_rows", "")},
-		"served-load":             {tableRequest("load", "orders", token+"Req-Kb: 96\r\nReq-Cost: 820.0\r\nReq-Retry: 1\r\n")},
+		"health":         {healthRequest},
+		"served":         {queryRequest("lookup", "")},
+		"served-no-rows": {tableRequest("lookup", "no_rows", "")},
+		"served-load": {
+			tableRequest("load", "orders", token+"Req-Kb: 96\r\nReq-Cost: 820.0\r\nReq-Retry: 1\r\n"),
+		},
 		"served-lower-case-field": {strings.Replace(queryRequest("lookup", ""), "Req-Id", "req-id", 1)},
 		"served-twice":            {queryRequest("lookup", ""), tableRequest("report", "orders", "")},
-		"several-pages":           {tableRequest("report", "several_pages", ""), "GET MORE HTTP/1.1\r\n\r\n", "GET MORE HTTP/1.1\r\n\r\n"},
-		"delete-open-path":        {tableRequest("report", "several_pages", ""), "DELETE MORE HTTP/1.1\r\n\r\n", healthRequest},
+		"several-pages": {
+			tableRequest("report", "several_pages", ""),
+			"GET MORE HTTP/1.1\r\n\r\n",
+			"GET MORE HTTP/1.1\r\n\r\n",
+		},
+		"delete-open-path": {
+			tableRequest("report", "several_pages", ""),
+			"DELETE MORE HTTP/1.1\r\n\r\n",
+			healthRequest,
+		},
 		"delete-twice": {
 			tableRequest("report", "several_pages", ""),
 			"DELETE MORE HTTP/1.1\r\n\r\n",
@@ -45,7 +55,7 @@
 }
 
 // A request that no engine could take is rejected.
-func TestGoldenHTTP_RejectionWithoutEngines(t *testing.T) {
+func TestGoldenHTTP_RequestIsRejectedWithoutEngines(t *testing.T) {
 	recorder := newTranscript(t).recordHTTP("", startHTTP(t).addr)
 	recorder.roundTrip(queryRequest("lookup", ""))
 	recorder.roundTrip(healthRequest)
@@ -54,7 +64,7 @@
 }
 
 // Where the settings permit no time after which to retry, a rejection has no such field.
-func TestGoldenHTTP_RejectionWithoutRetryAfter(t *testing.T) {
+func TestGoldenHTTP_RejectionHasNoRetryAfterWhereSettingsForbidIt(t *testing.T) {
 	front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.RetryAfter = false })
 	recorder := newTranscript(t).recordHTTP("", front.serveHTTP().addr)
 	recorder.roundTrip(queryRequest("lookup", ""))
@@ -63,7 +73,7 @@
 }
 
 // An engine is unresponsive until the client's wait is over.
-func TestGoldenHTTP_Timeout(t *testing.T) {
+func TestGoldenHTTP_UnresponsiveEngineFailsTheRequest(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
 	recorder := newTranscript(t).recordHTTP("", startHTTP(t, addr).addr)
 	recorder.roundTrip(withWait(tableRequest("write", "silent", ""), "100"))
@@ -71,13 +81,13 @@
 	recorder.compare("http/failed-timeout")
 }
 
-// Malformed requests are answered and end their connections, with all that stands behind them.
-func TestGoldenHTTP_MalformedRequests(t *testing.T) {
+// A malformed request has an error response and ends its connection: requests that follow it have none.
+func TestGoldenHTTP_MalformedRequestEndsItsConnection(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
 	good := queryRequest("lookup", "")
 	with := func(header string) string { return queryRequest("lookup", header) }
 	front := startHTTP(t, addr)
-	answered := map[string]*httpRecorder{}
+	recorders := map[string]*httpRecorder{}
 	for name, request := range map[string]string{
 		"unknown-path":          "GET /nowhere HTTP/1.1\r\n\r\n",
 		"unknown-class":         tableRequest("nope", "orders", ""),
@@ -127,17 +137,17 @@
 	} {
 		recorder := newTranscript(t).recordHTTP("", front.addr)
 		recorder.roundTrip(request)
-		answered[name] = recorder
+		recorders[name] = recorder
 	}
-	for name, recorder := range answered { // the front end leaves each client some time to read
+	for name, recorder := range recorders { // the front end gives each client some time to read
 		recorder.recordClose()
 		recorder.compare("http/bad-" + name)
 	}
 	front.assertCount("requests.accepted.", 0)
 }
 
-// Requests that arrive in one piece are answered one after the other, in their order.
-func TestGoldenHTTP_Pipelining(t *testing.T) {
+// Requests that arrive in one piece have their responses one after the other, in their order.
+func TestGoldenHTTP_PipelinedRequestsHaveResponsesInOrder(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
 	recorder := newTranscript(t).recordHTTP("", startHTTP(t, addr).addr)
 	recorder.send(queryRequest("lookup", "") + healthRequest + tableRequest("report", "no_rows", "") + healthRequest)
@@ -148,8 +158,8 @@
 	recorder.compare("http/pipelined")
 }
 
-// Requests that ask for their connection to be closed behind the answer.
-func TestGoldenHTTP_ConnectionClose(t *testing.T) {
+// Requests that ask for their connection to be closed after the response.
+func TestGoldenHTTP_ConnectionClosesAfterTheResponseOnRequest(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
 	front := startHTTP(t, addr)
 	for name, request := range map[string]string{
@@ -169,14 +179,16 @@
 }
 
 // A second request of an id in flight is rejected, and the first goes on.
-func TestGoldenHTTP_DuplicateRequestID(t *testing.T) {
+func TestGoldenHTTP_DuplicateOfAnIDInFlightIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	addr, seen := startLineEngine(t, func(line string) string {
 		<-release
 		return goldenEngine(line)
 	})
-	tr, front := newTranscript(t), startHTTP(t, addr)
-	first, second := tr.recordHTTP("1", front.addr), tr.recordHTTP("2", front.addr)
+	tr := newTranscript(t)
+	front := startHTTP(t, addr)
+	first := tr.recordHTTP("1", front.addr)
+	second := tr.recordHTTP("2", front.addr)
 	first.send(queryRequest("lookup", ""))
 	front.awaitCount("attempts.started.", 1)
 	second.roundTrip(queryRequest("lookup", ""))
@@ -188,8 +200,8 @@
 	tr.compare("http/bad-open-id")
 }
 
-// A drain closes idle connections at once, and others behind their answers.
-func TestGoldenHTTP_Drain(t *testing.T) {
+// A drain closes idle connections at once, and others after their responses.
+func TestGoldenHTTP_DrainClosesIdleConnectionsAndOthersAfterTheirResponses(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startLineEngine(t, func(line string) string {
 		if strings.Contains(line, "orders") {
@@ -197,8 +209,11 @@
 		}
 		return goldenEngine(line)
 	})
-	tr, front := newTranscript(t), startHTTP(t, addr)
-	idle, fetching, busy := tr.recordHTTP("idle", front.addr), tr.recordHTTP("fetching", front.addr), tr.recordHTTP("busy", front.addr)
+	tr := newTranscript(t)
+	front := startHTTP(t, addr)
+	idle := tr.recordHTTP("idle", front.addr)
+	fetching := tr.recordHTTP("fetching", front.addr)
+	busy := tr.recordHTTP("busy", front.addr)
 	idle.roundTrip(healthRequest)
 	fetching.roundTrip(tableRequest("report", "several_pages", ""))
 	busy.send(queryRequest("lookup", ""))
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -27,7 +27,7 @@
 	keyData []byte // the body of the latest BackendKeyData: process number and secret
 }
 
-// recordPostgres connects to a PostgreSQL front end; the name stands before each line of the
+// recordPostgres connects to a PostgreSQL front end; the name precedes each line of the
 // transcript.
 func (tr *transcript) recordPostgres(name, addr string) *pgRecorder {
 	return &pgRecorder{transcript: tr, name: name, conn: dial(tr.t, addr)}
@@ -47,11 +47,11 @@
 // readMore appends what arrives to unread; it is false where the connection has ended.
 func (r *pgRecorder) readMore() (more bool) {
 	r.t.Helper()
-	r.unread, more = readChunk(r.t, r.conn, r.unread)
+	r.unread, more = readMoreOrFail(r.t, r.conn, r.unread)
 	return more
 }
 
-// receiveByte reads the one byte that answers a request for encryption.
+// receiveByte reads the one byte that responds to a request for encryption.
 func (r *pgRecorder) receiveByte() {
 	r.t.Helper()
 	for len(r.unread) == 0 {
@@ -83,7 +83,8 @@
 	if len(r.unread) < headLength {
 		return 0, 0
 	}
-	kind, n = r.unread[0], 1+int(binary.BigEndian.Uint32(r.unread[1:]))
+	kind = r.unread[0]
+	n = 1 + int(binary.BigEndian.Uint32(r.unread[1:]))
 	if len(r.unread) < n {
 		return 0, 0
 	}
@@ -122,7 +123,7 @@
 	r.event(r.name, "closed by the front end")
 }
 
-// disconnect closes the connection as the client does; whatever else has come is recorded.
+// disconnect closes the connection as the client does; all that has arrived is recorded.
 func (r *pgRecorder) disconnect() {
 	r.t.Helper()
 	closeWrite(r.t, r.conn)
@@ -142,7 +143,7 @@
 	tr.t.Helper()
 	recorder := tr.recordPostgres(name, addr)
 	message := pgproto.AppendStartup(nil, pgproto.CancelRequestCode, keyData)
-	const secretStart = 12 // behind the length, the code and the process number
+	const secretStart = 12 // after the length, the code and the process number
 	recorder.add(name, ">", append(bytes.Clone(message[:secretStart]), secretMark...))
 	if _, err := recorder.conn.Write(message); err != nil {
 		tr.t.Fatal(err)
@@ -150,7 +151,7 @@
 	recorder.recordClose()
 }
 
-// goldenPgEngine is the script of an engine that answers by the text of the statement.
+// goldenPgEngine is the script of an engine that responds by the text of the statement.
 func goldenPgEngine(request pgRequest) []byte {
 	switch {
 	case strings.Contains(request.query, "silent"):
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -8,28 +8,36 @@
 )
 
 // Startups that succeed, and those that are rejected.
-func TestGoldenPostgres_Startup(t *testing.T) {
+func TestGoldenPostgres_EachStartupHasItsRecordedResponse(t *testing.T) {
 	encryption := func(code uint32) []byte { return pgproto.AppendStartup(nil, code, nil) }
+	asDesk := func(params ...string) []byte {
+		return startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...)
+	}
+	cancel := func(body string) []byte {
+		return pgproto.AppendStartup(nil, pgproto.CancelRequestCode, []byte(body))
+	}
 	for name, tt := range map[string]struct {
 		declined [][]byte // encryption requests before the startup
 		first    []byte
 		accepted bool
 	}{
-		"plain":           {nil, startupMessage(pgproto.ProtocolVersion, "user", "desk", "database", "register", "application_name", "x"), true},
-		"encryption":      {[][]byte{encryption(pgproto.SSLRequestCode), encryption(pgproto.GSSENCRequestCode)}, startupMessage(pgproto.ProtocolVersion, "user", "desk"), true},
+		"plain": {nil, asDesk("database", "register", "application_name", "x"), true},
+		"encryption": {
+			[][]byte{encryption(pgproto.SSLRequestCode), encryption(pgproto.GSSENCRequestCode)}, asDesk(), true,
+		},
 		"later-minor":     {nil, startupMessage(pgproto.ProtocolVersion+2, "user", "desk", "_pq_.unknown", "1"), true},
-		"with-timeout":    {nil, startupMessage(pgproto.ProtocolVersion, "user", "desk", "statement_timeout", "5s"), true},
-		"with-options":    {nil, startupMessage(pgproto.ProtocolVersion, "user", "desk", "options", "-c statement_timeout=5s --x=y"), true},
-		"bad-timeout":     {nil, startupMessage(pgproto.ProtocolVersion, "user", "desk", "statement_timeout", "soon"), false},
-		"bad-options":     {nil, startupMessage(pgproto.ProtocolVersion, "user", "desk", "options", "-c statement_timeout=soon"), false},
+		"with-timeout":    {nil, asDesk("statement_timeout", "5s"), true},
+		"with-options":    {nil, asDesk("options", "-c statement_timeout=5s --x=y"), true},
+		"bad-timeout":     {nil, asDesk("statement_timeout", "soon"), false},
+		"bad-options":     {nil, asDesk("options", "-c statement_timeout=soon"), false},
 		"no-user":         {nil, startupMessage(pgproto.ProtocolVersion, "database", "register"), false},
 		"version-2":       {nil, startupMessage(2<<16, "user", "desk"), false},
 		"not-ended":       {nil, pgproto.AppendStartup(nil, pgproto.ProtocolVersion, []byte("user\x00desk")), false},
 		"too-long":        {nil, []byte("\x00\x00\x27\x11\x00\x03\x00\x00"), false},
 		"too-short":       {nil, []byte("\x00\x00\x00\x07\x00\x03\x00\x00"), false},
 		"http":            {nil, []byte("GET / HTTP/1.1\r\n\r\n"), false},
-		"cancel-of-none":  {nil, pgproto.AppendStartup(nil, pgproto.CancelRequestCode, []byte("\x00\x00\x00\x09abcd")), false},
-		"cancel-too-long": {nil, pgproto.AppendStartup(nil, pgproto.CancelRequestCode, []byte("\x00\x00\x00\x09abcde")), false},
+		"cancel-of-none":  {nil, cancel("\x00\x00\x00\x09abcd"), false},
+		"cancel-too-long": {nil, cancel("\x00\x00\x00\x09abcde"), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
@@ -49,14 +57,17 @@
 	}
 }
 
-// Batches of messages, each of which is answered up to ReadyForQuery.
-func TestGoldenPostgres_Batches(t *testing.T) {
+// Batches of messages, each of which has a response up to ReadyForQuery.
+func TestGoldenPostgres_EachBatchHasItsRecordedResponse(t *testing.T) {
 	const selectPart, insert = "SELECT part FROM stock_1.parts WHERE id = $1", "INSERT INTO stock_1.parts VALUES ($1)"
 	message := func(kind byte, body string) []byte { return pgproto.AppendMessage(nil, kind, []byte(body)) }
 	for name, batches := range map[string][][][]byte{
-		"simple":             {{query("SELECT part FROM stock_1.parts")}, {query("SELECT no_rows")}},
-		"simple-empty":       {{query(" -- nothing\n;")}},
-		"simple-set":         {{query("SET statement_timeout = '80ms'")}, {query("SET SESSION statement_timeout TO DEFAULT")}},
+		"simple":       {{query("SELECT part FROM stock_1.parts")}, {query("SELECT no_rows")}},
+		"simple-empty": {{query(" -- nothing\n;")}},
+		"simple-set": {
+			{query("SET statement_timeout = '80ms'")},
+			{query("SET SESSION statement_timeout TO DEFAULT")},
+		},
 		"simple-set-bad":     {{query("SET statement_timeout = 'soon'")}},
 		"simple-set-other":   {{query("SET work_mem = '1GB'")}},
 		"simple-error":       {{query("SELECT * FROM missing")}, {query("SELECT 1")}},
@@ -73,10 +84,21 @@
 			{bind("", "s", "a"), describe("P", ""), execute("", 0), bind("", "s", "b"), execute("", 0), syncMessage},
 			{bind("p", "s", "c"), describe("P", "p"), syncMessage},
 		},
-		"extended-portal":  {{parse("", selectPart), bind("p", "", "a"), execute("p", 2), flushMessage, execute("p", 2), execute("p", 0), syncMessage}, {execute("p", 0), syncMessage}},
-		"extended-close":   {{parse("s", selectPart), message('C', "Ss\x00"), message('C', "Pp\x00"), bind("", "s", "a"), syncMessage}},
-		"error-engine":     {runUnnamed("SELECT * FROM missing")},
-		"error-skips":      {{parse("", "BEGIN"), bind("", ""), execute("", 0), query("SELECT 1"), syncMessage}, runUnnamed("SELECT 1")},
+		"extended-portal": {
+			{
+				parse("", selectPart), bind("p", "", "a"), execute("p", 2), flushMessage, execute("p", 2),
+				execute("p", 0), syncMessage,
+			},
+			{execute("p", 0), syncMessage},
+		},
+		"extended-close": {{
+			parse("s", selectPart), message('C', "Ss\x00"), message('C', "Pp\x00"), bind("", "s", "a"), syncMessage,
+		}},
+		"error-engine": {runUnnamed("SELECT * FROM missing")},
+		"error-skips": {
+			{parse("", "BEGIN"), bind("", ""), execute("", 0), query("SELECT 1"), syncMessage},
+			runUnnamed("SELECT 1"),
+		},
 		"error-broken-off": {runUnnamed("UPDATE break_off SET a = 1")},
 		"error-class":      {runUnnamed("/* class=x */ SELECT 1")},
 		"error-comment":    {runUnnamed("/* class=load key=$x */ SELECT 1")},
@@ -86,8 +108,14 @@
 		"error-few-values": {runUnnamed("/* class=load key=$2 */ SELECT f($1)", "k")},
 		"error-statement":  {{bind("", "none"), syncMessage}, {describe("S", "none"), syncMessage}},
 		"error-portal":     {{execute("none", 0), syncMessage}, {describe("P", "none"), syncMessage}},
-		"error-twice":      {{parse("s", selectPart), parse("s", selectPart), syncMessage}, {bind("p", "s", "a"), bind("p", "s", "a"), syncMessage}},
-		"error-values":     {{parse("s", selectPart), describe("S", "s"), syncMessage}, {bind("", "s", "a", "b"), syncMessage}},
+		"error-twice": {
+			{parse("s", selectPart), parse("s", selectPart), syncMessage},
+			{bind("p", "s", "a"), bind("p", "s", "a"), syncMessage},
+		},
+		"error-values": {
+			{parse("s", selectPart), describe("S", "s"), syncMessage},
+			{bind("", "s", "a", "b"), syncMessage},
+		},
 		"error-load-again": {{parse("", insert), bind("", "", "key"), execute("", 0), execute("", 0), syncMessage}},
 		"malformed-bodies": {
 			{message('P', "x"), syncMessage},
@@ -116,7 +144,7 @@
 }
 
 // A request that no engine could take is rejected, with a time after which to retry.
-func TestGoldenPostgres_Rejection(t *testing.T) {
+func TestGoldenPostgres_RejectionHasARetryHint(t *testing.T) {
 	recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
 	recorder.start()
 	recorder.send(runUnnamed("SELECT 1")...)
@@ -129,7 +157,7 @@
 
 // An engine is unresponsive until the statement's time is over: a statement that only reads has
 // timed out, and the outcome of one that may have run is unknown.
-func TestGoldenPostgres_Timeout(t *testing.T) {
+func TestGoldenPostgres_TimeoutOfAWriteHasAnUnknownOutcome(t *testing.T) {
 	for name, text := range map[string]string{"timeout": "SELECT silent", "timeout-write": "UPDATE silent SET a = 1"} {
 		t.Run(name, func(t *testing.T) {
 			addr, _ := startPgEngine(t, goldenPgEngine)
@@ -144,7 +172,7 @@
 }
 
 // Messages that can't be framed, and a Terminate, end their connections.
-func TestGoldenPostgres_LastMessages(t *testing.T) {
+func TestGoldenPostgres_MalformedMessageOrTerminateEndsTheConnection(t *testing.T) {
 	addr, _ := startPgEngine(t, goldenPgEngine)
 	for name, messages := range map[string][][]byte{
 		"unknown-kind":     {{'#', 0, 0, 0, 4}},
@@ -165,17 +193,20 @@
 }
 
 // A CancelRequest with the right secret ends the statement in flight on its connection. One with
-// a wrong secret is closed without an answer, as the right one is.
-func TestGoldenPostgres_CancelRequest(t *testing.T) {
+// a wrong secret is closed without a response, as the right one is.
+func TestGoldenPostgres_CancelRequestEndsTheStatementInFlight(t *testing.T) {
 	for name, text := range map[string]string{"cancel": "SELECT silent", "cancel-write": "UPDATE silent SET a = 1"} {
 		t.Run(name, func(t *testing.T) {
 			addr, seen := startPgEngine(t, goldenPgEngine)
-			tr, front := newTranscript(t), startPostgres(t, addr)
+			tr := newTranscript(t)
+			front := startPostgres(t, addr)
 			client := tr.recordPostgres("client", front.addr)
 			client.start()
 			client.send(runUnnamed(text)...)
 			await(t, seen)
-			wrong := append(bytes.Clone(client.keyData[:4]), client.keyData[4]+1, client.keyData[5], client.keyData[6], client.keyData[7])
+			const secretAt = 4 // after the process number
+			wrong := bytes.Clone(client.keyData)
+			wrong[secretAt]++
 			tr.recordCancel("wrong", front.addr, wrong)
 			tr.recordCancel("right", front.addr, client.keyData)
 			client.receiveUntilReady()
@@ -185,16 +216,18 @@
 	}
 }
 
-// A drain notifies idle clients at once that the front end shuts down, and others behind their
-// answers.
-func TestGoldenPostgres_Drain(t *testing.T) {
+// A drain notifies idle clients at once that the front end shuts down, and others after their
+// responses.
+func TestGoldenPostgres_DrainNotifiesIdleClientsAndOthersAfterTheirResponses(t *testing.T) {
 	release := make(chan struct{})
 	addr, seen := startPgEngine(t, func(request pgRequest) []byte {
 		<-release
 		return goldenPgEngine(request)
 	})
-	tr, front := newTranscript(t), startPostgres(t, addr)
-	idle, busy := tr.recordPostgres("idle", front.addr), tr.recordPostgres("busy", front.addr)
+	tr := newTranscript(t)
+	front := startPostgres(t, addr)
+	idle := tr.recordPostgres("idle", front.addr)
+	busy := tr.recordPostgres("busy", front.addr)
 	idle.start()
 	busy.start()
 	busy.send(query("SELECT part FROM stock_1.parts"))
--- a/internal/e2e/http_client_helpers_test.go
+++ b/internal/e2e/http_client_helpers_test.go
@@ -18,33 +18,34 @@
 	defaultWait = "2000"
 	// longWait is a client's wait in milliseconds that outlasts the scenario.
 	longWait = "8000"
-	// emptyResult is the answer to a request that matched no rows, with its status.
+	// emptyResult is the response to a request that matched no rows, with its status.
 	emptyResult = `200 {"result":[]}`
-	// busyResult is the answer to a request that was rejected for want of capacity.
+	// busyResult is the response to a request that was rejected for want of capacity.
 	busyResult = `503 {"fault":"Busy"}`
 	// bareHealthRequest is a health check without any header.
 	bareHealthRequest = "GET /health HTTP/1.1\r\n\r\n"
 )
 
-// queryRequest is the text of a request of the class that reads the orders.
+// queryRequest returns the text of a request of the class that reads the orders.
 func queryRequest(class, headers string) string { return tableRequest(class, "orders", headers) }
 
-// tableRequest is the text of a request whose statement reads the table.
+// tableRequest returns the text of a request whose statement reads the table.
 func tableRequest(class, table, headers string) string {
 	statement := "SELECT day FROM sales_17." + table
-	return fmt.Sprintf("POST /rpc/%s HTTP/1.1\r\nHost: backend.local\r\nReq-Id: %s\r\nReq-Wait-Ms: %s\r\n%sContent-Length: %d\r\n\r\n%s",
-		class, requestID, defaultWait, headers, len(statement), statement)
+	return fmt.Sprintf("POST /rpc/%s HTTP/1.1\r\nHost: backend.local\r\n", class) +
+		fmt.Sprintf("Req-Id: %s\r\nReq-Wait-Ms: %s\r\n", requestID, defaultWait) +
+		headers + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(statement), statement)
 }
 
-// withID is the text of a request under another id.
+// withID returns the text of a request under another id.
 func withID(request, id string) string { return strings.Replace(request, requestID, id, 1) }
 
-// withWait is the text of a request whose client waits for so many milliseconds.
+// withWait returns the text of a request whose client waits for that many milliseconds.
 func withWait(request, milliseconds string) string {
 	return strings.Replace(request, defaultWait, milliseconds, 1)
 }
 
-// numberedID is the n-th of a sequence of request ids.
+// numberedID returns the n-th of a sequence of request ids.
 func numberedID(n int) string { return fmt.Sprintf("%016x", n) }
 
 // httpClient is a client that keeps one connection.
@@ -68,8 +69,8 @@
 	}
 }
 
-// roundTrip writes text and gives the status and the body of the next response.
-func (c *httpClient) roundTrip(text string) (answer string, header http.Header) {
+// roundTrip writes text and returns the status and the body of the next response, and its header.
+func (c *httpClient) roundTrip(text string) (summary string, header http.Header) {
 	c.t.Helper()
 	c.send(text)
 	response, err := http.ReadResponse(c.in, nil)
@@ -84,11 +85,11 @@
 	return fmt.Sprintf("%d %s", response.StatusCode, body), response.Header
 }
 
-// receive gives the status and the body of the next response.
+// receive returns the status and the body of the next response.
 func (c *httpClient) receive() string {
 	c.t.Helper()
-	answer, _ := c.roundTrip("")
-	return answer
+	summary, _ := c.roundTrip("")
+	return summary
 }
 
 // close disconnects the client.
@@ -107,27 +108,27 @@
 	}
 }
 
-// pageRow is the row of which the pages of a long result consist.
+// pageRow is the row that the pages of a long result repeat.
 const pageRow = `["x","y","z"]`
 
-// morePathOf is the path of the further pages that an answer names.
-func morePathOf(answer string) (path string, more bool) {
-	_, path, more = strings.Cut(answer, `"more":"`)
+// morePathOf returns the path of the further pages that a response names.
+func morePathOf(summary string) (path string, more bool) {
+	_, path, more = strings.Cut(summary, `"more":"`)
 	path, _, _ = strings.Cut(path, `"`)
 	return path, more
 }
 
-// countRows follows an answer's pages and counts their rows.
-func (c *httpClient) countRows(answer string) (rows int) {
+// countRows follows a response's pages and counts their rows.
+func (c *httpClient) countRows(summary string) (rows int) {
 	c.t.Helper()
 	const maxPages = 9
 	for range maxPages {
-		rows += strings.Count(answer, pageRow)
-		path, more := morePathOf(answer)
+		rows += strings.Count(summary, pageRow)
+		path, more := morePathOf(summary)
 		if !more {
 			return rows
 		}
-		answer, _ = c.roundTrip("GET " + path + " HTTP/1.1\r\n\r\n")
+		summary, _ = c.roundTrip("GET " + path + " HTTP/1.1\r\n\r\n")
 	}
 	c.t.Fatalf("more than %d pages", maxPages)
 	return 0
--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"io"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 )
@@ -18,9 +17,11 @@
 	front := startHTTP(t, addr)
 	client := connectHTTP(t, front.addr)
 	got, _ := client.roundTrip(queryRequest("load", "Req-Token: k-1\r\nReq-Kb: 96\r\nReq-Cost: 820.0\r\n"))
-	assertEqual(t, "answer", got, `200 {"result":[["a","\"1\"","\\x"],["b","2","é"]]}`)
+	assertEqual(t, "response", got, `200 {"result":[["a","\"1\"","\\x"],["b","2","é"]]}`)
 	line := await(t, seen)
-	for _, part := range []string{"want " + requestID + " kind=load,ms=", ",token=k-1,", " 31 SELECT day FROM sales_17.orders"} {
+	for _, part := range []string{
+		"want " + requestID + " kind=load,ms=", ",token=k-1,", " 31 SELECT day FROM sales_17.orders",
+	} {
 		if !strings.Contains(line, part) {
 			t.Errorf("engine was asked %q, without %q", line, part)
 		}
@@ -33,21 +34,17 @@
 	pagesOfLong = 16 // pages of the long result
 )
 
-// longResultScript answers each request with many pages. The first request for a further page
+// longResultScript serves each request with many pages. The first request for a further page
 // has the engine close the connection.
 func longResultScript() func(line string) string {
 	page := strings.Repeat("x\ty\tz\n", rowsPerPage)
-	var scriptLock sync.Mutex // both engines share the script and its state
-	crashed := false
+	isFirstTurn := firstCall()
 	return func(line string) string {
-		scriptLock.Lock()
-		defer scriptLock.Unlock()
 		words := strings.Fields(line)
 		switch {
 		case words[0] == "want":
 			return fmt.Sprintf("%s DONE batches=%d %d\r\n%s\r\n", requestID, pagesOfLong, len(page), page)
-		case words[0] == "turn" && !crashed:
-			crashed = true
+		case words[0] == "turn" && isFirstTurn():
 			return closeConnection
 		case words[0] == "turn":
 			return fmt.Sprintf("%s MORE batch=%s %d\r\n%s\r\n", requestID, words[2], len(page), page)
@@ -56,9 +53,9 @@
 	}
 }
 
-// An engine crashes between the first page and the rest: no row has been forwarded, so another
-// engine serves the client. The client fetches a long result part by part, a path without a
-// result is answered with 404, and a graceful shutdown lets a client finish its fetch.
+// An engine crashes between the first page and the rest. No row has been forwarded, so that another engine serves the
+// client. The client fetches a long result page by page, a path without a result has the status 404, and a client can
+// complete its fetch during a graceful shutdown.
 func TestHTTP_CollectsPagesBeforeForwardingRows(t *testing.T) {
 	script := longResultScript()
 	one, _ := startLineEngine(t, script)
@@ -88,23 +85,6 @@
 	client.assertClosed()
 }
 
-// Two requests are pipelined on one connection, and the first times out at an engine that does
-// not answer. The wait of the second began with its last byte: it has passed when its turn
-// comes, so that it is answered at once and not forwarded.
-func TestHTTP_DeadlineOfPipelinedRequestRunsFromItsArrival(t *testing.T) {
-	addr, seen := startLineEngine(t, noReply)
-	front := startHTTP(t, addr)
-	client := connectHTTP(t, front.addr)
-	first := withWait(queryRequest("lookup", ""), "300")
-	second := withID(withWait(queryRequest("lookup", ""), "200"), numberedID(2))
-	client.send(first + second)
-	assertEqual(t, "first answer", client.receive(), busyResult)
-	assertEqual(t, "second answer", client.receive(), busyResult)
-	received, _, _ := strings.Cut(await(t, seen), " kind=")
-	assertEqual(t, "the engine received", received, "want "+requestID)
-	front.assertCount("attempts.started.", 1)
-}
-
 // An invalid request has a status of its own, and is neither accepted nor forwarded.
 func TestHTTP_InvalidRequestsAreRejectedWithoutAnAttempt(t *testing.T) {
 	addr, _ := startLineEngine(t, emptyReply)
@@ -136,9 +116,9 @@
 	front.assertCount("requests.accepted.", 0)
 }
 
-// Clients that send nothing, stall in the middle, state a wrong length or send what no request
-// may hold are disconnected or have an error in time, and none of it reaches an engine. The
-// connection ends behind a malformed request: nothing after it is answered.
+// Clients that send nothing, stall within a request, state a wrong length or send invalid bytes are disconnected or
+// have an error in time, and no request of theirs reaches an engine. The
+// connection ends after the response to a malformed request, and requests that follow it have none.
 func TestHTTP_StalledAndMalformedClientsAreClosedInTime(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := newFrontEnd(t, nil)
@@ -172,16 +152,16 @@
 		clients[name].send(tt.text)
 	}
 	for name, tt := range cases {
-		answers, _ := io.ReadAll(clients[name].in) // up to the close
-		got, _ := strings.CutPrefix(string(answers), statusLinePrefix)
+		responses, _ := io.ReadAll(clients[name].in) // up to the close
+		got, _ := strings.CutPrefix(string(responses), statusLinePrefix)
 		assertEqual(t, name, got[:min(len(got), len("400"))], tt.want)
-		if n := strings.Count(string(answers), statusLinePrefix); n > 1 {
-			t.Errorf("%s: %d answers", name, n)
+		if n := strings.Count(string(responses), statusLinePrefix); n > 1 {
+			t.Errorf("%s: %d responses", name, n)
 		}
 	}
 	front.assertCount("attempts.started.", 1)
 	inFlight.send("no call")
-	answers, _ := io.ReadAll(inFlight.in)
-	assertEqual(t, "malformed request behind one in flight", string(answers[:len("HTTP/1.1 400")]), "HTTP/1.1 400")
+	responses, _ := io.ReadAll(inFlight.in)
+	assertEqual(t, "malformed request after one in flight", string(responses[:len("HTTP/1.1 400")]), "HTTP/1.1 400")
 	assertEqual(t, "the engine received", await(t, seen), "never_mind "+requestID)
 }
--- a/internal/e2e/line_engine_helpers_test.go
+++ b/internal/e2e/line_engine_helpers_test.go
@@ -13,9 +13,9 @@
 // seenCapacity is how many requests a scripted engine reports before it waits for the test.
 const seenCapacity = 100
 
-// startLineEngine is an engine of the line protocol. It reports each line, followed by the
-// statement where the line is a request, and answers as the script says.
-func startLineEngine(t *testing.T, script func(line string) (answer string)) (addr string, seen chan string) {
+// startLineEngine starts an engine of the line protocol. It reports each line, followed by the
+// statement where the line is a request, and responds as the script says.
+func startLineEngine(t *testing.T, script func(line string) (response string)) (addr string, seen chan string) {
 	t.Helper()
 	seen = make(chan string, seenCapacity)
 	var scriptLock sync.Mutex // scripts keep state, and connections are served concurrently
@@ -27,13 +27,13 @@
 				return
 			}
 			scriptLock.Lock()
-			answer := script(line)
+			response := script(line)
 			scriptLock.Unlock()
 			seen <- line
-			if answer == closeConnection {
+			if response == closeConnection {
 				return
 			}
-			if _, err := io.WriteString(conn, answer); err != nil {
+			if _, err := io.WriteString(conn, response); err != nil {
 				return
 			}
 		}
@@ -44,7 +44,7 @@
 func readEngineLine(in *bufio.Reader) (string, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("read a line: %w", err)
 	}
 	line = strings.TrimRight(line, "\r\n")
 	if !strings.HasPrefix(line, "want ") {
@@ -54,13 +54,13 @@
 	_, _ = fmt.Sscan(line[strings.LastIndexByte(line, ' '):], &length)
 	statement := make([]byte, length+len("\r\n"))
 	if _, err := io.ReadFull(in, statement); err != nil {
-		return "", err
+		return "", fmt.Errorf("read a statement: %w", err)
 	}
 	return line + " " + string(statement[:length]), nil
 }
 
-// emptyReply answers each request with no rows.
+// emptyReply serves each request with no rows.
 func emptyReply(line string) string { return doneReply(line, "") }
 
-// noReply is the script of an engine that never answers.
+// noReply is the script of an engine that never responds.
 func noReply(string) string { return "" }
--- a/internal/e2e/peer_helpers_test.go
+++ b/internal/e2e/peer_helpers_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"runtime"
 	"strings"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -16,10 +17,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// waitLimit bounds every wait, so that a scenario that goes wrong fails and ends.
+// waitLimit bounds every wait, so that a scenario that goes wrong ends and fails.
 const waitLimit = 10 * time.Second
 
-// assertEqual compares texts, and names what they are in its report.
+// assertEqual compares texts. Its report says what they are.
 func assertEqual(t *testing.T, what, got, want string) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -27,7 +28,7 @@
 	}
 }
 
-// poll waits until a condition holds; it is false where waitLimit passes first.
+// poll waits until a condition holds, and returns false if waitLimit passes first.
 func poll(condition func() bool) bool {
 	for deadline := time.Now().Add(waitLimit); !condition(); runtime.Gosched() {
 		if time.Now().After(deadline) {
@@ -37,7 +38,7 @@
 	return true
 }
 
-// await receives a value.
+// await receives a value within waitLimit.
 func await[T any](t *testing.T, values <-chan T) (value T) {
 	t.Helper()
 	select {
@@ -48,15 +49,22 @@
 	return value
 }
 
+// firstCall returns a function that reports whether it is called for the first time. Scripts of several connections
+// and engines may share it.
+func firstCall() func() bool {
+	var called atomic.Bool
+	return func() bool { return called.CompareAndSwap(false, true) }
+}
+
 // listen accepts connections for a scripted peer until the test ends.
-func listen(t testing.TB, serve func(net.Conn)) (addr string) {
-	t.Helper()
-	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
+func listen(tb testing.TB, serve func(net.Conn)) (addr string) {
+	tb.Helper()
+	listener := tcptest.Listen(tb, tcptest.AnyLoopbackPort)
 	go acceptAll(listener, serve)
 	return listener.Addr().String()
 }
 
-// acceptAll serves every connection of a listener, which lasts waitLimit at most.
+// acceptAll serves every connection of a listener for waitLimit at most.
 func acceptAll(listener net.Listener, serve func(net.Conn)) {
 	tcptest.Serve(listener, func(conn net.Conn) {
 		_ = conn.SetDeadline(time.Now().Add(waitLimit))
@@ -64,8 +72,8 @@
 	})
 }
 
-// listenWithFullBacklog is a peer whose connections don't come up before accept is called: its
-// accept queue is full.
+// listenWithFullBacklog starts a peer whose accept queue is full: connections to it are not established before accept
+// is called.
 func listenWithFullBacklog(t *testing.T, serve func(net.Conn)) (addr string, accept func()) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -96,29 +104,40 @@
 	}
 }
 
-func dial(t testing.TB, addr string) net.Conn {
-	t.Helper()
+// dial connects to an address until the test ends, for waitLimit at most.
+func dial(tb testing.TB, addr string) net.Conn {
+	tb.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	_ = conn.SetDeadline(time.Now().Add(waitLimit))
-	t.Cleanup(func() { _ = conn.Close() })
+	tb.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
 
+// tcpConn returns the TCP connection that the connection must be.
+func tcpConn(t *testing.T, conn net.Conn) *net.TCPConn {
+	t.Helper()
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		t.Fatalf("a connection of type %T", conn)
+	}
+	return tcp
+}
+
 // closeWrite half-closes a connection, so that its peer ends it too.
 func closeWrite(t *testing.T, conn net.Conn) {
 	t.Helper()
-	if err := conn.(*net.TCPConn).CloseWrite(); err != nil {
+	if err := tcpConn(t, conn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// closeConnection as the answer of a scripted engine has it close the connection instead.
+// closeConnection, as the response of a scripted engine, makes it close the connection instead.
 const closeConnection = "close the connection"
 
-// doneReply answers a request line of the line protocol with one page.
+// doneReply serves a request line of the line protocol with one page.
 func doneReply(line, page string) string {
 	const fields = "batches=1,cpu=12.5,used=3,gauges=util:0.5;queue:0;x1:0;x0:0"
 	return fmt.Sprintf("%s DONE %s %d\r\n%s\r\n", strings.Fields(line)[1], fields, len(page), page)
--- a/internal/e2e/postgres_client_helpers_test.go
+++ b/internal/e2e/postgres_client_helpers_test.go
@@ -118,22 +118,29 @@
 // readMore appends what arrives to unread; it is false where the connection has ended.
 func (c *pgClient) readMore() (more bool) {
 	c.t.Helper()
-	c.unread, more = readChunk(c.t, c.conn, c.unread)
+	c.unread, more = readMoreOrFail(c.t, c.conn, c.unread)
 	return more
 }
 
-// readChunk appends what arrives to unread; more is false where the connection has ended.
-func readChunk(t *testing.T, conn net.Conn, unread []byte) (appended []byte, more bool) {
+// readMoreOrFail appends what arrives to unread; more is false where the connection has ended. It fails the test if
+// the connection broke.
+func readMoreOrFail(t *testing.T, conn net.Conn, unread []byte) (appended []byte, more bool) {
 	t.Helper()
-	chunk := make([]byte, 4096)
-	n, err := conn.Read(chunk)
-	unread = append(unread, chunk[:n]...)
+	unread, err := readChunk(conn, unread)
 	if err != nil && !errors.Is(err, io.EOF) {
 		t.Fatalf("after %.200q: %v", unread, err)
 	}
 	return unread, err == nil
 }
 
+// readChunk appends what arrives to unread.
+func readChunk(conn net.Conn, unread []byte) (appended []byte, err error) {
+	const chunkSize = 4096
+	chunk := make([]byte, chunkSize)
+	n, err := conn.Read(chunk)
+	return append(unread, chunk[:n]...), err
+}
+
 // sendCancel sends a CancelRequest and waits until the front end closes its connection.
 func sendCancel(t *testing.T, addr string, keyData []byte) {
 	t.Helper()
--- a/internal/e2e/postgres_engine_helpers_test.go
+++ b/internal/e2e/postgres_engine_helpers_test.go
@@ -13,10 +13,10 @@
 // maxEngineMessage bounds a message that a scripted PostgreSQL engine reads.
 const maxEngineMessage = 1 << 20
 
-// pgRequest is what a scripted PostgreSQL engine received up to a Sync.
+// pgRequest has the messages that a scripted PostgreSQL engine received up to a Sync.
 type pgRequest struct {
 	query    string
-	bind     string // the body of the Bind behind its two names
+	bind     string // the body of the Bind after its two names
 	describe bool
 	parsed   bool // the statement came with a Parse, and was not prepared before
 }
@@ -29,24 +29,32 @@
 	bindComplete  = pgproto.AppendMessage(nil, '2')
 	noData        = pgproto.AppendMessage(nil, 'n')
 	readyForQuery = pgproto.AppendMessage(nil, 'Z', []byte("I"))
-	insertOneRow  = bytes.Join([][]byte{parseComplete, bindComplete, noData, pgproto.AppendMessage(nil, 'C', pgproto.CString("INSERT 0 1"))}, nil)
+	insertOneRow  = bytes.Join([][]byte{
+		parseComplete, bindComplete, noData, pgproto.AppendMessage(nil, 'C', pgproto.CString("INSERT 0 1")),
+	}, nil)
 	// oneColumn is the body of a RowDescription with one column of text.
-	oneColumn = append([]byte{0, 1}, append([]byte("part\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0)...)
+	oneColumn = append(
+		[]byte("\x00\x01part\x00"), 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 255, 255, 255, 255, 255, 255, 0, 0,
+	)
 	// oneParameter is the body of a ParameterDescription with one parameter of text.
 	oneParameter = []byte{0, 1, 0, 0, 0, 25}
-	// describeReply answers a Parse and a Describe of a statement.
-	describeReply = bytes.Join([][]byte{parseComplete, pgproto.AppendMessage(nil, 't', oneParameter), pgproto.AppendMessage(nil, 'T', oneColumn)}, nil)
+	// describeReply responds to a Parse and a Describe of a statement.
+	describeReply = bytes.Join([][]byte{
+		parseComplete, pgproto.AppendMessage(nil, 't', oneParameter), pgproto.AppendMessage(nil, 'T', oneColumn),
+	}, nil)
 )
 
-// startPgEngine is a PostgreSQL engine. The script answers each batch; nil leaves the batch
+// startPgEngine starts a PostgreSQL engine. The script responds to each batch; nil leaves the batch
 // open until a CancelRequest, which is reported as a request of its own.
 func startPgEngine(t *testing.T, script func(pgRequest) []byte) (addr string, seen chan pgRequest) {
 	t.Helper()
 	return startSlowPgEngine(t, 0, script)
 }
 
-// startSlowPgEngine is a PostgreSQL engine whose startup takes some time.
-func startSlowPgEngine(t *testing.T, startupTime time.Duration, script func(pgRequest) []byte) (addr string, seen chan pgRequest) {
+// startSlowPgEngine starts a PostgreSQL engine whose startup takes some time.
+func startSlowPgEngine(
+	t *testing.T, startupTime time.Duration, script func(pgRequest) []byte,
+) (addr string, seen chan pgRequest) {
 	t.Helper()
 	seen = make(chan pgRequest, seenCapacity)
 	return listen(t, func(conn net.Conn) {
@@ -54,7 +62,7 @@
 		if !c.readStartup() {
 			return
 		}
-		time.Sleep(startupTime) // a step of the scenario in real time: what it delays is what the test is about
+		time.Sleep(startupTime) // a step of the scenario in real time
 		c.writeStartupReply()
 		c.serve()
 	}), seen
@@ -71,9 +79,8 @@
 
 // readMore appends what arrives to unread; it is false where the connection has ended.
 func (c *pgEngineConn) readMore() bool {
-	chunk := make([]byte, 4096)
-	n, err := c.conn.Read(chunk)
-	c.unread = append(c.unread, chunk[:n]...)
+	var err error
+	c.unread, err = readChunk(c.conn, c.unread)
 	return err == nil
 }
 
@@ -101,7 +108,7 @@
 	_, _ = c.conn.Write(append(out, readyForQuery...))
 }
 
-// serve answers batches until the connection ends.
+// serve responds to batches until the connection ends.
 func (c *pgEngineConn) serve() {
 	var request pgRequest
 	for {
@@ -134,7 +141,8 @@
 		request.parsed = true
 	case 'D':
 		if r.Byte() == 'S' {
-			request.query, request.describe = c.prepared[r.CString()], true
+			request.query = c.prepared[r.CString()]
+			request.describe = true
 		}
 	case 'B':
 		r.CString() // the portal
@@ -143,23 +151,23 @@
 	}
 }
 
-// reply answers a request; it is false where the script closes the connection.
+// reply responds to a request; it is false where the script closes the connection.
 func (c *pgEngineConn) reply(request pgRequest) bool {
-	answer := c.script(request)
+	response := c.script(request)
 	c.seen <- request
-	if string(answer) == closeConnection {
+	if string(response) == closeConnection {
 		return false
 	}
 	if !request.parsed { // no ParseComplete then
-		answer = bytes.TrimPrefix(answer, parseComplete)
+		response = bytes.TrimPrefix(response, parseComplete)
 	}
-	if answer != nil {
-		_, _ = c.conn.Write(append(bytes.Clone(answer), readyForQuery...))
+	if response != nil {
+		_, _ = c.conn.Write(append(bytes.Clone(response), readyForQuery...))
 	}
 	return true
 }
 
-// pgRows answers a batch with text rows of one column.
+// pgRows responds to a batch with text rows of one column.
 func pgRows(rows ...string) []byte {
 	b := append(bytes.Clone(parseComplete), bindComplete...)
 	b = pgproto.AppendMessage(b, 'T', oneColumn)
@@ -169,13 +177,13 @@
 	return pgproto.AppendMessage(b, 'C', pgproto.CString(fmt.Sprintf("SELECT %d", len(rows))))
 }
 
-// pgError is an ErrorResponse with the code.
+// pgError returns an ErrorResponse with the code.
 func pgError(code string) []byte {
 	return pgproto.AppendMessage(nil, 'E', (&pgproto.Error{Severity: "ERROR", Code: code, Message: "no"}).Body())
 }
 
-// noPgReply is the script of an engine that answers no batch.
+// noPgReply is the script of an engine that responds to no batch.
 func noPgReply(pgRequest) []byte { return nil }
 
-// oneRowReply answers each batch with one row.
+// oneRowReply responds to each batch with one row.
 func oneRowReply(pgRequest) []byte { return pgRows("a") }
--- a/internal/e2e/postgres_faults_test.go
+++ b/internal/e2e/postgres_faults_test.go
@@ -7,7 +7,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// Each kind of failure has one ErrorResponse with a code of its own, and the messages behind it
+// Each kind of failure has one ErrorResponse with a code of its own, and the messages after it
 // are skipped up to Sync.
 func TestPostgres_EachFailureHasOneErrorResponse(t *testing.T) {
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
@@ -19,6 +19,7 @@
 	runTwice := func(text string, values ...string) [][]byte {
 		return [][]byte{parse("", text), bind("", "", values...), execute("", 0), execute("", 0), syncMessage}
 	}
+	withEngine := []string{addr}
 	for name, tt := range map[string]struct {
 		engines  []string
 		params   []string
@@ -26,23 +27,59 @@
 		want     string
 		attempts int64
 	}{
-		"rejected":          {nil, nil, runTwice("SELECT 1"), "1 2 E(53000 hint) Z", 0},
-		"timed out":         {[]string{addr}, []string{"statement_timeout", "80ms"}, runTwice("SELECT 1"), "1 2 E(57014) Z", 1},
-		"timed out by -c":   {[]string{addr}, []string{"options", "-c statement_timeout=80"}, runTwice("SELECT 1"), "1 2 E(57014) Z", 1},
-		"timed out by SET":  {[]string{addr}, nil, append([][]byte{query("SET statement_timeout = '80ms'")}, runTwice("SELECT 1")...), "C(SET) Z 1 2 E(57014) Z", 1},
-		"engine's error":    {[]string{addr}, nil, runTwice("SELECT * FROM missing"), "1 2 E(42P01) Z", 1},
-		"simple":            {[]string{addr}, nil, [][]byte{query("SELECT * FROM missing")}, "E(42P01) Z", 1},
-		"load, no key":      {[]string{addr}, nil, runTwice("/* class=load */ SELECT f($1)", "k"), "1 E(22023) Z", 0},
-		"load, null key":    {[]string{addr}, nil, runTwice("INSERT INTO stock_1.parts VALUES ($1)", ""), "1 E(22004) Z", 0},
-		"load by Query":     {[]string{addr}, nil, [][]byte{query("insert into stock_1.parts values (1)")}, "E(22023) Z", 0},
-		"unknown class":     {[]string{addr}, nil, runTwice("/* class=x */ SELECT 1"), "E(42704) Z", 0},
-		"transaction":       {[]string{addr}, nil, runTwice("BEGIN"), "E(0A000) Z", 0},
-		"copy":              {[]string{addr}, nil, [][]byte{query("COPY x FROM STDIN")}, "E(0A000) Z", 0},
-		"two statements":    {[]string{addr}, nil, [][]byte{query("SELECT 1; SELECT 2")}, "E(0A000) Z", 0},
-		"empty":             {[]string{addr}, nil, [][]byte{query(" -- nothing\n;")}, "I Z", 0},
-		"malformed Bind":    {[]string{addr}, nil, [][]byte{parse("", "SELECT 1"), pgproto.AppendMessage(nil, 'B', []byte("\x00\x00\x00\x07")), syncMessage}, "1 E(08P01) Z", 0},
-		"malformed message": {[]string{addr}, nil, [][]byte{{'E', 0, 0, 0, 1}}, "E(08P01) end", 0},
-		"unknown message":   {[]string{addr}, nil, [][]byte{{'#', 0, 0, 0, 4}}, "E(08P01) end", 0},
+		"rejected": {messages: runTwice("SELECT 1"), want: "1 2 E(53000 hint) Z"},
+		"timed out": {
+			engines: withEngine, params: []string{"statement_timeout", "80ms"},
+			messages: runTwice("SELECT 1"), want: "1 2 E(57014) Z", attempts: 1,
+		},
+		"timed out by -c": {
+			engines: withEngine, params: []string{"options", "-c statement_timeout=80"},
+			messages: runTwice("SELECT 1"), want: "1 2 E(57014) Z", attempts: 1,
+		},
+		"timed out by SET": {
+			engines:  withEngine,
+			messages: append([][]byte{query("SET statement_timeout = '80ms'")}, runTwice("SELECT 1")...),
+			want:     "C(SET) Z 1 2 E(57014) Z", attempts: 1,
+		},
+		"engine's error": {
+			engines: withEngine, messages: runTwice("SELECT * FROM missing"), want: "1 2 E(42P01) Z", attempts: 1,
+		},
+		"simple": {
+			engines: withEngine, messages: [][]byte{query("SELECT * FROM missing")}, want: "E(42P01) Z", attempts: 1,
+		},
+		"load, no key": {
+			engines: withEngine, messages: runTwice("/* class=load */ SELECT f($1)", "k"), want: "1 E(22023) Z",
+		},
+		"load, null key": {
+			engines: withEngine, messages: runTwice("INSERT INTO stock_1.parts VALUES ($1)", ""),
+			want: "1 E(22004) Z",
+		},
+		"load by Query": {
+			engines: withEngine, messages: [][]byte{query("insert into stock_1.parts values (1)")},
+			want: "E(22023) Z",
+		},
+		"unknown class": {
+			engines: withEngine, messages: runTwice("/* class=x */ SELECT 1"), want: "E(42704) Z",
+		},
+		"transaction": {engines: withEngine, messages: runTwice("BEGIN"), want: "E(0A000) Z"},
+		"copy":        {engines: withEngine, messages: [][]byte{query("COPY x FROM STDIN")}, want: "E(0A000) Z"},
+		"two statements": {
+			engines: withEngine, messages: [][]byte{query("SELECT 1; SELECT 2")}, want: "E(0A000) Z",
+		},
+		"empty": {engines: withEngine, messages: [][]byte{query(" -- nothing\n;")}, want: "I Z"},
+		"malformed Bind": {
+			engines: withEngine,
+			messages: [][]byte{
+				parse("", "SELECT 1"), pgproto.AppendMessage(nil, 'B', []byte("\x00\x00\x00\x07")), syncMessage,
+			},
+			want: "1 E(08P01) Z",
+		},
+		"malformed message": {
+			engines: withEngine, messages: [][]byte{{'E', 0, 0, 0, 1}}, want: "E(08P01) end",
+		},
+		"unknown message": {
+			engines: withEngine, messages: [][]byte{{'#', 0, 0, 0, 4}}, want: "E(08P01) end",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			front := startPostgres(t, tt.engines...)
@@ -52,25 +89,22 @@
 			if strings.HasPrefix(got, "C(SET)") {
 				got += " " + client.receiveUntilReady()
 			}
-			assertEqual(t, "answer", got, tt.want)
+			assertEqual(t, "response", got, tt.want)
 			front.assertCount("attempts.started.", tt.attempts)
 		})
 	}
 }
 
-// Peers that stall with an open connection: a client that sends nothing is disconnected, one
+// Peers stall with an open connection: a client that sends nothing is disconnected, one
 // that stalls in the middle of a message has an error, and an engine that does so loses its
 // connection, so that another serves the client.
 func TestPostgres_StalledPeersAreDisconnected(t *testing.T) {
-	stalls := make(chan struct{}, 1)
-	stalls <- struct{}{}
+	isFirst := firstCall()
 	script := func(pgRequest) []byte {
-		select {
-		case <-stalls:
+		if isFirst() {
 			return []byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 200} // the ReadyForQuery falls within that message
-		default:
-			return insertOneRow
 		}
+		return insertOneRow
 	}
 	one, _ := startPgEngine(t, script)
 	other, _ := startPgEngine(t, script)
@@ -80,7 +114,7 @@
 	stalled.send(query("SELECT 1")[:7])
 	client := connectPostgres(t, front.addr)
 	client.send(runUnnamed("INSERT INTO stock_1.parts VALUES ($1)", "key")...)
-	assertEqual(t, "answer", client.receiveUntilReady(), "1 2 C(INSERT 0 1) Z")
+	assertEqual(t, "response", client.receiveUntilReady(), "1 2 C(INSERT 0 1) Z")
 	assertEqual(t, "silent client", silent.receiveUntilEnd(), "end")
 	assertEqual(t, "stalled client", stalled.receiveUntilEnd(), "E(08P01) end")
 	front.assertCount("attempts.ended.protocol-error", 1)
--- a/internal/e2e/postgres_limits_test.go
+++ b/internal/e2e/postgres_limits_test.go
@@ -1,13 +1,12 @@
 package e2e
 
 import (
-	"net"
 	"strings"
 	"testing"
 )
 
 // Rows of some megabytes all reach a client that reads slowly, also when the front end closes
-// the connection behind them. A result above the limit is an error.
+// the connection after them. A result above the limit is an error.
 func TestPostgres_LargeResultReachesASlowClient(t *testing.T) {
 	row := strings.Repeat("x", 1300<<10)
 	rows := []string{row, row, row}
@@ -19,7 +18,7 @@
 	})
 	front := startPostgres(t, addr)
 	client := connectPostgres(t, front.addr)
-	_ = client.conn.(*net.TCPConn).SetReadBuffer(64 << 10) // else the kernel might buffer all of it
+	_ = tcpConn(t, client.conn).SetReadBuffer(64 << 10) // else the kernel might buffer all of it
 	client.send(query("SELECT more"))
 	assertEqual(t, "result above the limit", client.receiveUntilReady(), "E(54000) Z")
 	client.send(query("SELECT x"), terminateMessage)
@@ -28,9 +27,9 @@
 	assertEqual(t, "rows", strings.ReplaceAll(got, row, "x"), "T D(x) D(x) D(x) C(SELECT 3) Z end")
 }
 
-// A client pipelines far more than a buffer holds: the rest waits in the sockets, and every
-// execution has its answer.
-func TestPostgres_EveryPipelinedExecutionIsAnswered(t *testing.T) {
+// A client pipelines far more than a buffer holds. The rest waits in the sockets, and every execution has its
+// response.
+func TestPostgres_EveryPipelinedExecutionHasAResponse(t *testing.T) {
 	release := make(chan struct{})
 	addr, seen := startPgEngine(t, func(pgRequest) []byte { <-release; return pgRows() })
 	go func() {
@@ -42,10 +41,11 @@
 	client := connectPostgres(t, front.addr)
 	client.send(parse("s", "SELECT $1"))
 	const executions = 300
+	value := strings.Repeat("v", 32<<10)
 	sent := make(chan error, 1)
 	go func() {
 		for range executions {
-			if _, err := client.conn.Write(append(bind("", "s", strings.Repeat("v", 32<<10)), execute("", 0)...)); err != nil {
+			if _, err := client.conn.Write(append(bind("", "s", value), execute("", 0)...)); err != nil {
 				sent <- err
 				return
 			}
@@ -59,8 +59,8 @@
 	if err := await(t, sent); err != nil {
 		t.Fatal(err)
 	}
-	if answers := strings.Count(got, "C(SELECT 0)"); answers != executions {
-		t.Errorf("%d completions, want %d", answers, executions)
+	if completions := strings.Count(got, "C(SELECT 0)"); completions != executions {
+		t.Errorf("%d completions, want %d", completions, executions)
 	}
 }
 
--- a/internal/e2e/postgres_session_test.go
+++ b/internal/e2e/postgres_session_test.go
@@ -9,7 +9,7 @@
 	"flaxrelay/policy"
 )
 
-// A prepared statement is bound many times, and each execution has one answer with the rows,
+// A prepared statement is bound many times, and each execution has one response with the rows,
 // formats and values of the engine.
 func TestPostgres_PreparedStatementIsBoundManyTimes(t *testing.T) {
 	addr, seen := startPgEngine(t, func(request pgRequest) []byte {
@@ -70,7 +70,8 @@
 	front.updateEndpoints(policy.EngineDraining, first)
 	front.updateEndpoints(policy.EngineReady, second)
 	client.send(execute("p", 2), bind("q", ""), execute("q", 0), syncMessage)
-	assertEqual(t, "remaining rows, and a new statement", client.receiveUntilReady(), "D(c) C(SELECT 1) 2 D(elsewhere) C(SELECT 1) Z")
+	const want = "D(c) C(SELECT 1) 2 D(elsewhere) C(SELECT 1) Z"
+	assertEqual(t, "remaining rows, and a new statement", client.receiveUntilReady(), want)
 	client.send(execute("p", 0), syncMessage)
 	assertEqual(t, "the portal after Sync", client.receiveUntilReady(), "E(34000) Z")
 	front.assertCount("attempts.started.", 2) // a portal runs once
@@ -82,7 +83,12 @@
 	addr, seen := startPgEngine(t, noPgReply)
 	front := startPostgres(t, addr)
 	client := connectPostgres(t, front.addr)
-	client.send(parse("s", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "s", "k1"), execute("", 0), bind("", "s", "k2"), execute("", 0), syncMessage)
+	client.send(
+		parse("s", "INSERT INTO stock_1.parts VALUES ($1)"),
+		bind("", "s", "k1"), execute("", 0),
+		bind("", "s", "k2"), execute("", 0),
+		syncMessage,
+	)
 	if request := await(t, seen); !strings.Contains(request.bind, "k1") {
 		t.Errorf("the engine received %+v", request)
 	}
@@ -92,7 +98,7 @@
 	front.assertCount("requests.disconnected.", 1)
 }
 
-// A CancelRequest ends the statement in flight on its connection with one answer, and only with
+// A CancelRequest ends the statement in flight on its connection with one response, and only with
 // the right secret.
 func TestPostgres_CancelRequestNeedsTheRightSecret(t *testing.T) {
 	addr, seen := startPgEngine(t, noPgReply)
@@ -104,7 +110,7 @@
 	for _, keyData := range [][]byte{wrong, client.keyData} {
 		sendCancel(t, front.addr, keyData)
 	}
-	assertEqual(t, "answer", client.receiveUntilReady(), "1 2 E(57014) Z")
+	assertEqual(t, "response", client.receiveUntilReady(), "1 2 E(57014) Z")
 	assertEqual(t, "the engine received", await(t, seen).query, cancelQuery)
 	front.assertCount("postgres.cancel-requests", 1)
 }
@@ -115,9 +121,9 @@
 	client := &pgClient{t: t, conn: dial(t, front.addr)}
 	for _, code := range []uint32{pgproto.SSLRequestCode, pgproto.GSSENCRequestCode} {
 		client.send(pgproto.AppendStartup(nil, code, nil))
-		answer := make([]byte, 1)
-		if _, err := client.conn.Read(answer); err != nil || answer[0] != 'N' {
-			t.Fatalf("got %q, %v", answer, err)
+		response := make([]byte, 1)
+		if _, err := client.conn.Read(response); err != nil || response[0] != 'N' {
+			t.Fatalf("got %q, %v", response, err)
 		}
 	}
 	client.send(startupMessage(pgproto.ProtocolVersion+2, "user", "x"))
@@ -128,7 +134,8 @@
 func TestPostgres_DisconnectedClientsStatementIsDropped(t *testing.T) {
 	addr, _ := startPgEngine(t, noPgReply)
 	front := startPostgres(t, addr)
-	client, later := connectPostgres(t, front.addr), connectHTTP(t, front.addr)
+	client := connectPostgres(t, front.addr)
+	later := connectHTTP(t, front.addr)
 	front.awaitCount("postgres.connections", 2)
 	front.onLoop(func() {
 		client.send(query("SELECT 1"))
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -11,24 +11,24 @@
 )
 
 // A load whose engine fails after it was sent may have run: within the deduplication window of
-// its key it is retried on another engine with the same key, and the client has one answer.
+// its key it is retried on another engine with the same key, and the client has one response.
 func TestPostgres_LoadIsRetriedWithItsIdempotencyKey(t *testing.T) {
-	fails := make(chan struct{}, 1)
-	fails <- struct{}{}
+	isFirst := firstCall()
 	script := func(pgRequest) []byte {
-		select {
-		case <-fails:
+		if isFirst() {
 			return pgError("XX000")
-		default:
-			return insertOneRow
 		}
+		return insertOneRow
 	}
 	first, firstSeen := startPgEngine(t, script)
 	second, secondSeen := startPgEngine(t, script)
 	front := startPostgres(t, first, second)
 	client := connectPostgres(t, front.addr)
-	client.send(parse("", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "", "key-1"), execute("", 0), execute("", 0), syncMessage)
-	assertEqual(t, "answer", client.receiveUntilReady(), "1 2 C(INSERT 0 1) E(55000) Z")
+	client.send(
+		parse("", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "", "key-1"),
+		execute("", 0), execute("", 0), syncMessage,
+	)
+	assertEqual(t, "response", client.receiveUntilReady(), "1 2 C(INSERT 0 1) E(55000) Z")
 	var binds []string
 	for range 2 {
 		select {
@@ -62,7 +62,7 @@
 	front.updateEndpoints(policy.EngineDraining, first)
 	front.updateEndpoints(policy.EngineReady, second)
 	close(release)
-	assertEqual(t, "answer", client.receiveUntilReady(), "1 2 E(XX000) Z")
+	assertEqual(t, "response", client.receiveUntilReady(), "1 2 E(XX000) Z")
 	front.assertCount("attempts.ended.not-sent", 1)
 	if n := len(seen); n != 0 {
 		t.Errorf("the second engine received %d requests", n)
@@ -70,14 +70,15 @@
 }
 
 // An engine runs a statement and closes the connection. A statement that may write has run once,
-// whatever the default class, and its client has the error for an unknown outcome. A statement
+// for each default class, and its client has the error for an unknown outcome. A statement
 // that only reads is retried on other engines.
 func TestPostgres_WritesAreNotRetried(t *testing.T) {
 	var engines []string
 	var seen []chan pgRequest
 	for range 4 {
 		addr, requests := startPgEngine(t, func(pgRequest) []byte { return []byte(closeConnection) })
-		engines, seen = append(engines, addr), append(seen, requests)
+		engines = append(engines, addr)
+		seen = append(seen, requests)
 	}
 	runs := func() (n int) {
 		for _, requests := range seen {
@@ -89,15 +90,24 @@
 		return n
 	}
 	for _, text := range []string{
-		"DELETE FROM stock_1.parts", "UPDATE stock_1.parts SET n = 1", "MERGE INTO stock_1.parts USING x ON true WHEN MATCHED THEN DELETE",
-		"CREATE TABLE stock_1.x AS SELECT 1", "SELECT 1 INTO stock_1.x", "WITH d AS (DELETE FROM stock_1.parts RETURNING *) SELECT * FROM d",
-		"SELECT setval('s', 1)", "EXPLAIN ANALYZE DELETE FROM stock_1.parts", "SELECT 1 FROM stock_1.parts FOR UPDATE",
-		"/* class=write */ SELECT 1", "DO $$ BEGIN END $$", "SELECT count(*) -- \r, setval('s', 1)",
+		"DELETE FROM stock_1.parts",
+		"UPDATE stock_1.parts SET n = 1",
+		"MERGE INTO stock_1.parts USING x ON true WHEN MATCHED THEN DELETE",
+		"CREATE TABLE stock_1.x AS SELECT 1",
+		"SELECT 1 INTO stock_1.x",
+		"WITH d AS (DELETE FROM stock_1.parts RETURNING *) SELECT * FROM d",
+		"SELECT setval('s', 1)",
+		"EXPLAIN ANALYZE DELETE FROM stock_1.parts",
+		"SELECT 1 FROM stock_1.parts FOR UPDATE",
+		"/* class=write */ SELECT 1",
+		"DO $$ BEGIN END $$",
+		"SELECT count(*) -- \r, setval('s', 1)",
 	} {
 		t.Run(text, func(t *testing.T) {
-			client := connectPostgres(t, startPostgres(t, engines...).addr) // a new front end has no faults of the engines on record
+			front := startPostgres(t, engines...) // a new one, which has seen no faults of the engines yet
+			client := connectPostgres(t, front.addr)
 			client.send(runUnnamed(text)...)
-			assertEqual(t, "answer", client.receiveUntilReady(), "1 2 E(40003) Z")
+			assertEqual(t, "response", client.receiveUntilReady(), "1 2 E(40003) Z")
 			if n := runs(); n != 1 {
 				t.Errorf("it ran %d times", n)
 			}
@@ -119,7 +129,10 @@
 	front := newFrontEnd(t, nil)
 	front.pgOptions = pgserver.Options{
 		DefaultClass: "lookup", WriteClass: "write", ReadOnlyFunctions: map[string]bool{"stock.price_of": true},
-		Rules: []pgserver.Rule{{Starts: "SELECT quiet", Class: "report", ReadOnly: true}, {Starts: "SELECT loud", Class: "report"}},
+		Rules: []pgserver.Rule{
+			{Starts: "SELECT quiet", Class: "report", ReadOnly: true},
+			{Starts: "SELECT loud", Class: "report"},
+		},
 	}
 	front.servePostgres(addr)
 	bare := newFrontEnd(t, nil)
@@ -142,7 +155,7 @@
 		t.Run(tt.text, func(t *testing.T) {
 			client := connectPostgres(t, tt.front.addr)
 			client.send(query(tt.text))
-			assertEqual(t, "answer", client.receiveUntilReady(), tt.want)
+			assertEqual(t, "response", client.receiveUntilReady(), tt.want)
 		})
 	}
 	front.assertCount("requests.accepted.write", 1)
@@ -152,7 +165,7 @@
 // resource while it runs is not retried, after a timeout or a cancel its outcome is unknown, and
 // an error while it runs is not mistaken for a dropped prepared statement.
 func TestPostgres_UncertainWriteIsNotReportedAsUndone(t *testing.T) {
-	unanswered := make(chan bool, seenCapacity)
+	running := make(chan bool, seenCapacity)
 	addr, seen := startPgEngine(t, func(request pgRequest) []byte {
 		switch {
 		case strings.Contains(request.query, "short"):
@@ -162,7 +175,7 @@
 		case strings.Contains(request.query, "odd"):
 			return pgRows("a")
 		}
-		unanswered <- true
+		running <- true
 		return nil
 	})
 	front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.MaxAttempts = 3 }).servePostgres(addr)
@@ -176,15 +189,15 @@
 	assertEqual(t, "not supported while it ran", run("UPDATE odd SET a = 1"), "E(0A000) Z")
 	assertEqual(t, "timed out", run("UPDATE x SET a = 1"), "E(40003) Z")
 	front.assertCount("attempts.started.", 4)
-	for len(unanswered) > 0 {
-		<-unanswered
+	for len(running) > 0 {
+		<-running
 	}
 	for len(seen) > 0 {
 		<-seen
 	}
 	client = connectPostgres(t, front.addr)
 	client.send(query("UPDATE x SET a = 2"))
-	await(t, unanswered)
+	await(t, running)
 	sendCancel(t, front.addr, client.keyData)
 	assertEqual(t, "cancelled", client.receiveUntilReady(), "E(40003) Z")
 }
--- a/internal/e2e/query_shapes_test.go
+++ b/internal/e2e/query_shapes_test.go
@@ -21,17 +21,21 @@
 	reportTime = 150 * time.Millisecond
 )
 
-// enableQueryShapes has a front end learn query shapes; it must not serve yet.
+// enableQueryShapes makes a front end, which must not serve yet, learn query shapes.
 func enableQueryShapes(t *testing.T, front *frontEnd, settings stmtstats.Settings) *stmtstats.Service {
 	t.Helper()
 	settings.MaxBytes = 256 << 10
-	settings.CostModel = costmodel.Config{Classes: []costmodel.Class{{Name: "lookup", MaxWorkMillis: lookupLimit}, {Name: "report"}}}
+	settings.CostModel = costmodel.Config{
+		Classes: []costmodel.Class{{Name: "lookup", MaxWorkMillis: lookupLimit}, {Name: "report"}},
+	}
 	service, err := stmtstats.NewService(settings, front.site.Policy.Classes, front.loop, front.counters, front.logger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	front.dispatcher.SetCostObserver(service)
-	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", Estimator: service, Rules: []pgserver.Rule{loadRule}}
+	front.pgOptions = pgserver.Options{
+		DefaultClass: "lookup", WriteClass: "write", Estimator: service, Rules: []pgserver.Rule{loadRule},
+	}
 	return service
 }
 
@@ -55,7 +59,7 @@
 	executeWith := func(list string) {
 		t.Helper()
 		client.send(bind("", "s", list), execute("", 0), syncMessage)
-		assertEqual(t, "answer", client.receiveUntilReady(), "2 D(a) C(SELECT 1) Z")
+		assertEqual(t, "response", client.receiveUntilReady(), "2 D(a) C(SELECT 1) Z")
 	}
 	long := "{" + strings.Repeat("d,", 77) + "d}"
 	for range 8 {
--- a/internal/e2e/retry_test.go
+++ b/internal/e2e/retry_test.go
@@ -30,7 +30,7 @@
 	front := startHTTP(t, addrWithoutListener(t))
 	client := connectHTTP(t, front.addr)
 	got, header := client.roundTrip(load)
-	assertEqual(t, "answer", got, busyResult)
+	assertEqual(t, "response", got, busyResult)
 	if header.Get("Srv-Wait-Ms") == "" {
 		t.Error("a rejection without Srv-Wait-Ms")
 	}
@@ -40,15 +40,15 @@
 	addr, _ := startLineEngine(t, emptyReply)
 	front.updateEndpoints(policy.EngineReady, addr)
 	got, _ = client.roundTrip(load)
-	assertEqual(t, "answer", got, emptyResult)
+	assertEqual(t, "response", got, emptyResult)
 }
 
-// An engine resets an idle connection in the moment in which a request is to be written to it.
-// No byte of the request left, so that one which is not idempotent is retried.
+// An engine resets an idle connection at the moment at which a request is to be written to it. No byte of the request
+// was sent, so that a non-idempotent request is retried.
 func TestRetry_UnsentNonIdempotentRequestIsRetriedAfterReset(t *testing.T) {
-	conns := make(chan *net.TCPConn, seenCapacity)
+	conns := make(chan net.Conn, seenCapacity)
 	addr := listen(t, func(conn net.Conn) {
-		conns <- conn.(*net.TCPConn)
+		conns <- conn
 		readRequestIDs(conn, func(id string) bool {
 			_, err := io.WriteString(conn, doneReply("want "+id, ""))
 			return err == nil
@@ -61,14 +61,14 @@
 	}).serveHTTP(addr)
 	client := connectHTTP(t, front.addr)
 	got, _ := client.roundTrip(withID(queryRequest("lookup", ""), numberedID(1)))
-	assertEqual(t, "first answer", got, emptyResult)
-	idle := await(t, conns)
+	assertEqual(t, "first response", got, emptyResult)
+	idle := tcpConn(t, await(t, conns))
 	front.onLoop(func() {
 		front.deliver(client, queryRequest("lookup", "")) // the loop handles this before the reset
 		_ = idle.SetLinger(0)                             // so that Close resets it
 		_ = idle.Close()
 	})
-	assertEqual(t, "answer", client.receive(), emptyResult)
+	assertEqual(t, "response", client.receive(), emptyResult)
 	front.assertCount("attempts.ended.not-sent", 1)
 }
 
@@ -95,25 +95,38 @@
 	await(t, seen)
 	await(t, seen)
 	got, _ := connectHTTP(t, front.addr).roundTrip(withID(queryRequest("lookup", ""), other))
-	assertEqual(t, "answer to the other request", got, emptyResult)
+	assertEqual(t, "response to the other request", got, emptyResult)
 	front.assertCount("attempts.started.lookup", 3) // two of the first request, one of the other
 	front.assertCount("attempts.ended.overloaded", 1)
 }
 
-// Every status of an attempt has one result for the policy, and only what proves that nothing
-// ran may count as not sent.
+// Every status of an attempt has one result for the policy. Only a status that proves that nothing ran may count as not
+// sent.
 func TestRetry_OnlyStatusesThatProveNothingRanCountAsNotSent(t *testing.T) {
 	got := map[string]policy.Result{}
 	for status := lifecycle.StatusUnknown; status <= lifecycle.StatusIdleClosed; status++ {
 		got[status.String()] = status.Result()
 	}
 	want := map[string]policy.Result{
-		"unknown": policy.ResultUnknown, "served": policy.ResultServed, "statement-rejected": policy.ResultNotSent, "result-too-large": policy.ResultServed, "engine-error": policy.ResultFailed,
-		"overloaded": policy.ResultOverloaded, "deadline-passed": policy.ResultNotSent, "pages-lost": policy.ResultFailed, "timeout": policy.ResultTimedOut,
-		"connection-refused": policy.ResultConnectFailed, "connect-timeout": policy.ResultConnectFailed, "no-descriptor": policy.ResultNotSent,
-		"local-failure":  policy.ResultNotSent,
-		"unknown-engine": policy.ResultConnectFailed, "connection-reset": policy.ResultConnectionLost, "protocol-error": policy.ResultUnknown,
-		"cancelled": policy.ResultCancelled, "not-sent": policy.ResultNotSent, "idle-closed": policy.ResultUnknown,
+		"unknown":            policy.ResultUnknown,
+		"served":             policy.ResultServed,
+		"statement-rejected": policy.ResultNotSent,
+		"result-too-large":   policy.ResultServed,
+		"engine-error":       policy.ResultFailed,
+		"overloaded":         policy.ResultOverloaded,
+		"deadline-passed":    policy.ResultNotSent,
+		"pages-lost":         policy.ResultFailed,
+		"timeout":            policy.ResultTimedOut,
+		"connection-refused": policy.ResultConnectFailed,
+		"connect-timeout":    policy.ResultConnectFailed,
+		"no-descriptor":      policy.ResultNotSent,
+		"local-failure":      policy.ResultNotSent,
+		"unknown-engine":     policy.ResultConnectFailed,
+		"connection-reset":   policy.ResultConnectionLost,
+		"protocol-error":     policy.ResultUnknown,
+		"cancelled":          policy.ResultCancelled,
+		"not-sent":           policy.ResultNotSent,
+		"idle-closed":        policy.ResultUnknown,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
