--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -31,7 +31,6 @@
 	classes   map[string]*class
 	engines   engineTable
 	fleet     fleet
-	target    concurrencyTarget
 	selector  selector
 	rules     attemptRules
 	attempts  attemptRunner
@@ -130,12 +129,12 @@
 	b.traffic.endPeriod(float64(len(b.requests)) / float64(max(len(b.engines.all), 1)))
 	share := b.traffic.share()
 	for _, e := range b.engines.all {
-		e.rescale(b.target, share, b.now)
+		e.rescale(b.fleet.target, share, b.now)
 		e.limiter.endPeriod(b.now)
 	}
 	b.rules.budget.expire(b.now)
 	b.engines.prune(b.now)
 	b.ordered.prune(b.now)
-	b.fleet.rescale(b.engines.all, b.target, b.now)
+	b.fleet.rescale(b.engines.all, b.now)
 	b.fleet.limiter.endPeriod(b.now)
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -45,7 +45,7 @@
 	for _, endpoint := range ev.Engines {
 		b.updateEndpoint(endpoint)
 	}
-	b.fleet.rescale(b.engines.all, b.target, b.now)
+	b.fleet.rescale(b.engines.all, b.now)
 }
 
 // updateEndpoint adds or updates an engine. A new or restarted one gets initial values.
@@ -55,10 +55,10 @@
 	if e == nil {
 		e = newEngine(endpoint.ID, &b.slowStart)
 		b.engines.add(e)
-		e.reset(cores, b.target, b.traffic.share(), b.now)
+		e.reset(cores, b.fleet.target, b.traffic.share(), b.now)
 	}
 	if endpoint.StartKnown && e.slowStart.reported.differs(endpoint.StartedAt) {
-		e.reset(cores, b.target, b.traffic.share(), b.now)
+		e.reset(cores, b.fleet.target, b.traffic.share(), b.now)
 		e.slowStart.onReportedStart(b.now, endpoint.StartedAt, b.rng)
 	}
 	e.zone = endpoint.Zone
--- a/policy/export_test.go
+++ b/policy/export_test.go
@@ -6,7 +6,7 @@
 // order, for the characterization test.
 func (b *Balancer) LearnedState() []float64 {
 	figures := []float64{
-		b.quotas.total, b.target.threadsPerCore, b.traffic.meanWeight, b.target.maxThreads,
+		b.quotas.total, b.fleet.target.threadsPerCore, b.traffic.meanWeight, b.fleet.target.maxThreads,
 		b.selector.affinity.popularity.total, b.values.mean, b.load.mean,
 		b.traffic.ownInFlight, b.traffic.reportedInFlight, b.traffic.reports, b.traffic.arrivalRate,
 	}
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -41,31 +41,32 @@
 // fleet limits what this front end has in flight at all engines together: overload of the
 // fleet may not show at any single engine.
 type fleet struct {
+	target    concurrencyTarget
 	limiter   limiter
 	loadLevel float64 // mean reported load; one where engines have all that they should hold
 }
 
 // rescale sets the limits from those of the engines that take requests, with headroom for the
 // random variation of few requests in flight.
-func (f *fleet) rescale(engines []*engine, target concurrencyTarget, now time.Duration) {
-	l := &f.limiter
-	first := l.initialLimit == 0
-	l.initialLimit = 0
+func (f *fleet) rescale(engines []*engine, now time.Duration) {
+	limiter := &f.limiter
+	first := limiter.initialLimit == 0
+	limiter.initialLimit = 0
 	for _, e := range engines {
 		if e.available() {
-			l.initialLimit += e.limiter.initialLimit * e.slowStart.capacity(now)
+			limiter.initialLimit += e.limiter.initialLimit * e.slowStart.capacity(now)
 		}
 	}
 	if first {
-		l.limit = l.initialLimit
-		l.alpha = 1 / max(l.initialLimit, minLimit)
-		l.slowdown = 1
+		limiter.limit = limiter.initialLimit
+		limiter.alpha = 1 / max(limiter.initialLimit, minLimit)
+		limiter.slowdown = 1
 		f.loadLevel = 1 - idleLevel
 	}
-	headroom := target.maxThreads + backlogSpread*math.Sqrt(l.initialLimit*target.maxThreads)
+	headroom := f.target.maxThreads + backlogSpread*math.Sqrt(limiter.initialLimit*f.target.maxThreads)
 	headroom *= max((1-f.loadLevel)/idleLevel, 0) // what others leave free; a factor of one without reports
-	pastKnee := max(l.slowdown/kneeSlowdown, f.loadLevel, 1)
-	l.maxLimit = (maxLimitFactor*l.initialLimit + headroom/pastKnee) / pastKnee
+	pastKnee := max(limiter.slowdown/kneeSlowdown, f.loadLevel, 1)
+	limiter.maxLimit = (maxLimitFactor*limiter.initialLimit + headroom/pastKnee) / pastKnee
 }
 
 // limitFor returns the limit that applies to the request, in threads: lower beyond its tenant's
--- a/policy/new.go
+++ b/policy/new.go
@@ -16,7 +16,7 @@
 		requests: map[uint64]*request{},
 		classes:  map[string]*class{},
 		engines:  newEngineTable(),
-		target:   newConcurrencyTarget(&settings),
+		fleet:    fleet{target: newConcurrencyTarget(&settings)},
 		quotas:   newQuotas(settings.Tenants),
 	}
 	for _, settings := range settings.Classes {
@@ -44,7 +44,7 @@
 		attempts: &b.attempts,
 	}
 	b.load = loadReports{
-		threadsPerCore: b.target.threadsPerCore,
+		threadsPerCore: b.fleet.target.threadsPerCore,
 		swaps:          settings.Shortage == ShortageSwap,
 		fleet:          &b.fleet,
 		traffic:        &b.traffic,
--- a/policy/overloadcheck.go
+++ b/policy/overloadcheck.go
@@ -56,7 +56,8 @@
 }
 
 // overloadLimit returns how many requests of mean work a warming engine bears within the overload
-// window, from all front ends together.
+// window, from all front ends together. The checker of internal/lab/soak computes the same limit on its
+// own, on purpose: a mistake in one of them shows.
 func overloadLimit(rules *Rules, capacity, cores, meanWorkMs float64) float64 {
 	n := rules.OverloadFactor * capacity * cores * milliseconds(rules.OverloadWindow) / meanWorkMs
 	if n < fewRequests {
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -19,27 +19,27 @@
 }
 
 // validate names the first field of the settings that no balancer can work with.
-func validate(s *Settings) error {
-	if s.Replicas < 1 {
-		return settingsError("Gateways", "%d is under 1", s.Replicas)
+func validate(settings *Settings) error {
+	if settings.Replicas < 1 {
+		return settingsError("Gateways", "%d is under 1", settings.Replicas)
 	}
-	if len(s.Classes) == 0 {
+	if len(settings.Classes) == 0 {
 		return settingsError("Classes", "none")
 	}
-	for i := range s.Classes {
-		if err := validateClass(fmt.Sprintf("Classes[%d]", i), &s.Classes[i]); err != nil {
+	for i := range settings.Classes {
+		if err := validateClass(fmt.Sprintf("Classes[%d]", i), &settings.Classes[i]); err != nil {
 			return err
 		}
 	}
 	switch {
-	case s.ProgressInterval < 0:
-		return settingsError("NoteEvery", "%v is under 0", s.ProgressInterval)
-	case !(s.Rules.RetryBudgetMin >= 0): // also where it is not a number
-		return settingsError("Rules.ExtraFree", "%v is under 0", s.Rules.RetryBudgetMin)
-	case !(s.Rules.RetryBudgetRatio >= 0):
-		return settingsError("Rules.ExtraShare", "%v is under 0", s.Rules.RetryBudgetRatio)
-	case s.Rules.RetryBudgetWindow < 0:
-		return settingsError("Rules.LookBack", "%v is under 0", s.Rules.RetryBudgetWindow)
+	case settings.ProgressInterval < 0:
+		return settingsError("NoteEvery", "%v is under 0", settings.ProgressInterval)
+	case !(settings.Rules.RetryBudgetMin >= 0): // also where it is not a number
+		return settingsError("Rules.ExtraFree", "%v is under 0", settings.Rules.RetryBudgetMin)
+	case !(settings.Rules.RetryBudgetRatio >= 0):
+		return settingsError("Rules.ExtraShare", "%v is under 0", settings.Rules.RetryBudgetRatio)
+	case settings.Rules.RetryBudgetWindow < 0:
+		return settingsError("Rules.LookBack", "%v is under 0", settings.Rules.RetryBudgetWindow)
 	}
 	return nil
 }
