--- a/internal/frontend/pgserver/cancel.go
+++ b/internal/frontend/pgserver/cancel.go
@@ -4,6 +4,8 @@
 	"crypto/rand"
 	"crypto/subtle"
 	"encoding/binary"
+
+	"flaxrelay/internal/metrics"
 )
 
 const (
@@ -39,6 +41,6 @@
 	if c == nil || c.state != stateInFlight || subtle.ConstantTimeCompare(c.key.secret[:], secret) != 1 {
 		return
 	}
-	s.counters.IncrementByName("postgres.cancel-requests")
+	s.counters.Increment(metrics.PostgresCancelRequests)
 	c.cancel()
 }
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -4,6 +4,7 @@
 	"strconv"
 	"strings"
 
+	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/pgproto"
 	"flaxrelay/internal/sqltext"
 	"flaxrelay/internal/stmtstats"
@@ -57,7 +58,7 @@
 	if verdict.Effect == sqltext.EffectReads || verdict.Effect == sqltext.EffectUnknown && choice.readOnly {
 		return classification{class: class, keyParameter: choice.keyParameter, classByShape: !choice.explicit}, nil
 	}
-	s.counters.IncrementByName("postgres.may-write")
+	s.counters.Increment(metrics.PostgresMayWrite)
 	if choice.explicit {
 		return classification{}, errIdempotentClass(choice.class, verdict)
 	}
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -7,6 +7,7 @@
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/frontend/clientconn"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/pgproto"
 	"flaxrelay/internal/timerqueue"
 )
@@ -203,14 +204,14 @@
 		return
 	}
 	c.stallTimer = c.server.loop.Timers.Schedule(c.server.loop.Now()+stallTimeout, func() {
-		c.server.counters.IncrementByName("postgres.stalled")
+		c.server.counters.Increment(metrics.PostgresStalled)
 		c.fatal(newError(codeProtocolViolation, "a message stopped in the middle"))
 	})
 }
 
 // rejectMalformed ends a connection whose input can't be read.
 func (c *connection) rejectMalformed(err error) {
-	c.server.counters.IncrementByName("postgres.malformed")
+	c.server.counters.Increment(metrics.PostgresMalformed)
 	var failure *pgproto.Error
 	if !errors.As(err, &failure) {
 		failure = newError(codeProtocolViolation, "%v", err)
--- a/internal/frontend/pgserver/messages.go
+++ b/internal/frontend/pgserver/messages.go
@@ -4,6 +4,7 @@
 	"errors"
 	"slices"
 
+	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/pgproto"
 )
 
@@ -71,7 +72,7 @@
 		return
 	}
 	if failure != nil {
-		c.server.counters.IncrementByName("postgres.errors." + failure.Code)
+		c.server.counters.Increment(metrics.PostgresErrors.With(failure.Code))
 		c.output.errorResponse(failure)
 	}
 	switch {
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -76,7 +76,7 @@
 }
 
 func (s *Server) accept(socket *eventloop.Conn) eventloop.Handler {
-	s.counters.IncrementByName("postgres.connections")
+	s.counters.Increment(metrics.PostgresConnections)
 	s.lastProcessID++
 	c := newConnection(s, socket, s.lastProcessID)
 	s.connections[s.lastProcessID] = c
