--- a/internal/e2e/query_shapes_test.go
+++ b/internal/e2e/query_shapes_test.go
@@ -10,6 +10,7 @@
 
 	"flaxrelay/internal/decision/costmodel"
 	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/stmtstats"
 )
 
@@ -95,7 +96,7 @@
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
 	service := enableQueryShapes(t, front, stmtstats.Settings{SnapshotPath: path, SnapshotInterval: time.Hour})
-	if n := front.counters.GetByName("shapes.snapshot-unusable"); n != 1 {
+	if n := front.counters.Get(metrics.ShapesSnapshotUnusable); n != 1 {
 		t.Errorf("%d snapshots found unusable, want 1", n)
 	}
 	if got := readFile(t, path+".unusable"); got != string(damaged) {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -47,12 +47,11 @@
 	return &Checker{counters: counters, log: log}
 }
 
-// Check reports whether the rule holds. Where it doesn't, the violation is counted and logged with
-// the attributes: slog.Attr values, or keys and values in turn.
-func (c *Checker) Check(holds bool, rule Rule, attributes ...any) bool {
+// Check returns whether the rule holds. If it does not, Check counts the violation and logs it with
+// the fields.
+func (c *Checker) Check(holds bool, rule Rule, fields ...slog.Attr) bool {
 	if !holds {
 		c.counters.Increment(metrics.InvariantsViolated.With(string(rule)))
-		fields := slog.Group("", attributes...).Value.Group()
 		logevent.InvariantViolated.Log(c.log, append([]slog.Attr{slog.String("rule", string(rule))}, fields...)...)
 	}
 	return holds
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -13,7 +13,7 @@
 	var out bytes.Buffer
 	counters := metrics.New()
 	checker := New(counters, slog.New(slog.NewTextHandler(&out, nil)))
-	if !checker.Check(true, DrainedEndpoint) || checker.Check(false, DrainedEndpoint, "engine", "e1") {
+	if !checker.Check(true, DrainedEndpoint) || checker.Check(false, DrainedEndpoint, slog.String("engine", "e1")) {
 		t.Error("Check does not return whether the rule holds")
 	}
 	if n := counters.Get(metrics.InvariantsViolated.With("drained-endpoint")); n != 1 {
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -32,15 +32,6 @@
 // Get returns the value of a counter.
 func (c *Counters) Get(counter Counter) int64 { return c.counts[counter.name] }
 
-// IncrementByName increments a counter by one. It is for packages that do not use the catalog yet.
-func (c *Counters) IncrementByName(name string) { c.counts[name]++ }
-
-// SetByName sets a counter. It is for packages that do not use the catalog yet.
-func (c *Counters) SetByName(name string, value int64) { c.counts[name] = value }
-
-// GetByName returns the value of a counter. It is for tests that do not use the catalog yet.
-func (c *Counters) GetByName(name string) int64 { return c.counts[name] }
-
 // Sum returns the total of all counters whose names begin with the prefix.
 func (c *Counters) Sum(prefix string) int64 {
 	var sum int64
--- a/internal/observability/sources_test.go
+++ b/internal/observability/sources_test.go
@@ -56,6 +56,51 @@
 	return files
 }
 
+// TestSources_UseEachDeclaration fails where a declaration is left over: nothing counts the counter
+// or logs the event.
+func TestSources_UseEachDeclaration(t *testing.T) {
+	sources := parseServingSources(t)
+	used := map[string]bool{}
+	for _, file := range sources {
+		ast.Inspect(file, func(node ast.Node) bool {
+			if selector, isSelector := node.(*ast.SelectorExpr); isSelector {
+				used[lastName(selector.X)+"."+selector.Sel.Name] = true
+			}
+			return true
+		})
+	}
+	for _, catalog := range []string{"metrics", "logevent"} {
+		variables := sources.declaredVariables(catalog)
+		if len(variables) == 0 {
+			t.Errorf("no declarations are found in %s", catalog)
+		}
+		for variable, name := range variables {
+			if !used[catalog+"."+variable] {
+				t.Errorf("%s.%s (%s) is not used", catalog, variable, name)
+			}
+		}
+	}
+}
+
+// TestSources_LogOnlyDeclaredEvents fails where a logger is called other than by logevent.Event.
+func TestSources_LogOnlyDeclaredEvents(t *testing.T) {
+	loggers := []string{"log", "logger", "slog"}
+	methods := []string{"Debug", "Info", "Warn", "Error", "Log", "LogAttrs"}
+	for _, file := range parseServingSources(t) {
+		if file.Name.Name == "logevent" {
+			continue
+		}
+		ast.Inspect(file, func(node ast.Node) bool {
+			method, isSelector := node.(*ast.SelectorExpr)
+			if isSelector && slices.Contains(loggers, strings.ToLower(lastName(method.X))) &&
+				slices.Contains(methods, method.Sel.Name) {
+				t.Errorf("package %s calls %s of a logger", file.Name.Name, method.Sel.Name)
+			}
+			return true
+		})
+	}
+}
+
 // TestSources_LogTheDeclaredFields holds the keys of the fields at each place where an event is
 // logged against the event's declaration.
 func TestSources_LogTheDeclaredFields(t *testing.T) {
