--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -287,13 +287,20 @@
 	}
 }
 
-// A client that stops in the middle of a message is disconnected with an error; in its startup,
-// without.
+// A client that stops in the middle of a message is disconnected with an error, or without one in
+// its startup. A client that goes on in time is served.
 func TestGoldenPostgres_EachPhaseEndsAStalledClient(t *testing.T) {
-	const partOfMessage = 9
+	const partOfMessage = 5
 	tr, front := newTranscript(t), startPostgres(t)
 	startup := tr.recordPostgres("startup", startPostgres(t).addr)
 	startup.send(startupMessage(pgproto.ProtocolVersion, "user", "desk")[:partOfMessage])
+	resumed := tr.recordPostgres("resumed", front.addr)
+	resumed.start()
+	resumed.send(query("")[:partOfMessage])
+	front.awaitBuffered(partOfMessage)
+	front.onLoop(func() {}) // the connection has seen the part
+	resumed.send(query("")[partOfMessage:])
+	resumed.receiveUntilReady()
 	batch := tr.recordPostgres("batch", front.addr)
 	batch.start()
 	batch.send(parse("", selectPart), bind("", "")[:partOfMessage])
@@ -304,6 +311,9 @@
 	startup.recordClose()
 	batch.recordClose()
 	skipping.recordClose()
+	resumed.send(query("")) // after the time at which it would have stalled
+	resumed.receiveUntilReady()
+	resumed.disconnect()
 	tr.compare("pgwire/phase-stalls")
 	front.assertCount("postgres.stalled", 2)
 	front.assertCount("postgres.malformed", 0)
@@ -516,3 +526,32 @@
 		t.Errorf("the rows are still held after %v: %s", waitLimit, answer)
 	}
 }
+
+// A client that disconnects makes its place available to another.
+func TestPostgres_DisconnectedClientDoesNotCountAsConnected(t *testing.T) {
+	front := newFrontEnd(t, nil)
+	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxClients: 1}
+	front.servePostgres()
+	connect := func() (client *pgClient, answer string) {
+		t.Helper()
+		client = &pgClient{t: t, conn: dial(t, front.addr)}
+		client.send(startupMessage(pgproto.ProtocolVersion, "user", "desk"))
+		return client, client.receiveUntilReady()
+	}
+	const accepted = "R S S S S S S S K Z"
+	first, answer := connect()
+	assertEqual(t, "first client", answer, accepted)
+	_, answer = connect()
+	assertEqual(t, "second client", answer, "E(53300) end")
+	if err := first.conn.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if !poll(func() bool {
+		var further *pgClient
+		further, answer = connect()
+		_ = further.conn.Close()
+		return answer == accepted
+	}) {
+		t.Errorf("no client is accepted after %v: %s", waitLimit, answer)
+	}
+}
--- a/internal/frontend/pgserver/extended_query_test.go
+++ b/internal/frontend/pgserver/extended_query_test.go
@@ -1,6 +1,7 @@
 package pgserver
 
 import (
+	"bytes"
 	"testing"
 
 	"flaxrelay/internal/frontend/clientconn"
@@ -115,3 +116,29 @@
 		t.Errorf("second execution: %q, %v, %v", got, exec, failure)
 	}
 }
+
+// The parameter types that an engine has described replace those that the client gave.
+func TestStatement_ParameterTypesOfTheEngineReplaceThoseOfTheClient(t *testing.T) {
+	given := []byte{0, 1, 0, 0, 0, 23}
+	described := []byte{0, 1, 0, 0, 0, 25}
+	for name, tt := range map[string]struct {
+		statement statement
+		want      []byte
+	}{
+		"none":      {statement{parameterTypes: noParameterTypes}, nil},
+		"given":     {statement{parameterTypes: given}, given[countSize:]},
+		"described": {statement{description: &pgproto.Result{ParameterDescription: described}}, described[countSize:]},
+		"both": {
+			statement{parameterTypes: given, description: &pgproto.Result{ParameterDescription: described}},
+			described[countSize:],
+		},
+		"described without": {
+			statement{parameterTypes: given, description: &pgproto.Result{ParameterDescription: noParameterTypes}},
+			given[countSize:],
+		},
+	} {
+		if got := tt.statement.parameterOIDs(); !bytes.Equal(got, tt.want) {
+			t.Errorf("%s: got %v, want %v", name, got, tt.want)
+		}
+	}
+}
