--- /dev/null
+++ b/internal/e2e/postgres_connection_limits_test.go
@@ -0,0 +1,138 @@
+package e2e
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	"flaxrelay/internal/frontend/pgserver"
+	"flaxrelay/internal/pgproto"
+)
+
+// A connection has a bounded number of prepared statements and of portals. One that is closed
+// leaves its place to another.
+func TestPostgres_StatementsAndPortalsAreBounded(t *testing.T) {
+	const limit = 1000
+	addr, _ := startPgEngine(t, oneRowReply)
+	for name, tt := range map[string]struct {
+		before [][]byte
+		open   func(name string) []byte
+		target string // of a Close
+		opened string // kind of the answer to open
+	}{
+		"statements": {
+			nil, func(name string) []byte { return parse(name, selectPart) }, "S", "1",
+		},
+		"portals": {
+			[][]byte{parse("", selectPart)}, func(name string) []byte { return bind(name, "", "a") }, "P", "2",
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client := connectPostgres(t, startPostgres(t, addr).addr)
+			messages := append([][]byte{}, tt.before...)
+			for n := range limit {
+				messages = append(messages, tt.open(fmt.Sprintf("n%d", n)))
+			}
+			messages = append(messages, closeMessage(tt.target, "n7"), tt.open("n7"), tt.open("further"), syncMessage)
+			client.send(bytes.Join(messages, nil))
+			got := strings.Fields(client.receiveUntilReady())
+			opened := strings.Repeat(tt.opened+" ", limit)
+			want := opened + "3 " + tt.opened + " E(54000) Z"
+			assertEqual(t, "answers", strings.Join(got[len(tt.before):], " "), want)
+		})
+	}
+}
+
+// The rows that wait in open portals have a budget. Each way in which a portal ends returns what
+// it held.
+func TestPostgres_EndedPortalReturnsItsRowsToTheBudget(t *testing.T) {
+	const budget = 30 // bytes: the two rows that wait after one of three was fetched, and not twice so many
+	addr, _ := startPgEngine(t, goldenPgEngine)
+	fetchOne := func(portal string) [][]byte { return [][]byte{bind(portal, "s", "a"), execute(portal, 1)} }
+	const first, second = "2 D(a) s", "2 D(a) s Z"
+	for name, tt := range map[string]struct {
+		portal  string
+		between [][]byte
+		want    string
+	}{
+		"open":     {"p", nil, first + " 2 D(a) s E(53200) Z"},
+		"fetched":  {"p", [][]byte{execute("p", 0)}, first + " D(b\x00\xff) D(c) C(SELECT 2) " + second},
+		"closed":   {"p", [][]byte{closeMessage("P", "p")}, first + " 3 " + second},
+		"synced":   {"p", [][]byte{syncMessage}, first + " Z " + second},
+		"replaced": {"", [][]byte{bind("", "s", "b")}, first + " 2 " + second},
+	} {
+		t.Run(name, func(t *testing.T) {
+			front := newFrontEnd(t, nil)
+			front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxBufferedBytes: budget}
+			front.servePostgres(addr)
+			client := connectPostgres(t, front.addr)
+			client.send(parse("s", selectPart), syncMessage)
+			assertEqual(t, "prepared", client.receiveUntilReady(), "1 Z")
+			client.send(fetchOne(tt.portal)...)
+			client.send(tt.between...)
+			client.send(append(fetchOne("q"), syncMessage)...)
+			got := client.receiveUntilReady()
+			if name == "synced" {
+				got += " " + client.receiveUntilReady()
+			}
+			assertEqual(t, "answers", got, tt.want)
+		})
+	}
+}
+
+// A client that disconnects with an open portal returns the portal's rows to the budget.
+func TestPostgres_DisconnectedClientReturnsItsRowsToTheBudget(t *testing.T) {
+	const budget = 30
+	addr, _ := startPgEngine(t, goldenPgEngine)
+	front := newFrontEnd(t, nil)
+	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxBufferedBytes: budget}
+	front.servePostgres(addr)
+	holder, other := connectPostgres(t, front.addr), connectPostgres(t, front.addr)
+	fetchOne := [][]byte{parse("", selectPart), bind("p", "", "a"), execute("p", 1)}
+	holder.send(append(fetchOne, flushMessage)...)
+	assertEqual(t, "holder", holder.receiveUntil('s'), "1 2 D(a) s")
+	fetchOne = append(fetchOne, syncMessage)
+	other.send(fetchOne...)
+	assertEqual(t, "while the rows wait", other.receiveUntilReady(), "1 2 D(a) s E(53200) Z")
+	if err := holder.conn.Close(); err != nil {
+		t.Fatal(err)
+	}
+	answer := ""
+	if !poll(func() bool {
+		other.send(fetchOne...)
+		answer = other.receiveUntilReady()
+		return answer == "1 2 D(a) s Z"
+	}) {
+		t.Errorf("the rows are still held after %v: %s", waitLimit, answer)
+	}
+}
+
+// A client that disconnects makes its place available to another.
+func TestPostgres_DisconnectedClientDoesNotCountAsConnected(t *testing.T) {
+	front := newFrontEnd(t, nil)
+	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxClients: 1}
+	front.servePostgres()
+	connect := func() (client *pgClient, answer string) {
+		t.Helper()
+		client = &pgClient{t: t, conn: dial(t, front.addr)}
+		client.send(startupMessage(pgproto.ProtocolVersion, "user", "desk"))
+		return client, client.receiveUntilReady()
+	}
+	const accepted = "R S S S S S S S K Z"
+	first, answer := connect()
+	assertEqual(t, "first client", answer, accepted)
+	_, answer = connect()
+	assertEqual(t, "second client", answer, "E(53300) end")
+	if err := first.conn.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if !poll(func() bool {
+		var further *pgClient
+		further, answer = connect()
+		_ = further.conn.Close()
+		return answer == accepted
+	}) {
+		t.Errorf("no client is accepted after %v: %s", waitLimit, answer)
+	}
+}
