--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -111,7 +111,7 @@
 // class, it returns the estimator's execution, too.
 func (s *Server) executionClass(exec *execution) (policy.Class, *stmtstats.Execution) {
 	if exec.message.DescribeOnly {
-		// A description runs nothing, whatever its statement would do.
+		// A description runs nothing, also if its statement would write.
 		if class, ok := s.dispatcher.Class(s.options.DefaultClass); ok && class.Effect == policy.Idempotent {
 			return class, nil
 		}
--- a/internal/frontend/pgserver/simple_query.go
+++ b/internal/frontend/pgserver/simple_query.go
@@ -10,8 +10,8 @@
 	emptyBind        = []byte{0, 0, 0, 0, 0, 0} // counts of 0: formats, values, result formats
 )
 
-// simpleQuery serves Query messages. It keeps nothing from one to the next but the
-// session's settings, which a SET changes.
+// simpleQuery serves Query messages. It has no state of its own between two of them: a SET
+// changes the settings of the session.
 type simpleQuery struct {
 	server   *Server
 	settings *sessionSettings
--- a/internal/frontend/pgserver/startup_test.go
+++ b/internal/frontend/pgserver/startup_test.go
@@ -42,7 +42,7 @@
 		"bad time-out":  {pgproto.ProtocolVersion, packet("statement_timeout", "soon")},
 		"bad option":    {pgproto.ProtocolVersion, packet("options", "-c statement_timeout=soon")},
 		"not ended":     {pgproto.ProtocolVersion, []byte("user\x00desk")},
-		"bytes behind":  {pgproto.ProtocolVersion, append(packet("user", "desk"), 'x')},
+		"bytes after":   {pgproto.ProtocolVersion, append(packet("user", "desk"), 'x')},
 		"without value": {pgproto.ProtocolVersion, []byte("user\x00")},
 	} {
 		var startup startupPhase
--- a/internal/pgproto/error_response.go
+++ b/internal/pgproto/error_response.go
@@ -5,7 +5,7 @@
 // Types of the fields of an ErrorResponse that are read or written.
 const (
 	fieldSeverity          byte = 'S'
-	fieldSeverityUnchanged byte = 'V' // the severity in English, whatever the locale
+	fieldSeverityUnchanged byte = 'V' // the severity, which no locale translates
 	fieldCode              byte = 'C'
 	fieldMessage           byte = 'M'
 	fieldHint              byte = 'H'
