--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -62,9 +62,10 @@
 		"SELECT U&\"\\0073etval\"('s', 1)":                        EffectUnknown,
 		"SELECT a OPERATOR(evil.+) b":                             EffectUnknown,
 		"SELECT a <<<>>> b":                                       EffectUnknown,
-		"SELECT query_to_xml('DELETE FROM t', true, true, '')":    EffectUnknown,
 		"SELECT '\xff'":                                           EffectUnknown,
 
+		"SELECT query_to_xml('DELETE FROM t', true, true, '')": EffectUnknown,
+
 		"SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day": EffectReads,
 		"select pg_catalog.now(), is_open(x), Stock.Price_Of(y) from t":                        EffectReads,
 		"(SELECT 1) UNION ALL (SELECT 2)":                                                      EffectReads,
