--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -87,12 +87,10 @@
 
 // stateAfter returns the state of an attempt that has ended with the status.
 func stateAfter(status AttemptStatus) attemptState {
-	switch status.Result() {
-	case policy.ResultOverloaded, policy.ResultConnectFailed, policy.ResultNotSent:
-		return attemptNeverRan
-	default:
+	if status.Result().MayHaveRun() {
 		return attemptMayHaveRun
 	}
+	return attemptNeverRan
 }
 
 // newAttempt adds the next attempt to a request.
@@ -117,7 +115,7 @@
 // The balancer observes the deduplication window too, but does not know how long
 // an attempt waits for its connection.
 func retrySendDeadline(r *Request, class policy.Class) time.Duration {
-	first := r.firstThatMayHaveRun()
+	first := r.firstPossibleRun()
 	if class.Effect != policy.IdempotentByKey || first == nil {
 		return 0
 	}
@@ -168,8 +166,8 @@
 	if d.endpoints.warmingUp(attempt.Engine, attempt.StartedAt) {
 		d.counters.Increment(metrics.AttemptsEndedWarming.With(status.String()))
 	}
-	// The response must not carry the error of an attempt that never ran if
-	// another one may have run and the request is not idempotent: it would hide that.
+	// The latest attempt that may have run decides the error detail, even if it has none. An attempt that
+	// never ran does so only while nothing that is not idempotent may have run: its error would hide that.
 	if attempt.state == attemptMayHaveRun || report.ErrorDetail != nil && !d.MayHaveRun(request) {
 		request.lastErrorDetail = report.ErrorDetail
 	}
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -5,7 +5,7 @@
 // place it, starts attempts at engines through the EngineClient, and gives the response to the request's
 // Client. Engine clients report the end of each attempt with EndAttempt.
 //
-// The package knows no protocol: front ends, engine clients and discovery meet it through its
+// The package knows no protocol: front ends, engine clients and discovery use it through its
 // interfaces.
 package lifecycle
 
@@ -47,7 +47,7 @@
 	requests     requestTable
 	queue        eventQueue
 	guard        guard
-	completeAll  bool // CompleteAll was called: what is accepted from then on is rejected
+	shuttingDown bool // CompleteAll was called: new requests are rejected
 }
 
 // NewDispatcher returns a dispatcher for the settings. SetEngineClient must follow before
@@ -143,7 +143,7 @@
 		d.trace.step(logevent.RequestAccepted, request, slog.String("class", request.Class),
 			slog.Duration("time_left", request.Deadline-d.clock.Now()))
 	}
-	if d.completeAll {
+	if d.shuttingDown {
 		d.counters.Increment(metrics.RejectionsShutdown)
 		d.respond(request.policyID, Response{Verdict: VerdictRejected, RetryAfter: d.RetryAfter()})
 		return
@@ -198,23 +198,22 @@
 // events are queued the release is deferred, since the balancer may still start an attempt of
 // the request, and each attempt must end.
 func (d *Dispatcher) releaseIfIdle(r *Request) {
-	switch {
-	case r.state != requestCompleted || r.inFlight > 0:
-	case d.queue.handling:
+	if r.state != requestCompleted || r.inFlight > 0 {
+		return
+	}
+	if d.queue.handling {
 		d.requests.releasable = append(d.requests.releasable, r)
-	default:
-		d.requests.release(r)
-		d.costs.release(r)
+		return
 	}
+	d.requests.release(r)
+	d.costs.release(r)
 }
 
-// CompleteAll gives every pending request its response. It is for the end
-// of a graceful shutdown, when clients would otherwise receive none: the balancer
-// is notified that the deadlines have passed, and decides which requests may be
-// retried and when.
-// What is accepted from here on is rejected at once.
+// CompleteAll gives every pending request its response, in no particular order. It is called at the end of a
+// graceful shutdown, when clients would otherwise receive none. The balancer is passed the deadline of each
+// request, and so decides whether it is rejected or failed. Requests accepted later are rejected at once.
 func (d *Dispatcher) CompleteAll() {
-	d.completeAll = true
+	d.shuttingDown = true
 	for policyID, r := range d.requests.byID {
 		if r.state == requestPending {
 			d.handleEvent(policy.DeadlineTimer(policyID))
--- a/internal/lifecycle/dispatcher_test.go
+++ b/internal/lifecycle/dispatcher_test.go
@@ -315,7 +315,7 @@
 	}
 }
 
-func TestDedupWindowClosed_BoundsRetriesOfWhatMayHaveRun(t *testing.T) {
+func TestDedupWindowClosed_LimitsRetriesOfWhatMayHaveRun(t *testing.T) {
 	for _, tc := range []struct {
 		class      string
 		firstEnds  lifecycle.AttemptStatus
@@ -338,7 +338,7 @@
 				t.Errorf("closed at the end of the window is %v, want %v", got, tc.wantClosed)
 			}
 			if f.attempt(0).DedupWindowClosed(windowEnd) {
-				t.Error("the first attempt is bounded by the window")
+				t.Error("the first attempt is limited by the window")
 			}
 		})
 	}
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -67,7 +67,7 @@
 		d.endpoints.set(e)
 	}
 	for id, e := range previous {
-		if _, listed := d.endpoints.byID[id]; !listed { // connections to it are retired
+		if _, listed := d.endpoints.byID[id]; !listed { // the engine client retires its connections
 			e.State = policy.EngineRemoved
 			d.engineClient.UpdateEndpoint(e)
 		}
@@ -88,14 +88,14 @@
 			}
 		}
 	}
-	slices.SortFunc(withdrawn, byOrderOfStart)
+	slices.SortFunc(withdrawn, byRequest)
 	for _, a := range withdrawn {
 		d.EndAttempt(a, StatusNotSent, AttemptReport{})
 	}
 }
 
-// byOrderOfStart makes the order in which attempts end independent of the order
-// of a map.
-func byOrderOfStart(a, b *Attempt) int {
+// byRequest orders attempts by the arrival of their request and then by their index, so that the order in
+// which they end does not depend on that of a map.
+func byRequest(a, b *Attempt) int {
 	return cmp.Or(cmp.Compare(a.Request.policyID, b.Request.policyID), cmp.Compare(a.index, b.index))
 }
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -9,8 +9,8 @@
 	"flaxrelay/policy"
 )
 
-// lateResponseMargin is how late a response may be beyond the slack of the settings before
-// it counts as a violation: the rules grant half a second in which it only earns nothing.
+// lateResponseMargin is how late a response may be, beyond the slack of the settings, before it counts as a
+// violation. A response up to half a second late earns nothing, but breaks no rule.
 const lateResponseMargin = 500 * time.Millisecond
 
 // guard checks the actions of this program against the rules, independently of the balancer, and
@@ -30,13 +30,13 @@
 // permitStart checks a new attempt of a request of the given effect against the earlier ones.
 func (g *guard) permitStart(a *Attempt, effect policy.Effect) bool {
 	withinLimit := a.index < max(g.limits.MaxAttempts, 1)
-	alone := true
+	noneInFlight := true
 	safe := true
 	for _, earlier := range a.Request.attempts[:a.index] {
-		alone = alone && (earlier.Ended() || g.limits.Hedging)
+		noneInFlight = noneInFlight && (earlier.Ended() || g.limits.Hedging)
 		safe = safe && (earlier.state == attemptNeverRan || effect != policy.NonIdempotent)
 	}
-	return g.check(withinLimit, invariant.RetryLimit, a) && g.check(alone, invariant.SingleInFlight, a) &&
+	return g.check(withinLimit, invariant.RetryLimit, a) && g.check(noneInFlight, invariant.SingleInFlight, a) &&
 		g.check(safe, invariant.RetryIdempotency, a)
 }
 
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -1,9 +1,6 @@
 package lifecycle
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 // defaultPriority is the priority of attempts until the balancer sets another one.
 const defaultPriority = 1
@@ -49,7 +46,7 @@
 	requestNew       requestState = iota // not accepted yet
 	requestPending                       // accepted, without its response
 	requestCompleted                     // it has its response, or its client has disconnected
-	requestReleased                      // nothing refers to it any more
+	requestReleased                      // no attempt is in flight, and the dispatcher has dropped it
 )
 
 // completed reports whether the request needs no response any more.
@@ -57,11 +54,11 @@
 
 // mayHaveRun reports whether an engine may have run an attempt of the request.
 func (r *Request) mayHaveRun() bool {
-	return slices.ContainsFunc(r.attempts, func(a *Attempt) bool { return a.state != attemptNeverRan })
+	return r.firstPossibleRun() != nil
 }
 
-// firstThatMayHaveRun returns the first attempt that an engine may have run, or nil.
-func (r *Request) firstThatMayHaveRun() *Attempt {
+// firstPossibleRun returns the first attempt that an engine may have run, or nil.
+func (r *Request) firstPossibleRun() *Attempt {
 	for _, a := range r.attempts {
 		if a.state != attemptNeverRan {
 			return a
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -14,7 +14,7 @@
 
 // The three verdicts. The zero value is the most cautious.
 const (
-	VerdictFailed   Verdict = iota // an engine may have run the request
+	VerdictFailed   Verdict = iota // not served; an engine may have run it, or the statement itself is at fault
 	VerdictRejected                // a retry is harmless
 	VerdictServed
 )
@@ -42,7 +42,7 @@
 	if request == nil || request.state != requestPending {
 		return
 	}
-	// The balancer ends a request up to one tick before its deadline.
+	// The balancer ends a request up to Settings.TickInterval before its deadline.
 	response.DeadlinePassed = response.Verdict != VerdictServed && d.clock.Now() >= request.Deadline-d.tickInterval
 	response.MayHaveRun = d.MayHaveRun(request)
 	response.Forwarded = len(request.attempts) > 0
@@ -61,8 +61,7 @@
 	d.releaseIfIdle(request)
 }
 
-// MayHaveRun reports whether an engine may have run the request although a retry of
-// it is not harmless.
+// MayHaveRun reports whether an engine may have run a request that is not idempotent by nature.
 func (d *Dispatcher) MayHaveRun(r *Request) bool {
 	return d.classes[r.Class].Effect != policy.Idempotent && r.mayHaveRun()
 }
--- a/internal/lifecycle/status.go
+++ b/internal/lifecycle/status.go
@@ -25,7 +25,7 @@
 	StatusProtocolError                   // the engine's response was malformed
 	StatusCancelled                       // cancelled from this side
 	StatusNotSent                         // ended before any of it was written
-	StatusIdleClosed                      // a connection with no attempt open was closed
+	StatusIdleClosed                      // a connection with no attempt in flight was closed
 	statusCount
 )
 
@@ -59,8 +59,8 @@
 	return statusNames[StatusUnknown]
 }
 
-// Result translates the status for the balancer. Statuses that prove that the
-// attempt never ran are listed; any other may have run.
+// Result translates the status for the balancer. It is the only place that decides what an end proves. An
+// undefined status counts as one that may have run.
 func (s AttemptStatus) Result() policy.Result {
 	switch s {
 	case StatusServed, StatusResultTooLarge: // the engine did its part
--- a/internal/lifecycle/trace.go
+++ b/internal/lifecycle/trace.go
@@ -7,8 +7,8 @@
 	"flaxrelay/internal/logevent"
 )
 
-// tracer logs the steps of each request, at level debug, under the request's id: they tell why each
-// attempt, retry and rejection came about.
+// tracer logs the steps of each request, at level debug, under the request's id: the steps
+// show why each attempt, retry and rejection happened.
 type tracer struct {
 	logger  *slog.Logger
 	enabled bool // callers check it first, since the attributes of a step cost time
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -18,7 +18,7 @@
 type SetResources struct {
 	RequestID uint64
 	MemoryMB  float64 // 0: the engine chooses
-	Priority  int     // 0 to 3; 1 is usual
+	Priority  int     // 0 to 3, 3 the most urgent; 1 where engines heed none
 }
 
 // CancelAttempt ends one attempt; its AttemptEnded follows.
@@ -37,25 +37,31 @@
 	Reason     RejectReason
 }
 
-// RejectReason says why no engine was chosen for a request. Where engines were ruled out for different
-// reasons it is the greatest: the reasons are ordered by how close an engine came to being chosen.
+// RejectReason says why no engine was chosen for a request. Each engine has a reason of its own, and the
+// greatest is reported: a lack of capacity at one engine hides the rules that exclude others.
 type RejectReason uint8
 
 // The reasons of a Reject.
 const (
-	ReasonUnknownClass      RejectReason = iota // the settings have no such class
-	ReasonNoEndpoint                            // the endpoint list has no engine that is ready for it
-	ReasonEjected                               // the others are ejected, or its class is stalled there
-	ReasonAttemptsExhausted                     // a rule forbids an attempt
-	ReasonEngineLimit                           // the request exceeds the limits of the others
-	// ReasonSlowStart says that the others are in slow start, and this balancer's share of their
-	// budget is spent.
+	// ReasonUnknownClass: the settings have no such class.
+	ReasonUnknownClass RejectReason = iota
+	// ReasonNoEndpoint: no engine of the endpoint list is ready.
+	ReasonNoEndpoint
+	// ReasonEjected: an engine is ready, but ejected, or the request's class is stalled there.
+	ReasonEjected
+	// ReasonAttemptsExhausted: a rule forbids it, of attempts, retry budget, idempotency, zones, kinds or
+	// ordering.
+	ReasonAttemptsExhausted
+	// ReasonEngineLimit: the request exceeds an engine's limit.
+	ReasonEngineLimit
+	// ReasonSlowStart: an engine is in slow start, and this balancer's share of its budget is spent.
 	ReasonSlowStart
-	ReasonFleetLimit // the request exceeds the limit of all engines together
-	// ReasonRetryFutile says that an attempt failed or is too slow, and a retry would be too late or
-	// fail as well.
+	// ReasonFleetLimit: the request exceeds the limit of all engines together.
+	ReasonFleetLimit
+	// ReasonRetryFutile: an attempt failed or is too slow, and a retry would be too late or fail as well.
 	ReasonRetryFutile
-	ReasonDeadline // the request's deadline is reached
+	// ReasonDeadline: the request's deadline is reached.
+	ReasonDeadline
 )
 
 var rejectReasonNames = [...]string{
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,11 +6,19 @@
 )
 
 const (
-	overQuotaFactor   = 0.5  // share of a limit that requests beyond their tenant's quota may use
-	minWorkFactor     = 0.1  // least and most that an estimate over its class's mean scales the
-	maxWorkFactor     = 30.0 // expected work by: an outlying one must not count as nothing or fill a limit
-	minWeightFactor   = 0.25 // the same for the weight in threads: more work runs longer, but on
-	maxWeightFactor   = 2.0  // no more threads, so one request must not fill an engine's limit
+	overQuotaFactor = 0.5 // share of a limit that requests beyond their tenant's quota may use
+	minValueFactor  = 0.5 // least share of a limit, for a request of low value
+	maxValueFactor  = 1.5 // most, for a request of high value
+
+	// An estimate scales the expected work by a factor within these: an outlier must not count as nothing
+	// or fill a limit.
+	minWorkFactor = 0.1
+	maxWorkFactor = 30.0
+
+	// The same for the weight in threads: more work runs longer, on no more threads.
+	minWeightFactor = 0.25
+	maxWeightFactor = 2.0
+
 	minPriorityWeight = 1e-9 // replaces a priority weight of zero, which has no logarithm
 	ranksToDouble     = 4.0  // ranks above the mean from which a request's share of a limit would double
 	estimateWindow    = 50   // requests that estimates of work and ranks are averaged over
@@ -65,8 +73,9 @@
 		req.weight = c.Threads * min(max(factor, minWeightFactor), maxWeightFactor)
 	}
 	req.valueRank = b.values.rank(c.PriorityWeight, req.expectedWorkMs)
-	if ev.EstimatedWork > 0 { // without estimates all requests of a class would be shed alike
-		req.valueFactor = min(max(1+req.valueRank/ranksToDouble, overQuotaFactor), 2-overQuotaFactor)
+	// Without an estimate all requests of the class have one rank, and would all be shed together.
+	if ev.EstimatedWork > 0 {
+		req.valueFactor = min(max(1+req.valueRank/ranksToDouble, minValueFactor), maxValueFactor)
 	}
 	if b.quotas.exceeded(ev.Tenant, b.traffic.share(), b.now) {
 		req.quotaFactor = overQuotaFactor
@@ -80,7 +89,7 @@
 		b.rejectOrFail(req, reason)
 		return
 	}
-	if !b.attempts.start(req, e, b.now) {
+	if !b.attempts.start(req, e, b.now) { // choose has applied the same rules; start checks them once more
 		b.rejectOrFail(req, ReasonAttemptsExhausted)
 	}
 }
@@ -112,7 +121,8 @@
 	b.ordered.queues.dequeue(req, b.now)
 }
 
-// retryAfter spreads the return of rejected clients over the time that they honour.
+// retryAfter returns a random time between half and all of MaxRetryAfter, so that rejected clients do not
+// return together.
 func (b *Balancer) retryAfter() time.Duration {
 	half := b.settings.Limits.MaxRetryAfter / 2
 	if !b.settings.Limits.RetryAfter || half <= 0 {
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -39,9 +39,9 @@
 func (a *attempt) ended() bool { return a.phase == attemptEnded }
 
 // mayHaveRun reports whether the attempt may have had an effect: until its end proves otherwise, it may.
-func (a *attempt) mayHaveRun() bool { return !a.ended() || a.result.mayHaveRun() }
+func (a *attempt) mayHaveRun() bool { return !a.ended() || a.result.MayHaveRun() }
 
-// failed reports whether the engine responded with an error.
+// endedInError reports whether the engine responded with an error.
 func (a *attempt) failed() bool { return a.ended() && a.result == ResultFailed }
 
 // blocked reports whether the attempt's latest progress report said that it waits on its engine.
--- a/policy/attemptrules.go
+++ b/policy/attemptrules.go
@@ -15,8 +15,8 @@
 	traffic *trafficEstimate
 }
 
-// mayHaveRun reports whether an attempt that ended so may have had an effect.
-func (r Result) mayHaveRun() bool {
+// MayHaveRun reports whether an attempt that ended so may have had an effect.
+func (r Result) MayHaveRun() bool {
 	return r != ResultOverloaded && r != ResultConnectFailed && r != ResultNotSent
 }
 
@@ -32,8 +32,8 @@
 		!req.mayHaveRun()
 }
 
-// mayRetry reports whether the request may have another attempt once those in flight have ended.
-func (r *attemptRules) mayRetry(req *request, now time.Duration) bool {
+// permitsAttempt reports whether the request may have a first or a further attempt once none is in flight.
+func (r *attemptRules) permitsAttempt(req *request, now time.Duration) bool {
 	attemptsLeft := len(req.attempts) < max(r.limits.MaxAttempts, 1)
 	if req.completed || !attemptsLeft {
 		return false
@@ -54,7 +54,7 @@
 // mayStart reports whether the request may be sent to the engine now. It checks every rule.
 func (r *attemptRules) mayStart(req *request, e *engine, now time.Duration) bool {
 	c := req.class
-	if e.state != EngineReady || now >= req.deadline || !r.mayRetry(req, now) ||
+	if e.state != EngineReady || now >= req.deadline || !r.permitsAttempt(req, now) ||
 		!allows(c.Zones, e.zone) || !allows(c.Kinds, e.kind) {
 		return false
 	}
@@ -75,5 +75,5 @@
 		scope == ScopeCell && x.cell == y.cell
 }
 
-// allows reports whether a placement list, where an empty one permits all, names the value.
+// allows reports whether a placement list is empty or names the value.
 func allows(list []string, value string) bool { return len(list) == 0 || slices.Contains(list, value) }
--- a/policy/attemptrules_test.go
+++ b/policy/attemptrules_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestAttemptRules_NonIdempotentIsRetriedOnlyWhenItNeverRan(t *testing.T) {
-	for result, again := range map[Result]bool{
+	for result, wantRetry := range map[Result]bool{
 		ResultOverloaded: true, ResultConnectFailed: true, ResultNotSent: true, ResultFailed: false,
 		ResultTimedOut: false, ResultConnectionLost: false, ResultCancelled: false, ResultUnknown: false,
 	} {
@@ -14,7 +14,7 @@
 		h.arrive(1, "non-idempotent")
 		actions := h.endAttempt(1, 0, result)
 		retried := len(startedAttempts(actions)) == 1
-		if retried != again || hasAction[Reject](actions) || hasAction[Fail](actions) == again {
+		if retried != wantRetry || hasAction[Reject](actions) || hasAction[Fail](actions) == wantRetry {
 			t.Errorf("after result %d: %+v", result, actions)
 		}
 	}
@@ -44,15 +44,15 @@
 }
 
 func TestRetryBudget_IsNotSpentOnBlockedAttempts(t *testing.T) {
-	for _, back := range []time.Duration{0, 10 * time.Second} {
+	for _, window := range []time.Duration{0, 10 * time.Second} {
 		s := settings()
-		s.Rules.RetryBudgetWindow = back
+		s.Rules.RetryBudgetWindow = window
 		s.Rules.RetryBudgetMin = 5
 		h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 		h.arrive(1, "wide")
 		actions := h.advance(500 * msec).handle(ProgressReported{RequestID: 1, Kind: ProgressAwaitingMemory, Value: 1})
-		if retried := hasAction[CancelAttempt](actions); retried != (back == 0) {
-			t.Errorf("budget window %v: retried is %v", back, retried)
+		if retried := hasAction[CancelAttempt](actions); retried != (window == 0) {
+			t.Errorf("budget window %v: retried is %v", window, retried)
 		}
 	}
 }
--- a/policy/attemptrunner.go
+++ b/policy/attemptrunner.go
@@ -34,9 +34,10 @@
 	return true
 }
 
-// retryElsewhere cancels an attempt where its request may have another, and reports whether it did.
-func (r *attemptRunner) retryElsewhere(a *attempt, now time.Duration) (cancelled bool) {
-	return r.rules.mayRetry(a.request, now) && r.cancel(a)
+// cancelForRetry cancels an attempt if its request may have another, and reports whether it did. The retry
+// follows when the attempt's AttemptEnded arrives.
+func (r *attemptRunner) cancelForRetry(a *attempt, now time.Duration) (cancelled bool) {
+	return r.rules.permitsAttempt(a.request, now) && r.cancel(a)
 }
 
 // cancel cancels an attempt once, unless its response has begun, and reports whether it did.
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	controlPeriod  = 500 * time.Millisecond         // between two runs of the control loops; from the design
-	ticksPerPeriod = 5                              // engines are checked for silence more often than that
-	tickInterval   = controlPeriod / ticksPerPeriod // between two ticks
+	controlPeriod  = 500 * time.Millisecond         // between two runs of the control loops
+	ticksPerPeriod = 5                              // engines are checked for silence at each tick
+	tickPeriod     = controlPeriod / ticksPerPeriod // between two ticks; not Settings.TickInterval
 	tickToken      = 0                              // token of the tick's timer; others are of DeadlineTimer
 )
 
@@ -18,7 +18,7 @@
 func (l *actionList) add(a Action) { l.list = append(l.list, a) }
 
 // Balancer decides for one front end. It routes events to the types that own the state of each
-// concern, and turns their decisions into actions. It is not safe for concurrent use.
+// concern, and collects their actions. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	now      time.Duration // of the event in hand
@@ -77,7 +77,7 @@
 	return actions
 }
 
-// attempt returns an attempt of a request that is not over, or nil.
+// attempt returns an attempt, which may have ended, of a request that is still tracked, or nil.
 func (b *Balancer) attempt(requestID uint64, index int) *attempt {
 	req := b.requests[requestID]
 	if req == nil || index < 0 || index >= len(req.attempts) {
@@ -90,7 +90,7 @@
 func (b *Balancer) onFirstEvent(now time.Duration) {
 	b.started = true
 	b.slowStart.firstEventAt = now
-	b.actions.add(SetTimer{After: tickInterval})
+	b.actions.add(SetTimer{After: tickPeriod})
 	if b.settings.PullDiscovery {
 		b.actions.add(Subscribe{})
 	}
@@ -109,13 +109,13 @@
 	}
 }
 
-// tick checks the engines for silence, admits queued requests and, once a control period, runs the
-// control loops.
+// tick checks the engines for silence and overdue attempts, admits queued requests and, once a control
+// period, runs the control loops.
 func (b *Balancer) tick() {
-	b.actions.add(SetTimer{After: tickInterval})
+	b.actions.add(SetTimer{After: tickPeriod})
 	b.outliers.silence.onTick(b.now)
 	for _, e := range b.engines.all {
-		b.outliers.checkSilence(e, b.now)
+		b.outliers.check(e, b.now)
 	}
 	b.admitQueued()
 	b.ticks++
@@ -129,6 +129,7 @@
 	b.traffic.endPeriod(float64(len(b.requests)) / float64(max(len(b.engines.all), 1)))
 	share := b.traffic.share()
 	for _, e := range b.engines.all {
+		e.outlier.fade()
 		e.rescale(b.fleet.target, share, b.now)
 		e.limiter.endPeriod(b.now)
 	}
--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestBalancer_DecisionsAreUnchanged plays generated events in a closed loop (attempts,
-// notes and timers follow the actions) and compares a digest of all actions and,
+// progress reports and timers follow the actions) and compares a digest of all actions and,
 // every ten events, of all that the balancer has learned, bit for bit, with the one of
 // the golden file. A change of any decision, of the order of random draws or of a
 // floating-point operation shows as a difference.
@@ -49,52 +49,53 @@
 	golden.Compare(t, path, got.Bytes())
 }
 
+// Their names stay: they are in the golden file, and their length seeds the generator.
 func scenarios() []scenario {
 	plain := characterizationSettings()
 	quotas := characterizationSettings()
 	quotas.Tenants = []policy.Tenant{{Name: "north", Quota: 40, Share: 0.6}, {Name: "south", Quota: 15, Share: 0.4}}
 	quotas.OverQuotaWeight = 0.2
 	quotas.Shortage = policy.ShortageTrim
-	paging := characterizationSettings()
-	paging.Shortage = policy.ShortageSwap
-	paging.ReportsCost = true
-	paging.ReportsLoad = true
-	paging.Priorities = true
-	paging.Limits.Cancel = false
-	paging.Limits.MaxAttempts = 3
-	probing := characterizationSettings()
-	probing.ReportsLoad = true
-	probing.PullDiscovery = true
-	probing.Limits.HealthChecks = true
-	probing.MemoryGrants = true
-	probing.Priorities = true
-	probing.MaxGrantShare = 0.5
-	silent := characterizationSettings()
-	silent.ProgressInterval = 0
-	silent.ReportsLoad = true
-	rationed := characterizationSettings()
-	rationed.Rules.RetryBudgetWindow = 2 * time.Second
-	rationed.Rules.RetryBudgetMin = 3
-	rationed.Rules.RetryBudgetRatio = 0.1
-	rationed.Limits.RetryAfter = false
-	crowd := characterizationSettings()
-	crowd.Replicas = 60
-	crowd.ReportsLoad = true
-	crowd.ReportsCost = true
-	crowd.Shortage = policy.ShortageSwap
-	copies := characterizationSettings()
-	copies.Limits.Hedging = true
-	copies.Replicas = 1
-	copies.MemoryGrants = true
+	swapping := characterizationSettings()
+	swapping.Shortage = policy.ShortageSwap
+	swapping.ReportsCost = true
+	swapping.ReportsLoad = true
+	swapping.Priorities = true
+	swapping.Limits.Cancel = false
+	swapping.Limits.MaxAttempts = 3
+	healthChecks := characterizationSettings()
+	healthChecks.ReportsLoad = true
+	healthChecks.PullDiscovery = true
+	healthChecks.Limits.HealthChecks = true
+	healthChecks.MemoryGrants = true
+	healthChecks.Priorities = true
+	healthChecks.MaxGrantShare = 0.5
+	noProgress := characterizationSettings()
+	noProgress.ProgressInterval = 0
+	noProgress.ReportsLoad = true
+	retryBudget := characterizationSettings()
+	retryBudget.Rules.RetryBudgetWindow = 2 * time.Second
+	retryBudget.Rules.RetryBudgetMin = 3
+	retryBudget.Rules.RetryBudgetRatio = 0.1
+	retryBudget.Limits.RetryAfter = false
+	manyReplicas := characterizationSettings()
+	manyReplicas.Replicas = 60
+	manyReplicas.ReportsLoad = true
+	manyReplicas.ReportsCost = true
+	manyReplicas.Shortage = policy.ShortageSwap
+	hedging := characterizationSettings()
+	hedging.Limits.Hedging = true
+	hedging.Replicas = 1
+	hedging.MemoryGrants = true
 	return []scenario{
 		{name: "plain", settings: plain, engines: 6, rate: 60, speed: 1, faults: 0.02},
 		{name: "tenants", settings: quotas, engines: 5, rate: 90, speed: 1, faults: 0.05, estimate: true},
-		{name: "paging", settings: paging, engines: 8, rate: 50, speed: 0.7, faults: 0.1},
-		{name: "probing", settings: probing, engines: 6, rate: 70, speed: 1, faults: 0.05, estimate: true},
-		{name: "no-notes", settings: silent, engines: 5, rate: 60, speed: 0.8, faults: 0.1},
-		{name: "rationed", settings: rationed, engines: 4, rate: 60, speed: 1, faults: 0.3},
-		{name: "many-gateways", settings: crowd, engines: 12, rate: 12, speed: 1, faults: 0.1},
-		{name: "copies", settings: copies, engines: 5, rate: 80, speed: 0.8, faults: 0.15, estimate: true},
+		{name: "paging", settings: swapping, engines: 8, rate: 50, speed: 0.7, faults: 0.1},
+		{name: "probing", settings: healthChecks, engines: 6, rate: 70, speed: 1, faults: 0.05, estimate: true},
+		{name: "no-notes", settings: noProgress, engines: 5, rate: 60, speed: 0.8, faults: 0.1},
+		{name: "rationed", settings: retryBudget, engines: 4, rate: 60, speed: 1, faults: 0.3},
+		{name: "many-gateways", settings: manyReplicas, engines: 12, rate: 12, speed: 1, faults: 0.1},
+		{name: "copies", settings: hedging, engines: 5, rate: 80, speed: 0.8, faults: 0.15, estimate: true},
 	}
 }
 
--- a/policy/class.go
+++ b/policy/class.go
@@ -6,6 +6,7 @@
 	firstResponseWindow = 10     // responses that a class's figures are averaged over at first
 	maxResponseWindow   = 50     // and later on
 	quickLatencyGrowth  = 1.0005 // growth of the quick latency with each response: old minima fade
+	maxDeviation        = 5.0    // of one latency at most: an outlier must not hide later overdue attempts
 	objectiveToUsual    = 3      // a latency objective over this is the usual latency before any response
 )
 
@@ -32,7 +33,7 @@
 		quickLatencyMs: usualMs,
 		workMs:         usualMs * settings.Threads,
 		grantFactor:    1,
-		latencySpread:  1 / overdueDeviations,
+		latencySpread:  1 / overdueDeviations, // overdue at twice the usual latency at first
 	}
 }
 
@@ -46,7 +47,7 @@
 func (c *class) observeLatency(latencyMs, expectedWorkMs float64) {
 	c.responses++
 	deviation := math.Abs(latencyMs*c.workMs/(c.latencyMs*expectedWorkMs) - 1)
-	c.latencySpread = ewma(c.latencySpread, min(deviation, badPlanFactor), c.window())
+	c.latencySpread = ewma(c.latencySpread, min(deviation, maxDeviation), c.window())
 	c.latencyMs = ewma(c.latencyMs, latencyMs, c.window())
 	c.quickLatencyMs = min(c.quickLatencyMs*quickLatencyGrowth, c.latencyMs)
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -10,8 +10,9 @@
 //	actions = balancer.Handle(now, event, actions[:0])
 //
 // The inputs are in events.go, the outputs in actions.go, the configuration in settings.go.
-// All instants are durations since one arbitrary origin of the caller's choosing. The clock given
-// to Handle must never go back.
+// All instants are durations since one arbitrary origin of the caller's choosing. Handle treats an earlier
+// instant than the latest as the latest. The first event sets a timer of 100 ms that repeats, the tick; every
+// fifth tick ends a control period. The caller must perform all actions of an event before the next call.
 //
 // # How it works
 //
@@ -30,11 +31,11 @@
 //   - progress.go: progress reports of attempts in flight
 //   - attemptrules.go: attemptRules, retries and idempotency; retrybudget.go: retryBudget;
 //     attemptrunner.go: attemptRunner, which starts and cancels attempts
-//   - outlierdetector.go: outlierDetector, ejection and readmission, from outlier.go: outlierState,
-//     silence.go: silenceDetector, and lostresponses.go: classes that are stalled on an engine
+//   - outlierdetector.go: outlierDetector, ejection and readmission; outlier.go: outlierState, its state of
+//     one engine; silence.go: silenceDetector; lostresponses.go: classes that are stalled on an engine
 //   - slowstart.go: slowStart, the budget of an engine that is warming up; reportedstart.go: its start
 //   - quota.go: quotas of tenants; traffic.go: trafficEstimate, this front end's share of the traffic
-//   - ordering.go: orderedRequests, requests of one ordering key, one at a time
+//   - ordering.go: orderedRequests, requests of one ordering key, one at a time; keyqueue.go: their queues
 //   - load.go: loadReports, the load that engines report
 //   - locality.go: datasetAffinity, which engines cache a data set
 //   - resources.go: memory grants and priorities
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -20,7 +20,8 @@
 	t.all = append(t.all, e)
 }
 
-// prune drops what no decision needs any more: a balancer runs for months.
+// prune drops bulk loads that are over, and engines that are removed, idle and not warming up. An engine
+// that is warming up stays, since it may be listed again and its budget is still partly spent.
 func (t *engineTable) prune(now time.Duration) {
 	t.all = slices.DeleteFunc(t.all, func(e *engine) bool {
 		maps.DeleteFunc(e.bulkLoads, func(_ int64, until time.Duration) bool { return now >= until })
@@ -52,13 +53,16 @@
 func (b *Balancer) updateEndpoint(endpoint Engine) {
 	cores := b.settings.coresOf(endpoint.Kind)
 	e := b.engines.byID[endpoint.ID]
-	if e == nil {
+	added := e == nil
+	if added {
 		e = newEngine(endpoint.ID, &b.slowStart)
 		b.engines.add(e)
-		e.reset(cores, b.fleet.target, b.traffic.share(), b.now)
 	}
-	if endpoint.StartKnown && e.slowStart.reported.differs(endpoint.StartedAt) {
+	restarted := endpoint.StartKnown && e.slowStart.reported.differs(endpoint.StartedAt)
+	if added || restarted {
 		e.reset(cores, b.fleet.target, b.traffic.share(), b.now)
+	}
+	if restarted {
 		e.slowStart.onReportedStart(b.now, endpoint.StartedAt, b.rng)
 	}
 	e.zone = endpoint.Zone
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -5,8 +5,6 @@
 	"time"
 )
 
-const faultDecayPeriods = 40 // control periods in which a fault rate fades without responses
-
 // engine is an engine of the endpoint list, with the state that each concern keeps for it.
 type engine struct {
 	id       string
@@ -50,18 +48,16 @@
 }
 
 // rescale sets the engine's initial and maximum limit for this front end's share of the traffic.
-// It is called once a control period, in which the fault rate fades.
 func (e *engine) rescale(target concurrencyTarget, share float64, now time.Duration) {
-	e.outlier.faultRate = ewma(e.outlier.faultRate, 0, faultDecayPeriods)
 	l := &e.limiter
 	l.initialLimit = target.threadsPerCore * e.cores * share
 	limit := maxLimitFactor*l.initialLimit + target.maxThreads*(1-share)
-	l.maxLimit = limit * min(1, kneeSlowdown/max(l.slowdown, 1)) * e.slowStart.capacity(now)
+	l.maxLimit = limit * min(1, kneeSlowdown/max(l.slowdown, 1)) * e.slowStart.capacityShare(now)
 }
 
-// limitFor returns the limit that applies to the request on the engine, in threads: lower beyond its
-// tenant's quota and, under pressure, higher the greater its priority weight over its expected work.
-// Without pressure, to shed costly requests would waste capacity.
+// limitFor returns the limit that applies to the request on the engine, in threads. It is lower beyond the
+// tenant's quota. Only under pressure it follows the request's value too: without pressure, shedding costly
+// requests would waste capacity.
 func (e *engine) limitFor(req *request, now time.Duration) float64 {
 	if e.limiter.underPressure(now) {
 		return e.limiter.limit * req.quotaFactor * req.valueFactor
@@ -69,11 +65,11 @@
 	return e.limiter.maxLimit * req.quotaFactor
 }
 
-// bulkLoads holds, by data set, until when a bulk load is taken to block it on an engine.
+// bulkLoads holds the instant until which a bulk load is assumed to block a data set on an engine.
 type bulkLoads map[int64]time.Duration
 
-// datasetBlocked reports whether a bulk load blocks the data set on the engine: an own
-// load in flight, or one that an own request was lately reported to wait for.
+// datasetBlocked reports whether a bulk load of this front end is in flight there, or one of its requests
+// has lately reported waiting for a load.
 func (e *engine) datasetBlocked(dataset int64, now time.Duration) bool {
 	return now < e.bulkLoads[dataset] || slices.ContainsFunc(e.inFlight, func(a *attempt) bool {
 		return a.request.class.BulkLoad && a.request.dataset == dataset
--- a/policy/events.go
+++ b/policy/events.go
@@ -7,7 +7,7 @@
 type Event interface{ event() }
 
 // RequestArrived is a new request. It is pending until its one final response: an AttemptEnded
-// with Completed set, a Reject or a Fail.
+// with Completed set, a Reject or a Fail; or until a ClientDisconnected.
 type RequestArrived struct {
 	RequestID         uint64 // never reused, not even for a retry by the client
 	Class             string
@@ -129,13 +129,14 @@
 	ID         string
 	Zone       string
 	Kind       string
-	Cell       int64
+	Cell       int64 // see ScopeCell
 	State      EngineState
-	StartedAt  time.Duration // latest start
+	StartedAt  time.Duration // latest start by the engine's wall clock, which may have been stepped
 	StartKnown bool          // false: it started long ago
 }
 
-// DeadlineTimer is the TimerFired that ends a request at its deadline. A caller may give it sooner.
+// DeadlineTimer is the TimerFired that ends a request at its deadline. A caller may
+// pass it to Handle earlier, to end the request at once.
 func DeadlineTimer(requestID uint64) TimerFired { return TimerFired{Token: requestID + 1} }
 
 // requestOfDeadline returns the request whose DeadlineTimer has the token.
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -8,13 +8,16 @@
 )
 
 const (
-	initialThreadsPerCore = 2.0  // initial limit; from the design
+	initialThreadsPerCore = 2.0  // initial limit
 	swapLimitFactor       = 0.75 // of that, where an engine short of memory slows down altogether
 	queueLimitFactor      = 1.5  // of that, where requests short of memory queue at the engine
 	maxLimitFactor        = 1.2  // maximum of a limit, in initial limits
-	backlogSpread         = 2.0  // standard deviations of the own backlog that the fleet has headroom for
-	idleLevel             = 0.3  // free share of the fleet's load at which that headroom counts once
+	backlogSpread         = 2.0  // headroom, in standard deviations of this front end's own backlog
 	negligibleBacklog     = 1e-9 // threads; less than any weight: what is left after roundings
+
+	// assumedFreeShare is the free share of the fleet's load that is assumed without reports. At this share
+	// the headroom counts once.
+	assumedFreeShare = 0.3
 )
 
 // concurrencyTarget is what an engine should have in flight at most, from the settings alone.
@@ -38,8 +41,8 @@
 	return target
 }
 
-// fleet limits what this front end has in flight at all engines together: overload of the
-// fleet may not show at any single engine.
+// fleet limits what this front end has in flight at all engines together. The fleet may be overloaded
+// while no single engine seems to be.
 type fleet struct {
 	target    concurrencyTarget
 	limiter   limiter
@@ -50,21 +53,22 @@
 // random variation of few requests in flight.
 func (f *fleet) rescale(engines []*engine, now time.Duration) {
 	limiter := &f.limiter
-	first := limiter.initialLimit == 0
+	empty := limiter.initialLimit == 0
 	limiter.initialLimit = 0
 	for _, e := range engines {
 		if e.available() {
-			limiter.initialLimit += e.limiter.initialLimit * e.slowStart.capacity(now)
+			limiter.initialLimit += e.limiter.initialLimit * e.slowStart.capacityShare(now)
 		}
 	}
-	if first {
+	if empty { // at the start, and again after a time in which no engine was available
 		limiter.limit = limiter.initialLimit
 		limiter.alpha = 1 / max(limiter.initialLimit, minLimit)
 		limiter.slowdown = 1
-		f.loadLevel = 1 - idleLevel
+		f.loadLevel = 1 - assumedFreeShare
 	}
 	headroom := f.target.maxThreads + backlogSpread*math.Sqrt(limiter.initialLimit*f.target.maxThreads)
-	headroom *= max((1-f.loadLevel)/idleLevel, 0) // what others leave free; a factor of one without reports
+	// The factor is what others leave free, and one without reports.
+	headroom *= max((1-f.loadLevel)/assumedFreeShare, 0)
 	pastKnee := max(limiter.slowdown/kneeSlowdown, f.loadLevel, 1)
 	limiter.maxLimit = (maxLimitFactor*limiter.initialLimit + headroom/pastKnee) / pastKnee
 }
@@ -83,7 +87,7 @@
 	return f.limiter.admits(req.weight, f.limitFor(req, now), rng)
 }
 
-// reserve counts a new attempt as in flight at its engine and in the fleet.
+// reserve appends a new attempt to its request and counts it in the backlogs of its engine and the fleet.
 func (f *fleet) reserve(a *attempt) {
 	a.request.attempts = append(a.request.attempts, a)
 	a.engine.inFlight = append(a.engine.inFlight, a)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -82,7 +82,7 @@
 	return b
 }
 
-// newHarness returns a balancer that knows the engines.
+// newHarness returns a balancer with the engines listed.
 func newHarness(t *testing.T, s Settings, engines ...Engine) *harness {
 	t.Helper()
 	h := &harness{t: t, balancer: mustNew(t, s, 1), now: time.Minute}
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	closedLoopPole       = 0.3              // c of the limit's update formula; from the design
-	alphaSmoothing       = 0.3              // lambda: weight of the newest period in alpha; from the design
+	closedLoopPole       = 0.3              // pole of the closed loop, in the limit's update formula
+	alphaSmoothing       = 0.3              // weight of the newest period in alpha
 	minAlpha             = 1e-6             // keeps the step of the limit finite
 	minLimit             = 0.5              // threads; under the weight of one request
 	pressureLatency      = 0.8              // mean latency over the objective from which the limit applies
 	pressurePeriods      = 2                // control periods for which it applies from then on
+	overloadPeriods      = 4                // the same after the engine rejected a request
 	kneeSlowdown         = 1.6              // slowdown, past the curve's knee, where the maximum shrinks
 	maxSlowdown          = 4 * kneeSlowdown // of one response at most
 	slowdownWindow       = 20               // responses that a slowdown is averaged over
@@ -21,7 +22,8 @@
 // limiter is an adaptive concurrency limit: one for each engine, and one for the fleet. Its unit is
 // a thread. A control loop moves the limit, once a control period, so that the mean latency meets
 // its objective. The limit applies under pressure only, that is for some periods after a period of
-// high latency or after a rejection by a full engine; at other times maxLimit applies.
+// high latency or after a rejection by a full engine; at other times maxLimit applies. Engine and fleet set
+// initialLimit and maxLimit; fleet.reserve and release update backlog.
 type limiter struct {
 	initialLimit   float64       // threads
 	maxLimit       float64       // threads; always applies
@@ -75,6 +77,11 @@
 // readmit starts a readmitted engine with a small limit, which the control loop raises.
 func (l *limiter) readmit() { l.limit = max(minLimit, l.initialLimit*readmissionLimitPart) }
 
+// onOverloaded applies the limit for some periods after the engine rejected a request.
+func (l *limiter) onOverloaded(now time.Duration) {
+	l.pressuredUntil = now + overloadPeriods*controlPeriod
+}
+
 // underPressure reports whether the limit applies, rather than its maximum alone.
 func (l *limiter) underPressure(now time.Duration) bool { return now < l.pressuredUntil }
 
--- a/policy/load.go
+++ b/policy/load.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	loadReportDecay    = 8 * controlPeriod // age at which a report has faded to 1/e: wide requests run on
+	loadReportDecay    = 8 * controlPeriod // age at which a report counts 1/e; wide requests run for seconds
 	maxReportedPerCore = 50.0              // requests in flight a core that a report is believed to state
 	fleetLevelWindow   = 5                 // reports that the fleet's load level is averaged over
 	meanLoadWindow     = 20                // reports that the mean load is averaged over
 	maxOverload        = 2                 // a report counts as this many times the intended load at most
+	minCheckLevel      = 0.3               // load level under which health checks become no rarer
 	loadPenaltyFactor  = 0.25              // share of a difference in load that counts against an engine
 )
 
@@ -20,8 +21,8 @@
 	at             time.Duration // 0: never
 }
 
-// loadReports evaluates the load that engines report: the backlog of this front end doesn't hold what
-// the others have sent. Its unit is threads a core.
+// loadReports evaluates the load that engines report, which includes what other front ends have sent. Its
+// unit is threads a core.
 type loadReports struct {
 	threadsPerCore float64 // that an engine should have at most
 	swaps          bool    // an excess of memory slows down all requests of an engine
@@ -51,8 +52,8 @@
 	l.mean = ewma(l.mean, load, meanLoadWindow)
 }
 
-// penalty returns how far the mean load lies under the engine's reported load, in threads and as a
-// negative number that fades with the report's age.
+// penalty returns the part of an engine's score, at most 0 and in threads, for a reported load above the
+// mean. It fades with the report's age.
 func (l *loadReports) penalty(e *engine, now time.Duration) float64 {
 	age := float64(now - e.load.at)
 	difference := min(l.mean-e.load.threadsPerCore, 0)
@@ -61,7 +62,7 @@
 
 // checkHealth requests the load of a random engine, at each arrival or less often while the fleet is idle.
 func (b *Balancer) checkHealth() {
-	probability := max(b.fleet.loadLevel, idleLevel) / (1 - idleLevel)
+	probability := max(b.fleet.loadLevel, minCheckLevel) / (1 - assumedFreeShare)
 	enabled := b.settings.Limits.HealthChecks && b.settings.ReportsLoad
 	engines := b.engines.all
 	if !enabled || len(engines) == 0 || b.rng.Float64() > probability {
--- a/policy/lostresponses.go
+++ b/policy/lostresponses.go
@@ -18,7 +18,7 @@
 	return lostResponses{inARow: map[*class]int{}, stalledUntil: map[*class]time.Duration{}}
 }
 
-// add counts a lost response of a class. If the class is stalled, it is until the given instant.
+// add counts a lost response. From the second in a row on, the class is stalled until the given instant.
 func (l *lostResponses) add(c *class, stalledUntil time.Duration) {
 	l.inARow[c]++
 	if l.inARow[c] >= stalledAfterLost {
@@ -26,7 +26,7 @@
 	}
 }
 
-// reset notes a report of the class.
+// reset ends the row: an attempt of the class was reported or served.
 func (l *lostResponses) reset(c *class) { delete(l.inARow, c) }
 
 // classStalled reports whether a class is stalled on the engine. After stalledUntil one
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -1,9 +1,8 @@
 package policy
 
 const (
-	overloadPeriods   = 4 // control periods for which an overloaded engine's limit applies
-	maxEngineErrors   = 1 // errors of engines beyond which the request itself is considered faulty
-	minRetryTimeShare = 4 // a retry needs the class's usual latency over this
+	maxEngineErrors  = 1 // errors of engines beyond which the request itself is considered faulty
+	retryTimeDivisor = 4 // a retry is sent if more than its class's mean latency over this is left
 )
 
 // onAttemptEnded ends an attempt and, where the client still waits, retries or responds.
@@ -26,7 +25,7 @@
 		b.complete(req)
 	case req.hasAttemptInFlight(): // its end will decide
 	case req.engineErrors() > maxEngineErrors,
-		milliseconds(req.deadline-b.now) <= req.class.latencyMs/minRetryTimeShare:
+		milliseconds(req.deadline-b.now) <= req.class.latencyMs/retryTimeDivisor:
 		b.rejectOrFail(req, ReasonRetryFutile)
 	default:
 		b.admit(req)
@@ -44,11 +43,11 @@
 		e.limiter.observe(relativeLatency, e.limiter.slowdown)
 		b.fleet.limiter.observe(relativeLatency, b.fleet.limiter.slowdown)
 	case ResultOverloaded:
-		e.limiter.pressuredUntil = b.now + overloadPeriods*controlPeriod
+		e.limiter.onOverloaded(b.now)
 		e.outlier.lastHeardAt = b.now
 	case ResultConnectFailed, ResultConnectionLost:
 		if e.outlier.recordConnectionFault(b.now, end.Result) {
-			b.outliers.recordFault(e, faultWeight, EjectedConnectionFaults, b.now)
+			b.outliers.recordFault(e, connectionFaultWeight, EjectedConnectionFaults, b.now)
 		}
 		e.slowStart.assumeRestart(b.now, end.Result, b.rng)
 	case ResultFailed:
--- a/policy/outlier_state_test.go
+++ b/policy/outlier_state_test.go
@@ -51,10 +51,10 @@
 
 func TestRecordFault_ExceedsTheThresholdAfterTwoConnectionFaults(t *testing.T) {
 	var state outlierState
-	if state.recordFault(faultWeight) {
+	if state.recordFault(connectionFaultWeight) {
 		t.Error("one fault exceeds the threshold")
 	}
-	if !state.recordFault(faultWeight) {
+	if !state.recordFault(connectionFaultWeight) {
 		t.Errorf("two faults in a row do not exceed the threshold, at a rate of %v", state.faultRate)
 	}
 }
@@ -65,13 +65,13 @@
 	if !state.recordConnectionFault(now, ResultConnectionLost) {
 		t.Error("the first one does not count")
 	}
-	if state.recordConnectionFault(now+tickInterval-1, ResultConnectionLost) {
+	if state.recordConnectionFault(now+tickPeriod-1, ResultConnectionLost) {
 		t.Error("another one at the same time counts")
 	}
-	if !state.recordConnectionFault(now+tickInterval, ResultConnectFailed) {
+	if !state.recordConnectionFault(now+tickPeriod, ResultConnectFailed) {
 		t.Error("a failed connection does not count")
 	}
-	if !state.recordConnectionFault(now+2*tickInterval, ResultConnectionLost) {
+	if !state.recordConnectionFault(now+2*tickPeriod, ResultConnectionLost) {
 		t.Error("one that breaks a tick later does not count")
 	}
 }
@@ -80,15 +80,15 @@
 	detector := newSilenceDetector(&Settings{ProgressInterval: 500 * msec})
 	now := time.Minute
 	detector.onTick(now)
-	detector.onTick(now + tickInterval)
+	detector.onTick(now + tickPeriod)
 	a := &attempt{lastHeardAt: now}
-	if got := detector.attemptSilence(a, now+tickInterval); got != tickInterval {
-		t.Errorf("silent for %v, want %v", got, tickInterval)
+	if got := detector.attemptSilence(a, now+tickPeriod); got != tickPeriod {
+		t.Errorf("silent for %v, want %v", got, tickPeriod)
 	}
 	resumed := now + 10*time.Second
 	detector.onTick(resumed)
-	if got := detector.attemptSilence(a, resumed+tickInterval); got != tickInterval {
-		t.Errorf("silent for %v since this process resumed, want %v", got, tickInterval)
+	if got := detector.attemptSilence(a, resumed+tickPeriod); got != tickPeriod {
+		t.Errorf("silent for %v since this process resumed, want %v", got, tickPeriod)
 	}
 }
 
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -161,7 +161,7 @@
 
 // One class is stalled on an engine while another runs there: the engine gets no more of the
 // first, but one request at a time, until one of them reports progress.
-func TestStalledClass_IsProbedOneAtATime(t *testing.T) {
+func TestStalledClass_IsTriedOneRequestAtATime(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	e := h.balancer.engines.byID["e"]
 	to := func(class string) (n int) {
@@ -180,10 +180,10 @@
 		}
 		return n
 	}
-	still := map[uint64]bool{}
-	for id := uint64(1); len(still) < stalledAfterLost; id++ {
+	silent := map[uint64]bool{}
+	for id := uint64(1); len(silent) < stalledAfterLost; id++ {
 		if startedAttempts(h.arrive(id, "idempotent"))[0].Engine == "e" {
-			still[id] = true
+			silent[id] = true
 		} else {
 			h.endAttempt(id, 0, ResultServed)
 		}
--- a/policy/outlierdetector.go
+++ b/policy/outlierdetector.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 // outlierDetector ejects engines that are silent or that fail too often, and readmits them. Attempts
 // that are silent, or whose response is lost, are retried on other engines.
@@ -20,9 +17,9 @@
 	}
 }
 
-// eject ejects an engine.
-func (d *outlierDetector) eject(e *engine, until ejection, reason EjectionReason, now time.Duration) {
-	if e.outlier.eject(until, now, d.silence.probationInterval()) {
+// eject ejects an engine into the given state, and reports that if it was not ejected before.
+func (d *outlierDetector) eject(e *engine, target ejection, reason EjectionReason, now time.Duration) {
+	if e.outlier.eject(target, now, d.silence.probationInterval()) {
 		d.actions.add(EngineEjected{Engine: e.id, Reason: reason, InFlight: len(e.inFlight)})
 	}
 }
@@ -36,7 +33,7 @@
 		e.limiter.readmit()
 		d.actions.add(EngineReadmitted{Engine: e.id})
 	}
-	e.slowStart.withdrawAssumption(now, a.sentAt, e.outlier.connectionLostAt)
+	e.slowStart.withdrawAssumption(now, a.sentAt, e.outlier.connectionFaultAt)
 }
 
 // blameErrors counts earlier errors on a request against their engines. An error may be the request's
@@ -49,14 +46,14 @@
 	}
 }
 
-// checkSilence ejects an engine when all its attempts are silent, and retries the idempotent ones
-// elsewhere.
-func (d *outlierDetector) checkSilence(e *engine, now time.Duration) {
+// check retries the attempts at an engine whose response is lost or overdue. If the engine itself is
+// silent, it ejects the engine and retries its idempotent attempts elsewhere.
+func (d *outlierDetector) check(e *engine, now time.Duration) {
 	if len(e.inFlight) == 0 {
 		return
 	}
 	silentAttempts := 0
-	for _, a := range slices.Clone(e.inFlight) {
+	for _, a := range e.inFlight {
 		switch {
 		case d.silence.progressInterval == 0:
 			d.detectOverdue(a, now)
@@ -73,7 +70,7 @@
 	d.eject(e, ejectedUntilActive, EjectedSilent, now)
 	for _, a := range e.inFlight {
 		if a.request.class.Effect == Idempotent {
-			d.attempts.retryElsewhere(a, now)
+			d.attempts.cancelForRetry(a, now)
 		}
 	}
 }
@@ -87,16 +84,19 @@
 	c := a.request.class
 	a.engine.lostResponses.add(c, now+d.silence.probationInterval())
 	if c.Effect != NonIdempotent {
-		d.attempts.retryElsewhere(a, now)
+		d.attempts.cancelForRetry(a, now)
 	}
 }
 
-// detectOverdue replaces progress reports where engines send none: an overdue attempt is retried
-// while a retry would meet the objective.
+// detectOverdue is for engines that send no progress reports: it retries an overdue attempt while a retry
+// would meet the objective, and counts a fault.
 func (d *outlierDetector) detectOverdue(a *attempt, now time.Duration) {
 	req := a.request
-	if d.silence.overdue(a, now) && req.class.Effect == Idempotent &&
-		req.retryMeetsObjective(now, req.attempts[0].sentAt) && d.attempts.retryElsewhere(a, now) {
+	if !d.silence.overdue(a, now) || req.class.Effect != Idempotent ||
+		!req.retryMeetsObjective(now, req.attempts[0].sentAt) {
+		return
+	}
+	if d.attempts.cancelForRetry(a, now) {
 		d.recordFault(a.engine, overdueWeight, EjectedOverdue, now)
 	}
 }
--- a/policy/overloadcheck.go
+++ b/policy/overloadcheck.go
@@ -42,7 +42,7 @@
 
 // checkOverload records a request that is sent to the engine, and reports if the limit is exceeded.
 // A single request may outweigh the limit, as it has to run somewhere. Nothing is checked while the
-// slow start is but assumed.
+// slow start is only assumed.
 func (e *engine) checkOverload(now time.Duration, workMs, meanWorkMs float64) (report ReportOverload, exceeded bool) {
 	if !e.slowStart.active(now) || e.slowStart.restartAssumed {
 		e.overload.sent = nil
@@ -50,7 +50,7 @@
 	}
 	rules := e.slowStart.rules.Rules
 	sent := e.overload.record(now, rules.OverloadWindow, workMs, meanWorkMs)
-	limit := overloadLimit(rules, e.slowStart.capacity(now), e.cores, meanWorkMs)
+	limit := overloadLimit(rules, e.slowStart.capacityShare(now), e.cores, meanWorkMs)
 	report = ReportOverload{Engine: e.id, Sent: sent, Limit: limit}
 	return report, len(e.overload.sent) >= 2 && sent > limit
 }
@@ -58,8 +58,8 @@
 // overloadLimit returns how many requests of mean work a warming engine bears within the overload
 // window, from all front ends together. The checker of internal/lab/soak computes the same limit on its
 // own, on purpose: a mistake in one of them shows.
-func overloadLimit(rules *Rules, capacity, cores, meanWorkMs float64) float64 {
-	n := rules.OverloadFactor * capacity * cores * milliseconds(rules.OverloadWindow) / meanWorkMs
+func overloadLimit(rules *Rules, capacityShare, cores, meanWorkMs float64) float64 {
+	n := rules.OverloadFactor * capacityShare * cores * milliseconds(rules.OverloadWindow) / meanWorkMs
 	if n < fewRequests {
 		return n + rootsOfFew*math.Sqrt(n) + constantOfFew
 	}
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -2,7 +2,7 @@
 
 const (
 	badPlanFactor     = 5.0   // usual latencies from which an attempt has a bad plan or a slow engine
-	hopelessShare     = 0.7   // of the time left: a projected remainder beyond it ends a request early
+	hopelessShare     = 0.7   // of the time left; a projected remainder beyond it ends the request early
 	retryTimeFactor   = 1.5   // usual latencies that must be left for a retry of a slow attempt
 	minProgress       = 0.001 // least share done that a projection is made from
 	slowAttemptWindow = 10    // attempts cancelled as slow that an engine's slowdown is averaged over
@@ -50,13 +50,13 @@
 }
 
 // onBlocked retries elsewhere an attempt that waits on its engine: for memory only once, since where two
-// engines lack memory a third is no better. A limited retry budget is for faults.
+// engines lack memory a third is no better. Where settings have a retry budget it is kept for faults.
 func (b *Balancer) onBlocked(a *attempt, kind ProgressKind) {
 	req := a.request
 	permitted := kind == ProgressAwaitingLoad || len(req.attempts) == 1
 	if permitted && !b.rules.budget.limited() && req.class.Effect == Idempotent &&
 		req.retryMeetsObjective(b.now, a.sentAt) {
-		b.attempts.retryElsewhere(a, b.now)
+		b.attempts.cancelForRetry(a, b.now)
 	}
 }
 
@@ -72,11 +72,13 @@
 	slow := remainingMs > badPlanFactor*usualMs && req.retryMeetsObjective(b.now, a.sentAt)
 	retryFits := usualMs*retryTimeFactor < timeLeftMs
 	limiter := &a.engine.limiter
-	switch {
-	case len(req.attempts) == 1 && (slow || late) && retryFits && b.attempts.retryElsewhere(a, b.now):
+	tryElsewhere := len(req.attempts) == 1 && (slow || late) && retryFits
+	if tryElsewhere && b.attempts.cancelForRetry(a, b.now) {
 		// The engine may be the cause.
 		limiter.slowdown = ewma(limiter.slowdown, maxSlowdown, slowAttemptWindow)
-	case remainingMs > hopelessShare*timeLeftMs && mayReject(req): // it would use capacity until its deadline
+		return
+	}
+	if remainingMs > hopelessShare*timeLeftMs && mayReject(req) { // it would use capacity until its deadline
 		b.rejectOrFail(req, ReasonRetryFutile)
 	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -29,7 +29,8 @@
 }
 
 // exceeded charges a request to this front end's share of its tenant's quota, and reports whether it
-// is beyond that. Tenants that the settings don't name have no quota.
+// is beyond that. A tenant that the settings don't name has a quota of zero. Without any tenants in the
+// settings nothing is exceeded.
 func (q *quotas) exceeded(name string, trafficShare float64, now time.Duration) bool {
 	t := q.tenants[name]
 	if t == nil {
--- a/policy/reportedstart.go
+++ b/policy/reportedstart.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// maxNoticeShare is the share of the warm-up time after which a reported start is too old to
-	// be believed: a notice is some seconds late, and a wall clock may be wrong by any time. At
-	// this age the capacity, which grows as a square, has hardly grown.
+	// maxNoticeShare is the share of the warm-up time after which a reported start is too old to be
+	// believed: a notice is some seconds late at most, and a wall clock may be wrong by any time. At this
+	// age the budget, which assumes that capacity grows as a square, has hardly grown.
 	maxNoticeShare = 0.25
-	// firstListTime is how long after its first event a balancer takes a start for one of
-	// the list that it begins with, which may be of any age.
+	// firstListTime is the time after the first event in which a reported start of any age is believed: it
+	// is of the list that the balancer begins with.
 	firstListTime = time.Second
 )
 
@@ -40,11 +40,6 @@
 	r.latest = start
 }
 
-// newSlowStart returns the state of an engine of which no start is known.
-func newSlowStart(rules *slowStartRules) slowStart {
-	return slowStart{rules: rules, reported: newReportedStart(), startedAt: math.MinInt64}
-}
-
 // estimateStart translates a start that has just been reported to the balancer's clock. A start that
 // lies in the future, or further in the past than a notice can be late, is treated as a start right
 // now: the engine's wall clock was stepped. The list that the balancer begins with may name starts
--- a/policy/request.go
+++ b/policy/request.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// usualLatencyMs returns the latency that the request's class leads to expect for its work.
+// usualLatencyMs returns the class's mean latency, scaled by the request's expected work over the class's
+// mean work.
 func (r *request) usualLatencyMs() float64 {
 	return r.class.latencyMs * r.expectedWorkMs / r.class.workMs
 }
--- a/policy/resources.go
+++ b/policy/resources.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	usualPriority   = 2.5                      // priority at the mean rank, before rounding
-	maxPriority     = 3                        // of SetResources
-	defaultPriority = 1                        // where engines heed none
-	grantCoverage   = 0.87                     // share of a class's requests whose need a grant should cover
-	grantIncrease   = 1 + grantCoverage/10     // step after a short grant and after one that sufficed:
-	grantDecrease   = 1 - (1-grantCoverage)/10 // in balance at that share
+	meanRankPriority = 2.5                      // priority at the mean rank, before rounding
+	maxPriority      = 3                        // of SetResources
+	defaultPriority  = 1                        // where engines heed none
+	grantCoverage    = 0.87                     // share of a class's requests whose need a grant should cover
+	grantIncrease    = 1 + grantCoverage/10     // step after a short grant and after one that sufficed:
+	grantDecrease    = 1 - (1-grantCoverage)/10 // in balance at that share
 )
 
-// resources returns memory and priority of an attempt that is about to start, and whether to set them:
-// where engines heed either.
+// resources returns the memory and priority of the next attempt. They need not be set where engines heed
+// neither.
 func (r *attemptRunner) resources(req *request) (resources SetResources, set bool) {
 	resources = SetResources{RequestID: req.id, Priority: defaultPriority}
 	if r.settings.MemoryGrants {
@@ -30,5 +30,5 @@
 	if req.class.BulkLoad {
 		return maxPriority
 	}
-	return int(min(max(math.Round(usualPriority+req.valueRank), 0), maxPriority))
+	return int(min(max(math.Round(meanRankPriority+req.valueRank), 0), maxPriority))
 }
--- a/policy/resources_test.go
+++ b/policy/resources_test.go
@@ -28,7 +28,7 @@
 	s.Priorities = true
 	h := newHarness(t, s, readyEngine("e", "a", 1))
 	id := uint64(0)
-	rank := func(work time.Duration) int {
+	priorityOf := func(work time.Duration) int {
 		id++
 		actions := h.handle(RequestArrived{
 			RequestID: id, Class: "idempotent", EstimatedWork: work, Deadline: h.now + time.Second,
@@ -37,9 +37,11 @@
 		return resourcesOf(actions).Priority
 	}
 	for range 50 {
-		rank(100 * msec)
+		priorityOf(100 * msec)
 	}
-	if short, usual, long := rank(40*msec), rank(100*msec), rank(800*msec); short <= usual || usual <= long {
+	if short, usual, long := priorityOf(
+		40*msec,
+	), priorityOf(100*msec), priorityOf(800*msec); short <= usual || usual <= long {
 		t.Fatalf("priorities of a short, a usual and a long request: %d, %d, %d", short, usual, long)
 	}
 }
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -14,36 +14,36 @@
 	retries  []time.Duration
 }
 
-func (w *retryBudget) limited() bool { return w.rules.RetryBudgetWindow > 0 }
+func (r *retryBudget) limited() bool { return r.rules.RetryBudgetWindow > 0 }
 
 // observeArrival counts a request that has arrived.
-func (w *retryBudget) observeArrival(now time.Duration) {
-	if w.limited() {
-		w.arrivals = append(w.arrivals, now)
+func (r *retryBudget) observeArrival(now time.Duration) {
+	if r.limited() {
+		r.arrivals = append(r.arrivals, now)
 	}
 }
 
 // spend counts a retry that was sent.
-func (w *retryBudget) spend(now time.Duration) {
-	if w.limited() {
-		w.retries = append(w.retries, now)
+func (r *retryBudget) spend(now time.Duration) {
+	if r.limited() {
+		r.retries = append(r.retries, now)
 	}
 }
 
 // permits reports whether another retry is within the budget.
-func (w *retryBudget) permits(now time.Duration) bool {
-	if !w.limited() {
+func (r *retryBudget) permits(now time.Duration) bool {
+	if !r.limited() {
 		return true
 	}
-	w.expire(now)
-	budget := w.rules.RetryBudgetMin + w.rules.RetryBudgetRatio*float64(len(w.arrivals))
-	return float64(len(w.retries)+1) <= budget
+	r.expire(now)
+	budget := r.rules.RetryBudgetMin + r.rules.RetryBudgetRatio*float64(len(r.arrivals))
+	return float64(len(r.retries)+1) <= budget
 }
 
-// expire drops what was before the start of the window. Exactly at its start an
-// arrival has left the window and a retry has not: the stricter reading of both.
-func (w *retryBudget) expire(now time.Duration) {
-	start := now - w.rules.RetryBudgetWindow
-	w.arrivals = slices.DeleteFunc(w.arrivals, func(at time.Duration) bool { return at <= start })
-	w.retries = slices.DeleteFunc(w.retries, func(at time.Duration) bool { return at < start })
+// expire drops the instants before the start of the window. Of those exactly at its start it drops
+// arrivals and keeps retries, so that the budget is never too large.
+func (r *retryBudget) expire(now time.Duration) {
+	start := now - r.rules.RetryBudgetWindow
+	r.arrivals = slices.DeleteFunc(r.arrivals, func(at time.Duration) bool { return at <= start })
+	r.retries = slices.DeleteFunc(r.retries, func(at time.Duration) bool { return at < start })
 }
--- a/policy/selector.go
+++ b/policy/selector.go
@@ -14,7 +14,8 @@
 
 // selector chooses the engine of a request's next attempt: of the engines that may take the request,
 // the one with the most spare capacity, adjusted by locality, reported load, faults and a random
-// term. Scores are in threads. It owns the popularity of data sets and reads the rest.
+// term. Scores are in threads. It owns the popularity of data sets, sets when
+// an engine may have its next probation request, and reads the rest.
 type selector struct {
 	zone     string // where this front end runs
 	rng      *rand.Rand
@@ -26,7 +27,7 @@
 }
 
 // choose returns the engine for the request, or the reason why there is none: the greatest of the
-// reasons of all engines.
+// reasons of all engines. The reason has a meaning only if the engine is nil.
 func (s *selector) choose(
 	req *request, engines []*engine, now time.Duration,
 ) (best *engine, reason RejectReason) {
@@ -41,7 +42,7 @@
 		if e.outlier.ejected() && s.startProbation(req, e, now) {
 			return e, reason
 		}
-		if engineReason, rejected := s.rejects(req, e, limit, now); rejected {
+		if engineReason, rejected := s.rejectReason(req, e, limit, now); rejected {
 			reason = max(reason, engineReason)
 			continue
 		}
@@ -54,8 +55,10 @@
 	return best, reason
 }
 
-// rejects reports whether the engine can't take the request, and why.
-func (s *selector) rejects(req *request, e *engine, limit float64, now time.Duration) (RejectReason, bool) {
+// rejectReason reports whether the engine can't be sent the request, and why.
+func (s *selector) rejectReason(
+	req *request, e *engine, limit float64, now time.Duration,
+) (reason RejectReason, rejected bool) {
 	switch {
 	case e.state != EngineReady:
 		return ReasonNoEndpoint, true
@@ -71,7 +74,8 @@
 	return 0, false
 }
 
-// startProbation permits an idle ejected engine one idempotent request every probation interval.
+// startProbation reports whether the request may be the probation request of an idle ejected engine, and
+// if so sets when the next one may follow. Only the first attempt of an idempotent request may.
 func (s *selector) startProbation(req *request, e *engine, now time.Duration) bool {
 	idle := len(e.inFlight) == 0
 	firstAttempt := len(req.attempts) == 0
@@ -83,7 +87,9 @@
 	return true
 }
 
-// score returns the engine's score for the request.
+// score returns the engine's spare capacity for the request in threads, adjusted by locality, reported
+// load, faults and slow start. The random term is exponential, with a mean of the request's weight a core,
+// so that front ends do not all choose the same engine.
 func (s *selector) score(req *request, e *engine, limit float64, near bool, now time.Duration) float64 {
 	score := limit - e.limiter.backlog + s.locality(req, e, near, now)
 	score += math.Log(1-s.rng.Float64()) * req.weight / e.cores
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,7 +2,9 @@
 
 import "time"
 
-// Settings is what a balancer knows of its deployment from the start.
+// Settings is what a balancer knows of its deployment from the start. The balancer does not read
+// OverQuotaWeight, MaxGrantShare, Goal and Penalties, nor the fields that say so; they are part of the
+// deployment's settings.
 type Settings struct {
 	Replicas         int            // balancers that share the engines, this one included; at least 1
 	Zone             string         // where this balancer runs
@@ -18,7 +20,7 @@
 	ReportsCost      bool           // responses state the work and memory that the request needed
 	ReportsLoad      bool           // engines report their load, in responses or to health checks
 	PullDiscovery    bool           // the endpoint list must be subscribed to (Subscribe)
-	TickInterval     time.Duration  // usual time between two calls of Handle
+	TickInterval     time.Duration  // granularity of the caller's timers; the balancer's own tick is tickPeriod
 	Rules            Rules
 	Limits           Limits
 	Goal             Goal
@@ -62,12 +64,12 @@
 	ObjectiveStretch float64       // the objective grows by this times work over threads
 	Deadline         time.Duration // time after which a client gives up; above 0
 	PriorityWeight   float64       // of one response in time
-	LateWeight       float64       // share of the priority weight that a late response earns
+	LateWeight       float64       // share of the priority weight that a late response earns; not read by the balancer
 	Threads          float64       // threads that a request runs on; 0: one
 	Effect           Effect
 	DedupScope       DedupScope    // for IdempotentByKey
 	DedupWindow      time.Duration // for IdempotentByKey: how long duplicates are dropped
-	Streaming        bool          // responses are streamed: StreamStarted reports their start
+	Streaming        bool          // responses are streamed (StreamStarted); not read by the balancer
 	Ordered          bool          // requests of one ordering key run one at a time, in order of arrival
 	BulkLoad         bool          // blocks its data set on its engine while it runs
 	BlockedByLoad    bool          // waits while a bulk load blocks its data set
@@ -79,29 +81,29 @@
 type Kind struct {
 	Name     string
 	Cores    float64 // above 0
-	MemoryMB float64
+	MemoryMB float64 // not read by the balancer
 }
 
 // Tenant is one customer.
 type Tenant struct {
 	Name  string
 	Quota float64 // requests a second, over all balancers
-	Share float64 // its share of the service
+	Share float64 // its share of the service; not read by the balancer
 }
 
 // Rules are the figures of the rules that every attempt and every response keeps.
 type Rules struct {
 	ResponseSlack     time.Duration // how late a final response may come
-	DrainGrace        time.Duration // attempts on a draining engine must stop to start within this
+	DrainGrace        time.Duration // no attempt starts later after the notice of a drain; not read by the balancer
 	WarmupCapacity    float64       // share of its capacity that an engine has at least when it starts
 	WarmupTime        time.Duration // an engine has its full capacity no later than this after its start
-	OverloadFactor    float64       // a warming engine that is sent more than this multiple of its capacity
-	OverloadWindow    time.Duration // for this long fails
+	OverloadFactor    float64       // multiple of its capacity beyond which a warming engine fails
+	OverloadWindow    time.Duration // if it is sent that much within this time
 	OrderSettleTime   time.Duration // pause of an ordering key after an attempt that may still run
-	RetryBudgetMin    float64       // retries permitted within RetryBudgetWindow without any traffic
-	RetryBudgetRatio  float64       // plus this share of the requests that arrived within it
+	RetryBudgetMin    float64       // retries per RetryBudgetWindow that are always permitted
+	RetryBudgetRatio  float64       // further ones, as a share of the window's arrivals
 	RetryBudgetWindow time.Duration // 0: retries have no budget
-	ResubscribeWithin time.Duration // a lapsed subscription must be renewed within this
+	ResubscribeWithin time.Duration // a lapsed subscription must be renewed within this; not read by the balancer
 }
 
 // Limits say what the deployment permits.
@@ -112,7 +114,7 @@
 	HealthChecks   bool          // CheckHealth is permitted
 	RetryAfter     bool          // rejections state when to retry
 	MaxRetryAfter  time.Duration // the longest that clients honour
-	ConnectTimeout time.Duration // a failed connection attempt shows within this
+	ConnectTimeout time.Duration // a failed connection attempt shows within this; not read by the balancer
 }
 
 // Goal weighs the parts of the service level; Penalties are points of it.
--- a/policy/silence.go
+++ b/policy/silence.go
@@ -13,7 +13,7 @@
 // itself, which show as late ticks, don't count as silence.
 type silenceDetector struct {
 	progressInterval time.Duration // between progress reports of an attempt; 0: engines send none
-	timeout          time.Duration // time without a progress report after which an attempt is silent
+	timeout          time.Duration // after which an attempt is silent; also sets the probation interval
 	lastTickAt       time.Duration
 	resumedAt        time.Duration // end of the latest pause of this process
 }
@@ -30,7 +30,7 @@
 
 // onTick notes a tick. A late one means that this process was paused.
 func (d *silenceDetector) onTick(now time.Duration) {
-	if now-d.lastTickAt > 2*tickInterval {
+	if now-d.lastTickAt > 2*tickPeriod {
 		d.resumedAt = now
 	}
 	d.lastTickAt = now
@@ -44,8 +44,8 @@
 	return now - max(a.lastHeardAt, d.resumedAt)
 }
 
-// engineSilent reports whether an engine is silent, of whose attempts so many are. One attempt alone
-// must be silent for twice as long.
+// engineSilent reports whether an engine is silent, given how many of its attempts are. With a single
+// silent attempt the engine must be silent twice as long: that attempt's response alone may be lost.
 func (d *silenceDetector) engineSilent(e *engine, silentAttempts int, now time.Duration) bool {
 	silence := now - max(e.outlier.lastHeardAt, e.inFlight[0].sentAt, d.resumedAt)
 	return silentAttempts >= 2 && silence > d.timeout || silentAttempts == 1 && silence > 2*d.timeout
@@ -57,9 +57,9 @@
 	if a.blocked() {
 		intervals = blockedLostIntervals
 	}
-	engineSilent := now-a.engine.outlier.lastHeardAt > d.timeout
+	engineHeard := now-a.engine.outlier.lastHeardAt <= d.timeout
 	silence := float64(d.attemptSilence(a, now))
-	return !engineSilent && silence >= intervals*float64(d.progressInterval)
+	return engineHeard && silence >= intervals*float64(d.progressInterval)
 }
 
 // overdue reports whether an attempt is in flight for longer than the latencies of its class usually vary.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"math"
 	"math/rand/v2"
 	"time"
 )
@@ -23,8 +24,9 @@
 
 // slowStart is the slow start of one engine as this balancer sees it: from the engine's start on,
 // this balancer sends it no more than its share of what the engine bears while it warms up. The
-// budget is work per overload window; costs are in windows of it. Since the endpoint list reports
-// restarts late, a fault of a connection is taken for a restart until the engine proves otherwise.
+// budget is work per overload window. A request's cost is its work over this budget, a number of
+// windows. Since the endpoint list reports restarts late, a fault of a connection is taken for a
+// restart until the engine proves otherwise.
 type slowStart struct {
 	rules            *slowStartRules
 	reported         reportedStart
@@ -32,12 +34,17 @@
 	noticedAt        time.Duration // when this balancer learned of the start
 	endsAt           time.Duration
 	budgetSpentUntil time.Duration // this balancer's share of the budget is spent until then
-	firstSlot        float64       // random, 0 to 1: when the first request above a burst may be sent
+	firstSlot        float64       // random, 0 to 1: the part of its cost that a large request waits at first
 
-	restartAssumed         bool          // for a broken connection alone
+	restartAssumed         bool          // the slow start rests on a lost connection alone
 	endsAtBeforeAssumption time.Duration // endsAt before that
 }
 
+// newSlowStart returns the state of an engine of which no start is known.
+func newSlowStart(rules *slowStartRules) slowStart {
+	return slowStart{rules: rules, reported: newReportedStart(), startedAt: math.MinInt64}
+}
+
 // active reports whether the engine is warming up.
 func (s *slowStart) active(now time.Duration) bool { return now < s.endsAt }
 
@@ -66,8 +73,8 @@
 	return now < s.startedAt+s.rules.WarmupTime
 }
 
-// assumeRestart treats the engine as warming up after a fault of a connection. A lost connection may
-// be just that, which withdrawAssumption finds out; a failed one may not.
+// assumeRestart begins a slow start after a fault of a connection. A failed connection means that the
+// process was down. A lost one is only assumed to, until withdrawAssumption finds an early response.
 func (s *slowStart) assumeRestart(now time.Duration, result Result, rng *rand.Rand) {
 	if result == ResultConnectFailed {
 		s.restartAssumed = false
@@ -80,16 +87,16 @@
 
 // withdrawAssumption ends an assumed slow start when the engine responds to an attempt that was sent
 // after the connection broke, sooner than a process starts: only the connection was lost.
-func (s *slowStart) withdrawAssumption(now, sentAt, connectionLostAt time.Duration) {
-	if s.restartAssumed && sentAt > connectionLostAt && now < connectionLostAt+minRestartTime {
+func (s *slowStart) withdrawAssumption(now, sentAt, connectionFaultAt time.Duration) {
+	if s.restartAssumed && sentAt > connectionFaultAt && now < connectionFaultAt+minRestartTime {
 		s.restartAssumed = false
 		s.endsAt = s.endsAtBeforeAssumption
 	}
 }
 
-// capacity returns the share of its full capacity that the engine is taken to have, growing linearly
-// over the slow start.
-func (s *slowStart) capacity(now time.Duration) float64 {
+// capacityShare returns the share of its full capacity that limits assume, which grows linearly over the
+// slow start. cost assumes a slower growth.
+func (s *slowStart) capacityShare(now time.Duration) float64 {
 	left := float64(s.endsAt-now) / float64(max(s.rules.WarmupTime, 1))
 	return 1 - (1-s.rules.WarmupCapacity)*min(max(left, 0), 1)
 }
@@ -119,13 +126,14 @@
 }
 
 // cost returns what a request of the expected work costs, in overload windows of this balancer's
-// share of the budget. How the capacity grows is unknown: the budget takes it to come late, as a square.
+// share of the budget. How the capacity really grows is unknown; cost assumes the square of the linear
+// growth, the late case.
 func (s *slowStart) cost(now time.Duration, workMs, cores, trafficShare float64) float64 {
 	rules := s.rules
-	grown := s.capacity(now) - rules.WarmupCapacity
-	capacity := rules.WarmupCapacity + grown*grown/max(1-rules.WarmupCapacity, minDivisor)
+	grown := s.capacityShare(now) - rules.WarmupCapacity
+	capacityShare := rules.WarmupCapacity + grown*grown/max(1-rules.WarmupCapacity, minDivisor)
 	windowMs := milliseconds(rules.OverloadWindow)
-	budgetMs := slowStartBudgetMargin * rules.OverloadFactor * capacity * cores * windowMs * trafficShare
+	budgetMs := slowStartBudgetMargin * rules.OverloadFactor * capacityShare * cores * windowMs * trafficShare
 	return slowStartCostFactor * workMs / budgetMs
 }
 
--- a/policy/slowstart_state_test.go
+++ b/policy/slowstart_state_test.go
@@ -19,12 +19,12 @@
 func TestSlowStart_CapacityGrowsFromItsStart(t *testing.T) {
 	state, rng := newTestSlowStart()
 	start := time.Minute
-	if got := state.capacity(start); got != 1 {
+	if got := state.capacityShare(start); got != 1 {
 		t.Errorf("capacity %v of an engine that is not warming up, want 1", got)
 	}
 	state.onReportedStart(start, start, rng)
 	for after, want := range map[time.Duration]float64{0: 0.3, 5 * time.Second: 0.65, 10 * time.Second: 1} {
-		if got := state.capacity(start + after); math.Abs(got-want) > 1e-9 {
+		if got := state.capacityShare(start + after); math.Abs(got-want) > 1e-9 {
 			t.Errorf("capacity %v after %v, want %v", got, after, want)
 		}
 	}
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// share returns this front end's share of all traffic: by arrivals where tenants' quotas give the
-// rate of all, or else by requests in flight. It is at least the even share.
+// share returns this front end's share of all traffic, at least the even share. If the settings have quotas,
+// it is the arrival rate over the sum of the quotas; otherwise the own over the reported requests in flight.
 func (t *trafficEstimate) share() float64 {
 	even := 1 / float64(t.replicas)
 	if t.totalQuota <= 0 {
