--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -219,6 +219,9 @@
 		acceptAgain := refuseWrites(r.conn)
 		r.conn.Write([]byte("response"))
 		r.conn.CloseAfterLinger()
+		if got := interestOf(r.conn); got != unix.EPOLLRDHUP|unix.EPOLLOUT {
+			t.Errorf("the poller waits for events %#x, want %#x", got, unix.EPOLLRDHUP|unix.EPOLLOUT)
+		}
 		acceptAgain()
 	})
 	if got, err := io.ReadAll(peer); string(got) != "response" || err != nil {
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -108,13 +108,10 @@
 func TestLimitReadAhead_NoticesTheEndBehindAFullBuffer(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
-	const unread = 16 << 10
-	if _, err := peer.Write(make([]byte, readLimit+unread)); err != nil {
+	if _, err := peer.Write(make([]byte, readLimit+2*readSize)); err != nil { // more than is read before a pause
 		t.Fatal(err)
 	}
-	for l.BufferedBytes() < readLimit {
-		runtime.Gosched()
-	}
+	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == 0 })
 	eventlooptest.Do(l, func() {
 		r.conn.LimitReadAhead(true)
 		r.conn.Redeliver()
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -88,6 +88,33 @@
 	}
 }
 
+// After a failed write nothing is sent any more, even if the kernel accepts bytes again, and the poller no longer waits
+// to send.
+func TestWrite_SendsNothingAfterAFailure(t *testing.T) {
+	l, r, peer := connectedPair(t)
+	eventlooptest.Do(l, func() {
+		acceptAgain := refuseWrites(r.conn)
+		if !r.conn.Write([]byte("queued")) {
+			t.Error("the first write was rejected")
+		}
+		setWrite(r.conn, func(int, []byte) (int, error) { return -1, unix.EHOSTUNREACH })
+		r.conn.socket.flush()
+		if got := interestOf(r.conn); got != readEvents {
+			t.Errorf("the poller waits for events %#x, want %#x", got, readEvents)
+		}
+		acceptAgain()
+		if r.conn.Write([]byte("late")) {
+			t.Error("a write after the failure was accepted")
+		}
+	})
+	if err := <-r.closed; !errors.Is(err, unix.EHOSTUNREACH) {
+		t.Errorf("closed with %v", err)
+	}
+	if got, err := io.ReadAll(peer); len(got) > 0 || err != nil {
+		t.Errorf("the peer read %q, then %v", got, err)
+	}
+}
+
 // What a peer has sent is delivered although a write to it fails: it may be the response to an earlier request.
 func TestWrite_DeliversReceivedBytesBeforeItsFailure(t *testing.T) {
 	l, r, peer := connectedPair(t)
