--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -29,8 +29,8 @@
 //	any       Abort                           unchanged   close the socket
 //	any       a turn after the socket's end   closed      drop the read buffer, call Handler.OnClosed
 //
-// The socket ends when it is closed. The handler learns of that on a later turn of the loop: bytes that were read before
-// are delivered first. Close and CloseAfterLinger do nothing unless the connection is open. CloseIfIdle, on a connection
+// The handler is notified of the socket's end on a later turn of the loop, so that bytes which were read before are
+// delivered first. Close and CloseAfterLinger do nothing unless the connection is open. CloseIfIdle, on a connection
 // that is closing and has nothing unread, shuts the write side if no write is pending.
 type connState int32
 
