--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -47,19 +47,11 @@
 // newConn returns the connection of a socket, without its handler.
 func newConn(l *Loop, s *socket, readLimit int) *Conn {
 	c := &Conn{loop: l, socket: s}
-
-	c.reader.loop = l
-	c.reader.socket = s
-	c.reader.state = &c.closer.state
-	c.reader.limit = readLimit
+	state := &c.closer.state
+	c.reader = reader{loop: l, socket: s, state: state, limit: readLimit}
 	c.reader.onData = func(in *Buffer) { c.handler.OnData(c, in) }
 	c.reader.bytesMayHaveWaited = true // for the connection to be accepted
-
-	c.writer.loop = l
-	c.writer.socket = s
-	c.writer.state = &c.closer.state
-	c.writer.notifyCloser = c.closer.writesFlushed
-
+	c.writer = writer{loop: l, socket: s, state: state, notifyCloser: c.closer.writesFlushed}
 	c.closer.loop = l
 	c.closer.socket = s
 	c.closer.reader = &c.reader
