--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -37,7 +37,8 @@
 // this side without a response goes through here. It must not be called from OnData.
 func (c *connection) closeUnused(reason closeReason) bool {
 	responded := c.state != stateInFlight
-	if !c.server.dispatcher.Invariants().Check(responded, invariant.ResponseDropped, slog.String("reason", string(reason))) {
+	invariants := c.server.dispatcher.Invariants()
+	if !invariants.Check(responded, invariant.ResponseDropped, slog.String("reason", string(reason))) {
 		return false
 	}
 	if !c.socket.CloseIfIdle() {
--- a/internal/frontend/httpserver/parse_test.go
+++ b/internal/frontend/httpserver/parse_test.go
@@ -10,7 +10,7 @@
 
 // For every input, a request lies within it, and a longer input never turns a
 // complete request into another one.
-func FuzzParse(f *testing.F) {
+func FuzzParse_RequestLiesWithinTheInput(f *testing.F) {
 	const statement = "POST /rpc/lookup HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 2\r\n\r\nab"
 	f.Add([]byte(statement), []byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, input, more []byte) {
@@ -32,7 +32,7 @@
 }
 
 // Responses are JSON for all bytes of the rows.
-func FuzzEncodeRows(f *testing.F) {
+func FuzzEncodeRows_IsJSON(f *testing.F) {
 	f.Add("a\t\"b\"\\\x01\nc\td\n")
 	f.Fuzz(func(t *testing.T, page string) {
 		if b := encodeRows(lineclient.Rows{[]byte(page)}, "/more/x"); !json.Valid(b) {
