--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -210,6 +210,14 @@
 	f.onLoop(func() { f.dispatcher.UpdateEndpoints(kind, list) })
 }
 
+// awaitBuffered waits until the front end has received a number of bytes that it has not consumed.
+func (f *frontEnd) awaitBuffered(size int64) {
+	f.t.Helper()
+	if !poll(func() bool { return f.loop.BufferedBytes() >= size }) {
+		f.t.Fatalf("%d bytes are buffered after %v, want %d", f.loop.BufferedBytes(), waitLimit, size)
+	}
+}
+
 // deliver writes text and waits until the poller has read it. It runs on the loop's goroutine, which has not handled
 // the text then: what the loop does next crosses the text.
 func (f *frontEnd) deliver(client *httpClient, text string) {
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -63,6 +63,20 @@
 	r.unread = r.unread[1:]
 }
 
+// receiveMessage reads one message.
+func (r *pgRecorder) receiveMessage() {
+	r.t.Helper()
+	for {
+		_, n := r.message()
+		if n > 0 {
+			return
+		}
+		if !r.readMore() {
+			r.t.Fatalf("the connection was closed; unread: %q", r.unread)
+		}
+	}
+}
+
 // receiveUntilReady reads messages up to a ReadyForQuery.
 func (r *pgRecorder) receiveUntilReady() {
 	r.t.Helper()
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -9,32 +9,13 @@
 	"flaxrelay/internal/pgproto"
 )
 
-const (
-	selectPart = "SELECT part FROM stock_1.parts WHERE id = $1"
-	insertPart = "INSERT INTO stock_1.parts VALUES ($1)"
-)
-
-// closeMessage is a Close of a statement ("S") or a portal ("P").
-func closeMessage(kind, name string) []byte {
-	return pgproto.AppendMessage(nil, 'C', []byte(kind), pgproto.CString(name))
-}
-
-// bindBinaryResult is a Bind of one value whose results are to have the binary format.
-func bindBinaryResult(portal, statement, value string) []byte {
-	values := append([]byte{0, 0, 0, 1}, pgproto.Int32(len(value))...)
-	values = append(values, value...)
-	resultFormats := []byte{0, 1, 0, 1}
-	return pgproto.AppendMessage(nil, 'B', pgproto.CString(portal), pgproto.CString(statement), values, resultFormats)
-}
-
-// openPortal is the beginning of a batch that prepares the statement s and binds the portal p, with
-// further messages.
+// openPortal returns a batch that prepares the statement s, binds the portal p and goes on with further messages.
 func openPortal(further ...[]byte) [][]byte {
 	return append([][]byte{parse("s", selectPart), bind("p", "s", "a")}, further...)
 }
 
-// phasePgEngine is the script of goldenPgEngine with two more answers: the description of an INSERT
-// has no columns, and the statement empty_reply is answered with an EmptyQueryResponse.
+// phasePgEngine is the script of goldenPgEngine with two more responses: the description of an INSERT has no columns,
+// and the response to the statement empty_reply is an EmptyQueryResponse.
 func phasePgEngine(request pgRequest) []byte {
 	switch {
 	case request.describe && strings.Contains(strings.ToLower(request.query), "insert"):
@@ -45,9 +26,9 @@
 	return goldenPgEngine(request)
 }
 
-// Each batch is sent as a whole and answered up to ReadyForQuery. An empty batch only reads the
-// answer to what an earlier one has sent.
-func TestGoldenPostgres_EachPhaseAnswersItsBatches(t *testing.T) {
+// Each batch is sent in one piece and has a response up to ReadyForQuery. An empty batch only reads the response to a
+// message of an earlier one.
+func TestGoldenPostgres_EachPhaseRespondsToItsBatches(t *testing.T) {
 	message := func(kind byte, body string) []byte { return pgproto.AppendMessage(nil, kind, []byte(body)) }
 	const missing = "SELECT * FROM missing"
 	describeP := describe("P", "p")
@@ -166,7 +147,7 @@
 	recorder.compare("pgwire/phase-rejection")
 }
 
-// Startups in parts, with messages behind them, and with further options.
+// Startups in parts, with messages after them, and with further options.
 func TestGoldenPostgres_StartupComesInPartsOrPipelined(t *testing.T) {
 	startup := func(params ...string) []byte {
 		return startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...)
@@ -175,9 +156,9 @@
 	cancelNone := pgproto.AppendStartup(nil, pgproto.CancelRequestCode, make([]byte, 8))
 	noUser := startupMessage(pgproto.ProtocolVersion, "database", "register")
 	for name, tt := range map[string]struct {
-		first    [][]byte // sent in one piece
-		answers  int      // how many ReadyForQuery come
-		answered bool     // the connection stays open
+		first     [][]byte // sent in one piece
+		responses int      // number of ReadyForQuery that follow
+		staysOpen bool
 	}{
 		"pipelined":          {[][]byte{startup(), query("SELECT 1"), query("SELECT 2")}, 3, true},
 		"unknown-option":     {[][]byte{startup("_pq_.unknown", "1", "_pq_.other", "2")}, 1, true},
@@ -192,10 +173,10 @@
 			addr, _ := startPgEngine(t, goldenPgEngine)
 			recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
 			recorder.send(tt.first...)
-			for range tt.answers {
+			for range tt.responses {
 				recorder.receiveUntilReady()
 			}
-			if tt.answered {
+			if tt.staysOpen {
 				recorder.disconnect()
 			} else {
 				recorder.recordClose()
@@ -228,14 +209,6 @@
 	})
 }
 
-// awaitBuffered waits until the front end holds some received bytes that it has not consumed.
-func (f *frontEnd) awaitBuffered(size int64) {
-	f.t.Helper()
-	if !poll(func() bool { return f.loop.BufferedBytes() >= size }) {
-		f.t.Fatalf("%d bytes are buffered after %v, want %d", f.loop.BufferedBytes(), waitLimit, size)
-	}
-}
-
 // Past the limit of clients a startup is rejected, and a CancelRequest is still carried out.
 func TestGoldenPostgres_ClientPastTheLimitMayOnlyCancel(t *testing.T) {
 	addr, seen := startPgEngine(t, goldenPgEngine)
@@ -290,7 +263,8 @@
 // its startup. A client that goes on in time is served.
 func TestGoldenPostgres_EachPhaseEndsAStalledClient(t *testing.T) {
 	const partOfMessage = 5
-	tr, front := newTranscript(t), startPostgres(t)
+	tr := newTranscript(t)
+	front := startPostgres(t)
 	startup := tr.recordPostgres("startup", startPostgres(t).addr)
 	startup.send(startupMessage(pgproto.ProtocolVersion, "user", "desk")[:partOfMessage])
 	resumed := tr.recordPostgres("resumed", front.addr)
@@ -319,12 +293,12 @@
 	front.assertCount("postgres.errors.", 1) // of the Bind
 }
 
-// A CancelRequest ends whatever its connection has in flight, and nothing else.
-func TestGoldenPostgres_CancelRequestEndsWhatIsInFlight(t *testing.T) {
+// A CancelRequest ends the request that its connection has in flight, and no other.
+func TestGoldenPostgres_CancelRequestEndsTheRequestInFlightOfEachPhase(t *testing.T) {
 	const silent = "SELECT silent"
 	for name, tt := range map[string]struct {
-		messages [][]byte // the first request that they make is cancelled
-		answers  int      // how many ReadyForQuery come
+		messages  [][]byte // the first request that they make is cancelled
+		responses int      // number of ReadyForQuery that follow
 	}{
 		"query":           {[][]byte{query(silent)}, 1},
 		"query-pipelined": {[][]byte{query(silent), query("SELECT 1")}, 2},
@@ -341,14 +315,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, seen := startPgEngine(t, goldenPgEngine)
-			tr, front := newTranscript(t), startPostgres(t, addr)
+			tr := newTranscript(t)
+			front := startPostgres(t, addr)
 			client := tr.recordPostgres("client", front.addr)
 			client.start()
 			tr.recordCancel("early", front.addr, client.keyData) // nothing is in flight
 			client.send(tt.messages...)
 			await(t, seen)
 			tr.recordCancel("cancel", front.addr, client.keyData)
-			for range tt.answers {
+			for range tt.responses {
 				client.receiveUntilReady()
 			}
 			tr.recordCancel("late", front.addr, client.keyData)
@@ -361,21 +336,22 @@
 	}
 }
 
-// A drain closes each connection that has no request in flight at once, and the others behind the
-// ReadyForQuery that ends what they were sent.
+// A drain closes each connection without a request in flight at once, and each other one after the ReadyForQuery of its
+// request.
 func TestGoldenPostgres_DrainEndsEachPhase(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
 		<-release
 		return goldenPgEngine(request)
 	})
-	tr, front := newTranscript(t), startPostgres(t, addr)
-	connect := func(name, answered string, messages ...[]byte) *pgRecorder {
+	tr := newTranscript(t)
+	front := startPostgres(t, addr)
+	connect := func(name, received string, messages ...[]byte) *pgRecorder {
 		t.Helper()
 		recorder := tr.recordPostgres(name, front.addr)
 		recorder.start()
 		recorder.send(messages...)
-		for range answered { // the kinds of messages that come before the drain
+		for range received { // the kinds of the messages before the drain
 			recorder.receiveMessage()
 		}
 		return recorder
@@ -413,17 +389,3 @@
 	unsynced.recordClose()
 	tr.compare("pgwire/phase-drain")
 }
-
-// receiveMessage reads one message.
-func (r *pgRecorder) receiveMessage() {
-	r.t.Helper()
-	for {
-		_, n := r.message()
-		if n > 0 {
-			return
-		}
-		if !r.readMore() {
-			r.t.Fatalf("the connection was closed; unread: %q", r.unread)
-		}
-	}
-}
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -59,7 +59,6 @@
 
 // Batches of messages, each of which has a response up to ReadyForQuery.
 func TestGoldenPostgres_EachBatchHasItsRecordedResponse(t *testing.T) {
-	const selectPart, insert = "SELECT part FROM stock_1.parts WHERE id = $1", "INSERT INTO stock_1.parts VALUES ($1)"
 	message := func(kind byte, body string) []byte { return pgproto.AppendMessage(nil, kind, []byte(body)) }
 	for name, batches := range map[string][][][]byte{
 		"simple":       {{query("SELECT part FROM stock_1.parts")}, {query("SELECT no_rows")}},
@@ -74,10 +73,10 @@
 		"simple-transaction": {{query("BEGIN")}},
 		"simple-two":         {{query("SELECT 1; SELECT 2")}},
 		"simple-copy":        {{query("COPY x FROM STDIN")}},
-		"simple-load":        {{query(insert)}},
+		"simple-load":        {{query(insertPart)}},
 		"simple-write":       {{query("UPDATE stock_1.parts SET part = 'insert'")}},
 		"extended":           {runUnnamed(selectPart, "a")},
-		"extended-load":      {runUnnamed(insert, "key")},
+		"extended-load":      {runUnnamed(insertPart, "key")},
 		"extended-empty":     {runUnnamed("")},
 		"extended-described": {
 			{parse("s", selectPart), describe("S", "s"), syncMessage},
@@ -104,7 +103,7 @@
 		"error-comment":    {runUnnamed("/* class=load key=$x */ SELECT 1")},
 		"error-may-write":  {runUnnamed("/* class=lookup */ DELETE FROM stock_1.parts")},
 		"error-no-key":     {runUnnamed("/* class=load */ SELECT f($1)", "k")},
-		"error-null-key":   {runUnnamed(insert, "")},
+		"error-null-key":   {runUnnamed(insertPart, "")},
 		"error-few-values": {runUnnamed("/* class=load key=$2 */ SELECT f($1)", "k")},
 		"error-statement":  {{bind("", "none"), syncMessage}, {describe("S", "none"), syncMessage}},
 		"error-portal":     {{execute("none", 0), syncMessage}, {describe("P", "none"), syncMessage}},
@@ -116,7 +115,7 @@
 			{parse("s", selectPart), describe("S", "s"), syncMessage},
 			{bind("", "s", "a", "b"), syncMessage},
 		},
-		"error-load-again": {{parse("", insert), bind("", "", "key"), execute("", 0), execute("", 0), syncMessage}},
+		"error-load-again": {{parse("", insertPart), bind("", "", "key"), execute("", 0), execute("", 0), syncMessage}},
 		"malformed-bodies": {
 			{message('P', "x"), syncMessage},
 			{message('B', "\x00\x00\x00\x07"), syncMessage},
--- a/internal/e2e/postgres_client_helpers_test.go
+++ b/internal/e2e/postgres_client_helpers_test.go
@@ -14,6 +14,12 @@
 // maxClientMessage bounds a message that a scripted PostgreSQL client reads.
 const maxClientMessage = 1 << 24
 
+// Statements of several tests.
+const (
+	selectPart = "SELECT part FROM stock_1.parts WHERE id = $1"
+	insertPart = "INSERT INTO stock_1.parts VALUES ($1)"
+)
+
 // pgClient is a PostgreSQL client that writes the messages it is given.
 type pgClient struct {
 	t       *testing.T
@@ -60,6 +66,19 @@
 	return pgproto.AppendMessage(nil, 'D', []byte(kind), pgproto.CString(name))
 }
 
+// closeMessage returns a Close of a statement ("S") or a portal ("P").
+func closeMessage(kind, name string) []byte {
+	return pgproto.AppendMessage(nil, 'C', []byte(kind), pgproto.CString(name))
+}
+
+// bindBinaryResult returns a Bind of one value that asks for results in the binary format.
+func bindBinaryResult(portal, statement, value string) []byte {
+	values := append([]byte{0, 0, 0, 1}, pgproto.Int32(len(value))...)
+	values = append(values, value...)
+	resultFormats := []byte{0, 1, 0, 1}
+	return pgproto.AppendMessage(nil, 'B', pgproto.CString(portal), pgproto.CString(statement), values, resultFormats)
+}
+
 func query(text string) []byte { return pgproto.AppendMessage(nil, 'Q', pgproto.CString(text)) }
 
 var (
--- a/internal/e2e/postgres_connection_limits_test.go
+++ b/internal/e2e/postgres_connection_limits_test.go
@@ -10,8 +10,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// A connection has a bounded number of prepared statements and of portals. One that is closed
-// leaves its place to another.
+// A connection has a bounded number of prepared statements and of portals. After a Close another one can be opened.
 func TestPostgres_StatementsAndPortalsAreBounded(t *testing.T) {
 	const limit = 1000
 	addr, _ := startPgEngine(t, oneRowReply)
@@ -19,7 +18,7 @@
 		before [][]byte
 		open   func(name string) []byte
 		target string // of a Close
-		opened string // kind of the answer to open
+		opened string // kind of the response to open
 	}{
 		"statements": {
 			nil, func(name string) []byte { return parse(name, selectPart) }, "S", "1",
@@ -39,15 +38,15 @@
 			got := strings.Fields(client.receiveUntilReady())
 			opened := strings.Repeat(tt.opened+" ", limit)
 			want := opened + "3 " + tt.opened + " E(54000) Z"
-			assertEqual(t, "answers", strings.Join(got[len(tt.before):], " "), want)
+			assertEqual(t, "responses", strings.Join(got[len(tt.before):], " "), want)
 		})
 	}
 }
 
-// The rows that wait in open portals have a budget. Each way in which a portal ends returns what
-// it held.
+// The rows that are buffered for open portals have a budget. Each way in which a portal ends returns its rows to it.
 func TestPostgres_EndedPortalReturnsItsRowsToTheBudget(t *testing.T) {
-	const budget = 30 // bytes: the two rows that wait after one of three was fetched, and not twice so many
+	// In bytes: enough for the two rows that wait after one of three was fetched, and not for twice as many.
+	const budget = 30
 	addr, _ := startPgEngine(t, goldenPgEngine)
 	fetchOne := func(portal string) [][]byte { return [][]byte{bind(portal, "s", "a"), execute(portal, 1)} }
 	const first, second = "2 D(a) s", "2 D(a) s Z"
@@ -76,7 +75,7 @@
 			if name == "synced" {
 				got += " " + client.receiveUntilReady()
 			}
-			assertEqual(t, "answers", got, tt.want)
+			assertEqual(t, "responses", got, tt.want)
 		})
 	}
 }
@@ -88,7 +87,8 @@
 	front := newFrontEnd(t, nil)
 	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxBufferedBytes: budget}
 	front.servePostgres(addr)
-	holder, other := connectPostgres(t, front.addr), connectPostgres(t, front.addr)
+	holder := connectPostgres(t, front.addr)
+	other := connectPostgres(t, front.addr)
 	fetchOne := [][]byte{parse("", selectPart), bind("p", "", "a"), execute("p", 1)}
 	holder.send(append(fetchOne, flushMessage)...)
 	assertEqual(t, "holder", holder.receiveUntil('s'), "1 2 D(a) s")
@@ -98,41 +98,41 @@
 	if err := holder.conn.Close(); err != nil {
 		t.Fatal(err)
 	}
-	answer := ""
+	response := ""
 	if !poll(func() bool {
 		other.send(fetchOne...)
-		answer = other.receiveUntilReady()
-		return answer == "1 2 D(a) s Z"
+		response = other.receiveUntilReady()
+		return response == "1 2 D(a) s Z"
 	}) {
-		t.Errorf("the rows are still held after %v: %s", waitLimit, answer)
+		t.Errorf("the rows are still reserved after %v: %s", waitLimit, response)
 	}
 }
 
-// A client that disconnects makes its place available to another.
+// A client that disconnects no longer counts towards the limit of clients.
 func TestPostgres_DisconnectedClientDoesNotCountAsConnected(t *testing.T) {
 	front := newFrontEnd(t, nil)
 	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxClients: 1}
 	front.servePostgres()
-	connect := func() (client *pgClient, answer string) {
+	connect := func() (client *pgClient, response string) {
 		t.Helper()
 		client = &pgClient{t: t, conn: dial(t, front.addr)}
 		client.send(startupMessage(pgproto.ProtocolVersion, "user", "desk"))
 		return client, client.receiveUntilReady()
 	}
 	const accepted = "R S S S S S S S K Z"
-	first, answer := connect()
-	assertEqual(t, "first client", answer, accepted)
-	_, answer = connect()
-	assertEqual(t, "second client", answer, "E(53300) end")
+	first, response := connect()
+	assertEqual(t, "first client", response, accepted)
+	_, response = connect()
+	assertEqual(t, "second client", response, "E(53300) end")
 	if err := first.conn.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if !poll(func() bool {
 		var further *pgClient
-		further, answer = connect()
+		further, response = connect()
 		_ = further.conn.Close()
-		return answer == accepted
+		return response == accepted
 	}) {
-		t.Errorf("no client is accepted after %v: %s", waitLimit, answer)
+		t.Errorf("no client is accepted after %v: %s", waitLimit, response)
 	}
 }
--- a/internal/e2e/postgres_faults_test.go
+++ b/internal/e2e/postgres_faults_test.go
@@ -51,7 +51,7 @@
 			engines: withEngine, messages: runTwice("/* class=load */ SELECT f($1)", "k"), want: "1 E(22023) Z",
 		},
 		"load, null key": {
-			engines: withEngine, messages: runTwice("INSERT INTO stock_1.parts VALUES ($1)", ""),
+			engines: withEngine, messages: runTwice(insertPart, ""),
 			want: "1 E(22004) Z",
 		},
 		"load by Query": {
@@ -113,7 +113,7 @@
 	stalled := connectPostgres(t, front.addr)
 	stalled.send(query("SELECT 1")[:7])
 	client := connectPostgres(t, front.addr)
-	client.send(runUnnamed("INSERT INTO stock_1.parts VALUES ($1)", "key")...)
+	client.send(runUnnamed(insertPart, "key")...)
 	assertEqual(t, "response", client.receiveUntilReady(), "1 2 C(INSERT 0 1) Z")
 	assertEqual(t, "silent client", silent.receiveUntilEnd(), "end")
 	assertEqual(t, "stalled client", stalled.receiveUntilEnd(), "E(08P01) end")
--- a/internal/e2e/postgres_limits_test.go
+++ b/internal/e2e/postgres_limits_test.go
@@ -75,9 +75,7 @@
 	long := query("SELECT '" + strings.Repeat("x", messageLength) + "'")
 	first := connectPostgres(t, front.addr)
 	first.send(long[:firstPart])
-	if !poll(func() bool { return front.loop.BufferedBytes() >= firstPart }) {
-		t.Fatalf("%d bytes are buffered after %v, want %d", front.loop.BufferedBytes(), waitLimit, firstPart)
-	}
+	front.awaitBuffered(firstPart)
 	second := connectPostgres(t, front.addr)
 	_, _ = second.conn.Write(long[:firstPart])
 	if _, err := second.conn.Read(make([]byte, 1)); err == nil {
--- a/internal/e2e/postgres_session_test.go
+++ b/internal/e2e/postgres_session_test.go
@@ -84,7 +84,7 @@
 	front := startPostgres(t, addr)
 	client := connectPostgres(t, front.addr)
 	client.send(
-		parse("s", "INSERT INTO stock_1.parts VALUES ($1)"),
+		parse("s", insertPart),
 		bind("", "s", "k1"), execute("", 0),
 		bind("", "s", "k2"), execute("", 0),
 		syncMessage,
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -25,7 +25,7 @@
 	front := startPostgres(t, first, second)
 	client := connectPostgres(t, front.addr)
 	client.send(
-		parse("", "INSERT INTO stock_1.parts VALUES ($1)"), bind("", "", "key-1"),
+		parse("", insertPart), bind("", "", "key-1"),
 		execute("", 0), execute("", 0), syncMessage,
 	)
 	assertEqual(t, "response", client.receiveUntilReady(), "1 2 C(INSERT 0 1) E(55000) Z")
@@ -57,7 +57,7 @@
 	const loadClass = 2
 	front := newFrontEnd(t, func(s *policy.Settings) { s.Classes[loadClass].DedupWindow = window }).servePostgres(first)
 	client := connectPostgres(t, front.addr)
-	client.send(runUnnamed("INSERT INTO stock_1.parts VALUES ($1)", "key")...)
+	client.send(runUnnamed(insertPart, "key")...)
 	await(t, asked)
 	front.updateEndpoints(policy.EngineDraining, first)
 	front.updateEndpoints(policy.EngineReady, second)
