--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -64,10 +64,11 @@
 	if !utf8.Valid(request.body) || bytes.IndexByte(request.body, 0) >= 0 {
 		return nil, badRequest("the statement is no text in UTF-8")
 	}
+	statement := string(request.body)
 	built := &lifecycle.Request{
 		ID:          id,
 		Class:       className,
-		Statement:   string(request.body),
+		Statement:   statement,
 		ClientRetry: retry == "1",
 		Client:      client,
 		Tenant:      request.header[fieldTenant],
@@ -82,7 +83,7 @@
 	if err := setIdempotencyKey(built, class, request); err != nil {
 		return nil, err
 	}
-	b.observeStatement(built, string(request.body))
+	b.observeStatement(built, statement)
 	return built, nil
 }
 
