--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -12,7 +12,10 @@
 // tenant has the part beyond the quotas.
 func TestAdmission_TenantWithinItsQuotaHasTheFullLimit(t *testing.T) {
 	const requests = 80
-	const tenantHeader, noHeader = "Req-Owner: north\r\n", ""
+	const (
+		tenantHeader = "Req-Owner: north\r\n"
+		noHeader     = ""
+	)
 	started := map[string]int64{}
 	for _, header := range []string{tenantHeader, noHeader} {
 		addr, _ := startLineEngine(t, noReply)
@@ -26,8 +29,10 @@
 		}
 		started[header] = front.count("attempts.started.")
 	}
-	if within, beyond := started[tenantHeader], started[noHeader]; 2*within < 3*beyond {
-		t.Errorf("%d attempts within the share, %d beyond", within, beyond)
+	within := started[tenantHeader]
+	beyond := started[noHeader]
+	if 2*within < 3*beyond {
+		t.Errorf("%d attempts within the quota, %d beyond", within, beyond)
 	}
 }
 
--- a/internal/e2e/descriptor_limit_test.go
+++ b/internal/e2e/descriptor_limit_test.go
@@ -63,7 +63,10 @@
 		serveWithLimitedDescriptors(t)
 		return
 	}
-	const allClients, disconnectingClients = 60, 50
+	const (
+		allClients           = 60
+		disconnectingClients = 50
+	)
 	addr := startLimitedFrontEnd(t)
 	var clients []*httpClient
 	for range allClients {
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -93,7 +93,11 @@
 
 // message records the next message if it is complete.
 func (r *pgRecorder) message() (kind byte, n int) {
-	const headLength, keyDataLength, secretAt = 5, 13, 9
+	const (
+		headLength    = 5
+		keyDataLength = 13
+		secretAt      = 9
+	)
 	if len(r.unread) < headLength {
 		return 0, 0
 	}
--- a/internal/e2e/postgres_connection_limits_test.go
+++ b/internal/e2e/postgres_connection_limits_test.go
@@ -49,7 +49,10 @@
 	const budget = 30
 	addr, _ := startPgEngine(t, goldenPgEngine)
 	fetchOne := func(portal string) [][]byte { return [][]byte{bind(portal, "s", "a"), execute(portal, 1)} }
-	const first, second = "2 D(a) s", "2 D(a) s Z"
+	const (
+		first  = "2 D(a) s"
+		second = "2 D(a) s Z"
+	)
 	for name, tt := range map[string]struct {
 		portal  string
 		between [][]byte
--- a/internal/e2e/postgres_limits_test.go
+++ b/internal/e2e/postgres_limits_test.go
@@ -69,7 +69,11 @@
 func TestPostgres_BufferBudgetEndsTheClientThatExceedsIt(t *testing.T) {
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
-	const budget, messageLength, firstPart = 400 << 10, 300 << 10, 250 << 10
+	const (
+		budget        = 400 << 10
+		messageLength = 300 << 10
+		firstPart     = 250 << 10
+	)
 	front.loop.BufferBudget = budget
 	front.servePostgres(addr)
 	long := query("SELECT '" + strings.Repeat("x", messageLength) + "'")
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -46,7 +46,10 @@
 // after the deduplication window of its key: it is not retried.
 func TestPostgres_LoadIsNotRetriedAfterItsDedupWindow(t *testing.T) {
 	// The startup takes longer than the window in real time; both are steps of the scenario.
-	const window, startupTime = 300 * time.Millisecond, 400 * time.Millisecond
+	const (
+		window      = 300 * time.Millisecond
+		startupTime = 400 * time.Millisecond
+	)
 	asked, release := make(chan bool), make(chan bool)
 	first, _ := startPgEngine(t, func(pgRequest) []byte {
 		asked <- true
