--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,6 +1,6 @@
-// Package engine holds what the engine clients of all protocols share: the engines
-// of the endpoint list, the connections to each, and the state of one connection
-// from its dial to its end.
+// Package engine is the part of an engine client that does not depend on the protocol: the
+// engines of the endpoint list, the connections to each, and the state of one connection from
+// its dial to its end. A protocol's client adds the messages; see Protocol.
 package engine
 
 import (
@@ -16,9 +16,10 @@
 type Options struct {
 	// ConnectTimeout limits the dial.
 	ConnectTimeout time.Duration
-	// IdleTimeout is how long a connection stays open without an attempt; 0: without limit.
+	// IdleTimeout is how long a connection stays open without an attempt; 0: unlimited.
 	IdleTimeout time.Duration
-	// ReadBufferBytes limits the read buffer of one connection. What exceeds it waits in the socket.
+	// ReadBufferBytes limits the read buffer of one connection. While it is full, the socket is
+	// not read.
 	ReadBufferBytes int
 	// StallTimeout limits the wait for the next bytes of an incomplete message.
 	StallTimeout time.Duration
@@ -27,23 +28,24 @@
 	MessageTimeout time.Duration
 	// LogDialErrors enables a log event for each failed dial, except for refused connections.
 	LogDialErrors bool
-	// AbortOnProtocolError closes a connection at once after a protocol error, and discards
-	// what was written and not sent yet.
+	// AbortOnProtocolError closes a connection at once after a protocol error, and discards bytes
+	// that are written and not sent yet. Without it, they are sent first.
 	AbortOnProtocolError bool
 }
 
-// Client is the part of an engine client that does not depend on the protocol: the
-// engines, their connections, and what these report to. A protocol's client embeds it. It
-// belongs to the event loop's goroutine.
+// Client owns the engines of the endpoint list and the connections to them. A protocol's client
+// embeds it. It may be used only on the event loop's goroutine.
 type Client[P Protocol] struct {
-	Loop       *eventloop.Loop
+	Loop *eventloop.Loop
+	// Dispatcher is notified of the end of each attempt. Its clock must be Loop's, unless
+	// connections have no idle timeout.
 	Dispatcher *lifecycle.Dispatcher
 	Counters   *metrics.Counters
 	Log        *slog.Logger
 
 	options Options
 	pool    *Pool[P]
-	// accepting holds the connections that accept attempts, from their dials on.
+	// accepting contains the connections that accept attempts, from the start of their dials.
 	accepting map[*Connection[P]]struct{}
 }
 
@@ -79,8 +81,9 @@
 	return engine
 }
 
-// EnsureCapacity reports whether one more connection may be dialed within the limit (0:
-// unlimited). At the limit it evicts the least recently used idle connection.
+// EnsureCapacity reports whether one more connection may be dialed. limit is the maximum number
+// of connections that accept attempts; 0: unlimited. At the limit, EnsureCapacity evicts the
+// least recently used idle connection, and returns false if there is none.
 func (c *Client[P]) EnsureCapacity(limit int) bool {
 	if limit <= 0 || len(c.accepting) < limit {
 		return true
@@ -94,8 +97,8 @@
 	return true
 }
 
-// leastRecentlyUsedIdle returns the connection that has been idle for longest of those that
-// accept attempts, or nil if none is idle.
+// leastRecentlyUsedIdle returns, of the connections that accept attempts, the idle one that was
+// used least recently. It returns nil if none is idle.
 func (c *Client[P]) leastRecentlyUsedIdle() *Connection[P] {
 	var found *Connection[P]
 	for connection := range c.accepting {
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -8,25 +8,25 @@
 	"flaxrelay/internal/metrics"
 )
 
-// Protocol is the protocol's own part of a connection, as Connection calls it. A type that
-// embeds a Connection implements Retire with it.
+// Protocol is a protocol's type of connection. It embeds a Connection, which implements Retire
+// and calls the other methods on the event loop's goroutine.
 type Protocol interface {
 	Pooled
-	// HandleConnected is called once the dial has succeeded.
+	// HandleConnected is called when the dial has succeeded.
 	HandleConnected()
-	// HandleMessage reads the first message of in and returns its length, or 0 while
-	// the message is incomplete. An error closes the connection: nothing more is read.
+	// HandleMessage handles the first message of in and returns its length, or 0 if the
+	// message is incomplete. After an error the connection is closed and nothing more is read.
 	HandleMessage(in []byte) (length int, err error)
 	// InFlight returns the number of attempts on the connection.
 	InFlight() int
-	// ResetStatus returns how the attempts end where the engine has closed the
-	// connection while they were in flight.
+	// ResetStatus returns the status of the attempts that were in flight when the engine
+	// closed the connection.
 	ResetStatus() lifecycle.AttemptStatus
-	// HandleClosed is called once the connection has ended, and ends its attempts.
+	// HandleClosed is called when the connection has ended. It ends the attempts on it.
 	HandleClosed(status lifecycle.AttemptStatus)
 }
 
-// State is how far a connection has got between its dial and its end.
+// State is the phase of a connection between its dial and its end.
 //
 //	event                           from                         to
 //	Dial                                                         StateDialing
@@ -42,16 +42,16 @@
 
 // The states of a connection, in their order.
 const (
-	StateDialing State = iota // the dial is under way; there is no socket
-	StateStartup              // the socket is connected, and the protocol's startup is under way
+	StateDialing State = iota // the dial is in progress; there is no socket
+	StateStartup              // the socket is connected; the protocol's startup is in progress
 	StateOpen                 // requests can be written
-	StateClosing              // closed from this side; the event loop has not confirmed it yet
+	StateClosing              // closed from this side; the event loop has not called OnClosed yet
 	StateClosed               // the socket is closed, or the dial has failed
 )
 
-// admission says whether a connection accepts new attempts. It changes once, and
-// independently of State until the connection closes: a connection that is retired while it
-// is dialed or starts up still serves the attempts that wait for it.
+// admission is whether a connection accepts new attempts. It changes once, in any State: a
+// connection that is retired during its dial or startup still serves the attempts that wait for
+// it. A connection that closes is always retiring.
 //
 //	event                                                       from         to
 //	Dial                                                                     accepting
@@ -59,12 +59,13 @@
 type admission uint8
 
 const (
-	accepting admission = iota // accepts new attempts, as far as the protocol permits
+	accepting admission = iota // accepts new attempts, if the protocol has capacity for them
 	retiring                   // accepts none, and closes once none is in flight
 )
 
-// Connection is one connection to an engine, from the start of its dial to its end. A
-// protocol's own type embeds it and calls Dial. It belongs to the event loop's goroutine.
+// Connection is one connection to an engine, from the start of its dial to its end. It owns the
+// socket, and decides when it is closed and with which status the attempts end. A protocol's
+// type embeds it and calls Dial. It may be used only on the event loop's goroutine.
 type Connection[P Protocol] struct {
 	client    *Client[P]
 	engine    *Engine[P]
@@ -72,14 +73,15 @@
 	state     State
 	admission admission
 	socket    *eventloop.Conn // nil in StateDialing and StateClosed
-	// closeStatus is the reason of the close from this side, in StateClosing.
+	// closeStatus is why this side has closed the connection, in StateClosing.
 	closeStatus lifecycle.AttemptStatus
-	// lastUsed is when an attempt last began or ended, by the dispatcher's clock.
+	// lastUsed is when an attempt last began or ended, by the dispatcher's clock. While an
+	// attempt is in flight, checkIdle advances it.
 	lastUsed     time.Duration
 	messageTimer messageTimer
 }
 
-// Engine returns the engine that the connection leads to.
+// Engine returns the engine to which the connection was dialed.
 func (c *Connection[P]) Engine() *Engine[P] { return c.engine }
 
 // State returns the connection's state.
@@ -93,8 +95,8 @@
 // Retiring reports whether the connection accepts no new attempts.
 func (c *Connection[P]) Retiring() bool { return c.admission == retiring }
 
-// Write sends b and reports whether the connection accepted it. If not, b was not sent
-// completely, so the engine does not run what b requests. The connection must be connected.
+// Write sends b and reports whether the connection accepted it. If it returns false, the engine
+// does not receive all of b and does not run the request. The connection must be connected.
 func (c *Connection[P]) Write(b []byte) bool { return c.socket.Write(b) }
 
 // MarkOpen records that the startup is complete.
@@ -115,22 +117,22 @@
 	c.CloseIfDrained()
 }
 
-// CloseIfDrained closes a retiring connection that has no attempt in flight. While it is
-// dialed there is nothing to close yet; the protocol calls this again when it is connected.
+// CloseIfDrained closes a retiring connection that has no attempt in flight. It does nothing
+// during the dial; the protocol calls it again when the connection is open.
 func (c *Connection[P]) CloseIfDrained() {
 	if c.Retiring() && c.Connected() && c.protocol.InFlight() == 0 {
 		c.Close(lifecycle.StatusIdleClosed)
 	}
 }
 
-// Close closes the connection after what was written has been sent. If it is being
-// closed already, the earlier status stays. The connection must be connected.
+// Close closes the connection after everything that was written has been sent. The attempts
+// then end with the status of the first Close. The connection must be connected.
 func (c *Connection[P]) Close(status lifecycle.AttemptStatus) {
 	c.beginClose(status)
 	c.socket.Close()
 }
 
-// beginClose moves the connection to StateClosing.
+// beginClose moves the connection to StateClosing, unless it is there already.
 func (c *Connection[P]) beginClose(status lifecycle.AttemptStatus) {
 	c.StopAccepting()
 	if c.state == StateClosing {
@@ -155,7 +157,7 @@
 	}
 }
 
-// end removes the connection from the pool and ends its attempts.
+// end moves the connection to StateClosed, removes it from its engine and ends its attempts.
 func (c *Connection[P]) end(status lifecycle.AttemptStatus) {
 	c.StopAccepting()
 	c.state = StateClosed
--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -22,11 +22,11 @@
 
 	inFlight int
 	retired  bool
-	messages []string // that HandleMessage has read, a line each
+	messages []string // the lines that HandleMessage has read
 	closed   chan lifecycle.AttemptStatus
 }
 
-// testTimeout bounds every wait.
+// testTimeout limits every wait.
 const testTimeout = 10 * time.Second
 
 var errFakeProtocol = errors.New("not a message")
@@ -170,8 +170,8 @@
 	return loop
 }
 
-// The engine sends two messages and then one that can't be read, or whose rest does not arrive
-// in time.
+// The engine sends two messages, and then a message that can't be read or whose end does not
+// arrive in time.
 func TestConnection_EndsOnProtocolErrors(t *testing.T) {
 	for name, test := range map[string]struct {
 		last                         string
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -9,7 +9,7 @@
 	"flaxrelay/internal/metrics"
 )
 
-// Dial starts a connection to the engine. The protocol is the type that embeds c.
+// Dial starts to connect to the engine. protocol is the value that embeds c.
 func (c *Connection[P]) Dial(client *Client[P], engine *Engine[P], protocol P) {
 	c.client = client
 	c.engine = engine
@@ -35,7 +35,7 @@
 	c.end(status)
 }
 
-// dialStatus returns how a failed dial ends the attempts that waited for it.
+// dialStatus returns the status of the attempts that waited for a failed dial.
 func dialStatus(err error) lifecycle.AttemptStatus {
 	switch {
 	case eventloop.IsConnectionRefused(err):
--- a/internal/engine/framing.go
+++ b/internal/engine/framing.go
@@ -11,14 +11,14 @@
 	"flaxrelay/internal/timerqueue"
 )
 
-// ErrMessageTimeout is the protocol error of a message whose rest does not arrive in time.
-var ErrMessageTimeout = errors.New("a message stalled or took too long")
+// errMessageTimeout is the protocol error of a message that stays incomplete for too long.
+var errMessageTimeout = errors.New("a message stalled or took too long")
 
-// messageTimer limits how long an incomplete message may take. Everything else on the
-// connection waits behind it.
+// messageTimer limits how long a message may be incomplete, because no later message on the
+// connection can be read before its end.
 type messageTimer struct {
 	timer *timerqueue.Timer
-	// partialSince is when the first bytes of the incomplete message were seen, by the
+	// partialSince is when the first bytes of the incomplete message were read, by the
 	// event loop's clock; 0: no message is incomplete.
 	partialSince time.Duration
 }
@@ -26,11 +26,12 @@
 // messageRead records that a message is complete.
 func (t *messageTimer) messageRead() { t.partialSince = 0 }
 
-// stop stops the timer. The time at which an incomplete message began is retained.
+// stop stops the timer. It keeps partialSince, because stop is also called before a restart.
 func (t *messageTimer) stop() { t.timer.Stop() }
 
-// start starts the timer for the incomplete message. More bytes of the message, after which
-// start is called anew, extend the time up to options.MessageTimeout in all.
+// start starts the timer, which must be stopped, when bytes of an incomplete message have
+// arrived. The timer expires StallTimeout later, or MessageTimeout after the first bytes of the
+// message if that is earlier.
 func (t *messageTimer) start(loop *eventloop.Loop, options Options, expired func()) {
 	now := loop.Now()
 	if t.partialSince == 0 {
@@ -43,7 +44,7 @@
 	t.timer = loop.Timers.Schedule(deadline, expired)
 }
 
-// OnData passes every complete message of the buffer to the protocol. The event loop calls it.
+// OnData passes each complete message of the buffer to the protocol. The event loop calls it.
 func (c *Connection[P]) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for c.state != StateClosing {
 		length, err := c.protocol.HandleMessage(in.Bytes())
@@ -61,12 +62,12 @@
 	}
 	c.messageTimer.stop()
 	if in.Len() > 0 && c.state != StateClosing {
-		c.messageTimer.start(c.client.Loop, c.client.options, func() { c.fail(ErrMessageTimeout) })
+		c.messageTimer.start(c.client.Loop, c.client.options, func() { c.fail(errMessageTimeout) })
 	}
 }
 
-// fail closes the connection on a protocol error, which ends its attempts: after a message
-// that can't be read, the start of the next one is unknown.
+// fail closes the connection on a protocol error, because the start of the next message is
+// unknown. The attempts on it end with the connection.
 func (c *Connection[P]) fail(err error) {
 	if c.state != StateStartup && c.state != StateOpen {
 		return
--- a/internal/engine/idle.go
+++ b/internal/engine/idle.go
@@ -1,20 +1,19 @@
 package engine
 
-// WatchIdle retires the connection once it has had no attempt for the idle timeout.
-// It is called once, when the connection is open.
+// WatchIdle retires the connection when it has had no attempt for the idle timeout. The
+// protocol calls it once, when the connection is open.
 func (c *Connection[P]) WatchIdle() {
 	timeout := c.client.options.IdleTimeout
 	if timeout <= 0 {
 		return
 	}
-	// A connection whose attempt has been running for longer than the timeout is checked
-	// again after one more timeout, not at once.
+	// After a slow dial, the timeout since lastUsed may have passed. The check is then due at once.
 	from := max(c.lastUsed, c.client.Dispatcher.Now()-timeout)
 	c.client.Loop.Timers.Schedule(from+timeout, c.checkIdle)
 }
 
-// checkIdle retires a connection that has been idle for the idle timeout, and schedules the
-// next check of any other.
+// checkIdle retires the connection if it has been idle for the idle timeout. Otherwise it
+// schedules the next check.
 func (c *Connection[P]) checkIdle() {
 	if !c.Connected() {
 		return
@@ -25,7 +24,7 @@
 		return
 	}
 	if inFlight > 0 {
-		c.MarkUsed()
+		c.MarkUsed() // the next check is one timeout from now
 	}
 	c.WatchIdle()
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -8,22 +8,24 @@
 	"flaxrelay/policy"
 )
 
-// Pooled is a connection in a Pool, from the start of its dial to its end.
+// Pooled is a connection in a Pool.
 type Pooled interface {
 	comparable
 	// Retire makes the connection accept no new attempts and close once none is in flight.
 	Retire()
 }
 
-// Pool holds the engines of the endpoint list with their connections. Its key is the engine's
-// id, since a new engine may have the address of a removed one. It belongs to the event loop's
-// goroutine.
+// Pool owns the engines of the endpoint list with their connections. The key is the engine's
+// id, because a new engine may have the address of a removed one. It may be used only on the
+// event loop's goroutine.
 type Pool[C Pooled] struct{ engines map[string]*Engine[C] }
 
-// Engine is one engine of the endpoint list with its connections, in the order of their dials.
+// Engine is one engine of the endpoint list with its connections.
 type Engine[C Pooled] struct {
-	ID          string
-	Address     string
+	ID      string
+	Address string
+	// Connections are in the order of their dials. A connection is added when its dial starts,
+	// and removed when it has ended.
 	Connections []C
 	startedAt   time.Duration // as the endpoint list reports it
 }
