--- a/internal/engine/lineclient/abandoned.go
+++ b/internal/engine/lineclient/abandoned.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// abandonedIDTTL is how long an id that was abandoned on a connection is not used there
-// again. A late response to the first request would be taken for one to the second.
+// abandonedIDTTL is how long an abandoned id is not used on its connection again. Otherwise a
+// late response to the abandoned request would be taken for a response to the next one.
 const abandonedIDTTL = 30 * time.Second
 
-// abandonedIDs are the request ids that were abandoned on one connection and to which a
-// response may still arrive there.
+// abandonedIDs are the ids of abandoned requests for which a response may still arrive on one
+// connection.
 type abandonedIDs struct {
-	expiry      map[string]time.Duration // when the id may be used again, by the dispatcher's clock
-	oldestFirst []string                 // the ids of expiry, in the order of add
+	expiry      map[string]time.Duration // by id: when it may be used again, by the dispatcher's clock
+	oldestFirst []string                 // the keys of expiry, in the order of add
 }
 
 func newAbandonedIDs() abandonedIDs { return abandonedIDs{expiry: map[string]time.Duration{}} }
 
-// has reports whether the id may not be used yet.
+// has reports whether the id must not be used yet.
 func (a *abandonedIDs) has(id string, now time.Duration) bool { return now < a.expiry[id] }
 
-// add prevents the use of an id for abandonedIDTTL. It drops the expired ids, so that a
-// connection which lives for days does not collect them all.
+// add prevents the use of an id for abandonedIDTTL. It drops the expired ids, so that their
+// number stays small on a connection that stays open for days.
 func (a *abandonedIDs) add(id string, now time.Duration) {
 	for len(a.oldestFirst) > 0 && now >= a.expiry[a.oldestFirst[0]] {
 		delete(a.expiry, a.oldestFirst[0])
--- a/internal/engine/lineclient/client.go
+++ b/internal/engine/lineclient/client.go
@@ -14,31 +14,32 @@
 )
 
 const (
-	// readBufferBytes limits the read buffer of one connection, well above the largest response.
+	// readBufferBytes limits the read buffer of one connection. The largest response is much smaller.
 	readBufferBytes = 64 << 10
 	// stallTimeout is how long a response may pause in the middle. Engines send each in one piece.
 	stallTimeout = 500 * time.Millisecond
-	// responseTimeout limits a response that arrives in pieces. It prevents that a response
-	// which never ends blocks everything else on its connection.
+	// responseTimeout limits a response that arrives in pieces. Otherwise a response that never
+	// ends would block all other responses on its connection.
 	responseTimeout = 4 * stallTimeout
-	// idleFraction is the part of the engines' idle timeout after which this side closes an
-	// idle connection, so that no request crosses a close by the engine.
+	// idleFraction is the fraction of the engines' idle timeout after which this side closes an
+	// idle connection, so that it does not send a request while the engine closes the connection.
 	idleFraction = 0.8
-	// defaultConnectTimeout applies where the settings give none.
+	// defaultConnectTimeout applies if the settings give none.
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// Client is a lifecycle.EngineClient. It belongs to the event loop's goroutine.
+// Client is a lifecycle.EngineClient for engines that speak the line protocol. It may be used
+// only on the event loop's goroutine.
 type Client struct {
 	*engine.Client[*connection]
 
 	// MaxConnections limits the connections that accept attempts, so that descriptors
 	// remain for discovery and for clients; 0: unlimited. At the limit an idle connection is
-	// evicted for a new one. It is set before the first Start.
+	// evicted for a new one. It must be set before the first Start.
 	MaxConnections int
 
-	maxStreams int  // limit of the attempts on one connection
-	sendCancel bool // the settings permit to cancel running requests
+	maxStreams int  // limit of the attempts in flight on one connection
+	sendCancel bool // the settings permit the cancellation of running requests
 }
 
 // New returns a client that reports to the dispatcher.
@@ -69,7 +70,7 @@
 	}
 }
 
-// Start begins an attempt on a connection that has capacity, or on a new one.
+// Start begins an attempt on a connection that has capacity, or on a new connection.
 func (c *Client) Start(attempt *lifecycle.Attempt) {
 	target := c.EngineOf(attempt)
 	if target == nil {
@@ -97,7 +98,8 @@
 	return nil
 }
 
-// SetPriority changes the priority of an attempt whose request is written and has no result.
+// SetPriority changes the priority of an attempt whose request is written and has no result
+// yet. It does nothing in any other state.
 func (c *Client) SetPriority(attempt *lifecycle.Attempt, priority int) {
 	s, ok := attempt.ClientData.(*stream)
 	if ok && s.state == streamWritten && s.conn.Connected() {
--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -9,8 +9,9 @@
 	"flaxrelay/internal/metrics"
 )
 
-// connection is one connection with the attempts on it. It is open as soon as it is
-// connected, since the protocol has no startup. It belongs to the event loop's goroutine.
+// connection is one connection to an engine. It owns the streams on it, one for each attempt.
+// It is open as soon as it is connected, because the protocol has no startup. It may be used
+// only on the event loop's goroutine.
 type connection struct {
 	engine.Connection[*connection]
 
@@ -26,7 +27,7 @@
 	return c
 }
 
-// accepts reports whether an attempt of a request of this id may be put on the connection.
+// accepts reports whether an attempt of the request with this id may be put on the connection.
 func (c *connection) accepts(id string, now time.Duration) bool {
 	if c.Retiring() || len(c.streams) >= c.client.maxStreams {
 		return false
@@ -34,8 +35,8 @@
 	return c.streams[id] == nil && !c.abandoned.has(id, now)
 }
 
-// add puts an attempt on the connection and writes its request, unless that has to
-// wait for the dial.
+// add puts an attempt on the connection. It writes the request if the connection is connected;
+// otherwise HandleConnected does.
 func (c *connection) add(attempt *lifecycle.Attempt) {
 	s := &stream{attempt: attempt, conn: c}
 	attempt.ClientData = s
@@ -58,12 +59,12 @@
 	c.WatchIdle()
 }
 
-// has reports whether the stream is still on the connection. The end of one attempt may make
-// the dispatcher abandon another.
+// has reports whether the stream is still on the connection. When one attempt ends, the
+// dispatcher may abandon others in the same call.
 func (c *connection) has(s *stream) bool { return c.streams[s.attempt.Request.ID] == s }
 
-// streamsInStartOrder lists the streams in the order in which their attempts started, so that
-// what follows does not depend on the order of a map.
+// streamsInStartOrder returns the streams in the order in which their attempts started. The
+// order of the map differs from run to run.
 func (c *connection) streamsInStartOrder() []*stream {
 	list := make([]*stream, 0, len(c.streams))
 	for _, s := range c.streams {
@@ -76,10 +77,10 @@
 // InFlight returns the number of attempts on the connection.
 func (c *connection) InFlight() int { return len(c.streams) }
 
-// markAbandoned prevents that an id is used again on this connection for a while.
+// markAbandoned prevents the use of the id on this connection for abandonedIDTTL.
 func (c *connection) markAbandoned(id string) { c.abandoned.add(id, c.client.Dispatcher.Now()) }
 
-// ResetStatus returns how attempts end where the engine closes the connection.
+// ResetStatus returns the status of attempts whose connection the engine has closed.
 func (c *connection) ResetStatus() lifecycle.AttemptStatus { return lifecycle.StatusConnectionReset }
 
 // HandleClosed ends all attempts on the connection.
@@ -93,14 +94,15 @@
 	}
 }
 
-// HandleMessage handles the first response of in.
+// HandleMessage handles the first response of in. It ignores a response for which there is no
+// stream, because its request was abandoned.
 func (c *connection) HandleMessage(in []byte) (length int, err error) {
 	parsed, length, err := parseResponse(in)
 	if err != nil || length == 0 {
 		return 0, err
 	}
 	s := c.streams[parsed.requestID]
-	if s == nil { // the request was abandoned
+	if s == nil {
 		c.client.Counters.Increment(metrics.EngineConnectionsLateResponses)
 		return length, nil
 	}
--- a/internal/engine/lineclient/fields.go
+++ b/internal/engine/lineclient/fields.go
@@ -8,7 +8,7 @@
 	"flaxrelay/policy"
 )
 
-// fieldList is the third word of a response's first line: name=value pairs separated by
+// fieldList is the third word of a response's first line: pairs name=value separated by
 // commas, or "-" if there are none.
 type fieldList string
 
@@ -18,15 +18,15 @@
 	for rest != "" && rest != "-" {
 		var field string
 		field, rest, _ = strings.Cut(rest, ",")
-		if key, found, _ := strings.Cut(field, "="); key == name {
-			return found, true
+		if fieldName, fieldValue, _ := strings.Cut(field, "="); fieldName == name {
+			return fieldValue, true
 		}
 	}
 	return "", false
 }
 
-// number returns a field's value as a finite number, or 0 and false if the field is absent or
-// has any other value.
+// number returns the value of the first field of this name; ok is false if there is no such
+// field or its value is not a finite number.
 func (f fieldList) number(name string) (number float64, ok bool) {
 	text, ok := f.value(name)
 	if !ok {
@@ -41,11 +41,11 @@
 
 func isFinite(number float64) bool { return !math.IsNaN(number) && !math.IsInf(number, 0) }
 
-// unreported is the value of a load that the engine does not report.
+// unreported is the value of each load in policy.LoadReport that the engine does not report.
 const unreported = -1
 
-// loadReport returns the engine's load report. Engines use either the names of the settings or
-// those of the wire protocol.
+// loadReport returns the engine's load report. An engine names its loads as the settings or as
+// the wire protocol does.
 func (f fieldList) loadReport() policy.LoadReport {
 	report := policy.LoadReport{
 		CPUShare: unreported, InFlight: unreported, Queued: unreported, MemoryShare: unreported, DiskShare: unreported,
@@ -84,16 +84,16 @@
 
 // The values of the field "res" of a progress response.
 const (
-	progressFraction = "p" // the fraction that is done
+	progressFraction = "p" // "num" is the fraction that is done
 	progressSpilling = "s" // the statement spills to disk
-	progressAwaiting = "w" // the statement waits for a resource
+	progressAwaiting = "w" // the statement waits for the resource "num"
 )
 
-// awaitingLoad is the number of a wait for a bulk load; any other is a wait for memory.
+// awaitingLoad is the "num" of a wait for a bulk load. Any other is a wait for memory.
 const awaitingLoad = 2
 
-// progress returns the kind and value of a progress report; ok is false if the fields are not
-// those of one.
+// progress returns the kind and value of a progress report; ok is false if the fields do not
+// contain a progress report.
 func (f fieldList) progress() (kind policy.ProgressKind, value float64, ok bool) {
 	resource, _ := f.value("res")
 	value, ok = f.number("num")
--- a/internal/engine/lineclient/framing.go
+++ b/internal/engine/lineclient/framing.go
@@ -11,22 +11,22 @@
 const (
 	// maxLineBytes limits the first line of a response.
 	maxLineBytes = 2 << 10
-	// maxBodyBytes limits a page, with a margin above what the protocol permits.
+	// maxBodyBytes limits a page. The limit of the protocol is lower.
 	maxBodyBytes = 16 << 10
 	// wordsPerLine is the number of words of the first line: the request's id, the kind
-	// of the response, its fields and the length of its body.
+	// of the response, its fields and the length of its body in bytes.
 	wordsPerLine = 4
 )
 
 // response is one message of an engine.
 type response struct {
 	requestID string
-	word      string // the kind of the response
+	kind      responseKind
 	fields    fieldList
 	body      []byte // within the read buffer
 }
 
-// errMalformedResponse is wrapped by the error of every response that can't be read.
+// errMalformedResponse is wrapped by the error of each response that can't be read.
 var errMalformedResponse = errors.New("malformed response")
 
 var (
@@ -36,8 +36,8 @@
 	errBody   = fmt.Errorf("%w: the body is not followed by CR LF", errMalformedResponse)
 )
 
-// parseResponse reads the first response of b and returns its length, or 0 while it
-// is incomplete.
+// parseResponse returns the first response of b and its length in bytes, or a length of 0 if
+// the response is incomplete.
 func parseResponse(b []byte) (parsed response, length int, err error) {
 	line, complete, err := firstLine(b)
 	if err != nil || !complete {
@@ -60,11 +60,16 @@
 	if string(b[bodyEnd:messageEnd]) != lineEnd {
 		return response{}, 0, errBody
 	}
-	parsed = response{requestID: words[0], word: words[1], fields: fieldList(words[2]), body: b[bodyStart:bodyEnd]}
+	parsed = response{
+		requestID: words[0],
+		kind:      responseKind(words[1]),
+		fields:    fieldList(words[2]),
+		body:      b[bodyStart:bodyEnd],
+	}
 	return parsed, messageEnd, nil
 }
 
-// firstLine returns the first line of b without its end, if the line is complete.
+// firstLine returns the first line of b without its line end, if the line is complete.
 func firstLine(b []byte) (line []byte, complete bool, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxLineBytes)], '\n')
 	switch {
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -64,7 +64,8 @@
 	return attempt
 }
 
-// begin begins an attempt. If no connection is open, it accepts the one that the client dials.
+// begin begins an attempt. If no connection is open, it accepts the connection that the client
+// dials.
 func (x exchange) begin(attempt *lifecycle.Attempt) {
 	x.T.Helper()
 	x.Start(attempt)
@@ -134,8 +135,8 @@
 	emptyResult = " DONE batches=1 0\r\n\r\n"
 	firstOfTwo  = " DONE batches=2 6\r\na\tb\tc\n\r\n"
 	unreadable  = " ODD - 0\r\n\r\n"
-	// arrival is more than what one host needs to deliver a reset to the client's socket.
-	arrival = 200 * time.Millisecond
+	// resetDelay is longer than a reset takes to reach the client's socket.
+	resetDelay = 200 * time.Millisecond
 )
 
 // exchangeScripts are the exchanges by the name of their golden file.
@@ -219,7 +220,7 @@
 		attempt := x.start(id, statement)
 		x.write(id + firstOfTwo)
 		x.readCommand()
-		x.write(id + " BROKE - 0\r\n\r\n") // a page that the engine no longer knows
+		x.write(id + " BROKE - 0\r\n\r\n") // the engine no longer has the page
 		x.AwaitEnd(attempt)
 		x.RemoveEngine()
 	}},
@@ -256,8 +257,8 @@
 	}},
 }
 
-// TestClient_ExchangesMatchTheGoldenFiles checks the bytes of both sides, and what the client
-// reports.
+// TestClient_ExchangesMatchTheGoldenFiles checks the bytes of both sides and the reports of the
+// client.
 func TestClient_ExchangesMatchTheGoldenFiles(t *testing.T) {
 	enginetest.PlayScripts(t, exchangeScripts)
 }
@@ -327,7 +328,7 @@
 	"closed-by-engine": {play: func(x exchange) {
 		served := x.start(id, statement)
 		lost := x.start(otherID, "SELECT 2")
-		x.write(id + emptyResult) // what was read before the end counts first
+		x.write(id + emptyResult) // read and handled before the end of the connection
 		x.write(otherID + firstOfTwo)
 		x.readCommand()
 		x.write(otherID + " MORE ba")
@@ -341,7 +342,7 @@
 		unwritten := x.newAttempt(otherID, statement)
 		x.BlockLoop(func() {
 			x.Reset()
-			time.Sleep(arrival)
+			time.Sleep(resetDelay)
 		}, func() { // the client has not been notified of the end yet when it writes
 			x.Client.Start(unwritten)
 		})
--- a/internal/engine/lineclient/pages.go
+++ b/internal/engine/lineclient/pages.go
@@ -22,14 +22,15 @@
 	errResultTooLarge = errors.New("a result is larger than the protocol permits")
 )
 
-// Rows is a complete result: its pages as the engine sent them, each of complete rows.
+// Rows is a complete result: its pages as the engine sent them. Each page consists of complete
+// rows.
 type Rows [][]byte
 
 // partialResult collects the pages of one result.
 type partialResult struct {
-	pages   Rows // nil at the pages that are missing
+	pages   Rows // by number; a missing page is nil
 	missing int  // number of pages that have not arrived
-	bytes   int  // size of the pages that have arrived
+	bytes   int  // total size of the pages that have arrived
 }
 
 // newPartialResult returns a result of which no page has arrived.
@@ -40,7 +41,7 @@
 // has reports whether the page has arrived.
 func (r *partialResult) has(page int) bool { return r.pages[page] != nil }
 
-// add copies a missing page out of the read buffer.
+// add stores a copy of a missing page, because body is within the read buffer.
 func (r *partialResult) add(page int, body []byte) {
 	r.pages[page] = append([]byte{}, body...) // not nil, even if the page is empty
 	r.bytes += len(body)
@@ -50,8 +51,8 @@
 // complete reports whether all pages have arrived.
 func (r *partialResult) complete() bool { return r.missing == 0 }
 
-// completeRows reports whether a page is made of complete rows of text. It prevents that a
-// page is passed on which was corrupted without a change of its length.
+// completeRows reports whether a page consists of complete rows of text. It detects pages that
+// were corrupted without a change of their length.
 func completeRows(page []byte) bool {
 	if !utf8.Valid(page) {
 		return false
--- a/internal/engine/lineclient/requests.go
+++ b/internal/engine/lineclient/requests.go
@@ -13,7 +13,7 @@
 	commandCancel      = "never_mind "
 	commandSetPriority = "hurry "
 	commandFetchPage   = "turn "
-	commandRelease     = "shut " // a result of several pages
+	commandRelease     = "shut " // no more pages of the result will be fetched
 )
 
 const lineEnd = "\r\n"
@@ -21,7 +21,7 @@
 // executeCommandSize is the usual size of an execute command without its statement.
 const executeCommandSize = 160
 
-// executeCommand encodes an attempt's request with the time that it has left.
+// executeCommand encodes an attempt's request, with the rest of its timeout in milliseconds.
 func executeCommand(attempt *lifecycle.Attempt, now time.Duration) []byte {
 	request := attempt.Request
 	statement, _ := request.Statement.(string)
@@ -61,7 +61,7 @@
 	return []byte(commandSetPriority + id + " " + strconv.Itoa(priority) + lineEnd)
 }
 
-// fetchCommands encodes one command for each page of a result past the first.
+// fetchCommands encodes one command for each page of a result after the first.
 func fetchCommands(id string, pages int) []byte {
 	var b []byte
 	for page := 1; page < pages; page++ {
--- a/internal/engine/lineclient/responses.go
+++ b/internal/engine/lineclient/responses.go
@@ -9,44 +9,47 @@
 	"flaxrelay/internal/metrics"
 )
 
-// The kinds of response, as the second word of the first line names them.
+// responseKind is the kind of a response: the second word of its first line.
+type responseKind string
+
 const (
-	wordProgress       = "TELL"  // the request is running or waits at the engine
-	wordResult         = "DONE"  // the first page of a result
-	wordPage           = "MORE"  // a page past the first
-	wordOverloaded     = "WAIT"  // the engine shed the request
-	wordError          = "BROKE" // the request failed
-	wordDeadlinePassed = "PAST"  // the request's deadline passed before it ran
-	wordFit            = "FIT"   // ignored by this client
+	kindProgress       responseKind = "TELL"  // the request is running or waits at the engine
+	kindResult         responseKind = "DONE"  // the first page of a result
+	kindPage           responseKind = "MORE"  // a page after the first
+	kindOverloaded     responseKind = "WAIT"  // the engine shed the request
+	kindError          responseKind = "BROKE" // the request failed
+	kindDeadlinePassed responseKind = "PAST"  // the request's deadline passed before it ran
+	kindFit            responseKind = "FIT"   // ignored by this client
 )
 
-// handle handles one response to the stream's request.
+// handle handles one response to the stream's request. An error is a protocol error, which
+// closes the connection.
 func (s *stream) handle(received response) error {
-	switch received.word {
-	case wordProgress:
+	switch received.kind {
+	case kindProgress:
 		if kind, value, ok := received.fields.progress(); ok {
 			s.conn.client.Dispatcher.ReportProgress(s.attempt, kind, value)
 		}
-	case wordResult:
+	case kindResult:
 		return s.handleResult(received)
-	case wordPage:
+	case kindPage:
 		return s.handlePage(received)
-	case wordOverloaded:
+	case kindOverloaded:
 		s.handleFailure(received, lifecycle.StatusOverloaded)
-	case wordError:
+	case kindError:
 		s.handleFailure(received, lifecycle.StatusEngineError)
-	case wordDeadlinePassed:
+	case kindDeadlinePassed:
 		s.handleFailure(received, lifecycle.StatusDeadlinePassed)
-	case wordFit:
+	case kindFit:
 	default:
-		return fmt.Errorf("%w: unknown word %.20q", errMalformedResponse, received.word)
+		return fmt.Errorf("%w: unknown kind %.20q", errMalformedResponse, received.kind)
 	}
 	return nil
 }
 
-// handleResult stores the first page and requests the others. No row is passed on before
-// all pages have arrived. If pages are lost with their engine, only the attempt fails, and
-// another one may still serve the client.
+// handleResult stores the first page and requests the others. No row is sent to the client
+// before all pages have arrived. If the engine is lost before that, only the attempt fails, and
+// another attempt may serve the request.
 func (s *stream) handleResult(received response) error {
 	if s.state == streamFetching {
 		s.conn.client.Counters.Increment(metrics.EngineConnectionsDuplicateResponses)
@@ -75,7 +78,7 @@
 	return nil
 }
 
-// handlePage stores a page past the first.
+// handlePage stores a page after the first.
 func (s *stream) handlePage(received response) error {
 	text, _ := received.fields.value("batch")
 	page, err := strconv.Atoi(text)
@@ -97,7 +100,8 @@
 	return nil
 }
 
-// handleFailure ends an attempt that has no result, or whose pages the engine has lost.
+// handleFailure ends an attempt without a result. During streamFetching the status is
+// StatusPagesLost: the engine no longer has the pages.
 func (s *stream) handleFailure(received response, status lifecycle.AttemptStatus) {
 	if s.state == streamFetching {
 		status = lifecycle.StatusPagesLost
--- a/internal/engine/lineclient/stream.go
+++ b/internal/engine/lineclient/stream.go
@@ -1,26 +1,29 @@
 package lineclient
 
-import "flaxrelay/internal/lifecycle"
+import (
+	"flaxrelay/internal/engine"
+	"flaxrelay/internal/lifecycle"
+)
 
-// streamState is how far an attempt has got on its connection.
+// streamState is the progress of an attempt on its connection.
 //
 //	event                                            from             to
 //	the attempt is put on the connection                              streamWaiting
 //	the connection is open, the request is written   streamWaiting    streamWritten
 //	the first of several pages arrives               streamWritten    streamFetching
 //
-// A stream leaves its connection from every state: it is abandoned, its attempt ends with a
-// response (from streamWritten or streamFetching), or the connection ends.
+// A stream is removed from its connection in any state, when it is abandoned, when its attempt
+// ends, or when the connection ends.
 type streamState uint8
 
 const (
 	streamWaiting  streamState = iota // nothing of the request is written
 	streamWritten                     // the request is written; no result has arrived
-	streamFetching                    // the result is complete at the engine; some of its pages are missing here
+	streamFetching                    // the first page has arrived; others are missing
 )
 
-// stream is one attempt on a connection, with the part of its result that has arrived. It
-// belongs to the event loop's goroutine.
+// stream is one attempt on a connection, with the part of its result that has arrived. It is
+// the engine.AttemptHandle of the attempt, and may be used only on the event loop's goroutine.
 type stream struct {
 	attempt *lifecycle.Attempt
 	conn    *connection
@@ -29,17 +32,20 @@
 	report  lifecycle.AttemptReport
 }
 
+var _ engine.AttemptHandle = (*stream)(nil)
+
 // Written reports whether the request is written.
 func (s *stream) Written() bool { return s.state != streamWaiting }
 
-// Abandon removes the stream from its connection before its end. The engine gets a cancel if
-// the settings permit it. A result whose pages are being fetched needs no more work and is
-// always released.
+// Abandon removes the stream from its connection before the attempt has ended. A written
+// request is cancelled if the settings permit that. A result whose pages are being fetched is
+// always released, because the engine has no work to cancel.
 func (s *stream) Abandon() {
 	c := s.conn
 	id := s.attempt.Request.ID
 	delete(c.streams, id)
-	if s.Written() && c.Connected() { // a connection that has ended ends its streams one by one
+	// HandleClosed ends the streams one by one, so the connection may have ended already.
+	if s.Written() && c.Connected() {
 		c.markAbandoned(id)
 		switch {
 		case s.state == streamFetching:
@@ -51,7 +57,8 @@
 	c.CloseIfDrained()
 }
 
-// writeRequest writes the attempt's request, or ends the attempt if that can't be done.
+// writeRequest writes the attempt's request. It ends the attempt if the dispatcher does not
+// permit the request, or if the connection does not accept it.
 func (s *stream) writeRequest() {
 	dispatcher := s.conn.client.Dispatcher
 	if !dispatcher.PermitSend(s.attempt) {
@@ -75,7 +82,7 @@
 	case status == lifecycle.StatusServed:
 		s.report.Result = s.result.pages
 	case s.Written():
-		// Prevents that a duplicate of this response, or a page, is taken for the next attempt's.
+		// A duplicate of the response, or a late page, must not be taken for that of a later attempt.
 		c.markAbandoned(s.attempt.Request.ID)
 	}
 	c.client.Dispatcher.EndAttempt(s.attempt, status, s.report)
