--- a/internal/engine/pgclient/budget.go
+++ b/internal/engine/pgclient/budget.go
@@ -1,13 +1,13 @@
 package pgclient
 
-// resultBudget limits the memory, in bytes, of the rows of all results that are incomplete. It
-// belongs to the event loop's goroutine.
+// resultBudget limits the memory of the rows of all incomplete results. It may be used only on
+// the event loop's goroutine.
 type resultBudget struct {
-	limit    int
-	reserved int
+	limit    int // bytes
+	reserved int // bytes
 }
 
-// reserve reserves memory, and reports whether the limit permits it.
+// reserve reserves memory if the limit permits it, and reports whether it does.
 func (b *resultBudget) reserve(bytes int) bool {
 	if b.reserved+bytes > b.limit {
 		return false
--- a/internal/engine/pgclient/cancel.go
+++ b/internal/engine/pgclient/cancel.go
@@ -12,8 +12,8 @@
 // cancelTimeout limits the dial of a connection for a CancelRequest.
 const cancelTimeout = time.Second
 
-// cancel closes the connection and requests the engine to cancel the query that runs on it.
-// If the engine can't be reached, the query runs to its end.
+// cancel closes the connection and sends a CancelRequest for its query. If the engine can't be
+// reached or has sent no cancel key, the query runs to its end.
 func (c *connection) cancel() {
 	client := c.client
 	client.Counters.Increment(metrics.EngineConnectionsCancelRequests)
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -17,14 +17,14 @@
 	maxResultBytes = 4 << 20
 	// maxMessageBytes limits one message.
 	maxMessageBytes = maxResultBytes
-	// readBufferBytes limits the read buffer of one connection: one message, and what
-	// one read adds beyond it.
+	// readBufferBytes limits the read buffer of one connection: the longest message, and the
+	// bytes after it that arrive with its end.
 	readBufferBytes = maxMessageBytes + 64<<10
 	// stallTimeout is how long an engine may send nothing in the middle of a message.
 	stallTimeout = 2 * time.Second
-	// defaultConnectTimeout applies where the options give none.
+	// defaultConnectTimeout applies if the options give no ConnectTimeout.
 	defaultConnectTimeout = time.Second
-	// defaultBufferedBytes applies where the options give no MaxBufferedBytes.
+	// defaultBufferedBytes applies if the options give no MaxBufferedBytes.
 	defaultBufferedBytes = 48 << 20
 )
 
@@ -34,10 +34,11 @@
 	Database         string
 	ConnectTimeout   time.Duration // for the dial and the startup together
 	IdleTimeout      time.Duration // 0: idle connections stay open
-	MaxBufferedBytes int           // limit of the rows of all results that are incomplete
+	MaxBufferedBytes int           // limit of the rows of all incomplete results
 }
 
-// Client is a lifecycle.EngineClient. It belongs to the event loop's goroutine.
+// Client is a lifecycle.EngineClient for PostgreSQL engines. It may be used only on the event
+// loop's goroutine.
 type Client struct {
 	*engine.Client[*connection]
 
@@ -72,7 +73,7 @@
 	}
 }
 
-// Start begins an attempt on an idle connection, or on a new one.
+// Start begins an attempt on an idle connection, or on a new connection.
 func (c *Client) Start(attempt *lifecycle.Attempt) {
 	target := c.EngineOf(attempt)
 	if target == nil {
--- a/internal/engine/pgclient/connection.go
+++ b/internal/engine/pgclient/connection.go
@@ -7,8 +7,9 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-// connection is one connection with the attempt on it. In engine.StateStartup it waits for
-// the engine's ReadyForQuery. It belongs to the event loop's goroutine.
+// connection is one connection to an engine. It owns the exchange of the attempt on it, and is
+// the engine.AttemptHandle of that attempt. In engine.StateStartup it waits for the engine's
+// ReadyForQuery. It may be used only on the event loop's goroutine.
 type connection struct {
 	engine.Connection[*connection]
 
@@ -22,6 +23,8 @@
 	exchange   exchange
 }
 
+var _ engine.AttemptHandle = (*connection)(nil)
+
 // newConnection starts a connection to the engine.
 func newConnection(client *Client, target *engine.Engine[*connection]) *connection {
 	c := &connection{client: client, statements: newPreparedStatements()}
@@ -30,8 +33,8 @@
 	return c
 }
 
-// add puts an attempt on an idle connection and writes its query, unless that has to wait for
-// the startup.
+// add puts an attempt on an idle connection. It writes the query if the connection is open;
+// otherwise completeStartup does.
 func (c *connection) add(attempt *lifecycle.Attempt) {
 	c.exchange = newExchange(attempt)
 	attempt.ClientData = c
@@ -51,9 +54,9 @@
 // Written reports whether the query of the connection's attempt is written.
 func (c *connection) Written() bool { return c.exchange.written() }
 
-// Abandon removes the attempt from the connection before its end. If its query is written, a
-// cancel request is sent on a separate connection, and this connection is closed: the cancel
-// request could arrive late and cancel the next query.
+// Abandon removes the attempt from the connection before it has ended. If its query is written,
+// this connection is closed and a CancelRequest is sent on another: the CancelRequest may arrive
+// late, and would then cancel the next query on this connection.
 func (c *connection) Abandon() {
 	written := c.exchange.written()
 	c.removeAttempt()
@@ -65,7 +68,7 @@
 // removeAttempt removes the attempt from the connection.
 func (c *connection) removeAttempt() {
 	c.client.budget.release(len(c.exchange.result.DataRows))
-	c.exchange.attempt.ClientData = nil // the connection may serve another attempt from here on
+	c.exchange.attempt.ClientData = nil // the connection may get another attempt
 	c.exchange.clear()
 }
 
@@ -78,9 +81,9 @@
 	c.client.Dispatcher.EndAttempt(attempt, status, report)
 }
 
-// ResetStatus returns how the attempt ends where the engine closes the connection.
+// ResetStatus returns the status of an attempt whose connection the engine has closed.
 func (c *connection) ResetStatus() lifecycle.AttemptStatus {
-	if !c.exchange.written() { // the startup was interrupted: nothing of the attempt was sent
+	if !c.exchange.written() { // closed during the startup: nothing of the attempt was sent
 		return lifecycle.StatusConnectionRefused
 	}
 	return lifecycle.StatusConnectionReset
--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -17,7 +17,8 @@
 	errIncompleteResponse = errors.New("a response ends without a CommandComplete")
 )
 
-// phase is a part of a connection's lifetime in which only some messages are valid.
+// phase is the part of a connection's lifetime in which a message was not valid, as errors name
+// it.
 type phase string
 
 const (
@@ -26,37 +27,39 @@
 	phaseResponse phase = "in a response"
 )
 
-// unexpectedMessageError is the protocol error of a message at the wrong time.
+// unexpectedMessageError is the protocol error of a message that is not valid in this phase.
 type unexpectedMessageError struct {
 	kind  byte
 	phase phase
 }
 
+// Error implements error.
 func (e *unexpectedMessageError) Error() string {
 	return fmt.Sprintf("message %q %s", e.kind, e.phase)
 }
 
-// The severities of an ErrorResponse that matter here.
+// The severities of an ErrorResponse that this client distinguishes.
 const (
 	severityError = "ERROR"
 	severityFatal = "FATAL" // the engine ends the connection
 )
 
-// The SQLSTATE codes that matter here, by their names in PostgreSQL's documentation.
+// The SQLSTATE codes that this client uses, under their names in PostgreSQL's documentation.
 const (
-	stateFeatureNotSupported  = "0A000" // among others, the result type of a prepared statement has changed
-	stateInvalidStatementName = "26000"
-	stateOutOfMemory          = "53200"
-	stateProgramLimitExceeded = "54000"
-	stateQueryCanceled        = "57014"
-	stateAdminShutdown        = "57P01"
-	stateCannotConnectNow     = "57P03"
+	sqlStateFeatureNotSupported  = "0A000" // among others, the result type of a prepared statement has changed
+	sqlStateInvalidStatementName = "26000"
+	sqlStateOutOfMemory          = "53200"
+	sqlStateProgramLimitExceeded = "54000"
+	sqlStateQueryCanceled        = "57014"
+	sqlStateAdminShutdown        = "57P01"
+	sqlStateCannotConnectNow     = "57P03"
 )
 
-// The SQLSTATE classes, the first two characters of a code, of errors that are not caused by
-// the statement itself.
+// classLength is the number of characters at the start of a SQLSTATE code that are its class.
+const classLength = 2
+
+// The SQLSTATE classes of errors that are not caused by the statement itself.
 const (
-	classLength                = 2
 	classConnectionException   = "08"
 	classTransactionRollback   = "40"
 	classInsufficientResources = "53"
@@ -66,14 +69,14 @@
 	classInternalError         = "XX"
 )
 
-// statusOf returns how an engine's error ends an attempt. After a lack of resources at the
-// engine, or its shutdown, another engine may serve the statement. An error of the statement
-// itself would be the same at every engine.
+// statusOf returns the status of an attempt that the engine has ended with an error. If the
+// engine lacks resources or shuts down, another engine may serve the statement. An error in the
+// statement itself would be the same at every engine.
 func statusOf(sqlState string) lifecycle.AttemptStatus {
 	switch sqlState {
-	case stateCannotConnectNow, stateAdminShutdown: // a statement that was running is rolled back
+	case sqlStateCannotConnectNow, sqlStateAdminShutdown: // a statement that was running is rolled back
 		return lifecycle.StatusOverloaded
-	case stateQueryCanceled:
+	case sqlStateQueryCanceled:
 		return lifecycle.StatusTimeout
 	}
 	switch sqlState[:classLength] {
@@ -86,9 +89,9 @@
 	return lifecycle.StatusStatementRejected
 }
 
-// errorStatus returns how the engine's error ends the attempt. An engine that ran out of
-// resources may have changed something outside its transaction, such as a sequence. A statement
-// that is not idempotent is therefore not retried.
+// errorStatus returns the status of an attempt whose response contains an ErrorResponse. An
+// engine that ran out of resources may have changed something outside its transaction, such as
+// a sequence. A statement that is not idempotent must therefore not be retried.
 func (c *connection) errorStatus(statement *pgproto.Statement) lifecycle.AttemptStatus {
 	status := statusOf(c.exchange.errorResponse.Code)
 	class, _ := c.client.Dispatcher.Class(c.exchange.attempt.Request.Class)
@@ -98,8 +101,9 @@
 	return status
 }
 
-// handleError handles an ErrorResponse. The attempt ends with it at the end of the response, or
-// at once if the engine closes the connection after it.
+// handleError handles an ErrorResponse. The error ends the attempt at the end of the response.
+// An error during the startup or of severity FATAL closes the connection, and the attempt ends
+// with it.
 func (c *connection) handleError(body []byte) error {
 	response, err := pgproto.ParseError(body)
 	if err != nil {
@@ -112,7 +116,7 @@
 	return nil
 }
 
-// fatalStatus returns how an error that ends the connection ends its attempt.
+// fatalStatus returns the status of the attempt after an error that ends the connection.
 func (c *connection) fatalStatus() lifecycle.AttemptStatus {
 	status := statusOf(c.exchange.errorResponse.Code)
 	written := c.exchange.written()
--- a/internal/engine/pgclient/exchange.go
+++ b/internal/engine/pgclient/exchange.go
@@ -5,7 +5,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// exchangeState is how far the query on a connection has got.
+// exchangeState is the progress of the query on a connection.
 //
 //	event                                          from                              to
 //	the connection is dialed                                                         exchangeNone
@@ -19,22 +19,22 @@
 type exchangeState uint8
 
 const (
-	exchangeNone    exchangeState = iota // no attempt; of the last one, if any, nothing was written
+	exchangeNone    exchangeState = iota // no attempt; nothing was written for the previous attempt, if any
 	exchangePending                      // an attempt whose query is not written yet
-	exchangeWritten                      // the query is written; as far as is known, nothing of it has run
+	exchangeWritten                      // the query is written; BindComplete has not arrived
 	exchangeBound                        // BindComplete has arrived: the statement may be running
-	exchangeEnded                        // no attempt; the query of the last one was written
+	exchangeEnded                        // no attempt; the query of the previous attempt was written
 )
 
-// exchange is the query on a connection with what has arrived of its response. Its zero value
-// is that of a connection on which there was no attempt yet.
+// exchange is the query on a connection with the part of its response that has arrived. The zero
+// value belongs to a connection that has had no attempt.
 type exchange struct {
 	state         exchangeState
 	attempt       *lifecycle.Attempt // nil: the connection is idle
 	result        *pgproto.Result    // nil: the connection is idle
-	prepared      preparation
-	complete      bool           // CommandComplete or EmptyQueryResponse has arrived
-	errorResponse *pgproto.Error // the latest; nil: none
+	prepared      preparation        // of the query's statement, once the query is written
+	complete      bool               // CommandComplete or EmptyQueryResponse has arrived
+	errorResponse *pgproto.Error     // the latest; nil: none
 }
 
 // newExchange returns the exchange of an attempt whose query is not written yet.
@@ -45,8 +45,8 @@
 // idle reports whether there is no attempt.
 func (e *exchange) idle() bool { return e.attempt == nil }
 
-// written reports whether the query was written: the current one, or the last one if the
-// connection is idle.
+// written reports whether the query of the attempt was written, or that of the previous attempt
+// if the connection is idle.
 func (e *exchange) written() bool { return e.state != exchangeNone && e.state != exchangePending }
 
 // clear removes the attempt.
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -14,7 +14,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// defaultOptions are the client's unless a script says otherwise.
+// defaultOptions are the options of a client whose script has none.
 var defaultOptions = pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout}
 
 // script is a golden test of the PostgreSQL protocol.
@@ -79,8 +79,8 @@
 	return attempt
 }
 
-// connectAndStart begins an attempt as start does, and takes it up to the end of its query on
-// the connection that the client dials for it.
+// connectAndStart begins an attempt as start does. It accepts the connection that the client dials
+// for it, completes the startup and reads the query.
 func (x exchange) connectAndStart(statement *pgproto.Statement) *lifecycle.Attempt {
 	x.T.Helper()
 	attempt := x.start(statement)
@@ -89,8 +89,7 @@
 	return attempt
 }
 
-// startOnIdle begins an attempt as start does, and takes it up to the end of its query on the
-// connection that is open.
+// startOnIdle begins an attempt as start does, and reads its query on the open connection.
 func (x exchange) startOnIdle(statement *pgproto.Statement) *lifecycle.Attempt {
 	x.T.Helper()
 	attempt := x.start(statement)
@@ -238,7 +237,7 @@
 			x.readQuery()
 			x.respond(attempt, parsed, bound, failure("ERROR", code), ready)
 		}
-		// A statement that may run once only: it may have done some of its work.
+		// A statement that is not idempotent: it may have had an effect, and must not be retried.
 		attempt := x.newAttempt("write", statement("INSERT 1"))
 		x.Start(attempt)
 		x.readQuery()
@@ -304,8 +303,8 @@
 	x.respond(attempt, emptyResponse...)
 }
 
-// TestClient_ExchangesMatchTheGoldenFiles checks the bytes of both sides, and what the client
-// reports.
+// TestClient_ExchangesMatchTheGoldenFiles checks the bytes of both sides and the reports of the
+// client.
 func TestClient_ExchangesMatchTheGoldenFiles(t *testing.T) {
 	enginetest.PlayScripts(t, exchangeScripts)
 }
@@ -393,7 +392,7 @@
 		x.Disconnect()
 		x.AwaitEnd(attempt)
 		attempt = x.connectAndStart(statement(question))
-		x.Write(emptyResponse...) // what was read before the end counts first
+		x.Write(emptyResponse...) // read and handled before the end of the connection
 		x.Disconnect()
 		x.AwaitEnd(attempt)
 		x.PrintConnections()
@@ -413,7 +412,7 @@
 			User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout, MaxBufferedBytes: smallBudget,
 		},
 		play: func(x exchange) {
-			for range 2 { // the second has the whole budget again
+			for range 2 { // the first attempt has released its part of the budget
 				attempt := x.connectAndStart(statement(question))
 				x.respond(attempt, parsed, bound, columns, row, row, row, complete, ready)
 				x.AwaitClose()
--- a/internal/engine/pgclient/messages.go
+++ b/internal/engine/pgclient/messages.go
@@ -36,11 +36,11 @@
 	kindEmptyQueryResponse   = 'I'
 )
 
-// message is one message of an engine, within the read buffer.
+// message is one message of an engine. Its bytes are within the read buffer.
 type message struct {
 	kind byte
 	body []byte
-	raw  []byte // the whole message, with its kind and length
+	raw  []byte // the complete message, with its kind and length
 }
 
 // HandleMessage handles the first message of in.
@@ -59,7 +59,7 @@
 func (c *connection) handle(received message) error {
 	switch received.kind {
 	case kindNoticeResponse, kindParameterStatus, kindNotificationResponse:
-		return nil // they concern the session with this program, not a client
+		return nil // these are about the session with the engine, and clients don't get them
 	case kindErrorResponse:
 		return c.handleError(received.body)
 	case kindReadyForQuery:
@@ -77,7 +77,7 @@
 // transactionIdle is the body of a ReadyForQuery outside a transaction.
 const transactionIdle = "I"
 
-// handleReady handles a ReadyForQuery: the startup or a response is complete.
+// handleReady handles a ReadyForQuery, which ends the startup or a response.
 func (c *connection) handleReady(body []byte) error {
 	switch {
 	case string(body) != transactionIdle:
--- a/internal/engine/pgclient/prepared.go
+++ b/internal/engine/pgclient/prepared.go
@@ -9,24 +9,25 @@
 const (
 	// maxPrepared limits the statements that stay prepared on one connection.
 	maxPrepared = 32
-	// maxPreparedKeyBytes limits the key of each of them, which is retained.
+	// maxPreparedKeyBytes limits the key of a statement that stays prepared. The keys are kept
+	// in memory as long as the connection.
 	maxPreparedKeyBytes = 4 << 10
 )
 
-// unnamed is the name of the statement that the next Parse without a name replaces.
+// unnamed is the name of the engine's unnamed statement, which the next unnamed Parse replaces.
 const unnamed = ""
 
-// preparation is how a query refers to its statement.
+// preparation is the reference of a query to its prepared statement.
 type preparation struct {
-	key   string // of the statement, see statementKey
+	key   string // see statementKey
 	name  string // of the prepared statement; unnamed: it does not stay prepared
-	parse bool   // the query begins with a Parse, as the statement was not prepared before
+	parse bool   // the query begins with a Parse, because the statement is not prepared yet
 }
 
 // preparedStatements are the statements that stay prepared on one connection.
 type preparedStatements struct {
-	names    map[string]string // by key
-	lastName int               // number of the last name that was given
+	names    map[string]string // of the statements, by key
+	lastName int               // number in the latest new name
 }
 
 func newPreparedStatements() preparedStatements {
@@ -38,12 +39,12 @@
 	return statement.Query + "\x00" + string(statement.ParameterTypes)
 }
 
-// prepare returns how a query is to refer to the statement. A new statement does not stay
-// prepared if it is long or if there are maxPrepared already.
+// prepare returns the reference for a query of the statement. A new statement does not stay
+// prepared if its key is too long or if there are maxPrepared already.
 func (p *preparedStatements) prepare(statement *pgproto.Statement) preparation {
 	key := statementKey(statement)
-	if known, ok := p.names[key]; ok {
-		return preparation{key: key, name: known}
+	if name, ok := p.names[key]; ok {
+		return preparation{key: key, name: name}
 	}
 	if len(p.names) >= maxPrepared || len(key) > maxPreparedKeyBytes {
 		return preparation{key: key, name: unnamed, parse: true}
@@ -52,25 +53,25 @@
 	return preparation{key: key, name: "s" + strconv.Itoa(p.lastName), parse: true}
 }
 
-// parsed records that the engine has parsed the statement.
-func (p *preparedStatements) parsed(statement preparation) {
-	if statement.parse && statement.name != unnamed {
-		p.names[statement.key] = statement.name
+// markParsed records that the engine has parsed the query's statement.
+func (p *preparedStatements) markParsed(prepared preparation) {
+	if prepared.parse && prepared.name != unnamed {
+		p.names[prepared.key] = prepared.name
 	}
 }
 
-// forget records that a prepared statement is no longer valid.
-func (p *preparedStatements) forget(statement preparation) { delete(p.names, statement.key) }
+// forget makes the next query of the statement parse it again.
+func (p *preparedStatements) forget(prepared preparation) { delete(p.names, prepared.key) }
 
-// forgetStale reports whether an error concerns a statement that an earlier query prepared:
-// the engine has dropped it, or what it refers to has changed. Both errors come before
-// BindComplete, so nothing has run. The statement is then forgotten, since it may well run
-// once it is parsed again.
+// forgetStale reports whether the query failed because its statement, which an earlier query
+// had prepared, is stale: the engine has dropped it, or a table that it refers to has changed.
+// If so, it forgets the statement. The query may then be retried: both errors come before
+// BindComplete, so nothing has run.
 func (c *connection) forgetStale(sqlState string) bool {
 	if c.exchange.prepared.parse || c.exchange.state == exchangeBound {
 		return false
 	}
-	if sqlState != stateInvalidStatementName && sqlState != stateFeatureNotSupported {
+	if sqlState != sqlStateInvalidStatementName && sqlState != sqlStateFeatureNotSupported {
 		return false
 	}
 	c.statements.forget(c.exchange.prepared)
--- a/internal/engine/pgclient/query.go
+++ b/internal/engine/pgclient/query.go
@@ -5,8 +5,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// writeQuery sends the statement in one piece: parsed if this connection has not prepared it
-// yet, bound, described and executed.
+// writeQuery writes the query of the attempt, or ends the attempt if the dispatcher does not
+// permit it.
 func (c *connection) writeQuery() {
 	attempt := c.exchange.attempt
 	statement, ok := attempt.Request.Statement.(*pgproto.Statement)
@@ -19,7 +19,8 @@
 	c.Write(encodeQuery(statement, c.exchange.prepared))
 }
 
-// encodeQuery returns the messages of one query, from Parse to Sync.
+// encodeQuery returns the messages of one query: Parse, unless the statement is prepared; Bind,
+// Describe and Execute, or only Describe; Sync.
 func encodeQuery(statement *pgproto.Statement, prepared preparation) []byte {
 	var query []byte
 	name := pgproto.CString(prepared.name)
@@ -36,7 +37,7 @@
 }
 
 // appendExecution appends the messages that run a prepared statement once, with the
-// unnamed portal and without a limit of rows.
+// unnamed portal and an unlimited number of rows.
 func appendExecution(query, name, bind []byte) []byte {
 	const (
 		unnamedPortal = "\x00"
--- a/internal/engine/pgclient/response.go
+++ b/internal/engine/pgclient/response.go
@@ -12,7 +12,7 @@
 	result := c.exchange.result
 	switch received.kind {
 	case kindParseComplete:
-		c.statements.parsed(c.exchange.prepared)
+		c.statements.markParsed(c.exchange.prepared)
 	case kindBindComplete:
 		c.exchange.state = exchangeBound
 	case kindCloseComplete:
@@ -40,23 +40,24 @@
 	return nil
 }
 
-// addRow adds a DataRow message to the result, or ends the attempt if the row exceeds a limit.
+// addRow adds a DataRow message to the result, or ends the attempt if the result would exceed
+// a limit.
 func (c *connection) addRow(row []byte) {
 	result := c.exchange.result
 	if len(result.DataRows)+len(row) > maxResultBytes {
-		c.rejectResult(stateProgramLimitExceeded, fmt.Sprintf("the result is larger than %d bytes", maxResultBytes))
+		c.failTooLarge(sqlStateProgramLimitExceeded, fmt.Sprintf("the result is larger than %d bytes", maxResultBytes))
 		return
 	}
 	if !c.client.budget.reserve(len(row)) {
-		c.rejectResult(stateOutOfMemory, "the gateway holds too many results")
+		c.failTooLarge(sqlStateOutOfMemory, "the gateway holds too many results")
 		return
 	}
 	result.DataRows = append(result.DataRows, row...)
 	result.RowCount++
 }
 
-// rejectResult ends an attempt whose result is too large, and cancels its query.
-func (c *connection) rejectResult(sqlState, text string) {
+// failTooLarge cancels a query whose result exceeds a limit, and ends its attempt.
+func (c *connection) failTooLarge(sqlState, text string) {
 	attempt := c.exchange.attempt
 	c.Abandon()
 	detail := &pgproto.Error{Severity: severityError, Code: sqlState, Message: text}
@@ -64,7 +65,7 @@
 	c.client.Dispatcher.EndAttempt(attempt, lifecycle.StatusResultTooLarge, report)
 }
 
-// completeResponse ends the attempt at the end of its response.
+// completeResponse ends the attempt at the ReadyForQuery that ends its response.
 func (c *connection) completeResponse() error {
 	statement, _ := c.exchange.attempt.Request.Statement.(*pgproto.Statement)
 	failure := c.exchange.errorResponse
--- a/internal/engine/pgclient/startup.go
+++ b/internal/engine/pgclient/startup.go
@@ -27,8 +27,8 @@
 	c.client.Loop.Timers.Schedule(c.startupDeadline, c.checkStartup)
 }
 
-// checkStartup closes the connection if its startup is not complete at the deadline. An
-// engine may accept connections and then send nothing.
+// checkStartup closes the connection if its startup is not complete at the deadline. An engine
+// that hangs may accept connections and send nothing.
 func (c *connection) checkStartup() {
 	if c.State() == engine.StateStartup {
 		c.Close(lifecycle.StatusConnectTimeout)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// completeStartup records that the startup is complete, and writes the query that waited for it.
+// completeStartup opens the connection and writes the query that waited for the startup.
 func (c *connection) completeStartup() {
 	c.MarkOpen()
 	c.MarkUsed()
