--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -1,5 +1,5 @@
 // Package enginetest lets the test of an engine client play the engine, message by
-// message, and compares what was exchanged with a golden file. Only tests import it.
+// message, and compares the exchanged messages with a golden file. Only tests import it.
 package enginetest
 
 import (
@@ -29,21 +29,21 @@
 )
 
 const (
-	// Timeout bounds every wait for the client.
+	// Timeout limits every wait for the client.
 	Timeout = 10 * time.Second
-	// engineID is the id of the one engine.
+	// engineID is the id of the only engine.
 	engineID = "e1"
-	// pollInterval is the pause between two looks at a state that the client sets.
+	// pollInterval is the pause between two checks of a condition.
 	pollInterval = time.Millisecond
 )
 
-// fixedClock always shows the same time. The time that an attempt has left is then its whole
-// timeout, and the golden files need no normalising.
+// fixedClock always returns the same time. The rest of an attempt's timeout is then always its
+// full timeout, so that the golden files contain no measured times.
 type fixedClock struct{}
 
 func (fixedClock) Now() time.Duration { return time.Hour }
 
-// Environment is what an engine client is created with.
+// Environment contains the arguments with which an engine client is created.
 type Environment struct {
 	Loop       *eventloop.Loop
 	Dispatcher *lifecycle.Dispatcher
@@ -62,19 +62,20 @@
 	PrintServed func(io.Writer, *lifecycle.Request, lifecycle.AttemptReport)
 }
 
-// Exchange is a scripted engine with the client under test, and the transcript of what
-// was exchanged so far: `> ` by the client, `< ` by the engine, `= ` what the client
-// reported.
+// Exchange is a scripted engine with the client under test. It owns the transcript, whose lines
+// begin with `> ` for bytes of the client, with `< ` for bytes of the engine, and with `= ` for
+// reports of the client. Unless their comments say otherwise, methods must be called on the test's
+// goroutine.
 type Exchange struct {
-	// Client is the client under test, to be called by Do.
+	// Client is the client under test. It must be called in Do.
 	Client lifecycle.EngineClient
-	// Counters are the client's, to be read by Do.
+	// Counters are the client's. They must be read in Do.
 	Counters *metrics.Counters
-	// Reader reads what the client writes on the connection accepted last.
+	// Reader reads the bytes that the client writes on the connection accepted last.
 	Reader *bufio.Reader
 
 	// OnServed is called on the event loop's goroutine when an attempt is served, before the
-	// client handles what follows the response; nil: nothing is. It is to be set by Do.
+	// client handles the bytes after the response; nil: no call. It must be set in Do.
 	OnServed func()
 	// T is the test that plays the engine.
 	T *testing.T
@@ -82,15 +83,15 @@
 	loop        *eventloop.Loop
 	dispatcher  *lifecycle.Dispatcher
 	listener    *net.TCPListener
-	startedAt   time.Duration // of the engine; belongs to the event loop's goroutine
-	connection  *net.TCPConn  // nil: none is open
-	printed     map[string]bool
+	startedAt   time.Duration   // of the engine; belongs to the event loop's goroutine
+	connection  *net.TCPConn    // nil: none is open
+	printed     map[string]bool // the lines of counters that the transcript contains
 	transcript  bytes.Buffer
 	served      bytes.Buffer // belongs to the event loop's goroutine
 	printServed func(io.Writer, *lifecycle.Request, lifecycle.AttemptReport)
 }
 
-// New starts a client whose endpoint list holds the scripted engine.
+// New starts a client whose endpoint list contains the scripted engine.
 func New(t *testing.T, protocol Protocol) *Exchange {
 	t.Helper()
 	exchange := &Exchange{
@@ -136,11 +137,11 @@
 // Do runs f on the event loop's goroutine, and waits for it.
 func (x *Exchange) Do(f func()) { eventlooptest.Do(x.loop, f) }
 
-// Post schedules f on the event loop's goroutine, after what is scheduled there already.
+// Post schedules f on the event loop's goroutine, after the functions that were posted before.
 func (x *Exchange) Post(f func()) { x.loop.Post(f) }
 
-// BlockLoop runs f while the event loop's goroutine is blocked, and then next on that goroutine
-// before the loop handles what has happened meanwhile.
+// BlockLoop runs f while the event loop's goroutine is blocked. It then runs next on that
+// goroutine, before the loop handles the events that f caused.
 func (x *Exchange) BlockLoop(f, next func()) {
 	blocked := make(chan struct{})
 	release := make(chan struct{})
@@ -168,16 +169,16 @@
 }
 
 // RestartEngine makes the endpoint list report a restart of the engine, which retires its
-// connections. It is to be called by Do.
+// connections. It must be called in Do.
 func (x *Exchange) RestartEngine() {
 	x.startedAt += time.Second
 	x.updateEndpoint(policy.EngineReady)
 }
 
-// RemoveEngineEntry removes the engine from the endpoint list. It is to be called by Do.
+// RemoveEngineEntry removes the engine from the endpoint list. It must be called in Do.
 func (x *Exchange) RemoveEngineEntry() { x.updateEndpoint(policy.EngineRemoved) }
 
-// NewAttempt returns an attempt for the request that has not begun.
+// NewAttempt returns an attempt for the request. The attempt has not begun.
 func (x *Exchange) NewAttempt(request *lifecycle.Request, timeout time.Duration) *lifecycle.Attempt {
 	request.ObserverData = "observed" // without it the observer is not called
 	return &lifecycle.Attempt{Request: request, Engine: engineID, StartedAt: fixedClock{}.Now(), Timeout: timeout}
@@ -198,7 +199,7 @@
 // Abandon abandons the attempt.
 func (x *Exchange) Abandon(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Abandon(attempt) }) }
 
-// Withdraw withdraws the attempt, and ends the test if the client can't.
+// Withdraw withdraws the attempt, and ends the test if that is not possible.
 func (x *Exchange) Withdraw(attempt *lifecycle.Attempt) {
 	x.T.Helper()
 	withdrawn := false
@@ -220,7 +221,8 @@
 	x.Reader = bufio.NewReader(connection)
 }
 
-// Connected reports whether a connection is accepted whose end was not awaited or caused yet.
+// Connected reports whether a connection was accepted and neither the test nor the client has
+// closed it.
 func (x *Exchange) Connected() bool { return x.connection != nil }
 
 // Printf writes to the transcript.
@@ -254,7 +256,7 @@
 	x.connection = nil
 }
 
-// AwaitEnd waits until the attempt has ended, and prints how it ended and what was read.
+// AwaitEnd waits until the attempt has ended, and prints its status and its result.
 func (x *Exchange) AwaitEnd(attempt *lifecycle.Attempt) {
 	x.T.Helper()
 	x.await("the end of the attempt", attempt.Ended)
@@ -262,8 +264,8 @@
 	x.PrintCounters(metrics.AttemptsEnded.With("").Name())
 }
 
-// PrintCounters prints the counters whose names begin with the prefix, without those that were
-// printed with the same value before.
+// PrintCounters prints the counters whose names begin with the prefix, except for those that
+// were printed with the same value before.
 func (x *Exchange) PrintCounters(prefix string) {
 	var counters bytes.Buffer
 	x.Do(func() { x.Counters.Print(&counters) })
@@ -275,7 +277,8 @@
 	}
 }
 
-// ObserveServed prints the report of a served attempt.
+// ObserveServed prints the report of a served attempt. It is part of lifecycle.CostObserver, as
+// are ObserveTimeout and Release.
 func (x *Exchange) ObserveServed(request *lifecycle.Request, report lifecycle.AttemptReport, _ time.Duration) {
 	x.printServed(&x.served, request, report)
 	if x.OnServed != nil {
@@ -286,7 +289,10 @@
 // ObserveTimeout does nothing: the counters show a timeout.
 func (x *Exchange) ObserveTimeout(*lifecycle.Request, time.Duration) {}
 
-// await waits until the condition holds, which is read on the event loop's goroutine.
+// Release does nothing: the ObserverData is the same for all requests.
+func (x *Exchange) Release(*lifecycle.Request) {}
+
+// await waits until the condition is true. It calls condition on the event loop's goroutine.
 func (x *Exchange) await(what string, condition func() bool) {
 	x.T.Helper()
 	for deadline := time.Now().Add(Timeout); ; time.Sleep(pollInterval) {
@@ -311,19 +317,15 @@
 	x.PrintCounters("engine-connections.")
 }
 
-// Release does nothing: a request has no data of the observer's that needs it.
-func (x *Exchange) Release(*lifecycle.Request) {}
-
-// RemoveEngine removes the engine from the endpoint list, which closes the idle
-// connection, and awaits its end.
+// RemoveEngine removes the engine from the endpoint list and awaits the end of its idle
+// connection.
 func (x *Exchange) RemoveEngine() {
 	x.T.Helper()
 	x.Do(x.RemoveEngineEntry)
 	x.AwaitClose()
 }
 
-// AwaitClose prints everything that the client still writes, up to the end of its
-// connection, so that nothing is missing in the golden file.
+// AwaitClose prints everything that the client writes up to the end of its connection.
 func (x *Exchange) AwaitClose() {
 	x.T.Helper()
 	rest, err := io.ReadAll(x.Reader)
--- a/internal/engine/enginetest/script.go
+++ b/internal/engine/enginetest/script.go
@@ -29,8 +29,8 @@
 	return fmt.Sprintf(format, name, effect)
 }
 
-// Settings returns a site's settings as JSON, with these fields of its limits beside those that
-// all tests have.
+// Settings returns a site's settings as JSON. limits are JSON fields of its limits, in addition
+// to those that all tests have.
 func Settings(limits string, classes ...string) string {
 	parallelism := strings.TrimSuffix(strings.Repeat("1,", len(classes)), ",")
 	return fmt.Sprintf(`{"balancers":1,"zone":"a","zones":["a"],"kinds":["k"],"round-ms":5,
