--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -10,10 +10,10 @@
 
 const (
 	initialLineBuffer = 1 << 20   // bytes
-	maxLineLength     = 256 << 20 // bytes; the settings and engine tables of a large site
+	maxLineLength     = 256 << 20 // bytes; enough for the settings and engine tables of a large site
 )
 
-// Faults in the order of messages.
+// Errors in the order of messages.
 var (
 	errBatchStillOpen   = errors.New(string(messageClock) + ": batch still open")
 	errInputEndsInBatch = errors.New("input ended inside the batch")
@@ -22,20 +22,22 @@
 // notInBatchError reports a message between two batches.
 type notInBatchError struct{ message messageName }
 
+// Error implements error.
 func (e *notInBatchError) Error() string { return string(e.message) + ": no batch is open" }
 
-// BatchError reports what is wrong with the input, and in which batch.
+// BatchError reports an error in the input, with the batch in which it occurred.
 type BatchError struct {
 	Batch int64 // number of the batch that was opened last; 0 before the first
 	Err   error
 }
 
+// Error implements error.
 func (e *BatchError) Error() string { return fmt.Sprintf("batch %d: %v", e.Batch, e.Err) }
 
-// Unwrap returns the fault itself.
+// Unwrap returns the error in the input.
 func (e *BatchError) Unwrap() error { return e.Err }
 
-// batchState decides whether the next message must open a batch or belong to one.
+// batchState is whether a batch is open. Between batches, the next message must open one.
 type batchState int
 
 const (
@@ -43,7 +45,8 @@
 	inBatch
 )
 
-// batchReader responds to the batches of one input.
+// batchReader reads the batches of one input, passes their messages to the host and writes the
+// responses.
 type batchReader struct {
 	host   *Host
 	output *bufio.Writer
@@ -52,8 +55,8 @@
 	now    time.Duration // the time of that batch
 }
 
-// Run responds to batches until the input ends. An end between batches is no error. A fault of the input is
-// returned as a *BatchError.
+// Run responds to batches until the input ends. It returns nil if the input ends between batches, and a
+// *BatchError if the input is invalid or can't be read.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, initialLineBuffer), maxLineLength)
@@ -67,37 +70,37 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return reader.fault(fmt.Errorf("read: %w", err))
+		return reader.inputError(fmt.Errorf("read: %w", err))
 	}
 	if reader.state == inBatch {
-		return reader.fault(errInputEndsInBatch)
+		return reader.inputError(errInputEndsInBatch)
 	}
 	return nil
 }
 
-// fault returns a fault of the input with the number of the batch.
-func (r *batchReader) fault(err error) error { return &BatchError{Batch: r.batch, Err: err} }
+// inputError returns an error in the input with the number of the batch.
+func (r *batchReader) inputError(err error) error { return &BatchError{Batch: r.batch, Err: err} }
 
 // handleLine handles one line of input.
 func (r *batchReader) handleLine(line []byte) error {
 	message, err := parseMessage(line)
 	if err != nil {
-		return r.fault(err)
+		return r.inputError(err)
 	}
 	switch {
 	case message.name == messageClock && r.state == inBatch:
-		return r.fault(errBatchStillOpen)
+		return r.inputError(errBatchStillOpen)
 	case message.name == messageClock:
 		r.open(message)
 	case r.state == betweenBatches:
-		return r.fault(&notInBatchError{message: message.name})
+		return r.inputError(&notInBatchError{message: message.name})
 	case message.name == messageEndBatch:
 		return r.close()
 	default:
 		r.host.handleMessage(r.now, message)
 	}
 	if message.err != nil {
-		return r.fault(message.err)
+		return r.inputError(message.err)
 	}
 	return nil
 }
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -8,11 +8,11 @@
 	"flaxrelay/policy"
 )
 
-// milliseconds converts the protocol's fractional milliseconds, exact to the microsecond.
+// milliseconds converts fractional milliseconds to a duration, rounded to the microsecond.
 func milliseconds(ms float64) time.Duration { return config.FromMilliseconds(ms) }
 
-// decodeEvent returns the event of a message to an instance, or nil where the policy module
-// ignores the message.
+// decodeEvent returns the event of a message to an instance, or nil if the policy module has no
+// event for it.
 func (h *Host) decodeEvent(target *instance, message *inputMessage) policy.Event {
 	switch message.name {
 	case messageEndpoints:
@@ -48,10 +48,10 @@
 
 // decodeEndpoints decodes a change of the endpoint list, whose engines are those of a table.
 func (h *Host) decodeEndpoints(message *inputMessage) policy.Event {
-	spelling := endpointsMode.required(message)
-	mode, known := updateModes[spelling]
+	modeName := endpointsMode.required(message)
+	mode, known := updateModes[modeName]
 	if !known {
-		message.fail(endpointsMode.name, "unknown mode %q", spelling)
+		message.fail(endpointsMode.name, "unknown mode %q", modeName)
 		return nil
 	}
 	if mode == policy.UpdateFailed { // without a list
@@ -98,7 +98,7 @@
 	return event
 }
 
-// noTenant stands in place of the tenant of a request without one. Other tenants are strings.
+// noTenant is the JSON value of the tenant of a request that has none. All others are strings.
 const noTenant = "0"
 
 func decodeTenant(message *inputMessage) string {
@@ -130,15 +130,16 @@
 	return event
 }
 
-// Kinds of progress as INTERIM numbers them, and the value of a wait for a bulk load.
-// Any other value is a wait for memory.
+// Kinds of progress in INTERIM.
 const (
 	progressFraction = 1
 	progressSpilling = 2
-	progressWaiting  = 3
-	waitingForLoad   = 2
+	progressAwaiting = 3 // the value is the awaited resource
 )
 
+// awaitingLoad is the value of a wait for a bulk load. Any other is a wait for memory.
+const awaitingLoad = 2
+
 func decodeProgress(message *inputMessage) policy.Event {
 	event := policy.ProgressReported{
 		RequestID: fieldRequestID.required(message),
@@ -150,9 +151,9 @@
 		event.Kind = policy.ProgressFraction
 	case kind == progressSpilling:
 		event.Kind = policy.ProgressSpilling
-	case kind == progressWaiting && event.Value == waitingForLoad:
+	case kind == progressAwaiting && event.Value == awaitingLoad:
 		event.Kind = policy.ProgressAwaitingLoad
-	case kind == progressWaiting:
+	case kind == progressAwaiting:
 		event.Kind = policy.ProgressAwaitingMemory
 	default:
 		message.fail(progressKind.name, "unknown sort %d", kind)
@@ -160,18 +161,18 @@
 	return event
 }
 
-// notReported is the value of a load report's field that the engine did not report.
-const notReported = -1
+// unreported is the value of each load in policy.LoadReport that the engine does not report.
+const unreported = -1
 
-// decodeLoad decodes a load report, whose values are in the order of the names in the instance's
-// settings. Names that the policy module does not use are skipped.
+// decodeLoad decodes a load report. Its values are in the order of the names in the instance's
+// settings. Values that the policy module does not use are skipped.
 func (in *instance) decodeLoad(message *inputMessage, report field[[]float64]) policy.LoadReport {
 	load := policy.LoadReport{
-		CPUShare:    notReported,
-		InFlight:    notReported,
-		Queued:      notReported,
-		MemoryShare: notReported,
-		DiskShare:   notReported,
+		CPUShare:    unreported,
+		InFlight:    unreported,
+		Queued:      unreported,
+		MemoryShare: unreported,
+		DiskShare:   unreported,
 	}
 	values := report.optional(message)
 	if message.err == nil && values != nil && len(values) != len(in.loadFields) {
@@ -208,10 +209,10 @@
 	startedMS := rowStartedMS.optional(message)
 	engine.StartedAt = milliseconds(startedMS)
 	engine.StartKnown = startedMS > 0
-	spelling := rowState.required(message)
-	state, known := engineStates[spelling]
+	stateName := rowState.required(message)
+	state, known := engineStates[stateName]
 	if !known {
-		message.fail(rowState.name, "unknown state %q", spelling)
+		message.fail(rowState.name, "unknown state %q", stateName)
 	}
 	engine.State = state
 	return engine, message.err
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -9,14 +9,14 @@
 	"flaxrelay/policy"
 )
 
-// Forms of numbers, as strconv names them.
+// Arguments of strconv.
 const (
-	decimal   = 10
-	shortest  = -1 // as few digits as the exact value needs
+	decimal   = 10 // base of integers
+	shortest  = -1 // precision: as few digits as the exact value needs
 	floatBits = 64
 )
 
-// outputLine is a message that is being appended to the output.
+// outputLine is the output with the start of a message at its end. Its methods append one field each.
 type outputLine []byte
 
 // beginLine appends the start of a message of an instance to the output.
@@ -56,7 +56,7 @@
 	return append(append(l, ','), encoded...)
 }
 
-// end completes the message and returns the output.
+// end ends the message and returns the output.
 func (l outputLine) end() []byte { return append(l, "]\n"...) }
 
 // encodeAction appends the message for an action of an instance to the output.
@@ -92,7 +92,7 @@
 	panic(fmt.Sprintf("wire: no line for action %T", action))
 }
 
-// ejectionTexts are the reasons of an ejection as SAY_LOG words them.
+// ejectionTexts are the texts in SAY_LOG for the reasons of an ejection.
 var ejectionTexts = map[policy.EjectionReason]string{
 	policy.EjectedSilent:           "all attempts are silent",
 	policy.EjectedErrors:           "it answers with errors",
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/internal/golden"
 )
 
-// goldenBatches are the recorded inputs under testdata/golden, and the messages that the host writes at
-// least once for each of them. The names protect against an update of the golden files that loses a line.
+// goldenBatches maps the names of the recorded inputs under testdata/golden to the messages that the host
+// writes at least once for each. They prevent that an update of the golden files loses a kind of message.
 var goldenBatches = map[string][]string{
 	"queries":   {"ALLOT", "FORWARD", "ABORT_ATTEMPT", "SLEEP", "DROP_REQUEST"},
 	"loads":     {"ALLOT", "FORWARD", "SLEEP"},
@@ -20,9 +20,9 @@
 	"faults":    {"ASK_LOAD", "SAY_LOG", "FORWARD", "SLEEP"},
 }
 
-// The host's replies to complete runs are compared byte for byte. Together the runs contain each event
-// of the protocol and each action that the host writes. All inputs carry their own clock and seeds, so
-// nothing in the replies has to be normalized.
+// The host's responses to complete runs are compared byte for byte. Together the runs contain each event
+// of the protocol and each action that the host writes. The inputs contain the times and the seeds, so
+// that the responses are the same in each run.
 func TestRun_MatchesGoldenBatches(t *testing.T) {
 	for name, actions := range goldenBatches {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			}
 			for _, action := range actions {
 				if !strings.Contains(out.String(), `["`+action+`",`) {
-					t.Errorf("no %s in the replies", action)
+					t.Errorf("no %s in the responses", action)
 				}
 			}
 			golden.Compare(t, base+".out", out.Bytes())
@@ -46,7 +46,7 @@
 }
 
 // Together the inputs contain every event of the protocol.
-func TestGoldenBatches_HoldEveryEvent(t *testing.T) {
+func TestGoldenBatches_ContainEveryEvent(t *testing.T) {
 	var all []byte
 	for name := range goldenBatches {
 		in, err := os.ReadFile(filepath.Join("testdata", "golden", name+".in"))
@@ -60,7 +60,7 @@
 		"HEAD_RECEIVED", "LAPSED", "TICK_DUE", "PROBED", "FROM_PEER",
 	} {
 		if !bytes.Contains(all, []byte(`["`+event+`"`)) {
-			t.Errorf("no input holds %s", event)
+			t.Errorf("no input contains %s", event)
 		}
 	}
 }
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -1,5 +1,5 @@
 // Package simprotocol implements the simulator's line protocol for many instances of the policy module
-// in one process. It makes no decisions.
+// in one process. It translates messages to events and actions to messages, and makes no decisions.
 //
 // Each line is a message: a JSON array of the message's name and its fields. The simulator sends
 // batches. A batch begins with CLOCK, which gives the time, and ends with OVER_TO_YOU. The messages
@@ -17,15 +17,16 @@
 // engineTableCount is the number of engine tables, which messages number from 0.
 const engineTableCount = 16
 
-// Host holds the instances of one process. Run may be called by one goroutine at a time.
+// Host owns the instances of one process and the engine tables that they share. Only one goroutine at
+// a time may call Run.
 type Host struct {
-	instances    map[int64]*instance
+	instances    map[int64]*instance // by number
 	engineTables [engineTableCount][]policy.Engine
-	actions      []policy.Action // reused from event to event
-	output       []byte          // the response to the open batch; reused from batch to batch
+	actions      []policy.Action // buffer for the actions of one event
+	output       []byte          // the response to the open batch; the buffer is reused for the next
 }
 
-// instance is one front end's policy module.
+// instance is the policy module of one simulated front end.
 type instance struct {
 	balancer   *policy.Balancer
 	loadFields []string // names of the values in load reports, in order
@@ -35,7 +36,7 @@
 // NewHost returns a host without instances.
 func NewHost() *Host { return &Host{instances: make(map[int64]*instance)} }
 
-// handleMessage handles one message of a batch. A fault is set in the message.
+// handleMessage handles one message of a batch. It sets message.err if the message is invalid.
 func (h *Host) handleMessage(now time.Duration, message *inputMessage) {
 	switch message.name {
 	case messageStart:
@@ -69,8 +70,8 @@
 	h.output = h.handleEvent(id, target, now, event)
 }
 
-// handleEvent passes an event to the policy module and returns the output with its
-// actions. If the module panics, the output has a BROKEN message in place of the actions.
+// handleEvent passes an event to the policy module and returns the output with the actions
+// appended. If the module panics, a BROKEN message is appended instead.
 func (h *Host) handleEvent(id int64, target *instance, now time.Duration, event policy.Event) (output []byte) {
 	output = h.output
 	defer func() {
@@ -86,7 +87,7 @@
 	return output
 }
 
-// startInstance starts an instance. It replaces an instance of the same number.
+// startInstance starts an instance, which replaces an earlier one of the same number.
 func (h *Host) startInstance(message *inputMessage) {
 	id := fieldInstance.required(message)
 	seed := startSeed.required(message)
@@ -102,7 +103,7 @@
 	h.instances[id] = &instance{balancer: balancer, loadFields: settings.LoadFields}
 }
 
-// setEngineTable replaces one engine table. Messages name such tables by their number.
+// setEngineTable replaces one engine table. Later messages refer to it by its number.
 func (h *Host) setEngineTable(message *inputMessage) {
 	table := h.decodeTableNumber(message, engineTableNumber)
 	rows := engineTableRows.required(message)
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -23,7 +23,7 @@
 	golden.Compare(t, "testdata/batch.out", out.Bytes())
 }
 
-func TestRun_FaultsNameMessageFieldAndBatch(t *testing.T) {
+func TestRun_ErrorsNameMessageFieldAndBatch(t *testing.T) {
 	open := "[\"CLOCK\",1,9]\n"
 	for in, want := range map[string]string{
 		open + "nonsense":                     "batch 9: malformed line",
@@ -83,13 +83,13 @@
 			t.Fatalf("the module panicked: %s", out.String())
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Fatalf("fault of several lines: %v", err)
+			t.Fatalf("error of several lines: %v", err)
 		}
 	})
 }
 
-// A health check is sent where the settings permit it. A response that is late, failed or from an
-// unknown engine is no fault.
+// A health check is sent if the settings permit it. A response that is late, failed or from an
+// unknown engine is no error.
 func TestRun_SendsHealthCheckAndAcceptsResponses(t *testing.T) {
 	batch, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
@@ -112,6 +112,6 @@
 	bad := strings.Replace(in, `[12,0.7]`, `[12]`, 1)
 	err = NewHost().Run(strings.NewReader(bad), &out)
 	if err == nil || !strings.Contains(err.Error(), "PROBED: usage") {
-		t.Fatalf("want a fault that names PROBED and usage, got %v", err)
+		t.Fatalf("want an error that names PROBED and usage, got %v", err)
 	}
 }
--- a/internal/simprotocol/message.go
+++ b/internal/simprotocol/message.go
@@ -8,13 +8,14 @@
 
 var errEmptyArray = errors.New("malformed line: empty array")
 
-// MessageError reports a field of a message that can't be used.
+// MessageError reports an invalid field of a message.
 type MessageError struct {
 	Message string // name of the message
-	Field   string
+	Field   string // name of the field
 	Problem string
 }
 
+// Error implements error.
 func (e *MessageError) Error() string {
 	return e.Message + ": " + e.Field + ": " + e.Problem
 }
@@ -22,11 +23,11 @@
 // messageName is the name of a message, as the protocol spells it.
 type messageName string
 
-// inputMessage is one line of input. Once a field could not be used, err holds that first
-// fault, and the values of fields are no longer meaningful.
+// inputMessage is one line of input. Its fields are decoded one after the other, without a check
+// after each of them: err is the first error, after which the decoded values must not be used.
 type inputMessage struct {
 	name   messageName
-	values []json.RawMessage
+	values []json.RawMessage // without the name
 	err    error
 }
 
@@ -46,26 +47,25 @@
 	return &inputMessage{name: name, values: elements[1:]}, nil
 }
 
-// fail sets the message's error, unless an earlier fault is set. field is the field's name in errors.
+// fail sets the message's error, unless there is one already. field is the field's name in errors.
 func (m *inputMessage) fail(field, format string, args ...any) {
 	if m.err == nil {
 		m.err = &MessageError{Message: string(m.name), Field: field, Problem: fmt.Sprintf(format, args...)}
 	}
 }
 
-// field is the place of a value in a message, counted after the message's name, and the value's name
-// in errors. The type parameter is the type of the value.
+// field describes a value of type T in a message.
 type field[T any] struct {
-	index int
-	name  string
+	index int    // in inputMessage.values
+	name  string // in errors
 }
 
-// present reports whether the value is there and not null.
+// present reports whether the message has the value and it is not null.
 func (f field[T]) present(message *inputMessage) bool {
 	return f.index < len(message.values) && string(message.values[f.index]) != "null"
 }
 
-// required returns a value that must be present.
+// required returns the value. It is an error if the value is not present.
 func (f field[T]) required(message *inputMessage) (value T) {
 	if !f.present(message) {
 		message.fail(f.name, "missing")
@@ -74,7 +74,7 @@
 	return f.optional(message)
 }
 
-// optional returns a value, or the zero value where none is present.
+// optional returns the value, or the zero value if it is not present.
 func (f field[T]) optional(message *inputMessage) (value T) {
 	if !f.present(message) {
 		return value
--- a/internal/simprotocol/names.go
+++ b/internal/simprotocol/names.go
@@ -40,8 +40,8 @@
 	messageLog           messageName = "SAY_LOG"
 )
 
-// The fields of each message. The same fields are at other places in other messages, so each message has
-// a list of its own, although these lists look alike.
+// The same field has different indexes in different messages, so each message has a list of fields of
+// its own, although the lists look alike.
 
 // Fields of CLOCK.
 var (
@@ -77,7 +77,7 @@
 	endpointsTable = field[int64]{3, "table"}
 )
 
-// Fields that messages about one request have at the same place.
+// Fields that have the same index in all messages about one request.
 var (
 	fieldRequestID = field[uint64]{1, "xid"}
 	fieldAttempt   = field[int64]{2, "attempt"}
@@ -120,7 +120,7 @@
 	healthLoad   = field[[]float64]{4, "usage"}
 )
 
-// resultCodes are the results of attempts and health checks as the protocol numbers them.
+// resultCodes maps the protocol's codes to the results of attempts and health checks.
 var resultCodes = map[int64]policy.Result{
 	200: policy.ResultServed,
 	502: policy.ResultFailed,
@@ -141,14 +141,14 @@
 	loadDiskShare   = "x1"
 )
 
-// engineStates are the states of engines as POOL spells them.
+// engineStates maps the names of states in POOL to the states of engines.
 var engineStates = map[string]policy.EngineState{
 	"live":      policy.EngineReady,
 	"quiescing": policy.EngineDraining,
 	"dead":      policy.EngineRemoved,
 }
 
-// updateModes are the kinds of endpoint lists as PEERS_KNOWN spells them.
+// updateModes maps the names of modes in PEERS_KNOWN to the modes of endpoint updates.
 var updateModes = map[string]policy.UpdateMode{
 	"delta":  policy.UpdateDelta,
 	"full":   policy.UpdateFull,
