--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Backoff returns the delays between attempts to reach a source. Each delay is twice the previous
-// one, up to a maximum. It is not safe for concurrent use.
+// Backoff computes the delays between attempts to reach a source. Each delay is twice the previous
+// delay, up to a maximum. It is not safe for concurrent use.
 type Backoff struct {
 	// Initial is the first delay, and the first after Reset, even if Max is less.
 	Initial time.Duration
 	// Max limits all delays but the first.
 	Max time.Duration
 
-	next time.Duration // 0: Initial
+	next time.Duration // the next delay; 0: Initial
 }
 
 // Next returns the delay before the next attempt.
@@ -23,5 +23,5 @@
 	return delay
 }
 
-// Reset makes Initial the next delay. It must be called after an attempt that succeeded.
+// Reset makes Initial the next delay. It must be called after an attempt has succeeded.
 func (b *Backoff) Reset() { b.next = 0 }
--- a/internal/discovery/consul/decoding.go
+++ b/internal/discovery/consul/decoding.go
@@ -35,8 +35,8 @@
 	return r.ServiceID != "" && r.ServicePort >= 1 && r.ServicePort <= maxPort
 }
 
-// endpoint returns the engine without its state. Metadata of the service take precedence over those
-// of the node, and both over the options.
+// endpoint returns the engine without its state. Metadata of the service take precedence over
+// metadata of the node, and both take precedence over the options.
 func (r *registration) endpoint(opts Options) lifecycle.Endpoint {
 	host := firstNonEmpty(r.ServiceAddress, r.Address)
 	engine := lifecycle.Endpoint{
@@ -70,8 +70,8 @@
 
 func (e *healthEntry) engineID() string { return engineID(e.Node.Node, e.Service.ID) }
 
-// state returns the state of the engine: draining in maintenance mode, else removed if a health check
-// is critical, else draining if the service's metadata say so, else ready.
+// state returns the state of the engine. It is draining in maintenance mode; else removed if a health
+// check is critical; else draining if the service's metadata say so; else ready.
 func (e *healthEntry) state() policy.EngineState {
 	state := policy.EngineReady
 	if e.Service.Meta["draining"] == "true" {
--- a/internal/discovery/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -122,7 +122,8 @@
 	nodeMaintenance = `{"CheckID":"_node_maintenance","Status":"critical"}`
 )
 
-// steps are the responses in their order. notified says whether the sink is notified after one.
+// steps are the responses in their order. notified is whether the sink is notified of a change after
+// the response.
 var steps = []struct {
 	path, response string
 	notified       bool
--- a/internal/discovery/consul/helpers_test.go
+++ b/internal/discovery/consul/helpers_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/internal/metrics"
 )
 
-// startWatcher starts a watcher that runs until the end of the test. The returned function runs
-// another one as the sink's goroutine would, never at the same time as those of the watcher.
+// startWatcher starts a watcher that runs until the end of the test. The watcher and the test run
+// functions with post, one at a time, in place of the sink's goroutine.
 func startWatcher(t *testing.T, opts Options, sink discovery.Sink) (post func(func()), counters *metrics.Counters) {
 	t.Helper()
 	var owner sync.Mutex
--- a/internal/discovery/consul/reconcile.go
+++ b/internal/discovery/consul/reconcile.go
@@ -11,9 +11,9 @@
 	"flaxrelay/policy"
 )
 
-// reconcile notifies the sink of all changes since the last notification. An engine is removed when
-// it is no longer registered or no longer listed by the health API. An engine that the health API
-// has never listed is ignored.
+// reconcile notifies the sink of all changes since the previous notification. An engine is removed
+// when it is no longer registered or no longer listed by the health API. An engine that the health
+// API has never listed is ignored.
 func (w *Watcher) reconcile() {
 	if w.registered == nil || w.health == nil {
 		return
@@ -48,24 +48,25 @@
 	return current
 }
 
-// changedEndpoints returns the engines that are new or have changed, and the missing ones as
-// removed, in the order of their ids. It also returns the list as a map by id.
+// changedEndpoints returns the engines that are new or have changed, and the engines that are
+// missing in the list as removed, in the order of their ids. It also returns the list as a map by
+// id.
 func changedEndpoints(
 	before map[string]lifecycle.Endpoint, list []lifecycle.Endpoint,
-) (changes []lifecycle.Endpoint, now map[string]lifecycle.Endpoint) {
-	now = make(map[string]lifecycle.Endpoint, len(list))
+) (changes []lifecycle.Endpoint, after map[string]lifecycle.Endpoint) {
+	after = make(map[string]lifecycle.Endpoint, len(list))
 	for _, engine := range list {
-		now[engine.ID] = engine
+		after[engine.ID] = engine
 		if old, known := before[engine.ID]; !known || old != engine {
 			changes = append(changes, engine)
 		}
 	}
 	for id, engine := range before {
-		if _, listed := now[id]; !listed && engine.State != policy.EngineRemoved {
+		if _, listed := after[id]; !listed && engine.State != policy.EngineRemoved {
 			engine.State = policy.EngineRemoved
 			changes = append(changes, engine)
 		}
 	}
 	slices.SortFunc(changes, func(a, b lifecycle.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	return changes, now
+	return changes, after
 }
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -17,7 +17,7 @@
 const (
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 5 * time.Second
-	// minQueryInterval is the least time between the starts of two successful queries. It limits
+	// minQueryInterval is the minimum time between the starts of two successful queries. It limits
 	// the load on the agent if its index changes all the time.
 	minQueryInterval = 20 * time.Millisecond
 )
@@ -27,23 +27,23 @@
 	healthPath  = "/v1/health/service/"
 )
 
-// Options name the service, and the values for engines whose metadata lack them. They come from the
-// deploy file.
+// Options are the service to watch, and defaults for engines without such metadata. They come from
+// the deploy file.
 type Options struct {
 	Address string // host:port of the HTTP API
 	Service string
 	Token   string // ACL token; "": none
-	Zone    string // zone of engines without one in their metadata
-	Kind    string // kind of engines without one in their metadata
+	Zone    string // default zone
+	Kind    string // default kind
 }
 
-// Watcher follows one service. The catalogue lists the registered engines and their addresses, the
-// health API says whether they accept requests. The sink's goroutine owns the state of a Watcher.
-// The queries run on two goroutines of their own, which post their results to it.
+// Watcher follows one service. The catalogue lists the registered engines and their addresses; the
+// health API lists their health checks. The sink's goroutine owns the state of a Watcher. The
+// queries of the two APIs run on one goroutine each, which posts the results to the sink's.
 type Watcher struct {
 	post     func(func()) // runs a function on the sink's goroutine
 	sink     discovery.Sink
-	counters *metrics.Counters // of the sink's goroutine
+	counters *metrics.Counters // belongs to the sink's goroutine
 	log      *slog.Logger
 	client   *client
 
@@ -51,7 +51,7 @@
 	cancelQueries context.CancelFunc            // ends the queries of the latest Watch
 	registered    []registration                // nil until received
 	health        map[string]policy.EngineState // by id of the engine; nil until received
-	notified      map[string]lifecycle.Endpoint // the engines as the sink knows them, by id
+	notified      map[string]lifecycle.Endpoint // the engines as last sent to the sink, by id
 }
 
 // New returns a watcher that notifies the sink through post.
@@ -68,8 +68,8 @@
 }
 
 // Watch follows the service that the options name until the context ends or Watch is called again.
-// The engines known so far stay until both new lists are received; then those that the new lists
-// lack are removed. Watch must be called on the sink's goroutine and does not block.
+// The sink keeps the engines of the previous service until both lists of the new service are
+// received. Watch must be called on the sink's goroutine and does not block.
 func (w *Watcher) Watch(ctx context.Context, opts Options) {
 	w.cancelQueries()
 	ctx, w.cancelQueries = context.WithCancel(ctx)
@@ -106,13 +106,13 @@
 			delay := backoff.Next()
 			w.reportFailure(opts.Address, path, err, delay)
 			sleep(ctx, delay)
-			index = 0 // the next query returns at once with what has changed meanwhile
+			index = 0 // the next query returns at once, with all changes since the failure
 			continue
 		}
 		backoff.Reset()
 		if received != index {
 			w.post(func() {
-				if ctx.Err() == nil { // otherwise Watch was called again meanwhile
+				if ctx.Err() == nil { // otherwise Watch was called again before this function ran
 					handle(list)
 				}
 			})
@@ -131,8 +131,8 @@
 		slog.Any("error", err), slog.Duration("retry_in", retryIn))
 }
 
-// nextIndex returns the index for the next query, from that of the previous query and that of its
-// response. It returns 0 if the index went back, which happens when Consul's servers are restored
+// nextIndex returns the index for the next query. index is that of the previous query, received
+// that of its response. If the index went back, nextIndex returns 0: Consul's servers were restored
 // from a backup or replaced.
 func nextIndex(index, received uint64) uint64 {
 	if received < index {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery contains what the sources of the endpoint list share. Each source is a package
-// below this one. It follows an outside system and notifies one Sink of the engines.
+// Package discovery contains the code that the sources of the endpoint list share. Each source is a
+// package in a subdirectory. It watches an external system and notifies one Sink of the engines.
 package discovery
 
 import (
@@ -11,13 +11,13 @@
 
 // Sink receives endpoint updates.
 type Sink interface {
-	// UpdateEndpoints receives all engines (policy.UpdateFull) or those that changed
+	// UpdateEndpoints receives all engines (policy.UpdateFull) or the changed engines
 	// (policy.UpdateDelta). It is called on the goroutine that owns the endpoint list.
 	UpdateEndpoints(mode policy.UpdateMode, engines []lifecycle.Endpoint)
 }
 
-// startTimeLimit is the least start time that is out of range, in milliseconds since the Unix epoch.
-// It lies in the year 2248. Start times below it fit a time.Duration.
+// startTimeLimit is the lowest start time that is out of range, in milliseconds since the Unix epoch.
+// It is in the year 2248. Lower start times fit into a time.Duration.
 const startTimeLimit = 1 << 43
 
 // StartTime converts the start time of an engine as a source reports it, in milliseconds since the
--- a/internal/discovery/eventbus/frames.go
+++ b/internal/discovery/eventbus/frames.go
@@ -6,16 +6,16 @@
 	"fmt"
 )
 
-// The layout of a frame: four bytes with the length of the rest, then the number of the event, the
-// kind and the payload. Numbers are big-endian.
+// The layout of a frame, as offsets and sizes in bytes: the length of the rest, the number of the
+// event, the kind and the payload. Numbers are big-endian.
 const (
 	lengthSize     = 4
 	eventOffset    = lengthSize
 	kindOffset     = eventOffset + 8
 	payloadOffset  = kindOffset + 1
-	minFrameLength = payloadOffset - lengthSize // of a frame without payload
+	minFrameLength = payloadOffset - lengthSize // length of a frame without payload
 	maxFrameLength = 1 << 20
-	maxMessageSize = lengthSize + maxFrameLength // size of the read buffer
+	maxFrameSize   = lengthSize + maxFrameLength // size of the read buffer
 )
 
 // frameKind is the kind of a frame and defines its payload.
@@ -43,7 +43,7 @@
 	errUnknownFrameKind = errors.New("unknown frame kind")
 )
 
-// errFrameIncomplete means that the rest of the frame has not been received yet.
+// errFrameIncomplete means that the end of the frame has not been received yet.
 var errFrameIncomplete = errors.New("frame incomplete")
 
 // eventError is a protocol error in the records of one event.
--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -33,7 +33,7 @@
 	c <- text
 }
 
-// session describes what the bus sends on one connection and what follows from it.
+// session is the script of one connection to the bus, with its expected effects.
 type session struct {
 	frames          [][]byte
 	updates         int  // number of notifications after the frames
--- a/internal/discovery/eventbus/records.go
+++ b/internal/discovery/eventbus/records.go
@@ -11,7 +11,8 @@
 	"flaxrelay/policy"
 )
 
-// The layout of a record, which describes one engine. Numbers are big-endian. The weight is ignored.
+// The layout of a record, which describes one engine, as offsets in bytes. Numbers are big-endian.
+// The weight is ignored.
 const (
 	idOffset        = 0
 	ipOffset        = 4
@@ -31,7 +32,7 @@
 	errUnknownState  = errors.New("unknown engine state")
 )
 
-// recordStates are the states of engines by their number in a record.
+// recordStates maps the numbers in records to the states of engines.
 var recordStates = [...]policy.EngineState{policy.EngineReady, policy.EngineDraining, policy.EngineRemoved}
 
 // recordDecoder decodes the records of a payload. Records refer to the names of zones and kinds by
@@ -79,7 +80,7 @@
 	return engine, nil
 }
 
-// nameAt returns the name at the index, or "" where the settings have none.
+// nameAt returns the name at the index, or "" if the settings have fewer names.
 func nameAt(names []string, index byte) string {
 	if int(index) < len(names) {
 		return names[index]
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -1,5 +1,5 @@
-// Package eventbus follows the platform's event bus, which sends the changes of the
-// endpoint list over one TCP connection.
+// Package eventbus receives the changes of the endpoint list from the platform's event bus over one
+// TCP connection.
 package eventbus
 
 import (
@@ -25,8 +25,8 @@
 	// defaultIdleTimeout is how long a connection may receive nothing. The bus sends a heartbeat
 	// every second.
 	defaultIdleTimeout = 2500 * time.Millisecond
-	// maxFrameTimeouts is how many idle timeouts a frame may take that arrives in pieces, such as
-	// the endpoint list of a large fleet from a busy bus.
+	// maxFrameTimeouts limits the time in which a frame may arrive in pieces, as a number of idle
+	// timeouts. The endpoint list of a large fleet may arrive slowly if the bus is busy.
 	maxFrameTimeouts = 8
 )
 
@@ -49,8 +49,8 @@
 	stateStopped
 )
 
-// Watcher maintains one connection to the event bus and notifies its sink of each event. The loop's
-// goroutine owns all of its state; its methods must be called there.
+// Watcher maintains one connection to the event bus and notifies its sink of each event. Its methods
+// must be called on the loop's goroutine, which owns all of its state.
 //
 //	disconnected -> dialing       Start, MoveTo, retryTimer
 //	dialing      -> connected     the dial succeeds
@@ -60,9 +60,9 @@
 //	connected    -> dialing       MoveTo another address
 //	any state    -> stopped       Stop
 type Watcher struct {
-	// MaxBackoff is the longest delay between two attempts to connect. It must be set before Start,
-	// well below the grace period of a draining engine: an event counts as received as soon as
-	// the bus can be reached again.
+	// MaxBackoff is the longest delay between two attempts to connect. It must be set before Start.
+	// It must be much less than the grace period of a draining engine, because an event counts as
+	// received as soon as the bus can be reached again.
 	MaxBackoff time.Duration
 
 	loop     *eventloop.Loop
@@ -78,16 +78,17 @@
 
 	state      watcherState
 	attempt    int    // number of dials; a dial of an earlier attempt is stale
-	cancelDial func() // cancels the latest dial; has no effect once that has ended
+	cancelDial func() // cancels the latest dial; has no effect after its end; nil before the first dial
 	conn       *eventloop.Conn
 	retryTimer *timerqueue.Timer // starts the next dial
 	idleTimer  *timerqueue.Timer // closes a connection that receives nothing
-	// partialSince is when the first part of an incomplete frame was received; 0: there is none.
+	// partialSince is when the first bytes of an incomplete frame were received, by the loop's
+	// clock; 0: no frame is incomplete.
 	partialSince time.Duration
 }
 
-// New returns a watcher that requests the events after the one with the number lastEvent. Zones and
-// kinds are the lists of the settings that records refer to by index.
+// New returns a watcher that requests the events after the event number lastEvent. zones and kinds
+// are the lists of the settings to which records refer by index.
 func New(
 	loop *eventloop.Loop, addr string, lastEvent uint64, zones, kinds []string,
 	sink discovery.Sink, counters *metrics.Counters, log *slog.Logger,
@@ -114,7 +115,7 @@
 }
 
 // MoveTo connects to the bus at another address and requests the events after the last processed
-// one. If the address is the same, it reconnects only if there is no connection.
+// event. It does nothing if the watcher is already connected to this address.
 func (w *Watcher) MoveTo(addr string) {
 	if w.state == stateStopped || addr == w.addr && w.state == stateConnected {
 		return
@@ -127,7 +128,7 @@
 	w.connect()
 }
 
-// Stop closes the connection for good.
+// Stop closes the connection. The watcher can't be started again.
 func (w *Watcher) Stop() {
 	w.disconnect()
 	w.state = stateStopped
@@ -160,7 +161,7 @@
 	w.state = stateDialing
 	w.attempt++
 	attempt := w.attempt
-	w.cancelDial = w.loop.Dial(w.addr, dialTimeout, maxMessageSize, w, func(conn *eventloop.Conn, err error) {
+	w.cancelDial = w.loop.Dial(w.addr, dialTimeout, maxFrameSize, w, func(conn *eventloop.Conn, err error) {
 		w.onDialed(attempt, conn, err)
 	})
 }
@@ -184,8 +185,8 @@
 	w.restartIdleTimer()
 }
 
-// restartIdleTimer limits the time until the next bytes arrive. Without it, a connection whose bus
-// vanished without closing it would stay open forever.
+// restartIdleTimer limits the time until the next bytes arrive. Without it, a connection would stay
+// open forever if the bus vanished without closing it.
 func (w *Watcher) restartIdleTimer() {
 	w.idleTimer.Stop()
 	w.idleTimer = w.loop.Timers.Schedule(w.loop.Now()+w.idleTimeout, func() {
@@ -212,8 +213,8 @@
 	w.retryTimer = w.loop.Timers.Schedule(w.loop.Now()+delay, w.connect)
 }
 
-// OnData handles all complete frames of the input. The sink may move or stop the watcher meanwhile,
-// which replaces conn.
+// OnData handles all complete frames of the input, until the connection is closed: by a protocol
+// error, or because the sink calls MoveTo or Stop.
 func (w *Watcher) OnData(conn *eventloop.Conn, input *eventloop.Buffer) {
 	for conn == w.conn {
 		received, err := parseFrame(input.Bytes())
@@ -235,9 +236,9 @@
 	}
 }
 
-// onPartialFrame restarts the idle timer when a part of a frame arrives: the bus is alive. It stops
-// doing so after maxFrameTimeouts, so that a frame that never ends does not occupy the connection
-// forever.
+// onPartialFrame restarts the idle timer when a part of a frame arrives, because the bus is alive.
+// After maxFrameTimeouts it no longer does, so that the idle timer ends a connection on which a frame
+// never ends.
 func (w *Watcher) onPartialFrame() {
 	now := w.loop.Now()
 	if w.partialSince == 0 {
@@ -260,8 +261,8 @@
 	w.retry(err)
 }
 
-// handleFrame notifies the sink of the event of a frame, unless the event was processed before: the
-// bus may repeat events after a reconnection.
+// handleFrame notifies the sink of the event of a frame. It ignores an event that was processed
+// before, because the bus may repeat events after a reconnection.
 func (w *Watcher) handleFrame(received frame) error {
 	w.backoff.Reset()
 	w.restartIdleTimer()
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -118,7 +118,7 @@
 // The watcher reconnects well within the grace period of a draining engine, even after the bus was
 // unreachable for long: an event counts as received as soon as the bus can be reached again.
 func TestWatcher_ReconnectsSoonAfterTheBusReturns(t *testing.T) {
-	// The address is used by nothing else, so that no outgoing connection takes the free port.
+	// Nothing else uses this address, so no outgoing connection can get the port while it is free.
 	listener, err := net.Listen("tcp", "127.0.0.77:0")
 	discoverytest.Must(t, err)
 	addr := listener.Addr().String()
