--- a/internal/clitest/clitest.go
+++ b/internal/clitest/clitest.go
@@ -1,4 +1,4 @@
-// Package clitest checks the command lines of programs. Only tests import it.
+// Package clitest checks the command-line interface of a program. Only tests import it.
 package clitest
 
 import (
@@ -25,7 +25,7 @@
 	golden.Compare(t, goldenPath, []byte(got.String()))
 }
 
-// writeCommand writes a command with its flags and arguments, and the commands below it.
+// writeCommand writes a command with its flags, its arguments and, recursively, its subcommands.
 func writeCommand(b *strings.Builder, command *kong.Node, path string) {
 	fmt.Fprintf(b, "%s\n", path)
 	for _, flag := range command.Flags {
--- a/internal/golden/difference.go
+++ b/internal/golden/difference.go
@@ -5,9 +5,8 @@
 	"strconv"
 )
 
-// firstDifference returns the number, counted from 1, of the first line that differs
-// between texts that are not equal, and the line of each, with its line ending. The line
-// of a text that has ended is empty.
+// firstDifference returns the first line in which two unequal texts differ: its number, counted from
+// 1, and the line of each text, with its line ending. If a text has no such line, its line is empty.
 func firstDifference(got, want []byte) (number int, gotLine, wantLine []byte) {
 	for {
 		number++
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares the output of a test with a golden file. Only tests and the
-// packages that support them import it.
+// Package golden compares the output of a test with a golden file. Only tests and their helper
+// packages import it.
 package golden
 
 import (
--- a/internal/tcptest/tcptest.go
+++ b/internal/tcptest/tcptest.go
@@ -1,5 +1,5 @@
-// Package tcptest lets tests listen on a TCP address and serve the connections to it. Only tests and the packages that
-// support them import it.
+// Package tcptest lets tests listen on a TCP address and serve the connections to it. Only tests and their helper
+// packages import it.
 package tcptest
 
 import (
@@ -25,8 +25,8 @@
 	return tcpListener
 }
 
-// Serve accepts connections until the listener is closed. Each is served on a goroutine of its own, and closed after
-// that.
+// Serve accepts connections until the listener is closed. It calls serve for each connection on a goroutine of its own,
+// and closes the connection when serve returns.
 func Serve(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,5 +1,5 @@
-// Package timerqueue holds every timer of a single-threaded program in one queue that is ordered by due time. Its owner
-// runs the due timers once in each turn of its event loop.
+// Package timerqueue is a queue of timers, ordered by due time, for a program with one event loop. The loop runs the
+// due timers once in each turn.
 package timerqueue
 
 import (
@@ -8,22 +8,23 @@
 	"github.com/google/btree"
 )
 
-// treeDegree is the degree of the B-tree: a node holds up to 2*treeDegree-1 timers.
+// treeDegree is the degree of the B-tree: a node contains up to 2*treeDegree-1 timers.
 const treeDegree = 16
 
-// Queue orders timers by due time, and timers of the same due time by the order in which they were scheduled. It is not
-// safe for concurrent use.
+// Queue owns the timers that have not run yet. It runs them in the order of their due times, and timers with the same
+// due time in the order in which they were scheduled. Due times are those of the caller's clock. A Queue and its timers
+// are not safe for concurrent use.
 type Queue struct {
 	tree         *btree.BTreeG[*Timer]
 	lastSequence uint64
 }
 
-// Timer is one scheduled call. The zero value belongs to no queue.
+// Timer is one scheduled call.
 type Timer struct {
 	due      time.Duration
-	sequence uint64
+	sequence uint64 // number of the timer in the queue, in the order of Schedule
 	callback func()
-	queue    *Queue // nil once the timer ran or was stopped
+	queue    *Queue // nil after the timer ran or was stopped
 }
 
 // New returns an empty queue.
@@ -31,6 +32,7 @@
 	return &Queue{tree: btree.NewG(treeDegree, runsBefore)}
 }
 
+// runsBefore is the order of the queue.
 func runsBefore(a, b *Timer) bool {
 	if a.due != b.due {
 		return a.due < b.due
@@ -38,7 +40,7 @@
 	return a.sequence < b.sequence
 }
 
-// Schedule adds a timer whose callback the first RunDue at or after the due time runs.
+// Schedule adds a timer. The first RunDue whose time is not before due runs the callback.
 func (q *Queue) Schedule(due time.Duration, callback func()) *Timer {
 	q.lastSequence++
 	t := &Timer{due: due, sequence: q.lastSequence, callback: callback, queue: q}
@@ -46,7 +48,7 @@
 	return t
 }
 
-// Stop prevents the timer from running. It may be called more than once, after the timer ran, and on nil.
+// Stop prevents the timer from running. It may be called more than once, after the timer ran, and on a nil timer.
 func (t *Timer) Stop() {
 	if t == nil || t.queue == nil {
 		return
@@ -55,14 +57,14 @@
 	t.release()
 }
 
-// release drops the references of a timer that is no longer in its queue: the owner may keep a stopped timer for long.
+// release drops the references of a timer that has run or was stopped, because its owner may keep it for long.
 func (t *Timer) release() {
 	t.queue = nil
 	t.callback = nil
 }
 
-// RunDue runs all timers that are due at the instant. Timers that these schedule for the same instant wait for the next
-// call, so that a timer which reschedules itself cannot block the caller forever.
+// RunDue runs all timers whose due time is not after now. Timers that their callbacks schedule wait for the next call,
+// also if they are due already. Otherwise a timer that reschedules itself could block the caller forever.
 func (q *Queue) RunDue(now time.Duration) {
 	lastBeforeRun := q.lastSequence
 	var postponed []*Timer
@@ -81,7 +83,7 @@
 		callback()
 	}
 	for _, t := range postponed {
-		if t.queue != nil { // not stopped meanwhile
+		if t.queue != nil { // not stopped since
 			q.tree.ReplaceOrInsert(t)
 		}
 	}
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -7,9 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Timers run in order of due time and then of scheduling; one stopped by an
-// earlier one does not run; one that reschedules itself for the same instant
-// waits for the next call.
+// Timers run in the order of their due times and then in that of Schedule. A timer that an earlier timer
+// stops does not run. A timer that reschedules itself for a time that is due waits for the next call.
 func TestRunDue_OrdersStopsAndPostpones(t *testing.T) {
 	q := New()
 	var got []int
