--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -22,12 +22,17 @@
 
 // dialed handles the outcome of the dial.
 func (c *Connection[P]) dialed(socket *eventloop.Conn, err error) {
-	if err == nil {
-		c.socket = socket
-		c.state = StateStartup
-		c.protocol.HandleConnected()
+	if err != nil {
+		c.failDial(err)
 		return
 	}
+	c.socket = socket
+	c.state = StateStartup
+	c.protocol.HandleConnected()
+}
+
+// failDial logs the error of a failed dial, and ends the connection.
+func (c *Connection[P]) failDial(err error) {
 	status := dialStatus(err)
 	if c.client.options.LogDialErrors && status != lifecycle.StatusConnectionRefused {
 		logevent.EngineConnectFailed.Log(c.client.Log, slog.String("engine", c.engine.ID), slog.Any("error", err))
