--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -74,31 +74,27 @@
 	// Reader reads the bytes that the client writes on the connection accepted last.
 	Reader *bufio.Reader
 
-	// OnServed is called on the event loop's goroutine when an attempt is served, before the
-	// client handles the bytes after the response; nil: no call. It must be set in Do.
-	OnServed func()
 	// T is the test that plays the engine.
 	T *testing.T
 
-	loop        *eventloop.Loop
-	dispatcher  *lifecycle.Dispatcher
-	listener    *net.TCPListener
-	startedAt   time.Duration   // of the engine; belongs to the event loop's goroutine
-	connection  *net.TCPConn    // nil: none is open
-	printed     map[string]bool // the lines of counters that the transcript contains
-	transcript  bytes.Buffer
-	served      bytes.Buffer // belongs to the event loop's goroutine
-	printServed func(io.Writer, *lifecycle.Request, lifecycle.AttemptReport)
+	loop       *eventloop.Loop
+	dispatcher *lifecycle.Dispatcher
+	listener   *net.TCPListener
+	startedAt  time.Duration   // of the engine; belongs to the event loop's goroutine
+	connection *net.TCPConn    // nil: none is open
+	printed    map[string]bool // the lines of counters that the transcript contains
+	transcript bytes.Buffer
+	served     servedPrinter
 }
 
 // New starts a client whose endpoint list contains the scripted engine.
 func New(t *testing.T, protocol Protocol) *Exchange {
 	t.Helper()
 	exchange := &Exchange{
-		T:           t,
-		Counters:    metrics.New(),
-		printed:     map[string]bool{},
-		printServed: protocol.PrintServed,
+		T:        t,
+		Counters: metrics.New(),
+		printed:  map[string]bool{},
+		served:   servedPrinter{print: protocol.PrintServed},
 	}
 	environment := Environment{Counters: exchange.Counters, Log: slog.New(slog.DiscardHandler)}
 	exchange.Check(json.Unmarshal([]byte(protocol.Settings), &environment.Site))
@@ -122,7 +118,7 @@
 	)
 	x.Check(err)
 	x.dispatcher = environment.Dispatcher
-	x.dispatcher.SetCostObserver(x)
+	x.dispatcher.SetCostObserver(&x.served)
 	eventlooptest.Run(x.T, x.loop)
 }
 
@@ -168,6 +164,10 @@
 	}})
 }
 
+// OnServed makes the event loop's goroutine call f when an attempt is served, before the client
+// handles the bytes after the response. It must be called in Do.
+func (x *Exchange) OnServed(f func()) { x.served.onServed = f }
+
 // RestartEngine makes the endpoint list report a restart of the engine, which retires its
 // connections. It must be called in Do.
 func (x *Exchange) RestartEngine() {
@@ -260,7 +260,7 @@
 func (x *Exchange) AwaitEnd(attempt *lifecycle.Attempt) {
 	x.T.Helper()
 	x.await("the end of the attempt", attempt.Ended)
-	x.Do(func() { _, _ = x.served.WriteTo(&x.transcript) })
+	x.Do(func() { _, _ = x.served.output.WriteTo(&x.transcript) })
 	x.PrintCounters(metrics.AttemptsEnded.With("").Name())
 }
 
@@ -277,21 +277,6 @@
 	}
 }
 
-// ObserveServed prints the report of a served attempt. It is part of lifecycle.CostObserver, as
-// are ObserveTimeout and Release.
-func (x *Exchange) ObserveServed(request *lifecycle.Request, report lifecycle.AttemptReport, _ time.Duration) {
-	x.printServed(&x.served, request, report)
-	if x.OnServed != nil {
-		x.OnServed()
-	}
-}
-
-// ObserveTimeout does nothing: the counters show a timeout.
-func (x *Exchange) ObserveTimeout(*lifecycle.Request, time.Duration) {}
-
-// Release does nothing: the ObserverData is the same for all requests.
-func (x *Exchange) Release(*lifecycle.Request) {}
-
 // await waits until the condition is true. It calls condition on the event loop's goroutine.
 func (x *Exchange) await(what string, condition func() bool) {
 	x.T.Helper()
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -355,7 +355,7 @@
 		abandoned := x.start(otherID, "SELECT 2")
 		// The end of the connection is posted after this, when the second response is read.
 		x.Do(func() {
-			x.OnServed = func() { x.Post(func() { x.Client.Abandon(abandoned) }) }
+			x.OnServed(func() { x.Post(func() { x.Client.Abandon(abandoned) }) })
 		})
 		x.write(id + emptyResult + otherID + unreadable)
 		x.AwaitEnd(served)
