--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -56,7 +56,7 @@
 }
 
 // Run responds to batches until the input ends. It returns nil if the input ends between batches, and a
-// *BatchError if the input is invalid or can't be read.
+// *BatchError if the input is invalid or can't be read. An error of out is returned with its context.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, initialLineBuffer), maxLineLength)
