--- a/internal/e2e/discovery_test.go
+++ b/internal/e2e/discovery_test.go
@@ -4,12 +4,8 @@
 	"bufio"
 	"fmt"
 	"net"
-	"strings"
 	"testing"
-	"time"
 
-	"flaxrelay/internal/engine"
-	"flaxrelay/internal/lifecycle"
 	"flaxrelay/policy"
 )
 
@@ -64,42 +60,3 @@
 	got, _ := client.roundTrip(queryRequest("lookup", ""))
 	assertEqual(t, "response", got, emptyResult)
 }
-
-// A new engine at the address of a removed one is another engine: connections to the old one
-// take no more requests.
-func TestDiscovery_ReusedAddressIsAnotherEngine(t *testing.T) {
-	var retired []string
-	pool := engine.NewPool[*recordingConnection]()
-	update := func(id string, state policy.EngineState, started time.Duration) {
-		pool.UpdateEndpoint(lifecycle.Endpoint{
-			Address: "127.0.0.1:1",
-			Engine:  policy.Engine{ID: id, State: state, StartedAt: started},
-		})
-	}
-	connect := func(id string) {
-		pool.Get(id).Connections = append(pool.Get(id).Connections, &recordingConnection{id, &retired})
-	}
-	update("old", policy.EngineReady, 0)
-	connect("old")
-	update("new", policy.EngineReady, 0)
-	if pool.Get("new") == pool.Get("old") || len(pool.Get("new").Connections) != 0 {
-		t.Error("the new engine has the connections of the old one")
-	}
-	update("old", policy.EngineDraining, 0)
-	update("old", policy.EngineRemoved, 0)
-	if pool.Get("old") != nil {
-		t.Error("the removed engine is still in the pool")
-	}
-	connect("new")
-	update("new", policy.EngineReady, time.Second)
-	assertEqual(t, "retired", strings.Join(retired, " "), "old new")
-}
-
-// recordingConnection notes when it is retired.
-type recordingConnection struct {
-	engineID string
-	retired  *[]string
-}
-
-// Retire implements the connection of a pool.
-func (c *recordingConnection) Retire() { *c.retired = append(*c.retired, c.engineID) }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -44,7 +44,7 @@
 	Log        *slog.Logger
 
 	options Options
-	pool    *Pool[P]
+	pool    *pool[P]
 	// accepting contains the connections that accept attempts, from the start of their dials.
 	accepting map[*Connection[P]]struct{}
 }
@@ -63,18 +63,18 @@
 		Counters:   counters,
 		Log:        log,
 		options:    options,
-		pool:       NewPool[P](),
+		pool:       newPool[P](),
 		accepting:  map[*Connection[P]]struct{}{},
 	}
 }
 
-// UpdateEndpoint applies an entry of the endpoint list. It is part of lifecycle.EngineClient.
-func (c *Client[P]) UpdateEndpoint(endpoint lifecycle.Endpoint) { c.pool.UpdateEndpoint(endpoint) }
+// updateEndpoint applies an entry of the endpoint list. It is part of lifecycle.EngineClient.
+func (c *Client[P]) UpdateEndpoint(endpoint lifecycle.Endpoint) { c.pool.updateEndpoint(endpoint) }
 
 // EngineOf returns the engine of an attempt. If the endpoint list has no such engine, it
 // ends the attempt and returns nil.
 func (c *Client[P]) EngineOf(attempt *lifecycle.Attempt) *Engine[P] {
-	engine := c.pool.Get(attempt.Engine)
+	engine := c.pool.get(attempt.Engine)
 	if engine == nil {
 		c.Dispatcher.EndAttempt(attempt, lifecycle.StatusUnknownEngine, lifecycle.AttemptReport{})
 	}
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -11,7 +11,7 @@
 // Protocol is a protocol's type of connection. It embeds a Connection, which implements Retire
 // and calls the other methods on the event loop's goroutine.
 type Protocol interface {
-	Pooled
+	pooled
 	// HandleConnected is called when the dial has succeeded.
 	HandleConnected()
 	// HandleMessage handles the first message of in and returns its length, or 0 if the
--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -145,13 +145,13 @@
 		"removed":   {func(e *lifecycle.Endpoint) { e.State = policy.EngineRemoved }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			pool := NewPool[*fakeConnection]()
-			pool.UpdateEndpoint(entry)
+			pool := newPool[*fakeConnection]()
+			pool.updateEndpoint(entry)
 			c := &fakeConnection{}
-			pool.Get("e1").Connections = append(pool.Get("e1").Connections, c)
+			pool.get("e1").Connections = append(pool.get("e1").Connections, c)
 			changed := entry
 			test.change(&changed)
-			pool.UpdateEndpoint(changed)
+			pool.updateEndpoint(changed)
 			if c.retired != test.retired {
 				t.Errorf("retired: %t, want %t", c.retired, test.retired)
 			}
--- a/internal/engine/lineclient/fields.go
+++ b/internal/engine/lineclient/fields.go
@@ -41,15 +41,10 @@
 
 func isFinite(number float64) bool { return !math.IsNaN(number) && !math.IsInf(number, 0) }
 
-// unreported is the value of each load in policy.LoadReport that the engine does not report.
-const unreported = -1
-
 // loadReport returns the engine's load report. An engine names its loads as the settings or as
 // the wire protocol does.
 func (f fieldList) loadReport() policy.LoadReport {
-	report := policy.LoadReport{
-		CPUShare: unreported, InFlight: unreported, Queued: unreported, MemoryShare: unreported, DiskShare: unreported,
-	}
+	report := policy.UnreportedLoad()
 	rest, _ := f.value("gauges")
 	for rest != "" {
 		var gauge string
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -8,20 +8,20 @@
 	"flaxrelay/policy"
 )
 
-// Pooled is a connection in a Pool.
-type Pooled interface {
+// pooled is a connection in a pool.
+type pooled interface {
 	comparable
 	// Retire makes the connection accept no new attempts and close once none is in flight.
 	Retire()
 }
 
-// Pool owns the engines of the endpoint list with their connections. The key is the engine's
+// pool owns the engines of the endpoint list with their connections. The key is the engine's
 // id, because a new engine may have the address of a removed one. It may be used only on the
 // event loop's goroutine.
-type Pool[C Pooled] struct{ engines map[string]*Engine[C] }
+type pool[C pooled] struct{ engines map[string]*Engine[C] }
 
 // Engine is one engine of the endpoint list with its connections.
-type Engine[C Pooled] struct {
+type Engine[C pooled] struct {
 	ID      string
 	Address string
 	// Connections are in the order of their dials. A connection is added when its dial starts,
@@ -30,15 +30,15 @@
 	startedAt   time.Duration // as the endpoint list reports it
 }
 
-// NewPool returns an empty pool.
-func NewPool[C Pooled]() *Pool[C] { return &Pool[C]{engines: map[string]*Engine[C]{}} }
+// newPool returns an empty pool.
+func newPool[C pooled]() *pool[C] { return &pool[C]{engines: map[string]*Engine[C]{}} }
 
-// Get returns the engine of this id, or nil if the endpoint list has none.
-func (p *Pool[C]) Get(id string) *Engine[C] { return p.engines[id] }
+// get returns the engine of this id, or nil if the endpoint list has none.
+func (p *pool[C]) get(id string) *Engine[C] { return p.engines[id] }
 
-// UpdateEndpoint applies an entry of the endpoint list. It retires the connections to an
+// updateEndpoint applies an entry of the endpoint list. It retires the connections to an
 // engine that has changed its address, has restarted or is removed.
-func (p *Pool[C]) UpdateEndpoint(endpoint lifecycle.Endpoint) {
+func (p *pool[C]) updateEndpoint(endpoint lifecycle.Endpoint) {
 	removed := endpoint.State == policy.EngineRemoved
 	known := p.engines[endpoint.ID]
 	if known == nil {
--- /dev/null
+++ b/internal/engine/pool_test.go
@@ -0,0 +1,51 @@
+package engine
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
+)
+
+// A new engine at the address of a removed one is another engine: connections to the old one
+// take no more requests.
+func TestPool_ReusedAddressIsAnotherEngine(t *testing.T) {
+	var retired []string
+	pool := newPool[*recordingConnection]()
+	update := func(id string, state policy.EngineState, started time.Duration) {
+		pool.updateEndpoint(lifecycle.Endpoint{
+			Address: "127.0.0.1:1",
+			Engine:  policy.Engine{ID: id, State: state, StartedAt: started},
+		})
+	}
+	connect := func(id string) {
+		pool.get(id).Connections = append(pool.get(id).Connections, &recordingConnection{id, &retired})
+	}
+	update("old", policy.EngineReady, 0)
+	connect("old")
+	update("new", policy.EngineReady, 0)
+	if pool.get("new") == pool.get("old") || len(pool.get("new").Connections) != 0 {
+		t.Error("the new engine has the connections of the old one")
+	}
+	update("old", policy.EngineDraining, 0)
+	update("old", policy.EngineRemoved, 0)
+	if pool.get("old") != nil {
+		t.Error("the removed engine is still in the pool")
+	}
+	connect("new")
+	update("new", policy.EngineReady, time.Second)
+	if got := strings.Join(retired, " "); got != "old new" {
+		t.Errorf("retired %q, want the connections of old and new", got)
+	}
+}
+
+// recordingConnection notes when it is retired.
+type recordingConnection struct {
+	engineID string
+	retired  *[]string
+}
+
+// Retire implements the connection of a pool.
+func (c *recordingConnection) Retire() { *c.retired = append(*c.retired, c.engineID) }
--- a/internal/lifecycle/client.go
+++ b/internal/lifecycle/client.go
@@ -14,9 +14,9 @@
 	// Abandon gives up an attempt that has not ended. The Dispatcher ends it
 	// itself; a later EndAttempt has no effect.
 	Abandon(a *Attempt)
-	// Withdraw takes back an attempt of which nothing has been written, and reports
-	// whether it could: if so, nothing will reach the engine, and the Dispatcher
-	// ends the attempt.
+	// Withdraw abandons an attempt whose request is not written yet, and reports
+	// whether it did so. Nothing reaches the engine then, and the Dispatcher ends
+	// the attempt.
 	Withdraw(a *Attempt) bool
 	// SetPriority changes the priority of an attempt in flight.
 	SetPriority(a *Attempt, priority int)
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -161,19 +161,10 @@
 	return event
 }
 
-// unreported is the value of each load in policy.LoadReport that the engine does not report.
-const unreported = -1
-
 // decodeLoad decodes a load report. Its values are in the order of the names in the instance's
 // settings. Values that the policy module does not use are skipped.
 func (in *instance) decodeLoad(message *inputMessage, report field[[]float64]) policy.LoadReport {
-	load := policy.LoadReport{
-		CPUShare:    unreported,
-		InFlight:    unreported,
-		Queued:      unreported,
-		MemoryShare: unreported,
-		DiskShare:   unreported,
-	}
+	load := policy.UnreportedLoad()
 	values := report.optional(message)
 	if message.err == nil && values != nil && len(values) != len(in.loadFields) {
 		message.fail(report.name, "%d values for %d names", len(values), len(in.loadFields))
--- a/policy/events.go
+++ b/policy/events.go
@@ -59,6 +59,20 @@
 	DiskShare   float64 // share of disks busy
 }
 
+// unreportedFigure is the value of a figure that the deployment doesn't report.
+const unreportedFigure = -1
+
+// UnreportedLoad returns a report without any figure, for callers to fill in.
+func UnreportedLoad() LoadReport {
+	return LoadReport{
+		CPUShare:    unreportedFigure,
+		InFlight:    unreportedFigure,
+		Queued:      unreportedFigure,
+		MemoryShare: unreportedFigure,
+		DiskShare:   unreportedFigure,
+	}
+}
+
 // HealthChecked is the result of a CheckHealth.
 type HealthChecked struct {
 	Engine string
