--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// updateEndpoint applies an entry of the endpoint list. It is part of lifecycle.EngineClient.
+// UpdateEndpoint applies an entry of the endpoint list. It is part of lifecycle.EngineClient.
 func (c *Client[P]) UpdateEndpoint(endpoint lifecycle.Endpoint) { c.pool.updateEndpoint(endpoint) }
 
 // EngineOf returns the engine of an attempt. If the endpoint list has no such engine, it
