--- a/internal/stmtstats/snapshot_disk_test.go
+++ b/internal/stmtstats/snapshot_disk_test.go
@@ -8,25 +8,14 @@
 	"testing"
 	"time"
 
-	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/metrics"
-	"flaxrelay/policy"
 )
 
 // startService starts a service that continues from the snapshot, and returns its counters.
 func startService(t *testing.T, path string) *metrics.Counters {
 	t.Helper()
-	loop, err := eventloop.New()
-	if err != nil {
-		t.Fatal(err)
-	}
-	counters := metrics.New()
 	settings := Settings{MaxBytes: testCacheBytes, SnapshotPath: path, SnapshotInterval: time.Hour}
-	classes := []policy.Class{{Name: "lookup"}}
-	if _, err = NewService(settings, classes, loop, counters, slog.New(slog.DiscardHandler)); err != nil {
-		t.Fatal(err)
-	}
-	return counters
+	return newTestService(t, settings, slog.New(slog.DiscardHandler)).counters
 }
 
 // Temporary files of snapshots that a killed process did not complete are removed at the next start:
