--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -6,7 +6,6 @@
 
 	"flaxrelay/internal/decision/costmodel"
 	"flaxrelay/internal/eventloop"
-	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
 )
@@ -25,17 +24,16 @@
 // request arrives, and the lifecycle.Dispatcher reports what served requests have cost. All its
 // methods must be called from the goroutine of the event loop.
 type Service struct {
-	store    *Store
-	settings Settings
-	classes  classTable
+	store     *Store
+	settings  Settings
+	classes   classTable
+	snapshots *snapshotWriter // nil: the settings name no file
 
-	loop     *eventloop.Loop
 	counters *metrics.Counters
 	log      *slog.Logger
 
-	savingSnapshot bool  // a goroutine is writing a snapshot
-	corrected      int64 // number of requests whose hints were replaced
-	executions     executionPool
+	corrected  int64 // number of requests whose hints were replaced
+	executions executionPool
 }
 
 // NewService returns a service that continues from the snapshot, if there is one. A
@@ -46,7 +44,6 @@
 	service := &Service{
 		settings: settings,
 		classes:  newClassTable(classes, settings.CostModel.Classes),
-		loop:     loop,
 		counters: counters,
 		log:      log,
 	}
@@ -62,43 +59,21 @@
 		service.store = store
 	}
 	if settings.SnapshotPath != "" {
-		service.scheduleSnapshot()
+		service.snapshots = &snapshotWriter{
+			store: service.store, path: settings.SnapshotPath, interval: settings.SnapshotInterval,
+			loop: loop, counters: counters, log: log,
+		}
+		service.snapshots.schedule()
 	}
 	return service, nil
 }
 
-// scheduleSnapshot schedules the next snapshot and all that follow.
-func (s *Service) scheduleSnapshot() {
-	s.loop.Timers.Schedule(s.loop.Now()+s.settings.SnapshotInterval, func() {
-		s.SaveSnapshot()
-		s.scheduleSnapshot()
-	})
-}
-
-// SaveSnapshot writes a snapshot in the background, if the settings name a file. Only one is
-// written at a time, so that a disk that hangs blocks one goroutine at most.
+// SaveSnapshot begins to write a snapshot in the background, if the settings name a file and no
+// snapshot is being written.
 func (s *Service) SaveSnapshot() {
-	if s.settings.SnapshotPath == "" || s.savingSnapshot {
-		return
-	}
-	s.savingSnapshot = true
-	snapshot := s.store.Snapshot()
-	go func() {
-		err := snapshot.Write(s.settings.SnapshotPath)
-		s.loop.Post(func() { s.snapshotWritten(err) })
-	}()
-}
-
-// snapshotWritten handles the result of a write.
-func (s *Service) snapshotWritten(err error) {
-	s.savingSnapshot = false
-	if err != nil {
-		s.counters.Increment(metrics.ShapesSnapshotFailed)
-		file := slog.String("file", s.settings.SnapshotPath)
-		logevent.ShapesSnapshotFailed.Log(s.log, file, slog.Any("error", err))
-		return
+	if s.snapshots != nil {
+		s.snapshots.save()
 	}
-	s.counters.Increment(metrics.ShapesSnapshots)
 }
 
 // PublishCounters sets the counters of the store's figures.
