--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -24,7 +24,7 @@
 	For      time.Duration `name:"for" default:"1h" help:"Stop after this time."`
 }
 
-// maxEngines bounds the emulated engines, so that their logs stay readable.
+// maxEngines limits the emulated engines of each protocol, so that their logs stay readable.
 const maxEngines = 16
 
 var errFrontEndEnded = errors.New("a front end has ended; its log says why")
@@ -107,8 +107,8 @@
 
 // frontEnds are the running processes of flaxrelay, one of each protocol.
 type frontEnds struct {
-	http     *harness.Proxy // nil before it has started
-	postgres *harness.Proxy // nil before it has started
+	http     *harness.FrontEnd // nil: not started
+	postgres *harness.FrontEnd // nil: not started
 }
 
 // start starts both front ends in the environment.
@@ -123,7 +123,7 @@
 	return err
 }
 
-// stop ends the front ends, the one that was started last first.
+// stop ends the front ends, in the reverse order of their starts.
 func (f *frontEnds) stop() {
 	if f.postgres != nil {
 		f.postgres.Stop()
@@ -133,7 +133,7 @@
 	}
 }
 
-// awaitEnd waits for the end of the context, which is no error, or of a front end.
+// awaitEnd waits until the context is done or a front end has ended. Only the latter is an error.
 func (f *frontEnds) awaitEnd(ctx context.Context) error {
 	var err error
 	select {
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// shutdownTimeout bounds a graceful shutdown. The bound of flaxrelay itself is lower.
+	// shutdownTimeout limits a graceful shutdown. The limit that flaxrelay sets for itself is lower.
 	shutdownTimeout = 8 * time.Second
-	// dialTimeout bounds one attempt to connect.
+	// dialTimeout limits one attempt to connect.
 	dialTimeout = time.Second
 	// dialInterval is the pause between attempts to connect.
 	dialInterval = 50 * time.Millisecond
@@ -40,8 +40,8 @@
 	return program, nil
 }
 
-// Proxy is one process of flaxrelay.
-type Proxy struct {
+// FrontEnd is one process of flaxrelay. Its methods are safe for concurrent use.
+type FrontEnd struct {
 	Process *os.Process
 	Exited  <-chan error // receives the exit of the process once, nil for status 0
 
@@ -49,7 +49,7 @@
 }
 
 // Start starts flaxrelay, without the environment variables that would change its settings.
-func Start(program string, out io.Writer, args ...string) (*Proxy, error) {
+func Start(program string, out io.Writer, args ...string) (*FrontEnd, error) {
 	cmd := exec.Command(program, args...)
 	cmd.Stdout = out
 	cmd.Stderr = out
@@ -58,22 +58,22 @@
 		return nil, fmt.Errorf("harness: %w", err)
 	}
 	exited := make(chan error, 1)
-	p := &Proxy{Process: cmd.Process, Exited: exited, done: make(chan struct{})}
+	f := &FrontEnd{Process: cmd.Process, Exited: exited, done: make(chan struct{})}
 	go func() {
 		exited <- cmd.Wait()
-		close(p.done)
+		close(f.done)
 	}()
-	return p, nil
+	return f, nil
 }
 
-// Stop ends the process by a graceful shutdown, and by force if that takes too long.
-func (p *Proxy) Stop() {
-	_ = p.Process.Signal(syscall.SIGTERM) // a process that has ended needs none
+// Stop ends the process by a graceful shutdown. It kills the process after shutdownTimeout.
+func (f *FrontEnd) Stop() {
+	_ = f.Process.Signal(syscall.SIGTERM) // fails if the process has already ended
 	select {
-	case <-p.done:
+	case <-f.done:
 	case <-time.After(shutdownTimeout):
-		_ = p.Process.Kill()
-		<-p.done
+		_ = f.Process.Kill()
+		<-f.done
 	}
 }
 
@@ -94,8 +94,8 @@
 }
 
 // FreeAddr returns a loopback address at which nothing listens. Its host is drawn from 127.64.0.0/10,
-// which nothing else uses: a port of 127.0.0.1 could be taken by any connection before the process
-// listens that the address is for.
+// which nothing else uses. On 127.0.0.1, another connection could occupy the port before the process for
+// which the address is drawn listens there.
 func FreeAddr() (string, error) {
 	const (
 		firstSecondByte = 64 // of 127.64.0.0/10
