--- a/internal/lab/fake/line_echo.go
+++ b/internal/lab/fake/line_echo.go
@@ -9,18 +9,17 @@
 	"time"
 )
 
-// progressReports is in how many parts an engine does its work. It reports its progress after each
-// but the last.
-const progressReports = 4
+// workParts is the number of equal parts of an engine's work. It reports its progress after each part
+// except the last.
+const workParts = 4
 
-// ServeLineProtocol serves the platform's line protocol on a listener until that is closed, with an
-// engine that answers each statement, after reports of its progress, with rows that repeat the
-// request.
+// ServeLineProtocol serves the platform's line protocol on a listener until that is closed. Its engine
+// reports its progress on each statement and responds with rows that contain the request.
 func ServeLineProtocol(listener net.Listener, work Work, log *slog.Logger) {
 	ServeLineEngine(listener, &echoEngine{work: work, log: log})
 }
 
-// echoEngine is a LineHandler whose results repeat the request.
+// echoEngine is a LineHandler whose results contain the request.
 type echoEngine struct {
 	work Work
 	log  *slog.Logger
@@ -44,14 +43,14 @@
 func (e *echoEngine) Handle(ctx context.Context, exchange *LineExchange) {
 	request := exchange.Request
 	took, memoryMB := e.work(request.Statement)
-	for part := 1; part <= progressReports; part++ {
+	for part := 1; part <= workParts; part++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(took / progressReports):
+		case <-time.After(took / workParts):
 		}
-		if part < progressReports {
-			progress := fmt.Sprintf("res=p,num=%.2f", float64(part)/progressReports)
+		if part < workParts {
+			progress := fmt.Sprintf("res=p,num=%.2f", float64(part)/workParts)
 			exchange.Send(LineMessage(request.ID, MessageProgress, progress, ""))
 		}
 	}
