--- a/internal/stmtstats/cache_lru.go
+++ b/internal/stmtstats/cache_lru.go
@@ -23,8 +23,8 @@
 // Add implements entryCache.
 func (c lruCache) Add(fingerprint Fingerprint, shape *CachedShape) { c.Cache.Add(fingerprint, shape) }
 
-// entryBounded is a cache that is bounded by a number of entries instead of bytes.
-type entryBounded struct{ entryCache }
+// entryLimitedCache is a Cache whose limit is a number of entries instead of bytes.
+type entryLimitedCache struct{ entryCache }
 
 // typicalNormalFormBytes is the length of the normal form of a typical statement.
 const typicalNormalFormBytes = 120
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("cache of shapes: %w", err)
 	}
-	return entryBounded{lruCache{cache}}, nil
+	return entryLimitedCache{lruCache{cache}}, nil
 }
 
 // New2Q returns a 2Q cache (Johnson, Shasha, "2Q: A Low Overhead High Performance Buffer
@@ -53,17 +53,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("cache of shapes: %w", err)
 	}
-	return entryBounded{cache}, nil
+	return entryLimitedCache{cache}, nil
 }
 
 // Get implements Cache.
-func (c entryBounded) Get(fingerprint Fingerprint) *CachedShape {
+func (c entryLimitedCache) Get(fingerprint Fingerprint) *CachedShape {
 	shape, _ := c.entryCache.Get(fingerprint)
 	return shape
 }
 
 // Bytes implements Cache.
-func (c entryBounded) Bytes() (total int) {
+func (c entryLimitedCache) Bytes() (total int) {
 	c.Each(func(_ Fingerprint, shape *CachedShape) bool {
 		total += shape.Size()
 		return true
@@ -72,7 +72,7 @@
 }
 
 // Each implements Cache.
-func (c entryBounded) Each(yield func(Fingerprint, *CachedShape) bool) {
+func (c entryLimitedCache) Each(yield func(Fingerprint, *CachedShape) bool) {
 	for _, fingerprint := range c.Keys() {
 		if shape, ok := c.Peek(fingerprint); ok && !yield(fingerprint, shape) {
 			return
