--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -12,7 +12,7 @@
 	RoleUpperBound      // upper bound of a range
 	RolePattern         // of LIKE, ILIKE, SIMILAR TO and the operators ~ and ~~
 	RoleLimit           // number of rows
-	RoleInterval        // a length of time by itself, as in now() - interval '1 year'
+	RoleInterval        // a length of time, as in now() - interval '1 year'
 )
 
 // Slot is one value of a statement that the size of its result may depend on.
@@ -26,7 +26,7 @@
 	Count     int32 // number of alternatives in a list of literals
 }
 
-// Verb is the command that decides the kind of a statement; 0: none of those below.
+// Verb is the command that decides the kind of a statement; 0: none of the constants.
 type Verb byte
 
 // The verbs.
@@ -42,7 +42,7 @@
 // Features are the properties of a statement that indicate its cost.
 type Features struct {
 	Verb       Verb
-	Tables     int32 // names behind FROM and JOIN
+	Tables     int32 // names after FROM and JOIN
 	Joins      int32
 	Aggregates int32 // calls of aggregate functions
 	Windows    int32 // OVER
@@ -81,8 +81,8 @@
 	Unrestricted bool
 }
 
-// Classification is the part of an Analysis that is filled in only if Analyzer.ClassifyEffect is set.
-// Its zero value has the most cautious effect, EffectUnknown.
+// Classification is the part of an Analysis that is set only if Analyzer.ClassifyEffect is true. Its
+// zero value has the most cautious effect, EffectUnknown.
 type Classification struct {
 	Effect             Verdict // as returned by EffectOf
 	FirstWord          string  // as returned by the function FirstWord, but in the case of the text
--- a/internal/sqltext/analyzer.go
+++ b/internal/sqltext/analyzer.go
@@ -11,8 +11,8 @@
 	hasher fingerprintHasher
 	buffer []byte // of the normal form
 
-	// These are not part of the pass, which is cleared for each statement: clearing them too
-	// would cost more than most statements do.
+	// These are not part of the pass, which is cleared for each statement. Clearing them would
+	// take longer than the analysis of most statements.
 	slots  slotBuffer
 	lists  listStack
 	effect effectClassifier
@@ -53,7 +53,7 @@
 	return &a.result
 }
 
-// run passes all tokens of a statement to the pass and, where that is enabled, to the classifier.
+// run passes all tokens of a statement to the pass and, if ClassifyEffect is set, to the classifier.
 func (a *Analyzer) run(pass *analysisPass) {
 	var statements statementCounter
 	for t := pass.lexer.Next(); t.Kind != EndOfText; t = pass.lexer.Next() {
--- a/internal/sqltext/binds.go
+++ b/internal/sqltext/binds.go
@@ -15,7 +15,7 @@
 	binaryFormat = 1 // the format code of binary values
 )
 
-// parameter returns the value of a parameter. ok is false where none is bound.
+// parameter returns the value of a parameter. ok is false if none is bound.
 func (b *Binds) parameter(number int32) (value []byte, binaryForm, ok bool) {
 	n := int(number)
 	if n < 1 || n > len(b.Values) {
@@ -30,7 +30,7 @@
 	return b.Values[n-1], binaryForm, true
 }
 
-// typeOID returns the type of a parameter, or 0 where it is unknown.
+// typeOID returns the type of a parameter, or 0 if it is unknown.
 func (b *Binds) typeOID(number int32) uint32 {
 	n := int(number)
 	if n < 1 || len(b.TypeOIDs) < typeOIDSize*n {
@@ -62,7 +62,7 @@
 	return v
 }
 
-// maxPatternBytes is how much of a bound pattern is searched for its first wildcard.
+// maxPatternBytes limits the part of a bound pattern that is searched for its first wildcard.
 const maxPatternBytes = 64
 
 // pattern returns the pattern, or its beginning.
@@ -84,7 +84,7 @@
 	return int(slot.Count)
 }
 
-// maxNumberBytes bounds the text of a number.
+// maxNumberBytes limits the text of a number.
 const maxNumberBytes = 40
 
 // number returns the value as a number, dates and times as days.
--- a/internal/sqltext/bucket.go
+++ b/internal/sqltext/bucket.go
@@ -12,8 +12,8 @@
 	rowsBits         = 4
 )
 
-// maxLog2RowLimit bounds the logarithm of a row limit, of which half is stored: a step is
-// a factor of four.
+// maxLog2RowLimit limits the logarithm of a row limit. Half of the logarithm is stored, so that a
+// step is a factor of four.
 const maxLog2RowLimit = 30
 
 // Bucket returns a coarse form of the profile, packed into bits. Executions of one shape
--- a/internal/sqltext/dataset.go
+++ b/internal/sqltext/dataset.go
@@ -5,9 +5,9 @@
 // stagingSchema is the prefix of schemas that belong to no dataset.
 const stagingSchema = "staging"
 
-// DatasetOf returns the number of the dataset that a statement touches: the digits behind the
+// DatasetOf returns the number of the dataset that a statement touches: the digits after the
 // last underscore of its schema's name, 17 in sales_17.orders. Names in strings and
-// comments don't count. A name in the position of a table (behind FROM and the like) takes
+// comments don't count. A name in the position of a table (after FROM and the like) takes
 // precedence over others, which may be a column of an alias.
 func DatasetOf(stmt string) (dataset int64, ok bool) {
 	l := Lexer{Src: stmt}
@@ -24,7 +24,7 @@
 type datasetFinder struct {
 	dataset        int64
 	found          bool
-	certain        bool // the name was in the position of a table
+	certain        bool // the dataset comes from a name in the position of a table: it is final
 	afterTableWord bool // the name of a table is expected
 	previousName   Token
 	previousKind   Kind
@@ -42,7 +42,7 @@
 			f.previousKind = Operator
 			return false
 		}
-		f.previousName = t // of a.b.c, the last but one is the schema
+		f.previousName = t // in a.b.c, the last name before a dot is the schema
 	case Dot:
 		if f.previousKind == Identifier || f.previousKind == QuotedIdentifier {
 			f.schema(unquoteIdentifier(l.Text(f.previousName)))
@@ -55,7 +55,7 @@
 	return f.certain
 }
 
-// schema adds a name that qualifies another one.
+// schema handles a name that qualifies another name.
 func (f *datasetFinder) schema(name string) {
 	dataset, ok := schemaDataset(name)
 	if ok && (f.afterTableWord || !f.found) {
--- a/internal/sqltext/doc.go
+++ b/internal/sqltext/doc.go
@@ -10,7 +10,7 @@
 // that are strings of their own. An Analyzer does all of it in one pass over the tokens.
 //
 // The rules are those of src/backend/parser/scan.l, as documented in chapter 4.1 ("Lexical
-// Structure") of the PostgreSQL manual. Where versions differ (a number followed by a
-// letter, a backslash before a quote), the package follows the interpretation that hides
-// the least.
+// Structure") of the PostgreSQL manual. If versions differ (a number followed by a letter, a
+// backslash before a quote), the package follows the interpretation that hides the least text
+// from the classifier.
 package sqltext
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -8,8 +8,8 @@
 // Effects. The zero value is the most cautious.
 const (
 	EffectUnknown Effect = iota // unknown: it may write
-	EffectWrites                // it writes, as far as its words show
-	EffectReads                 // all of it is known, and nothing of it is known to write
+	EffectWrites                // its words show that it writes
+	EffectReads                 // all of its words and functions are known to be read-only
 )
 
 var effectNames = [...]string{"can't be told", "writes", "reads"}
@@ -21,7 +21,7 @@
 type Verdict struct {
 	Effect Effect
 	Reason string // a few words
-	Word   string // the word that decided, as written in the statement; "" where Reason says all
+	Word   string // the word that decided, as written in the statement; "": no single word did
 }
 
 // String returns the word and the reason.
@@ -32,11 +32,11 @@
 	return v.Word + ": " + v.Reason
 }
 
-// Functions is a set of read-only functions, by name in lower case, with the schema where
-// that is not pg_catalog.
+// Functions is a set of read-only functions. Names are in lower case, and have their schema unless that
+// is pg_catalog.
 type Functions map[string]bool
 
-// has looks a name up. Names in lower case, as most are, need no allocation.
+// has reports whether the set contains a function. Most names are in lower case and need no allocation.
 func (f Functions) has(name string) bool { return f[name] || f[strings.ToLower(name)] }
 
 // EffectOf classifies a statement, and errs on the side of writing: it is read-only only if
--- a/internal/sqltext/effect_call.go
+++ b/internal/sqltext/effect_call.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// leftParen classifies a parenthesis, which begins a call behind the name of a function.
+// leftParen classifies a parenthesis, which begins a call after the name of a function.
 func (c *effectClassifier) leftParen(lexer *Lexer) {
 	if c.phase != executed || !c.beginsCall() {
 		return
@@ -37,7 +37,7 @@
 // qualified reports whether the previous name has a schema.
 func (c *effectClassifier) qualified() bool { return c.previousSchema.Kind != EndOfText }
 
-// beginsCall reports whether a parenthesis behind the previous token may begin a call.
+// beginsCall reports whether a parenthesis after the previous token may begin a call.
 func (c *effectClassifier) beginsCall() bool {
 	if c.previousKind != Identifier && c.previousKind != QuotedIdentifier {
 		return false
@@ -57,14 +57,14 @@
 		c.kindBefore == RightParen && !c.hasDistinctOn && c.previousClass&(reservedWord|infixWord) == 0
 }
 
-// wordBeginsCall reports whether a parenthesis behind an unquoted, unqualified word may
+// wordBeginsCall reports whether a parenthesis after an unquoted, unqualified word may
 // begin a call.
 func (c *effectClassifier) wordBeginsCall() bool {
 	if c.previousClass&(reservedWord|typeWord) != 0 || c.ctes.afterName {
 		return false
 	}
 	if c.previousKeyword == keywordOver || c.previousKeyword == keywordFilter {
-		return c.kindBefore != RightParen // behind a call, it belongs to that call
+		return c.kindBefore != RightParen // after a call, it belongs to that call
 	}
 	if c.previousClass&infixWord != 0 {
 		return !c.afterOperand()
--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -5,7 +5,7 @@
 	"unicode/utf8"
 )
 
-// classifierPhase is how far the classifier is in a text, and whether the statement will be executed.
+// classifierPhase is the classifier's position in a text, and whether the statement will be executed.
 //
 //	beforeFirstWord --EXPLAIN--> planOptions --another word--> planOnly
 //	beforeFirstWord --another word--> executed
@@ -14,13 +14,13 @@
 
 const (
 	beforeFirstWord classifierPhase = iota
-	planOptions                     // among the options of EXPLAIN, none of which has executed the statement so far
-	executeOptions                  // among the options of EXPLAIN, behind ANALYZE
-	planOnly                        // in a statement that is only planned
+	planOptions                     // among the options of EXPLAIN, before any ANALYZE
+	executeOptions                  // among the options of EXPLAIN, after ANALYZE
+	planOnly                        // in a statement that is planned and not executed
 	executed                        // in a statement that is executed
 )
 
-// onlyPlans reports whether the statement is not executed, as far as the options so far show.
+// onlyPlans reports whether the statement is planned without execution, by the options so far.
 func (p classifierPhase) onlyPlans() bool { return p == planOptions || p == planOnly }
 
 // inOptions reports whether the options of EXPLAIN may continue.
@@ -29,20 +29,20 @@
 // effectClassifier classifies a sequence of tokens.
 type effectClassifier struct {
 	readOnly Functions
-	worst    Verdict // the first that is not EffectReads; EffectWrites takes precedence over EffectUnknown
+	worst    Verdict // the first verdict that is not EffectReads; EffectWrites replaces EffectUnknown
 	phase    classifierPhase
 	depth    int // of parentheses
 
 	// The last tokens. A name qualified by a schema counts as one token, except in kindBefore.
 	previous        Token
-	previousSchema  Token // of previous, where that is qualified
+	previousSchema  Token // of previous, if that is qualified
 	previousClass   keywordClass
 	previousKeyword keyword
 	previousKind    Kind
 	keywordBefore   keyword // of the token before previous
 	kindBefore      Kind
 
-	hasDistinctOn bool // the statement has a DISTINCT ON: a call may follow a parenthesis
+	hasDistinctOn bool // the statement has a DISTINCT ON, so that a call may follow a parenthesis
 	ctes          cteTracker
 }
 
--- a/internal/sqltext/effect_cte.go
+++ b/internal/sqltext/effect_cte.go
@@ -1,17 +1,17 @@
 package sqltext
 
-// cteTracker tracks the lists of common table expressions (CTE) of a statement, behind WITH. It finds the
-// names of the expressions: a parenthesis behind such a name holds columns and begins no call.
+// cteTracker tracks the lists of common table expressions (CTE) that follow WITH in a statement. It finds
+// the names of the expressions. A parenthesis after such a name contains columns and begins no call.
 type cteTracker struct {
-	// lists and nameExpected have a bit for each depth of parentheses, as given by depthBit. The former
-	// is set within a list, the latter where the next name begins an expression of it.
+	// lists and nameExpected have one bit for each depth of parentheses, which depthBit returns. A bit of
+	// lists is set within a list. A bit of nameExpected is set while the next name begins an expression.
 	lists        uint64
 	nameExpected uint64
 	afterName    bool // the previous token is the name of an expression
 }
 
-// depthBit returns the bit of a depth. Deeper lists than 64 are not tracked; their columns
-// look like calls, which errs on the side of writing.
+// depthBit returns the bit of a depth, or 0 beyond the depths that are tracked. The columns of deeper
+// lists look like calls, so that the statement counts as one that may write.
 func depthBit(depth int) uint64 {
 	const trackedDepths = 64
 	if depth < 0 || depth >= trackedDepths {
@@ -20,14 +20,14 @@
 	return 1 << depth
 }
 
-// enter begins a parenthesis, whose depth is given.
+// enter begins a parenthesis of the given depth.
 func (c *cteTracker) enter(depth int) {
 	bit := depthBit(depth)
 	c.lists &^= bit
 	c.nameExpected &^= bit
 }
 
-// comma handles a comma, behind which a list continues with the next name.
+// comma handles a comma. If it separates expressions of a list, the next name begins an expression.
 func (c *cteTracker) comma(depth int) {
 	bit := depthBit(depth)
 	if c.lists&bit != 0 {
--- a/internal/sqltext/fingerprint.go
+++ b/internal/sqltext/fingerprint.go
@@ -2,7 +2,8 @@
 
 import "hash/maphash"
 
-// fingerprintHasher computes the fingerprints of normal forms by two hashes with seeds of their own.
+// fingerprintHasher computes the fingerprints of normal forms by two hashes with different seeds. It may
+// be used by one goroutine at a time.
 type fingerprintHasher struct {
 	seeds        [2]maphash.Seed
 	prefixHashes [2]maphash.Hash // of the parts of a long normal form that were hashed before its end
--- a/internal/sqltext/keyword_table.go
+++ b/internal/sqltext/keyword_table.go
@@ -28,7 +28,7 @@
 const maxKeywordLength = 17
 
 // lookupKeyword returns the class and the number of a name as the bits of an
-// identifierInfo; they are 0 where the name is no key word. info holds its hash.
+// identifierInfo; they are 0 if the name is no key word. The low bits of info are its hash.
 func lookupKeyword(name string, info identifierInfo) identifierInfo {
 	for i := uint32(info); ; i++ {
 		entry := &keywordsByHash[i%keywordTableSize]
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -4,12 +4,12 @@
 type keywordClass uint16
 
 const (
-	// reservedWord: the word names no function, so a parenthesis behind it begins no call.
+	// reservedWord: the word names no function, so a parenthesis after it begins no call.
 	reservedWord keywordClass = 1 << iota
-	// typeWord: the word is a type or a built-in form with a parenthesis behind it, which
+	// typeWord: the word is a type or a built-in form with a parenthesis after it, which
 	// can't be the name of a function either.
 	typeWord
-	// infixWord: the word is an operator between two values. Behind a complete value, it begins no call.
+	// infixWord: the word is an operator between two values. After a complete value, it begins no call.
 	infixWord
 	// writingWord: the word begins, or is part of, something that changes stored data.
 	writingWord
@@ -19,8 +19,8 @@
 	readingWord
 )
 
-// keyword identifies a key word; 0: none. Some key words have a number although no code
-// uses it, since the normal form has a space behind each key word that has one.
+// keyword identifies a key word; 0: none. Some key words have a number that no code names: the normal
+// form has a space between a key word with a number and a parenthesis.
 type keyword uint8
 
 const (
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -129,9 +129,8 @@
 	l.Pos = i
 }
 
-// lineCommentEnd returns the end of a -- comment: a line feed or a carriage return. The
-// latter prevents a statement from being hidden behind a carriage return, which ends the
-// comment for the engine.
+// lineCommentEnd returns the end of a -- comment: a line feed or a carriage return. A carriage
+// return ends the comment for the engine too, so a statement after it must not be skipped.
 func lineCommentEnd(src string, i int) int {
 	for i < len(src) && src[i] != '\n' && src[i] != '\r' {
 		i++
--- a/internal/sqltext/lexer_identifier.go
+++ b/internal/sqltext/lexer_identifier.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// scanIdentifier scans a key word or a name. A string or a quoted name whose prefix looks
-// like one, such as E'..', is scanned as what it is.
+// scanIdentifier scans a key word or a name. If the name is the prefix of a string or of a quoted name,
+// as in E'..', it scans that instead.
 func (l *Lexer) scanIdentifier() Token {
 	src := l.Src
 	start := l.Pos
@@ -35,8 +35,8 @@
 	return Token{Kind: Identifier, Start: start, End: end, info: info}
 }
 
-// scanPrefixed scans a string or a quoted name behind a prefix of one letter, which has
-// been scanned. ok is false where the letter is no prefix.
+// scanPrefixed scans a string or a quoted name after its prefix of one letter, which is already
+// scanned. ok is false if the letter is no prefix.
 func (l *Lexer) scanPrefixed(start int) (t Token, ok bool) {
 	prefix := l.Src[start] | lowerCaseBit
 	next := l.Src[start+1]
@@ -76,7 +76,7 @@
 	return Token{Kind: String, Start: start, End: l.Pos}, true
 }
 
-// skipQuotedIdentifier skips a quoted name from behind its opening quote.
+// skipQuotedIdentifier skips the rest of a quoted name, whose opening quote is already scanned.
 func (l *Lexer) skipQuotedIdentifier() {
 	src := l.Src
 	i := l.Pos
--- a/internal/sqltext/lexer_number.go
+++ b/internal/sqltext/lexer_number.go
@@ -24,7 +24,7 @@
 }
 
 // radixDigits returns the test for the digits of a number that begins with 0 and the given
-// letter, or nil where the letter is no radix prefix.
+// letter, or nil if the letter is no radix prefix.
 func radixDigits(letter byte) func(byte) bool {
 	switch letter | lowerCaseBit {
 	case 'x':
@@ -43,7 +43,7 @@
 	return i
 }
 
-// skipExponent returns the end of the exponent at i, or i where there is none.
+// skipExponent returns the end of the exponent at i, or i if there is none.
 func skipExponent(src string, i int) int {
 	if i >= len(src) || src[i]|lowerCaseBit != 'e' {
 		return i
--- a/internal/sqltext/lexer_string.go
+++ b/internal/sqltext/lexer_string.go
@@ -1,9 +1,8 @@
 package sqltext
 
-// skipString skips a string from behind its opening quote. A doubled quote is part of the
-// string and, where backslashes escape, so is a quote behind a backslash. The string
-// continues behind its closing quote where only white space with a line end separates it
-// from another quote.
+// skipString skips the rest of a string, whose opening quote is already scanned. A doubled quote is part
+// of the string. If backslashes escape, a quote after a backslash is also part of it. The string continues
+// after its closing quote if only white space with a line end separates it from another quote.
 func (l *Lexer) skipString(backslashEscapes bool) {
 	src := l.Src
 	i := l.Pos
@@ -39,8 +38,8 @@
 	l.Pos = len(src)
 }
 
-// stringContinuation returns where a string that ended before i continues. ok is false
-// where it does not.
+// stringContinuation returns the position at which a string that ended before i continues. ok is false
+// if it does not continue.
 func stringContinuation(src string, i int) (next int, ok bool) {
 	lineEnded := false
 	for i < len(src) {
@@ -96,9 +95,8 @@
 	return Token{Kind: DollarString, Start: start, End: l.Pos}
 }
 
-// indexTag returns the first position of the tag from i on. ok is false where there is none.
-// Candidates begin at dollar signs, and no byte is compared twice, as tags hold no dollar sign
-// within.
+// indexTag returns the first position of the tag from i on. ok is false if there is none. A tag has
+// dollar signs only at its start and its end, so no byte is compared twice.
 func indexTag(src string, i int, tag string) (index int, ok bool) {
 	for i+len(tag) <= len(src) {
 		if src[i] != '$' {
--- a/internal/sqltext/lists.go
+++ b/internal/sqltext/lists.go
@@ -12,7 +12,7 @@
 	firstLength    int // length of the first element; unknownLength: it is not complete yet
 	elementStart   int // of the current element
 	count          int // of complete elements
-	slot           int // index of the slot that counts the elements, or noSlot
+	slot           int // index of the slot with the number of elements, or noSlot
 	plainRowLength int // number of values in the first row if it holds nothing else, or 0
 }
 
@@ -25,7 +25,7 @@
 	return foldedList{depth: depth, start: start, elementStart: start, firstLength: unknownLength, slot: noSlot}
 }
 
-// maxNestedLists bounds how deep nested lists are folded.
+// maxNestedLists is the number of nested lists that are folded; deeper ones are not.
 const maxNestedLists = 8
 
 // listStack holds the lists that are open, the innermost last.
@@ -45,7 +45,7 @@
 // innermost returns the innermost list. There must be one.
 func (s *listStack) innermost() *foldedList { return &s.entries[s.count-1] }
 
-// beginAlternatives begins a list of alternatives behind its parenthesis or bracket.
+// beginAlternatives begins a list of alternatives. Its parenthesis or bracket is already added.
 func (p *analysisPass) beginAlternatives() {
 	list := newFoldedList(p.depth, len(p.normal.text))
 	if !p.slots.full() {
@@ -130,8 +130,8 @@
 	return len(row) / bytesPerValue
 }
 
-// skipRows skips further rows of plain values, all but the last one, behind a row of the
-// same kind.
+// skipRows skips further rows of plain values, all but the last one. The row before them has the same
+// number of plain values.
 func (p *analysisPass) skipRows(list *foldedList) {
 	for {
 		next := p.lexer
@@ -144,8 +144,8 @@
 	}
 }
 
-// skipPlainRow skips a row of the given number of plain values. It returns false where the
-// text holds something else.
+// skipPlainRow skips a row of the given number of plain values. It returns false if the text continues
+// with something else.
 func skipPlainRow(l *Lexer, length int) bool {
 	if l.Next().Kind != LeftParen {
 		return false
--- a/internal/sqltext/names.go
+++ b/internal/sqltext/names.go
@@ -57,7 +57,7 @@
 		f.Windows++
 	case keywordWhere:
 		f.Where = true
-	default: // other words say nothing of the cost
+	default: // other words do not indicate the cost
 	}
 }
 
--- a/internal/sqltext/normalform.go
+++ b/internal/sqltext/normalform.go
@@ -5,8 +5,8 @@
 	text      []byte
 	nameStart int // of the name that was added last, in text
 
-	// A sign is part of the literal behind it. signStart is its position in text, or 0 where
-	// there is none, and signOffset that in the statement.
+	// A sign is part of the literal after it. signStart is its position in text, or 0 if there is none.
+	// signOffset is its position in the statement.
 	signStart  int
 	signOffset int
 }
@@ -35,7 +35,7 @@
 }
 
 // addPlaceholder adds a placeholder in place of a value and its sign. It returns the position of the
-// sign in the statement; ok is false where there is none.
+// sign in the statement; ok is false if there is none.
 func (n *normalForm) addPlaceholder(previous Kind) (signOffset int, ok bool) {
 	ok = n.signStart > 0
 	if ok {
@@ -63,8 +63,8 @@
 	return false
 }
 
-// maskDataset replaces the number in a schema's name by #. It is called at the dot behind
-// a name, which shows that it is the name of a schema.
+// maskDataset replaces the number in a schema's name by #. It is called at the dot that follows the
+// name, since only the dot shows that the name is that of a schema.
 func (n *normalForm) maskDataset(previous Kind) {
 	if previous != Identifier && previous != QuotedIdentifier || n.nameStart >= len(n.text) {
 		return
@@ -95,7 +95,7 @@
 	return buffer
 }
 
-// appendQuoted appends a quoted name, without its quotes if it means the same without them.
+// appendQuoted appends a quoted name. It omits the quotes if the name means the same without them.
 func appendQuoted(buffer []byte, name string) []byte {
 	const shortest = len(`"a"`)
 	if len(name) < shortest || name[0] != '"' || charClasses[name[1]]&charNameStart == 0 {
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -7,7 +7,7 @@
 const (
 	NoPattern       Wildcard = iota // the statement has no pattern
 	NoWildcard                      // the pattern has no wildcard
-	InnerWildcard                   // behind some characters: an index can serve the pattern
+	InnerWildcard                   // after other characters, so that an index can serve the pattern
 	LeadingWildcard                 // at the start
 )
 
@@ -15,7 +15,7 @@
 type Profile struct {
 	Alternatives         int     // length of the longest list; 0: no list
 	Span                 float64 // width of the widest closed range, for dates in days; 0: none
-	HalfOpen             bool    // a range has one bound only
+	HalfOpen             bool    // a range has only one bound
 	Wildcard             Wildcard
 	RowLimit             float64 // number of rows; 0: none
 	DisabledRestrictions int     // restrictions that a null switches off
@@ -25,7 +25,7 @@
 	Key                  uint64  // hash of the first value compared for equality; 0: none
 }
 
-// maxSpan bounds the width of a range; it also replaces a width that is no number.
+// maxSpan limits the width of a range; it also replaces a width that is no number.
 const maxSpan = 1e12
 
 // Profile evaluates the values of one execution, both literals and bound values. seed is
@@ -49,7 +49,7 @@
 	builder.matchBounds()
 	profile := &builder.profile
 	profile.Unrestricted = a.Unrestricted || builder.restrictions <= 0 && a.Features.Verb != VerbInsert
-	if !(profile.Span >= 0 && profile.Span <= maxSpan) { // also where it is not a number
+	if !(profile.Span >= 0 && profile.Span <= maxSpan) { // true for a NaN too
 		profile.Span = maxSpan
 	}
 	return *profile
@@ -123,7 +123,7 @@
 		if rows, ok := value.number(); ok && rows > 0 {
 			profile.RowLimit = rows
 		}
-	case RoleOther: // it shows nothing
+	case RoleOther: // it does not indicate the size of the result
 	}
 }
 
@@ -139,7 +139,7 @@
 	}
 }
 
-// matchBounds pairs the bounds of each column to ranges.
+// matchBounds combines the bounds of each column into ranges.
 func (b *profileBuilder) matchBounds() {
 	profile := &b.profile
 	for _, lower := range b.lower.all() {
--- a/internal/sqltext/punctuation.go
+++ b/internal/sqltext/punctuation.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// operator adds an operator, and sets the role of a value behind it.
+// operator adds an operator, and sets the role of a value after it.
 func (p *analysisPass) operator(text string) {
 	p.normal.forgetSign()
 	signed := text == "-" && p.expectsOperand()
--- a/internal/sqltext/readonly.go
+++ b/internal/sqltext/readonly.go
@@ -3,10 +3,10 @@
 import "strings"
 
 // readOnlyFunctions are functions of pg_catalog that change neither stored data nor any
-// state of a session that a later statement could observe. Left out on purpose: sequences
-// (nextval, setval), settings (set_config), locks, large objects, notifications, signals to
-// other sessions, and all that execute a statement given as text (query_to_xml, ts_stat,
-// ts_rewrite, dblink).
+// state of a session that a later statement could observe. The set deliberately omits
+// sequences (nextval, setval), settings (set_config), locks, large objects, notifications,
+// signals to other sessions, and functions that execute a statement given as text
+// (query_to_xml, ts_stat, ts_rewrite, dblink).
 var readOnlyFunctions = func() Functions {
 	functions := Functions{}
 	for name := range strings.FieldsSeq(`
--- a/internal/sqltext/slots.go
+++ b/internal/sqltext/slots.go
@@ -1,9 +1,9 @@
 package sqltext
 
-// maxSlots bounds the slots of one statement; further values are only counted.
+// maxSlots is the number of slots of one statement. Values beyond it are counted and have no slot.
 const maxSlots = 24
 
-// slotBuffer holds the slots of one statement.
+// slotBuffer is the list of the slots of one statement. Its array is reused for the next statement.
 type slotBuffer struct {
 	entries [maxSlots]Slot
 	count   int
@@ -22,15 +22,15 @@
 // used returns the slots that were added. They are valid until the next statement.
 func (b *slotBuffer) used() []Slot { return b.entries[:b.count] }
 
-// expectedValue is what the tokens so far show about the next value: its role, and what it is
-// compared with.
+// expectedValue is the state of a pass that determines the next value's role and the column that the
+// value is compared with.
 type expectedValue struct {
 	role           Role
 	comparedColumn uint32 // hash of the column that the value is compared with
 	column         uint32 // hash of the last name, a column that a comparison may follow
 	afterBetween   bool   // AND leads to the upper bound of BETWEEN
 	afterInterval  bool   // the previous token is the word INTERVAL
-	parameter      int    // number of the last parameter, as long as only casts follow it
+	parameter      int    // number of the last parameter if only casts followed it, else 0
 }
 
 // compare expects a value of the given role, which is compared with the last name.
@@ -45,7 +45,7 @@
 	e.column = 0
 }
 
-// expectValue sets the role of a value behind a key word.
+// expectValue sets the role of the value that follows a key word.
 func (p *analysisPass) expectValue(word keyword, class keywordClass) {
 	switch word {
 	case keywordBetween:
@@ -85,7 +85,7 @@
 	p.result.Features.Limited = true
 }
 
-// markNullGuard handles IS behind a parameter or NULL.
+// markNullGuard handles IS, which tests a parameter or a literal NULL before it.
 func (p *analysisPass) markNullGuard() {
 	used := p.slots.used()
 	for i := range used {
@@ -110,7 +110,7 @@
 	}
 	p.expected.afterInterval = false
 	if role == RoleList && p.inAlternatives() {
-		return // the slot of the list counts it
+		return // it has no slot of its own: the list's slot has the number of elements
 	}
 	isNullGuard := p.keywordBefore == keywordCoalesce && p.previousKind == LeftParen
 	p.expected.parameter = 0
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// LeadingComment returns the text of the comment that a statement begins with, if it does.
-// Only white space may precede it.
+// LeadingComment returns the text of the comment at the beginning of a statement, without its marks.
+// Only white space may precede it. ok is false if the statement begins with no complete comment.
 func LeadingComment(stmt string) (text string, ok bool) {
 	stmt = strings.TrimLeft(stmt, " \t\r\n\f\v")
 	switch {
@@ -20,12 +20,12 @@
 	return "", false
 }
 
-// noWord is returned in place of a first word in a statement that begins with another token.
+// noWord replaces the first word of a statement that begins with another token.
 const noWord = "("
 
 // statementCounter finds the first word of a text, and whether the text holds more than one statement.
 type statementCounter struct {
-	firstWord string // as written; noWord: the text begins with another token; "": with none so far
+	firstWord string // as written; noWord: the text begins with another token; "": no token so far
 	ended     bool   // the first statement has ended
 	multiple  bool
 }
@@ -45,10 +45,10 @@
 	}
 }
 
-// FirstWord returns the first word of a statement in upper case, comments aside, and
-// whether the text holds more than one statement. Where the statement begins with no word,
+// FirstWord returns the first word of a statement in upper case, and whether the text contains more
+// than one statement. Comments before the word are skipped. If the statement begins with another token,
 // the word is "(".
-func FirstWord(stmt string) (word string, several bool) {
+func FirstWord(stmt string) (word string, multiple bool) {
 	l := Lexer{Src: stmt}
 	var statements statementCounter
 	for t := l.Next(); t.Kind != EndOfText && !statements.multiple; t = l.Next() {
@@ -65,7 +65,7 @@
 }
 
 // HasTokenPrefix reports whether a statement begins with the tokens of a non-empty prefix. White
-// space and comments don't count, nor does case in key words and unquoted names.
+// space, comments, and the case of key words and unquoted names make no difference.
 func HasTokenPrefix(stmt, prefix string) bool {
 	statementLexer := Lexer{Src: stmt}
 	prefixLexer := Lexer{Src: prefix}
--- a/internal/sqltext/token.go
+++ b/internal/sqltext/token.go
@@ -26,18 +26,17 @@
 	Invalid                      // a character that no rule accepts, or a lone $
 )
 
-// Token is one token: its kind and its position, as byte offsets. The compiler keeps a
-// struct of up to four fields in registers; with more, copying took half the time of
-// analyzing a statement.
+// Token is one token: its kind and its position, as byte offsets. The compiler keeps a struct of up to
+// four fields in registers. With more fields, copying tokens took half of the time of an analysis.
 type Token struct {
 	Start, End int
 	Kind       Kind
 	info       identifierInfo
 }
 
-// identifierInfo holds what the lexer has found out about an Identifier: the
-// case-insensitive hash (bits 0 to 31), the class and the number as a key word (32 to 47
-// and 48 to 55), and whether it has upper-case letters (56).
+// identifierInfo packs the properties of an Identifier: its case-insensitive hash (bits 0 to 31), its
+// class and its number as a key word (bits 32 to 47 and 48 to 55), and whether it has upper-case
+// letters (bit 56).
 type identifierInfo uint64
 
 const (
@@ -60,7 +59,7 @@
 const (
 	// Unterminated means that a string, a quoted name or a comment is open at the end.
 	Unterminated Flaw = 1 << iota
-	// BackslashQuote means that a backslash precedes a quote in an ordinary string. Where
+	// BackslashQuote means that a backslash precedes a quote in an ordinary string. If
 	// standard_conforming_strings is off, the string does not end there.
 	BackslashQuote
 	// UnicodeEscape means that a name or string is written U&: its escapes hide the characters
--- a/internal/sqltext/value_hash.go
+++ b/internal/sqltext/value_hash.go
@@ -8,7 +8,7 @@
 	fnvPrime  = 1099511628211
 )
 
-// maxHashedBytes bounds the part of a value that is hashed.
+// maxHashedBytes limits the part of a value that is hashed.
 const maxHashedBytes = 64
 
 // hashKey hashes a value that is compared for equality. The hash does not depend on
--- a/internal/sqltext/values.go
+++ b/internal/sqltext/values.go
@@ -26,7 +26,7 @@
 
 // firstWildcard returns the position of the first wildcard of a pattern. A regular
 // expression has a leading wildcard if its first special character stands at its start or
-// directly behind the anchor ^.
+// directly after the anchor ^.
 func firstWildcard(pattern string) Wildcard {
 	for i := range len(pattern) {
 		switch pattern[i] {
@@ -65,7 +65,7 @@
 	return length
 }
 
-// floatBits is the size of a number, as strconv counts it.
+// floatBits is the size of a number in bits, for strconv.ParseFloat.
 const floatBits = 64
 
 // parseNumber parses a literal or a value in text form as a number, or a date as days.
@@ -132,7 +132,7 @@
 }
 
 // parseInterval parses an interval such as '3 months' or '1 year 2 days', as days. ok is
-// false where it begins with no number.
+// false if it does not begin with a number.
 func parseInterval(text string) (days float64, ok bool) {
 	const maxFields = 4
 	for n := 0; n < maxFields && text != ""; n++ {
--- a/internal/sqltext/values_binary.go
+++ b/internal/sqltext/values_binary.go
@@ -64,7 +64,7 @@
 // length of a longer one is extrapolated.
 const maxCountedArrayBytes = 1 << 16
 
-// arrayLength returns the number of elements of a bound array, or 0 where it is malformed.
+// arrayLength returns the number of elements of a bound array, or 0 if it is malformed.
 func arrayLength(array []byte, binaryForm bool) int {
 	if !binaryForm {
 		counted := array[:min(len(array), maxCountedArrayBytes)]
