--- a/internal/stmtstats/cache.go
+++ b/internal/stmtstats/cache.go
@@ -9,18 +9,18 @@
 // Fingerprint identifies a shape within this process: its seeds are drawn at the start.
 type Fingerprint = [2]uint64
 
-// CachedShape is the cached record of one shape.
+// CachedShape is the cached record of one shape. The cache owns it; the Store updates it in place.
 type CachedShape struct {
 	costmodel.ShapeRecord
 	normalForm string // or its first maxNormalFormBytes bytes
-	truncated  bool   // normalForm is a prefix only, so the shape can't be identified after a restart
+	truncated  bool   // normalForm is only a prefix, so the shape can't be identified after a restart
 }
 
-// maxNormalFormBytes bounds the normal form that is cached of one shape.
+// maxNormalFormBytes limits the part of a shape's normal form that is cached.
 const maxNormalFormBytes = 1 << 10
 
-// entryOverhead is the size in bytes that a cache needs for one entry beside the entry
-// itself: the eviction policy's node, the map's slot with its spare capacity, and the
+// entryOverhead is the memory in bytes that a cache needs for one entry in addition to the
+// entry: the eviction policy's node, the map's slot with its spare capacity, and the
 // allocator's rounding. It was measured with a million shapes and rounded up.
 const entryOverhead = 240
 
@@ -29,16 +29,16 @@
 	return int(unsafe.Sizeof(*c)) + len(c.normalForm) + entryOverhead
 }
 
-// Cache holds shapes within a bound of bytes. Its policy decides which shapes it evicts and which
-// new ones it rejects. It may be used by one goroutine at a time.
+// Cache stores shapes up to a limit in bytes. Its policy decides which shapes it evicts and which new
+// shapes it rejects. It may be used by one goroutine at a time.
 type Cache interface {
-	// Get returns the shape, or nil where it is not cached.
+	// Get returns the shape, or nil if it is not cached.
 	Get(fingerprint Fingerprint) *CachedShape
 	// Add offers a shape to the cache.
 	Add(fingerprint Fingerprint, shape *CachedShape)
 	// Len returns the number of cached shapes.
 	Len() int
-	// Bytes returns the sum of the shapes' sizes.
+	// Bytes returns the sum of the shapes' sizes, as CachedShape.Size counts them.
 	Bytes() int
 	// Each calls yield for each shape until it returns false.
 	Each(yield func(Fingerprint, *CachedShape) bool)
--- a/internal/stmtstats/cache_tinylfu.go
+++ b/internal/stmtstats/cache_tinylfu.go
@@ -6,9 +6,9 @@
 	"github.com/maypok86/otter/v2"
 )
 
-// tinyLFU admits a new shape only if it was requested more often than the one it would
+// tinyLFU admits a new shape only if it was requested more often than the shape that it would
 // evict (Einziger, Friedman, Manes, "TinyLFU: A Highly Efficient Cache Admission Policy",
-// 2017). So a flood of shapes that occur once does not evict those that recur.
+// 2017). A flood of shapes that occur once therefore does not evict recurring shapes.
 type tinyLFU struct {
 	*otter.Cache[Fingerprint, *CachedShape]
 }
--- a/internal/stmtstats/class_table.go
+++ b/internal/stmtstats/class_table.go
@@ -5,10 +5,11 @@
 	"flaxrelay/policy"
 )
 
-// classTable holds what the service needs to know of the policy's classes. It is read-only.
+// classTable looks up the policy's classes by name and by their index in the cost model. It is
+// read-only and may be used from any goroutine.
 type classTable struct {
-	indexes  map[string]int     // in the policy's list, by name
-	threads  map[string]float64 // that a request of the class uses, at least 1; by name
+	indexes  map[string]int     // index in the policy's list by class name
+	threads  map[string]float64 // number of threads that a request uses, at least 1, by class name
 	readOnly []policy.Class     // the classes of the cost model, in its order
 }
 
@@ -24,7 +25,7 @@
 	return table
 }
 
-// index returns the index of a class, or costmodel.NoClass where the policy has no class of that name.
+// index returns the index of a class, or costmodel.NoClass if the policy has no class of that name.
 func (t *classTable) index(name string) int {
 	if index, ok := t.indexes[name]; ok {
 		return index
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -5,16 +5,17 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// Execution is one execution of a statement whose cost is not known yet.
+// Execution is one execution of a statement, from its estimate until its cost is learned. It belongs to
+// the goroutine of its Store.
 type Execution struct {
 	Estimate  costmodel.Estimate
 	statement *Statement
-	parsed    Statement // the statement, if it was parsed for this execution alone
+	parsed    Statement // statement points here if it was parsed for this execution alone
 	query     costmodel.Query
 	cached    *CachedShape // nil: the shape was not cached when the execution was estimated
 }
 
-// Hint is the client's own estimate of an execution. A zero field means that none was given.
+// Hint is the client's own estimate of an execution. A zero field means that the client gave none.
 type Hint struct {
 	WorkMillis float64 // in milliseconds on one core
 	MemoryMB   float64
@@ -23,7 +24,7 @@
 // noBinds are the bound values of a statement without any.
 var noBinds sqltext.Binds
 
-// Estimate estimates one execution. knownClass is the index of its class where that is already
+// Estimate estimates one execution. knownClass is the index of its class if that is already
 // decided, else costmodel.NoClass. binds may be nil.
 func (s *Store) Estimate(statement *Statement, binds *sqltext.Binds, knownClass int, hint Hint) *Execution {
 	execution := &Execution{}
@@ -69,8 +70,8 @@
 	s.model.Learn(&execution.query, observed)
 }
 
-// cacheShape returns the cached shape of a statement, and offers a new one to the cache
-// where there is none.
+// cacheShape returns the cached shape of a statement. If there is none, it offers a new shape to the
+// cache and returns that.
 func (s *Store) cacheShape(statement *Statement) *CachedShape {
 	fingerprint := statement.analysis.Fingerprint
 	if shape := s.cache.Get(fingerprint); shape != nil {
@@ -81,8 +82,8 @@
 	return shape
 }
 
-// newShape returns a shape without statistics. It parses the statement again for its normal form,
-// which a Statement does not hold.
+// newShape returns a shape without statistics. It parses the statement again, because a Statement does
+// not store its normal form.
 func (s *Store) newShape(statement *Statement) *CachedShape {
 	analysis := s.analyzer.Analyze(statement.text)
 	cachedLength := min(len(analysis.NormalForm), maxNormalFormBytes)
--- a/internal/stmtstats/execution_pool.go
+++ b/internal/stmtstats/execution_pool.go
@@ -1,10 +1,10 @@
 package stmtstats
 
-// maxFreeExecutions bounds the released executions in a pool. More requests are
-// seldom in flight at once; further executions are left to the garbage collector.
+// maxFreeExecutions is the number of released executions in a pool. More requests are seldom
+// in flight at once. The garbage collector frees further executions.
 const maxFreeExecutions = 512
 
-// executionPool holds released executions for reuse, because each request needs one. It may be used
+// executionPool reuses released executions, which saves an allocation for each request. It may be used
 // by one goroutine at a time.
 type executionPool struct{ free []*Execution }
 
@@ -19,7 +19,7 @@
 	return execution
 }
 
-// put releases an execution, which nothing may refer to any more.
+// put releases an execution. The caller must not use it after that.
 func (p *executionPool) put(execution *Execution) {
 	if len(p.free) < maxFreeExecutions {
 		*execution = Execution{}
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -13,7 +13,7 @@
 // Settings are the settings of a Service in a deploy file.
 type Settings struct {
 	CostModel         costmodel.Config
-	MaxBytes          int           // upper bound of the cache's size
+	MaxBytes          int           // limit of the cache's size
 	ApplyEstimates    bool          // estimates replace the clients' hints in the decisions
 	SnapshotPath      string        // path of the snapshot file; "": none
 	SnapshotInterval  time.Duration // between snapshots
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -35,8 +35,7 @@
 	s.estimateRequest(r, s.executions.get(), statement, binds)
 }
 
-// EstimateText does the same as EstimateRequest for a text that is not parsed yet, and sets the
-// request's dataset.
+// EstimateText parses a text, sets the request's dataset and does the same as EstimateRequest.
 func (s *Service) EstimateText(r *lifecycle.Request, text string) {
 	execution := s.executions.get()
 	s.store.parseInto(&execution.parsed, text)
@@ -71,7 +70,7 @@
 }
 
 // Classify classifies a read-only statement whose class is given by no rule or comment. ok is false
-// where there is no estimate yet.
+// if there is no estimate yet.
 func (s *Service) Classify(
 	statement *Statement, binds *sqltext.Binds,
 ) (class policy.Class, execution *Execution, ok bool) {
@@ -83,8 +82,8 @@
 	return s.classes.readOnly[execution.Estimate.Class], execution, true
 }
 
-// ApplyClassified applies the result of Classify to the request. Where engines report no work, the
-// estimate is a duration; the decisions need the work of all threads.
+// ApplyClassified applies the result of Classify to the request. Only front ends whose engines report no
+// work use it: their estimate is a duration, and the decisions need the work of all threads.
 func (s *Service) ApplyClassified(r *lifecycle.Request, execution *Execution) {
 	s.apply(r, execution, s.classes.threads[r.Class])
 }
@@ -109,7 +108,7 @@
 	}
 }
 
-// workOrElapsed returns the reported work, or the elapsed time where none was reported, in
+// workOrElapsed returns the reported work, or the elapsed time if no work was reported, in
 // milliseconds.
 func workOrElapsed(work, elapsed time.Duration) float64 {
 	if work <= 0 {
--- a/internal/stmtstats/service_restore.go
+++ b/internal/stmtstats/service_restore.go
@@ -11,7 +11,7 @@
 	"flaxrelay/internal/metrics"
 )
 
-// restore sets the store from the snapshot file, or leaves it nil where no usable one exists.
+// restore sets the store from the snapshot file, or leaves it nil if no usable snapshot exists.
 func (s *Service) restore(options Options) {
 	path := s.settings.SnapshotPath
 	removeLeftovers(path)
@@ -35,14 +35,14 @@
 }
 
 const (
-	// readAttempts bounds the attempts to read a snapshot.
+	// readAttempts is the number of attempts to read a snapshot.
 	readAttempts = 5
 	// readRetryDelay is the pause after each failed attempt.
 	readRetryDelay = 20 * time.Millisecond
 )
 
-// restoreWithRetries restores from the file. It retries when the file exists and can't be read, since
-// the fault of a disk may last only for a moment.
+// restoreWithRetries restores from the file. It retries if the file exists and can't be read, because
+// a fault of the disk may be transient.
 func restoreWithRetries(options Options, path string) (store *Store, err error) {
 	for range readAttempts {
 		var readError *fs.PathError
--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -9,9 +9,9 @@
 
 // Errors that say why a snapshot can't be used.
 var (
-	// ErrSnapshotForeign means that the file is no snapshot of shapes.
+	// ErrSnapshotForeign means that the file does not begin like a snapshot of shapes.
 	ErrSnapshotForeign = errors.New("no snapshot of shapes")
-	// ErrSnapshotVersion means that the format or the layout is not the one read here.
+	// ErrSnapshotVersion means that this version of the program can't read the format or the layout.
 	ErrSnapshotVersion = errors.New("a snapshot of another version")
 	// ErrSnapshotTruncated means that bytes are missing at the end.
 	ErrSnapshotTruncated = errors.New("the snapshot was cut off")
@@ -19,8 +19,8 @@
 	ErrSnapshotDamaged = errors.New("the snapshot is damaged")
 )
 
-// Snapshot is the state of a Store in a form that outlives the process. It holds no
-// fingerprints, as their seeds belong to one process: Restore computes them anew.
+// Snapshot is the state of a Store in a form that outlives the process. It contains no
+// fingerprints, because their seeds belong to one process: Restore computes them again.
 type Snapshot struct {
 	Layout    int              `cbor:"1,keyasint"`
 	Keys      uint64           `cbor:"2,keyasint"` // seed of the hashes of values
@@ -35,7 +35,7 @@
 	Record     costmodel.ShapeRecord `cbor:"2,keyasint"`
 }
 
-// Snapshot copies the state of the store. The copy may be handed to another goroutine.
+// Snapshot copies the state of the store. Another goroutine may use the copy.
 func (s *Store) Snapshot() *Snapshot {
 	snapshot := &Snapshot{Layout: costmodel.Layout, Keys: s.hashSeed, Model: s.model.State()}
 	s.cache.Each(func(_ Fingerprint, shape *CachedShape) bool {
--- a/internal/stmtstats/snapshot_file.go
+++ b/internal/stmtstats/snapshot_file.go
@@ -33,11 +33,11 @@
 	return nil
 }
 
-// temporaryInfix stands between a snapshot's name and the random part of a temporary file's.
+// temporaryInfix separates the name of the snapshot from the random part in the name of a temporary file.
 const temporaryInfix = ".new-"
 
-// removeLeftovers removes the temporary files of processes that were killed while they wrote. Errors
-// are ignored, since a file that stays only takes space. No other process writes this snapshot.
+// removeLeftovers removes the temporary files of processes that were killed during a write. It ignores
+// errors, because a leftover file only uses disk space. No other process writes this snapshot.
 func removeLeftovers(path string) {
 	leftovers, err := filepath.Glob(path + temporaryInfix + "*")
 	if err != nil {
@@ -81,8 +81,8 @@
 	return err
 }
 
-// syncDirectory makes a rename within the directory durable. The snapshot is complete
-// without it, so an error is ignored.
+// syncDirectory makes a rename within the directory durable. It ignores errors: if the machine crashes
+// before the rename is durable, the previous snapshot remains, which is complete too.
 func syncDirectory(path string) {
 	directory, err := os.Open(path)
 	if err != nil {
--- a/internal/stmtstats/snapshot_format.go
+++ b/internal/stmtstats/snapshot_format.go
@@ -35,11 +35,11 @@
 	snapshotHeaderSize = checksumOffset + checksumSize
 )
 
-// maxSnapshotBytes bounds the decompressed item. It protects against files that claim
-// to be larger than any snapshot can be.
+// maxSnapshotBytes limits the size of the decompressed item. It protects against files that
+// decompress to more than any snapshot can contain.
 const maxSnapshotBytes = 256 << 20
 
-// Bounds of the CBOR item. They protect against nesting and lengths that no snapshot has.
+// Limits of the CBOR item. They protect against nesting and lengths that no snapshot has.
 const (
 	maxSnapshotNesting  = 16
 	maxSnapshotElements = 1 << 20
@@ -89,7 +89,7 @@
 	return snapshot, nil
 }
 
-// verifiedBody checks the header, and the body against it.
+// verifiedBody returns the body after checking the header, the body's length and its checksum.
 func verifiedBody(encoded []byte) ([]byte, error) {
 	if !bytes.HasPrefix(encoded, []byte(snapshotMagic)) {
 		return nil, ErrSnapshotForeign
@@ -146,7 +146,7 @@
 	return snapshot, nil
 }
 
-// check returns an error where the snapshot was written for another layout or holds numbers that are
+// check returns an error if the snapshot was written for another layout or contains numbers that are
 // not finite.
 func (s *Snapshot) check() error {
 	if s.Layout != costmodel.Layout || s.Model == nil {
--- a/internal/stmtstats/statement.go
+++ b/internal/stmtstats/statement.go
@@ -2,8 +2,8 @@
 
 import "flaxrelay/internal/sqltext"
 
-// inlineSlots is the number of values whose slots a Statement holds without an
-// allocation of its own; most statements have no more.
+// inlineSlots is the number of slots that a Statement stores without a separate allocation. Most
+// statements have no more.
 const inlineSlots = 4
 
 // Statement is one parsed text. It can be used for any number of executions.
@@ -13,7 +13,7 @@
 	slots    [inlineSlots]sqltext.Slot
 }
 
-// Parse parses a text. The statement refers to the text.
+// Parse parses a text.
 func (s *Store) Parse(text string) *Statement {
 	statement := &Statement{}
 	s.parseInto(statement, text)
@@ -31,13 +31,13 @@
 // Effect returns what the statement may do to stored data, as judged by sqltext.
 func (st *Statement) Effect() sqltext.Verdict { return st.analysis.Effect }
 
-// FirstWord returns the first word of the statement, or "(" where it begins with no word.
+// FirstWord returns the first word of the statement, or "(" if it begins with another token.
 func (st *Statement) FirstWord() string { return st.analysis.FirstWord }
 
-// MultipleStatements reports whether the text holds more than one statement.
+// MultipleStatements reports whether the text contains more than one statement.
 func (st *Statement) MultipleStatements() bool { return st.analysis.MultipleStatements }
 
-// Dataset returns the dataset that the statement's tables belong to. ok is false where it names none.
+// Dataset returns the dataset that the statement's tables belong to. ok is false if it names none.
 func (st *Statement) Dataset() (dataset int64, ok bool) {
 	return st.analysis.Dataset, st.analysis.HasDataset
 }
--- a/internal/stmtstats/store.go
+++ b/internal/stmtstats/store.go
@@ -1,8 +1,8 @@
 // Package stmtstats maintains statistics of statement shapes. It parses statements for the front
-// ends, caches the cost records of recurring shapes within a bound of bytes, asks
-// internal/decision/costmodel for the expected cost and the class of an execution, and
-// writes snapshots. The statistics serve estimates and classification alone: whether a
-// statement may write is decided by internal/sqltext and never relaxed here.
+// ends, caches the cost records of recurring shapes up to a limit in bytes, gets the expected
+// cost and the class of an execution from internal/decision/costmodel, and writes snapshots. The
+// statistics are used only for estimates and classification. Whether a statement may write is
+// decided by internal/sqltext, and the statistics never override that.
 package stmtstats
 
 import (
@@ -16,20 +16,20 @@
 // Options configures a Store.
 type Options struct {
 	CostModel costmodel.Config
-	MaxBytes  int   // upper bound of the cache's size, bookkeeping included; at least minBytes
-	Cache     Cache // replaces the W-TinyLFU cache of that size; nil: no replacement
+	MaxBytes  int   // limit of the cache's size including its overhead; at least minBytes
+	Cache     Cache // nil: a W-TinyLFU cache of MaxBytes
 }
 
-// minBytes is the smallest cache size. It holds the records of a few dozen shapes.
+// minBytes is the smallest cache size, which suffices for a few dozen shapes.
 const minBytes = 64 << 10
 
-// Store estimates executions of statements and learns from their costs. It belongs to one
-// goroutine.
+// Store estimates executions of statements and learns from their costs. It owns the cost model and the
+// cache of shapes. It may be used by one goroutine at a time.
 type Store struct {
 	analyzer *sqltext.Analyzer
 	model    *costmodel.Model
 	cache    Cache
-	hashSeed uint64 // of the hashes of values
+	hashSeed uint64 // seed of the hashes of values
 	Stats    Stats
 }
 
