--- a/internal/decision/costmodel/classify.go
+++ b/internal/decision/costmodel/classify.go
@@ -1,7 +1,7 @@
 package costmodel
 
-// classify returns the index of the class for an expected work, and stores it in the bucket, if any. A
-// bucket keeps its class until the estimate has passed the bound by the hysteresis.
+// classify returns the index of the class for an expected work in ms. bucket may be nil. A bucket
+// stores its class, which changes only if the estimate passes the class's limit by the hysteresis.
 func (m *Model) classify(work float64, bucket *Bucket) int {
 	if len(m.cfg.Classes) == 0 {
 		return NoClass
@@ -17,7 +17,7 @@
 	return class
 }
 
-// keepsClass reports whether the hysteresis keeps a bucket in its current class.
+// keepsClass reports whether a bucket stays in its current class because of the hysteresis.
 func (m *Model) keepsClass(current, class int, work float64) bool {
 	if current < 0 || current >= len(m.cfg.Classes) || current == class {
 		return false
@@ -28,7 +28,7 @@
 	return m.classFor(work*m.cfg.Hysteresis) >= current
 }
 
-// classFor returns the index of the first class whose bound is not exceeded.
+// classFor returns the index of the first class whose limit is not exceeded.
 func (m *Model) classFor(work float64) int {
 	for i, class := range m.cfg.Classes {
 		if class.MaxWorkMillis <= 0 || work <= class.MaxWorkMillis {
--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -7,8 +7,8 @@
 // unbiased estimators:
 //
 //   - the record of the shape, separately for each profile of the values;
-//   - similar values: how far executions with such values deviated from the usual cost of
-//     their own shapes, over all shapes;
+//   - similar values: the deviation of executions with such values from the usual cost of
+//     their shapes, over all shapes;
 //   - the prior, a regression over features that learns from all shapes, corrected by its
 //     errors for this shape;
 //   - the client's hint, corrected by its errors for this shape.
@@ -18,7 +18,7 @@
 // A single reported cost has little influence: see Tracker.
 package costmodel
 
-// Bounds of plausible reports. Reports outside these bounds are ignored: an hour of work on one core
+// Limits of plausible reports. Reports outside these limits are ignored: an hour of work on one core
 // exceeds the deadlines of all classes.
 const (
 	minWork     = 0.01  // ms
@@ -33,29 +33,30 @@
 // NoClass is the class index of an execution whose class is not decided.
 const NoClass = -1
 
-// Class is a class that statements are sorted into by their expected work.
+// Class is a class of statements, which is chosen by their expected work.
 type Class struct {
 	Name          string
-	MaxWorkMillis float64 // upper bound of the expected work in ms; 0: unbounded
+	MaxWorkMillis float64 // limit of the expected work in ms; 0: no limit
 }
 
 // Config configures a Model.
 type Config struct {
-	// Classes are ordered from the cheapest on; the last is unbounded. Without any, no
-	// classes are decided.
+	// Classes are in ascending order of their limits; the last has no limit. If there are none, the
+	// model decides no classes.
 	Classes []Class
-	// Hysteresis is the factor by which an estimate must pass the bound between two
-	// classes before a bucket changes its class. It is at least 1, which means none.
+	// Hysteresis is the factor by which an estimate must pass the limit between two
+	// classes before a bucket changes its class. A factor of 1 means no hysteresis; a lower
+	// value is replaced by DefaultHysteresis.
 	Hysteresis float64
-	// These switch off parts of the model independently of each other, to measure what each
-	// contributes.
+	// These switch off parts of the model independently of each other. Experiments use them to
+	// measure the contribution of each part.
 	NoParameters bool // no profiles, similar values and frequent values
 	NoPrior      bool
 	NoForgetting bool // old observations keep their weight
 	NoHint       bool
 }
 
-// DefaultHysteresis is used where a configuration sets none.
+// DefaultHysteresis is used if a configuration sets no hysteresis.
 const DefaultHysteresis = 1.3
 
 // Model learns from executions and estimates others. It may be used by one goroutine at a time.
@@ -74,7 +75,7 @@
 	return &Model{cfg: cfg, prior: newPrior()}
 }
 
-// usesHint reports whether the hint of a query takes part in its estimate.
+// usesHint reports whether the hint of a query is a component of its estimate.
 func (m *Model) usesHint(query *Query) bool { return !m.cfg.NoHint && plausibleWork(query.HintWork) }
 
 // forgets reports whether old observations lose their weight.
--- a/internal/decision/costmodel/ensemble.go
+++ b/internal/decision/costmodel/ensemble.go
@@ -6,7 +6,7 @@
 type Component struct {
 	Log2Cost  float64 // the expected cost
 	Deviation float64 // its expected error, as a base-2 logarithm
-	Samples   float64 // number of its observations; 0: it takes no part in the estimate
+	Samples   float64 // number of its observations; 0: the estimate does not use it
 	Weight    float64 // its share of the estimate, 0 to 1
 }
 
@@ -19,8 +19,8 @@
 	}
 }
 
-// combine weights the components by the inverse of their variances. ok is false where none
-// takes part.
+// combine weights the components by the inverse of their variances. It ignores components without
+// samples. ok is false if no component has any.
 func combine(components ...*Component) (log2Cost, variance float64, ok bool) {
 	sum := 0.0
 	for _, c := range components {
@@ -40,15 +40,14 @@
 }
 
 const (
-	// minHintSamples is the number of known errors of the hint from which on it is corrected by them.
+	// minHintSamples is the least number of known errors by which a hint is corrected.
 	minHintSamples = 3
-	// uncorrectedHintDeviation is the expected error of a hint about whose errors nothing is
-	// known: a factor of four.
+	// uncorrectedHintDeviation is the expected error of a hint without known errors: a factor of four.
 	uncorrectedHintDeviation = 2
 )
 
-// hintComponent returns the estimator of a hint, corrected by its errors for the shape or,
-// as long as too few of these are known, for the class. shapeErrors may be nil.
+// hintComponent returns the estimator of a hint, corrected by its errors for the shape. If too few of
+// these are known, the errors for the class replace them. shapeErrors may be nil.
 func hintComponent(hint float64, shapeErrors, classErrors *Tracker) Component {
 	log2Hint := math.Log2(hint)
 	switch {
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -12,8 +12,8 @@
 
 	// The components of the ensemble.
 	Record, Similar, Prior, Hint Component
-	// FrequentValue is the correction for a value that is requested often and deviates from
-	// the others. It is added to the ensemble's result.
+	// FrequentValue is the correction for a frequent value whose cost deviates from that of others. It
+	// is added to the ensemble's result.
 	FrequentValue Component
 }
 
@@ -31,8 +31,8 @@
 	percentile90 = 1.28
 )
 
-// Estimate returns the expected cost of an execution. It changes nothing but the class of
-// the bucket.
+// Estimate returns the expected cost of an execution and stores it in the query for Learn. It also
+// stores the class in the bucket of the query's record.
 func (m *Model) Estimate(query *Query) Estimate {
 	query.estimate = m.estimate(query)
 	return query.estimate
@@ -65,7 +65,7 @@
 	return estimate
 }
 
-// estimateComponents sets the components beside the shape's own record.
+// estimateComponents sets all components except the shape's own record.
 func (m *Model) estimateComponents(query *Query, bucket *Bucket, estimate *Estimate) {
 	record := query.Record
 	wellKnown := bucket != nil && bucket.Work.Samples >= wellKnownSamples
@@ -94,8 +94,8 @@
 	errors.hint.adjust(&estimate.Hint, atypicality)
 }
 
-// priorComponent returns the prior's estimator, and how far the prior's prediction for this
-// execution lies from its usual ones for the shape.
+// priorComponent returns the prior's estimator, and the difference between the prior's prediction for
+// this execution and its usual predictions for the shape.
 func (m *Model) priorComponent(query *Query) (component Component, atypicality float64) {
 	prediction := m.prior.predict(m.featuresOf(query))
 	if record := query.Record; record != nil && record.PriorError.Samples >= minTrackedSamples {
@@ -105,7 +105,7 @@
 }
 
 // memory returns the expected memory in MB: an ensemble of the record and the corrected
-// hint. It is 0 where nothing is known.
+// hint. It is 0 if there is neither.
 func (m *Model) memory(query *Query, bucket *Bucket) float64 {
 	var record, hint Component
 	class := m.classStatistics(query.KnownClass)
--- a/internal/decision/costmodel/explain.go
+++ b/internal/decision/costmodel/explain.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Explain describes in words the components that an estimate consists of.
+// Explain describes the components of an estimate in words.
 func (e Estimate) Explain() string {
 	if !e.Known {
 		return "nothing is known: no record, no hint, and the prior has seen too little"
--- a/internal/decision/costmodel/features.go
+++ b/internal/decision/costmodel/features.go
@@ -6,7 +6,7 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// Positions in a vector that are set behind the list of features.
+// Indexes into a vector. The features at these indexes are set after the literal of the vector.
 const (
 	largeListFeature  = 22
 	largeSpanFeature  = 23
@@ -22,7 +22,7 @@
 type vector [dimensions]float64
 
 // newVector computes the features of a statement and its values. class is the index of the
-// class where it is known, else NoClass. The order is part of the stored state's layout.
+// class if it is known, else NoClass. The order is part of the stored state's layout.
 func newVector(features *sqltext.Features, profile *sqltext.Profile, class int) vector {
 	const (
 		maxJoins = 6
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// The prior is needed for new shapes and values, and its update takes microseconds. It therefore
-// learns from the first executions of a shape and from a sample of the others.
+// The prior serves new shapes and values, and its update costs microseconds. It therefore learns only
+// from the first executions of a shape and from a sample of the others.
 const (
 	priorFirstExecutions = 24
 	priorSampleInterval  = 16
@@ -45,8 +45,8 @@
 	}
 }
 
-// skips reports whether sampling leaves an execution out: its bucket is well known and its
-// recent costs were as expected.
+// skips reports whether the model does not learn from an execution because its bucket is sampled: the
+// bucket is well known and its recent costs were as expected.
 func (m *Model) skips(query *Query) bool {
 	if query.Record == nil || query.Record.Executions%learnSampleInterval == 0 {
 		return false
@@ -102,8 +102,8 @@
 	}
 }
 
-// learnSimilar updates the errors made on similar values and, where the values are new to
-// the shape, on new values. It must run before the record of the shape is updated.
+// learnSimilar updates the errors made on similar values and, if the values are new to the
+// shape, on new values. It must run before the record of the shape is updated.
 func (m *Model) learnSimilar(query *Query, log2Work float64, isNewValue bool) {
 	record := query.Record
 	if record.Work.Samples < minTrackedSamples {
--- a/internal/decision/costmodel/prior.go
+++ b/internal/decision/costmodel/prior.go
@@ -13,10 +13,10 @@
 const (
 	priorForgetting = 0.9995 // the forgetting factor for one observation
 	priorRidge      = 0.05   // regularization of the weights
-	priorClip       = 3      // bound of an error, as a base-2 logarithm: a factor of eight
+	priorClip       = 3      // limit of an error, as a base-2 logarithm: a factor of eight
 	priorMinSamples = 30     // number of observations before it makes predictions
-	// priorMaxTrace bounds the covariance's trace. Above it the prior stops forgetting. Otherwise the
-	// covariance would grow without bound in directions that the traffic no longer shows.
+	// priorMaxTrace limits the covariance's trace. Above it the prior stops forgetting. Otherwise the
+	// covariance would grow without limit in directions that no longer occur in the traffic.
 	priorMaxTrace = 1e4
 )
 
--- a/internal/decision/costmodel/query.go
+++ b/internal/decision/costmodel/query.go
@@ -2,12 +2,12 @@
 
 import "flaxrelay/internal/sqltext"
 
-// Query is one execution to estimate, and later to learn from.
+// Query is one execution, for Estimate and later for Learn.
 type Query struct {
 	Record       *ShapeRecord // of the statement's shape; nil: there is none
 	Features     *sqltext.Features
 	Profile      sqltext.Profile
-	KnownClass   int     // index of the class where it is decided already, else NoClass
+	KnownClass   int     // index of the class if it is already decided, else NoClass
 	HintWork     float64 // the client's estimate of the work in ms; 0: none
 	HintMemoryMB float64 // the client's estimate of the memory; 0: none
 
--- a/internal/decision/costmodel/record.go
+++ b/internal/decision/costmodel/record.go
@@ -1,6 +1,6 @@
 package costmodel
 
-// maxBuckets bounds the profiles that the record of one shape distinguishes.
+// maxBuckets is the number of profiles that the record of one shape distinguishes.
 const maxBuckets = 8
 
 // ShapeRecord is the record of one shape. All trackers hold base-2 logarithms. Its size is
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// findOrReplace returns the bucket of a key. Where there is none, it returns an empty bucket, which may
-// replace the least recently used one.
+// findOrReplace returns the bucket of a key. If there is none, it returns an empty bucket, which replaces
+// the least recently used one if all are in use.
 func (r *ShapeRecord) findOrReplace(key uint32) *Bucket {
 	if bucket := r.find(key); bucket != nil {
 		return bucket
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// The errors that a component made for a shape say little about values that differ from those seen
-// before. The estimate then uses the errors that the component made on such values over all shapes.
-// Otherwise a broad report would get the estimate of the lookup whose shape it shares.
+// The errors that a component made for a shape hardly predict its errors on values that are new to the
+// shape. For such values, the estimate uses the errors that the component made on similar values over all
+// shapes. Otherwise a broad report would get the estimate of a lookup of the same shape.
 
 const (
 	// newValueSamples is the number of executions from which on a bucket's values are no longer
@@ -76,7 +76,7 @@
 }
 
 // adjust corrects a component by the tracked errors and raises its deviation to theirs.
-// Where too few errors are known, it raises the deviation by the atypicality instead.
+// If too few errors are known, it raises the deviation by the atypicality instead.
 func (t *Tracker) adjust(component *Component, atypicality float64) {
 	switch {
 	case component.Samples == 0:
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -1,9 +1,9 @@
 package costmodel
 
-// spaceSaving holds the most frequent values and the deviations of their cost, in bounded
+// spaceSaving stores the most frequent values and the deviations of their cost in constant
 // memory, by the Space-Saving algorithm (Metwally, Agrawal, El Abbadi, "Efficient
 // Computation of Frequent and Top-k Elements in Data Streams", 2005). It is set-associative,
-// so that adding a value takes bounded time. Keys are seeded hashes: clients can't choose
+// so that adding a value needs constant time. Keys are seeded hashes, so that clients can't choose
 // which values share a set.
 type spaceSaving struct {
 	Sets [frequentSets][frequentWays]valueStatistics `cbor:"Sets"`
@@ -12,7 +12,7 @@
 const (
 	frequentSets = 64
 	frequentWays = 8
-	// minFrequentSamples is the number of occurrences of a value from which on its cost is corrected.
+	// minFrequentSamples is the least number of occurrences of a value whose cost is corrected.
 	minFrequentSamples = 6
 	// minFrequentOffset is the least deviation of its cost that is corrected, as a base-2 logarithm:
 	// a factor of 1.5.
@@ -31,8 +31,8 @@
 	HintError  Tracker `cbor:"Hint"`
 }
 
-// significant reports whether the value deviates enough, on enough evidence, to correct
-// estimates by it.
+// significant reports whether estimates are corrected by the value: its cost deviates enough, over
+// enough observations.
 func (v *valueStatistics) significant() bool {
 	deviates := v.Offset.Median > minFrequentOffset || v.Offset.Median < -minFrequentOffset
 	return deviates && v.Offset.Samples >= minFrequentSamples
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// add counts a value. A new one replaces the least frequent value of its set and inherits
-// its count, as it may have occurred that often.
+// add counts a value. A new value replaces the least frequent value of its set. It inherits that
+// value's count, because it may have occurred as often before.
 func (s *spaceSaving) add(key uint64) *valueStatistics {
 	const maxCount = 1 << 31
 	value := s.find(key)
--- a/internal/decision/costmodel/state.go
+++ b/internal/decision/costmodel/state.go
@@ -7,8 +7,8 @@
 	"reflect"
 )
 
-// Layout is the version of what State and ShapeRecord mean. It changes whenever a field
-// changes its meaning; a state of another layout can't be restored.
+// Layout is the version of State and ShapeRecord. It must be increased when a field changes its
+// meaning. A state of another layout can't be restored.
 const Layout = 1
 
 // State is the state of a model in a form that can be stored.
@@ -46,11 +46,11 @@
 // State returns a copy of the model's state.
 func (m *Model) State() *State { return &State{Prior: *m.prior, Common: m.state} }
 
-// ErrState means that a stored state holds a number that no model can have learned.
+// ErrState means that a stored state contains a number that no model can have learned.
 var ErrState = errors.New("invalid state")
 
-// Restore returns a model that continues from a state. It rejects a state that holds a number that is
-// not finite: every estimate would be invalid.
+// Restore returns a model that continues from a state. It returns an error that wraps ErrState if the state
+// contains a number that is not finite, because that would make every estimate invalid.
 func Restore(cfg Config, stored *State) (*Model, error) {
 	if err := checkFinite(reflect.ValueOf(stored).Elem(), "state"); err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 	return model, nil
 }
 
-// Check returns an error that wraps ErrState where the record holds a number that is not finite.
+// Check returns an error that wraps ErrState if the record contains a number that is not finite.
 func (r *ShapeRecord) Check() error { return checkFinite(reflect.ValueOf(r).Elem(), "entry") }
 
 // checkFinite checks all floating-point numbers within a value. path names the value in
--- a/internal/decision/costmodel/tracker.go
+++ b/internal/decision/costmodel/tracker.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// Tracker follows the median of a figure and its mean absolute deviation, both as base-2
-// logarithms. It is robust, as one observation moves the median by a bounded step, and it
-// forgets: a changed cost is followed within some ten observations. The update is a
-// Robbins-Monro step on a clipped error (Huber, "Robust Estimation of a Location
-// Parameter", 1964); a run of errors on one side raises the step, as a CUSUM chart would
-// (Page, "Continuous Inspection Schemes", 1954). It takes 16 bytes.
+// Tracker estimates the median of a figure and its mean absolute deviation, both as base-2
+// logarithms. It is robust: one observation moves the median by a limited step. It forgets: the
+// median adapts to a changed cost within some ten observations. The update is a Robbins-Monro
+// step on a clipped error (Huber, "Robust Estimation of a Location Parameter", 1964). A run of
+// errors on one side raises the step, as in a CUSUM chart (Page, "Continuous Inspection
+// Schemes", 1954). Its size is 16 bytes.
 type Tracker struct {
 	Median    float32 `cbor:"Mid"` // the median
 	Deviation float32 `cbor:"Dev"` // the mean absolute deviation from it
@@ -18,20 +18,20 @@
 const (
 	maxTrackedSamples = 1000
 
-	minGain          = 0.06 // keeps the effective window at some 16 observations
+	minGain          = 0.06 // an effective window of some 16 observations
 	minDeviationGain = 0.03
 
-	// A run of changeRun errors on one side counts as a change of the cost, which is then
-	// followed by larger steps.
+	// A run of changeRun errors on one side counts as a change of the cost. The median then moves by
+	// larger steps.
 	changeRun  = 5
 	changeGain = 0.35
 	changeClip = 4
 	maxRun     = 100
 
-	// A run of up to steadyRun errors is no sign of a change.
+	// A run of up to steadyRun errors does not indicate a change.
 	steadyRun = 1
 
-	minDeviation     = 0.15 // lower bound of the deviation that is assumed
+	minDeviation     = 0.15 // the least deviation that is assumed
 	initialDeviation = 1.5  // after the first observation
 
 	// Errors are clipped to clipDeviations deviations or, for the first earlySamples observations, to
@@ -89,8 +89,8 @@
 // Variance returns the expected squared error of the median for one observation.
 func (t *Tracker) Variance() float64 {
 	const (
-		perMeanDeviation = 1.25 // standard deviation by mean absolute deviation, of a normal distribution
-		medianVariance   = 4    // of the median itself, by the variance and for one observation
+		perMeanDeviation = 1.25 // standard deviation over mean absolute deviation of a normal distribution
+		medianVariance   = 4    // variance of the median over that of an observation, for one observation
 	)
 	deviation := perMeanDeviation * max(float64(t.Deviation), minDeviation)
 	return deviation * deviation * (1 + medianVariance/float64(t.Samples))
--- a/internal/decision/hotrestart/actions.go
+++ b/internal/decision/hotrestart/actions.go
@@ -13,8 +13,8 @@
 	StopAccepting struct{}
 	// SendActivate sends Activate.
 	SendActivate struct{}
-	// TransferConn stops reading a connection and sends ConnTransferred; a duplicate of the
-	// descriptor is kept.
+	// TransferConn stops reading a connection and sends ConnTransferred. The predecessor keeps a
+	// duplicate of the descriptor until ReleaseConn.
 	TransferConn struct{ Conn ConnID }
 	// SendCommit sends Commit.
 	SendCommit struct{}
@@ -22,8 +22,8 @@
 	ReleaseConn struct{ Conn ConnID }
 	// KillSuccessor kills the successor. SuccessorExited follows.
 	KillSuccessor struct{}
-	// ReclaimConn takes a connection back. Recover decides on its request, after the kernel
-	// has reported how much of the response was written.
+	// ReclaimConn makes the predecessor the owner of a connection again. Recover decides on its
+	// request, after the kernel has reported how much of the response was written.
 	ReclaimConn struct {
 		Conn    ConnID
 		Request Request
@@ -53,7 +53,7 @@
 	SendReady struct{}
 	// LoadState begins to load the state. StateLoaded follows.
 	LoadState struct{}
-	// AdoptConn takes a transferred connection over.
+	// AdoptConn starts to serve a transferred connection.
 	AdoptConn struct{ Conn ConnID }
 	// StopRecording ends the records of requests, as nothing can be reclaimed any more.
 	StopRecording struct{}
--- a/internal/decision/hotrestart/events.go
+++ b/internal/decision/hotrestart/events.go
@@ -21,7 +21,7 @@
 	SuccessorExited struct{}
 	// SuccessorMemory reports the memory of the successor.
 	SuccessorMemory struct{ Bytes int64 }
-	// Tick reports nothing but the time.
+	// Tick reports only the time.
 	Tick struct{}
 )
 
--- a/internal/decision/hotrestart/hotrestart.go
+++ b/internal/decision/hotrestart/hotrestart.go
@@ -9,18 +9,17 @@
 //
 // The protocol relies on three properties of the system:
 //
-//   - The predecessor is the parent of the successor. It can kill it, and the kernel
-//     reports its exit, so silence is never mistaken for an exit: connections are reclaimed only
-//     when the successor is known to have exited and all its messages in the channel have been
-//     read.
-//   - The predecessor never closes the channel while both processes live. So the end of the
-//     channel proves to the successor that the predecessor has exited.
+//   - The predecessor is the parent of the successor. It can kill the successor, and the kernel
+//     reports the successor's exit. Connections are reclaimed only after that report and after all
+//     messages of the successor in the channel have been read. Silence never counts as an exit.
+//   - The predecessor never closes the channel while both processes run. The end of the channel
+//     therefore proves to the successor that the predecessor has exited.
 //   - A descriptor sent over a unix socket is in the kernel once it is sent, and is received
 //     even if its sender exits at once (unix(7), SCM_RIGHTS).
 //
-// Therefore no acknowledgements are needed: a connection belongs to the successor from the moment
-// the predecessor has sent it, and never to both. Requests in flight stay with their process until
-// they have their response; their connection is transferred then.
+// Therefore no acknowledgements are needed: the successor owns a connection as soon as the predecessor
+// has sent it, and the two never own it at the same time. A connection with a request in flight is
+// transferred after the response.
 //
 // The phases of the predecessor:
 //
@@ -42,7 +41,7 @@
 	TransferringState              // the successor loads the state and has not reported that it is ready
 	Probation                      // the successor accepts and serves; everything can still be reclaimed
 	Draining                       // the successor is the final owner; requests in flight of this process end
-	RollingBack                    // the successor was killed; nothing is reclaimed before it has exited
+	RollingBack                    // the successor was killed; connections are reclaimed after its exit
 	Exited                         // the process ends
 )
 
@@ -53,19 +52,19 @@
 // String implements fmt.Stringer.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Config bounds a hot restart. Phases are timed from their start.
+// Config limits a hot restart. Time-outs of a phase count from its start.
 type Config struct {
-	HelloTimeout     time.Duration // for the successor's hello; too short: a slow disk fails restarts
+	HelloTimeout     time.Duration // for the successor's hello; a slow disk exceeds a time-out that is too short
 	StateTimeout     time.Duration // for loading the state and reporting ready
 	MinProbation     time.Duration // least length of the probation
 	MaxProbation     time.Duration // length of the probation without enough requests; above MinProbation
 	HeartbeatTimeout time.Duration // longest time without a message during the probation
-	MinSuccesses     int           // successful responses that end the probation, where there are requests
+	MinSuccesses     int           // successful responses that end the probation before MaxProbation
 	MaxFailureRate   float64       // share of responses that may be errors of the successor itself, 0 to 1
-	MaxMemoryBytes   int64         // of the successor; 0: unbounded
+	MaxMemoryBytes   int64         // of the successor; 0: no limit
 }
 
-// DefaultConfig returns bounds for a machine that has the capacity for both processes at once.
+// DefaultConfig returns limits for a machine that has the capacity for both processes at once.
 func DefaultConfig() Config {
 	return Config{
 		HelloTimeout:     5 * time.Second,
--- a/internal/decision/hotrestart/model_test.go
+++ b/internal/decision/hotrestart/model_test.go
@@ -47,7 +47,7 @@
 	return len(seen), depth, "", nil
 }
 
-// maxStates bounds the exploration.
+// maxStates limits the exploration.
 const maxStates = 3e6
 
 // All interleavings of a hot restart with two requests and up to two crashes keep the
--- a/internal/decision/hotrestart/predecessor.go
+++ b/internal/decision/hotrestart/predecessor.go
@@ -11,7 +11,7 @@
 	// connBusy: the connection is owned by this process and can't be transferred: a request is in
 	// flight, or a part of a message was read or has to be written.
 	connBusy
-	// connTransferred: the successor owns the connection. This process holds a duplicate of its
+	// connTransferred: the successor owns the connection. This process has a duplicate of its
 	// descriptor.
 	connTransferred
 )
@@ -57,7 +57,7 @@
 		return p.shutdown(now)
 	case ConnAccepted:
 		p.conns = append(p.conns, connection{id: event.Conn})
-		if p.handsOver() { // it was accepted just before the successor took the listeners over
+		if p.handsOver() { // it was accepted just before StopAccepting
 			return p.transfer(event.Conn)
 		}
 	case ConnBusy:
@@ -179,15 +179,15 @@
 	return p.phase == AwaitingHello || p.phase == TransferringState || p.phase == Probation
 }
 
-// rollBack kills the successor. Nothing is reclaimed before it is known to have exited:
-// until then it may still write to its connections.
+// rollBack kills the successor. Connections are reclaimed only after SuccessorExited, because the
+// successor may write to its connections until then.
 func (p *Predecessor) rollBack(now time.Duration, reason string) []Action {
 	p.failureReason = reason
 	p.enter(RollingBack, now)
 	return []Action{KillSuccessor{}}
 }
 
-// successorExited reclaims everything, if the successor was not the owner yet.
+// successorExited reclaims all connections, unless the successor was already the final owner.
 func (p *Predecessor) successorExited(now time.Duration) []Action {
 	if p.phase == Idle || p.phase == Draining || p.phase == Exited {
 		return nil
--- a/internal/decision/hotrestart/predecessor_conns.go
+++ b/internal/decision/hotrestart/predecessor_conns.go
@@ -52,8 +52,8 @@
 	return append(p.transfer(id), p.exitWhenDrained()...)
 }
 
-// connMessage handles a message of the successor on one connection. Records count in every
-// phase, also when rolling back: the last messages are read after the successor's exit.
+// connMessage handles a message of the successor on one connection. It accepts records in every
+// phase, including RollingBack, because the last messages are read after the successor's exit.
 func (p *Predecessor) connMessage(event Event) []Action {
 	switch event := event.(type) {
 	case SuccessorAccepted:
@@ -87,8 +87,8 @@
 	return actions
 }
 
-// transfer hands a connection over. When draining, nothing is reclaimed any more, so no
-// duplicate is kept.
+// transfer makes the successor the owner of a connection. When draining, no connection is reclaimed any
+// more, so the duplicate is released at once.
 func (p *Predecessor) transfer(id ConnID) []Action {
 	if p.phase == Draining {
 		p.forget(id)
@@ -100,7 +100,7 @@
 	return []Action{TransferConn{id}}
 }
 
-// reclaim takes all transferred connections back.
+// reclaim makes this process the owner of all transferred connections again.
 func (p *Predecessor) reclaim() (actions []Action) {
 	for i := range p.conns {
 		c := &p.conns[i]
--- a/internal/decision/hotrestart/recovery.go
+++ b/internal/decision/hotrestart/recovery.go
@@ -12,8 +12,8 @@
 	Idempotent
 )
 
-// Request is the successor's record of a request. The successor sends it ahead of each
-// step: before the request is forwarded to an engine, and before its response is written.
+// Request is the successor's record of a request. The successor sends the record before it forwards
+// the request to an engine, and again before it writes the response.
 type Request struct {
 	InFlight          bool
 	Effect            Effect
@@ -30,7 +30,7 @@
 // Recoveries.
 const (
 	NoRecovery             Recovery = iota // there is no request, or it has its response
-	Retry                                  // forward it (again), with its key and the time of its first attempt
+	Retry                                  // forward it, with its key and the time of its first attempt, if any
 	ReportUnknownOutcome                   // respond at once that it may have run; a retry is not permitted
 	ReportDeadlineExceeded                 // its deadline has passed
 	CloseConnection                        // a part of its response was written, so no other response is possible
--- a/internal/decision/hotrestart/successor.go
+++ b/internal/decision/hotrestart/successor.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// stateProgress is how far the successor is with the predecessor's state.
+// stateProgress is the successor's progress in loading the predecessor's state.
 //
 //	stateAwaited --State--> stateLoading --StateLoaded--> stateLoaded
 type stateProgress uint8
@@ -13,13 +13,12 @@
 	stateLoaded
 )
 
-// Successor is the state machine of the process that takes over. It may be used by one goroutine at a
-// time.
+// Successor is the state machine of the newer process. It may be used by one goroutine at a time.
 type Successor struct {
 	version   Version
 	state     stateProgress
 	accepting bool
-	owner     bool // final: the predecessor reclaims nothing any more
+	owner     bool // the process is the final owner: the predecessor reclaims no connection any more
 	orphaned  bool // the predecessor has exited
 }
 
@@ -70,8 +69,8 @@
 	return nil
 }
 
-// predecessorExited takes ownership, or does so later if the state is being loaded. Without any
-// state, the process serves like one that was just started.
+// predecessorExited takes ownership, or does so later if the state is being loaded. A process that has
+// not received a state serves like one that was started without a predecessor.
 func (s *Successor) predecessorExited() []Action {
 	s.orphaned = true
 	if s.owner || s.state == stateLoading {
--- a/internal/decision/hotrestart/world_test.go
+++ b/internal/decision/hotrestart/world_test.go
@@ -100,7 +100,7 @@
 	return w
 }
 
-// maxCrashes bounds the crashes of one run.
+// maxCrashes limits the crashes of one run.
 const maxCrashes = 2
 
 func (w world) clone() world {
