--- a/internal/lab/soak/bus.go
+++ b/internal/lab/soak/bus.go
@@ -21,7 +21,7 @@
 	stateRemoved
 )
 
-// stateNames are the states as a configuration names them.
+// stateNames are the names of the states in a configuration.
 var stateNames = [...]string{
 	stateReady:    "in_service",
 	stateDraining: "terminating",
@@ -33,24 +33,24 @@
 	id     uint32
 	addr   netip.AddrPort
 	state  engineState
-	bootMS int64 // start by the engine's own clock, in Unix milliseconds; 0: it started long ago
+	bootMS int64 // start by the engine's clock, in Unix milliseconds; 0: it started long ago
 }
 
 func (e *listEntry) name() string { return fmt.Sprintf("s-%08x", e.id) }
 
-// busMode is how the bus behaves.
+// busMode is the behaviour of the bus.
 type busMode int
 
 const (
 	busNormal     busMode = iota
 	busDown               // open and new connections are closed at once
-	busSilent             // connections stay open and bring nothing
-	busTruncating         // the next event breaks off in the middle, and its connection closes
+	busSilent             // connections stay open and nothing is sent
+	busTruncating         // half of the next event is sent, and its connection closes
 )
 
 // eventBus publishes changes of the endpoint list. It is safe for concurrent use.
 type eventBus struct {
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	listener net.Listener
 	mode     busMode
 	entries  map[uint32]listEntry
@@ -63,8 +63,8 @@
 	return b, b.move()
 }
 
-// move opens a new address. The old one takes no new connections from then on, and closes the open
-// ones after a while.
+// move opens a listener at a new address and closes the old listener. Open connections of the old
+// listener are closed closeAfter later.
 func (b *eventBus) move() error {
 	const (
 		closeAfter   = 1500 * time.Millisecond
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// listensAt reports whether the listener is that of the present address.
+// listensAt reports whether the listener is the current one.
 func (b *eventBus) listensAt(listener net.Listener) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -121,7 +121,7 @@
 	b.wakeConnections()
 }
 
-// wakeConnections makes the connections look at the changed state. The caller holds mu.
+// wakeConnections makes the connections read the changed state. The caller must hold mu.
 func (b *eventBus) wakeConnections() {
 	close(b.changed)
 	b.changed = make(chan struct{})
@@ -138,8 +138,8 @@
 	b.wakeConnections()
 }
 
-// known returns the events so far as a front end's configuration holds them: as one event with the
-// whole list.
+// known returns the events so far in the form of a front end's configuration: one event with the complete
+// list.
 func (b *eventBus) known() fake.KnownEvents {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,15 +168,15 @@
 	}
 }
 
-// busView is what a connection sees of the bus at one moment.
+// busView is a copy of the state of the bus for one connection.
 type busView struct {
 	mode      busMode
 	changed   <-chan struct{}
-	published int    // events so far
-	frame     []byte // the next event for the connection; nil: none yet
+	published int    // number of events so far
+	frame     []byte // the next event for the connection; nil: it has been sent all events
 }
 
-// view returns the present state of the bus for a connection that has been sent the given number of
+// view returns the current state of the bus for a connection that has been sent the given number of
 // events.
 func (b *eventBus) view(sent int) busView {
 	b.mu.Lock()
@@ -188,9 +188,9 @@
 	return view
 }
 
-// serve sends the events after the one that the connection names, and a heartbeat each second.
+// serve reads the offset of a connection, sends the events from there on, and a heartbeat each second.
 func (b *eventBus) serve(conn net.Conn, moved <-chan struct{}) {
-	const overlap = 1 // an event that the front end has already is sent again
+	const overlap = 1 // number of events that are sent although the front end already has them
 	sent, err := readResumeOffset(conn)
 	if err != nil {
 		return
@@ -227,7 +227,7 @@
 }
 
 // readResumeOffset reads the first message of a connection: the number of the last event that the
-// front end knows.
+// front end has received.
 func readResumeOffset(conn net.Conn) (int, error) {
 	request := make([]byte, fake.BusRequestLength)
 	if _, err := io.ReadFull(conn, request); err != nil {
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -9,32 +9,32 @@
 
 // Allowances of the checker.
 const (
-	// tolerance is by how much times that two processes measure may differ.
+	// tolerance is the largest difference between two processes' measurements of the same time.
 	tolerance = 100 * time.Millisecond
-	// reportedEndTolerance is by how much an attempt may begin before the end of the one before
-	// it, where that end is a response: an engine process reports it before it writes it.
+	// reportedEndTolerance replaces tolerance if the earlier of two attempts ended with a response: an
+	// engine process reports that end before it writes the response.
 	reportedEndTolerance = 5 * time.Millisecond
-	// remainingTimeSlack is by how much the time that an engine is given may exceed the client's.
+	// remainingTimeSlack limits the excess of the time that an engine is given over the client's.
 	remainingTimeSlack = 150 * time.Millisecond
-	// disconnectGrace is how long after its client has disconnected an attempt may begin.
+	// disconnectGrace is the time after the client's disconnect in which an attempt may still begin.
 	disconnectGrace = 100 * time.Millisecond
-	// notificationGraceAfterFault is how long after the begin of a fault of the bus all front ends
-	// count as notified of what the bus has published meanwhile.
+	// notificationGraceAfterFault is the time from the start of a fault of the bus until all front
+	// ends count as notified of the changes that were published during the fault.
 	notificationGraceAfterFault = 4 * time.Second
-	// notificationSlack is the same after the end of a fault of the bus, and after a front end has
-	// started.
+	// notificationSlack is the same time from the end of a fault of the bus, and from the time at
+	// which a front end is ready.
 	notificationSlack = time.Second
 )
 
-// checker reads the history of a run that has ended and collects the violations.
+// checker reads the history of a completed run and collects the violations. It is for one goroutine.
 type checker struct {
 	history    *history
-	readyTimes map[string][]time.Time // of the processes of each front end, by its name
+	readyTimes map[string][]time.Time // when each process of a front end became ready, by front end
 	violations []Violation
 }
 
-// check returns all violations: first those that were seen while the run went on, then those that
-// the checker finds.
+// check returns all violations: first those that were detected during the run, then those that the
+// checker finds in the history.
 func (h *history) check(readyTimes map[string][]time.Time) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -61,7 +61,7 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Request: requestID, Detail: fmt.Sprintf(format, args...)})
 }
 
-// checkRequest checks a request with its attempts, in the order of their begin.
+// checkRequest checks a request with its attempts, which must be in the order of their begin.
 func (c *checker) checkRequest(req *request, attempts []*attempt) {
 	description := describeAttempts(attempts, req.sentAt)
 	if req.outcome == outcomeLost {
@@ -85,7 +85,7 @@
 	}
 }
 
-// checkBegin checks when an attempt began, and the time that its engine was given.
+// checkBegin checks the begin of an attempt and the remaining time that its engine was given.
 func (c *checker) checkBegin(r *request, a *attempt) {
 	if a.delayed {
 		return
@@ -99,9 +99,10 @@
 	}
 }
 
-// checkOverlap checks that an attempt had ended when the next began.
+// checkOverlap checks that an attempt ended before the next attempt began.
 func (c *checker) checkOverlap(r *request, earlier, later *attempt) {
-	// An attempt that ends as it begins was read from a connection that the front end had closed.
+	// An attempt that ends right after its begin was read from a connection that the front end had
+	// already closed.
 	readAfterClose := later.response == responseNone && !later.endedAt.IsZero() &&
 		later.endedAt.Sub(later.beganAt) < tolerance
 	if earlier.delayed || later.delayed || readAfterClose {
@@ -130,8 +131,8 @@
 	return text.String()
 }
 
-// notifiedAt returns the time from which every front end counts as notified of a change: when the
-// bus published it, or later where a fault of the bus or the start of a front end delayed it.
+// notifiedAt returns the time from which every front end counts as notified of a change. That is the
+// time of its publication, or later if a fault of the bus or the start of a front end delayed it.
 func (c *checker) notifiedAt(change engineChange) time.Time {
 	notified := change.publishedAt
 	delayUntil := func(t time.Time) {
@@ -155,8 +156,8 @@
 	return notified
 }
 
-// checkDrainedEngines checks that no attempt begins at an engine after the notification that it
-// drains or is removed, and the grace that the settings give.
+// checkDrainedEngines checks that no attempt begins at an engine that is draining or removed, once all
+// front ends are notified of it and drainGrace is over.
 func (c *checker) checkDrainedEngines() {
 	for _, change := range c.history.changes {
 		if change.state == stateReady {
--- a/internal/lab/soak/checker_slowstart.go
+++ b/internal/lab/soak/checker_slowstart.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// slowStartLimit returns how many requests of mean work an engine that is warming up may be sent in
-// one overload window, by the specification's rule: N requests and an allowance for chance.
+// slowStartLimit returns the largest number of requests of mean work that may be sent to an engine in one
+// overload window while it is warming up. By the specification's rule it is N requests and an allowance
+// for chance.
 //
-// The front end's check at run time computes the same limit (overloadLimit in the package policy). That
-// code is not called here, on purpose: a checker that shared it would share its errors.
+// The front end's check at run time computes the same limit (overloadLimit in the package policy). This
+// function deliberately does not call that code: a checker that shared it would share its errors.
 func slowStartLimit(sinceStart time.Duration, meanWorkSeconds float64) float64 {
 	const (
 		minMeanWork  = 1e-3 // seconds
@@ -28,8 +29,8 @@
 	return n + roots*math.Sqrt(n) + surplus
 }
 
-// checkSlowStarts checks each overload window after a start of which the front ends were notified.
-// It reports one window of a start at most.
+// checkSlowStarts checks the overload windows after each published start of an engine. It reports at
+// most one window for each start.
 func (c *checker) checkSlowStarts() {
 	meanWork := c.meanWorkSeconds()
 	for _, change := range c.history.changes {
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -141,7 +141,7 @@
 			}
 		}
 	}
-	// pair is an attempt from 20 ms to 170 ms, and one that begins at the time.
+	// pair returns an attempt from 20 ms to 170 ms, and an attempt that begins at the given time.
 	pair := func(earlierResponse responseKind, laterBegin time.Duration) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addServed("r", classLookup)
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -11,16 +11,16 @@
 
 const (
 	dialTimeout = time.Second
-	// idleCloseRace is within which time after its request the end of an idle connection counts as
-	// a crossing of the two, after which a client may send the request again.
+	// idleCloseRace is the time after a request in which the end of its connection counts as a race
+	// with an idle close by the front end. The client may then send the request again.
 	idleCloseRace = 50 * time.Millisecond
-	// clientIdleTime is after how long a client closes its idle connection.
+	// clientIdleTime is the idle time after which a client closes its connection.
 	clientIdleTime = 4 * time.Second
 	// maxPause is the longest pause of a client between two requests.
 	maxPause = 120 * time.Millisecond
 )
 
-// How often a client does something else than to send a request at once and wait for its response.
+// How often a client does not simply send a request and wait for its response: once in so many requests.
 const (
 	malformedRequestOneIn = 40
 	disconnectOneIn       = 20
@@ -34,7 +34,7 @@
 )
 
 // client sends requests one after the other, like the usual clients of the platform. It sends some
-// of them slowly, and disconnects early from some. It is for one goroutine.
+// requests slowly, and disconnects early from others. It is for one goroutine.
 type client struct {
 	run    *run
 	number int
@@ -43,7 +43,7 @@
 
 	conn      net.Conn // nil: none is open
 	in        *bufio.Reader
-	target    *frontEnd // of conn
+	target    *frontEnd // the front end at the other end of conn
 	idleSince time.Time
 }
 
@@ -74,7 +74,7 @@
 	}
 }
 
-// connect opens a connection to a front end that takes new ones, and reports whether it did.
+// connect opens a connection to a front end that accepts new connections, and reports its success.
 func (c *client) connect() bool {
 	target := c.run.pickFrontEnd(c.random)
 	if target == nil {
@@ -104,7 +104,7 @@
 	return &request{id: id, class: class, wait: wait}, requestText(id, class, wait)
 }
 
-// requestText is a request as it is sent.
+// requestText returns the bytes of a request.
 func requestText(id, class string, wait time.Duration) string {
 	statement := "SELECT day FROM sales_17.orders WHERE tag = '" + id + "'"
 	idempotencyKey := ""
@@ -115,8 +115,8 @@
 		"Content-Length: %d\r\n\r\n%s", class, id, wait.Milliseconds(), idempotencyKey, len(statement), statement)
 }
 
-// sendRequest sends one request, follows it to its end and records it. A request that crosses the
-// close of an idle connection is sent a second time.
+// sendRequest sends one request, waits for its end and records it. If the front end closes the idle
+// connection at the same time, it sends the request a second time.
 func (c *client) sendRequest() {
 	req, text := c.newRequest()
 	for resent := false; ; resent = true {
@@ -152,8 +152,8 @@
 	}
 }
 
-// write sends a request, some in two parts, and notes when its last byte was written. It reports
-// whether all of it was sent.
+// write sends a request, in some cases in two parts, and sets sentAt after its last byte. It reports
+// whether the complete request was sent.
 func (c *client) write(r *request, text string) bool {
 	_ = c.conn.SetDeadline(time.Now().Add(dialTimeout))
 	if c.random.IntN(slowWriteOneIn) == 0 {
@@ -178,13 +178,13 @@
 	c.run.history.addRequest(r)
 }
 
-// drawMilliseconds draws a whole number of milliseconds below the limit.
+// drawMilliseconds draws a duration of 0 to limit-1 milliseconds.
 func (c *client) drawMilliseconds(limit int) time.Duration {
 	return time.Duration(c.random.IntN(limit)) * time.Millisecond
 }
 
-// killedAround reports whether the front end was killed between a second before the request was
-// sent and the time.
+// killedAround reports whether the front end was killed after a second before the request was sent and
+// before the given time.
 func (c *client) killedAround(r *request, until time.Time) bool {
 	const before = time.Second
 	return c.target.killedWithin(r.sentAt.Add(-before), until)
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak injects randomized faults into real front-end processes on loopback and checks what
+// Package soak injects randomized faults into real front-end processes on loopback and checks rules that
 // must hold under every fault.
 //
 // A run starts front ends under internal/lab/syscallfault, engines as processes of their own, an
@@ -11,6 +11,6 @@
 // outcome, each attempt as it begins and ends at an engine, and each change that the bus
 // publishes. The checker reads the history after the run and reports each violation of a Rule.
 //
-// The schedule follows from the seed. What the faults meet does not, because the processes run in
-// real time.
+// The seed determines the schedule. It does not determine the requests in flight when a fault begins,
+// because the processes run in real time.
 package soak
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -14,24 +14,25 @@
 	"flaxrelay/internal/lab/faultproxy"
 )
 
-// engine is an engine of the endpoint list, with its process. One fault at a time claims it and changes
-// its fields; those that other goroutines read meanwhile are guarded by mu.
+// engine is an engine of the endpoint list with its process. Only the fault that has claimed it changes
+// its fields. mu guards the fields that other goroutines read.
 type engine struct {
 	run    *run
 	id     uint32
-	addr   string            // where the process listens
+	addr   string            // at which the process listens
 	proxy  *faultproxy.Proxy // nil: front ends connect to the process itself
 	starts int
 	entry  listEntry
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	cmd      *exec.Cmd
 	thawedAt time.Time // end of the latest freeze
 }
 
 func (e *engine) name() string { return e.entry.name() }
 
-// newEngine starts an engine that is not on the list yet, and a proxy in front of it if so wanted.
+// newEngine starts an engine that is not on the list yet. If proxied is true, it starts a proxy in front
+// of it.
 func newEngine(r *run, id uint32, addr string, proxied bool) (*engine, error) {
 	created := &engine{run: r, id: id, addr: addr, entry: listEntry{id: id}}
 	if err := created.start(); err != nil {
@@ -59,7 +60,7 @@
 // start starts the process and waits until it listens.
 func (e *engine) start() error {
 	e.starts++
-	const seedsPerEngine = 1000 // more than it has starts
+	const seedsPerEngine = 1000 // above the number of starts of an engine in a run
 	options, err := json.Marshal(engineOptions{
 		Addr: e.addr, Seed: e.run.options.Seed + uint64(e.id)*seedsPerEngine + uint64(e.starts),
 		FaultyResponseShare: e.run.faultyResponseShare,
@@ -74,7 +75,7 @@
 	if err != nil {
 		return fmt.Errorf("engine %s: %w", e.name(), err)
 	}
-	if _, err := cmd.StdinPipe(); err != nil { // the process ends with this end of the pipe
+	if _, err := cmd.StdinPipe(); err != nil { // the process exits when this end of the pipe is closed
 		return fmt.Errorf("engine %s: %w", e.name(), err)
 	}
 	if err := cmd.Start(); err != nil {
@@ -120,7 +121,7 @@
 	}
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its end.
 func (e *engine) kill() {
 	e.mu.Lock()
 	cmd := e.cmd
@@ -129,7 +130,7 @@
 	_ = cmd.Wait()
 }
 
-// freeze stops the process for a while: it hangs with its connections open.
+// freeze stops the process for the duration, with its connections open.
 func (e *engine) freeze(duration time.Duration) {
 	_ = e.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(duration)
@@ -139,7 +140,8 @@
 	_ = e.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// readLate reports whether what the process read at the time may have arrived while it was frozen.
+// readLate reports whether the bytes that the process read at the time may have arrived while it was
+// frozen.
 func (e *engine) readLate(at time.Time) bool {
 	const catchUpTime = 500 * time.Millisecond
 	e.mu.Lock()
@@ -147,11 +149,11 @@
 	return at.After(e.thawedAt) && at.Before(e.thawedAt.Add(catchUpTime))
 }
 
-// publishState publishes a state on the bus that is no start.
+// publishState publishes a state on the bus without a start.
 func (e *engine) publishState(state engineState) { e.publish(state, time.Time{}) }
 
-// publishStart publishes that the engine is ready since its start, which the list has by the
-// engine's own clock.
+// publishStart publishes that the engine is ready and when it started. The published time is that of the
+// engine's clock, which is wrong by clockStep.
 func (e *engine) publishStart(startedAt time.Time, clockStep time.Duration) {
 	e.entry.bootMS = startedAt.Add(clockStep).UnixMilli()
 	e.publish(stateReady, startedAt)
@@ -165,7 +167,7 @@
 	e.run.bus.publish(e.entry)
 }
 
-// end ends the process and the proxy.
+// end kills the process and closes the proxy.
 func (e *engine) end() {
 	e.kill()
 	if e.proxy != nil {
--- a/internal/lab/soak/engineprocess.go
+++ b/internal/lab/soak/engineprocess.go
@@ -15,18 +15,18 @@
 	"flaxrelay/internal/lab/fake"
 )
 
-// engineVariable is the environment variable that holds the engineOptions of a process that is to
-// be an engine, as JSON.
+// engineVariable is the environment variable that makes a process an engine. Its value is the
+// engineOptions as JSON.
 const engineVariable = "FLAXLAB_SOAK_ENGINE"
 
-// engineOptions say how an engine process behaves.
+// engineOptions configure an engine process.
 type engineOptions struct {
 	Addr                string  `json:"addr"`
 	Seed                uint64  `json:"seed"`
-	FaultyResponseShare float64 `json:"faulty_response_share"` // of requests whose response is no plain result
+	FaultyResponseShare float64 `json:"faulty_response_share"` // of requests without a normal result
 }
 
-// engineEventKind says what has happened at an engine process.
+// engineEventKind is the kind of an event at an engine process.
 type engineEventKind string
 
 const (
@@ -78,19 +78,19 @@
 	return nil
 }
 
-// exitWithParent ends the process with its parent, which holds the other end of standard input for
-// as long as it lives.
+// exitWithParent ends the process when its parent has ended: the parent has the other end of standard
+// input and never closes it.
 func exitWithParent() {
 	_, _ = io.Copy(io.Discard, os.Stdin)
 	os.Exit(0)
 }
 
-// engineProcess is the engine of a run, a fake.LineHandler. It reports each attempt to its parent,
-// and responds to some in the ways in which an engine may fail.
+// engineProcess is an engine of a run, a fake.LineHandler. It reports each attempt to its parent, and
+// responds to a share of them in a faulty way. It is safe for concurrent use.
 type engineProcess struct {
 	faultyResponseShare float64
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	random *rand.Rand
 	events *json.Encoder
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-// report writes an event with the present time.
+// report writes an event with the current time.
 func (e *engineProcess) report(event engineEvent) {
 	e.mu.Lock()
 	event.At = time.Now()
@@ -124,7 +124,7 @@
 
 // Received implements fake.LineHandler.
 func (e *engineProcess) Received(request fake.LineRequest) {
-	// A front end always names both fields; the checker sees the zero value of one that is missing.
+	// A front end always sends both fields. If one is missing, the checker sees its zero value.
 	remainingMS, _ := strconv.Atoi(request.Field("ms"))
 	e.report(engineEvent{
 		Kind: eventAttemptBegan, RequestID: request.ID, Class: request.Field("kind"),
@@ -142,19 +142,19 @@
 	return resultPage(requestID, page), true
 }
 
-// pageCount is how many pages the result of a request has.
+// pageCount returns the number of pages of a request's result.
 func pageCount(requestID string) int {
 	const maxPageCount = 3
 	return 1 + int(requestID[len(requestID)-1]%maxPageCount)
 }
 
-// resultPage is a page of a result: one row with the request's id, the page's number and the number
+// resultPage returns a page of a result: one row with the request's id, the page's number and the number
 // of pages.
 func resultPage(requestID, page string) string {
 	return fmt.Sprintf("%s\t%s\t%d\n", requestID, page, pageCount(requestID))
 }
 
-// responseBehavior is how an engine responds to one request.
+// responseBehavior is the behavior of an engine on one request.
 type responseBehavior int
 
 const (
@@ -167,8 +167,7 @@
 	duplicateResult
 )
 
-// behaviorEighths say how the share of faulty responses is divided: each behavior has so many
-// eighths of it.
+// behaviorEighths divide the share of faulty responses among the behaviors, in eighths.
 var behaviorEighths = []struct {
 	behavior responseBehavior
 	eighths  float64
@@ -221,7 +220,7 @@
 	}
 }
 
-// resultMessage is the first page of a result with the request's cost and the engine's load report.
+// resultMessage returns the first page of a result with the request's cost and the engine's load report.
 func resultMessage(requestID string, workTime time.Duration) string {
 	milliseconds := float64(workTime) / float64(time.Millisecond)
 	fields := []string{
--- a/internal/lab/soak/engineprocess_test.go
+++ b/internal/lab/soak/engineprocess_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// An attempt counts as delayed if it began or ended at an engine behind a proxy, or within 500 ms after
+// An attempt counts as delayed if its engine has a proxy, or if it began or ended within 500 ms after
 // the engine was frozen.
 func TestReadEvents_MarksDelayedAttempts(t *testing.T) {
 	thawedAt := after(0)
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/lab/syscallfault"
 )
 
-// clockSteps are by how much a wall clock may be wrong.
+// clockSteps are the possible errors of a wall clock.
 var clockSteps = []time.Duration{0, 0, 0, -5 * time.Second, -time.Hour, time.Hour}
 
 func drawClockStep(random *rand.Rand) time.Duration { return clockSteps[random.IntN(len(clockSteps))] }
@@ -32,11 +32,11 @@
 	}
 }
 
-// engineRestart is how one engine is restarted.
+// engineRestart describes the restart of an engine.
 type engineRestart struct {
 	downtime          time.Duration
-	notificationDelay time.Duration // from its start until the bus publishes it
-	clockStep         time.Duration // of its own clock, by which the bus publishes its start
+	notificationDelay time.Duration // from its start until the bus publishes the start
+	clockStep         time.Duration // error of the engine's clock, from which its published start comes
 }
 
 func drawEngineRestart(random *rand.Rand) engineRestart {
@@ -64,12 +64,12 @@
 	e.publishStart(startedAt, restart.clockStep)
 }
 
-// engineReplacement is how one engine is replaced by another.
+// engineReplacement describes the replacement of an engine by a successor.
 type engineReplacement struct {
 	drainTime  time.Duration // between the notifications that it is draining and that it is removed
-	newAddress bool          // whether the successor has an address of its own
-	proxied    bool          // whether the successor is reached through a proxy
-	clockStep  time.Duration // of the successor's own clock
+	newAddress bool          // the successor listens at another address than the replaced engine
+	proxied    bool          // the successor is reached through a proxy
+	clockStep  time.Duration // error of the successor's clock
 }
 
 func drawEngineReplacement(random *rand.Rand) engineReplacement {
@@ -127,9 +127,9 @@
 	}
 }
 
-// moveBus gives the bus another address and has all front ends reload.
+// moveBus moves the bus to another address and makes all front ends reload their configuration.
 func (r *run) moveBus(random *rand.Rand) {
-	r.busMove.Lock() // one configuration after the other
+	r.busMove.Lock() // moves must not overlap: each writes all configurations
 	defer r.busMove.Unlock()
 	now := time.Now()
 	r.history.addBusFault(now, now.Add(notificationGraceAfterFault))
@@ -165,7 +165,7 @@
 	return drawDuration(random, minTime, timeRange)
 }
 
-// disturbBus puts the bus into a mode for a while.
+// disturbBus switches the bus to a mode for a drawn time.
 func (r *run) disturbBus(mode busMode, random *rand.Rand) {
 	duration := drawBusFaultTime(random)
 	now := time.Now()
@@ -175,8 +175,8 @@
 	r.bus.setMode(busNormal)
 }
 
-// backgroundFaults are those that a front end always has. They are rare, so that the schedule's
-// faults stand out, except for those of files, which are written seldom.
+// backgroundFaults are the system call faults of a front end between the faults of the schedule. They are
+// rare, except for faults of files, which are seldom written.
 func backgroundFaults() syscallfault.Faults {
 	const (
 		socketFaultRate = 0.01
@@ -188,8 +188,8 @@
 	}
 }
 
-// drawSystemCallFaults draws the faults of a front end's system calls and how long they last. About
-// half of the kinds occur.
+// drawSystemCallFaults draws the faults of a front end's system calls and their duration. About half of
+// the kinds occur.
 func drawSystemCallFaults(random *rand.Rand) (faults syscallfault.Faults, duration time.Duration) {
 	const (
 		minTime        = 300 * time.Millisecond
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -18,17 +18,18 @@
 )
 
 const (
-	// startTimeout bounds the start of a front end or an engine.
+	// startTimeout limits the start of a front end or an engine.
 	startTimeout = 20 * time.Second
-	// newConnectionsEnd and openConnectionsEnd are how long after SIGTERM clients still open new
-	// connections, and send requests on open ones.
+	// newConnectionsEnd and openConnectionsEnd are the times after SIGTERM until which clients open
+	// new connections, and send requests on open connections.
 	newConnectionsEnd  = 300 * time.Millisecond
 	openConnectionsEnd = 500 * time.Millisecond
-	// maxShutdownTime bounds the part of a graceful shutdown in which pending requests end.
+	// maxShutdownTime limits the part of a graceful shutdown in which pending requests end.
 	maxShutdownTime = 3 * time.Second
-	// killGrace is how long after SIGTERM and the longest deadline the platform may kill.
+	// killGrace is the time after that part in which the process must exit. The platform may kill it
+	// after that.
 	killGrace = 700 * time.Millisecond
-	// exitSlack is how much longer an exit may take on a busy machine, as its parent sees it.
+	// exitSlack is the additional time that an exit may take on a busy machine.
 	exitSlack = 300 * time.Millisecond
 	// fileMode is the mode of the files of a run.
 	fileMode = 0o600
@@ -36,8 +37,9 @@
 
 var errNotReady = errors.New("not ready in time")
 
-// frontEnd is a front end that is started again after each end, under its name and address. One
-// fault at a time ends and starts it; clients read its state from their goroutines.
+// frontEnd is a front end whose process is restarted after each exit, under the same name and address.
+// During the workload, only the fault that has claimed it ends and starts it. Clients read its state from
+// their goroutines.
 type frontEnd struct {
 	run        *run
 	name       string
@@ -45,13 +47,13 @@
 	configPath string
 	logPath    string
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	process    *syscallfault.Process
-	processes  []*syscallfault.Process // all so far
-	ready      bool                    // whether the process serves
+	processes  []*syscallfault.Process // all so far, the current one last
+	ready      bool                    // the current process serves
 	endingAt   time.Time               // when it was sent the latest SIGTERM or SIGKILL; zero: none
-	kills      []time.Time
-	readyTimes []time.Time // of all processes
+	kills      []time.Time             // when a process was sent SIGKILL
+	readyTimes []time.Time             // when each process became ready
 }
 
 func newFrontEnd(r *run, number int) (*frontEnd, error) {
@@ -66,7 +68,7 @@
 	}, nil
 }
 
-// writeConfig replaces the configuration by one with the present state of the bus, atomically.
+// writeConfig atomically replaces the configuration file. The new file has the current state of the bus.
 func (f *frontEnd) writeConfig(seed uint64) error {
 	config := frontEndConfig{
 		Name: f.name, Listen: f.addr, Seed: formatSeed(seed), Limits: frontEndLimits, Bus: f.run.bus.addr(),
@@ -111,7 +113,7 @@
 	return f.awaitReady()
 }
 
-// watch waits for the end of a process and reports one that was not asked for.
+// watch waits for the end of a process. It reports an end without a SIGTERM or SIGKILL before it.
 func (f *frontEnd) watch(process *syscallfault.Process) {
 	status, err := process.Wait()
 	f.mu.Lock()
@@ -152,24 +154,24 @@
 	return fmt.Errorf("%s: %w; see %s", f.name, errNotReady, f.logPath)
 }
 
-// takesNewConnections reports whether clients open new connections.
+// takesNewConnections reports whether clients may open new connections.
 func (f *frontEnd) takesNewConnections(now time.Time) bool {
 	return f.servesFor(newConnectionsEnd, now)
 }
 
-// takesRequests reports whether clients send requests on open connections.
+// takesRequests reports whether clients may send requests on open connections.
 func (f *frontEnd) takesRequests(now time.Time) bool { return f.servesFor(openConnectionsEnd, now) }
 
-// servesFor reports whether the front end is ready, and was not signalled to end longer ago than
-// the time.
+// servesFor reports whether the front end is ready and either was not signalled to exit, or was signalled
+// less than afterSignal ago.
 func (f *frontEnd) servesFor(afterSignal time.Duration, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ready && (f.endingAt.IsZero() || now.Before(f.endingAt.Add(afterSignal)))
 }
 
-// settledProcess returns the process, and whether it was signalled to end, if it has been ready for
-// longer than settleTime, else nil.
+// settledProcess returns the process, and whether it was signalled to exit. It returns nil if the process
+// has not been ready for longer than settleTime.
 func (f *frontEnd) settledProcess() (process *syscallfault.Process, ending bool) {
 	const settleTime = time.Second
 	f.mu.Lock()
@@ -187,7 +189,7 @@
 	return slices.ContainsFunc(f.kills, span{from, until}.contains)
 }
 
-// signal sends a signal. SIGTERM and SIGKILL announce the end of the process.
+// signal sends a signal. It records SIGTERM and SIGKILL, after which the process may end.
 func (f *frontEnd) signal(signal syscall.Signal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -199,10 +201,11 @@
 		f.kills = append(f.kills, now)
 		f.ready = false
 	}
-	_ = f.process.Signal(signal) // a process that has ended needs none
+	_ = f.process.Signal(signal) // fails if the process has already ended
 }
 
-// terminate ends the process gracefully, and by force if that takes too long.
+// terminate sends SIGTERM and waits for the end of the process. If that takes too long, it records a
+// violation and kills the process.
 func (f *frontEnd) terminate() {
 	const limit = min(longestDeadline, maxShutdownTime) + killGrace + exitSlack
 	f.signal(syscall.SIGTERM)
@@ -215,12 +218,12 @@
 	}
 }
 
-// violationSigns stand in the log lines of a violated invariant, a crash or a data race.
+// violationSigns are the texts that mark log lines of a violated invariant, a crash or a data race.
 var violationSigns = []string{
 	`"invariant.violated"`, "count invariants.violated", "panic:", "fatal error:", "DATA RACE",
 }
 
-// checkLog looks for violations that the front end itself has reported, and for crashes.
+// checkLog searches the log for violations that the front end has reported, and for crashes.
 func (f *frontEnd) checkLog() {
 	text, err := os.ReadFile(f.logPath)
 	if err != nil {
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -22,9 +22,9 @@
 	id       string
 	class    string
 	frontEnd string
-	sentAt   time.Time // when its last byte was written
-	wait     time.Duration
-	endedAt  time.Time // when the response was complete, or the client disconnected
+	sentAt   time.Time     // when its last byte was written
+	wait     time.Duration // from sentAt to the client's deadline
+	endedAt  time.Time     // when the response was complete, or the client disconnected
 	outcome  outcome
 	detail   string
 }
@@ -32,7 +32,7 @@
 // deadline is when the client gives up.
 func (r *request) deadline() time.Time { return r.sentAt.Add(r.wait) }
 
-// responseKind is how an engine responded to an attempt.
+// responseKind is the kind of an engine's response to an attempt.
 type responseKind string
 
 const (
@@ -49,13 +49,13 @@
 	engine        string
 	class         string
 	beganAt       time.Time     // when it arrived at the engine
-	remainingTime time.Duration // until the client's deadline, as the front end passed it on
+	remainingTime time.Duration // until the client's deadline, as given by the front end
 	endedAt       time.Time     // when its response was written, its connection ended or its engine was killed
 	response      responseKind
 	workTime      time.Duration
 
-	// delayed says that a proxy or a frozen engine may have delayed the attempt, so that its times
-	// are not those of the front end.
+	// delayed means that a proxy or a frozen engine may have delayed the attempt, so that its times
+	// differ from those of the front end.
 	delayed bool
 }
 
@@ -64,7 +64,7 @@
 	engine      string
 	state       engineState
 	publishedAt time.Time
-	startedAt   time.Time // by the real clock; zero: the change is no start
+	startedAt   time.Time // start of the engine by the real clock; zero: the change is not a start
 }
 
 // span is a time in which a fault of the bus may delay notifications.
@@ -73,8 +73,8 @@
 // contains reports whether the time lies in the span, which includes its ends.
 func (s span) contains(t time.Time) bool { return !t.Before(s.from) && !t.After(s.until) }
 
-// history is what clients, engine processes and the injector of faults have recorded in a run. It
-// is safe for concurrent use.
+// history is the record of a run by clients, engine processes and the injector of faults. It is safe for
+// concurrent use.
 type history struct {
 	mu         sync.Mutex
 	requests   []*request
@@ -82,7 +82,7 @@
 	inFlight   map[string]map[string]*attempt // by engine process and request id
 	changes    []engineChange
 	busFaults  []span
-	violations []Violation // that were seen while the run went on
+	violations []Violation // detected during the run
 }
 
 func newHistory() *history { return &history{inFlight: map[string]map[string]*attempt{}} }
@@ -105,7 +105,7 @@
 	h.busFaults = append(h.busFaults, span{from, until})
 }
 
-// addViolation records a violation that was seen while the run went on.
+// addViolation records a violation that was detected during the run.
 func (h *history) addViolation(v Violation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -123,12 +123,12 @@
 	h.inFlight[process][a.requestID] = a
 }
 
-// attemptEnd is how an attempt ended.
+// attemptEnd describes the end of an attempt.
 type attemptEnd struct {
 	at       time.Time
 	response responseKind
 	workTime time.Duration
-	delayed  bool // whether the engine process may have noticed the end late
+	delayed  bool // the engine process may have noticed the end late
 }
 
 // endAttempt records the end of an attempt that is in flight at an engine process.
@@ -146,7 +146,7 @@
 	a.delayed = a.delayed || end.delayed
 }
 
-// endProcess records that an engine process has ended, and with it its attempts in flight.
+// endProcess records the end of an engine process, which ends its attempts in flight.
 func (h *history) endProcess(process string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,7 +167,7 @@
 	return counts
 }
 
-// attemptCount returns how many attempts arrived at engines.
+// attemptCount returns the number of attempts that arrived at engines.
 func (h *history) attemptCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/soak/malformed.go
+++ b/internal/lab/soak/malformed.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// malformedResponseTimeout is within which time a client with a malformed request gets a response
+// malformedResponseTimeout is the time in which a client with a malformed request must get a response
 // or a close: 3 s by the specification, and slack for a busy machine.
 const malformedResponseTimeout = 4 * time.Second
 
-// malformedRequests returns the requests of misbehaving clients. Their order is part of the meaning
-// of a seed.
+// malformedRequests returns the requests of misbehaving clients. A change of their order changes the
+// requests of every seed.
 func malformedRequests(id string) []string {
 	const tooLongPath = 40000
 	return []string{
@@ -28,8 +28,8 @@
 	}
 }
 
-// sendMalformedRequest sends a malformed request on a connection of its own and checks that it gets
-// a response or a close. Nothing else is required.
+// sendMalformedRequest sends a malformed request on a new connection and checks that it gets any response
+// or a close.
 func (c *client) sendMalformedRequest() {
 	target := c.run.pickFrontEnd(c.random)
 	if target == nil {
--- a/internal/lab/soak/pool.go
+++ b/internal/lab/soak/pool.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// pool hands out the members of a run, which are front ends or engines, to faults. A member belongs
-// to one fault at a time, and a share of the members stays without a fault, so that the run can go
-// on serving. It is safe for concurrent use.
+// pool decides which members of a run, front ends or engines, faults may affect. One fault at a time can
+// claim a member. A share of the members is always unclaimed, so that the run can serve requests. It is
+// safe for concurrent use.
 type pool[M comparable] struct {
-	reserveDivisor int // one member in so many is never claimed
+	reserveDivisor int // at least one in so many members is unclaimed
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	members []M
 	claimed map[M]bool
 }
@@ -27,15 +27,15 @@
 	p.members = append(p.members, member)
 }
 
-// all returns the present members.
+// all returns the current members.
 func (p *pool[M]) all() []M {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.members)
 }
 
-// claim draws a member that no fault has claimed. Without one beyond the reserve it returns false
-// and draws nothing.
+// claim draws an unclaimed member and claims it. If only the reserve is unclaimed, it returns false and
+// draws no random number.
 func (p *pool[M]) claim(random *rand.Rand) (member M, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,14 +53,14 @@
 	return member, true
 }
 
-// release makes a member available to other faults.
+// release ends the claim on a member.
 func (p *pool[M]) release(member M) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.claimed, member)
 }
 
-// replace puts an unclaimed member in the place of a claimed one.
+// replace replaces a claimed member by its successor, which is unclaimed.
 func (p *pool[M]) replace(old, successor M) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/soak/response.go
+++ b/internal/lab/soak/response.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// responseSlack is how long after its deadline a client still waits. A later response is lost.
+	// responseSlack is the time that a client waits after its deadline. A later response is lost.
 	responseSlack = 500 * time.Millisecond
-	// maxPages bounds the pages of a result that a client reads.
+	// maxPages limits the pages of a result that a client reads.
 	maxPages = 8
 )
 
@@ -27,8 +27,8 @@
 
 var errTooManyPages = errors.New("more pages than the result has")
 
-// receive reads a response with all of its pages and sets the request's outcome. An error means
-// that there is no complete response.
+// receive reads a response with all of its pages and sets the request's outcome. It returns an error if
+// there is no complete response.
 func (c *client) receive(r *request) error {
 	if err := c.conn.SetDeadline(r.deadline().Add(responseSlack)); err != nil {
 		return fmt.Errorf("set the deadline: %w", err)
@@ -72,7 +72,7 @@
 	return response, body, nil
 }
 
-// classifyResponse sets the outcome of a request by its complete response, and checks the response.
+// classifyResponse checks the complete response to a request and sets the request's outcome.
 func (c *client) classifyResponse(req *request, response *http.Response, body responseBody, rows [][]string) {
 	req.endedAt = time.Now()
 	rejected := response.StatusCode == http.StatusServiceUnavailable ||
@@ -98,7 +98,7 @@
 	c.run.history.addViolation(Violation{Rule: rule, Request: r.id, Detail: detail})
 }
 
-// checkRows compares the rows of a result with those that an engine makes for the request.
+// checkRows compares the rows of a result with those that an engine returns for the request.
 func checkRows(requestID string, rows [][]string) error {
 	const columns = 3 // as in resultPage
 	if len(rows) != pageCount(requestID) {
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Result is what a run has found.
+// Result is the result of a run.
 type Result struct {
 	Seed       uint64
-	Folder     string // with the logs
-	Outcomes   map[string]int
+	Folder     string         // contains the logs
+	Outcomes   map[string]int // number of requests by outcome
 	Attempts   int
-	Faults     map[string]int // that the schedule began, by kind
-	Injected   map[string]int // faults of system calls, by kind
+	Faults     map[string]int // number of faults of the schedule that began, by kind
+	Injected   map[string]int // number of injected faults of system calls, by kind
 	Violations []Violation
 }
 
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -1,10 +1,10 @@
 package soak
 
-// Rule is what must hold in every run. Where the front end checks the same at run time, the rule has
-// the name of its invariant (docs/glossary.md).
+// Rule is the name of a condition that must hold in every run. If the front end checks the same condition
+// at run time, the rule has the name of its invariant (docs/glossary.md).
 type Rule string
 
-// The rules that the checker reads from the history.
+// The rules that the checker checks on the history after the run.
 const (
 	// RuleResponse: every request has one complete response in time, unless its client has
 	// disconnected or its front end was killed.
@@ -25,15 +25,15 @@
 	RuleSlowStart Rule = "slow-start-overload"
 )
 
-// The rules that are checked while the run goes on.
+// The rules that are checked during the run.
 const (
-	// RuleCompleteResult: a served response holds the complete result of an engine.
+	// RuleCompleteResult: a served response contains the complete result of an engine.
 	RuleCompleteResult Rule = "complete-result"
 	// RuleRetryAfter: a rejection has a Retry-After.
 	RuleRetryAfter Rule = "retry-after"
 	// RuleMalformedRequest: a client with a malformed request gets a response or a close.
 	RuleMalformedRequest Rule = "malformed-request"
-	// RuleProcess: a front end serves until it is signalled to end, and then ends in time.
+	// RuleProcess: a front end serves until it is signalled to exit, and then exits in time.
 	RuleProcess Rule = "process-lifetime"
 	// RuleInvariant: a front end reports no violation of its invariants and does not crash.
 	RuleInvariant Rule = "invariant"
@@ -42,7 +42,7 @@
 // Violation is one break of a rule.
 type Violation struct {
 	Rule    Rule
-	Request string // id; "": of no single request
+	Request string // id; "": the violation belongs to no single request
 	Detail  string
 }
 
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -13,11 +13,11 @@
 	"flaxrelay/internal/lab/harness"
 )
 
-// Options say what to run.
+// Options configure a run.
 type Options struct {
-	Program   string // the front end
-	Self      string // a program that calls RunEngineProcess first, for the engines
-	Folder    string // for files; a folder of the run's own is made in it
+	Program   string // path of the front end's program
+	Self      string // path of a program for the engines, which calls RunEngineProcess first
+	Folder    string // in which the run creates a folder for its files
 	Seed      uint64
 	Duration  time.Duration
 	FrontEnds int
@@ -26,13 +26,13 @@
 	Log       io.Writer // for a line about each fault; nil: none
 }
 
-// Second words of the seeds of a run's random numbers, beside that of the run itself.
+// Second words of the seeds of the schedule and of the clients. The first word is the seed of the run.
 const (
 	scheduleStream    = 0
 	firstClientStream = 1 // and one more for each further client
 )
 
-// Faults leave one front end in two and one engine in three alone.
+// One front end in two and one engine in three have no fault at any time.
 const (
 	frontEndReserveDivisor = 2
 	engineReserveDivisor   = 3
@@ -48,17 +48,17 @@
 	bus                 *eventBus
 	startedAt           time.Time
 
-	frontEnds    []*frontEnd // all; complete before the first is started
+	frontEnds    []*frontEnd // all; it does not change after the first is started
 	frontEndPool *pool[*frontEnd]
 	engines      *pool[*engine]
 
-	faults  sync.WaitGroup // that are in progress
-	busMove sync.Mutex     // held while the bus moves and the front ends learn its new address
+	faults  sync.WaitGroup // counts the faults in progress
+	busMove sync.Mutex     // serializes moves of the bus with the writes of all configurations
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	random       *rand.Rand
 	lastEngineID uint32
-	faultCounts  map[string]int // of the faults that began, by kind
+	faultCounts  map[string]int // number of faults that began, by kind
 }
 
 // newRun draws the settings of a run from its seed.
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// serveWorkload runs clients and faults for the duration of the run, waits until all faults are
-// over and all requests have ended, and then ends the front ends gracefully.
+// serveWorkload runs clients and faults for the duration of the run. It waits until all faults are over
+// and all requests have ended, and then terminates the front ends.
 func (r *run) serveWorkload() {
 	stopClients := make(chan struct{})
 	stopFaults := make(chan struct{})
@@ -149,7 +149,7 @@
 	r.faults.Wait()
 }
 
-// endProcesses ends what still runs.
+// endProcesses kills the processes that still run.
 func (r *run) endProcesses() {
 	for _, f := range r.frontEnds {
 		if f.process != nil {
@@ -191,8 +191,8 @@
 	}
 }
 
-// check records an error of the run itself as a violation, so that it is not overlooked, and
-// reports whether there was none.
+// check reports whether err is nil. It records an error of the test environment as a violation, so that
+// the run does not pass.
 func (r *run) check(err error) bool {
 	if err != nil {
 		r.history.addViolation(Violation{Rule: RuleProcess, Detail: err.Error()})
@@ -207,7 +207,8 @@
 	return r.lastEngineID
 }
 
-// shapesFileFormat is the file of statement statistics; its argument is the path of the snapshot.
+// shapesFileFormat is the configuration of the statement statistics. Its argument is the path of the
+// snapshot.
 const shapesFileFormat = `enabled = true
 correct_estimates = true
 memory_kb = 256
@@ -216,8 +217,8 @@
 snapshot_every_s = 10
 `
 
-// writeShapesFile writes the file of statement statistics for a front end and returns its path. The
-// snapshot lasts from one process of the front end to the next.
+// writeShapesFile writes the configuration of a front end's statement statistics and returns its path.
+// All processes of the front end use the same snapshot.
 func (r *run) writeShapesFile(frontEnd string) string {
 	path := filepath.Join(r.folder, frontEnd+"-shapes.toml")
 	text := fmt.Sprintf(shapesFileFormat, filepath.Join(r.folder, frontEnd+".snapshot"))
@@ -225,7 +226,7 @@
 	return path
 }
 
-// pickFrontEnd returns a front end that takes new connections, or nil.
+// pickFrontEnd returns a front end that takes new connections, or nil. It searches from a drawn one on.
 func (r *run) pickFrontEnd(random *rand.Rand) *frontEnd {
 	now := time.Now()
 	offset := random.IntN(len(r.frontEnds))
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -8,11 +8,11 @@
 // faultKind is one kind of fault.
 type faultKind struct {
 	name   string
-	inject func(r *run, random *rand.Rand) // returns when the fault is over
+	inject func(r *run, random *rand.Rand) // returns at the end of the fault
 }
 
-// faultKinds are drawn with equal chance; a kind that stands twice is drawn twice as often. Their
-// order is part of the meaning of a seed.
+// faultKinds are drawn with equal probability. A kind that is listed twice is drawn twice as often. A
+// change of their order changes the schedule of every seed.
 var faultKinds = []faultKind{
 	{"terminate a front end", (*run).terminateFrontEnd},
 	{"kill a front end", (*run).killFrontEnd},
@@ -31,9 +31,9 @@
 
 // scheduledFault is one fault of the schedule.
 type scheduledFault struct {
-	pause time.Duration // since the start of the fault before
+	pause time.Duration // since the start of the previous fault
 	kind  faultKind
-	seed  uint64 // of the fault's own random numbers
+	seed  uint64 // of the random numbers of this fault
 }
 
 // nextFault draws the next fault of a schedule.
@@ -52,8 +52,8 @@
 	return minimum + time.Duration(random.Int64N(int64(rangeSize)))
 }
 
-// injectFaults starts one fault of the schedule after the other until stop is closed. It does not
-// wait for their ends, so that several overlap.
+// injectFaults starts the faults of the schedule one after the other until stop is closed. It does not
+// wait for their ends, so that faults overlap.
 func (r *run) injectFaults(random *rand.Rand, stop <-chan struct{}) {
 	for {
 		fault := nextFault(random)
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -25,7 +25,7 @@
 	classWrite:  60 * time.Millisecond,
 }
 
-// Settings of every run that the checker and the clients know too.
+// Settings of every run that the checker and the clients also use.
 const (
 	longestDeadline = 2 * time.Second
 	drainGrace      = 500 * time.Millisecond
@@ -36,8 +36,8 @@
 // The slow start of an engine in every run.
 const (
 	warmUpTime     = 8 * time.Second
-	startCapacity  = 0.3 // share of the capacity right after the start
-	overloadFactor = 2.5 // times the capacity from which an engine is overloaded
+	startCapacity  = 0.3 // capacity right after the start, as a share of the full capacity
+	overloadFactor = 2.5 // load above which an engine is overloaded, as a multiple of its capacity
 	overloadWindow = time.Second
 	engineCores    = 2
 )
@@ -50,8 +50,8 @@
 
 // runSettings are the settings that vary from run to run.
 type runSettings struct {
-	cancel              bool // whether front ends may cancel attempts in flight
-	retryAfter          bool // whether rejections have a Retry-After
+	cancel              bool // front ends may cancel attempts in flight
+	retryAfter          bool // rejections have a Retry-After
 	deduplicationWindow time.Duration
 }
 
@@ -68,9 +68,8 @@
 	return runSettings{cancel: cancel, retryAfter: retryAfter, deduplicationWindow: window}
 }
 
-// settingsObject returns the settings object of a front end's configuration. It is a map, since its
-// keys are words of the specification; a type with a field for each would repeat the one that the
-// program decodes.
+// settingsObject returns the settings object of a front end's configuration. It is a map with the keys of
+// the specification. A struct would duplicate the type into which the program decodes them.
 func settingsObject(varying runSettings, frontEnds int) map[string]any {
 	deadlineMS := longestDeadline.Milliseconds()
 	return map[string]any{
@@ -111,7 +110,7 @@
 	}
 }
 
-// frontEndConfig is the configuration of a front end, as its file holds it.
+// frontEndConfig is the content of a front end's configuration file.
 type frontEndConfig struct {
 	Name     string           `json:"name"`
 	Listen   string           `json:"listen"`
@@ -122,7 +121,7 @@
 	Settings map[string]any   `json:"settings"`
 }
 
-// machineLimits are what a front end may use of its machine.
+// machineLimits limit the resources of its machine that a front end may use.
 type machineLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
