--- a/cmd/flaxlab/files.go
+++ b/cmd/flaxlab/files.go
@@ -2,7 +2,7 @@
 
 import "os"
 
-// closeReadFile closes a file that was only read, so that an error loses nothing.
+// closeReadFile closes a file that was only read. It ignores errors, since no data can be lost.
 func closeReadFile(file *os.File) { _ = file.Close() }
 
 // removeFolder removes a temporary folder. If it can't be removed, the system cleans it up with its
--- a/cmd/flaxlab/program.go
+++ b/cmd/flaxlab/program.go
@@ -16,8 +16,8 @@
 	Flaxrelay string `name:"flaxrelay" placeholder:"FILE" help:"The flaxrelay program; by default it is built here."`
 }
 
-// frontEndProgram returns the path of the flag, or builds the program into a temporary folder without
-// one. The caller must call cleanUp.
+// frontEndProgram returns the path of the flag. Without the flag, it builds the program into a temporary
+// folder. The caller must call cleanUp.
 func (f *programFlag) frontEndProgram(ctx context.Context) (program string, cleanUp func(), err error) {
 	if f.Flaxrelay != "" {
 		return f.Flaxrelay, func() {}, nil
--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -21,8 +21,8 @@
 	Out      string `name:"out" placeholder:"FOLDER" help:"Write shapes-cost-query.* or shapes-cost-prepared.* there."`
 }
 
-// costTimeout ends an experiment whose front end no longer responds. A large experiment takes a few
-// minutes.
+// costTimeout limits an experiment, in case its front end stops responding. A large experiment takes a
+// few minutes.
 const costTimeout = 20 * time.Minute
 
 // Digits after the point of CPU times in microseconds, and of their ratios.
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -27,7 +27,7 @@
 	records []traffic.Record
 }
 
-// chartedFigure is a share of right classes that the chart has a series of bars for.
+// chartedFigure is a share of right classes that is a series of bars in the chart.
 type chartedFigure struct {
 	series string
 	of     func(experiment.Result) float64
@@ -39,7 +39,7 @@
 	{"hard cases", func(r experiment.Result) float64 { return r.ByHardCase }},
 }
 
-// shareDigits is how many digits after the point shares and errors are printed with.
+// shareDigits is the number of digits after the point in printed shares and errors.
 const shareDigits = 3
 
 // Run evaluates every variant of the classifier on every recording.
--- a/cmd/flaxlab/soak.go
+++ b/cmd/flaxlab/soak.go
@@ -69,7 +69,8 @@
 	return options
 }
 
-// report prints the result of a run, and removes its logs unless they are to stay.
+// report prints the result of a run. It removes the logs of a run without violations, unless a folder
+// was given.
 func (c *soakCommand) report(result *soak.Result) {
 	fmt.Print(result)
 	if len(result.Violations) > 0 {
--- a/cmd/flaxlab/traffic_generate.go
+++ b/cmd/flaxlab/traffic_generate.go
@@ -59,7 +59,7 @@
 		return fmt.Errorf("traffic file: %w", err)
 	}
 	buffered := bufio.NewWriter(file)
-	// After an error too, the records so far are written: they can be read.
+	// The records before an error are flushed too, because they can be read.
 	err = firstError(c.generate(buffered), buffered.Flush(), file.Close())
 	if err != nil {
 		return err
@@ -81,7 +81,7 @@
 	return err
 }
 
-// firstError returns the first of the errors that is not nil, of which later ones are consequences.
+// firstError returns the first error that is not nil. Later errors are its consequences.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/cmd/flaxlab/traffic_stats.go
+++ b/cmd/flaxlab/traffic_stats.go
@@ -21,8 +21,8 @@
 	File string `name:"file" arg:"" help:"The file."`
 }
 
-// Run prints the classes of a file with their times, and its hard cases. Of a truncated file it prints
-// what could be read.
+// Run prints the classes of a file with their times, and its hard cases. If the file is truncated, it
+// summarizes the complete records.
 func (c *statsCommand) Run() error {
 	stats := trafficStats{classes: map[string]*classStats{}, hardCases: map[string]int{}, recurring: map[int]struct{}{}}
 	head, err := readRecords(c.File, func(record *traffic.Record) bool {
@@ -70,7 +70,7 @@
 	}
 	class.count++
 	class.weight += record.Weight
-	_ = class.work.RecordValue(max(int64(record.WorkMS*microsecondsPerMS), 1)) // more than maxWork is left out
+	_ = class.work.RecordValue(max(int64(record.WorkMS*microsecondsPerMS), 1)) // it ignores more than maxWork
 	if record.HardCase != "" {
 		class.hard++
 		s.hardCases[record.HardCase]++
--- a/cmd/flaxlab/try_test.go
+++ b/cmd/flaxlab/try_test.go
@@ -17,8 +17,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// Environment variables that tell a test binary to run the try command, and where its
-// front ends listen.
+// Environment variables that make a test binary run the try command, and set the addresses of its
+// front ends.
 const (
 	tryVariable      = "FLAXLAB_TEST_TRY"
 	httpVariable     = "FLAXLAB_TEST_HTTP"
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -37,8 +37,8 @@
 	warmUpDivisor  = 5 // a round is warmed up with this fraction of its requests
 )
 
-// MeasureCost measures pairs of rounds without and with query shapes, one after the other. Each has
-// a process of its own between clients and engines without work.
+// MeasureCost measures pairs of rounds without and with query shapes, one after the other. Each round
+// starts its own front end, whose engines respond at once.
 func MeasureCost(ctx context.Context, opts CostOptions) (without, with []CostRound, err error) {
 	statements := lookups(opts.Seed, costStatements, opts.Prepared)
 	for i := range 2 * opts.Rounds {
@@ -56,7 +56,7 @@
 	return without, with, nil
 }
 
-// maxPrepared is how many statements a client keeps prepared.
+// maxPrepared is the number of statements that a client prepares.
 const maxPrepared = 200
 
 // lookups returns read-only statements of the workload, with their values written out or bound.
@@ -115,7 +115,7 @@
 	return measure(ctx, clients, opts.Requests, process.Process.Pid)
 }
 
-// measure puts a load on a process, after a warm-up.
+// measure runs the clients for a warm-up and then for the measured requests.
 func measure(ctx context.Context, clients load, requests, pid int) (CostRound, error) {
 	const bytesPerKB = 1024
 	if err := clients.run(ctx, requests/warmUpDivisor); err != nil {
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -1,6 +1,6 @@
-// Package experiment evaluates the classifier of statements on recorded traffic, whose true classes
-// and costs are known, floods its cache with shapes that never recur, and measures the CPU time that
-// it costs flaxrelay.
+// Package experiment evaluates the classifier of statements. It compares its results with recorded
+// traffic whose true classes and costs are known, floods its cache with shapes that never recur, and
+// measures the CPU time that it adds to flaxrelay.
 package experiment
 
 import (
@@ -71,17 +71,17 @@
 	HintClass          float64 // share whose class the hint alone determines
 	Shapes             int     // in the cache at the end
 	Bytes              int     // of the cache at the end
-	HitRate            float64 // of the cache, over the whole file
+	HitRate            float64 // of the cache, over all records
 }
 
 // EvaluateOptions says how to evaluate.
 type EvaluateOptions struct {
-	TrainShare float64 // share of the records that is not evaluated; learning goes on after it
+	TrainShare float64 // share of the records that is only learned; the others are evaluated and learned
 	CacheBytes int     // limit of the cache
 }
 
-// Evaluate runs records through a variant in their order, as a front end does: it estimates, then
-// learns what the execution has cost.
+// Evaluate runs records through a variant in their order. Like a front end, it estimates each execution
+// and then learns its cost.
 func Evaluate(records []traffic.Record, v Variant, opts EvaluateOptions) (Result, error) {
 	store, err := stmtstats.New(stmtstats.Options{CostModel: v.Config, MaxBytes: opts.CacheBytes})
 	if err != nil {
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/stmtstats"
 )
 
-// FloodOptions say how a cache is flooded with shapes that never recur while others do.
+// FloodOptions describe a flood of shapes that never recur, among recurring shapes.
 type FloodOptions struct {
 	Seed           uint64
 	Recurring      int     // number of shapes that recur
@@ -26,8 +26,8 @@
 	HitRate      float64 // share of them whose shape was cached
 	CachedShapes int     // shapes in the cache at the end
 	CountedBytes int     // bytes by the cache's own count
-	HeapBytes    int     // by which the reachable heap grew
-	RSSBytes     int     // resident memory of the process at the end; 0: not known
+	HeapBytes    int     // growth of the reachable heap
+	RSSBytes     int     // resident memory of the process at the end; 0: unknown
 }
 
 // caches are the caches of shapes that are compared.
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -20,7 +20,8 @@
 	rejectedCode = "53000"
 	// retryPause is the pause after a rejection.
 	retryPause = 2 * time.Millisecond
-	// clientStride keeps the clients from sending the same statement at the same time.
+	// clientStride separates the statements with which the clients begin, so that they do not send the
+	// same statement at the same time.
 	clientStride = 97
 )
 
@@ -31,8 +32,8 @@
 	clients    int
 }
 
-// run sends the given number of requests and waits for all responses. It retries rejections, since
-// no engine is known yet at the start.
+// run sends the given number of requests and waits for all responses. It retries rejected requests,
+// because the front end rejects all requests until it has discovered an engine.
 func (l load) run(ctx context.Context, requests int) error {
 	var wg sync.WaitGroup
 	errs := make([]error, l.clients)
@@ -55,7 +56,7 @@
 		switch {
 		case err != nil:
 			return err
-		case rejected: // no engine is known yet, or the load is shed
+		case rejected: // no engine is discovered yet, or load is shed
 			time.Sleep(retryPause)
 		default:
 			served++
--- a/internal/lab/experiment/records.go
+++ b/internal/lab/experiment/records.go
@@ -8,8 +8,8 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// ReadRecords reads a whole file. If the file is damaged or truncated, it returns the records before
-// that with the error.
+// ReadRecords reads all records of a file. If the file is damaged or truncated, it returns the records
+// before the fault with the error.
 func ReadRecords(r io.Reader) ([]traffic.Record, traffic.Head, error) {
 	reader, err := traffic.NewReader(r)
 	if err != nil {
--- a/internal/lab/fake/consul.go
+++ b/internal/lab/fake/consul.go
@@ -52,8 +52,8 @@
 	onlyIndex = "1"
 )
 
-// ConsulHandler serves the catalogue and the health of instances that never change. A query that names
-// the only index waits until its time is over, like the blocking queries of the API.
+// ConsulHandler serves the catalogue and the health of instances that never change. Like a blocking query
+// of the API, a query that names the only index is answered after its wait time.
 func ConsulHandler(service string, instances []Instance) http.Handler {
 	var catalogue []catalogueEntry
 	var health []healthEntry
@@ -73,8 +73,8 @@
 	return mux
 }
 
-// blockingQuery responds with a body. If the query names the index, it waits for the query's time
-// before.
+// blockingQuery responds with a body. If the query names the index, it first waits for the query's
+// wait time.
 func blockingQuery(body any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
--- a/internal/lab/fake/endpointlist.go
+++ b/internal/lab/fake/endpointlist.go
@@ -12,7 +12,7 @@
 	BootMS       int64  `json:"boot_ms"` // start in Unix milliseconds; 0: long ago
 }
 
-// KnownEvents are the events of the bus that a platform configuration holds.
+// KnownEvents are the events of the bus in a platform configuration.
 type KnownEvents struct {
 	Offset int          `json:"offset"` // of the last event
 	Batch  []KnownEvent `json:"batch"`
@@ -24,14 +24,14 @@
 	Topology Topology `json:"topology"`
 }
 
-// Topology is a change of the endpoint list, or the whole list.
+// Topology is a change of the endpoint list, or the complete list.
 type Topology struct {
 	Revision int      `json:"rev"`
-	All      bool     `json:"all"` // whether Targets is the whole list
+	All      bool     `json:"all"` // whether Targets is the complete list
 	Targets  []Target `json:"targets"`
 }
 
-// KnownList returns the events up to an offset as one event with the whole list.
+// KnownList returns the events up to an offset as one event with the complete list.
 func KnownList(offset int, targets []Target) KnownEvents {
 	event := KnownEvent{Offset: offset, Topology: Topology{Revision: offset, All: true, Targets: targets}}
 	return KnownEvents{Offset: offset, Batch: []KnownEvent{event}}
--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -13,7 +13,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// maxMessageLength bounds a message of a front end.
+// maxMessageLength limits a message of a front end, in bytes.
 const maxMessageLength = 1 << 20
 
 // oidText is the object id of PostgreSQL's type for text.
@@ -28,7 +28,7 @@
 )
 
 // ServePostgres serves the PostgreSQL wire protocol on a listener until that is closed. A connection
-// runs one statement at a time, with one row that repeats the statement.
+// runs one statement at a time. Its result is one row with the text of the statement.
 func ServePostgres(listener net.Listener, work Work, log *slog.Logger) {
 	serveConnections(listener, func(conn net.Conn) {
 		c := &postgresConnection{conn: conn, work: work, log: log, prepared: map[string]string{}}
@@ -45,7 +45,7 @@
 	log      *slog.Logger
 	unread   []byte
 	unsent   []byte
-	query    string            // was parsed, bound or described last
+	query    string            // the query that was parsed, bound or described last
 	prepared map[string]string // queries by the names of their statements
 }
 
--- a/internal/lab/fake/engine_test.go
+++ b/internal/lab/fake/engine_test.go
@@ -15,7 +15,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// waitLimit bounds every wait.
+// waitLimit limits every wait.
 const waitLimit = 10 * time.Second
 
 // startEngine serves an engine whose statements take no time, except those that contain "endless", and
--- a/internal/lab/fake/line_server.go
+++ b/internal/lab/fake/line_server.go
@@ -10,10 +10,10 @@
 	"sync"
 )
 
-// maxStatementLength bounds a statement, as the front end's own limit does.
+// maxStatementLength limits a statement, in bytes. It equals the front end's limit.
 const maxStatementLength = 1 << 20
 
-// LineMessageKind says what a message from an engine to a front end is, in the word of the line
+// LineMessageKind is the kind of a message from an engine to a front end, by its word in the line
 // protocol.
 type LineMessageKind string
 
@@ -38,7 +38,7 @@
 	Statement string
 }
 
-// Field returns the value of a field, or "" without it.
+// Field returns the value of a field, or "" if the request does not have the field.
 func (r LineRequest) Field(name string) string {
 	value := ""
 	for field := range strings.SplitSeq(r.Fields, ",") {
@@ -49,16 +49,16 @@
 	return value
 }
 
-// LineHandler is what a stand-in for an engine does with requests of the line protocol. Its methods
-// are called from the goroutines of all connections.
+// LineHandler implements a stand-in for an engine of the line protocol. Its methods are called from the
+// goroutines of all connections and must be safe for concurrent use.
 type LineHandler interface {
-	// Received is called with each request as it arrives, before Handle.
+	// Received is called with each request on its arrival, before Handle.
 	Received(request LineRequest)
 	// Handle works on a request and responds, on a goroutine of its own. The context ends when the
 	// request is cancelled or its connection ends.
 	Handle(ctx context.Context, exchange *LineExchange)
-	// Cancelled is called once for a request that is cancelled, or whose connection ends, before it
-	// was finished. It must not call the exchange.
+	// Cancelled is called once for a request that is cancelled, or whose connection ends, before
+	// LineExchange.Finish. It must not call methods of the exchange.
 	Cancelled(request LineRequest)
 	// Page returns a further page of a result, and whether the engine serves pages at all.
 	Page(requestID, page string) (text string, ok bool)
@@ -80,14 +80,14 @@
 	cancel     context.CancelFunc
 }
 
-// Finish takes the request out of flight, calls record and returns true, unless it was cancelled
-// before. A cancellation from then on has no effect. Record is called before anything else can be
-// sent on the connection, and must not call the exchange.
+// Finish ends the request, calls record and returns true. For a request that was cancelled before, it
+// does nothing and returns false. A later cancellation has no effect. The connection sends nothing while
+// record runs, so record must not call methods of the exchange.
 func (x *LineExchange) Finish(record func()) bool {
 	return x.connection.finish(x.Request.ID, func(LineRequest) { record() })
 }
 
-// Send sends a message. A connection that has ended needs none.
+// Send sends a message. It ignores errors, because a connection that has ended needs no message.
 func (x *LineExchange) Send(message string) { x.connection.send(message) }
 
 // lineConnection is one connection of a front end. One goroutine reads it; the requests in flight
@@ -125,14 +125,14 @@
 	}
 }
 
-// statementLengthError reports a statement whose length is no number or out of bounds.
+// statementLengthError reports a statement whose length is not a number or out of range.
 type statementLengthError struct{ word string }
 
 func (e *statementLengthError) Error() string {
 	return fmt.Sprintf("a statement of length %q", e.word)
 }
 
-// readStatement reads the statement behind a request line, and the CR LF behind it.
+// readStatement reads the statement that follows a request line, and the CR LF after the statement.
 func readStatement(in io.Reader, lengthWord string) (string, error) {
 	var length int
 	if _, err := fmt.Sscan(lengthWord, &length); err != nil || length < 0 || length > maxStatementLength {
@@ -158,8 +158,8 @@
 	}()
 }
 
-// finish takes a request out of flight, cancels its context, calls record with it and returns true,
-// or returns false for a request that is not in flight.
+// finish removes a request from those in flight, cancels its context, calls record with it and returns
+// true. It returns false for a request that is not in flight.
 func (c *lineConnection) finish(id string, record func(LineRequest)) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,8 +173,8 @@
 	return true
 }
 
-// end closes the connection first, so that no blocked write keeps mu locked, and then cancels what
-// is in flight.
+// end closes the connection and then cancels the requests in flight. It closes first, because a blocked
+// write would otherwise keep mu locked.
 func (c *lineConnection) end() {
 	_ = c.conn.Close()
 	c.mu.Lock()
--- a/internal/lab/fake/listener.go
+++ b/internal/lab/fake/listener.go
@@ -36,8 +36,8 @@
 	open map[net.Conn]bool
 }
 
-// serveConnections serves each connection of a listener on a goroutine of its own until the listener
-// is closed, and then closes all of them. It passes over a failure to accept one connection.
+// serveConnections serves each connection of a listener on a separate goroutine until the listener
+// is closed, and then closes all of them. If accepting one connection fails, it continues with the next.
 func serveConnections(listener net.Listener, serve func(net.Conn)) {
 	all := &connections{open: map[net.Conn]bool{}}
 	defer all.close()
--- a/internal/lab/fake/work.go
+++ b/internal/lab/fake/work.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Work returns how long a statement takes, and the memory that it needs in MB.
+// Work returns the execution time of a statement and the memory that it uses, in MB.
 type Work func(statement string) (took time.Duration, memoryMB float64)
 
 // usualWork is the work of a kind of statement.
@@ -21,8 +21,8 @@
 	aggregateWork = usualWork{milliseconds: 1800, memoryMB: 120}
 )
 
-// PlausibleWork is a Work as a reader of the statement would expect it: a load or an aggregate takes
-// seconds, a lookup a fifth of a second, and each text differs a little.
+// PlausibleWork is a Work with usual times for the kind of the statement: a second or two for a load or
+// an aggregate, and a fifth of a second for a lookup. Each text has a slightly different time.
 func PlausibleWork(statement string) (took time.Duration, memoryMB float64) {
 	usual := lookupWork
 	switch upper := strings.ToUpper(statement); {
--- a/internal/lab/faultproxy/faults.go
+++ b/internal/lab/faultproxy/faults.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Kind is what a fault does.
+// Kind is the effect of a fault.
 type Kind string
 
 // Kinds of fault. Responses are the bytes from the server to the client.
 const (
-	Stall            Kind = "stall"             // bytes of both directions are read and held back until it ends
+	Stall            Kind = "stall"             // bytes of both directions are read, and written after its end
 	DropResponses    Kind = "drop-responses"    // responses are read and discarded; requests arrive
 	CorruptResponses Kind = "corrupt-responses" // one byte of each chunk of the responses is changed
 	Disconnect       Kind = "disconnect"        // connections are closed, and new ones are reset
@@ -61,7 +61,7 @@
 	return false
 }
 
-// schedule starts the timers of the faults. It is called before the first connection is accepted.
+// schedule starts the timers of the faults. It must be called before the first connection is accepted.
 func (p *Proxy) schedule() {
 	for _, fault := range p.opts.Faults {
 		p.timers = append(p.timers, time.AfterFunc(fault.From, func() { p.begin(fault) }))
@@ -71,7 +71,7 @@
 	}
 }
 
-// begin does what a fault does once, at its start. The other kinds have their effect in the relays.
+// begin applies the effects that a fault has once, at its start. Relays apply lasting effects.
 func (p *Proxy) begin(fault Fault) {
 	switch fault.Kind {
 	case Stall, DropResponses, CorruptResponses:
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// serverDialTimeout bounds the attempt to connect to the server.
+	// serverDialTimeout limits the attempt to connect to the server.
 	serverDialTimeout = 2 * time.Second
 	// randomStream is the second word of the seed: distinct from other uses of it.
 	randomStream = 0x6c696e6b
@@ -95,8 +95,7 @@
 	p.forEachRelay(func(r *relay) { r.close(closeGracefully) })
 }
 
-// forEachRelay calls do for the relays that are open now. It does not hold mu meanwhile, so that do may
-// lock it.
+// forEachRelay calls do for all open relays, without holding mu: do may lock it.
 func (p *Proxy) forEachRelay(do func(*relay)) {
 	p.mu.Lock()
 	all := make([]*relay, 0, len(p.relays))
@@ -134,7 +133,7 @@
 	}
 }
 
-// notTCPError reports a connection of another kind than TCP.
+// notTCPError reports a connection that does not use TCP.
 type notTCPError struct{ conn net.Conn }
 
 func (e *notTCPError) Error() string {
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -12,7 +12,7 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// waitLimit bounds every wait.
+// waitLimit limits every wait.
 const waitLimit = 10 * time.Second
 
 // startEchoServer sends each byte back, and reports the bytes that it received.
--- a/internal/lab/faultproxy/relay.go
+++ b/internal/lab/faultproxy/relay.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// chunkSize bounds what is relayed at once.
+	// chunkSize is the largest number of bytes that are relayed at once.
 	chunkSize = 16 << 10
-	// maxChunksInTransit bounds the chunks in transit in one direction, so that a slow direction
+	// maxChunksInTransit limits the chunks in transit in one direction, so that a slow direction
 	// applies back pressure to its sender.
 	maxChunksInTransit = 64
 	// corruption is combined with a byte by exclusive or to change it.
@@ -40,8 +40,7 @@
 	_ = conn.Close()
 }
 
-// relay is one connection through the proxy. Each direction has a goroutine that reads and one that
-// writes.
+// relay is one connection through the proxy. Each direction has a reading and a writing goroutine.
 type relay struct {
 	proxy     *Proxy
 	client    *net.TCPConn
@@ -66,15 +65,15 @@
 	})
 }
 
-// chunk is in transit: bytes, or the end of the sender's direction.
+// chunk is an element in transit: bytes, or the end of the sender's direction.
 type chunk struct {
 	bytes []byte
 	due   time.Time // when it is written
 	end   bool
 }
 
-// copy relays one direction until the relay ends: a reader sets the time at which each chunk is due,
-// and a writer waits for that time.
+// copy relays one direction until the relay ends. The reader sets the time at which each chunk is due,
+// and the writer waits for that time.
 func (r *relay) copy(from, to *net.TCPConn, way direction) {
 	transit := make(chan chunk, maxChunksInTransit)
 	go r.read(from, way, transit)
@@ -151,8 +150,8 @@
 	return time.Duration(float64(length) / float64(bandwidth) * float64(time.Second))
 }
 
-// waitUntil waits until a time, and then for the end of a stall. It returns false if the relay ends
-// before.
+// waitUntil waits until a time, and then until no stall is active. It returns false if the relay ends
+// first.
 func (r *relay) waitUntil(moment time.Time) bool {
 	if wait := time.Until(moment); wait > 0 {
 		timer := time.NewTimer(wait)
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -45,14 +45,14 @@
 	return nil
 }
 
-// writeConfig writes the platform configuration of the HTTP front end: that of the example, with the
-// addresses and engines of the harness.
+// writeConfig writes the platform configuration of the HTTP front end. It is the configuration of the
+// example with the addresses and engines of the harness.
 func (e *Environment) writeConfig(opts Options, targets []fake.Target, bus string) error {
 	raw, err := os.ReadFile(filepath.Join(opts.Root, "examples/toy/config.json"))
 	if err != nil {
 		return fmt.Errorf("start this from the repository's root: %w", err)
 	}
-	var config map[string]any // a map, since all but three keys stay as they are
+	var config map[string]any // a map, since only three keys change
 	if err := json.Unmarshal(raw, &config); err != nil {
 		return fmt.Errorf("harness: %w", err)
 	}
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -28,8 +28,8 @@
 	Dir          string // for the written files
 	Engines      int    // of each wire protocol
 	Work         fake.Work
-	HTTPAddr     string // where the HTTP front end listens
-	PostgresAddr string // where the PostgreSQL front end listens
+	HTTPAddr     string // at which the HTTP front end listens
+	PostgresAddr string // at which the PostgreSQL front end listens
 	EnableShapes bool   // whether query shapes are enabled in the PostgreSQL front end's file
 	Log          *slog.Logger
 }
@@ -99,8 +99,8 @@
 	return listener, nil
 }
 
-// startLineEngines starts the engines of the line protocol and returns them as the endpoint list names
-// them.
+// startLineEngines starts the engines of the line protocol and returns their entries of the endpoint
+// list.
 func (e *Environment) startLineEngines(opts Options) ([]fake.Target, error) {
 	var targets []fake.Target
 	for i := range opts.Engines {
@@ -118,8 +118,8 @@
 	return targets, nil
 }
 
-// startPostgresEngines starts the engines of the PostgreSQL protocol and returns them as the catalogue
-// names them.
+// startPostgresEngines starts the engines of the PostgreSQL protocol and returns their entries of the
+// catalogue.
 func (e *Environment) startPostgresEngines(opts Options) ([]fake.Instance, error) {
 	var instances []fake.Instance
 	for i := range opts.Engines {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -19,7 +19,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Table is a result: the names of its columns, and rows of texts.
+// Table is a result: the names of its columns, and rows with one text for each column.
 type Table struct {
 	Columns []string
 	Rows    [][]string
--- a/internal/lab/syscallfault/doc.go
+++ b/internal/lab/syscallfault/doc.go
@@ -1,7 +1,7 @@
 // Package syscallfault runs a program as a traced child process and injects faults into its system
-// calls, as Linux documents them: short and interrupted reads and writes, connects and accepts that
-// fail for a moment, writes to files that run out of space. It also steps the wall clock that the
-// program reads, but not its monotonic clock.
+// calls, as Linux documents them: short and interrupted reads and writes, transient failures of connect
+// and accept, writes to a full disk. It also steps the wall clock that the program reads, but not its
+// monotonic clock.
 //
 // The tracer uses ptrace(2) with a seccomp(2) filter, so that only calls that may be changed stop
 // the program. It needs no privileges beyond those of a parent process, and works for programs that
--- a/internal/lab/syscallfault/faults.go
+++ b/internal/lab/syscallfault/faults.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Faults say which system calls fail, and how often. Rates are shares of the calls of a kind; a zero
-// rate means that none fails.
+// Faults configure which system calls fail, and how often. Rates are shares of the calls of a kind, from
+// 0 to 1.
 type Faults struct {
 	ShortWrite     float64 // writes to sockets write at most ShortLength bytes
 	InterruptWrite float64 // writes to sockets return EINTR
@@ -29,7 +29,7 @@
 	ClockStep time.Duration
 }
 
-// defaultShortLength bounds the bytes of a short read or write.
+// defaultShortLength limits a short read or write, in bytes.
 const defaultShortLength = 60
 
 // Kind names a fault in Counts.
@@ -63,7 +63,7 @@
 // injector decides for each call whether a fault happens, and counts the faults. It is safe for
 // concurrent use.
 type injector struct {
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	random *rand.Rand
 	faults Faults
 	counts map[Kind]int
@@ -80,7 +80,7 @@
 	i.faults = faults
 }
 
-// counted returns how many faults of each kind were injected.
+// counted returns the number of injected faults of each kind.
 func (i *injector) counted() map[Kind]int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -93,7 +93,7 @@
 	length int        // the call is made with this length; 0: with its own
 }
 
-// draw decides whether a fault of the given rate happens, and counts it. The caller holds mu.
+// draw decides whether a fault of the given rate happens, and counts it. The caller must hold mu.
 func (i *injector) draw(rate float64, kind Kind) bool {
 	if rate <= 0 || i.random.Float64() >= rate {
 		return false
@@ -102,13 +102,13 @@
 	return true
 }
 
-// oneOf draws one error. The caller holds mu.
+// oneOf draws one error. The caller must hold mu.
 func (i *injector) oneOf(errors []unix.Errno) outcome {
 	return outcome{err: errors[i.random.IntN(len(errors))]}
 }
 
-// decide returns the outcome of one system call. isFile says whether its descriptor is a regular
-// file's.
+// decide returns the outcome of one system call. isFile means that its descriptor is that of a regular
+// file.
 func (i *injector) decide(number uint64, length int, isFile bool) outcome {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -148,7 +148,7 @@
 }
 
 // shortLength returns the length of a short call, which is at least 1 and less than length. The caller
-// holds mu.
+// must hold mu.
 func (i *injector) shortLength(length int) int {
 	limit := i.faults.ShortLength
 	if limit <= 0 {
@@ -157,7 +157,7 @@
 	return min(limit, length-1)
 }
 
-// socketWrite decides on a write to a socket. The caller holds mu.
+// socketWrite decides on a write to a socket. The caller must hold mu.
 func (i *injector) socketWrite(length int) outcome {
 	switch {
 	case length > 1 && i.draw(i.faults.ShortWrite, KindShortWrite):
@@ -168,7 +168,7 @@
 	return outcome{}
 }
 
-// socketRead decides on a read from a socket. The caller holds mu.
+// socketRead decides on a read from a socket. The caller must hold mu.
 func (i *injector) socketRead(length int) outcome {
 	switch {
 	case length > 1 && i.draw(i.faults.ShortRead, KindShortRead):
@@ -181,7 +181,7 @@
 	return outcome{}
 }
 
-// fileWrite decides on a write to a file. The caller holds mu.
+// fileWrite decides on a write to a file. The caller must hold mu.
 func (i *injector) fileWrite(length int) outcome {
 	switch {
 	case i.draw(i.faults.FailFile, KindFile):
@@ -192,7 +192,7 @@
 	return outcome{}
 }
 
-// wallClock returns the time that the program reads, and counts a stepped one.
+// wallClock returns the time that the program reads. It counts the read if the clock is stepped.
 func (i *injector) wallClock() time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/lab/syscallfault/filter.go
+++ b/internal/lab/syscallfault/filter.go
@@ -29,8 +29,8 @@
 // instructionSize is the size of a struct sock_filter in bytes.
 const instructionSize = 8
 
-// filterProgram returns the seccomp filter in the kernel's form: it stops the program at the
-// traced calls and where it reads the wall clock, and allows all others.
+// filterProgram returns the seccomp filter in the kernel's form. It stops the program at the traced
+// calls and at reads of the wall clock, and allows all other calls.
 func filterProgram() []byte {
 	const (
 		load       = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS
--- a/internal/lab/syscallfault/tracer.go
+++ b/internal/lab/syscallfault/tracer.go
@@ -22,11 +22,11 @@
 // syscallInstruction is the instruction that makes a system call.
 var syscallInstruction = []byte{0x0f, 0x05}
 
-// redZone is how far below the stack pointer a program may keep data, in bytes.
+// redZone is the size in bytes of the area below the stack pointer that may contain data.
 const redZone = 4096
 
-// Process is a traced program. Its exported methods are safe for concurrent use. The others run on the
-// thread of the tracer.
+// Process is a traced program. Its exported methods are safe for concurrent use. The unexported methods
+// must be called on the thread of the tracer.
 type Process struct {
 	pid      int
 	injector *injector
@@ -59,7 +59,7 @@
 // SetFaults replaces the faults from the next system call on.
 func (p *Process) SetFaults(faults Faults) { p.injector.set(faults) }
 
-// Counts returns how many faults of each kind were injected.
+// Counts returns the number of injected faults of each kind.
 func (p *Process) Counts() map[Kind]int { return p.injector.counted() }
 
 // PID returns the process id.
@@ -99,7 +99,8 @@
 	p.err = p.run()
 }
 
-// prepare puts the program, which is stopped at its first instruction, under the filter.
+// prepare installs the filter in the program, which is stopped at its first instruction, and continues
+// it.
 func (p *Process) prepare() error {
 	var status syscall.WaitStatus
 	if _, err := syscall.Wait4(p.pid, &status, syscall.WALL, nil); err != nil {
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// installFilter makes the program execute the two system calls that install the filter. A system call
-// instruction replaces the program's first one meanwhile.
+// installFilter makes the program execute the two system calls that install the filter. For that time, a
+// system call instruction replaces the program's first instruction.
 func (p *Process) installFilter() error {
 	var registers syscall.PtraceRegs
 	if err := syscall.PtraceGetRegs(p.pid, &registers); err != nil {
@@ -225,7 +226,7 @@
 	arguments [3]uint64
 }
 
-// injectCall makes the program execute one system call at its present instruction, from the given
+// injectCall makes the program execute one system call at its current instruction, with the given
 // registers.
 func (p *Process) injectCall(registers syscall.PtraceRegs, call systemCall) error {
 	registers.Rax = call.number
@@ -252,7 +253,7 @@
 	return nil
 }
 
-// run handles the program's stops until it has ended.
+// run handles the stops of the program's threads until the program has ended.
 func (p *Process) run() error {
 	for {
 		var status syscall.WaitStatus
--- a/internal/lab/traffic/arrivals.go
+++ b/internal/lab/traffic/arrivals.go
@@ -39,9 +39,9 @@
 	process   ArrivalProcess
 	random    *rand.Rand
 	rate      float64 // statements a second on average
-	duration  float64 // of all of them in seconds
-	now       float64 // in seconds
-	burstLeft float64 // in seconds
+	duration  float64 // of the traffic, in seconds
+	now       float64 // time of the last arrival, in seconds
+	burstLeft float64 // remaining time of the current burst, in seconds
 	gap       distuv.Exponential
 	pause     distuv.Pareto
 }
@@ -58,9 +58,9 @@
 )
 
 // The rate of the season over the average: a day's curve for each working day, and a festival as a
-// bell curve towards the end. Times are shares of the whole duration.
+// bell curve towards the end. Times are shares of the duration of the traffic.
 const (
-	maxSeasonFactor = 3 // highest rate, which bounds the sum
+	maxSeasonFactor = 3 // limits the sum of the two curves
 	seasonDays      = 10
 	meanDayFactor   = 0.6
 	dayAmplitude    = 0.4
@@ -109,7 +109,7 @@
 	a.now += gap
 }
 
-// nextInSeason draws by thinning (Lewis and Shedler, 1979).
+// nextInSeason draws the next arrival by thinning (Lewis and Shedler, 1979).
 func (a *arrivals) nextInSeason() {
 	for accepted := false; !accepted; {
 		a.now += a.gap.Rand() / (maxSeasonFactor * a.rate)
@@ -117,7 +117,7 @@
 	}
 }
 
-// seasonFactor returns the present rate of the season over the average.
+// seasonFactor returns the current rate of the season over the average.
 func (a *arrivals) seasonFactor() float64 {
 	progress := a.now / a.duration
 	day := meanDayFactor + dayAmplitude*math.Sin(2*math.Pi*(seasonDays*progress-dayPhase))
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -4,8 +4,8 @@
 // A file is "RWTRAFF" and a version byte, then blocks. A block is its length, the xxhash
 // of its bytes and the number of its records (4, 8 and 4 bytes, big-endian), then a zstd
 // frame of CBOR items: one Head in the first block, Records in the others. A block of
-// length 0 that holds the number of all records in place of the hash ends the file. Without
-// it the file is truncated, which Reader reports after the complete records.
+// length 0 ends the file. It has the number of all records in place of the hash. A file
+// without it is truncated, which Reader reports after the complete records.
 package traffic
 
 import (
@@ -26,19 +26,19 @@
 	ErrVersion   = errors.New("the file has another version")
 )
 
-// Limits of a block, which protect against files that claim more than they hold.
+// Limits of a block, in bytes. They protect against files whose headers claim too large blocks.
 const (
 	maxCompressedBlock = 16 << 20
 	maxPlainBlock      = 64 << 20
 )
 
-// Head says how the traffic was generated.
+// Head describes how the traffic was generated.
 type Head struct {
 	Seed          uint64  `cbor:"1,keyasint"`
 	ModelOptions  string  `cbor:"2,keyasint"` // the options of the workload, as text
 	RatePerSecond float64 `cbor:"3,keyasint"` // statements a second on average
 	Arrivals      string  `cbor:"4,keyasint"` // the arrival process: poisson, bursts or season
-	Records       int     `cbor:"5,keyasint"` // how many there are
+	Records       int     `cbor:"5,keyasint"` // number of records
 }
 
 // Record is one statement.
--- a/internal/lab/traffic/reader.go
+++ b/internal/lab/traffic/reader.go
@@ -17,17 +17,17 @@
 	maxMapPairs      = 64
 )
 
-// Reader reads a file block by block. It is for one goroutine, and has to be closed.
+// Reader reads a file block by block. It is for one goroutine, and must be closed.
 type Reader struct {
 	Head Head
 
 	in           io.Reader
 	decompressor *zstd.Decoder
 	decoding     cbor.DecMode
-	items        *cbor.Decoder // of the present block
-	blockRecords uint32        // left in the present block
-	records      uint64        // read so far
-	ended        bool          // whether the last block of the file was read
+	items        *cbor.Decoder // of the current block
+	blockRecords uint32        // number of unread records in the current block
+	records      uint64        // number of records read so far
+	ended        bool          // the block that ends the file was read
 }
 
 // NewReader reads the head of a file.
--- a/internal/lab/traffic/writer.go
+++ b/internal/lab/traffic/writer.go
@@ -10,16 +10,16 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// flushSize is the size of the items from which a block is written.
+// flushSize is the size of the items, in bytes, at which a block is written.
 const flushSize = 512 << 10
 
 // Writer writes a file. It is for one goroutine. A file without a call of Close is truncated.
 type Writer struct {
 	out          io.Writer
 	compressor   *zstd.Encoder
-	block        bytes.Buffer // the items of the block that is being filled
-	blockRecords uint32
-	records      uint64 // of the whole file
+	block        bytes.Buffer // the items of the current block
+	blockRecords uint32       // number of records in the current block
+	records      uint64       // number of records in all blocks
 }
 
 // NewWriter begins a file.
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// flush writes the block that is being filled, unless it is empty.
+// flush writes the current block, unless it is empty.
 func (w *Writer) flush() error {
 	if w.block.Len() == 0 {
 		return nil
--- a/internal/lab/workload/cost.go
+++ b/internal/lab/workload/cost.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// access is how a statement reaches its rows, and what it does with them: numbers of rows.
+// access describes the execution of a statement: the number of rows in each step.
 type access struct {
-	indexed  float64 // found by an index
+	indexed  float64 // read by an index
 	scanned  float64 // read sequentially
 	joined   float64
 	sorted   float64
@@ -12,7 +12,7 @@
 	returned float64
 }
 
-// Unit costs in milliseconds on one core. With them lookups take about 200 ms and reports
+// Unit costs in milliseconds on one core. They result in lookups of about 200 ms and reports of
 // about 3 s, as in the modelled deployment.
 const (
 	baseMS        = 110
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -1,8 +1,8 @@
 // Package workload models a register of parts and the programs that query it: districts,
-// wholesalers, parts of very different popularity, ten years of days, and what each
-// statement truly costs there. The cost follows from the meaning of a statement (how many
-// rows it reaches, by which access path, and what is done with them), never from its text:
-// nothing that flaxrelay's classifier looks at contributes to it.
+// wholesalers, parts of very different popularity, ten years of days, and the true cost of
+// each statement. The cost depends on the meaning of a statement (its number of rows, their
+// access path and the operations on them) and never on its text. Nothing that flaxrelay's
+// classifier reads contributes to it.
 package workload
 
 import (
@@ -13,28 +13,28 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Options say what workload is generated.
+// Options configure the generated workload.
 type Options struct {
 	Seed        uint64
 	Templates   int     // recurring query shapes; 0: DefaultTemplates
 	OneOffShare float64 // share of statements whose shape never recurs
 	HardShare   float64 // share of lookups whose values make them broad reports
 	WriteShare  float64 // share of statements that write and are not loads
-	// DriftFrom is when the table of orders has grown, as a share of the statements; from
-	// then on a statement that reaches it costs DriftFactor times as much. 0: never.
+	// DriftFrom is the share of the statements after which the table of orders has grown by
+	// the factor DriftFactor. 0: it never grows.
 	DriftFrom   float64
 	DriftFactor float64
-	// HintSigma is the scatter of hints, as a standard deviation of the natural
-	// logarithm; HintMissingShare is the share of statements without one. Hints follow from
-	// what the shape usually costs, so they do not depend on the values.
+	// HintSigma is the scatter of hints, as a standard deviation of the natural logarithm.
+	// HintMissingShare is the share of statements without a hint. A hint depends on the usual
+	// cost of the shape and not on the values.
 	HintSigma        float64
 	HintMissingShare float64
 }
 
-// DefaultTemplates is the number of recurring query shapes where the options name none.
+// DefaultTemplates is the number of recurring query shapes if the options set none.
 const DefaultTemplates = 200
 
-// Figures of the modelled deployment, as far as they are known.
+// Known or estimated figures of the modelled deployment.
 const (
 	defaultOneOffShare      = 0.05
 	defaultHardShare        = 0.04
@@ -84,7 +84,7 @@
 	Formats    []byte   // format codes as in a Bind message
 	Types      []byte   // object ids of the parameter types, four bytes each
 	Class      string
-	HardCase   string  // why its class is hard to tell, or ""
+	HardCase   string  // why its class is hard to determine, or ""
 	Template   int     // index of its template, TemplateOneOff or TemplateWrite
 	WorkMS     float64 // on one core
 	MemoryMB   float64
@@ -174,7 +174,7 @@
 	return 1
 }
 
-// fromTemplate generates a statement of a template, with values of its own.
+// fromTemplate generates a statement of a template with drawn values.
 func (g *Generator) fromTemplate(t *template, index int, growth float64) Statement {
 	s, usualMS := g.instantiate(t, growth)
 	s.Template = index
@@ -187,8 +187,8 @@
 // priorityWeights are the priority weights of the classes.
 var priorityWeights = map[string]float64{ClassLookup: 1, ClassReport: 4, ClassLoad: 5, ClassWrite: 4}
 
-// finish adds scatter, hint and priority weight. usualMS is the work that a planner would expect
-// that does not know the values.
+// finish adds scatter, hint and priority weight. usualMS is the work that a planner would expect without
+// the values.
 func (g *Generator) finish(statement Statement, usualMS float64) Statement {
 	// Memory grows with a power of the work: referenceMemoryMB at referenceWorkMS.
 	const (
@@ -210,7 +210,7 @@
 	return statement
 }
 
-// hintedClass returns the class that a planner would expect that does not know the values.
+// hintedClass returns the class that a planner would expect without the values.
 func hintedClass(class string, usualMS float64) string {
 	switch {
 	case class == ClassLoad || class == ClassWrite:
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -13,14 +13,14 @@
 	random    *rand.Rand
 	template  *template
 	group     int
-	rows      float64 // of the table so far
+	rows      float64 // current number of rows of the table
 	rowsOfOne float64 // rows of one usual part
-	broad     bool    // whether its values make a lookup a report, in a family that has such values
-	hardCase  string  // why broad values make its class hard to tell
+	broad     bool    // its values make a lookup a report, if the family has such values
+	hardCase  string  // why broad values make its class hard to determine
 	tableName string
 	from      string // the table with its alias
 	alias     string
-	columns   string // that it selects
+	columns   string // the selected columns
 }
 
 // newInstance draws the table group, whether the values are broad, and the names.
@@ -46,7 +46,7 @@
 		i.alias = t.table.name[:1]
 	}
 	if t.oneOff {
-		const names = 1 << 30 // so many that no name is drawn twice
+		const names = 1 << 30 // enough to make it unlikely that a name is drawn twice
 		i.tableName = fmt.Sprintf("stock_%d.%s_%d", i.group, t.table.name, i.random.IntN(names))
 		i.alias = fmt.Sprintf("t_%d", i.random.IntN(names))
 	}
@@ -72,8 +72,8 @@
 // dayColumn returns the name of the column that holds the day of a row.
 func (i *instance) dayColumn() string { return i.column(i.template.table.dayColumn) }
 
-// instantiate generates a statement of a template with values of its own. usualMS is what the shape
-// costs with usual values, which is what a planner would estimate that does not know the values.
+// instantiate generates a statement of a template with drawn values. usualMS is the cost of the shape
+// with usual values, which a planner would estimate without the values.
 func (g *Generator) instantiate(t *template, growth float64) (statement Statement, usualMS float64) {
 	i := g.newInstance(t, growth)
 	if t.family == loadBatch {
@@ -86,7 +86,7 @@
 		statement.WorkMS *= uncachedFactor
 	}
 	statement.Class = ClassLookup
-	if statement.WorkMS >= ReportFromMS { // below it broad values reach so few rows that it stays a lookup
+	if statement.WorkMS >= ReportFromMS { // broad values with less work read so few rows that it is a lookup
 		statement.Class = ClassReport
 		statement.HardCase = i.hardCase
 	}
--- a/internal/lab/workload/lookups.go
+++ b/internal/lab/workload/lookups.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Reasons why the class of a statement is hard to tell.
+// Reasons why the class of a statement is hard to determine.
 const (
 	hardLongList  = "a list of thousands"
 	hardLongRange = "a range of years"
@@ -93,9 +93,9 @@
 // index serves.
 func generatePattern(i *instance) (actual, usual access) {
 	const (
-		prefixes     = 400 // one row in so many has the prefix
+		prefixes     = 400 // one row in 400 has the prefix
 		infixes      = 1000
-		broadMatches = 50 // one row in so many has the infix
+		broadMatches = 50 // one row in 50 contains the infix
 	)
 	pattern := fmt.Sprintf("p-%03d%%", i.random.IntN(prefixes))
 	if i.broad {
@@ -117,8 +117,8 @@
 		lastDays     = 90
 		maxDistricts = 2
 		scanFrom     = 15 // districts from which a scan is cheaper than the index
-		// The index finds so many rows for one that matches: with the districts of the statement,
-		// and as a planner expects that does not know their number.
+		// Rows that the index reads for each row that matches: with the districts of the statement,
+		// and by a planner's estimate without their number.
 		indexedRowsPerMatch = 6
 		usualIndexedRows    = 9
 	)
@@ -165,8 +165,8 @@
 	return access{indexed: rows, returned: rows}, access{indexed: usualLimit, returned: usualLimit}
 }
 
-// generateOptionalPart reads the rows of a part, or of all where the part is null, which is the
-// hard case.
+// generateOptionalPart reads the rows of a part; the hard case is a part that is null, which reads
+// all rows.
 func generateOptionalPart(i *instance) (actual, usual access) {
 	part, _ := i.generator.part()
 	i.sql("SELECT %s FROM %s WHERE (", i.columns, i.from)
--- a/internal/lab/workload/reports.go
+++ b/internal/lab/workload/reports.go
@@ -19,7 +19,7 @@
 		access{scanned: scanned, grouped: i.rows * usualDays / dayCount, returned: districtCount}
 }
 
-// generateTopParts joins with the parts and finds those with most rows.
+// generateTopParts joins the table with the parts and finds the parts with most rows.
 func generateTopParts(i *instance) (actual, usual access) {
 	const (
 		limit        = 20
@@ -46,7 +46,7 @@
 	return actual, actual
 }
 
-// generateDistinct finds the distinct rows of nearly the whole table.
+// generateDistinct finds the distinct rows of nearly all rows of the table.
 func generateDistinct(i *instance) (actual, usual access) {
 	const (
 		sortedOneIn   = 3 // rows
--- a/internal/lab/workload/schema.go
+++ b/internal/lab/workload/schema.go
@@ -45,7 +45,7 @@
 	popularPartFactor = 30
 )
 
-// part draws a part by popularity, and returns how many times the rows of a usual part it has.
+// part draws a part by popularity. rowFactor is its number of rows as a multiple of a usual part's.
 func (g *Generator) part() (name string, rowFactor float64) {
 	number := int(g.partPopularity.Uint64())
 	rowFactor = 1
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -30,8 +30,8 @@
 	firstLoad   = loadBatch
 )
 
-// Shares of the kinds of template, and weights of their families. With them 81 % of the statements
-// are lookups, 14 % reports and 5 % loads, as in the modelled deployment.
+// Shares of the kinds of template, and weights of their families. They result in 81 % lookups, 14 %
+// reports and 5 % loads, as in the modelled deployment.
 const (
 	lookupTemplates = 0.72
 	reportTemplates = 0.2
@@ -39,14 +39,14 @@
 	loadWeight      = 0.65
 )
 
-// generateFunc writes the text of one statement and returns how it reaches its rows: with its own
-// values, and with usual ones.
+// generateFunc writes the text of one statement. It returns the access with the statement's values and
+// with usual values.
 type generateFunc func(*instance) (actual, usual access)
 
-// familySpec says how the statements of a family are made.
+// familySpec describes how the statements of a family are generated.
 type familySpec struct {
-	generate generateFunc // nil for loads, whose cost is not that of an access
-	tables   []int        // that have the columns and rows it needs; nil: any
+	generate generateFunc // nil for loads, whose cost does not depend on an access
+	tables   []int        // indices of the tables that have the required columns and rows; nil: all
 	weight   float64
 }
 
@@ -67,13 +67,13 @@
 	loadBatch:                 {nil, nil, loadWeight},
 }
 
-// valueStyle is how a program passes values.
+// valueStyle is the way in which a program passes values.
 type valueStyle int
 
 const (
 	literalValues valueStyle = iota // written into the text
 	textValues                      // bound as text
-	binaryValues                    // bound, in binary where that is usual
+	binaryValues                    // bound, in binary form except for single texts
 	valueStyles
 )
 
--- a/internal/lab/workload/text.go
+++ b/internal/lab/workload/text.go
@@ -20,7 +20,7 @@
 	formatBinary = 1
 )
 
-// textBuilder writes the text of a statement. The style says whether values are written out or bound.
+// textBuilder writes the text of a statement. The style decides whether values are literals or bound.
 type textBuilder struct {
 	text      strings.Builder
 	style     valueStyle
--- a/internal/lab/workload/writes.go
+++ b/internal/lab/workload/writes.go
@@ -9,7 +9,7 @@
 	usualLoadRows = 110
 )
 
-// load generates an INSERT of many rows, whose first value is bound: its idempotency key.
+// load generates an INSERT of many rows. Its first value is bound and is its idempotency key.
 func (i *instance) load() (statement Statement, usualMS float64) {
 	const (
 		minRows     = 20
@@ -58,7 +58,7 @@
 // writeMS is the usual work of a write in milliseconds on one core.
 const writeMS = 300
 
-// write generates a statement that writes and is no load.
+// write generates a statement that writes and is not a load.
 func (g *Generator) write(growth float64) Statement {
 	format := writeFormats[g.random.IntN(len(writeFormats))]
 	text := fmt.Sprintf(format, 1+g.random.IntN(groupCount), g.random.IntN(partCount))
