--- a/internal/lab/syscallfault/tracer.go
+++ b/internal/lab/syscallfault/tracer.go
@@ -62,9 +62,6 @@
 // Counts returns the number of injected faults of each kind.
 func (p *Process) Counts() map[Kind]int { return p.injector.counted() }
 
-// PID returns the process id.
-func (p *Process) PID() int { return p.pid }
-
 // Ended returns a channel that is closed when the program has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
