--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -4,7 +4,7 @@
 package experiment
 
 import (
-	decide "flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/decision/costmodel"
 	"flaxrelay/internal/lab/traffic"
 	"flaxrelay/internal/lab/workload"
 	"flaxrelay/internal/sqltext"
@@ -14,15 +14,15 @@
 // Variant is a way to run the classifier.
 type Variant struct {
 	Name   string
-	Config decide.Config
+	Config costmodel.Config
 }
 
-// CompleteVariant is the name of the variant with all parts of the classifier.
-const CompleteVariant = "complete"
+// completeVariant is the name of the variant with all parts of the classifier.
+const completeVariant = "complete"
 
 // classes returns the classes into which statements are classified.
-func classes() []decide.Class {
-	return []decide.Class{
+func classes() []costmodel.Class {
+	return []costmodel.Class{
 		{Name: workload.ClassLookup, MaxWorkMillis: workload.ReportFromMS},
 		{Name: workload.ClassReport},
 	}
@@ -30,17 +30,17 @@
 
 // Variants returns the complete classifier, and the classifier with each of its parts disabled.
 func Variants() []Variant {
-	with := func(name string, change func(*decide.Config)) Variant {
-		config := decide.Config{Classes: classes()}
+	with := func(name string, change func(*costmodel.Config)) Variant {
+		config := costmodel.Config{Classes: classes()}
 		change(&config)
 		return Variant{name, config}
 	}
 	return []Variant{
-		with(CompleteVariant, func(*decide.Config) {}),
-		with("no parameters", func(c *decide.Config) { c.NoParameters = true }),
-		with("no prior", func(c *decide.Config) { c.NoPrior = true }),
-		with("no forgetting", func(c *decide.Config) { c.NoForgetting = true }),
-		with("no hint", func(c *decide.Config) { c.NoHint = true }),
+		with(completeVariant, func(*costmodel.Config) {}),
+		with("no parameters", func(c *costmodel.Config) { c.NoParameters = true }),
+		with("no prior", func(c *costmodel.Config) { c.NoPrior = true }),
+		with("no forgetting", func(c *costmodel.Config) { c.NoForgetting = true }),
+		with("no hint", func(c *costmodel.Config) { c.NoHint = true }),
 	}
 }
 
@@ -95,12 +95,12 @@
 		statement := store.Parse(record.Statement)
 		binds := sqltext.Binds{Values: record.Values, Formats: record.Formats, TypeOIDs: record.Types}
 		hint := stmtstats.Hint{WorkMillis: record.HintWorkMS, MemoryMB: record.HintMB}
-		execution := store.Estimate(statement, &binds, classUndecided, hint)
+		execution := store.Estimate(statement, &binds, costmodel.NoClass, hint)
 		if i >= evaluatedFrom {
 			accuracy.add(record, effect, classify(record, effect, execution, v.Config.Classes), execution)
 		}
 		accuracy.learn(record)
-		store.Learn(execution, decide.Observation{WorkMillis: record.WorkMS, MemoryMB: record.MemoryMB})
+		store.Learn(execution, costmodel.Observation{WorkMillis: record.WorkMS, MemoryMB: record.MemoryMB})
 	}
 	result := accuracy.result()
 	result.Shapes = store.Len()
@@ -109,19 +109,16 @@
 	return result, nil
 }
 
-// classUndecided tells the classifier that the class is not decided yet.
-const classUndecided = -1
-
 // classify returns the class by which a front end would admit the statement.
 func classify(
-	record *traffic.Record, effect sqltext.Effect, execution *stmtstats.Execution, classes []decide.Class,
+	record *traffic.Record, effect sqltext.Effect, execution *stmtstats.Execution, classes []costmodel.Class,
 ) string {
 	switch {
 	case record.Class == workload.ClassLoad && record.Key > 0:
 		return workload.ClassLoad // the rule for INSERT INTO names the class and the key
 	case effect != sqltext.EffectReads:
 		return workload.ClassWrite
-	case execution.Estimate.Class >= 0:
+	case execution.Estimate.Class != costmodel.NoClass:
 		return classes[execution.Estimate.Class].Name
 	}
 	return workload.ClassLookup // the default class, as nothing is known yet
--- a/internal/lab/experiment/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -23,7 +23,7 @@
 		}
 		results[variant.Name] = result
 	}
-	complete := results[CompleteVariant]
+	complete := results[completeVariant]
 	if complete.ByCount < 0.97 || complete.ByWeight < 0.97 || complete.ByHardCase < 0.95 ||
 		complete.HardEvaluated < 50 {
 		t.Errorf("classes right: %.3f by count, %.3f by priority weight, %.3f of %d hard cases",
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"runtime/debug"
 
-	decide "flaxrelay/internal/decision/costmodel"
+	"flaxrelay/internal/decision/costmodel"
 	"flaxrelay/internal/stmtstats"
 )
 
@@ -64,7 +64,7 @@
 	if err != nil {
 		return FloodResult{}, err
 	}
-	store, err := stmtstats.New(stmtstats.Options{CostModel: decide.Config{}, Cache: cache})
+	store, err := stmtstats.New(stmtstats.Options{CostModel: costmodel.Config{}, Cache: cache})
 	if err != nil {
 		return FloodResult{}, err
 	}
@@ -101,12 +101,12 @@
 		}
 		statement := store.Parse(text)
 		hitsBefore := store.Stats.Hits
-		execution := store.Estimate(statement, nil, classUndecided, stmtstats.Hint{})
+		execution := store.Estimate(statement, nil, costmodel.NoClass, stmtstats.Hint{})
 		if recurring && i >= warmUp {
 			result.Lookups++
 			hits += int(store.Stats.Hits - hitsBefore)
 		}
-		store.Learn(execution, decide.Observation{WorkMillis: floodWorkMS, MemoryMB: floodMemoryMB})
+		store.Learn(execution, costmodel.Observation{WorkMillis: floodWorkMS, MemoryMB: floodMemoryMB})
 	}
 	result.HitRate = float64(hits) / float64(max(result.Lookups, 1))
 }
