--- a/internal/decision/costmodel/ensemble.go
+++ b/internal/decision/costmodel/ensemble.go
@@ -14,7 +14,7 @@
 func componentOf(tracker *Tracker, base float64) Component {
 	return Component{
 		Log2Cost:  base + float64(tracker.Median),
-		Deviation: math.Sqrt(tracker.Variance()),
+		Deviation: math.Sqrt(tracker.variance()),
 		Samples:   float64(tracker.Samples),
 	}
 }
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -41,7 +41,7 @@
 	m.learnMemory(query, observed.MemoryMB)
 	if expected.Known && query.Profile.Key != 0 && !m.cfg.NoParameters {
 		uncorrected := math.Log2(expected.WorkMillis) - expected.FrequentValue.Log2Cost
-		m.FrequentValues.add(query.Profile.Key).Offset.Add(log2Work-uncorrected, m.forgets())
+		m.FrequentValues.add(query.Profile.Key).Offset.add(log2Work-uncorrected, m.forgets())
 	}
 }
 
@@ -60,15 +60,15 @@
 	record := query.Record
 	if m.prior.ready() {
 		prediction := m.prior.predict(m.featuresOf(query))
-		record.PriorError.Add(log2Work-prediction, m.forgets())
-		record.PriorPrediction.Add(prediction, m.forgets())
+		record.PriorError.add(log2Work-prediction, m.forgets())
+		record.PriorPrediction.add(prediction, m.forgets())
 	}
-	record.Work.Add(log2Work, m.forgets())
+	record.Work.add(log2Work, m.forgets())
 	bucket := record.findOrReplace(m.bucketKey(query))
 	bucket.LastUsed = record.Executions
-	bucket.Work.Add(log2Work, m.forgets())
+	bucket.Work.add(log2Work, m.forgets())
 	if plausibleMemory(memoryMB) {
-		bucket.Memory.Add(math.Log2(memoryMB), m.forgets())
+		bucket.Memory.add(math.Log2(memoryMB), m.forgets())
 	}
 }
 
@@ -78,9 +78,9 @@
 		return
 	}
 	hintError := log2Work - math.Log2(query.HintWork)
-	m.classStatistics(query.KnownClass).HintError.Add(hintError, m.forgets())
+	m.classStatistics(query.KnownClass).HintError.add(hintError, m.forgets())
 	if query.Record != nil {
-		query.Record.HintError.Add(hintError, m.forgets())
+		query.Record.HintError.add(hintError, m.forgets())
 	}
 }
 
@@ -91,14 +91,14 @@
 	}
 	class := m.classStatistics(query.KnownClass)
 	log2Memory := math.Log2(memoryMB)
-	class.Memory.Add(log2Memory, m.forgets())
+	class.Memory.add(log2Memory, m.forgets())
 	if !plausibleMemory(query.HintMemoryMB) {
 		return
 	}
 	hintError := log2Memory - math.Log2(query.HintMemoryMB)
-	class.MemoryHintError.Add(hintError, m.forgets())
+	class.MemoryHintError.add(hintError, m.forgets())
 	if query.Record != nil {
-		query.Record.MemoryHintError.Add(hintError, m.forgets())
+		query.Record.MemoryHintError.add(hintError, m.forgets())
 	}
 }
 
@@ -112,7 +112,7 @@
 	similar := &valueStatistics{}
 	if !m.cfg.NoParameters {
 		similar = m.SimilarValues.add(similarKey(m.bucketKey(query), query.Profile.Column))
-		similar.Offset.Add(log2Work-float64(record.Work.Median), m.forgets())
+		similar.Offset.add(log2Work-float64(record.Work.Median), m.forgets())
 	}
 	if !m.prior.ready() || record.PriorError.Samples < minTrackedSamples {
 		return
@@ -120,16 +120,16 @@
 	prediction := m.prior.predict(m.featuresOf(query))
 	newValues := &m.NewValues[atypicalityLevel(prediction-float64(record.PriorPrediction.Median))]
 	priorError := log2Work - prediction - float64(record.PriorError.Median)
-	similar.PriorError.Add(priorError, m.forgets())
+	similar.PriorError.add(priorError, m.forgets())
 	if isNewValue {
-		newValues.Prior.Add(priorError, m.forgets())
+		newValues.Prior.add(priorError, m.forgets())
 	}
 	if record.HintError.Samples < minHintSamples || !plausibleWork(query.HintWork) {
 		return
 	}
 	hintError := log2Work - math.Log2(query.HintWork) - float64(record.HintError.Median)
-	similar.HintError.Add(hintError, m.forgets())
+	similar.HintError.add(hintError, m.forgets())
 	if isNewValue {
-		newValues.Hint.Add(hintError, m.forgets())
+		newValues.Hint.add(hintError, m.forgets())
 	}
 }
--- a/internal/decision/costmodel/prior.go
+++ b/internal/decision/costmodel/prior.go
@@ -43,7 +43,7 @@
 func (p *prior) learn(x *vector, log2Cost float64, forget bool) {
 	predictionError := log2Cost - p.predict(x)
 	if p.Samples > 0 {
-		p.Errors.Add(predictionError, forget)
+		p.Errors.add(predictionError, forget)
 	}
 	if p.ready() {
 		predictionError = max(min(predictionError, priorClip), -priorClip)
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -82,7 +82,7 @@
 	case component.Samples == 0:
 	case t.Samples >= minTrackedSamples:
 		component.Log2Cost += float64(t.Median)
-		component.Deviation = math.Max(component.Deviation, math.Sqrt(t.Variance()))
+		component.Deviation = math.Max(component.Deviation, math.Sqrt(t.variance()))
 	default:
 		component.Deviation = math.Hypot(component.Deviation, atypicality)
 	}
--- a/internal/decision/costmodel/tracker.go
+++ b/internal/decision/costmodel/tracker.go
@@ -41,8 +41,8 @@
 	earlyClip      = 6
 )
 
-// Add updates the tracker with one observation, a base-2 logarithm.
-func (t *Tracker) Add(x float64, forget bool) {
+// add updates the tracker with one observation, a base-2 logarithm.
+func (t *Tracker) add(x float64, forget bool) {
 	if t.Samples == 0 {
 		t.Median = float32(x)
 		t.Deviation = initialDeviation
@@ -86,8 +86,8 @@
 // steady reports whether the latest observations were as expected.
 func (t *Tracker) steady() bool { return t.Run >= -steadyRun && t.Run <= steadyRun }
 
-// Variance returns the expected squared error of the median for one observation.
-func (t *Tracker) Variance() float64 {
+// variance returns the expected squared error of the median for one observation.
+func (t *Tracker) variance() float64 {
 	const (
 		perMeanDeviation = 1.25 // standard deviation over mean absolute deviation of a normal distribution
 		medianVariance   = 4    // variance of the median over that of an observation, for one observation
--- a/internal/stmtstats/snapshot_file.go
+++ b/internal/stmtstats/snapshot_file.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	snapshot, err := DecodeSnapshot(encoded)
+	snapshot, err := decodeSnapshot(encoded)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot %s: %w", path, err)
 	}
@@ -22,7 +22,7 @@
 // Write stores the snapshot in a file. It writes a temporary file, syncs it and renames it
 // over the old one, so that a crash leaves either the old file or the new one.
 func (s *Snapshot) Write(path string) error {
-	encoded, err := s.Encode()
+	encoded, err := s.encode()
 	if err != nil {
 		return err
 	}
--- a/internal/stmtstats/snapshot_format.go
+++ b/internal/stmtstats/snapshot_format.go
@@ -46,8 +46,8 @@
 	maxSnapshotPairs    = 1 << 10
 )
 
-// Encode returns the stored form of the snapshot.
-func (s *Snapshot) Encode() ([]byte, error) {
+// encode returns the stored form of the snapshot.
+func (s *Snapshot) encode() ([]byte, error) {
 	item, err := cbor.Marshal(s)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
@@ -68,9 +68,9 @@
 	return encoded, nil
 }
 
-// DecodeSnapshot parses the stored form of a snapshot. Its errors wrap
+// decodeSnapshot parses the stored form of a snapshot. Its errors wrap
 // ErrSnapshotForeign, ErrSnapshotVersion, ErrSnapshotTruncated or ErrSnapshotDamaged.
-func DecodeSnapshot(encoded []byte) (*Snapshot, error) {
+func decodeSnapshot(encoded []byte) (*Snapshot, error) {
 	body, err := verifiedBody(encoded)
 	if err != nil {
 		return nil, err
--- a/internal/stmtstats/snapshot_stored_test.go
+++ b/internal/stmtstats/snapshot_stored_test.go
@@ -114,11 +114,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	snapshot, err := DecodeSnapshot(stored)
+	snapshot, err := decodeSnapshot(stored)
 	if err != nil {
 		t.Fatal(err)
 	}
-	encoded, err := snapshot.Encode()
+	encoded, err := snapshot.encode()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/stmtstats/store_test.go
+++ b/internal/stmtstats/store_test.go
@@ -86,27 +86,27 @@
 func TestDecodeSnapshot_RejectsDamage(t *testing.T) {
 	s := newTestStore(t)
 	learn(s, "SELECT a FROM stock_1.parts WHERE part = 'p'", 5, 200)
-	good, err := s.Snapshot().Encode()
+	good, err := s.Snapshot().encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range good { // each length, and each changed byte
-		_, err := DecodeSnapshot(good[:n])
+		_, err := decodeSnapshot(good[:n])
 		if !errors.Is(err, ErrSnapshotTruncated) && !errors.Is(err, ErrSnapshotForeign) {
 			t.Fatalf("truncated to %d bytes: %v", n, err)
 		}
 		bad := bytes.Clone(good)
 		bad[n] ^= 0x40
-		if _, err := DecodeSnapshot(bad); err == nil {
+		if _, err := decodeSnapshot(bad); err == nil {
 			t.Fatalf("byte %d changed: no error", n)
 		}
 	}
-	if _, err := DecodeSnapshot(append(bytes.Clone(good), 0)); !errors.Is(err, ErrSnapshotDamaged) {
+	if _, err := decodeSnapshot(append(bytes.Clone(good), 0)); !errors.Is(err, ErrSnapshotDamaged) {
 		t.Errorf("a byte behind the end: %v", err)
 	}
 	other := bytes.Clone(good)
 	other[len(snapshotMagic)+3] = 99
-	if _, err := DecodeSnapshot(other); !errors.Is(err, ErrSnapshotVersion) {
+	if _, err := decodeSnapshot(other); !errors.Is(err, ErrSnapshotVersion) {
 		t.Errorf("another version: %v", err)
 	}
 }
@@ -143,14 +143,14 @@
 		f.Fatal(err)
 	}
 	learn(s, "SELECT a FROM stock_1.parts", 2, 200)
-	good, err := s.Snapshot().Encode()
+	good, err := s.Snapshot().encode()
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(good)
 	f.Add(good[:40])
 	f.Fuzz(func(t *testing.T, encoded []byte) {
-		snapshot, err := DecodeSnapshot(encoded)
+		snapshot, err := decodeSnapshot(encoded)
 		if err != nil {
 			return
 		}
