--- a/internal/decision/costmodel/costmodel_test.go
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// learn has the model learn a number of executions of the given work.
+// learn makes the model learn a number of executions of the given work.
 func (f *shapeFixture) learn(executions int, work float64) {
 	for range executions {
 		q := f.query
@@ -40,9 +40,9 @@
 	return f.model.Estimate(&q)
 }
 
-// For any reports of engines, an estimate is a number within bounds, its class is one of those
-// configured, and an implausible cost changes nothing.
-func TestEstimate_StaysWithinBounds(t *testing.T) {
+// For any reports of engines, an estimate is a number within its limits and its class is one of the
+// configured classes. An implausible cost changes nothing.
+func TestEstimate_StaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newShapeFixture(Config{Classes: classes()})
 		odd := rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)})
@@ -69,7 +69,7 @@
 					t.Fatalf("a cost of %g was learned", observed.WorkMillis)
 				}
 			}
-			checkBounds(t, f.model.Estimate(&q))
+			checkLimits(t, f.model.Estimate(&q))
 		}
 		if err := f.query.Record.Check(); err != nil {
 			t.Fatal(err)
@@ -80,8 +80,9 @@
 	})
 }
 
-// checkBounds checks that a known estimate consists of finite numbers within bounds and one of two classes.
-func checkBounds(t *rapid.T, estimate Estimate) {
+// checkLimits checks that a known estimate consists of finite numbers within their limits and one of two
+// classes.
+func checkLimits(t *rapid.T, estimate Estimate) {
 	t.Helper()
 	if !estimate.Known {
 		return
@@ -120,8 +121,8 @@
 	}
 }
 
-// A cost that changes by a factor of ten is followed within some ten observations, and not
-// without forgetting.
+// After a change of the cost by a factor of ten, the estimate adapts within some ten observations. Without
+// forgetting it does not.
 func TestLearn_FollowsChangedCostOnlyWithForgetting(t *testing.T) {
 	for _, forget := range []bool{true, false} {
 		f := newShapeFixture(Config{Classes: classes(), NoForgetting: !forget})
@@ -134,7 +135,7 @@
 	}
 }
 
-// One nonsensical report, or one plan that went wrong, has little influence.
+// One implausible report, or one execution with a bad plan, has little influence.
 func TestLearn_OutlierHasLittleInfluence(t *testing.T) {
 	for _, odd := range []float64{-1, 0, math.NaN(), math.Inf(1), 1e12, 3.5e6, 0.011} {
 		f := newShapeFixture(Config{Classes: classes()})
@@ -162,8 +163,8 @@
 	}
 }
 
-// A shape whose cost lies at a bound keeps its class until it is well past the bound.
-func TestHysteresis_KeepsClassAtBound(t *testing.T) {
+// A shape whose cost lies at the limit of a class keeps its class until its cost is well past the limit.
+func TestHysteresis_KeepsClassAtLimit(t *testing.T) {
 	f := newShapeFixture(Config{Classes: classes(), Hysteresis: 1.3})
 	rng := rand.New(rand.NewPCG(5, 6))
 	f.learn(20, 700)
@@ -185,7 +186,7 @@
 	}
 }
 
-// A cancelled execution is learned as a lower bound of the cost, and as nothing more.
+// The work of a cancelled execution is learned only as a lower bound of the cost.
 func TestLearn_CancelledExecutionIsLowerBound(t *testing.T) {
 	f := newShapeFixture(Config{Classes: classes()})
 	f.learn(30, 200)
@@ -194,7 +195,7 @@
 		f.model.Learn(&q, Observation{WorkMillis: 100, LowerBound: true})
 	}
 	if got := f.estimate().WorkMillis; got < 150 {
-		t.Errorf("%.0f ms after bounds below the cost", got)
+		t.Errorf("%.0f ms after lower bounds below the cost", got)
 	}
 	for range 30 {
 		q := f.query
@@ -205,7 +206,7 @@
 	}
 }
 
-// A value that is requested often and costs ten times the usual gets an estimate of its own.
+// A value that is requested often and costs ten times as much as others is estimated separately.
 func TestFrequentValue_IsCorrected(t *testing.T) {
 	f := newShapeFixture(Config{Classes: classes()})
 	for i := range 3000 {
@@ -221,7 +222,7 @@
 	q := f.query
 	q.Profile.Key = 42
 	if e := f.model.Estimate(&q); e.WorkMillis < 900 {
-		t.Errorf("%.0f ms for the heavy value: %s", e.WorkMillis, e.Explain())
+		t.Errorf("%.0f ms for the frequent value: %s", e.WorkMillis, e.Explain())
 	}
 	q.Profile.Key = 7
 	if e := f.model.Estimate(&q); e.WorkMillis > 300 {
--- a/internal/decision/costmodel/golden_test.go
+++ b/internal/decision/costmodel/golden_test.go
@@ -96,7 +96,7 @@
 		traffic := newGoldenTraffic(uint64(i))
 		for n := range 3000 {
 			query, observed := traffic.next()
-			if n%3 > 0 { // otherwise the model learns of an execution that was not estimated
+			if n%3 > 0 { // the other executions are learned without an estimate
 				estimate := model.Estimate(&query)
 				if n%50 == 1 {
 					fmt.Fprintf(&out, " %d %v\n  %s\n", n, estimate, estimate.Explain())
@@ -109,8 +109,8 @@
 	golden.Compare(t, "testdata/learned.golden", []byte(out.String()))
 }
 
-// The prior learns the same weights to the last bit, also after it has stopped forgetting, which it does
-// because most features never occur.
+// The prior learns the same weights to the last bit, even after it has stopped forgetting. It stops because
+// most features never occur.
 func TestPrior_LearnsGoldenFigures(t *testing.T) {
 	var out strings.Builder
 	rng := rand.New(rand.NewPCG(9, 1))
--- a/internal/decision/hotrestart/model_test.go
+++ b/internal/decision/hotrestart/model_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// explore visits all reachable states, breadth first, up to a bound. It stops at the first
+// explore visits all reachable states, breadth first, but at most the given number. It stops at the first
 // violation and returns the steps that lead to it.
 func explore(f faults, most int) (states, depth int, violation string, trace []string) {
 	type node struct {
@@ -50,9 +50,9 @@
 // maxStates limits the exploration.
 const maxStates = 3e6
 
-// All interleavings of a hot restart with two requests and up to two crashes keep the
-// invariants: a connection has one owner and a request one response, no request is retried that must
-// not be, the listener is never closed, and every request completes.
+// All interleavings of a hot restart with two requests and up to two crashes keep the invariants: a
+// connection has one owner, a request has one response, a request is retried only if that is permitted,
+// the listener is never closed, and every request completes.
 func TestModel_KeepsInvariantsInAllInterleavings(t *testing.T) {
 	states, depth, violation, trace := explore(faults{}, maxStates)
 	t.Logf("%d states, depth %d", states, depth)
--- a/internal/decision/hotrestart/world_steps_test.go
+++ b/internal/decision/hotrestart/world_steps_test.go
@@ -163,7 +163,8 @@
 	return ""
 }
 
-// deadlock returns what never completes in a state in which only crashes are possible, or "".
+// deadlock describes what never completes in a state in which only crashes are possible. It returns "" if
+// everything completes.
 func (w *world) deadlock() string {
 	if !w.predecessorAlive && !w.successorAlive {
 		return "" // no process runs that could respond
--- a/internal/decision/hotrestart/world_test.go
+++ b/internal/decision/hotrestart/world_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// world is two processes, the channel between them, clients and engines. It is the smallest world
-// that shows every interleaving: each client has one connection and one request. Its many booleans
-// are independent facts; every combination that can occur is a state of its own.
+// world is the state of two processes, the channel between them, clients and engines. It is the smallest
+// world with every interleaving: each client has one connection and one request. Its booleans are
+// independent, and every combination that can occur is a different state.
 type world struct {
 	predecessor Predecessor
 	successor   Successor
@@ -43,7 +43,7 @@
 	handlerDone                       // no process handles it any more
 )
 
-// stage is how far the successor is with a request.
+// stage is the successor's progress on a request.
 type stage byte
 
 const (
@@ -69,8 +69,8 @@
 	responseWritten    bool // by the successor
 }
 
-// limit is the length of all timeouts. Steps happen at 0, except those that let time pass: these happen
-// at limit.
+// limit is the length of all timeouts. Steps happen at time 0, except for the passing of time and
+// heartbeats, which happen at limit.
 const limit = time.Second
 
 func modelConfig() Config {
@@ -110,8 +110,8 @@
 	return w
 }
 
-// key identifies the state, with the types of the messages in the channel. It clears what
-// does not influence the next steps.
+// key identifies the state, with the types of the messages in the channel. It clears the fields that do
+// not influence the next steps.
 func (w *world) key() string {
 	w.predecessor.phaseStart = 0
 	w.predecessor.lastMessage = 0
@@ -144,7 +144,7 @@
 	return s.name != stepSuccessorCrashes && s.name != stepPredecessorCrashes
 }
 
-// stepPredecessor has the predecessor handle an event and carries out its actions.
+// stepPredecessor makes the predecessor handle an event and carries out its actions.
 func (w *world) stepPredecessor(f faults, now time.Duration, event Event) {
 	for _, action := range w.predecessor.Step(now, event) {
 		switch action := action.(type) {
@@ -201,7 +201,7 @@
 	w.successorListenerOpen = false
 }
 
-// reclaim has the predecessor take a connection back and recover its request.
+// reclaim makes the predecessor the owner of a connection again and recovers its request.
 func (w *world) reclaim(f faults, action ReclaimConn) {
 	c := &w.conns[action.Conn]
 	c.predecessorOwns = true
@@ -253,7 +253,7 @@
 	c.executions++
 }
 
-// stepSuccessor has the successor handle an event and carries out its actions.
+// stepSuccessor makes the successor handle an event and carries out its actions.
 func (w *world) stepSuccessor(event Event) {
 	for _, action := range w.successor.Step(0, event) {
 		switch action := action.(type) {
@@ -273,7 +273,7 @@
 	}
 }
 
-// record has the successor send its record of a request, ahead of each stage.
+// record makes the successor send its record of a request, before it enters the stage.
 func (w *world) record(i int, reached stage) {
 	if w.successor.Owner() {
 		return
--- a/internal/lab/experiment/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -8,8 +8,8 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// On traffic whose true classes are known, the classifier reaches the accuracy that the product
-// promises. Without any one of its parts, some figure is worse.
+// On traffic whose true classes are known, the classifier reaches the promised accuracy. Without any one
+// of its parts, some figure is worse.
 func TestEvaluate_EachPartOfTheClassifierContributes(t *testing.T) {
 	records := GenerateRecords(workload.Defaults(1), 12000)
 	results := map[string]Result{}
@@ -44,11 +44,11 @@
 	}
 }
 
-// floodRuns is how often the flood runs through W-TinyLFU. The hit rate varies from run to run, since
-// the seed of the cache's hash function differs: whether one of the rarest recurring shapes is
-// admitted depends on the shapes that share its counters. Over 960 runs the mean was 0.972, the
-// standard deviation 0.007 and the least 0.932. The mean of five stayed above the bound in all but
-// some 3 of 100,000 samples drawn from them.
+// floodRuns is the number of floods through W-TinyLFU. The hit rate varies from run to run, because the
+// seed of the cache's hash function differs: the admission of one of the rarest recurring shapes
+// depends on the shapes that share its counters. Over 960 runs the mean was 0.972, the standard
+// deviation 0.007 and the least 0.932. The mean of five stayed above floodMeanHitRate in all but some 3
+// of 100,000 samples drawn from these runs.
 const (
 	floodRuns        = 5
 	floodMeanHitRate = 0.955
@@ -72,7 +72,8 @@
 	return results
 }
 
-// During a flood of shapes that never recur, W-TinyLFU keeps the recurring ones within its limit.
+// During a flood of shapes that never recur, W-TinyLFU caches the recurring shapes and stays within its
+// limit.
 func TestFlood_TinyLFUKeepsRecurringShapesWithinItsBytes(t *testing.T) {
 	opts := FloodOptions{Seed: 1, Recurring: 200, OneOff: 60000, RecurringShare: 0.2, CacheBytes: 256 << 10}
 	names := append(slices.Repeat([]string{"w-tinylfu"}, floodRuns), "lru", "2q")
--- a/internal/lab/fake/engine_test.go
+++ b/internal/lab/fake/engine_test.go
@@ -45,7 +45,7 @@
 
 // The engine reports its progress three times and responds with the request. A cancelled statement has
 // no response.
-func TestServeLineProtocol_ReportsProgressAndRepeatsTheRequest(t *testing.T) {
+func TestServeLineProtocol_ReportsProgressAndEchoesTheRequest(t *testing.T) {
 	conn := startEngine(t, ServeLineProtocol)
 	const endless, cancel, quick = "want e k=1 7\r\nendless\r\n", "never_mind e\r\n", "want a k=1 8\r\nSELECT 1\r\n"
 	if _, err := io.WriteString(conn, endless+cancel+quick); err != nil {
@@ -62,7 +62,7 @@
 
 // The engine describes as many parameters as the statement names, and responds to an execution with the
 // statement.
-func TestServePostgres_DescribesParametersAndRepeatsTheStatement(t *testing.T) {
+func TestServePostgres_DescribesParametersAndEchoesTheStatement(t *testing.T) {
 	conn := startEngine(t, ServePostgres)
 	const statement = "SELECT $2, $1"
 	startupParameters := slices.Concat(pgproto.CString("user"), pgproto.CString("lab"), []byte{0})
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -150,10 +150,10 @@
 
 func checkStall(t *testing.T, conn *connection) {
 	t.Helper()
-	const leastStall = 20 * time.Millisecond // of the fault's time, when the byte is sent late
+	const leastStall = 20 * time.Millisecond // the remaining time of the fault if the byte is sent late
 	start := time.Now()
 	if got, err := conn.roundTrip('b'); err != nil || got != 'b' || time.Since(start) < leastStall {
-		t.Errorf("%q, %v after %v: it was not held back", got, err, time.Since(start))
+		t.Errorf("%q, %v after %v: it was not delayed", got, err, time.Since(start))
 	}
 }
 
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// addLoads is the same for loads, which are twice the work.
+// addLoads does the same for loads, which have twice the work.
 func (h *builtHistory) addLoads(count int, begin time.Duration) {
 	for i := range count {
 		h.addAttempt(fmt.Sprintf("load-%v-%d", begin, i), begin, begin+80*ms, responseServed, func(a *attempt) {
@@ -78,7 +78,7 @@
 	h.addChange(engineChange{engine: "s-1", state: stateReady, publishedAt: after(published), startedAt: runStart})
 }
 
-// checkerCase is a built history and the violations of it: the rules with the ids of the requests.
+// checkerCase is a built history and its violations: the rules with the ids of the requests.
 type checkerCase struct {
 	name  string
 	build func(h *builtHistory)
@@ -118,7 +118,7 @@
 	runCheckerCases(t, cases)
 }
 
-// Violations that were seen while the run went on come first, unchanged.
+// Violations that were detected during the run come first, unchanged.
 func TestCheck_KeepsTheViolationsOfTheRun(t *testing.T) {
 	h := newHistory()
 	seen := Violation{Rule: RuleProcess, Detail: "it has ended"}
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -14,22 +14,22 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// newTestRun returns a run without processes, whose front end is said to listen at the address.
+// newTestRun returns a run without processes. Its front end has the given address.
 func newTestRun(addr string) *run {
 	r := &run{history: newHistory(), settings: runSettings{retryAfter: true}}
 	r.frontEnds = []*frontEnd{{run: r, name: "n1", addr: addr, ready: true}}
 	return r
 }
 
-// rulesBroken lists the rules of the violations that were seen while the run went on.
-func rulesBroken(r *run) (rules []Rule) {
+// brokenRules returns the rules of the violations that were detected during the run.
+func brokenRules(r *run) (rules []Rule) {
 	for _, v := range r.history.violations {
 		rules = append(rules, v.Rule)
 	}
 	return rules
 }
 
-// The response decides the outcome of a request, and the rules that it breaks.
+// The response determines the outcome of a request and the violated rules.
 func TestReceive_ClassifiesTheResponse(t *testing.T) {
 	const id = "000000000000000a" // whose result has two pages
 	response := func(status, header, body string) string {
@@ -103,8 +103,8 @@
 			defer client.disconnect()
 			request := &request{id: id, sentAt: time.Now(), wait: 5 * time.Second}
 			err := client.receive(request)
-			if (err != nil) != c.fails || request.outcome != c.want || !slices.Equal(rulesBroken(r), c.broken) {
-				t.Errorf("%v, outcome %q, broken %q, want %+v", err, request.outcome, rulesBroken(r), c)
+			if (err != nil) != c.fails || request.outcome != c.want || !slices.Equal(brokenRules(r), c.broken) {
+				t.Errorf("%v, outcome %q, broken %q, want %+v", err, request.outcome, brokenRules(r), c)
 			}
 		})
 	}
@@ -117,8 +117,8 @@
 	request := &request{id: "a"}
 	c := &client{run: r}
 	c.classifyResponse(request, &http.Response{StatusCode: http.StatusServiceUnavailable}, responseBody{}, nil)
-	if request.outcome != outcomeRejected || rulesBroken(r) != nil {
-		t.Errorf("outcome %q, broken %q", request.outcome, rulesBroken(r))
+	if request.outcome != outcomeRejected || brokenRules(r) != nil {
+		t.Errorf("outcome %q, broken %q", request.outcome, brokenRules(r))
 	}
 }
 
@@ -163,8 +163,8 @@
 			go tcptest.Serve(listener, c.serve)
 			r := newTestRun(listener.Addr().String())
 			(&client{run: r, random: rand.New(rand.NewPCG(1, 1))}).sendMalformedRequest()
-			if !slices.Equal(rulesBroken(r), c.broken) {
-				t.Errorf("broken %q, want %q", rulesBroken(r), c.broken)
+			if !slices.Equal(brokenRules(r), c.broken) {
+				t.Errorf("broken %q, want %q", brokenRules(r), c.broken)
 			}
 		})
 	}
--- a/internal/lab/soak/engineprocess_test.go
+++ b/internal/lab/soak/engineprocess_test.go
@@ -86,7 +86,7 @@
 	return string(received)
 }
 
-// The seed decides how an engine responds to a request, to the byte, and each attempt is reported.
+// The seed determines every byte of an engine's response to a request, and each attempt is reported.
 func TestEngineProcess_RespondsAsItsSeedDecides(t *testing.T) {
 	const seeds = 24
 	events := &eventLog{}
--- a/internal/lab/soak/frontend_test.go
+++ b/internal/lab/soak/frontend_test.go
@@ -39,26 +39,26 @@
 			t.Fatal(err)
 		}
 		f.checkLog()
-		if !slices.Equal(rulesBroken(r), c.broken) {
-			t.Errorf("%s: broken %q, want %q", c.line, rulesBroken(r), c.broken)
+		if !slices.Equal(brokenRules(r), c.broken) {
+			t.Errorf("%s: broken %q, want %q", c.line, brokenRules(r), c.broken)
 		}
 	}
 	r := newTestRun("")
 	r.frontEnds[0].logPath = filepath.Join(t.TempDir(), "none")
 	r.frontEnds[0].checkLog()
-	if !slices.Equal(rulesBroken(r), []Rule{RuleProcess}) {
-		t.Errorf("without a log: broken %q", rulesBroken(r))
+	if !slices.Equal(brokenRules(r), []Rule{RuleProcess}) {
+		t.Errorf("without a log: broken %q", brokenRules(r))
 	}
 }
 
 // A process that ends without a signal of the run breaks the rule.
-func TestWatch_ReportsAnEndThatWasNotAskedFor(t *testing.T) {
+func TestWatch_ReportsAnEndWithoutASignal(t *testing.T) {
 	for name, c := range map[string]struct {
 		endingAt time.Time
 		broken   []Rule
 	}{
-		"asked for":     {time.Now(), nil},
-		"not asked for": {time.Time{}, []Rule{RuleProcess}},
+		"signalled":     {time.Now(), nil},
+		"not signalled": {time.Time{}, []Rule{RuleProcess}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			output, err := os.Create(filepath.Join(t.TempDir(), "output"))
@@ -75,8 +75,8 @@
 			f := r.frontEnds[0]
 			f.endingAt = c.endingAt
 			f.watch(process)
-			if !slices.Equal(rulesBroken(r), c.broken) || f.ready {
-				t.Errorf("broken %q, want %q; ready %v", rulesBroken(r), c.broken, f.ready)
+			if !slices.Equal(brokenRules(r), c.broken) || f.ready {
+				t.Errorf("broken %q, want %q; ready %v", brokenRules(r), c.broken, f.ready)
 			}
 		})
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-// Clients come on new connections for 300 ms after a SIGTERM, and use open ones for 500 ms.
+// Clients open new connections for 300 ms after a SIGTERM, and use open connections for 500 ms.
 func TestTakesRequests_EndsSomeTimeAfterTheSignal(t *testing.T) {
 	f := &frontEnd{ready: true}
 	now := time.Now()
--- a/internal/lab/soak/schedule_test.go
+++ b/internal/lab/soak/schedule_test.go
@@ -20,7 +20,7 @@
 
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
 
-// The faults of a run, their times and the first number that each draws follow from the seed.
+// The seed determines the faults of a run, their times and the first number that each fault draws.
 func TestSchedule_FollowsFromTheSeed(t *testing.T) {
 	const duration = 12 * time.Second
 	kinds := slices.Clone(faultKinds)
@@ -87,7 +87,7 @@
 	golden.Compare(t, "testdata/proxies-7.golden", []byte(text.String()))
 }
 
-// A fault claims a member that no other fault has, and leaves a share of the members alone.
+// A fault claims a member that no other fault has claimed, and a reserve of members is never claimed.
 func TestPool_ClaimsFreeMembersAndKeepsAReserve(t *testing.T) {
 	frontEnds := newPool[string](frontEndReserveDivisor)
 	engines := newPool[string](engineReserveDivisor)
@@ -146,7 +146,7 @@
 	}
 }
 
-// Each fault draws its parameters from its own seed, in this order.
+// Each fault draws its parameters from the random numbers of its seed, in the same order.
 func TestFaults_DrawTheirParametersFromTheSeed(t *testing.T) {
 	for seed, want := range []struct {
 		restart           engineRestart
@@ -204,7 +204,7 @@
 	}
 }
 
-// The faults that a front end always has are these.
+// Faults between those of the schedule are rare, except for faults of files.
 func TestBackgroundFaults_AreRare(t *testing.T) {
 	want := syscallfault.Faults{
 		ShortWrite: 0.01, InterruptWrite: 0.01, ShortRead: 0.01, InterruptRead: 0.01, FailFile: 0.2, TornFile: 0.2,
@@ -225,9 +225,9 @@
 	golden.Compare(t, "testdata/requests.golden", []byte(text.String()))
 }
 
-// The configuration of a front end holds the settings that the checker assumes, and the engines that
+// The configuration of a front end contains the settings that the checker assumes, and the engines that
 // are not removed.
-func TestFrontEndConfig_HoldsSettingsAndEngines(t *testing.T) {
+func TestFrontEndConfig_ContainsSettingsAndEngines(t *testing.T) {
 	bus, err := newEventBus()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/syscallfault/tracer_test.go
+++ b/internal/lab/syscallfault/tracer_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// roleVariable is the environment variable that makes a test binary run as the traced program. It
-// holds the address to connect to.
+// roleVariable is the environment variable that makes a test binary run as the traced program. Its value
+// is the address to which the program connects.
 const roleVariable = "SYSCALLFAULT_TEST_ROLE"
 
 // testFaults makes several kinds of faults frequent and the clock an hour fast.
--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/lab/traffic/traffic_test.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// A truncated file is reported as such after its complete records, and a changed file as damaged.
-// Files of another kind or version have errors of their own.
-func TestReader_TellsTruncatedDamagedAndForeignFilesApart(t *testing.T) {
+// A truncated file is reported as truncated after its complete records, and a changed file as damaged.
+// Files of another kind or version are reported as such.
+func TestReader_DistinguishesTruncatedDamagedAndForeignFiles(t *testing.T) {
 	good := generate(t, Poisson, 4000)
 	for _, n := range []int{len(good) - 1, len(good) - 20, len(good) / 2, 40, 9} {
 		all, err := read(good[:n])
--- a/internal/sqltext/analyzer_test.go
+++ b/internal/sqltext/analyzer_test.go
@@ -11,7 +11,7 @@
 )
 
 // Statements that differ only in values, case, spacing, comments and the length of lists
-// share a normal form; others have their own.
+// share a normal form. Other statements have different normal forms.
 func TestNormalForm_HidesValuesAndSpelling(t *testing.T) {
 	for want, stmts := range map[string][]string{
 		"select day, count(*) from sales_#.orders where tag = ? group by day": {
@@ -139,7 +139,7 @@
 	}
 }
 
-// The key of a value does not depend on whether it is a literal or bound, nor on its format.
+// The key of a value is the same for a literal and a bound value, in text and in binary form.
 func TestProfile_KeyIsIndependentOfFormat(t *testing.T) {
 	key := func(stmt string, binds Binds) uint64 {
 		return NewAnalyzer().Analyze(stmt).Profile(stmt, &binds, 7).Key
@@ -190,10 +190,10 @@
 		if want := EffectOf(stmt, nil); analysis.Effect != want {
 			t.Fatalf("%q: effect %v by Analyze, %v by EffectOf", stmt, analysis.Effect, want)
 		}
-		first, several := FirstWord(stmt)
-		if strings.ToUpper(analysis.FirstWord) != first || analysis.MultipleStatements != several {
-			t.Fatalf("%q: first word %q, several %v by Analyze; %q, %v by FirstWord",
-				stmt, analysis.FirstWord, analysis.MultipleStatements, first, several)
+		first, multiple := FirstWord(stmt)
+		if strings.ToUpper(analysis.FirstWord) != first || analysis.MultipleStatements != multiple {
+			t.Fatalf("%q: first word %q, multiple statements %v by Analyze; %q, %v by FirstWord",
+				stmt, analysis.FirstWord, analysis.MultipleStatements, first, multiple)
 		}
 		if len(analysis.NormalForm) > 2*len(stmt)+16 {
 			t.Fatalf("%d bytes of normal form for %d", len(analysis.NormalForm), len(stmt))
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -8,7 +8,7 @@
 )
 
 // A statement that may write is never classified as read-only, however it is written.
-func TestEffectOf_NeverReadsWhereStatementMayWrite(t *testing.T) {
+func TestEffectOf_NeverReadOnlyIfStatementMayWrite(t *testing.T) {
 	more := Functions{"stock.price_of": true, "is_open": true}
 	for stmt, want := range map[string]Effect{
 		"DELETE FROM t":                EffectWrites,
@@ -99,7 +99,7 @@
 }
 
 // A lock at the end of a long or deeply nested text is detected.
-func TestEffectOf_FindsLockBehindLongText(t *testing.T) {
+func TestEffectOf_FindsLockAfterLongText(t *testing.T) {
 	for _, fill := range []string{
 		"(", "[", "a,", "'x' ", "/* */", "E'\\\\' ", "$$x$$ ", "1.", "\"q\"", "WITH a AS (", "f.", "'a'\n",
 	} {
@@ -138,7 +138,7 @@
 		if EffectOf(stmt, nil).Effect == EffectReads && l.Flaws&^NonASCII == 0 {
 			isExplain := strings.HasPrefix(strings.ToUpper(SkipComments(stmt)), "EXPLAIN")
 			if got := EffectOf(stmt+"\n FOR UPDATE", nil); got.Effect == EffectReads && !isExplain {
-				t.Fatalf("%q reads also with FOR UPDATE behind it", stmt)
+				t.Fatalf("%q is read-only even if FOR UPDATE follows", stmt)
 			}
 		}
 	})
--- a/internal/sqltext/golden_test.go
+++ b/internal/sqltext/golden_test.go
@@ -95,10 +95,10 @@
 	fmt.Fprintf(&out, "\n flaws %05b\n", lexer.Flaws)
 
 	dataset, hasDataset := DatasetOf(stmt)
-	word, several := FirstWord(stmt)
+	word, multiple := FirstWord(stmt)
 	comment, hasComment := LeadingComment(stmt)
 	fmt.Fprintf(&out, " dataset %d %v, first word %q %v, comment %q %v, rest %q\n",
-		dataset, hasDataset, word, several, comment, hasComment, SkipComments(stmt))
+		dataset, hasDataset, word, multiple, comment, hasComment, SkipComments(stmt))
 	readOnly := Functions{"stock.price_of": true, "is_open": true}
 	verdict := EffectOf(stmt, readOnly)
 	fmt.Fprintf(&out, " effect %v, reason %q, word %q\n", verdict.Effect, verdict.Reason, verdict.Word)
--- a/internal/sqltext/statement_test.go
+++ b/internal/sqltext/statement_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Only the schema of a table names the dataset; strings, comments and aliases don't.
+// Only the schema of a table names the dataset. Strings, comments and aliases do not.
 func TestDatasetOf_FindsSchemaOfTable(t *testing.T) {
 	for stmt, want := range map[string]int64{
 		"SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day": 17,
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestFirstWord_SkipsCommentsAndSeesFurtherStatements(t *testing.T) {
+func TestFirstWord_SkipsCommentsAndReportsFurtherStatements(t *testing.T) {
 	for stmt, want := range map[string]struct {
 		word string
 		more bool
--- a/internal/stmtstats/service_test.go
+++ b/internal/stmtstats/service_test.go
@@ -15,17 +15,17 @@
 	pool.put(execution)
 	reused := pool.get()
 	if reused != execution {
-		t.Error("a released execution is not reused")
+		t.Error("the pool did not reuse a released execution")
 	}
 	if reused.parsed.text != "" || reused.Estimate.Known {
 		t.Errorf("the reused execution is not empty: %+v", reused)
 	}
 	if pool.get() == execution {
-		t.Error("one execution is handed out twice")
+		t.Error("the pool returned one execution twice")
 	}
 }
 
-func TestExecutionPool_HoldsBoundedNumber(t *testing.T) {
+func TestExecutionPool_LimitsItsSize(t *testing.T) {
 	var pool executionPool
 	for range maxFreeExecutions + 10 {
 		pool.put(&Execution{})
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestClassTable_KnowsClassesOfPolicyAndModel(t *testing.T) {
+func TestClassTable_IndexesClassesOfPolicyAndModel(t *testing.T) {
 	classes := []policy.Class{{Name: "load", Threads: 4}, {Name: "report", Threads: 0.5}, {Name: "lookup"}}
 	table := newClassTable(classes, []costmodel.Class{{Name: "lookup", MaxWorkMillis: 800}, {Name: "report"}})
 	for name, want := range map[string]int{"load": 0, "report": 1, "lookup": 2, "other": costmodel.NoClass} {
--- a/internal/stmtstats/snapshot_disk_test.go
+++ b/internal/stmtstats/snapshot_disk_test.go
@@ -18,8 +18,8 @@
 	return newTestService(t, settings, slog.New(slog.DiscardHandler)).counters
 }
 
-// Temporary files of snapshots that a killed process did not complete are removed at the next start:
-// nothing else would ever remove them.
+// The temporary files of a process that was killed during a write are removed at the next start, because
+// nothing else removes them.
 func TestNewService_RemovesIncompleteTemporaryFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "shapes")
@@ -39,8 +39,8 @@
 	}
 }
 
-// A snapshot that can't be read for a moment is not damaged: it stays under its name, and its
-// records are not lost.
+// A snapshot that can't be read does not count as damaged. It keeps its name, so that a later start can
+// use its records.
 func TestNewService_KeepsUnreadableSnapshot(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "shapes")
 	if err := os.Mkdir(path, 0o700); err != nil { // reading a directory fails with EISDIR
@@ -58,7 +58,7 @@
 	}
 }
 
-// A snapshot that can't be put in place is reported, and its temporary file is removed.
+// If the snapshot file can't be replaced, Write returns an error and removes its temporary file.
 func TestSnapshotWrite_RemovesTemporaryFileOnFailure(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "shapes")
--- a/internal/stmtstats/snapshot_stored_test.go
+++ b/internal/stmtstats/snapshot_stored_test.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	storedSnapshot = "testdata/learned.shapes" // never written anew
+	storedSnapshot = "testdata/learned.shapes" // must not be regenerated
 	storedGolden   = "testdata/learned.golden"
 	storedProbes   = "../lab/traffic/testdata/season-seed7-100.traffic"
 )
@@ -66,8 +66,7 @@
 	return all
 }
 
-// A snapshot written by an earlier version gives the same estimates as then, to the last
-// digit.
+// A snapshot of an earlier version gives the same estimates as in that version, to the last digit.
 func TestStoredSnapshot_KeepsEstimates(t *testing.T) {
 	snapshot, err := ReadSnapshot(storedSnapshot)
 	if err != nil {
@@ -107,8 +106,8 @@
 	return item
 }
 
-// A stored snapshot that is decoded and encoded again is the same CBOR item: no field name
-// has changed, none is missing and none is new.
+// A stored snapshot that is decoded and encoded again gives the same CBOR item, so that no field name
+// has changed.
 func TestStoredSnapshot_KeepsFieldNames(t *testing.T) {
 	stored, err := os.ReadFile(storedSnapshot)
 	if err != nil {
--- a/internal/stmtstats/store_test.go
+++ b/internal/stmtstats/store_test.go
@@ -36,8 +36,8 @@
 	return s.Estimate(s.Parse(text), nil, costmodel.NoClass, Hint{}).Estimate
 }
 
-// learn has the store learn the given number of executions of a text, and estimates one
-// more: a lookup that is not learned from also counts for the cache's policy.
+// learn makes the store learn the given number of executions of a text. It then estimates one more,
+// because each lookup counts for the policy of the cache.
 func learn(s *Store, text string, executions int, work float64) {
 	for range executions {
 		execution := s.Estimate(s.Parse(text), nil, costmodel.NoClass, Hint{})
@@ -102,7 +102,7 @@
 		}
 	}
 	if _, err := decodeSnapshot(append(bytes.Clone(good), 0)); !errors.Is(err, ErrSnapshotDamaged) {
-		t.Errorf("a byte behind the end: %v", err)
+		t.Errorf("a byte after the end: %v", err)
 	}
 	other := bytes.Clone(good)
 	other[len(snapshotMagic)+3] = 99
@@ -111,7 +111,7 @@
 	}
 }
 
-// A flood of one-off shapes neither exceeds the bound of bytes nor evicts those that recur.
+// A flood of one-off shapes does not exceed the limit in bytes and does not evict recurring shapes.
 func TestStore_KeepsRecurringShapesInFlood(t *testing.T) {
 	s := newTestStore(t)
 	recurring := func(i int) string { return fmt.Sprintf("SELECT c%d FROM stock_1.orders WHERE part = 'p'", i) }
@@ -161,7 +161,7 @@
 	})
 }
 
-// BenchmarkRequest measures what one request costs in all: parsed, estimated and learned.
+// BenchmarkRequest measures the cost of one request: it is parsed, estimated and learned.
 func BenchmarkRequest(b *testing.B) {
 	store, err := New(Options{MaxBytes: 2 << 20})
 	if err != nil {
