--- a/cmd/flaxlab/traffic_generate.go
+++ b/cmd/flaxlab/traffic_generate.go
@@ -44,9 +44,9 @@
 // generateCommand writes a file of generated traffic.
 type generateCommand struct {
 	workloadFlags
-	File  string  `name:"file" arg:"" help:"The file to write."`
-	Rate  float64 `name:"rate" default:"99" help:"Mean statements per second."`
-	Comes string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"Arrival process: ${enum}."`
+	File     string  `name:"file" arg:"" help:"The file to write."`
+	Rate     float64 `name:"rate" default:"99" help:"Mean statements per second."`
+	Arrivals string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"Arrival process: ${enum}."`
 }
 
 // progressBarWidth is the width of the progress bar in columns of the terminal.
@@ -74,7 +74,7 @@
 	bar := progress.AddBar(int64(c.Number),
 		mpb.PrependDecorators(decor.Name("statements ")),
 		mpb.AppendDecorators(decor.CountersNoUnit("%d of %d")))
-	process := traffic.ArrivalProcess(c.Comes)
+	process := traffic.ArrivalProcess(c.Arrivals)
 	err := traffic.Generate(out, c.options(), c.Number, c.Rate, process, func(records int) { bar.IncrBy(records) })
 	bar.SetCurrent(int64(c.Number))
 	progress.Wait()
