--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -183,8 +183,8 @@
 	return time.Duration(c.random.IntN(limit)) * time.Millisecond
 }
 
-// killedAround reports whether the front end was killed after a second before the request was sent and
-// before the given time.
+// killedAround reports whether the front end was killed between one second before the request was sent
+// and the given time.
 func (c *client) killedAround(r *request, until time.Time) bool {
 	const before = time.Second
 	return c.target.killedWithin(r.sentAt.Add(-before), until)
