--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -18,9 +18,9 @@
 }
 
 const (
-	// wellKnownSamples is the number of executions from which on a bucket's record and the hint
-	// suffice as components. From then on the model also learns only from a sample of the bucket's
-	// executions, as long as their cost is as expected. Most traffic belongs to such buckets.
+	// wellKnownSamples is the number of executions at which a bucket counts as well known. Its record and
+	// the hint then suffice as components, and the model learns only from a sample of its executions while
+	// their cost is as expected. Most traffic belongs to such buckets.
 	wellKnownSamples = 200
 	// minTrackedSamples is the least number of observations that make an offset usable.
 	minTrackedSamples = 2
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -7,11 +7,11 @@
 // shapes. Otherwise a broad report would get the estimate of a lookup of the same shape.
 
 const (
-	// newValueSamples is the number of executions from which on a bucket's values are no longer
-	// new to the shape.
+	// newValueSamples is the number of executions of a bucket at which its values stop counting as new
+	// to the shape.
 	newValueSamples = 5
-	// similarValueSamples is the number of executions of a bucket from which on the errors made on
-	// similar values are ignored.
+	// similarValueSamples is the number of executions of a bucket at which the errors made on similar
+	// values stop being used.
 	similarValueSamples = 10
 )
 
@@ -21,7 +21,7 @@
 	Hint  Tracker `cbor:"Hint"`
 }
 
-// componentErrors are the errors by which two components are to be corrected.
+// componentErrors are the errors by which two components must be corrected.
 type componentErrors struct {
 	prior *Tracker
 	hint  *Tracker
@@ -54,7 +54,7 @@
 	return m.SimilarValues.find(similarKey(m.bucketKey(query), query.Profile.Column))
 }
 
-// relevantErrors returns the errors by which the prior and the hint are to be corrected.
+// relevantErrors returns the errors by which the prior and the hint must be corrected.
 func (m *Model) relevantErrors(
 	query *Query, bucket *Bucket, similar *valueStatistics, atypicality float64,
 ) componentErrors {
--- a/internal/decision/hotrestart/hotrestart.go
+++ b/internal/decision/hotrestart/hotrestart.go
@@ -31,7 +31,7 @@
 
 import "time"
 
-// Phase is the phase of a hot restart, as the predecessor sees it.
+// Phase is the predecessor's phase of a hot restart.
 type Phase uint8
 
 // Phases of the predecessor.
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -13,7 +13,7 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// CostOptions say how to measure what query shapes cost flaxrelay.
+// CostOptions configure the measurement of the CPU time that query shapes add to flaxrelay.
 type CostOptions struct {
 	Root     string // the repository
 	Program  string // flaxrelay
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -74,7 +74,7 @@
 	HitRate            float64 // of the cache, over all records
 }
 
-// EvaluateOptions says how to evaluate.
+// EvaluateOptions configure Evaluate.
 type EvaluateOptions struct {
 	TrainShare float64 // share of the records that is only learned; the others are evaluated and learned
 	CacheBytes int     // limit of the cache
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -111,7 +111,7 @@
 	result.HitRate = float64(hits) / float64(max(result.Lookups, 1))
 }
 
-// recurringText returns a statement of the n-th recurring shape, which has a column list of its own.
+// recurringText returns a statement of the n-th recurring shape. Each shape has a different column list.
 func recurringText(n int) string {
 	const (
 		columns = 17 // of each of the two kinds, so that few columns give many lists
--- a/internal/lab/fake/line_server.go
+++ b/internal/lab/fake/line_server.go
@@ -54,7 +54,7 @@
 type LineHandler interface {
 	// Received is called with each request on its arrival, before Handle.
 	Received(request LineRequest)
-	// Handle works on a request and responds, on a goroutine of its own. The context ends when the
+	// Handle executes a request and responds. It runs on a separate goroutine. The context ends when the
 	// request is cancelled or its connection ends.
 	Handle(ctx context.Context, exchange *LineExchange)
 	// Cancelled is called once for a request that is cancelled, or whose connection ends, before
@@ -96,7 +96,7 @@
 	conn    net.Conn
 	handler LineHandler
 
-	mu       sync.Mutex               // guards writes to conn, and what follows
+	mu       sync.Mutex               // guards writes to conn and the field below
 	inFlight map[string]*LineExchange // by request id
 }
 
--- a/internal/lab/faultproxy/faults.go
+++ b/internal/lab/faultproxy/faults.go
@@ -15,7 +15,7 @@
 	CorruptResponses Kind = "corrupt-responses" // one byte of each chunk of the responses is changed
 	Disconnect       Kind = "disconnect"        // connections are closed, and new ones are reset
 	Reset            Kind = "reset"             // connections are reset (RST), once at its start
-	HalfClose        Kind = "half-close"        // the direction to the server is closed, responses go on
+	HalfClose        Kind = "half-close"        // the direction to the server is closed, the other stays open
 )
 
 // known reports whether the kind exists.
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -22,7 +22,7 @@
 // anyLoopbackPort lets the kernel choose a free port.
 var anyLoopbackPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// Options say how the proxy relays.
+// Options configure a proxy.
 type Options struct {
 	Delay     time.Duration // of each direction
 	Jitter    time.Duration // is added to the delay, uniform from 0 to this; the order of bytes stays
@@ -39,7 +39,7 @@
 	start    time.Time
 	timers   []*time.Timer // of the faults
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	relays map[*relay]bool
 	random *rand.Rand
 	change chan struct{} // closed and replaced when a fault begins or ends
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -22,7 +22,7 @@
 // onlyOffset is the offset of the only event of the emulated bus.
 const onlyOffset = 1
 
-// Options say what to set up.
+// Options configure an Environment.
 type Options struct {
 	Root         string // the repository, whose deploy files are used
 	Dir          string // for the written files
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -20,7 +20,8 @@
 	maxPause = 120 * time.Millisecond
 )
 
-// How often a client does not simply send a request and wait for its response: once in so many requests.
+// How often a client does not simply send a request and wait for its response: once in this number of
+// requests.
 const (
 	malformedRequestOneIn = 40
 	disconnectOneIn       = 20
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,7 +1,7 @@
 // Package soak injects randomized faults into real front-end processes on loopback and checks rules that
 // must hold under every fault.
 //
-// A run starts front ends under internal/lab/syscallfault, engines as processes of their own, an
+// A run starts front ends under internal/lab/syscallfault, engines as separate processes, an
 // event bus, proxies with faults in front of some engines, and the clients of the workload. The
 // fault schedule is drawn from the run's seed: graceful shutdowns, kills, reloads, drained,
 // restarted and hanging engines, stepped clocks, failing system calls and disks, a bus that is
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -212,7 +212,7 @@
 	return faults, drawDuration(random, minTime, timeRange)
 }
 
-// failSystemCalls makes the system calls of a front end fail for a while.
+// failSystemCalls makes system calls of a front end fail for a drawn time.
 func (r *run) failSystemCalls(random *rand.Rand) {
 	f, ok := r.frontEndPool.claim(random)
 	if !ok {
--- a/internal/lab/soak/pool.go
+++ b/internal/lab/soak/pool.go
@@ -10,7 +10,7 @@
 // claim a member. A share of the members is always unclaimed, so that the run can serve requests. It is
 // safe for concurrent use.
 type pool[M comparable] struct {
-	reserveDivisor int // at least one in so many members is unclaimed
+	reserveDivisor int // at least one in reserveDivisor members is unclaimed
 
 	mu      sync.Mutex // guards the fields below
 	members []M
--- a/internal/lab/syscallfault/tracer.go
+++ b/internal/lab/syscallfault/tracer.go
@@ -271,8 +271,8 @@
 	}
 }
 
-// resume handles one stop of a thread. Its requests fail if the thread was killed meanwhile; the next
-// wait reports its end.
+// resume handles one stop of a thread and continues the thread. It ignores errors of ptrace: they mean
+// that the thread was killed, which the next wait reports.
 func (p *Process) resume(thread int, status syscall.WaitStatus) {
 	signal := status.StopSignal()
 	switch {
--- a/internal/lab/workload/writes.go
+++ b/internal/lab/workload/writes.go
@@ -37,7 +37,7 @@
 	return statement, loadBaseMS + loadRowMS*usualLoadRows
 }
 
-// writeFormats are statements that change stored data, some of which look like lookups. Their
+// writeFormats are statements that change stored data. Some of them resemble lookups. Their
 // arguments are the number of a table group and the number of a part.
 var writeFormats = []string{
 	"DELETE FROM stock_%d.returns WHERE part = 'p-%05d'",
--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -86,5 +86,5 @@
 type Classification struct {
 	Effect             Verdict // as returned by EffectOf
 	FirstWord          string  // as returned by the function FirstWord, but in the case of the text
-	MultipleStatements bool    // the text holds more than one statement
+	MultipleStatements bool    // the text contains more than one statement
 }
--- a/internal/sqltext/doc.go
+++ b/internal/sqltext/doc.go
@@ -7,7 +7,7 @@
 //   - what the values of one execution indicate of the size of its result (Profile).
 //
 // All functions take time linear in the length of the text. They allocate nothing except results
-// that are strings of their own. An Analyzer does all of it in one pass over the tokens.
+// that are new strings. An Analyzer does all of it in one pass over the tokens.
 //
 // The rules are those of src/backend/parser/scan.l, as documented in chapter 4.1 ("Lexical
 // Structure") of the PostgreSQL manual. If versions differ (a number followed by a letter, a
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -45,7 +45,7 @@
 // PostgreSQL's own.
 //
 // Writes that the text doesn't show are not detected: a view or an operator over a function that
-// writes, a cast with a function of its own, and a column that is a function (t.f).
+// writes, a cast that calls a function, and a function that is called like a column (t.f).
 func EffectOf(stmt string, readOnly Functions) Verdict {
 	l := Lexer{Src: stmt}
 	classifier := effectClassifier{readOnly: readOnly}
--- a/internal/sqltext/effect_call.go
+++ b/internal/sqltext/effect_call.go
@@ -51,7 +51,7 @@
 	return c.previousKind == QuotedIdentifier || c.wordBeginsCall()
 }
 
-// inAlias reports whether a parenthesis holds the columns of an alias.
+// inAlias reports whether a parenthesis contains the columns of an alias.
 func (c *effectClassifier) inAlias() bool {
 	return c.keywordBefore == keywordAs ||
 		c.kindBefore == RightParen && !c.hasDistinctOn && c.previousClass&(reservedWord|infixWord) == 0
--- a/internal/sqltext/golden_test.go
+++ b/internal/sqltext/golden_test.go
@@ -122,8 +122,8 @@
 	return out.String()
 }
 
-// The results for listed statements are compared in full, and those for composed ones by a hash
-// of each block.
+// The results for listed statements are compared in full. The results for composed statements are
+// compared by a hash of each block.
 func TestResults_MatchGolden(t *testing.T) {
 	var out strings.Builder
 	for _, stmt := range goldenStatements {
--- a/internal/sqltext/lists.go
+++ b/internal/sqltext/lists.go
@@ -13,7 +13,7 @@
 	elementStart   int // of the current element
 	count          int // of complete elements
 	slot           int // index of the slot with the number of elements, or noSlot
-	plainRowLength int // number of values in the first row if it holds nothing else, or 0
+	plainRowLength int // number of values in the first row if it contains nothing else, or 0
 }
 
 const (
@@ -25,10 +25,10 @@
 	return foldedList{depth: depth, start: start, elementStart: start, firstLength: unknownLength, slot: noSlot}
 }
 
-// maxNestedLists is the number of nested lists that are folded; deeper ones are not.
+// maxNestedLists limits the nesting of lists that are folded.
 const maxNestedLists = 8
 
-// listStack holds the lists that are open, the innermost last.
+// listStack is the stack of open lists, the innermost last.
 type listStack struct {
 	entries [maxNestedLists]foldedList
 	count   int
@@ -112,7 +112,7 @@
 	}
 }
 
-// plainRowLength returns the number of values of a row that holds nothing else, such as
+// plainRowLength returns the number of values of a row that contains nothing else, such as
 // (?, ?, ?), and 0 for other rows.
 func plainRowLength(row []byte) int {
 	const (
--- a/internal/sqltext/names.go
+++ b/internal/sqltext/names.go
@@ -71,7 +71,7 @@
 // maxAggregateName is the length in bytes of the longest aggregate function's name, rounded up.
 const maxAggregateName = 12
 
-// name handles a name that is no key word.
+// name handles a name that is not a key word.
 func (p *analysisPass) name(t Token, text string) {
 	p.expected.column = t.hash()
 	if t.Kind == QuotedIdentifier {
@@ -92,7 +92,7 @@
 	if end >= len(p.lexer.Src) || len(text) > maxAggregateName {
 		return false
 	}
-	switch p.lexer.Src[end] { // the next character rules out most names at once
+	switch p.lexer.Src[end] { // the next character excludes most names without a look-up
 	case '(', ' ', '/', '\n', '\t', '\r':
 	default:
 		return false
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -25,7 +25,7 @@
 	Key                  uint64  // hash of the first value compared for equality; 0: none
 }
 
-// maxSpan limits the width of a range; it also replaces a width that is no number.
+// maxSpan limits the width of a range. It also replaces a width that is a NaN.
 const maxSpan = 1e12
 
 // Profile evaluates the values of one execution, both literals and bound values. seed is
--- a/internal/sqltext/slots.go
+++ b/internal/sqltext/slots.go
@@ -110,7 +110,7 @@
 	}
 	p.expected.afterInterval = false
 	if role == RoleList && p.inAlternatives() {
-		return // it has no slot of its own: the list's slot has the number of elements
+		return // the list has a single slot, with the number of its elements
 	}
 	isNullGuard := p.keywordBefore == keywordCoalesce && p.previousKind == LeftParen
 	p.expected.parameter = 0
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -23,7 +23,7 @@
 // noWord replaces the first word of a statement that begins with another token.
 const noWord = "("
 
-// statementCounter finds the first word of a text, and whether the text holds more than one statement.
+// statementCounter finds the first word of a text, and whether the text contains more than one statement.
 type statementCounter struct {
 	firstWord string // as written; noWord: the text begins with another token; "": no token so far
 	ended     bool   // the first statement has ended
--- a/internal/sqltext/token.go
+++ b/internal/sqltext/token.go
@@ -62,12 +62,12 @@
 	// BackslashQuote means that a backslash precedes a quote in an ordinary string. If
 	// standard_conforming_strings is off, the string does not end there.
 	BackslashQuote
-	// UnicodeEscape means that a name or string is written U&: its escapes hide the characters
-	// that it stands for.
+	// UnicodeEscape means that a name or string has the prefix U&, so that escapes may hide its
+	// characters.
 	UnicodeEscape
 	// InvalidCharacter means that no lexical rule accepts a character, such as NUL.
 	InvalidCharacter
-	// NonASCII means that the text holds bytes above 0x7f. That is no flaw by itself:
-	// the positions of tokens are unreliable only if the text is not valid UTF-8.
+	// NonASCII means that the text contains bytes above 0x7f. The positions of tokens are unreliable
+	// only if the text is also not valid UTF-8.
 	NonASCII
 )
--- a/internal/sqltext/values.go
+++ b/internal/sqltext/values.go
@@ -25,7 +25,7 @@
 }
 
 // firstWildcard returns the position of the first wildcard of a pattern. A regular
-// expression has a leading wildcard if its first special character stands at its start or
+// expression has a leading wildcard if its first special character is at its start or
 // directly after the anchor ^.
 func firstWildcard(pattern string) Wildcard {
 	for i := range len(pattern) {
--- a/internal/stmtstats/snapshot_writer.go
+++ b/internal/stmtstats/snapshot_writer.go
@@ -10,8 +10,8 @@
 )
 
 // snapshotWriter writes snapshots of a store to a file and reports the outcome of each write. It owns
-// the schedule of the snapshots. Its methods must be called from the goroutine of the event loop; a
-// write runs in a goroutine of its own, because a disk may hang.
+// the schedule of the snapshots. Its methods must be called from the goroutine of the event loop. Each
+// write runs in a separate goroutine, because a disk may hang.
 type snapshotWriter struct {
 	store    *Store
 	path     string
--- a/internal/stmtstats/store_test.go
+++ b/internal/stmtstats/store_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// A snapshot that is truncated, changed in any byte, of another version or no snapshot at
-// all is rejected with an error that says so.
+// A snapshot that is truncated, changed in any byte, of another version or of another format is
+// rejected with the error for that fault.
 func TestDecodeSnapshot_RejectsDamage(t *testing.T) {
 	s := newTestStore(t)
 	learn(s, "SELECT a FROM stock_1.parts WHERE part = 'p'", 5, 200)
