--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -9,8 +9,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// decodeTOML decodes TOML and reports unknown fields as faults. It returns false if the text could
-// not be decoded at all.
+// decodeTOML decodes TOML and reports unknown keys as faults. If the text cannot be decoded, it
+// reports the fault and returns false.
 func decodeTOML(v *validator, raw []byte, into any) bool {
 	v.locate = func(field string) int { return tomlLine(raw, field) }
 	metadata, err := toml.Decode(string(raw), into)
@@ -42,7 +42,7 @@
 	return fault
 }
 
-// decodeJSON decodes JSON whose faults are located by their fields.
+// decodeJSON decodes JSON. From then on the validator finds the line of a fault by its field.
 func decodeJSON(v *validator, raw []byte, into any) error {
 	v.locate = func(field string) int { return jsonLine(raw, field) }
 	return json.Unmarshal(raw, into) //nolint:wrapcheck // jsonFault translates the error
@@ -75,7 +75,7 @@
 }
 
 // platformField returns the path of a faulty field from the top of the platform's configuration. A
-// fault that was found while the settings object was decoded names its field from there.
+// fault inside the settings object gives the path from the top of that object.
 func platformField(raw []byte, field string) string {
 	inSettings := settingsKey + "." + field
 	if field != "" && jsonLine(raw, inSettings) > jsonLine(raw, settingsKey) {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,6 +1,7 @@
 // Package config reads the files that configure a front end: the platform's configuration (JSON),
-// which contains the settings object that the simulation adapter reads too, the deploy file of the
-// PostgreSQL front end (TOML) and the file of query shape settings (TOML).
+// the settings object, which the platform's configuration contains and the simulation adapter reads
+// too (JSON), the deploy file of the PostgreSQL front end (TOML) and the file of shape settings of
+// the HTTP front end (TOML).
 //
 // Reading has three steps, each in files of its own: decoding into types that have the keys of the
 // file, translation into the types of other packages, and validation. Faults are reported as
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -8,9 +8,9 @@
 
 // FieldError is one fault of a configuration file.
 type FieldError struct {
-	File    string // "" if the text was not read from a file
-	Line    int    // from 1; 0: the field is missing or its line is unknown
-	Field   string // as in statement[0].class
+	File    string // path; "" if the text was not read from a file
+	Line    int    // from 1; 0: unknown
+	Field   string // path of the field in the file, as in statement[0].class; "": unknown
 	Problem string // what is wrong and what is expected
 }
 
@@ -42,8 +42,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// FieldErrorsOf returns the faults that an error wraps. Any other error becomes one fault without a
-// place.
+// FieldErrorsOf returns the faults that an error wraps. Any other error becomes one fault without
+// file, line and field.
 func FieldErrorsOf(err error) FieldErrors {
 	var faults FieldErrors
 	var fault FieldError
--- a/internal/config/json_location.go
+++ b/internal/config/json_location.go
@@ -17,18 +17,18 @@
 		field:   field,
 		matched: noMatch,
 	}
-	// An error ends the walk early. The line found by then is still right.
+	// An error ends the walk early. The line that was found before the error is still correct.
 	_ = locator.walkValue("")
 	return locator.line
 }
 
-// jsonLocator walks a JSON document for the line of a field.
+// jsonLocator walks a JSON document to find the line of a field.
 type jsonLocator struct {
 	raw     []byte
 	decoder *json.Decoder
 	field   string
-	line    int // line of the longest path so far that leads to the field
-	matched int // length of that path, or noMatch
+	line    int // line of the longest path so far that leads to the field; 0 if there is none
+	matched int // length of that path in bytes, or noMatch
 }
 
 // noMatch is less than the length of any path.
@@ -57,7 +57,7 @@
 	return token, nil
 }
 
-// walkValue reads one value with all that it contains.
+// walkValue reads one value and all values inside it.
 func (l *jsonLocator) walkValue(path string) error {
 	token, err := l.nextToken()
 	if err != nil {
@@ -84,7 +84,7 @@
 		if err != nil {
 			return err
 		}
-		key, _ := token.(string) // the decoder accepts nothing else as a key
+		key, _ := token.(string) // the decoder accepts only strings as keys
 		if path != "" {
 			key = path + "." + key
 		}
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -59,7 +59,7 @@
 		Listen: "127.0.0.1:1", SettingsFile: "s.json", MemoryMB: 2, MaxDescriptors: 3, MaxClients: 4,
 		DefaultClass: "five", WriteClass: "six", ReadOnlyFunctions: []string{"seven"},
 		User: "eight", Database: "nine", ConnectTimeoutMS: 10.5, IdleTimeoutMS: 11.5,
-		Statements: []Statement{{Prefix: "twelve", Class: "thirteen", KeyParameter: 14, ReadOnly: true}},
+		Statements: []StatementRule{{Prefix: "twelve", Class: "thirteen", KeyParameter: 14, ReadOnly: true}},
 		Consul: Consul{
 			Address: "fifteen", Service: "sixteen", Token: "seventeen", Zone: "eighteen", Kind: "nineteen",
 		},
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -9,31 +9,31 @@
 
 // Postgres is the deploy file of the PostgreSQL front end.
 type Postgres struct {
-	Listen            string      `toml:"listen"`   // address for clients; "": the front end is off
-	SettingsFile      string      `toml:"settings"` // file of the settings object, relative to this file's folder
-	MemoryMB          int         `toml:"memory_mb"`
-	MaxDescriptors    int         `toml:"sockets"`
-	MaxClients        int         `toml:"most_clients"`
-	DefaultClass      string      `toml:"default_class"`
-	WriteClass        string      `toml:"write_class"`         // of statements that may write and have no class; see firstWriteClass
-	ReadOnlyFunctions []string    `toml:"read_only_functions"` // names, with their schema if they need one
-	Statements        []Statement `toml:"statement"`
-	User              string      `toml:"user"` // the front end connects to engines as this user
-	Database          string      `toml:"database"`
-	ConnectTimeoutMS  float64     `toml:"connect_timeout_ms"`
-	IdleTimeoutMS     float64     `toml:"idle_close_ms"`
-	Consul            Consul      `toml:"consul"`
-	Shapes            Shapes      `toml:"shapes"`
-	Settings          Settings    `toml:"-"` // read from SettingsFile
+	Listen            string          `toml:"listen"`   // address for clients; "": the front end is off
+	SettingsFile      string          `toml:"settings"` // file of the settings object, relative to this file's folder
+	MemoryMB          int             `toml:"memory_mb"`
+	MaxDescriptors    int             `toml:"sockets"`
+	MaxClients        int             `toml:"most_clients"`
+	DefaultClass      string          `toml:"default_class"`
+	WriteClass        string          `toml:"write_class"`         // of statements that may write and have no class; see firstWriteClass
+	ReadOnlyFunctions []string        `toml:"read_only_functions"` // names, with their schema if they need one
+	Statements        []StatementRule `toml:"statement"`
+	User              string          `toml:"user"` // the front end connects to engines as this user
+	Database          string          `toml:"database"`
+	ConnectTimeoutMS  float64         `toml:"connect_timeout_ms"`
+	IdleTimeoutMS     float64         `toml:"idle_close_ms"`
+	Consul            Consul          `toml:"consul"`
+	Shapes            Shapes          `toml:"shapes"`
+	Settings          Settings        `toml:"-"` // read from SettingsFile
 }
 
-// Statement assigns a class to statements that begin with some words, and names the parameter that
-// contains their idempotency key.
-type Statement struct {
-	Prefix       string `toml:"starts"`
+// StatementRule assigns a class to statements that begin with some words, and names the parameter
+// that contains their idempotency key.
+type StatementRule struct {
+	Prefix       string `toml:"starts"` // the words that the statements begin with
 	Class        string `toml:"class"`
-	KeyParameter int    `toml:"key"` // from 1; 0: none
-	ReadOnly     bool   `toml:"read_only"`
+	KeyParameter int    `toml:"key"`       // number of the parameter, from 1; 0: none
+	ReadOnly     bool   `toml:"read_only"` // the operator declares that the statements write nothing
 }
 
 // Consul names the Consul service whose instances are the engines.
@@ -68,7 +68,7 @@
 }
 
 // complete validates the deploy file, reads the settings from its folder and sets the defaults of
-// missing fields. Classes can only be validated against the settings.
+// missing fields. It validates classes after it has read the settings, which define them.
 func (p *Postgres) complete(v *validator, folder string) {
 	p.validateServer(v)
 	if p.Database == "" {
@@ -86,7 +86,8 @@
 	p.Shapes.validate(v, "shapes.", classes)
 }
 
-// loadSettings reads the settings file. It returns false if that could not be decoded.
+// loadSettings reads the settings file, and reports its faults to the validator. It returns false if
+// the file could not be read or decoded.
 func (p *Postgres) loadSettings(v *validator, folder string) bool {
 	path := p.SettingsFile
 	if !filepath.IsAbs(path) {
@@ -103,7 +104,7 @@
 	return decoded
 }
 
-// Classes returns the classes that statements may get.
+// Classes returns the names of the classes that the file assigns to statements.
 func (p *Postgres) Classes() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		if !yield(p.DefaultClass) || p.WriteClass != "" && !yield(p.WriteClass) {
--- a/internal/config/postgres_validate.go
+++ b/internal/config/postgres_validate.go
@@ -9,8 +9,8 @@
 	"flaxrelay/policy"
 )
 
-// maxParameterNumber is the largest number of a parameter in the PostgreSQL protocol, which has 16
-// bits for it.
+// maxParameterNumber is the largest number of a parameter. The PostgreSQL protocol has 16 bits for
+// it.
 const maxParameterNumber = 1<<16 - 1
 
 // unknownClassText is the problem of a field that names a class which the settings do not have.
@@ -20,8 +20,8 @@
 func (p *Postgres) validateServer(v *validator) {
 	v.requireAddress("listen", p.Listen)
 	v.requireAddress("consul.address", p.Consul.Address)
-	v.require(p.Consul.Service != "", "consul.service", "missing; expected is the name of the engines' service")
-	v.require(p.User != "", "user", "missing; expected is the user that connects to engines")
+	v.require(p.Consul.Service != "", "consul.service", "missing; expected the name of the engines' service")
+	v.require(p.User != "", "user", "missing; expected the user that connects to engines")
 	v.require(p.MemoryMB >= 0, "memory_mb", "%d is below 0", p.MemoryMB)
 	v.require(p.MaxDescriptors >= 0, "sockets", "%d is below 0", p.MaxDescriptors)
 	for i, name := range p.ReadOnlyFunctions {
@@ -67,20 +67,20 @@
 }
 
 // validate reports faults of one statement rule.
-func (s *Statement) validate(v *validator, prefix string, classes []policy.Class) {
-	class := findClass(classes, s.Class)
-	writes := sqltext.EffectOf(s.Prefix, nil).Effect == sqltext.EffectWrites
-	v.require(s.Prefix != "", prefix+"starts", "missing; expected are the words that statements begin with")
-	v.require(class != nil, prefix+"class", unknownClassText, s.Class)
-	v.require(s.KeyParameter >= 0 && s.KeyParameter <= maxParameterNumber, prefix+"key",
-		"%d is not the number of a parameter, 1 to 65535", s.KeyParameter)
-	v.require(!writes || !s.ReadOnly, prefix+"read_only", "%q writes", s.Prefix)
+func (r *StatementRule) validate(v *validator, prefix string, classes []policy.Class) {
+	class := findClass(classes, r.Class)
+	writes := sqltext.EffectOf(r.Prefix, nil).Effect == sqltext.EffectWrites
+	v.require(r.Prefix != "", prefix+"starts", "missing; expected the words that statements begin with")
+	v.require(class != nil, prefix+"class", unknownClassText, r.Class)
+	v.require(r.KeyParameter >= 0 && r.KeyParameter <= maxParameterNumber, prefix+"key",
+		"%d is not the number of a parameter, 1 to %d", r.KeyParameter, maxParameterNumber)
+	v.require(!writes || !r.ReadOnly, prefix+"read_only", "%q writes", r.Prefix)
 	v.require(class == nil || !writes || class.Effect != policy.Idempotent, prefix+"class",
-		"%q writes, but class %q is idempotent", s.Prefix, s.Class)
+		"%q writes, but class %q is idempotent", r.Prefix, r.Class)
 }
 
 // findClass returns the class with the name, or nil. If several classes have the name it returns the
-// last one.
+// last one, like lifecycle.Dispatcher.Class.
 func findClass(classes []policy.Class, name string) *policy.Class {
 	for i := range slices.Backward(classes) {
 		if classes[i].Name == name {
--- a/internal/config/settings_policy.go
+++ b/internal/config/settings_policy.go
@@ -12,15 +12,17 @@
 	noReportedLoad = "silent"     // of report.how
 )
 
-// unknownValueText is the problem of a field whose value is none of the possible ones.
+// unknownValueText is the problem of a field whose value is not one of the defined values.
 const unknownValueText = "unknown value %q"
 
+// effects are the effects of classes by their names in the settings object.
 var effects = map[string]policy.Effect{
 	"read_like":       policy.Idempotent,
 	"idempotency_key": policy.IdempotentByKey,
 	"non_idempotent":  policy.NonIdempotent,
 }
 
+// dedupScopes are the scopes of deduplication by their names in the settings object.
 var dedupScopes = map[string]policy.DedupScope{
 	"all":  policy.ScopeAll,
 	"zone": policy.ScopeZone,
@@ -28,6 +30,8 @@
 	"":     policy.ScopeCell,
 }
 
+// memoryShortages are the behaviours of engines that are short of memory, by their names in the
+// settings object.
 var memoryShortages = map[string]policy.MemoryShortage{
 	"queue": policy.ShortageQueue,
 	"trim":  policy.ShortageTrim,
@@ -35,7 +39,7 @@
 	"":      policy.ShortageQueue,
 }
 
-// lookUp translates the value of a field. It returns a FieldError if the table does not have the
+// lookUp translates the value of a field. It returns a FieldError if the table does not contain the
 // value.
 func lookUp[T any](table map[string]T, field, value string) (T, error) {
 	translated, known := table[value]
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -11,21 +11,21 @@
 // Shapes configures classification and cost estimates by statement shape. It is the table [shapes] of
 // the deploy file of the PostgreSQL front end, or a file of its own for the HTTP front end.
 type Shapes struct {
-	// Enabled turns statement statistics on. Without them, classes and estimates come from clients
+	// Enabled turns statement statistics on. If they are off, classes and estimates come from clients
 	// and rules only.
 	Enabled bool `toml:"enabled"`
-	// MemoryKB limits the memory for records and bookkeeping; at most a quarter of memory_mb.
+	// MemoryKB limits the size of the cache of shapes. It must be at most a quarter of memory_mb.
 	MemoryKB int `toml:"memory_kb"`
 	// Hysteresis is the factor beyond the limit of its class at which a shape changes class.
 	Hysteresis float64 `toml:"hysteresis"`
-	// CorrectEstimates says that expected costs replace the estimates of clients.
+	// CorrectEstimates replaces the estimates of clients by expected costs.
 	CorrectEstimates bool `toml:"correct_estimates"`
 	// Snapshot is the file that preserves the statistics over a restart; "": none.
 	Snapshot string `toml:"snapshot"`
 	// SnapshotSeconds is the time between snapshots.
 	SnapshotSeconds float64 `toml:"snapshot_every_s"`
-	// Classes are the classes of read-only statements, the cheapest first. Without any, statements
-	// are not classified by their shape.
+	// Classes are the classes of read-only statements, the cheapest first. If there are none,
+	// statements are not classified by their shape.
 	Classes []ShapeClass `toml:"class"`
 }
 
--- a/internal/config/shapes_validate.go
+++ b/internal/config/shapes_validate.go
@@ -11,7 +11,7 @@
 
 // Limits and defaults of Shapes.
 const (
-	minShapesKB     = 64 // enough for more than a few shapes
+	minShapesKB     = 64 // enough for a few shapes at least
 	maxShapesKB     = 1 << 20
 	defaultShapesKB = 2048
 
--- a/internal/config/toml_location.go
+++ b/internal/config/toml_location.go
@@ -14,7 +14,7 @@
 }
 
 // parseTOMLField splits a path like statement[1].class. The index of an element of a list of plain
-// values is dropped, because such a list is on one line.
+// values is dropped, because the line of such a list is that of its key.
 func parseTOMLField(path string) tomlField {
 	field := tomlField{path: path, key: path}
 	if dot := strings.LastIndexByte(path, '.'); dot >= 0 {
@@ -45,21 +45,21 @@
 			continue
 		}
 		key, isAssignment := tomlKey(text)
-		if isAssignment && key == field.key && position.isInTableOf(field) {
+		if isAssignment && key == field.key && position.contains(field) {
 			return i + 1
 		}
 	}
 	return tableLine
 }
 
-// tomlPosition is the table of the current line while a TOML document is read from its start.
+// tomlPosition is the table of the current line while a TOML document is read line by line.
 type tomlPosition struct {
 	table string         // "" before the first table
 	index int            // of the table in its array; 0 for a single table
 	seen  map[string]int // number of tables of each array
 }
 
-// enterTable continues after a line like [name] or [[name]].
+// enterTable moves the position into the table that a line like [name] or [[name]] begins.
 func (p *tomlPosition) enterTable(header string) {
 	p.table = tomlHeader(header)
 	p.index = 0
@@ -69,14 +69,14 @@
 	}
 }
 
-// isTableOf reports whether the table is the one of the field, or the field itself.
+// isTableOf reports whether the field is in the table, or is the table itself.
 func (p *tomlPosition) isTableOf(field tomlField) bool {
-	return p.table == field.table && p.index == field.index || p.table == field.path
+	return p.contains(field) || p.table == field.path
 }
 
-// isInTableOf reports whether assignments are to fields of the field's table.
-func (p *tomlPosition) isInTableOf(field tomlField) bool {
-	return p.table == field.table && (p.table == "" || p.index == field.index)
+// contains reports whether the field belongs to the table.
+func (p *tomlPosition) contains(field tomlField) bool {
+	return p.table == field.table && p.index == field.index
 }
 
 // tomlHeader returns the name in a line like [name] or [[name]].
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -32,7 +32,7 @@
 // requireAddress reports a fault of a field unless its value has the form HOST:PORT.
 func (v *validator) requireAddress(field, address string) {
 	if err := checkAddress(address); err != nil {
-		v.report(field, "%v; expected is HOST:PORT", err)
+		v.report(field, "%v; expected HOST:PORT", err)
 	}
 }
 
