--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant checks at run time the rules that a front end must never break. The guards of
-// the program prevent a violation where they can, and report it here in any case. A counter of this
-// package that is not zero means a fault of the program.
+// Package invariant counts and logs violations of the rules that a front end must never break. Other
+// packages check the rules and prevent a violation if they can. Any violation is a fault of this
+// program.
 package invariant
 
 import (
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/metrics"
 )
 
-// Rule names one rule. It is the last word of the rule's counter.
+// Rule names one rule. It is the last part of the name of the rule's counter.
 type Rule string
 
 // The rules.
@@ -24,7 +24,7 @@
 	RetryLimit Rule = "retry-limit"
 	// SingleInFlight: a request has one attempt in flight at a time.
 	SingleInFlight Rule = "single-in-flight"
-	// RetryIdempotency: a request that may have run is retried only where it is idempotent.
+	// RetryIdempotency: a request that may have run is retried only if it is idempotent.
 	RetryIdempotency Rule = "retry-idempotency"
 	// ResponseDropped: no connection is closed from this side over a pending request.
 	ResponseDropped Rule = "response-dropped"
@@ -47,7 +47,7 @@
 	return &Checker{counters: counters, log: log}
 }
 
-// Check returns whether the rule holds. If it does not, Check counts the violation and logs it with
+// Check returns holds. If the rule does not hold, Check counts the violation and logs it with
 // the fields.
 func (c *Checker) Check(holds bool, rule Rule, fields ...slog.Attr) bool {
 	if !holds {
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -24,10 +24,11 @@
 	Name   string
 	Level  slog.Level
 	Help   string   // one sentence: what has happened
-	Fields []string // the keys of the fields that the event may have; CounterField stands for many
+	Fields []string // keys of the fields that the event may have, or CounterField
 }
 
-// CounterField stands in a declaration for fields whose keys are the names of counters.
+// CounterField is an entry of Declaration.Fields that represents all fields whose keys are names of
+// counters.
 const CounterField = "COUNTER"
 
 // declarations holds the catalog, in the order of its file.
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -23,7 +23,7 @@
 	mu          sync.Mutex // guards the fields below
 	queue       [][]byte
 	queuedBytes int
-	writing     bool // a line was removed from the queue and is not written yet
+	writing     bool // run has removed a line from the queue and has not written it yet
 	dropped     int64
 }
 
@@ -34,7 +34,8 @@
 	return w
 }
 
-// Write implements io.Writer. It never fails: a log has no better place to report it.
+// Write implements io.Writer. It returns no error for a dropped line, because callers have nowhere
+// else to report it; Dropped counts such lines.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.queuedBytes+len(line) > maxQueuedBytes {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,5 @@
-// Package logging makes the loggers of the programs. They write events with stable names and keys,
-// coloured text on a terminal and JSON elsewhere, and limit the rate of each event. Package logevent
-// declares the events.
+// Package logging makes the loggers of the programs. A logger writes coloured text to a terminal and
+// JSON to other files, and limits the rate of each event. Package logevent declares the events.
 package logging
 
 import (
@@ -19,7 +18,7 @@
 	formatText = "text"
 )
 
-// terminalTimeFormat has no date: a reader at the terminal knows it.
+// terminalTimeFormat has no date, because a terminal shows recent events.
 const terminalTimeFormat = "15:04:05.000"
 
 // Options configure a logger.
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -15,17 +15,17 @@
 	eventBurst      = 20
 )
 
-// maxTrackedEvents limits the memory of the limiters. Package logevent declares far fewer events;
-// the rate of any further ones is not limited.
+// maxTrackedEvents limits the number of limiters, and so their memory. Package logevent declares far
+// fewer events. The rate of events beyond this number is not limited.
 const maxTrackedEvents = 1000
 
 // suppressedKey is the key of the field that gives the number of suppressed records.
 const suppressedKey = "suppressed"
 
-// rateLimitHandler limits how often each event, identified by its message, is written, so that a
-// peer cannot fill the log. The next record of the event that is written carries the number of
-// suppressed ones. Errors are always written. So are records at level debug: the steps of a request
-// are useful only if they are complete.
+// rateLimitHandler limits how often each event is written, so that a peer cannot fill the log. The
+// message of a record identifies its event. The next record of the event that is written has a field
+// with the number of suppressed ones. Errors are always written, and so are records below level info,
+// because the steps of a request are useful only if they are complete. It is safe for concurrent use.
 type rateLimitHandler struct {
 	slog.Handler
 	limiters *eventLimiters
@@ -77,8 +77,8 @@
 	suppressed int // number of records since the last one that was written
 }
 
-// allow reports whether a record of the event may be written, and how many were suppressed since
-// the last one that was.
+// allow reports whether a record of the event may be written, and how many records were suppressed
+// since the last one that was written.
 func (l *eventLimiters) allow(event string, at time.Time) (allowed bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// Counters holds the values of counters. It is not safe for concurrent use: the
-// goroutine of the event loop owns it.
+// Counters holds the values of counters. It is not safe for concurrent use; the goroutine of the
+// event loop owns it.
 type Counters struct {
 	counts   map[string]int64 // by name
 	reported map[string]int64 // as of the latest call of Deltas
@@ -26,7 +26,7 @@
 // Increment increments a counter by one.
 func (c *Counters) Increment(counter Counter) { c.counts[counter.name]++ }
 
-// Set sets a counter to a value that is kept elsewhere.
+// Set sets a counter whose value another component counts.
 func (c *Counters) Set(counter Counter, value int64) { c.counts[counter.name] = value }
 
 // Get returns the value of a counter.
@@ -58,8 +58,8 @@
 	return deltas
 }
 
-// Print writes one line for each counter, in order of name. It is a best effort:
-// the program has no better place to report that its output has failed.
+// Print writes one line for each counter, in order of name. It ignores errors of the writer, because
+// there is nowhere else to report them.
 func (c *Counters) Print(w io.Writer) {
 	for _, name := range c.sortedNames() {
 		_, _ = fmt.Fprintf(w, "count %s %d\n", name, c.counts[name])
--- a/internal/metrics/declaration.go
+++ b/internal/metrics/declaration.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// Counter identifies one counter. Only the catalog declares counters; the zero value is none.
+// Counter identifies one counter. Only the catalog declares counters; the zero value identifies
+// none.
 type Counter struct{ name string }
 
-// Name returns the counter's name: words joined by dots, from the stage of processing to the
-// detail.
+// Name returns the counter's name. Its parts are joined by dots: first the area, such as requests or
+// http, then the details.
 func (c Counter) Name() string { return c.name }
 
 // CounterVec identifies a family of counters that differ in the value of one label. The value is
