--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -1,5 +1,4 @@
-// Package layering holds the test of the import graph between the packages of
-// this module.
+// Package layering contains the tests of the imports between the packages of this module.
 package layering
 
 import (
@@ -22,9 +21,9 @@
 	repositoryRoot = "../.."
 )
 
-// layers lists the packages from the top layer down. A name stands for the package and for all
-// packages below it, a name that ends in a slash only for the packages below it. A package may
-// import packages of its own layer and of lower layers.
+// layers lists the packages from the top layer down. A name includes the package and all packages
+// below it. A name that ends in a slash includes only the packages below it. A package may import
+// packages of its own layer and of lower layers.
 var layers = [][]string{
 	{"cmd/"},
 	{"internal/frontend/", "internal/simprotocol"},
@@ -43,7 +42,7 @@
 // testOnlyPackages contain only tests and belong to no layer.
 var testOnlyPackages = []string{"internal/e2e", "internal/layering", "internal/observability", "internal/pages"}
 
-// testSupportPackages are imported only by tests and by each other. They need not belong to a
+// testSupportPackages may be imported only by tests and by each other. They need not belong to a
 // layer.
 var testSupportPackages = []string{
 	"internal/clitest",
@@ -54,14 +53,14 @@
 	"internal/tcptest",
 }
 
-// layerOf returns the index of the package's layer, counted from the top, or -1.
+// layerOf returns the index of the package's layer in layers, or -1.
 func layerOf(pkg string) int {
 	return slices.IndexFunc(layers, func(names []string) bool {
 		return slices.ContainsFunc(names, func(name string) bool { return contains(name, pkg) })
 	})
 }
 
-// contains reports whether a layer's name stands for the package.
+// contains reports whether a layer's name includes the package.
 func contains(name, pkg string) bool {
 	if strings.HasSuffix(name, "/") {
 		return strings.HasPrefix(pkg, name)
@@ -69,6 +68,7 @@
 	return pkg == name || strings.HasPrefix(pkg, name+"/")
 }
 
+// goList returns the lines that go list prints.
 func goList(t *testing.T, args ...string) []string {
 	t.Helper()
 	cmd := exec.Command("go", append([]string{"list"}, args...)...)
@@ -80,8 +80,8 @@
 	return strings.Split(strings.TrimSpace(string(out)), "\n")
 }
 
-// impureImports are packages that a decision package must not import: they do
-// I/O, log, or draw random numbers.
+// impureImports are packages that a decision package must not import, because they do I/O, log, or
+// draw random numbers.
 var impureImports = []string{
 	"net", "os", "syscall", "log", "log/slog", "math/rand", "math/rand/v2", "io", "hash/maphash",
 }
@@ -171,7 +171,7 @@
 			t.Error(err)
 		}
 		if files == 0 {
-			t.Errorf("%s holds no Go files", dir)
+			t.Errorf("%s contains no Go files", dir)
 		}
 	}
 }
--- a/internal/observability/labels_test.go
+++ b/internal/observability/labels_test.go
@@ -11,10 +11,11 @@
 	"flaxrelay/policy"
 )
 
-// ejectionReasons stands among the labels for a field of an event.
+// ejectionReasons is a key of labelValues that is not a label, but a field of an event.
 const ejectionReasons = "reason of engine.ejected"
 
-// labelValues returns the values of each label that has a fixed set of them, sorted.
+// labelValues returns the values of each label with a fixed set of values, and of ejectionReasons.
+// The values are sorted.
 func labelValues(t *testing.T) map[string][]string {
 	t.Helper()
 	sources := parseServingSources(t)
--- a/internal/observability/names_test.go
+++ b/internal/observability/names_test.go
@@ -1,5 +1,5 @@
-// Package observability holds the tests of the names by which operators know this program:
-// its counters, its log events and the values that are part of their names.
+// Package observability contains the tests of the names that operators see: those of counters and
+// log events, and the values that are part of these names.
 package observability
 
 import (
@@ -13,11 +13,11 @@
 	"flaxrelay/internal/metrics"
 )
 
-// TestNames_AreThoseThatOperatorsKnow fails where a counter, a log event, one of its fields or a
-// value in the name of a counter is added, renamed or removed. Dashboards and alerts depend on
-// these names: a renaming belongs into the table "Names before this version" of
-// docs/operations.md, and then into the golden file (go test ./internal/observability -update).
-func TestNames_AreThoseThatOperatorsKnow(t *testing.T) {
+// TestNames_MatchTheGoldenFile fails if a counter, a log event, one of its fields or a value in the
+// name of a counter is added, renamed or removed. Dashboards and alerts depend on these names. After
+// a change, add each old name to the table "Names before this version" of docs/operations.md, and
+// then update the golden file (go test ./internal/observability -update).
+func TestNames_MatchTheGoldenFile(t *testing.T) {
 	var lines []string
 	for _, counter := range metrics.Catalog() {
 		lines = append(lines, "counter "+withoutLabels(counter.Name, "*"))
@@ -38,7 +38,7 @@
 	golden.Compare(t, "testdata/names.golden", fmt.Appendln(nil, strings.Join(lines, "\n")))
 }
 
-// withoutLabels returns a declared name with a placeholder for each label.
+// withoutLabels returns a declared name in which the placeholder replaces each label.
 func withoutLabels(name, placeholder string) string {
 	parts := strings.Split(name, ".")
 	for i, part := range parts {
@@ -49,7 +49,7 @@
 	return strings.Join(parts, ".")
 }
 
-// isLabel reports whether a part of a declared name is a label, which is in capitals.
+// isLabel reports whether a part of a declared name is a label. Labels are in capitals.
 func isLabel(part string) bool { return part == strings.ToUpper(part) }
 
 // TestCatalogs_DeclareEachNameOnceWithASentence checks the form of the declarations.
--- a/internal/observability/page_test.go
+++ b/internal/observability/page_test.go
@@ -17,7 +17,7 @@
 // operationsPage is the page that explains counters and log events to operators.
 const operationsPage = "docs/operations.md"
 
-// oldNamesHeading begins the part of the page that has names of earlier versions.
+// oldNamesHeading is the heading of the part of the page that lists names of earlier versions.
 const oldNamesHeading = "## Names before this version"
 
 func readOperationsPage(t *testing.T) string {
@@ -29,7 +29,7 @@
 	return string(text)
 }
 
-// pageRow is a row of a table of the page: the cells by the headers of their columns.
+// pageRow is a row of a table of the page. It maps the headers of the columns to the cells.
 type pageRow map[string]string
 
 // rowsOf returns the rows of all tables of the page whose first column has the header.
@@ -70,7 +70,7 @@
 	return cells, true
 }
 
-// codeWords returns the words of a text that are marked as code.
+// codeWords returns the contents of the code spans of a text.
 func codeWords(text string) []string {
 	var words []string
 	for _, match := range codeSpan.FindAllStringSubmatch(text, -1) {
@@ -81,7 +81,7 @@
 
 var codeSpan = regexp.MustCompile("`([^`]+)`")
 
-// codeWord returns the only word of a cell, which is marked as code.
+// codeWord returns the text of a cell that consists of one code span.
 func codeWord(t *testing.T, cell string) string {
 	t.Helper()
 	words := codeWords(cell)
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestOperationsPage_MentionsOnlyDeclaredNames checks the counters and events that the page's
-// text and tables refer to. A name may end in .* for all that begin so.
+// TestOperationsPage_MentionsOnlyDeclaredNames checks the names of counters and events in the page's
+// text and tables. A name that ends in .* refers to all names with that prefix.
 func TestOperationsPage_MentionsOnlyDeclaredNames(t *testing.T) {
 	declared := declaredNames(t)
 	areas := map[string]bool{} // the first parts of all names
@@ -165,8 +165,8 @@
 	}
 }
 
-// declaredNames returns the names of all counters and events. Families stand with their labels,
-// and with each value of labels that have a fixed set of them.
+// declaredNames returns the names of all counters and events. A family of counters is listed with
+// its labels as declared, and again with each value of a label that has a fixed set of values.
 func declaredNames(t *testing.T) []string {
 	t.Helper()
 	values := labelValues(t)
@@ -188,8 +188,8 @@
 	return names
 }
 
-// mentions reports whether a word of the page stands for the name: the name itself, names that
-// begin like the word where that ends in *, or a family without its last label.
+// mentions reports whether a word of the page refers to the name. The word is the name itself, a
+// prefix of it followed by *, or the name of a family without its last label.
 func mentions(word, name string) bool {
 	if prefix, isPattern := strings.CutSuffix(word, "*"); isPattern {
 		return strings.HasPrefix(name, prefix)
--- a/internal/observability/sources_test.go
+++ b/internal/observability/sources_test.go
@@ -17,10 +17,10 @@
 
 const repositoryRoot = "../.."
 
-// servingDirectories hold the sources of the programs that serve requests.
+// servingDirectories contain the sources of the programs that serve requests.
 var servingDirectories = []string{"cmd/flaxrelay", "cmd/simadapter", "internal", "policy"}
 
-// labDirectory holds sources that are linked into no program that serves requests.
+// labDirectory contains sources that are not linked into the programs that serve requests.
 const labDirectory = "internal/lab"
 
 // sourceFiles are the parsed sources of the programs that serve requests, without tests.
@@ -56,8 +56,8 @@
 	return files
 }
 
-// TestSources_UseEachDeclaration fails where a declaration is left over: nothing counts the counter
-// or logs the event.
+// TestSources_UseEachDeclaration fails if a counter is declared that nothing counts, or an event
+// that nothing logs.
 func TestSources_UseEachDeclaration(t *testing.T) {
 	sources := parseServingSources(t)
 	used := map[string]bool{}
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestSources_LogOnlyDeclaredEvents fails where a logger is called other than by logevent.Event.
+// TestSources_LogOnlyDeclaredEvents fails if a package other than logevent calls a logger.
 func TestSources_LogOnlyDeclaredEvents(t *testing.T) {
 	loggers := []string{"log", "logger", "slog"}
 	methods := []string{"Debug", "Info", "Warn", "Error", "Log", "LogAttrs"}
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestSources_LogTheDeclaredFields holds the keys of the fields at each place where an event is
-// logged against the event's declaration.
+// TestSources_LogTheDeclaredFields fails if an event is logged with a field that its declaration does
+// not have.
 func TestSources_LogTheDeclaredFields(t *testing.T) {
 	sources := parseServingSources(t)
 	variables := sources.declaredVariables("logevent")
@@ -175,7 +175,7 @@
 }
 
 // declaredVariables returns the declarations of a package's catalog: the names of counters or
-// events by the variables that hold them.
+// events, by the names of their variables.
 func (files sourceFiles) declaredVariables(packageName string) map[string]string {
 	variables := map[string]string{}
 	for _, file := range files {
@@ -220,8 +220,7 @@
 	return text, err == nil
 }
 
-// constantsOfType returns the values of all constants of a string type, which is known by its
-// name.
+// constantsOfType returns the values of all constants of the string type with the given name, sorted.
 func (files sourceFiles) constantsOfType(name string) []string {
 	var values []string
 	files.eachValueSpec(func(constants *ast.ValueSpec) {
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -1,5 +1,5 @@
-// Package pages holds the test of the repository's pages: their links lead somewhere, and the paths, tests
-// and Go identifiers that they name exist.
+// Package pages contains the tests of the repository's Markdown pages. The targets of their links must
+// exist, and so must the paths, tests and Go identifiers that they name.
 package pages
 
 import (
@@ -10,23 +10,23 @@
 	"testing"
 )
 
-// pathExtensions mark a word without a slash as the name of a file.
+// pathExtensions are the extensions by which a word without a slash is recognized as the name of a file.
 var pathExtensions = []string{".go", ".golden", ".json", ".md", ".sh", ".toml", ".txt", ".yml"}
 
 var (
 	link = regexp.MustCompile(`\]\(([^)\s]+)\)`)
-	// testMention matches the name of a test; with a final asterisk it stands for all that begin so.
+	// testMention matches the name of a test, or a prefix of names with a final asterisk.
 	testMention   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*\*?`)
 	fencedBlock   = regexp.MustCompile("(?ms)^```[^\n]*\n(.*?)^```")
 	indentedLine  = regexp.MustCompile(`(?m)^ {4}(.+)$`)
 	codeSpan      = regexp.MustCompile("`([^`]+)`")
 	pathForm      = regexp.MustCompile(`^[\w.*-]+(?:/[\w.*-]+)*$`)
 	qualifiedName = regexp.MustCompile(`^\w+(?:\.\w+)*$`)
-	// mixedCase tells Go identifiers from the names of counters and log events.
+	// mixedCase distinguishes Go identifiers from the names of counters and log events.
 	mixedCase = regexp.MustCompile(`[a-z0-9][A-Z]|[A-Z][a-z0-9]+\.|\.[A-Z][a-z0-9]`)
 )
 
-// historyPages speak of the code as it was on a day, whose identifiers need not exist any more.
+// historyPages describe earlier versions of the code. The identifiers that they name may be gone.
 var historyPages = []string{"docs/postmortems.md", "docs/incidents/"}
 
 // page is a Markdown file.
@@ -35,7 +35,7 @@
 	text string
 }
 
-// brokenLinks returns the relative links of the page that lead nowhere.
+// brokenLinks returns the relative links of the page whose targets do not exist.
 func (r *repository) brokenLinks(p page) []string {
 	var broken []string
 	for _, match := range link.FindAllStringSubmatch(p.text, -1) {
@@ -54,7 +54,7 @@
 	return broken
 }
 
-// missingPaths returns the words in code of the page that look like paths of the repository and are none.
+// missingPaths returns the words in code of the page that look like paths of the repository and do not exist.
 func (r *repository) missingPaths(p page) []string {
 	var missing []string
 	for _, word := range codeWords(p.text) {
@@ -65,7 +65,8 @@
 	return missing
 }
 
-// codeWords returns the words of the text's code spans and code blocks, without the punctuation around them.
+// codeWords returns the words of the text's code spans and code blocks without the punctuation around them. Of an
+// assignment it returns only the value.
 func codeWords(text string) []string {
 	var words []string
 	add := func(code string) {
@@ -110,7 +111,8 @@
 	return missing
 }
 
-// looksLikePath reports whether the word begins with a directory of the repository or ends as the name of a file.
+// looksLikePath reports whether the word begins with the name of a directory of the repository, or has no slash and
+// one of pathExtensions.
 func (r *repository) looksLikePath(word string) bool {
 	if !pathForm.MatchString(word) {
 		return false
@@ -138,10 +140,10 @@
 	read, pages := readRepository(t)
 	for _, p := range pages {
 		for _, target := range read.brokenLinks(p) {
-			t.Errorf("%s: the link to %s leads nowhere", p.path, target)
+			t.Errorf("%s: the target of the link %s does not exist", p.path, target)
 		}
 		for _, word := range read.missingPaths(p) {
-			t.Errorf("%s: there is no %s", p.path, word)
+			t.Errorf("%s: the path %s does not exist", p.path, word)
 		}
 		for _, name := range read.missingTests(p) {
 			t.Errorf("%s: no test is named %s", p.path, name)
@@ -152,7 +154,7 @@
 	}
 }
 
-// TestChecks_ReportOnlyWhatIsMissing holds the checks to pages with known faults.
+// TestChecks_ReportOnlyWhatIsMissing runs the checks on pages with known faults.
 func TestChecks_ReportOnlyWhatIsMissing(t *testing.T) {
 	read := newRepository()
 	read.addFile("docs/guide.md", "# Set up\n\n## Who's on call, and when\n")
--- a/internal/pages/repository_test.go
+++ b/internal/pages/repository_test.go
@@ -16,7 +16,7 @@
 
 const repositoryRoot = "../.."
 
-// skippedDirectories hold no source: they are written by git, builds and runs.
+// skippedDirectories contain no sources. Git, builds and test runs write them.
 var skippedDirectories = []string{".git", "bin", "found", "journal", "logs"}
 
 var (
@@ -24,14 +24,15 @@
 	heading      = regexp.MustCompile(`(?m)^#+ (.+)$`)
 )
 
-// repository is what pages may refer to. Paths are relative to its root and separated by slashes.
+// repository contains everything that pages may refer to. Paths are relative to the root of the repository and
+// separated by slashes.
 type repository struct {
-	paths          map[string]bool // files and directories
-	directoryNames map[string]bool // the last elements of all directories
-	headings       map[string][]string
-	tests          map[string]bool
+	paths          map[string]bool            // files and directories
+	directoryNames map[string]bool            // the last elements of all directories
+	headings       map[string][]string        // by the path of a page: the anchors of its headings
+	tests          map[string]bool            // names of test functions
 	identifiers    map[string]bool            // declared names, and the names of packages
-	members        map[string]map[string]bool // by the name of a package or type: what it declares
+	members        map[string]map[string]bool // by the name of a package or type: the names that it declares
 	embedded       map[string][]string        // by the name of a type: the types that it embeds
 }
 
@@ -69,9 +70,9 @@
 	}
 }
 
-// addIdentifiers adds the names that a Go file declares: those of the package, and the fields and methods of its types.
+// addIdentifiers adds the names that a Go file declares at package level, and the fields and methods of its types.
 func (r *repository) addIdentifiers(file, text string) {
-	// A file of testdata need not be whole; what could be parsed of it counts.
+	// A file of testdata may contain syntax errors. The declarations that could be parsed are added.
 	parsed, _ := parser.ParseFile(token.NewFileSet(), file, text, parser.SkipObjectResolution)
 	if parsed == nil {
 		return
@@ -145,8 +146,8 @@
 	}
 }
 
-// hasIdentifier reports whether a name is declared. Of a qualified one each part has to be a member of the type or
-// package before it; types of one name in several packages count together.
+// hasIdentifier reports whether a name is declared. Each part of a qualified name must be a member of the type or
+// package before it. Types with the same name in several packages are treated as one type.
 func (r *repository) hasIdentifier(word string) bool {
 	parts := strings.Split(word, ".")
 	for i, part := range parts {
@@ -162,7 +163,7 @@
 	return r.members[owner][name] || slices.ContainsFunc(r.embedded[owner], inEmbedded)
 }
 
-// anchorOf returns the fragment by which a link names the heading.
+// anchorOf returns the fragment of links to the heading.
 func anchorOf(title string) string {
 	keep := func(letter rune) rune {
 		switch {
@@ -176,8 +177,8 @@
 	return strings.Map(keep, strings.ToLower(title))
 }
 
-// hasPath reports whether the word is a path of the repository or the end of one, as packages are named without
-// the directories above them. An asterisk stands for any part of one element.
+// hasPath reports whether the word is a path of the repository or the end of one, because pages name packages without
+// the directories above them. An asterisk matches any part of one element.
 func (r *repository) hasPath(word string) bool {
 	if r.paths[word] {
 		return true
@@ -196,6 +197,7 @@
 	return false
 }
 
+// hasTest reports whether a test has the name, or has the prefix before a final asterisk.
 func (r *repository) hasTest(mention string) bool {
 	prefix, isPrefix := strings.CutSuffix(mention, "*")
 	if !isPrefix {
