--- a/cmd/flaxrelay/shapes.go
+++ b/cmd/flaxrelay/shapes.go
@@ -21,10 +21,10 @@
 // columnGap is the number of spaces between the columns of a table.
 const columnGap = 2
 
-// table collects rows of cells, which are separated by tabs, and prints them with aligned columns.
+// table collects rows of cells and prints them with aligned columns.
 type table struct{ rows strings.Builder }
 
-// row adds one row.
+// row formats one row, whose cells are separated by tabs.
 func (t *table) row(format string, args ...any) {
 	fmt.Fprintf(&t.rows, format+"\n", args...)
 }
@@ -41,19 +41,20 @@
 	return nil
 }
 
-// typicalCost returns the median work of the executions of a shape in milliseconds, or 0 if there are
-// none. Records contain its binary logarithm.
-func typicalCost(shape *stmtstats.SavedShape) float64 {
+// medianWork returns the median work of the executions of a shape in milliseconds, or 0 if there are
+// none. Records contain the binary logarithm of the median.
+func medianWork(shape *stmtstats.SavedShape) float64 {
 	if shape.Record.Work.Samples == 0 {
 		return 0
 	}
 	return math.Exp2(float64(shape.Record.Work.Median))
 }
 
-// maxShapeWidth limits the length of a shape in a table, so that a row fits on a wide terminal.
+// maxShapeWidth limits the length of a shape in a table, in bytes, so that a row fits on a wide
+// terminal.
 const maxShapeWidth = 160
 
-// abbreviate shortens the text of a shape to maxShapeWidth.
+// abbreviate shortens the text of a shape to maxShapeWidth bytes.
 func abbreviate(text string) string {
 	const ellipsis = "..."
 	if len(text) <= maxShapeWidth {
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -11,30 +11,30 @@
 
 // diffCommand compares two snapshots.
 type diffCommand struct {
-	Old  string  `name:"old" arg:"" help:"The older file."`
-	New  string  `name:"new" arg:"" help:"The newer file."`
-	Most int     `name:"most" default:"20" help:"Maximum number of rows."`
-	Over float64 `name:"over" default:"1.5" help:"Smallest factor between the two that is listed."`
+	Old       string  `name:"old" arg:"" help:"The older file."`
+	New       string  `name:"new" arg:"" help:"The newer file."`
+	MaxRows   int     `name:"most" default:"20" help:"Maximum number of rows."`
+	MinFactor float64 `name:"over" default:"1.5" help:"Smallest factor between the two that is listed."`
 }
 
-// costChange is a shape of both snapshots, with its cost in each, in milliseconds.
-type costChange struct {
+// workChange is a shape of both snapshots, with its median work in each, in milliseconds.
+type workChange struct {
 	normalForm string
 	before     float64
 	after      float64
 }
 
-// magnitude returns the absolute logarithm of the factor between the two costs.
-func (c costChange) magnitude() float64 { return math.Abs(math.Log(c.after / c.before)) }
+// magnitude returns the absolute logarithm of the factor between before and after.
+func (c workChange) magnitude() float64 { return math.Abs(math.Log(c.after / c.before)) }
 
 // snapshotDiff is the difference between two snapshots.
 type snapshotDiff struct {
-	changes []costChange
-	added   int // number of shapes that only the newer snapshot has
-	removed int // number of shapes that only the older snapshot has
+	changes []workChange // the largest change first
+	added   int          // number of shapes that only the newer snapshot has
+	removed int          // number of shapes that only the older snapshot has
 }
 
-// Run lists the shapes whose cost has changed, and counts those that were added or removed.
+// Run lists the shapes whose median work has changed, and counts those that were added or removed.
 func (c *diffCommand) Run() error {
 	before, err := stmtstats.ReadSnapshot(c.Old)
 	if err != nil {
@@ -44,10 +44,10 @@
 	if err != nil {
 		return err
 	}
-	diff := compareSnapshots(before, after, c.Over)
+	diff := compareSnapshots(before, after, c.MinFactor)
 	var t table
 	t.row("before ms\tafter ms\tfactor\tshape")
-	for _, change := range diff.changes[:min(c.Most, len(diff.changes))] {
+	for _, change := range diff.changes[:min(c.MaxRows, len(diff.changes))] {
 		factor := strconv.FormatFloat(change.after/change.before, 'g', 3, 64)
 		t.row("%.4g\t%.4g\t%s\t%s", change.before, change.after, factor, abbreviate(change.normalForm))
 	}
@@ -55,14 +55,14 @@
 	return t.print()
 }
 
-// compareSnapshots returns the difference between two snapshots, the largest changes of cost first.
-// Changes by less than the factor are omitted.
-func compareSnapshots(before, after *stmtstats.Snapshot, leastFactor float64) snapshotDiff {
+// compareSnapshots returns the difference between two snapshots. Changes by less than minFactor are
+// omitted.
+func compareSnapshots(before, after *stmtstats.Snapshot, minFactor float64) snapshotDiff {
 	remaining := make(map[string]*stmtstats.SavedShape, len(before.Shapes))
 	for i := range before.Shapes {
 		remaining[before.Shapes[i].NormalForm] = &before.Shapes[i]
 	}
-	leastMagnitude := math.Log(max(leastFactor, 1))
+	minMagnitude := math.Log(max(minFactor, 1))
 	var diff snapshotDiff
 	for i := range after.Shapes {
 		shape := &after.Shapes[i]
@@ -72,13 +72,13 @@
 			continue
 		}
 		delete(remaining, shape.NormalForm)
-		change := costChange{normalForm: shape.NormalForm, before: typicalCost(old), after: typicalCost(shape)}
-		if change.before > 0 && change.after > 0 && change.magnitude() >= leastMagnitude {
+		change := workChange{normalForm: shape.NormalForm, before: medianWork(old), after: medianWork(shape)}
+		if change.before > 0 && change.after > 0 && change.magnitude() >= minMagnitude {
 			diff.changes = append(diff.changes, change)
 		}
 	}
 	diff.removed = len(remaining)
-	slices.SortStableFunc(diff.changes, func(a, b costChange) int {
+	slices.SortStableFunc(diff.changes, func(a, b workChange) int {
 		return cmp.Compare(b.magnitude(), a.magnitude())
 	})
 	return diff
--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -11,13 +11,13 @@
 
 // explainCommand explains how one statement is classified and estimated.
 type explainCommand struct {
-	SQL      string    `name:"sql" arg:"" help:"The statement."`
-	Bind     []string  `name:"bind" sep:"none" placeholder:"VALUE" help:"Value of the next parameter; NULL is null."`
-	Snapshot string    `name:"snapshot" placeholder:"FILE" help:"Snapshot to use; by default there are no statistics."`
-	Hint     float64   `name:"hint" placeholder:"MS" help:"The client's estimate of the work, in ms."`
-	Known    int       `name:"known" default:"-1" help:"Index of the class if it is known, from 0; -1: unknown."`
-	Bounds   []float64 `name:"bounds" default:"800" help:"Limits between the classes of reading statements, in ms of work."`
-	Readers  []string  `name:"readers" help:"Read-only functions besides PostgreSQL's own."`
+	SQL               string    `name:"sql" arg:"" help:"The statement."`
+	Bind              []string  `name:"bind" sep:"none" placeholder:"VALUE" help:"Value of the next parameter; NULL is null."`
+	Snapshot          string    `name:"snapshot" placeholder:"FILE" help:"Snapshot to use; by default there are no statistics."`
+	HintMillis        float64   `name:"hint" placeholder:"MS" help:"The client's estimate of the work, in ms."`
+	KnownClass        int       `name:"known" default:"-1" help:"Index of the class if it is known, from 0; -1: unknown."`
+	ClassLimits       []float64 `name:"bounds" default:"800" help:"Limits between the classes of reading statements, in ms of work."`
+	ReadOnlyFunctions []string  `name:"readers" help:"Read-only functions besides PostgreSQL's own."`
 }
 
 // explainStoreBytes is enough for any snapshot that a front end writes with usual settings.
@@ -28,15 +28,16 @@
 
 // Run prints how a front end would classify and estimate the statement.
 func (c *explainCommand) Run() error {
-	classes := c.costModel()
-	store, err := c.openStore(classes)
+	model := c.costModel()
+	store, err := c.openStore(model)
 	if err != nil {
 		return err
 	}
 	binds := c.boundValues()
 	var t table
 	analysis := c.explainAnalysis(&t, binds)
-	estimate := store.Estimate(store.Parse(c.SQL), binds, c.Known, stmtstats.Hint{WorkMillis: c.Hint}).Estimate
+	hint := stmtstats.Hint{WorkMillis: c.HintMillis}
+	estimate := store.Estimate(store.Parse(c.SQL), binds, c.KnownClass, hint).Estimate
 	if estimate.Known {
 		ninetiethPercentile := estimate.WorkMillis * estimate.SpreadFactor
 		t.row("expected\t%.4g ms, 90%% below %.4g ms", estimate.WorkMillis, ninetiethPercentile)
@@ -44,21 +45,22 @@
 			t.row("memory\t%.3g MB", estimate.MemoryMB)
 		}
 		if analysis.Effect.Effect == sqltext.EffectReads && estimate.Class >= 0 {
-			t.row("class\t%s", classes.Classes[estimate.Class].Name)
+			t.row("class\t%s", model.Classes[estimate.Class].Name)
 		}
 	}
 	t.row("reasons\t%s", estimate.Explain())
 	return t.print()
 }
 
-// costModel returns a class of read-only statements for each limit, and a last one without a limit.
+// costModel returns a cost model with one class of read-only statements for each limit, and a last
+// class without a limit.
 func (c *explainCommand) costModel() costmodel.Config {
 	var model costmodel.Config
-	for i, limit := range c.Bounds {
+	for i, limit := range c.ClassLimits {
 		class := costmodel.Class{Name: fmt.Sprintf("class %d", i), MaxWorkMillis: limit}
 		model.Classes = append(model.Classes, class)
 	}
-	last := costmodel.Class{Name: fmt.Sprintf("class %d", len(c.Bounds))}
+	last := costmodel.Class{Name: fmt.Sprintf("class %d", len(c.ClassLimits))}
 	model.Classes = append(model.Classes, last)
 	return model
 }
@@ -93,7 +95,7 @@
 // explainAnalysis analyses the statement with its bound values and adds the result to the table.
 func (c *explainCommand) explainAnalysis(t *table, binds *sqltext.Binds) *sqltext.Analysis {
 	readOnly := sqltext.Functions{}
-	for _, name := range c.Readers {
+	for _, name := range c.ReadOnlyFunctions {
 		readOnly[name] = true
 	}
 	analyzer := sqltext.NewAnalyzer()
@@ -112,7 +114,7 @@
 	return analysis
 }
 
-// maxTokensLength limits the list of tokens, in bytes.
+// maxTokensLength is the length of the list of tokens, in bytes, after which it is cut off.
 const maxTokensLength = 2000
 
 // formatTokens lists the tokens of a statement.
--- a/cmd/flaxrelay/shapes_top.go
+++ b/cmd/flaxrelay/shapes_top.go
@@ -7,35 +7,35 @@
 	"flaxrelay/internal/stmtstats"
 )
 
-// topCommand lists the most expensive shapes of a snapshot.
+// topCommand lists the shapes of a snapshot that take the most work.
 type topCommand struct {
 	Snapshot string `name:"snapshot" arg:"" help:"The file."`
-	Most     int    `name:"most" default:"20" help:"Maximum number of rows."`
+	MaxRows  int    `name:"most" default:"20" help:"Maximum number of rows."`
 }
 
-// Run lists shapes by the total work of their executions.
+// Run lists the shapes, those with the most total work first.
 func (c *topCommand) Run() error {
 	snapshot, err := stmtstats.ReadSnapshot(c.Snapshot)
 	if err != nil {
 		return err
 	}
 	slices.SortStableFunc(snapshot.Shapes, func(a, b stmtstats.SavedShape) int {
-		return cmp.Compare(totalCost(&b), totalCost(&a))
+		return cmp.Compare(totalWork(&b), totalWork(&a))
 	})
 	var t table
 	t.row("executions\twork ms\tprofiles\tshape")
-	for i := range snapshot.Shapes[:min(c.Most, len(snapshot.Shapes))] {
+	for i := range snapshot.Shapes[:min(c.MaxRows, len(snapshot.Shapes))] {
 		shape := &snapshot.Shapes[i]
 		t.row("%d\t%.4g\t%d\t%s",
-			shape.Record.Executions, typicalCost(shape), countProfiles(shape), abbreviate(shape.NormalForm))
+			shape.Record.Executions, medianWork(shape), countProfiles(shape), abbreviate(shape.NormalForm))
 	}
 	t.row("\n%d shapes\t\t\t%d more were too long to store", len(snapshot.Shapes), snapshot.Truncated)
 	return t.print()
 }
 
-// totalCost returns the approximate work of all executions of a shape in milliseconds.
-func totalCost(shape *stmtstats.SavedShape) float64 {
-	return float64(shape.Record.Executions) * typicalCost(shape)
+// totalWork returns the approximate work of all executions of a shape in milliseconds.
+func totalWork(shape *stmtstats.SavedShape) float64 {
+	return float64(shape.Record.Executions) * medianWork(shape)
 }
 
 // countProfiles returns the number of parameter profiles of a shape that have executions.
