--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -23,46 +23,46 @@
 // listenHTTP composes the server for the platform's HTTP protocol and opens its listener. Engines
 // speak the line protocol; the event bus is the source of the endpoint list.
 func (s *server) listenHTTP(configPath, shapesPath string) error {
-	settings, err := loadHTTPConfig(configPath)
+	configuration, err := loadHTTPConfig(configPath)
 	if err != nil {
 		return err
 	}
-	limits := resourceLimits{memoryMB: settings.MemoryMB, descriptors: settings.MaxDescriptors}
-	if err := s.startCore(settings.Settings.Policy, settings.Seed, limits); err != nil {
+	limits := resourceLimits{memoryMB: configuration.MemoryMB, descriptors: configuration.MaxDescriptors}
+	if err := s.startCore(configuration.Settings.Policy, configuration.Seed, limits); err != nil {
 		return err
 	}
-	engines := lineclient.New(s.loop, s.dispatcher, settings.Settings, s.counters, s.logger)
+	engines := lineclient.New(s.loop, s.dispatcher, configuration.Settings, s.counters, s.logger)
 	engines.MaxConnections = limits.maxEngineConnections()
 	s.dispatcher.SetEngineClient(engines)
-	s.applyInitialEvents(settings.InitialEvents)
-	if settings.EventBus != "" {
-		s.watchEventBus(settings, configPath)
+	s.applyInitialEvents(configuration.InitialEvents)
+	if configuration.EventBus != "" {
+		s.watchEventBus(configuration, configPath)
 	}
-	if err := s.learnHTTPShapes(shapesPath, settings, limits); err != nil {
+	if err := s.startHTTPStatistics(shapesPath, configuration, limits); err != nil {
 		return err
 	}
 	frontEnd := httpserver.New(s.loop, s.dispatcher, httpserver.Options{
 		MaxClients:       limits.maxClients(),
 		MaxBufferedBytes: limits.memoryFraction(bufferedResultsDivisor),
-		Estimator:        s.shapes,
+		Estimator:        s.statistics,
 	}, s.counters)
 	s.frontEnd = frontEnd
-	return frontEnd.Listen(settings.Listen)
+	return frontEnd.Listen(configuration.Listen)
 }
 
 // loadHTTPConfig reads the configuration and applies the environment's listen address, if it is set.
 func loadHTTPConfig(path string) (*config.Config, error) {
-	settings, err := config.Load(path)
+	configuration, err := config.Load(path)
 	if err != nil {
 		return nil, err
 	}
 	if address := os.Getenv(listenAddressVariable); address != "" {
-		settings.Listen = address
+		configuration.Listen = address
 	}
-	if settings.Listen == "" {
+	if configuration.Listen == "" {
 		return nil, errNoListenAddress
 	}
-	return settings, nil
+	return configuration, nil
 }
 
 // applyInitialEvents applies the changes of the endpoint list that the configuration contains.
@@ -78,13 +78,14 @@
 
 // watchEventBus follows the event bus from the last event of the configuration. A reload moves the
 // watcher to the event bus that the file names then.
-func (s *server) watchEventBus(settings *config.Config, configPath string) {
+func (s *server) watchEventBus(configuration *config.Config, configPath string) {
+	settings := configuration.Settings
 	watcher := eventbus.New(
-		s.loop, settings.EventBus, settings.LastEvent, settings.Settings.Zones, settings.Settings.Kinds,
+		s.loop, configuration.EventBus, configuration.LastEvent, settings.Zones, settings.Kinds,
 		s.dispatcher, s.counters, s.logger,
 	)
-	if grace := settings.Settings.Policy.Rules.DrainGrace; grace > 0 {
-		// The notice that an engine drains must arrive well within its grace period.
+	if grace := settings.Policy.Rules.DrainGrace; grace > 0 {
+		// The event that an engine is draining must arrive well within its grace period.
 		watcher.MaxBackoff = grace / 2
 	}
 	watcher.Start()
@@ -101,9 +102,9 @@
 	}
 }
 
-// learnHTTPShapes starts the statement statistics that the file configures. Without a file they are
-// off.
-func (s *server) learnHTTPShapes(path string, settings *config.Config, limits resourceLimits) error {
+// startHTTPStatistics starts statement statistics with the shape settings of the file. If the path is
+// "" they are off.
+func (s *server) startHTTPStatistics(path string, configuration *config.Config, limits resourceLimits) error {
 	if path == "" {
 		return nil
 	}
@@ -111,10 +112,10 @@
 	if err != nil {
 		return err
 	}
-	return s.learnShapes(shapeLearning{
-		shapes:             shapes,
-		classes:            settings.Settings.Policy.Classes,
-		limits:             limits,
-		enginesReportCosts: settings.Settings.Policy.ReportsCost,
+	return s.startStatistics(statisticsOptions{
+		shapes:            shapes,
+		classes:           configuration.Settings.Policy.Classes,
+		limits:            limits,
+		enginesReportWork: configuration.Settings.Policy.ReportsCost,
 	})
 }
--- a/cmd/flaxrelay/metrics.go
+++ b/cmd/flaxrelay/metrics.go
@@ -7,8 +7,8 @@
 	"flaxrelay/internal/metrics"
 )
 
-// metricsReportInterval is how often changes of counters are logged. It is short enough for the log to
-// show the time before a fault beside the fault itself.
+// metricsReportInterval is the time between two log lines with the changes of counters. It is short
+// enough for the log to show how the counters changed right before a fault.
 const metricsReportInterval = 5 * time.Second
 
 // scheduleMetricsReport sets the timer of the next report.
@@ -40,8 +40,8 @@
 		return
 	}
 	s.publishDropped()
-	if s.shapes != nil {
-		s.shapes.PublishCounters()
+	if s.statistics != nil {
+		s.statistics.PublishCounters()
 	}
 	s.counters.Print(s.output)
 }
--- a/cmd/flaxrelay/postgres.go
+++ b/cmd/flaxrelay/postgres.go
@@ -16,8 +16,8 @@
 
 var errNoPostgresListenAddress = errors.New("deploy file: listen: missing")
 
-// unknownClassError reports a reloaded deploy file that names a class which the settings did not have
-// at the start. Settings are not reloaded.
+// unknownClassError reports that a reloaded deploy file names a class which the settings did not have
+// at the start. The settings file is not applied again by a reload.
 type unknownClassError struct{ class string }
 
 // Error implements error.
@@ -51,11 +51,11 @@
 	}, s.counters, s.logger))
 	watcher := consul.New(s.loop.Post, s.dispatcher, s.counters, s.logger)
 	watcher.Watch(ctx, consulOptions(deploy.Consul))
-	learning := shapeLearning{shapes: &deploy.Shapes, classes: deploy.Settings.Policy.Classes, limits: limits}
-	if err := s.learnShapes(learning); err != nil {
+	options := statisticsOptions{shapes: &deploy.Shapes, classes: deploy.Settings.Policy.Classes, limits: limits}
+	if err := s.startStatistics(options); err != nil {
 		return err
 	}
-	frontEnd := pgserver.New(s.loop, s.dispatcher, postgresOptions(deploy, s.shapes), s.counters)
+	frontEnd := pgserver.New(s.loop, s.dispatcher, postgresOptions(deploy, s.statistics), s.counters)
 	s.frontEnd = frontEnd
 	reloader := &postgresReloader{server: s, path: path, deploy: deploy, frontEnd: frontEnd, watcher: watcher}
 	s.reload = func() error { return reloader.reload(ctx) }
@@ -87,7 +87,7 @@
 			return &unknownClassError{class: class}
 		}
 	}
-	r.frontEnd.SetOptions(postgresOptions(next, r.server.shapes))
+	r.frontEnd.SetOptions(postgresOptions(next, r.server.statistics))
 	if next.Consul != r.deploy.Consul {
 		r.watcher.Watch(ctx, consulOptions(next.Consul))
 	}
--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -15,7 +15,7 @@
 	"flaxrelay/policy"
 )
 
-// server is one front end with its event loop, dispatcher and engine client. When the loop runs, its
+// server is one front end with its event loop, dispatcher and engine client. While the loop runs, its
 // goroutine owns all fields; other goroutines use loop.Post.
 type server struct {
 	loop       *eventloop.Loop
@@ -24,8 +24,8 @@
 	counters   *metrics.Counters
 	logger     *slog.Logger
 	output     *logging.AsyncWriter // of the log and the counters; nil: counters are not printed
-	shapes     *stmtstats.Service   // statement statistics; nil if they are off
-	reload     func() error         // applies a changed file; nil if nothing in it may change
+	statistics *stmtstats.Service   // statement statistics; nil if they are off
+	reload     func() error         // applies the changed file; nil if nothing in it may change
 	// reloadRetry retries a reload whose file could not be read; nil if there was none.
 	reloadRetry *timerqueue.Timer
 }
@@ -78,21 +78,21 @@
 	return nil
 }
 
-// shapeLearning configures statement statistics.
-type shapeLearning struct {
-	shapes             *config.Shapes // nil: off
-	classes            []policy.Class
-	limits             resourceLimits
-	enginesReportCosts bool // false: the execution time is taken as the work
+// statisticsOptions configures statement statistics.
+type statisticsOptions struct {
+	shapes            *config.Shapes // nil: off
+	classes           []policy.Class
+	limits            resourceLimits
+	enginesReportWork bool // false: the execution time is taken as the work
 }
 
-// learnShapes starts statement statistics if the settings turn them on.
-func (s *server) learnShapes(learning shapeLearning) error {
-	shapes := learning.shapes
+// startStatistics starts statement statistics if the settings turn them on.
+func (s *server) startStatistics(options statisticsOptions) error {
+	shapes := options.shapes
 	if shapes == nil || !shapes.Enabled {
 		return nil
 	}
-	if limit := learning.limits.memoryFraction(shapeStatisticsDivisor) / bytesPerKB; shapes.MemoryKB > limit {
+	if limit := options.limits.memoryFraction(shapeStatisticsDivisor) / bytesPerKB; shapes.MemoryKB > limit {
 		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", shapes.MemoryKB, limit)
 	}
 	service, err := stmtstats.NewService(stmtstats.Settings{
@@ -101,12 +101,12 @@
 		ApplyEstimates:    shapes.CorrectEstimates,
 		SnapshotPath:      shapes.Snapshot,
 		SnapshotInterval:  shapes.SnapshotInterval(),
-		EnginesReportWork: learning.enginesReportCosts,
-	}, learning.classes, s.loop, s.counters, s.logger)
+		EnginesReportWork: options.enginesReportWork,
+	}, options.classes, s.loop, s.counters, s.logger)
 	if err != nil {
 		return err
 	}
-	s.shapes = service
+	s.statistics = service
 	s.dispatcher.SetCostObserver(service)
 	return nil
 }
--- a/cmd/flaxrelay/shutdown.go
+++ b/cmd/flaxrelay/shutdown.go
@@ -8,13 +8,15 @@
 
 // The schedule of a graceful shutdown, counted from SIGTERM.
 const (
-	// Clients connect for up to 0.4 s after SIGTERM, and send requests for 0.2 s more.
+	// acceptPeriod is the time until the listener is closed, and readPeriod the time until no further
+	// requests are read. Clients connect for up to 0.4 s after SIGTERM, and send requests for 0.2 s
+	// more.
 	acceptPeriod = 500 * time.Millisecond
 	readPeriod   = 800 * time.Millisecond
 
-	// The platform kills the process no sooner than the longest deadline plus killGrace after
-	// SIGTERM, where the longest deadline counts as maxKillDeadline at most. Requests that are in
-	// flight finalResponseLead before that get their final response then.
+	// The platform kills the process no sooner than killGrace plus the longest deadline of a request
+	// after SIGTERM. A deadline above maxKillDeadline counts as maxKillDeadline. Requests that are
+	// still pending finalResponseLead before the kill get their final response at that time.
 	maxKillDeadline   = 3 * time.Second
 	killGrace         = 700 * time.Millisecond
 	finalResponseLead = 250 * time.Millisecond
@@ -22,7 +24,7 @@
 	// flushPeriod is the time for the last writes before the loop stops.
 	flushPeriod = 50 * time.Millisecond
 
-	// idlePollInterval is how often the shutdown checks whether nothing is in flight.
+	// idlePollInterval is the time between two checks whether a request is still pending.
 	idlePollInterval = 20 * time.Millisecond
 )
 
@@ -31,20 +33,20 @@
 type shutdown struct {
 	server     *server
 	drainAt    time.Duration // the front end reads no further requests from this time on
-	completeAt time.Duration // requests in flight get their final response at this time
+	completeAt time.Duration // pending requests get their final response at this time
 }
 
 // startShutdown starts a graceful shutdown. The server continues to serve as long as new clients may
-// arrive, and ends when nothing is in flight. startShutdown must be called on the event loop's
+// arrive, and ends when no request is pending. startShutdown must be called on the event loop's
 // goroutine.
 func (s *server) startShutdown() {
 	startedAt := s.loop.Now()
 	untilKill := min(s.dispatcher.LongestDeadline(), maxKillDeadline) + killGrace
 	logevent.ShutdownStarted.Log(s.logger)
-	if s.shapes != nil {
-		// The snapshot is written now, because the process ends without waiting for a write. What
-		// is learned from here on is lost.
-		s.shapes.SaveSnapshot()
+	if s.statistics != nil {
+		// The snapshot is written now, because the process does not wait for the write when it ends.
+		// Executions that end after this are not in the snapshot.
+		s.statistics.SaveSnapshot()
 	}
 	progress := &shutdown{
 		server:     s,
@@ -71,7 +73,8 @@
 	loop.Timers.Schedule(now+idlePollInterval, p.poll)
 }
 
-// finished reports whether nothing is in flight, or all requests were given their final responses.
+// finished reports whether no request is pending, or all pending requests were given their final
+// responses flushPeriod ago.
 func (p *shutdown) finished(now time.Duration) bool {
 	if now >= p.completeAt+flushPeriod {
 		return true
