--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// checkFile returns the faults of a file. Its kind is found from its name and content.
+// checkFile returns the faults of a file. Its name and content determine how it is read.
 func checkFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -63,7 +63,7 @@
 	platformFile          // configuration of the HTTP front end
 	settingsFile          // the settings object alone
 	postgresFile          // deploy file of the PostgreSQL front end
-	shapesFile            // query shape settings of the HTTP front end
+	shapesFile            // shape settings of the HTTP front end
 )
 
 // kindOf returns the kind of a file, from its extension and its keys. Only deploy files have a listen
--- a/cmd/flaxrelay/completion.go
+++ b/cmd/flaxrelay/completion.go
@@ -7,10 +7,11 @@
 	"github.com/alecthomas/kong"
 )
 
+// zshPrologue lets zsh run a completion script for bash.
 const zshPrologue = "autoload -U +X bashcompinit && bashcompinit\n"
 
-// completionScript is a bash script. Its case statement, which is inserted at %s, sets the words that
-// may follow the commands typed so far.
+// completionScript is the format of a bash script. The branches of its case statement, which are
+// inserted at %s, set the words that may follow the commands typed so far.
 const completionScript = `_flaxrelay() {
   local path="" word words="" i
   for ((i = 1; i < COMP_CWORD; i++)); do
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// writeCompletionCases writes a branch of the case statement for the command at the path and for each
-// command below it.
+// writeCompletionCases writes a branch of the case statement for the command and for each of its
+// subcommands. The path contains the names of the commands that lead to it.
 func writeCompletionCases(cases *strings.Builder, command *kong.Node, path string) {
 	var words []string
 	for _, child := range command.Children {
--- a/cmd/flaxrelay/descriptors_test.go
+++ b/cmd/flaxrelay/descriptors_test.go
@@ -12,7 +12,8 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// smallTable is a limit on descriptors that clients and engines together would reach.
+// smallTable is a limit on descriptors that is lower than the number of descriptors that clients and
+// engines together use.
 const smallTable = 64
 
 // While the event bus is down, idle clients open all the connections that they can, and requests go to
@@ -84,7 +85,8 @@
 			"az": "hall-a", "model": "std-8", "pod_group": 0, "state": "in_service", "capacity_hint": 1, "boot_ms": 0,
 		})
 	}
-	configuration["listen"], configuration["bus"] = tcptest.AnyLoopbackPort, busAddress
+	configuration["listen"] = tcptest.AnyLoopbackPort
+	configuration["bus"] = busAddress
 	configuration["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": smallTable}
 	configuration["known"] = map[string]any{"offset": 1, "batch": []any{map[string]any{
 		"offset": 1, "topology": map[string]any{"rev": 1, "all": true, "targets": targets},
--- a/cmd/flaxrelay/limits.go
+++ b/cmd/flaxrelay/limits.go
@@ -18,10 +18,10 @@
 	defaultDescriptors = 1024
 )
 
-// The memory limit divided by one of these is the share of a part of the program. Without statement
-// statistics, the shares add up to less than a third of the limit in the HTTP front end, and to less
-// than six tenths in the PostgreSQL front end. The rest is for the program itself and the garbage
-// collector.
+// Divisors of the memory limit. Each gives the share of one part of the program: the limit divided by
+// 6 is the share of the read buffers, and so on. Without statement statistics, the shares add up to
+// less than a third of the limit in the HTTP front end, and to less than six tenths in the PostgreSQL
+// front end. The rest is for the program itself and the garbage collector.
 const (
 	loopBufferDivisor      = 6 // read buffers of all connections of the event loop
 	bufferedResultsDivisor = 8 // HTTP results whose next page is not fetched yet
@@ -30,15 +30,15 @@
 	shapeStatisticsDivisor = 4 // statement statistics, at most
 )
 
-// The part of the memory limit at which the garbage collector limits the growth of the heap. It is
-// well below 1, because buffers outside the heap count too.
+// The Go runtime's soft memory limit is heapLimitTenths / tenths of the configured memory limit. It is
+// well below the whole, because buffers outside the heap count towards the configured limit too.
 const (
 	heapLimitTenths = 6
 	tenths          = 10
 )
 
-// The budget of descriptors. Clients get three quarters of the table minus closingClientReserve, engines
-// get the rest minus reservedDescriptors.
+// The budget of descriptors. Clients get three quarters of the table minus closingClientReserve.
+// Engines get the rest minus httpserver.SpareClients and reservedDescriptors.
 const (
 	clientShareQuarters = 3
 	quarters            = 4
@@ -54,8 +54,8 @@
 	minEngineConnections = 4
 )
 
-// maxProcessors is the value of GOMAXPROCS. It is more than one even on one core, because the wait of
-// the event loop's poller occupies one.
+// maxProcessors is the value of GOMAXPROCS. It is more than one even on one core, because the event
+// loop's poller occupies one while it waits.
 const maxProcessors = 3
 
 // resourceLimits are the configured limits of the process; 0 or less stands for the default.
--- a/cmd/flaxrelay/process_test.go
+++ b/cmd/flaxrelay/process_test.go
@@ -56,7 +56,7 @@
 }
 
 // startProcess runs the calling test, which must call serveInChild, in a process of its own. The
-// environment variable is one of those above; the process serves the file at the path.
+// environment variable is configVariable or postgresVariable; the process serves the file at the path.
 func startProcess(t *testing.T, variable, path string) *process {
 	t.Helper()
 	p := &process{t: t, cmd: exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")}
@@ -103,7 +103,7 @@
 	return match[1]
 }
 
-// drainLog reads the log to its end, so that the pipe does not fill up.
+// drainLog reads the log to its end, which is the end of the process.
 func (p *process) drainLog() {
 	for p.log.Scan() {
 		continue
--- a/cmd/flaxrelay/reload.go
+++ b/cmd/flaxrelay/reload.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// reloadRetryTime is how long a reload is retried whose file cannot be read. Events of a new
-	// event bus count as received 4 s after SIGHUP.
+	// reloadRetryTime limits the time, from SIGHUP, during which a reload is retried whose file could
+	// not be read. It is below 4 s: from then on, the rules treat events of a new event bus as received.
 	reloadRetryTime = 3 * time.Second
-	// reloadRetryDelay is the pause between two retries.
+	// reloadRetryDelay is the time before each retry.
 	reloadRetryDelay = 50 * time.Millisecond
 )
 
 // reloadFile applies the parts of the configuration file that may change while the server runs. An
-// invalid file changes nothing. A file that cannot be read is retried for some time, because the
-// reason may be temporary and no further signal comes: there was no free descriptor, or the file is
-// being replaced. reloadFile must be called on the event loop's goroutine.
+// invalid file changes nothing. If the file cannot be read, the reload is retried for reloadRetryTime,
+// because the reason may be temporary and the operator sends no second signal: there was no free
+// descriptor, or the file is being replaced. reloadFile must be called on the event loop's goroutine.
 func (s *server) reloadFile() {
 	s.reloadRetry.Stop() // this reload replaces the earlier one
 	if s.reload == nil {
@@ -36,12 +36,12 @@
 	s.counters.Increment(metrics.ReloadFailed)
 	logevent.ReloadFailed.Log(s.logger, slog.Any("error", err),
 		slog.String("effect", "the previous configuration stays in use"))
-	s.scheduleReload(err, s.loop.Now()+reloadRetryTime)
+	s.scheduleReloadRetry(err, s.loop.Now()+reloadRetryTime)
 }
 
-// scheduleReload schedules a retry if the error says that the file could not be read. It gives up at
-// the given time.
-func (s *server) scheduleReload(err error, giveUpAt time.Duration) {
+// scheduleReloadRetry schedules a retry if the error says that the file could not be read, unless the
+// retry would be after giveUpAt.
+func (s *server) scheduleReloadRetry(err error, giveUpAt time.Duration) {
 	var unreadable *fs.PathError
 	next := s.loop.Now() + reloadRetryDelay
 	if !errors.As(err, &unreadable) || next > giveUpAt {
@@ -50,13 +50,14 @@
 	s.reloadRetry = s.loop.Timers.Schedule(next, func() {
 		s.counters.Increment(metrics.ReloadRetried)
 		if err := s.reload(); err != nil {
-			s.scheduleReload(err, giveUpAt)
+			s.scheduleReloadRetry(err, giveUpAt)
 			return
 		}
 		s.reloadCompleted()
 	})
 }
 
+// reloadCompleted counts and logs a reload that was carried out.
 func (s *server) reloadCompleted() {
 	s.counters.Increment(metrics.ReloadCompleted)
 	logevent.ReloadCompleted.Log(s.logger)
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// finalFlushTime limits how long the program waits at its end until the log is written.
+// finalFlushTime limits the time that the program waits at its end until the log is written.
 const finalFlushTime = 500 * time.Millisecond
 
 // serveFiles are the paths of the files that configure a front end.
@@ -59,8 +59,8 @@
 // serve runs the front end that the files select until it has shut down. The logger writes to the
 // output; the counters are printed to it too.
 func serve(files serveFiles, logger *slog.Logger, output *logging.AsyncWriter) error {
-	received := subscribeSignals() // first, because an earlier signal ends the process at once
-	signal.Ignore(syscall.SIGPIPE) // sent when the reader of the log has ended
+	received := subscribeSignals() // first, because until then a signal ends the process at once
+	signal.Ignore(syscall.SIGPIPE) // the process must survive a write to a log whose reader has ended
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s := newServer(logger)
--- a/cmd/flaxrelay/signals.go
+++ b/cmd/flaxrelay/signals.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// signalQueueLength is far more than the number of signals that an operator sends while one is
-// handled. Package signal drops signals when the channel is full.
+// signalQueueLength is the length of the channel of signals. Package signal drops signals when the
+// channel is full. An operator sends far fewer while one is handled.
 const signalQueueLength = 16
 
 // subscribeSignals returns a channel that receives the signals that control the server.
--- a/cmd/flaxrelay/version.go
+++ b/cmd/flaxrelay/version.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-var errNoBuildInfo = errors.New("this program was built without its version")
+var errNoBuildInfo = errors.New("this program was built without version information")
 
 // versionCommand prints the version of the program.
 type versionCommand struct{}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts instances of the policy module for the simulator: it reads
-// batches of events from standard input and writes the actions to standard output.
+// Command simadapter runs balancers of package policy for the simulator. It reads batches of events
+// from standard input and writes the balancers' actions to standard output.
 package main
 
 import (
