--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Format, linters and tests of all packages; README names this command. The tests of
-# KNOWN-RED.txt run apart: their result is printed and does not count.
+# Checks format, runs the linters, and runs the tests of all packages with the race detector. The
+# tests in KNOWN-RED.txt run at the end; their results are printed and do not count.
 set -eu
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l cmd internal policy)
@@ -19,7 +19,7 @@
     exit 0
 fi
 go test -race -skip "^($known_red)\$" ./...
-echo "known red, printed and not counted:"
+echo "tests of KNOWN-RED.txt, whose results do not count:"
 cat KNOWN-RED.txt
 sed -n 's/^\(Test[A-Za-z0-9_]*\) \([^ :]*\):.*/\1 \2/p' KNOWN-RED.txt | while read -r test package; do
     go test -race -count=1 -run "^$test\$" "$package" || echo "known red: $test failed"
--- a/tools/lint/run.sh
+++ b/tools/lint/run.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Format and lint: gofumpt and golangci-lint, at the versions of this folder's
-# go.mod, with the .golangci.yml at the root. Fails if either finds anything.
+# Checks format with gofumpt and runs golangci-lint. The go.mod of this folder sets their versions,
+# and .golangci.yml at the root configures golangci-lint. Fails if either tool finds anything.
 # usage: run.sh [PACKAGE...], relative to the root; all packages by default
 set -eu
 cd "$(dirname "$0")/../.."
@@ -10,12 +10,12 @@
 fi
 [ $# -gt 0 ] || set -- ./...
 
-# `go build` leaves a tool alone that is up to date with go.mod and the compiler.
+# `go build` does not write a tool again that is up to date with go.mod and the compiler.
 mkdir -p bin/tools
 go build -C tools/lint -o ../../bin/tools/ \
     github.com/golangci/golangci-lint/v2/cmd/golangci-lint mvdan.cc/gofumpt
 
-# One line per Go file of a package, the tests and those of other platforms too.
+# One line for each Go file of a package, with tests and with files of other platforms.
 go_files_template='{{$dir := .Dir}}{{range .GoFiles}}{{$dir}}/{{.}}
 {{end}}{{range .CgoFiles}}{{$dir}}/{{.}}
 {{end}}{{range .TestGoFiles}}{{$dir}}/{{.}}
