--- a/internal/logevent/catalog.go
+++ b/internal/logevent/catalog.go
@@ -8,7 +8,7 @@
 		"The front end accepts requests.",
 		"addr")
 	ServerStartFailed = declare("server.start-failed", slog.LevelError,
-		"A fault keeps the front end from starting; one line for each.",
+		"A fault prevents the front end from starting; one line for each fault.",
 		"file", "line", "field", "error")
 	ServerDisabled = declare("server.disabled", slog.LevelInfo,
 		"The deploy file names no address to listen at.",
@@ -27,7 +27,7 @@
 		"Nothing in this configuration may change while the front end runs.",
 		"reason")
 	InvariantViolated = declare("invariant.violated", slog.LevelError,
-		"A rule that must always hold was about to be broken, or was.",
+		"An invariant was violated, or a violation was prevented.",
 		"rule", "request", "engine", "attempt", "reason", "late", "pending", "counted", "sent", "limit")
 )
 
--- a/internal/metrics/catalog.go
+++ b/internal/metrics/catalog.go
@@ -143,5 +143,5 @@
 	ReloadRetried = declare("reload.retried",
 		"Repeated readings of a file that could not be read.")
 	LogDropped = declare("log.dropped",
-		"Lines of the log that standard error did not take in time.")
+		"Log lines that were dropped or could not be written.")
 )
