--- a/cmd/flaxrelay/completion.go
+++ b/cmd/flaxrelay/completion.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// zshPrologue lets zsh run a completion script for bash.
+// zshPrologue makes zsh accept a completion script for bash.
 const zshPrologue = "autoload -U +X bashcompinit && bashcompinit\n"
 
 // completionScript is the format of a bash script. The branches of its case statement, which are
--- a/cmd/flaxrelay/limits.go
+++ b/cmd/flaxrelay/limits.go
@@ -31,7 +31,7 @@
 )
 
 // The Go runtime's soft memory limit is heapLimitTenths / tenths of the configured memory limit. It is
-// well below the whole, because buffers outside the heap count towards the configured limit too.
+// well below 1, because buffers outside the heap count towards the configured limit too.
 const (
 	heapLimitTenths = 6
 	tenths          = 10
@@ -58,7 +58,7 @@
 // loop's poller occupies one while it waits.
 const maxProcessors = 3
 
-// resourceLimits are the configured limits of the process; 0 or less stands for the default.
+// resourceLimits are the configured limits of the process; 0 or less selects the default.
 type resourceLimits struct {
 	memoryMB    int
 	descriptors int
--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -39,9 +39,10 @@
 	CloseListener()
 	// Drain begins a graceful shutdown: each connection is closed as soon as it has no request.
 	Drain()
-	// Finish ends a graceful shutdown. It must be called after Dispatcher.CompleteAll.
+	// Finish ends a graceful shutdown: each connection that is still open is closed as soon as its
+	// responses are sent. It must be called after Dispatcher.CompleteAll.
 	Finish()
-	// Idle reports whether all clients have received their responses.
+	// Idle reports whether no client is connected and no client has yet to fetch a part of its result.
 	Idle() bool
 }
 
--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -35,7 +35,7 @@
 	}
 	binds := c.boundValues()
 	var t table
-	analysis := c.explainAnalysis(&t, binds)
+	analysis := c.addAnalysis(&t, binds)
 	hint := stmtstats.Hint{WorkMillis: c.HintMillis}
 	estimate := store.Estimate(store.Parse(c.SQL), binds, c.KnownClass, hint).Estimate
 	if estimate.Known {
@@ -92,8 +92,8 @@
 	return binds
 }
 
-// explainAnalysis analyses the statement with its bound values and adds the result to the table.
-func (c *explainCommand) explainAnalysis(t *table, binds *sqltext.Binds) *sqltext.Analysis {
+// addAnalysis analyses the statement with its bound values, adds the result to the table and returns it.
+func (c *explainCommand) addAnalysis(t *table, binds *sqltext.Binds) *sqltext.Analysis {
 	readOnly := sqltext.Functions{}
 	for _, name := range c.ReadOnlyFunctions {
 		readOnly[name] = true
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -103,26 +103,27 @@
 	}
 }
 
+// checkImport reports an import that breaks a rule on layers, decisions, test support or lab packages.
 func checkImport(t *testing.T, pkg, path string) {
 	t.Helper()
 	if strings.HasPrefix(pkg, decisionPrefix) && slices.Contains(impureImports, path) {
 		t.Errorf("%s imports %s: decisions do no I/O and draw no random numbers", pkg, path)
 	}
-	imported, internal := strings.CutPrefix(path, modulePrefix)
-	if !internal {
+	imported, isInternal := strings.CutPrefix(path, modulePrefix)
+	if !isInternal {
 		return
 	}
 	if slices.Contains(testSupportPackages, imported) && !slices.Contains(testSupportPackages, pkg) {
 		t.Errorf("%s imports %s outside its tests", pkg, imported)
 	}
-	lab := strings.HasPrefix(pkg, labPrefix)
+	isLab := strings.HasPrefix(pkg, labPrefix)
 	layer := layerOf(pkg)
 	switch {
-	case strings.HasPrefix(imported, labPrefix) && !lab && pkg != "cmd/flaxlab":
+	case strings.HasPrefix(imported, labPrefix) && !isLab && pkg != "cmd/flaxlab":
 		t.Errorf("%s imports %s: lab packages are not for serving", pkg, imported)
-	case lab && strings.HasPrefix(imported, "cmd/"):
+	case isLab && strings.HasPrefix(imported, "cmd/"):
 		t.Errorf("%s imports %s", pkg, imported)
-	case !lab && layer >= 0 && layerOf(imported) >= 0 && layerOf(imported) < layer:
+	case !isLab && layer >= 0 && layerOf(imported) >= 0 && layerOf(imported) < layer:
 		t.Errorf("%s imports %s, which belongs to a higher layer", pkg, imported)
 	}
 }
