--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -114,7 +114,7 @@
 }
 
 // Drain begins a graceful shutdown: each connection is closed as soon as it is unused. A request that has partly
-// arrived is still served once it is complete; its read timer bounds the wait for it.
+// arrived is still served once it is complete; its read timer limits the wait for it.
 func (s *Server) Drain() {
 	s.draining = true
 	for c := range s.connections {
--- a/internal/metrics/catalog.go
+++ b/internal/metrics/catalog.go
@@ -114,7 +114,7 @@
 		"Lookups of a statement shape that was cached; set when counters are printed.")
 	ShapesMisses = declare("shapes.misses",
 		"Lookups of a statement shape that was not cached; set when counters are printed.")
-	ShapesHeld = declare("shapes.held",
+	ShapesCached = declare("shapes.held",
 		"Statement shapes in the cache; set when counters are printed.")
 	ShapesBytes = declare("shapes.bytes",
 		"Size of the cache of statement shapes; set when counters are printed.")
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -30,7 +30,7 @@
 		open + `["REQ",4,1]`:                  "batch 9: REQ: who: no instance 4",
 		open + `["TICK_DUE","x",1]`:           "batch 9: TICK_DUE: who",
 		open + `["INIT",1]`:                   "batch 9: INIT: prng: missing",
-		open + `["INIT",1,2,{"balancers":0}]`: "Gateways",
+		open + `["INIT",1,2,{"balancers":0}]`: "Replicas",
 		open + `["POOL",16,[]]`:               "batch 9: POOL: table",
 		open + `["POOL",0,[["a","k","e"]]]`:   "entry 0: POOL: availability: missing",
 		open + `["CLOCK",1,2]`:                "batch 9: CLOCK: batch still open",
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -79,7 +79,7 @@
 // PublishCounters sets the counters of the store's figures.
 func (s *Service) PublishCounters() {
 	s.counters.Set(metrics.ShapesCorrected, s.corrected)
-	s.counters.Set(metrics.ShapesHeld, int64(s.store.Len()))
+	s.counters.Set(metrics.ShapesCached, int64(s.store.Len()))
 	s.counters.Set(metrics.ShapesBytes, int64(s.store.Bytes()))
 	s.counters.Set(metrics.ShapesHits, int64(s.store.Stats.Hits))
 	s.counters.Set(metrics.ShapesMisses, int64(s.store.Stats.Misses))
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -7,7 +7,7 @@
 
 // SettingsError says what is wrong with one field of the settings.
 type SettingsError struct {
-	Field   string // as in the settings of the deployment, with the index of a class
+	Field   string // of Settings, with the index of a class
 	Problem string
 }
 
@@ -21,7 +21,7 @@
 // validate names the first field of the settings that no balancer can work with.
 func validate(settings *Settings) error {
 	if settings.Replicas < 1 {
-		return settingsError("Gateways", "%d is under 1", settings.Replicas)
+		return settingsError("Replicas", "%d is under 1", settings.Replicas)
 	}
 	if len(settings.Classes) == 0 {
 		return settingsError("Classes", "none")
@@ -33,13 +33,13 @@
 	}
 	switch {
 	case settings.ProgressInterval < 0:
-		return settingsError("NoteEvery", "%v is under 0", settings.ProgressInterval)
+		return settingsError("ProgressInterval", "%v is under 0", settings.ProgressInterval)
 	case !(settings.Rules.RetryBudgetMin >= 0): // also where it is not a number
-		return settingsError("Rules.ExtraFree", "%v is under 0", settings.Rules.RetryBudgetMin)
+		return settingsError("Rules.RetryBudgetMin", "%v is under 0", settings.Rules.RetryBudgetMin)
 	case !(settings.Rules.RetryBudgetRatio >= 0):
-		return settingsError("Rules.ExtraShare", "%v is under 0", settings.Rules.RetryBudgetRatio)
+		return settingsError("Rules.RetryBudgetRatio", "%v is under 0", settings.Rules.RetryBudgetRatio)
 	case settings.Rules.RetryBudgetWindow < 0:
-		return settingsError("Rules.LookBack", "%v is under 0", settings.Rules.RetryBudgetWindow)
+		return settingsError("Rules.RetryBudgetWindow", "%v is under 0", settings.Rules.RetryBudgetWindow)
 	}
 	return nil
 }
@@ -49,15 +49,15 @@
 	case c.Name == "":
 		return settingsError(field+".Name", "empty")
 	case c.LatencyObjective <= 0:
-		return settingsError(field+".Aim", "%v is not above 0", c.LatencyObjective)
+		return settingsError(field+".LatencyObjective", "%v is not above 0", c.LatencyObjective)
 	case c.Deadline <= 0:
 		return settingsError(field+".Deadline", "%v is not above 0", c.Deadline)
 	case c.Threads < 0 || math.IsNaN(c.Threads) || math.IsInf(c.Threads, 0):
 		return settingsError(field+".Threads", "%v is not a count", c.Threads)
 	case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0):
-		return settingsError(field+".Worth", "%v is not a worth", c.PriorityWeight)
+		return settingsError(field+".PriorityWeight", "%v is not a weight", c.PriorityWeight)
 	case c.Effect == IdempotentByKey && c.DedupWindow < 0:
-		return settingsError(field+".Window", "%v is under 0", c.DedupWindow)
+		return settingsError(field+".DedupWindow", "%v is under 0", c.DedupWindow)
 	}
 	return nil
 }
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -11,18 +11,18 @@
 		field, problem string
 		breakSetting   func(*Settings)
 	}{
-		{"Gateways", "0 is under 1", func(s *Settings) { s.Replicas = 0 }},
+		{"Replicas", "0 is under 1", func(s *Settings) { s.Replicas = 0 }},
 		{"Classes", "none", func(s *Settings) { s.Classes = nil }},
 		{"Classes[0].Name", "empty", func(s *Settings) { s.Classes[0].Name = "" }},
-		{"Classes[1].Aim", "0s is not above 0", func(s *Settings) { s.Classes[1].LatencyObjective = 0 }},
+		{"Classes[1].LatencyObjective", "0s is not above 0", func(s *Settings) { s.Classes[1].LatencyObjective = 0 }},
 		{"Classes[2].Deadline", "-1ns is not above 0", func(s *Settings) { s.Classes[2].Deadline = -1 }},
 		{"Classes[0].Threads", "NaN is not a count", func(s *Settings) { s.Classes[0].Threads = math.NaN() }},
-		{"Classes[0].Worth", "NaN is not a worth", func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() }},
-		{"Classes[3].Window", "-1ns is under 0", func(s *Settings) { s.Classes[3].DedupWindow = -1 }},
-		{"NoteEvery", "-1ns is under 0", func(s *Settings) { s.ProgressInterval = -1 }},
-		{"Rules.LookBack", "-1ns is under 0", func(s *Settings) { s.Rules.RetryBudgetWindow = -1 }},
-		{"Rules.ExtraFree", "-1 is under 0", func(s *Settings) { s.Rules.RetryBudgetMin = -1 }},
-		{"Rules.ExtraShare", "NaN is under 0", func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() }},
+		{"Classes[0].PriorityWeight", "NaN is not a weight", func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() }},
+		{"Classes[3].DedupWindow", "-1ns is under 0", func(s *Settings) { s.Classes[3].DedupWindow = -1 }},
+		{"ProgressInterval", "-1ns is under 0", func(s *Settings) { s.ProgressInterval = -1 }},
+		{"Rules.RetryBudgetWindow", "-1ns is under 0", func(s *Settings) { s.Rules.RetryBudgetWindow = -1 }},
+		{"Rules.RetryBudgetMin", "-1 is under 0", func(s *Settings) { s.Rules.RetryBudgetMin = -1 }},
+		{"Rules.RetryBudgetRatio", "NaN is under 0", func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() }},
 	} {
 		s := settings()
 		c.breakSetting(&s)
