--- a/internal/eventloop/buffer_test.go
+++ b/internal/eventloop/buffer_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// A byte keeps the time at which it was read when others are read or consumed later.
+// The time at which a byte was read does not change when other bytes are read or consumed.
 func TestBuffer_KeepsTheArrivalTimeOfEachByte(t *testing.T) {
 	var b Buffer
 	b.append([]byte("first"), time.Second)
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// Bytes that come after the last response do not reset the connection over it.
+// Bytes that arrive after the last response do not reset the connection before the peer has read it.
 func TestClose_DoesNotResetOverUnreadBytes(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -58,7 +58,7 @@
 	}
 }
 
-// A peer that goes on writing and never closes keeps a closed connection for a moment only.
+// A closed connection ends although its peer goes on writing and never closes.
 func TestClose_EndsWithoutThePeer(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, r.conn.Close)
@@ -161,7 +161,7 @@
 	await(t, r.closed, "the end of the connection")
 }
 
-// The end of a connection carries the peer's reset, also while the socket is not read.
+// OnClosed is called with the error of the peer's reset, also while the socket is not read.
 func TestOnClosed_ReportsAReset(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -189,7 +189,7 @@
 
 // Close makes space in a full buffer, so that what the peer still sends is read: left unread, it would reset the
 // connection.
-func TestClose_ReadsOnBehindAFullBuffer(t *testing.T) {
+func TestClose_ReadsOnAfterAFullBuffer(t *testing.T) {
 	const size = readLimit + 2*readSize // more than is read before a pause
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
@@ -216,13 +216,13 @@
 func TestCloseAfterLinger_SendsPendingBytes(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		acceptAgain := refuseWrites(r.conn)
+		unblock := blockWrites(r.conn)
 		r.conn.Write([]byte("response"))
 		r.conn.CloseAfterLinger()
 		if got := interestOf(r.conn); got != unix.EPOLLRDHUP|unix.EPOLLOUT {
 			t.Errorf("the poller waits for events %#x, want %#x", got, unix.EPOLLRDHUP|unix.EPOLLOUT)
 		}
-		acceptAgain()
+		unblock()
 	})
 	if got, err := io.ReadAll(peer); string(got) != "response" || err != nil {
 		t.Errorf("the peer read %q, then %v", got, err)
@@ -230,7 +230,7 @@
 	await(t, r.closed, "the end of the connection")
 }
 
-// Bytes that were not consumed before the end count no more after it.
+// Bytes that were not consumed are no longer counted after the end.
 func TestOnClosed_ReleasesUnreadBytes(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
@@ -270,8 +270,8 @@
 	}
 }
 
-// Each close bounds the time that the connection lasts: by the time to drain while bytes are pending, else by the
-// time to linger.
+// Each close limits the time until the connection ends: to maxDrainTime if bytes are pending and to lingerTime
+// otherwise, and to lingerTime in any case for CloseAfterLinger.
 func TestClose_LastsNoLongerThanItsLimit(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -290,7 +290,7 @@
 			l, r, _ := connectedPair(t)
 			eventlooptest.Do(l, func() {
 				if test.pending {
-					refuseWrites(r.conn)
+					blockWrites(r.conn)
 					r.conn.Write([]byte("response"))
 				}
 				before := l.Now()
@@ -312,16 +312,17 @@
 	}
 }
 
-// After a Close with pending bytes, the write side is shut once they are sent, and the peer has the linger time then.
+// After a Close with pending bytes, the write side is shut once they are sent, and the connection ends lingerTime
+// later.
 func TestClose_LingersOnceThePendingBytesAreSent(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		acceptAgain := refuseWrites(r.conn)
+		unblock := blockWrites(r.conn)
 		r.conn.Write([]byte("response"))
 		r.conn.Close()
-		acceptAgain()
+		unblock()
 		r.conn.socket.flush()
-		l.Post(func() { // on the turn on which the connection learns that nothing is pending
+		l.Post(func() { // runs after writer.flushed, which sets the second timer
 			due, ok := l.Timers.NextDue()
 			if !ok || due > l.Now()+lingerTime || l.Timers.Len() != 2 {
 				t.Errorf("%d timers, the first in %v; want two, the first in %v at most",
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// patience limits a wait for something that is expected to happen.
-	patience = 10 * time.Second
+	// awaitTimeout limits a wait for something that is expected to happen.
+	awaitTimeout = 10 * time.Second
 
 	// readLimit is the size of the read buffer of each accepted connection.
 	readLimit = 64 << 10
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(awaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	tcp, ok := conn.(*net.TCPConn)
@@ -115,8 +115,8 @@
 	setSystemCalls(c, systemCalls{read: unix.Read, write: write})
 }
 
-// refuseWrites has the kernel accept no byte of the connection until the returned function is called.
-func refuseWrites(c *Conn) (acceptAgain func()) {
+// blockWrites has the kernel accept no byte of the connection until the returned function is called.
+func blockWrites(c *Conn) (unblock func()) {
 	setWrite(c, func(int, []byte) (int, error) { return -1, unix.EAGAIN })
 	return func() { setSystemCalls(c, kernel) }
 }
@@ -131,25 +131,25 @@
 // awaitOnLoop waits until the condition holds. It calls the condition on the loop's goroutine.
 func awaitOnLoop(t *testing.T, l *Loop, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(awaitTimeout); ; time.Sleep(time.Millisecond) {
 		holds := false
 		eventlooptest.Do(l, func() { holds = condition() })
 		if holds {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", awaitTimeout, what)
 		}
 	}
 }
 
-// await fails the test unless the channel delivers within the patience.
+// await fails the test unless the channel delivers within awaitTimeout.
 func await[T any](t *testing.T, c <-chan T, what string) {
 	t.Helper()
 	select {
 	case <-c:
-	case <-time.After(patience):
-		t.Fatalf("not within %v: %s", patience, what)
+	case <-time.After(awaitTimeout):
+		t.Fatalf("not within %v: %s", awaitTimeout, what)
 	}
 }
 
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// Beyond the budget of all buffers, a connection that needs more than one read is closed, and its buffer counts no
-// more. A close by its handler meanwhile changes nothing.
+// Beyond the budget of all buffers, a connection that needs more than one read is closed, and its bytes are no longer
+// counted. A close by its handler meanwhile changes nothing.
 func TestBufferBudget_ClosesTheConnectionThatExceedsIt(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -103,9 +103,9 @@
 	}
 }
 
-// The end of a client is noticed although its bytes are not read on, as behind a request in flight, also if the buffer
-// was full before the read-ahead was limited.
-func TestLimitReadAhead_NoticesTheEndBehindAFullBuffer(t *testing.T) {
+// The end of a client is noticed while its read-ahead is limited and nothing more is read, as during a request in
+// flight, also if the buffer was full before the read-ahead was limited.
+func TestLimitReadAhead_NoticesTheEndWhileTheBufferIsFull(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
 	if _, err := peer.Write(make([]byte, readLimit+2*readSize)); err != nil { // more than is read before a pause
--- a/internal/eventloop/sendqueue_test.go
+++ b/internal/eventloop/sendqueue_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The queue returns bytes in order, whatever is sent in between, and an empty queue holds no memory.
+// The queue returns bytes in order although some are sent in between, and releases its memory when it becomes empty.
 func TestSendQueue_KeepsOrder(t *testing.T) {
 	var q sendQueue
 	q.append([]byte("first, "))
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -93,7 +93,7 @@
 func TestWrite_SendsNothingAfterAFailure(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		acceptAgain := refuseWrites(r.conn)
+		unblock := blockWrites(r.conn)
 		if !r.conn.Write([]byte("queued")) {
 			t.Error("the first write was rejected")
 		}
@@ -102,7 +102,7 @@
 		if got := interestOf(r.conn); got != readEvents {
 			t.Errorf("the poller waits for events %#x, want %#x", got, readEvents)
 		}
-		acceptAgain()
+		unblock()
 		if r.conn.Write([]byte("late")) {
 			t.Error("a write after the failure was accepted")
 		}
@@ -205,8 +205,8 @@
 	}
 }
 
-// A connection that cannot be polled is not handed out: its dial reports the one error, and no handler is notified of
-// an end.
+// adopt of a socket that cannot be polled returns the error, and makes no handler that would have to be notified of an
+// end.
 func TestAdopt_ClosesASocketThatCannotBePolled(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	eventlooptest.Do(l, func() {
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -21,9 +21,9 @@
 			l, r, peer := connectedPair(t)
 			calls := 0
 			pendingAtCall := -1
-			var acceptAgain func()
+			var unblock func()
 			eventlooptest.Do(l, func() {
-				acceptAgain = refuseWrites(r.conn)
+				unblock = blockWrites(r.conn)
 				r.conn.Write([]byte(test.pending))
 				r.conn.OnFlushed(func() {
 					calls++
@@ -37,7 +37,7 @@
 				if test.pending != "" && calls > 0 {
 					t.Error("called while bytes are pending")
 				}
-				acceptAgain()
+				unblock()
 			})
 			awaitOnLoop(t, l, "OnFlushed calls its function", func() bool { return calls > 0 })
 			if pendingAtCall != 0 {
@@ -62,7 +62,7 @@
 func TestWrite_EndsAConnectionBeyondTheQueueLimit(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		refuseWrites(r.conn)
+		blockWrites(r.conn)
 		if !r.conn.Write(make([]byte, maxPendingWrite)) {
 			t.Error("a write up to the limit failed")
 		}
@@ -78,11 +78,11 @@
 	}
 }
 
-// Bytes that are written after OnFlushed's function was scheduled, and before it runs, are waited for too.
+// Bytes that are written after OnFlushed's function was scheduled, and before it runs, are sent first, too.
 func TestOnFlushed_WaitsForBytesWrittenMeanwhile(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	flushed := make(chan struct{})
-	var acceptAgain func()
+	var unblock func()
 	eventlooptest.Do(l, func() {
 		r.conn.OnFlushed(func() {
 			if got := r.conn.PendingWrite(); got != 0 {
@@ -90,10 +90,10 @@
 			}
 			close(flushed)
 		})
-		acceptAgain = refuseWrites(r.conn)
+		unblock = blockWrites(r.conn)
 		r.conn.Write([]byte("response"))
 	})
-	eventlooptest.Do(l, func() { acceptAgain() })
+	eventlooptest.Do(l, func() { unblock() })
 	await(t, flushed, "the call of OnFlushed's function")
 	if got := interestOf(r.conn); got != readEvents {
 		t.Errorf("the poller waits for events %#x once all is sent, want %#x", got, readEvents)
