--- a/internal/eventloop/arrivallog.go
+++ b/internal/eventloop/arrivallog.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// arrivalPrecision is how far apart two reads may be that count as one. It limits the memory for peers that send byte
-// by byte.
+// arrivalPrecision limits the time over which reads are recorded as one arrival. This limits the memory for peers that
+// send byte by byte.
 const arrivalPrecision = 10 * time.Millisecond
 
 // arrivalLog records when the bytes of a connection were read. Positions count the bytes since the connection began.
 // It is not safe for concurrent use.
 type arrivalLog struct {
 	received int64     // bytes read so far
-	arrivals []arrival // of the bytes that are not forgotten, in their order
+	arrivals []arrival // in order of time; without those whose bytes are all forgotten
 }
 
-// arrival is one read, or several in close succession.
+// arrival is one read, or several within arrivalPrecision.
 type arrival struct {
 	end int64         // position of the last byte
 	at  time.Duration // time of the first of these reads, as of Loop.Now
@@ -29,7 +29,7 @@
 	l.arrivals = append(l.arrivals, arrival{end: l.received, at: at})
 }
 
-// timeOf returns when the byte at the position was read.
+// timeOf returns when the byte at the position was read. The byte must not be forgotten.
 func (l *arrivalLog) timeOf(position int64) time.Duration {
 	for _, a := range l.arrivals {
 		if position <= a.end {
--- a/internal/eventloop/backlog.go
+++ b/internal/eventloop/backlog.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxBacklogFailures limits the accepts that may fail for a transient reason while a listener is closed.
+	// maxBacklogFailures is the number of failed accepts after which the rest of a backlog is given up.
 	maxBacklogFailures = 20
-	// backlogRetryDelay is the pause after each of them.
+	// backlogRetryDelay is the pause after a failed accept.
 	backlogRetryDelay = time.Millisecond
 )
 
@@ -33,7 +33,7 @@
 	return l.Listener.Close()
 }
 
-// drainBacklog hands over the connections that wait to be accepted, without regard to the limit of open connections.
+// drainBacklog hands the connections that wait to be accepted to the loop, also beyond the limit of open connections.
 func (a *acceptor) drainBacklog() {
 	tcp, ok := a.listener.(*net.TCPListener)
 	if !ok {
@@ -57,8 +57,8 @@
 	}
 }
 
-// acceptWaiting accepts a connection without blocking. Its error is errBacklogEmpty if none waits, or if the listener
-// has been closed already.
+// acceptWaiting accepts a connection without blocking. It returns errBacklogEmpty if none waits, or if the listener has
+// been closed already.
 func acceptWaiting(listener syscall.RawConn) (descriptor int, err error) {
 	controlErr := listener.Control(func(fd uintptr) {
 		descriptor, _, err = unix.Accept4(int(fd), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -5,15 +5,15 @@
 // maxIdleBuffer is the capacity, in bytes, up to which an empty buffer keeps its memory.
 const maxIdleBuffer = 16 << 10
 
-// Buffer holds what was received and not yet consumed. It grows as needed and is compacted in place, so that a
-// connection needs no second buffer. It is not safe for concurrent use.
+// Buffer holds the bytes of a connection that were received and not yet consumed. It grows as needed and is compacted
+// in place, so that a connection needs no second buffer. It is not safe for concurrent use.
 type Buffer struct {
 	data     []byte
 	consumed int // bytes at the start of data that have been consumed
 	arrivals arrivalLog
 }
 
-// Bytes returns what has not been consumed. It is valid until the next call.
+// Bytes returns the bytes that have not been consumed. The slice is valid until the buffer changes.
 func (b *Buffer) Bytes() []byte { return b.data[b.consumed:] }
 
 // Len returns the number of bytes not consumed.
@@ -28,8 +28,8 @@
 	b.arrivals.forget(b.position())
 }
 
-// ArrivedAt returns when the n-th byte that has not been consumed was read, as of Loop.Now. Bytes that came later don't
-// change it. n is at least 1 and at most Len.
+// ArrivedAt returns when the n-th byte that has not been consumed was read, as of Loop.Now. Bytes that are read later
+// do not change the result. n is at least 1 and at most Len.
 func (b *Buffer) ArrivedAt(n int) time.Duration {
 	return b.arrivals.timeOf(b.position() + int64(n))
 }
@@ -37,8 +37,8 @@
 // position returns how many bytes of the connection have been consumed.
 func (b *Buffer) position() int64 { return b.arrivals.received - int64(b.Len()) }
 
-// append adds bytes that were read at the given time. It moves the rest to the front of the memory if that may save an
-// allocation.
+// append adds bytes that were read at the given time. If the memory is too small, it first moves the unconsumed bytes
+// to the front.
 func (b *Buffer) append(received []byte, at time.Duration) {
 	if b.consumed > 0 && len(b.data)+len(received) > cap(b.data) {
 		rest := copy(b.data, b.Bytes())
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// maxDrainTime is how long a connection may take to send what is pending, from Close on.
+	// maxDrainTime limits the time from Close until all pending bytes are sent.
 	maxDrainTime = 3 * time.Second
 
-	// lingerTime is how long a connection stays open after its last write, so that its peer can close it. A socket that
-	// is closed with unread bytes resets the connection, and the peer may then never read the last response.
+	// lingerTime is how long a connection stays open after its write side is shut, or after CloseAfterLinger, so that
+	// its peer can close it first. A socket that is closed with unread bytes resets the connection, and the peer may
+	// then never read the last response.
 	lingerTime = 250 * time.Millisecond
 )
 
@@ -46,8 +47,8 @@
 	connClosed
 )
 
-// atomicConnState holds a connState. The loop's goroutine alone stores; the poller's goroutine loads it to decide what
-// to do with received bytes.
+// atomicConnState holds a connState. Only the loop's goroutine stores it. The poller's goroutine loads it to decide
+// what to do with received bytes.
 type atomicConnState struct {
 	value atomic.Int32
 }
@@ -57,7 +58,7 @@
 func (a *atomicConnState) store(state connState) { a.value.Store(int32(state)) }
 
 // closer runs the state machine of a connection's close; see connState. It decides when the write side is shut and when
-// the socket is closed. Its methods belong to the loop's goroutine.
+// the socket is closed. Its methods must be called on the loop's goroutine.
 type closer struct {
 	// Set once, by newConn.
 	loop   *Loop
@@ -77,7 +78,7 @@
 	c.drain()
 }
 
-// closeIfIdle closes unless bytes of the peer are unread, and reports whether there are none.
+// closeIfIdle closes the connection unless bytes of the peer are unread, and reports whether none are.
 func (c *closer) closeIfIdle() bool {
 	idle := c.startDrainingIfIdle()
 	if idle {
@@ -102,7 +103,7 @@
 	return idle
 }
 
-// drain sends what is pending and then shuts the write side.
+// drain shuts the write side once nothing is pending.
 func (c *closer) drain() {
 	c.reader.redeliver() // discards what was read, and resumes reading if the buffer was full
 	if c.writer.pending.Load() == 0 {
@@ -146,7 +147,7 @@
 func (c *closer) abort() { c.socket.close(nil) }
 
 // finish changes the state to closed and drops what is unread. It holds the reader's mutex: a read that is in progress
-// on the poller's goroutine ends before, and its bytes are dropped too.
+// on the poller's goroutine ends first, and its bytes are dropped too.
 func (c *closer) finish() {
 	c.reader.mu.Lock()
 	defer c.reader.mu.Unlock()
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -26,8 +26,8 @@
 	closer closer
 }
 
-// adopt hands a connected socket to the poller. The function onEnded is called once the connection has ended. After an
-// error the socket is closed, and neither newHandler nor onEnded is called. It belongs to the loop's goroutine.
+// adopt hands a connected socket to the poller. The function onEnded is called once the connection has ended. If adopt
+// fails, it closes the socket and calls neither newHandler nor onEnded. It must be called on the loop's goroutine.
 func (l *Loop) adopt(s *socket, readLimit int, newHandler func(*Conn) Handler, onEnded func()) (*Conn, error) {
 	c := newConn(l, s, readLimit)
 	c.onEnded = onEnded
@@ -60,18 +60,19 @@
 }
 
 // Write sends data, or queues what the socket does not accept at once. It returns false if the connection is closing or
-// has ended, or if this write fails. Data was not sent completely then, and OnClosed reports the reason.
+// has ended, or if this write fails. In these cases data is not sent completely, and OnClosed reports the reason.
 func (c *Conn) Write(data []byte) bool { return c.writer.write(data) }
 
 // PendingWrite returns the number of bytes that wait to be sent.
 func (c *Conn) PendingWrite() int { return int(c.writer.pending.Load()) }
 
 // OnFlushed schedules f to run on a later turn, once no bytes wait to be sent. It replaces the function of an earlier
-// call that has not run yet. A close that waits for pending bytes drops that function.
+// call that has not run yet. A Close or CloseIfIdle while bytes wait drops the function.
 func (c *Conn) OnFlushed(f func()) { c.writer.notifyWhenFlushed(f) }
 
-// LimitReadAhead sets whether only a little is read while the handler consumes nothing, as during a client's request in
-// flight. Redeliver must be called after the limit is lifted.
+// LimitReadAhead sets whether reading pauses once readSize bytes are unread, instead of at the connection's read limit.
+// Servers limit the read-ahead while a client's request is in flight. Redeliver must be called after the limit is
+// lifted.
 func (c *Conn) LimitReadAhead(on bool) { c.reader.aheadLimited.Store(on) }
 
 // Redeliver schedules another call of OnData, on a later turn, for the bytes that an earlier call left in the buffer.
@@ -81,23 +82,24 @@
 // OnData.
 func (c *Conn) UnreadBytes() int { return c.reader.unreadBytes() }
 
-// Close ends the connection once what was written has been sent. OnClosed is called later, and OnData no longer.
+// Close ends the connection once all written bytes have been sent. OnClosed is called on a later turn. OnData is not
+// called any more.
 func (c *Conn) Close() { c.closer.close() }
 
-// CloseAfterLinger ends the connection a moment after its call, in which the peer has time to read the last response.
-// Nothing more is read.
+// CloseAfterLinger ends the connection after lingerTime, in which pending bytes are sent and the peer can read the last
+// response. Nothing more is read from the peer.
 func (c *Conn) CloseAfterLinger() { c.closer.closeAfterLinger() }
 
-// CloseIfIdle ends the connection as Close does, unless bytes of its peer wait: those in the read buffer, and those in
-// the socket, which are read now. It reports whether the connection is closing. If it is not, OnData follows.
-// CloseIfIdle must not be called from OnData.
+// CloseIfIdle reads what the socket holds, and then ends the connection as Close does if no bytes are unread. It
+// reports whether none are unread. Bytes that this call reads are handed to OnData on a later turn. CloseIfIdle must
+// not be called from OnData.
 func (c *Conn) CloseIfIdle() bool { return c.closer.closeIfIdle() }
 
 // Abort ends the connection at once and drops what is pending.
 func (c *Conn) Abort() { c.closer.abort() }
 
-// Disconnected reports whether the connection has ended, which it does before OnClosed is called. Bytes that were read
-// before the end are still handed to OnData.
+// Disconnected reports whether the connection has ended. OnClosed is called later than that; bytes that were read
+// before the end are still handed to OnData in between.
 func (c *Conn) Disconnected() bool { return c.closer.disconnected.Load() }
 
 // readable implements socketOwner.
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// dialRetryTime is how long a dial that fails locally is retried. It is short beside the time that requests have.
+	// dialRetryTime is how long a dial that fails locally is retried. It is short compared with the deadlines of
+	// requests.
 	dialRetryTime = 100 * time.Millisecond
-	// dialRetryDelay is the pause before the first retry. It doubles.
+	// dialRetryDelay is the pause before the first retry. The pause doubles with each retry.
 	dialRetryDelay = 2 * time.Millisecond
 )
 
@@ -34,13 +35,13 @@
 	return cancel
 }
 
-// dialer makes connected sockets. Its methods may be called from any goroutine.
+// dialer connects to peers and returns the sockets. Its methods may be called from any goroutine.
 type dialer struct {
 	dialContext func(ctx context.Context, network, addr string) (net.Conn, error) // of net.Dialer, except in tests
 }
 
-// connect dials and makes the connection a socket. A failure of this machine, which says nothing of the peer, is
-// retried for a while.
+// connect dials and converts the connection to a socket. It retries transient failures for dialRetryTime, since they do
+// not indicate a fault of the peer.
 func (d dialer) connect(ctx context.Context, addr string) (*socket, error) {
 	giveUpAt := time.Now().Add(dialRetryTime)
 	for delay := dialRetryDelay; ; delay *= 2 {
@@ -56,6 +57,7 @@
 	}
 }
 
+// connectOnce is connect without retries.
 func (d dialer) connectOnce(ctx context.Context, addr string) (*socket, error) {
 	conn, err := d.dialContext(ctx, "tcp", addr)
 	if err != nil {
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -6,18 +6,18 @@
 	"syscall"
 )
 
-// errBufferBudgetExceeded closes a connection whose read buffer would exceed what is left of Loop.BufferBudget.
+// errBufferBudgetExceeded closes a connection when the read buffers of all connections exceed Loop.BufferBudget.
 var errBufferBudgetExceeded = errors.New("the buffers of all connections are full")
 
 // localFailures are the errors of a call that lacked something on this machine, such as space in its tables or buffers,
-// or a port. They say nothing of the peer.
+// or a port. They do not indicate a fault of the peer.
 var localFailures = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.EINTR,
 }
 
-// routeFailures are the errors of a dial without a route. If another dial succeeds at once, the fault was on this
-// machine; if they last, the peer counts as down.
+// routeFailures are the errors of a dial that finds no route. If another dial succeeds at once, the fault was on this
+// machine. If the errors last, the peer counts as down.
 var routeFailures = []error{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM}
 
 // IsConnectionRefused reports whether the peer's host answered the dial and refused it, as opposed to a dial that timed
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// listenRetryTime is how long a listen that fails locally is retried. A front end has 30 s to be ready.
+	// listenRetryTime is how long a listen that fails locally is retried. It is short compared with the 30 s within
+	// which a front end must be ready.
 	listenRetryTime = 5 * time.Second
 	// listenRetryDelay is the pause between two attempts to listen.
 	listenRetryDelay = 20 * time.Millisecond
@@ -17,7 +18,8 @@
 	// the listener stays readable all that time.
 	acceptRetryDelay = 20 * time.Millisecond
 
-	// maxConvertAttempts limits how often an accepted connection waits for a descriptor.
+	// maxConvertAttempts limits how often an accepted connection is converted. The pause between two attempts is
+	// acceptRetryDelay.
 	maxConvertAttempts = 250
 )
 
@@ -33,9 +35,9 @@
 // Listen accepts connections at the address until the returned listener is closed. The function newHandler is called on
 // the loop's goroutine and returns the handler of each connection, whose read buffer holds up to readLimit bytes.
 //
-// While maxConnections are open (0: no limit), the next connections wait unaccepted, so that clients cannot take the
-// descriptors that connections to engines need. Closing the listener accepts the connections that wait, beyond
-// maxConnections if necessary.
+// At most maxConnections accepted connections are open at a time (0: no limit). Further ones wait to be accepted, so
+// that clients cannot use up the descriptors that connections to engines need. Closing the listener accepts the
+// connections that wait, beyond maxConnections if necessary.
 //
 // Listen may be called from any goroutine. It blocks while it retries a listen that fails locally.
 func (l *Loop) Listen(
@@ -56,8 +58,8 @@
 	return &drainingListener{Listener: listener, acceptor: a}, nil
 }
 
-// listenWithRetries listens, and tries again for a while if this machine lacks something that a later attempt may find.
-// An address that this machine does not have is reported at once.
+// listenWithRetries listens, and retries for listenRetryTime if this machine lacks something that a later attempt may
+// find. An address that this machine does not have is reported at once.
 func (l *Loop) listenWithRetries(addr string) (net.Listener, error) {
 	for giveUpAt := time.Now().Add(listenRetryTime); ; time.Sleep(listenRetryDelay) {
 		listener, err := l.listen("tcp", addr)
@@ -99,9 +101,9 @@
 	})
 }
 
-// convertAccepted makes an accepted connection a socket, which needs a second descriptor for a moment. It returns nil
-// if it cannot. If no descriptor is left, it waits for one before the next connection is accepted: closing this
-// connection would reject a client, and accepting more would leave no descriptor for any.
+// convertAccepted converts an accepted connection to a socket, or closes it and returns nil. The conversion needs a
+// second descriptor. If none is left, convertAccepted waits for one and meanwhile no further connection is accepted:
+// closing this connection would reject a client, and accepting more would leave no descriptor for any of them.
 func convertAccepted(conn net.Conn) *socket {
 	for range maxConvertAttempts {
 		s, err := convert(conn)
@@ -117,8 +119,8 @@
 	return nil
 }
 
-// connectionSlots limits the open connections of a listener. It holds a value for each; nil means no limit. Its methods
-// may be called from any goroutine.
+// connectionSlots limits the open connections of a listener. The channel holds a value for each of them; nil means no
+// limit. Its methods may be called from any goroutine.
 type connectionSlots chan struct{}
 
 func newConnectionSlots(limit int) connectionSlots {
@@ -135,6 +137,7 @@
 	}
 }
 
+// release ends the use of a slot that was acquired.
 func (s connectionSlots) release() {
 	if s != nil {
 		<-s
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -43,7 +43,7 @@
 	stopped     bool
 }
 
-// New returns a loop whose poller runs.
+// New returns a loop. Its poller runs already; Run must be called to run the loop itself.
 func New() (*Loop, error) {
 	now := time.Now()
 	startedPoller, err := startPoller()
@@ -104,6 +104,7 @@
 	}
 }
 
+// shutdown closes all connections and ends the poller.
 func (l *Loop) shutdown() {
 	for c := range l.connections {
 		c.Abort()
@@ -111,9 +112,9 @@
 	l.poller.stop(pollerShutdownTimeout) // a poller that takes longer ends with the process
 }
 
-// Stop ends Run after the present turn.
+// Stop ends Run after the current turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// BufferedBytes returns the total size of what the read buffers of all connections hold. It may be called from any
+// BufferedBytes returns the number of bytes in the read buffers of all connections. It may be called from any
 // goroutine.
 func (l *Loop) BufferedBytes() int64 { return l.bufferedBytes.Load() }
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -23,13 +23,14 @@
 	// wakeUpToken is the token of the poller's eventfd.
 	wakeUpToken = 0
 
-	// tokenHighShift is where the half of a token begins that unix.EpollEvent.Pad carries.
+	// tokenHighShift is the position, in bits, of a token's upper half, which unix.EpollEvent.Pad carries. Fd carries
+	// the lower half.
 	tokenHighShift = 32
 )
 
-// poller waits for the events of all sockets, on a goroutine of its own. It uses a level-triggered epoll(7): bytes that
-// a read or a write leaves raise the next event, so that a call which was cut short or interrupted is always followed
-// by another. Its methods may be called from any goroutine.
+// poller waits for the events of all sockets, on a goroutine of its own. It uses a level-triggered epoll(7): a socket
+// raises events as long as it has bytes to read or can send. A read or a write that was cut short or interrupted is
+// therefore always followed by another. Its methods may be called from any goroutine.
 type poller struct {
 	epoll   int
 	wakeUp  int           // an eventfd: readable once the poller is to end
@@ -40,7 +41,7 @@
 	lastToken uint64             // guarded by mu
 }
 
-// startPoller returns a poller whose goroutine runs.
+// startPoller returns a poller and starts its goroutine.
 func startPoller() (*poller, error) {
 	epoll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return p, nil
 }
 
-// control changes the events for which the poller waits on a descriptor. The kernel returns the token with them.
+// control changes the events for which the poller waits on a descriptor. The kernel returns the token with each event.
 func (p *poller) control(operation, descriptor int, token uint64, events uint32) error {
 	event := unix.EpollEvent{Events: events, Fd: int32(token), Pad: int32(token >> tokenHighShift)}
 	if err := unix.EpollCtl(p.epoll, operation, descriptor, &event); err != nil {
@@ -91,7 +92,7 @@
 	return err
 }
 
-// remove forgets a socket. The kernel forgets it when its descriptor is closed.
+// remove drops a socket from the table. The kernel drops it when its descriptor is closed.
 func (p *poller) remove(s *socket) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,7 +133,7 @@
 	}
 }
 
-// stop ends the poller and waits for its goroutine, for no longer than the timeout.
+// stop ends the poller and waits for the end of its goroutine, at most for the timeout.
 func (p *poller) stop(timeout time.Duration) {
 	const increment = "\x01\x00\x00\x00\x00\x00\x00\x00"
 	for {
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -11,13 +11,13 @@
 )
 
 // reader reads a connection's socket into its buffer, and hands the buffer to the handler. From the state of the
-// connection it decides whether bytes are kept, discarded or left in the socket, and from the size of the buffer, in
-// bytes, when reading pauses.
+// connection it decides whether bytes are buffered, discarded or left in the socket, and from the size of the buffer,
+// in bytes, when reading pauses.
 //
 // Both goroutines read: the poller's when the socket is readable, the loop's before an idle connection is closed and
 // after a failed write. The mutex mu separates these reads from each other and from the handler's use of the buffer.
 //
-// The booleans are no states of one machine: any combination of them occurs.
+// The booleans are independent of each other: any combination of them occurs.
 type reader struct {
 	// Set once, by newConn.
 	loop   *Loop
@@ -46,7 +46,7 @@
 }
 
 // readToEndAndClose reads what the peer has sent, and then closes the socket with the error of a failed write. It
-// belongs to the loop's goroutine.
+// must be called on the loop's goroutine.
 func (r *reader) readToEndAndClose(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +55,7 @@
 }
 
 // readAndPostLocked reads, and posts the delivery of what was read. If the stream has ended, it closes the socket after
-// that, so that the end of the connection is posted behind the delivery: no byte before the end is lost.
+// that, so that the end of the connection is posted after the delivery: no byte before the end is lost.
 func (r *reader) readAndPostLocked(chunk []byte, streamEnded bool) {
 	received, ended, err := r.readAvailableLocked(chunk, streamEnded)
 	if received && !r.deliveryPosted {
@@ -95,8 +95,8 @@
 	}
 }
 
-// pauseLocked stops the poller's events until there is space in the buffer. The end of a stream whose read-ahead is
-// limited is still noticed; otherwise the bytes before the end come first.
+// pauseLocked stops the poller's events until there is space in the buffer. If the read-ahead is limited, the poller
+// still reports the end of the stream. Otherwise the end is noticed once the bytes before it are read.
 func (r *reader) pauseLocked() {
 	r.paused = true
 	if r.aheadLimited.Load() {
@@ -106,8 +106,8 @@
 	}
 }
 
-// acceptLocked keeps received bytes for the handler, or discards them if the connection is being closed, as it may be
-// since the read began. It reports whether the handler is to be called for them, and whether to read on.
+// acceptLocked buffers received bytes for the handler, or discards them if the connection is being closed. The close
+// may have begun during the read. It reports whether the handler is to be called for them, and whether to read on.
 func (r *reader) acceptLocked(data []byte) (deliver, readOn bool) {
 	if r.state.load() != connOpen {
 		return false, r.discardLocked(len(data))
@@ -116,8 +116,8 @@
 }
 
 // discardLocked counts bytes that came after Close and are dropped. They are read because a socket that is closed with
-// unread bytes resets the connection. It reports whether to read on. It does not after more than a full buffer: such a
-// peer may go on sending at full speed.
+// unread bytes resets the connection. It reports whether to read on. Reading ends once more than the size of a full
+// buffer has been discarded: such a peer may go on sending at full speed.
 func (r *reader) discardLocked(n int) (readOn bool) {
 	r.discarded += n
 	if r.discarded > r.limit {
@@ -127,9 +127,9 @@
 	return true
 }
 
-// bufferLocked keeps what was read for the handler, and reports whether to read on. Beyond the loop's budget it closes
-// a connection whose buffer holds more than one read: many peers that each stop in the middle of a long message would
-// take all memory.
+// bufferLocked buffers bytes for the handler, and reports whether to read on. Beyond the loop's budget it closes a
+// connection whose buffer holds more than one read: otherwise many peers that each stop in the middle of a long message
+// could use up the memory.
 func (r *reader) bufferLocked(data []byte) (readOn bool) {
 	r.in.append(data, r.arrivalTimeLocked())
 	total := r.loop.bufferedBytes.Add(int64(len(data)))
@@ -152,8 +152,8 @@
 	return now - r.socket.lastDataAge()
 }
 
-// currentLimit returns how many bytes the buffer may hold before reading pauses; the peer's own writes wait then. It
-// has to be enough for the largest message. One read may exceed it.
+// currentLimit returns the number of unread bytes, in the buffer, at which reading pauses. The last read before the
+// pause may exceed it. Except while the read-ahead is limited, it must be at least the size of the largest message.
 func (r *reader) currentLimit() int {
 	if r.aheadLimited.Load() {
 		return min(readSize, r.limit)
@@ -164,7 +164,7 @@
 // redeliver schedules a call of deliver. It may be called while mu is held.
 func (r *reader) redeliver() { r.loop.Post(r.deliver) }
 
-// deliver hands the buffer to the handler, and resumes reading if there is space again. It belongs to the loop's
+// deliver hands the buffer to the handler, and resumes reading if there is space again. It must be called on the loop's
 // goroutine.
 func (r *reader) deliver() {
 	r.mu.Lock()
@@ -196,14 +196,14 @@
 	r.socket.waitFor(readEvents)
 }
 
-// unreadBytes returns the number of bytes in the buffer. It locks mu, and so must not be called from OnData.
+// unreadBytes returns the number of bytes in the buffer. It locks mu, and therefore must not be called from OnData.
 func (r *reader) unreadBytes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.in.Len()
 }
 
-// releaseBufferLocked drops what was read and not consumed.
+// releaseBufferLocked drops the bytes that were read and not consumed.
 func (r *reader) releaseBufferLocked() {
 	r.loop.bufferedBytes.Add(-int64(r.in.Len()))
 	r.in = Buffer{}
--- a/internal/eventloop/sendqueue.go
+++ b/internal/eventloop/sendqueue.go
@@ -9,11 +9,11 @@
 // len returns the number of bytes that wait.
 func (q *sendQueue) len() int { return len(q.data) - q.sent }
 
-// unsent returns the bytes that wait. It is valid until the next call.
+// unsent returns the bytes that wait. The slice is valid until the queue changes.
 func (q *sendQueue) unsent() []byte { return q.data[q.sent:] }
 
-// append adds bytes. It first moves the waiting bytes to the front if at least half of the data has been sent: a peer
-// that reads slowly may leave the queue never empty.
+// append adds bytes. If at least half of the data has been sent, it first moves the waiting bytes to the front: the
+// queue of a peer that reads slowly may never become empty, and would otherwise grow without limit.
 func (q *sendQueue) append(data []byte) {
 	if q.sent >= len(q.data)/2 {
 		rest := copy(q.data, q.unsent())
@@ -23,7 +23,7 @@
 	q.data = append(q.data, data...)
 }
 
-// advance drops the first n bytes, which have been sent. An empty queue holds no memory.
+// advance drops the first n bytes, which have been sent. A queue that becomes empty releases its memory.
 func (q *sendQueue) advance(n int) {
 	q.sent += n
 	if q.len() == 0 {
@@ -31,7 +31,7 @@
 	}
 }
 
-// clear drops everything.
+// clear drops all bytes and releases the memory.
 func (q *sendQueue) clear() {
 	q.data = nil
 	q.sent = 0
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -14,7 +14,7 @@
 var (
 	// errWriteQueueFull closes a connection whose peer reads too slowly.
 	errWriteQueueFull = errors.New("too many bytes wait to be sent")
-	// errNoDescriptor means that a connection of another kind than TCP was converted.
+	// errNoDescriptor means that a connection to be converted is not a TCP connection.
 	errNoDescriptor = errors.New("the connection has no descriptor")
 )
 
@@ -24,25 +24,26 @@
 	write func(descriptor int, p []byte) (int, error)
 }
 
-// kernel makes the system calls themselves.
+// kernel holds the real system calls.
 var kernel = systemCalls{read: unix.Read, write: unix.Write}
 
-// readEvents are the events of a socket that is being read: bytes, and the end of the stream as soon as it has arrived
-// behind them.
+// readEvents are the events of a socket that is being read: received bytes, and the end of the stream. The end is
+// reported as soon as it has arrived, also while bytes before it are unread.
 const readEvents = unix.EPOLLIN | unix.EPOLLRDHUP
 
-// maxDataAge limits lastDataAge. A request that waited longer has no time left in any case.
+// maxDataAge limits the result of lastDataAge. The deadline of a request that waited longer has passed in any case.
 const maxDataAge = time.Minute
 
-// socketOwner is notified of a socket's events, on the poller's goroutine or on that of the call which caused them.
+// socketOwner is notified of a socket's events, on the poller's goroutine or on the goroutine of the call that caused
+// the event.
 type socketOwner interface {
-	// readable reads what has arrived. If the peer has ended the stream it reads up to the end; see reader.read. The
-	// socket's mutex is not held.
+	// readable reads what the socket holds. If the peer has ended the stream, it reads up to the end; see reader.read.
+	// The socket's mutex is not held.
 	readable(chunk []byte, streamEnded bool)
 	// bytesSent reports that n bytes were sent. The socket's mutex is held.
 	bytesSent(n int)
-	// writeFailed reports, once, that nothing can be sent any more. The socket is still open, since the peer may have
-	// sent something before. The socket's mutex is not held; that of the reader may be.
+	// writeFailed reports, once, that nothing can be sent any more. The socket is still open, since it may hold bytes
+	// that the peer sent before. The socket's mutex is not held; that of the reader may be.
 	writeFailed(err error)
 	// socketClosed reports, once, that the socket is closed. The socket's mutex is not held; that of the reader may be.
 	socketClosed(err error)
@@ -80,8 +81,8 @@
 	return &socket{descriptor: descriptor, system: kernel, interest: readEvents}
 }
 
-// convert makes a TCP connection a socket. It needs a second descriptor for a moment. The connection is closed unless
-// there is an error.
+// convert returns a socket with a duplicate of the connection's descriptor, and closes the connection. If it fails, the
+// connection stays open.
 func convert(conn net.Conn) (*socket, error) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -115,7 +116,7 @@
 	}
 }
 
-// pendingError returns the error that the kernel holds for the socket, or nil.
+// pendingError returns the error that the kernel has recorded for the socket (SO_ERROR), or nil.
 func (s *socket) pendingError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +130,8 @@
 	return syscall.Errno(code) //nolint:wrapcheck // the error of the connection, as read and write return it
 }
 
-// read reads once. Its error is EAGAIN if nothing has arrived. At the end of the stream it returns 0 without an error.
+// read reads once. Its error is EAGAIN if the socket holds no bytes. At the end of the stream it returns 0 without an
+// error.
 func (s *socket) read(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +175,7 @@
 		return
 	}
 	s.interest = events
-	// Fails only for a descriptor that the poller doesn't have, as after its end.
+	// This fails only if the poller does not have the descriptor, as after the poller's end.
 	_ = s.poller.control(unix.EPOLL_CTL_MOD, s.descriptor, s.token, events)
 }
 
@@ -190,15 +192,15 @@
 	return nil
 }
 
-// close closes the socket at once and drops what is queued. The owner learns the error of the first call only.
+// close closes the socket at once and drops the queued bytes. Only the first call notifies the owner, with its error.
 func (s *socket) close(err error) {
 	if s.closeDescriptor() && s.owner != nil {
 		s.owner.socketClosed(err)
 	}
 }
 
-// closeDescriptor reports whether the descriptor was open. The poller forgets the socket before the kernel can give
-// its descriptor to another.
+// closeDescriptor closes the descriptor, and reports whether it was open. It first removes the socket from the poller:
+// the kernel may give a closed descriptor to another socket.
 func (s *socket) closeDescriptor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/eventloop/socket_write.go
+++ b/internal/eventloop/socket_write.go
@@ -7,11 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxPendingWrite limits, in bytes, what is queued for a peer that reads slowly. Beyond it the connection is closed.
+// maxPendingWrite is the largest number of bytes that may wait to be sent on one socket. A write that would exceed it
+// fails and ends the connection: the peer reads too slowly.
 const maxPendingWrite = 8 << 20
 
-// write sends data, or queues what the socket does not accept at once. After an error the data was not sent completely,
-// and the connection is about to end.
+// write sends data, or queues what the socket does not accept at once. If it returns an error, the data was not sent
+// completely and the connection is about to end.
 func (s *socket) write(data []byte) error {
 	err := s.tryWrite(data)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
@@ -47,6 +48,7 @@
 	return true
 }
 
+// tryWrite does the work of write. It leaves the handling of an error to its caller.
 func (s *socket) tryWrite(data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,6 +70,7 @@
 	return nil
 }
 
+// tryFlush does the work of flush. It leaves the handling of an error to its caller.
 func (s *socket) tryFlush() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +88,8 @@
 	return nil
 }
 
-// sendLocked writes until the socket accepts no more, however little a single call accepts.
+// sendLocked writes until all data is sent, the kernel accepts no more, or a call fails. One call may accept only a
+// part.
 func (s *socket) sendLocked(data []byte) (sent int, err error) {
 	for sent < len(data) {
 		n, err := s.system.write(s.descriptor, data[sent:])
@@ -96,7 +100,7 @@
 		case errors.Is(err, unix.EINTR):
 		case errors.Is(err, unix.EAGAIN):
 			return sent, nil
-		default: // an error, or nothing without one
+		default: // an error, or a write of 0 bytes without an error
 			return sent, err
 		}
 	}
--- a/internal/eventloop/taskqueue.go
+++ b/internal/eventloop/taskqueue.go
@@ -5,7 +5,7 @@
 // taskQueue holds the functions that were posted to a loop. The method post may be called from any goroutine, the
 // others from the loop's goroutine only.
 type taskQueue struct {
-	wakeUp   chan struct{} // holds a value while posted functions wait
+	wakeUp   chan struct{} // receives a value when functions may have been posted; holds one at most
 	recycled []func()      // the backing array of the latest turn's functions, for reuse
 
 	mu     sync.Mutex
@@ -14,7 +14,7 @@
 
 func newTaskQueue() *taskQueue { return &taskQueue{wakeUp: make(chan struct{}, 1)} }
 
-// post adds f behind all functions posted before, and wakes the loop.
+// post adds f after all functions posted before, and wakes the loop.
 func (q *taskQueue) post(f func()) {
 	q.mu.Lock()
 	q.posted = append(q.posted, f)
@@ -25,8 +25,8 @@
 	}
 }
 
-// runPosted runs what was posted before this call. What these functions post waits for the next call, so that timers
-// are not delayed.
+// runPosted runs the functions that were posted before this call. Functions that these post run in the next call, so
+// that timers run in between.
 func (q *taskQueue) runPosted() {
 	q.mu.Lock()
 	tasks := q.posted
--- a/internal/eventloop/writer.go
+++ b/internal/eventloop/writer.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// writer sends what the handler writes. It counts the bytes that wait to be sent, and reports when none do. The method
-// bytesSent may be called from any goroutine, the others from the loop's goroutine only.
+// writer passes the handler's writes to the socket. It owns the number of bytes that wait to be sent, and reports when
+// it falls to 0. The method bytesSent may be called from any goroutine, the others from the loop's goroutine only.
 type writer struct {
 	// Set once, by newConn.
 	loop         *Loop
@@ -12,7 +12,7 @@
 	notifyCloser func() // called once nothing is pending, before onFlushed
 
 	pending      atomic.Int64 // bytes not yet sent: the loop's goroutine adds, the goroutine that sends subtracts
-	flushAwaited atomic.Bool  // flushed is to be posted once nothing is pending
+	flushAwaited atomic.Bool  // flushed must be posted once nothing is pending
 	onFlushed    func()       // the handler's; belongs to the loop's goroutine; may be nil
 }
 
@@ -38,15 +38,15 @@
 	}
 }
 
-// bytesSent counts what was sent. The socket's mutex is held.
+// bytesSent subtracts n bytes that the socket has sent. It is called with the socket's mutex held.
 func (w *writer) bytesSent(n int) {
 	if w.pending.Add(-int64(n)) == 0 && w.flushAwaited.Load() {
 		w.loop.Post(w.flushed)
 	}
 }
 
-// flushed notifies those that wait for the pending writes. It does nothing if the handler has written again since it
-// was posted, or if it has run already.
+// flushed notifies the closer and the handler that nothing is pending. It does nothing if the handler has written again
+// since flushed was posted, or if it has run already.
 func (w *writer) flushed() {
 	if w.pending.Load() > 0 || !w.flushAwaited.Swap(false) {
 		return
