--- a/internal/pgproto/error_response.go
+++ b/internal/pgproto/error_response.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Types of the fields of an ErrorResponse that are read or written.
+// Types of the fields of an ErrorResponse that this package reads or writes.
 const (
 	fieldSeverity          byte = 'S'
 	fieldSeverityUnchanged byte = 'V' // the severity, which no locale translates
@@ -11,7 +11,7 @@
 	fieldHint              byte = 'H'
 )
 
-// sqlStateLength is the length of an error's code.
+// sqlStateLength is the length of an error's code in bytes.
 const sqlStateLength = 5
 
 // Error is an ErrorResponse.
@@ -20,9 +20,9 @@
 	Code     string // SQLSTATE
 	Message  string
 	Hint     string // "": none
-	// Raw is the body as an engine sent it, which Body returns unchanged; nil for an error
-	// of this program's own.
-	Raw []byte
+	// raw is the body as an engine sent it, which Body returns unchanged. It is nil for an
+	// error of this program.
+	raw []byte
 }
 
 // Error returns the code and the message.
@@ -30,8 +30,8 @@
 
 // Body returns the body of the message.
 func (e *Error) Body() []byte {
-	if e.Raw != nil {
-		return e.Raw
+	if e.raw != nil {
+		return e.raw
 	}
 	var body []byte
 	for _, field := range [...]struct {
@@ -54,7 +54,7 @@
 
 // ParseError reads the body of an ErrorResponse or a NoticeResponse.
 func ParseError(body []byte) (*Error, error) {
-	parsed := &Error{Raw: append([]byte{}, body...)} // not nil, also for an empty body
+	parsed := &Error{raw: append([]byte{}, body...)} // not nil, even if the body is empty
 	reader := Reader{Unread: body}
 	for {
 		kind := reader.Byte()
@@ -69,7 +69,7 @@
 	return parsed, nil
 }
 
-// setField stores a field. Those of other types are kept in Raw only.
+// setField stores a field. Those of other types are kept in raw only.
 func (e *Error) setField(kind byte, value string) {
 	switch kind {
 	case fieldSeverity:
--- a/internal/pgproto/fields.go
+++ b/internal/pgproto/fields.go
@@ -17,8 +17,8 @@
 // Int32 returns the encoding of a number of four bytes.
 func Int32(n int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
 
-// Reader reads the fields of a message's body one after another. If a field is missing or
-// cut short, it sets Malformed, and this and all later reads return zero values.
+// Reader reads the fields of a message's body one after another. If a field is missing
+// or cut short, it sets Malformed, and returns zero values from then on.
 type Reader struct {
 	Unread    []byte // the rest of the body
 	Malformed bool
--- a/internal/pgproto/messages.go
+++ b/internal/pgproto/messages.go
@@ -61,11 +61,12 @@
 	FormatBinary = 1
 )
 
-// messageHeaderSize is the size of a kind and a length, which does not count the kind.
+// messageHeaderSize is the size of a message's kind and length in bytes. The length
+// counts itself and the body, but not the kind.
 const messageHeaderSize = 1 + lengthSize
 
-// ParseMessage decodes the first message of the input: its kind and its body, which lies
-// within the input. It returns the size of the message, or 0 while the message is
+// ParseMessage decodes the first message of the input: its kind and its body, which is
+// a slice of the input. It returns the size of the message, or 0 while the message is
 // incomplete. A length above maxLength is an error.
 func ParseMessage(input []byte, maxLength int) (kind byte, body []byte, size int, err error) {
 	if len(input) < messageHeaderSize {
--- a/internal/pgproto/results.go
+++ b/internal/pgproto/results.go
@@ -8,7 +8,7 @@
 	Query          string
 	ParameterTypes []byte // the count and the types of the parameters, as in Parse
 	Bind           []byte // the body of a Bind past its two names, unchanged
-	DescribeOnly   bool   // describe only: nothing runs
+	DescribeOnly   bool   // the statement is described and does not run
 }
 
 // Result is the response of an engine: the bodies of its messages, unchanged.
@@ -68,7 +68,8 @@
 	}
 	formats := make([]int, reader.Count())
 	for i := range formats {
-		if formats[i] = reader.Int16(); reader.Malformed {
+		formats[i] = reader.Int16()
+		if reader.Malformed {
 			return nil, ErrMalformed
 		}
 	}
--- a/internal/pgproto/startup.go
+++ b/internal/pgproto/startup.go
@@ -23,8 +23,8 @@
 	startupHeaderSize = lengthSize + codeSize
 )
 
-// ParseStartup decodes a connection's first message: its code and its body, which lies
-// within the input. It returns the size of the message, or 0 while the message is
+// ParseStartup decodes a connection's first message: its code and its body, which is a
+// slice of the input. It returns the size of the message, or 0 while the message is
 // incomplete.
 func ParseStartup(input []byte) (code uint32, body []byte, size int, err error) {
 	if len(input) < lengthSize {
