--- a/internal/frontend/pgserver/bind.go
+++ b/internal/frontend/pgserver/bind.go
@@ -15,8 +15,8 @@
 // nullLength is the length of a value that is null.
 const nullLength = -1
 
-// readBind reads a Bind past its names: formats, values and result formats. The values
-// lie within the message.
+// readBind reads a Bind past its names: formats, values and result formats. The formats
+// and the values are slices of the message.
 func readBind(reader *pgproto.Reader) (binds sqltext.Binds, ok bool) {
 	start := reader.Unread
 	formatCount, ok := readFormats(reader)
@@ -41,7 +41,8 @@
 	return binds, reader.Complete()
 }
 
-// readFormats skips a count and as many format codes, each of which must be known.
+// readFormats reads a count and as many format codes. It returns the count, and false
+// if a code is unknown.
 func readFormats(reader *pgproto.Reader) (count int, ok bool) {
 	count = reader.Count()
 	for range count {
--- a/internal/frontend/pgserver/cancel.go
+++ b/internal/frontend/pgserver/cancel.go
@@ -13,8 +13,8 @@
 	secretSize    = 4 // bytes
 )
 
-// cancelKey identifies a connection in a CancelRequest. Only who knows the secret may
-// cancel.
+// cancelKey identifies a connection in a CancelRequest. A CancelRequest without its
+// secret is ignored.
 type cancelKey struct {
 	processID uint32
 	secret    [secretSize]byte
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -11,7 +11,7 @@
 	"flaxrelay/policy"
 )
 
-// maxParameters is the largest number of a parameter.
+// maxParameters is the largest number that a parameter may have, as in PostgreSQL.
 const maxParameters = 65535
 
 // Rule gives a class to statements that begin with some words, and names the parameter
@@ -23,14 +23,16 @@
 	ReadOnly bool // the operator declares such statements read-only, if their text doesn't show it
 }
 
-// classification decides how a statement is served.
+// classification is the result of classify: the class of a statement, and the parameter
+// that has its idempotency key.
 type classification struct {
 	class        policy.Class
 	keyParameter int  // the parameter that has the idempotency key, from 1; 0: none
 	classByShape bool // no rule or comment names a class, so that the query shape may choose another
 }
 
-// classChoice is the class that a statement's leading comment and the rules name.
+// classChoice is the class that a statement's leading comment, a rule or the default
+// names.
 type classChoice struct {
 	class        string
 	keyParameter int
@@ -70,8 +72,8 @@
 	return classification{class: class}, nil
 }
 
-// errIdempotentClass is the response to a statement that may write, and for which a
-// comment or a rule names an idempotent class.
+// errIdempotentClass is the error for a statement that may write although a comment or
+// a rule names an idempotent class for it.
 func errIdempotentClass(class string, verdict sqltext.Verdict) *pgproto.Error {
 	failure := newError(codeInvalidParameterValue,
 		"class %s is safe to repeat, and the statement may write (%v)", class, verdict)
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -17,7 +17,7 @@
 	maxMessage = 1 << 20
 	// maxUnread is how many bytes may be read ahead of the message that is being served.
 	maxUnread = maxMessage + 64<<10
-	// stallTimeout is how long a client may send nothing within a message.
+	// stallTimeout is how long a client may send nothing while a message is incomplete.
 	stallTimeout = 2 * time.Second
 	// maxPendingWrite is how many bytes may wait to be sent to a client before no more
 	// of its messages are read.
@@ -42,8 +42,9 @@
 
 // connection is the connection of one client. It owns the socket and the state of the
 // protocol, and passes each message to the phase that serves it: startupPhase,
-// simpleQuery or extendedQuery. A phase reads the message and either writes the whole
-// response to the output or returns an execution, which the connection forwards.
+// simpleQuery or extendedQuery. A phase reads the message and either writes the
+// complete response to the output or returns an execution, which the connection
+// forwards.
 //
 //	state    -> next state  event
 //	startup  -> startup     request for encryption: declined with one byte
@@ -196,8 +197,9 @@
 	c.output.flushTo(c.socket)
 }
 
-// restartStallTimer limits the time for the rest of a message. It does so only if a part
-// of the message was received and nothing on this side delays its reading.
+// restartStallTimer limits the time until the client sends more of a message. It starts
+// the timer only if a part of the message was received and nothing on this side delays
+// reading.
 func (c *connection) restartStallTimer(partial bool) {
 	c.stallTimer.Stop()
 	if !partial || !c.awaitsMessage() || c.socket.PendingWrite() > maxPendingWrite {
@@ -209,7 +211,8 @@
 	})
 }
 
-// rejectMalformed ends a connection whose input can't be read.
+// rejectMalformed closes a connection whose input can't be decoded, after an
+// ErrorResponse.
 func (c *connection) rejectMalformed(err error) {
 	c.server.counters.Increment(metrics.PostgresMalformed)
 	var failure *pgproto.Error
@@ -236,8 +239,8 @@
 	c.socket.Close()
 }
 
-// OnClosed abandons the request of a client that has disconnected. What the client sent
-// ahead is dropped with the connection.
+// OnClosed abandons the request of a client that has disconnected. Unread messages of
+// the client are dropped with the connection.
 func (c *connection) OnClosed(_ *eventloop.Conn, _ error) {
 	request, _ := c.endRequest()
 	c.state = stateClosing
--- a/internal/frontend/pgserver/errors.go
+++ b/internal/frontend/pgserver/errors.go
@@ -41,12 +41,14 @@
 	return newError(codeProtocolViolation, "malformed %s message", message)
 }
 
-// errCompletionUnknown is the response to a statement that was forwarded and may have run.
+// errCompletionUnknown is the error for a statement that was forwarded and may have
+// run.
 func errCompletionUnknown() *pgproto.Error {
 	return newError(codeStatementCompletionUnknown, "the statement failed on its way or at its engine; it may have run")
 }
 
-// errRejected is the response to a statement that was not run, and may be retried.
+// errRejected is the error for a statement that was rejected: it did not run, and a
+// retry is harmless.
 func errRejected(retryAfter time.Duration) *pgproto.Error {
 	failure := newError(codeInsufficientResources,
 		"the engines are busy; the statement was refused, and trying again is harmless")
@@ -62,7 +64,8 @@
 	engineError, _ := response.ErrorDetail.(*pgproto.Error)
 	switch {
 	case response.MayHaveRun && engineError == nil:
-		// Also past the deadline: a time-out would say that nothing was done.
+		// Also past the deadline: the error for a time-out would imply that nothing was
+		// done.
 		return errCompletionUnknown()
 	case response.MayHaveRun:
 		return engineError
--- a/internal/frontend/pgserver/extended_describe.go
+++ b/internal/frontend/pgserver/extended_describe.go
@@ -2,8 +2,9 @@
 
 import "flaxrelay/internal/pgproto"
 
-// describe describes a statement, or notes that a portal is to be described: an Execute
-// is likely to follow, and brings the description without a request of its own.
+// describe describes a statement, or sets the pending description of a portal. That of
+// a portal is delayed because its first Execute usually follows, whose result includes
+// the description: a separate request to an engine is then not needed.
 func (q *extendedQuery) describe(body []byte) (*execution, *pgproto.Error) {
 	kind, name, failure := readTarget(body, "Describe")
 	if failure != nil {
@@ -27,9 +28,9 @@
 	})
 }
 
-// resolveDescribe sends a pending description, unless the next message is the Execute
-// that brings it. It returns an execution if an engine has to describe the statement. The
-// next message is given; it must wait for the execution.
+// resolveDescribe sends a pending description, unless the next message, whose kind and
+// body are given, is the first Execute of the portal. It returns an execution if an
+// engine has to describe the statement first. The next message must then wait.
 func (q *extendedQuery) resolveDescribe(kind byte, body []byte) (*execution, *pgproto.Error) {
 	described := q.pendingDescribe
 	if described == nil || q.isFirstExecute(described, kind, body) {
@@ -41,7 +42,7 @@
 	})
 }
 
-// isFirstExecute reports whether a message runs the portal.
+// isFirstExecute reports whether a message is the Execute that runs the portal.
 func (q *extendedQuery) isFirstExecute(described *portal, kind byte, body []byte) bool {
 	if kind != pgproto.ClientExecute || described.state != portalBound || described.statement.empty {
 		return false
@@ -51,8 +52,8 @@
 }
 
 // withDescription calls send at once if a description of the statement is known or not
-// needed. Otherwise it returns the execution that gets the description and then calls
-// send.
+// needed. Otherwise it returns an execution that requests the description and then
+// calls send.
 func (q *extendedQuery) withDescription(described *statement, send func() *pgproto.Error) (*execution, *pgproto.Error) {
 	if described.description != nil || described.empty {
 		return nil, send()
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -9,21 +9,21 @@
 // maxNamed limits the prepared statements, and the portals, of one connection.
 const maxNamed = 1000
 
-// extendedQuery serves the messages of the extended query protocol. It owns the prepared
-// statements and the portals of a connection, and the description that is still to be
-// sent.
+// extendedQuery serves the messages of the extended query protocol. It owns the
+// prepared statements and the portals of a connection, and the pending description of a
+// portal.
 //
 //	state   -> next state  event
 //	none    -> pending     Describe of a portal
-//	pending -> none        first Execute of this portal, which brings the description
+//	pending -> none        first Execute of this portal; its result includes the description
 //	pending -> none        any other message; the description is sent before it is served
 type extendedQuery struct {
 	server     *Server
 	output     *messageWriter
 	statements map[string]*statement
 	portals    portalSet
-	// pendingDescribe is the portal whose description waits for the next message, which
-	// may be the Execute that brings it; nil: no description is pending.
+	// pendingDescribe is the portal whose description has not been sent yet: the next
+	// message may be its first Execute, whose result includes it; nil: none is pending.
 	pendingDescribe *portal
 }
 
@@ -41,12 +41,12 @@
 	case pgproto.ClientClose:
 		return nil, q.closeTarget(body)
 	}
-	// A Flush needs nothing, since all output is written anyway. Copy data follows a COPY
-	// that was rejected.
+	// A Flush requires no action, since all output is written in any case. Copy data is
+	// ignored: it can only follow a COPY, which is rejected.
 	return nil, nil
 }
 
-// sync ends the batch's implicit transaction, and with it the portals.
+// sync ends the implicit transaction of a batch. Its portals end with it.
 func (q *extendedQuery) sync() {
 	q.portals.closeAll()
 }
@@ -57,7 +57,8 @@
 	name := reader.CString()
 	query := reader.CString()
 	parameterTypes := reader.Unread
-	if reader.Bytes(oidSize * reader.Count()); !reader.Complete() {
+	reader.Bytes(oidSize * reader.Count())
+	if !reader.Complete() {
 		return errMalformed("Parse")
 	}
 	if name != "" && q.statements[name] != nil {
@@ -80,7 +81,7 @@
 	reader := pgproto.Reader{Unread: body}
 	name := reader.CString()
 	statementName := reader.CString()
-	reader.Unread = bytes.Clone(reader.Unread) // the portal keeps it, and the values lie within
+	reader.Unread = bytes.Clone(reader.Unread) // the portal keeps the copy, and the values are slices of it
 	bind := reader.Unread
 	binds, ok := readBind(&reader)
 	if !ok {
@@ -97,7 +98,7 @@
 		return failure
 	}
 	opened := &portal{statement: prepared, bind: bind}
-	if prepared.parsed != nil {
+	if prepared.parsed != nil { // only the estimator reads the values
 		opened.binds = binds
 	}
 	if !prepared.empty {
--- a/internal/frontend/pgserver/message_writer.go
+++ b/internal/frontend/pgserver/message_writer.go
@@ -8,7 +8,7 @@
 // maxIdleOutput is the largest buffer that is kept for the next messages, in bytes.
 const maxIdleOutput = 64 << 10
 
-// messageWriter buffers the messages for one client until they are written together.
+// messageWriter buffers the messages to one client until they are written together.
 type messageWriter struct {
 	buffer []byte
 }
@@ -48,7 +48,7 @@
 	w.discard()
 }
 
-// discard drops the buffered messages. A large buffer is released.
+// discard drops the buffered messages. It releases the memory of a large buffer.
 func (w *messageWriter) discard() {
 	w.buffer = w.buffer[:0]
 	if cap(w.buffer) > maxIdleOutput {
--- a/internal/frontend/pgserver/messages.go
+++ b/internal/frontend/pgserver/messages.go
@@ -8,7 +8,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// errUnknownMessage is returned for input whose first byte is no message of a client.
+// errUnknownMessage is returned for input whose first byte is not the kind of any
+// message of a client.
 var errUnknownMessage = errors.New("a message of a kind that no client sends")
 
 // clientMessages are the kinds of messages that a client sends after its startup.
@@ -28,8 +29,8 @@
 	if err != nil || size == 0 {
 		return 0, err
 	}
-	// A description that is pending precedes the message, which is read again if the
-	// description needs a request.
+	// A pending description is sent before the message is served. If it needs a
+	// request, the message is read again after the response.
 	exec, failure := c.extended.resolveDescribe(kind, body)
 	c.finish(extendedProtocol, exec, failure)
 	if c.state == stateInFlight {
@@ -64,8 +65,9 @@
 	}
 }
 
-// finish ends the service of a message with what its phase returned: an execution is
-// forwarded and an error is sent. Neither means that the phase has served the message.
+// finish ends the service of a message with what its phase returned. It forwards an
+// execution and sends an error. If the phase returned neither, it has written its
+// response.
 func (c *connection) finish(protocol queryProtocol, exec *execution, failure *pgproto.Error) {
 	if exec != nil {
 		c.forward(exec)
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -9,14 +9,15 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// allRows as the maximum of an Execute asks for all rows. Negative values do so, too.
+// allRows is the maximum number of rows in an Execute that requests all of them. A
+// negative number requests all rows, too.
 const allRows = 0
 
 // portalState is the state of a portal.
 //
 //	state     -> next state  event
 //	bound     -> suspended   an engine has returned the result for the first Execute
-//	suspended -> suspended   an Execute has been sent as many rows as it asked for
+//	suspended -> suspended   the maximum of rows has been sent for an Execute
 //	suspended -> completed   all rows and the completion have been sent
 //	completed -> completed   further Execute: a completion of no rows, or an error if the
 //	                         statement returns none
@@ -31,12 +32,12 @@
 	portalCompleted
 )
 
-// portal is a statement with bound values. It runs once: rows that are fetched later come
-// from its buffer, also when its engine has shut down meanwhile.
+// portal is a statement with bound values. It runs once. Rows that are fetched later
+// come from its buffer, even if the engine has shut down meanwhile.
 type portal struct {
 	statement      *statement
 	bind           []byte        // the body of Bind past its names
-	binds          sqltext.Binds // the values, within bind
+	binds          sqltext.Binds // the values, as slices of bind
 	idempotencyKey string
 	state          portalState
 	result         *pgproto.Result // nil in portalBound; its DataRows are moved to unsentRows
@@ -95,8 +96,8 @@
 	return verb + " " + strconv.Itoa(count)
 }
 
-// portalSet owns the open portals of a connection. Between two messages, the rows that
-// wait in them are reserved in the budget, which all connections share.
+// portalSet owns the open portals of a connection. Between two messages, the bytes of
+// their unsent rows are reserved in the budget, which all connections share.
 type portalSet struct {
 	byName map[string]*portal
 	budget *clientconn.Budget
@@ -153,8 +154,8 @@
 	clear(s.byName)
 }
 
-// reserve reserves the rows that a portal holds. If they exceed the budget, it drops them
-// and returns an error, and the batch fails.
+// reserve reserves the bytes of a portal's unsent rows. If they exceed the budget, it
+// drops them and returns an error.
 func (s *portalSet) reserve(p *portal) *pgproto.Error {
 	if len(p.unsentRows) == 0 || s.budget.TryReserve(len(p.unsentRows)) {
 		return nil
@@ -163,6 +164,7 @@
 	return newError(codeOutOfMemory, "open portals hold too many rows; fetch them, or ask for all at once")
 }
 
+// release ends the reservation of a portal's unsent rows.
 func (s *portalSet) release(p *portal) {
 	s.budget.Release(len(p.unsentRows))
 }
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -32,7 +32,7 @@
 	onServed func(*pgproto.Result) *pgproto.Error
 }
 
-// complete writes the result of an execution, or returns the error in its place.
+// complete writes the result of an execution, or returns the error to send instead.
 func (e *execution) complete(response lifecycle.Response) *pgproto.Error {
 	result, ok := response.Result.(*pgproto.Result)
 	if response.Verdict != lifecycle.VerdictServed || !ok {
@@ -83,7 +83,8 @@
 	return request, exec
 }
 
-// resume reads what the client has sent during a request.
+// resume writes the output and continues to read, first what the client has sent during
+// the request.
 func (c *connection) resume() {
 	c.flush()
 	c.socket.LimitReadAhead(false)
@@ -125,7 +126,7 @@
 	return exec.statement.class, nil
 }
 
-// estimate sets what is known of the request's data and its cost.
+// estimate sets the request's data set, and its estimates if there is an estimator.
 func (s *Server) estimate(request *lifecycle.Request, exec *execution, shapeExecution *stmtstats.Execution) {
 	estimator := s.options.Estimator
 	parsed := exec.statement.parsed
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -1,6 +1,6 @@
 // Package pgserver serves clients that speak the PostgreSQL wire protocol, with simple
-// and extended queries. Each bound execution is one request to the dispatcher and has
-// one final response: a completion or one ErrorResponse.
+// and extended queries. Each execution at an engine is one request to the dispatcher
+// and has one final response: a completion or one ErrorResponse.
 package pgserver
 
 import (
@@ -30,7 +30,7 @@
 // Options come from the deploy file.
 type Options struct {
 	DefaultClass      string
-	WriteClass        string            // of statements that may write and have no class of their own; "": rejected
+	WriteClass        string            // of writing statements without a class from comment or rule; "": rejected
 	ReadOnlyFunctions sqltext.Functions // functions that the operators declare read-only
 	Rules             []Rule
 	Estimator         *stmtstats.Service // gives classes and estimates by query shape; nil: off
@@ -38,9 +38,9 @@
 	MaxBufferedBytes  int                // bytes of rows that are buffered in all open portals together
 }
 
-// Server accepts PostgreSQL clients. It owns their connections, and decides the class of
-// each statement and the request that it makes. The server and its connections must be
-// used from the goroutine of the event loop only.
+// Server accepts PostgreSQL clients. It owns their connections, decides the class of
+// each statement, and builds the request for each execution. The server and its
+// connections must be used from the goroutine of the event loop only.
 type Server struct {
 	clientconn.Listener
 	loop       *eventloop.Loop
@@ -109,8 +109,8 @@
 	}
 }
 
-// Finish ends a graceful shutdown. All responses have been given, so that Drain closes
-// the remaining connections.
+// Finish ends a graceful shutdown. No request is in flight any more, so that Drain
+// closes the remaining connections.
 func (s *Server) Finish() { s.Drain() }
 
 // Idle reports whether no client is connected.
--- a/internal/frontend/pgserver/simple_query.go
+++ b/internal/frontend/pgserver/simple_query.go
@@ -10,8 +10,8 @@
 	emptyBind        = []byte{0, 0, 0, 0, 0, 0} // counts of 0: formats, values, result formats
 )
 
-// simpleQuery serves Query messages. It has no state of its own between two of them: a SET
-// changes the settings of the session.
+// simpleQuery serves Query messages. It keeps no state between two of them: a SET
+// changes the settings of the session, which the connection owns.
 type simpleQuery struct {
 	server   *Server
 	settings *sessionSettings
@@ -69,5 +69,5 @@
 	}
 	unnamed := portal{statement: prepared}
 	unnamed.start(result)
-	_ = unnamed.sendRows(q.output, allRows) // it fails only in a portal that has run before
+	_ = unnamed.sendRows(q.output, allRows) // fails only for a portal that has run before
 }
--- a/internal/frontend/pgserver/startup.go
+++ b/internal/frontend/pgserver/startup.go
@@ -36,8 +36,8 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// startupPhase holds what the startup packet of a client requests, and writes the
-// messages that begin the session.
+// startupPhase reads the startup packet of a client, holds its parameters, and writes
+// the messages that begin the session.
 type startupPhase struct {
 	version        uint32
 	user           string
--- a/internal/frontend/pgserver/statement.go
+++ b/internal/frontend/pgserver/statement.go
@@ -7,12 +7,12 @@
 	"flaxrelay/internal/stmtstats"
 )
 
-// statement is a prepared statement.
+// statement is a prepared statement with its classification.
 type statement struct {
 	classification
 	query          string
 	parameterTypes []byte               // as in Parse: their count and object IDs
-	empty          bool                 // nothing but space and comments
+	empty          bool                 // the query has only white space and comments
 	parsed         *stmtstats.Statement // nil without an estimator
 	description    *pgproto.Result      // nil until an engine has described the statement
 }
@@ -39,8 +39,8 @@
 	return prepared, nil
 }
 
-// checkValueCount compares the number of bound values with the parameters that an engine
-// has described, if one has.
+// checkValueCount returns an error if the number of bound values differs from the
+// number of parameters that an engine has described. It returns nil if none has.
 func (s *statement) checkValueCount(count int) *pgproto.Error {
 	if s.description == nil || len(s.description.ParameterDescription) < countSize {
 		return nil
--- a/internal/frontend/pgserver/statement_timeout.go
+++ b/internal/frontend/pgserver/statement_timeout.go
@@ -13,6 +13,7 @@
 // statementTimeoutName is the only session setting that is supported.
 const statementTimeoutName = "statement_timeout"
 
+// timeoutUnits are the units of a time-out, as PostgreSQL writes them.
 var timeoutUnits = map[string]time.Duration{
 	"":    time.Millisecond,
 	"us":  time.Microsecond,
@@ -47,7 +48,7 @@
 	return class.Deadline
 }
 
-// maxTimeoutBits limits the number of a time-out as PostgreSQL does, which stores it as a
+// maxTimeoutBits limits a time-out's number before its unit. PostgreSQL stores it as a
 // signed number of 32 bits.
 const maxTimeoutBits = 31
 
