--- a/internal/frontend/clientconn/budget.go
+++ b/internal/frontend/clientconn/budget.go
@@ -1,13 +1,13 @@
 package clientconn
 
-// Budget bounds the bytes of results that are buffered for clients to fetch. It belongs to the goroutine of the event
-// loop.
+// Budget limits the bytes of results that are buffered for clients to fetch. It must be used from the goroutine of the
+// event loop only.
 type Budget struct {
 	limit    int // bytes
 	reserved int // bytes
 }
 
-// SetLimit changes the limit. Reservations stay, also where they exceed the new limit.
+// SetLimit changes the limit. Reservations stay, even if they exceed the new limit.
 func (b *Budget) SetLimit(bytes int) { b.limit = bytes }
 
 // TryReserve reserves bytes and reports whether they were within the limit.
--- a/internal/frontend/clientconn/flow.go
+++ b/internal/frontend/clientconn/flow.go
@@ -7,8 +7,8 @@
 )
 
 // PauseUntilFlushed reports whether more than maxPending bytes wait to be sent to the client. If so, the handler must
-// read nothing more for now: it is called again once all bytes are sent. This protects against a client that sends
-// requests and does not read.
+// return without reading more: it is called again once all bytes are sent. This protects against a client that sends
+// requests and does not read responses.
 func PauseUntilFlushed(socket *eventloop.Conn, maxPending int) bool {
 	if socket.PendingWrite() <= maxPending {
 		return false
@@ -17,8 +17,8 @@
 	return true
 }
 
-// CeilMilliseconds returns the duration in milliseconds, rounded up: a client that waits for that time does not come
-// back too early.
+// CeilMilliseconds returns the duration in milliseconds, rounded up: a client that waits for that time does not retry
+// too early.
 func CeilMilliseconds(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/frontend/clientconn/listener.go
+++ b/internal/frontend/clientconn/listener.go
@@ -11,7 +11,7 @@
 	listener net.Listener
 }
 
-// Listen accepts connections at the address. At most maxConnections are open at once (0: no limit); readLimit bounds
+// Listen accepts connections at the address. At most maxConnections are open at once (0: no limit); readLimit limits
 // the unread bytes of each. The function accept is called on the goroutine of the event loop.
 func Listen(
 	loop *eventloop.Loop, address string, readLimit, maxConnections int, accept func(*eventloop.Conn) eventloop.Handler,
--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -8,33 +8,33 @@
 	"flaxrelay/internal/metrics"
 )
 
-// closeReason says why a connection ended. It is the last word of the counter http.closed.REASON.
+// closeReason is the reason why a connection ended, as in the name of the counter http.closed.REASON.
 type closeReason string
 
-// closeNone says that this side does not close the connection. It is not counted.
+// closeNone is the reason of a connection that this side does not close. It is not counted.
 const closeNone = closeReason("")
 
 // The reasons that are counted.
 const (
 	closeByClient       closeReason = "client"          // the client closed it
 	closeByError        closeReason = "error"           // the connection broke
-	closeAfterResponse  closeReason = "response"        // the response said so
-	closeInvalidRequest closeReason = "invalid-request" // after the response to one
+	closeAfterResponse  closeReason = "response"        // the response announced the close
+	closeInvalidRequest closeReason = "invalid-request" // after the response to an invalid request
 	closeReadTimeout    closeReason = "read-timeout"    // no request came in time
 	closeIdleTimeout    closeReason = "idle"            // no request came for long
 	closeEvicted        closeReason = "evicted"         // a new connection needed its descriptor
 	closeShutdown       closeReason = "shutdown"        // a graceful shutdown
 )
 
-// unused reports whether nothing is outstanding on the connection: no request in flight, no result that is fetched
-// page by page, no part of a request. It must not be called from OnData.
+// unused reports whether the connection has no request in flight, no result that its client fetches page by page, and
+// no unread bytes. It must not be called from OnData.
 func (c *connection) unused() bool {
 	return c.state.awaitsRequest() && c.state != statePaging && c.reader.unread() == 0
 }
 
-// closeUnused closes a connection on which no request is in flight, unless a request or a part of one has arrived
-// by now, and reports whether it did. A request that was read and then closed over would be lost: every close from
-// this side without a response goes through here. It must not be called from OnData.
+// closeUnused closes the connection without a response, unless a request is in flight or bytes are unread. It reads
+// what the socket holds first, and reports whether it closed the connection. Every close from this side without a
+// response goes through here, so that no request is lost that was read. It must not be called from OnData.
 func (c *connection) closeUnused(reason closeReason) bool {
 	responded := c.state != stateInFlight
 	invariants := c.server.dispatcher.Invariants()
@@ -49,7 +49,8 @@
 	return true
 }
 
-// write sends a response, as the last one where nothing more is to be served after it.
+// write sends a response. If nothing more is to be served after it, the response announces the close and the connection
+// is closed.
 func (c *connection) write(r response) {
 	switch {
 	case c.state == stateClosing:
@@ -60,8 +61,9 @@
 	}
 }
 
-// closesAfterResponse reports whether the connection is to be closed after the response that is about to be
-// written: the client wants that, or in eviction and graceful shutdown nothing is outstanding after it.
+// closesAfterResponse reports whether the connection is to be closed after the response that is about to be written:
+// because the client wants that, or because the connection is being evicted or the server drains, and nothing is
+// outstanding after the response.
 func (c *connection) closesAfterResponse() bool {
 	if c.wantsClose {
 		return true
@@ -84,8 +86,8 @@
 	}
 }
 
-// reject responds to an invalid request and closes the connection: what follows a request that can't be read can't
-// be trusted, and a client that sends invalid requests without pause has to connect for each.
+// reject responds to an invalid request and closes the connection. After a request that can't be parsed, it is unknown
+// where the next one begins, and a client that sends invalid requests without pause has to connect for each.
 func (c *connection) reject(err *statusError) {
 	c.server.counters.Increment(metrics.HTTPBadRequests)
 	c.writeLast(errorResponse(err), closeInvalidRequest)
@@ -93,17 +95,17 @@
 
 // rejectEvicted rejects a request that had arrived before its connection was evicted.
 func (c *connection) rejectEvicted() {
-	c.closeReason = closeEvicted // counted also where the client closes first
+	c.closeReason = closeEvicted // counted even if the client closes first
 	c.write(rejectedResponse(c.server.dispatcher.RetryAfter()))
 }
 
-// rejectPartial rejects a request of which a part has arrived, and closes the connection. Nothing of the request was
-// forwarded.
+// rejectPartial rejects a request of which only a part has arrived, and closes the connection. Nothing of the request
+// was forwarded.
 func (c *connection) rejectPartial(reason closeReason) {
 	c.writeLast(rejectedResponse(c.server.dispatcher.RetryAfter()), reason)
 }
 
-// countClose counts the end of the connection by its reason. The error is that of the socket.
+// countClose counts the end of the connection by its reason. The error is the socket's; nil if either side closed it.
 func (c *connection) countClose(err error) {
 	reason := c.closeReason
 	switch {
--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -12,12 +12,12 @@
 	"flaxrelay/internal/timerqueue"
 )
 
-// maxPendingWrite is how many bytes of responses may wait to be sent to a client before no more of its requests
+// maxPendingWrite is the number of bytes that may wait to be sent to a client. While more wait, none of its requests
 // are read.
 const maxPendingWrite = 256 << 10
 
-// connectionState is the state of a connection with regard to its client's requests. Every connection begins in
-// stateNew and ends in stateClosing.
+// connectionState says what a connection may do next for its client's requests. Every connection begins in stateNew and
+// ends in stateClosing.
 //
 //	state              event                                              next state
 //	new, idle, paging  a statement                                        in flight
@@ -31,28 +31,28 @@
 //	all but closing    the last response (writeLast)                      closing
 //	all                the client disconnected, or the connection broke   closing
 //
-// closeUnused closes connections on which nothing has arrived: of clients that send no first request in time, that are
-// idle for too long or are evicted, and in a graceful shutdown. The last response is the one to an invalid or
-// incomplete request, the one after which the client wants the close, and in eviction and graceful shutdown the one
-// after which nothing is outstanding.
+// closeUnused closes connections without unread bytes: those whose client sends no first request in time or is idle for
+// too long, those that are evicted, and any in a graceful shutdown. The last response is the response to an invalid or
+// incomplete request, the response after which the client wants the close, or, in eviction and graceful shutdown, the
+// response after which nothing is outstanding.
 //
 // A request that is in flight when its client disconnects, or when bytes that can't be a request follow it, is
-// withdrawn from the dispatcher. After each response the next request is read from the bytes that have arrived.
+// abandoned. After each response the next request is read.
 type connectionState uint8
 
 const (
-	// stateNew awaits the first request. Its client has not shown yet that it makes valid ones: eviction closes
-	// connections in this state first.
+	// stateNew awaits the first request. Eviction closes connections in this state first: their clients have not made a
+	// valid request yet.
 	stateNew connectionState = iota
-	// stateIdle awaits the next request of a client that has made a valid one.
+	// stateIdle awaits the next request of a client that has made a valid request.
 	stateIdle
 	// statePaging awaits the next request, and the latest response named a further page of its result.
 	statePaging
 	// stateInFlight has a request whose response the dispatcher has not given yet. Nothing more is served
 	// meanwhile.
 	stateInFlight
-	// stateEvicting rejects the requests that had arrived before the connection was evicted, and closes it after
-	// the last response.
+	// stateEvicting rejects the requests that had arrived before the connection was evicted. The connection is closed
+	// after the last of these responses.
 	stateEvicting
 	// stateClosing reads and writes nothing more.
 	stateClosing
@@ -61,20 +61,21 @@
 // awaitsRequest reports whether the next request may be read.
 func (s connectionState) awaitsRequest() bool { return s != stateInFlight && s != stateClosing }
 
-// connection is the connection of one client. It serves one request after the other and guards that each has one
-// response: only closeUnused closes it without one. It belongs to the goroutine of the event loop.
+// connection is the connection of one client. It serves one request after the other and ensures that each has one
+// response: only closeUnused closes the connection without a response. A connection must be used from the goroutine of
+// the event loop only.
 type connection struct {
 	server *Server
 	socket *eventloop.Conn
 	reader requestReader
 	state  connectionState
 
-	request    *lifecycle.Request // set in stateInFlight alone
+	request    *lifecycle.Request // set in stateInFlight only
 	wantsClose bool               // the client wants the close after the response to its latest request
 	lastActive time.Duration      // time of the latest request or response, as of Loop.Now
 	readTimer  *timerqueue.Timer  // calls onReadTimeout; nil: no time limit on the next request
-	// closeReason says why this side closes the connection. Only in stateClosing, and in stateEvicting after the
-	// first rejection, it is not closeNone.
+	// closeReason says why this side closes the connection. It is set together with stateClosing, or in stateEvicting
+	// by the first rejection. Until then it is closeNone.
 	closeReason closeReason
 }
 
@@ -84,7 +85,7 @@
 	defer c.reader.end()
 	for c.state.awaitsRequest() {
 		if c.socket.Disconnected() {
-			// Hundreds of its requests may have arrived: none is forwarded.
+			// None of the requests that it sent before is forwarded; there may be hundreds.
 			c.reader.discardAll()
 			return
 		}
@@ -109,7 +110,7 @@
 	c.afterReading()
 }
 
-// afterReading handles what OnData leaves in the buffer.
+// afterReading handles the unread bytes that OnData leaves in the buffer.
 func (c *connection) afterReading() {
 	unread := c.reader.unread()
 	switch {
@@ -130,15 +131,15 @@
 	c.socket.LimitReadAhead(c.state == stateInFlight)
 }
 
-// startReadTimer bounds the time until a request is complete. This protects against clients that connect and send
+// startReadTimer limits the time until a request is complete. This protects against clients that connect and send
 // nothing, or stop within a request.
 func (c *connection) startReadTimer() {
 	deadline := c.server.loop.Now() + c.server.options.ReadTimeout
 	c.readTimer = c.server.loop.Timers.Schedule(deadline, c.onReadTimeout)
 }
 
-// onReadTimeout closes a connection without a complete request, after an error response where a part of one has
-// arrived.
+// onReadTimeout closes a connection whose request did not arrive completely in time. If a part of the request has
+// arrived, the client receives an error response first.
 func (c *connection) onReadTimeout() {
 	if c.state == stateClosing {
 		return
@@ -158,7 +159,7 @@
 	c.server.dispatcher.Accept(request)
 }
 
-// Respond writes the response to the request in flight and goes on reading: the client may have sent further
+// Respond writes the response to the request in flight and continues to read: the client may have sent further
 // requests.
 func (c *connection) Respond(request *lifecycle.Request, response lifecycle.Response) {
 	c.request = nil
@@ -180,7 +181,7 @@
 	}
 }
 
-// abandonRequest withdraws the request in flight, if there is one.
+// abandonRequest ends the request in flight, if there is one, without a response.
 func (c *connection) abandonRequest() {
 	if c.state != stateInFlight {
 		return
--- a/internal/frontend/httpserver/connection_test.go
+++ b/internal/frontend/httpserver/connection_test.go
@@ -55,7 +55,7 @@
 	deliver(s.t, s.server, s.client, text)
 }
 
-// roundTrip sends a request and returns its response: the status, and "close" where the response
+// roundTrip sends a request and returns its response: the status, and "close" if the response
 // announces the end of the connection.
 func (s *clientScenario) roundTrip(text string) string {
 	s.t.Helper()
@@ -139,8 +139,8 @@
 	return counters
 }
 
-// Each way in which a connection ends, from each state: the responses that its client receives until then, and
-// the reason that is counted.
+// However a connection ends, and from whichever state, its client has received each response, and one reason is
+// counted.
 func TestConnection_EndsWithAllResponsesAndOneReason(t *testing.T) {
 	const shortReadTimeout = 50 * time.Millisecond
 	for name, test := range map[string]struct {
--- a/internal/frontend/httpserver/disconnect_test.go
+++ b/internal/frontend/httpserver/disconnect_test.go
@@ -25,8 +25,8 @@
 		}
 		awaitCondition(t, "the end of the connection", c.socket.Disconnected)
 	})
-	// The event loop says that the client has disconnected before it posts OnClosed, and
-	// posts OnData before that: once the connection is unregistered, all was handled.
+	// Disconnected is true before OnClosed is called, and OnData is called before OnClosed: once
+	// the connection is unregistered, all requests have been handled.
 	awaitOnLoop(t, server, "the connection to be unregistered", func() bool { return len(server.connections) == 0 })
 	eventlooptest.Do(server.loop, func() {
 		if n := server.counters.Sum("requests.accepted."); n != 0 {
--- a/internal/frontend/httpserver/encoding.go
+++ b/internal/frontend/httpserver/encoding.go
@@ -6,12 +6,12 @@
 	"flaxrelay/internal/engine/lineclient"
 )
 
-// usualEnvelopeSize is how many bytes of JSON usually stand around the rows. Buffers are allocated with it, so that
-// they seldom need to grow.
+// usualEnvelopeSize is the usual number of bytes of JSON before and after the rows. Buffers are allocated with this
+// reserve, so that they seldom need to grow.
 const usualEnvelopeSize = 64
 
-// encodeRows encodes rows of tab-separated columns as JSON arrays of strings, and the path of the next page unless it
-// is empty.
+// encodeRows encodes rows of tab-separated columns as JSON arrays of strings. It includes the path of the next page
+// unless that is empty.
 func encodeRows(rows lineclient.Rows, nextPath string) []byte {
 	size := usualEnvelopeSize
 	for _, page := range rows {
--- a/internal/frontend/httpserver/errors.go
+++ b/internal/frontend/httpserver/errors.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// statusError is the reason why a request is invalid: the status and the message of its response. Functions return
-// it by its own type, since every such error becomes a response.
+// statusError is the reason why a request is invalid: the status and the message of its response. Functions return this
+// type instead of error, since each such error becomes a response.
 type statusError struct {
 	status  int
 	message string
@@ -23,7 +23,7 @@
 	return &statusError{http.StatusRequestHeaderFieldsTooLarge, "the head of the request is too large"}
 }
 
-// wrongContentLength is the error of a request that is followed by bytes that can't be a request.
+// wrongContentLength returns the error of a request after which bytes arrived that can't be a request.
 func wrongContentLength() *statusError {
 	return badRequest("what follows the call is no other: Content-Length is wrong")
 }
--- a/internal/frontend/httpserver/eviction.go
+++ b/internal/frontend/httpserver/eviction.go
@@ -12,24 +12,25 @@
 	maxIdleTime = 30 * time.Second
 	// idleCheckInterval is the time between two searches for connections past maxIdleTime.
 	idleCheckInterval = maxIdleTime / 4
-	// minIdleTime is how long a connection is idle before it may be evicted: the client's next request could cross
-	// the close.
+	// minIdleTime is how long a connection is idle before it may be evicted. A client that has just received a response
+	// may be about to send its next request, which could cross the close.
 	minIdleTime = 100 * time.Millisecond
-	// minSilentTime is how long a new connection has for its first bytes before it may be evicted.
+	// minSilentTime is how long a new connection is open before it may be evicted. It is also the time between two
+	// searches for a connection to evict.
 	minSilentTime = 20 * time.Millisecond
 )
 
-// evictor decides which connections are closed while nothing is outstanding on them: those that are idle for too
-// long, and those whose descriptors new connections need. It belongs to the goroutine of the event loop.
+// evictor decides which unused connections are closed: those that are idle for too long, and those whose descriptors
+// new connections need. It must be used from the goroutine of the event loop only.
 type evictor struct {
 	loop           *eventloop.Loop
 	counters       *metrics.Counters
 	connections    map[*connection]struct{} // the server's
-	maxClients     int                      // open connections, without those that are closing or being evicted
+	maxClients     int                      // open connections, not counting those that are closing or being evicted
 	retryScheduled bool                     // a timer will call evictExcess again
 }
 
-// closeIdle closes the connections that are idle for too long, now and at intervals.
+// closeIdle closes the connections that are idle for too long, now and then every idleCheckInterval.
 func (e *evictor) closeIdle() {
 	now := e.loop.Now()
 	for c := range e.connections {
@@ -40,10 +41,10 @@
 	e.loop.Timers.Schedule(now+idleCheckInterval, e.closeIdle)
 }
 
-// evictExcess evicts connections while too many are open: the oldest without a valid request first, then the longest
-// idle. This protects against clients that connect by the hundred, or make one request and stay: the others would
-// find no descriptor left. Where none can be evicted yet it is called again by a timer: at the limit nothing more is
-// accepted, so nothing else would call it.
+// evictExcess evicts connections while too many are open: first those without a valid request, the oldest first, and
+// then those that are idle for the longest time. This protects against clients that open hundreds of connections, or
+// keep them open after one request: other clients would find no descriptor left. If no connection can be evicted yet, a
+// timer calls evictExcess again. Nothing else would call it, since no connection is accepted at the limit.
 func (e *evictor) evictExcess() {
 	for {
 		open, victim := e.findVictim()
@@ -58,9 +59,8 @@
 	}
 }
 
-// findVictim counts the open connections and returns the one to evict first, or nil if none may be evicted yet.
-// Connections that only wait for their client to read the last response are aborted meanwhile, once it has been
-// sent.
+// findVictim counts the open connections and returns the one to evict first, or nil if none may be evicted yet. It also
+// aborts the closing connections that have sent all their bytes, to release their descriptors.
 func (e *evictor) findVictim() (open int, victim *connection) {
 	now := e.loop.Now()
 	for c := range e.connections {
@@ -91,8 +91,8 @@
 	})
 }
 
-// evict closes the connection in favour of others. Where requests of a new client have arrived, or a part of one,
-// these are rejected first. A client that was served before keeps its connection then.
+// evict closes the connection to make a descriptor available. If bytes of requests are unread, it depends on the state:
+// a new client's requests are rejected first, and a client that was served before keeps its connection.
 func (c *connection) evict() {
 	if !c.closeUnused(closeEvicted) {
 		if c.state != stateNew {
@@ -104,7 +104,7 @@
 	c.server.counters.Increment(metrics.HTTPEvicted)
 }
 
-// evictable reports whether the connection may be closed in favour of others.
+// evictable reports whether the connection may be evicted.
 func (c *connection) evictable(now time.Duration) bool {
 	inactive := now - c.lastActive
 	switch c.state {
@@ -118,7 +118,7 @@
 	return false
 }
 
-// evictedBefore orders evictable connections.
+// evictedBefore reports whether the connection is evicted before the other one, if both are evictable.
 func (c *connection) evictedBefore(other *connection) bool {
 	isNew := c.state == stateNew
 	if otherIsNew := other.state == stateNew; isNew != otherIsNew {
--- a/internal/frontend/httpserver/eviction_test.go
+++ b/internal/frontend/httpserver/eviction_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// A connection that is closing keeps its place until its last response has been sent: aborting it
-// for another client would cut the response off.
+// A closing connection is not aborted until its last response has been sent: the abort would cut
+// the response off.
 func TestFindVictim_ResponseThatWaitsToBeSentIsNotCutOff(t *testing.T) {
 	const most = 2000 // pages, more than the kernel's buffers hold
 	server := startTestServer(t, Options{})
@@ -71,7 +71,7 @@
 	}
 }
 
-// requestPage asks for the last page of a result.
+// requestPage requests the last page of a result.
 func requestPage(t *testing.T, client net.Conn, path, headers string) {
 	t.Helper()
 	if _, err := fmt.Fprintf(client, "GET %s/1 HTTP/1.1\r\n%s\r\n", path, headers); err != nil {
--- a/internal/frontend/httpserver/helpers_test.go
+++ b/internal/frontend/httpserver/helpers_test.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// waitLimit bounds every wait of a test.
+	// waitLimit limits every wait of a test.
 	waitLimit = 10 * time.Second
-	// healthRequest is a request that the server answers itself.
+	// healthRequest is a request that the server responds to without an engine.
 	healthRequest = "GET /health HTTP/1.1\r\n\r\n"
 	// statementRequest is a request that is forwarded.
 	statementRequest = "POST /rpc/lookup HTTP/1.1\r\n" +
--- a/internal/frontend/httpserver/parse.go
+++ b/internal/frontend/httpserver/parse.go
@@ -31,7 +31,7 @@
 	fieldOrderKey         = "req-key"
 )
 
-// knownFields has the header fields that are read; all others are ignored.
+// knownFields is the set of header fields that are read; all others are ignored.
 var knownFields = map[string]bool{
 	fieldContentLength:    true,
 	fieldTransferEncoding: true,
@@ -51,7 +51,7 @@
 	method     string
 	path       string
 	header     map[string]string // known fields by name in lower case
-	body       []byte            // within the input
+	body       []byte            // a slice of the input
 	wantsClose bool              // the client wants the connection closed after the response
 	arrivedAt  time.Duration     // when its last byte was read, as of Loop.Now; set by requestReader
 }
@@ -84,8 +84,8 @@
 
 // parseHead reads the request line and the header fields.
 func parseHead(head []byte) (request httpRequest, err *statusError) {
-	// Prevents request smuggling: a line that ends in a lone CR or LF, which other programs read otherwise, could
-	// hide a field.
+	// This prevents request smuggling: other programs may take a lone CR or LF for the end of a line, and then find a
+	// field that is hidden here.
 	if bytes.ContainsAny(bytes.ReplaceAll(head, []byte(lineEnd), nil), "\r\n\x00") {
 		return request, badRequest("a line of the head has a stray CR, LF or NUL")
 	}
@@ -103,7 +103,7 @@
 			return request, err
 		}
 	}
-	// Rejected even when empty: beside a Content-Length, its body might hide another request.
+	// The field is rejected even if it is empty: its body might hide another request if there is a Content-Length, too.
 	if _, ok := request.header[fieldTransferEncoding]; ok {
 		return request, &statusError{http.StatusNotImplemented, "transfer encodings are not taken; send Content-Length"}
 	}
@@ -157,8 +157,8 @@
 	return int(length), nil
 }
 
-// canStartRequest reports whether what follows a request can be the start of another. Where it can't, the length of
-// the request was wrong, and so is its statement.
+// canStartRequest reports whether the bytes after a request can be the start of another. If they can't, the
+// Content-Length of the request was wrong, and so is its statement.
 func canStartRequest(input []byte) bool {
 	for _, start := range []string{"GET /", "POST /", "DELETE /"} {
 		if n := min(len(input), len(start)); string(input[:n]) == start[:n] {
--- a/internal/frontend/httpserver/reader.go
+++ b/internal/frontend/httpserver/reader.go
@@ -2,17 +2,17 @@
 
 import "flaxrelay/internal/eventloop"
 
-// requestReader reads the requests of one connection from the buffer of its socket. It knows which bytes belong to
-// the request being served and which have arrived after it. It belongs to the goroutine of the event loop.
+// requestReader reads the requests of one connection from the buffer of its socket. It separates the bytes of the
+// request being served from those after it. It must be used from the goroutine of the event loop only.
 type requestReader struct {
 	socket *eventloop.Conn
-	// input is the socket's buffer while OnData runs, and nil otherwise. The buffer is locked meanwhile, so that
-	// its socket must not be asked for the number of its bytes.
+	// input is the socket's buffer while OnData runs, and nil otherwise. The buffer is locked while OnData runs, so
+	// that eventloop.Conn.UnreadBytes must not be called.
 	input       *eventloop.Buffer
 	requestSize int // bytes at the start of input that belong to the request being served
 }
 
-// begin starts to read from the buffer, end stops that.
+// begin sets the buffer for the time in which OnData runs, until end.
 func (r *requestReader) begin(input *eventloop.Buffer) { r.input = input }
 
 func (r *requestReader) end() {
@@ -20,7 +20,7 @@
 	r.requestSize = 0
 }
 
-// next parses the next request and reports whether it is complete. It stays in the buffer until consume.
+// next parses the next request and reports whether it is complete. The request stays in the buffer until consume.
 func (r *requestReader) next() (request httpRequest, complete bool, err *statusError) {
 	input := r.input.Bytes()
 	request, size, err := parse(input)
@@ -41,7 +41,7 @@
 	r.requestSize = 0
 }
 
-// discardAll drops all that has arrived.
+// discardAll drops all bytes of the buffer.
 func (r *requestReader) discardAll() {
 	r.input.Consume(r.input.Len())
 	r.requestSize = 0
@@ -53,8 +53,7 @@
 	return canStartRequest(r.input.Bytes()[r.requestSize:])
 }
 
-// unread returns the number of bytes that have arrived after the request being served, or of all that have arrived
-// where none is.
+// unread returns the number of bytes in the buffer, without those of the request being served.
 func (r *requestReader) unread() int {
 	if r.input == nil {
 		return r.socket.UnreadBytes()
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -24,8 +24,8 @@
 )
 
 // requestBuilder builds the dispatcher's requests from those of HTTP clients: it validates their header fields and
-// statements, adds estimates, and guards that no two requests in flight have one id. It belongs to the goroutine of
-// the event loop.
+// statements, adds estimates, and ensures that no two requests in flight have the same id. It must be used from the
+// goroutine of the event loop only.
 type requestBuilder struct {
 	dispatcher  *lifecycle.Dispatcher
 	estimator   *stmtstats.Service // nil: off
@@ -41,7 +41,7 @@
 
 func (b *requestBuilder) removeInFlight(id string) { delete(b.inFlightIDs, id) }
 
-// build returns the request to a class, whose response the client receives.
+// build returns the dispatcher's request for a statement of the class. The client receives its response.
 func (b *requestBuilder) build(
 	className string, request httpRequest, client lifecycle.Client,
 ) (*lifecycle.Request, *statusError) {
@@ -73,8 +73,8 @@
 		Client:      client,
 		Tenant:      request.header[fieldTenant],
 		OrderKey:    request.header[fieldOrderKey],
-		// The client waits from the last byte of the request on, also while the request waits for its turn after
-		// another one on the connection.
+		// The client's wait begins with the last byte of the request, also if the request is not served until an
+		// earlier one on the connection has its response.
 		Deadline: request.arrivedAt + wait,
 	}
 	if err := setEstimates(built, request); err != nil {
@@ -87,8 +87,7 @@
 	return built, nil
 }
 
-// observeStatement fills in what the text of the statement tells: the dataset, and with statistics of query shapes
-// the estimated cost.
+// observeStatement sets the data set that the statement names and, if there is an estimator, the estimated cost.
 func (b *requestBuilder) observeStatement(request *lifecycle.Request, statement string) {
 	if b.estimator != nil {
 		b.estimator.EstimateText(request, statement)
@@ -101,7 +100,7 @@
 	if len(id) != requestIDLength || strings.Trim(id, "0123456789abcdefABCDEF") != "" {
 		return "", badRequest("Req-Id: not 16 hex digits")
 	}
-	// An engine could not distinguish two requests with one id.
+	// An engine could not distinguish two requests with the same id.
 	if _, inFlight := b.inFlightIDs[id]; inFlight {
 		return "", &statusError{http.StatusConflict, "Req-Id: a request of this id is open"}
 	}
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -9,7 +9,7 @@
 	"flaxrelay/internal/frontend/clientconn"
 )
 
-// reasonPhrases are those of RFC 9110; net/http still has an older one for 413.
+// reasonPhrases are those of RFC 9110; net/http has an older one for status 413.
 var reasonPhrases = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusBadRequest:                  "Bad Request",
@@ -26,8 +26,8 @@
 	http.StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
 }
 
-// usualHeadSize is how many bytes a response usually has before its body. Buffers are allocated with it, so that they
-// seldom need to grow.
+// usualHeadSize is the usual number of bytes of a response before its body. Buffers are allocated with this reserve, so
+// that they seldom need to grow.
 const usualHeadSize = 160
 
 // Bodies of responses without details.
@@ -53,7 +53,7 @@
 	return response{status: http.StatusOK, body: encodeRows(rows, nextPath)}
 }
 
-// resultNotFoundResponse responds to a path that no result is buffered under, as after a restart.
+// resultNotFoundResponse responds to a path under which no result is buffered, as after a restart.
 func resultNotFoundResponse() response {
 	return response{status: http.StatusNotFound, body: encodeError(notFound)}
 }
@@ -73,7 +73,7 @@
 	return response{status: err.status, body: encodeError(err.message)}
 }
 
-// isClientError reports whether the client caused the response by an invalid request.
+// isClientError reports whether the response is due to an invalid request.
 func (r response) isClientError() bool {
 	return r.status >= http.StatusBadRequest && r.status < http.StatusInternalServerError
 }
--- a/internal/frontend/httpserver/results.go
+++ b/internal/frontend/httpserver/results.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// maxPageSize bounds the bytes of rows in one response, unless a single page of the engine has more.
+	// maxPageSize limits the bytes of rows in one page of a result. A single page of the engine may have more; it is
+	// then a page of its own.
 	maxPageSize = 64 << 10
-	// resultGracePeriod is how long past its request's deadline a result can be fetched.
+	// resultGracePeriod is how long after its request's deadline a result can be fetched.
 	resultGracePeriod = time.Second
 )
 
-// resultStore buffers results of more than one page for their clients to fetch. All pages stay buffered until the
-// deadline of the request, or until the client releases the result: a client whose connection broke requests a page
-// again. It belongs to the goroutine of the event loop.
+// resultStore buffers results of more than one page for their clients to fetch. All pages stay buffered until
+// resultGracePeriod after the deadline of the request, or until the client releases the result: a client whose
+// connection broke may request a page again. The store must be used from the goroutine of the event loop only.
 type resultStore struct {
 	timers     *timerqueue.Queue
-	instanceID string // tells the paths of this process from those of an earlier one
+	instanceID string // distinguishes the paths of this process from those of an earlier one
 	sequence   uint64 // of the latest result
 	byPath     map[string]*bufferedResult
 	budget     clientconn.Budget
@@ -33,7 +34,7 @@
 type bufferedResult struct {
 	pages          []lineclient.Rows
 	size           int  // bytes of all pages
-	lastPageServed bool // at least once
+	lastPageServed bool // the last page was served at least once
 }
 
 func newResultStore(timers *timerqueue.Queue, instanceID string, maxBytes int) *resultStore {
@@ -42,9 +43,9 @@
 	return store
 }
 
-// addPages divides a result into pages and buffers them until after the deadline of its request. It returns the
-// first page and the path of the next one. A small result is one page; it is not buffered and paged is false then, as
-// it is for a result that exceeds the budget.
+// addPages divides a result into pages and buffers them until resultGracePeriod after the deadline. It returns the
+// first page and the path of the next one. If the result has a single page or exceeds the budget, it is not buffered
+// and paged is false.
 func (s *resultStore) addPages(
 	rows lineclient.Rows, deadline time.Duration,
 ) (first lineclient.Rows, nextPath string, paged bool) {
@@ -115,7 +116,7 @@
 	return pagePath[:strings.LastIndexByte(pagePath, '/')]
 }
 
-// paginate divides the pages of an engine into those of responses, and returns the bytes of all.
+// paginate combines the pages of an engine into pages of responses. It returns them and the number of bytes in all.
 func paginate(rows lineclient.Rows) (pages []lineclient.Rows, size int) {
 	pageSize := 0
 	for _, part := range rows {
--- a/internal/frontend/httpserver/results_test.go
+++ b/internal/frontend/httpserver/results_test.go
@@ -61,7 +61,7 @@
 		}
 	}
 	if !store.release(path) || store.release(path) {
-		t.Error("a result is released once")
+		t.Error("the result was not released exactly once")
 	}
 	if _, ok := store.add(pages, 10); !ok {
 		t.Error("the bytes of a released result stay reserved")
--- a/internal/frontend/httpserver/routing.go
+++ b/internal/frontend/httpserver/routing.go
@@ -22,7 +22,7 @@
 	routeHealth    route = iota // whether the front end serves
 	routeStatement              // a statement, which an engine runs
 	routePage                   // a further page of a result
-	routeRelease                // the end of a result that the client does not want to fetch to its end
+	routeRelease                // the release of a result, of which the client fetches no further page
 )
 
 // routeOf returns the route of a method and a path.
@@ -92,7 +92,7 @@
 	c.write(rowsResponse(rows, nextPath))
 }
 
-// serveRelease drops a result that the client does not want to fetch to its end.
+// serveRelease drops a result, of which the client fetches no further page.
 func (c *connection) serveRelease(path string) {
 	c.state = stateIdle
 	if !c.server.results.release(resultPath(path)) {
@@ -102,8 +102,8 @@
 	c.write(emptyResponse())
 }
 
-// writeResult writes the result of the request in flight: complete, or its first page, where it has several. During
-// a graceful shutdown it is written completely, since there might not be time to fetch the others.
+// writeResult writes the result of the request in flight, or only its first page if it has several. During a graceful
+// shutdown it always writes the complete result, since there might not be time to fetch further pages.
 func (c *connection) writeResult(rows lineclient.Rows, deadline time.Duration) {
 	if !c.server.draining {
 		first, nextPath, paged := c.server.results.addPages(rows, deadline)
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -1,9 +1,9 @@
 // Package httpserver serves HTTP/1.1 clients: it reads one request at a time from each connection, passes it to the
 // dispatcher and writes the response.
 //
-// A Server accepts connections and holds what they share: the ids of requests in flight (requestBuilder), the results
-// that are fetched page by page (resultStore) and the limit of open connections (evictor). Each connection is a state
-// machine, whose diagram stands at connectionState; its requestReader finds the requests in what has arrived.
+// A Server accepts connections and owns the state that they share: the ids of requests in flight (requestBuilder), the
+// results that are fetched page by page (resultStore) and the limit of open connections (evictor). Each connection is a
+// state machine, whose diagram is in the comment of connectionState. Its requestReader parses the requests.
 package httpserver
 
 import (
@@ -25,15 +25,15 @@
 	defaultReadTimeout      = 2 * time.Second
 )
 
-// SpareClients is how many connections may be accepted past the limit while others are being closed for them.
+// SpareClients is how many connections may be accepted beyond MaxClients, while others are evicted for them.
 const SpareClients = 16
 
-// Options bound the resources that clients may use.
+// Options limit the resources that clients may use.
 type Options struct {
-	MaxClients       int                // open connections; past it the longest idle ones are evicted
+	MaxClients       int                // open connections; beyond it some are evicted, see evictor
 	MaxBufferedBytes int                // bytes of results that are buffered for clients to fetch
 	Estimator        *stmtstats.Service // estimates costs by query shape; nil: off
-	ReadTimeout      time.Duration      // a connection's first request, and any begun, must be complete within it
+	ReadTimeout      time.Duration      // time in which a connection's first or partly read request must be complete
 }
 
 func (o Options) withDefaults() Options {
@@ -63,10 +63,10 @@
 	requests    *requestBuilder
 	results     *resultStore
 
-	// Drain and Finish set these, in either order: where all deadlines are short the end of a graceful shutdown
-	// comes before its drain.
+	// Drain and Finish set these, in either order: if all deadlines are short, a graceful shutdown ends before
+	// connections are drained.
 	draining  bool // connections are closed as soon as they are unused
-	finishing bool // the process is about to end: no part of a request is waited for
+	finishing bool // the process is about to end: partly received requests are rejected
 }
 
 // New returns a server that passes its requests to the dispatcher.
@@ -124,8 +124,8 @@
 	}
 }
 
-// Finish ends a graceful shutdown, once the dispatcher rejects all new requests: those that have arrived are rejected
-// by it, and one that has partly arrived is rejected here.
+// Finish ends a graceful shutdown, once the dispatcher rejects all new requests. The dispatcher then rejects the
+// requests that have arrived, and the server rejects those that have arrived in part.
 func (s *Server) Finish() {
 	s.finishing = true
 	for c := range s.connections {
@@ -135,7 +135,7 @@
 	}
 }
 
-// Idle reports whether all clients have received their responses completely.
+// Idle reports whether no client is connected and the last page of each buffered result has been served.
 func (s *Server) Idle() bool {
 	return s.results.allServed() && len(s.connections) == 0
 }
