--- a/internal/eventloop/backlog.go
+++ b/internal/eventloop/backlog.go
@@ -77,7 +77,7 @@
 	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // its failure only costs speed
 	s := newSocket(descriptor)
 	a.loop.Post(func() {
-		// A socket that cannot be polled is closed: there is no way to answer its client.
+		// A socket that cannot be polled is closed: nothing could be sent to its client.
 		_, _ = a.loop.adopt(s, a.readLimit, a.newHandler, func() {})
 	})
 }
--- a/internal/frontend/pgserver/extended_query_test.go
+++ b/internal/frontend/pgserver/extended_query_test.go
@@ -36,8 +36,9 @@
 	return append(pgproto.CString(portal), pgproto.Int32(allRows)...)
 }
 
-// The description of a portal waits for the next message. The portal's first Execute brings it;
-// before any other message it is sent, for which an engine may have to describe the statement.
+// The description of a portal is not sent before the next message. The result of the portal's first
+// Execute includes it. Before any other message it is sent, and an engine may have to describe the
+// statement first.
 func TestExtendedQuery_PendingDescriptionIsResolvedByTheNextMessage(t *testing.T) {
 	for name, tt := range map[string]struct {
 		portal    string
--- a/internal/frontend/pgserver/portal_test.go
+++ b/internal/frontend/pgserver/portal_test.go
@@ -97,13 +97,16 @@
 	}
 }
 
-// The budget may be lowered while portals hold more than it permits. An Execute that leaves no
-// rows in its portal is then still served, with one final message.
+// The limit of the budget may be lowered while portals have reserved more. An Execute that leaves
+// no rows in its portal is then still served, with one final message.
 func TestPortalSet_ExecuteThatLeavesNoRowsNeedsNoBudget(t *testing.T) {
-	const held, lowered = 10, 5
+	const (
+		reserved = 10
+		lowered  = 5
+	)
 	var budget clientconn.Budget
-	budget.SetLimit(held)
-	if !budget.TryReserve(held) {
+	budget.SetLimit(reserved)
+	if !budget.TryReserve(reserved) {
 		t.Fatal("the budget is smaller than its limit")
 	}
 	budget.SetLimit(lowered)
