--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -17,11 +17,10 @@
 		{"Classes[1].LatencyObjective", "0s is not above 0", func(s *Settings) { s.Classes[1].LatencyObjective = 0 }},
 		{"Classes[2].Deadline", "-1ns is not above 0", func(s *Settings) { s.Classes[2].Deadline = -1 }},
 		{"Classes[0].Threads", "NaN is not a count", func(s *Settings) { s.Classes[0].Threads = math.NaN() }},
-		{"Classes[0].PriorityWeight", "NaN is not a weight", func(
-			s *Settings,
-		) {
-			s.Classes[0].PriorityWeight = math.NaN()
-		}},
+		{
+			"Classes[0].PriorityWeight", "NaN is not a weight",
+			func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
+		},
 		{"Classes[3].DedupWindow", "-1ns is under 0", func(s *Settings) { s.Classes[3].DedupWindow = -1 }},
 		{"ProgressInterval", "-1ns is under 0", func(s *Settings) { s.ProgressInterval = -1 }},
 		{"Rules.RetryBudgetWindow", "-1ns is under 0", func(s *Settings) { s.Rules.RetryBudgetWindow = -1 }},
