--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -61,33 +61,52 @@
 	return strings.Replace(readFile(t, exampleConfig), `"`+exampleListenAddress+`"`, listenAndBus, 1)
 }
 
-// A reload with an invalid file is logged and changes nothing. A reload with a valid one moves the
-// server to its event bus, where it continues after the last event.
-func TestReload_MovesToTheNewEventBus(t *testing.T) {
-	if serveInChild(t) {
-		return
-	}
+// twoBusSetup is a front end that watches the first of two event buses.
+type twoBusSetup struct {
+	process             *process
+	path                string // of the front end's configuration
+	firstSubscriptions  <-chan uint64
+	secondBus           string // address
+	secondSubscriptions <-chan uint64
+}
+
+// startWithTwoBuses starts two event buses, whose latest events have the numbers 7 and 8, and a front end.
+func startWithTwoBuses(t *testing.T) twoBusSetup {
+	t.Helper()
 	firstBus, firstSubscriptions := startEventBus(t, 7)
 	secondBus, secondSubscriptions := startEventBus(t, 8)
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, configWithBus(t, firstBus))
 	p := startProcess(t, configVariable, path)
 	p.awaitAddress()
-	if got := <-firstSubscriptions; got != 1 {
+	return twoBusSetup{
+		process: p, path: path, firstSubscriptions: firstSubscriptions,
+		secondBus: secondBus, secondSubscriptions: secondSubscriptions,
+	}
+}
+
+// A reload with an invalid file is logged and changes nothing. A reload with a valid one moves the
+// server to its event bus, where it continues after the last event.
+func TestReload_MovesToTheNewEventBus(t *testing.T) {
+	if serveInChild(t) {
+		return
+	}
+	s := startWithTwoBuses(t)
+	if got := <-s.firstSubscriptions; got != 1 {
 		t.Errorf("the first bus got a subscription from event %d", got)
 	}
 	for _, invalid := range []string{"{", configWithBus(t, "nowhere"), readFile(t, exampleConfig)} {
-		writeFile(t, path, invalid)
-		p.signal(syscall.SIGHUP)
-		p.awaitLog("the previous configuration stays in use")
+		writeFile(t, s.path, invalid)
+		s.process.signal(syscall.SIGHUP)
+		s.process.awaitLog("the previous configuration stays in use")
 	}
-	writeFile(t, path, configWithBus(t, secondBus))
-	p.signal(syscall.SIGHUP)
-	p.awaitLog("eventbus.moved")
-	if got := <-secondSubscriptions; got != 7 {
+	writeFile(t, s.path, configWithBus(t, s.secondBus))
+	s.process.signal(syscall.SIGHUP)
+	s.process.awaitLog("eventbus.moved")
+	if got := <-s.secondSubscriptions; got != 7 {
 		t.Errorf("the second bus got a subscription from event %d, want the last event's number", got)
 	}
-	p.shutDown("count reload.completed 1")
+	s.process.shutDown("count reload.completed 1")
 }
 
 // A reload with a deploy file that names an unknown class changes nothing. A reload with another Consul
@@ -122,23 +141,18 @@
 	if serveInChild(t) {
 		return
 	}
-	firstBus, firstSubscriptions := startEventBus(t, 7)
-	secondBus, secondSubscriptions := startEventBus(t, 8)
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, path, configWithBus(t, firstBus))
-	p := startProcess(t, configVariable, path)
-	p.awaitAddress()
-	<-firstSubscriptions
-	if err := os.Remove(path); err != nil {
+	s := startWithTwoBuses(t)
+	<-s.firstSubscriptions
+	if err := os.Remove(s.path); err != nil {
 		t.Fatal(err)
 	}
-	p.signal(syscall.SIGHUP)
-	p.awaitLog("reload.failed")
-	writeFile(t, path, configWithBus(t, secondBus))
+	s.process.signal(syscall.SIGHUP)
+	s.process.awaitLog("reload.failed")
+	writeFile(t, s.path, configWithBus(t, s.secondBus))
 	select {
-	case <-secondSubscriptions:
+	case <-s.secondSubscriptions:
 	case <-time.After(2 * time.Second):
 		t.Error("the file was not read again")
 	}
-	p.shutDown("count reload.completed 1")
+	s.process.shutDown("count reload.completed 1")
 }
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"regexp"
 	"strings"
+	"testing"
 
 	"flaxrelay/internal/pgproto"
 )
@@ -77,6 +78,21 @@
 	}
 }
 
+// compareBatches sends batches of messages to a front end with one engine, each after the response to the one before,
+// and compares the exchange with its golden file.
+func compareBatches(t *testing.T, engine func(pgRequest) []byte, batches [][][]byte, goldenName string) {
+	t.Helper()
+	addr, _ := startPgEngine(t, engine)
+	recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
+	recorder.start()
+	for _, messages := range batches {
+		recorder.send(messages...)
+		recorder.receiveUntilReady()
+	}
+	recorder.disconnect()
+	recorder.compare(goldenName)
+}
+
 // receiveUntilReady reads messages up to a ReadyForQuery.
 func (r *pgRecorder) receiveUntilReady() {
 	r.t.Helper()
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -114,17 +114,7 @@
 		},
 		"sync-only": {{syncMessage}, {flushMessage, syncMessage, syncMessage}, {}},
 	} {
-		t.Run(name, func(t *testing.T) {
-			addr, _ := startPgEngine(t, phasePgEngine)
-			recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
-			recorder.start()
-			for _, messages := range batches {
-				recorder.send(messages...)
-				recorder.receiveUntilReady()
-			}
-			recorder.disconnect()
-			recorder.compare("pgwire/phase-" + name)
-		})
+		t.Run(name, func(t *testing.T) { compareBatches(t, phasePgEngine, batches, "pgwire/phase-"+name) })
 	}
 }
 
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -128,17 +128,7 @@
 		"unsupported-password": {{message('p', "x\x00"), syncMessage}},
 		"copy-data-passed-by":  {{message('d', "x"), message('c', ""), message('f', "x\x00"), syncMessage}},
 	} {
-		t.Run(name, func(t *testing.T) {
-			addr, _ := startPgEngine(t, goldenPgEngine)
-			recorder := newTranscript(t).recordPostgres("", startPostgres(t, addr).addr)
-			recorder.start()
-			for _, messages := range batches {
-				recorder.send(messages...)
-				recorder.receiveUntilReady()
-			}
-			recorder.disconnect()
-			recorder.compare("pgwire/" + name)
-		})
+		t.Run(name, func(t *testing.T) { compareBatches(t, goldenPgEngine, batches, "pgwire/"+name) })
 	}
 }
 
