--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -42,7 +42,7 @@
 func (a *attempt) mayHaveRun() bool { return !a.ended() || a.result.MayHaveRun() }
 
 // endedInError reports whether the engine responded with an error.
-func (a *attempt) failed() bool { return a.ended() && a.result == ResultFailed }
+func (a *attempt) endedInError() bool { return a.ended() && a.result == ResultFailed }
 
 // blocked reports whether the attempt's latest progress report said that it waits on its engine.
 func (a *attempt) blocked() bool {
--- a/policy/outlierdetector.go
+++ b/policy/outlierdetector.go
@@ -40,7 +40,7 @@
 // own fault, but not where another engine serves it.
 func (d *outlierDetector) blameErrors(req *request, servedBy *engine, now time.Duration) {
 	for _, earlier := range req.attempts {
-		if earlier.failed() && earlier.engine != servedBy {
+		if earlier.endedInError() && earlier.engine != servedBy {
 			d.recordFault(earlier.engine, errorWeight, EjectedErrors, now)
 		}
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -62,7 +62,7 @@
 // engineErrors counts the attempts that ended in an error of the engine.
 func (r *request) engineErrors() (count int) {
 	for _, a := range r.attempts {
-		if a.failed() {
+		if a.endedInError() {
 			count++
 		}
 	}
