--- a/policy/attemptrules.go
+++ b/policy/attemptrules.go
@@ -66,7 +66,7 @@
 			return false
 		}
 	}
-	return r.ordered.atHead(req, now) && e.slowStartPermits(req, r.traffic.share(), now)
+	return r.ordered.atHead(req, now) && e.slowStartPermits(req, r.traffic, now)
 }
 
 // sharesDedup reports whether two engines drop duplicates of each other's idempotency keys.
--- a/policy/attemptrunner.go
+++ b/policy/attemptrunner.go
@@ -22,7 +22,7 @@
 	}
 	r.fleet.reserve(a)
 	r.traffic.observeSent(req)
-	e.chargeSlowStart(req, r.traffic.share(), now)
+	e.chargeSlowStart(req, r.traffic, now)
 	if report, exceeded := e.checkOverload(now, req.expectedWorkMs, r.traffic.meanWorkMs); exceeded {
 		r.actions.add(report)
 	}
--- a/policy/selector.go
+++ b/policy/selector.go
@@ -66,7 +66,7 @@
 		return ReasonEjected, true
 	case !e.limiter.admits(req.weight, limit, s.rng):
 		return ReasonEngineLimit, true
-	case !e.slowStartPermits(req, s.rules.traffic.share(), now):
+	case !e.slowStartPermits(req, s.rules.traffic, now):
 		return ReasonSlowStart, true
 	case !s.rules.mayStart(req, e, now):
 		return ReasonAttemptsExhausted, true
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -138,14 +138,16 @@
 }
 
 // slowStartPermits reports whether the engine is not warming up, or the request is within the budget.
-func (e *engine) slowStartPermits(req *request, trafficShare float64, now time.Duration) bool {
+// The share of the traffic is computed only for engines that are warming up: this runs for each engine
+// and request.
+func (e *engine) slowStartPermits(req *request, traffic *trafficEstimate, now time.Duration) bool {
 	return !e.slowStart.active(now) ||
-		e.slowStart.permits(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, trafficShare))
+		e.slowStart.permits(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, traffic.share()))
 }
 
 // chargeSlowStart charges a request that was sent to the budget of an engine that is warming up.
-func (e *engine) chargeSlowStart(req *request, trafficShare float64, now time.Duration) {
+func (e *engine) chargeSlowStart(req *request, traffic *trafficEstimate, now time.Duration) {
 	if e.slowStart.active(now) {
-		e.slowStart.charge(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, trafficShare))
+		e.slowStart.charge(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, traffic.share()))
 	}
 }
