--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -4,7 +4,6 @@
 	"log/slog"
 
 	"flaxrelay/internal/invariant"
-	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
 )
@@ -28,7 +27,8 @@
 			d.EndAttempt(a, StatusCancelled, AttemptReport{})
 		}
 	case policy.Reject:
-		d.reject(action)
+		d.telemetry.requestRejected(d.requests.byID[action.RequestID], action)
+		d.respond(action.RequestID, Response{Verdict: VerdictRejected, RetryAfter: action.RetryAfter})
 	case policy.Fail:
 		d.respond(action.RequestID, Response{Verdict: VerdictFailed})
 	case policy.SetTimer:
@@ -39,10 +39,9 @@
 		d.guard.invariants.Check(false, invariant.SlowStartOverload, slog.String("engine", action.Engine),
 			slog.Float64("sent", action.Sent), slog.Float64("limit", action.Limit))
 	case policy.EngineEjected:
-		logevent.EngineEjected.Log(d.logger, slog.String("engine", action.Engine),
-			slog.String("reason", action.Reason.String()), slog.Int("in_flight", action.InFlight))
+		d.telemetry.engineEjected(action)
 	case policy.EngineReadmitted:
-		logevent.EngineReadmitted.Log(d.logger, slog.String("engine", action.Engine))
+		d.telemetry.engineReadmitted(action)
 	case policy.CheckHealth, policy.Subscribe:
 		// Health checks are never permitted in this program's deployments, and
 		// discovery reports endpoints without a subscription.
@@ -50,16 +49,6 @@
 	}
 }
 
-// reject gives a request its rejection.
-func (d *Dispatcher) reject(action policy.Reject) {
-	d.counters.Increment(metrics.Rejections.With(action.Reason.String()))
-	if r := d.requests.byID[action.RequestID]; r != nil && d.trace.enabled {
-		d.trace.step(logevent.RequestRejected, r, slog.String("reason", action.Reason.String()),
-			slog.Duration("retry_after", action.RetryAfter))
-	}
-	d.respond(action.RequestID, Response{Verdict: VerdictRejected, RetryAfter: action.RetryAfter})
-}
-
 // setResources sets the memory grant of the next attempts, and the priority of
 // these and of the attempts in flight.
 func (r *Request) setResources(action policy.SetResources, engineClient EngineClient) {
--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -1,10 +1,8 @@
 package lifecycle
 
 import (
-	"log/slog"
 	"time"
 
-	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
@@ -125,18 +123,8 @@
 // startAttempt starts an attempt of the request. Every attempt ends exactly once, in EndAttempt.
 func (d *Dispatcher) startAttempt(r *Request, action policy.StartAttempt) {
 	attempt := newAttempt(r, action, d.classes[r.Class], d.clock.Now())
-	d.counters.Increment(metrics.AttemptsStarted.With(r.Class))
-	if attempt.index > 0 {
-		previous := r.attempts[attempt.index-1]
-		d.counters.Increment(metrics.AttemptsRetried.With(r.Class))
-		d.counters.Increment(metrics.AttemptsRetriedAfter.With(previous.endStatus.String()))
-	}
-	if d.trace.enabled {
-		d.trace.step(logevent.AttemptStarted, r, slog.Int("attempt", attempt.index),
-			slog.String("engine", attempt.Engine), slog.Duration("timeout", attempt.Timeout))
-	}
-	// Where the request is completed the balancer has not been notified yet that the client
-	// disconnected.
+	d.telemetry.attemptStarted(attempt)
+	// If the request is completed, the client has disconnected and the balancer has not been notified yet.
 	if r.completed() || !d.guard.permitStart(attempt, d.classes[r.Class].Effect) {
 		d.EndAttempt(attempt, StatusNotSent, AttemptReport{})
 		return
@@ -157,21 +145,14 @@
 	}
 	request := attempt.Request
 	attempt.end(status)
-	if d.trace.enabled {
-		d.trace.step(logevent.AttemptEnded, request, slog.Int("attempt", attempt.index),
-			slog.String("engine", attempt.Engine), slog.String("status", status.String()),
-			slog.Duration("elapsed", d.clock.Now()-attempt.StartedAt))
-	}
-	d.counters.Increment(metrics.AttemptsEnded.With(status.String()))
-	if d.endpoints.warmingUp(attempt.Engine, attempt.StartedAt) {
-		d.counters.Increment(metrics.AttemptsEndedWarming.With(status.String()))
-	}
+	elapsed := d.clock.Now() - attempt.StartedAt
+	d.telemetry.attemptEnded(attempt, elapsed, d.endpoints.warmingUp(attempt.Engine, attempt.StartedAt))
 	// The latest attempt that may have run decides the error detail, even if it has none. An attempt that
 	// never ran does so only while nothing that is not idempotent may have run: its error would hide that.
 	if attempt.state == attemptMayHaveRun || report.ErrorDetail != nil && !d.MayHaveRun(request) {
 		request.lastErrorDetail = report.ErrorDetail
 	}
-	d.costs.observe(attempt, status, report, d.clock.Now()-attempt.StartedAt)
+	d.costs.observe(attempt, status, report, elapsed)
 	switch status {
 	case StatusServed:
 		d.respond(request.policyID, Response{Verdict: VerdictServed, Result: report.Result})
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -14,7 +14,6 @@
 	"time"
 
 	"flaxrelay/internal/invariant"
-	"flaxrelay/internal/logevent"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
@@ -37,8 +36,7 @@
 	timers       *timerqueue.Queue
 	engineClient EngineClient
 	counters     *metrics.Counters
-	logger       *slog.Logger
-	trace        tracer
+	telemetry    telemetry
 	costs        costReporter
 	tickInterval time.Duration
 	limits       policy.Limits
@@ -64,8 +62,7 @@
 		clock:        clock,
 		timers:       timers,
 		counters:     counters,
-		logger:       logger,
-		trace:        newTracer(logger),
+		telemetry:    newTelemetry(clock, counters, logger),
 		tickInterval: settings.TickInterval,
 		limits:       settings.Limits,
 		classes:      map[string]policy.Class{},
@@ -138,11 +135,7 @@
 // given before Accept returns.
 func (d *Dispatcher) Accept(request *Request) {
 	d.requests.add(request)
-	d.counters.Increment(metrics.RequestsAccepted.With(request.Class))
-	if d.trace.enabled {
-		d.trace.step(logevent.RequestAccepted, request, slog.String("class", request.Class),
-			slog.Duration("time_left", request.Deadline-d.clock.Now()))
-	}
+	d.telemetry.requestAccepted(request)
 	if d.shuttingDown {
 		d.counters.Increment(metrics.RejectionsShutdown)
 		d.respond(request.policyID, Response{Verdict: VerdictRejected, RetryAfter: d.RetryAfter()})
@@ -167,10 +160,7 @@
 	if r.state != requestPending {
 		return
 	}
-	d.counters.Increment(metrics.RequestsDisconnected.With(r.Class))
-	if d.trace.enabled {
-		d.trace.step(logevent.RequestDisconnected, r)
-	}
+	d.telemetry.requestDisconnected(r)
 	d.complete(r)
 	d.abandonRemaining(r)
 }
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -1,11 +1,8 @@
 package lifecycle
 
 import (
-	"log/slog"
 	"time"
 
-	"flaxrelay/internal/logevent"
-	"flaxrelay/internal/metrics"
 	"flaxrelay/policy"
 )
 
@@ -47,15 +44,8 @@
 	response.MayHaveRun = d.MayHaveRun(request)
 	response.Forwarded = len(request.attempts) > 0
 	response.ErrorDetail = request.lastErrorDetail
-	d.counters.Increment(metrics.RequestsCompleted.With(response.Verdict.String(), request.Class))
-	if response.DeadlinePassed {
-		d.counters.Increment(metrics.RequestsCompletedLate.With(request.Class))
-	}
+	d.telemetry.requestCompleted(request, &response)
 	d.guard.checkDeadline(request, d.clock.Now())
-	if d.trace.enabled {
-		d.trace.step(logevent.RequestCompleted, request, slog.String("verdict", response.Verdict.String()),
-			slog.Int("attempts", len(request.attempts)))
-	}
 	d.complete(request)
 	request.Client.Respond(request, response)
 	d.releaseIfIdle(request)
