--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -13,10 +13,10 @@
 	queueLimitFactor      = 1.5  // of that, where requests short of memory queue at the engine
 	maxLimitFactor        = 1.2  // maximum of a limit, in initial limits
 	backlogSpread         = 2.0  // headroom, in standard deviations of this front end's own backlog
-	negligibleBacklog     = 1e-9 // threads; less than any weight: what is left after roundings
+	negligibleBacklog     = 1e-9 // threads; below any request's weight: a smaller backlog is a rounding error
 
-	// assumedFreeShare is the free share of the fleet's load that is assumed without reports. At this share
-	// the headroom counts once.
+	// assumedFreeShare is the share of the fleet's capacity that counts as free until engines report their
+	// load. At this share the headroom has its nominal size.
 	assumedFreeShare = 0.3
 )
 
@@ -67,7 +67,8 @@
 		f.loadLevel = 1 - assumedFreeShare
 	}
 	headroom := f.target.maxThreads + backlogSpread*math.Sqrt(limiter.initialLimit*f.target.maxThreads)
-	// The factor is what others leave free, and one without reports.
+	// The factor is 1 without reports. It falls with the reported load, down to 0 at full load, and exceeds 1
+	// while the engines report little load.
 	headroom *= max((1-f.loadLevel)/assumedFreeShare, 0)
 	pastKnee := max(limiter.slowdown/kneeSlowdown, f.loadLevel, 1)
 	limiter.maxLimit = (maxLimitFactor*limiter.initialLimit + headroom/pastKnee) / pastKnee
--- a/policy/load.go
+++ b/policy/load.go
@@ -7,11 +7,11 @@
 
 const (
 	loadReportDecay    = 8 * controlPeriod // age at which a report counts 1/e; wide requests run for seconds
-	maxReportedPerCore = 50.0              // requests in flight a core that a report is believed to state
+	maxReportedPerCore = 50.0              // requests in flight a core; a higher report counts as this
 	fleetLevelWindow   = 5                 // reports that the fleet's load level is averaged over
 	meanLoadWindow     = 20                // reports that the mean load is averaged over
-	maxOverload        = 2                 // a report counts as this many times the intended load at most
-	minCheckLevel      = 0.3               // load level under which health checks become no rarer
+	maxOverload        = 2                 // intended loads; a higher reported load counts as this
+	minCheckLevel      = 0.3               // load level at and below which health checks are rarest
 	loadPenaltyFactor  = 0.25              // share of a difference in load that counts against an engine
 )
 
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	datasetSpread    = 2.0 // engines near a data set, for each one that its traffic fills
-	datasetPrior     = 2.0 // requests as which an unseen data set counts, among
-	priorDatasets    = 10  // this many: popularity starts from an even distribution
+	datasetSpread    = 2.0 // engines near a data set, for each engine that its traffic would fill
+	datasetPrior     = 2.0 // requests that count for each data set before any was seen: popularity
+	priorDatasets    = 10  // starts from an even distribution over this many data sets
 	popularityWindow = 256 // requests over which the popularity of data sets is counted
 )
 
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -2,7 +2,7 @@
 
 const (
 	maxEngineErrors  = 1 // errors of engines beyond which the request itself is considered faulty
-	retryTimeDivisor = 4 // a retry is sent if more than its class's mean latency over this is left
+	retryTimeDivisor = 4 // a retry needs more time than its class's mean latency over this
 )
 
 // onAttemptEnded ends an attempt and, where the client still waits, retries or responds.
--- a/policy/resources.go
+++ b/policy/resources.go
@@ -7,8 +7,8 @@
 	maxPriority      = 3                        // of SetResources
 	defaultPriority  = 1                        // where engines heed none
 	grantCoverage    = 0.87                     // share of a class's requests whose need a grant should cover
-	grantIncrease    = 1 + grantCoverage/10     // step after a short grant and after one that sufficed:
-	grantDecrease    = 1 - (1-grantCoverage)/10 // in balance at that share
+	grantIncrease    = 1 + grantCoverage/10     // factor after a grant that was too small
+	grantDecrease    = 1 - (1-grantCoverage)/10 // factor after one that sufficed; balances at the coverage
 )
 
 // resources returns the memory and priority of the next attempt. They need not be set where engines heed
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Settings is what a balancer knows of its deployment from the start. The balancer does not read
-// OverQuotaWeight, MaxGrantShare, Goal and Penalties, nor the fields that say so; they are part of the
-// deployment's settings.
+// Settings describe the deployment. They don't change while a balancer runs. No decision reads
+// OverQuotaWeight, MaxGrantShare, Goal, Penalties or the fields whose comments say so; they are here
+// because the deployment's settings contain them.
 type Settings struct {
 	Replicas         int            // balancers that share the engines, this one included; at least 1
 	Zone             string         // where this balancer runs
@@ -91,14 +91,14 @@
 	Share float64 // its share of the service; not read by the balancer
 }
 
-// Rules are the figures of the rules that every attempt and every response keeps.
+// Rules are the bounds that every attempt and every response must observe.
 type Rules struct {
 	ResponseSlack     time.Duration // how late a final response may come
 	DrainGrace        time.Duration // no attempt starts later after the notice of a drain; not read by the balancer
-	WarmupCapacity    float64       // share of its capacity that an engine has at least when it starts
+	WarmupCapacity    float64       // least share of its full capacity that an engine has when it starts
 	WarmupTime        time.Duration // an engine has its full capacity no later than this after its start
-	OverloadFactor    float64       // multiple of its capacity beyond which a warming engine fails
-	OverloadWindow    time.Duration // if it is sent that much within this time
+	OverloadFactor    float64       // a warming engine fails beyond this multiple of its present capacity
+	OverloadWindow    time.Duration // the time over which the work sent to it is summed up for that
 	OrderSettleTime   time.Duration // pause of an ordering key after an attempt that may still run
 	RetryBudgetMin    float64       // retries per RetryBudgetWindow that are always permitted
 	RetryBudgetRatio  float64       // further ones, as a share of the window's arrivals
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -34,7 +34,7 @@
 	noticedAt        time.Duration // when this balancer learned of the start
 	endsAt           time.Duration
 	budgetSpentUntil time.Duration // this balancer's share of the budget is spent until then
-	firstSlot        float64       // random, 0 to 1: the part of its cost that a large request waits at first
+	firstSlot        float64       // random share, 0 to 1, of its cost that a large request waits at first
 
 	restartAssumed         bool          // the slow start rests on a lost connection alone
 	endsAtBeforeAssumption time.Duration // endsAt before that
@@ -73,8 +73,9 @@
 	return now < s.startedAt+s.rules.WarmupTime
 }
 
-// assumeRestart begins a slow start after a fault of a connection. A failed connection means that the
-// process was down. A lost one is only assumed to, until withdrawAssumption finds an early response.
+// assumeRestart begins a slow start after a fault of a connection. If a connection could not be made, the
+// process was down. If one broke, a restart is only assumed: withdrawAssumption ends the slow start when
+// the engine responds too early for that.
 func (s *slowStart) assumeRestart(now time.Duration, result Result, rng *rand.Rand) {
 	if result == ResultConnectFailed {
 		s.restartAssumed = false
