--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -92,11 +92,16 @@
 	return err
 }
 
-// remove drops a socket from the table. The kernel drops it when its descriptor is closed.
+// remove ends the wait for a socket. It must be called before the socket's descriptor is closed. The kernel would then
+// drop the socket by itself, but while a wait of the poller's goroutine looks at a socket, it holds a reference to it:
+// a socket that is closed at that moment stays open until the wait returns, which may take long, and its peer is not
+// notified. remove waits until no reference is held.
 func (p *poller) remove(s *socket) {
 	p.mu.Lock()
-	defer p.mu.Unlock()
 	delete(p.sockets, s.token)
+	p.mu.Unlock()
+	// This fails only if the poller does not have the descriptor, as after a failed add or the poller's end.
+	_ = p.control(unix.EPOLL_CTL_DEL, s.descriptor, s.token, 0)
 }
 
 // find returns the socket of a token, or nil if it was removed.
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// closeDescriptor closes the descriptor, and reports whether it was open. It first removes the socket from the poller:
-// the kernel may give a closed descriptor to another socket.
+// closeDescriptor closes the descriptor, and reports whether it was open. It first removes the socket from the poller;
+// see poller.remove. Besides, the kernel may give a closed descriptor to another socket.
 func (s *socket) closeDescriptor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -3,8 +3,10 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"math/rand/v2"
+	"os"
 	"strings"
 	"testing"
 
@@ -187,6 +189,36 @@
 	})
 }
 
+// A socket leaves the poller before its descriptor is closed. Otherwise a wait of the poller that looks at the socket
+// just then keeps it open: the peer is notified of the close only after the next event of any socket. The duplicate
+// descriptor keeps the kernel from removing the socket at the close.
+func TestSocket_LeavesThePollerBeforeItIsClosed(t *testing.T) {
+	l, r, _ := connectedPair(t)
+	s := r.conn.socket
+	duplicate, err := unix.Dup(s.descriptor)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = unix.Close(duplicate) }()
+	if !waitsFor(t, l.poller, s) {
+		t.Error("the poller does not wait for an open socket")
+	}
+	eventlooptest.Do(l, r.conn.Abort)
+	if waitsFor(t, l.poller, s) {
+		t.Error("the poller still waits for a closed socket")
+	}
+}
+
+// waitsFor reports whether the kernel lists the socket among those for which the poller waits.
+func waitsFor(t *testing.T, p *poller, s *socket) bool {
+	t.Helper()
+	info, err := os.ReadFile(fmt.Sprintf("/proc/self/fdinfo/%d", p.epoll))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.Contains(string(info), fmt.Sprintf(" data: %16x ", s.token))
+}
+
 // An event of a socket that has been closed does not reach the socket that has its descriptor now.
 func TestPoller_DropsStaleEvents(t *testing.T) {
 	l, r, _ := connectedPair(t)
