--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -26,7 +26,7 @@
 	mixedCase = regexp.MustCompile(`[a-z0-9][A-Z]|[A-Z][a-z0-9]+\.|\.[A-Z][a-z0-9]`)
 )
 
-// historyPages describe earlier versions of the code. The identifiers that they name may be gone.
+// historyPages describe earlier versions of the code. The identifiers that they name need not exist any more.
 var historyPages = []string{"docs/postmortems.md", "docs/incidents/"}
 
 // page is a Markdown file.
@@ -172,7 +172,7 @@
 	}{
 		{"link to a page", read.brokenLinks, "[a](guide.md) [b](incidents/first.md) [c](incidents)", nil},
 		{"link elsewhere", read.brokenLinks, "[a](https://example.org/x.md)", nil},
-		{"link to a missing page", read.brokenLinks, "[a](gone.md)", []string{"gone.md"}},
+		{"link to a missing page", read.brokenLinks, "[a](absent.md)", []string{"absent.md"}},
 		{"link relative to the root", read.brokenLinks, "[a](docs/guide.md)", []string{"docs/guide.md"}},
 		{"link to a heading", read.brokenLinks, "[a](guide.md#whos-on-call-and-when)", nil},
 		{"link to a missing heading", read.brokenLinks, "[a](guide.md#first)", []string{"guide.md#first"}},
--- a/tools/lint/run.sh
+++ b/tools/lint/run.sh
@@ -10,7 +10,7 @@
 fi
 [ $# -gt 0 ] || set -- ./...
 
-# `go build` does not write a tool again that is up to date with go.mod and the compiler.
+# `go build` does not rebuild a tool that is up to date with go.mod and the compiler.
 mkdir -p bin/tools
 go build -C tools/lint -o ../../bin/tools/ \
     github.com/golangci/golangci-lint/v2/cmd/golangci-lint mvdan.cc/gofumpt
