--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -1,5 +1,6 @@
 // Package pages contains the tests of the repository's Markdown pages. The targets of their links must
-// exist, and so must the paths, tests and Go identifiers that they name.
+// exist, and so must the paths, tests, Go identifiers and settings keys that they name. The README must
+// lead to every page, and the configuration page must list every key.
 package pages
 
 import (
@@ -154,6 +155,45 @@
 	}
 }
 
+// unlinkedPages returns the pages in docs that the README links neither directly nor by the directory
+// that contains them.
+func unlinkedPages(readme page, pages []page) []string {
+	linked := map[string]bool{}
+	for _, match := range link.FindAllStringSubmatch(readme.text, -1) {
+		target, _, _ := strings.Cut(match[1], "#")
+		linked[target] = true
+	}
+	var unlinked []string
+	for _, p := range pages {
+		if strings.HasPrefix(p.path, "docs/") && !linked[p.path] && !linked[path.Dir(p.path)] {
+			unlinked = append(unlinked, p.path)
+		}
+	}
+	return unlinked
+}
+
+// TestReadme_LeadsToEveryPage checks that a new reader finds each page.
+func TestReadme_LeadsToEveryPage(t *testing.T) {
+	_, pages := readRepository(t)
+	index := slices.IndexFunc(pages, func(p page) bool { return p.path == "README.md" })
+	if index < 0 {
+		t.Fatal("there is no README.md")
+	}
+	for _, name := range unlinkedPages(pages[index], pages) {
+		t.Errorf("README.md has no link to %s", name)
+	}
+}
+
+func TestUnlinkedPages_CountsLinksToPagesAndDirectories(t *testing.T) {
+	readme := page{path: "README.md", text: "[a](docs/a.md#part) [incidents](docs/incidents) `docs/b.md`"}
+	pages := []page{
+		readme, {path: "docs/a.md"}, {path: "docs/b.md"}, {path: "docs/incidents/first.md"}, {path: "CONTRIBUTING.md"},
+	}
+	if got := unlinkedPages(readme, pages); !slices.Equal(got, []string{"docs/b.md"}) {
+		t.Errorf("unlinked pages %q, want only docs/b.md", got)
+	}
+}
+
 // TestChecks_ReportOnlyWhatIsMissing runs the checks on pages with known faults.
 func TestChecks_ReportOnlyWhatIsMissing(t *testing.T) {
 	read := newRepository()
