--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -3,27 +3,15 @@
 package enginetest
 
 import (
-	"bufio"
-	"bytes"
 	"encoding/json"
-	"errors"
-	"fmt"
-	"io"
 	"log/slog"
-	"net"
-	"path/filepath"
-	"strings"
-	"syscall"
 	"testing"
 	"time"
 
-	"flaxrelay/internal/config"
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/eventloop/eventlooptest"
-	"flaxrelay/internal/golden"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
-	"flaxrelay/internal/tcptest"
 	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
 )
@@ -43,70 +31,45 @@
 
 func (fixedClock) Now() time.Duration { return time.Hour }
 
-// Environment contains the arguments with which an engine client is created.
-type Environment struct {
-	Loop       *eventloop.Loop
-	Dispatcher *lifecycle.Dispatcher
-	Site       config.Settings
-	Counters   *metrics.Counters
-	Log        *slog.Logger
-}
-
-// Protocol is the client under test.
-type Protocol struct {
-	// Settings are the site's, as JSON.
-	Settings string
-	// NewClient returns the client under test.
-	NewClient func(Environment) lifecycle.EngineClient
-	// PrintServed writes the report of a served attempt.
-	PrintServed func(io.Writer, *lifecycle.Request, lifecycle.AttemptReport)
-}
-
-// Exchange is a scripted engine with the client under test. It owns the transcript, whose lines
-// begin with `> ` for bytes of the client, with `< ` for bytes of the engine, and with `= ` for
-// reports of the client. Unless their comments say otherwise, methods must be called on the test's
-// goroutine.
+// Exchange is the client under test with the engine that a script plays, and the transcript of
+// what both do. It runs the client on an event loop of its own. Unless their comments say
+// otherwise, methods must be called on the test's goroutine.
 type Exchange struct {
+	*Transcript
+	*ScriptedEngine
+
 	// Client is the client under test. It must be called in Do.
 	Client lifecycle.EngineClient
 	// Counters are the client's. They must be read in Do.
 	Counters *metrics.Counters
-	// Reader reads the bytes that the client writes on the connection accepted last.
-	Reader *bufio.Reader
-
-	// T is the test that plays the engine.
-	T *testing.T
 
 	loop       *eventloop.Loop
 	dispatcher *lifecycle.Dispatcher
-	listener   *net.TCPListener
-	startedAt  time.Duration   // of the engine; belongs to the event loop's goroutine
-	connection *net.TCPConn    // nil: none is open
-	printed    map[string]bool // the lines of counters that the transcript contains
-	transcript bytes.Buffer
-	served     servedPrinter
+	startedAt  time.Duration // of the engine; belongs to the event loop's goroutine
+	served     servedPrinter // belongs to the event loop's goroutine
 }
 
-// New starts a client whose endpoint list contains the scripted engine.
-func New(t *testing.T, protocol Protocol) *Exchange {
+// newExchange starts a client whose endpoint list contains the scripted engine.
+func newExchange(t *testing.T, setup Setup) *Exchange {
 	t.Helper()
+	transcript := newTranscript(t)
 	exchange := &Exchange{
-		T:        t,
-		Counters: metrics.New(),
-		printed:  map[string]bool{},
-		served:   servedPrinter{print: protocol.PrintServed},
+		Transcript:     transcript,
+		ScriptedEngine: newScriptedEngine(transcript),
+		Counters:       metrics.New(),
+		served:         servedPrinter{print: setup.PrintServed},
 	}
 	environment := Environment{Counters: exchange.Counters, Log: slog.New(slog.DiscardHandler)}
-	exchange.Check(json.Unmarshal([]byte(protocol.Settings), &environment.Site))
-	exchange.listener = tcptest.Listen(t, tcptest.AnyLoopbackPort)
+	exchange.Check(json.Unmarshal([]byte(setup.Settings), &environment.Site))
 	exchange.startLoop(&environment)
-	exchange.Client = protocol.NewClient(environment)
+	exchange.Client = setup.NewClient(environment)
 	exchange.dispatcher.SetEngineClient(exchange.Client)
 	exchange.Do(func() { exchange.updateEndpoint(policy.EngineReady) })
 	return exchange
 }
 
-// startLoop starts the event loop, with a dispatcher that belongs to its goroutine.
+// startLoop starts the event loop, with a dispatcher that belongs to its goroutine. It adds both to
+// the environment.
 func (x *Exchange) startLoop(environment *Environment) {
 	x.T.Helper()
 	var err error
@@ -122,23 +85,16 @@
 	eventlooptest.Run(x.T, x.loop)
 }
 
-// Check ends the test on an error.
-func (x *Exchange) Check(err error) {
-	x.T.Helper()
-	if err != nil {
-		x.T.Fatalf("%v; up to here:\n%s", err, x.transcript.String())
-	}
-}
-
 // Do runs f on the event loop's goroutine, and waits for it.
 func (x *Exchange) Do(f func()) { eventlooptest.Do(x.loop, f) }
 
 // Post schedules f on the event loop's goroutine, after the functions that were posted before.
 func (x *Exchange) Post(f func()) { x.loop.Post(f) }
 
-// BlockLoop runs f while the event loop's goroutine is blocked. It then runs next on that
-// goroutine, before the loop handles the events that f caused.
-func (x *Exchange) BlockLoop(f, next func()) {
+// BlockLoop blocks the event loop's goroutine while it runs whileBlocked on the test's. It then
+// runs next on the event loop's goroutine, before the loop handles the events that whileBlocked
+// caused.
+func (x *Exchange) BlockLoop(whileBlocked, next func()) {
 	blocked := make(chan struct{})
 	release := make(chan struct{})
 	done := make(chan struct{})
@@ -150,8 +106,8 @@
 	})
 	<-blocked
 	func() {
-		defer close(release) // also if f ends the test
-		f()
+		defer close(release) // also if whileBlocked ends the test
+		whileBlocked()
 	}()
 	<-done
 }
@@ -159,15 +115,11 @@
 // updateEndpoint applies an entry of the endpoint list. It belongs to the event loop's goroutine.
 func (x *Exchange) updateEndpoint(state policy.EngineState) {
 	x.dispatcher.UpdateEndpoints(policy.UpdateDelta, []lifecycle.Endpoint{{
-		Address: x.listener.Addr().String(),
+		Address: x.address(),
 		Engine:  policy.Engine{ID: engineID, Zone: "a", Kind: "k", State: state, StartedAt: x.startedAt},
 	}})
 }
 
-// OnServed makes the event loop's goroutine call f when an attempt is served, before the client
-// handles the bytes after the response. It must be called in Do.
-func (x *Exchange) OnServed(f func()) { x.served.onServed = f }
-
 // RestartEngine makes the endpoint list report a restart of the engine, which retires its
 // connections. It must be called in Do.
 func (x *Exchange) RestartEngine() {
@@ -175,8 +127,17 @@
 	x.updateEndpoint(policy.EngineReady)
 }
 
-// RemoveEngineEntry removes the engine from the endpoint list. It must be called in Do.
-func (x *Exchange) RemoveEngineEntry() { x.updateEndpoint(policy.EngineRemoved) }
+// RemoveEngine removes the engine from the endpoint list, which retires its connections. It must
+// be called in Do.
+func (x *Exchange) RemoveEngine() { x.updateEndpoint(policy.EngineRemoved) }
+
+// RemoveEngineAndAwaitClose removes the engine from the endpoint list, and awaits the end of its
+// connection, which must be idle.
+func (x *Exchange) RemoveEngineAndAwaitClose() {
+	x.T.Helper()
+	x.Do(x.RemoveEngine)
+	x.AwaitClose()
+}
 
 // NewAttempt returns an attempt for the request. The attempt has not begun.
 func (x *Exchange) NewAttempt(request *lifecycle.Request, timeout time.Duration) *lifecycle.Attempt {
@@ -187,9 +148,9 @@
 // Start begins the attempt.
 func (x *Exchange) Start(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Start(attempt) }) }
 
-// StartAnd begins the attempt and calls next in the same turn of the event loop. A dial that
-// the attempt has begun is then still under way.
-func (x *Exchange) StartAnd(attempt *lifecycle.Attempt, next func()) {
+// StartThen begins the attempt and calls next in the same turn of the event loop. A dial that
+// the attempt has begun is then still in progress.
+func (x *Exchange) StartThen(attempt *lifecycle.Attempt, next func()) {
 	x.Do(func() {
 		x.Client.Start(attempt)
 		next()
@@ -205,76 +166,32 @@
 	withdrawn := false
 	x.Do(func() { withdrawn = x.Client.Withdraw(attempt) })
 	if !withdrawn {
-		x.T.Fatalf("an attempt that was not written could not be withdrawn; up to here:\n%s", x.transcript.String())
+		x.fatalf("an attempt that was not written could not be withdrawn")
 	}
 }
 
-// Accept accepts the next connection.
-func (x *Exchange) Accept() {
-	x.T.Helper()
-	x.Check(x.listener.SetDeadline(time.Now().Add(Timeout)))
-	connection, err := x.listener.AcceptTCP()
-	x.Check(err)
-	x.T.Cleanup(func() { _ = connection.Close() })
-	x.Check(connection.SetDeadline(time.Now().Add(Timeout)))
-	x.connection = connection
-	x.Reader = bufio.NewReader(connection)
-}
-
-// Connected reports whether a connection was accepted and neither the test nor the client has
-// closed it.
-func (x *Exchange) Connected() bool { return x.connection != nil }
-
-// Printf writes to the transcript.
-func (x *Exchange) Printf(format string, args ...any) { fmt.Fprintf(&x.transcript, format, args...) }
-
-// Write sends messages of the engine in one piece, each on its own line of the
-// transcript.
-func (x *Exchange) Write(messages ...[]byte) {
-	x.T.Helper()
-	for _, message := range messages {
-		x.Printf("< %q\n", message)
-	}
-	_, err := x.connection.Write(bytes.Join(messages, nil))
-	x.Check(err)
-}
-
-// Disconnect closes the connection from the engine's side.
-func (x *Exchange) Disconnect() {
-	x.T.Helper()
-	x.Printf("< end of the connection\n")
-	x.Check(x.connection.Close())
-	x.connection = nil
-}
-
-// Reset resets the connection from the engine's side.
-func (x *Exchange) Reset() {
-	x.T.Helper()
-	x.Printf("< reset of the connection\n")
-	x.Check(x.connection.SetLinger(0))
-	x.Check(x.connection.Close())
-	x.connection = nil
-}
+// OnServed makes the event loop's goroutine call f when an attempt is served, before the client
+// handles the bytes after the response. It must be called in Do.
+func (x *Exchange) OnServed(f func()) { x.served.onServed = f }
 
 // AwaitEnd waits until the attempt has ended, and prints its status and its result.
 func (x *Exchange) AwaitEnd(attempt *lifecycle.Attempt) {
 	x.T.Helper()
 	x.await("the end of the attempt", attempt.Ended)
-	x.Do(func() { _, _ = x.served.output.WriteTo(&x.transcript) })
-	x.PrintCounters(metrics.AttemptsEnded.With("").Name())
+	x.Do(func() {
+		_, _ = x.served.output.WriteTo(&x.text)
+		x.printCounters(x.Counters, metrics.AttemptsEnded.With("").Name())
+	})
 }
 
-// PrintCounters prints the counters whose names begin with the prefix, except for those that
-// were printed with the same value before.
-func (x *Exchange) PrintCounters(prefix string) {
-	var counters bytes.Buffer
-	x.Do(func() { x.Counters.Print(&counters) })
-	for line := range strings.Lines(counters.String()) {
-		if strings.HasPrefix(line, "count "+prefix) && !x.printed[line] {
-			x.printed[line] = true
-			x.Printf("= %s", strings.TrimPrefix(line, "count "))
-		}
-	}
+// PrintConnections waits until all connections have ended, and prints their counters.
+func (x *Exchange) PrintConnections() {
+	x.T.Helper()
+	x.await("the end of all connections", func() bool {
+		dialed := x.Counters.Get(metrics.EngineConnectionsDialed)
+		return x.Counters.Sum(metrics.EngineConnectionsClosed.With("").Name()) == dialed
+	})
+	x.Do(func() { x.printCounters(x.Counters, "engine-connections.") })
 }
 
 // await waits until the condition is true. It calls condition on the event loop's goroutine.
@@ -287,46 +204,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			x.T.Fatalf("%s did not come; up to here:\n%s", what, x.transcript.String())
+			x.fatalf("%s did not come", what)
 		}
 	}
 }
-
-// PrintConnections waits until all connections have ended, and prints their counters.
-func (x *Exchange) PrintConnections() {
-	x.T.Helper()
-	x.await("the end of all connections", func() bool {
-		dialed := x.Counters.Get(metrics.EngineConnectionsDialed)
-		return x.Counters.Sum(metrics.EngineConnectionsClosed.With("").Name()) == dialed
-	})
-	x.PrintCounters("engine-connections.")
-}
-
-// RemoveEngine removes the engine from the endpoint list and awaits the end of its idle
-// connection.
-func (x *Exchange) RemoveEngine() {
-	x.T.Helper()
-	x.Do(x.RemoveEngineEntry)
-	x.AwaitClose()
-}
-
-// AwaitClose prints everything that the client writes up to the end of its connection.
-func (x *Exchange) AwaitClose() {
-	x.T.Helper()
-	rest, err := io.ReadAll(x.Reader)
-	if len(rest) > 0 {
-		x.Printf("> %q\n", rest)
-	}
-	if !errors.Is(err, syscall.ECONNRESET) {
-		x.Check(err)
-	}
-	x.Printf("> end of the connection\n")
-	_ = x.connection.Close()
-	x.connection = nil
-}
-
-// CompareGolden compares the transcript with the golden file of this name.
-func (x *Exchange) CompareGolden(name string) {
-	x.T.Helper()
-	golden.Compare(x.T, filepath.Join("testdata", "golden", name+".txt"), x.transcript.Bytes())
-}
--- a/internal/engine/enginetest/script.go
+++ b/internal/engine/enginetest/script.go
@@ -2,14 +2,42 @@
 
 import (
 	"fmt"
+	"io"
+	"log/slog"
 	"strings"
 	"testing"
+
+	"flaxrelay/internal/config"
+	"flaxrelay/internal/eventloop"
+	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/metrics"
 )
 
-// Script is one golden test: the exchange of a scripted engine with a client of its own.
+// Script is one golden test, in which the test plays the engine for a client of its own.
 type Script interface {
-	// Play plays the engine and returns the exchange with its transcript.
-	Play(t *testing.T) *Exchange
+	// Setup returns how to create the client under test.
+	Setup() Setup
+	// Play plays the engine.
+	Play(x *Exchange)
+}
+
+// Setup is how an Exchange creates the client under test, and how it prints the client's results.
+type Setup struct {
+	// Settings are the site's, as JSON.
+	Settings string
+	// NewClient returns the client under test.
+	NewClient func(Environment) lifecycle.EngineClient
+	// PrintServed writes the report of a served attempt.
+	PrintServed func(io.Writer, *lifecycle.Request, lifecycle.AttemptReport)
+}
+
+// Environment contains the arguments with which an engine client is created.
+type Environment struct {
+	Loop       *eventloop.Loop
+	Dispatcher *lifecycle.Dispatcher
+	Site       config.Settings
+	Counters   *metrics.Counters
+	Log        *slog.Logger
 }
 
 // PlayScripts plays each script as a subtest, and compares the transcript with the golden file
@@ -18,7 +46,9 @@
 	t.Helper()
 	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) {
-			script.Play(t).CompareGolden(name)
+			exchange := newExchange(t, script.Setup())
+			script.Play(exchange)
+			exchange.compareGolden(name)
 		})
 	}
 }
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -26,10 +26,9 @@
 // exchange is the exchange with a scripted engine of the line protocol.
 type exchange struct{ *enginetest.Exchange }
 
-// Play implements enginetest.Script.
-func (s script) Play(t *testing.T) *enginetest.Exchange {
-	t.Helper()
-	x := exchange{enginetest.New(t, enginetest.Protocol{
+// Setup implements enginetest.Script.
+func (s script) Setup() enginetest.Setup {
+	return enginetest.Setup{
 		Settings: enginetest.Settings(
 			fmt.Sprintf(`"cancel":%t,"max-streams":32`, s.cancels), enginetest.Class("report", "read_like"),
 		),
@@ -39,11 +38,12 @@
 			return client
 		},
 		PrintServed: printServed,
-	})}
-	s.play(x)
-	return x.Exchange
+	}
 }
 
+// Play implements enginetest.Script.
+func (s script) Play(x *enginetest.Exchange) { s.play(exchange{x}) }
+
 func printServed(out io.Writer, request *lifecycle.Request, report lifecycle.AttemptReport) {
 	load := report.Load
 	_, _ = fmt.Fprintf(out,
@@ -158,16 +158,16 @@
 		for _, attempt := range []*lifecycle.Attempt{expired, full, plain} { // in any order
 			x.respond(attempt)
 		}
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"cancel-permitted": {cancels: true, play: func(x exchange) {
 		x.Abandon(x.start(id, question))
 		x.readCommand()
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"cancel-not-permitted": {play: func(x exchange) {
 		x.Abandon(x.start(id, question))
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"cancel-between-pages": {play: func(x exchange) { // pages that are not fetched yet are released
 		attempt := x.start(id, question)
@@ -175,7 +175,7 @@
 		x.readCommand()
 		x.Abandon(attempt)
 		x.readCommand()
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"hurry": {play: func(x exchange) {
 		attempt := x.start(id, question)
@@ -185,7 +185,7 @@
 		}
 		x.write(id + " DONE batches=0 0\r\n\r\n")
 		x.AwaitEnd(attempt)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"pages": {play: func(x exchange) {
 		attempt := x.start(id, question)
@@ -199,7 +199,7 @@
 		x.write(id + " MORE batch=3 0\r\n\r\n")
 		x.readCommand()
 		x.AwaitEnd(attempt)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"answers": {play: func(x exchange) {
 		for number, word := range []string{"WAIT", "BROKE", "PAST"} {
@@ -222,7 +222,7 @@
 		x.readCommand()
 		x.write(id + " BROKE - 0\r\n\r\n") // the engine no longer has the page
 		x.AwaitEnd(attempt)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"words-that-end-nothing": {play: func(x exchange) {
 		attempt := x.start(id, statement)
@@ -238,7 +238,7 @@
 		var progress int64
 		x.Do(func() { progress = x.Counters.Get(metrics.AttemptsProgress) })
 		x.Printf("= %d notes\n", progress)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"gauges": {play: func(x exchange) {
 		for number, gauges := range []string{
@@ -253,7 +253,7 @@
 			x.write(attempt.Request.ID + " DONE batches=1,gauges=" + gauges + " 0\r\n\r\n")
 			x.AwaitEnd(attempt)
 		}
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 }
 
@@ -269,7 +269,7 @@
 	"withdrawn-while-dialing": {cancels: true, play: func(x exchange) {
 		withdrawn := x.newAttempt(id, statement)
 		next := x.newAttempt(otherID, statement)
-		x.StartAnd(withdrawn, func() {
+		x.StartThen(withdrawn, func() {
 			if !x.Client.Withdraw(withdrawn) {
 				x.T.Error("an attempt that was not written could not be withdrawn")
 			}
@@ -285,11 +285,11 @@
 			}
 		})
 		x.respond(again)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"removed-while-dialing": {play: func(x exchange) {
 		attempt := x.newAttempt(id, statement)
-		x.StartAnd(attempt, x.RemoveEngineEntry)
+		x.StartThen(attempt, x.RemoveEngine)
 		x.Accept()
 		x.AwaitEnd(attempt)
 		x.AwaitClose()
@@ -297,18 +297,18 @@
 	}},
 	"retired-while-dialing": {play: func(x exchange) {
 		attempt := x.newAttempt(id, statement)
-		x.StartAnd(attempt, x.RestartEngine)
+		x.StartThen(attempt, x.RestartEngine)
 		x.Accept()
 		x.readCommand()
 		x.respond(attempt)
 		x.AwaitClose()
 		x.respond(x.start(otherID, statement))
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 		x.PrintConnections()
 	}},
 	"retired-while-dialing-unused": {play: func(x exchange) {
 		attempt := x.newAttempt(id, statement)
-		x.StartAnd(attempt, func() {
+		x.StartThen(attempt, func() {
 			x.Client.Abandon(attempt)
 			x.RestartEngine()
 		})
@@ -348,7 +348,7 @@
 		})
 		x.AwaitEnd(unwritten)
 		x.respond(x.start(otherID, statement))
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"abandoned-after-protocol-error": {cancels: true, play: func(x exchange) {
 		served := x.start(id, statement)
@@ -369,7 +369,7 @@
 		x.write(id + emptyResult)             // late
 		x.respond(other)
 		x.respond(x.startOnNewConnection(id, statement))
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 		x.PrintConnections()
 	}},
 	"evicted": {maxConnections: 1, play: func(x exchange) {
@@ -385,7 +385,7 @@
 		x.Accept()
 		x.readCommand()
 		x.respond(again)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 		x.PrintConnections()
 	}},
 }
@@ -407,7 +407,7 @@
 		x.AwaitEnd(other)
 		x.AwaitClose()
 		x.respond(x.start(nextID, "SELECT 3"))
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}}
 }
 
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -26,14 +26,13 @@
 // exchange is the exchange with a scripted PostgreSQL engine.
 type exchange struct{ *enginetest.Exchange }
 
-// Play implements enginetest.Script.
-func (s script) Play(t *testing.T) *enginetest.Exchange {
-	t.Helper()
+// Setup implements enginetest.Script.
+func (s script) Setup() enginetest.Setup {
 	options := s.options
 	if options == (pgclient.Options{}) {
 		options = defaultOptions
 	}
-	x := exchange{enginetest.New(t, enginetest.Protocol{
+	return enginetest.Setup{
 		Settings: enginetest.Settings(
 			`"cancel":true`, enginetest.Class("lookup", "read_like"), enginetest.Class("write", "non_idempotent"),
 		),
@@ -41,11 +40,12 @@
 			return pgclient.New(env.Loop, env.Dispatcher, options, env.Counters, env.Log)
 		},
 		PrintServed: printServed,
-	})}
-	s.play(x)
-	return x.Exchange
+	}
 }
 
+// Play implements enginetest.Script.
+func (s script) Play(x *enginetest.Exchange) { s.play(exchange{x}) }
+
 func printServed(out io.Writer, _ *lifecycle.Request, report lifecycle.AttemptReport) {
 	result, ok := report.Result.(*pgproto.Result)
 	if !ok {
@@ -191,13 +191,13 @@
 		x.respond(attempt, parsed, bound, message('n', ""), message('I', ""), ready)
 		attempt = x.startOnIdle(statement(strings.Repeat("x", 5000))) // too long to stay prepared
 		x.respond(attempt, parsed, bound, message('n', ""), complete, ready)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"describe": {play: func(x exchange) {
 		described := statement(question)
 		described.DescribeOnly = true
 		x.respond(x.connectAndStart(described), parsed, parameters, columns, ready)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"cancel": {play: func(x exchange) {
 		x.Abandon(x.connectAndStart(statement(question)))
@@ -205,7 +205,7 @@
 		x.acceptPacket() // the cancel request, on a connection of its own
 		x.AwaitClose()
 		x.respond(x.connectAndStart(statement(question)), emptyResponse...)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"cancel-without-key": {play: func(x exchange) {
 		attempt := x.start(statement(question))
@@ -216,14 +216,14 @@
 		x.AwaitClose()
 		// No cancel request: the next connection is that of the next attempt.
 		x.respond(x.connectAndStart(statement(question)), emptyResponse...)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"withdrawn-before-startup": {play: func(x exchange) {
 		attempt := x.start(statement(question))
 		x.acceptPacket()
 		x.Withdraw(attempt)
 		x.startDuringStartup(statement("SELECT 2"))
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"errors": {play: func(x exchange) {
 		for number, code := range []string{
@@ -242,13 +242,13 @@
 		x.Start(attempt)
 		x.readQuery()
 		x.respond(attempt, parsed, bound, failure("ERROR", "53100"), ready)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"forgotten-statement": {play: func(x exchange) {
 		x.respond(x.connectAndStart(statement(question)), emptyResponse...)
 		x.respond(x.startOnIdle(statement(question)), failure("ERROR", "26000"), ready)
 		x.respond(x.startOnIdle(statement(question)), emptyResponse...) // parsed again
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"fatal": {play: func(x exchange) {
 		for _, code := range []string{"57P01", "57014", "53300"} {
@@ -338,7 +338,7 @@
 	}},
 	"retired-while-dialing-unused": {play: func(x exchange) {
 		attempt := x.newAttempt("lookup", statement(question))
-		x.StartAnd(attempt, func() {
+		x.StartThen(attempt, func() {
 			x.Client.Abandon(attempt) // not written: nothing is cancelled
 			x.RestartEngine()
 		})
@@ -354,7 +354,7 @@
 		// The statement may have run.
 		x.respond(x.startOnIdle(statement(question)), bound, failure("ERROR", "0A000"), ready)
 		x.respond(x.startOnIdle(statement(question)), reusedResponse...)
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 	}},
 	"retired-while-busy": {play: func(x exchange) {
 		attempt := x.connectAndStart(statement(question))
@@ -368,13 +368,13 @@
 		x.acceptPacket()
 		x.Abandon(attempt) // not written: nothing is cancelled, and the connection is used again
 		x.startDuringStartup(statement("SELECT 2"))
-		x.RemoveEngine()
+		x.RemoveEngineAndAwaitClose()
 		x.PrintConnections()
 	}},
 	"removed-before-write": {play: func(x exchange) {
 		attempt := x.start(statement(question))
 		x.acceptPacket()
-		x.Do(x.RemoveEngineEntry)
+		x.Do(x.RemoveEngine)
 		x.respond(attempt, authenticated, key, ready)
 		x.AwaitClose()
 		x.PrintConnections()
@@ -420,7 +420,7 @@
 				x.AwaitClose()
 			}
 			x.respond(x.connectAndStart(statement(question)), parsed, bound, columns, row, row, complete, ready)
-			x.RemoveEngine()
+			x.RemoveEngineAndAwaitClose()
 			x.PrintConnections()
 		},
 	},
