--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -1,182 +1,16 @@
 package pgclient_test
 
 import (
-	"encoding/binary"
 	"fmt"
-	"io"
 	"strings"
 	"testing"
 	"time"
 
 	"flaxrelay/internal/engine/enginetest"
 	"flaxrelay/internal/engine/pgclient"
-	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/pgproto"
 )
 
-// defaultOptions are the options of a client whose script has none.
-var defaultOptions = pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout}
-
-// script is a golden test of the PostgreSQL protocol.
-type script struct {
-	options pgclient.Options // the zero value: defaultOptions
-	play    func(exchange)
-}
-
-// exchange is the exchange with a scripted PostgreSQL engine.
-type exchange struct{ *enginetest.Exchange }
-
-// Setup implements enginetest.Script.
-func (s script) Setup() enginetest.Setup {
-	options := s.options
-	if options == (pgclient.Options{}) {
-		options = defaultOptions
-	}
-	return enginetest.Setup{
-		Settings: enginetest.Settings(
-			`"cancel":true`, enginetest.Class("lookup", "read_like"), enginetest.Class("write", "non_idempotent"),
-		),
-		NewClient: func(env enginetest.Environment) lifecycle.EngineClient {
-			return pgclient.New(env.Loop, env.Dispatcher, options, env.Counters, env.Log)
-		},
-		PrintServed: printServed,
-	}
-}
-
-// Play implements enginetest.Script.
-func (s script) Play(x *enginetest.Exchange) { s.play(exchange{x}) }
-
-func printServed(out io.Writer, _ *lifecycle.Request, report lifecycle.AttemptReport) {
-	result, ok := report.Result.(*pgproto.Result)
-	if !ok {
-		_, _ = fmt.Fprintf(out, "= a result of type %T\n", report.Result)
-		return
-	}
-	_, _ = fmt.Fprintf(out, "= parameters %q, fields %q, %d rows %q, tag %q, empty %t\n",
-		result.ParameterDescription, result.RowDescription, result.RowCount, result.DataRows,
-		result.CommandTag, result.EmptyQuery)
-}
-
-// statement returns a statement without parameters.
-func statement(query string) *pgproto.Statement {
-	const (
-		noTypes  = "\x00\x00"
-		noValues = "\x00\x00\x00\x00\x00\x00" // no formats, no values, no formats of results
-	)
-	return &pgproto.Statement{Query: query, ParameterTypes: []byte(noTypes), Bind: []byte(noValues)}
-}
-
-// newAttempt returns an attempt that has not begun.
-func (x exchange) newAttempt(class string, statement *pgproto.Statement) *lifecycle.Attempt {
-	request := &lifecycle.Request{ID: "1", Class: class, Statement: statement}
-	return x.NewAttempt(request, enginetest.Timeout)
-}
-
-// start begins an attempt for a statement of the class "lookup".
-func (x exchange) start(statement *pgproto.Statement) *lifecycle.Attempt {
-	attempt := x.newAttempt("lookup", statement)
-	x.Start(attempt)
-	return attempt
-}
-
-// connectAndStart begins an attempt as start does. It accepts the connection that the client dials
-// for it, completes the startup and reads the query.
-func (x exchange) connectAndStart(statement *pgproto.Statement) *lifecycle.Attempt {
-	x.T.Helper()
-	attempt := x.start(statement)
-	x.acceptStartup()
-	x.readQuery()
-	return attempt
-}
-
-// startOnIdle begins an attempt as start does, and reads its query on the open connection.
-func (x exchange) startOnIdle(statement *pgproto.Statement) *lifecycle.Attempt {
-	x.T.Helper()
-	attempt := x.start(statement)
-	x.readQuery()
-	return attempt
-}
-
-// respond sends the end of the attempt's response, and awaits the end of the attempt.
-func (x exchange) respond(attempt *lifecycle.Attempt, messages ...[]byte) {
-	x.T.Helper()
-	x.Write(messages...)
-	x.AwaitEnd(attempt)
-}
-
-// acceptPacket accepts the next connection and reads the packet that it begins with.
-func (x exchange) acceptPacket() {
-	x.T.Helper()
-	x.Accept()
-	x.Printf("connection\n")
-	x.readPacket(0)
-}
-
-// readPacket reads one packet, whose length comes after this many bytes, and returns its
-// first byte.
-func (x exchange) readPacket(lengthOffset int) byte {
-	x.T.Helper()
-	head, err := x.Reader.Peek(lengthOffset + lengthSize)
-	x.Check(err)
-	packet := make([]byte, lengthOffset+int(binary.BigEndian.Uint32(head[lengthOffset:])))
-	_, err = io.ReadFull(x.Reader, packet)
-	x.Check(err)
-	x.Printf("> %q\n", packet)
-	return packet[0]
-}
-
-// readQuery reads the messages of a query, up to its Sync.
-func (x exchange) readQuery() {
-	x.T.Helper()
-	for kind := byte(0); kind != 'S'; {
-		kind = x.readPacket(1)
-	}
-}
-
-// lengthSize is the size in bytes of a message's length, which includes itself.
-const lengthSize = 4
-
-func message(kind byte, body string) []byte {
-	b := binary.BigEndian.AppendUint32([]byte{kind}, uint32(lengthSize+len(body)))
-	return append(b, body...)
-}
-
-func failure(severity, code string) []byte {
-	return message('E', "S"+severity+"\x00V"+severity+"\x00C"+code+"\x00Mwords of the engine\x00\x00")
-}
-
-// columnDescription describes a text column after its name: no table (4 bytes) and attribute (2),
-// the type (4), its size (2) and modifier (4), and the format (2).
-const columnDescription = "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00"
-
-var (
-	authenticated = message('R', "\x00\x00\x00\x00")
-	setting       = message('S', "server_version\x0016.3\x00")
-	key           = message('K', "\x00\x00\x00\x07\x00\x00\x00\x09")
-	ready         = message('Z', "I")
-	parsed        = message('1', "")
-	bound         = message('2', "")
-	columns       = message('T', "\x00\x01part\x00"+columnDescription)
-	parameters    = message('t', "\x00\x01\x00\x00\x00\x19")
-	row           = message('D', "\x00\x01\x00\x00\x00\x05chain")
-	complete      = message('C', "SELECT 1\x00")
-)
-
-// acceptStartup accepts the next connection and completes its startup.
-func (x exchange) acceptStartup() {
-	x.T.Helper()
-	x.acceptPacket()
-	x.Write(authenticated, setting, key, ready)
-}
-
-const question = "SELECT part FROM stock_4.parts WHERE id = $1"
-
-// The responses of an engine, up to the end.
-var (
-	emptyResponse  = [][]byte{parsed, bound, columns, complete, ready}
-	reusedResponse = [][]byte{bound, columns, complete, ready} // to a statement that is prepared already
-)
-
 // exchangeScripts are the exchanges by the name of their golden file.
 var exchangeScripts = map[string]script{
 	"query": {play: func(x exchange) {
@@ -293,16 +127,6 @@
 	}},
 }
 
-// startDuringStartup begins an attempt on the connection whose startup packet was read last,
-// completes the startup and serves the attempt.
-func (x exchange) startDuringStartup(statement *pgproto.Statement) {
-	x.T.Helper()
-	attempt := x.start(statement)
-	x.Write(authenticated, key, ready)
-	x.readQuery()
-	x.respond(attempt, emptyResponse...)
-}
-
 // TestClient_ExchangesMatchTheGoldenFiles checks the bytes of both sides and the reports of the
 // client.
 func TestClient_ExchangesMatchTheGoldenFiles(t *testing.T) {
