--- a/internal/engine/lineclient/exchange_test.go
+++ b/internal/engine/lineclient/exchange_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// newAttempt returns an attempt that has not begun.
+// newAttempt returns an attempt that is not started.
 func (x exchange) newAttempt(id, statement string) *lifecycle.Attempt {
 	request := &lifecycle.Request{ID: id, Class: "report", Statement: statement}
 	attempt := x.NewAttempt(request, attemptTimeout)
@@ -62,26 +62,26 @@
 	return attempt
 }
 
-// begin begins an attempt. If no connection is open, it accepts the connection that the client
-// dials.
-func (x exchange) begin(attempt *lifecycle.Attempt) {
+// startAttempt starts the attempt and reads its request. If no connection is open, it accepts the
+// connection that the client dials.
+func (x exchange) startAttempt(attempt *lifecycle.Attempt) {
 	x.T.Helper()
 	x.Start(attempt)
 	if !x.Connected() {
 		x.Accept()
 	}
+	x.readCommand()
 }
 
-// start begins an attempt as begin does, and reads its request.
+// start starts a new attempt as startAttempt does.
 func (x exchange) start(id, statement string) *lifecycle.Attempt {
 	x.T.Helper()
 	attempt := x.newAttempt(id, statement)
-	x.begin(attempt)
-	x.readCommand()
+	x.startAttempt(attempt)
 	return attempt
 }
 
-// startOnNewConnection begins an attempt on a connection that the client dials for it, and
+// startOnNewConnection starts a new attempt on a connection that the client dials for it, and
 // reads its request.
 func (x exchange) startOnNewConnection(id, statement string) *lifecycle.Attempt {
 	x.T.Helper()
@@ -99,6 +99,14 @@
 	x.AwaitEnd(attempt)
 }
 
+// respondFirstPage sends the first of two pages of a result, and reads the command with which the
+// client fetches the second.
+func (x exchange) respondFirstPage(attempt *lifecycle.Attempt) {
+	x.T.Helper()
+	x.write(attempt.Request.ID + firstOfTwo)
+	x.readCommand()
+}
+
 // readCommand reads one command of the client, with its statement if it has one.
 func (x exchange) readCommand() {
 	x.T.Helper()
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	id        = "9b1f03aa5c7e2d41"
-	otherID   = "0000000000000001"
-	nextID    = "0000000000000002"
-	statement = "SELECT 1"
-	question  = "SELECT day FROM sales_17.orders WHERE note = 'é\r\n'"
+	id                 = "9b1f03aa5c7e2d41"
+	otherID            = "0000000000000001"
+	nextID             = "0000000000000002"
+	statement          = "SELECT 1"
+	multilineStatement = "SELECT day FROM sales_17.orders WHERE note = 'é\r\n'"
 	// The responses without the id that they begin with.
 	emptyResult = " DONE batches=1 0\r\n\r\n"
 	firstOfTwo  = " DONE batches=2 6\r\na\tb\tc\n\r\n"
-	unreadable  = " ODD - 0\r\n\r\n"
+	unknownKind = " ODD - 0\r\n\r\n"
 	// resetDelay is longer than a reset takes to reach the client's socket.
 	resetDelay = 200 * time.Millisecond
 )
@@ -27,43 +27,40 @@
 // exchangeScripts are the exchanges by the name of their golden file.
 var exchangeScripts = map[string]script{
 	"want": {play: func(x exchange) {
-		plain := x.start(id, question)
+		plain := x.start(id, multilineStatement)
 		full := x.newAttempt("00000000000000ff", "")
 		full.Request.IdempotencyKey = "key-1"
 		full.MemoryMB = 96.75
 		full.Priority = 3
 		full.Timeout = 250 * time.Millisecond
-		x.begin(full)
-		x.readCommand()
+		x.startAttempt(full)
 		expired := x.newAttempt("0000000000000100", statement)
 		expired.Priority = 0
 		expired.Timeout = 0
-		x.begin(expired)
-		x.readCommand()
+		x.startAttempt(expired)
 		for _, attempt := range []*lifecycle.Attempt{expired, full, plain} { // in any order
 			x.respond(attempt)
 		}
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"cancel-permitted": {cancels: true, play: func(x exchange) {
-		x.Abandon(x.start(id, question))
+		x.Abandon(x.start(id, multilineStatement))
 		x.readCommand()
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"cancel-not-permitted": {play: func(x exchange) {
-		x.Abandon(x.start(id, question))
+		x.Abandon(x.start(id, multilineStatement))
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"cancel-between-pages": {play: func(x exchange) { // pages that are not fetched yet are released
-		attempt := x.start(id, question)
-		x.write(id + firstOfTwo)
-		x.readCommand()
+		attempt := x.start(id, multilineStatement)
+		x.respondFirstPage(attempt)
 		x.Abandon(attempt)
 		x.readCommand()
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"hurry": {play: func(x exchange) {
-		attempt := x.start(id, question)
+		attempt := x.start(id, multilineStatement)
 		for priority := range 4 {
 			x.Do(func() { x.Client.SetPriority(attempt, priority) })
 			x.readCommand()
@@ -73,7 +70,7 @@
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"pages": {play: func(x exchange) {
-		attempt := x.start(id, question)
+		attempt := x.start(id, multilineStatement)
 		x.write(id + " DONE batches=4,cpu=12.5,used=3 6\r\na\tb\tc\n\r\n")
 		for range 3 {
 			x.readCommand()
@@ -103,8 +100,7 @@
 			x.AwaitEnd(attempt)
 		}
 		attempt := x.start(id, statement)
-		x.write(id + firstOfTwo)
-		x.readCommand()
+		x.respondFirstPage(attempt)
 		x.write(id + " BROKE - 0\r\n\r\n") // the engine no longer has the page
 		x.AwaitEnd(attempt)
 		x.RemoveEngineAndAwaitClose()
@@ -214,8 +210,7 @@
 		served := x.start(id, statement)
 		lost := x.start(otherID, "SELECT 2")
 		x.write(id + emptyResult) // read and handled before the end of the connection
-		x.write(otherID + firstOfTwo)
-		x.readCommand()
+		x.respondFirstPage(lost)
 		x.write(otherID + " MORE ba")
 		x.Disconnect()
 		x.AwaitEnd(lost)
@@ -242,7 +237,7 @@
 		x.Do(func() {
 			x.OnServed(func() { x.Post(func() { x.Client.Abandon(abandoned) }) })
 		})
-		x.write(id + emptyResult + otherID + unreadable)
+		x.write(id + emptyResult + otherID + unknownKind)
 		x.AwaitEnd(served)
 		x.AwaitClose()
 		x.PrintConnections()
@@ -261,7 +256,7 @@
 		x.Abandon(x.start(id, statement))
 		busy := x.start(otherID, "SELECT 2")
 		unconnected := x.newAttempt(id, statement) // the id can't be used on the connection, which is busy
-		x.begin(unconnected)
+		x.Start(unconnected)
 		x.AwaitEnd(unconnected)
 		x.respond(busy)
 		again := x.newAttempt(id, statement)
@@ -298,7 +293,7 @@
 
 func TestClient_ClosesTheConnectionAfterAMalformedResponse(t *testing.T) {
 	enginetest.PlayScripts(t, map[string]script{
-		"unreadable-word":        malformedResponse(id + unreadable),
+		"unreadable-word":        malformedResponse(id + unknownKind),
 		"unreadable-three-words": malformedResponse(id + " DONE batches=1\r\n"),
 		"unreadable-length":      malformedResponse(id + " DONE batches=1 x\r\n"),
 		"unreadable-long":        malformedResponse(id + " DONE batches=1 16385\r\n"),
--- a/internal/engine/pgclient/exchange_test.go
+++ b/internal/engine/pgclient/exchange_test.go
@@ -1,9 +1,11 @@
 package pgclient_test
 
 import (
+	"cmp"
 	"encoding/binary"
 	"fmt"
 	"io"
+	"time"
 
 	"flaxrelay/internal/engine/enginetest"
 	"flaxrelay/internal/engine/pgclient"
@@ -11,13 +13,11 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// defaultOptions are the options of a client whose script has none.
-var defaultOptions = pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout}
-
 // script is a golden test of the PostgreSQL protocol.
 type script struct {
-	options pgclient.Options // the zero value: defaultOptions
-	play    func(exchange)
+	connectTimeout   time.Duration // 0: enginetest.Timeout
+	maxBufferedBytes int           // 0: the default of the client
+	play             func(exchange)
 }
 
 // exchange is the exchange with a scripted PostgreSQL engine.
@@ -25,9 +25,11 @@
 
 // Setup implements enginetest.Script.
 func (s script) Setup() enginetest.Setup {
-	options := s.options
-	if options == (pgclient.Options{}) {
-		options = defaultOptions
+	options := pgclient.Options{
+		User:             "ringwood",
+		Database:         "register",
+		ConnectTimeout:   cmp.Or(s.connectTimeout, enginetest.Timeout),
+		MaxBufferedBytes: s.maxBufferedBytes,
 	}
 	return enginetest.Setup{
 		Settings: enginetest.Settings(
@@ -54,20 +56,20 @@
 		result.CommandTag, result.EmptyQuery)
 }
 
-// newAttempt returns an attempt that has not begun.
+// newAttempt returns an attempt that is not started.
 func (x exchange) newAttempt(class string, statement *pgproto.Statement) *lifecycle.Attempt {
 	request := &lifecycle.Request{ID: "1", Class: class, Statement: statement}
 	return x.NewAttempt(request, enginetest.Timeout)
 }
 
-// start begins an attempt for a statement of the class "lookup".
+// start starts an attempt for a statement of the class "lookup".
 func (x exchange) start(statement *pgproto.Statement) *lifecycle.Attempt {
 	attempt := x.newAttempt("lookup", statement)
 	x.Start(attempt)
 	return attempt
 }
 
-// connectAndStart begins an attempt as start does. It accepts the connection that the client dials
+// connectAndStart starts an attempt as start does. It accepts the connection that the client dials
 // for it, completes the startup and reads the query.
 func (x exchange) connectAndStart(statement *pgproto.Statement) *lifecycle.Attempt {
 	x.T.Helper()
@@ -77,7 +79,7 @@
 	return attempt
 }
 
-// startOnIdle begins an attempt as start does, and reads its query on the open connection.
+// startOnIdle starts an attempt as start does, and reads its query on the open connection.
 func (x exchange) startOnIdle(statement *pgproto.Statement) *lifecycle.Attempt {
 	x.T.Helper()
 	attempt := x.start(statement)
@@ -125,15 +127,15 @@
 func (x exchange) acceptStartup() {
 	x.T.Helper()
 	x.acceptPacket()
-	x.Write(authenticated, setting, key, ready)
+	x.Write(authenticationOK, parameterStatus, backendKeyData, readyForQuery)
 }
 
-// startDuringStartup begins an attempt on the connection whose startup packet was read last,
+// startDuringStartup starts an attempt on the connection whose startup packet was read last,
 // completes the startup and serves the attempt.
 func (x exchange) startDuringStartup(statement *pgproto.Statement) {
 	x.T.Helper()
 	attempt := x.start(statement)
-	x.Write(authenticated, key, ready)
+	x.Write(authenticationOK, backendKeyData, readyForQuery)
 	x.readQuery()
 	x.respond(attempt, emptyResponse...)
 }
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -7,53 +7,55 @@
 	"time"
 
 	"flaxrelay/internal/engine/enginetest"
-	"flaxrelay/internal/engine/pgclient"
 	"flaxrelay/internal/pgproto"
 )
 
 // exchangeScripts are the exchanges by the name of their golden file.
 var exchangeScripts = map[string]script{
 	"query": {play: func(x exchange) {
-		attempt := x.connectAndStart(statement(question))
-		x.respond(attempt, parsed, bound, columns, row, message('N', "\x00"), row, complete, ready)
-		x.respond(x.startOnIdle(statement(question)), reusedResponse...)
+		attempt := x.connectAndStart(lookupStatement)
+		x.respond(
+			attempt, parseComplete, bindComplete, rowDescription,
+			dataRow, noticeResponse, dataRow, commandComplete, readyForQuery,
+		)
+		x.respond(x.startOnIdle(lookupStatement), reusedResponse...)
 		attempt = x.startOnIdle(&pgproto.Statement{
-			Query:          question,
+			Query:          lookupStatement.Query,
 			ParameterTypes: []byte{0, 1, 0, 0, 0, 25},
 			Bind:           []byte("\x00\x01\x00\x01\x00\x01\x00\x00\x00\x02k\xff\x00\x01\x00\x01"),
 		})
-		x.respond(attempt, parsed, bound, message('n', ""), message('I', ""), ready)
+		x.respond(attempt, parseComplete, bindComplete, noData, emptyQueryResponse, readyForQuery)
 		attempt = x.startOnIdle(statement(strings.Repeat("x", 5000))) // too long to stay prepared
-		x.respond(attempt, parsed, bound, message('n', ""), complete, ready)
+		x.respond(attempt, parseComplete, bindComplete, noData, commandComplete, readyForQuery)
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"describe": {play: func(x exchange) {
-		described := statement(question)
+		described := *lookupStatement
 		described.DescribeOnly = true
-		x.respond(x.connectAndStart(described), parsed, parameters, columns, ready)
+		x.respond(x.connectAndStart(&described), parseComplete, parameterDescription, rowDescription, readyForQuery)
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"cancel": {play: func(x exchange) {
-		x.Abandon(x.connectAndStart(statement(question)))
+		x.Abandon(x.connectAndStart(lookupStatement))
 		x.AwaitClose()
 		x.acceptPacket() // the cancel request, on a connection of its own
 		x.AwaitClose()
-		x.respond(x.connectAndStart(statement(question)), emptyResponse...)
+		x.respond(x.connectAndStart(lookupStatement), emptyResponse...)
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"cancel-without-key": {play: func(x exchange) {
-		attempt := x.start(statement(question))
+		attempt := x.start(lookupStatement)
 		x.acceptPacket()
-		x.Write(authenticated, ready)
+		x.Write(authenticationOK, readyForQuery)
 		x.readQuery()
 		x.Abandon(attempt)
 		x.AwaitClose()
 		// No cancel request: the next connection is that of the next attempt.
-		x.respond(x.connectAndStart(statement(question)), emptyResponse...)
+		x.respond(x.connectAndStart(lookupStatement), emptyResponse...)
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"withdrawn-before-startup": {play: func(x exchange) {
-		attempt := x.start(statement(question))
+		attempt := x.start(lookupStatement)
 		x.acceptPacket()
 		x.Withdraw(attempt)
 		x.startDuringStartup(statement("SELECT 2"))
@@ -69,57 +71,57 @@
 				x.acceptStartup()
 			}
 			x.readQuery()
-			x.respond(attempt, parsed, bound, failure("ERROR", code), ready)
+			x.respond(attempt, parseComplete, bindComplete, errorResponse("ERROR", code), readyForQuery)
 		}
 		// A statement that is not idempotent: it may have had an effect, and must not be retried.
 		attempt := x.newAttempt("write", statement("INSERT 1"))
 		x.Start(attempt)
 		x.readQuery()
-		x.respond(attempt, parsed, bound, failure("ERROR", "53100"), ready)
+		x.respond(attempt, parseComplete, bindComplete, errorResponse("ERROR", "53100"), readyForQuery)
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"forgotten-statement": {play: func(x exchange) {
-		x.respond(x.connectAndStart(statement(question)), emptyResponse...)
-		x.respond(x.startOnIdle(statement(question)), failure("ERROR", "26000"), ready)
-		x.respond(x.startOnIdle(statement(question)), emptyResponse...) // parsed again
+		x.respond(x.connectAndStart(lookupStatement), emptyResponse...)
+		x.respond(x.startOnIdle(lookupStatement), errorResponse("ERROR", "26000"), readyForQuery)
+		x.respond(x.startOnIdle(lookupStatement), emptyResponse...) // parsed again
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"fatal": {play: func(x exchange) {
 		for _, code := range []string{"57P01", "57014", "53300"} {
-			x.respond(x.connectAndStart(statement(question)), failure("FATAL", code))
+			x.respond(x.connectAndStart(lookupStatement), errorResponse("FATAL", code))
 			x.AwaitClose()
 		}
 	}},
 	"fatal-at-startup": {play: func(x exchange) {
 		for _, code := range []string{"53300", "57P03", "28000", "3D000"} {
-			attempt := x.start(statement(question))
+			attempt := x.start(lookupStatement)
 			x.acceptPacket()
-			x.respond(attempt, failure("FATAL", code))
+			x.respond(attempt, errorResponse("FATAL", code))
 			x.AwaitClose()
 		}
 	}},
 	"unreadable": {play: func(x exchange) {
 		for _, response := range [][]byte{
-			message('?', ""),
-			message('G', "\x00\x00\x00"),
-			message('Z', "T"),
-			ready,
-			message('C', "SELECT"),
-			message('E', "x"),
-			{'D', 0, 0, 0, 3},
-			{'D', 0x7f, 0, 0, 0},
+			message('?', ""),             // of an unknown kind
+			message('G', "\x00\x00\x00"), // CopyInResponse
+			message('Z', "T"),            // ReadyForQuery within a transaction
+			readyForQuery,                // before the end of the response
+			message('C', "SELECT"),       // CommandComplete whose text does not end
+			message('E', "x"),            // ErrorResponse whose field does not end
+			{'D', 0, 0, 0, 3},            // shorter than its length field
+			{'D', 0x7f, 0, 0, 0},         // longer than maxMessageBytes
 		} {
-			x.respond(x.connectAndStart(statement(question)), response)
+			x.respond(x.connectAndStart(lookupStatement), response)
 			x.AwaitClose()
 		}
 	}},
 	"unreadable-at-startup": {play: func(x exchange) {
 		for _, response := range [][]byte{
-			message('R', "\x00\x00\x00\x03"),
-			message('T', ""),
-			message('Z', "E"),
+			message('R', "\x00\x00\x00\x03"), // AuthenticationCleartextPassword
+			message('T', ""),                 // RowDescription
+			message('Z', "E"),                // ReadyForQuery within a failed transaction
 		} {
-			attempt := x.start(statement(question))
+			attempt := x.start(lookupStatement)
 			x.acceptPacket()
 			x.respond(attempt, response)
 			x.AwaitClose()
@@ -143,17 +145,17 @@
 // name of their golden file.
 var connectionScripts = map[string]script{
 	"retired-during-startup": {play: func(x exchange) {
-		attempt := x.start(statement(question))
+		attempt := x.start(lookupStatement)
 		x.acceptPacket()
 		x.Do(x.RestartEngine)
-		x.Write(authenticated, key, ready)
+		x.Write(authenticationOK, backendKeyData, readyForQuery)
 		x.readQuery()
 		x.respond(attempt, emptyResponse...)
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
 	"retired-during-startup-unused": {play: func(x exchange) {
-		attempt := x.start(statement(question))
+		attempt := x.start(lookupStatement)
 		x.acceptPacket()
 		x.Withdraw(attempt)
 		x.Do(x.RestartEngine) // the connection has no attempt: it is closed at once
@@ -161,34 +163,34 @@
 		x.PrintConnections()
 	}},
 	"retired-while-dialing-unused": {play: func(x exchange) {
-		attempt := x.newAttempt("lookup", statement(question))
+		attempt := x.newAttempt("lookup", lookupStatement)
 		x.StartThen(attempt, func() {
 			x.Client.Abandon(attempt) // not written: nothing is cancelled
 			x.RestartEngine()
 		})
 		x.acceptPacket()
-		x.Write(authenticated, key, ready)
+		x.Write(authenticationOK, backendKeyData, readyForQuery)
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
 	"statement-not-forgotten": {play: func(x exchange) {
 		// This query has parsed the statement itself.
-		x.respond(x.connectAndStart(statement(question)), failure("ERROR", "26000"), ready)
-		x.respond(x.startOnIdle(statement(question)), emptyResponse...)
+		x.respond(x.connectAndStart(lookupStatement), errorResponse("ERROR", "26000"), readyForQuery)
+		x.respond(x.startOnIdle(lookupStatement), emptyResponse...)
 		// The statement may have run.
-		x.respond(x.startOnIdle(statement(question)), bound, failure("ERROR", "0A000"), ready)
-		x.respond(x.startOnIdle(statement(question)), reusedResponse...)
+		x.respond(x.startOnIdle(lookupStatement), bindComplete, errorResponse("ERROR", "0A000"), readyForQuery)
+		x.respond(x.startOnIdle(lookupStatement), reusedResponse...)
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"retired-while-busy": {play: func(x exchange) {
-		attempt := x.connectAndStart(statement(question))
+		attempt := x.connectAndStart(lookupStatement)
 		x.Do(x.RestartEngine)
 		x.respond(attempt, emptyResponse...)
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
 	"abandoned-before-startup": {play: func(x exchange) {
-		attempt := x.start(statement(question))
+		attempt := x.start(lookupStatement)
 		x.acceptPacket()
 		x.Abandon(attempt) // not written: nothing is cancelled, and the connection is used again
 		x.startDuringStartup(statement("SELECT 2"))
@@ -196,35 +198,35 @@
 		x.PrintConnections()
 	}},
 	"removed-before-write": {play: func(x exchange) {
-		attempt := x.start(statement(question))
+		attempt := x.start(lookupStatement)
 		x.acceptPacket()
 		x.Do(x.RemoveEngine)
-		x.respond(attempt, authenticated, key, ready)
+		x.respond(attempt, authenticationOK, backendKeyData, readyForQuery)
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
 	"closed-during-startup": {play: func(x exchange) {
-		attempt := x.start(statement(question))
+		attempt := x.start(lookupStatement)
 		x.acceptPacket()
 		x.Disconnect()
 		x.AwaitEnd(attempt)
 		x.PrintConnections()
 	}},
 	"closed-in-response": {play: func(x exchange) {
-		attempt := x.connectAndStart(statement(question))
-		x.Write(parsed, bound, columns, failure("ERROR", "42P01")) // the end of the response is missing
+		attempt := x.connectAndStart(lookupStatement)
+		x.Write(parseComplete, bindComplete, rowDescription, errorResponse("ERROR", "42P01")) // no ReadyForQuery
 		x.Disconnect()
 		x.AwaitEnd(attempt)
-		attempt = x.connectAndStart(statement(question))
+		attempt = x.connectAndStart(lookupStatement)
 		x.Write(emptyResponse...) // read and handled before the end of the connection
 		x.Disconnect()
 		x.AwaitEnd(attempt)
 		x.PrintConnections()
 	}},
 	"startup-timeout": {
-		options: pgclient.Options{User: "ringwood", Database: "register", ConnectTimeout: shortTimeout},
+		connectTimeout: shortTimeout,
 		play: func(x exchange) {
-			attempt := x.start(statement(question))
+			attempt := x.start(lookupStatement)
 			x.acceptPacket()
 			x.AwaitEnd(attempt)
 			x.AwaitClose()
@@ -232,34 +234,32 @@
 		},
 	},
 	"buffer-budget": {
-		options: pgclient.Options{
-			User: "ringwood", Database: "register", ConnectTimeout: enginetest.Timeout, MaxBufferedBytes: smallBudget,
-		},
+		maxBufferedBytes: smallBudget,
 		play: func(x exchange) {
 			for range 2 { // the first attempt has released its part of the budget
-				attempt := x.connectAndStart(statement(question))
-				x.respond(attempt, parsed, bound, columns, row, row, row, complete, ready)
+				attempt := x.connectAndStart(lookupStatement)
+				x.respond(attempt, responseWithRows(3)...)
 				x.AwaitClose()
 				x.acceptPacket() // the cancel request
 				x.AwaitClose()
 			}
-			x.respond(x.connectAndStart(statement(question)), parsed, bound, columns, row, row, complete, ready)
+			x.respond(x.connectAndStart(lookupStatement), responseWithRows(2)...)
 			x.RemoveEngineAndAwaitClose()
 			x.PrintConnections()
 		},
 	},
 	"fatal-while-idle": {play: func(x exchange) {
 		for _, code := range []string{"57P01", "57P05"} {
-			x.respond(x.connectAndStart(statement(question)), emptyResponse...)
-			x.Write(failure("FATAL", code))
+			x.respond(x.connectAndStart(lookupStatement), emptyResponse...)
+			x.Write(errorResponse("FATAL", code))
 			x.AwaitClose()
 			x.PrintConnections()
 		}
 		for _, code := range []string{"57P01", "57P05"} { // on a connection on which nothing was written
-			attempt := x.start(statement(question))
+			attempt := x.start(lookupStatement)
 			x.acceptPacket()
 			x.Withdraw(attempt)
-			x.Write(authenticated, ready, failure("FATAL", code))
+			x.Write(authenticationOK, readyForQuery, errorResponse("FATAL", code))
 			x.AwaitClose()
 			x.PrintConnections()
 		}
--- a/internal/engine/pgclient/messages_test.go
+++ b/internal/engine/pgclient/messages_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"slices"
 
 	"flaxrelay/internal/pgproto"
 )
@@ -9,40 +10,56 @@
 // lengthSize is the size in bytes of a message's length, which includes itself.
 const lengthSize = 4
 
+// message returns a message of the engine.
 func message(kind byte, body string) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{kind}, uint32(lengthSize+len(body)))
 	return append(b, body...)
 }
 
-func failure(severity, code string) []byte {
-	return message('E', "S"+severity+"\x00V"+severity+"\x00C"+code+"\x00Mwords of the engine\x00\x00")
-}
-
 // columnDescription describes a text column after its name: no table (4 bytes) and attribute (2),
 // the type (4), its size (2) and modifier (4), and the format (2).
 const columnDescription = "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00"
 
+// The messages of the engine, under their names in PostgreSQL's documentation.
 var (
-	authenticated = message('R', "\x00\x00\x00\x00")
-	setting       = message('S', "server_version\x0016.3\x00")
-	key           = message('K', "\x00\x00\x00\x07\x00\x00\x00\x09")
-	ready         = message('Z', "I")
-	parsed        = message('1', "")
-	bound         = message('2', "")
-	columns       = message('T', "\x00\x01part\x00"+columnDescription)
-	parameters    = message('t', "\x00\x01\x00\x00\x00\x19")
-	row           = message('D', "\x00\x01\x00\x00\x00\x05chain")
-	complete      = message('C', "SELECT 1\x00")
+	authenticationOK     = message('R', "\x00\x00\x00\x00")
+	parameterStatus      = message('S', "server_version\x0016.3\x00")
+	backendKeyData       = message('K', "\x00\x00\x00\x07\x00\x00\x00\x09")
+	readyForQuery        = message('Z', "I")
+	noticeResponse       = message('N', "\x00")
+	parseComplete        = message('1', "")
+	bindComplete         = message('2', "")
+	parameterDescription = message('t', "\x00\x01\x00\x00\x00\x19")
+	rowDescription       = message('T', "\x00\x01part\x00"+columnDescription)
+	noData               = message('n', "")
+	dataRow              = message('D', "\x00\x01\x00\x00\x00\x05chain")
+	commandComplete      = message('C', "SELECT 1\x00")
+	emptyQueryResponse   = message('I', "")
 )
 
-const question = "SELECT part FROM stock_4.parts WHERE id = $1"
+// errorResponse returns an ErrorResponse with a SQLSTATE code.
+func errorResponse(severity, code string) []byte {
+	return message('E', "S"+severity+"\x00V"+severity+"\x00C"+code+"\x00Mwords of the engine\x00\x00")
+}
 
-// The responses of an engine, up to the end.
+// The complete responses to a query without rows.
 var (
-	emptyResponse  = [][]byte{parsed, bound, columns, complete, ready}
-	reusedResponse = [][]byte{bound, columns, complete, ready} // to a statement that is prepared already
+	emptyResponse  = responseWithRows(0)
+	reusedResponse = emptyResponse[1:] // without ParseComplete: the statement is already prepared
 )
 
+// responseWithRows returns the complete response to a query that parses its statement.
+func responseWithRows(rows int) [][]byte {
+	return slices.Concat(
+		[][]byte{parseComplete, bindComplete, rowDescription},
+		slices.Repeat([][]byte{dataRow}, rows),
+		[][]byte{commandComplete, readyForQuery},
+	)
+}
+
+// lookupStatement is the statement of most attempts.
+var lookupStatement = statement("SELECT part FROM stock_4.parts WHERE id = $1")
+
 // statement returns a statement without parameters.
 func statement(query string) *pgproto.Statement {
 	const (
