--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -9,6 +9,7 @@
 	"flaxrelay/internal/engine"
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/memorybudget"
 	"flaxrelay/internal/metrics"
 )
 
@@ -43,7 +44,8 @@
 	*engine.Client[*connection]
 
 	options Options
-	budget  resultBudget
+	// resultBudget limits the memory of the rows of all incomplete results.
+	resultBudget memorybudget.Budget
 }
 
 // New returns a client that reports to the dispatcher.
@@ -67,9 +69,9 @@
 		StallTimeout:    stallTimeout,
 	}
 	return &Client{
-		Client:  engine.NewClient[*connection](loop, dispatcher, shared, counters, log),
-		options: options,
-		budget:  resultBudget{limit: options.MaxBufferedBytes},
+		Client:       engine.NewClient[*connection](loop, dispatcher, shared, counters, log),
+		options:      options,
+		resultBudget: memorybudget.New(options.MaxBufferedBytes),
 	}
 }
 
--- a/internal/engine/pgclient/connection.go
+++ b/internal/engine/pgclient/connection.go
@@ -67,7 +67,7 @@
 
 // removeAttempt removes the attempt from the connection.
 func (c *connection) removeAttempt() {
-	c.client.budget.release(len(c.exchange.result.DataRows))
+	c.client.resultBudget.Release(len(c.exchange.result.DataRows))
 	c.exchange.attempt.ClientData = nil // the connection may get another attempt
 	c.exchange.clear()
 }
--- a/internal/engine/pgclient/response.go
+++ b/internal/engine/pgclient/response.go
@@ -48,7 +48,7 @@
 		c.failTooLarge(sqlStateProgramLimitExceeded, fmt.Sprintf("the result is larger than %d bytes", maxResultBytes))
 		return
 	}
-	if !c.client.budget.reserve(len(row)) {
+	if !c.client.resultBudget.TryReserve(len(row)) {
 		c.failTooLarge(sqlStateOutOfMemory, "the gateway holds too many results")
 		return
 	}
--- a/internal/frontend/httpserver/results.go
+++ b/internal/frontend/httpserver/results.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"flaxrelay/internal/engine/lineclient"
-	"flaxrelay/internal/frontend/clientconn"
+	"flaxrelay/internal/memorybudget"
 	"flaxrelay/internal/timerqueue"
 )
 
@@ -27,7 +27,7 @@
 	instanceID string // distinguishes the paths of this process from those of an earlier one
 	sequence   uint64 // of the latest result
 	byPath     map[string]*bufferedResult
-	budget     clientconn.Budget
+	budget     memorybudget.Budget
 }
 
 // bufferedResult is a result that its client fetches page by page.
@@ -38,9 +38,12 @@
 }
 
 func newResultStore(timers *timerqueue.Queue, instanceID string, maxBytes int) *resultStore {
-	store := &resultStore{timers: timers, instanceID: instanceID, byPath: map[string]*bufferedResult{}}
-	store.budget.SetLimit(maxBytes)
-	return store
+	return &resultStore{
+		timers:     timers,
+		instanceID: instanceID,
+		byPath:     map[string]*bufferedResult{},
+		budget:     memorybudget.New(maxBytes),
+	}
 }
 
 // addPages divides a result into pages and buffers them until resultGracePeriod after the deadline. It returns the
--- a/internal/frontend/pgserver/extended_query_test.go
+++ b/internal/frontend/pgserver/extended_query_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"flaxrelay/internal/frontend/clientconn"
+	"flaxrelay/internal/memorybudget"
 	"flaxrelay/internal/pgproto"
 )
 
@@ -23,7 +23,7 @@
 				"q": {statement: prepared, bind: emptyBind},
 				"e": {statement: empty, bind: emptyBind},
 			},
-			budget: &clientconn.Budget{},
+			budget: &memorybudget.Budget{},
 		},
 	}, output
 }
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"strings"
 
-	"flaxrelay/internal/frontend/clientconn"
+	"flaxrelay/internal/memorybudget"
 	"flaxrelay/internal/pgproto"
 	"flaxrelay/internal/sqltext"
 )
@@ -100,7 +100,7 @@
 // their unsent rows are reserved in the budget, which all connections share.
 type portalSet struct {
 	byName map[string]*portal
-	budget *clientconn.Budget
+	budget *memorybudget.Budget
 }
 
 // checkOpen returns an error if no portal can be opened under the name.
--- a/internal/frontend/pgserver/portal_test.go
+++ b/internal/frontend/pgserver/portal_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"flaxrelay/internal/frontend/clientconn"
+	"flaxrelay/internal/memorybudget"
 	"flaxrelay/internal/pgproto"
 )
 
@@ -104,7 +104,7 @@
 		reserved = 10
 		lowered  = 5
 	)
-	var budget clientconn.Budget
+	var budget memorybudget.Budget
 	budget.SetLimit(reserved)
 	if !budget.TryReserve(reserved) {
 		t.Fatal("the budget is smaller than its limit")
@@ -135,9 +135,9 @@
 }
 
 // testPortals is a set of portals with a budget for one of two rows.
-func testPortals(t *testing.T) (portals *portalSet, budget *clientconn.Budget) {
+func testPortals(t *testing.T) (portals *portalSet, budget *memorybudget.Budget) {
 	t.Helper()
-	budget = &clientconn.Budget{}
+	budget = &memorybudget.Budget{}
 	budget.SetLimit(len(dataRow("a")))
 	return &portalSet{byName: map[string]*portal{}, budget: budget}, budget
 }
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -10,6 +10,7 @@
 	"flaxrelay/internal/eventloop"
 	"flaxrelay/internal/frontend/clientconn"
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/internal/memorybudget"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/pgproto"
 	"flaxrelay/internal/sqltext"
@@ -50,8 +51,8 @@
 
 	connections   map[uint32]*connection // by process ID
 	lastProcessID uint32
-	rowBudget     clientconn.Budget // of rows in open portals
-	draining      bool              // a graceful shutdown has begun
+	rowBudget     memorybudget.Budget // of rows in open portals
+	draining      bool                // a graceful shutdown has begun
 }
 
 // New returns a server that passes its requests to the dispatcher.
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -34,7 +34,7 @@
 	{"internal/lifecycle", "internal/eventloop"},
 	{decisionPrefix},
 	{
-		"policy", "internal/sqltext", "internal/pgproto", "internal/timerqueue",
+		"policy", "internal/sqltext", "internal/pgproto", "internal/timerqueue", "internal/memorybudget",
 		"internal/metrics", "internal/logevent", "internal/logging", "internal/invariant",
 	},
 }
--- a/internal/frontend/clientconn/budget.go
+++ b/internal/memorybudget/budget.go
@@ -1,12 +1,17 @@
-package clientconn
+// Package memorybudget limits the memory of data that many connections buffer, such as the rows of
+// results.
+package memorybudget
 
-// Budget limits the bytes of results that are buffered for clients to fetch. It must be used from the goroutine of the
-// event loop only.
+// Budget is the number of bytes that its users may buffer together. The zero value permits none. A
+// Budget is not safe for concurrent use.
 type Budget struct {
 	limit    int // bytes
 	reserved int // bytes
 }
 
+// New returns a budget of which nothing is reserved.
+func New(limit int) Budget { return Budget{limit: limit} }
+
 // SetLimit changes the limit. Reservations stay, even if they exceed the new limit.
 func (b *Budget) SetLimit(bytes int) { b.limit = bytes }
 
--- a/internal/frontend/clientconn/budget_test.go
+++ b/internal/memorybudget/budget_test.go
@@ -1,10 +1,9 @@
-package clientconn
+package memorybudget
 
 import "testing"
 
 func TestBudget_RejectsReservationsPastItsLimit(t *testing.T) {
-	var budget Budget
-	budget.SetLimit(10)
+	budget := New(10)
 	if !budget.TryReserve(6) || !budget.TryReserve(4) {
 		t.Fatal("a reservation up to the limit was rejected")
 	}
