--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -71,15 +71,8 @@
 // UpdateEndpoint applies an entry of the endpoint list. It is part of lifecycle.EngineClient.
 func (c *Client[P]) UpdateEndpoint(endpoint lifecycle.Endpoint) { c.pool.updateEndpoint(endpoint) }
 
-// EngineOf returns the engine of an attempt. If the endpoint list has no such engine, it
-// ends the attempt and returns nil.
-func (c *Client[P]) EngineOf(attempt *lifecycle.Attempt) *Engine[P] {
-	engine := c.pool.get(attempt.Engine)
-	if engine == nil {
-		c.Dispatcher.EndAttempt(attempt, lifecycle.StatusUnknownEngine, lifecycle.AttemptReport{})
-	}
-	return engine
-}
+// FindEngine returns the engine of this id, or nil if the endpoint list has none.
+func (c *Client[P]) FindEngine(id string) *Engine[P] { return c.pool.get(id) }
 
 // EnsureCapacity reports whether one more connection may be dialed. limit is the maximum number
 // of connections that accept attempts; 0: unlimited. At the limit, EnsureCapacity evicts the
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -77,8 +77,9 @@
 
 // Start begins an attempt on an idle connection, or on a new connection.
 func (c *Client) Start(attempt *lifecycle.Attempt) {
-	target := c.EngineOf(attempt)
+	target := c.FindEngine(attempt.Engine)
 	if target == nil {
+		c.Dispatcher.EndAttempt(attempt, lifecycle.StatusUnknownEngine, lifecycle.AttemptReport{})
 		return
 	}
 	conn := findIdle(target)
