--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -114,12 +114,12 @@
 // Retire makes the connection accept no new attempts and close once none is in flight.
 func (c *Connection[P]) Retire() {
 	c.StopAccepting()
-	c.CloseIfDrained()
+	c.CloseIfRetiringAndIdle()
 }
 
-// CloseIfDrained closes a retiring connection that has no attempt in flight. It does nothing
-// during the dial; the protocol calls it again when the connection is open.
-func (c *Connection[P]) CloseIfDrained() {
+// CloseIfRetiringAndIdle closes the connection if it accepts no new attempts and none is in flight.
+// It does nothing during the dial; the protocol calls it again when the connection is open.
+func (c *Connection[P]) CloseIfRetiringAndIdle() {
 	if c.Retiring() && c.Connected() && c.protocol.InFlight() == 0 {
 		c.Close(lifecycle.StatusIdleClosed)
 	}
--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -55,7 +55,7 @@
 			s.writeRequest()
 		}
 	}
-	c.CloseIfDrained()
+	c.CloseIfRetiringAndIdle()
 	c.WatchIdle()
 }
 
--- a/internal/engine/lineclient/stream.go
+++ b/internal/engine/lineclient/stream.go
@@ -54,7 +54,7 @@
 			c.Write(cancelCommand(id))
 		}
 	}
-	c.CloseIfDrained()
+	c.CloseIfRetiringAndIdle()
 }
 
 // writeRequest writes the attempt's request. It ends the attempt if the dispatcher does not
@@ -86,5 +86,5 @@
 		c.markAbandoned(s.attempt.Request.ID)
 	}
 	c.client.Dispatcher.EndAttempt(s.attempt, status, s.report)
-	c.CloseIfDrained()
+	c.CloseIfRetiringAndIdle()
 }
--- a/internal/engine/pgclient/connection.go
+++ b/internal/engine/pgclient/connection.go
@@ -77,7 +77,7 @@
 	attempt := c.exchange.attempt
 	c.removeAttempt()
 	c.MarkUsed()
-	c.CloseIfDrained()
+	c.CloseIfRetiringAndIdle()
 	c.client.Dispatcher.EndAttempt(attempt, status, report)
 }
 
--- a/internal/engine/pgclient/startup.go
+++ b/internal/engine/pgclient/startup.go
@@ -57,7 +57,7 @@
 	c.MarkUsed()
 	c.WatchIdle()
 	if c.exchange.idle() {
-		c.CloseIfDrained()
+		c.CloseIfRetiringAndIdle()
 	} else {
 		c.writeQuery()
 	}
