--- a/internal/engine/idle.go
+++ b/internal/engine/idle.go
@@ -3,13 +3,16 @@
 // WatchIdle retires the connection when it has had no attempt for the idle timeout. The
 // protocol calls it once, when the connection is open.
 func (c *Connection[P]) WatchIdle() {
-	timeout := c.client.options.IdleTimeout
-	if timeout <= 0 {
-		return
+	if c.client.options.IdleTimeout > 0 {
+		c.scheduleIdleCheck()
 	}
-	// After a slow dial, the timeout since lastUsed may have passed. The check is then due at once.
-	from := max(c.lastUsed, c.client.Dispatcher.Now()-timeout)
-	c.client.Loop.Timers.Schedule(from+timeout, c.checkIdle)
+}
+
+// scheduleIdleCheck schedules a check for the end of the idle timeout. After a slow dial, that may
+// have passed already, and the check is due at once.
+func (c *Connection[P]) scheduleIdleCheck() {
+	due := max(c.lastUsed+c.client.options.IdleTimeout, c.client.Dispatcher.Now())
+	c.client.Loop.Timers.Schedule(due, c.checkIdle)
 }
 
 // checkIdle retires the connection if it has been idle for the idle timeout. Otherwise it
@@ -18,13 +21,12 @@
 	if !c.Connected() {
 		return
 	}
-	inFlight := c.protocol.InFlight()
-	if inFlight == 0 && c.client.Dispatcher.Now() >= c.lastUsed+c.client.options.IdleTimeout {
+	switch {
+	case c.protocol.InFlight() > 0:
+		c.MarkUsed() // the next check is one timeout from now
+	case c.client.Dispatcher.Now() >= c.lastUsed+c.client.options.IdleTimeout:
 		c.protocol.Retire()
 		return
 	}
-	if inFlight > 0 {
-		c.MarkUsed() // the next check is one timeout from now
-	}
-	c.WatchIdle()
+	c.scheduleIdleCheck()
 }
