--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -7,8 +7,8 @@
 type AttemptHandle interface {
 	// Written reports whether any part of the request has been written.
 	Written() bool
-	// Abandon removes an attempt that has not ended from its connection. If the request is
-	// written, it cancels the request if the protocol and the settings permit that.
+	// Abandon removes the attempt from its connection before it has ended. A written request is
+	// cancelled if the protocol and the settings permit that.
 	Abandon()
 }
 
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -8,8 +8,9 @@
 	"flaxrelay/internal/metrics"
 )
 
-// Protocol is a protocol's type of connection. It embeds a Connection, which implements Retire
-// and calls the other methods on the event loop's goroutine.
+// Protocol is the part of a connection that depends on the protocol. Each protocol's package
+// implements it with one type, which embeds a Connection: the Connection implements Retire, and
+// calls the other methods on the event loop's goroutine.
 type Protocol interface {
 	pooled
 	// HandleConnected is called when the dial has succeeded.
@@ -145,7 +146,7 @@
 // OnClosed handles the end of the socket, whichever side closed it. The event loop calls it.
 func (c *Connection[P]) OnClosed(*eventloop.Conn, error) { c.end(c.endStatus()) }
 
-// endStatus returns why the socket has been closed.
+// endStatus returns the status with which the attempts end when the socket has been closed.
 func (c *Connection[P]) endStatus() lifecycle.AttemptStatus {
 	switch {
 	case c.state == StateClosing:
--- a/internal/engine/framing.go
+++ b/internal/engine/framing.go
@@ -26,7 +26,8 @@
 // messageRead records that a message is complete.
 func (t *messageTimer) messageRead() { t.partialSince = 0 }
 
-// stop stops the timer. It keeps partialSince, because stop is also called before a restart.
+// stop stops the timer. It keeps partialSince: OnData stops the timer after each read, and starts
+// it again if the message is still incomplete.
 func (t *messageTimer) stop() { t.timer.Stop() }
 
 // start starts the timer, which must be stopped, when bytes of an incomplete message have
--- a/internal/engine/lineclient/stream.go
+++ b/internal/engine/lineclient/stream.go
@@ -82,7 +82,8 @@
 	case status == lifecycle.StatusServed:
 		s.report.Result = s.result.pages
 	case s.Written():
-		// A duplicate of the response, or a late page, must not be taken for that of a later attempt.
+		// The request may have another attempt. A duplicate of this response, or a late page, must
+		// not be taken for the response to that attempt.
 		c.markAbandoned(s.attempt.Request.ID)
 	}
 	c.client.Dispatcher.EndAttempt(s.attempt, status, s.report)
--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -17,8 +17,7 @@
 	errIncompleteResponse = errors.New("a response ends without a CommandComplete")
 )
 
-// phase is the part of a connection's lifetime in which a message was not valid, as errors name
-// it.
+// phase is the part of a connection's lifetime in which an unexpected message arrived.
 type phase string
 
 const (
--- a/internal/engine/pgclient/prepared.go
+++ b/internal/engine/pgclient/prepared.go
@@ -17,11 +17,11 @@
 // unnamed is the name of the engine's unnamed statement, which the next unnamed Parse replaces.
 const unnamed = ""
 
-// preparation is the reference of a query to its prepared statement.
+// preparation is how a query refers to its statement, and whether it prepares the statement first.
 type preparation struct {
-	key   string // see statementKey
-	name  string // of the prepared statement; unnamed: it does not stay prepared
-	parse bool   // the query begins with a Parse, because the statement is not prepared yet
+	key        string // see statementKey
+	name       string // of the prepared statement; unnamed: it does not stay prepared
+	needsParse bool   // the query begins with a Parse, because the statement is not prepared yet
 }
 
 // preparedStatements are the statements that stay prepared on one connection.
@@ -39,7 +39,7 @@
 	return statement.Query + "\x00" + string(statement.ParameterTypes)
 }
 
-// prepare returns the reference for a query of the statement. A new statement does not stay
+// prepare returns the preparation for a query of the statement. A new statement does not stay
 // prepared if its key is too long or if there are maxPrepared already.
 func (p *preparedStatements) prepare(statement *pgproto.Statement) preparation {
 	key := statementKey(statement)
@@ -47,15 +47,15 @@
 		return preparation{key: key, name: name}
 	}
 	if len(p.names) >= maxPrepared || len(key) > maxPreparedKeyBytes {
-		return preparation{key: key, name: unnamed, parse: true}
+		return preparation{key: key, name: unnamed, needsParse: true}
 	}
 	p.lastName++
-	return preparation{key: key, name: "s" + strconv.Itoa(p.lastName), parse: true}
+	return preparation{key: key, name: "s" + strconv.Itoa(p.lastName), needsParse: true}
 }
 
 // markParsed records that the engine has parsed the query's statement.
 func (p *preparedStatements) markParsed(prepared preparation) {
-	if prepared.parse && prepared.name != unnamed {
+	if prepared.needsParse && prepared.name != unnamed {
 		p.names[prepared.key] = prepared.name
 	}
 }
@@ -68,7 +68,7 @@
 // If so, it forgets the statement. The query may then be retried: both errors come before
 // BindComplete, so nothing has run.
 func (c *connection) forgetStale(sqlState string) bool {
-	if c.exchange.prepared.parse || c.exchange.state == exchangeBound {
+	if c.exchange.prepared.needsParse || c.exchange.state == exchangeBound {
 		return false
 	}
 	if sqlState != sqlStateInvalidStatementName && sqlState != sqlStateFeatureNotSupported {
--- a/internal/engine/pgclient/query.go
+++ b/internal/engine/pgclient/query.go
@@ -24,7 +24,7 @@
 func encodeQuery(statement *pgproto.Statement, prepared preparation) []byte {
 	var query []byte
 	name := pgproto.CString(prepared.name)
-	if prepared.parse {
+	if prepared.needsParse {
 		text := pgproto.CString(statement.Query)
 		query = pgproto.AppendMessage(query, kindParse, name, text, statement.ParameterTypes)
 	}
