--- a/internal/engine/lineclient/fields.go
+++ b/internal/engine/lineclient/fields.go
@@ -12,6 +12,17 @@
 // commas, or "-" if there are none.
 type fieldList string
 
+// The names of the fields that this client reads.
+const (
+	fieldPageCount     = "batches" // of a result: the number of its pages
+	fieldPageNumber    = "batch"   // of a page after the first
+	fieldWork          = "cpu"     // of a result: CPU time in milliseconds
+	fieldMemory        = "used"    // of a result: memory in MB
+	fieldLoads         = "gauges"  // the load report: pairs name:value separated by semicolons
+	fieldProgressKind  = "res"     // of a progress response: progressFraction, progressSpilling or progressAwaiting
+	fieldProgressValue = "num"     // of a progress response: depends on its kind
+)
+
 // value returns the value of the first field of this name.
 func (f fieldList) value(name string) (value string, ok bool) {
 	rest := string(f)
@@ -41,11 +52,10 @@
 
 func isFinite(number float64) bool { return !math.IsNaN(number) && !math.IsInf(number, 0) }
 
-// loadReport returns the engine's load report. An engine names its loads as the settings or as
-// the wire protocol does.
+// loadReport returns the engine's load report.
 func (f fieldList) loadReport() policy.LoadReport {
 	report := policy.UnreportedLoad()
-	rest, _ := f.value("gauges")
+	rest, _ := f.value(fieldLoads)
 	for rest != "" {
 		var gauge string
 		gauge, rest, _ = strings.Cut(rest, ";")
@@ -58,7 +68,8 @@
 	return report
 }
 
-// setLoad sets the load of this name, and reports whether the name is known.
+// setLoad sets the load of this name, and reports whether the name is known. An engine may use the
+// name of the wire protocol or that of the settings.
 func setLoad(report *policy.LoadReport, name string, value float64) bool {
 	switch name {
 	case "util", "cpu":
@@ -77,32 +88,32 @@
 	return true
 }
 
-// The values of the field "res" of a progress response.
+// The values of fieldProgressKind.
 const (
-	progressFraction = "p" // "num" is the fraction that is done
+	progressFraction = "p" // fieldProgressValue is the fraction that is done
 	progressSpilling = "s" // the statement spills to disk
-	progressAwaiting = "w" // the statement waits for the resource "num"
+	progressAwaiting = "w" // the statement waits for the resource that fieldProgressValue names
 )
 
-// awaitingLoad is the "num" of a wait for a bulk load. Any other is a wait for memory.
+// awaitingLoad is the fieldProgressValue of a wait for a bulk load. Any other is a wait for memory.
 const awaitingLoad = 2
 
 // progress returns the kind and value of a progress report; ok is false if the fields do not
 // contain a progress report.
 func (f fieldList) progress() (kind policy.ProgressKind, value float64, ok bool) {
-	resource, _ := f.value("res")
-	value, ok = f.number("num")
+	kindName, _ := f.value(fieldProgressKind)
+	value, ok = f.number(fieldProgressValue)
 	if !ok {
 		return 0, 0, false
 	}
 	switch {
-	case resource == progressFraction:
+	case kindName == progressFraction:
 		return policy.ProgressFraction, value, true
-	case resource == progressSpilling:
+	case kindName == progressSpilling:
 		return policy.ProgressSpilling, value, true
-	case resource == progressAwaiting && value == awaitingLoad:
+	case kindName == progressAwaiting && value == awaitingLoad:
 		return policy.ProgressAwaitingLoad, value, true
-	case resource == progressAwaiting:
+	case kindName == progressAwaiting:
 		return policy.ProgressAwaitingMemory, value, true
 	default:
 		return 0, 0, false
--- a/internal/engine/lineclient/responses.go
+++ b/internal/engine/lineclient/responses.go
@@ -55,7 +55,7 @@
 		s.conn.client.Counters.Increment(metrics.EngineConnectionsDuplicateResponses)
 		return nil
 	}
-	text, _ := received.fields.value("batches")
+	text, _ := received.fields.value(fieldPageCount)
 	pages, err := strconv.Atoi(text)
 	if err != nil || pages < 0 || pages > maxPages {
 		return fmt.Errorf("%w: %.20q", errPageCount, text)
@@ -63,9 +63,9 @@
 	if !completeRows(received.body) {
 		return errMalformedPage
 	}
-	work, _ := received.fields.number("cpu")
+	work, _ := received.fields.number(fieldWork)
 	s.report.Work = config.FromMilliseconds(max(work, 0))
-	s.report.MemoryMB, _ = received.fields.number("used")
+	s.report.MemoryMB, _ = received.fields.number(fieldMemory)
 	s.report.Load = received.fields.loadReport()
 	s.result = newPartialResult(max(pages, 1))
 	s.result.add(0, received.body)
@@ -80,7 +80,7 @@
 
 // handlePage stores a page after the first.
 func (s *stream) handlePage(received response) error {
-	text, _ := received.fields.value("batch")
+	text, _ := received.fields.value(fieldPageNumber)
 	page, err := strconv.Atoi(text)
 	switch {
 	case err != nil || page < 1 || page >= len(s.result.pages):
