--- a/internal/engine/lineclient/pages.go
+++ b/internal/engine/lineclient/pages.go
@@ -59,12 +59,15 @@
 	}
 	tabs := 0
 	for _, char := range page {
-		switch {
-		case char == '\t':
-			tabs++
-		case char == '\n' && tabs != columnsPerRow-1, char == 0, char == '\r':
+		switch char {
+		case 0, '\r':
 			return false
-		case char == '\n':
+		case '\t':
+			tabs++
+		case '\n':
+			if tabs != columnsPerRow-1 {
+				return false
+			}
 			tabs = 0
 		}
 	}
