--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -1,6 +1,7 @@
 package lineclient
 
 import (
+	"cmp"
 	"slices"
 	"time"
 
@@ -70,7 +71,7 @@
 	for _, s := range c.streams {
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b *stream) int { return int(a.attempt.StartedAt - b.attempt.StartedAt) })
+	slices.SortFunc(list, func(a, b *stream) int { return cmp.Compare(a.attempt.StartedAt, b.attempt.StartedAt) })
 	return list
 }
 
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -62,14 +62,14 @@
 	if options.MaxBufferedBytes <= 0 {
 		options.MaxBufferedBytes = defaultBufferedBytes
 	}
-	shared := engine.Options{
+	limits := engine.Options{
 		ConnectTimeout:  options.ConnectTimeout,
 		IdleTimeout:     options.IdleTimeout,
 		ReadBufferBytes: readBufferBytes,
 		StallTimeout:    stallTimeout,
 	}
 	return &Client{
-		Client:       engine.NewClient[*connection](loop, dispatcher, shared, counters, log),
+		Client:       engine.NewClient[*connection](loop, dispatcher, limits, counters, log),
 		options:      options,
 		resultBudget: memorybudget.New(options.MaxBufferedBytes),
 	}
--- a/internal/engine/pgclient/messages.go
+++ b/internal/engine/pgclient/messages.go
@@ -16,6 +16,12 @@
 	kindSync     = 'S'
 )
 
+// What a Describe describes.
+const (
+	describeStatement = "S"
+	describePortal    = "P"
+)
+
 // The kinds of the messages that this client reads.
 const (
 	kindAuthentication       = 'R'
--- a/internal/engine/pgclient/query.go
+++ b/internal/engine/pgclient/query.go
@@ -29,7 +29,7 @@
 		query = pgproto.AppendMessage(query, kindParse, name, text, statement.ParameterTypes)
 	}
 	if statement.DescribeOnly {
-		query = pgproto.AppendMessage(query, kindDescribe, []byte("S"), name)
+		query = pgproto.AppendMessage(query, kindDescribe, []byte(describeStatement), name)
 	} else {
 		query = appendExecution(query, name, statement.Bind)
 	}
@@ -44,6 +44,6 @@
 		unlimitedRows = 0
 	)
 	query = pgproto.AppendMessage(query, kindBind, []byte(unnamedPortal), name, bind)
-	query = pgproto.AppendMessage(query, kindDescribe, []byte("P"+unnamedPortal))
+	query = pgproto.AppendMessage(query, kindDescribe, []byte(describePortal+unnamedPortal))
 	return pgproto.AppendMessage(query, kindExecute, []byte(unnamedPortal), pgproto.Int32(unlimitedRows))
 }
