--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -120,11 +120,11 @@
 	status := statusOf(c.exchange.errorResponse.Code)
 	written := c.exchange.written()
 	switch {
-	case !written && status != lifecycle.StatusOverloaded: // the statement has not run
-		return lifecycle.StatusConnectionRefused
-	case written && status != lifecycle.StatusTimeout:
-		// The statement may have run, for instance between its commit and CommandComplete.
+	case written && status == lifecycle.StatusTimeout, !written && status == lifecycle.StatusOverloaded:
+		return status
+	case written: // the statement may have run, for instance between its commit and CommandComplete
 		return lifecycle.StatusEngineError
+	default: // the statement has not run
+		return lifecycle.StatusConnectionRefused
 	}
-	return status
 }
--- a/internal/engine/pgclient/response.go
+++ b/internal/engine/pgclient/response.go
@@ -69,12 +69,14 @@
 func (c *connection) completeResponse() error {
 	statement, _ := c.exchange.attempt.Request.Statement.(*pgproto.Statement)
 	failure := c.exchange.errorResponse
+	// A Describe without an Execute has no CommandComplete.
+	described := statement.DescribeOnly && c.exchange.result.ParameterDescription != nil
 	switch {
 	case failure != nil && c.forgetStale(failure.Code):
 		c.finish(lifecycle.StatusNotSent, lifecycle.AttemptReport{})
 	case failure != nil:
 		c.finish(c.errorStatus(statement), lifecycle.AttemptReport{ErrorDetail: failure})
-	case c.exchange.complete || statement.DescribeOnly && c.exchange.result.ParameterDescription != nil:
+	case c.exchange.complete || described:
 		c.finish(lifecycle.StatusServed, lifecycle.AttemptReport{Result: c.exchange.result})
 	default:
 		return errIncompleteResponse
