--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -63,8 +63,9 @@
 	}},
 	"errors": {play: func(x exchange) {
 		for number, code := range []string{
-			"53300", "57P01", "57P03", "57014", "57P05", "40001", "08006",
-			"58030", "XX000", "F0000", "42P01", "22012", "0A000",
+			tooManyConnections, adminShutdown, cannotConnectNow, queryCanceled, idleSessionTimeout,
+			serializationFailure, connectionFailure, ioError, internalError, configFileError,
+			undefinedTable, divisionByZero, featureNotSupported,
 		} {
 			attempt := x.start(statement(fmt.Sprintf("SELECT %d", number)))
 			if number == 0 {
@@ -77,23 +78,23 @@
 		attempt := x.newAttempt("write", statement("INSERT 1"))
 		x.Start(attempt)
 		x.readQuery()
-		x.respond(attempt, parseComplete, bindComplete, errorResponse("ERROR", "53100"), readyForQuery)
+		x.respond(attempt, parseComplete, bindComplete, errorResponse("ERROR", diskFull), readyForQuery)
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"forgotten-statement": {play: func(x exchange) {
 		x.respond(x.connectAndStart(lookupStatement), emptyResponse...)
-		x.respond(x.startOnIdle(lookupStatement), errorResponse("ERROR", "26000"), readyForQuery)
+		x.respond(x.startOnIdle(lookupStatement), errorResponse("ERROR", invalidStatementName), readyForQuery)
 		x.respond(x.startOnIdle(lookupStatement), emptyResponse...) // parsed again
 		x.RemoveEngineAndAwaitClose()
 	}},
 	"fatal": {play: func(x exchange) {
-		for _, code := range []string{"57P01", "57014", "53300"} {
+		for _, code := range []string{adminShutdown, queryCanceled, tooManyConnections} {
 			x.respond(x.connectAndStart(lookupStatement), errorResponse("FATAL", code))
 			x.AwaitClose()
 		}
 	}},
 	"fatal-at-startup": {play: func(x exchange) {
-		for _, code := range []string{"53300", "57P03", "28000", "3D000"} {
+		for _, code := range []string{tooManyConnections, cannotConnectNow, invalidAuthorization, invalidCatalogName} {
 			attempt := x.start(lookupStatement)
 			x.acceptPacket()
 			x.respond(attempt, errorResponse("FATAL", code))
@@ -175,10 +176,11 @@
 	}},
 	"statement-not-forgotten": {play: func(x exchange) {
 		// This query has parsed the statement itself.
-		x.respond(x.connectAndStart(lookupStatement), errorResponse("ERROR", "26000"), readyForQuery)
+		x.respond(x.connectAndStart(lookupStatement), errorResponse("ERROR", invalidStatementName), readyForQuery)
 		x.respond(x.startOnIdle(lookupStatement), emptyResponse...)
 		// The statement may have run.
-		x.respond(x.startOnIdle(lookupStatement), bindComplete, errorResponse("ERROR", "0A000"), readyForQuery)
+		attempt := x.startOnIdle(lookupStatement)
+		x.respond(attempt, bindComplete, errorResponse("ERROR", featureNotSupported), readyForQuery)
 		x.respond(x.startOnIdle(lookupStatement), reusedResponse...)
 		x.RemoveEngineAndAwaitClose()
 	}},
@@ -214,7 +216,7 @@
 	}},
 	"closed-in-response": {play: func(x exchange) {
 		attempt := x.connectAndStart(lookupStatement)
-		x.Write(parseComplete, bindComplete, rowDescription, errorResponse("ERROR", "42P01")) // no ReadyForQuery
+		x.Write(parseComplete, bindComplete, rowDescription, errorResponse("ERROR", undefinedTable)) // no ReadyForQuery
 		x.Disconnect()
 		x.AwaitEnd(attempt)
 		attempt = x.connectAndStart(lookupStatement)
@@ -249,13 +251,14 @@
 		},
 	},
 	"fatal-while-idle": {play: func(x exchange) {
-		for _, code := range []string{"57P01", "57P05"} {
+		for _, code := range []string{adminShutdown, idleSessionTimeout} {
 			x.respond(x.connectAndStart(lookupStatement), emptyResponse...)
 			x.Write(errorResponse("FATAL", code))
 			x.AwaitClose()
 			x.PrintConnections()
 		}
-		for _, code := range []string{"57P01", "57P05"} { // on a connection on which nothing was written
+		// On a connection on which nothing was written.
+		for _, code := range []string{adminShutdown, idleSessionTimeout} {
 			attempt := x.start(lookupStatement)
 			x.acceptPacket()
 			x.Withdraw(attempt)
--- a/internal/engine/pgclient/messages_test.go
+++ b/internal/engine/pgclient/messages_test.go
@@ -37,6 +37,27 @@
 	emptyQueryResponse   = message('I', "")
 )
 
+// The SQLSTATE codes of the engine's errors, under their names in PostgreSQL's documentation.
+const (
+	connectionFailure    = "08006"
+	featureNotSupported  = "0A000"
+	divisionByZero       = "22012"
+	invalidStatementName = "26000"
+	invalidAuthorization = "28000"
+	invalidCatalogName   = "3D000"
+	serializationFailure = "40001"
+	undefinedTable       = "42P01"
+	diskFull             = "53100"
+	tooManyConnections   = "53300"
+	queryCanceled        = "57014"
+	adminShutdown        = "57P01"
+	cannotConnectNow     = "57P03"
+	idleSessionTimeout   = "57P05"
+	ioError              = "58030"
+	configFileError      = "F0000"
+	internalError        = "XX000"
+)
+
 // errorResponse returns an ErrorResponse with a SQLSTATE code.
 func errorResponse(severity, code string) []byte {
 	return message('E', "S"+severity+"\x00V"+severity+"\x00C"+code+"\x00Mwords of the engine\x00\x00")
