--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -44,7 +44,7 @@
 		if estimate.MemoryMB > 0 {
 			t.row("memory\t%.3g MB", estimate.MemoryMB)
 		}
-		if analysis.Effect.Effect == sqltext.EffectReads && estimate.Class >= 0 {
+		if analysis.Verdict.Effect == sqltext.EffectReads && estimate.Class >= 0 {
 			t.row("class\t%s", model.Classes[estimate.Class].Name)
 		}
 	}
@@ -98,16 +98,13 @@
 	for _, name := range c.ReadOnlyFunctions {
 		readOnly[name] = true
 	}
-	analyzer := sqltext.NewAnalyzer()
-	analyzer.ClassifyEffect = true
-	analyzer.ReadOnlyFunctions = readOnly
-	analysis := analyzer.Analyze(c.SQL)
+	analysis := sqltext.NewAnalyzer().AnalyzeAndClassify(c.SQL, readOnly)
 	t.row("tokens\t%s", formatTokens(c.SQL))
 	t.row("shape\t%s", analysis.NormalForm)
 	if analysis.HasDataset {
 		t.row("dataset\t%d", analysis.Dataset)
 	}
-	t.row("effect\t%v (%v)", analysis.Effect.Effect, analysis.Effect)
+	t.row("effect\t%v (%v)", analysis.Verdict.Effect, analysis.Verdict)
 	t.row("features\t%+v", analysis.Features)
 	profile := analysis.Profile(c.SQL, binds, 0)
 	t.row("profile\t%s", formatProfile(&profile))
--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -81,10 +81,10 @@
 	Unrestricted bool
 }
 
-// Classification is the part of an Analysis that is set only if Analyzer.ClassifyEffect is true. Its
-// zero value has the most cautious effect, EffectUnknown.
+// Classification is the part of an Analysis that only Analyzer.AnalyzeAndClassify sets. Its zero value
+// has the most cautious effect, EffectUnknown.
 type Classification struct {
-	Effect             Verdict // as returned by EffectOf
+	Verdict            Verdict // as returned by EffectOf
 	FirstWord          string  // as returned by the function FirstWord, but in the case of the text
 	MultipleStatements bool    // the text contains more than one statement
 }
--- a/internal/sqltext/analyzer.go
+++ b/internal/sqltext/analyzer.go
@@ -3,33 +3,45 @@
 // Analyzer analyzes statements. It allocates only when its buffer grows. It may be used by one
 // goroutine at a time.
 type Analyzer struct {
-	// ClassifyEffect enables the classification of effects.
-	ClassifyEffect bool
-	// ReadOnlyFunctions are read-only functions beside PostgreSQL's own.
-	ReadOnlyFunctions Functions
-
 	hasher fingerprintHasher
 	buffer []byte // of the normal form
 
 	// These are not part of the pass, which is cleared for each statement. Clearing them would
 	// take longer than the analysis of most statements.
-	slots  slotBuffer
-	lists  listStack
-	effect effectClassifier
-	result Analysis
+	slots      slotBuffer
+	lists      listStack
+	classifier classifier
+	result     Analysis
+}
+
+// classifier determines the Classification of a statement.
+type classifier struct {
+	effect     effectClassifier
+	statements statementCounter
 }
 
 // NewAnalyzer returns an analyzer with random seeds.
 func NewAnalyzer() *Analyzer { return &Analyzer{hasher: newFingerprintHasher()} }
 
-// maxRetainedBuffer is the largest buffer, in bytes, that an analyzer keeps for the next statement.
-const maxRetainedBuffer = 64 << 10
-
 // Fingerprint returns the fingerprint of a normal form that is not truncated.
 func (a *Analyzer) Fingerprint(normalForm string) [2]uint64 { return a.hasher.ofString(normalForm) }
 
-// Analyze analyzes a statement. The result is valid until the next call.
-func (a *Analyzer) Analyze(stmt string) *Analysis {
+// Analyze analyzes a statement and leaves the Classification of the result empty. The result is valid
+// until the next analysis.
+func (a *Analyzer) Analyze(stmt string) *Analysis { return a.analyze(stmt, nil) }
+
+// AnalyzeAndClassify analyzes a statement like Analyze and also sets the Classification of the result.
+// readOnly names read-only functions beside PostgreSQL's own.
+func (a *Analyzer) AnalyzeAndClassify(stmt string, readOnly Functions) *Analysis {
+	a.classifier = classifier{effect: effectClassifier{readOnly: readOnly}}
+	return a.analyze(stmt, &a.classifier)
+}
+
+// maxRetainedBuffer is the largest buffer, in bytes, that an analyzer reuses for the next statement.
+const maxRetainedBuffer = 64 << 10
+
+// analyze analyzes a statement, and classifies it if classifier is not nil.
+func (a *Analyzer) analyze(stmt string, classifier *classifier) *Analysis {
 	if cap(a.buffer) > maxRetainedBuffer {
 		a.buffer = nil
 	}
@@ -37,9 +49,6 @@
 	a.result = Analysis{}
 	a.slots.count = 0
 	a.lists.count = 0
-	if a.ClassifyEffect {
-		a.effect = effectClassifier{readOnly: a.ReadOnlyFunctions}
-	}
 	pass := analysisPass{
 		lexer:  Lexer{Src: stmt},
 		result: &a.result,
@@ -48,27 +57,33 @@
 		lists:  &a.lists,
 		normal: normalForm{text: a.buffer},
 	}
-	a.run(&pass)
+	for t := pass.lexer.Next(); t.Kind != EndOfText; t = pass.lexer.Next() {
+		if classifier != nil {
+			classifier.token(&pass.lexer, t)
+		}
+		pass.token(t)
+	}
+	pass.finish()
+	if classifier != nil {
+		a.result.Classification = classifier.finish(&pass.lexer)
+	}
 	a.buffer = pass.normal.text
 	return &a.result
 }
 
-// run passes all tokens of a statement to the pass and, if ClassifyEffect is set, to the classifier.
-func (a *Analyzer) run(pass *analysisPass) {
-	var statements statementCounter
-	for t := pass.lexer.Next(); t.Kind != EndOfText; t = pass.lexer.Next() {
-		if a.ClassifyEffect {
-			statements.token(&pass.lexer, t)
-			if !a.effect.decided() {
-				a.effect.token(&pass.lexer, t)
-			}
-		}
-		pass.token(t)
+// token adds the next token.
+func (c *classifier) token(lexer *Lexer, t Token) {
+	c.statements.token(lexer, t)
+	if !c.effect.decided() {
+		c.effect.token(lexer, t)
 	}
-	if a.ClassifyEffect {
-		a.result.Effect = a.effect.verdict(&pass.lexer)
-		a.result.FirstWord = statements.firstWord
-		a.result.MultipleStatements = statements.multiple
+}
+
+// finish returns the result at the end of the text.
+func (c *classifier) finish(lexer *Lexer) Classification {
+	return Classification{
+		Verdict:            c.effect.verdict(lexer),
+		FirstWord:          c.statements.firstWord,
+		MultipleStatements: c.statements.multiple,
 	}
-	pass.finish()
 }
--- a/internal/sqltext/analyzer_test.go
+++ b/internal/sqltext/analyzer_test.go
@@ -184,15 +184,13 @@
 	f.Add("INSERT INTO s_1.t VALUES (1, ARRAY[2,3]), ((4)) ; VALUES IN (VALUES", []byte{})
 	f.Add("ARRAY[IN(ARRAY[IN(1,(2,-", []byte{9})
 	f.Fuzz(func(t *testing.T, stmt string, value []byte) {
-		analyzer := NewAnalyzer()
-		analyzer.ClassifyEffect = true
-		analysis := analyzer.Analyze(stmt)
-		if want := EffectOf(stmt, nil); analysis.Effect != want {
-			t.Fatalf("%q: effect %v by Analyze, %v by EffectOf", stmt, analysis.Effect, want)
+		analysis := NewAnalyzer().AnalyzeAndClassify(stmt, nil)
+		if want := EffectOf(stmt, nil); analysis.Verdict != want {
+			t.Fatalf("%q: verdict %v by AnalyzeAndClassify, %v by EffectOf", stmt, analysis.Verdict, want)
 		}
 		first, multiple := FirstWord(stmt)
 		if strings.ToUpper(analysis.FirstWord) != first || analysis.MultipleStatements != multiple {
-			t.Fatalf("%q: first word %q, multiple statements %v by Analyze; %q, %v by FirstWord",
+			t.Fatalf("%q: first word %q, multiple statements %v by AnalyzeAndClassify; %q, %v by FirstWord",
 				stmt, analysis.FirstWord, analysis.MultipleStatements, first, multiple)
 		}
 		if len(analysis.NormalForm) > 2*len(stmt)+16 {
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -89,11 +89,8 @@
 		if got.Effect != want {
 			t.Errorf("%s: %v (%v), want %v", stmt, got.Effect, got, want)
 		}
-		analyzer := NewAnalyzer()
-		analyzer.ClassifyEffect = true
-		analyzer.ReadOnlyFunctions = more
-		if analyzed := analyzer.Analyze(stmt).Effect; analyzed != got {
-			t.Errorf("%s: %v by Analyze, %v by EffectOf", stmt, analyzed, got)
+		if analyzed := NewAnalyzer().AnalyzeAndClassify(stmt, more).Verdict; analyzed != got {
+			t.Errorf("%s: %v by AnalyzeAndClassify, %v by EffectOf", stmt, analyzed, got)
 		}
 	}
 }
--- a/internal/sqltext/golden_test.go
+++ b/internal/sqltext/golden_test.go
@@ -104,15 +104,16 @@
 	fmt.Fprintf(&out, " effect %v, reason %q, word %q\n", verdict.Effect, verdict.Reason, verdict.Word)
 
 	analyzer := NewAnalyzer()
-	for _, classify := range []bool{false, true} {
-		analyzer.ClassifyEffect = classify
-		analyzer.ReadOnlyFunctions = readOnly
-		analysis := analyzer.Analyze(stmt)
+	for _, analyze := range []func() *Analysis{
+		func() *Analysis { return analyzer.Analyze(stmt) },
+		func() *Analysis { return analyzer.AnalyzeAndClassify(stmt, readOnly) },
+	} {
+		analysis := analyze()
 		fmt.Fprintf(&out, " analysis %q truncated=%v dataset=%d/%v restrictions=%d unrestricted=%v\n",
 			analysis.NormalForm, analysis.Truncated, analysis.Dataset, analysis.HasDataset,
 			analysis.Restrictions, analysis.Unrestricted)
-		fmt.Fprintf(&out, "  effect %v, reason %q, word %q, first word %q, several=%v\n", analysis.Effect.Effect,
-			analysis.Effect.Reason, analysis.Effect.Word, analysis.FirstWord, analysis.MultipleStatements)
+		fmt.Fprintf(&out, "  effect %v, reason %q, word %q, first word %q, several=%v\n", analysis.Verdict.Effect,
+			analysis.Verdict.Reason, analysis.Verdict.Word, analysis.FirstWord, analysis.MultipleStatements)
 		fmt.Fprintf(&out, "  features %+v\n  slots %+v\n", analysis.Features, analysis.Slots)
 		for _, binds := range goldenBinds() {
 			profile := analysis.Profile(stmt, binds, 7)
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -22,11 +22,9 @@
 // Parse parses a statement and classifies its effect. readOnly names further functions that
 // the operators declare to be read-only.
 func (s *Service) Parse(text string, readOnly sqltext.Functions) *Statement {
-	analyzer := s.store.analyzer
-	analyzer.ClassifyEffect = true
-	analyzer.ReadOnlyFunctions = readOnly
-	defer func() { analyzer.ClassifyEffect = false }()
-	return s.store.Parse(text)
+	statement := &Statement{}
+	statement.set(text, s.store.analyzer.AnalyzeAndClassify(text, readOnly))
+	return statement
 }
 
 // EstimateRequest estimates a request whose class is already known, and applies the estimate to the
@@ -38,7 +36,7 @@
 // EstimateText parses a text, sets the request's dataset and does the same as EstimateRequest.
 func (s *Service) EstimateText(r *lifecycle.Request, text string) {
 	execution := s.executions.get()
-	s.store.parseInto(&execution.parsed, text)
+	execution.parsed.set(text, s.store.analyzer.Analyze(text))
 	r.Dataset, _ = execution.parsed.Dataset()
 	s.estimateRequest(r, execution, &execution.parsed, nil)
 }
--- a/internal/stmtstats/statement.go
+++ b/internal/stmtstats/statement.go
@@ -13,23 +13,23 @@
 	slots    [inlineSlots]sqltext.Slot
 }
 
-// Parse parses a text.
+// Parse parses a text without classifying it, so that its Effect is unknown and its FirstWord is empty.
 func (s *Store) Parse(text string) *Statement {
 	statement := &Statement{}
-	s.parseInto(statement, text)
+	statement.set(text, s.analyzer.Analyze(text))
 	return statement
 }
 
-// parseInto parses a text into an empty statement.
-func (s *Store) parseInto(statement *Statement, text string) {
-	statement.text = text
-	statement.analysis = *s.analyzer.Analyze(text)
-	statement.analysis.Slots = append(statement.slots[:0], statement.analysis.Slots...)
-	statement.analysis.NormalForm = nil
+// set sets an empty statement to a text and a copy of its analysis.
+func (st *Statement) set(text string, analysis *sqltext.Analysis) {
+	st.text = text
+	st.analysis = *analysis
+	st.analysis.Slots = append(st.slots[:0], analysis.Slots...)
+	st.analysis.NormalForm = nil
 }
 
-// Effect returns what the statement may do to stored data, as judged by sqltext.
-func (st *Statement) Effect() sqltext.Verdict { return st.analysis.Effect }
+// Effect returns what the statement may do to stored data, as classified by sqltext.
+func (st *Statement) Effect() sqltext.Verdict { return st.analysis.Verdict }
 
 // FirstWord returns the first word of the statement, or "(" if it begins with another token.
 func (st *Statement) FirstWord() string { return st.analysis.FirstWord }
