--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -37,7 +37,7 @@
 		return l.scanOperator()
 	case c == '\'':
 		l.Pos = start + 1
-		l.skipString(false)
+		l.skipString(standardString)
 		return Token{Kind: String, Start: start, End: l.Pos}
 	case singleKinds[c] != EndOfText:
 		l.Pos = start + 1
--- a/internal/sqltext/lexer_identifier.go
+++ b/internal/sqltext/lexer_identifier.go
@@ -47,15 +47,18 @@
 		return Token{}, false
 	}
 	kind := String
+	syntax := standardString
 	switch prefix {
 	case 'b', 'x':
 		kind = BitString
-	case 'e', 'n':
+	case 'e':
+		syntax = escapeString
+	case 'n':
 	default:
 		return Token{}, false
 	}
 	l.Pos++
-	l.skipString(prefix == 'e')
+	l.skipString(syntax)
 	return Token{Kind: kind, Start: start, End: l.Pos}, true
 }
 
@@ -72,7 +75,7 @@
 		l.skipQuotedIdentifier()
 		return Token{Kind: QuotedIdentifier, Start: start, End: l.Pos}, true
 	}
-	l.skipString(false)
+	l.skipString(standardString)
 	return Token{Kind: String, Start: start, End: l.Pos}, true
 }
 
--- a/internal/sqltext/lexer_string.go
+++ b/internal/sqltext/lexer_string.go
@@ -1,15 +1,23 @@
 package sqltext
 
-// skipString skips the rest of a string, whose opening quote is already scanned. A doubled quote is part
-// of the string. If backslashes escape, a quote after a backslash is also part of it. The string continues
-// after its closing quote if only white space with a line end separates it from another quote.
-func (l *Lexer) skipString(backslashEscapes bool) {
+// stringSyntax says what a backslash means in a string.
+type stringSyntax uint8
+
+const (
+	standardString stringSyntax = iota // '..': a backslash is an ordinary character
+	escapeString                       // E'..': a backslash escapes the character after it
+)
+
+// skipString skips the rest of a string, whose opening quote is already scanned. A doubled quote or an
+// escaped one is part of the string. The string continues after its closing quote if only white space with
+// a line end separates it from another quote.
+func (l *Lexer) skipString(syntax stringSyntax) {
 	src := l.Src
 	i := l.Pos
 	for i < len(src) {
 		c := src[i]
 		switch {
-		case c == '\\' && backslashEscapes:
+		case c == '\\' && syntax == escapeString:
 			i += 2
 		case c == '\\':
 			if i+1 < len(src) && src[i+1] == '\'' {
