--- a/internal/sqltext/fingerprint.go
+++ b/internal/sqltext/fingerprint.go
@@ -13,7 +13,7 @@
 	return fingerprintHasher{seeds: [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}}
 }
 
-// ofString returns the fingerprint of a normal form in one piece.
+// ofString returns the fingerprint of a normal form.
 func (h *fingerprintHasher) ofString(normalForm string) (fingerprint [2]uint64) {
 	for i, seed := range h.seeds {
 		fingerprint[i] = maphash.String(seed, normalForm)
@@ -29,18 +29,22 @@
 	return fingerprint
 }
 
-// addPart hashes one part of a long normal form.
-func (h *fingerprintHasher) addPart(part []byte, isFirst bool) {
+// beginParts begins a long normal form, which is hashed in parts.
+func (h *fingerprintHasher) beginParts() {
+	for i := range h.prefixHashes {
+		h.prefixHashes[i].SetSeed(h.seeds[i]) // this also resets the hash
+	}
+}
+
+// addPart hashes the next part of a long normal form.
+func (h *fingerprintHasher) addPart(part []byte) {
 	for i := range h.prefixHashes {
-		if isFirst {
-			h.prefixHashes[i].SetSeed(h.seeds[i])
-		}
 		_, _ = h.prefixHashes[i].Write(part) // it never fails
 	}
 }
 
 // sumParts returns the fingerprint of a normal form whose parts were all added. It equals that
-// of the normal form in one piece.
+// of the same normal form hashed at once.
 func (h *fingerprintHasher) sumParts() (fingerprint [2]uint64) {
 	for i := range h.prefixHashes {
 		fingerprint[i] = h.prefixHashes[i].Sum64()
--- a/internal/sqltext/pass.go
+++ b/internal/sqltext/pass.go
@@ -77,7 +77,7 @@
 	if !p.result.Truncated {
 		return p.hasher.ofBytes(p.normal.text)
 	}
-	p.hasher.addPart(p.normal.text, false)
+	p.hasher.addPart(p.normal.text)
 	return p.hasher.sumParts()
 }
 
@@ -87,7 +87,10 @@
 // hashPending hashes the normal form so far and empties its buffer, so that a long statement
 // needs no long buffer.
 func (p *analysisPass) hashPending() {
-	p.hasher.addPart(p.normal.text, !p.result.Truncated)
+	if !p.result.Truncated {
+		p.hasher.beginParts()
+		p.result.Truncated = true
+	}
+	p.hasher.addPart(p.normal.text)
 	p.normal.text = p.normal.text[:0]
-	p.result.Truncated = true
 }
