--- a/internal/sqltext/binds.go
+++ b/internal/sqltext/binds.go
@@ -15,88 +15,105 @@
 	binaryFormat = 1 // the format code of binary values
 )
 
-// parameter returns the value of a parameter. ok is false if none is bound.
-func (b *Binds) parameter(number int32) (value []byte, binaryForm, ok bool) {
+// parameter returns the value of a parameter.
+func (b *Binds) parameter(number int32) slotValue {
 	n := int(number)
 	if n < 1 || n > len(b.Values) {
-		return nil, false, false
+		return slotValue{form: formUnbound}
 	}
-	switch {
-	case len(b.Formats) == formatSize: // one for all values
-		binaryForm = b.Formats[formatSize-1] == binaryFormat
-	case len(b.Formats) >= formatSize*n:
-		binaryForm = b.Formats[formatSize*n-1] == binaryFormat
+	value := slotValue{form: formText, bound: b.Values[n-1], typeOID: b.typeOID(n)}
+	if value.bound == nil {
+		value.form = formNull
+	} else if b.isBinary(n) {
+		value.form = formBinary
 	}
-	return b.Values[n-1], binaryForm, true
+	return value
 }
 
-// typeOID returns the type of a parameter, or 0 if it is unknown.
-func (b *Binds) typeOID(number int32) uint32 {
-	n := int(number)
-	if n < 1 || len(b.TypeOIDs) < typeOIDSize*n {
+// isBinary reports whether the value of parameter n is in binary form.
+func (b *Binds) isBinary(n int) bool {
+	if len(b.Formats) == formatSize { // one for all values
+		n = 1
+	}
+	return len(b.Formats) >= formatSize*n && b.Formats[formatSize*n-1] == binaryFormat
+}
+
+// typeOID returns the type of parameter n, or 0 if it is unknown.
+func (b *Binds) typeOID(n int) uint32 {
+	if len(b.TypeOIDs) < typeOIDSize*n {
 		return 0
 	}
 	return binary.BigEndian.Uint32(b.TypeOIDs[typeOIDSize*(n-1):])
 }
 
+// valueForm is the form in which an execution has the value of a slot.
+type valueForm uint8
+
+const (
+	formLiteral valueForm = iota // in the text of the statement
+	formText                     // bound, in text form
+	formBinary                   // bound, in binary form
+	formNull                     // bound to null
+	formUnbound                  // a parameter without a bound value
+)
+
 // slotValue is the value of a slot in one execution.
 type slotValue struct {
-	text       string // of a literal, quotes included
-	bound      []byte // of a parameter
-	binaryForm bool
-	typeOID    uint32
-	known      bool // false: the parameter is not bound
-	null       bool
+	form    valueForm
+	literal string // of formLiteral, quotes included
+	bound   []byte // of formText and formBinary
+	typeOID uint32 // of a bound value; 0: unknown
 }
 
 // slotValue returns the value of a slot of the statement.
-func (b *Binds) slotValue(stmt string, slot *Slot) (v slotValue) {
+func (b *Binds) slotValue(stmt string, slot *Slot) slotValue {
 	if slot.Parameter <= 0 {
-		v.text = stmt[slot.From:slot.To]
-		v.known = true
-		return v
+		return slotValue{form: formLiteral, literal: stmt[slot.From:slot.To]}
 	}
-	v.bound, v.binaryForm, v.known = b.parameter(slot.Parameter)
-	v.typeOID = b.typeOID(slot.Parameter)
-	v.null = v.known && v.bound == nil
-	return v
+	return b.parameter(slot.Parameter)
 }
 
 // maxPatternBytes limits the part of a bound pattern that is searched for its first wildcard.
 const maxPatternBytes = 64
 
-// pattern returns the pattern, or its beginning.
-func (v *slotValue) pattern(slot *Slot) string {
-	if slot.Parameter > 0 {
-		return string(v.bound[:min(len(v.bound), maxPatternBytes)])
+// pattern returns the pattern, or its beginning. It is empty if no pattern is bound.
+func (v *slotValue) pattern() string {
+	if v.form == formLiteral {
+		return unquote(v.literal)
 	}
-	return unquote(v.text)
+	return string(v.bound[:min(len(v.bound), maxPatternBytes)])
 }
 
-// listLength returns the number of alternatives of a list.
-func (v *slotValue) listLength(slot *Slot) int {
+// listLength returns the number of alternatives of a list: the length of an array, or listed if the
+// statement lists them one by one.
+func (v *slotValue) listLength(listed int32) int {
 	switch {
-	case slot.Parameter > 0 && v.known:
-		return arrayLength(v.bound, v.binaryForm)
-	case slot.Parameter == 0 && slot.To > slot.From:
-		return textArrayLength(unquote(v.text))
+	case v.form == formText:
+		return boundArrayLength(v.bound)
+	case v.form == formBinary:
+		return binaryArrayLength(v.bound)
+	case v.literal != "":
+		return textArrayLength(unquote(v.literal))
 	}
-	return int(slot.Count)
+	return int(listed)
 }
 
 // maxNumberBytes limits the text of a number.
 const maxNumberBytes = 40
 
-// number returns the value as a number, dates and times as days.
+// number returns the value as a number, dates and times as days. ok is false if it is none.
 func (v *slotValue) number() (x float64, ok bool) {
-	if v.bound == nil {
-		return parseNumber(v.text)
-	}
-	if v.binaryForm {
+	switch v.form {
+	case formLiteral:
+		return parseNumber(v.literal)
+	case formBinary:
 		return parseBinaryNumber(v.bound, v.typeOID)
+	case formText:
+		if len(v.bound) > maxNumberBytes {
+			return 0, false
+		}
+		return parseNumber(string(v.bound))
+	case formNull, formUnbound:
 	}
-	if len(v.bound) > maxNumberBytes {
-		return 0, false
-	}
-	return parseNumber(string(v.bound))
+	return 0, false
 }
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -39,7 +39,7 @@
 	for i := range a.Slots {
 		slot := &a.Slots[i]
 		v := binds.slotValue(stmt, slot)
-		if !v.null {
+		if v.form != formNull {
 			builder.add(slot, &v)
 		} else if slot.Role != RoleOther && slot.Role != RoleLimit && a.hasNullGuard(slot.Parameter) {
 			builder.profile.DisabledRestrictions++
@@ -99,22 +99,22 @@
 	profile := &b.profile
 	switch slot.Role {
 	case RoleEqual:
-		if profile.Key == 0 && value.known {
+		if profile.Key == 0 && value.form != formUnbound {
 			profile.Key = hashKey(value, b.seed)
 		}
 	case RoleList:
-		if length := value.listLength(slot); length > profile.Alternatives {
+		if length := value.listLength(slot.Count); length > profile.Alternatives {
 			profile.Alternatives = length
 			profile.Column = slot.Column
 		}
 	case RoleLowerBound, RoleUpperBound:
 		b.addBound(slot, value)
 	case RoleInterval:
-		if days, ok := parseInterval(unquote(value.text)); ok {
+		if days, ok := parseInterval(unquote(value.literal)); ok {
 			profile.Span = max(profile.Span, days)
 		}
 	case RolePattern:
-		wildcard := firstWildcard(value.pattern(slot))
+		wildcard := firstWildcard(value.pattern())
 		profile.Wildcard = max(profile.Wildcard, wildcard)
 		if wildcard == LeadingWildcard {
 			b.restrictions--
--- a/internal/sqltext/value_hash.go
+++ b/internal/sqltext/value_hash.go
@@ -20,15 +20,15 @@
 	)
 	hash := seed ^ fnvOffset
 	switch {
-	case value.bound != nil && value.binaryForm && isIntegerType(value.typeOID):
+	case value.form == formLiteral:
+		text := unquote(value.literal)
+		hash = fnv(hash, text[:min(len(text), maxHashedBytes)])
+	case value.form == formBinary && isIntegerType(value.typeOID):
 		number, _ := parseBinaryNumber(value.bound, value.typeOID)
 		var digits [maxIntDigits]byte
 		hash = fnv(hash, strconv.AppendInt(digits[:0], int64(number), decimal))
-	case value.bound != nil:
-		hash = fnv(hash, value.bound[:min(len(value.bound), maxHashedBytes)])
 	default:
-		text := unquote(value.text)
-		hash = fnv(hash, text[:min(len(text), maxHashedBytes)])
+		hash = fnv(hash, value.bound[:min(len(value.bound), maxHashedBytes)])
 	}
 	hash ^= hash >> upper32Shift
 	if hash == 0 {
--- a/internal/sqltext/values.go
+++ b/internal/sqltext/values.go
@@ -65,6 +65,17 @@
 	return length
 }
 
+// maxCountedArrayBytes is the part of a bound array in text form whose elements are counted. The
+// length of a longer array is extrapolated.
+const maxCountedArrayBytes = 1 << 16
+
+// boundArrayLength returns the number of elements of a bound array in text form, which is an estimate for
+// a long array, or 0 if it is malformed.
+func boundArrayLength(array []byte) int {
+	counted := array[:min(len(array), maxCountedArrayBytes)]
+	return textArrayLength(string(counted)) * max(1, len(array)/maxCountedArrayBytes)
+}
+
 // floatBits is the size of a number in bits, for strconv.ParseFloat.
 const floatBits = 64
 
--- a/internal/sqltext/values_binary.go
+++ b/internal/sqltext/values_binary.go
@@ -60,16 +60,8 @@
 	maxArrayDimensions  = 6 // MAXDIM of PostgreSQL
 )
 
-// maxCountedArrayBytes is the part of an array in text form whose elements are counted. The
-// length of a longer one is extrapolated.
-const maxCountedArrayBytes = 1 << 16
-
-// arrayLength returns the number of elements of a bound array, or 0 if it is malformed.
-func arrayLength(array []byte, binaryForm bool) int {
-	if !binaryForm {
-		counted := array[:min(len(array), maxCountedArrayBytes)]
-		return textArrayLength(string(counted)) * max(1, len(array)/maxCountedArrayBytes)
-	}
+// binaryArrayLength returns the number of elements of an array in binary form, or 0 if it is malformed.
+func binaryArrayLength(array []byte) int {
 	if len(array) < arrayHeaderBytes {
 		return 0
 	}
