--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -7,7 +7,7 @@
 const (
 	RoleOther      Role = iota
 	RoleEqual           // compared for equality
-	RoleList            // an alternative of a list (IN, ANY)
+	RoleList            // the alternatives of a list (IN, ANY)
 	RoleLowerBound      // lower bound of a range
 	RoleUpperBound      // upper bound of a range
 	RolePattern         // of LIKE, ILIKE, SIMILAR TO and the operators ~ and ~~
@@ -15,7 +15,7 @@
 	RoleInterval        // a length of time, as in now() - interval '1 year'
 )
 
-// Slot is one value of a statement that the size of its result may depend on.
+// Slot is one value of a statement, or one list of values, that the size of the result may depend on.
 type Slot struct {
 	Role      Role
 	NullGuard bool   // the statement tests the value for null, as in $1 IS NULL OR a = $1
@@ -26,7 +26,7 @@
 	Count     int32 // number of alternatives in a list of literals
 }
 
-// Verb is the command that decides the kind of a statement; 0: none of the constants.
+// Verb is the command that decides the kind of a statement; 0: none of those below.
 type Verb byte
 
 // The verbs.
--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -29,9 +29,11 @@
 // effectClassifier classifies a sequence of tokens.
 type effectClassifier struct {
 	readOnly Functions
-	worst    Verdict // the first verdict that is not EffectReads; EffectWrites replaces EffectUnknown
-	phase    classifierPhase
-	depth    int // of parentheses
+	// worst is the first verdict that is not EffectReads; EffectWrites replaces EffectUnknown. Its reason is
+	// empty while there is none.
+	worst Verdict
+	phase classifierPhase
+	depth int // of parentheses
 
 	// The last tokens. A name qualified by a schema counts as one token, except in kindBefore.
 	previous        Token
@@ -47,10 +49,9 @@
 }
 
 // decided reports whether no further token can change the verdict.
-func (c *effectClassifier) decided() bool {
-	return c.worst.Reason != "" && c.worst.Effect == EffectWrites
-}
+func (c *effectClassifier) decided() bool { return c.worst.Effect == EffectWrites }
 
+// report records that a word has a worse effect than reading.
 func (c *effectClassifier) report(effect Effect, word, reason string) {
 	if c.worst.Reason == "" || effect == EffectWrites && c.worst.Effect == EffectUnknown {
 		c.worst = Verdict{Effect: effect, Reason: reason, Word: word}
--- a/internal/sqltext/lexer_identifier.go
+++ b/internal/sqltext/lexer_identifier.go
@@ -121,7 +121,8 @@
 
 // nameHash hashes the name src[start:end] regardless of case, by its length and its first
 // and last eight bytes. It serves to find key words and columns; nothing relies on
-// different names having different hashes.
+// different names having different hashes. It takes the surrounding text to read eight bytes at once
+// also if the name is shorter.
 func nameHash(src string, start, end int) uint32 {
 	const (
 		multiplier   = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
--- a/internal/sqltext/slots.go
+++ b/internal/sqltext/slots.go
@@ -1,6 +1,6 @@
 package sqltext
 
-// maxSlots is the number of slots of one statement. Values beyond it are counted and have no slot.
+// maxSlots is the number of slots of one statement. Further values are only counted.
 const maxSlots = 24
 
 // slotBuffer is the list of the slots of one statement. Its array is reused for the next statement.
@@ -22,13 +22,12 @@
 // used returns the slots that were added. They are valid until the next statement.
 func (b *slotBuffer) used() []Slot { return b.entries[:b.count] }
 
-// expectedValue is the state of a pass that determines the next value's role and the column that the
-// value is compared with.
+// expectedValue is what the tokens so far say about the next value.
 type expectedValue struct {
 	role           Role
 	comparedColumn uint32 // hash of the column that the value is compared with
-	column         uint32 // hash of the last name, a column that a comparison may follow
-	afterBetween   bool   // AND leads to the upper bound of BETWEEN
+	column         uint32 // hash of the last name, which is the compared column if a comparison follows
+	afterBetween   bool   // the next AND precedes the upper bound of a BETWEEN
 	afterInterval  bool   // the previous token is the word INTERVAL
 	parameter      int    // number of the last parameter if only casts followed it, else 0
 }
@@ -52,6 +51,7 @@
 		p.expected.compare(RoleLowerBound)
 		p.expected.afterBetween = true
 	case keywordSymmetric, keywordNot, keywordSimilar, keywordInterval, keywordArray:
+		// The comparison continues after these words.
 	case keywordAnd:
 		if p.expected.afterBetween {
 			p.expected.role = RoleUpperBound
@@ -85,7 +85,8 @@
 	p.result.Features.Limited = true
 }
 
-// markNullGuard handles IS, which tests a parameter or a literal NULL before it.
+// markNullGuard handles IS. A parameter before it is tested for null; a literal NULL before it makes the
+// condition true for all rows.
 func (p *analysisPass) markNullGuard() {
 	used := p.slots.used()
 	for i := range used {
@@ -118,9 +119,9 @@
 		p.expected.parameter = parameterNumber(p.lexer.Src[t.Start+1 : t.End])
 	}
 	role = p.countRestriction(role)
-	// Of the values without a role, only parameters can turn out to be null guards.
-	isFixed := t.Kind != Parameter || p.result.Features.Verb == VerbInsert
-	if role == RoleOther && isFixed || p.slots.full() {
+	// A value without a role has a slot only if it may disable the restriction on another one.
+	mayBeNullGuard := t.Kind == Parameter && p.result.Features.Verb != VerbInsert
+	if role == RoleOther && !mayBeNullGuard || p.slots.full() {
 		return
 	}
 	slot := Slot{Role: role, NullGuard: isNullGuard, Column: p.expected.comparedColumn, Count: 1}
