--- a/internal/sqltext/doc.go
+++ b/internal/sqltext/doc.go
@@ -1,13 +1,39 @@
-// Package sqltext extracts from a statement, without parsing SQL, what the proxy needs:
+// Package sqltext extracts from the text of a statement what the proxy needs to route it and to estimate
+// its cost: whether it may write, which dataset it touches, its normal form and the properties of its
+// values. It splits the text into tokens by PostgreSQL's lexical rules and does not parse SQL.
 //
-//   - its tokens by PostgreSQL's lexical rules (Lexer);
-//   - whether it may write (EffectOf);
-//   - the dataset that it touches (DatasetOf);
-//   - its normal form with a fingerprint, and features that indicate its cost (Analyzer);
-//   - what the values of one execution indicate of the size of its result (Profile).
+// # Use
 //
-// All functions take time linear in the length of the text. They allocate nothing except results
-// that are new strings. An Analyzer does all of it in one pass over the tokens.
+// An Analyzer does everything in one pass over the tokens. The result is about the statement; a Profile is
+// about the values of one of its executions:
+//
+//	analyzer := sqltext.NewAnalyzer()
+//	analysis := analyzer.AnalyzeAndClassify(stmt, readOnlyFunctions)
+//	profile := analysis.Profile(stmt, binds, seed)
+//
+// A caller that needs only one result uses a function: EffectOf, DatasetOf, FirstWord, LeadingComment,
+// SkipComments or HasTokenPrefix.
+//
+// All functions take time linear in the length of the text. They allocate nothing except results that are
+// new strings.
+//
+// # Files
+//
+// In an order to read them:
+//
+//   - token.go and lexer.go: tokens, and the Lexer that finds them. The other lexer files scan one kind of
+//     token each. chars.go, keywords.go and keyword_table.go are its tables.
+//   - statement.go and dataset.go: the simple functions on tokens.
+//   - effect.go: EffectOf. effect_classifier.go follows the statement, effect_call.go recognizes calls of
+//     functions, effect_cte.go the names of common table expressions, and readonly.go lists what is known
+//     to be read-only.
+//   - analysis.go and analyzer.go: the Analysis and how the Analyzer computes it. pass.go passes each token
+//     to the normal form (normalform.go, fingerprint.go), the features and the slots; the other pass files
+//     handle one kind of token or, in pass_lists.go, the folding of lists.
+//   - profile.go: the Profile of one execution. bucket.go packs it into a number, binds.go finds the value of
+//     a slot, and the value files parse and hash it.
+//
+// # Lexical rules
 //
 // The rules are those of src/backend/parser/scan.l, as documented in chapter 4.1 ("Lexical
 // Structure") of the PostgreSQL manual. If versions differ (a number followed by a letter, a
