--- a/internal/sqltext/keyword_table.go
+++ b/internal/sqltext/keyword_table.go
@@ -24,7 +24,7 @@
 	return table
 }()
 
-// maxKeywordLength is the length of the longest key word.
+// maxKeywordLength is the length of the longest key word in bytes. Longer names are not looked up.
 const maxKeywordLength = 17
 
 // lookupKeyword returns the class and the number of a name as the bits of an
--- a/internal/sqltext/pass.go
+++ b/internal/sqltext/pass.go
@@ -63,7 +63,7 @@
 
 // finish completes the result at the end of the text.
 func (p *analysisPass) finish() {
-	p.endLists(-1)
+	p.endLists(-1) // all, unless the parentheses are unbalanced
 	p.normal.trimSpace()
 	p.result.Fingerprint = p.fingerprint()
 	p.result.NormalForm = p.normal.text
