--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -78,5 +78,10 @@
 // usesHint reports whether the hint of a query is a component of its estimate.
 func (m *Model) usesHint(query *Query) bool { return !m.cfg.NoHint && plausibleWork(query.HintWork) }
 
-// forgets reports whether old observations lose their weight.
-func (m *Model) forgets() bool { return !m.cfg.NoForgetting }
+// weighting returns the weighting of the observations that the model learns from.
+func (m *Model) weighting() weighting {
+	if m.cfg.NoForgetting {
+		return equalWeights
+	}
+	return decayingWeights
+}
--- a/internal/decision/costmodel/golden_test.go
+++ b/internal/decision/costmodel/golden_test.go
@@ -118,7 +118,7 @@
 	for n := range 12000 {
 		x := vector{1}
 		x[1+rng.IntN(3)] = rng.Float64()
-		learner.learn(&x, 5+2*x[1]-x[3]+0.3*rng.NormFloat64(), true)
+		learner.learn(&x, 5+2*x[1]-x[3]+0.3*rng.NormFloat64(), decayingWeights)
 		if n%1000 == 0 {
 			fmt.Fprintf(&out, "%d %v %v %s\n", n, learner.predict(&x), learner.Errors, digest(*learner))
 		}
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -35,13 +35,13 @@
 		m.learnShape(query, log2Work, observed.MemoryMB)
 	}
 	if record == nil || record.Executions < priorFirstExecutions || record.Executions%priorSampleInterval == 0 {
-		m.prior.learn(m.featuresOf(query), log2Work, m.forgets())
+		m.prior.learn(m.featuresOf(query), log2Work, m.weighting())
 	}
 	m.learnHint(query, log2Work)
 	m.learnMemory(query, observed.MemoryMB)
 	if expected.Known && query.Profile.Key != 0 && !m.cfg.NoParameters {
 		uncorrected := math.Log2(expected.WorkMillis) - expected.FrequentValue.Log2Cost
-		m.FrequentValues.add(query.Profile.Key).Offset.add(log2Work-uncorrected, m.forgets())
+		m.FrequentValues.add(query.Profile.Key).Offset.add(log2Work-uncorrected, m.weighting())
 	}
 }
 
@@ -60,15 +60,15 @@
 	record := query.Record
 	if m.prior.ready() {
 		prediction := m.prior.predict(m.featuresOf(query))
-		record.PriorError.add(log2Work-prediction, m.forgets())
-		record.PriorPrediction.add(prediction, m.forgets())
+		record.PriorError.add(log2Work-prediction, m.weighting())
+		record.PriorPrediction.add(prediction, m.weighting())
 	}
-	record.Work.add(log2Work, m.forgets())
+	record.Work.add(log2Work, m.weighting())
 	bucket := record.findOrReplace(m.bucketKey(query))
 	bucket.LastUsed = record.Executions
-	bucket.Work.add(log2Work, m.forgets())
+	bucket.Work.add(log2Work, m.weighting())
 	if plausibleMemory(memoryMB) {
-		bucket.Memory.add(math.Log2(memoryMB), m.forgets())
+		bucket.Memory.add(math.Log2(memoryMB), m.weighting())
 	}
 }
 
@@ -78,9 +78,9 @@
 		return
 	}
 	hintError := log2Work - math.Log2(query.HintWork)
-	m.classStatistics(query.KnownClass).HintError.add(hintError, m.forgets())
+	m.classStatistics(query.KnownClass).HintError.add(hintError, m.weighting())
 	if query.Record != nil {
-		query.Record.HintError.add(hintError, m.forgets())
+		query.Record.HintError.add(hintError, m.weighting())
 	}
 }
 
@@ -91,14 +91,14 @@
 	}
 	class := m.classStatistics(query.KnownClass)
 	log2Memory := math.Log2(memoryMB)
-	class.Memory.add(log2Memory, m.forgets())
+	class.Memory.add(log2Memory, m.weighting())
 	if !plausibleMemory(query.HintMemoryMB) {
 		return
 	}
 	hintError := log2Memory - math.Log2(query.HintMemoryMB)
-	class.MemoryHintError.add(hintError, m.forgets())
+	class.MemoryHintError.add(hintError, m.weighting())
 	if query.Record != nil {
-		query.Record.MemoryHintError.add(hintError, m.forgets())
+		query.Record.MemoryHintError.add(hintError, m.weighting())
 	}
 }
 
@@ -112,7 +112,7 @@
 	similar := &valueStatistics{}
 	if !m.cfg.NoParameters {
 		similar = m.SimilarValues.add(similarKey(m.bucketKey(query), query.Profile.Column))
-		similar.Offset.add(log2Work-float64(record.Work.Median), m.forgets())
+		similar.Offset.add(log2Work-float64(record.Work.Median), m.weighting())
 	}
 	if !m.prior.ready() || record.PriorError.Samples < minTrackedSamples {
 		return
@@ -120,16 +120,16 @@
 	prediction := m.prior.predict(m.featuresOf(query))
 	newValues := &m.NewValues[atypicalityLevel(prediction-float64(record.PriorPrediction.Median))]
 	priorError := log2Work - prediction - float64(record.PriorError.Median)
-	similar.PriorError.add(priorError, m.forgets())
+	similar.PriorError.add(priorError, m.weighting())
 	if isNewValue {
-		newValues.Prior.add(priorError, m.forgets())
+		newValues.Prior.add(priorError, m.weighting())
 	}
 	if record.HintError.Samples < minHintSamples || !plausibleWork(query.HintWork) {
 		return
 	}
 	hintError := log2Work - math.Log2(query.HintWork) - float64(record.HintError.Median)
-	similar.HintError.add(hintError, m.forgets())
+	similar.HintError.add(hintError, m.weighting())
 	if isNewValue {
-		newValues.Hint.add(hintError, m.forgets())
+		newValues.Hint.add(hintError, m.weighting())
 	}
 }
--- a/internal/decision/costmodel/prior.go
+++ b/internal/decision/costmodel/prior.go
@@ -40,17 +40,17 @@
 }
 
 // learn updates the prior with one observation.
-func (p *prior) learn(x *vector, log2Cost float64, forget bool) {
+func (p *prior) learn(x *vector, log2Cost float64, weights weighting) {
 	predictionError := log2Cost - p.predict(x)
 	if p.Samples > 0 {
-		p.Errors.add(predictionError, forget)
+		p.Errors.add(predictionError, weights)
 	}
 	if p.ready() {
 		predictionError = max(min(predictionError, priorClip), -priorClip)
 	}
 	p.Samples++
 	forgetting := 1.0
-	if forget {
+	if weights == decayingWeights {
 		forgetting = priorForgetting
 	}
 	p.update(x, predictionError, forgetting)
--- a/internal/decision/costmodel/tracker.go
+++ b/internal/decision/costmodel/tracker.go
@@ -3,14 +3,16 @@
 import "math"
 
 // Tracker estimates the median of a figure and its mean absolute deviation, both as base-2
-// logarithms. It is robust: one observation moves the median by a limited step. It forgets: the
-// median adapts to a changed cost within some ten observations. The update is a Robbins-Monro
-// step on a clipped error (Huber, "Robust Estimation of a Location Parameter", 1964). A run of
-// errors on one side raises the step, as in a CUSUM chart (Page, "Continuous Inspection
-// Schemes", 1954). Its size is 16 bytes.
+// logarithms. It is robust: one observation moves the median by a limited step. The update is a
+// Robbins-Monro step on a clipped error (Huber, "Robust Estimation of a Location Parameter", 1964).
+//
+// With decayingWeights, the median adapts to a changed cost within some ten observations: a run of
+// errors on one side raises the step, as in a CUSUM chart (Page, "Continuous Inspection Schemes", 1954).
+//
+// Its size is 16 bytes.
 type Tracker struct {
-	Median    float32 `cbor:"Mid"` // the median
-	Deviation float32 `cbor:"Dev"` // the mean absolute deviation from it
+	Median    float32 `cbor:"Mid"`
+	Deviation float32 `cbor:"Dev"` // mean absolute deviation from the median
 	Samples   float32 `cbor:"N"`   // number of observations, at most maxTrackedSamples
 	Run       int8    `cbor:"Run"` // length of the current run of errors on one side, with their sign
 }
@@ -41,8 +43,18 @@
 	earlyClip      = 6
 )
 
+// weighting says how much old observations count beside new ones.
+type weighting uint8
+
+const (
+	// decayingWeights: old observations lose their weight, so that an estimate follows a changed cost.
+	decayingWeights weighting = iota
+	// equalWeights: all observations have the same weight.
+	equalWeights
+)
+
 // add updates the tracker with one observation, a base-2 logarithm.
-func (t *Tracker) add(x float64, forget bool) {
+func (t *Tracker) add(x float64, weights weighting) {
 	if t.Samples == 0 {
 		t.Median = float32(x)
 		t.Deviation = initialDeviation
@@ -56,7 +68,7 @@
 	if t.Samples < earlySamples {
 		clip = earlyClip
 	}
-	if forget {
+	if weights == decayingWeights {
 		gain = max(gain, minGain)
 		t.extendRun(residual, deviation)
 		if t.Run >= changeRun || t.Run <= -changeRun {
