--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -52,11 +52,8 @@
 	if !ok {
 		return estimate
 	}
-	value := m.FrequentValues.find(query.Profile.Key)
-	if !m.cfg.NoParameters && value != nil && value.significant() {
-		estimate.FrequentValue = frequentValueComponent(value)
-		log2Cost += estimate.FrequentValue.Log2Cost
-	}
+	estimate.FrequentValue = m.frequentValueComponent(query)
+	log2Cost += estimate.FrequentValue.Log2Cost
 	estimate.Known = true
 	estimate.WorkMillis = math.Exp2(max(min(log2Cost, math.Log2(maxWork)), math.Log2(minWork)))
 	estimate.SpreadFactor = math.Exp2(percentile90 * math.Sqrt(variance))
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -39,10 +39,7 @@
 	}
 	m.learnHint(query, log2Work)
 	m.learnMemory(query, observed.MemoryMB)
-	if expected.Known && query.Profile.Key != 0 && !m.cfg.NoParameters {
-		uncorrected := math.Log2(expected.WorkMillis) - expected.FrequentValue.Log2Cost
-		m.FrequentValues.add(query.Profile.Key).Offset.add(log2Work-uncorrected, m.weighting())
-	}
+	m.learnFrequentValue(query, &expected, log2Work)
 }
 
 // skips reports whether the model does not learn from an execution because its bucket is sampled: the
@@ -101,35 +98,3 @@
 		query.Record.MemoryHintError.add(hintError, m.weighting())
 	}
 }
-
-// learnSimilar updates the errors made on similar values and, if the values are new to the
-// shape, on new values. It must run before the record of the shape is updated.
-func (m *Model) learnSimilar(query *Query, log2Work float64, isNewValue bool) {
-	record := query.Record
-	if record.Work.Samples < minTrackedSamples {
-		return
-	}
-	similar := &valueStatistics{}
-	if !m.cfg.NoParameters {
-		similar = m.SimilarValues.add(similarKey(m.bucketKey(query), query.Profile.Column))
-		similar.Offset.add(log2Work-float64(record.Work.Median), m.weighting())
-	}
-	if !m.prior.ready() || record.PriorError.Samples < minTrackedSamples {
-		return
-	}
-	prediction := m.prior.predict(m.featuresOf(query))
-	newValues := &m.NewValues[atypicalityLevel(prediction-float64(record.PriorPrediction.Median))]
-	priorError := log2Work - prediction - float64(record.PriorError.Median)
-	similar.PriorError.add(priorError, m.weighting())
-	if isNewValue {
-		newValues.Prior.add(priorError, m.weighting())
-	}
-	if record.HintError.Samples < minHintSamples || !plausibleWork(query.HintWork) {
-		return
-	}
-	hintError := log2Work - math.Log2(query.HintWork) - float64(record.HintError.Median)
-	similar.HintError.add(hintError, m.weighting())
-	if isNewValue {
-		newValues.Hint.add(hintError, m.weighting())
-	}
-}
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -88,6 +88,38 @@
 	}
 }
 
+// learnSimilar updates the errors made on similar values and, if the values are new to the
+// shape, on new values. It must run before the record of the shape is updated.
+func (m *Model) learnSimilar(query *Query, log2Work float64, isNewValue bool) {
+	record := query.Record
+	if record.Work.Samples < minTrackedSamples {
+		return
+	}
+	similar := &valueStatistics{} // discarded if parameters are switched off
+	if !m.cfg.NoParameters {
+		similar = m.SimilarValues.add(similarKey(m.bucketKey(query), query.Profile.Column))
+		similar.Offset.add(log2Work-float64(record.Work.Median), m.weighting())
+	}
+	if !m.prior.ready() || record.PriorError.Samples < minTrackedSamples {
+		return
+	}
+	prediction := m.prior.predict(m.featuresOf(query))
+	newValues := &m.NewValues[atypicalityLevel(prediction-float64(record.PriorPrediction.Median))]
+	priorError := log2Work - prediction - float64(record.PriorError.Median)
+	similar.PriorError.add(priorError, m.weighting())
+	if isNewValue {
+		newValues.Prior.add(priorError, m.weighting())
+	}
+	if record.HintError.Samples < minHintSamples || !plausibleWork(query.HintWork) {
+		return
+	}
+	hintError := log2Work - math.Log2(query.HintWork) - float64(record.HintError.Median)
+	similar.HintError.add(hintError, m.weighting())
+	if isNewValue {
+		newValues.Hint.add(hintError, m.weighting())
+	}
+}
+
 // similarKey identifies similar values across all shapes: by their bucket and by the column of the
 // longest list or the widest range. An array of all districts, for example, has similar effects on
 // each statement.
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -1,22 +1,16 @@
 package costmodel
 
-// spaceSaving stores the most frequent values and the deviations of their cost in constant
-// memory, by the Space-Saving algorithm (Metwally, Agrawal, El Abbadi, "Efficient
-// Computation of Frequent and Top-k Elements in Data Streams", 2005). It is set-associative,
-// so that adding a value needs constant time. Keys are seeded hashes, so that clients can't choose
-// which values share a set.
+// spaceSaving stores the statistics of the most frequent values in constant memory, by the
+// Space-Saving algorithm (Metwally, Agrawal, El Abbadi, "Efficient Computation of Frequent and
+// Top-k Elements in Data Streams", 2005). It is set-associative, so that adding a value needs
+// constant time. Keys are seeded hashes, so that clients can't choose which values share a set.
 type spaceSaving struct {
-	Sets [frequentSets][frequentWays]valueStatistics `cbor:"Sets"`
+	Sets [valueSets][valuesPerSet]valueStatistics `cbor:"Sets"`
 }
 
 const (
-	frequentSets = 64
-	frequentWays = 8
-	// minFrequentSamples is the least number of occurrences of a value whose cost is corrected.
-	minFrequentSamples = 6
-	// minFrequentOffset is the least deviation of its cost that is corrected, as a base-2 logarithm:
-	// a factor of 1.5.
-	minFrequentOffset = 0.6
+	valueSets    = 64
+	valuesPerSet = 8
 )
 
 // valueStatistics holds the statistics of one value, or of similar values.
@@ -31,29 +25,12 @@
 	HintError  Tracker `cbor:"Hint"`
 }
 
-// significant reports whether estimates are corrected by the value: its cost deviates enough, over
-// enough observations.
-func (v *valueStatistics) significant() bool {
-	deviates := v.Offset.Median > minFrequentOffset || v.Offset.Median < -minFrequentOffset
-	return deviates && v.Offset.Samples >= minFrequentSamples
-}
-
-// frequentValueComponent returns the correction for a frequent value.
-func frequentValueComponent(v *valueStatistics) Component {
-	return Component{
-		Log2Cost:  float64(v.Offset.Median),
-		Deviation: float64(v.Offset.Deviation),
-		Samples:   float64(v.Offset.Samples),
-		Weight:    1,
-	}
-}
-
 // find returns the statistics of a key, or nil. Key 0 means no value.
 func (s *spaceSaving) find(key uint64) *valueStatistics {
 	if key == 0 {
 		return nil
 	}
-	set := &s.Sets[key%frequentSets]
+	set := &s.Sets[key%valueSets]
 	for i := range set {
 		if set[i].Key == key {
 			return &set[i]
@@ -68,7 +45,7 @@
 	const maxCount = 1 << 31
 	value := s.find(key)
 	if value == nil {
-		set := &s.Sets[key%frequentSets]
+		set := &s.Sets[key%valueSets]
 		value = &set[0]
 		for i := range set {
 			if set[i].Count < value.Count {
