--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -76,7 +76,9 @@
 }
 
 // usesHint reports whether the hint of a query is a component of its estimate.
-func (m *Model) usesHint(query *Query) bool { return !m.cfg.NoHint && plausibleWork(query.HintWork) }
+func (m *Model) usesHint(query *Query) bool {
+	return !m.cfg.NoHint && plausibleWork(query.HintWorkMillis)
+}
 
 // weighting returns the weighting of the observations that the model learns from.
 func (m *Model) weighting() weighting {
--- a/internal/decision/costmodel/costmodel_test.go
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -49,7 +49,7 @@
 		figure := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), odd)
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			q := f.query
-			q.HintWork = figure.Draw(t, "hint")
+			q.HintWorkMillis = figure.Draw(t, "hint")
 			q.Profile = sqltext.Profile{
 				Alternatives: rapid.IntRange(0, 1e6).Draw(t, "alternatives"),
 				Span:         rapid.Float64Range(0, 1e12).Draw(t, "span"),
@@ -109,11 +109,11 @@
 		for range 500 {
 			q := f.query
 			q.Profile.Key = rng.Uint64N(50)
-			q.HintWork = 100 * rng.Float64()
+			q.HintWorkMillis = 100 * rng.Float64()
 			f.model.Learn(&q, Observation{WorkMillis: 100 + 900*rng.Float64(), MemoryMB: 5})
 		}
 		q := f.query
-		q.HintWork = 70
+		q.HintWorkMillis = 70
 		return f.model.Estimate(&q)
 	}
 	if a, b := run(), run(); a != b {
@@ -155,9 +155,9 @@
 	features := &sqltext.Features{Verb: sqltext.VerbSelect, Tables: 1}
 	for range 300 {
 		work := math.Exp(5 + rng.NormFloat64()*1.2) // widely spread, and the hint is proportional to it
-		model.Learn(&Query{Features: features, KnownClass: 0, HintWork: work / 10}, Observation{WorkMillis: work})
+		model.Learn(&Query{Features: features, KnownClass: 0, HintWorkMillis: work / 10}, Observation{WorkMillis: work})
 	}
-	e := model.Estimate(&Query{Features: features, KnownClass: 0, HintWork: 50})
+	e := model.Estimate(&Query{Features: features, KnownClass: 0, HintWorkMillis: 50})
 	if e.WorkMillis < 350 || e.WorkMillis > 700 {
 		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.WorkMillis, e.Explain())
 	}
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -76,7 +76,7 @@
 			shapeErrors = &record.HintError
 		}
 		classErrors := &m.classStatistics(query.KnownClass).HintError
-		estimate.Hint = hintComponent(query.HintWork, shapeErrors, classErrors)
+		estimate.Hint = hintComponent(query.HintWorkMillis, shapeErrors, classErrors)
 	}
 	similar := m.findSimilar(query)
 	similarKnown := similar != nil && similar.Offset.Samples >= minTrackedSamples
@@ -94,7 +94,7 @@
 // priorComponent returns the prior's estimator, and the difference between the prior's prediction for
 // this execution and its usual predictions for the shape.
 func (m *Model) priorComponent(query *Query) (component Component, atypicality float64) {
-	prediction := m.prior.predict(m.featuresOf(query))
+	prediction := m.prior.predict(m.vectorOf(query))
 	if record := query.Record; record != nil && record.PriorError.Samples >= minTrackedSamples {
 		return componentOf(&record.PriorError, prediction), prediction - float64(record.PriorPrediction.Median)
 	}
--- a/internal/decision/costmodel/golden_test.go
+++ b/internal/decision/costmodel/golden_test.go
@@ -72,7 +72,7 @@
 		work *= 12
 	}
 	if g.rng.IntN(3) > 0 {
-		query.HintWork = work * (0.2 + g.rng.Float64())
+		query.HintWorkMillis = work * (0.2 + g.rng.Float64())
 		query.HintMemoryMB = 100 * g.rng.Float64()
 	}
 	observed := Observation{WorkMillis: work, MemoryMB: 50 * g.rng.Float64(), LowerBound: g.rng.IntN(12) == 0}
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -35,7 +35,7 @@
 		m.learnShape(query, log2Work, observed.MemoryMB)
 	}
 	if record == nil || record.Executions < priorFirstExecutions || record.Executions%priorSampleInterval == 0 {
-		m.prior.learn(m.featuresOf(query), log2Work, m.weighting())
+		m.prior.learn(m.vectorOf(query), log2Work, m.weighting())
 	}
 	m.learnHint(query, log2Work)
 	m.learnMemory(query, observed.MemoryMB)
@@ -56,7 +56,7 @@
 func (m *Model) learnShape(query *Query, log2Work, memoryMB float64) {
 	record := query.Record
 	if m.prior.ready() {
-		prediction := m.prior.predict(m.featuresOf(query))
+		prediction := m.prior.predict(m.vectorOf(query))
 		record.PriorError.add(log2Work-prediction, m.weighting())
 		record.PriorPrediction.add(prediction, m.weighting())
 	}
@@ -71,10 +71,10 @@
 
 // learnHint updates the errors of the hint, for the class and for the shape.
 func (m *Model) learnHint(query *Query, log2Work float64) {
-	if !plausibleWork(query.HintWork) {
+	if !plausibleWork(query.HintWorkMillis) {
 		return
 	}
-	hintError := log2Work - math.Log2(query.HintWork)
+	hintError := log2Work - math.Log2(query.HintWorkMillis)
 	m.classStatistics(query.KnownClass).HintError.add(hintError, m.weighting())
 	if query.Record != nil {
 		query.Record.HintError.add(hintError, m.weighting())
--- a/internal/decision/costmodel/query.go
+++ b/internal/decision/costmodel/query.go
@@ -4,17 +4,17 @@
 
 // Query is one execution, for Estimate and later for Learn.
 type Query struct {
-	Record       *ShapeRecord // of the statement's shape; nil: there is none
-	Features     *sqltext.Features
-	Profile      sqltext.Profile
-	KnownClass   int     // index of the class if it is already decided, else NoClass
-	HintWork     float64 // the client's estimate of the work in ms; 0: none
-	HintMemoryMB float64 // the client's estimate of the memory; 0: none
+	Record         *ShapeRecord // of the statement's shape; nil: there is none
+	Features       *sqltext.Features
+	Profile        sqltext.Profile
+	KnownClass     int     // index of the class if it is already decided, else NoClass
+	HintWorkMillis float64 // the client's estimate of the work; 0: none
+	HintMemoryMB   float64 // the client's estimate of the memory; 0: none
 
 	// Results of Estimate, which Learn reuses.
-	features      vector
-	featuresReady bool
-	estimate      Estimate
+	vector      vector
+	vectorReady bool
+	estimate    Estimate
 }
 
 // Observation is the reported cost of an execution. A zero field means that nothing was reported.
@@ -35,15 +35,15 @@
 	return query.Profile.Bucket()
 }
 
-// featuresOf returns the query's feature vector, which is computed once.
-func (m *Model) featuresOf(query *Query) *vector {
-	if !query.featuresReady {
+// vectorOf returns the query's feature vector, which is computed once.
+func (m *Model) vectorOf(query *Query) *vector {
+	if !query.vectorReady {
 		profile := &query.Profile
 		if m.cfg.NoParameters {
 			profile = &sqltext.Profile{}
 		}
-		query.features = newVector(query.Features, profile, query.KnownClass)
-		query.featuresReady = true
+		query.vector = newVector(query.Features, profile, query.KnownClass)
+		query.vectorReady = true
 	}
-	return &query.features
+	return &query.vector
 }
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -103,17 +103,17 @@
 	if !m.prior.ready() || record.PriorError.Samples < minTrackedSamples {
 		return
 	}
-	prediction := m.prior.predict(m.featuresOf(query))
+	prediction := m.prior.predict(m.vectorOf(query))
 	newValues := &m.NewValues[atypicalityLevel(prediction-float64(record.PriorPrediction.Median))]
 	priorError := log2Work - prediction - float64(record.PriorError.Median)
 	similar.PriorError.add(priorError, m.weighting())
 	if isNewValue {
 		newValues.Prior.add(priorError, m.weighting())
 	}
-	if record.HintError.Samples < minHintSamples || !plausibleWork(query.HintWork) {
+	if record.HintError.Samples < minHintSamples || !plausibleWork(query.HintWorkMillis) {
 		return
 	}
-	hintError := log2Work - math.Log2(query.HintWork) - float64(record.HintError.Median)
+	hintError := log2Work - math.Log2(query.HintWorkMillis) - float64(record.HintError.Median)
 	similar.HintError.add(hintError, m.weighting())
 	if isNewValue {
 		newValues.Hint.add(hintError, m.weighting())
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -42,11 +42,11 @@
 	analysis := &statement.analysis
 	execution.statement = statement
 	execution.query = costmodel.Query{
-		Features:     &analysis.Features,
-		Profile:      analysis.Profile(statement.text, binds, s.hashSeed),
-		KnownClass:   knownClass,
-		HintWork:     hint.WorkMillis,
-		HintMemoryMB: hint.MemoryMB,
+		Features:       &analysis.Features,
+		Profile:        analysis.Profile(statement.text, binds, s.hashSeed),
+		KnownClass:     knownClass,
+		HintWorkMillis: hint.WorkMillis,
+		HintMemoryMB:   hint.MemoryMB,
 	}
 	execution.cached = s.cache.Get(analysis.Fingerprint)
 	if execution.cached != nil {
