--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -2,17 +2,27 @@
 // costs of earlier executions. It is pure: it uses no clock and no I/O, and the same calls
 // give the same results.
 //
+// # Use
+//
+// For each execution the caller fills a Query and passes it to Model.Estimate. When the cost is reported,
+// it passes the same Query to Model.Learn. The caller stores the ShapeRecord of each shape, which Learn
+// updates; everything else that is learned is part of the Model, and can be stored as a State.
+//
+// # Estimates
+//
 // An estimate is an ensemble of four components. Each is weighted by the inverse of the
 // variance that its errors have shown, which is the best linear combination of independent
 // unbiased estimators:
 //
-//   - the record of the shape, separately for each profile of the values;
+//   - the record of the shape, separately for each profile of the values (record.go);
 //   - similar values: the deviation of executions with such values from the usual cost of
-//     their shapes, over all shapes;
+//     their shapes, over all shapes (similar.go);
 //   - the prior, a regression over features that learns from all shapes, corrected by its
-//     errors for this shape;
+//     errors for this shape (prior.go, features.go);
 //   - the client's hint, corrected by its errors for this shape.
 //
+// A frequent value whose cost deviates from that of others adds a correction to their result (frequent.go).
+//
 // Work is measured in milliseconds on one core and memory in megabytes. Both are stored as
 // base-2 logarithms, since costs spread over orders of magnitude and errors count by ratio.
 // A single reported cost has little influence: see Tracker.
@@ -21,13 +31,13 @@
 // Limits of plausible reports. Reports outside these limits are ignored: an hour of work on one core
 // exceeds the deadlines of all classes.
 const (
-	minWork     = 0.01  // ms
-	maxWork     = 3.6e6 // ms
-	minMemoryMB = 0.01
-	maxMemoryMB = 1e6
+	minWorkMillis = 0.01
+	maxWorkMillis = 3.6e6
+	minMemoryMB   = 0.01
+	maxMemoryMB   = 1e6
 )
 
-func plausibleWork(ms float64) bool   { return ms >= minWork && ms <= maxWork }
+func plausibleWork(ms float64) bool   { return ms >= minWorkMillis && ms <= maxWorkMillis }
 func plausibleMemory(mb float64) bool { return mb >= minMemoryMB && mb <= maxMemoryMB }
 
 // NoClass is the class index of an execution whose class is not decided.
@@ -48,12 +58,12 @@
 	// classes before a bucket changes its class. A factor of 1 means no hysteresis; a lower
 	// value is replaced by DefaultHysteresis.
 	Hysteresis float64
-	// These switch off parts of the model independently of each other. Experiments use them to
-	// measure the contribution of each part.
-	NoParameters bool // no profiles, similar values and frequent values
-	NoPrior      bool
-	NoForgetting bool // old observations keep their weight
-	NoHint       bool
+	// Independent options, each of which switches off one part of the model. Only experiments set them, to
+	// measure the contribution of that part.
+	NoParameters bool // the values of an execution are ignored: no profiles, similar and frequent values
+	NoPrior      bool // the prior is no component of estimates
+	NoForgetting bool // old observations count as much as new ones
+	NoHint       bool // the clients' hints are no component of estimates
 }
 
 // DefaultHysteresis is used if a configuration sets no hysteresis.
--- a/internal/decision/costmodel/costmodel_test.go
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -63,7 +63,7 @@
 			}
 			before := *f.query.Record
 			f.model.Learn(&q, observed)
-			if !(observed.WorkMillis >= minWork && observed.WorkMillis <= maxWork) {
+			if !(observed.WorkMillis >= minWorkMillis && observed.WorkMillis <= maxWorkMillis) {
 				before.Executions++
 				if before != *f.query.Record {
 					t.Fatalf("a cost of %g was learned", observed.WorkMillis)
@@ -87,7 +87,7 @@
 	if !estimate.Known {
 		return
 	}
-	if !(estimate.WorkMillis >= minWork*0.99 && estimate.WorkMillis <= maxWork*1.01) {
+	if !(estimate.WorkMillis >= minWorkMillis*0.99 && estimate.WorkMillis <= maxWorkMillis*1.01) {
 		t.Fatalf("work of the estimate %+v", estimate)
 	}
 	if !(estimate.SpreadFactor >= 1) || math.IsInf(estimate.SpreadFactor, 0) {
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -55,7 +55,7 @@
 	estimate.FrequentValue = m.frequentValueComponent(query)
 	log2Cost += estimate.FrequentValue.Log2Cost
 	estimate.Known = true
-	estimate.WorkMillis = math.Exp2(max(min(log2Cost, math.Log2(maxWork)), math.Log2(minWork)))
+	estimate.WorkMillis = math.Exp2(max(min(log2Cost, math.Log2(maxWorkMillis)), math.Log2(minWorkMillis)))
 	estimate.SpreadFactor = math.Exp2(percentile90 * math.Sqrt(variance))
 	estimate.MemoryMB = m.memory(query, bucket)
 	estimate.Class = m.classify(estimate.WorkMillis, bucket)
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -3,7 +3,8 @@
 // spaceSaving stores the statistics of the most frequent values in constant memory, by the
 // Space-Saving algorithm (Metwally, Agrawal, El Abbadi, "Efficient Computation of Frequent and
 // Top-k Elements in Data Streams", 2005). It is set-associative, so that adding a value needs
-// constant time. Keys are seeded hashes, so that clients can't choose which values share a set.
+// constant time. The keys of frequent values are seeded hashes, so that clients can't choose which values
+// share a set.
 type spaceSaving struct {
 	Sets [valueSets][valuesPerSet]valueStatistics `cbor:"Sets"`
 }
--- a/internal/decision/costmodel/state.go
+++ b/internal/decision/costmodel/state.go
@@ -8,7 +8,8 @@
 )
 
 // Layout is the version of State and ShapeRecord. It must be increased when a field changes its
-// meaning. A state of another layout can't be restored.
+// meaning. A state of another layout can't be restored. The fields can be renamed, because the stored form
+// has the names of their tags, which must stay as they are.
 const Layout = 1
 
 // State is the state of a model in a form that can be stored.
@@ -20,9 +21,9 @@
 // state is the state of a model except for its prior.
 type state struct {
 	ByClass        [knownClasses]classStatistics     `cbor:"All"`   // for shapes without a record
-	FrequentValues spaceSaving                       `cbor:"Heavy"` // values that are requested often
-	SimilarValues  spaceSaving                       `cbor:"Like"`
-	NewValues      [atypicalityLevels]newValueErrors `cbor:"Fresh"` // by how atypical the execution is
+	FrequentValues spaceSaving                       `cbor:"Heavy"` // by Profile.Key
+	SimilarValues  spaceSaving                       `cbor:"Like"`  // by similarKey
+	NewValues      [atypicalityLevels]newValueErrors `cbor:"Fresh"` // by atypicalityLevel
 }
 
 // classStatistics holds the statistics of all executions of one class.
