--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -9,16 +9,6 @@
 	"flaxrelay/policy"
 )
 
-// Release releases the execution of a finished request.
-func (s *Service) Release(r *lifecycle.Request) {
-	execution, ok := r.ObserverData.(*Execution)
-	if !ok {
-		return
-	}
-	r.ObserverData = nil
-	s.executions.put(execution)
-}
-
 // Parse parses a statement and classifies its effect. readOnly names further functions that
 // the operators declare to be read-only.
 func (s *Service) Parse(text string, readOnly sqltext.Functions) *Statement {
@@ -100,6 +90,16 @@
 	s.learn(r, costmodel.Observation{WorkMillis: milliseconds(elapsed), LowerBound: true})
 }
 
+// Release reuses the execution of a finished request. It implements lifecycle.CostObserver.
+func (s *Service) Release(r *lifecycle.Request) {
+	execution, ok := r.ObserverData.(*Execution)
+	if !ok {
+		return
+	}
+	r.ObserverData = nil
+	s.executions.put(execution)
+}
+
 func (s *Service) learn(r *lifecycle.Request, observed costmodel.Observation) {
 	if execution, ok := r.ObserverData.(*Execution); ok {
 		s.store.Learn(execution, observed)
--- a/internal/stmtstats/store.go
+++ b/internal/stmtstats/store.go
@@ -1,8 +1,3 @@
-// Package stmtstats maintains statistics of statement shapes. It parses statements for the front
-// ends, caches the cost records of recurring shapes up to a limit in bytes, gets the expected
-// cost and the class of an execution from internal/decision/costmodel, and writes snapshots. The
-// statistics are used only for estimates and classification. Whether a statement may write is
-// decided by internal/sqltext, and the statistics never override that.
 package stmtstats
 
 import (
