--- a/internal/stmtstats/cache.go
+++ b/internal/stmtstats/cache.go
@@ -12,8 +12,8 @@
 // CachedShape is the cached record of one shape. The cache owns it; the Store updates it in place.
 type CachedShape struct {
 	costmodel.ShapeRecord
-	normalForm string // or its first maxNormalFormBytes bytes
-	truncated  bool   // normalForm is only a prefix, so the shape can't be identified after a restart
+	normalForm string // at most maxNormalFormBytes
+	truncated  bool   // normalForm is only a part, so the shape can't be identified after a restart
 }
 
 // maxNormalFormBytes limits the part of a shape's normal form that is cached.
--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -23,7 +23,7 @@
 // fingerprints, because their seeds belong to one process: Restore computes them again.
 type Snapshot struct {
 	Layout    int              `cbor:"1,keyasint"`
-	Keys      uint64           `cbor:"2,keyasint"` // seed of the hashes of values
+	HashSeed  uint64           `cbor:"2,keyasint"` // seed of the hashes of values
 	Model     *costmodel.State `cbor:"3,keyasint"`
 	Shapes    []SavedShape     `cbor:"4,keyasint"`
 	Truncated int              `cbor:"5,keyasint"` // shapes left out, as their normal forms are truncated
@@ -37,7 +37,7 @@
 
 // Snapshot copies the state of the store. Another goroutine may use the copy.
 func (s *Store) Snapshot() *Snapshot {
-	snapshot := &Snapshot{Layout: costmodel.Layout, Keys: s.hashSeed, Model: s.model.State()}
+	snapshot := &Snapshot{Layout: costmodel.Layout, HashSeed: s.hashSeed, Model: s.model.State()}
 	s.cache.Each(func(_ Fingerprint, shape *CachedShape) bool {
 		if shape.truncated {
 			snapshot.Truncated++
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrSnapshotDamaged, err)
 	}
 	store.model = model
-	store.hashSeed = snapshot.Keys
+	store.hashSeed = snapshot.HashSeed
 	for i := range snapshot.Shapes {
 		saved := &snapshot.Shapes[i]
 		shape := &CachedShape{ShapeRecord: saved.Record, normalForm: saved.NormalForm}
--- a/internal/stmtstats/snapshot_stored_test.go
+++ b/internal/stmtstats/snapshot_stored_test.go
@@ -78,7 +78,7 @@
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "layout=%d keys=%x shapes=%d cut=%d held=%d\n",
-		snapshot.Layout, snapshot.Keys, len(snapshot.Shapes), snapshot.Truncated, store.Len())
+		snapshot.Layout, snapshot.HashSeed, len(snapshot.Shapes), snapshot.Truncated, store.Len())
 	for i, record := range probes(t) {
 		binds := &sqltext.Binds{Values: record.Values, Formats: record.Formats, TypeOIDs: record.Types}
 		hint := Hint{WorkMillis: record.HintWorkMS, MemoryMB: record.HintMB}
