--- a/internal/sqltext/keyword_table.go
+++ b/internal/sqltext/keyword_table.go
@@ -10,11 +10,11 @@
 // keywordTableSize is a power of two well above the number of key words.
 const keywordTableSize = 1024
 
-// keywordsByHash is a hash table with linear probing. Its hash is nameHash, which the
+// keywordsByHash is a hash table with linear probing. Its hash is hashName, which the
 // lexer computes for each name anyway.
 var keywordsByHash = func() (table [keywordTableSize]keywordEntry) {
 	for _, entry := range lexicon {
-		for i := nameHash(entry.text, 0, len(entry.text)); ; i++ {
+		for i := hashName(entry.text, 0, len(entry.text)); ; i++ {
 			if slot := &table[i%keywordTableSize]; slot.text == "" {
 				*slot = entry
 				break
--- a/internal/sqltext/lexer_identifier.go
+++ b/internal/sqltext/lexer_identifier.go
@@ -25,7 +25,7 @@
 			return t
 		}
 	}
-	info := identifierInfo(nameHash(src, start, end))
+	info := identifierInfo(hashName(src, start, end))
 	if seen&charUpper != 0 {
 		info |= 1 << infoUpperShift
 	}
@@ -113,17 +113,17 @@
 	return name
 }
 
-// hashName returns the hash of a name that may be quoted.
-func hashName(name string) uint32 {
+// hashQuotedName hashes a quoted name like the same name without quotes.
+func hashQuotedName(name string) uint32 {
 	name = unquoteIdentifier(name)
-	return nameHash(name, 0, len(name))
+	return hashName(name, 0, len(name))
 }
 
-// nameHash hashes the name src[start:end] regardless of case, by its length and its first
+// hashName hashes the name src[start:end] regardless of case, by its length and its first
 // and last eight bytes. It serves to find key words and columns; nothing relies on
 // different names having different hashes. It takes the surrounding text to read eight bytes at once
 // also if the name is shorter.
-func nameHash(src string, start, end int) uint32 {
+func hashName(src string, start, end int) uint32 {
 	const (
 		multiplier   = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
 		lowerCase    = 0x2020202020202020 // lowerCaseBit of each byte
--- a/internal/sqltext/pass_identifier.go
+++ b/internal/sqltext/pass_identifier.go
@@ -75,7 +75,7 @@
 func (p *analysisPass) name(t Token, text string) {
 	p.expected.column = t.hash()
 	if t.Kind == QuotedIdentifier {
-		p.expected.column = hashName(text)
+		p.expected.column = hashQuotedName(text)
 	}
 	if p.isAggregateCall(t, text) {
 		p.result.Features.Aggregates++
