--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -118,24 +118,33 @@
 	if word == keywordNone && class == 0 && c.ctes.nameExpected == 0 {
 		return // a plain name changes nothing below
 	}
-	isFirstToken := c.previous.Kind == EndOfText
-	if class&writingWord != 0 && c.previousKeyword != keywordAs && !c.phase.onlyPlans() && !isFirstToken {
-		c.report(EffectWrites, text, "it writes")
-	}
+	c.reportKeyword(text, word, class)
 	if word == keywordOn && c.previousKeyword == keywordDistinct && !c.ctes.isNameExpected(c.depth) {
 		c.hasDistinctOn = true
 	}
 	c.ctes.word(c.depth, word, class, c.previousKeyword, beginsStatement)
-	if c.previousKeyword == keywordFor && !c.phase.onlyPlans() {
-		switch word {
-		case keywordUpdate, keywordNo, keywordShare, keywordKey:
-			c.report(EffectWrites, "FOR "+strings.ToUpper(text), "it locks rows")
-		default:
-		}
-	}
+}
+
+// reportKeyword reports a key word that shows a write, a lock or an operator that may do anything.
+func (c *effectClassifier) reportKeyword(text string, word keyword, class keywordClass) {
 	if word == keywordOperator {
 		c.report(EffectUnknown, text, "an operator named by its schema")
 	}
+	if c.phase.onlyPlans() {
+		return
+	}
+	isFirstToken := c.previous.Kind == EndOfText // firstToken has classified it
+	if class&writingWord != 0 && c.previousKeyword != keywordAs && !isFirstToken {
+		c.report(EffectWrites, text, "it writes")
+	}
+	if c.previousKeyword != keywordFor {
+		return
+	}
+	switch word {
+	case keywordUpdate, keywordNo, keywordShare, keywordKey:
+		c.report(EffectWrites, "FOR "+strings.ToUpper(text), "it locks rows")
+	default:
+	}
 }
 
 // firstToken classifies the first word or name of the text.
