--- a/internal/decision/costmodel/ensemble.go
+++ b/internal/decision/costmodel/ensemble.go
@@ -22,21 +22,21 @@
 // combine weights the components by the inverse of their variances. It ignores components without
 // samples. ok is false if no component has any.
 func combine(components ...*Component) (log2Cost, variance float64, ok bool) {
-	sum := 0.0
+	totalWeight := 0.0
 	for _, c := range components {
 		if c.Samples > 0 {
 			c.Weight = 1 / (c.Deviation * c.Deviation)
-			sum += c.Weight
+			totalWeight += c.Weight
 		}
 	}
-	if sum == 0 {
+	if totalWeight == 0 {
 		return 0, 0, false
 	}
 	for _, c := range components {
-		c.Weight /= sum
+		c.Weight /= totalWeight
 		log2Cost += c.Weight * c.Log2Cost
 	}
-	return log2Cost, 1 / sum, true
+	return log2Cost, 1 / totalWeight, true
 }
 
 const (
--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -21,9 +21,9 @@
 	NullGuard bool   // the statement tests the value for null, as in $1 IS NULL OR a = $1
 	Column    uint32 // hash of the name that the value is compared with; 0: none
 	Parameter int32  // number of the parameter from 1; 0: a literal
-	From      int32  // position of the literal in the text
-	To        int32
-	Count     int32 // number of alternatives in a list of literals
+	From      int32  // start of the literal in the text
+	To        int32  // end of the literal
+	Count     int32  // number of alternatives in a list of literals
 }
 
 // Verb is the command that decides the kind of a statement; 0: none of those below.
--- a/internal/stmtstats/service_restore.go
+++ b/internal/stmtstats/service_restore.go
@@ -21,7 +21,7 @@
 	case err == nil:
 		s.store = store
 		logevent.ShapesRestored.Log(s.log, slog.String("file", path), slog.Int("shapes", store.Len()))
-	case errors.Is(err, fs.ErrNotExist):
+	case errors.Is(err, fs.ErrNotExist): // no snapshot was written yet
 	case errors.As(err, &readError):
 		s.counters.Increment(metrics.ShapesSnapshotUnreadable)
 		logevent.ShapesSnapshotUnreadable.Log(s.log, slog.String("file", path), slog.Any("error", err))
