--- a/internal/sqltext/analyzer_test.go
+++ b/internal/sqltext/analyzer_test.go
@@ -193,6 +193,11 @@
 			t.Fatalf("%q: first word %q, multiple statements %v by AnalyzeAndClassify; %q, %v by FirstWord",
 				stmt, analysis.FirstWord, analysis.MultipleStatements, first, multiple)
 		}
+		dataset, hasDataset := DatasetOf(stmt)
+		if analysis.Dataset != dataset || analysis.HasDataset != hasDataset {
+			t.Fatalf("%q: dataset %d, %v by AnalyzeAndClassify; %d, %v by DatasetOf",
+				stmt, analysis.Dataset, analysis.HasDataset, dataset, hasDataset)
+		}
 		if len(analysis.NormalForm) > 2*len(stmt)+16 {
 			t.Fatalf("%d bytes of normal form for %d", len(analysis.NormalForm), len(stmt))
 		}
