--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -30,8 +30,7 @@
 	}
 	log2Work := math.Log2(observed.WorkMillis)
 	if record != nil {
-		isNewValue := expected.Record.Samples < newValueSamples
-		m.learnSimilar(query, log2Work, isNewValue)
+		m.learnSimilar(query, &expected, log2Work)
 		m.learnShape(query, log2Work, observed.MemoryMB)
 	}
 	if record == nil || record.Executions < priorFirstExecutions || record.Executions%priorSampleInterval == 0 {
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -90,11 +90,12 @@
 
 // learnSimilar updates the errors made on similar values and, if the values are new to the
 // shape, on new values. It must run before the record of the shape is updated.
-func (m *Model) learnSimilar(query *Query, log2Work float64, isNewValue bool) {
+func (m *Model) learnSimilar(query *Query, expected *Estimate, log2Work float64) {
 	record := query.Record
 	if record.Work.Samples < minTrackedSamples {
 		return
 	}
+	isNewValue := expected.Record.Samples < newValueSamples
 	similar := &valueStatistics{} // discarded if parameters are switched off
 	if !m.cfg.NoParameters {
 		similar = m.SimilarValues.add(similarKey(m.bucketKey(query), query.Profile.Column))
