--- a/internal/sqltext/analyzer_test.go
+++ b/internal/sqltext/analyzer_test.go
@@ -68,7 +68,7 @@
 
 // The values of an execution show when a statement with the shape of a lookup is a broad
 // report.
-func TestProfile_ShowsWhatValuesIndicate(t *testing.T) {
+func TestProfile_DistinguishesReportFromLookupOfSameShape(t *testing.T) {
 	text := func(values ...string) (binds Binds) {
 		for _, value := range values {
 			if value == "NULL" {
