--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -7,32 +7,67 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Timers run in the order of their due times and then in that of Schedule. A timer that an earlier timer
-// stops does not run. A timer that reschedules itself for a time that is due waits for the next call.
-func TestRunDue_OrdersStopsAndPostpones(t *testing.T) {
-	q := New()
-	var got []int
-	schedule := func(due int) *Timer {
-		return q.Schedule(time.Duration(due), func() { got = append(got, due) })
+// recorder notes the names of the timers that run, in their order.
+type recorder struct {
+	queue *Queue
+	ran   []string
+}
+
+func newRecorder() *recorder { return &recorder{queue: New()} }
+
+// schedule adds a timer that notes its name when it runs.
+func (r *recorder) schedule(due time.Duration, name string) *Timer {
+	return r.queue.Schedule(due, func() { r.ran = append(r.ran, name) })
+}
+
+// checkRan fails the test unless exactly the named timers have run, in this order.
+func (r *recorder) checkRan(t *testing.T, want ...string) {
+	t.Helper()
+	if diff := cmp.Diff(want, r.ran); diff != "" {
+		t.Errorf("timers that ran (-want +got):\n%s", diff)
 	}
-	schedule(30)
-	stopped := schedule(20)
-	schedule(10)
-	q.Schedule(time.Duration(15), func() { stopped.Stop(); stopped.Stop() })
+}
+
+func TestRunDue_RunsDueTimersInOrderOfDueTimeAndThenOfSchedule(t *testing.T) {
+	r := newRecorder()
+	r.schedule(30, "last")
+	r.schedule(20, "second")
+	r.schedule(20, "third")
+	r.schedule(10, "first")
+	r.queue.RunDue(29)
+	r.checkRan(t, "first", "second", "third")
+	r.queue.RunDue(30)
+	r.checkRan(t, "first", "second", "third", "last")
+}
+
+func TestRunDue_DoesNotRunATimerThatAnEarlierOneStops(t *testing.T) {
+	r := newRecorder()
+	stopped := r.schedule(20, "stopped")
+	r.queue.Schedule(10, func() {
+		stopped.Stop()
+		stopped.Stop() // the second call does nothing
+	})
+	r.queue.RunDue(20)
+	r.checkRan(t)
+}
+
+func TestRunDue_PostponesATimerThatACallbackSchedulesToTheNextCall(t *testing.T) {
+	r := newRecorder()
 	var reschedule func()
-	reschedule = func() { got = append(got, 0); q.Schedule(time.Duration(5), reschedule) }
-	q.Schedule(time.Duration(5), reschedule)
-	q.RunDue(time.Duration(25))
-	if diff := cmp.Diff([]int{0, 10}, got); diff != "" {
-		t.Error(diff)
-	}
-	if due, ok := q.NextDue(); !ok || due != time.Duration(5) || q.Len() != 2 {
-		t.Errorf("next timer is due at %v (found: %v), %d timers are queued; want 5ns (true), 2", due, ok, q.Len())
+	reschedule = func() {
+		r.ran = append(r.ran, "rescheduled")
+		r.queue.Schedule(5, reschedule)
 	}
-	q.RunDue(time.Duration(30))
-	if diff := cmp.Diff([]int{0, 10, 0, 30}, got); diff != "" {
-		t.Error(diff)
+	r.queue.Schedule(5, reschedule)
+	r.schedule(10, "other")
+	r.schedule(30, "later")
+	r.queue.RunDue(25)
+	r.checkRan(t, "rescheduled", "other")
+	if due, ok := r.queue.NextDue(); !ok || due != 5 || r.queue.Len() != 2 {
+		t.Errorf("next due time %v (found: %v), %d timers queued; want 5ns (true), 2", due, ok, r.queue.Len())
 	}
+	r.queue.RunDue(30)
+	r.checkRan(t, "rescheduled", "other", "rescheduled", "later")
 }
 
 func TestRunDue_DoesNotRequeueAPostponedTimerThatWasStopped(t *testing.T) {
