--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -3,8 +3,6 @@
 import (
 	"sync/atomic"
 	"time"
-
-	"golang.org/x/sys/unix"
 )
 
 const (
@@ -136,7 +134,7 @@
 		return
 	}
 	c.state.store(connLingering)
-	c.socket.waitFor(unix.EPOLLRDHUP)
+	c.socket.setReadInterest(streamEndEvents)
 	c.abortAfter(lingerTime)
 }
 
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -117,7 +117,7 @@
 func TestCloseIfIdle_DeliversUnreadBytesInstead(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		r.conn.socket.waitFor(0) // the poller does not read
+		r.conn.socket.setReadInterest(noReadEvents) // the poller does not read
 		if _, err := io.WriteString(peer, "a request"); err != nil {
 			t.Error(err)
 		}
@@ -168,12 +168,12 @@
 		events uint32
 	}{
 		{"reading", readEvents},
-		{"waiting for the end only", unix.EPOLLRDHUP},
-		{"not reading", 0},
+		{"waiting for the end only", streamEndEvents},
+		{"not reading", noReadEvents},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l, r, peer := connectedPair(t)
-			eventlooptest.Do(l, func() { r.conn.socket.waitFor(test.events) })
+			eventlooptest.Do(l, func() { r.conn.socket.setReadInterest(test.events) })
 			if err := peer.SetLinger(0); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -72,7 +72,7 @@
 func (r *reader) readAvailableLocked(chunk []byte, streamEnded bool) (received, ended bool, err error) {
 	for {
 		if r.state.load() == connLingering {
-			r.socket.waitFor(unix.EPOLLRDHUP)
+			r.socket.setReadInterest(streamEndEvents)
 			return received, false, nil
 		}
 		if r.in.Len() >= r.currentLimit() {
@@ -100,9 +100,9 @@
 func (r *reader) pauseLocked() {
 	r.paused = true
 	if r.aheadLimited.Load() {
-		r.socket.waitFor(unix.EPOLLRDHUP)
+		r.socket.setReadInterest(streamEndEvents)
 	} else {
-		r.socket.waitFor(0)
+		r.socket.setReadInterest(noReadEvents)
 	}
 }
 
@@ -121,7 +121,7 @@
 func (r *reader) discardLocked(n int) (readOn bool) {
 	r.discarded += n
 	if r.discarded > r.limit {
-		r.socket.waitFor(unix.EPOLLRDHUP)
+		r.socket.setReadInterest(streamEndEvents)
 		return false
 	}
 	return true
@@ -193,7 +193,7 @@
 	}
 	r.paused = false
 	r.bytesMayHaveWaited = true
-	r.socket.waitFor(readEvents)
+	r.socket.setReadInterest(readEvents)
 }
 
 // unreadBytes returns the number of bytes in the buffer. It locks mu, and therefore must not be called from OnData.
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -182,24 +182,24 @@
 func TestArrivedAt_CountsTheWaitInTheKernel(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	l, r, peer := connectedPair(t)
-	eventlooptest.Do(l, func() { r.conn.socket.waitFor(0) })
+	eventlooptest.Do(l, func() { r.conn.socket.setReadInterest(noReadEvents) })
 	sentAt := l.Now()
 	if _, err := io.WriteString(peer, "early"); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(wait)
-	eventlooptest.Do(l, func() { r.conn.socket.waitFor(readEvents) })
+	eventlooptest.Do(l, func() { r.conn.socket.setReadInterest(readEvents) })
 	awaitOnLoop(t, l, "the bytes are delivered", func() bool { return len(r.data) == 1 })
 	if age := r.arrivedAt[0] - sentAt; age < -wait/2 || age > wait/2 {
 		t.Errorf("the first bytes arrived %v after they were sent", age)
 	}
-	eventlooptest.Do(l, func() { r.conn.socket.waitFor(0) })
+	eventlooptest.Do(l, func() { r.conn.socket.setReadInterest(noReadEvents) })
 	if _, err := io.WriteString(peer, "late"); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(20 * time.Millisecond)
 	readAt := l.Now()
-	eventlooptest.Do(l, func() { r.conn.socket.waitFor(readEvents) })
+	eventlooptest.Do(l, func() { r.conn.socket.setReadInterest(readEvents) })
 	awaitOnLoop(t, l, "the bytes are delivered", func() bool { return len(r.data) == 2 })
 	if r.arrivedAt[1] < readAt {
 		t.Errorf("the second bytes arrived %v before they were read", readAt-r.arrivedAt[1])
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -27,9 +27,16 @@
 // kernel holds the real system calls.
 var kernel = systemCalls{read: unix.Read, write: unix.Write}
 
-// readEvents are the events of a socket that is being read: received bytes, and the end of the stream. The end is
-// reported as soon as it has arrived, also while bytes before it are unread.
-const readEvents = unix.EPOLLIN | unix.EPOLLRDHUP
+// The events for reading that a socket may wait for. The kernel reports errors and resets in any case.
+const (
+	// readEvents are received bytes, and the end of the stream. The end is reported as soon as it has arrived, also
+	// while bytes before it are unread.
+	readEvents = unix.EPOLLIN | unix.EPOLLRDHUP
+	// streamEndEvents are the end of the stream alone.
+	streamEndEvents = unix.EPOLLRDHUP
+	// noReadEvents are none, as while a buffer is full.
+	noReadEvents = 0
+)
 
 // maxDataAge limits the result of lastDataAge. The deadline of a request that waited longer has passed in any case.
 const maxDataAge = time.Minute
@@ -160,8 +167,9 @@
 	return min(time.Duration(info.Last_data_recv)*time.Millisecond, maxDataAge)
 }
 
-// waitFor sets which of readEvents the poller waits for.
-func (s *socket) waitFor(events uint32) {
+// setReadInterest sets the events for reading that the poller waits for. Whether the poller also waits until the socket
+// can send stays as it is.
+func (s *socket) setReadInterest(events uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.state != socketClosed {
@@ -169,7 +177,7 @@
 	}
 }
 
-// setInterestLocked sets what the poller waits for.
+// setInterestLocked sets all events that the poller waits for.
 func (s *socket) setInterestLocked(events uint32) {
 	if events == s.interest {
 		return
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -121,7 +121,7 @@
 func TestWrite_DeliversReceivedBytesBeforeItsFailure(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		r.conn.socket.waitFor(0) // the poller does not read first
+		r.conn.socket.setReadInterest(noReadEvents) // the poller does not read first
 		if _, err := io.WriteString(peer, "a response"); err != nil {
 			t.Error(err)
 		}
@@ -140,7 +140,7 @@
 func TestWrite_ReportsThePeersEndBeforeItsFailure(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		r.conn.socket.waitFor(0) // the poller does not read first
+		r.conn.socket.setReadInterest(noReadEvents) // the poller does not read first
 		if _, err := io.WriteString(peer, "a response"); err != nil {
 			t.Error(err)
 		}
