--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -92,7 +92,7 @@
 	defer c.reader.mu.Unlock()
 	isOpen := c.state.load() == connOpen
 	if isOpen {
-		c.reader.readAndPostLocked(c.loop.readBuffer, false)
+		c.reader.readAndPostLocked(c.loop.scratch, readUntilShort)
 	}
 	idle = c.reader.in.Len() == 0
 	if idle && isOpen {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -103,7 +103,7 @@
 func (c *Conn) Disconnected() bool { return c.closer.disconnected.Load() }
 
 // readable implements socketOwner.
-func (c *Conn) readable(chunk []byte, streamEnded bool) { c.reader.read(chunk, streamEnded) }
+func (c *Conn) readable(scratch []byte, mode readMode) { c.reader.read(scratch, mode) }
 
 // bytesSent implements socketOwner.
 func (c *Conn) bytesSent(n int) { c.writer.bytesSent(n) }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -38,7 +38,7 @@
 	bufferedBytes atomic.Int64
 
 	// The loop's goroutine owns these.
-	readBuffer  []byte // for the reads of this goroutine
+	scratch     []byte // receives the bytes of one read on this goroutine
 	connections map[*Conn]struct{}
 	stopped     bool
 }
@@ -59,7 +59,7 @@
 		dialer:        dialer{dialContext: new(net.Dialer).DialContext},
 		listen:        net.Listen,
 		tasks:         newTaskQueue(),
-		readBuffer:    make([]byte, readSize),
+		scratch:       make([]byte, readSize),
 		connections:   map[*Conn]struct{}{},
 	}, nil
 }
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -115,7 +115,7 @@
 func (p *poller) run() {
 	defer close(p.stopped)
 	events := make([]unix.EpollEvent, eventsPerWait)
-	readBuffer := make([]byte, readSize)
+	scratch := make([]byte, readSize)
 	for {
 		n, err := unix.EpollWait(p.epoll, events, -1)
 		switch {
@@ -132,7 +132,7 @@
 				return
 			}
 			if s := p.find(token); s != nil {
-				s.handle(events[i].Events, readBuffer)
+				s.handle(events[i].Events, scratch)
 			}
 		}
 	}
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -36,13 +36,22 @@
 	discarded          int    // bytes received after Close
 }
 
-// read reads what the socket holds until the buffer is full, on the poller's goroutine. If the stream has ended it
-// reads to the end before the data is handed to the handler, so that the handler does not act for a client that has
-// disconnected.
-func (r *reader) read(chunk []byte, streamEnded bool) {
+// readMode says how long a socket is read, unless the buffer becomes full before.
+type readMode int
+
+const (
+	// readUntilShort: until a read returns fewer bytes than it asked for. If the socket holds more, it raises another
+	// event.
+	readUntilShort readMode = iota
+	// readUntilEmpty: until the socket holds no more bytes, or the stream has ended.
+	readUntilEmpty
+)
+
+// read reads what the socket holds. It is called on the poller's goroutine.
+func (r *reader) read(scratch []byte, mode readMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.readAndPostLocked(chunk, streamEnded)
+	r.readAndPostLocked(scratch, mode)
 }
 
 // readToEndAndClose reads what the peer has sent, and then closes the socket with the error of a failed write. It
@@ -50,14 +59,14 @@
 func (r *reader) readToEndAndClose(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.readAndPostLocked(r.loop.readBuffer, true)
+	r.readAndPostLocked(r.loop.scratch, readUntilEmpty)
 	r.socket.close(err)
 }
 
 // readAndPostLocked reads, and posts the delivery of what was read. If the stream has ended, it closes the socket after
 // that, so that the end of the connection is posted after the delivery: no byte before the end is lost.
-func (r *reader) readAndPostLocked(chunk []byte, streamEnded bool) {
-	received, ended, err := r.readAvailableLocked(chunk, streamEnded)
+func (r *reader) readAndPostLocked(scratch []byte, mode readMode) {
+	received, ended, err := r.readAvailableLocked(scratch, mode)
 	if received && !r.deliveryPosted {
 		r.deliveryPosted = true
 		r.loop.Post(r.deliver)
@@ -69,7 +78,7 @@
 
 // readAvailableLocked reads, and reports whether the handler is to be called and whether the stream has ended, with an
 // error or without.
-func (r *reader) readAvailableLocked(chunk []byte, streamEnded bool) (received, ended bool, err error) {
+func (r *reader) readAvailableLocked(scratch []byte, mode readMode) (received, ended bool, err error) {
 	for {
 		if r.state.load() == connLingering {
 			r.socket.setReadInterest(streamEndEvents)
@@ -79,13 +88,13 @@
 			r.pauseLocked()
 			return received, false, nil
 		}
-		n, err := r.socket.read(chunk)
+		n, err := r.socket.read(scratch)
 		switch {
 		case n > 0:
-			deliver, readOn := r.acceptLocked(chunk[:n])
+			deliver, readOn := r.acceptLocked(scratch[:n])
 			received = received || deliver
-			if !readOn || n < len(chunk) && !streamEnded {
-				return received, false, nil // what the socket still holds raises another event
+			if !readOn || mode == readUntilShort && n < len(scratch) {
+				return received, false, nil
 			}
 		case errors.Is(err, unix.EAGAIN), errors.Is(err, net.ErrClosed):
 			return received, false, nil
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -44,9 +44,8 @@
 // socketOwner is notified of a socket's events, on the poller's goroutine or on the goroutine of the call that caused
 // the event.
 type socketOwner interface {
-	// readable reads what the socket holds. If the peer has ended the stream, it reads up to the end; see reader.read.
-	// The socket's mutex is not held.
-	readable(chunk []byte, streamEnded bool)
+	// readable reads what the socket holds, by way of scratch. The socket's mutex is not held.
+	readable(scratch []byte, mode readMode)
 	// bytesSent reports that n bytes were sent. The socket's mutex is held.
 	bytesSent(n int)
 	// writeFailed reports, once, that nothing can be sent any more. The socket is still open, since it may hold bytes
@@ -111,10 +110,10 @@
 
 // handle handles an event of the poller, on its goroutine. It reads before it sends: bytes that the peer has sent count
 // even if the send fails.
-func (s *socket) handle(events uint32, readBuffer []byte) {
+func (s *socket) handle(events uint32, scratch []byte) {
 	switch {
 	case events&unix.EPOLLIN != 0:
-		s.owner.readable(readBuffer, events&unix.EPOLLRDHUP != 0)
+		s.owner.readable(scratch, readModeFor(events))
 	case events&(unix.EPOLLERR|unix.EPOLLHUP|unix.EPOLLRDHUP) != 0:
 		s.close(s.pendingError())
 	}
@@ -123,6 +122,15 @@
 	}
 }
 
+// readModeFor returns how far a socket with these events is read. If the peer has ended the stream, everything is read
+// before the data is handed to the handler, so that the handler does not act for a client that has disconnected.
+func readModeFor(events uint32) readMode {
+	if events&unix.EPOLLRDHUP != 0 {
+		return readUntilEmpty
+	}
+	return readUntilShort
+}
+
 // pendingError returns the error that the kernel has recorded for the socket (SO_ERROR), or nil.
 func (s *socket) pendingError() error {
 	s.mu.Lock()
