--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -70,10 +70,13 @@
 // call that has not run yet. A Close or CloseIfIdle while bytes wait drops the function.
 func (c *Conn) OnFlushed(f func()) { c.writer.notifyWhenFlushed(f) }
 
-// LimitReadAhead sets whether reading pauses once readSize bytes are unread, instead of at the connection's read limit.
-// Servers limit the read-ahead while a client's request is in flight. Redeliver must be called after the limit is
-// lifted.
-func (c *Conn) LimitReadAhead(on bool) { c.reader.aheadLimited.Store(on) }
+// LimitReadAhead has reading pause once readSize bytes are unread, instead of at the connection's read limit. Servers
+// limit the read-ahead while a client's request is in flight.
+func (c *Conn) LimitReadAhead() { c.reader.aheadLimited.Store(true) }
+
+// LiftReadAheadLimit ends the effect of LimitReadAhead. Unless it is called by OnData, Redeliver must be called after
+// it: reading that has paused resumes after the next call of OnData.
+func (c *Conn) LiftReadAheadLimit() { c.reader.aheadLimited.Store(false) }
 
 // Redeliver schedules another call of OnData, on a later turn, for the bytes that an earlier call left in the buffer.
 func (c *Conn) Redeliver() { c.reader.redeliver() }
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -113,7 +113,7 @@
 	}
 	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == 0 })
 	eventlooptest.Do(l, func() {
-		r.conn.LimitReadAhead(true)
+		r.conn.LimitReadAhead()
 		r.conn.Redeliver()
 	})
 	eventlooptest.Do(l, func() {})
@@ -162,7 +162,7 @@
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
 		r.idle = true
-		r.conn.LimitReadAhead(true)
+		r.conn.LimitReadAhead()
 	})
 	go func() { _, _ = peer.Write(make([]byte, 300<<10)) }()
 	awaitOnLoop(t, l, "one read is buffered", func() bool { return r.conn.UnreadBytes() >= readSize })
@@ -171,7 +171,7 @@
 		if got := r.conn.UnreadBytes(); got >= 2*readSize {
 			t.Errorf("%d bytes are unread, want less than %d", got, 2*readSize)
 		}
-		r.conn.LimitReadAhead(false)
+		r.conn.LiftReadAheadLimit()
 		r.conn.Redeliver()
 	})
 	awaitOnLoop(t, l, "the rest is read", func() bool { return r.conn.UnreadBytes() >= readLimit })
--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -128,7 +128,11 @@
 	case c.readTimer == nil && unread > 0: // in stateNew the timer runs from the accept on
 		c.startReadTimer()
 	}
-	c.socket.LimitReadAhead(c.state == stateInFlight)
+	if c.state == stateInFlight {
+		c.socket.LimitReadAhead()
+	} else {
+		c.socket.LiftReadAheadLimit()
+	}
 }
 
 // startReadTimer limits the time until a request is complete. This protects against clients that connect and send
@@ -175,7 +179,7 @@
 	default:
 		c.write(failedResponse())
 	}
-	c.socket.LimitReadAhead(false)
+	c.socket.LiftReadAheadLimit()
 	if c.state != stateClosing {
 		c.socket.Redeliver()
 	}
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -128,7 +128,11 @@
 		in.Consume(size)
 	}
 	c.restartStallTimer(in.Len() > 0)
-	c.socket.LimitReadAhead(c.state == stateInFlight)
+	if c.state == stateInFlight {
+		c.socket.LimitReadAhead()
+	} else {
+		c.socket.LiftReadAheadLimit()
+	}
 	c.flush()
 }
 
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -87,7 +87,7 @@
 // the request.
 func (c *connection) resume() {
 	c.flush()
-	c.socket.LimitReadAhead(false)
+	c.socket.LiftReadAheadLimit()
 	if c.state != stateClosing {
 		c.socket.Redeliver()
 	}
