--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxDrainTime limits the time from Close until all pending bytes are sent.
-	maxDrainTime = 3 * time.Second
+	// maxFlushTime limits the time from Close until all pending bytes are sent.
+	maxFlushTime = 3 * time.Second
 
 	// lingerTime is how long a connection stays open after its write side is shut, or after CloseAfterLinger, so that
 	// its peer can close it first. A socket that is closed with unread bytes resets the connection, and the peer may
@@ -18,27 +18,27 @@
 // connState is the state of a connection's close.
 //
 //	state     event                           next state  action
-//	open      Close                           draining    discard what was read, wait for pending writes
-//	open      CloseIfIdle, nothing is unread  draining    as for Close
+//	open      Close                           closing     discard what was read, wait for pending writes
+//	open      CloseIfIdle, nothing is unread  closing     as for Close
 //	open      CloseAfterLinger                lingering   stop reading, close the socket after lingerTime
-//	draining  no write is pending             draining    shut the write side, close the socket after lingerTime
-//	draining  maxDrainTime after Close        draining    close the socket
+//	closing   no write is pending             closing     shut the write side, close the socket after lingerTime
+//	closing   maxFlushTime after Close        closing     close the socket
 //	any       the peer ends the stream        unchanged   close the socket
 //	any       a read or a write fails         unchanged   close the socket with the error
 //	any       Abort                           unchanged   close the socket
 //	any       a turn after the socket's end   closed      drop the read buffer, call Handler.OnClosed
 //
 // The handler is notified of the socket's end on a later turn of the loop, so that bytes which were read before are
-// delivered first. Close and CloseAfterLinger do nothing unless the connection is open. CloseIfIdle, on a connection
-// that is closing and has nothing unread, shuts the write side if no write is pending.
+// delivered first. Close and CloseAfterLinger do nothing unless the connection is open. CloseIfIdle on a connection
+// in the state closing or lingering that has nothing unread shuts the write side if no write is pending.
 type connState int32
 
 const (
 	// connOpen: data is handed to the handler, and Write sends.
 	connOpen connState = iota
-	// connDraining: pending writes are sent, then the write side is shut. What is read meanwhile is discarded, so that
+	// connClosing: pending writes are sent, then the write side is shut. What is read meanwhile is discarded, so that
 	// no unread bytes reset the connection.
-	connDraining
+	connClosing
 	// connLingering: pending writes are sent. Nothing more is read.
 	connLingering
 	// connClosed: the connection has ended, and the handler is notified.
@@ -72,22 +72,22 @@
 	if c.state.load() != connOpen {
 		return
 	}
-	c.state.store(connDraining)
-	c.drain()
+	c.state.store(connClosing)
+	c.flushAndShutdownWrite()
 }
 
 // closeIfIdle closes the connection unless bytes of the peer are unread, and reports whether none are.
 func (c *closer) closeIfIdle() bool {
-	idle := c.startDrainingIfIdle()
+	idle := c.startClosingIfIdle()
 	if idle {
-		c.drain()
+		c.flushAndShutdownWrite()
 	}
 	return idle
 }
 
-// startDrainingIfIdle reads what the socket holds, and changes the state if nothing is unread. It holds the reader's
+// startClosingIfIdle reads what the socket holds, and changes the state if nothing is unread. It holds the reader's
 // mutex meanwhile, so that what the poller reads next is discarded.
-func (c *closer) startDrainingIfIdle() (idle bool) {
+func (c *closer) startClosingIfIdle() (idle bool) {
 	c.reader.mu.Lock()
 	defer c.reader.mu.Unlock()
 	isOpen := c.state.load() == connOpen
@@ -96,25 +96,26 @@
 	}
 	idle = c.reader.in.Len() == 0
 	if idle && isOpen {
-		c.state.store(connDraining)
+		c.state.store(connClosing)
 	}
 	return idle
 }
 
-// drain shuts the write side once nothing is pending.
-func (c *closer) drain() {
+// flushAndShutdownWrite shuts the write side once no write is pending. If that takes longer than maxFlushTime, it
+// closes the socket.
+func (c *closer) flushAndShutdownWrite() {
 	c.reader.redeliver() // discards what was read, and resumes reading if the buffer was full
 	if c.writer.pending.Load() == 0 {
 		c.shutdownWrite()
 		return
 	}
 	c.writer.notifyWhenFlushed(nil)
-	c.abortAfter(maxDrainTime)
+	c.abortAfter(maxFlushTime)
 }
 
 // writesFlushed is called by the writer once nothing is pending.
 func (c *closer) writesFlushed() {
-	if c.state.load() == connDraining {
+	if c.state.load() == connClosing {
 		c.shutdownWrite()
 	}
 }
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -80,12 +80,12 @@
 		close func(*Conn)
 		want  connState
 	}{
-		{"Close", (*Conn).Close, connDraining},
+		{"Close", (*Conn).Close, connClosing},
 		{"CloseAfterLinger", (*Conn).CloseAfterLinger, connLingering},
-		{"Close, then CloseAfterLinger", func(c *Conn) { c.Close(); c.CloseAfterLinger() }, connDraining},
+		{"Close, then CloseAfterLinger", func(c *Conn) { c.Close(); c.CloseAfterLinger() }, connClosing},
 		{"CloseAfterLinger, then Close", func(c *Conn) { c.CloseAfterLinger(); c.Close() }, connLingering},
-		{"CloseIfIdle", func(c *Conn) { c.CloseIfIdle() }, connDraining},
-		{"Close, then CloseIfIdle", func(c *Conn) { c.Close(); c.CloseIfIdle() }, connDraining},
+		{"CloseIfIdle", func(c *Conn) { c.CloseIfIdle() }, connClosing},
+		{"Close, then CloseIfIdle", func(c *Conn) { c.Close(); c.CloseIfIdle() }, connClosing},
 		{"CloseAfterLinger, then CloseIfIdle", func(c *Conn) { c.CloseAfterLinger(); c.CloseIfIdle() }, connLingering},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -270,7 +270,7 @@
 	}
 }
 
-// Each close limits the time until the connection ends: to maxDrainTime if bytes are pending and to lingerTime
+// Each close limits the time until the connection ends: to maxFlushTime if bytes are pending and to lingerTime
 // otherwise, and to lingerTime in any case for CloseAfterLinger.
 func TestClose_LastsNoLongerThanItsLimit(t *testing.T) {
 	for _, test := range []struct {
@@ -279,11 +279,11 @@
 		close   func(*Conn)
 		want    time.Duration
 	}{
-		{"Close with pending bytes", true, (*Conn).Close, maxDrainTime},
+		{"Close with pending bytes", true, (*Conn).Close, maxFlushTime},
 		{"Close", false, (*Conn).Close, lingerTime},
 		{"CloseAfterLinger with pending bytes", true, (*Conn).CloseAfterLinger, lingerTime},
 		{"CloseAfterLinger", false, (*Conn).CloseAfterLinger, lingerTime},
-		{"CloseIfIdle with pending bytes", true, func(c *Conn) { c.CloseIfIdle() }, maxDrainTime},
+		{"CloseIfIdle with pending bytes", true, func(c *Conn) { c.CloseIfIdle() }, maxFlushTime},
 		{"CloseIfIdle", false, func(c *Conn) { c.CloseIfIdle() }, lingerTime},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -183,7 +183,7 @@
 	switch r.state.load() {
 	case connOpen:
 		r.onData(&r.in)
-	case connDraining, connLingering:
+	case connClosing, connLingering:
 		// The peer of a closed connection must assume that what it sent last was not acted on.
 		r.in.Consume(before)
 	case connClosed:
