--- a/internal/eventloop/backlog.go
+++ b/internal/eventloop/backlog.go
@@ -17,25 +17,20 @@
 	backlogRetryDelay = time.Millisecond
 )
 
-// errBacklogEmpty ends the draining of a backlog.
+// errBacklogEmpty means that no connection waits to be accepted.
 var errBacklogEmpty = errors.New("no connection waits to be accepted")
 
-// drainingListener is a listener whose Close hands the connections of its backlog to the loop. The kernel has accepted
-// these: their clients may have sent a request, and closing the listener alone would reset them.
-type drainingListener struct {
-	net.Listener
-	acceptor *acceptor
+// Close implements net.Listener. It first accepts the connections of the backlog: the kernel has established them and
+// their clients may have sent a request, and closing the listener alone would reset them. It may be called from any
+// goroutine.
+func (a *acceptor) Close() error {
+	a.acceptBacklog()
+	return a.Listener.Close()
 }
 
-// Close implements net.Listener. It may be called from any goroutine.
-func (l *drainingListener) Close() error {
-	l.acceptor.drainBacklog()
-	return l.Listener.Close()
-}
-
-// drainBacklog hands the connections that wait to be accepted to the loop, also beyond the limit of open connections.
-func (a *acceptor) drainBacklog() {
-	tcp, ok := a.listener.(*net.TCPListener)
+// acceptBacklog hands the connections that wait to be accepted to the loop, also beyond the limit of open connections.
+func (a *acceptor) acceptBacklog() {
+	tcp, ok := a.Listener.(*net.TCPListener)
 	if !ok {
 		return
 	}
@@ -52,7 +47,7 @@
 			failures++
 			time.Sleep(backlogRetryDelay)
 		default:
-			a.adoptAccepted(descriptor)
+			a.adoptDescriptor(descriptor)
 		}
 	}
 }
@@ -72,12 +67,9 @@
 	return descriptor, nil
 }
 
-// adoptAccepted hands an accepted descriptor to the loop.
-func (a *acceptor) adoptAccepted(descriptor int) {
+// adoptDescriptor hands an accepted descriptor to the loop.
+func (a *acceptor) adoptDescriptor(descriptor int) {
 	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // its failure only costs speed
 	s := newSocket(descriptor)
-	a.loop.Post(func() {
-		// A socket that cannot be polled is closed: nothing could be sent to its client.
-		_, _ = a.loop.adopt(s, a.readLimit, a.newHandler, func() {})
-	})
+	a.adopt(s, func() {}) // it has no slot
 }
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -23,10 +23,11 @@
 	maxConvertAttempts = 250
 )
 
-// acceptor accepts the connections of one listener, on a goroutine of its own, and hands them to the loop.
+// acceptor is the listener that Loop.Listen returns. It accepts the connections on a goroutine of its own, and hands
+// them to the loop.
 type acceptor struct {
+	net.Listener
 	loop       *Loop
-	listener   net.Listener
 	readLimit  int
 	newHandler func(*Conn) Handler
 	slots      connectionSlots
@@ -48,14 +49,14 @@
 		return nil, err
 	}
 	a := &acceptor{
+		Listener:   listener,
 		loop:       l,
-		listener:   listener,
 		readLimit:  readLimit,
 		newHandler: newHandler,
 		slots:      newConnectionSlots(maxConnections),
 	}
 	go a.run()
-	return &drainingListener{Listener: listener, acceptor: a}, nil
+	return a, nil
 }
 
 // listenWithRetries listens, and retries for listenRetryTime if this machine lacks something that a later attempt may
@@ -74,7 +75,7 @@
 func (a *acceptor) run() {
 	for {
 		a.slots.acquire()
-		conn, err := a.listener.Accept()
+		conn, err := a.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
@@ -82,21 +83,27 @@
 			a.slots.release()
 			time.Sleep(acceptRetryDelay)
 		default:
-			a.handOver(conn)
+			a.adoptConn(conn)
 		}
 	}
 }
 
-// handOver passes an accepted connection to the loop, or closes it. Its slot is released when it ends.
-func (a *acceptor) handOver(conn net.Conn) {
+// adoptConn hands an accepted connection to the loop, or closes it. Its slot is released when it ends.
+func (a *acceptor) adoptConn(conn net.Conn) {
 	s := convertAccepted(conn)
 	if s == nil {
 		a.slots.release()
 		return
 	}
+	a.adopt(s, a.slots.release)
+}
+
+// adopt hands the socket of an accepted connection to the loop. The function onEnded is called once the connection has
+// ended. A connection that cannot be polled ends at once, since nothing could be sent to its client.
+func (a *acceptor) adopt(s *socket, onEnded func()) {
 	a.loop.Post(func() {
-		if _, err := a.loop.adopt(s, a.readLimit, a.newHandler, a.slots.release); err != nil {
-			a.slots.release()
+		if _, err := a.loop.adopt(s, a.readLimit, a.newHandler, onEnded); err != nil {
+			onEnded()
 		}
 	})
 }
