--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -6,8 +6,14 @@
 	"syscall"
 )
 
-// errBufferBudgetExceeded closes a connection when the read buffers of all connections exceed Loop.BufferBudget.
-var errBufferBudgetExceeded = errors.New("the buffers of all connections are full")
+var (
+	// errBufferBudgetExceeded ends a connection when the read buffers of all connections exceed Loop.BufferBudget.
+	errBufferBudgetExceeded = errors.New("the buffers of all connections are full")
+	// errWriteQueueFull ends a connection whose peer reads too slowly.
+	errWriteQueueFull = errors.New("too many bytes wait to be sent")
+	// errNoDescriptor is the error of convert for a connection that is not a TCP connection.
+	errNoDescriptor = errors.New("the connection has no descriptor")
+)
 
 // localFailures are the errors of a call that lacked something on this machine, such as space in its tables or buffers,
 // or a port. They do not indicate a fault of the peer.
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -80,7 +80,7 @@
 	for !l.stopped {
 		l.tasks.runPosted()
 		l.Timers.RunDue(l.Now())
-		if l.stopped { // nothing else might end the wait
+		if l.stopped { // then nothing might end the wait
 			break
 		}
 		l.wait(wakeTimer)
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -140,7 +140,7 @@
 
 // stop ends the poller and waits for the end of its goroutine, at most for the timeout.
 func (p *poller) stop(timeout time.Duration) {
-	const increment = "\x01\x00\x00\x00\x00\x00\x00\x00"
+	const increment = "\x01\x00\x00\x00\x00\x00\x00\x00" // 1 as a 64-bit integer in the byte order of the machine
 	for {
 		if _, err := unix.Write(p.wakeUp, []byte(increment)); !errors.Is(err, unix.EINTR) {
 			break
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -10,9 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// reader reads a connection's socket into its buffer, and hands the buffer to the handler. From the state of the
-// connection it decides whether bytes are buffered, discarded or left in the socket, and from the size of the buffer,
-// in bytes, when reading pauses.
+// reader reads a connection's socket into its buffer, and hands the buffer to the handler. The state of the connection
+// determines whether bytes are buffered, discarded or left in the socket. Reading pauses while the buffer is full.
 //
 // Both goroutines read: the poller's when the socket is readable, the loop's before an idle connection is closed and
 // after a failed write. The mutex mu separates these reads from each other and from the handler's use of the buffer.
@@ -23,7 +22,7 @@
 	loop   *Loop
 	socket *socket
 	state  *atomicConnState
-	limit  int           // the largest size of the buffer, in bytes
+	limit  int           // unread bytes at which the buffer is full; at least the size of the largest message
 	onData func(*Buffer) // calls the handler
 
 	aheadLimited atomic.Bool // written by the loop's goroutine alone
@@ -66,8 +65,8 @@
 // readAndPostLocked reads, and posts the delivery of what was read. If the stream has ended, it closes the socket after
 // that, so that the end of the connection is posted after the delivery: no byte before the end is lost.
 func (r *reader) readAndPostLocked(scratch []byte, mode readMode) {
-	received, ended, err := r.readAvailableLocked(scratch, mode)
-	if received && !r.deliveryPosted {
+	deliver, ended, err := r.readAvailableLocked(scratch, mode)
+	if deliver && !r.deliveryPosted {
 		r.deliveryPosted = true
 		r.loop.Post(r.deliver)
 	}
@@ -76,30 +75,30 @@
 	}
 }
 
-// readAvailableLocked reads, and reports whether the handler is to be called and whether the stream has ended, with an
+// readAvailableLocked reads. It reports whether the handler must be called, and whether the stream has ended, with an
 // error or without.
-func (r *reader) readAvailableLocked(scratch []byte, mode readMode) (received, ended bool, err error) {
+func (r *reader) readAvailableLocked(scratch []byte, mode readMode) (deliver, ended bool, err error) {
 	for {
 		if r.state.load() == connLingering {
 			r.socket.setReadInterest(streamEndEvents)
-			return received, false, nil
+			return deliver, false, nil
 		}
 		if r.in.Len() >= r.currentLimit() {
 			r.pauseLocked()
-			return received, false, nil
+			return deliver, false, nil
 		}
 		n, err := r.socket.read(scratch)
 		switch {
 		case n > 0:
-			deliver, readOn := r.acceptLocked(scratch[:n])
-			received = received || deliver
+			buffered, readOn := r.bufferOrDiscardLocked(scratch[:n])
+			deliver = deliver || buffered
 			if !readOn || mode == readUntilShort && n < len(scratch) {
-				return received, false, nil
+				return deliver, false, nil
 			}
 		case errors.Is(err, unix.EAGAIN), errors.Is(err, net.ErrClosed):
-			return received, false, nil
+			return deliver, false, nil
 		default: // the end of the stream, or an error
-			return received, true, err
+			return deliver, true, err
 		}
 	}
 }
@@ -115,9 +114,9 @@
 	}
 }
 
-// acceptLocked buffers received bytes for the handler, or discards them if the connection is being closed. The close
-// may have begun during the read. It reports whether the handler is to be called for them, and whether to read on.
-func (r *reader) acceptLocked(data []byte) (deliver, readOn bool) {
+// bufferOrDiscardLocked buffers received bytes for the handler, or discards them if a close has begun, as it may have
+// during the read. It reports whether the bytes are for the handler, and whether to read on.
+func (r *reader) bufferOrDiscardLocked(data []byte) (buffered, readOn bool) {
 	if r.state.load() != connOpen {
 		return false, r.discardLocked(len(data))
 	}
@@ -161,8 +160,8 @@
 	return now - r.socket.lastDataAge()
 }
 
-// currentLimit returns the number of unread bytes, in the buffer, at which reading pauses. The last read before the
-// pause may exceed it. Except while the read-ahead is limited, it must be at least the size of the largest message.
+// currentLimit returns the number of unread bytes at which the buffer counts as full. The last read before the pause
+// may exceed it.
 func (r *reader) currentLimit() int {
 	if r.aheadLimited.Load() {
 		return min(readSize, r.limit)
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -64,8 +64,8 @@
 				closeConn(r.conn)
 				r.conn.reader.mu.Lock()
 				defer r.conn.reader.mu.Unlock()
-				if deliver, _ := r.conn.reader.acceptLocked(make([]byte, 2*readSize)); deliver {
-					t.Error("the bytes are to be delivered")
+				if buffered, _ := r.conn.reader.bufferOrDiscardLocked(make([]byte, 2*readSize)); buffered {
+					t.Error("the bytes are buffered for the handler")
 				}
 				if r.conn.Disconnected() {
 					t.Error("the connection is closed before its linger has ended")
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -11,13 +11,6 @@
 	"golang.org/x/sys/unix"
 )
 
-var (
-	// errWriteQueueFull closes a connection whose peer reads too slowly.
-	errWriteQueueFull = errors.New("too many bytes wait to be sent")
-	// errNoDescriptor means that a connection to be converted is not a TCP connection.
-	errNoDescriptor = errors.New("the connection has no descriptor")
-)
-
 // systemCalls are the system calls that a socket makes, so that a test can make them fail.
 type systemCalls struct {
 	read  func(descriptor int, p []byte) (int, error)
--- a/internal/eventloop/socket_write.go
+++ b/internal/eventloop/socket_write.go
@@ -48,7 +48,7 @@
 	return true
 }
 
-// tryWrite does the work of write. It leaves the handling of an error to its caller.
+// tryWrite is write without failWrites, which must not be called while mu is held.
 func (s *socket) tryWrite(data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// tryFlush does the work of flush. It leaves the handling of an error to its caller.
+// tryFlush is flush without failWrites, which must not be called while mu is held.
 func (s *socket) tryFlush() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
