--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -1,9 +1,7 @@
 package eventloop
 
 import (
-	"errors"
 	"io"
-	"runtime"
 	"testing"
 	"time"
 
@@ -17,19 +15,13 @@
 func TestClose_DropsBytesReadJustBefore(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		if _, err := io.WriteString(peer, "a request"); err != nil {
-			t.Error(err)
-		}
-		for l.BufferedBytes() == 0 { // the poller reads them while the loop is here
-			runtime.Gosched()
-		}
+		send(t, peer, "a request")
+		awaitPoller(t, "the bytes are read", func() bool { return l.BufferedBytes() > 0 })
 		r.conn.Close()
 	})
-	if _, err := io.ReadAll(peer); err != nil {
-		t.Errorf("the peer saw %v, want the end of the stream", err)
-	}
+	checkPeerReads(t, peer, "")
 	_ = peer.Close()
-	await(t, r.closed, "the end of the connection")
+	awaitEnd(t, r)
 	eventlooptest.Do(l, func() {
 		if len(r.data) > 0 {
 			t.Errorf("OnData got %q after Close", r.data)
@@ -47,15 +39,10 @@
 		r.conn.Write([]byte("response"))
 		r.conn.Close()
 		for range 3 {
-			if _, err := io.WriteString(peer, "more"); err != nil {
-				t.Errorf("the peer's write failed: %v", err)
-			}
+			send(t, peer, "more")
 		}
 	})
-	got, err := io.ReadAll(peer)
-	if string(got) != "response" || err != nil {
-		t.Errorf("the peer read %q, then %v", got, err)
-	}
+	checkPeerReads(t, peer, "response")
 }
 
 // A closed connection ends although its peer goes on writing and never closes.
@@ -69,7 +56,7 @@
 			}
 		}
 	}()
-	await(t, r.closed, "the end of the connection")
+	awaitEnd(t, r)
 }
 
 // A second close changes nothing, a write to a closing connection is rejected, and the handler is notified of the end
@@ -99,7 +86,7 @@
 					t.Error("a closing connection accepted a write")
 				}
 			})
-			await(t, r.closed, "the end of the connection")
+			awaitEnd(t, r)
 			eventlooptest.Do(l, func() {
 				if got := r.conn.closer.state.load(); got != connClosed {
 					t.Errorf("state %d at the end, want %d", got, connClosed)
@@ -118,9 +105,7 @@
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
 		r.conn.socket.setReadInterest(noReadEvents) // the poller does not read
-		if _, err := io.WriteString(peer, "a request"); err != nil {
-			t.Error(err)
-		}
+		send(t, peer, "a request")
 		if r.conn.CloseIfIdle() { // loopback has carried it by the end of the write
 			t.Error("closed over bytes that had arrived")
 		}
@@ -131,9 +116,7 @@
 			t.Error("an idle connection was not closed")
 		}
 	})
-	if _, err := io.ReadAll(peer); err != nil {
-		t.Errorf("the peer saw %v, want the end of the stream", err)
-	}
+	checkPeerReads(t, peer, "")
 }
 
 // What a peer sends after Close is read and dropped, up to the size of a read buffer: beyond that it would be read at
@@ -145,20 +128,16 @@
 		defer r.conn.reader.mu.Unlock()
 		return r.conn.reader.discarded
 	}
-	eventlooptest.Do(l, func() { // the poller reads meanwhile, and no timer ends the connection
+	eventlooptest.Do(l, func() { // no timer ends the connection meanwhile
 		r.conn.Close()
-		if _, err := peer.Write(make([]byte, 2*readLimit)); err != nil {
-			t.Error(err)
-		}
-		for discarded() <= readLimit {
-			runtime.Gosched()
-		}
+		send(t, peer, make([]byte, 2*readLimit))
+		awaitPoller(t, "the limit is exceeded", func() bool { return discarded() > readLimit })
 		time.Sleep(20 * time.Millisecond) // time in which too much would be read
 		if got := discarded(); got > readLimit+readSize {
 			t.Errorf("%d bytes discarded, want at most %d", got, readLimit+readSize)
 		}
 	})
-	await(t, r.closed, "the end of the connection")
+	awaitEnd(t, r)
 }
 
 // OnClosed is called with the error of the peer's reset, also while the socket is not read.
@@ -180,9 +159,7 @@
 			if err := peer.Close(); err != nil {
 				t.Fatal(err)
 			}
-			if err := <-r.closed; !errors.Is(err, unix.ECONNRESET) {
-				t.Errorf("closed with %v, want %v", err, unix.ECONNRESET)
-			}
+			checkEnd(t, r, unix.ECONNRESET)
 		})
 	}
 }
@@ -193,23 +170,18 @@
 	const size = readLimit + 2*readSize // more than is read before a pause
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
-	if _, err := peer.Write(make([]byte, size)); err != nil {
-		t.Fatal(err)
-	}
-	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == 0 })
+	send(t, peer, make([]byte, size))
+	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == noReadEvents })
 	eventlooptest.Do(l, func() {
 		r.conn.Close()
 		l.Post(func() {
 			if got := r.conn.UnreadBytes(); got != 0 {
 				t.Errorf("%d bytes are still in the buffer", got)
 			}
-			interest := interestOf(r.conn)
-			if interest != readEvents {
-				t.Errorf("the poller waits for events %#x, want %#x", interest, readEvents)
-			}
+			checkInterest(t, r.conn, readEvents)
 		})
 	})
-	await(t, r.closed, "the end of the connection")
+	awaitEnd(t, r)
 }
 
 // CloseAfterLinger sends what is pending, although the poller no longer waits for bytes to read.
@@ -219,29 +191,23 @@
 		unblock := blockWrites(r.conn)
 		r.conn.Write([]byte("response"))
 		r.conn.CloseAfterLinger()
-		if got := interestOf(r.conn); got != unix.EPOLLRDHUP|unix.EPOLLOUT {
-			t.Errorf("the poller waits for events %#x, want %#x", got, unix.EPOLLRDHUP|unix.EPOLLOUT)
-		}
+		checkInterest(t, r.conn, unix.EPOLLRDHUP|unix.EPOLLOUT)
 		unblock()
 	})
-	if got, err := io.ReadAll(peer); string(got) != "response" || err != nil {
-		t.Errorf("the peer read %q, then %v", got, err)
-	}
-	await(t, r.closed, "the end of the connection")
+	checkPeerReads(t, peer, "response")
+	awaitEnd(t, r)
 }
 
 // Bytes that were not consumed are no longer counted after the end.
 func TestOnClosed_ReleasesUnreadBytes(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
-	if _, err := io.WriteString(peer, "part of a request"); err != nil {
-		t.Fatal(err)
-	}
+	send(t, peer, "part of a request")
 	awaitOnLoop(t, l, "the bytes are read", func() bool { return r.conn.UnreadBytes() > 0 })
 	if err := peer.Close(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, r.closed, "the end of the connection")
+	awaitEnd(t, r)
 	if got := l.BufferedBytes(); got != 0 {
 		t.Errorf("%d bytes still counted as buffered", got)
 	}
@@ -265,9 +231,7 @@
 	if len(got) != size || err != nil {
 		t.Errorf("the peer read %d bytes of %d, then %v", len(got), size, err)
 	}
-	if err := <-r.closed; err != nil {
-		t.Errorf("closed with %v", err)
-	}
+	checkEnd(t, r, nil)
 }
 
 // Each close limits the time until the connection ends: to maxFlushTime if bytes are pending and to lingerTime
@@ -305,9 +269,7 @@
 					t.Error("the connection has not ended when its time is up")
 				}
 			})
-			if err := <-r.closed; err != nil {
-				t.Errorf("closed with %v", err)
-			}
+			checkEnd(t, r, nil)
 		})
 	}
 }
@@ -330,8 +292,6 @@
 			}
 		})
 	})
-	if got, err := io.ReadAll(peer); string(got) != "response" || err != nil {
-		t.Errorf("the peer read %q, then %v", got, err)
-	}
-	await(t, r.closed, "the end of the connection")
+	checkPeerReads(t, peer, "response")
+	awaitEnd(t, r)
 }
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -1,7 +1,10 @@
 package eventloop
 
 import (
+	"errors"
+	"io"
 	"net"
+	"runtime"
 	"testing"
 	"time"
 
@@ -143,14 +146,42 @@
 	}
 }
 
-// await fails the test unless the channel delivers within awaitTimeout.
-func await[T any](t *testing.T, c <-chan T, what string) {
+// awaitPoller waits until the condition holds. It must be called on the loop's goroutine, which does nothing else
+// meanwhile: what changes is done by the poller.
+func awaitPoller(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(awaitTimeout); !condition(); runtime.Gosched() {
+		if time.Now().After(deadline) {
+			t.Errorf("not within %v: %s", awaitTimeout, what)
+			return
+		}
+	}
+}
+
+// await returns the next value of the channel, or the zero value once the channel is closed. It fails the test after
+// awaitTimeout.
+func await[T any](t *testing.T, c <-chan T, what string) (value T) {
 	t.Helper()
 	select {
-	case <-c:
+	case value = <-c:
 	case <-time.After(awaitTimeout):
 		t.Fatalf("not within %v: %s", awaitTimeout, what)
 	}
+	return value
+}
+
+// awaitEnd waits until OnClosed is called.
+func awaitEnd(t *testing.T, r *recorder) {
+	t.Helper()
+	_ = await(t, r.closed, "the end of the connection")
+}
+
+// send writes data to a connection of a peer, and fails the test if that fails.
+func send[T string | []byte](t *testing.T, peer io.Writer, data T) {
+	t.Helper()
+	if _, err := peer.Write([]byte(data)); err != nil {
+		t.Errorf("the peer's write failed: %v", err)
+	}
 }
 
 // checkData fails the test unless OnData was called once, with these bytes.
@@ -162,3 +193,27 @@
 		}
 	})
 }
+
+// checkEnd waits until OnClosed is called, and fails the test unless that is with the error.
+func checkEnd(t *testing.T, r *recorder, want error) {
+	t.Helper()
+	if err := await(t, r.closed, "the end of the connection"); !errors.Is(err, want) {
+		t.Errorf("closed with %v, want %v", err, want)
+	}
+}
+
+// checkPeerReads fails the test unless the peer reads this text and then the end of the stream.
+func checkPeerReads(t *testing.T, peer io.Reader, want string) {
+	t.Helper()
+	if got, err := io.ReadAll(peer); string(got) != want || err != nil {
+		t.Errorf("the peer read %q, then %v; want %q, then the end of the stream", got, err, want)
+	}
+}
+
+// checkInterest fails the test unless the poller waits for these events of the connection.
+func checkInterest(t *testing.T, c *Conn, want uint32) {
+	t.Helper()
+	if got := interestOf(c); got != want {
+		t.Errorf("the poller waits for events %#x, want %#x", got, want)
+	}
+}
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"io"
 	"net"
 	"testing"
 	"time"
@@ -20,9 +19,7 @@
 	connect(t, listener)
 	<-accepted
 	waiting := connect(t, listener)
-	if _, err := io.WriteString(waiting, "a request"); err != nil {
-		t.Fatal(err)
-	}
+	send(t, waiting, "a request")
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"io"
 	"slices"
 	"testing"
 	"time"
@@ -41,7 +40,5 @@
 func TestRun_ClosesConnectionsAtItsEnd(t *testing.T) {
 	l, _, peer := connectedPair(t)
 	eventlooptest.Do(l, l.Stop)
-	if _, err := io.ReadAll(peer); err != nil {
-		t.Errorf("the peer saw %v, want the end of the stream", err)
-	}
+	checkPeerReads(t, peer, "")
 }
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"errors"
-	"io"
-	"runtime"
 	"testing"
 	"time"
 
@@ -29,14 +27,10 @@
 				r.idle = true
 				// An error is the reset by the closed connection.
 				_, _ = peer.Write(make([]byte, 2*readSize))
-				for !r.conn.Disconnected() { // the poller closes it while the loop is here
-					runtime.Gosched()
-				}
+				awaitPoller(t, "the connection is closed", r.conn.Disconnected)
 				test.close(r.conn)
 			})
-			if err := <-r.closed; !errors.Is(err, errBufferBudgetExceeded) {
-				t.Errorf("closed with %v, want %v", err, errBufferBudgetExceeded)
-			}
+			checkEnd(t, r, errBufferBudgetExceeded)
 			if n := l.BufferedBytes(); n != 0 {
 				t.Errorf("%d bytes still counted as buffered", n)
 			}
@@ -86,19 +80,13 @@
 	for range 50 {
 		l, r, peer := connectedPair(t)
 		eventlooptest.Do(l, func() { // both have arrived before the loop goes on
-			if _, err := peer.Write([]byte("a response")); err != nil {
-				t.Error(err)
-			}
+			send(t, peer, "a response")
 			if err := peer.Close(); err != nil {
 				t.Error(err)
 			}
-			for !r.conn.Disconnected() {
-				runtime.Gosched()
-			}
+			awaitPoller(t, "the end is read", r.conn.Disconnected)
 		})
-		if err := <-r.closed; err != nil {
-			t.Errorf("closed with %v", err)
-		}
+		checkEnd(t, r, nil)
 		checkData(t, l, r, "a response")
 	}
 }
@@ -108,10 +96,8 @@
 func TestLimitReadAhead_NoticesTheEndWhileTheBufferIsFull(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
-	if _, err := peer.Write(make([]byte, readLimit+2*readSize)); err != nil { // more than is read before a pause
-		t.Fatal(err)
-	}
-	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == 0 })
+	send(t, peer, make([]byte, readLimit+2*readSize)) // more than is read before a pause
+	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == noReadEvents })
 	eventlooptest.Do(l, func() {
 		r.conn.LimitReadAhead()
 		r.conn.Redeliver()
@@ -184,9 +170,7 @@
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.conn.socket.setReadInterest(noReadEvents) })
 	sentAt := l.Now()
-	if _, err := io.WriteString(peer, "early"); err != nil {
-		t.Fatal(err)
-	}
+	send(t, peer, "early")
 	time.Sleep(wait)
 	eventlooptest.Do(l, func() { r.conn.socket.setReadInterest(readEvents) })
 	awaitOnLoop(t, l, "the bytes are delivered", func() bool { return len(r.data) == 1 })
@@ -194,9 +178,7 @@
 		t.Errorf("the first bytes arrived %v after they were sent", age)
 	}
 	eventlooptest.Do(l, func() { r.conn.socket.setReadInterest(noReadEvents) })
-	if _, err := io.WriteString(peer, "late"); err != nil {
-		t.Fatal(err)
-	}
+	send(t, peer, "late")
 	time.Sleep(20 * time.Millisecond)
 	readAt := l.Now()
 	eventlooptest.Do(l, func() { r.conn.socket.setReadInterest(readEvents) })
@@ -212,12 +194,8 @@
 	eventlooptest.Do(l, func() {
 		for _, part := range []string{"first, ", "second"} {
 			before := l.BufferedBytes()
-			if _, err := io.WriteString(peer, part); err != nil {
-				t.Error(err)
-			}
-			for l.BufferedBytes() == before { // the poller reads while the loop is here
-				runtime.Gosched()
-			}
+			send(t, peer, part)
+			awaitPoller(t, "the part is read", func() bool { return l.BufferedBytes() > before })
 		}
 	})
 	checkData(t, l, r, "first, second")
@@ -228,15 +206,11 @@
 	const wait = 300 * time.Millisecond
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
-	if _, err := peer.Write(make([]byte, readLimit)); err != nil {
-		t.Fatal(err)
-	}
+	send(t, peer, make([]byte, readLimit))
 	awaitOnLoop(t, l, "the buffer is full", func() bool { return r.conn.UnreadBytes() == readLimit })
 	sentAt := l.Now()
-	if _, err := io.WriteString(peer, "waiting"); err != nil {
-		t.Fatal(err)
-	}
-	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == 0 })
+	send(t, peer, "waiting")
+	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == noReadEvents })
 	time.Sleep(wait)
 	eventlooptest.Do(l, func() {
 		r.idle = false
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -56,9 +56,7 @@
 	if _, err := io.ReadFull(peer, got); err != nil || !bytes.Equal(got, sent) {
 		t.Errorf("the peer read %d bytes of %d, then %v", len(got), len(sent), err)
 	}
-	if err := <-r.closed; err != nil {
-		t.Errorf("closed with %v", err)
-	}
+	checkEnd(t, r, nil)
 	eventlooptest.Do(l, func() {
 		received := strings.Join(r.data, "")
 		if received != string(sent) {
@@ -85,9 +83,7 @@
 			t.Error("the write was accepted")
 		}
 	})
-	if err := <-r.closed; !errors.Is(err, unix.EHOSTUNREACH) {
-		t.Errorf("closed with %v", err)
-	}
+	checkEnd(t, r, unix.EHOSTUNREACH)
 }
 
 // After a failed write nothing is sent any more, even if the kernel accepts bytes again, and the poller no longer waits
@@ -101,20 +97,14 @@
 		}
 		setWrite(r.conn, func(int, []byte) (int, error) { return -1, unix.EHOSTUNREACH })
 		r.conn.socket.flush()
-		if got := interestOf(r.conn); got != readEvents {
-			t.Errorf("the poller waits for events %#x, want %#x", got, readEvents)
-		}
+		checkInterest(t, r.conn, readEvents)
 		unblock()
 		if r.conn.Write([]byte("late")) {
 			t.Error("a write after the failure was accepted")
 		}
 	})
-	if err := <-r.closed; !errors.Is(err, unix.EHOSTUNREACH) {
-		t.Errorf("closed with %v", err)
-	}
-	if got, err := io.ReadAll(peer); len(got) > 0 || err != nil {
-		t.Errorf("the peer read %q, then %v", got, err)
-	}
+	checkEnd(t, r, unix.EHOSTUNREACH)
+	checkPeerReads(t, peer, "")
 }
 
 // What a peer has sent is delivered although a write to it fails: it may be the response to an earlier request.
@@ -122,17 +112,13 @@
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
 		r.conn.socket.setReadInterest(noReadEvents) // the poller does not read first
-		if _, err := io.WriteString(peer, "a response"); err != nil {
-			t.Error(err)
-		}
+		send(t, peer, "a response")
 		setWrite(r.conn, func(int, []byte) (int, error) { return -1, unix.EPIPE })
 		if r.conn.Write([]byte("a request")) || r.conn.Write([]byte("another")) {
 			t.Error("the write was accepted")
 		}
 	})
-	if err := <-r.closed; !errors.Is(err, unix.EPIPE) {
-		t.Errorf("closed with %v", err)
-	}
+	checkEnd(t, r, unix.EPIPE)
 	checkData(t, l, r, "a response")
 }
 
@@ -141,9 +127,7 @@
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
 		r.conn.socket.setReadInterest(noReadEvents) // the poller does not read first
-		if _, err := io.WriteString(peer, "a response"); err != nil {
-			t.Error(err)
-		}
+		send(t, peer, "a response")
 		if err := peer.Close(); err != nil {
 			t.Error(err)
 		}
@@ -152,9 +136,7 @@
 			t.Error("the write was accepted")
 		}
 	})
-	if err := <-r.closed; err != nil {
-		t.Errorf("closed with %v", err)
-	}
+	checkEnd(t, r, nil)
 	checkData(t, l, r, "a response")
 }
 
@@ -224,7 +206,7 @@
 	l, r, _ := connectedPair(t)
 	stale := r.conn.socket
 	eventlooptest.Do(l, r.conn.Abort)
-	await(t, r.closed, "the end of the first connection")
+	awaitEnd(t, r)
 	next, _ := connectTo(t, l)
 	if next.conn.socket.descriptor != stale.descriptor {
 		t.Logf("the kernel gave the next socket descriptor %d, not %d", next.conn.socket.descriptor, stale.descriptor)
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"errors"
 	"io"
 	"testing"
 
@@ -73,9 +72,7 @@
 			t.Error("a write beyond the limit was accepted")
 		}
 	})
-	if err := <-r.closed; !errors.Is(err, errWriteQueueFull) {
-		t.Errorf("closed with %v, want %v", err, errWriteQueueFull)
-	}
+	checkEnd(t, r, errWriteQueueFull)
 }
 
 // Bytes that are written after OnFlushed's function was scheduled, and before it runs, are sent first, too.
@@ -95,7 +92,5 @@
 	})
 	eventlooptest.Do(l, func() { unblock() })
 	await(t, flushed, "the call of OnFlushed's function")
-	if got := interestOf(r.conn); got != readEvents {
-		t.Errorf("the poller waits for events %#x once all is sent, want %#x", got, readEvents)
-	}
+	checkInterest(t, r.conn, readEvents)
 }
