--- a/internal/e2e/client_disconnect_test.go
+++ b/internal/e2e/client_disconnect_test.go
@@ -50,7 +50,7 @@
 				})
 			})
 			front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = cancelPermitted })
-			front.site.ConnectTimeout = waitLimit
+			front.settings.ConnectTimeout = waitLimit
 			front.serveHTTP(addr)
 			disconnecting := connectHTTP(t, front.addr)
 			staying := connectHTTP(t, front.addr)
--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -4,7 +4,6 @@
 	"testing"
 	"time"
 
-	"flaxrelay/internal/frontend/httpserver"
 	"flaxrelay/policy"
 )
 
@@ -47,7 +46,7 @@
 	last, _ := startLineEngine(t, emptyReply)
 	front := newFrontEnd(t, nil)
 	front.maxEngineConnections = 2
-	front.maxStreams = 1
+	front.settings.MaxStreams = 1
 	front.serveHTTP()
 	client := connectHTTP(t, front.addr)
 	queryOnly := func(addr string) string { // while no other engine is ready
@@ -77,7 +76,7 @@
 	t.Helper()
 	addr, _ := startLineEngine(t, emptyReply)
 	front := newFrontEnd(t, nil)
-	front.httpOptions = httpserver.Options{MaxClients: 1}
+	front.httpOptions.MaxClients = 1
 	front.serveHTTP(addr)
 	client := connectHTTP(t, front.addr)
 	front.awaitCount("http.connections", 1)
--- a/internal/e2e/discovery_test.go
+++ b/internal/e2e/discovery_test.go
@@ -27,7 +27,7 @@
 			})
 			other, _ := startLineEngine(t, emptyReply)
 			front := newFrontEnd(t, nil)
-			front.site.ConnectTimeout = waitLimit
+			front.settings.ConnectTimeout = waitLimit
 			front.serveHTTP(draining)
 			client := connectHTTP(t, front.addr)
 			client.send(withWait(queryRequest("lookup", ""), longWait))
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -19,7 +19,7 @@
 	front.onLoop(func() {
 		front.deliver(complete, text)
 		front.deliver(partial, text[:partLength])
-		front.httpServer.Drain()
+		front.server.Drain()
 	})
 	assertEqual(t, "the request that arrived just before", complete.receive(), want)
 	got, _ := partial.roundTrip(text[partLength:])
@@ -47,7 +47,7 @@
 			text += withID(queryRequest("lookup", ""), numberedID(n))
 		}
 		front.deliver(client, text)
-		front.httpServer.Drain()
+		front.server.Drain()
 	})
 	for range 3 {
 		assertEqual(t, "response", client.receive(), want)
@@ -64,11 +64,11 @@
 	client.send(queryRequest("lookup", ""))
 	await(t, seen)
 	front.onLoop(func() {
-		front.httpServer.Drain()
+		front.server.Drain()
 		request := queryRequest("lookup", "")
 		front.deliver(client, withID(request, numberedID(1))+withID(request, numberedID(2)))
 		front.dispatcher.CompleteAll()
-		front.httpServer.Finish()
+		front.server.Finish()
 	})
 	for range 3 {
 		assertEqual(t, "response", client.receive(), busyResult)
--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -16,57 +16,72 @@
 	"flaxrelay/internal/frontend/pgserver"
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
+	"flaxrelay/internal/tcptest"
 	"flaxrelay/policy"
 )
 
-const (
-	// defaultStreams is the number of requests in flight on one engine connection, where a
-	// test does not choose its own.
-	defaultStreams = 32
-)
+// defaultStreams is the number of requests in flight on one engine connection, unless a test sets another.
+const defaultStreams = 32
 
-// frontEnd is a proxy in the test's own process. The fields up to pgOptions may be changed
-// before it serves; the dispatcher belongs to the goroutine of the event loop.
-type frontEnd struct {
-	t           testing.TB
-	loop        *eventloop.Loop
-	dispatcher  *lifecycle.Dispatcher
-	counters    *metrics.Counters
-	site        config.Settings
-	logger      *slog.Logger
-	httpOptions httpserver.Options
-	pgOptions   pgserver.Options
+// server is what the HTTP server and the PostgreSQL server have in common. Drain and Finish must be called on the
+// goroutine of the event loop.
+type server interface {
+	Listen(address string) error
+	Addr() string
+	Drain()
+	Finish()
+	CloseListener()
+}
 
+// frontEnd is a proxy in the test's own process. The dispatcher belongs to the goroutine of the event loop.
+type frontEnd struct {
+	t          testing.TB
+	loop       *eventloop.Loop
+	dispatcher *lifecycle.Dispatcher
+	counters   *metrics.Counters
+	logger     *slog.Logger
+
+	// Tests may change these before the front end serves.
+	settings             config.Settings
+	httpOptions          httpserver.Options
+	pgOptions            pgserver.Options
 	maxEngineConnections int // 0: the default of the engine client
-	maxStreams           int // requests in flight on one engine connection; 0: defaultStreams
 
-	addr          string
-	httpServer    *httpserver.Server // nil where it serves PostgreSQL
-	drain         func()             // begins a graceful shutdown of the server
-	closeListener func()
+	// Set when the front end serves.
+	server server
+	addr   string
 }
 
-// newFrontEnd returns a front end with the settings of the deploy folder, after change has changed them; nil: as they
-// are.
+// loadRule classifies each INSERT as a load whose idempotency key is its first value.
+var loadRule = pgserver.Rule{Starts: "insert into", Class: "load", Key: 1}
+
+// newFrontEnd returns a front end that does not serve yet. It has the settings of the deploy folder, as the function
+// change, which may be nil, has changed them.
 func newFrontEnd(tb testing.TB, change func(*policy.Settings)) *frontEnd {
 	tb.Helper()
 	raw, err := os.ReadFile("../../deploy/postgres-settings.json")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	front := &frontEnd{t: tb, counters: metrics.New(), logger: slog.New(slog.DiscardHandler)}
-	if err := json.Unmarshal(raw, &front.site); err != nil {
+	front := &frontEnd{
+		t:         tb,
+		counters:  metrics.New(),
+		logger:    slog.New(slog.DiscardHandler),
+		pgOptions: pgserver.Options{DefaultClass: "lookup", WriteClass: "write", Rules: []pgserver.Rule{loadRule}},
+	}
+	if err := json.Unmarshal(raw, &front.settings); err != nil {
 		tb.Fatal(err)
 	}
+	front.settings.MaxStreams = defaultStreams
 	if change != nil {
-		change(&front.site.Policy)
+		change(&front.settings.Policy)
 	}
 	if front.loop, err = eventloop.New(); err != nil {
 		tb.Fatal(err)
 	}
 	const seed = 1
 	front.dispatcher, err = lifecycle.NewDispatcher(
-		front.site.Policy, seed, front.loop, front.loop.Timers, front.counters, front.logger,
+		front.settings.Policy, seed, front.loop, front.loop.Timers, front.counters, front.logger,
 	)
 	if err != nil {
 		tb.Fatal(err)
@@ -74,71 +89,49 @@
 	return front
 }
 
-// startHTTP starts an HTTP front end with engines of the line protocol at the addresses.
+// startHTTP is serveHTTP of a new front end with the settings of the deploy folder.
 func startHTTP(tb testing.TB, engines ...string) *frontEnd {
 	tb.Helper()
 	return newFrontEnd(tb, nil).serveHTTP(engines...)
 }
 
+// serveHTTP serves HTTP, with engines of the line protocol at the addresses.
 func (f *frontEnd) serveHTTP(engines ...string) *frontEnd {
 	f.t.Helper()
-	f.site.MaxStreams = defaultStreams
-	if f.maxStreams > 0 {
-		f.site.MaxStreams = f.maxStreams
-	}
-	engineClient := lineclient.New(f.loop, f.dispatcher, f.site, f.counters, f.logger)
+	engineClient := lineclient.New(f.loop, f.dispatcher, f.settings, f.counters, f.logger)
 	engineClient.MaxConnections = f.maxEngineConnections
 	f.dispatcher.SetEngineClient(engineClient)
-	server := httpserver.New(f.loop, f.dispatcher, f.httpOptions, f.counters)
-	if err := server.Listen("127.0.0.1:0"); err != nil {
-		f.t.Fatal(err)
-	}
-	f.addr = server.Addr()
-	f.httpServer = server
-	f.drain = server.Drain
-	f.closeListener = server.CloseListener
-	f.run()
-	f.updateEndpoints(policy.EngineReady, engines...)
+	f.serve(httpserver.New(f.loop, f.dispatcher, f.httpOptions, f.counters), engines)
 	return f
 }
 
-// startPostgres starts a PostgreSQL front end with engines at the addresses.
+// startPostgres is servePostgres of a new front end with the settings of the deploy folder.
 func startPostgres(tb testing.TB, engines ...string) *frontEnd {
 	tb.Helper()
 	return newFrontEnd(tb, nil).servePostgres(engines...)
 }
 
-// loadRule classifies each INSERT as a load whose idempotency key is its first value.
-var loadRule = pgserver.Rule{Starts: "insert into", Class: "load", Key: 1}
-
+// servePostgres serves PostgreSQL, with engines at the addresses.
 func (f *frontEnd) servePostgres(engines ...string) *frontEnd {
 	f.t.Helper()
 	f.dispatcher.SetEngineClient(pgclient.New(f.loop, f.dispatcher,
 		pgclient.Options{User: "ringwood", Database: "register"}, f.counters, f.logger))
-	if f.pgOptions.DefaultClass == "" {
-		f.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", Rules: []pgserver.Rule{loadRule}}
-	}
-	server := pgserver.New(f.loop, f.dispatcher, f.pgOptions, f.counters)
-	if err := server.Listen("127.0.0.1:0"); err != nil {
-		f.t.Fatal(err)
-	}
-	f.addr = server.Addr()
-	f.drain = server.Drain
-	f.closeListener = server.CloseListener
-	f.run()
-	f.updateEndpoints(policy.EngineReady, engines...)
+	f.serve(pgserver.New(f.loop, f.dispatcher, f.pgOptions, f.counters), engines)
 	return f
 }
 
-// run runs the event loop until the end of the test.
-func (f *frontEnd) run() {
+// serve listens, and runs the event loop until the end of the test. The engines at the addresses are ready.
+func (f *frontEnd) serve(s server, engines []string) {
+	f.t.Helper()
+	if err := s.Listen(tcptest.AnyLoopbackPort); err != nil {
+		f.t.Fatal(err)
+	}
+	f.server = s
+	f.addr = s.Addr()
 	f.t.Cleanup(f.checkAccounting) // runs last: cleanups run in reverse order
 	eventlooptest.Run(f.t, f.loop)
-	f.t.Cleanup(func() {
-		if f.closeListener != nil {
-			f.closeListener() // its descriptor is one of the process, whose number is bounded
-		}
-	})
+	f.t.Cleanup(s.CloseListener) // so that the next test can use its descriptor
+	f.updateEndpoints(policy.EngineReady, engines...)
 }
 
 // checkAccounting checks, at the end of every test, that each accepted request had one final response or a client that
--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -218,7 +218,7 @@
 	fetching.roundTrip(tableRequest("report", "several_pages", ""))
 	busy.send(queryRequest("lookup", ""))
 	front.awaitCount("attempts.started.", 2)
-	front.onLoop(front.httpServer.Drain)
+	front.onLoop(front.server.Drain)
 	tr.event("", "the drain begins")
 	idle.recordClose()
 	fetching.roundTrip("GET MORE HTTP/1.1\r\n\r\n")
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -5,7 +5,6 @@
 	"strings"
 	"testing"
 
-	"flaxrelay/internal/frontend/pgserver"
 	"flaxrelay/internal/pgproto"
 )
 
@@ -203,7 +202,7 @@
 func TestGoldenPostgres_ClientPastTheLimitMayOnlyCancel(t *testing.T) {
 	addr, seen := startPgEngine(t, goldenPgEngine)
 	front := newFrontEnd(t, nil)
-	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxClients: 1}
+	front.pgOptions.MaxClients = 1
 	front.servePostgres(addr)
 	tr := newTranscript(t)
 	first := tr.recordPostgres("first", front.addr)
@@ -361,7 +360,7 @@
 		connect("unsynced", "", openPortal(execute("p", 0))...),
 	}
 	front.awaitCount("attempts.started.", int64(len(busy)))
-	front.onLoop(front.drain)
+	front.onLoop(front.server.Drain)
 	tr.event("", "the drain begins")
 	for _, recorder := range idle {
 		recorder.recordClose()
@@ -375,7 +374,7 @@
 		unsynced.receiveMessage()
 	}
 	tr.event("", "the drain ends")
-	front.onLoop(front.drain)
+	front.onLoop(front.server.Finish)
 	unsynced.recordClose()
 	tr.compare("pgwire/phase-drain")
 }
--- a/internal/e2e/http_deadline_test.go
+++ b/internal/e2e/http_deadline_test.go
@@ -77,7 +77,7 @@
 	const waited = 600 * time.Millisecond
 	addr, seen := startLineEngine(t, noReply)
 	front := newFrontEnd(t, nil)
-	front.httpOptions = httpserver.Options{MaxClients: 1}
+	front.httpOptions.MaxClients = 1
 	front.serveHTTP(addr)
 	const slots = 1 + httpserver.SpareClients
 	var holders []*httpClient
--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -78,7 +78,7 @@
 	assertEqual(t, "path from before a restart", got, `404 {"fault":"nothing is held under this path"}`)
 
 	got, _ = client.roundTrip(queryRequest("report", ""))
-	front.onLoop(front.httpServer.Drain)
+	front.onLoop(front.server.Drain)
 	if rows := client.countRows(got); rows != pagesOfLong*rowsPerPage {
 		t.Errorf("%d rows during the drain, want %d", rows, pagesOfLong*rowsPerPage)
 	}
--- a/internal/e2e/postgres_connection_limits_test.go
+++ b/internal/e2e/postgres_connection_limits_test.go
@@ -6,7 +6,6 @@
 	"strings"
 	"testing"
 
-	"flaxrelay/internal/frontend/pgserver"
 	"flaxrelay/internal/pgproto"
 )
 
@@ -66,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			front := newFrontEnd(t, nil)
-			front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxBufferedBytes: budget}
+			front.pgOptions.MaxBufferedBytes = budget
 			front.servePostgres(addr)
 			client := connectPostgres(t, front.addr)
 			client.send(parse("s", selectPart), syncMessage)
@@ -88,7 +87,7 @@
 	const budget = 30
 	addr, _ := startPgEngine(t, goldenPgEngine)
 	front := newFrontEnd(t, nil)
-	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxBufferedBytes: budget}
+	front.pgOptions.MaxBufferedBytes = budget
 	front.servePostgres(addr)
 	holder := connectPostgres(t, front.addr)
 	other := connectPostgres(t, front.addr)
@@ -114,7 +113,7 @@
 // A client that disconnects no longer counts towards the limit of clients.
 func TestPostgres_DisconnectedClientDoesNotCountAsConnected(t *testing.T) {
 	front := newFrontEnd(t, nil)
-	front.pgOptions = pgserver.Options{DefaultClass: "lookup", WriteClass: "write", MaxClients: 1}
+	front.pgOptions.MaxClients = 1
 	front.servePostgres()
 	connect := func() (client *pgClient, response string) {
 		t.Helper()
--- a/internal/e2e/query_shapes_test.go
+++ b/internal/e2e/query_shapes_test.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"flaxrelay/internal/decision/costmodel"
-	"flaxrelay/internal/frontend/pgserver"
 	"flaxrelay/internal/metrics"
 	"flaxrelay/internal/stmtstats"
 )
@@ -29,14 +28,13 @@
 	settings.CostModel = costmodel.Config{
 		Classes: []costmodel.Class{{Name: "lookup", MaxWorkMillis: lookupLimit}, {Name: "report"}},
 	}
-	service, err := stmtstats.NewService(settings, front.site.Policy.Classes, front.loop, front.counters, front.logger)
+	classes := front.settings.Policy.Classes
+	service, err := stmtstats.NewService(settings, classes, front.loop, front.counters, front.logger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	front.dispatcher.SetCostObserver(service)
-	front.pgOptions = pgserver.Options{
-		DefaultClass: "lookup", WriteClass: "write", Estimator: service, Rules: []pgserver.Rule{loadRule},
-	}
+	front.pgOptions.Estimator = service
 	return service
 }
 
