--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -1,7 +1,6 @@
 package e2e
 
 import (
-	"io"
 	"net"
 	"testing"
 
@@ -44,7 +43,7 @@
 	addr := listen(t, func(conn net.Conn) {
 		go func() {
 			for id := range finish {
-				_, _ = io.WriteString(conn, doneReply("want "+id, ""))
+				writeEmptyResult(conn, id)
 			}
 		}()
 		readRequestIDs(conn, func(id string) bool {
--- a/internal/e2e/client_disconnect_test.go
+++ b/internal/e2e/client_disconnect_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"strings"
 	"testing"
@@ -45,8 +44,7 @@
 			addr, accept := listenWithFullBacklog(t, func(conn net.Conn) {
 				readRequestIDs(conn, func(id string) bool {
 					received <- id
-					_, err := io.WriteString(conn, doneReply("want "+id, ""))
-					return err == nil
+					return writeEmptyResult(conn, id)
 				})
 			})
 			front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = cancelPermitted })
--- a/internal/e2e/engine_faults_test.go
+++ b/internal/e2e/engine_faults_test.go
@@ -114,8 +114,7 @@
 				writeEndlessResponse(conn, id)
 				return false
 			}
-			_, err := io.WriteString(conn, doneReply("want "+id, ""))
-			return err == nil
+			return writeEmptyResult(conn, id)
 		})
 	})
 	front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.Cancel = false }).serveHTTP(addr)
--- a/internal/e2e/line_engine_helpers_test.go
+++ b/internal/e2e/line_engine_helpers_test.go
@@ -59,8 +59,37 @@
 	return line + " " + string(statement[:length]), nil
 }
 
-// emptyReply serves each request with no rows.
+// emptyReply is the script of an engine that serves each request with no rows.
 func emptyReply(line string) string { return doneReply(line, "") }
 
 // noReply is the script of an engine that never responds.
 func noReply(string) string { return "" }
+
+// doneReply responds to a line that names a request, and serves the request with one page.
+func doneReply(line, page string) string { return servedResponse(strings.Fields(line)[1], page) }
+
+// servedResponse serves the request with one page.
+func servedResponse(id, page string) string {
+	const fields = "batches=1,cpu=12.5,used=3,gauges=util:0.5;queue:0;x1:0;x0:0"
+	return fmt.Sprintf("%s DONE %s %d\r\n%s\r\n", id, fields, len(page), page)
+}
+
+// writeEmptyResult serves the request with no rows, and reports whether the connection accepts it.
+func writeEmptyResult(conn net.Conn, id string) bool {
+	_, err := io.WriteString(conn, servedResponse(id, ""))
+	return err == nil
+}
+
+// readRequestIDs calls handle with the id of each request that arrives on a connection of the line protocol, until the
+// connection ends or handle returns false.
+func readRequestIDs(conn net.Conn, handle func(id string) (goOn bool)) {
+	for in := bufio.NewReader(conn); ; {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return
+		}
+		if words := strings.Fields(line); len(words) == 4 && words[0] == "want" && !handle(words[1]) {
+			return
+		}
+	}
+}
--- a/internal/e2e/peer_helpers_test.go
+++ b/internal/e2e/peer_helpers_test.go
@@ -1,12 +1,9 @@
 package e2e
 
 import (
-	"bufio"
-	"fmt"
 	"net"
 	"os"
 	"runtime"
-	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -136,23 +133,3 @@
 
 // closeConnection, as the response of a scripted engine, makes it close the connection instead.
 const closeConnection = "close the connection"
-
-// doneReply serves a request line of the line protocol with one page.
-func doneReply(line, page string) string {
-	const fields = "batches=1,cpu=12.5,used=3,gauges=util:0.5;queue:0;x1:0;x0:0"
-	return fmt.Sprintf("%s DONE %s %d\r\n%s\r\n", strings.Fields(line)[1], fields, len(page), page)
-}
-
-// readRequestIDs calls handle with the id of each request that arrives on a connection of the
-// line protocol, until the connection ends or handle asks to stop.
-func readRequestIDs(conn net.Conn, handle func(id string) (goOn bool)) {
-	for in := bufio.NewReader(conn); ; {
-		line, err := in.ReadString('\n')
-		if err != nil {
-			return
-		}
-		if words := strings.Fields(line); len(words) == 4 && words[0] == "want" && !handle(words[1]) {
-			return
-		}
-	}
-}
--- a/internal/e2e/retry_test.go
+++ b/internal/e2e/retry_test.go
@@ -1,7 +1,6 @@
 package e2e
 
 import (
-	"io"
 	"net"
 	"strings"
 	"testing"
@@ -49,10 +48,7 @@
 	conns := make(chan net.Conn, seenCapacity)
 	addr := listen(t, func(conn net.Conn) {
 		conns <- conn
-		readRequestIDs(conn, func(id string) bool {
-			_, err := io.WriteString(conn, doneReply("want "+id, ""))
-			return err == nil
-		})
+		readRequestIDs(conn, func(id string) bool { return writeEmptyResult(conn, id) })
 	})
 	front := newFrontEnd(t, func(s *policy.Settings) {
 		for i := range s.Classes {
