--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -168,7 +168,7 @@
 // start records a plain startup.
 func (r *pgRecorder) start(params ...string) {
 	r.t.Helper()
-	r.send(startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...))
+	r.send(deskStartup(params...))
 	r.receiveUntilReady()
 }
 
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -138,9 +138,6 @@
 
 // Startups in parts, with messages after them, and with further options.
 func TestGoldenPostgres_StartupComesInPartsOrPipelined(t *testing.T) {
-	startup := func(params ...string) []byte {
-		return startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...)
-	}
 	encryption := pgproto.AppendStartup(nil, pgproto.SSLRequestCode, nil)
 	cancelNone := pgproto.AppendStartup(nil, pgproto.CancelRequestCode, make([]byte, 8))
 	noUser := startupMessage(pgproto.ProtocolVersion, "database", "register")
@@ -149,14 +146,14 @@
 		responses int      // number of ReadyForQuery that follow
 		staysOpen bool
 	}{
-		"pipelined":          {[][]byte{startup(), query("SELECT 1"), query("SELECT 2")}, 3, true},
-		"unknown-option":     {[][]byte{startup("_pq_.unknown", "1", "_pq_.other", "2")}, 1, true},
-		"options-kept":       {[][]byte{startup("options", "-c work_mem=1GB -x --statement-timeout=5s")}, 1, true},
-		"options-joined":     {[][]byte{startup("options", "-cstatement_timeout=soon")}, 0, false},
-		"options-long":       {[][]byte{startup("options", "--statement-timeout=soon")}, 0, false},
-		"cancel-pipelined":   {[][]byte{cancelNone, startup()}, 0, false},
+		"pipelined":          {[][]byte{deskStartup(), query("SELECT 1"), query("SELECT 2")}, 3, true},
+		"unknown-option":     {[][]byte{deskStartup("_pq_.unknown", "1", "_pq_.other", "2")}, 1, true},
+		"options-kept":       {[][]byte{deskStartup("options", "-c work_mem=1GB -x --statement-timeout=5s")}, 1, true},
+		"options-joined":     {[][]byte{deskStartup("options", "-cstatement_timeout=soon")}, 0, false},
+		"options-long":       {[][]byte{deskStartup("options", "--statement-timeout=soon")}, 0, false},
+		"cancel-pipelined":   {[][]byte{cancelNone, deskStartup()}, 0, false},
 		"rejected-pipelined": {[][]byte{noUser, query("SELECT 1")}, 0, false},
-		"twice":              {[][]byte{startup(), startup()}, 1, false},
+		"twice":              {[][]byte{deskStartup(), deskStartup()}, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, _ := startPgEngine(t, goldenPgEngine)
@@ -180,7 +177,7 @@
 		front.awaitBuffered(3)
 		recorder.send(encryption[3:])
 		recorder.receiveByte()
-		packet := startup("database", "register")
+		packet := deskStartup("database", "register")
 		recorder.send(packet[:7])
 		front.awaitBuffered(7)
 		recorder.send(packet[7:])
@@ -208,7 +205,7 @@
 	first := tr.recordPostgres("first", front.addr)
 	first.start()
 	second := tr.recordPostgres("second", front.addr)
-	second.send(startupMessage(pgproto.ProtocolVersion, "user", "desk"), query("SELECT 1"))
+	second.send(deskStartup(), query("SELECT 1"))
 	second.recordClose()
 	first.send(query("SELECT silent"))
 	await(t, seen)
@@ -255,7 +252,7 @@
 	tr := newTranscript(t)
 	front := startPostgres(t)
 	startup := tr.recordPostgres("startup", startPostgres(t).addr)
-	startup.send(startupMessage(pgproto.ProtocolVersion, "user", "desk")[:partOfMessage])
+	startup.send(deskStartup()[:partOfMessage])
 	resumed := tr.recordPostgres("resumed", front.addr)
 	resumed.start()
 	resumed.send(query("")[:partOfMessage])
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -10,9 +10,6 @@
 // Startups that succeed, and those that are rejected.
 func TestGoldenPostgres_EachStartupHasItsRecordedResponse(t *testing.T) {
 	encryption := func(code uint32) []byte { return pgproto.AppendStartup(nil, code, nil) }
-	asDesk := func(params ...string) []byte {
-		return startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...)
-	}
 	cancel := func(body string) []byte {
 		return pgproto.AppendStartup(nil, pgproto.CancelRequestCode, []byte(body))
 	}
@@ -21,15 +18,15 @@
 		first    []byte
 		accepted bool
 	}{
-		"plain": {nil, asDesk("database", "register", "application_name", "x"), true},
+		"plain": {nil, deskStartup("database", "register", "application_name", "x"), true},
 		"encryption": {
-			[][]byte{encryption(pgproto.SSLRequestCode), encryption(pgproto.GSSENCRequestCode)}, asDesk(), true,
+			[][]byte{encryption(pgproto.SSLRequestCode), encryption(pgproto.GSSENCRequestCode)}, deskStartup(), true,
 		},
 		"later-minor":     {nil, startupMessage(pgproto.ProtocolVersion+2, "user", "desk", "_pq_.unknown", "1"), true},
-		"with-timeout":    {nil, asDesk("statement_timeout", "5s"), true},
-		"with-options":    {nil, asDesk("options", "-c statement_timeout=5s --x=y"), true},
-		"bad-timeout":     {nil, asDesk("statement_timeout", "soon"), false},
-		"bad-options":     {nil, asDesk("options", "-c statement_timeout=soon"), false},
+		"with-timeout":    {nil, deskStartup("statement_timeout", "5s"), true},
+		"with-options":    {nil, deskStartup("options", "-c statement_timeout=5s --x=y"), true},
+		"bad-timeout":     {nil, deskStartup("statement_timeout", "soon"), false},
+		"bad-options":     {nil, deskStartup("options", "-c statement_timeout=soon"), false},
 		"no-user":         {nil, startupMessage(pgproto.ProtocolVersion, "database", "register"), false},
 		"version-2":       {nil, startupMessage(2<<16, "user", "desk"), false},
 		"not-ended":       {nil, pgproto.AppendStartup(nil, pgproto.ProtocolVersion, []byte("user\x00desk")), false},
@@ -228,7 +225,7 @@
 	busy.recordClose()
 	await(t, seen)
 	late := tr.recordPostgres("late", front.addr)
-	late.send(startupMessage(pgproto.ProtocolVersion, "user", "desk"))
+	late.send(deskStartup())
 	late.recordClose()
 	tr.compare("pgwire/drain")
 }
--- a/internal/e2e/postgres_client_helpers_test.go
+++ b/internal/e2e/postgres_client_helpers_test.go
@@ -32,12 +32,17 @@
 func connectPostgres(t *testing.T, addr string, params ...string) *pgClient {
 	t.Helper()
 	client := &pgClient{t: t, conn: dial(t, addr)}
-	client.send(startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...))
+	client.send(deskStartup(params...))
 	client.receiveUntil('Z')
 	return client
 }
 
-// startupMessage is a connection's first message with its parameters.
+// deskStartup returns the first message of a connection of the user desk, with further parameters.
+func deskStartup(params ...string) []byte {
+	return startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...)
+}
+
+// startupMessage returns the first message of a connection, with its parameters.
 func startupMessage(version uint32, params ...string) []byte {
 	var body []byte
 	for _, param := range params {
--- a/internal/e2e/postgres_connection_limits_test.go
+++ b/internal/e2e/postgres_connection_limits_test.go
@@ -5,8 +5,6 @@
 	"fmt"
 	"strings"
 	"testing"
-
-	"flaxrelay/internal/pgproto"
 )
 
 // A connection has a bounded number of prepared statements and of portals. After a Close another one can be opened.
@@ -118,7 +116,7 @@
 	connect := func() (client *pgClient, response string) {
 		t.Helper()
 		client = &pgClient{t: t, conn: dial(t, front.addr)}
-		client.send(startupMessage(pgproto.ProtocolVersion, "user", "desk"))
+		client.send(deskStartup())
 		return client, client.receiveUntilReady()
 	}
 	const accepted = "R S S S S S S S K Z"
