--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -136,24 +136,38 @@
 	recorder.compare("pgwire/phase-rejection")
 }
 
-// Startups in parts, with messages after them, and with further options.
-func TestGoldenPostgres_StartupComesInPartsOrPipelined(t *testing.T) {
-	encryption := pgproto.AppendStartup(nil, pgproto.SSLRequestCode, nil)
-	cancelNone := pgproto.AppendStartup(nil, pgproto.CancelRequestCode, make([]byte, 8))
+var (
+	// encryptionRequest asks for encryption, which is declined with one byte.
+	encryptionRequest = pgproto.AppendStartup(nil, pgproto.SSLRequestCode, nil)
+	// cancelOfNone is a CancelRequest for a connection that does not exist.
+	cancelOfNone = pgproto.AppendStartup(nil, pgproto.CancelRequestCode, make([]byte, 8))
+)
+
+// Startups in one piece with the messages after them, and startups with further options.
+func TestGoldenPostgres_PipelinedStartupHasItsRecordedResponse(t *testing.T) {
 	noUser := startupMessage(pgproto.ProtocolVersion, "database", "register")
 	for name, tt := range map[string]struct {
 		first     [][]byte // sent in one piece
 		responses int      // number of ReadyForQuery that follow
 		staysOpen bool
 	}{
-		"pipelined":          {[][]byte{deskStartup(), query("SELECT 1"), query("SELECT 2")}, 3, true},
-		"unknown-option":     {[][]byte{deskStartup("_pq_.unknown", "1", "_pq_.other", "2")}, 1, true},
-		"options-kept":       {[][]byte{deskStartup("options", "-c work_mem=1GB -x --statement-timeout=5s")}, 1, true},
-		"options-joined":     {[][]byte{deskStartup("options", "-cstatement_timeout=soon")}, 0, false},
-		"options-long":       {[][]byte{deskStartup("options", "--statement-timeout=soon")}, 0, false},
-		"cancel-pipelined":   {[][]byte{cancelNone, deskStartup()}, 0, false},
-		"rejected-pipelined": {[][]byte{noUser, query("SELECT 1")}, 0, false},
-		"twice":              {[][]byte{deskStartup(), deskStartup()}, 1, false},
+		"pipelined": {
+			first:     [][]byte{deskStartup(), query("SELECT 1"), query("SELECT 2")},
+			responses: 3, staysOpen: true,
+		},
+		"unknown-option": {
+			first:     [][]byte{deskStartup("_pq_.unknown", "1", "_pq_.other", "2")},
+			responses: 1, staysOpen: true,
+		},
+		"options-kept": {
+			first:     [][]byte{deskStartup("options", "-c work_mem=1GB -x --statement-timeout=5s")},
+			responses: 1, staysOpen: true,
+		},
+		"options-joined":     {first: [][]byte{deskStartup("options", "-cstatement_timeout=soon")}},
+		"options-long":       {first: [][]byte{deskStartup("options", "--statement-timeout=soon")}},
+		"cancel-pipelined":   {first: [][]byte{cancelOfNone, deskStartup()}},
+		"rejected-pipelined": {first: [][]byte{noUser, query("SELECT 1")}},
+		"twice":              {first: [][]byte{deskStartup(), deskStartup()}, responses: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, _ := startPgEngine(t, goldenPgEngine)
@@ -170,29 +184,31 @@
 			recorder.compare("pgwire/phase-startup-" + name)
 		})
 	}
-	t.Run("in-parts", func(t *testing.T) {
-		front := startPostgres(t)
-		recorder := newTranscript(t).recordPostgres("", front.addr)
-		recorder.send(encryption[:3])
-		front.awaitBuffered(3)
-		recorder.send(encryption[3:])
-		recorder.receiveByte()
-		packet := deskStartup("database", "register")
-		recorder.send(packet[:7])
-		front.awaitBuffered(7)
-		recorder.send(packet[7:])
-		recorder.receiveUntilReady()
-		recorder.disconnect()
-		recorder.compare("pgwire/phase-startup-in-parts")
-	})
-	t.Run("cancel-after-encryption", func(t *testing.T) {
-		recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
-		recorder.send(encryption)
-		recorder.receiveByte()
-		recorder.send(cancelNone)
-		recorder.recordClose()
-		recorder.compare("pgwire/phase-startup-cancel-after-encryption")
-	})
+}
+
+func TestGoldenPostgres_StartupMayComeInParts(t *testing.T) {
+	front := startPostgres(t)
+	recorder := newTranscript(t).recordPostgres("", front.addr)
+	recorder.send(encryptionRequest[:3])
+	front.awaitBuffered(3)
+	recorder.send(encryptionRequest[3:])
+	recorder.receiveByte()
+	startup := deskStartup("database", "register")
+	recorder.send(startup[:7])
+	front.awaitBuffered(7)
+	recorder.send(startup[7:])
+	recorder.receiveUntilReady()
+	recorder.disconnect()
+	recorder.compare("pgwire/phase-startup-in-parts")
+}
+
+func TestGoldenPostgres_CancelRequestMayFollowADeclinedEncryption(t *testing.T) {
+	recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
+	recorder.send(encryptionRequest)
+	recorder.receiveByte()
+	recorder.send(cancelOfNone)
+	recorder.recordClose()
+	recorder.compare("pgwire/phase-startup-cancel-after-encryption")
 }
 
 // Past the limit of clients a startup is rejected, and a CancelRequest is still carried out.
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -18,23 +18,26 @@
 		first    []byte
 		accepted bool
 	}{
-		"plain": {nil, deskStartup("database", "register", "application_name", "x"), true},
+		"plain": {first: deskStartup("database", "register", "application_name", "x"), accepted: true},
 		"encryption": {
-			[][]byte{encryption(pgproto.SSLRequestCode), encryption(pgproto.GSSENCRequestCode)}, deskStartup(), true,
+			declined: [][]byte{encryption(pgproto.SSLRequestCode), encryption(pgproto.GSSENCRequestCode)},
+			first:    deskStartup(), accepted: true,
 		},
-		"later-minor":     {nil, startupMessage(pgproto.ProtocolVersion+2, "user", "desk", "_pq_.unknown", "1"), true},
-		"with-timeout":    {nil, deskStartup("statement_timeout", "5s"), true},
-		"with-options":    {nil, deskStartup("options", "-c statement_timeout=5s --x=y"), true},
-		"bad-timeout":     {nil, deskStartup("statement_timeout", "soon"), false},
-		"bad-options":     {nil, deskStartup("options", "-c statement_timeout=soon"), false},
-		"no-user":         {nil, startupMessage(pgproto.ProtocolVersion, "database", "register"), false},
-		"version-2":       {nil, startupMessage(2<<16, "user", "desk"), false},
-		"not-ended":       {nil, pgproto.AppendStartup(nil, pgproto.ProtocolVersion, []byte("user\x00desk")), false},
-		"too-long":        {nil, []byte("\x00\x00\x27\x11\x00\x03\x00\x00"), false},
-		"too-short":       {nil, []byte("\x00\x00\x00\x07\x00\x03\x00\x00"), false},
-		"http":            {nil, []byte("GET / HTTP/1.1\r\n\r\n"), false},
-		"cancel-of-none":  {nil, cancel("\x00\x00\x00\x09abcd"), false},
-		"cancel-too-long": {nil, cancel("\x00\x00\x00\x09abcde"), false},
+		"later-minor": {
+			first: startupMessage(pgproto.ProtocolVersion+2, "user", "desk", "_pq_.unknown", "1"), accepted: true,
+		},
+		"with-timeout":    {first: deskStartup("statement_timeout", "5s"), accepted: true},
+		"with-options":    {first: deskStartup("options", "-c statement_timeout=5s --x=y"), accepted: true},
+		"bad-timeout":     {first: deskStartup("statement_timeout", "soon")},
+		"bad-options":     {first: deskStartup("options", "-c statement_timeout=soon")},
+		"no-user":         {first: startupMessage(pgproto.ProtocolVersion, "database", "register")},
+		"version-2":       {first: startupMessage(2<<16, "user", "desk")},
+		"not-ended":       {first: pgproto.AppendStartup(nil, pgproto.ProtocolVersion, []byte("user\x00desk"))},
+		"too-long":        {first: []byte("\x00\x00\x27\x11\x00\x03\x00\x00")},
+		"too-short":       {first: []byte("\x00\x00\x00\x07\x00\x03\x00\x00")},
+		"http":            {first: []byte("GET / HTTP/1.1\r\n\r\n")},
+		"cancel-of-none":  {first: cancel("\x00\x00\x00\x09abcd")},
+		"cancel-too-long": {first: cancel("\x00\x00\x00\x09abcde")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
