--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -30,45 +30,57 @@
 }
 
 const (
-	rowsPerPage = 1000
-	pagesOfLong = 16 // pages of the long result
+	rowsPerPage       = 1000
+	pagesOfLongResult = 16
+	rowsOfLongResult  = pagesOfLongResult * rowsPerPage
 )
 
-// longResultScript serves each request with many pages. The first request for a further page
-// has the engine close the connection.
-func longResultScript() func(line string) string {
+// longResultReply serves each request with a result of many pages.
+func longResultReply(line string) string {
 	page := strings.Repeat("x\ty\tz\n", rowsPerPage)
-	isFirstTurn := firstCall()
-	return func(line string) string {
-		words := strings.Fields(line)
-		switch {
-		case words[0] == "want":
-			return fmt.Sprintf("%s DONE batches=%d %d\r\n%s\r\n", requestID, pagesOfLong, len(page), page)
-		case words[0] == "turn" && isFirstTurn():
-			return closeConnection
-		case words[0] == "turn":
-			return fmt.Sprintf("%s MORE batch=%s %d\r\n%s\r\n", requestID, words[2], len(page), page)
-		}
-		return ""
+	words := strings.Fields(line)
+	switch words[0] {
+	case "want":
+		return fmt.Sprintf("%s DONE batches=%d %d\r\n%s\r\n", words[1], pagesOfLongResult, len(page), page)
+	case "turn":
+		return fmt.Sprintf("%s MORE batch=%s %d\r\n%s\r\n", words[1], words[2], len(page), page)
+	}
+	return ""
+}
+
+// assertLongResult fetches the further pages of a response, and checks that the result is complete.
+func (c *httpClient) assertLongResult(summary string) {
+	c.t.Helper()
+	if rows := c.countRows(summary); rows != rowsOfLongResult {
+		c.t.Errorf("%d rows, want %d", rows, rowsOfLongResult)
 	}
 }
 
 // An engine crashes between the first page and the rest. No row has been forwarded, so that another engine serves the
-// client. The client fetches a long result page by page, a path without a result has the status 404, and a client can
-// complete its fetch during a graceful shutdown.
+// client, which fetches the long result page by page.
 func TestHTTP_CollectsPagesBeforeForwardingRows(t *testing.T) {
-	script := longResultScript()
+	isFirstTurn := firstCall()
+	script := func(line string) string {
+		if strings.HasPrefix(line, "turn ") && isFirstTurn() {
+			return closeConnection
+		}
+		return longResultReply(line)
+	}
 	one, _ := startLineEngine(t, script)
 	two, _ := startLineEngine(t, script)
 	front := startHTTP(t, one, two)
 	client := connectHTTP(t, front.addr)
 	got, _ := client.roundTrip(queryRequest("report", ""))
-	if rows := client.countRows(got); rows != pagesOfLong*rowsPerPage {
-		t.Errorf("%d rows, want %d", rows, pagesOfLong*rowsPerPage)
-	}
+	client.assertLongResult(got)
 	front.assertCount("attempts.started.", 2)
+}
 
-	got, _ = client.roundTrip(queryRequest("report", ""))
+// A path has the status 404 once its result is deleted, and so has a path that an earlier process made.
+func TestHTTP_PathWithoutAResultIsNotFound(t *testing.T) {
+	addr, _ := startLineEngine(t, longResultReply)
+	front := startHTTP(t, addr)
+	client := connectHTTP(t, front.addr)
+	got, _ := client.roundTrip(queryRequest("report", ""))
 	path, _ := morePathOf(got)
 	got, _ = connectHTTP(t, front.addr).roundTrip("DELETE " + path + " HTTP/1.1\r\n\r\n")
 	assertEqual(t, "deleted result", got, "200 {}")
@@ -76,12 +88,16 @@
 	assertEqual(t, "path of a deleted result", got[:3], "404")
 	got, _ = client.roundTrip("GET /more/other-1/1 HTTP/1.1\r\n\r\n")
 	assertEqual(t, "path from before a restart", got, `404 {"fault":"nothing is held under this path"}`)
+}
 
-	got, _ = client.roundTrip(queryRequest("report", ""))
+// A client can fetch the rest of its result during a graceful shutdown. Its connection is closed after the last page.
+func TestHTTP_LongResultIsFetchedDuringAGracefulShutdown(t *testing.T) {
+	addr, _ := startLineEngine(t, longResultReply)
+	front := startHTTP(t, addr)
+	client := connectHTTP(t, front.addr)
+	got, _ := client.roundTrip(queryRequest("report", ""))
 	front.onLoop(front.server.Drain)
-	if rows := client.countRows(got); rows != pagesOfLong*rowsPerPage {
-		t.Errorf("%d rows during the drain, want %d", rows, pagesOfLong*rowsPerPage)
-	}
+	client.assertLongResult(got)
 	client.assertClosed()
 }
 
@@ -117,8 +133,8 @@
 }
 
 // Clients that send nothing, stall within a request, state a wrong length or send invalid bytes are disconnected or
-// have an error in time, and no request of theirs reaches an engine. The
-// connection ends after the response to a malformed request, and requests that follow it have none.
+// have an error in time, and no request of theirs reaches an engine. The connection ends after the response to a
+// malformed request, and requests that follow it have none.
 func TestHTTP_StalledAndMalformedClientsAreClosedInTime(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := newFrontEnd(t, nil)
@@ -160,7 +176,7 @@
 		}
 	}
 	front.assertCount("attempts.started.", 1)
-	inFlight.send("no call")
+	inFlight.send("no request")
 	responses, _ := io.ReadAll(inFlight.in)
 	assertEqual(t, "malformed request after one in flight", string(responses[:len("HTTP/1.1 400")]), "HTTP/1.1 400")
 	assertEqual(t, "the engine received", await(t, seen), "never_mind "+requestID)
