--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -200,8 +200,8 @@
 	tr.compare("http/bad-open-id")
 }
 
-// A drain closes idle connections at once, and others after their responses.
-func TestGoldenHTTP_DrainClosesIdleConnectionsAndOthersAfterTheirResponses(t *testing.T) {
+// A graceful shutdown closes idle connections at once, and others after their responses.
+func TestGoldenHTTP_GracefulShutdownClosesConnectionsAfterTheirResponses(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startLineEngine(t, func(line string) string {
 		if strings.Contains(line, "orders") {
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -338,9 +338,9 @@
 	}
 }
 
-// A drain closes each connection without a request in flight at once, and each other one after the ReadyForQuery of its
-// request.
-func TestGoldenPostgres_DrainEndsEachPhase(t *testing.T) {
+// A graceful shutdown closes each connection without a request in flight at once, and each other one after the
+// ReadyForQuery of its request.
+func TestGoldenPostgres_GracefulShutdownEndsEachPhase(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
 		<-release
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -205,9 +205,8 @@
 	}
 }
 
-// A drain notifies idle clients at once that the front end shuts down, and others after their
-// responses.
-func TestGoldenPostgres_DrainNotifiesIdleClientsAndOthersAfterTheirResponses(t *testing.T) {
+// A graceful shutdown notifies idle clients at once, and others after their responses.
+func TestGoldenPostgres_GracefulShutdownNotifiesClientsAfterTheirResponses(t *testing.T) {
 	release := make(chan struct{})
 	addr, seen := startPgEngine(t, func(request pgRequest) []byte {
 		<-release
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/graceful_shutdown_test.go
@@ -2,12 +2,17 @@
 
 import "testing"
 
+// rowResult is the response of the front end to a request that rowReply serves.
+const rowResult = `200 {"result":[["a","b","c"]]}`
+
+// rowReply is the script of an engine that serves each request with one row.
+func rowReply(line string) string { return doneReply(line, "a\tb\tc\n") }
+
 // A request arrives on an idle connection at the moment at which a graceful shutdown closes idle
 // connections: it has one response, and its connection ends after it.
-func TestDrain_RequestInTransitIsServed(t *testing.T) {
+func TestGracefulShutdown_RequestInTransitIsServed(t *testing.T) {
 	const partLength = len("POST /rpc/lookup HTT")
-	const want = `200 {"result":[["a","b","c"]]}`
-	addr, seen := startLineEngine(t, func(line string) string { return doneReply(line, "a\tb\tc\n") })
+	addr, seen := startLineEngine(t, rowReply)
 	front := startHTTP(t, addr)
 	complete := connectHTTP(t, front.addr)
 	partial := connectHTTP(t, front.addr)
@@ -21,9 +26,9 @@
 		front.deliver(partial, text[:partLength])
 		front.server.Drain()
 	})
-	assertEqual(t, "the request that arrived just before", complete.receive(), want)
+	assertEqual(t, "the request that arrived just before", complete.receive(), rowResult)
 	got, _ := partial.roundTrip(text[partLength:])
-	assertEqual(t, "the request of which a part had arrived", got, want)
+	assertEqual(t, "the request of which a part had arrived", got, rowResult)
 	for _, client := range []*httpClient{complete, partial, idle} {
 		client.assertClosed()
 	}
@@ -35,9 +40,8 @@
 
 // Pipelined requests all have a response in a graceful shutdown: the connection closes after the
 // last one.
-func TestDrain_PipelinedRequestsAllHaveResponses(t *testing.T) {
-	const want = `200 {"result":[["a","b","c"]]}`
-	addr, _ := startLineEngine(t, func(line string) string { return doneReply(line, "a\tb\tc\n") })
+func TestGracefulShutdown_PipelinedRequestsAllHaveResponses(t *testing.T) {
+	addr, _ := startLineEngine(t, rowReply)
 	front := startHTTP(t, addr)
 	client := connectHTTP(t, front.addr)
 	client.roundTrip(bareHealthRequest)
@@ -50,14 +54,14 @@
 		front.server.Drain()
 	})
 	for range 3 {
-		assertEqual(t, "response", client.receive(), want)
+		assertEqual(t, "response", client.receive(), rowResult)
 	}
 	client.assertClosed()
 }
 
 // The end of a shutdown rejects each of the requests that a client has pipelined after a request in
 // flight.
-func TestFinish_PipelinedRequestsAreAllRejected(t *testing.T) {
+func TestGracefulShutdown_PipelinedRequestsAtItsEndAreRejected(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := startHTTP(t, addr)
 	client := connectHTTP(t, front.addr)
