--- a/internal/e2e/discovery_test.go
+++ b/internal/e2e/discovery_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"fmt"
 	"net"
 	"testing"
 
@@ -12,8 +11,13 @@
 // An engine begins to drain, or a full update no longer names it, while a request waits for its
 // connection: nothing is written when that comes up, and another engine serves the client.
 func TestDiscovery_RequestAwaitingConnectionMovesWhenEngineDrains(t *testing.T) {
-	for _, fullUpdate := range []bool{false, true} {
-		t.Run(fmt.Sprintf("fullUpdate=%v", fullUpdate), func(t *testing.T) {
+	for name, withdraw := range map[string]func(front *frontEnd, draining, other string){
+		"begins to drain": func(front *frontEnd, draining, _ string) {
+			front.updateEndpoints(policy.EngineDraining, draining)
+		},
+		"missing from a full update": func(front *frontEnd, _, other string) { front.replaceEndpoints(other) },
+	} {
+		t.Run(name, func(t *testing.T) {
 			received := make(chan string, seenCapacity)
 			draining, accept := listenWithFullBacklog(t, func(conn net.Conn) {
 				for in := bufio.NewReader(conn); ; {
@@ -33,11 +37,7 @@
 			client.send(withWait(queryRequest("lookup", ""), longWait))
 			front.awaitCount("attempts.started.", 1)
 			front.updateEndpoints(policy.EngineReady, other)
-			if fullUpdate {
-				front.replaceEndpoints(other)
-			} else {
-				front.updateEndpoints(policy.EngineDraining, draining)
-			}
+			withdraw(front, draining, other)
 			assertEqual(t, "response", client.receive(), emptyResult)
 			front.assertCount("attempts.ended.not-sent", 1)
 			accept()
--- a/internal/e2e/peer_helpers_test.go
+++ b/internal/e2e/peer_helpers_test.go
@@ -46,6 +46,15 @@
 	return value
 }
 
+// discardAll receives the values that are buffered in the channel, and returns how many there were.
+func discardAll[T any](values <-chan T) (discarded int) {
+	for len(values) > 0 {
+		<-values
+		discarded++
+	}
+	return discarded
+}
+
 // firstCall returns a function that reports whether it is called for the first time. Scripts of several connections
 // and engines may share it.
 func firstCall() func() bool {
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -83,12 +83,9 @@
 		engines = append(engines, addr)
 		seen = append(seen, requests)
 	}
-	runs := func() (n int) {
+	runs := func() (n int) { // since the previous call
 		for _, requests := range seen {
-			for len(requests) > 0 {
-				<-requests
-				n++
-			}
+			n += discardAll(requests)
 		}
 		return n
 	}
@@ -192,12 +189,8 @@
 	assertEqual(t, "not supported while it ran", run("UPDATE odd SET a = 1"), "E(0A000) Z")
 	assertEqual(t, "timed out", run("UPDATE x SET a = 1"), "E(40003) Z")
 	front.assertCount("attempts.started.", 4)
-	for len(running) > 0 {
-		<-running
-	}
-	for len(seen) > 0 {
-		<-seen
-	}
+	discardAll(running)
+	discardAll(seen)
 	client = connectPostgres(t, front.addr)
 	client.send(query("UPDATE x SET a = 2"))
 	await(t, running)
