--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -7,8 +7,8 @@
 	"flaxrelay/policy"
 )
 
-// Where the settings name tenants, a tenant within its quota has the full limit. A request without a
-// tenant has the part beyond the quotas.
+// If the settings name tenants, a tenant within its quota has the full limit. Requests without a tenant have the part
+// of the limit beyond the quotas.
 func TestAdmission_TenantWithinItsQuotaHasTheFullLimit(t *testing.T) {
 	const requests = 80
 	const (
--- a/internal/e2e/client_disconnect_test.go
+++ b/internal/e2e/client_disconnect_test.go
@@ -9,8 +9,8 @@
 	"flaxrelay/policy"
 )
 
-// The attempt of a client that disconnects is cancelled, and a response that comes late on the
-// same connection is the response to nothing else.
+// The attempt of a client that disconnects is cancelled. A late response to it on the same connection is not taken for
+// the response to the next request of that id.
 func TestClientDisconnect_CancelsTheAttemptAndDiscardsItsLateResponse(t *testing.T) {
 	var first string
 	addr, seen := startLineEngine(t, func(line string) string {
@@ -34,9 +34,9 @@
 	front.assertCount("engine-connections.dialed", 2) // a cancelled id is not used again on its connection
 }
 
-// A client disconnects while its attempt waits for a connection that comes up late: nothing of
-// it reaches the engine, also where the settings permit no cancel. The request of another client
-// goes on meanwhile.
+// A client disconnects while its attempt waits for a connection to the engine: the engine receives nothing of the
+// request once the connection is established, also if the settings permit no cancel. The request of another client is
+// served.
 func TestClientDisconnect_BeforeTheEngineConnectionIsUpSendsNothing(t *testing.T) {
 	for _, cancelPermitted := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelPermitted=%v", cancelPermitted), func(t *testing.T) {
--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -7,9 +7,9 @@
 	"flaxrelay/policy"
 )
 
-// Past the limit of client connections the one that has been idle longest is closed, after those
-// that never sent a complete request. A connection with a request in flight stays, and so does
-// an idle one while there is capacity.
+// At the limit of client connections, a new client evicts a connection that has not sent a complete request or, if
+// there is none, the connection that has been idle longest. A connection with a request in flight is never evicted, and
+// below the limit no connection is.
 func TestConnectionLimit_EvictsTheLongestIdleClient(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := newFrontEnd(t, nil)
@@ -37,8 +37,8 @@
 	front.assertCount("requests.disconnected.", 0)
 }
 
-// Past the limit of engine connections the one that has been idle longest is closed; where all
-// are in use a request is rejected at once, and no connection is opened.
+// At the limit of engine connections, a new one evicts the connection that has been idle longest. If all are in use, a
+// request is rejected at once and no connection is opened.
 func TestConnectionLimit_EvictsTheLongestIdleEngineConnection(t *testing.T) {
 	first, _ := startLineEngine(t, emptyReply)
 	second, _ := startLineEngine(t, emptyReply)
@@ -70,8 +70,8 @@
 	front.assertCount("engine-connections.dialed", dialed)
 }
 
-// evictAfterReading starts a front end that reads the text of a new client just before it evicts the client's
-// connection in favour of another.
+// evictAfterReading starts a front end that reads the text of a new client and, before it handles the text, evicts this
+// client's connection in favour of another client.
 func evictAfterReading(t *testing.T, text string) (*frontEnd, *httpClient) {
 	t.Helper()
 	addr, _ := startLineEngine(t, emptyReply)
@@ -90,14 +90,14 @@
 	return front, client
 }
 
-// A request has a response that was read on a new connection just before the connection is to be closed in favour of
-// another client.
+// A request that was read just before the eviction of its connection has a response.
 func TestConnectionLimit_RequestReadBeforeEvictionHasAResponse(t *testing.T) {
 	_, client := evictAfterReading(t, queryRequest("lookup", ""))
 	assertEqual(t, "response", client.receive(), busyResult)
 }
 
-// Each of several requests that such a client has pipelined has a response, and so has a partial request after them.
+// Pipelined requests that were read just before the eviction of their connection all have a response, also the
+// incomplete request after them.
 func TestConnectionLimit_AllRequestsReadBeforeEvictionHaveResponses(t *testing.T) {
 	request := queryRequest("lookup", "")
 	front, client := evictAfterReading(t, request+withID(request, numberedID(2))+request[:len(request)/2])
--- a/internal/e2e/engine_faults_test.go
+++ b/internal/e2e/engine_faults_test.go
@@ -42,8 +42,7 @@
 	}
 }
 
-// A duplicate of a good response, or one under an unknown id, does not disturb the connection and
-// the other requests on it.
+// A duplicate of a response, or a response with an unknown id, does not end the connection or the other requests on it.
 func TestEngineFault_DuplicateResponsesKeepTheConnection(t *testing.T) {
 	addr, _ := startLineEngine(t, func(line string) string {
 		words := strings.Fields(line)
@@ -66,8 +65,8 @@
 	front.assertCount("engine-connections.dialed", 1)
 }
 
-// A response stalls in the middle while its connection stays open: the connection is closed soon,
-// with all attempts on it, and another one serves both requests.
+// A response stalls in the middle while its connection stays open. The connection is closed soon, all attempts on it
+// end, and another connection serves both requests.
 func TestEngineFault_StalledResponseEndsTheConnectionAndIsRetried(t *testing.T) {
 	stalled := false
 	addr, seen := startLineEngine(t, func(line string) string {
@@ -92,8 +91,8 @@
 	front.assertCount("attempts.ended.protocol-error", 2)
 }
 
-// dripInterval is the pace at which an engine sends a response byte by byte. It is a step of the
-// scenario in real time, and shorter than the pause that the front end treats as a stall.
+// dripInterval is the pause after each byte of an endless response. It is shorter than the pause that the front end
+// treats as a stall.
 const dripInterval = 100 * time.Millisecond
 
 // writeEndlessResponse sends a response a byte at a time until the front end closes the connection.
@@ -124,8 +123,8 @@
 	front.assertCount("attempts.ended.protocol-error", 1)
 }
 
-// An attempt times out at an engine that does not respond: it is cancelled there only where the
-// settings permit that, and the client has its one response in either case.
+// An attempt times out at an engine that does not respond. It is cancelled there only if the settings permit that, and
+// the client has its one response in either case.
 func TestEngineFault_TimeoutIsCancelledOnlyWherePermitted(t *testing.T) {
 	for cancelPermitted, wantCancels := range map[bool]int{true: 1, false: 0} {
 		t.Run(fmt.Sprintf("permitted=%v", cancelPermitted), func(t *testing.T) {
--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -7,7 +7,7 @@
 	"flaxrelay/policy"
 )
 
-// Requests that an engine serves, and those that are accepted and end otherwise.
+// The cases are requests that an engine serves, and requests that are accepted and then rejected or failed.
 func TestGoldenHTTP_EachRequestHasItsRecordedResponse(t *testing.T) {
 	const token = "Req-Token: k-1\r\n"
 	for name, requests := range map[string][]string{
@@ -63,7 +63,7 @@
 	recorder.compare("http/refused-no-engine")
 }
 
-// Where the settings permit no time after which to retry, a rejection has no such field.
+// If the settings forbid a Retry-After, a rejection has no such field.
 func TestGoldenHTTP_RejectionHasNoRetryAfterWhereSettingsForbidIt(t *testing.T) {
 	front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.RetryAfter = false })
 	recorder := newTranscript(t).recordHTTP("", front.serveHTTP().addr)
@@ -158,7 +158,7 @@
 	recorder.compare("http/pipelined")
 }
 
-// Requests that ask for their connection to be closed after the response.
+// The cases are requests that ask for their connection to be closed after the response.
 func TestGoldenHTTP_ConnectionClosesAfterTheResponseOnRequest(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
 	front := startHTTP(t, addr)
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -45,14 +45,14 @@
 	}
 }
 
-// readMore appends what arrives to unread; it is false where the connection has ended.
+// readMore appends what arrives to unread, and reports whether the connection is still open.
 func (r *pgRecorder) readMore() (more bool) {
 	r.t.Helper()
 	r.unread, more = readMoreOrFail(r.t, r.conn, r.unread)
 	return more
 }
 
-// receiveByte reads the one byte that responds to a request for encryption.
+// receiveByte reads one byte, as the response to a request for encryption.
 func (r *pgRecorder) receiveByte() {
 	r.t.Helper()
 	for len(r.unread) == 0 {
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -143,7 +143,7 @@
 	cancelOfNone = pgproto.AppendStartup(nil, pgproto.CancelRequestCode, make([]byte, 8))
 )
 
-// Startups in one piece with the messages after them, and startups with further options.
+// The cases are startups in one piece with the messages after them, and startups with further options.
 func TestGoldenPostgres_PipelinedStartupHasItsRecordedResponse(t *testing.T) {
 	noUser := startupMessage(pgproto.ProtocolVersion, "database", "register")
 	for name, tt := range map[string]struct {
@@ -211,7 +211,7 @@
 	recorder.compare("pgwire/phase-startup-cancel-after-encryption")
 }
 
-// Past the limit of clients a startup is rejected, and a CancelRequest is still carried out.
+// At the limit of clients, a startup is rejected and a CancelRequest is still carried out.
 func TestGoldenPostgres_ClientPastTheLimitMayOnlyCancel(t *testing.T) {
 	addr, seen := startPgEngine(t, goldenPgEngine)
 	front := newFrontEnd(t, nil)
@@ -233,7 +233,7 @@
 	front.assertCount("postgres.malformed", 0)
 }
 
-// A Terminate and messages that can't be framed, in each phase.
+// The cases are a Terminate and messages that can't be framed, in each phase of a connection.
 func TestGoldenPostgres_EachPhaseEndsWithItsLastMessage(t *testing.T) {
 	unknownKind := []byte{'#', 0, 0, 0, 4}
 	for name, tt := range map[string]struct {
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -7,7 +7,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// Startups that succeed, and those that are rejected.
+// The cases are startups that are accepted, and startups that are rejected.
 func TestGoldenPostgres_EachStartupHasItsRecordedResponse(t *testing.T) {
 	encryption := func(code uint32) []byte { return pgproto.AppendStartup(nil, code, nil) }
 	cancel := func(body string) []byte {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Batches of messages, each of which has a response up to ReadyForQuery.
+// The cases are batches of messages. Each batch has a response up to ReadyForQuery.
 func TestGoldenPostgres_EachBatchHasItsRecordedResponse(t *testing.T) {
 	message := func(kind byte, body string) []byte { return pgproto.AppendMessage(nil, kind, []byte(body)) }
 	for name, batches := range map[string][][][]byte{
@@ -160,7 +160,7 @@
 	}
 }
 
-// Messages that can't be framed, and a Terminate, end their connections.
+// The cases are messages that can't be framed, and a Terminate.
 func TestGoldenPostgres_MalformedMessageOrTerminateEndsTheConnection(t *testing.T) {
 	addr, _ := startPgEngine(t, goldenPgEngine)
 	for name, messages := range map[string][][]byte{
--- a/internal/e2e/http_client_helpers_test.go
+++ b/internal/e2e/http_client_helpers_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// requestID is the id of a request where the test needs no other.
+	// requestID is the id of a request unless a test sets another.
 	requestID = "9b1f03aa5c7e2d41"
 	// defaultWait is the client's wait in milliseconds, in the text of a request.
 	defaultWait = "2000"
@@ -20,7 +20,7 @@
 	longWait = "8000"
 	// emptyResult is the response to a request that matched no rows, with its status.
 	emptyResult = `200 {"result":[]}`
-	// busyResult is the response to a request that was rejected for want of capacity.
+	// busyResult is the response to a rejected request.
 	busyResult = `503 {"fault":"Busy"}`
 	// bareHealthRequest is a health check without any header.
 	bareHealthRequest = "GET /health HTTP/1.1\r\n\r\n"
--- a/internal/e2e/line_engine_helpers_test.go
+++ b/internal/e2e/line_engine_helpers_test.go
@@ -13,8 +13,8 @@
 // seenCapacity is how many requests a scripted engine reports before it waits for the test.
 const seenCapacity = 100
 
-// startLineEngine starts an engine of the line protocol. It reports each line, followed by the
-// statement where the line is a request, and responds as the script says.
+// startLineEngine starts an engine of the line protocol, which responds to each line as the script says. It reports
+// each line; the line of a request is followed by its statement.
 func startLineEngine(t *testing.T, script func(line string) (response string)) (addr string, seen chan string) {
 	t.Helper()
 	seen = make(chan string, seenCapacity)
@@ -40,7 +40,7 @@
 	}), seen
 }
 
-// readEngineLine reads a line, with its statement where it is a request.
+// readEngineLine reads a line, and appends the statement if the line begins a request.
 func readEngineLine(in *bufio.Reader) (string, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
--- a/internal/e2e/peer_helpers_test.go
+++ b/internal/e2e/peer_helpers_test.go
@@ -89,7 +89,7 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	const backlog = 0 // the kernel lets one connection wait even so
+	const backlog = 0 // the kernel lets one connection wait all the same
 	if err := syscall.Listen(fd, backlog); err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	}
 	_ = file.Close() // the listener has a duplicate of its descriptor
 	t.Cleanup(func() { _ = listener.Close() })
-	filler := dial(t, listener.Addr().String()).LocalAddr().String()
+	filler := dial(t, listener.Addr().String()).LocalAddr().String() // the connection that waits
 	return listener.Addr().String(), func() {
 		go acceptAll(listener, func(conn net.Conn) {
 			if conn.RemoteAddr().String() != filler {
--- a/internal/e2e/postgres_client_helpers_test.go
+++ b/internal/e2e/postgres_client_helpers_test.go
@@ -139,15 +139,15 @@
 	return c.receiveUntil(0)
 }
 
-// readMore appends what arrives to unread; it is false where the connection has ended.
+// readMore appends what arrives to unread, and reports whether the connection is still open.
 func (c *pgClient) readMore() (more bool) {
 	c.t.Helper()
 	c.unread, more = readMoreOrFail(c.t, c.conn, c.unread)
 	return more
 }
 
-// readMoreOrFail appends what arrives to unread; more is false where the connection has ended. It fails the test if
-// the connection broke.
+// readMoreOrFail appends what arrives to unread, and reports whether the connection is still open. It fails the test if
+// the connection was not closed by its peer but broke.
 func readMoreOrFail(t *testing.T, conn net.Conn, unread []byte) (appended []byte, more bool) {
 	t.Helper()
 	unread, err := readChunk(conn, unread)
--- a/internal/e2e/postgres_engine_helpers_test.go
+++ b/internal/e2e/postgres_engine_helpers_test.go
@@ -44,8 +44,9 @@
 	}, nil)
 )
 
-// startPgEngine starts a PostgreSQL engine. The script responds to each batch; nil leaves the batch
-// open until a CancelRequest, which is reported as a request of its own.
+// startPgEngine starts a PostgreSQL engine, which responds to each batch as the script says. A batch to which the
+// script returns nil has no response. The engine reports each batch, and each CancelRequest as a request with
+// cancelQuery.
 func startPgEngine(t *testing.T, script func(pgRequest) []byte) (addr string, seen chan pgRequest) {
 	t.Helper()
 	return startSlowPgEngine(t, 0, script)
@@ -77,14 +78,14 @@
 	prepared map[string]string // query by the name of its statement
 }
 
-// readMore appends what arrives to unread; it is false where the connection has ended.
+// readMore appends what arrives to unread, and reports whether the connection is still open.
 func (c *pgEngineConn) readMore() bool {
 	var err error
 	c.unread, err = readChunk(c.conn, c.unread)
 	return err == nil
 }
 
-// readStartup reads the first message; it is false where that is the only one.
+// readStartup reads the first message, and reports whether batches follow it. After a CancelRequest there are none.
 func (c *pgEngineConn) readStartup() bool {
 	for {
 		code, _, n, _ := pgproto.ParseStartup(c.unread)
@@ -151,7 +152,7 @@
 	}
 }
 
-// reply responds to a request; it is false where the script closes the connection.
+// reply responds to a request, and reports whether the connection stays open.
 func (c *pgEngineConn) reply(request pgRequest) bool {
 	response := c.script(request)
 	c.seen <- request
--- a/internal/e2e/postgres_faults_test.go
+++ b/internal/e2e/postgres_faults_test.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// Peers stall with an open connection: a client that sends nothing is disconnected, one
-// that stalls in the middle of a message has an error, and an engine that does so loses its
-// connection, so that another serves the client.
+// Peers stall with an open connection. A client that sends nothing is disconnected. A client that stops in the middle
+// of a message has an error first. An engine that stops in the middle of a message loses its connection, and another
+// engine serves the request.
 func TestPostgres_StalledPeersAreDisconnected(t *testing.T) {
 	isFirst := firstCall()
 	script := func(pgRequest) []byte {
--- a/internal/e2e/postgres_limits_test.go
+++ b/internal/e2e/postgres_limits_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Clients that stall in the middle of long messages can't exhaust the memory: past the budget of
-// all buffers the one that needs more is disconnected, and the others go on.
+// Clients that stop in the middle of long messages can't exhaust the memory. The client whose bytes exceed the budget
+// of all buffers is disconnected, and the others are served.
 func TestPostgres_BufferBudgetEndsTheClientThatExceedsIt(t *testing.T) {
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -42,8 +42,8 @@
 	front.assertCount("attempts.started.", 2)
 }
 
-// A load may have run at an engine that failed, and the connection to the next one comes up only
-// after the deduplication window of its key: it is not retried.
+// A load may have run at an engine that failed. The connection to the next engine is established only after the
+// deduplication window of the load's key, so that the load is not retried.
 func TestPostgres_LoadIsNotRetriedAfterItsDedupWindow(t *testing.T) {
 	// The startup takes longer than the window in real time; both are steps of the scenario.
 	const (
@@ -72,9 +72,8 @@
 	}
 }
 
-// An engine runs a statement and closes the connection. A statement that may write has run once,
-// for each default class, and its client has the error for an unknown outcome. A statement
-// that only reads is retried on other engines.
+// Engines run each statement and then close the connection. A statement that may write is not retried: it runs once,
+// and its client has the error for an unknown outcome. A statement that only reads is retried on other engines.
 func TestPostgres_WritesAreNotRetried(t *testing.T) {
 	var engines []string
 	var seen []chan pgRequest
@@ -161,9 +160,9 @@
 	front.assertCount("requests.accepted.write", 1)
 }
 
-// A write that was sent is never reported as if it had not run: one that fails for want of a
-// resource while it runs is not retried, after a timeout or a cancel its outcome is unknown, and
-// an error while it runs is not mistaken for a dropped prepared statement.
+// A write that was sent is never reported as if it had not run. If it fails for lack of a resource while it runs, it is
+// not retried. After a timeout or a cancel its outcome is unknown. An error while it runs is not mistaken for a dropped
+// prepared statement.
 func TestPostgres_UncertainWriteIsNotReportedAsUndone(t *testing.T) {
 	running := make(chan bool, seenCapacity)
 	addr, seen := startPgEngine(t, func(request pgRequest) []byte {
--- a/internal/e2e/retry_test.go
+++ b/internal/e2e/retry_test.go
@@ -22,8 +22,8 @@
 	return listener.Addr().String()
 }
 
-// A refused connection proves that nothing ran, so that even a load goes to another engine. With
-// no engine left the load is rejected at once, with a time after which to retry.
+// A refused connection proves that nothing ran, so that even a load is retried on another engine. If there is no other
+// engine, the load is rejected at once, with a time after which to retry.
 func TestRetry_RefusedConnectionIsRetriedEvenForALoad(t *testing.T) {
 	load := queryRequest("load", "Req-Token: k\r\n")
 	front := startHTTP(t, addrWithoutListener(t))
@@ -68,8 +68,8 @@
 	front.assertCount("attempts.ended.not-sent", 1)
 }
 
-// An engine rejects an attempt and says so twice. The retry has the same id: the duplicate must
-// not end it, or a third attempt would be sent while it runs.
+// An engine sends a rejection twice. The retry has the id of the rejected attempt: the duplicate must not end the
+// retry, or a third attempt would be sent while the retry runs.
 func TestRetry_DuplicateRejectionDoesNotEndTheRetry(t *testing.T) {
 	attempts := 0
 	other := numberedID(2)
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -18,7 +18,7 @@
 // connState is the state of a connection's close.
 //
 //	state     event                           next state  action
-//	open      Close                           closing     discard what was read, wait for pending writes
+//	open      Close                           closing     discard the unread bytes, wait for pending writes
 //	open      CloseIfIdle, nothing is unread  closing     as for Close
 //	open      CloseAfterLinger                lingering   stop reading, close the socket after lingerTime
 //	closing   no write is pending             closing     shut the write side, close the socket after lingerTime
@@ -104,7 +104,7 @@
 // flushAndShutdownWrite shuts the write side once no write is pending. If that takes longer than maxFlushTime, it
 // closes the socket.
 func (c *closer) flushAndShutdownWrite() {
-	c.reader.redeliver() // discards what was read, and resumes reading if the buffer was full
+	c.reader.redeliver() // discards the unread bytes, and resumes reading if the buffer was full
 	if c.writer.pending.Load() == 0 {
 		c.shutdownWrite()
 		return
@@ -145,8 +145,8 @@
 
 func (c *closer) abort() { c.socket.close(nil) }
 
-// finish changes the state to closed and drops what is unread. It holds the reader's mutex: a read that is in progress
-// on the poller's goroutine ends first, and its bytes are dropped too.
+// finish changes the state to closed and drops the unread bytes. It holds the reader's mutex: a read that is in
+// progress on the poller's goroutine ends first, and its bytes are dropped too.
 func (c *closer) finish() {
 	c.reader.mu.Lock()
 	defer c.reader.mu.Unlock()
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -184,7 +184,7 @@
 	awaitEnd(t, r)
 }
 
-// CloseAfterLinger sends what is pending, although the poller no longer waits for bytes to read.
+// CloseAfterLinger sends pending bytes, although the poller no longer waits for bytes to read.
 func TestCloseAfterLinger_SendsPendingBytes(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -213,7 +213,7 @@
 	}
 }
 
-// Close sends what is pending before it ends the stream, and drops the function given to OnFlushed.
+// Close sends pending bytes before it ends the stream, and drops the function given to OnFlushed.
 func TestClose_SendsPendingBytesFirst(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	const size = 6 << 20 // more than the kernel buffers, less than the limit of the queue
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -98,7 +98,7 @@
 // not be called from OnData.
 func (c *Conn) CloseIfIdle() bool { return c.closer.closeIfIdle() }
 
-// Abort ends the connection at once and drops what is pending.
+// Abort ends the connection at once and drops the bytes that wait to be sent.
 func (c *Conn) Abort() { c.closer.abort() }
 
 // Disconnected reports whether the connection has ended. OnClosed is called later than that; bytes that were read
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -33,8 +33,8 @@
 	return made.Load(), err
 }
 
-// A dial that fails locally is retried within its timeout: the peer is not at fault, and what is missing may be there
-// in a moment.
+// A dial that fails for lack of something on this machine is retried within its timeout: the peer is not at fault, and
+// the next attempt may succeed.
 func TestDial_RetriesLocalFailures(t *testing.T) {
 	for _, failure := range []error{
 		unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS, unix.ENFILE, unix.EMFILE, unix.EINTR,
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -38,7 +38,8 @@
 //     once the handler has made space in a full buffer. It alone changes the state of a connection's close.
 //   - The poller's goroutine reads the sockets that are readable, and sends the queued bytes of those that are
 //     writable. It calls no handler: it posts to the loop's goroutine.
-//   - Each listener has a goroutine that accepts, and each dial has one that connects. They post the new socket.
+//   - Each listener has a goroutine that accepts, and each dial has a goroutine that connects. They post the
+//     new socket.
 //
 // Loop.Post, Loop.Now, Loop.Dial, Loop.Listen, Loop.BufferedBytes and the Close of a listener may be called from any
 // goroutine. Every other exported method of Loop, Conn and Buffer belongs to the loop's goroutine.
--- a/internal/eventloop/socket_write.go
+++ b/internal/eventloop/socket_write.go
@@ -21,7 +21,7 @@
 	return err
 }
 
-// flush sends what is queued.
+// flush sends the queued bytes.
 func (s *socket) flush() {
 	if err := s.tryFlush(); err != nil {
 		s.failWrites(err)
