--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -85,7 +85,7 @@
 	front.onLoop(func() { // the new client is accepted on the next turn, and before the text is handed on
 		dial(t, front.addr)
 		time.Sleep(pastMinSilentTime)
-		front.deliver(client, text)
+		front.deliver(client.conn, text)
 	})
 	return front, client
 }
--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"io"
 	"log/slog"
+	"net"
 	"os"
 	"testing"
 
@@ -211,12 +212,12 @@
 	}
 }
 
-// deliver writes text and waits until the poller has read it. It runs on the loop's goroutine, which has not handled
-// the text then: what the loop does next crosses the text.
-func (f *frontEnd) deliver(client *httpClient, text string) {
+// deliver writes text to a client's connection and waits until the poller has read it. It must be called on the loop's
+// goroutine. The loop handles the text only after what that goroutine does next.
+func (f *frontEnd) deliver(client net.Conn, text string) {
 	f.t.Helper()
 	before := f.loop.BufferedBytes()
-	if _, err := io.WriteString(client.conn, text); err != nil {
+	if _, err := io.WriteString(client, text); err != nil {
 		f.t.Error(err)
 	}
 	if !poll(func() bool { return f.loop.BufferedBytes() >= before+int64(len(text)) }) {
--- a/internal/e2e/graceful_shutdown_test.go
+++ b/internal/e2e/graceful_shutdown_test.go
@@ -22,8 +22,8 @@
 	}
 	text := queryRequest("lookup", "")
 	front.onLoop(func() {
-		front.deliver(complete, text)
-		front.deliver(partial, text[:partLength])
+		front.deliver(complete.conn, text)
+		front.deliver(partial.conn, text[:partLength])
 		front.server.Drain()
 	})
 	assertEqual(t, "the request that arrived just before", complete.receive(), rowResult)
@@ -50,7 +50,7 @@
 		for n := range 3 {
 			text += withID(queryRequest("lookup", ""), numberedID(n))
 		}
-		front.deliver(client, text)
+		front.deliver(client.conn, text)
 		front.server.Drain()
 	})
 	for range 3 {
@@ -70,7 +70,7 @@
 	front.onLoop(func() {
 		front.server.Drain()
 		request := queryRequest("lookup", "")
-		front.deliver(client, withID(request, numberedID(1))+withID(request, numberedID(2)))
+		front.deliver(client.conn, withID(request, numberedID(1))+withID(request, numberedID(2)))
 		front.dispatcher.CompleteAll()
 		front.server.Finish()
 	})
--- a/internal/e2e/postgres_session_test.go
+++ b/internal/e2e/postgres_session_test.go
@@ -135,17 +135,16 @@
 	addr, _ := startPgEngine(t, noPgReply)
 	front := startPostgres(t, addr)
 	client := connectPostgres(t, front.addr)
-	later := connectHTTP(t, front.addr)
+	later := dial(t, front.addr)
 	front.awaitCount("postgres.connections", 2)
 	front.onLoop(func() {
 		client.send(query("SELECT 1"))
 		if err := client.conn.Close(); err != nil {
 			t.Error(err)
 		}
-		// The poller has read the statement and seen the end by the time that a later client's
-		// bytes have arrived.
+		// The poller has read the statement, and the end of the connection, before the bytes of a later client.
 		front.deliver(later, string(startupMessage(pgproto.ProtocolVersion, "user", "x")))
 	})
-	front.onLoop(func() {})
+	front.onLoop(func() {}) // the loop has handled the statement
 	front.assertCount("requests.accepted.", 0)
 }
--- a/internal/e2e/retry_test.go
+++ b/internal/e2e/retry_test.go
@@ -60,8 +60,8 @@
 	assertEqual(t, "first response", got, emptyResult)
 	idle := tcpConn(t, await(t, conns))
 	front.onLoop(func() {
-		front.deliver(client, queryRequest("lookup", "")) // the loop handles this before the reset
-		_ = idle.SetLinger(0)                             // so that Close resets it
+		front.deliver(client.conn, queryRequest("lookup", "")) // the loop handles this before the reset
+		_ = idle.SetLinger(0)                                  // so that Close resets it
 		_ = idle.Close()
 	})
 	assertEqual(t, "response", client.receive(), emptyResult)
