--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -28,10 +28,11 @@
 		}
 		started[header] = front.count("attempts.started.")
 	}
+	const minRatio = 1.5 // of the full limit to its part beyond the quotas
 	within := started[tenantHeader]
 	beyond := started[noHeader]
-	if 2*within < 3*beyond {
-		t.Errorf("%d attempts within the quota, %d beyond", within, beyond)
+	if float64(within) < minRatio*float64(beyond) {
+		t.Errorf("%d attempts within the quota, %d beyond; want a ratio of %v at least", within, beyond, minRatio)
 	}
 }
 
--- a/internal/e2e/query_shapes_test.go
+++ b/internal/e2e/query_shapes_test.go
@@ -38,12 +38,18 @@
 	return service
 }
 
-// A statement is a lookup with a short list and a report with a long one: the class follows the
-// bound values, once a few executions have been seen. A comment that names a class overrides it,
-// and a statement that may write is never classified by its shape.
+// A statement is a lookup with a short list and a report with a long list: the class follows the bound values, once a
+// few executions have been seen. A comment that names a class overrides it, and a statement that may write is never
+// classified by its shape.
 func TestQueryShapes_ClassFollowsBoundValues(t *testing.T) {
+	const (
+		longListLength = 78
+		learned        = 8 // executions with each list before their classes are counted
+		counted        = 4
+	)
+	longList := "{" + strings.Repeat("d,", longListLength-1) + "d}"
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
-		if strings.Count(request.bind, ",") > 50 {
+		if strings.Contains(request.bind, longList) {
 			time.Sleep(reportTime)
 		}
 		return pgRows("a")
@@ -60,21 +66,20 @@
 		client.send(bind("", "s", list), execute("", 0), syncMessage)
 		assertEqual(t, "response", client.receiveUntilReady(), "2 D(a) C(SELECT 1) Z")
 	}
-	long := "{" + strings.Repeat("d,", 77) + "d}"
-	for range 8 {
+	for range learned {
 		executeWith("{d1,d2}")
-		executeWith(long)
+		executeWith(longList)
 	}
 	before := front.count("requests.accepted.report")
-	for range 4 {
-		executeWith(long)
+	for range counted {
+		executeWith(longList)
 		executeWith("{d3}")
 	}
-	if n := front.count("requests.accepted.report") - before; n != 4 {
-		t.Errorf("%d of 4 long lists were classified as reports", n)
+	if n := front.count("requests.accepted.report") - before; n != counted {
+		t.Errorf("%d of %d long lists were classified as reports", n, counted)
 	}
 	before = front.count("requests.accepted.lookup")
-	client.send(query("/* class=lookup */ "+strings.Replace(text, "$1", "'"+long+"'", 1)), syncMessage)
+	client.send(query("/* class=lookup */ "+strings.Replace(text, "$1", "'"+longList+"'", 1)), syncMessage)
 	client.receiveUntilReady()
 	if n := front.count("requests.accepted.lookup") - before; n != 1 {
 		t.Errorf("%d classified as lookups by their comment, want 1", n)
@@ -85,8 +90,8 @@
 	front.assertCount("requests.accepted.write", 1)
 }
 
-// A damaged snapshot is set aside under another name, the front end starts without it, and the
-// next one is complete.
+// A damaged snapshot is set aside under another name. The front end starts without it, and its next snapshot is
+// complete.
 func TestQueryShapes_DamagedSnapshotIsSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "shapes")
 	damaged := []byte("RWSHAPES no longer")
