--- a/internal/e2e/peer_helpers_test.go
+++ b/internal/e2e/peer_helpers_test.go
@@ -78,9 +78,8 @@
 	})
 }
 
-// listenWithFullBacklog starts a peer whose accept queue is full: connections to it are not established before accept
-// is called.
-func listenWithFullBacklog(t *testing.T, serve func(net.Conn)) (addr string, accept func()) {
+// bindLoopback returns a TCP socket that is bound to a port of the loopback interface and does not listen.
+func bindLoopback(t *testing.T) (fd int) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -89,6 +88,14 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
+	return fd
+}
+
+// listenWithFullBacklog starts a peer whose accept queue is full: connections to it are not established before accept
+// is called.
+func listenWithFullBacklog(t *testing.T, serve func(net.Conn)) (addr string, accept func()) {
+	t.Helper()
+	fd := bindLoopback(t)
 	const backlog = 0 // the kernel lets one connection wait all the same
 	if err := syscall.Listen(fd, backlog); err != nil {
 		t.Fatal(err)
--- a/internal/e2e/retry_test.go
+++ b/internal/e2e/retry_test.go
@@ -1,25 +1,33 @@
 package e2e
 
 import (
+	"fmt"
 	"net"
 	"strings"
+	"syscall"
 	"testing"
 
 	"flaxrelay/internal/lifecycle"
-	"flaxrelay/internal/tcptest"
 	"flaxrelay/policy"
 
 	"github.com/google/go-cmp/cmp"
 )
 
-// addrWithoutListener is an address at which connections are refused.
+// addrWithoutListener returns an address at which connections are refused until the end of the test. A socket is bound
+// to it and does not listen, so that no other process gets the port.
 func addrWithoutListener(t *testing.T) string {
 	t.Helper()
-	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
-	if err := listener.Close(); err != nil {
+	fd := bindLoopback(t)
+	t.Cleanup(func() { _ = syscall.Close(fd) })
+	bound, err := syscall.Getsockname(fd)
+	if err != nil {
 		t.Fatal(err)
 	}
-	return listener.Addr().String()
+	inet4, ok := bound.(*syscall.SockaddrInet4)
+	if !ok {
+		t.Fatalf("a socket is bound to an address of type %T", bound)
+	}
+	return fmt.Sprintf("127.0.0.1:%d", inet4.Port)
 }
 
 // A refused connection proves that nothing ran, so that even a load is retried on another engine. If there is no other
