--- a/internal/decision/hotrestart/events.go
+++ b/internal/decision/hotrestart/events.go
@@ -5,8 +5,8 @@
 
 // Events of the predecessor's own process.
 type (
-	// StartUpgrade requests a hot restart.
-	StartUpgrade struct{}
+	// StartHotRestart requests a hot restart.
+	StartHotRestart struct{}
 	// Shutdown requests a graceful shutdown.
 	Shutdown struct{}
 	// ConnAccepted reports a new connection of this process.
@@ -71,7 +71,7 @@
 	Commit struct{}
 )
 
-func (StartUpgrade) event()      {}
+func (StartHotRestart) event()   {}
 func (Shutdown) event()          {}
 func (ConnAccepted) event()      {}
 func (ConnBusy) event()          {}
--- a/internal/decision/hotrestart/hotrestart.go
+++ b/internal/decision/hotrestart/hotrestart.go
@@ -23,7 +23,7 @@
 //
 // The phases of the predecessor:
 //
-//	Idle --StartUpgrade--> AwaitingHello --Hello--> TransferringState --Ready--> Probation
+//	Idle --StartHotRestart--> AwaitingHello --Hello--> TransferringState --Ready--> Probation
 //	  --enough Heartbeats--> Draining --last connection closed or transferred--> Exited
 //	AwaitingHello, TransferringState, Probation --timeout, problem, Shutdown--> RollingBack
 //	AwaitingHello, TransferringState, Probation, RollingBack --SuccessorExited--> Idle
--- a/internal/decision/hotrestart/predecessor.go
+++ b/internal/decision/hotrestart/predecessor.go
@@ -51,13 +51,13 @@
 // Step handles one event and returns the actions to carry out, in order.
 func (p *Predecessor) Step(now time.Duration, event Event) []Action {
 	switch event := event.(type) {
-	case StartUpgrade:
-		return p.startUpgrade(now)
+	case StartHotRestart:
+		return p.startHotRestart(now)
 	case Shutdown:
 		return p.shutdown(now)
 	case ConnAccepted:
 		p.conns = append(p.conns, connection{id: event.Conn})
-		if p.handsOver() { // it was accepted just before StopAccepting
+		if p.transfersIdleConns() { // it was accepted just before StopAccepting
 			return p.transfer(event.Conn)
 		}
 	case ConnBusy:
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// startUpgrade starts a hot restart, unless one is in progress.
-func (p *Predecessor) startUpgrade(now time.Duration) []Action {
+// startHotRestart starts a hot restart, unless one is in progress.
+func (p *Predecessor) startHotRestart(now time.Duration) []Action {
 	if p.phase != Idle || p.shutdownRequested {
 		return []Action{ReportResult{"another hot restart or a shutdown is in progress"}}
 	}
--- a/internal/decision/hotrestart/predecessor_conns.go
+++ b/internal/decision/hotrestart/predecessor_conns.go
@@ -36,8 +36,8 @@
 	p.conns = slices.DeleteFunc(p.conns, func(c connection) bool { return c.id == id })
 }
 
-// handsOver reports whether idle connections are transferred.
-func (p *Predecessor) handsOver() bool { return p.phase == Probation || p.phase == Draining }
+// transfersIdleConns reports whether a connection is transferred as soon as it is idle.
+func (p *Predecessor) transfersIdleConns() bool { return p.phase == Probation || p.phase == Draining }
 
 // connIdle handles a connection that can be transferred.
 func (p *Predecessor) connIdle(id ConnID) []Action {
@@ -46,7 +46,7 @@
 		return nil
 	}
 	c.state = connIdle
-	if !p.handsOver() {
+	if !p.transfersIdleConns() {
 		return nil
 	}
 	return append(p.transfer(id), p.exitWhenDrained()...)
--- a/internal/decision/hotrestart/recovery.go
+++ b/internal/decision/hotrestart/recovery.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Effect classifies requests by whether they may be retried, as in package policy.
+// Effect classifies requests by whether they may be retried, as policy.Effect does.
 type Effect uint8
 
 // Effects. The zero value is the most cautious.
--- a/internal/decision/hotrestart/world_steps_test.go
+++ b/internal/decision/hotrestart/world_steps_test.go
@@ -9,10 +9,10 @@
 		change(&next)
 		all = append(all, step{name, next})
 	}
-	if w.predecessorAlive && w.upgrades < 1 && w.predecessor.phase == Idle {
-		do("upgrade requested", func(n *world) {
-			n.upgrades++
-			n.stepPredecessor(f, 0, StartUpgrade{})
+	if w.predecessorAlive && w.hotRestarts < 1 && w.predecessor.phase == Idle {
+		do("hot restart requested", func(n *world) {
+			n.hotRestarts++
+			n.stepPredecessor(f, 0, StartHotRestart{})
 		})
 	}
 	if w.successorAlive && !w.started {
--- a/internal/decision/hotrestart/world_test.go
+++ b/internal/decision/hotrestart/world_test.go
@@ -30,7 +30,7 @@
 	conns       [2]client
 	windowsOver bool // all idempotency windows have ended
 	crashes     int
-	upgrades    int
+	hotRestarts int
 }
 
 // handler is the process that handles a request.
