--- a/internal/decision/hotrestart/model_test.go
+++ b/internal/decision/hotrestart/model_test.go
@@ -5,62 +5,71 @@
 	"testing"
 )
 
-// explore visits all reachable states, breadth first, but at most the given number. It stops at the first
-// violation and returns the steps that lead to it.
-func explore(f faults, most int) (states, depth int, violation string, trace []string) {
+// maxStates limits the exploration.
+const maxStates = 3_000_000
+
+// exploration is the result of exploring the states of the model.
+type exploration struct {
+	states    int      // number of states that were reached
+	depth     int      // number of steps to the last state that was checked
+	violation string   // "": none
+	trace     []string // the steps that lead to the violation
+}
+
+// explore checks all reachable states, breadth first and up to maxStates. It stops at the first violation.
+func explore(f faults) exploration {
 	type node struct {
 		parent int
-		name   string
+		step   string // from the parent to this node
 		depth  int
 	}
 	start := newWorld()
 	seen := map[string]bool{start.key(): true}
 	nodes := []node{{parent: -1}}
 	queue := []world{start}
-	path := func(i int) (names []string) {
+	trace := func(i int) (steps []string) {
 		for ; i > 0; i = nodes[i].parent {
-			names = append([]string{nodes[i].name}, names...)
+			steps = append(steps, nodes[i].step)
 		}
-		return names
+		slices.Reverse(steps)
+		return steps
 	}
-	for at := 0; at < len(queue) && at < most; at++ {
-		current := queue[at]
-		queue[at] = world{}
-		depth = max(depth, nodes[at].depth)
+	depth := 0
+	for i := 0; i < len(queue) && i < maxStates; i++ {
+		current := queue[i]
+		queue[i] = world{} // frees its memory
+		depth = nodes[i].depth
 		if violation := current.violation(); violation != "" {
-			return len(seen), depth, violation, path(at)
+			return exploration{len(seen), depth, violation, trace(i)}
 		}
 		next := current.steps(f)
 		if !slices.ContainsFunc(next, step.isProgress) {
 			if violation := current.deadlock(); violation != "" {
-				return len(seen), depth, violation, path(at)
+				return exploration{len(seen), depth, violation, trace(i)}
 			}
 		}
 		for _, s := range next {
 			if key := s.next.key(); !seen[key] {
 				seen[key] = true
-				nodes = append(nodes, node{at, s.name, nodes[at].depth + 1})
+				nodes = append(nodes, node{i, s.name, depth + 1})
 				queue = append(queue, s.next)
 			}
 		}
 	}
-	return len(seen), depth, "", nil
+	return exploration{states: len(seen), depth: depth}
 }
 
-// maxStates limits the exploration.
-const maxStates = 3e6
-
 // All interleavings of a hot restart with two requests and up to two crashes keep the invariants: a
 // connection has one owner, a request has one response, a request is retried only if that is permitted,
 // the listener is never closed, and every request completes.
 func TestModel_KeepsInvariantsInAllInterleavings(t *testing.T) {
-	states, depth, violation, trace := explore(faults{}, maxStates)
-	t.Logf("%d states, depth %d", states, depth)
-	if violation != "" {
-		t.Fatalf("%s after %d states:\n%q", violation, states, trace)
+	explored := explore(faults{})
+	t.Logf("%d states, depth %d", explored.states, explored.depth)
+	if explored.violation != "" {
+		t.Fatalf("%s after %d states:\n%q", explored.violation, explored.states, explored.trace)
 	}
-	if states < 10000 {
-		t.Errorf("only %d states were reached", states)
+	if explored.states < 10000 {
+		t.Errorf("only %d states were reached", explored.states)
 	}
 }
 
@@ -73,11 +82,11 @@
 		"retried if not idempotent": {retryAnything: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			states, _, violation, trace := explore(seeded, maxStates)
-			if violation == "" {
-				t.Fatalf("no violation found in %d states", states)
+			explored := explore(seeded)
+			if explored.violation == "" {
+				t.Fatalf("no violation found in %d states", explored.states)
 			}
-			t.Logf("%s after %d steps", violation, len(trace))
+			t.Logf("%s after %d steps", explored.violation, len(explored.trace))
 		})
 	}
 }
--- a/internal/decision/hotrestart/world_steps_test.go
+++ b/internal/decision/hotrestart/world_steps_test.go
@@ -2,103 +2,128 @@
 
 import "fmt"
 
-// steps returns all possible next states. Crashes come last; there are at most maxCrashes.
+// addStep adds the state after a change as a possible next state.
+type addStep func(name string, change func(*world))
+
+// steps returns all possible next states. Crashes come last.
 func (w world) steps(f faults) (all []step) {
-	do := func(name string, change func(*world)) {
+	add := func(name string, change func(*world)) {
 		next := w.clone()
 		change(&next)
 		all = append(all, step{name, next})
 	}
-	if w.predecessorAlive && w.hotRestarts < 1 && w.predecessor.phase == Idle {
-		do("hot restart requested", func(n *world) {
+	w.processSteps(f, add)
+	w.channelSteps(f, add)
+	w.timeSteps(f, add)
+	for i := range w.conns {
+		w.clientSteps(i, f, add)
+	}
+	w.crashSteps(add)
+	return all
+}
+
+// processSteps adds the request for a hot restart and the steps of the successor's start.
+func (w world) processSteps(f faults, add addStep) {
+	if w.predecessorAlive && w.hotRestarts < maxHotRestarts && w.predecessor.phase == Idle {
+		add("hot restart requested", func(n *world) {
 			n.hotRestarts++
 			n.stepPredecessor(f, 0, StartHotRestart{})
 		})
 	}
 	if w.successorAlive && !w.started {
-		do("successor starts", func(n *world) {
+		add("successor starts", func(n *world) {
 			n.started = true
 			n.stepSuccessor(Started{})
 		})
-		do("successor can't serve", func(n *world) {
+		add("successor can't serve", func(n *world) {
 			n.started = true
 			n.stepSuccessor(Started{"port"})
 		})
 	}
 	if w.successorAlive && w.loadingState {
-		do("successor has loaded the state", func(n *world) {
+		add("successor has loaded the state", func(n *world) {
 			n.loadingState = false
 			n.stepSuccessor(StateLoaded{})
 		})
 	}
+}
+
+// channelSteps adds the reading of the next message of each direction and of the channel's end, and the
+// report of the successor's exit.
+func (w world) channelSteps(f faults, add addStep) {
 	if w.successorAlive && w.started && len(w.toSuccessor) > 0 {
-		do("message to successor", func(n *world) {
+		add("message to successor", func(n *world) {
 			message := n.toSuccessor[0]
 			n.toSuccessor = n.toSuccessor[1:]
 			n.stepSuccessor(message)
 		})
 	}
 	if w.successorAlive && w.started && !w.predecessorAlive && len(w.toSuccessor) == 0 && !w.successor.orphaned {
-		do("successor reads the end of the channel", func(n *world) { n.stepSuccessor(PredecessorExited{}) })
+		add("successor reads the end of the channel", func(n *world) { n.stepSuccessor(PredecessorExited{}) })
 	}
 	if w.predecessorAlive && len(w.toPredecessor) > 0 {
-		do("message to predecessor", func(n *world) {
+		add("message to predecessor", func(n *world) {
 			message := n.toPredecessor[0]
 			n.toPredecessor = n.toPredecessor[1:]
 			n.stepPredecessor(f, 0, message)
 		})
 	}
 	if w.predecessorAlive && w.spawned && !w.successorAlive && (len(w.toPredecessor) == 0 || f.reclaimBeforeDrain) {
-		do("successor is reaped", func(n *world) {
+		add("successor's exit is reported", func(n *world) {
 			n.spawned = false
 			n.toPredecessor = nil
 			n.stepPredecessor(f, 0, SuccessorExited{})
 		})
 	}
+}
+
+// timeSteps adds the end of timeouts and idempotency windows, and heartbeats.
+func (w world) timeSteps(f faults, add addStep) {
 	if w.predecessorAlive && w.predecessor.canRollBack() {
-		do("time passes", func(n *world) { n.stepPredecessor(f, limit, Tick{}) })
+		add("time passes", func(n *world) { n.stepPredecessor(f, limit, Tick{}) })
 	}
 	if w.predecessorAlive && w.successorAlive && w.predecessor.phase == Probation && w.successor.Accepting() {
-		do("heartbeat", func(n *world) { n.stepPredecessor(f, limit, Heartbeat{Successes: 1}) })
+		add("heartbeat", func(n *world) { n.stepPredecessor(f, limit, Heartbeat{Successes: 1}) })
 	}
 	if !w.windowsOver {
-		do("idempotency windows end", func(n *world) { n.windowsOver = true })
+		add("idempotency windows end", func(n *world) { n.windowsOver = true })
 	}
-	for i := range w.conns {
-		w.clientSteps(i, f, do)
-	}
-	if w.crashes < maxCrashes {
-		if w.successorAlive {
-			do(stepSuccessorCrashes, func(n *world) {
-				n.crashes++
-				n.killSuccessor()
-			})
-		}
-		if w.predecessorAlive {
-			do(stepPredecessorCrashes, func(n *world) {
-				n.crashes++
-				n.endPredecessor()
-			})
-		}
+}
+
+// crashSteps adds the crash of each process, up to maxCrashes in all.
+func (w world) crashSteps(add addStep) {
+	if w.crashes >= maxCrashes {
+		return
+	}
+	if w.successorAlive {
+		add(stepSuccessorCrashes, func(n *world) {
+			n.crashes++
+			n.killSuccessor()
+		})
+	}
+	if w.predecessorAlive {
+		add(stepPredecessorCrashes, func(n *world) {
+			n.crashes++
+			n.endPredecessor()
+		})
 	}
-	return all
 }
 
 // clientSteps adds the possible steps of one client and its request.
-func (w world) clientSteps(i int, f faults, do func(string, func(*world))) {
+func (w world) clientSteps(i int, f faults, add addStep) {
 	c := w.conns[i]
 	name := func(s string) string { return fmt.Sprintf("%s %d", s, i) }
 	if !c.requested {
-		do(name("client sends request"), func(n *world) { n.conns[i].requested = true })
+		add(name("client sends request"), func(n *world) { n.conns[i].requested = true })
 	}
 	if c.requested && c.handler == handlerNone && c.predecessorOwns && w.predecessorAlive {
-		do(name("predecessor reads request"), func(n *world) {
+		add(name("predecessor reads request"), func(n *world) {
 			n.conns[i].handler = handlerPredecessor
 			n.stepPredecessor(f, 0, ConnBusy{ConnID(i)})
 		})
 	}
 	if c.handler == handlerPredecessor && w.predecessorAlive {
-		do(name("predecessor responds"), func(n *world) {
+		add(name("predecessor responds"), func(n *world) {
 			responding := &n.conns[i]
 			n.execute(responding)
 			responding.responses++
@@ -115,27 +140,27 @@
 	}
 	switch {
 	case c.requested && c.handler == handlerNone:
-		do(name("successor reads request"), func(n *world) {
+		add(name("successor reads request"), func(n *world) {
 			n.conns[i].handler = handlerSuccessor
 			n.conns[i].stage = stageReceived
 			n.record(i, stageReceived)
 		})
 	case c.handler == handlerSuccessor && c.stage == stageReceived && f.forwardBeforeRecord:
-		do(name("successor forwards request"), forward)
+		add(name("successor forwards request"), forward)
 	case c.handler == handlerSuccessor && c.stage == stageReceived:
-		do(name("successor records the forwarding"), func(n *world) {
+		add(name("successor records the forwarding"), func(n *world) {
 			n.conns[i].stage = stageForwardRecorded
 			n.record(i, stageForwardRecorded)
 		})
 	case c.handler == handlerSuccessor && c.stage == stageForwardRecorded:
-		do(name("successor forwards request"), forward)
+		add(name("successor forwards request"), forward)
 	case c.handler == handlerSuccessor && c.stage == stageForwarded:
-		do(name("successor records the response"), func(n *world) {
+		add(name("successor records the response"), func(n *world) {
 			n.conns[i].stage = stageResponseRecorded
 			n.record(i, stageResponseRecorded)
 		})
 	case c.handler == handlerSuccessor && c.stage == stageResponseRecorded:
-		do(name("successor responds"), func(n *world) {
+		add(name("successor responds"), func(n *world) {
 			n.conns[i].responseWritten = true
 			n.conns[i].responses++
 			n.conns[i].handler = handlerDone
@@ -163,8 +188,7 @@
 	return ""
 }
 
-// deadlock describes what never completes in a state in which only crashes are possible. It returns "" if
-// everything completes.
+// deadlock describes what can't complete in a state in which only crashes are possible, or returns "".
 func (w *world) deadlock() string {
 	if !w.predecessorAlive && !w.successorAlive {
 		return "" // no process runs that could respond
--- a/internal/decision/hotrestart/world_test.go
+++ b/internal/decision/hotrestart/world_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// world is the state of two processes, the channel between them, clients and engines. It is the smallest
-// world with every interleaving: each client has one connection and one request. Its booleans are
-// independent, and every combination that can occur is a different state.
+// world is the state of two processes, the channel between them, two clients and the engines. To limit
+// the number of states, each client has one connection and sends one request. The booleans are
+// independent of each other.
 type world struct {
 	predecessor Predecessor
 	successor   Successor
@@ -16,7 +16,7 @@
 	predecessorAlive bool
 	successorAlive   bool // it was started and has not exited
 	spawned          bool // it was started and its exit was not reported
-	started          bool
+	started          bool // it has read its configuration, and reads the channel
 	loadingState     bool
 
 	toSuccessor   []Event // messages in the channel
@@ -100,8 +100,11 @@
 	return w
 }
 
-// maxCrashes limits the crashes of one run.
-const maxCrashes = 2
+// Limits of one run.
+const (
+	maxCrashes     = 2
+	maxHotRestarts = 1
+)
 
 func (w world) clone() world {
 	w.predecessor.conns = slices.Clone(w.predecessor.conns)
