--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -110,10 +110,9 @@
 }
 
 const (
-	randomStream  = 0x7265676973746572 // second word of the seed: distinct from other uses of it
-	scatterSigma  = 0.3                // of work and memory, as a standard deviation of the natural logarithm
-	minHintSigma  = 1e-9               // the distribution rejects 0
-	oneOffOrdinal = 1 << 20            // rank beyond that of every recurring template
+	randomStream = 0x7265676973746572 // second word of the seed: distinct from other uses of it
+	scatterSigma = 0.3                // of work and memory, as a standard deviation of the natural logarithm
+	minHintSigma = 1e-9               // the distribution rejects 0
 )
 
 // Popularity of parts and table groups, by Zipf's law: the k-th has a weight of
@@ -139,10 +138,10 @@
 		hintError:       distuv.LogNormal{Sigma: max(options.HintSigma, minHintSigma), Src: random},
 	}
 	sum := 0.0
-	for ordinal := range options.Templates {
-		t := newTemplate(random, ordinal)
+	for rank := range options.Templates {
+		t := newTemplate(random)
 		g.templates = append(g.templates, t)
-		sum += t.weight
+		sum += t.weight(rank)
 		g.cumulativeWeights = append(g.cumulativeWeights, sum)
 	}
 	return g
@@ -154,7 +153,7 @@
 	g.generated++
 	switch u := g.random.Float64(); {
 	case u < g.options.OneOffShare:
-		t := newTemplate(g.random, oneOffOrdinal)
+		t := newTemplate(g.random)
 		t.oneOff = true
 		return g.fromTemplate(t, TemplateOneOff, growth)
 	case u < g.options.OneOffShare+g.options.WriteShare:
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -83,16 +83,14 @@
 	table     *table
 	columns   []string
 	style     valueStyle
-	weight    float64
 	lowerCase bool // key words in lower case
 	oneOff    bool
 	aliased   bool
 }
 
-// newTemplate draws a template; the ordinal is its rank by frequency.
-func newTemplate(random *rand.Rand, ordinal int) *template {
+// newTemplate draws a template.
+func newTemplate(random *rand.Rand) *template {
 	const (
-		rankExponent   = 0.6
 		lowerCaseOneIn = 2
 		aliasedOneIn   = 3
 	)
@@ -109,10 +107,16 @@
 	for _, column := range random.Perm(len(t.table.columns))[:n] {
 		t.columns = append(t.columns, t.table.columns[column])
 	}
-	t.weight = 1 / math.Pow(float64(ordinal+1), rankExponent) * spec.weight
 	return t
 }
 
+// weight returns the relative frequency of a recurring template. It depends on the family, and falls with
+// the rank, which counts from 0.
+func (t *template) weight(rank int) float64 {
+	const rankExponent = 0.6
+	return 1 / math.Pow(float64(rank+1), rankExponent) * familySpecs[t.family].weight
+}
+
 func drawFamily(random *rand.Rand) family {
 	switch u := random.Float64(); {
 	case u < lookupTemplates:
