--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -30,7 +30,7 @@
 	i.lowerCase = t.lowerCase
 	i.group = 1 + int(g.groupPopularity.Uint64())
 	i.rows = t.table.rows
-	if t.table == &tables[ordersTable] {
+	if t.table == ordersTable {
 		i.rows *= growth
 	}
 	i.rowsOfOne = i.rows / partCount
--- a/internal/lab/workload/schema.go
+++ b/internal/lab/workload/schema.go
@@ -19,24 +19,26 @@
 	dayColumn string
 }
 
-// Indices into tables.
-const (
-	partsTable = iota
-	stockTable
-	ordersTable
-	shipmentsTable
-	pricesTable
-	returnsTable
+// The tables of each group.
+var (
+	partsTable     = &table{"parts", 4000, []string{"part", "name", "maker", "kind"}, "listed"}
+	stockTable     = &table{"stock", 40000, []string{"part", "wholesaler", "n", "bin"}, "counted"}
+	ordersTable    = &table{"orders", 200000, []string{"part", "wholesaler", "district", "n", "price"}, "day"}
+	shipmentsTable = &table{"shipments", 120000, []string{"part", "number", "district", "state"}, "sent"}
+	pricesTable    = &table{"prices", 80000, []string{"part", "wholesaler", "price"}, "day"}
+	returnsTable   = &table{"returns", 20000, []string{"part", "district", "reason"}, "day"}
 )
 
-var tables = [...]table{
-	partsTable:     {"parts", 4000, []string{"part", "name", "maker", "kind"}, "listed"},
-	stockTable:     {"stock", 40000, []string{"part", "wholesaler", "n", "bin"}, "counted"},
-	ordersTable:    {"orders", 200000, []string{"part", "wholesaler", "district", "n", "price"}, "day"},
-	shipmentsTable: {"shipments", 120000, []string{"part", "number", "district", "state"}, "sent"},
-	pricesTable:    {"prices", 80000, []string{"part", "wholesaler", "price"}, "day"},
-	returnsTable:   {"returns", 20000, []string{"part", "district", "reason"}, "day"},
-}
+// The tables that statements of a family are about.
+var (
+	allTables = []*table{partsTable, stockTable, ordersTable, shipmentsTable, pricesTable, returnsTable}
+	// wholesalerTables have a column wholesaler.
+	wholesalerTables = []*table{stockTable, ordersTable, pricesTable}
+	// largeTables have so many rows that a statement that scans one is a report.
+	largeTables = []*table{ordersTable, shipmentsTable, pricesTable}
+	// largeDistrictTables have a column district as well.
+	largeDistrictTables = []*table{ordersTable, shipmentsTable}
+)
 
 // popularParts is the number of parts that every shop sells. Each has popularPartFactor times the
 // rows of another part.
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -35,6 +35,7 @@
 const (
 	lookupTemplates = 0.72
 	reportTemplates = 0.2
+	lookupWeight    = 1
 	reportWeight    = 0.7
 	loadWeight      = 0.65
 )
@@ -46,24 +47,24 @@
 // familySpec describes how the statements of a family are generated.
 type familySpec struct {
 	generate generateFunc // nil for loads, whose cost does not depend on an access
-	tables   []int        // indices of the tables that have the required columns and rows; nil: all
+	tables   []*table     // nil: all tables
 	weight   float64
 }
 
 // familySpecs are the specifications of all families.
 var familySpecs = [...]familySpec{
-	lookupByPart:              {generateByPart, nil, 1},
-	lookupByPartAndWholesaler: {generateByPartAndWholesaler, []int{stockTable, ordersTable, pricesTable}, 1},
-	lookupPartList:            {generatePartList, nil, 1},
-	lookupDayRange:            {generateDayRange, []int{ordersTable, shipmentsTable, pricesTable}, 1},
-	lookupPattern:             {generatePattern, []int{ordersTable, shipmentsTable, pricesTable}, 1},
-	lookupDistricts:           {generateDistricts, []int{ordersTable, shipmentsTable}, 1},
-	lookupLatest:              {generateLatest, []int{ordersTable, shipmentsTable, pricesTable}, 1},
-	lookupOptionalPart:        {generateOptionalPart, []int{ordersTable, shipmentsTable, pricesTable}, 1},
-	reportDistrictTotals:      {generateDistrictTotals, []int{ordersTable, shipmentsTable}, reportWeight},
-	reportTopParts:            {generateTopParts, []int{ordersTable, shipmentsTable}, reportWeight},
-	reportRanking:             {generateRanking, []int{ordersTable, shipmentsTable}, reportWeight},
-	reportDistinct:            {generateDistinct, []int{ordersTable, shipmentsTable}, reportWeight},
+	lookupByPart:              {generateByPart, nil, lookupWeight},
+	lookupByPartAndWholesaler: {generateByPartAndWholesaler, wholesalerTables, lookupWeight},
+	lookupPartList:            {generatePartList, nil, lookupWeight},
+	lookupDayRange:            {generateDayRange, largeTables, lookupWeight},
+	lookupPattern:             {generatePattern, largeTables, lookupWeight},
+	lookupDistricts:           {generateDistricts, largeDistrictTables, lookupWeight},
+	lookupLatest:              {generateLatest, largeTables, lookupWeight},
+	lookupOptionalPart:        {generateOptionalPart, largeTables, lookupWeight},
+	reportDistrictTotals:      {generateDistrictTotals, largeDistrictTables, reportWeight},
+	reportTopParts:            {generateTopParts, largeDistrictTables, reportWeight},
+	reportRanking:             {generateRanking, largeDistrictTables, reportWeight},
+	reportDistinct:            {generateDistinct, largeDistrictTables, reportWeight},
 	loadBatch:                 {nil, nil, loadWeight},
 }
 
@@ -98,10 +99,9 @@
 	t.style = valueStyle(random.IntN(int(valueStyles)))
 	t.lowerCase = random.IntN(lowerCaseOneIn) == 0
 	t.aliased = random.IntN(aliasedOneIn) == 0
-	t.table = &tables[random.IntN(len(tables))]
-	spec := familySpecs[t.family]
-	if len(spec.tables) > 0 {
-		t.table = &tables[spec.tables[random.IntN(len(spec.tables))]]
+	t.table = drawTable(random, allTables)
+	if tables := familySpecs[t.family].tables; tables != nil {
+		t.table = drawTable(random, tables) // a second draw, so that a seed gives the same traffic as ever
 	}
 	n := 1 + random.IntN(len(t.table.columns))
 	for _, column := range random.Perm(len(t.table.columns))[:n] {
@@ -117,6 +117,8 @@
 	return 1 / math.Pow(float64(rank+1), rankExponent) * familySpecs[t.family].weight
 }
 
+func drawTable(random *rand.Rand, from []*table) *table { return from[random.IntN(len(from))] }
+
 func drawFamily(random *rand.Rand) family {
 	switch u := random.Float64(); {
 	case u < lookupTemplates:
