--- a/internal/lab/workload/cost.go
+++ b/internal/lab/workload/cost.go
@@ -24,7 +24,7 @@
 	returnedRowMS = 0.004
 )
 
-// A share of the statements reaches a table group that is not in the engine's memory, which costs more.
+// A share of the statements reaches a data set that is not in the engine's memory, which costs more.
 const (
 	uncachedShare  = 0.15
 	uncachedFactor = 1.5
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -1,8 +1,8 @@
-// Package workload models a register of parts and the programs that query it: districts,
-// wholesalers, parts of very different popularity, ten years of days, and the true cost of
-// each statement. The cost depends on the meaning of a statement (its number of rows, their
-// access path and the operations on them) and never on its text. Nothing that flaxrelay's
-// classifier reads contributes to it.
+// Package workload generates SQL statements with their true classes and costs. It models a database of
+// parts, wholesalers and districts with rows of ten years, and the programs that query it.
+//
+// The cost of a statement depends on its execution (the number of rows, their access path and the
+// operations on them) and never on its text. Nothing that flaxrelay's classifier reads contributes to it.
 package workload
 
 import (
@@ -68,7 +68,8 @@
 	ClassWrite  = "write"
 )
 
-// ReportFromMS is the true work from which a read-only statement is a report, in milliseconds.
+// ReportFromMS is the work in milliseconds from which a read-only statement is a report. The class is
+// determined before the random scatter of the work.
 const ReportFromMS = 800
 
 // Values of Statement.Template for statements without a recurring template.
@@ -102,7 +103,7 @@
 	templates         []*template
 	cumulativeWeights []float64 // of the templates
 	partPopularity    *rand.Zipf
-	groupPopularity   *rand.Zipf
+	dataSetPopularity *rand.Zipf
 	scatter           distuv.LogNormal // of the true work and memory
 	hintError         distuv.LogNormal
 	generated         int
@@ -115,13 +116,12 @@
 	minHintSigma = 1e-9               // the distribution rejects 0
 )
 
-// Popularity of parts and table groups, by Zipf's law: the k-th has a weight of
-// (offset + k)^-exponent.
+// Popularity of parts and data sets, by Zipf's law: the k-th has a weight of (offset + k)^-exponent.
 const (
-	partExponent  = 1.25
-	partOffset    = 8
-	groupExponent = 1.2
-	groupOffset   = 3
+	partExponent    = 1.25
+	partOffset      = 8
+	dataSetExponent = 1.2
+	dataSetOffset   = 3
 )
 
 // New returns a generator for a workload of the given number of statements.
@@ -132,10 +132,10 @@
 	random := rand.New(rand.NewPCG(options.Seed, randomStream))
 	g := &Generator{
 		options: options, random: random, total: max(total, 1),
-		partPopularity:  rand.NewZipf(random, partExponent, partOffset, partCount-1),
-		groupPopularity: rand.NewZipf(random, groupExponent, groupOffset, groupCount-1),
-		scatter:         distuv.LogNormal{Sigma: scatterSigma, Src: random},
-		hintError:       distuv.LogNormal{Sigma: max(options.HintSigma, minHintSigma), Src: random},
+		partPopularity:    rand.NewZipf(random, partExponent, partOffset, partCount-1),
+		dataSetPopularity: rand.NewZipf(random, dataSetExponent, dataSetOffset, dataSetCount-1),
+		scatter:           distuv.LogNormal{Sigma: scatterSigma, Src: random},
+		hintError:         distuv.LogNormal{Sigma: max(options.HintSigma, minHintSigma), Src: random},
 	}
 	sum := 0.0
 	for rank := range options.Templates {
@@ -186,8 +186,8 @@
 // priorityWeights are the priority weights of the classes.
 var priorityWeights = map[string]float64{ClassLookup: 1, ClassReport: 4, ClassLoad: 5, ClassWrite: 4}
 
-// finish adds scatter, hint and priority weight. usualMS is the work that a planner would expect without
-// the values.
+// finish scatters the work, and adds memory, hint and priority weight. usualMS is the work that a planner
+// would expect without the values.
 func (g *Generator) finish(statement Statement, usualMS float64) Statement {
 	// Memory grows with a power of the work: referenceMemoryMB at referenceWorkMS.
 	const (
@@ -197,10 +197,9 @@
 		memoryExponent    = 0.7
 		memoryHintBias    = 1.2 // factor by which hints of the memory are wrong on average
 	)
-	truth := statement.WorkMS
+	memory := referenceMemoryMB * math.Pow(statement.WorkMS/referenceWorkMS, memoryExponent)
 	statement.WorkMS *= g.scatter.Rand()
-	memory := referenceMemoryMB * math.Pow(truth/referenceWorkMS, memoryExponent) * g.scatter.Rand()
-	statement.MemoryMB = math.Max(minMemoryMB, memory)
+	statement.MemoryMB = math.Max(minMemoryMB, memory*g.scatter.Rand())
 	if g.random.Float64() >= g.options.HintMissingShare {
 		statement.HintWorkMS = usualMS * hintBias[hintedClass(statement.Class, usualMS)] * g.hintError.Rand()
 		statement.HintMB = statement.MemoryMB * g.hintError.Rand() * memoryHintBias
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -12,23 +12,23 @@
 	generator *Generator
 	random    *rand.Rand
 	template  *template
-	group     int
+	dataSet   int     // number of its schema, stock_N
 	rows      float64 // current number of rows of the table
 	rowsOfOne float64 // rows of one usual part
-	broad     bool    // its values make a lookup a report, if the family has such values
-	hardCase  string  // why broad values make its class hard to determine
+	broad     bool    // a lookup has values that make it a report, if its family has a hard case
+	hardCase  string  // the hard case of the family, or "" without broad values
 	tableName string
 	from      string // the table with its alias
 	alias     string
 	columns   string // the selected columns
 }
 
-// newInstance draws the table group, whether the values are broad, and the names.
+// newInstance draws the data set, whether the values are broad, and the names.
 func (g *Generator) newInstance(t *template, growth float64) *instance {
 	i := &instance{generator: g, random: g.random, template: t}
 	i.style = t.style
 	i.lowerCase = t.lowerCase
-	i.group = 1 + int(g.groupPopularity.Uint64())
+	i.dataSet = 1 + int(g.dataSetPopularity.Uint64())
 	i.rows = t.table.rows
 	if t.table == ordersTable {
 		i.rows *= growth
@@ -41,13 +41,13 @@
 
 func (i *instance) drawNames() {
 	t := i.template
-	i.tableName = fmt.Sprintf("stock_%d.%s", i.group, t.table.name)
+	i.tableName = fmt.Sprintf("stock_%d.%s", i.dataSet, t.table.name)
 	if t.aliased {
 		i.alias = t.table.name[:1]
 	}
 	if t.oneOff {
 		const names = 1 << 30 // enough to make it unlikely that a name is drawn twice
-		i.tableName = fmt.Sprintf("stock_%d.%s_%d", i.group, t.table.name, i.random.IntN(names))
+		i.tableName = fmt.Sprintf("stock_%d.%s_%d", i.dataSet, t.table.name, i.random.IntN(names))
 		i.alias = fmt.Sprintf("t_%d", i.random.IntN(names))
 	}
 	i.from = i.tableName
@@ -86,9 +86,9 @@
 		statement.WorkMS *= uncachedFactor
 	}
 	statement.Class = ClassLookup
-	if statement.WorkMS >= ReportFromMS { // broad values with less work read so few rows that it is a lookup
+	if statement.WorkMS >= ReportFromMS {
 		statement.Class = ClassReport
-		statement.HardCase = i.hardCase
+		statement.HardCase = i.hardCase // not set for a lookup: broad values of a small table are no hard case
 	}
 	return statement, usual.workMS()
 }
--- a/internal/lab/workload/reports.go
+++ b/internal/lab/workload/reports.go
@@ -26,7 +26,7 @@
 		groupedOneIn = 4 // rows
 	)
 	i.sql("SELECT p.name, max(%s), count(*) FROM %s JOIN stock_%d.parts p USING (part) WHERE p.kind = ",
-		i.column(i.template.columns[0]), i.from, i.group)
+		i.column(i.template.columns[0]), i.from, i.dataSet)
 	i.textValue("gear")
 	i.sql(" GROUP BY p.name ORDER BY 3 DESC LIMIT ")
 	i.intValue(limit)
--- a/internal/lab/workload/schema.go
+++ b/internal/lab/workload/schema.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Sizes of the register.
+// Sizes of the database.
 const (
 	districtCount   = 77
 	wholesalerCount = 400
-	partCount       = 4000 // of one group
+	partCount       = 4000 // of each data set
 	dayCount        = 3650
-	groupCount      = 30
+	dataSetCount    = 30
 )
 
-// table is one table of a group.
+// table is one table of a data set.
 type table struct {
 	name      string
 	rows      float64
@@ -19,7 +19,7 @@
 	dayColumn string
 }
 
-// The tables of each group.
+// The tables of each data set.
 var (
 	partsTable     = &table{"parts", 4000, []string{"part", "name", "maker", "kind"}, "listed"}
 	stockTable     = &table{"stock", 40000, []string{"part", "wholesaler", "n", "bin"}, "counted"}
--- a/internal/lab/workload/text.go
+++ b/internal/lab/workload/text.go
@@ -73,16 +73,16 @@
 	}
 }
 
-// The register's first day is 2016-01-01; PostgreSQL's binary dates count from 2000-01-01.
+// The first modelled day is 2016-01-01; PostgreSQL's binary dates count from 2000-01-01.
 const (
 	firstYear              = 2016
 	daysOfYear             = 365
 	daysOfMonth            = 31
-	daysFrom2000ToRegister = 16*daysOfYear + 4
+	daysFrom2000ToFirstDay = 16*daysOfYear + 4
 )
 
-// dayValue adds a date by its number in the register. Each month has 31 days, and those past the
-// 28th are written as the 28th, so that every date is valid.
+// dayValue adds a date by its number, which counts from the first modelled day. Each month has 31 days,
+// and those past the 28th are written as the 28th, so that every date is valid.
 func (b *textBuilder) dayValue(number int) {
 	const lastSafeDay = 28
 	year := firstYear + number/daysOfYear
@@ -95,7 +95,7 @@
 	case textValues:
 		b.bind([]byte(date), formatText, oidDate)
 	default:
-		b.bind(binary.BigEndian.AppendUint32(nil, uint32(daysFrom2000ToRegister+number)), formatBinary, oidDate)
+		b.bind(binary.BigEndian.AppendUint32(nil, uint32(daysFrom2000ToFirstDay+number)), formatBinary, oidDate)
 	}
 }
 
--- a/internal/lab/workload/writes.go
+++ b/internal/lab/workload/writes.go
@@ -38,7 +38,7 @@
 }
 
 // writeFormats are statements that change stored data. Some of them resemble lookups. Their
-// arguments are the number of a table group and the number of a part.
+// arguments are the number of a data set and the number of a part.
 var writeFormats = []string{
 	"DELETE FROM stock_%d.returns WHERE part = 'p-%05d'",
 	"UPDATE stock_%d.stock SET n = n - 1 WHERE part = 'p-%05d'",
@@ -61,7 +61,7 @@
 // write generates a statement that writes and is not a load.
 func (g *Generator) write(growth float64) Statement {
 	format := writeFormats[g.random.IntN(len(writeFormats))]
-	text := fmt.Sprintf(format, 1+g.random.IntN(groupCount), g.random.IntN(partCount))
+	text := fmt.Sprintf(format, 1+g.random.IntN(dataSetCount), g.random.IntN(partCount))
 	s := Statement{Text: text, Class: ClassWrite, Template: TemplateWrite, WorkMS: writeMS * growth}
 	return g.finish(s, writeMS)
 }
