--- a/internal/lab/workload/lookups.go
+++ b/internal/lab/workload/lookups.go
@@ -21,7 +21,9 @@
 	i.sql("SELECT %s FROM %s WHERE %s = ", i.columns, i.from, i.column("part"))
 	i.textValue(part)
 	rows := i.rowsOfOne * rowFactor
-	return access{indexed: rows, returned: rows}, access{indexed: i.rowsOfOne, returned: i.rowsOfOne}
+	actual = access{indexed: rows, returned: rows}
+	usual = access{indexed: i.rowsOfOne, returned: i.rowsOfOne}
+	return actual, usual
 }
 
 // generateByPartAndWholesaler reads the row of one part at one wholesaler.
@@ -62,8 +64,9 @@
 	}
 	i.literal(")")
 	parts := float64(n)
-	return access{indexed: parts*i.rowsOfOne + probeRows*parts, returned: parts * i.rowsOfOne},
-		access{indexed: usualParts*i.rowsOfOne + usualProbeRows, returned: usualParts * i.rowsOfOne}
+	actual = access{indexed: parts*i.rowsOfOne + probeRows*parts, returned: parts * i.rowsOfOne}
+	usual = access{indexed: usualParts*i.rowsOfOne + usualProbeRows, returned: usualParts * i.rowsOfOne}
+	return actual, usual
 }
 
 // generateDayRange reads the rows of some days; the hard case is a range of years.
@@ -86,16 +89,18 @@
 	i.dayValue(start + span)
 	rows := i.rows * float64(span) / dayCount
 	usualRows := usualDays * i.rows / dayCount
-	return access{indexed: rows, returned: rows}, access{indexed: usualRows, returned: usualRows}
+	actual = access{indexed: rows, returned: rows}
+	usual = access{indexed: usualRows, returned: usualRows}
+	return actual, usual
 }
 
-// generatePattern searches parts by a prefix; the hard case has a wildcard in front, which no
-// index serves.
+// generatePattern searches parts by a prefix; the hard case has a leading wildcard, for which no index
+// can be used.
 func generatePattern(i *instance) (actual, usual access) {
 	const (
-		prefixes     = 400 // one row in 400 has the prefix
-		infixes      = 1000
-		broadMatches = 50 // one row in 50 contains the infix
+		prefixes          = 400 // one row in 400 has the prefix
+		infixes           = 1000
+		rowsPerInfixMatch = 50 // one row in 50 contains the infix
 	)
 	pattern := fmt.Sprintf("p-%03d%%", i.random.IntN(prefixes))
 	if i.broad {
@@ -106,7 +111,7 @@
 	i.textValue(pattern)
 	usual = access{indexed: i.rows / prefixes, returned: i.rows / prefixes}
 	if i.broad {
-		return access{scanned: i.rows, returned: i.rows / broadMatches}, usual
+		return access{scanned: i.rows, returned: i.rows / rowsPerInfixMatch}, usual
 	}
 	return usual, usual
 }
@@ -116,11 +121,10 @@
 	const (
 		lastDays     = 90
 		maxDistricts = 2
-		scanFrom     = 15 // districts from which a scan is cheaper than the index
-		// Rows that the index reads for each row that matches: with the districts of the statement,
-		// and by a planner's estimate without their number.
-		indexedRowsPerMatch = 6
-		usualIndexedRows    = 9
+		scanAbove    = 15 // number of districts above which a scan is cheaper than the index
+		// Rows that the index reads for each matching row, and a planner's estimate of it without the values.
+		indexedRowsPerMatch      = 6
+		usualIndexedRowsPerMatch = 9
 	)
 	n := 1 + i.random.IntN(maxDistricts)
 	if i.broad {
@@ -135,13 +139,13 @@
 	i.arrayValue(names)
 	i.sql(") AND %s >= ", i.dayColumn())
 	i.dayValue(dayCount - lastDays)
-	const share = float64(lastDays) / dayCount
-	matches := i.rows * share * float64(n) / districtCount
-	matchesOfOne := i.rows * share / districtCount
+	const shareOfDays = float64(lastDays) / dayCount
+	matches := i.rows * shareOfDays * float64(n) / districtCount
+	usualMatches := i.rows * shareOfDays / districtCount // of one district
 	actual = access{indexed: matches * indexedRowsPerMatch, returned: matches}
-	usual = access{indexed: matchesOfOne * usualIndexedRows, returned: matchesOfOne}
-	if n > scanFrom {
-		actual = access{scanned: i.rows, sorted: i.rows * share, returned: matches}
+	usual = access{indexed: usualMatches * usualIndexedRowsPerMatch, returned: usualMatches}
+	if n > scanAbove {
+		actual = access{scanned: i.rows, sorted: i.rows * shareOfDays, returned: matches}
 	}
 	return actual, usual
 }
@@ -162,11 +166,12 @@
 	i.sql("SELECT %s FROM %s ORDER BY %s DESC LIMIT ", i.columns, i.from, i.dayColumn())
 	i.intValue(limit)
 	rows := math.Min(float64(limit), i.rows)
-	return access{indexed: rows, returned: rows}, access{indexed: usualLimit, returned: usualLimit}
+	actual = access{indexed: rows, returned: rows}
+	usual = access{indexed: usualLimit, returned: usualLimit}
+	return actual, usual
 }
 
-// generateOptionalPart reads the rows of a part; the hard case is a part that is null, which reads
-// all rows.
+// generateOptionalPart reads the rows of a part, or all rows if the part is null, which is the hard case.
 func generateOptionalPart(i *instance) (actual, usual access) {
 	part, _ := i.generator.part()
 	i.sql("SELECT %s FROM %s WHERE (", i.columns, i.from)
--- a/internal/lab/workload/reports.go
+++ b/internal/lab/workload/reports.go
@@ -15,8 +15,11 @@
 	i.dayValue(dayCount - 1)
 	i.sql(" GROUP BY %s ORDER BY 2 DESC", i.column("district"))
 	scanned := i.rows * scannedShare
-	return access{scanned: scanned, grouped: i.rows * float64(daysOfMonth*months) / dayCount, returned: districtCount},
-		access{scanned: scanned, grouped: i.rows * usualDays / dayCount, returned: districtCount}
+	grouped := i.rows * float64(daysOfMonth*months) / dayCount
+	usualGrouped := i.rows * usualDays / dayCount
+	actual = access{scanned: scanned, grouped: grouped, returned: districtCount}
+	usual = access{scanned: scanned, grouped: usualGrouped, returned: districtCount}
+	return actual, usual
 }
 
 // generateTopParts joins the table with the parts and finds the parts with most rows.
