--- a/internal/lab/traffic/generate.go
+++ b/internal/lab/traffic/generate.go
@@ -13,7 +13,7 @@
 // Generate writes the given number of statements of a workload. After every progressStep records it
 // calls progress with that number. progress may be nil.
 func Generate(
-	w io.Writer, options workload.Options, number int, rate float64, process ArrivalProcess, progress func(int),
+	out io.Writer, options workload.Options, number int, rate float64, process ArrivalProcess, progress func(int),
 ) error {
 	arrivals, err := newArrivals(process, rate, number, options.Seed)
 	if err != nil {
@@ -23,7 +23,7 @@
 		Seed: options.Seed, ModelOptions: modelOptions(options), RatePerSecond: rate, Arrivals: string(process),
 		Records: number,
 	}
-	writer, err := NewWriter(w, head)
+	file, err := newWriter(out, head)
 	if err != nil {
 		return err
 	}
@@ -31,14 +31,14 @@
 	for i := range number {
 		record := RecordOf(generator.Next())
 		record.ArrivalMicros = arrivals.next()
-		if err := writer.Write(&record); err != nil {
+		if err := file.add(&record); err != nil {
 			return err
 		}
 		if progress != nil && i%progressStep == progressStep-1 {
 			progress(progressStep)
 		}
 	}
-	return writer.Close()
+	return file.close()
 }
 
 // modelOptions formats the options for the head of a file. The names are part of the format and differ
--- a/internal/lab/traffic/writer.go
+++ b/internal/lab/traffic/writer.go
@@ -13,8 +13,8 @@
 // flushSize is the size of the items, in bytes, at which a block is written.
 const flushSize = 512 << 10
 
-// Writer writes a file. It is for one goroutine. A file without a call of Close is truncated.
-type Writer struct {
+// writer writes a file. It is for one goroutine. A file without a call of close is truncated.
+type writer struct {
 	out          io.Writer
 	compressor   *zstd.Encoder
 	block        bytes.Buffer // the items of the current block
@@ -22,13 +22,13 @@
 	records      uint64       // number of records in all blocks
 }
 
-// NewWriter begins a file.
-func NewWriter(out io.Writer, head Head) (*Writer, error) {
+// newWriter begins a file.
+func newWriter(out io.Writer, head Head) (*writer, error) {
 	compressor, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, fmt.Errorf("traffic: %w", err)
 	}
-	w := &Writer{out: out, compressor: compressor}
+	w := &writer{out: out, compressor: compressor}
 	if _, err := out.Write(append([]byte(magic), formatVersion)); err != nil {
 		return nil, fmt.Errorf("traffic: %w", err)
 	}
@@ -38,7 +38,7 @@
 	return w, w.flush()
 }
 
-func (w *Writer) addItem(item any) error {
+func (w *writer) addItem(item any) error {
 	encoded, err := cbor.Marshal(item)
 	if err != nil {
 		return fmt.Errorf("traffic: %w", err)
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// Write adds a record.
-func (w *Writer) Write(record *Record) error {
+// add adds a record.
+func (w *writer) add(record *Record) error {
 	if err := w.addItem(record); err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 }
 
 // flush writes the current block, unless it is empty.
-func (w *Writer) flush() error {
+func (w *writer) flush() error {
 	if w.block.Len() == 0 {
 		return nil
 	}
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Close ends the file. It does not close the underlying writer.
-func (w *Writer) Close() error {
+// close ends the file. It does not close the underlying writer.
+func (w *writer) close() error {
 	if err := w.flush(); err != nil {
 		return err
 	}
