--- a/internal/lab/traffic/arrivals.go
+++ b/internal/lab/traffic/arrivals.go
@@ -15,7 +15,7 @@
 const (
 	Poisson ArrivalProcess = "poisson"
 	Bursts  ArrivalProcess = "bursts" // on and off, with heavy-tailed pauses
-	Season  ArrivalProcess = "season" // a day's curve, which rises to a festival at the end
+	Season  ArrivalProcess = "season" // days with a peak each, and a festival towards the end
 )
 
 // ArrivalProcessError reports an unknown arrival process.
@@ -36,20 +36,20 @@
 
 // arrivals draws the arrival times of statements. It is for one goroutine.
 type arrivals struct {
-	process   ArrivalProcess
-	random    *rand.Rand
-	rate      float64 // statements a second on average
-	duration  float64 // of the traffic, in seconds
-	now       float64 // time of the last arrival, in seconds
-	burstLeft float64 // remaining time of the current burst, in seconds
-	gap       distuv.Exponential
-	pause     distuv.Pareto
+	process     ArrivalProcess
+	random      *rand.Rand
+	exponential distuv.Exponential // with a mean of 1
+	pause       distuv.Pareto      // between bursts, in seconds
+	rate        float64            // statements a second on average
+	duration    float64            // of the traffic, in seconds
+	now         float64            // time of the last arrival, in seconds
+	burstLeft   float64            // remaining time of the current burst, in seconds
 }
 
 const (
 	arrivalStream = 0x6172726976616c73 // second word of the seed: distinct from other uses of it
 
-	// Bursts have four times the rate for 0.2 s on average, and pauses of 0.6 s on average.
+	// Bursts of 0.2 s on average, at four times the average rate, between pauses of 0.6 s on average.
 	burstRateFactor = 4
 	meanBurst       = 0.2 // seconds
 	minPause        = 0.2 // seconds
@@ -57,14 +57,14 @@
 	maxPause        = 30 // seconds
 )
 
-// The rate of the season over the average: a day's curve for each working day, and a festival as a
-// bell curve towards the end. Times are shares of the duration of the traffic.
+// Season varies the average rate by a factor, the sum of a sine curve for each day and of a bell curve
+// for a festival towards the end. Times are shares of the duration of the traffic.
 const (
 	maxSeasonFactor = 3 // limits the sum of the two curves
 	seasonDays      = 10
 	meanDayFactor   = 0.6
 	dayAmplitude    = 0.4
-	dayPhase        = 0.25 // of a day, so that each begins at its lowest rate
+	dayPhase        = 0.25 // of a day, so that each day begins at its lowest rate
 	festivalFactor  = 1.6
 	festivalAt      = 0.85
 	festivalWidth   = 0.08
@@ -76,14 +76,17 @@
 	default:
 		return nil, ArrivalProcessError(process)
 	}
-	if !(rate > 0) { // not rate <= 0, which a NaN passes
+	if !(rate > 0) { // rate <= 0 would accept NaN
 		return nil, RateError(rate)
 	}
 	random := rand.New(rand.NewPCG(seed, arrivalStream))
 	return &arrivals{
-		process: process, random: random, rate: rate, duration: float64(number) / rate,
-		gap:   distuv.Exponential{Rate: 1, Src: random},
-		pause: distuv.Pareto{Xm: minPause, Alpha: pauseExponent, Src: random},
+		process:     process,
+		random:      random,
+		exponential: distuv.Exponential{Rate: 1, Src: random},
+		pause:       distuv.Pareto{Xm: minPause, Alpha: pauseExponent, Src: random},
+		rate:        rate,
+		duration:    float64(number) / rate,
 	}, nil
 }
 
@@ -91,7 +94,7 @@
 func (a *arrivals) next() int64 {
 	switch a.process {
 	case Poisson:
-		a.now += a.gap.Rand() / a.rate
+		a.now += a.exponential.Rand() / a.rate
 	case Bursts:
 		a.nextInBursts()
 	case Season:
@@ -101,23 +104,26 @@
 }
 
 func (a *arrivals) nextInBursts() {
-	gap := a.gap.Rand() / (burstRateFactor * a.rate)
-	if a.burstLeft -= gap; a.burstLeft < 0 {
+	gap := a.exponential.Rand() / (burstRateFactor * a.rate)
+	a.burstLeft -= gap
+	if a.burstLeft < 0 {
 		a.now += math.Min(a.pause.Rand(), maxPause)
-		a.burstLeft = a.gap.Rand() * meanBurst
+		a.burstLeft = a.exponential.Rand() * meanBurst
 	}
 	a.now += gap
 }
 
 // nextInSeason draws the next arrival by thinning (Lewis and Shedler, 1979).
 func (a *arrivals) nextInSeason() {
-	for accepted := false; !accepted; {
-		a.now += a.gap.Rand() / (maxSeasonFactor * a.rate)
-		accepted = a.random.Float64()*maxSeasonFactor <= a.seasonFactor()
+	for {
+		a.now += a.exponential.Rand() / (maxSeasonFactor * a.rate)
+		if a.random.Float64()*maxSeasonFactor <= a.seasonFactor() {
+			return
+		}
 	}
 }
 
-// seasonFactor returns the current rate of the season over the average.
+// seasonFactor returns the current rate as a multiple of the average rate.
 func (a *arrivals) seasonFactor() float64 {
 	progress := a.now / a.duration
 	day := meanDayFactor + dayAmplitude*math.Sin(2*math.Pi*(seasonDays*progress-dayPhase))
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -55,7 +55,7 @@
 	// The true class and cost of the statement, for the evaluation.
 
 	Class    string  `cbor:"20,keyasint"`
-	HardCase string  `cbor:"21,keyasint,omitempty"` // why its class is hard to tell, or ""
+	HardCase string  `cbor:"21,keyasint,omitempty"` // why its class is hard to determine, or ""
 	Template int     `cbor:"22,keyasint"`
 	WorkMS   float64 `cbor:"23,keyasint"` // ms on one core
 	MemoryMB float64 `cbor:"24,keyasint"`
@@ -65,7 +65,7 @@
 // blockHeader precedes each block.
 type blockHeader struct {
 	length   uint32 // of the compressed block; 0 at the end of the file
-	checksum uint64 // at the end of the file the number of all records
+	checksum uint64 // of the compressed block; at the end of the file, the number of all records
 	records  uint32
 }
 
--- a/internal/lab/traffic/reader.go
+++ b/internal/lab/traffic/reader.go
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	if err := r.items.Decode(&r.Head); err != nil {
-		return nil, damagedBy("its head: ", err)
+		return nil, damagedBy("its head", err)
 	}
 	return r, nil
 }
@@ -89,7 +89,7 @@
 	}
 	plain, err := r.decompressor.DecodeAll(compressed, nil)
 	if err != nil {
-		return damagedBy("", err)
+		return damagedBy(fmt.Sprintf("a block after %d records", r.records), err)
 	}
 	r.items = r.decoding.NewDecoder(bytes.NewReader(plain))
 	return nil
@@ -104,10 +104,10 @@
 	return io.EOF
 }
 
-// damagedBy returns an ErrDamaged that has the cause as text and does not wrap it: a wrapped io.EOF
-// would mean a complete file.
-func damagedBy(where string, cause error) error {
-	return fmt.Errorf("%w: %s", ErrDamaged, where+cause.Error())
+// damagedBy returns an ErrDamaged that names the damaged part. It does not wrap the cause, since an
+// io.EOF in the chain would report a complete file.
+func damagedBy(part string, cause error) error {
+	return fmt.Errorf("%w: %s: %s", ErrDamaged, part, cause.Error())
 }
 
 // Next reads a record. It returns io.EOF after the last one.
@@ -122,7 +122,7 @@
 	}
 	*record = Record{}
 	if err := r.items.Decode(record); err != nil {
-		return damagedBy(fmt.Sprintf("record %d: ", r.records), err)
+		return damagedBy(fmt.Sprintf("record %d", r.records), err)
 	}
 	r.blockRecords--
 	r.records++
