--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -27,16 +27,16 @@
 	records []traffic.Record
 }
 
-// chartedFigure is a share of right classes that is a series of bars in the chart.
-type chartedFigure struct {
+// chartedShare is a share of right classes that is a series of bars in the chart.
+type chartedShare struct {
 	series string
-	of     func(experiment.Result) float64
+	share  func(experiment.Result) float64
 }
 
-var chartedFigures = []chartedFigure{
-	{"by count", func(r experiment.Result) float64 { return r.ByCount }},
-	{"by priority weight", func(r experiment.Result) float64 { return r.ByWeight }},
-	{"hard cases", func(r experiment.Result) float64 { return r.ByHardCase }},
+var chartedShares = []chartedShare{
+	{"by count", func(r experiment.Result) float64 { return r.RightByCount }},
+	{"by priority weight", func(r experiment.Result) float64 { return r.RightByWeight }},
+	{"hard cases", func(r experiment.Result) float64 { return r.RightHard }},
 }
 
 // shareDigits is the number of digits after the point in printed shares and errors.
@@ -80,11 +80,11 @@
 			"shapes", "bytes", "hit_rate",
 		}},
 		chart: report.Bars{
-			Title: "Classes right, median of the seeds", Axis: "share", Values: make([][]float64, len(chartedFigures)),
+			Title: "Classes right, median of the seeds", Axis: "share", Values: make([][]float64, len(chartedShares)),
 		},
 	}
-	for _, figure := range chartedFigures {
-		results.chart.Series = append(results.chart.Series, figure.series)
+	for _, charted := range chartedShares {
+		results.chart.Series = append(results.chart.Series, charted.series)
 	}
 	return results
 }
@@ -135,11 +135,12 @@
 		}
 		results = append(results, r)
 		figures.Add(
-			variant.Name, recording.seed, r.Evaluated, formatShare(r.ByCount), formatShare(r.ByWeight),
-			formatShare(r.ByHardCase), r.HardEvaluated,
+			variant.Name, recording.seed, r.Evaluated, formatShare(r.RightByCount), formatShare(r.RightByWeight),
+			formatShare(r.RightHard), r.HardEvaluated,
 			r.WritesTakenAsReads, r.WritesSeen, r.ReadsTakenAsWrites,
-			r.MedianError, r.P90Error, r.HintMedianError, r.HintP90Error, r.MeanMedianError, r.MeanP90Error,
-			formatShare(r.HintClass), r.Shapes, r.Bytes, r.HitRate,
+			r.EstimateError.Median, r.EstimateError.P90, r.HintError.Median, r.HintError.P90,
+			r.ClassMeanError.Median, r.ClassMeanError.P90,
+			formatShare(r.RightByHint), r.Shapes, r.Bytes, r.HitRate,
 		)
 	}
 	return results, nil
@@ -152,8 +153,8 @@
 func addVariant(results *experimentResults, variant string, evaluated []experiment.Result) {
 	row := []any{variant}
 	results.chart.Groups = append(results.chart.Groups, variant)
-	for i, figure := range chartedFigures {
-		shares := newSample(evaluated, figure.of)
+	for i, charted := range chartedShares {
+		shares := newSample(evaluated, charted.share)
 		row = append(row, shares.spread(shareDigits))
 		results.chart.Values[i] = append(results.chart.Values[i], shares.median())
 	}
@@ -165,8 +166,8 @@
 	}
 	row = append(row,
 		fmt.Sprintf("%d of %d", writesTakenAsReads, writes),
-		spreadOf(evaluated, func(r experiment.Result) float64 { return r.MedianError }),
-		spreadOf(evaluated, func(r experiment.Result) float64 { return r.P90Error }),
+		spreadOf(evaluated, func(r experiment.Result) float64 { return r.EstimateError.Median }),
+		spreadOf(evaluated, func(r experiment.Result) float64 { return r.EstimateError.P90 }),
 	)
 	results.summary.Add(row...)
 }
@@ -175,12 +176,12 @@
 // true class.
 func addBaselines(summary *report.Table, results []experiment.Result) {
 	summary.Add("the client's hint",
-		spreadOf(results, func(r experiment.Result) float64 { return r.HintClass }), "", "", "",
-		spreadOf(results, func(r experiment.Result) float64 { return r.HintMedianError }),
-		spreadOf(results, func(r experiment.Result) float64 { return r.HintP90Error }))
+		spreadOf(results, func(r experiment.Result) float64 { return r.RightByHint }), "", "", "",
+		spreadOf(results, func(r experiment.Result) float64 { return r.HintError.Median }),
+		spreadOf(results, func(r experiment.Result) float64 { return r.HintError.P90 }))
 	summary.Add("mean of the true class", "", "", "", "",
-		spreadOf(results, func(r experiment.Result) float64 { return r.MeanMedianError }),
-		spreadOf(results, func(r experiment.Result) float64 { return r.MeanP90Error }))
+		spreadOf(results, func(r experiment.Result) float64 { return r.ClassMeanError.Median }),
+		spreadOf(results, func(r experiment.Result) float64 { return r.ClassMeanError.P90 }))
 }
 
 // spreadOf formats one figure over all recordings.
--- a/internal/lab/experiment/accuracy.go
+++ b/internal/lab/experiment/accuracy.go
@@ -12,19 +12,22 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// accuracy compares classes and estimates with the true classes and costs. It is for one goroutine.
+// accuracy compares classes and estimates with the true classes and costs. It may be used by one goroutine
+// at a time.
 type accuracy struct {
-	counts         Result // its counts are filled in with each record, the shares at the end
-	right          float64
-	hardRight      float64
-	weight         float64
-	rightWeight    float64
-	hinted         float64
-	hintRight      float64
-	estimateErrors []float64
-	hintErrors     []float64
-	meanErrors     []float64
-	means          map[string]*runningMean // of the true work by class, so far
+	counts Result // its counts are filled in with each record, the shares at the end
+
+	right       float64 // number of statements whose class is right
+	hardRight   float64 // number of hard cases among them
+	rightWeight float64 // their priority weight
+	weight      float64 // priority weight of all statements
+	hinted      float64 // number of statements with a hint, without writes
+	hintRight   float64 // number of them whose class the hint determines
+
+	estimateErrors  []float64
+	hintErrors      []float64
+	classMeanErrors []float64
+	classMeans      map[string]*runningMean // true work of the records so far, by class
 }
 
 // runningMean is the mean of the values so far.
@@ -36,7 +39,7 @@
 func (m *runningMean) mean() float64 { return m.sum / m.count }
 
 func newAccuracy() *accuracy {
-	return &accuracy{counts: Result{HardCases: map[string]HardCaseCounts{}}, means: map[string]*runningMean{}}
+	return &accuracy{classMeans: map[string]*runningMean{}}
 }
 
 // add compares one statement with the effect, class and estimate that it was given.
@@ -49,7 +52,10 @@
 		a.rightWeight += record.Weight
 	}
 	if record.HardCase != "" {
-		a.countHardCase(record.HardCase, isRight)
+		a.counts.HardEvaluated++
+		if isRight {
+			a.hardRight++
+		}
 	}
 	if record.Class == workload.ClassWrite {
 		a.counts.WritesSeen++
@@ -61,43 +67,33 @@
 	if class == workload.ClassWrite {
 		a.counts.ReadsTakenAsWrites++
 	}
-	a.countErrors(record, execution)
-}
-
-func (a *accuracy) countHardCase(hardCase string, isRight bool) {
-	a.counts.HardEvaluated++
-	counts := a.counts.HardCases[hardCase]
-	counts.Evaluated++
-	if isRight {
-		a.hardRight++
-		counts.Right++
-	}
-	a.counts.HardCases[hardCase] = counts
+	a.addErrors(record, execution)
 }
 
-// countErrors adds the errors of the estimate, of the hint and of the mean of the class.
-func (a *accuracy) countErrors(record *traffic.Record, execution *stmtstats.Execution) {
+// addErrors adds the errors of the estimate, of the hint and of the mean of the class.
+func (a *accuracy) addErrors(record *traffic.Record, execution *stmtstats.Execution) {
 	if execution.Estimate.Known {
 		a.estimateErrors = append(a.estimateErrors, logError(execution.Estimate.WorkMillis, record.WorkMS))
 	}
 	if record.HintWorkMS > 0 {
 		a.hintErrors = append(a.hintErrors, logError(record.HintWorkMS, record.WorkMS))
 		a.hinted++
+		// A load has its class by a rule and not by its cost.
 		if record.Class == workload.ClassLoad || record.Class == classOfHint(record.HintWorkMS) {
 			a.hintRight++
 		}
 	}
-	if mean := a.means[record.Class]; mean != nil {
-		a.meanErrors = append(a.meanErrors, logError(mean.mean(), record.WorkMS))
+	if mean := a.classMeans[record.Class]; mean != nil {
+		a.classMeanErrors = append(a.classMeanErrors, logError(mean.mean(), record.WorkMS))
 	}
 }
 
 // learn adds the true work of a statement to the mean of its class.
 func (a *accuracy) learn(record *traffic.Record) {
-	mean := a.means[record.Class]
+	mean := a.classMeans[record.Class]
 	if mean == nil {
 		mean = &runningMean{}
-		a.means[record.Class] = mean
+		a.classMeans[record.Class] = mean
 	}
 	mean.sum += record.WorkMS
 	mean.count++
@@ -106,13 +102,13 @@
 // result returns the result without the figures of the cache.
 func (a *accuracy) result() Result {
 	result := a.counts
-	result.ByCount = a.right / float64(result.Evaluated)
-	result.ByWeight = a.rightWeight / a.weight
-	result.ByHardCase = a.hardRight / float64(max(result.HardEvaluated, 1))
-	result.HintClass = a.hintRight / max(a.hinted, 1)
-	result.MedianError, result.P90Error = quantiles(a.estimateErrors)
-	result.HintMedianError, result.HintP90Error = quantiles(a.hintErrors)
-	result.MeanMedianError, result.MeanP90Error = quantiles(a.meanErrors)
+	result.RightByCount = a.right / float64(result.Evaluated)
+	result.RightByWeight = a.rightWeight / a.weight
+	result.RightHard = a.hardRight / float64(max(result.HardEvaluated, 1))
+	result.RightByHint = a.hintRight / max(a.hinted, 1)
+	result.EstimateError = quantiles(a.estimateErrors)
+	result.HintError = quantiles(a.hintErrors)
+	result.ClassMeanError = quantiles(a.classMeanErrors)
 	return result
 }
 
@@ -124,17 +120,18 @@
 	return workload.ClassLookup
 }
 
-// logError returns |log2(estimate/truth)|.
-func logError(estimate, truth float64) float64 { return math.Abs(math.Log2(estimate / truth)) }
+// logError returns the error of an estimate of the work, as ErrorQuantiles defines it.
+func logError(estimate, trueWork float64) float64 { return math.Abs(math.Log2(estimate / trueWork)) }
 
-// quantiles sorts the values and returns two of their quantiles, which are NaN without values.
-func quantiles(values []float64) (median, p90 float64) {
-	const p50, p90Share = 0.5, 0.9
-	if len(values) == 0 {
-		return math.NaN(), math.NaN()
+// quantiles sorts the errors and returns their quantiles.
+func quantiles(errors []float64) ErrorQuantiles {
+	const median, p90 = 0.5, 0.9
+	if len(errors) == 0 {
+		return ErrorQuantiles{Median: math.NaN(), P90: math.NaN()}
+	}
+	slices.Sort(errors)
+	return ErrorQuantiles{
+		Median: stat.Quantile(median, stat.Empirical, errors, nil),
+		P90:    stat.Quantile(p90, stat.Empirical, errors, nil),
 	}
-	slices.Sort(values)
-	median = stat.Quantile(p50, stat.Empirical, values, nil)
-	p90 = stat.Quantile(p90Share, stat.Empirical, values, nil)
-	return median, p90
 }
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -44,34 +44,35 @@
 	}
 }
 
-// HardCaseCounts are the statements of one hard case.
-type HardCaseCounts struct {
-	Evaluated int
-	Right     int // whose class is right
-}
-
-// Result is the result of one variant on the evaluated part of one file. Errors are
-// |log2(estimate/truth)| of the work.
+// Result is the result of one variant on the evaluated part of one file.
 type Result struct {
-	Evaluated          int     // statements
-	ByCount            float64 // share whose class is right
-	ByWeight           float64 // the same, by priority weight
-	ByHardCase         float64 // by count, of the hard cases alone
-	HardEvaluated      int
-	HardCases          map[string]HardCaseCounts
-	WritesTakenAsReads int // writes classified as reads
+	Evaluated     int // number of statements
+	HardEvaluated int // number of hard cases among them
+
+	// Shares of the statements whose class is right.
+	RightByCount  float64
+	RightByWeight float64 // by priority weight
+	RightHard     float64 // of the hard cases alone, by count
+	RightByHint   float64 // of the statements with a hint, if the hint alone determined the class
+
 	WritesSeen         int
-	ReadsTakenAsWrites int     // reads classified as writes
-	MedianError        float64 // of the estimates
-	P90Error           float64
-	HintMedianError    float64 // of the hints, without the statements that have none
-	HintP90Error       float64
-	MeanMedianError    float64 // of the mean of the true class as an estimate
-	MeanP90Error       float64
-	HintClass          float64 // share whose class the hint alone determines
-	Shapes             int     // in the cache at the end
-	Bytes              int     // of the cache at the end
-	HitRate            float64 // of the cache, over all records
+	WritesTakenAsReads int // writes classified as reads
+	ReadsTakenAsWrites int // reads classified as writes
+
+	EstimateError  ErrorQuantiles
+	HintError      ErrorQuantiles // without the statements that have no hint
+	ClassMeanError ErrorQuantiles // of the mean work of the true class as an estimate
+
+	Shapes  int     // in the cache at the end
+	Bytes   int     // of the cache at the end
+	HitRate float64 // of the cache, over all records
+}
+
+// ErrorQuantiles are quantiles of the errors of estimates of the work. An error is |log2(estimate/true work)|.
+// Without estimates the quantiles are NaN.
+type ErrorQuantiles struct {
+	Median float64
+	P90    float64
 }
 
 // EvaluateOptions configure Evaluate.
--- a/internal/lab/experiment/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -24,22 +24,24 @@
 		results[variant.Name] = result
 	}
 	complete := results[completeVariant]
-	if complete.ByCount < 0.97 || complete.ByWeight < 0.97 || complete.ByHardCase < 0.95 ||
+	if complete.RightByCount < 0.97 || complete.RightByWeight < 0.97 || complete.RightHard < 0.95 ||
 		complete.HardEvaluated < 50 {
 		t.Errorf("classes right: %.3f by count, %.3f by priority weight, %.3f of %d hard cases",
-			complete.ByCount, complete.ByWeight, complete.ByHardCase, complete.HardEvaluated)
+			complete.RightByCount, complete.RightByWeight, complete.RightHard, complete.HardEvaluated)
 	}
-	if complete.MedianError > complete.HintMedianError/2 || complete.P90Error > complete.HintP90Error/2 ||
-		complete.MedianError > complete.MeanMedianError {
-		t.Errorf("errors %.2f and %.2f, hints' %.2f and %.2f, means' %.2f", complete.MedianError, complete.P90Error,
-			complete.HintMedianError, complete.HintP90Error, complete.MeanMedianError)
+	estimateError := complete.EstimateError
+	hintError := complete.HintError
+	if estimateError.Median > hintError.Median/2 || estimateError.P90 > hintError.P90/2 ||
+		estimateError.Median > complete.ClassMeanError.Median {
+		t.Errorf("errors of the estimates %+.2f, of the hints %+.2f, of the means %+.2f",
+			estimateError, hintError, complete.ClassMeanError)
 	}
-	if r := results["no parameters"]; r.ByHardCase > complete.ByHardCase-0.5 {
-		t.Errorf("hard cases without parameters: %.2f", r.ByHardCase)
+	if r := results["no parameters"]; r.RightHard > complete.RightHard-0.5 {
+		t.Errorf("hard cases without parameters: %.2f", r.RightHard)
 	}
 	for _, name := range []string{"no prior", "no forgetting"} {
-		if r := results[name]; r.P90Error < complete.P90Error {
-			t.Errorf("%s: p90 of the error %.3f, complete %.3f", name, r.P90Error, complete.P90Error)
+		if r := results[name]; r.EstimateError.P90 < estimateError.P90 {
+			t.Errorf("%s: p90 of the error %.3f, complete %.3f", name, r.EstimateError.P90, estimateError.P90)
 		}
 	}
 }
