--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -1,9 +1,7 @@
 package main
 
 import (
-	"bufio"
 	"fmt"
-	"os"
 
 	"flaxrelay/internal/lab/experiment"
 	"flaxrelay/internal/lab/report"
@@ -110,14 +108,13 @@
 }
 
 func readRecording(path string) (recording, error) {
-	file, err := os.Open(path)
+	var records []traffic.Record
+	head, err := readRecords(path, func(record *traffic.Record) bool {
+		records = append(records, *record)
+		return true
+	})
 	if err != nil {
-		return recording{}, fmt.Errorf("traffic file: %w", err)
-	}
-	defer closeReadFile(file)
-	records, head, err := experiment.ReadRecords(bufio.NewReader(file))
-	if err != nil {
-		return recording{}, fmt.Errorf("%s: %w", path, err)
+		return recording{}, err
 	}
 	return recording{seed: head.Seed, records: records}, nil
 }
--- a/cmd/flaxlab/traffic.go
+++ b/cmd/flaxlab/traffic.go
@@ -17,9 +17,9 @@
 	Stats    statsCommand    `name:"stats" cmd:"" help:"Summarize a file."`
 }
 
-// readRecords passes the records of a file to handle until that returns false. It passes the complete
-// records of a truncated file and then returns the error.
-func readRecords(path string, handle func(*traffic.Record) bool) (traffic.Head, error) {
+// readRecords passes each record of a file to handle, which returns whether to continue. Of a truncated
+// file it passes the complete records, and then returns the error.
+func readRecords(path string, handle func(*traffic.Record) (more bool)) (traffic.Head, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return traffic.Head{}, fmt.Errorf("traffic file: %w", err)
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -75,6 +75,16 @@
 	P90    float64
 }
 
+// GenerateRecords generates the records of a workload in memory.
+func GenerateRecords(options workload.Options, number int) []traffic.Record {
+	generator := workload.New(options, number)
+	all := make([]traffic.Record, number)
+	for i := range all {
+		all[i] = traffic.RecordOf(generator.Next())
+	}
+	return all
+}
+
 // EvaluateOptions configure Evaluate.
 type EvaluateOptions struct {
 	TrainShare float64 // share of the records that is only learned; the others are evaluated and learned
