--- a/cmd/flaxlab/shapes_flood.go
+++ b/cmd/flaxlab/shapes_flood.go
@@ -17,8 +17,8 @@
 	Out       string   `name:"out" placeholder:"FOLDER" help:"Write table, figures and chart there, as shapes-flood.*."`
 }
 
-// floodedCaches are the caches that are compared, by their names in the package experiment.
-var floodedCaches = []string{"w-tinylfu", "lru", "2q"}
+// floodedCaches are the kinds of cache that are compared.
+var floodedCaches = []experiment.ShapeCache{experiment.TinyLFU(), experiment.LRU(), experiment.TwoQueue()}
 
 // Run floods every cache once for each seed.
 func (c *floodCommand) Run() error {
@@ -43,13 +43,13 @@
 		if err != nil {
 			return err
 		}
-		addFloodedCache(results, cache, runs)
+		addFloodedCache(results, cache.Name, runs)
 	}
 	return results.publish(c.Out)
 }
 
-// flood runs one cache with every seed and adds a row to the figures for each.
-func (c *floodCommand) flood(cache string, figures *report.Table) ([]experiment.FloodResult, error) {
+// flood floods a cache of one kind with every seed, and adds a row to the figures for each.
+func (c *floodCommand) flood(cache experiment.ShapeCache, figures *report.Table) ([]experiment.FloodResult, error) {
 	var runs []experiment.FloodResult
 	for _, seed := range c.Seeds {
 		run, err := experiment.Flood(cache, experiment.FloodOptions{
@@ -63,13 +63,13 @@
 			return nil, err
 		}
 		runs = append(runs, run)
-		figures.Add(cache, seed, run.Lookups, formatShare(run.HitRate), run.CachedShapes,
+		figures.Add(cache.Name, seed, run.Lookups, formatShare(run.HitRate), run.CachedShapes,
 			run.CountedBytes, run.HeapBytes, run.RSSBytes)
 	}
 	return runs, nil
 }
 
-// addFloodedCache adds one cache to the summary and the chart.
+// addFloodedCache adds one kind of cache to the summary and the chart.
 func addFloodedCache(results *experimentResults, cache string, runs []experiment.FloodResult) {
 	hits := newSample(runs, func(r experiment.FloodResult) float64 { return r.HitRate })
 	cached := newSample(runs, func(r experiment.FloodResult) float64 { return float64(r.CachedShapes) })
--- a/internal/lab/experiment/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -57,15 +57,15 @@
 	floodMinHitRate  = 0.92 // of each run
 )
 
-// runFloods runs the same flood through each of the named caches, all at the same time.
-func runFloods(t *testing.T, opts FloodOptions, names []string) []FloodResult {
+// runFloods runs the same flood through a cache of each kind, all at the same time.
+func runFloods(t *testing.T, opts FloodOptions, kinds []ShapeCache) []FloodResult {
 	t.Helper()
-	results := make([]FloodResult, len(names))
+	results := make([]FloodResult, len(kinds))
 	var done sync.WaitGroup
-	for i, name := range names {
+	for i, kind := range kinds {
 		done.Go(func() {
 			var err error
-			if results[i], err = Flood(name, opts); err != nil {
+			if results[i], err = Flood(kind, opts); err != nil {
 				t.Error(err)
 			}
 		})
@@ -78,19 +78,20 @@
 // limit.
 func TestFlood_TinyLFUKeepsRecurringShapesWithinItsBytes(t *testing.T) {
 	opts := FloodOptions{Seed: 1, Recurring: 200, OneOff: 60000, RecurringShare: 0.2, CacheBytes: 256 << 10}
-	names := append(slices.Repeat([]string{"w-tinylfu"}, floodRuns), "lru", "2q")
+	kinds := append(slices.Repeat([]ShapeCache{TinyLFU()}, floodRuns), LRU(), TwoQueue())
 	sum := 0.0
-	for _, r := range runFloods(t, opts, names) {
+	for i, r := range runFloods(t, opts, kinds) {
+		name := kinds[i].Name
 		if r.CountedBytes > opts.CacheBytes+opts.CacheBytes/10 {
-			t.Errorf("%+v", r)
+			t.Errorf("%s: %+v", name, r)
 		}
 		switch {
-		case r.Cache == "w-tinylfu":
+		case name == TinyLFU().Name:
 			sum += r.HitRate
 			if r.HitRate < floodMinHitRate {
 				t.Errorf("hit rate of one run %.4f", r.HitRate)
 			}
-		case r.Cache == "lru" && r.HitRate > 0.95:
+		case name == LRU().Name && r.HitRate > 0.95:
 			t.Errorf("the flood is too weak: hit rate of LRU %.3f", r.HitRate)
 		}
 	}
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -21,7 +21,6 @@
 
 // FloodResult is the result for one cache.
 type FloodResult struct {
-	Cache        string
 	Lookups      int     // statements of recurring shapes in the second half, which is evaluated
 	HitRate      float64 // share of them whose shape was cached
 	CachedShapes int     // shapes in the cache at the end
@@ -30,20 +29,20 @@
 	RSSBytes     int     // resident memory of the process at the end; 0: unknown
 }
 
-// caches are the caches of shapes that are compared.
-var caches = map[string]func(bytes int) (stmtstats.Cache, error){
-	"w-tinylfu": stmtstats.NewTinyLFU,
-	"lru":       stmtstats.NewLRU,
-	"2q":        stmtstats.New2Q,
+// ShapeCache is a kind of cache of shapes.
+type ShapeCache struct {
+	Name string
+	open func(maxBytes int) (stmtstats.Cache, error)
 }
 
-// UnknownCacheError reports an unknown name of a cache.
-type UnknownCacheError string
+// TinyLFU returns the kind of cache that flaxrelay uses.
+func TinyLFU() ShapeCache { return ShapeCache{"w-tinylfu", stmtstats.NewTinyLFU} }
 
-// Error implements error.
-func (e UnknownCacheError) Error() string {
-	return fmt.Sprintf("flood: there is no cache %q", string(e))
-}
+// LRU returns a kind of cache to compare with TinyLFU.
+func LRU() ShapeCache { return ShapeCache{"lru", stmtstats.NewLRU} }
+
+// TwoQueue returns a kind of cache to compare with TinyLFU.
+func TwoQueue() ShapeCache { return ShapeCache{"2q", stmtstats.New2Q} }
 
 const floodStream = 0x666c6f6f64 // second word of the seed: distinct from other uses of it
 
@@ -53,14 +52,10 @@
 	floodMemoryMB = 10
 )
 
-// Flood runs a flood of statements through one cache.
-func Flood(name string, opts FloodOptions) (FloodResult, error) {
-	open, ok := caches[name]
-	if !ok {
-		return FloodResult{}, UnknownCacheError(name)
-	}
+// Flood runs a flood of statements through a cache of the kind.
+func Flood(kind ShapeCache, opts FloodOptions) (FloodResult, error) {
 	before := heapInUse()
-	cache, err := open(opts.CacheBytes)
+	cache, err := kind.open(opts.CacheBytes)
 	if err != nil {
 		return FloodResult{}, err
 	}
@@ -68,8 +63,7 @@
 	if err != nil {
 		return FloodResult{}, err
 	}
-	result := FloodResult{Cache: name}
-	sendFlood(store, opts, &result)
+	result := runFlood(store, opts)
 	result.CachedShapes = store.Len()
 	result.CountedBytes = store.Bytes()
 	result.HeapBytes = heapInUse() - before
@@ -79,8 +73,9 @@
 	return result, nil
 }
 
-// sendFlood runs the statements through the store and counts the hits of the second half.
-func sendFlood(store *stmtstats.Store, opts FloodOptions, result *FloodResult) {
+// runFlood runs the statements through the store. It returns the lookups and the hit rate of the second
+// half, and leaves the other figures at 0.
+func runFlood(store *stmtstats.Store, opts FloodOptions) (result FloodResult) {
 	// Popularity of the recurring shapes, by Zipf's law: the k-th has a weight of (offset + k)^-exponent.
 	const (
 		exponent = 1.3
@@ -109,6 +104,7 @@
 		store.Learn(execution, costmodel.Observation{WorkMillis: floodWorkMS, MemoryMB: floodMemoryMB})
 	}
 	result.HitRate = float64(hits) / float64(max(result.Lookups, 1))
+	return result
 }
 
 // recurringText returns a statement of the n-th recurring shape. Each shape has a different column list.
