--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -31,9 +31,6 @@
 	ratioDigits = 3
 )
 
-// kilobytesPerMB turns the resident memory of a round into megabytes.
-const kilobytesPerMB = 1024
-
 // costSeries are the two kinds of rounds.
 var costSeries = []string{"without", "with shapes"}
 
@@ -100,12 +97,12 @@
 	for i, round := range rounds {
 		cpuMicros := fmt.Sprintf("%.2f", round.CPUMicros)
 		rate := fmt.Sprintf("%.0f", round.RequestsPerSecond)
-		results.figures.Add(series, i+1, cpuMicros, rate, round.ResidentKB)
+		results.figures.Add(series, i+1, cpuMicros, rate, round.ResidentBytes/bytesPerKB)
 		results.chart.Values[seriesIndex] = append(results.chart.Values[seriesIndex], round.CPUMicros)
 	}
 	cpu := newSample(rounds, func(r experiment.CostRound) float64 { return r.CPUMicros })
 	rate := newSample(rounds, func(r experiment.CostRound) float64 { return r.RequestsPerSecond })
-	resident := newSample(rounds, func(r experiment.CostRound) float64 { return float64(r.ResidentKB) })
-	residentMB := fmt.Sprintf("%.1f MB", resident.median()/kilobytesPerMB)
+	resident := newSample(rounds, func(r experiment.CostRound) float64 { return float64(r.ResidentBytes) })
+	residentMB := fmt.Sprintf("%.1f MB", resident.median()/bytesPerMB)
 	results.summary.Add(series, cpu.spread(cpuDigits), fmt.Sprintf("%.0f", rate.median()), residentMB)
 }
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"os"
 	"path/filepath"
-	"strconv"
 	"time"
 
 	"flaxrelay/internal/lab/harness"
@@ -28,7 +27,7 @@
 type CostRound struct {
 	CPUMicros         float64 // CPU time of flaxrelay's process for one request, in microseconds
 	RequestsPerSecond float64
-	ResidentKB        int // resident memory at the end
+	ResidentBytes     int // resident memory at the end; 0: unknown
 }
 
 const (
@@ -117,7 +116,6 @@
 
 // measure runs the clients for a warm-up and then for the measured requests.
 func measure(ctx context.Context, clients load, requests, pid int) (CostRound, error) {
-	const bytesPerKB = 1024
 	if err := clients.run(ctx, requests/warmUpDivisor); err != nil {
 		return CostRound{}, err
 	}
@@ -137,6 +135,6 @@
 	return CostRound{
 		CPUMicros:         float64((cpuAfter - cpuBefore).Microseconds()) / float64(requests),
 		RequestsPerSecond: float64(requests) / elapsed.Seconds(),
-		ResidentKB:        residentBytes(strconv.Itoa(pid)) / bytesPerKB,
+		ResidentBytes:     residentBytes(pid),
 	}, nil
 }
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"os"
 	"runtime"
 	"runtime/debug"
 
@@ -68,7 +69,7 @@
 	result.CountedBytes = store.Bytes()
 	result.HeapBytes = heapInUse() - before
 	debug.FreeOSMemory()
-	result.RSSBytes = residentBytes("self")
+	result.RSSBytes = residentBytes(os.Getpid())
 	runtime.KeepAlive(store)
 	return result, nil
 }
--- a/internal/lab/experiment/process.go
+++ b/internal/lab/experiment/process.go
@@ -33,10 +33,9 @@
 	return time.Duration(user+system) * tick, errors.Join(userErr, systemErr)
 }
 
-// residentBytes returns the resident memory of a process from proc(5), or 0 if it is not known. The
-// pid may be "self".
-func residentBytes(pid string) int {
-	statm, err := os.ReadFile("/proc/" + pid + "/statm")
+// residentBytes returns the resident memory of a process from proc(5), or 0 if it is not known.
+func residentBytes(pid int) int {
+	statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
 	}
