--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -48,7 +48,7 @@
 		Program:  program,
 		Clients:  c.Clients,
 		Requests: c.Requests,
-		Rounds:   c.Rounds,
+		Pairs:    c.Rounds,
 		Seed:     c.Seed,
 		Prepared: c.Prepared,
 	})
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -17,10 +17,10 @@
 	Root     string // the repository
 	Program  string // flaxrelay
 	Clients  int
-	Requests int // of a round
-	Rounds   int // pairs of one round without and one with query shapes
+	Requests int // in each round
+	Pairs    int // of one round without and one with query shapes
 	Seed     uint64
-	Prepared bool // statements are prepared once and bound many times; else each is a Query with its values
+	Prepared bool // prepare statements once and bind them many times, instead of a Query each
 }
 
 // CostRound is the result of one round.
@@ -31,7 +31,8 @@
 }
 
 const (
-	costStatements = 2000 // different statements that the clients send
+	costStatements = 2000 // number of statements that the clients send in turn
+	maxPrepared    = 200  // number of statements that a client prepares
 	costEngines    = 2
 	warmUpDivisor  = 5 // a round is warmed up with this fraction of its requests
 )
@@ -40,7 +41,7 @@
 // starts its own front end, whose engines respond at once.
 func MeasureCost(ctx context.Context, opts CostOptions) (without, with []CostRound, err error) {
 	statements := lookups(opts.Seed, costStatements, opts.Prepared)
-	for i := range 2 * opts.Rounds {
+	for i := range 2 * opts.Pairs {
 		shapes := (i+i/2)%2 == 1 // off on, on off, off on, so that a drift of the machine affects both
 		round, err := costRound(ctx, opts, statements, shapes)
 		if err != nil {
@@ -55,9 +56,6 @@
 	return without, with, nil
 }
 
-// maxPrepared is the number of statements that a client prepares.
-const maxPrepared = 200
-
 // lookups returns read-only statements of the workload, with their values written out or bound.
 func lookups(seed uint64, count int, bound bool) []workload.Statement {
 	generator := workload.New(workload.Options{Seed: seed, Templates: workload.DefaultTemplates}, count)
@@ -110,13 +108,13 @@
 	if err := harness.WaitUntilListening(ctx, addr); err != nil {
 		return CostRound{}, err
 	}
-	clients := load{addr: addr, statements: statements, clients: opts.Clients}
-	return measure(ctx, clients, opts.Requests, process.Process.Pid)
+	generator := loadGenerator{addr: addr, statements: statements, clients: opts.Clients}
+	return measure(ctx, generator, opts.Requests, process.Process.Pid)
 }
 
-// measure runs the clients for a warm-up and then for the measured requests.
-func measure(ctx context.Context, clients load, requests, pid int) (CostRound, error) {
-	if err := clients.run(ctx, requests/warmUpDivisor); err != nil {
+// measure generates load for a warm-up and then for the measured requests.
+func measure(ctx context.Context, generator loadGenerator, requests, pid int) (CostRound, error) {
+	if err := generator.run(ctx, requests/warmUpDivisor); err != nil {
 		return CostRound{}, err
 	}
 	cpuBefore, err := cpuTime(pid)
@@ -124,7 +122,7 @@
 		return CostRound{}, err
 	}
 	start := time.Now()
-	if err := clients.run(ctx, requests); err != nil {
+	if err := generator.run(ctx, requests); err != nil {
 		return CostRound{}, err
 	}
 	elapsed := time.Since(start)
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -25,34 +25,34 @@
 	clientStride = 97
 )
 
-// load is a number of PostgreSQL clients that send statements one after the other.
-type load struct {
+// loadGenerator runs PostgreSQL clients, each of which sends one statement after the other.
+type loadGenerator struct {
 	addr       string
 	statements []workload.Statement
-	clients    int
+	clients    int // number of clients
 }
 
 // run sends the given number of requests and waits for all responses. It retries rejected requests,
 // because the front end rejects all requests until it has discovered an engine.
-func (l load) run(ctx context.Context, requests int) error {
+func (g loadGenerator) run(ctx context.Context, requests int) error {
 	var wg sync.WaitGroup
-	errs := make([]error, l.clients)
-	for i := range l.clients {
-		wg.Go(func() { errs[i] = l.runClient(ctx, i*clientStride, requests/l.clients) })
+	errs := make([]error, g.clients)
+	for i := range g.clients {
+		wg.Go(func() { errs[i] = g.runClient(ctx, i*clientStride, requests/g.clients) })
 	}
 	wg.Wait()
 	return errors.Join(errs...)
 }
 
 // runClient sends the requests of one client, from the given statement on.
-func (l load) runClient(ctx context.Context, first, requests int) error {
-	client, err := connect(ctx, l.addr)
+func (g loadGenerator) runClient(ctx context.Context, first, requests int) error {
+	client, err := connect(ctx, g.addr)
 	if err != nil {
 		return err
 	}
 	defer client.close()
 	for served := 0; served < requests; {
-		rejected, err := client.execute(&l.statements[(first+served)%len(l.statements)])
+		rejected, err := client.execute(&g.statements[(first+served)%len(g.statements)])
 		switch {
 		case err != nil:
 			return err
@@ -133,8 +133,8 @@
 	}
 }
 
-// appendMessages appends the messages for one statement: a Query, or a Bind and Execute with a Parse
-// before them if the statement is not prepared yet.
+// appendMessages appends the messages for one statement: a Query, or Bind, Execute and Sync, after a Parse
+// if the statement is not prepared yet.
 func appendMessages(out []byte, s *workload.Statement, prepared map[string]string) []byte {
 	if len(s.Values) == 0 {
 		return pgproto.AppendMessage(out, 'Q', pgproto.CString(s.Text))
@@ -148,20 +148,23 @@
 		out = pgproto.AppendMessage(out, 'P', pgproto.CString(name), pgproto.CString(s.Text), types)
 	}
 	out = pgproto.AppendMessage(out, 'B', []byte{0}, pgproto.CString(name), bindBody(s))
-	return pgproto.AppendMessage(pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0)), 'S')
+	out = pgproto.AppendMessage(out, 'E', []byte{0}, pgproto.Int32(0))
+	return pgproto.AppendMessage(out, 'S')
 }
 
 // bindBody returns the body of a Bind after the names of its portal and statement.
 func bindBody(s *workload.Statement) []byte {
 	const formatSize, null = 2, -1
 	body := binary.BigEndian.AppendUint16(nil, uint16(len(s.Formats)/formatSize))
-	body = binary.BigEndian.AppendUint16(append(body, s.Formats...), uint16(len(s.Values)))
+	body = append(body, s.Formats...)
+	body = binary.BigEndian.AppendUint16(body, uint16(len(s.Values)))
 	for _, value := range s.Values {
 		if value == nil {
 			body = append(body, pgproto.Int32(null)...)
 			continue
 		}
-		body = append(append(body, pgproto.Int32(len(value))...), value...)
+		body = append(body, pgproto.Int32(len(value))...)
+		body = append(body, value...)
 	}
 	return append(body, 0, 0) // no result formats, which means text
 }
