--- a/cmd/flaxlab/main.go
+++ b/cmd/flaxlab/main.go
@@ -1,6 +1,6 @@
-// Command flaxlab generates workloads and runs experiments: traffic whose true classes and costs are
-// known, evaluations of parts of the front end on it, front ends with fake engines and discovery to
-// try out, and fault injection. Nothing that serves depends on it.
+// Command flaxlab generates traffic whose true classes and costs are known, evaluates the classifier of
+// statements on it, starts front ends with fake engines and discovery to try out, and injects faults into
+// real front ends. No program that serves requests depends on it.
 package main
 
 import (
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -16,7 +16,7 @@
 	Number int      `name:"number" default:"20000" help:"Statements in each generated workload."`
 	Train  float64  `name:"train" default:"0.5" help:"Share of the records that only trains and is not evaluated."`
 	Kbytes int      `name:"kbytes" default:"2048" help:"Cache size limit in KB."`
-	Out    string   `name:"out" placeholder:"FOLDER" help:"Write table, figures and chart there, as shapes-evaluate.*."`
+	Out    string   `name:"out" placeholder:"FOLDER" help:"Write table, figures and chart to shapes-evaluate.* there."`
 }
 
 // recording is traffic with the seed that it was generated from.
@@ -48,7 +48,7 @@
 	}
 	results := newEvaluation()
 	variants := experiment.Variants()
-	var baseline []experiment.Result // of the first variant; the clients' hints are the same in all
+	var baseline []experiment.Result // of the first variant; hints and means of classes are the same in all
 	for i, variant := range variants {
 		evaluated, err := c.evaluate(variant, recordings, &results.figures)
 		if err != nil {
--- a/cmd/flaxlab/shapes_flood.go
+++ b/cmd/flaxlab/shapes_flood.go
@@ -14,7 +14,7 @@
 	OneOff    int      `name:"one-off" default:"1000000" help:"Number of shapes that occur once."`
 	Share     float64  `name:"share" default:"0.2" help:"Share of statements with a recurring shape."`
 	Kbytes    int      `name:"kbytes" default:"1024" help:"Cache size limit in KB."`
-	Out       string   `name:"out" placeholder:"FOLDER" help:"Write table, figures and chart there, as shapes-flood.*."`
+	Out       string   `name:"out" placeholder:"FOLDER" help:"Write table, figures and chart to shapes-flood.* there."`
 }
 
 // floodedCaches are the kinds of cache that are compared.
@@ -32,7 +32,7 @@
 			"cache", "seed", "lookups", "hit_rate", "cached_shapes", "counted_bytes", "heap_bytes", "rss_bytes",
 		}},
 		chart: report.Bars{
-			Title:  fmt.Sprintf("Recurring shapes found among %d that occur once", c.OneOff),
+			Title:  fmt.Sprintf("Hit rate of recurring shapes among %d that occur once", c.OneOff),
 			Axis:   "share",
 			Series: []string{"hit rate"},
 			Values: make([][]float64, 1),
--- a/cmd/flaxlab/soak.go
+++ b/cmd/flaxlab/soak.go
@@ -15,11 +15,11 @@
 	programFlag
 	Seed      uint64        `name:"seed" default:"1" help:"The first seed."`
 	Seeds     int           `name:"seeds" default:"1" help:"Number of seeds, which run one after the other."`
-	Duration  time.Duration `name:"duration" default:"12s" help:"Duration of one run, without its end."`
+	Duration  time.Duration `name:"duration" default:"12s" help:"Time in which faults begin. The run ends once these and all requests have ended."`
 	FrontEnds int           `name:"front-ends" default:"6" help:"Front-end processes."`
 	Engines   int           `name:"engines" default:"12" help:"Engine processes."`
 	Clients   int           `name:"clients" default:"32" help:"Clients."`
-	Folder    string        `name:"folder" placeholder:"DIR" help:"Keep all logs, not only those of violations."`
+	Folder    string        `name:"folder" placeholder:"FOLDER" help:"Keep the logs of all runs there, and not only of those with violations."`
 	Verbose   bool          `name:"verbose" help:"Print each fault as it begins."`
 }
 
--- a/cmd/flaxlab/traffic_generate.go
+++ b/cmd/flaxlab/traffic_generate.go
@@ -21,10 +21,10 @@
 	OneOff      float64 `name:"one-off" default:"0.05" help:"Share of statements whose shape never recurs."`
 	Hard        float64 `name:"hard" default:"0.04" help:"Share of lookups whose values make them expensive reports."`
 	Writes      float64 `name:"writes" default:"0.02" help:"Share of statements that write and are not loads."`
-	DriftAt     float64 `name:"drift-at" default:"0.6" help:"Share of statements before the orders table grows, or 0."`
-	Drift       float64 `name:"drift" default:"3" help:"Factor by which it grows."`
-	HintNoise   float64 `name:"hint-noise" default:"0.7" help:"Standard deviation of the log of estimates."`
-	HintMissing float64 `name:"hint-missing" default:"0.15" help:"Share of statements without an estimate."`
+	DriftAt     float64 `name:"drift-at" default:"0.6" help:"Share of statements before the orders table grows; 0: it never does."`
+	Drift       float64 `name:"drift" default:"3" help:"Factor by which the orders table grows."`
+	HintNoise   float64 `name:"hint-noise" default:"0.7" help:"Standard deviation of the natural logarithm of hints."`
+	HintMissing float64 `name:"hint-missing" default:"0.15" help:"Share of statements without a hint."`
 }
 
 func (f workloadFlags) options() workload.Options {
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -15,7 +15,7 @@
 	"flaxrelay/internal/logging"
 )
 
-// tryCommand runs both front ends with emulated surroundings.
+// tryCommand runs both front ends with fake engines and discovery.
 type tryCommand struct {
 	programFlag
 	Engines  int           `name:"engines" default:"3" help:"Fake engines for each protocol, 1 to 16."`
@@ -24,7 +24,7 @@
 	For      time.Duration `name:"for" default:"1h" help:"Stop after this time."`
 }
 
-// maxEngines limits the emulated engines of each protocol, so that their logs stay readable.
+// maxEngines limits the fake engines of each protocol, so that their logs stay readable.
 const maxEngines = 16
 
 var errFrontEndEnded = errors.New("a front end has ended; its log says why")
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("--engines: %d is not from 1 to %d", e.count, maxEngines)
 }
 
-// Run starts both front ends with emulated surroundings, prints commands to paste, and ends everything
-// on Ctrl-C, after the time limit, or when a front end has ended.
+// Run starts both front ends with fake engines and discovery, and prints commands to paste. It ends all of
+// them on Ctrl-C, after the time limit, or when a front end has ended.
 func (c *tryCommand) Run() error {
 	if c.Engines < 1 || c.Engines > maxEngines {
 		return &engineCountError{count: c.Engines}
@@ -48,7 +48,7 @@
 	defer cancel()
 	folder, err := os.MkdirTemp("", "flaxlab-try-")
 	if err != nil {
-		return fmt.Errorf("folder of the surroundings: %w", err)
+		return fmt.Errorf("folder of the environment: %w", err)
 	}
 	defer removeFolder(folder)
 	program, cleanUp, err := c.frontEndProgram(ctx)
