--- a/cmd/flaxlab/flags_test.go
+++ b/cmd/flaxlab/flags_test.go
@@ -4,9 +4,27 @@
 	"testing"
 
 	"flaxrelay/internal/clitest"
+	"flaxrelay/internal/lab/workload"
+
+	"github.com/alecthomas/kong"
 )
 
 // Commands, flags and arguments keep their names.
 func TestCommandLine_KeepsItsNames(t *testing.T) {
 	clitest.CheckNames(t, "flaxlab", &cli{}, "testdata/flags.golden")
 }
+
+// The flags of the workload have the defaults of workload.Defaults, which states them again.
+func TestWorkloadFlags_DefaultToTheModelledDeployment(t *testing.T) {
+	var grammar cli
+	parser, err := kong.New(&grammar)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := parser.Parse([]string{"traffic", "generate", "unused"}); err != nil {
+		t.Fatal(err)
+	}
+	if got, want := grammar.Traffic.Generate.options(), workload.Defaults(1); got != want {
+		t.Errorf("options by default %+v, want %+v", got, want)
+	}
+}
