--- a/cmd/flaxlab/try_test.go
+++ b/cmd/flaxlab/try_test.go
@@ -27,7 +27,7 @@
 
 // Both front ends start with one command and respond to the requests of the instructions, and
 // everything ends on SIGINT.
-func TestTry_StartsServesAndEnds(t *testing.T) {
+func TestTry_ServesBothProtocolsUntilInterrupted(t *testing.T) {
 	if os.Getenv(tryVariable) != "" {
 		runTry(t)
 		return
@@ -86,7 +86,7 @@
 // startTry runs the command in a process of its own, which logs to the file at the path.
 func startTry(t *testing.T, httpAddress, postgresAddress string) (process *exec.Cmd, logPath string) {
 	t.Helper()
-	process = exec.Command(os.Args[0], "-test.run=^TestTry_StartsServesAndEnds$", "-test.v")
+	process = exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.v")
 	process.Env = append(os.Environ(),
 		tryVariable+"=1", httpVariable+"="+httpAddress, postgresVariable+"="+postgresAddress)
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
