--- a/internal/decision/hotrestart/hotrestart.go
+++ b/internal/decision/hotrestart/hotrestart.go
@@ -39,10 +39,10 @@
 	Idle              Phase = iota // no hot restart is in progress
 	AwaitingHello                  // the successor was started and has not sent its hello
 	TransferringState              // the successor loads the state and has not reported that it is ready
-	Probation                      // the successor accepts and serves; everything can still be reclaimed
-	Draining                       // the successor is the final owner; requests in flight of this process end
+	Probation                      // the successor accepts and serves; its connections can still be reclaimed
+	Draining                       // the successor is the final owner; the predecessor completes its requests
 	RollingBack                    // the successor was killed; connections are reclaimed after its exit
-	Exited                         // the process ends
+	Exited                         // the predecessor ends
 )
 
 var phaseNames = [...]string{
@@ -52,14 +52,14 @@
 // String implements fmt.Stringer.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Config limits a hot restart. Time-outs of a phase count from its start.
+// Config limits a hot restart. The time limits of a phase count from its start.
 type Config struct {
-	HelloTimeout     time.Duration // for the successor's hello; a slow disk exceeds a time-out that is too short
-	StateTimeout     time.Duration // for loading the state and reporting ready
-	MinProbation     time.Duration // least length of the probation
-	MaxProbation     time.Duration // length of the probation without enough requests; above MinProbation
-	HeartbeatTimeout time.Duration // longest time without a message during the probation
-	MinSuccesses     int           // successful responses that end the probation before MaxProbation
+	HelloTimeout     time.Duration // until the successor's hello, with the time to read its program from a disk
+	StateTimeout     time.Duration // until the successor has loaded the state and is ready
+	MinProbation     time.Duration // shortest probation
+	MaxProbation     time.Duration // longest probation, also with fewer than MinSuccesses; above MinProbation
+	HeartbeatTimeout time.Duration // longest time without a message of the successor during the probation
+	MinSuccesses     int           // number of successful responses that end the probation after MinProbation
 	MaxFailureRate   float64       // share of responses that may be errors of the successor itself, 0 to 1
 	MaxMemoryBytes   int64         // of the successor; 0: no limit
 }
