--- a/internal/lab/experiment/accuracy.go
+++ b/internal/lab/experiment/accuracy.go
@@ -125,7 +125,10 @@
 
 // quantiles sorts the errors and returns their quantiles.
 func quantiles(errors []float64) ErrorQuantiles {
-	const median, p90 = 0.5, 0.9
+	const (
+		median = 0.5
+		p90    = 0.9
+	)
 	if len(errors) == 0 {
 		return ErrorQuantiles{Median: math.NaN(), P90: math.NaN()}
 	}
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -154,7 +154,10 @@
 
 // bindBody returns the body of a Bind after the names of its portal and statement.
 func bindBody(s *workload.Statement) []byte {
-	const formatSize, null = 2, -1
+	const (
+		formatSize = 2
+		null       = -1 // length of a null value
+	)
 	body := binary.BigEndian.AppendUint16(nil, uint16(len(s.Formats)/formatSize))
 	body = append(body, s.Formats...)
 	body = binary.BigEndian.AppendUint16(body, uint16(len(s.Values)))
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -19,13 +19,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Table is a result: the names of its columns, and rows with one text for each column.
+// Table has named columns, and rows with one text for each column.
 type Table struct {
 	Columns []string
 	Rows    [][]string
 }
 
-// Add adds a row; fractions are written with three significant figures.
+// Add adds a row. Cells of type float64 are written with three significant figures.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, cell := range cells {
@@ -90,6 +90,7 @@
 		}
 		bars.Color = plotutil.Color(i)
 		bars.LineStyle.Width = 0
+		// The bars of a group are centered on its name.
 		bars.Offset = width * vg.Length(float64(i)-float64(len(c.Values)-1)/2)
 		chart.Add(bars)
 		chart.Legend.Add(c.Series[i], bars)
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// family is a kind of query that programs send.
+// family is a kind of statement that programs send. Lookups come first, then reports, then loads.
 type family int
 
 const (
@@ -24,7 +24,7 @@
 	loadBatch
 )
 
-// Ranges of the families.
+// The first report and the first load among the families.
 const (
 	firstReport = reportDistrictTotals
 	firstLoad   = loadBatch
@@ -84,7 +84,7 @@
 	table     *table
 	columns   []string
 	style     valueStyle
-	lowerCase bool // key words in lower case
+	lowerCase bool // keywords in lower case
 	oneOff    bool
 	aliased   bool
 }
--- a/internal/lab/workload/text.go
+++ b/internal/lab/workload/text.go
@@ -24,13 +24,13 @@
 type textBuilder struct {
 	text      strings.Builder
 	style     valueStyle
-	lowerCase bool // key words in lower case
+	lowerCase bool // keywords in lower case
 	values    [][]byte
 	formats   []byte // two bytes each
 	types     []byte // four bytes each
 }
 
-// sql adds formatted text, whose key words are in upper case in the format.
+// sql adds formatted text, whose keywords are in upper case in the format.
 func (b *textBuilder) sql(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if b.lowerCase {
@@ -113,7 +113,11 @@
 
 // binaryArray returns PostgreSQL's binary form of a one-dimensional array of texts.
 func binaryArray(list []string) []byte {
-	const dimensions, noNulls, lowerBound = 1, 0, 1
+	const (
+		dimensions = 1
+		noNulls    = 0
+		lowerBound = 1
+	)
 	var value []byte
 	for _, word := range []int{dimensions, noNulls, oidText, len(list), lowerBound} {
 		value = binary.BigEndian.AppendUint32(value, uint32(word))
