--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/lab/traffic/traffic_test.go
@@ -73,7 +73,7 @@
 	good := generate(t, Poisson, 4000)
 	for _, n := range []int{len(good) - 1, len(good) - 20, len(good) / 2, 40, 9} {
 		all, err := read(good[:n])
-		if !errors.Is(err, ErrTruncated) || len(all) >= 4000 && n < len(good)-16 {
+		if !errors.Is(err, ErrTruncated) || len(all) >= 4000 && n < len(good)-blockHeaderLength {
 			t.Errorf("cut at %d of %d: %d records, %v", n, len(good), len(all), err)
 		}
 	}
