--- a/internal/lab/experiment/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -6,9 +6,10 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// On traffic whose true classes are known, the classifier reaches the promised accuracy. Without any one
-// of its parts, some figure is worse.
-func TestEvaluate_EachPartOfTheClassifierContributes(t *testing.T) {
+// On traffic whose true classes are known, the classifier reaches its accuracy. Without parameters, the
+// prior or forgetting, some figure is worse. The variant without hints is only checked for writes, because
+// its figures are about the same on this traffic.
+func TestEvaluate_AccuracyComesFromParametersPriorAndForgetting(t *testing.T) {
 	records := GenerateRecords(workload.Defaults(1), 12000)
 	results := map[string]Result{}
 	for _, variant := range Variants() {
--- a/internal/lab/workload/cost.go
+++ b/internal/lab/workload/cost.go
@@ -12,8 +12,8 @@
 	returned float64
 }
 
-// Unit costs in milliseconds on one core. They result in lookups of about 200 ms and reports of
-// about 3 s, as in the modelled deployment.
+// Unit costs in milliseconds on one core. They result in a median of about 120 ms for lookups and 2.7 s
+// for reports.
 const (
 	baseMS        = 110
 	indexedRowMS  = 0.03
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -30,8 +30,8 @@
 	firstLoad   = loadBatch
 )
 
-// Shares of the kinds of template, and weights of their families. They result in 81 % lookups, 14 %
-// reports and 5 % loads, as in the modelled deployment.
+// Shares of the kinds of template, and weights of their families. Over seeds 1 to 6, they result in 76 to
+// 84 % lookups, 10 to 19 % reports and 5 to 6 % loads, without hard cases, writes and shapes that occur once.
 const (
 	lookupTemplates = 0.72
 	reportTemplates = 0.2
