--- a/cmd/flaxrelay/completion.go
+++ b/cmd/flaxrelay/completion.go
@@ -27,7 +27,7 @@
 
 // completionCommand prints a completion script for a shell.
 type completionCommand struct {
-	Shell string `name:"shell" arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
+	Shell string `arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
 }
 
 // Run prints a script that is generated from the grammar of the command line.
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -21,16 +21,18 @@
 		"$LB_CONFIG, --config or --postgres selects what it serves."
 )
 
-// cli is the grammar of the command line.
+// cli is the grammar of the command line. A command, flag or argument has the name of its field, in
+// lower case and with dashes, unless the field's tag has another name. testdata/flags.golden lists all
+// names.
 type cli struct {
-	LogFormat string `name:"log-format" enum:"auto,json,text" default:"auto" help:"Log format: ${enum}."`
-	LogLevel  string `name:"log-level" enum:"debug,info,warn,error" default:"info" help:"Minimum log level: ${enum}."`
+	LogFormat string `enum:"auto,json,text" default:"auto" help:"Log format: ${enum}."`
+	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"Minimum log level: ${enum}."`
 
-	Serve      serveCommand      `name:"serve" cmd:"" default:"withargs" help:"Serve requests (the default command)."`
-	Check      checkCommand      `name:"check" cmd:"" help:"Check settings and deploy files and report every fault."`
-	Shapes     shapesCommand     `name:"shapes" cmd:"" help:"Show the statistics of statement shapes."`
-	Completion completionCommand `name:"completion" cmd:"" help:"Print a completion script for a shell."`
-	Version    versionCommand    `name:"version" cmd:"" help:"Print the version."`
+	Serve      serveCommand      `cmd:"" default:"withargs" help:"Serve requests (the default command)."`
+	Check      checkCommand      `cmd:"" help:"Check settings and deploy files and report every fault."`
+	Shapes     shapesCommand     `cmd:"" help:"Show the statistics of statement shapes."`
+	Completion completionCommand `cmd:"" help:"Print a completion script for a shell."`
+	Version    versionCommand    `cmd:"" help:"Print the version."`
 }
 
 // errReported is returned by a command that has already printed or logged its error. main then exits
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -16,9 +16,9 @@
 
 // serveCommand runs a front end.
 type serveCommand struct {
-	Config   string `name:"config" env:"LB_CONFIG" placeholder:"FILE" help:"Configuration of the HTTP front end (JSON)."`
-	Postgres string `name:"postgres" placeholder:"FILE" help:"Serve PostgreSQL with this deploy file instead of HTTP."`
-	Shapes   string `name:"shapes" placeholder:"FILE" help:"Shape settings of the HTTP front end (TOML)."`
+	Config   string `env:"LB_CONFIG" placeholder:"FILE" help:"Configuration of the HTTP front end (JSON)."`
+	Postgres string `placeholder:"FILE" help:"Serve PostgreSQL with this deploy file instead of HTTP."`
+	Shapes   string `placeholder:"FILE" help:"Shape settings of the HTTP front end (TOML)."`
 }
 
 // Run serves until a graceful shutdown ends. It logs each fault that keeps the server from starting.
--- a/cmd/flaxrelay/shapes.go
+++ b/cmd/flaxrelay/shapes.go
@@ -13,9 +13,9 @@
 
 // shapesCommand groups the commands that inspect statement shapes.
 type shapesCommand struct {
-	Explain explainCommand `name:"explain" cmd:"" help:"Show how a statement is parsed, classified and estimated."`
-	Top     topCommand     `name:"top" cmd:"" help:"List the shapes of a snapshot that take the most work."`
-	Diff    diffCommand    `name:"diff" cmd:"" help:"List the shapes whose cost differs most between two snapshots."`
+	Explain explainCommand `cmd:"" help:"Show how a statement is parsed, classified and estimated."`
+	Top     topCommand     `cmd:"" help:"List the shapes of a snapshot that take the most work."`
+	Diff    diffCommand    `cmd:"" help:"List the shapes whose cost differs most between two snapshots."`
 }
 
 // columnGap is the number of spaces between the columns of a table.
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -11,8 +11,8 @@
 
 // diffCommand compares two snapshots.
 type diffCommand struct {
-	Old       string  `name:"old" arg:"" help:"The older file."`
-	New       string  `name:"new" arg:"" help:"The newer file."`
+	Old       string  `arg:"" help:"The older file."`
+	New       string  `arg:"" help:"The newer file."`
 	MaxRows   int     `name:"most" default:"20" help:"Maximum number of rows."`
 	MinFactor float64 `name:"over" default:"1.5" help:"Smallest factor between the two that is listed."`
 }
--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -11,12 +11,14 @@
 
 // explainCommand explains how one statement is classified and estimated.
 type explainCommand struct {
-	SQL               string    `name:"sql" arg:"" help:"The statement."`
-	Bind              []string  `name:"bind" sep:"none" placeholder:"VALUE" help:"Value of the next parameter; NULL is null."`
-	Snapshot          string    `name:"snapshot" placeholder:"FILE" help:"Snapshot to use; by default there are no statistics."`
-	HintMillis        float64   `name:"hint" placeholder:"MS" help:"The client's estimate of the work, in ms."`
-	KnownClass        int       `name:"known" default:"-1" help:"Index of the class if it is known, from 0; -1: unknown."`
-	ClassLimits       []float64 `name:"bounds" default:"800" help:"Limits between the classes of reading statements, in ms of work."`
+	SQL  string   `arg:"" help:"The statement."`
+	Bind []string `sep:"none" placeholder:"VALUE" help:"Value of the next parameter; NULL is null."`
+
+	Snapshot   string  `placeholder:"FILE" help:"Snapshot to use; by default there are no statistics."`
+	HintMillis float64 `name:"hint" placeholder:"MS" help:"The client's estimate of the work, in ms."`
+	KnownClass int     `name:"known" default:"-1" help:"Index of the class if it is known, from 0; -1: unknown."`
+
+	Bounds            []float64 `default:"800" help:"Limits between the classes of reading statements, in ms of work."`
 	ReadOnlyFunctions []string  `name:"readers" help:"Read-only functions besides PostgreSQL's own."`
 }
 
@@ -52,15 +54,15 @@
 	return t.print()
 }
 
-// costModel returns a cost model with one class of read-only statements for each limit, and a last
+// costModel returns a cost model with one class of read-only statements up to each bound, and a last
 // class without a limit.
 func (c *explainCommand) costModel() costmodel.Config {
 	var model costmodel.Config
-	for i, limit := range c.ClassLimits {
-		class := costmodel.Class{Name: fmt.Sprintf("class %d", i), MaxWorkMillis: limit}
+	for i, bound := range c.Bounds {
+		class := costmodel.Class{Name: fmt.Sprintf("class %d", i), MaxWorkMillis: bound}
 		model.Classes = append(model.Classes, class)
 	}
-	last := costmodel.Class{Name: fmt.Sprintf("class %d", len(c.ClassLimits))}
+	last := costmodel.Class{Name: fmt.Sprintf("class %d", len(c.Bounds))}
 	model.Classes = append(model.Classes, last)
 	return model
 }
--- a/cmd/flaxrelay/shapes_top.go
+++ b/cmd/flaxrelay/shapes_top.go
@@ -9,7 +9,7 @@
 
 // topCommand lists the shapes of a snapshot that take the most work.
 type topCommand struct {
-	Snapshot string `name:"snapshot" arg:"" help:"The file."`
+	Snapshot string `arg:"" help:"The file."`
 	MaxRows  int    `name:"most" default:"20" help:"Maximum number of rows."`
 }
 
