--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -9,22 +9,38 @@
 
 // Postgres is the deploy file of the PostgreSQL front end.
 type Postgres struct {
-	Listen            string          `toml:"listen"`   // address for clients; "": the front end is off
-	SettingsFile      string          `toml:"settings"` // file of the settings object, relative to this file's folder
-	MemoryMB          int             `toml:"memory_mb"`
-	MaxDescriptors    int             `toml:"sockets"`
-	MaxClients        int             `toml:"most_clients"`
-	DefaultClass      string          `toml:"default_class"`
-	WriteClass        string          `toml:"write_class"`         // of statements that may write and have no class; see firstWriteClass
-	ReadOnlyFunctions []string        `toml:"read_only_functions"` // names, with their schema if they need one
-	Statements        []StatementRule `toml:"statement"`
-	User              string          `toml:"user"` // the front end connects to engines as this user
-	Database          string          `toml:"database"`
-	ConnectTimeoutMS  float64         `toml:"connect_timeout_ms"`
-	IdleTimeoutMS     float64         `toml:"idle_close_ms"`
-	Consul            Consul          `toml:"consul"`
-	Shapes            Shapes          `toml:"shapes"`
-	Settings          Settings        `toml:"-"` // read from SettingsFile
+	// Listen is the address for clients; "": the front end is off.
+	Listen string `toml:"listen"`
+	// SettingsFile is the path of the settings file, relative to the folder of the deploy file.
+	SettingsFile string `toml:"settings"`
+	// Settings is the content of the settings file.
+	Settings Settings `toml:"-"`
+
+	// MemoryMB, MaxDescriptors and MaxClients limit the process; 0 selects a default.
+	MemoryMB       int `toml:"memory_mb"`
+	MaxDescriptors int `toml:"sockets"`
+	MaxClients     int `toml:"most_clients"`
+
+	// Statements are the rules that assign classes to statements. The first that matches applies.
+	Statements []StatementRule `toml:"statement"`
+	// DefaultClass is the class of statements to which neither a rule nor their leading comment assigns
+	// a class.
+	DefaultClass string `toml:"default_class"`
+	// WriteClass replaces an idempotent DefaultClass for statements that may write; "": firstWriteClass
+	// chooses it.
+	WriteClass string `toml:"write_class"`
+	// ReadOnlyFunctions are functions that write nothing, with their schema if they need one.
+	ReadOnlyFunctions []string `toml:"read_only_functions"`
+
+	// User is the user of the connections to engines.
+	User string `toml:"user"`
+	// Database is the database of these connections; "": the name of the user.
+	Database         string  `toml:"database"`
+	ConnectTimeoutMS float64 `toml:"connect_timeout_ms"`
+	IdleTimeoutMS    float64 `toml:"idle_close_ms"`
+
+	Consul Consul `toml:"consul"`
+	Shapes Shapes `toml:"shapes"`
 }
 
 // StatementRule assigns a class to statements that begin with some words, and names the parameter
