--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -36,7 +36,8 @@
 	s.dispatcher.SetEngineClient(engines)
 	s.applyInitialEvents(configuration.InitialEvents)
 	if configuration.EventBus != "" {
-		s.watchEventBus(configuration, configPath)
+		watcher := s.watchEventBus(configuration)
+		s.reload = func() error { return reloadEventBus(watcher, configPath) }
 	}
 	if err := s.startHTTPStatistics(shapesPath, configuration, limits); err != nil {
 		return err
@@ -76,30 +77,34 @@
 	}
 }
 
-// watchEventBus follows the event bus from the last event of the configuration. A reload moves the
-// watcher to the event bus that the file names then.
-func (s *server) watchEventBus(configuration *config.Config, configPath string) {
-	settings := configuration.Settings
-	watcher := eventbus.New(
-		s.loop, configuration.EventBus, configuration.LastEvent, settings.Zones, settings.Kinds,
-		s.dispatcher, s.counters, s.logger,
-	)
-	if grace := settings.Policy.Rules.DrainGrace; grace > 0 {
+// watchEventBus starts a watcher of the event bus, which follows it from the last event of the
+// configuration.
+func (s *server) watchEventBus(configuration *config.Config) *eventbus.Watcher {
+	settings := &configuration.Settings
+	watcher := eventbus.New(s.loop, s.dispatcher, eventbus.Options{
+		Address:   configuration.EventBus,
+		LastEvent: configuration.LastEvent,
+		Zones:     settings.Zones,
+		Kinds:     settings.Kinds,
 		// The event that an engine is draining must arrive well within its grace period.
-		watcher.MaxBackoff = grace / 2
-	}
+		MaxBackoff: settings.Policy.Rules.DrainGrace / 2,
+	}, s.counters, s.logger)
 	watcher.Start()
-	s.reload = func() error {
-		next, err := config.Load(configPath)
-		if err != nil {
-			return err
-		}
-		if next.EventBus == "" {
-			return errNoEventBus
-		}
-		watcher.MoveTo(next.EventBus)
-		return nil
+	return watcher
+}
+
+// reloadEventBus moves the watcher to the event bus that the configuration file names now. If it
+// returns an error, nothing has changed.
+func reloadEventBus(watcher *eventbus.Watcher, configPath string) error {
+	next, err := config.Load(configPath)
+	if err != nil {
+		return err
+	}
+	if next.EventBus == "" {
+		return errNoEventBus
 	}
+	watcher.MoveTo(next.EventBus)
+	return nil
 }
 
 // startHTTPStatistics starts statement statistics with the shape settings of the file. If the path is
--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -88,9 +88,12 @@
 func TestWatcher_ExchangeMatchesTheGoldenFile(t *testing.T) {
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	notifications := make(transcript, 10)
-	startWatcher(t, options{
-		addr: listener.Addr().String(), lastEvent: 41,
-		zones: []string{"east", "west"}, kinds: []string{"std", "big"}, sink: notifications,
+	startWatcher(t, watcherSetup{
+		options: Options{
+			Address: listener.Addr().String(), LastEvent: 41,
+			Zones: []string{"east", "west"}, Kinds: []string{"std", "big"},
+		},
+		sink: notifications,
 	})
 	var log bytes.Buffer
 	for i, session := range sessions {
--- a/internal/discovery/eventbus/helpers_test.go
+++ b/internal/discovery/eventbus/helpers_test.go
@@ -49,30 +49,25 @@
 	return binary.BigEndian.AppendUint64(encoded, r.startTime)
 }
 
-// options configure the watcher of a test.
-type options struct {
-	addr      string
-	lastEvent uint64
-	zones     []string
-	kinds     []string
-	sink      discovery.Sink
-	log       slog.Handler // nil: nothing is logged
-	configure func(*Watcher)
+// watcherSetup describes the watcher of a test.
+type watcherSetup struct {
+	options     Options
+	sink        discovery.Sink
+	log         slog.Handler  // nil: nothing is logged
+	idleTimeout time.Duration // 0: defaultIdleTimeout
 }
 
 // startWatcher starts a watcher on a loop that runs until the end of the test.
-func startWatcher(t *testing.T, opts options) {
+func startWatcher(t *testing.T, setup watcherSetup) {
 	t.Helper()
 	loop, err := eventloop.New()
 	discoverytest.Must(t, err)
-	if opts.log == nil {
-		opts.log = slog.DiscardHandler
+	if setup.log == nil {
+		setup.log = slog.DiscardHandler
 	}
-	watcher := New(
-		loop, opts.addr, opts.lastEvent, opts.zones, opts.kinds, opts.sink, metrics.New(), slog.New(opts.log),
-	)
-	if opts.configure != nil {
-		opts.configure(watcher)
+	watcher := New(loop, setup.sink, setup.options, metrics.New(), slog.New(setup.log))
+	if setup.idleTimeout > 0 {
+		watcher.idleTimeout = setup.idleTimeout
 	}
 	loop.Post(watcher.Start)
 	eventlooptest.Run(t, loop)
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -20,7 +20,7 @@
 const (
 	dialTimeout    = time.Second
 	initialBackoff = 50 * time.Millisecond
-	// defaultMaxBackoff is the MaxBackoff of a new watcher.
+	// defaultMaxBackoff applies if the options give no MaxBackoff.
 	defaultMaxBackoff = 250 * time.Millisecond
 	// defaultIdleTimeout is how long a connection may receive nothing. The bus sends a heartbeat
 	// every second.
@@ -35,6 +35,19 @@
 	errConnectionClosed = errors.New("connection closed")
 )
 
+// Options configure a watcher.
+type Options struct {
+	Address   string // host:port of the event bus
+	LastEvent uint64 // the watcher requests the events after the event with this number
+	// Zones and Kinds are the names to which records refer by index.
+	Zones []string
+	Kinds []string
+	// MaxBackoff is the longest delay between two attempts to connect; 0: a default. It must be much
+	// less than the grace period of a draining engine, because an event counts as received as soon as
+	// the bus can be reached again.
+	MaxBackoff time.Duration
+}
+
 // watcherState is the state of a watcher's connection to the bus.
 type watcherState int
 
@@ -60,11 +73,6 @@
 //	connected    -> dialing       MoveTo another address
 //	any state    -> stopped       Stop
 type Watcher struct {
-	// MaxBackoff is the longest delay between two attempts to connect. It must be set before Start.
-	// It must be much less than the grace period of a draining engine, because an event counts as
-	// received as soon as the bus can be reached again.
-	MaxBackoff time.Duration
-
 	loop     *eventloop.Loop
 	sink     discovery.Sink
 	records  recordDecoder
@@ -87,32 +95,29 @@
 	partialSince time.Duration
 }
 
-// New returns a watcher that requests the events after the event number lastEvent. zones and kinds
-// are the lists of the settings to which records refer by index.
+// New returns a watcher that notifies the sink. Start starts it.
 func New(
-	loop *eventloop.Loop, addr string, lastEvent uint64, zones, kinds []string,
-	sink discovery.Sink, counters *metrics.Counters, log *slog.Logger,
+	loop *eventloop.Loop, sink discovery.Sink, opts Options, counters *metrics.Counters, log *slog.Logger,
 ) *Watcher {
+	if opts.MaxBackoff <= 0 {
+		opts.MaxBackoff = defaultMaxBackoff
+	}
 	return &Watcher{
-		MaxBackoff:  defaultMaxBackoff,
 		loop:        loop,
 		sink:        sink,
-		records:     recordDecoder{zones: zones, kinds: kinds},
+		records:     recordDecoder{zones: opts.Zones, kinds: opts.Kinds},
 		counters:    counters,
 		log:         log,
-		addr:        addr,
-		lastEvent:   lastEvent,
-		backoff:     discovery.Backoff{Initial: initialBackoff},
+		addr:        opts.Address,
+		lastEvent:   opts.LastEvent,
+		backoff:     discovery.Backoff{Initial: initialBackoff, Max: opts.MaxBackoff},
 		idleTimeout: defaultIdleTimeout,
 	}
 }
 
 // Start connects to the bus. From then on the watcher reconnects whenever the connection ends or is
 // idle for too long.
-func (w *Watcher) Start() {
-	w.backoff.Max = w.MaxBackoff
-	w.connect()
-}
+func (w *Watcher) Start() { w.connect() }
 
 // MoveTo connects to the bus at another address and requests the events after the last processed
 // event. It does nothing if the watcher is already connected to this address.
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -42,8 +42,11 @@
 	}
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	updates := make(recorder, 10)
-	startWatcher(t, options{
-		addr: listener.Addr().String(), lastEvent: 3, zones: []string{"a", "b"}, kinds: []string{"std"}, sink: updates,
+	startWatcher(t, watcherSetup{
+		options: Options{
+			Address: listener.Addr().String(), LastEvent: 3, Zones: []string{"a", "b"}, Kinds: []string{"std"},
+		},
+		sink: updates,
 	})
 	var requested []uint64
 	for i, stream := range streams {
@@ -78,9 +81,9 @@
 
 func TestWatcher_ReconnectsIfTheBusIsSilent(t *testing.T) {
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
-	startWatcher(t, options{
-		addr: listener.Addr().String(), sink: make(recorder, 1),
-		configure: func(w *Watcher) { w.idleTimeout = 50 * time.Millisecond },
+	startWatcher(t, watcherSetup{
+		options: Options{Address: listener.Addr().String()}, sink: make(recorder, 1),
+		idleTimeout: 50 * time.Millisecond,
 	})
 	for range 2 { // the test closes neither connection
 		accept(t, listener)
@@ -90,7 +93,9 @@
 func TestWatcher_LogsTheProtocolErrorThatEndedAConnection(t *testing.T) {
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	log := newDisconnects()
-	startWatcher(t, options{addr: listener.Addr().String(), sink: make(recorder, 1), log: log})
+	startWatcher(t, watcherSetup{
+		options: Options{Address: listener.Addr().String()}, sink: make(recorder, 1), log: log,
+	})
 	for _, test := range []struct {
 		stream    []byte
 		want      error
@@ -124,7 +129,7 @@
 	addr := listener.Addr().String()
 	discoverytest.Must(t, listener.Close())
 	log := newDisconnects()
-	startWatcher(t, options{addr: addr, sink: make(recorder, 1), log: log})
+	startWatcher(t, watcherSetup{options: Options{Address: addr}, sink: make(recorder, 1), log: log})
 	for range 8 { // enough for the longest delay
 		if err := discoverytest.Receive(t, log.reasons, "failed attempt"); !eventloop.IsConnectionRefused(err) {
 			t.Fatalf("an attempt failed with %v, want a refused connection", err)
@@ -148,9 +153,9 @@
 	)
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	updates := make(recorder, 1)
-	startWatcher(t, options{
-		addr: listener.Addr().String(), zones: []string{"a"}, kinds: []string{"std"}, sink: updates,
-		configure: func(w *Watcher) { w.idleTimeout = idleTimeout },
+	startWatcher(t, watcherSetup{
+		options: Options{Address: listener.Addr().String(), Zones: []string{"a"}, Kinds: []string{"std"}},
+		sink:    updates, idleTimeout: idleTimeout,
 	})
 	conn, _ := accept(t, listener)
 	frame := encodeFrame(1, frameFull, record{id: 7, port: 70}.encode())
@@ -165,9 +170,8 @@
 func TestWatcher_ReconnectsIfAFrameNeverEnds(t *testing.T) {
 	const idleTimeout = 40 * time.Millisecond
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
-	startWatcher(t, options{
-		addr: listener.Addr().String(), sink: make(recorder, 1),
-		configure: func(w *Watcher) { w.idleTimeout = idleTimeout },
+	startWatcher(t, watcherSetup{
+		options: Options{Address: listener.Addr().String()}, sink: make(recorder, 1), idleTimeout: idleTimeout,
 	})
 	conn, _ := accept(t, listener)
 	go func() {
