--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -191,7 +191,7 @@
 		StartedAt: 9 * time.Millisecond, StartKnown: true,
 	}}
 	want := &Config{
-		Name: "n", Listen: "127.0.0.1:1", Seed: 255, MemoryMB: 2, MaxDescriptors: 3,
+		Listen: "127.0.0.1:1", Seed: 255, MemoryMB: 2, MaxDescriptors: 3,
 		EventBus: "127.0.0.1:4", LastEvent: 6,
 		InitialEvents: []Event{{Full: true, Engines: []lifecycle.Endpoint{engine}}},
 		Settings:      decodedSettings(),
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -10,7 +10,6 @@
 
 // Config is the configuration of a front end on the platform.
 type Config struct {
-	Name           string
 	Listen         string
 	Seed           uint64
 	MemoryMB       int
@@ -63,7 +62,6 @@
 	v.requireOptionalAddress("listen", o.Listen)
 	v.requireOptionalAddress("bus", o.Bus)
 	configuration := &Config{
-		Name:           o.Name,
 		Listen:         o.Listen,
 		Seed:           parseSeed(v, o.Seed),
 		MemoryMB:       int(o.Limits.MemoryMB),
--- a/internal/config/platform_object.go
+++ b/internal/config/platform_object.go
@@ -13,7 +13,7 @@
 
 // platformObject is the JSON object of the platform's configuration. Other keys are ignored.
 type platformObject struct {
-	Name     string               `json:"name"`
+	Name     string               `json:"name"` // not used, but must be a string
 	Listen   string               `json:"listen"`
 	Seed     string               `json:"seed"`
 	Limits   platformLimitsObject `json:"limits"`
--- a/internal/config/validation_test.go
+++ b/internal/config/validation_test.go
@@ -16,6 +16,7 @@
 	}
 	good := string(raw)
 	for _, test := range []struct{ old, new, field string }{
+		{`"name": "toy"`, `"name": 5`, "name"},
 		{`"listen": "127.0.0.1:9090"`, `"listen": "nowhere"`, "listen"},
 		{`"listen": "127.0.0.1:9090"`, `"listen": 5`, "listen"},
 		{`"seed": "8c`, `"seed": "zz`, "seed"},
