--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -42,7 +42,7 @@
 	}
 	switch kindOf(path, raw) {
 	case platformFile:
-		_, err = config.Load(path)
+		_, err = config.LoadPlatform(path)
 	case settingsFile:
 		err = config.CheckSettings(path, raw)
 	case postgresFile:
--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -52,8 +52,8 @@
 }
 
 // loadHTTPConfig reads the configuration and applies the environment's listen address, if it is set.
-func loadHTTPConfig(path string) (*config.Config, error) {
-	configuration, err := config.Load(path)
+func loadHTTPConfig(path string) (*config.Platform, error) {
+	configuration, err := config.LoadPlatform(path)
 	if err != nil {
 		return nil, err
 	}
@@ -79,7 +79,7 @@
 
 // watchEventBus starts a watcher of the event bus, which follows it from the last event of the
 // configuration.
-func (s *server) watchEventBus(configuration *config.Config) *eventbus.Watcher {
+func (s *server) watchEventBus(configuration *config.Platform) *eventbus.Watcher {
 	settings := &configuration.Settings
 	watcher := eventbus.New(s.loop, s.dispatcher, eventbus.Options{
 		Address:   configuration.EventBus,
@@ -96,7 +96,7 @@
 // reloadEventBus moves the watcher to the event bus that the configuration file names now. If it
 // returns an error, nothing has changed.
 func reloadEventBus(watcher *eventbus.Watcher, configPath string) error {
-	next, err := config.Load(configPath)
+	next, err := config.LoadPlatform(configPath)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 
 // startHTTPStatistics starts statement statistics with the shape settings of the file. If the path is
 // "" they are off.
-func (s *server) startHTTPStatistics(path string, configuration *config.Config, limits resourceLimits) error {
+func (s *server) startHTTPStatistics(path string, configuration *config.Platform, limits resourceLimits) error {
 	if path == "" {
 		return nil
 	}
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -190,7 +190,7 @@
 		ID: "u", Zone: "a", Kind: "m", Cell: 8, State: policy.EngineDraining,
 		StartedAt: 9 * time.Millisecond, StartKnown: true,
 	}}
-	want := &Config{
+	want := &Platform{
 		Listen: "127.0.0.1:1", Seed: 255, MemoryMB: 2, MaxDescriptors: 3,
 		EventBus: "127.0.0.1:4", LastEvent: 6,
 		InitialEvents: []Event{{Full: true, Engines: []lifecycle.Endpoint{engine}}},
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -8,8 +8,8 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-// Config is the configuration of a front end on the platform.
-type Config struct {
+// Platform is the platform's configuration of the HTTP front end.
+type Platform struct {
 	Listen         string
 	Seed           uint64
 	MemoryMB       int
@@ -26,9 +26,9 @@
 	Engines []lifecycle.Endpoint
 }
 
-// Load reads the configuration at the path. The error contains all faults with their lines and
+// LoadPlatform reads the configuration at the path. The error contains all faults with their lines and
 // fields (see FieldErrorsOf).
-func Load(path string) (*Config, error) {
+func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -37,7 +37,7 @@
 }
 
 // parsePlatform decodes and validates a configuration. The path is that of its faults.
-func parsePlatform(raw []byte, path string) (*Config, error) {
+func parsePlatform(raw []byte, path string) (*Platform, error) {
 	v := &validator{file: path}
 	var object platformObject
 	if !decodePlatform(v, raw, &object) {
@@ -58,10 +58,10 @@
 }
 
 // translate returns the configuration without its settings, and reports invalid fields.
-func (o *platformObject) translate(v *validator) *Config {
+func (o *platformObject) translate(v *validator) *Platform {
 	v.requireOptionalAddress("listen", o.Listen)
 	v.requireOptionalAddress("bus", o.Bus)
-	configuration := &Config{
+	configuration := &Platform{
 		Listen:         o.Listen,
 		Seed:           parseSeed(v, o.Seed),
 		MemoryMB:       int(o.Limits.MemoryMB),
