--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -66,11 +66,13 @@
 	if err == nil {
 		return true
 	}
-	fault := jsonFault(err)
-	v.report(platformField(raw, fault.Field), "%s", fault.Problem)
 	if syntaxError, isSyntaxError := errors.AsType[*json.SyntaxError](err); isSyntaxError {
-		v.faults[0].Line = lineAt(raw, syntaxError.Offset)
+		line := lineAt(raw, syntaxError.Offset)
+		v.faults = append(v.faults, FieldError{File: v.file, Line: line, Problem: err.Error()})
+		return false
 	}
+	fault := jsonFault(err)
+	v.report(platformField(raw, fault.Field), "%s", fault.Problem)
 	return false
 }
 
