--- a/cmd/flaxrelay/postgres.go
+++ b/cmd/flaxrelay/postgres.go
@@ -82,7 +82,7 @@
 	if next.Listen == "" {
 		return errNoPostgresListenAddress
 	}
-	for class := range next.Classes() {
+	for _, class := range next.ClassNames() {
 		if _, known := r.server.dispatcher.Class(class); !known {
 			return &unknownClassError{class: class}
 		}
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"iter"
 	"os"
 	"path/filepath"
 )
@@ -114,22 +113,20 @@
 		v.report("settings", "%v", err)
 		return false
 	}
-	settings := &validator{file: path}
-	decoded := decodeSettings(settings, raw, &p.Settings)
-	v.faults = append(v.faults, settings.faults...)
+	settingsValidator := &validator{file: path}
+	decoded := decodeSettings(settingsValidator, raw, &p.Settings)
+	v.faults = append(v.faults, settingsValidator.faults...)
 	return decoded
 }
 
-// Classes returns the names of the classes that the file assigns to statements.
-func (p *Postgres) Classes() iter.Seq[string] {
-	return func(yield func(string) bool) {
-		if !yield(p.DefaultClass) || p.WriteClass != "" && !yield(p.WriteClass) {
-			return
-		}
-		for _, statement := range p.Statements {
-			if !yield(statement.Class) {
-				return
-			}
-		}
+// ClassNames returns the names of the classes that the file assigns to statements.
+func (p *Postgres) ClassNames() []string {
+	names := []string{p.DefaultClass}
+	if p.WriteClass != "" {
+		names = append(names, p.WriteClass)
 	}
+	for _, statement := range p.Statements {
+		names = append(names, statement.Class)
+	}
+	return names
 }
