--- a/internal/discovery/consul/decoding.go
+++ b/internal/discovery/consul/decoding.go
@@ -1,6 +1,7 @@
 package consul
 
 import (
+	"cmp"
 	"net"
 	"strconv"
 	"strings"
@@ -38,13 +39,13 @@
 // endpoint returns the engine without its state. Metadata of the service take precedence over
 // metadata of the node, and both take precedence over the options.
 func (r *registration) endpoint(opts Options) lifecycle.Endpoint {
-	host := firstNonEmpty(r.ServiceAddress, r.Address)
+	host := cmp.Or(r.ServiceAddress, r.Address)
 	engine := lifecycle.Endpoint{
 		Address: net.JoinHostPort(host, strconv.Itoa(r.ServicePort)),
 		Engine: policy.Engine{
 			ID:   engineID(r.Node, r.ServiceID),
-			Zone: firstNonEmpty(r.ServiceMeta["zone"], r.NodeMeta["zone"], opts.Zone, r.Datacenter),
-			Kind: firstNonEmpty(r.ServiceMeta["kind"], r.NodeMeta["kind"], opts.Kind),
+			Zone: cmp.Or(r.ServiceMeta["zone"], r.NodeMeta["zone"], opts.Zone, r.Datacenter),
+			Kind: cmp.Or(r.ServiceMeta["kind"], r.NodeMeta["kind"], opts.Kind),
 		},
 	}
 	if startTime, err := strconv.ParseInt(r.ServiceMeta["boot_ms"], 10, 64); err == nil {
@@ -90,12 +91,3 @@
 
 // engineID returns the id of an engine. Ids of services are unique only on their node.
 func engineID(node, service string) string { return node + "/" + service }
-
-func firstNonEmpty(names ...string) string {
-	for _, name := range names {
-		if name != "" {
-			return name
-		}
-	}
-	return ""
-}
