--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -36,8 +36,9 @@
 		return err
 	}
 	binds := c.boundValues()
+	analysis := c.analyze()
 	var t table
-	analysis := c.addAnalysis(&t, binds)
+	c.addAnalysis(&t, analysis, binds)
 	hint := stmtstats.Hint{WorkMillis: c.HintMillis}
 	estimate := store.Estimate(store.Parse(c.SQL), binds, c.KnownClass, hint).Estimate
 	if estimate.Known {
@@ -94,13 +95,17 @@
 	return binds
 }
 
-// addAnalysis analyses the statement with its bound values, adds the result to the table and returns it.
-func (c *explainCommand) addAnalysis(t *table, binds *sqltext.Binds) *sqltext.Analysis {
+// analyze returns the analysis of the statement.
+func (c *explainCommand) analyze() *sqltext.Analysis {
 	readOnly := sqltext.Functions{}
 	for _, name := range c.ReadOnlyFunctions {
 		readOnly[name] = true
 	}
-	analysis := sqltext.NewAnalyzer().AnalyzeAndClassify(c.SQL, readOnly)
+	return sqltext.NewAnalyzer().AnalyzeAndClassify(c.SQL, readOnly)
+}
+
+// addAnalysis adds the analysis of the statement and the profile of its bound values to the table.
+func (c *explainCommand) addAnalysis(t *table, analysis *sqltext.Analysis, binds *sqltext.Binds) {
 	t.row("tokens\t%s", formatTokens(c.SQL))
 	t.row("shape\t%s", analysis.NormalForm)
 	if analysis.HasDataset {
@@ -110,7 +115,6 @@
 	t.row("features\t%+v", analysis.Features)
 	profile := analysis.Profile(c.SQL, binds, 0)
 	t.row("profile\t%s", formatProfile(&profile))
-	return analysis
 }
 
 // maxTokensLength is the length of the list of tokens, in bytes, after which it is cut off.
