--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -48,11 +48,11 @@
 // batchReader reads the batches of one input, passes their messages to the host and writes the
 // responses.
 type batchReader struct {
-	host   *Host
-	output *bufio.Writer
-	state  batchState
-	batch  int64         // number of the batch that was opened last
-	now    time.Duration // the time of that batch
+	host  *Host
+	out   io.Writer
+	state batchState
+	batch int64         // number of the batch that was opened last
+	now   time.Duration // the time of that batch
 }
 
 // Run responds to batches until the input ends. It returns nil if the input ends between batches, and a
@@ -60,7 +60,7 @@
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, initialLineBuffer), maxLineLength)
-	reader := &batchReader{host: h, output: bufio.NewWriter(out)}
+	reader := &batchReader{host: h, out: out}
 	for lines.Scan() {
 		if len(lines.Bytes()) == 0 {
 			continue
@@ -117,10 +117,7 @@
 func (r *batchReader) close() error {
 	r.state = betweenBatches
 	r.host.output = encodeBatchDone(r.host.output, r.batch)
-	if _, err := r.output.Write(r.host.output); err != nil {
-		return fmt.Errorf("write: %w", err)
-	}
-	if err := r.output.Flush(); err != nil {
+	if _, err := r.out.Write(r.host.output); err != nil {
 		return fmt.Errorf("write: %w", err)
 	}
 	return nil
