--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"io"
 	"time"
+
+	"flaxrelay/internal/config"
 )
 
 const (
@@ -107,7 +109,7 @@
 
 // open starts a batch at the time of its message.
 func (r *batchReader) open(message *inputMessage) {
-	r.now = milliseconds(clockTimeMS.required(message))
+	r.now = config.FromMilliseconds(clockTimeMS.required(message))
 	r.batch = clockBatch.required(message)
 	r.state = inBatch
 	r.host.output = r.host.output[:0]
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -8,9 +8,6 @@
 	"flaxrelay/policy"
 )
 
-// milliseconds converts fractional milliseconds to a duration, rounded to the microsecond.
-func milliseconds(ms float64) time.Duration { return config.FromMilliseconds(ms) }
-
 // decodeEvent returns the event of a message to an instance, or nil if the policy module has no
 // event for it.
 func (h *Host) decodeEvent(target *instance, message *inputMessage) policy.Event {
@@ -88,11 +85,11 @@
 	}
 	flags := requestFlags.optional(message)
 	workMS := requestWorkMS.optional(message)
-	event.Deadline = milliseconds(requestDeadlineMS.required(message))
+	event.Deadline = config.FromMilliseconds(requestDeadlineMS.required(message))
 	event.Tenant = decodeTenant(message)
 	event.Dataset = requestDataset.optional(message)
 	if flags&flagHasWorkEstimate != 0 {
-		event.EstimatedWork = milliseconds(workMS)
+		event.EstimatedWork = config.FromMilliseconds(workMS)
 	}
 	event.ClientRetry = flags&flagClientRetry != 0
 	return event
@@ -120,7 +117,7 @@
 		RequestID: fieldRequestID.required(message),
 		Attempt:   int(fieldAttempt.required(message)),
 		Result:    resultCodes[endedResult.required(message)],
-		Elapsed:   milliseconds(endedElapsedMS.required(message)),
+		Elapsed:   config.FromMilliseconds(endedElapsedMS.required(message)),
 		Completed: endedCompleted.required(message),
 	}
 	cost := endedCost.optional(message)
@@ -198,7 +195,7 @@
 		Cell: rowCell.optional(message),
 	}
 	startedMS := rowStartedMS.optional(message)
-	engine.StartedAt = milliseconds(startedMS)
+	engine.StartedAt = config.FromMilliseconds(startedMS)
 	engine.StartKnown = startedMS > 0
 	stateName := rowState.required(message)
 	state, known := engineStates[stateName]
