--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -25,10 +25,10 @@
 func (c *serveCommand) Run(global *cli) error {
 	output := logging.NewAsyncWriter(os.Stderr)
 	defer output.Flush(finalFlushTime)
-	logger, err := logging.New(os.Stderr, logging.Options{
-		Format: global.LogFormat,
-		Level:  global.LogLevel,
-		Writer: output,
+	logger, err := logging.New(output, logging.Options{
+		Format:   global.LogFormat,
+		Level:    global.LogLevel,
+		Terminal: logging.IsTerminal(os.Stderr),
 	})
 	if err != nil {
 		return err
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -25,9 +25,8 @@
 type Options struct {
 	Format string // auto, json or text; auto is text on a terminal and JSON elsewhere
 	Level  string // debug, info, warn or error
-	// Writer receives the lines instead of the file if it is not nil. The file then only selects the
-	// format for auto.
-	Writer io.Writer
+	// Terminal is whether the lines are shown on a terminal (see IsTerminal).
+	Terminal bool
 }
 
 // FormatError reports a log format that does not exist.
@@ -38,34 +37,31 @@
 	return fmt.Sprintf("log format: %q is none of auto, json, text", e.Format)
 }
 
-// New returns a logger that writes to the file. The error is a *FormatError or wraps the error of
+// New returns a logger that writes to the writer. The error is a *FormatError or wraps the error of
 // the level.
-func New(out *os.File, opts Options) (*slog.Logger, error) {
+func New(out io.Writer, opts Options) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(opts.Level)); err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
 	}
-	writer := opts.Writer
-	if writer == nil {
-		writer = out
-	}
-	handler, err := newHandler(writer, opts.Format, level, isTerminal(out))
+	handler, err := newHandler(out, opts, level)
 	if err != nil {
 		return nil, err
 	}
 	return slog.New(newRateLimitHandler(handler, eventsPerSecond, eventBurst)), nil
 }
 
-func newHandler(out io.Writer, format string, level slog.Level, terminal bool) (slog.Handler, error) {
+func newHandler(out io.Writer, opts Options, level slog.Level) (slog.Handler, error) {
+	format := opts.Format
 	if format == formatAuto {
 		format = formatJSON
-		if terminal {
+		if opts.Terminal {
 			format = formatText
 		}
 	}
 	switch format {
 	case formatText:
-		options := &tint.Options{Level: level, TimeFormat: terminalTimeFormat, NoColor: !terminal}
+		options := &tint.Options{Level: level, TimeFormat: terminalTimeFormat, NoColor: !opts.Terminal}
 		return tint.NewTextHandler(out, options), nil
 	case formatJSON:
 		return slog.NewJSONHandler(out, &slog.HandlerOptions{Level: level}), nil
@@ -74,8 +70,8 @@
 	}
 }
 
-// isTerminal reports whether the file is a character device, such as a terminal.
-func isTerminal(f *os.File) bool {
+// IsTerminal reports whether the file is a character device, such as a terminal.
+func IsTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -22,7 +22,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = out.Close() })
-			logger, err := New(out, Options{Format: tc.format, Level: "info"})
+			logger, err := New(out, Options{Format: tc.format, Level: "info", Terminal: IsTerminal(out)})
 			if err != nil {
 				t.Fatal(err)
 			}
