--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -3,7 +3,7 @@
 // too (JSON), the deploy file of the PostgreSQL front end (TOML) and the file of shape settings of
 // the HTTP front end (TOML).
 //
-// Reading has three steps, each in files of its own: decoding into types that have the keys of the
-// file, translation into the types of other packages, and validation. Faults are reported as
+// Reading has three steps, each in files of its own: decoding into types whose tags are the keys of
+// the file, translation into the types of other packages, and validation. Faults are reported as
 // FieldErrors with file, line and field.
 package config
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -60,13 +60,13 @@
 // translate returns the configuration without its settings, and reports invalid fields.
 func (o *platformObject) translate(v *validator) *Platform {
 	v.requireOptionalAddress("listen", o.Listen)
-	v.requireOptionalAddress("bus", o.Bus)
+	v.requireOptionalAddress("bus", o.EventBus)
 	configuration := &Platform{
 		Listen:         o.Listen,
 		Seed:           parseSeed(v, o.Seed),
 		MemoryMB:       int(o.Limits.MemoryMB),
-		MaxDescriptors: int(o.Limits.Sockets),
-		EventBus:       o.Bus,
+		MaxDescriptors: int(o.Limits.MaxDescriptors),
+		EventBus:       o.EventBus,
 	}
 	configuration.LastEvent, configuration.InitialEvents = o.Known.translate(v)
 	return configuration
--- a/internal/config/platform_object.go
+++ b/internal/config/platform_object.go
@@ -17,44 +17,44 @@
 	Listen   string               `json:"listen"`
 	Seed     string               `json:"seed"`
 	Limits   platformLimitsObject `json:"limits"`
-	Bus      string               `json:"bus"`
+	EventBus string               `json:"bus"`
 	Known    knownEventsObject    `json:"known"`
 	Settings *Settings            `json:"settings"`
 }
 
 // platformLimitsObject contains the resource limits of the process.
 type platformLimitsObject struct {
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  float64 `json:"sockets"`
+	MemoryMB       float64 `json:"memory_mb"`
+	MaxDescriptors float64 `json:"sockets"`
 }
 
 // knownEventsObject contains the events of the event bus up to a number.
 type knownEventsObject struct {
-	Offset uint64        `json:"offset"`
-	Batch  []eventObject `json:"batch"`
+	LastEvent uint64        `json:"offset"`
+	Events    []eventObject `json:"batch"`
 }
 
 // eventObject is one event of the event bus.
 type eventObject struct {
-	Offset   uint64         `json:"offset"`
+	Number   uint64         `json:"offset"`
 	Topology topologyObject `json:"topology"`
 }
 
 // topologyObject is a change of the endpoint list, or the complete list.
 type topologyObject struct {
-	All     bool             `json:"all"`
-	Targets []endpointObject `json:"targets"`
+	Complete  bool             `json:"all"`
+	Endpoints []endpointObject `json:"targets"`
 }
 
 // endpointObject is one engine of the endpoint list.
 type endpointObject struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	AZ       string  `json:"az"`
-	Model    string  `json:"model"`
-	PodGroup int64   `json:"pod_group"`
-	State    string  `json:"state"`
-	BootMS   float64 `json:"boot_ms"`
+	ID          string  `json:"uid"`
+	Address     string  `json:"endpoint"`
+	Zone        string  `json:"az"`
+	Kind        string  `json:"model"`
+	Cell        int64   `json:"pod_group"`
+	State       string  `json:"state"`
+	StartTimeMS float64 `json:"boot_ms"` // since the Unix epoch
 }
 
 // endpointStates are the states of engines by their names in the endpoint list.
@@ -67,11 +67,11 @@
 // translate returns the number of the last event and the changes of the endpoint list, and reports
 // invalid fields.
 func (o *knownEventsObject) translate(v *validator) (lastEvent uint64, changes []Event) {
-	lastEvent = o.Offset
-	for i := range o.Batch {
-		event := &o.Batch[i]
+	lastEvent = o.LastEvent
+	for i := range o.Events {
+		event := &o.Events[i]
 		path := fmt.Sprintf("known.batch[%d].topology", i)
-		lastEvent = max(lastEvent, event.Offset)
+		lastEvent = max(lastEvent, event.Number)
 		changes = append(changes, event.Topology.translate(v, path))
 	}
 	return lastEvent, changes
@@ -79,10 +79,10 @@
 
 // translate returns the change of the endpoint list, and reports invalid fields.
 func (o *topologyObject) translate(v *validator, path string) Event {
-	event := Event{Full: o.All}
-	for i := range o.Targets {
+	event := Event{Full: o.Complete}
+	for i := range o.Endpoints {
 		endpointPath := fmt.Sprintf("%s.targets[%d]", path, i)
-		event.Engines = append(event.Engines, o.Targets[i].translate(v, endpointPath))
+		event.Engines = append(event.Engines, o.Endpoints[i].translate(v, endpointPath))
 	}
 	return event
 }
@@ -91,19 +91,19 @@
 func (o *endpointObject) translate(v *validator, path string) lifecycle.Endpoint {
 	state, known := endpointStates[o.State]
 	v.require(known, path+".state", unknownValueText, o.State)
-	v.require(o.UID != "", path+".uid", "missing")
-	v.requireAddress(path+".endpoint", o.Endpoint)
+	v.require(o.ID != "", path+".uid", "missing")
+	v.requireAddress(path+".endpoint", o.Address)
 	endpoint := lifecycle.Endpoint{
-		Address: o.Endpoint,
-		Engine:  policy.Engine{ID: o.UID, Zone: o.AZ, Kind: o.Model, Cell: o.PodGroup, State: state},
+		Address: o.Address,
+		Engine:  policy.Engine{ID: o.ID, Zone: o.Zone, Kind: o.Kind, Cell: o.Cell, State: state},
 	}
-	endpoint.StartedAt, endpoint.StartKnown = bootTime(o.BootMS)
+	endpoint.StartedAt, endpoint.StartKnown = startTime(o.StartTimeMS)
 	return endpoint
 }
 
-// bootTime converts a Unix time in milliseconds into a time of package policy, which has the same
-// origin. Engines that started long ago have none.
-func bootTime(unixMS float64) (at time.Duration, known bool) {
+// startTime converts the start time of an engine into a time of package policy, which has the same
+// origin. The start time 0 means that the engine started long ago; when is unknown.
+func startTime(unixMS float64) (at time.Duration, known bool) {
 	if unixMS <= 0 {
 		return 0, false
 	}
