--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -8,7 +8,6 @@
 	"flaxrelay/internal/discovery/eventbus"
 	"flaxrelay/internal/engine/lineclient"
 	"flaxrelay/internal/frontend/httpserver"
-	"flaxrelay/policy"
 )
 
 // listenAddressVariable is the environment variable that overrides the listen address of the
@@ -34,7 +33,9 @@
 	engines := lineclient.New(s.loop, s.dispatcher, configuration.Settings, s.counters, s.logger)
 	engines.MaxConnections = limits.maxEngineConnections()
 	s.dispatcher.SetEngineClient(engines)
-	s.applyInitialEvents(configuration.InitialEvents)
+	for _, update := range configuration.InitialUpdates {
+		s.dispatcher.UpdateEndpoints(update.Mode, update.Engines)
+	}
 	if configuration.EventBus != "" {
 		watcher := s.watchEventBus(configuration)
 		s.reload = func() error { return reloadEventBus(watcher, configPath) }
@@ -66,17 +67,6 @@
 	return configuration, nil
 }
 
-// applyInitialEvents applies the changes of the endpoint list that the configuration contains.
-func (s *server) applyInitialEvents(events []config.Event) {
-	for _, event := range events {
-		mode := policy.UpdateDelta
-		if event.Full {
-			mode = policy.UpdateFull
-		}
-		s.dispatcher.UpdateEndpoints(mode, event.Engines)
-	}
-}
-
 // watchEventBus starts a watcher of the event bus, which follows it from the last event of the
 // configuration.
 func (s *server) watchEventBus(configuration *config.Platform) *eventbus.Watcher {
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -181,7 +181,7 @@
 	text := `{"name": "n", "listen": "127.0.0.1:1", "seed": "ff", "limits": {"memory_mb": 2, "sockets": 3},
 "bus": "127.0.0.1:4", "known": {"offset": 5, "batch": [{"offset": 6, "topology": {"all": true, "targets": [
 {"uid": "u", "endpoint": "127.0.0.1:7", "az": "a", "model": "m", "pod_group": 8, "state": "terminating", "boot_ms": 9}
-]}}]}, "settings": ` + completeSettings + `}`
+]}}, {"topology": {"all": false}}]}, "settings": ` + completeSettings + `}`
 	got, err := parsePlatform([]byte(text), "configuration")
 	if err != nil {
 		t.Fatal(err)
@@ -193,8 +193,11 @@
 	want := &Platform{
 		Listen: "127.0.0.1:1", Seed: 255, MemoryMB: 2, MaxDescriptors: 3,
 		EventBus: "127.0.0.1:4", LastEvent: 6,
-		InitialEvents: []Event{{Full: true, Engines: []lifecycle.Endpoint{engine}}},
-		Settings:      decodedSettings(),
+		InitialUpdates: []EndpointUpdate{
+			{Mode: policy.UpdateFull, Engines: []lifecycle.Endpoint{engine}},
+			{Mode: policy.UpdateDelta},
+		},
+		Settings: decodedSettings(),
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -6,6 +6,7 @@
 	"strconv"
 
 	"flaxrelay/internal/lifecycle"
+	"flaxrelay/policy"
 )
 
 // Platform is the platform's configuration of the HTTP front end.
@@ -15,14 +16,14 @@
 	MemoryMB       int
 	MaxDescriptors int
 	EventBus       string
-	LastEvent      uint64  // number of the last known event
-	InitialEvents  []Event // changes of the endpoint list up to the last known event
+	LastEvent      uint64           // number of the last known event
+	InitialUpdates []EndpointUpdate // of the endpoint list, up to the last known event
 	Settings       Settings
 }
 
-// Event is a change of the endpoint list.
-type Event struct {
-	Full    bool // the engines are the complete list; otherwise only those that changed
+// EndpointUpdate is a change of the endpoint list.
+type EndpointUpdate struct {
+	Mode    policy.UpdateMode // UpdateFull or UpdateDelta
 	Engines []lifecycle.Endpoint
 }
 
@@ -68,7 +69,7 @@
 		MaxDescriptors: int(o.Limits.MaxDescriptors),
 		EventBus:       o.EventBus,
 	}
-	configuration.LastEvent, configuration.InitialEvents = o.Known.translate(v)
+	configuration.LastEvent, configuration.InitialUpdates = o.Known.translate(v)
 	return configuration
 }
 
--- a/internal/config/platform_object.go
+++ b/internal/config/platform_object.go
@@ -66,25 +66,28 @@
 
 // translate returns the number of the last event and the changes of the endpoint list, and reports
 // invalid fields.
-func (o *knownEventsObject) translate(v *validator) (lastEvent uint64, changes []Event) {
+func (o *knownEventsObject) translate(v *validator) (lastEvent uint64, updates []EndpointUpdate) {
 	lastEvent = o.LastEvent
 	for i := range o.Events {
 		event := &o.Events[i]
 		path := fmt.Sprintf("known.batch[%d].topology", i)
 		lastEvent = max(lastEvent, event.Number)
-		changes = append(changes, event.Topology.translate(v, path))
+		updates = append(updates, event.Topology.translate(v, path))
 	}
-	return lastEvent, changes
+	return lastEvent, updates
 }
 
 // translate returns the change of the endpoint list, and reports invalid fields.
-func (o *topologyObject) translate(v *validator, path string) Event {
-	event := Event{Full: o.Complete}
+func (o *topologyObject) translate(v *validator, path string) EndpointUpdate {
+	update := EndpointUpdate{Mode: policy.UpdateDelta}
+	if o.Complete {
+		update.Mode = policy.UpdateFull
+	}
 	for i := range o.Endpoints {
 		endpointPath := fmt.Sprintf("%s.targets[%d]", path, i)
-		event.Engines = append(event.Engines, o.Endpoints[i].translate(v, endpointPath))
+		update.Engines = append(update.Engines, o.Endpoints[i].translate(v, endpointPath))
 	}
-	return event
+	return update
 }
 
 // translate returns the endpoint, and reports invalid fields.
--- a/internal/config/validation_test.go
+++ b/internal/config/validation_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	engine := configuration.InitialEvents[0].Engines[0]
+	engine := configuration.InitialUpdates[0].Engines[0]
 	if engine.ID != "s-00000001" || engine.State != policy.EngineReady || engine.StartKnown {
 		t.Errorf("the engine is %+v", engine)
 	}
