--- a/cmd/flaxrelay/reload.go
+++ b/cmd/flaxrelay/reload.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// reloadRetryTime limits the time, from SIGHUP, during which a reload is retried whose file could
-	// not be read. It is below 4 s: from then on, the rules treat events of a new event bus as received.
+	// reloadRetryTime is the time from SIGHUP during which a reload is retried if its file cannot be
+	// read. It must be less than 4 s, after which the events of a new event bus count as received.
 	reloadRetryTime = 3 * time.Second
 	// reloadRetryDelay is the time before each retry.
 	reloadRetryDelay = 50 * time.Millisecond
--- a/internal/config/settings_policy.go
+++ b/internal/config/settings_policy.go
@@ -27,7 +27,7 @@
 	"all":  policy.ScopeAll,
 	"zone": policy.ScopeZone,
 	"cell": policy.ScopeCell,
-	"":     policy.ScopeCell,
+	"":     policy.ScopeCell, // the default
 }
 
 // memoryShortages are the behaviours of engines that are short of memory, by their names in the
@@ -36,7 +36,7 @@
 	"queue": policy.ShortageQueue,
 	"trim":  policy.ShortageTrim,
 	"swap":  policy.ShortageSwap,
-	"":      policy.ShortageQueue,
+	"":      policy.ShortageQueue, // the default
 }
 
 // lookUp translates the value of a field. It returns a FieldError if the table does not contain the
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -16,7 +16,8 @@
 	Enabled bool `toml:"enabled"`
 	// MemoryKB limits the size of the cache of shapes. It must be at most a quarter of memory_mb.
 	MemoryKB int `toml:"memory_kb"`
-	// Hysteresis is the factor beyond the limit of its class at which a shape changes class.
+	// Hysteresis is the factor by which the expected cost of a shape must pass the limit between two
+	// classes before the shape changes its class.
 	Hysteresis float64 `toml:"hysteresis"`
 	// CorrectEstimates replaces the estimates of clients by expected costs.
 	CorrectEstimates bool `toml:"correct_estimates"`
--- a/internal/config/shapes_validate.go
+++ b/internal/config/shapes_validate.go
@@ -15,7 +15,7 @@
 	maxShapesKB     = 1 << 20
 	defaultShapesKB = 2048
 
-	minHysteresis = 1 // a shape changes class at the limit itself
+	minHysteresis = 1 // no hysteresis: a shape changes its class at the limit itself
 	maxHysteresis = 10
 
 	minSnapshotSeconds     = 10
--- a/internal/discovery/consul/client_test.go
+++ b/internal/discovery/consul/client_test.go
@@ -19,15 +19,17 @@
 		body   string
 		match  func(error) bool
 	}{
-		{"status", http.StatusInternalServerError, "1", strings.Repeat("é", 2*maxErrorText), func(err error) bool {
+		{"status 500", http.StatusInternalServerError, "1", strings.Repeat("é", 2*maxErrorText), func(err error) bool {
 			var statusErr *statusError
 			return errors.As(err, &statusErr) && statusErr.Body == strings.Repeat("é", maxErrorText)
 		}},
-		{"too large", http.StatusOK, "1", strings.Repeat(" ", maxResponseSize+1), func(err error) bool {
+		{"body too large", http.StatusOK, "1", strings.Repeat(" ", maxResponseSize+1), func(err error) bool {
 			return errors.Is(err, errResponseTooLarge)
 		}},
-		{"index", http.StatusOK, "x", "[]", func(err error) bool { return errors.Is(err, strconv.ErrSyntax) }},
-		{"body", http.StatusOK, "1", "{", func(err error) bool {
+		{"malformed index", http.StatusOK, "x", "[]", func(err error) bool {
+			return errors.Is(err, strconv.ErrSyntax)
+		}},
+		{"malformed body", http.StatusOK, "1", "{", func(err error) bool {
 			var syntaxErr *json.SyntaxError
 			return errors.As(err, &syntaxErr)
 		}},
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -27,14 +27,14 @@
 	healthPath  = "/v1/health/service/"
 )
 
-// Options are the service to watch, and defaults for engines without such metadata. They come from
-// the deploy file.
+// Options name the service to watch, and set the zone and the kind of engines whose metadata have none.
+// They come from the deploy file.
 type Options struct {
 	Address string // host:port of the HTTP API
 	Service string
 	Token   string // ACL token; "": none
-	Zone    string // default zone
-	Kind    string // default kind
+	Zone    string // the default zone
+	Kind    string // the default kind
 }
 
 // Watcher follows one service. The catalogue lists the registered engines and their addresses; the
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -241,9 +241,9 @@
 	}
 }
 
-// onPartialFrame restarts the idle timer when a part of a frame arrives, because the bus is alive.
-// After maxFrameTimeouts it no longer does, so that the idle timer ends a connection on which a frame
-// never ends.
+// onPartialFrame restarts the idle timer when a part of a frame arrives, because the bus is alive. It
+// no longer does so maxFrameTimeouts idle timeouts after the first part, so that a frame that never
+// ends does not keep the connection open.
 func (w *Watcher) onPartialFrame() {
 	now := w.loop.Now()
 	if w.partialSince == 0 {
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -51,7 +51,7 @@
 		message.fail(endpointsMode.name, "unknown mode %q", modeName)
 		return nil
 	}
-	if mode == policy.UpdateFailed { // without a list
+	if mode == policy.UpdateFailed { // the message has no table
 		return policy.EndpointsChanged{Mode: mode}
 	}
 	table := h.decodeTableNumber(message, endpointsTable)
