--- a/cmd/flaxrelay/client_test.go
+++ b/cmd/flaxrelay/client_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"strings"
 	"testing"
 	"time"
 )
@@ -73,6 +74,34 @@
 	return status
 }
 
+// lookupTimeout limits the time of lookupOnce.
+const lookupTimeout = 2200 * time.Millisecond
+
+// lookupOnce sends one request on a connection of its own and returns the status of the response.
+func lookupOnce(address, requestID string) (status string, err error) {
+	conn, err := net.DialTimeout("tcp", address, lookupTimeout)
+	if err != nil {
+		return "", err
+	}
+	defer closeQuietly(conn)
+	if err := conn.SetDeadline(time.Now().Add(lookupTimeout)); err != nil {
+		return "", err
+	}
+	request := strings.Replace(lookupRequest(requestID), "Req-Wait-Ms: 6000", "Req-Wait-Ms: 1500", 1)
+	if _, err := io.WriteString(conn, request); err != nil {
+		return "", fmt.Errorf("send the request: %w", err)
+	}
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return "", fmt.Errorf("read the response: %w", err)
+	}
+	defer closeQuietly(response.Body)
+	if _, err := io.ReadAll(response.Body); err != nil {
+		return "", fmt.Errorf("read the body: %w", err)
+	}
+	return response.Status, nil
+}
+
 // dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
--- a/cmd/flaxrelay/process_test.go
+++ b/cmd/flaxrelay/process_test.go
@@ -8,6 +8,7 @@
 	"os/exec"
 	"regexp"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -117,3 +118,12 @@
 		p.t.Errorf("the program ended with %v", err)
 	}
 }
+
+// shutDown shuts the process down and checks that it prints the text and ends without a failure.
+func (p *process) shutDown(text string) {
+	p.t.Helper()
+	p.signal(syscall.SIGTERM)
+	p.awaitLog(text)
+	p.drainLog()
+	p.wait()
+}
--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -45,15 +45,6 @@
 	return listener.Addr().String(), received
 }
 
-// shutDown shuts the process down and checks that it prints the text and ends without a failure.
-func (p *process) shutDown(text string) {
-	p.t.Helper()
-	p.signal(syscall.SIGTERM)
-	p.awaitLog(text)
-	p.drainLog()
-	p.wait()
-}
-
 // configWithBus returns the example configuration with an event bus.
 func configWithBus(t *testing.T, address string) string {
 	t.Helper()
--- a/cmd/flaxrelay/syscalls_test.go
+++ b/cmd/flaxrelay/syscalls_test.go
@@ -1,11 +1,7 @@
 package main
 
 import (
-	"bufio"
 	"fmt"
-	"io"
-	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
@@ -17,9 +13,6 @@
 	"flaxrelay/internal/lab/syscallfault"
 )
 
-// clientTimeout is how long a client of a faulty process waits for a response.
-const clientTimeout = 2200 * time.Millisecond
-
 // startFaulty runs the calling test, which must call serveInChild, in a traced process of its own with
 // one engine. It returns the process and the address of its listener.
 func startFaulty(
@@ -54,31 +47,6 @@
 	return nil, ""
 }
 
-// lookupOnce sends one request on a connection of its own and returns the status of the response.
-func lookupOnce(address, requestID string) (status string, err error) {
-	conn, err := net.DialTimeout("tcp", address, clientTimeout)
-	if err != nil {
-		return "", err
-	}
-	defer closeQuietly(conn)
-	if err := conn.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
-		return "", err
-	}
-	request := strings.Replace(lookupRequest(requestID), "Req-Wait-Ms: 6000", "Req-Wait-Ms: 1500", 1)
-	if _, err := io.WriteString(conn, request); err != nil {
-		return "", fmt.Errorf("send the request: %w", err)
-	}
-	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
-	if err != nil {
-		return "", fmt.Errorf("read the response: %w", err)
-	}
-	defer closeQuietly(response.Body)
-	if _, err := io.ReadAll(response.Body); err != nil {
-		return "", fmt.Errorf("read the body: %w", err)
-	}
-	return response.Status, nil
-}
-
 // System calls of the front end are cut short, interrupted or fail. None of these faults excuses a
 // missing response.
 func TestFaultySystemCalls_EveryRequestIsServed(t *testing.T) {
