--- a/cmd/flaxrelay/metrics.go
+++ b/cmd/flaxrelay/metrics.go
@@ -11,20 +11,22 @@
 // enough for the log to show how the counters changed right before a fault.
 const metricsReportInterval = 5 * time.Second
 
-// scheduleMetricsReport sets the timer of the next report.
+// scheduleMetricsReport sets the timer of the next report. Before each report, the invariants of pending
+// requests are checked, so that it contains their violations.
 func (s *server) scheduleMetricsReport() {
-	s.loop.Timers.Schedule(s.loop.Now()+metricsReportInterval, s.reportMetrics)
+	s.loop.Timers.Schedule(s.loop.Now()+metricsReportInterval, func() {
+		s.dispatcher.CheckPending()
+		s.reportMetrics()
+		s.scheduleMetricsReport()
+	})
 }
 
-// reportMetrics logs the counters that have changed since the previous report and schedules the next
-// report. It also checks the invariants of pending requests.
+// reportMetrics logs the counters that have changed since the previous report.
 func (s *server) reportMetrics() {
-	s.dispatcher.CheckPending()
 	s.publishDropped()
 	if changes := s.counters.Deltas(); len(changes) > 0 {
 		logevent.MetricsDelta.Log(s.logger, changes...)
 	}
-	s.scheduleMetricsReport()
 }
 
 // publishDropped sets the counter of dropped log lines.
