--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -11,11 +11,11 @@
 
 // Platform is the platform's configuration of the HTTP front end.
 type Platform struct {
-	Listen         string
-	Seed           uint64
-	MemoryMB       int
-	MaxDescriptors int
-	EventBus       string
+	Listen         string           // address for clients; "": none is given
+	Seed           uint64           // of the balancer's random numbers
+	MemoryMB       int              // limit on memory; 0: none is given
+	MaxDescriptors int              // limit on descriptors; 0: none is given
+	EventBus       string           // address of the event bus; "": the endpoint list does not change
 	LastEvent      uint64           // number of the last known event
 	InitialUpdates []EndpointUpdate // of the endpoint list, up to the last known event
 	Settings       Settings
