--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -38,8 +38,10 @@
 			if _, err := io.ReadFull(conn, lastEvent); err != nil {
 				continue
 			}
+			// The event is sent before the test learns of the subscription, so that a reload cannot precede
+			// it. The front end may have disconnected already.
+			_, _ = conn.Write(event)
 			received <- binary.BigEndian.Uint64(lastEvent)
-			_, _ = conn.Write(event) // the front end may have disconnected already
 		}
 	}()
 	return listener.Addr().String(), received
