--- a/internal/lab/syscallfault/faults.go
+++ b/internal/lab/syscallfault/faults.go
@@ -16,7 +16,6 @@
 	InterruptWrite float64 // writes to sockets return EINTR
 	ShortRead      float64 // reads from sockets return at most ShortLength bytes
 	InterruptRead  float64 // reads from sockets return EINTR
-	ResetRead      float64 // reads from sockets return ETIMEDOUT or EHOSTUNREACH
 	InterruptWait  float64 // waits of epoll return EINTR
 	FailAccept     float64 // accept returns ECONNABORTED, ENFILE, EMFILE, ENOBUFS or EINTR
 	FailSocket     float64 // socket returns ENFILE, EMFILE or ENOBUFS
@@ -41,7 +40,6 @@
 	KindInterruptWrite Kind = "interrupted-write"
 	KindShortRead      Kind = "short-read"
 	KindInterruptRead  Kind = "interrupted-read"
-	KindResetRead      Kind = "reset-read"
 	KindInterruptWait  Kind = "interrupted-wait"
 	KindAccept         Kind = "accept"
 	KindSocket         Kind = "socket"
@@ -56,7 +54,6 @@
 	acceptErrors  = []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EINTR}
 	socketErrors  = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS}
 	connectErrors = []unix.Errno{unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.ENOBUFS}
-	readErrors    = []unix.Errno{unix.ETIMEDOUT, unix.EHOSTUNREACH}
 	fileErrors    = []unix.Errno{unix.ENOSPC, unix.EIO}
 )
 
@@ -175,8 +172,6 @@
 		return outcome{length: i.shortLength(length)}
 	case i.draw(i.faults.InterruptRead, KindInterruptRead):
 		return outcome{err: unix.EINTR}
-	case i.draw(i.faults.ResetRead, KindResetRead):
-		return i.oneOf(readErrors)
 	}
 	return outcome{}
 }
