--- a/internal/lab/syscallfault/faults.go
+++ b/internal/lab/syscallfault/faults.go
@@ -84,8 +84,17 @@
 	return maps.Clone(i.counts)
 }
 
-// outcome is the decision on one call. The zero value makes the call as it is.
-type outcome struct {
+// descriptorKind is what the file descriptor of a call refers to.
+type descriptorKind int
+
+const (
+	descriptorOther descriptorKind = iota // no file descriptor, or one that has no faults
+	descriptorSocket
+	descriptorFile // a regular file
+)
+
+// decision is what happens to one call. The zero value leaves the call unchanged.
+type decision struct {
 	err    unix.Errno // the call is not made and returns this; 0: it is made
 	length int        // the call is made with this length; 0: with its own
 }
@@ -99,49 +108,44 @@
 	return true
 }
 
-// oneOf draws one error. The caller must hold mu.
-func (i *injector) oneOf(errors []unix.Errno) outcome {
-	return outcome{err: errors[i.random.IntN(len(errors))]}
+// failWithOneOf draws the error that a call returns. The caller must hold mu.
+func (i *injector) failWithOneOf(errors []unix.Errno) decision {
+	return decision{err: errors[i.random.IntN(len(errors))]}
 }
 
-// decide returns the outcome of one system call. isFile means that its descriptor is that of a regular
-// file.
-func (i *injector) decide(number uint64, length int, isFile bool) outcome {
+// decide decides on one system call. Its descriptor and length matter only for reads and writes.
+func (i *injector) decide(number uint64, descriptor descriptorKind, length int) decision {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	switch number {
 	case unix.SYS_WRITE:
-		if isFile {
-			return i.fileWrite(length)
-		}
-		return i.socketWrite(length)
+		return i.decideWrite(descriptor, length)
 	case unix.SYS_READ:
-		if isFile {
-			return outcome{}
+		if descriptor == descriptorSocket {
+			return i.decideSocketRead(length)
 		}
-		return i.socketRead(length)
 	case unix.SYS_FSYNC:
 		if i.draw(i.faults.FailFile, KindFile) {
-			return i.oneOf(fileErrors)
+			return i.failWithOneOf(fileErrors)
 		}
 	case unix.SYS_EPOLL_WAIT, unix.SYS_EPOLL_PWAIT:
 		if i.draw(i.faults.InterruptWait, KindInterruptWait) {
-			return outcome{err: unix.EINTR}
+			return decision{err: unix.EINTR}
 		}
 	case unix.SYS_ACCEPT4:
 		if i.draw(i.faults.FailAccept, KindAccept) {
-			return i.oneOf(acceptErrors)
+			return i.failWithOneOf(acceptErrors)
 		}
 	case unix.SYS_SOCKET:
 		if i.draw(i.faults.FailSocket, KindSocket) {
-			return i.oneOf(socketErrors)
+			return i.failWithOneOf(socketErrors)
 		}
 	case unix.SYS_CONNECT:
 		if i.draw(i.faults.FailConnect, KindConnect) {
-			return i.oneOf(connectErrors)
+			return i.failWithOneOf(connectErrors)
 		}
 	}
-	return outcome{}
+	return decision{}
 }
 
 // shortLength returns the length of a short call, which is at least 1 and less than length. The caller
@@ -154,37 +158,49 @@
 	return min(limit, length-1)
 }
 
-// socketWrite decides on a write to a socket. The caller must hold mu.
-func (i *injector) socketWrite(length int) outcome {
+// decideWrite decides on a write. The caller must hold mu.
+func (i *injector) decideWrite(descriptor descriptorKind, length int) decision {
+	switch descriptor {
+	case descriptorSocket:
+		return i.decideSocketWrite(length)
+	case descriptorFile:
+		return i.decideFileWrite(length)
+	case descriptorOther:
+	}
+	return decision{}
+}
+
+// decideSocketWrite decides on a write to a socket. The caller must hold mu.
+func (i *injector) decideSocketWrite(length int) decision {
 	switch {
 	case length > 1 && i.draw(i.faults.ShortWrite, KindShortWrite):
-		return outcome{length: i.shortLength(length)}
+		return decision{length: i.shortLength(length)}
 	case i.draw(i.faults.InterruptWrite, KindInterruptWrite):
-		return outcome{err: unix.EINTR}
+		return decision{err: unix.EINTR}
 	}
-	return outcome{}
+	return decision{}
 }
 
-// socketRead decides on a read from a socket. The caller must hold mu.
-func (i *injector) socketRead(length int) outcome {
+// decideSocketRead decides on a read from a socket. The caller must hold mu.
+func (i *injector) decideSocketRead(length int) decision {
 	switch {
 	case length > 1 && i.draw(i.faults.ShortRead, KindShortRead):
-		return outcome{length: i.shortLength(length)}
+		return decision{length: i.shortLength(length)}
 	case i.draw(i.faults.InterruptRead, KindInterruptRead):
-		return outcome{err: unix.EINTR}
+		return decision{err: unix.EINTR}
 	}
-	return outcome{}
+	return decision{}
 }
 
-// fileWrite decides on a write to a file. The caller must hold mu.
-func (i *injector) fileWrite(length int) outcome {
+// decideFileWrite decides on a write to a file. The caller must hold mu.
+func (i *injector) decideFileWrite(length int) decision {
 	switch {
 	case i.draw(i.faults.FailFile, KindFile):
-		return i.oneOf(fileErrors)
+		return i.failWithOneOf(fileErrors)
 	case length > 1 && i.draw(i.faults.TornFile, KindTornFile):
-		return outcome{length: length / 2}
+		return decision{length: length / 2}
 	}
-	return outcome{}
+	return decision{}
 }
 
 // wallClock returns the time that the program reads. It counts the read if the clock is stepped.
--- a/internal/lab/syscallfault/tracer.go
+++ b/internal/lab/syscallfault/tracer.go
@@ -6,25 +6,12 @@
 	"fmt"
 	"os"
 	"runtime"
-	"slices"
 	"strings"
 	"syscall"
 
 	"golang.org/x/sys/unix"
 )
 
-// auxvVDSO is the entry of the auxiliary vector that holds the address of the vDSO.
-const auxvVDSO = 33
-
-// wordSize is the size of a word of the traced program in bytes.
-const wordSize = 8
-
-// syscallInstruction is the instruction that makes a system call.
-var syscallInstruction = []byte{0x0f, 0x05}
-
-// redZone is the size in bytes of the area below the stack pointer that may contain data.
-const redZone = 4096
-
 // Process is a traced program. Its exported methods are safe for concurrent use. The unexported methods
 // must be called on the thread of the tracer.
 type Process struct {
@@ -96,160 +83,6 @@
 	p.err = p.run()
 }
 
-// prepare installs the filter in the program, which is stopped at its first instruction, and continues
-// it.
-func (p *Process) prepare() error {
-	var status syscall.WaitStatus
-	if _, err := syscall.Wait4(p.pid, &status, syscall.WALL, nil); err != nil {
-		return fmt.Errorf("wait: %w", err)
-	}
-	if !status.Stopped() {
-		return fmt.Errorf("not stopped at its start: status %#x", int(status))
-	}
-	const options = syscall.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_EXITKILL
-	if err := syscall.PtraceSetOptions(p.pid, options); err != nil {
-		return fmt.Errorf("set options: %w", err)
-	}
-	if err := p.hideVDSO(); err != nil {
-		return err
-	}
-	if err := p.installFilter(); err != nil {
-		return err
-	}
-	if err := syscall.PtraceCont(p.pid, 0); err != nil {
-		return fmt.Errorf("continue: %w", err)
-	}
-	return nil
-}
-
-// hideVDSO removes the vDSO from the auxiliary vector, so that the program reads its clocks by
-// system calls.
-func (p *Process) hideVDSO() error {
-	var registers syscall.PtraceRegs
-	if err := syscall.PtraceGetRegs(p.pid, &registers); err != nil {
-		return fmt.Errorf("read registers: %w", err)
-	}
-	argumentCount, err := p.peekWord(registers.Rsp)
-	if err != nil {
-		return err
-	}
-	// The arguments and the environment follow the count, each with a zero word after it.
-	address := uintptr(registers.Rsp) + wordSize*uintptr(argumentCount+2)
-	for {
-		word, err := p.peekWord(uint64(address))
-		if err != nil {
-			return err
-		}
-		address += wordSize
-		if word == 0 {
-			break
-		}
-	}
-	for ; ; address += 2 * wordSize {
-		entry, err := p.peekWord(uint64(address))
-		if err != nil {
-			return err
-		}
-		switch entry {
-		case 0:
-			return nil
-		case auxvVDSO:
-			const ignored = 1 // AT_IGNORE
-			return p.poke(uint64(address), binary.LittleEndian.AppendUint64(nil, ignored))
-		}
-	}
-}
-
-func (p *Process) peekWord(address uint64) (uint64, error) {
-	word := make([]byte, wordSize)
-	if _, err := syscall.PtracePeekData(p.pid, uintptr(address), word); err != nil {
-		return 0, fmt.Errorf("read memory: %w", err)
-	}
-	return binary.LittleEndian.Uint64(word), nil
-}
-
-func (p *Process) poke(address uint64, data []byte) error {
-	if _, err := syscall.PtracePokeData(p.pid, uintptr(address), data); err != nil {
-		return fmt.Errorf("write memory: %w", err)
-	}
-	return nil
-}
-
-// installFilter makes the program execute the two system calls that install the filter. For that time, a
-// system call instruction replaces the program's first instruction.
-func (p *Process) installFilter() error {
-	var registers syscall.PtraceRegs
-	if err := syscall.PtraceGetRegs(p.pid, &registers); err != nil {
-		return fmt.Errorf("read registers: %w", err)
-	}
-	code := make([]byte, wordSize)
-	if _, err := syscall.PtracePeekText(p.pid, uintptr(registers.Rip), code); err != nil {
-		return fmt.Errorf("read code: %w", err)
-	}
-	patched := slices.Concat(syscallInstruction, code[len(syscallInstruction):])
-	if _, err := syscall.PtracePokeText(p.pid, uintptr(registers.Rip), patched); err != nil {
-		return fmt.Errorf("write code: %w", err)
-	}
-	program := filterProgram()
-	programAddress := (registers.Rsp - redZone) &^ (wordSize - 1)
-	headerAddress := programAddress - 2*wordSize // struct sock_fprog
-	header := binary.LittleEndian.AppendUint64(nil, uint64(len(program)/instructionSize))
-	header = binary.LittleEndian.AppendUint64(header, programAddress)
-	if err := errors.Join(p.poke(programAddress, program), p.poke(headerAddress, header)); err != nil {
-		return err
-	}
-	noNewPrivileges := systemCall{number: unix.SYS_PRCTL, arguments: [3]uint64{unix.PR_SET_NO_NEW_PRIVS, 1}}
-	if err := p.injectCall(registers, noNewPrivileges); err != nil {
-		return fmt.Errorf("set no_new_privs: %w", err)
-	}
-	setFilter := systemCall{
-		number: unix.SYS_SECCOMP, arguments: [3]uint64{unix.SECCOMP_SET_MODE_FILTER, 0, headerAddress},
-	}
-	if err := p.injectCall(registers, setFilter); err != nil {
-		return fmt.Errorf("install the filter: %w", err)
-	}
-	if _, err := syscall.PtracePokeText(p.pid, uintptr(registers.Rip), code); err != nil {
-		return fmt.Errorf("restore code: %w", err)
-	}
-	if err := syscall.PtraceSetRegs(p.pid, &registers); err != nil {
-		return fmt.Errorf("restore registers: %w", err)
-	}
-	return nil
-}
-
-// systemCall is a system call that the program is made to execute. Its other arguments are 0.
-type systemCall struct {
-	number    uint64
-	arguments [3]uint64
-}
-
-// injectCall makes the program execute one system call at its current instruction, with the given
-// registers.
-func (p *Process) injectCall(registers syscall.PtraceRegs, call systemCall) error {
-	registers.Rax = call.number
-	registers.Rdi = call.arguments[0]
-	registers.Rsi = call.arguments[1]
-	registers.Rdx = call.arguments[2]
-	registers.R10 = 0
-	registers.R8 = 0
-	if err := syscall.PtraceSetRegs(p.pid, &registers); err != nil {
-		return fmt.Errorf("write registers: %w", err)
-	}
-	if err := syscall.PtraceSingleStep(p.pid); err != nil {
-		return fmt.Errorf("single step: %w", err)
-	}
-	if _, err := syscall.Wait4(p.pid, nil, syscall.WALL, nil); err != nil {
-		return fmt.Errorf("wait: %w", err)
-	}
-	if err := syscall.PtraceGetRegs(p.pid, &registers); err != nil {
-		return fmt.Errorf("read registers: %w", err)
-	}
-	if result := int64(registers.Rax); result < 0 {
-		return fmt.Errorf("system call %d: %w", call.number, syscall.Errno(-result))
-	}
-	return nil
-}
-
 // run handles the stops of the program's threads until the program has ended.
 func (p *Process) run() error {
 	for {
@@ -276,7 +109,7 @@
 func (p *Process) resume(thread int, status syscall.WaitStatus) {
 	signal := status.StopSignal()
 	switch {
-	case signal == syscall.SIGTRAP && status>>16 == unix.PTRACE_EVENT_SECCOMP:
+	case status.TrapCause() == unix.PTRACE_EVENT_SECCOMP:
 		p.handleCall(thread)
 		signal = 0
 	case signal == syscall.SIGTRAP, signal == syscall.SIGSTOP: // a new thread
@@ -291,34 +124,45 @@
 	if syscall.PtraceGetRegs(thread, &registers) != nil {
 		return
 	}
-	if registers.Orig_rax == unix.SYS_CLOCK_GETTIME {
+	number := registers.Orig_rax
+	if number == unix.SYS_CLOCK_GETTIME {
 		p.returnWallClock(thread, &registers)
 		return
 	}
-	isTransfer := registers.Orig_rax == unix.SYS_READ || registers.Orig_rax == unix.SYS_WRITE
-	isFile := false
-	if isTransfer {
-		target, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", p.pid, registers.Rdi))
-		if err != nil {
-			return
-		}
-		isFile = strings.HasPrefix(target, "/") && !strings.HasPrefix(target, "/dev/")
-		if !isFile && !strings.HasPrefix(target, "socket:") || registers.Rdi <= uint64(syscall.Stderr) {
-			return // a pipe, a counter of events or the log
-		}
+	descriptor := descriptorOther
+	if number == unix.SYS_READ || number == unix.SYS_WRITE {
+		descriptor = p.descriptorKind(registers.Rdi)
 	}
-	switch o := p.injector.decide(registers.Orig_rax, int(registers.Rdx), isFile); {
-	case o.err != 0:
-		skipCall(thread, &registers, -int64(o.err))
-	case o.length > 0:
-		registers.Rdx = uint64(o.length)
+	switch d := p.injector.decide(number, descriptor, int(registers.Rdx)); {
+	case d.err != 0:
+		skipCall(thread, &registers, -int64(d.err))
+	case d.length > 0:
+		registers.Rdx = uint64(d.length)
 		_ = syscall.PtraceSetRegs(thread, &registers)
 	}
 }
 
+// descriptorKind returns what a file descriptor of the program refers to. Standard output and error, which
+// are the program's log, count as descriptorOther.
+func (p *Process) descriptorKind(descriptor uint64) descriptorKind {
+	if descriptor <= uint64(syscall.Stderr) {
+		return descriptorOther
+	}
+	target, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", p.pid, descriptor))
+	switch {
+	case err != nil:
+		return descriptorOther
+	case strings.HasPrefix(target, "socket:"):
+		return descriptorSocket
+	case strings.HasPrefix(target, "/") && !strings.HasPrefix(target, "/dev/"):
+		return descriptorFile
+	}
+	return descriptorOther
+}
+
 // skipCall makes the call return a result without executing it.
 func skipCall(thread int, registers *syscall.PtraceRegs, result int64) {
-	registers.Orig_rax = ^uint64(0)
+	registers.Orig_rax = ^uint64(0) // no call has this number, so that the kernel executes none
 	registers.Rax = uint64(result)
 	_ = syscall.PtraceSetRegs(thread, registers)
 }
