--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -19,6 +19,9 @@
 // oidText is the object id of PostgreSQL's type for text.
 const oidText = 25
 
+// serverDataRow is the kind of a DataRow. pgproto does not name it, because front ends forward rows unparsed.
+const serverDataRow byte = 'D'
+
 // rowDescription is the body of a RowDescription with one column of text.
 var rowDescription = slices.Concat(
 	[]byte{0, 1}, pgproto.CString("asked"), // one column, with its name
@@ -111,12 +114,17 @@
 
 func (c *postgresConnection) queueStartupResponse() {
 	const (
-		processNumber = 1
-		secret        = 1
+		authenticationOK = 0
+		processNumber    = 1
+		secret           = 1
 	)
-	c.queue('R', pgproto.Int32(0))
-	c.queue('K', pgproto.Int32(processNumber), pgproto.Int32(secret))
-	c.queue('Z', []byte("I"))
+	c.queue(pgproto.ServerAuthentication, pgproto.Int32(authenticationOK))
+	c.queue(pgproto.ServerBackendKeyData, pgproto.Int32(processNumber), pgproto.Int32(secret))
+	c.queueReadyForQuery()
+}
+
+func (c *postgresConnection) queueReadyForQuery() {
+	c.queue(pgproto.ServerReadyForQuery, []byte{pgproto.TransactionIdle})
 }
 
 // queue adds a message to the unsent ones.
@@ -137,29 +145,29 @@
 func (c *postgresConnection) respond(kind byte, body []byte) {
 	r := pgproto.Reader{Unread: body}
 	switch kind {
-	case 'P':
+	case pgproto.ClientParse:
 		name := r.CString()
 		c.query = r.CString()
 		c.prepared[name] = c.query
 		c.log.Info("request received", "statement", abbreviate(c.query))
-		c.queue('1')
-	case 'B':
+		c.queue(pgproto.ServerParseComplete)
+	case pgproto.ClientBind:
 		r.CString() // the portal
 		c.query = c.prepared[r.CString()]
-		c.queue('2')
-	case 'D':
-		if r.Byte() == 'S' {
+		c.queue(pgproto.ServerBindComplete)
+	case pgproto.ClientDescribe:
+		if r.Byte() == pgproto.TargetStatement {
 			c.query = c.prepared[r.CString()]
-			c.queue('t', parameterDescription(c.query))
+			c.queue(pgproto.ServerParameterDescription, parameterDescription(c.query))
 		}
-		c.queue('T', rowDescription)
-	case 'E':
+		c.queue(pgproto.ServerRowDescription, rowDescription)
+	case pgproto.ClientExecute:
 		took, _ := c.work(c.query)
 		time.Sleep(took)
-		c.queue('D', []byte{0, 1}, pgproto.Int32(len(c.query)), []byte(c.query))
-		c.queue('C', pgproto.CString("SELECT 1"))
-	case 'S':
-		c.queue('Z', []byte("I"))
+		c.queue(serverDataRow, []byte{0, 1}, pgproto.Int32(len(c.query)), []byte(c.query)) // one column
+		c.queue(pgproto.ServerCommandComplete, pgproto.CString("SELECT 1"))
+	case pgproto.ClientSync:
+		c.queueReadyForQuery()
 	}
 }
 
