--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -116,41 +117,65 @@
 		"Content-Length: %d\r\n\r\n%s", class, id, wait.Milliseconds(), idempotencyKey, len(statement), statement)
 }
 
+// errNotSent reports a request that was not sent completely.
+var errNotSent = errors.New("not sent completely")
+
 // sendRequest sends one request, waits for its end and records it. If the front end closes the idle
-// connection at the same time, it sends the request a second time.
+// connection at the same time, it sends the request a second time, on a new connection.
 func (c *client) sendRequest() {
 	req, text := c.newRequest()
-	for resent := false; ; resent = true {
-		newConnection := c.conn == nil
-		if newConnection && !c.connect() {
-			return
-		}
-		req.frontEnd = c.target.name
-		if !c.write(req, text) {
-			c.disconnect()
-			if newConnection || resent {
-				return // it was never sent completely
-			}
-			continue
-		}
-		if c.random.IntN(disconnectOneIn) == 0 {
-			c.disconnectEarly(req)
-			return
-		}
-		err := c.receive(req)
-		if err == nil {
-			c.idleSince = time.Now()
-			c.run.history.addRequest(req)
+	if c.conn != nil {
+		err := c.exchange(req, text)
+		if !c.closedWhileIdle(req, err) {
+			c.record(req, err)
 			return
 		}
+	}
+	if c.connect() {
+		req.newConnection = true
+		c.record(req, c.exchange(req, text))
+	}
+}
+
+// exchange sends a request on the open connection and waits for its end. If it returns an error, it has
+// closed the connection and the request has no outcome yet.
+func (c *client) exchange(req *request, text string) error {
+	req.frontEnd = c.target.name
+	if !c.write(req, text) {
 		c.disconnect()
-		if !newConnection && !resent && !c.killedAround(req, time.Now()) && time.Since(req.sentAt) <= idleCloseRace {
-			continue
-		}
-		c.classifyMissingResponse(req, err, newConnection)
-		c.run.history.addRequest(req)
+		return errNotSent
+	}
+	if c.random.IntN(disconnectOneIn) == 0 {
+		c.disconnectEarly(req)
+		return nil
+	}
+	if err := c.receive(req); err != nil {
+		c.disconnect()
+		return err
+	}
+	c.idleSince = time.Now()
+	return nil
+}
+
+// closedWhileIdle reports whether the exchange on an idle connection failed because the front end closed
+// the connection at the same time.
+func (c *client) closedWhileIdle(req *request, err error) bool {
+	if errors.Is(err, errNotSent) {
+		return true
+	}
+	return err != nil && !c.killedAround(req, time.Now()) && time.Since(req.sentAt) <= idleCloseRace
+}
+
+// record records a request that has ended, with the error of its exchange. A request that was not sent
+// completely is not recorded.
+func (c *client) record(req *request, err error) {
+	if errors.Is(err, errNotSent) {
 		return
 	}
+	if err != nil {
+		c.classifyMissingResponse(req, err)
+	}
+	c.run.history.addRequest(req)
 }
 
 // write sends a request, in some cases in two parts, and sets sentAt after its last byte. It reports
@@ -176,7 +201,6 @@
 	r.endedAt = time.Now()
 	r.outcome = outcomeDisconnected
 	c.disconnect()
-	c.run.history.addRequest(r)
 }
 
 // drawMilliseconds draws a duration of 0 to limit-1 milliseconds.
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -1,6 +1,7 @@
 package soak
 
 import (
+	"bufio"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -8,6 +9,7 @@
 	"net/http"
 	"slices"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -139,13 +141,76 @@
 		r := newTestRun("")
 		r.frontEnds[0].kills = c.kills
 		request := &request{id: "a", sentAt: sentAt}
-		(&client{run: r, target: r.frontEnds[0]}).classifyMissingResponse(request, io.EOF, true)
+		(&client{run: r, target: r.frontEnds[0]}).classifyMissingResponse(request, io.EOF)
 		if request.outcome != c.want {
 			t.Errorf("%s: outcome %q, want %q", c.name, request.outcome, c.want)
 		}
 	}
 }
 
+// A request whose idle connection the front end has closed is sent again, once and only if no kill explains
+// the close.
+func TestSendRequest_ResendsAfterAnIdleClose(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		idleConnection bool // the client has a connection that the server has closed
+		killed         bool
+		unanswered     bool // the server closes the new connection without a response
+		want           outcome
+		connections    int
+	}{
+		{name: "new connection", want: outcomeFailed, connections: 1},
+		{name: "new connection closed", unanswered: true, want: outcomeLost, connections: 1},
+		{name: "idle connection closed", idleConnection: true, want: outcomeFailed, connections: 2},
+		{
+			name: "idle connection closed by a kill", idleConnection: true, killed: true,
+			want: outcomeExcused, connections: 1,
+		},
+		{
+			name: "idle and new connection closed", idleConnection: true, unanswered: true,
+			want: outcomeLost, connections: 2,
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var connections atomic.Int32
+			idleClosed := make(chan struct{})
+			listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
+			go tcptest.Serve(listener, func(conn net.Conn) {
+				if connections.Add(1) == 1 && c.idleConnection {
+					_ = conn.Close()
+					close(idleClosed)
+					return
+				}
+				if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil && !c.unanswered {
+					_, _ = io.WriteString(conn, "HTTP/1.1 500 Broken\r\nContent-Length: 2\r\n\r\n{}")
+					_, _ = io.Copy(io.Discard, conn)
+				}
+			})
+			r := newTestRun(listener.Addr().String())
+			// With this seed, the request is sent at once and its client does not disconnect.
+			client := &client{run: r, random: rand.New(rand.NewPCG(1, 1))}
+			defer client.disconnect()
+			if c.idleConnection {
+				if !client.connect() {
+					t.Fatal("no connection")
+				}
+				<-idleClosed
+			}
+			if c.killed {
+				r.frontEnds[0].kills = []time.Time{time.Now()}
+			}
+			client.sendRequest()
+			if len(r.history.requests) != 1 {
+				t.Fatalf("%d requests are recorded, want 1", len(r.history.requests))
+			}
+			got := r.history.requests[0].outcome
+			if used := int(connections.Load()); got != c.want || used != c.connections {
+				t.Errorf("outcome %q, %d connections, want %q and %d", got, used, c.want, c.connections)
+			}
+		})
+	}
+}
+
 // A malformed request gets a response or a close. A front end that does neither breaks the rule.
 func TestSendMalformedRequest_WantsAResponseOrAClose(t *testing.T) {
 	t.Parallel()
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -27,6 +27,8 @@
 	endedAt  time.Time     // when the response was complete, or the client disconnected
 	outcome  outcome
 	detail   string
+
+	newConnection bool // it was the first on its connection
 }
 
 // deadline is when the client gives up.
--- a/internal/lab/soak/response.go
+++ b/internal/lab/soak/response.go
@@ -114,7 +114,7 @@
 
 // classifyMissingResponse sets the outcome of a request without a complete response: it is lost,
 // unless the front end was killed.
-func (c *client) classifyMissingResponse(r *request, cause error, newConnection bool) {
+func (c *client) classifyMissingResponse(r *request, cause error) {
 	r.endedAt = time.Now()
 	if c.killedAround(r, r.endedAt) {
 		r.outcome = outcomeExcused
@@ -122,5 +122,5 @@
 	}
 	r.outcome = outcomeLost
 	waited := r.endedAt.Sub(r.sentAt).Round(time.Millisecond)
-	r.detail = fmt.Sprintf("%v after %v of %v, new connection: %v", cause, waited, r.wait, newConnection)
+	r.detail = fmt.Sprintf("%v after %v of %v, new connection: %v", cause, waited, r.wait, r.newConnection)
 }
