--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -41,11 +41,13 @@
 // During the workload, only the fault that has claimed it ends and starts it. Clients read its state from
 // their goroutines.
 type frontEnd struct {
-	run        *run
-	name       string
-	addr       string
-	configPath string
-	logPath    string
+	run          *run
+	name         string
+	addr         string
+	configPath   string
+	shapesPath   string // configuration of the statement statistics
+	snapshotPath string // of the statement statistics
+	logPath      string
 
 	mu         sync.Mutex // guards the fields below
 	process    *syscallfault.Process
@@ -64,41 +66,25 @@
 	name := fmt.Sprintf("n%d", number)
 	return &frontEnd{
 		run: r, name: name, addr: addr,
-		configPath: filepath.Join(r.folder, name+".json"), logPath: filepath.Join(r.folder, name+".log"),
+		configPath: filepath.Join(r.folder, name+".json"), shapesPath: filepath.Join(r.folder, name+"-shapes.toml"),
+		snapshotPath: filepath.Join(r.folder, name+".snapshot"), logPath: filepath.Join(r.folder, name+".log"),
 	}, nil
 }
 
-// writeConfig atomically replaces the configuration file. The new file has the current state of the bus.
-func (f *frontEnd) writeConfig(seed uint64) error {
-	config := frontEndConfig{
-		Name: f.name, Listen: f.addr, Seed: formatSeed(seed), Limits: frontEndLimits, Bus: f.run.bus.addr(),
-		Known: f.run.bus.known(), Settings: settingsObject(f.run.settings, len(f.run.frontEnds)),
-	}
-	encoded, err := config.encode()
-	if err != nil {
-		return err
-	}
-	temporary := f.configPath + ".new"
-	if err := os.WriteFile(temporary, encoded, fileMode); err != nil {
-		return fmt.Errorf("configuration of %s: %w", f.name, err)
-	}
-	if err := os.Rename(temporary, f.configPath); err != nil {
-		return fmt.Errorf("configuration of %s: %w", f.name, err)
-	}
-	return nil
-}
-
 // start starts a process and waits until it is ready.
 func (f *frontEnd) start(seed uint64) error {
 	if err := f.writeConfig(seed); err != nil {
 		return err
 	}
+	if err := f.writeShapesConfig(); err != nil {
+		return err
+	}
 	output, err := os.OpenFile(f.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return fmt.Errorf("log of %s: %w", f.name, err)
 	}
 	defer func() { _ = output.Close() }()
-	args := []string{"--log-format=json", "--log-level=debug", "serve", "--shapes", f.run.writeShapesFile(f.name)}
+	args := []string{"--log-format=json", "--log-level=debug", "serve", "--shapes", f.shapesPath}
 	env := append(os.Environ(), "LB_CONFIG="+f.configPath, "LB_LISTEN=", "GOTRACEBACK=all")
 	process, err := syscallfault.Start(f.run.options.Program, args, env, output, seed, backgroundFaults())
 	if err != nil {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -5,7 +5,6 @@
 	"io"
 	"math/rand/v2"
 	"os"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
@@ -207,25 +206,6 @@
 	return r.lastEngineID
 }
 
-// shapesFileFormat is the configuration of the statement statistics. Its argument is the path of the
-// snapshot.
-const shapesFileFormat = `enabled = true
-correct_estimates = true
-memory_kb = 256
-hysteresis = 1.3
-snapshot = %q
-snapshot_every_s = 10
-`
-
-// writeShapesFile writes the configuration of a front end's statement statistics and returns its path.
-// All processes of the front end use the same snapshot.
-func (r *run) writeShapesFile(frontEnd string) string {
-	path := filepath.Join(r.folder, frontEnd+"-shapes.toml")
-	text := fmt.Sprintf(shapesFileFormat, filepath.Join(r.folder, frontEnd+".snapshot"))
-	r.check(os.WriteFile(path, []byte(text), fileMode))
-	return path
-}
-
 // pickFrontEnd returns a front end that takes new connections, or nil. It searches from a drawn one on.
 func (r *run) pickFrontEnd(random *rand.Rand) *frontEnd {
 	now := time.Now()
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -1,12 +1,8 @@
 package soak
 
 import (
-	"encoding/json"
-	"fmt"
 	"math/rand/v2"
 	"time"
-
-	"flaxrelay/internal/lab/fake"
 )
 
 // The classes of every run, by their effect.
@@ -109,36 +105,3 @@
 		},
 	}
 }
-
-// frontEndConfig is the content of a front end's configuration file.
-type frontEndConfig struct {
-	Name     string           `json:"name"`
-	Listen   string           `json:"listen"`
-	Seed     string           `json:"seed"` // 16 hexadecimal digits
-	Limits   machineLimits    `json:"limits"`
-	Bus      string           `json:"bus"`
-	Known    fake.KnownEvents `json:"known"`
-	Settings map[string]any   `json:"settings"`
-}
-
-// machineLimits limit the resources of its machine that a front end may use.
-type machineLimits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-}
-
-// frontEndLimits are the limits of every front end.
-var frontEndLimits = machineLimits{Cores: 1, MemoryMB: 192, Sockets: 512}
-
-// formatSeed writes a seed in the form of the configuration.
-func formatSeed(seed uint64) string { return fmt.Sprintf("%016x", seed) }
-
-// encode returns the configuration as the content of a file.
-func (c *frontEndConfig) encode() ([]byte, error) {
-	encoded, err := json.MarshalIndent(c, "", " ")
-	if err != nil {
-		return nil, fmt.Errorf("encode the configuration of %s: %w", c.Name, err)
-	}
-	return encoded, nil
-}
