--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -15,21 +15,27 @@
 
 func drawClockStep(random *rand.Rand) time.Duration { return clockSteps[random.IntN(len(clockSteps))] }
 
-func (r *run) terminateFrontEnd(random *rand.Rand) {
-	if f, ok := r.frontEndPool.claim(random); ok {
-		defer r.frontEndPool.release(f)
-		f.terminate()
-		r.check(f.start(random.Uint64()))
+// terminateFrontEnd shuts a front end down gracefully and starts it again.
+func (r *run) terminateFrontEnd(random *rand.Rand) error {
+	f, ok := r.frontEndPool.claim(random)
+	if !ok {
+		return nil
 	}
+	defer r.frontEndPool.release(f)
+	f.terminate()
+	return f.start(random.Uint64())
 }
 
-func (r *run) killFrontEnd(random *rand.Rand) {
-	if f, ok := r.frontEndPool.claim(random); ok {
-		defer r.frontEndPool.release(f)
-		f.signal(syscall.SIGKILL)
-		<-f.process.Ended()
-		r.check(f.start(random.Uint64()))
+// killFrontEnd kills a front end and starts it again.
+func (r *run) killFrontEnd(random *rand.Rand) error {
+	f, ok := r.frontEndPool.claim(random)
+	if !ok {
+		return nil
 	}
+	defer r.frontEndPool.release(f)
+	f.signal(syscall.SIGKILL)
+	<-f.process.Ended()
+	return f.start(random.Uint64())
 }
 
 // engineRestart describes the restart of an engine.
@@ -47,21 +53,22 @@
 }
 
 // restartEngine kills an engine's process and starts another.
-func (r *run) restartEngine(random *rand.Rand) {
+func (r *run) restartEngine(random *rand.Rand) error {
 	e, ok := r.engines.claim(random)
 	if !ok {
-		return
+		return nil
 	}
 	defer r.engines.release(e)
 	restart := drawEngineRestart(random)
 	e.kill()
 	time.Sleep(restart.downtime)
 	startedAt := time.Now()
-	if !r.check(e.start()) {
-		return
+	if err := e.start(); err != nil {
+		return err
 	}
 	time.Sleep(restart.notificationDelay)
 	e.publishStart(startedAt, restart.clockStep)
+	return nil
 }
 
 // engineReplacement describes the replacement of an engine by a successor.
@@ -88,10 +95,10 @@
 }
 
 // replaceEngine drains an engine, removes it and adds a new one.
-func (r *run) replaceEngine(random *rand.Rand) {
+func (r *run) replaceEngine(random *rand.Rand) error {
 	replaced, ok := r.engines.claim(random)
 	if !ok {
-		return
+		return nil
 	}
 	replacement := drawEngineReplacement(random)
 	replaced.publishState(stateDraining)
@@ -102,17 +109,18 @@
 	addr := replaced.addr
 	if replacement.newAddress {
 		var err error
-		if addr, err = harness.FreeAddr(); !r.check(err) {
-			return
+		if addr, err = harness.FreeAddr(); err != nil {
+			return err
 		}
 	}
 	startedAt := time.Now()
 	successor, err := newEngine(r, r.nextEngineID(), addr, replacement.proxied)
-	if !r.check(err) {
-		return
+	if err != nil {
+		return err
 	}
 	r.engines.replace(replaced, successor)
 	successor.publishStart(startedAt, replacement.clockStep)
+	return nil
 }
 
 func drawFreezeTime(random *rand.Rand) time.Duration {
@@ -120,25 +128,27 @@
 	return drawDuration(random, minTime, timeRange)
 }
 
-func (r *run) freezeEngine(random *rand.Rand) {
+// freezeEngine stops an engine's process for a drawn time.
+func (r *run) freezeEngine(random *rand.Rand) error {
 	if e, ok := r.engines.claim(random); ok {
 		defer r.engines.release(e)
 		e.freeze(drawFreezeTime(random))
 	}
+	return nil
 }
 
 // moveBus moves the bus to another address and makes all front ends reload their configuration.
-func (r *run) moveBus(random *rand.Rand) {
+func (r *run) moveBus(random *rand.Rand) error {
 	r.busMove.Lock() // moves must not overlap: each writes all configurations
 	defer r.busMove.Unlock()
 	now := time.Now()
 	r.history.addBusFault(now, now.Add(notificationGraceAfterFault))
-	if !r.check(r.bus.move()) {
-		return
+	if err := r.bus.move(); err != nil {
+		return err
 	}
 	for _, f := range r.frontEnds {
-		if !r.check(f.writeConfig(random.Uint64())) {
-			return
+		if err := f.writeConfig(random.Uint64()); err != nil {
+			return err
 		}
 		if process, _ := f.settledProcess(); process != nil {
 			_ = process.Signal(syscall.SIGHUP) // a process that has ended reads the file when it starts
@@ -146,6 +156,7 @@
 			r.faults.Go(func() { r.reloadLater(f) })
 		}
 	}
+	return nil
 }
 
 // reloadLater makes a front end that has just started reload once it has settled.
@@ -165,14 +176,17 @@
 	return drawDuration(random, minTime, timeRange)
 }
 
-// disturbBus switches the bus to a mode for a drawn time.
-func (r *run) disturbBus(mode busMode, random *rand.Rand) {
-	duration := drawBusFaultTime(random)
-	now := time.Now()
-	r.history.addBusFault(now, now.Add(duration+notificationSlack))
-	r.bus.setMode(mode)
-	time.Sleep(duration)
-	r.bus.setMode(busNormal)
+// busFault returns a fault that switches the bus to a mode for a drawn time.
+func busFault(mode busMode) faultInjector {
+	return func(r *run, random *rand.Rand) error {
+		duration := drawBusFaultTime(random)
+		now := time.Now()
+		r.history.addBusFault(now, now.Add(duration+notificationSlack))
+		r.bus.setMode(mode)
+		time.Sleep(duration)
+		r.bus.setMode(busNormal)
+		return nil
+	}
 }
 
 // backgroundFaults are the system call faults of a front end between the faults of the schedule. They are
@@ -213,21 +227,20 @@
 }
 
 // failSystemCalls makes system calls of a front end fail for a drawn time.
-func (r *run) failSystemCalls(random *rand.Rand) {
-	f, ok := r.frontEndPool.claim(random)
-	if !ok {
-		return
+func (r *run) failSystemCalls(random *rand.Rand) error {
+	if f, ok := r.frontEndPool.claim(random); ok {
+		defer r.frontEndPool.release(f)
+		faults, duration := drawSystemCallFaults(random)
+		f.process.SetFaults(faults)
+		time.Sleep(duration)
+		f.process.SetFaults(backgroundFaults())
 	}
-	defer r.frontEndPool.release(f)
-	faults, duration := drawSystemCallFaults(random)
-	f.process.SetFaults(faults)
-	time.Sleep(duration)
-	f.process.SetFaults(backgroundFaults())
+	return nil
 }
 
 // stepClock steps the wall clock of a front end's machine. The clock stays wrong until the next
 // fault of the front end.
-func (r *run) stepClock(random *rand.Rand) {
+func (r *run) stepClock(random *rand.Rand) error {
 	const duration = 2 * time.Second
 	if f, ok := r.frontEndPool.claim(random); ok {
 		defer r.frontEndPool.release(f)
@@ -236,6 +249,7 @@
 		f.process.SetFaults(faults)
 		time.Sleep(duration)
 	}
+	return nil
 }
 
 // drawProxyOptions draws the faults of a proxy in front of an engine.
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -106,12 +106,12 @@
 	defer f.mu.Unlock()
 	f.ready = false
 	if f.endingAt.IsZero() || err != nil {
-		f.violate(RuleProcess, "%s ended with status %#x, %v; see %s", f.name, int(status), err, f.logPath)
+		f.report(RuleProcess, "%s ended with status %#x, %v; see %s", f.name, int(status), err, f.logPath)
 	}
 }
 
-// violate records a violation of the front end.
-func (f *frontEnd) violate(rule Rule, format string, args ...any) {
+// report records a violation of the front end.
+func (f *frontEnd) report(rule Rule, format string, args ...any) {
 	f.run.history.addViolation(Violation{Rule: rule, Detail: fmt.Sprintf(format, args...)})
 }
 
@@ -198,7 +198,7 @@
 	select {
 	case <-f.process.Ended():
 	case <-time.After(limit):
-		f.violate(RuleProcess, "%s has not ended %v after SIGTERM; see %s", f.name, limit, f.logPath)
+		f.report(RuleProcess, "%s has not ended %v after SIGTERM; see %s", f.name, limit, f.logPath)
 		_ = f.process.Signal(syscall.SIGKILL)
 		<-f.process.Ended()
 	}
@@ -213,13 +213,13 @@
 func (f *frontEnd) checkLog() {
 	text, err := os.ReadFile(f.logPath)
 	if err != nil {
-		f.violate(RuleProcess, "%v", err)
+		f.report(RuleProcess, "%v", err)
 		return
 	}
 	for line := range bytes.Lines(text) {
 		for _, sign := range violationSigns {
 			if bytes.Contains(line, []byte(sign)) {
-				f.violate(RuleInvariant, "%s: %s", f.name, bytes.TrimSpace(line))
+				f.report(RuleInvariant, "%s: %s", f.name, bytes.TrimSpace(line))
 			}
 		}
 	}
--- a/internal/lab/soak/malformed.go
+++ b/internal/lab/soak/malformed.go
@@ -50,6 +50,6 @@
 	var netError net.Error
 	timedOut := errors.As(err, &netError) && netError.Timeout()
 	if timedOut && !target.killedWithin(startedAt, time.Now()) {
-		target.violate(RuleMalformedRequest, "%s: nothing within %v", target.name, malformedResponseTimeout)
+		target.report(RuleMalformedRequest, "%s: nothing within %v", target.name, malformedResponseTimeout)
 	}
 }
--- a/internal/lab/soak/response.go
+++ b/internal/lab/soak/response.go
@@ -81,12 +81,12 @@
 	case response.StatusCode == http.StatusOK && body.Fault == "":
 		req.outcome = outcomeServed
 		if err := checkRows(req.id, rows); err != nil {
-			c.violate(RuleCompleteResult, req, err.Error())
+			c.report(RuleCompleteResult, req, err.Error())
 		}
 	case rejected:
 		req.outcome = outcomeRejected
 		if c.run.settings.retryAfter && response.Header.Get("Srv-Wait-Ms") == "" {
-			c.violate(RuleRetryAfter, req, "rejected without Retry-After")
+			c.report(RuleRetryAfter, req, "rejected without Retry-After")
 		}
 	default:
 		req.outcome = outcomeFailed
@@ -94,7 +94,8 @@
 	}
 }
 
-func (c *client) violate(rule Rule, r *request, detail string) {
+// report records a violation that concerns a request.
+func (c *client) report(rule Rule, r *request, detail string) {
 	c.run.history.addViolation(Violation{Rule: rule, Request: r.id, Detail: detail})
 }
 
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -190,13 +190,9 @@
 	}
 }
 
-// check reports whether err is nil. It records an error of the test environment as a violation, so that
-// the run does not pass.
-func (r *run) check(err error) bool {
-	if err != nil {
-		r.history.addViolation(Violation{Rule: RuleProcess, Detail: err.Error()})
-	}
-	return err == nil
+// recordError records an error of the test environment as a violation, so that the run does not pass.
+func (r *run) recordError(err error) {
+	r.history.addViolation(Violation{Rule: RuleProcess, Detail: err.Error()})
 }
 
 func (r *run) nextEngineID() uint32 {
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -5,10 +5,14 @@
 	"time"
 )
 
+// faultInjector injects a fault into a run and returns at its end. It draws the target and the parameters
+// of the fault. If no target can be claimed, it does nothing. Its errors are those of the test environment.
+type faultInjector func(r *run, random *rand.Rand) error
+
 // faultKind is one kind of fault.
 type faultKind struct {
 	name   string
-	inject func(r *run, random *rand.Rand) // returns at the end of the fault
+	inject faultInjector
 }
 
 // faultKinds are drawn with equal probability. A kind that is listed twice is drawn twice as often. A
@@ -21,9 +25,9 @@
 	{"replace an engine", (*run).replaceEngine},
 	{"freeze an engine", (*run).freezeEngine},
 	{"move the bus", (*run).moveBus},
-	{"bus down", func(r *run, random *rand.Rand) { r.disturbBus(busDown, random) }},
-	{"bus silent", func(r *run, random *rand.Rand) { r.disturbBus(busSilent, random) }},
-	{"bus event truncated", func(r *run, random *rand.Rand) { r.disturbBus(busTruncating, random) }},
+	{"bus down", busFault(busDown)},
+	{"bus silent", busFault(busSilent)},
+	{"bus event truncated", busFault(busTruncating)},
 	{"failing system calls", (*run).failSystemCalls},
 	{"failing system calls", (*run).failSystemCalls},
 	{"step a front end's clock", (*run).stepClock},
@@ -63,6 +67,10 @@
 		case <-time.After(fault.pause):
 		}
 		r.recordFault(fault.kind.name)
-		r.faults.Go(func() { fault.kind.inject(r, rand.New(rand.NewPCG(fault.seed, fault.seed))) })
+		r.faults.Go(func() {
+			if err := fault.kind.inject(r, rand.New(rand.NewPCG(fault.seed, fault.seed))); err != nil {
+				r.recordError(err)
+			}
+		})
 	}
 }
--- a/internal/lab/soak/schedule_test.go
+++ b/internal/lab/soak/schedule_test.go
@@ -43,11 +43,12 @@
 			var injected strings.Builder
 			startedAt := time.Now()
 			for i := range faultKinds {
-				faultKinds[i].inject = func(_ *run, random *rand.Rand) {
+				faultKinds[i].inject = func(_ *run, random *rand.Rand) error {
 					mu.Lock()
 					defer mu.Unlock()
 					at := time.Since(startedAt).Microseconds()
 					_, _ = fmt.Fprintf(&injected, "at %d us kind %d, first draw %d\n", at, i, random.Uint64())
+					return nil
 				}
 			}
 			r := &run{faultCounts: map[string]int{}}
