--- a/internal/lab/fake/eventbus.go
+++ b/internal/lab/fake/eventbus.go
@@ -9,31 +9,38 @@
 const (
 	// BusRequestLength is the length of a watch request in bytes: the offset from which to resume.
 	BusRequestLength = 8
-	// BusHeartbeat is the interval of the heartbeats, which is that of the real bus.
-	BusHeartbeat = time.Second
-	// emptyBatch is an encoded list without events.
-	emptyBatch = 0
+	// BusHeartbeatInterval is the interval of the heartbeats, which is that of the real bus.
+	BusHeartbeatInterval = time.Second
 )
 
+// BusFrameKind is the kind of a frame of the bus, by its number.
+type BusFrameKind byte
+
+// The kinds of frames that emulated buses send.
+const (
+	BusFrameHeartbeat BusFrameKind = 0 // has no records
+	BusFrameDelta     BusFrameKind = 2 // has the records of the engines that changed
+)
+
+// BusFrame encodes a frame: the length of the rest, the number of an event, the kind and the records.
+func BusFrame(event uint64, kind BusFrameKind, records []byte) []byte {
+	body := append(binary.BigEndian.AppendUint64(nil, event), byte(kind))
+	body = append(body, records...)
+	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
+}
+
 // ServeEventBus serves an event bus on a listener that publishes no events, only heartbeats.
 func ServeEventBus(listener net.Listener, lastOffset uint64) {
 	serveConnections(listener, func(conn net.Conn) {
 		if _, err := conn.Read(make([]byte, BusRequestLength)); err != nil {
 			return
 		}
-		frame := heartbeatFrame(lastOffset)
+		heartbeat := BusFrame(lastOffset, BusFrameHeartbeat, nil)
 		for {
-			if _, err := conn.Write(frame); err != nil {
+			if _, err := conn.Write(heartbeat); err != nil {
 				return
 			}
-			time.Sleep(BusHeartbeat)
+			time.Sleep(BusHeartbeatInterval)
 		}
 	})
 }
-
-// heartbeatFrame returns a frame without events: its length, the last offset and an empty batch.
-func heartbeatFrame(lastOffset uint64) []byte {
-	body := append(binary.BigEndian.AppendUint64(nil, lastOffset), emptyBatch)
-	frame := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
-	return append(frame, body...)
-}
--- a/internal/lab/soak/bus.go
+++ b/internal/lab/soak/bus.go
@@ -5,39 +5,12 @@
 	"fmt"
 	"io"
 	"net"
-	"net/netip"
 	"sync"
 	"time"
 
 	"flaxrelay/internal/lab/fake"
 )
 
-// engineState is the state of an engine on the bus, by its number in an event.
-type engineState byte
-
-const (
-	stateReady engineState = iota
-	stateDraining
-	stateRemoved
-)
-
-// stateNames are the names of the states in a configuration.
-var stateNames = [...]string{
-	stateReady:    "in_service",
-	stateDraining: "terminating",
-	stateRemoved:  "terminated",
-}
-
-// listEntry is an engine of the endpoint list.
-type listEntry struct {
-	id     uint32
-	addr   netip.AddrPort
-	state  engineState
-	bootMS int64 // start by the engine's clock, in Unix milliseconds; 0: it started long ago
-}
-
-func (e *listEntry) name() string { return fmt.Sprintf("s-%08x", e.id) }
-
 // busMode is the behaviour of the bus.
 type busMode int
 
@@ -50,16 +23,16 @@
 
 // eventBus publishes changes of the endpoint list. It is safe for concurrent use.
 type eventBus struct {
-	mu       sync.Mutex // guards the fields below
-	listener net.Listener
-	mode     busMode
-	entries  map[uint32]listEntry
-	events   [][]listEntry // the entries that each event changed
-	changed  chan struct{} // closed and replaced when mode or events change
+	mu        sync.Mutex // guards the fields below
+	listener  net.Listener
+	mode      busMode
+	endpoints map[uint32]endpoint // by id
+	events    []endpoint          // the endpoint that each event changed, in its new state
+	changed   chan struct{}       // closed and replaced when mode or events change
 }
 
 func newEventBus() (*eventBus, error) {
-	b := &eventBus{entries: map[uint32]listEntry{}, changed: make(chan struct{})}
+	b := &eventBus{endpoints: map[uint32]endpoint{}, changed: make(chan struct{})}
 	return b, b.move()
 }
 
@@ -127,14 +100,12 @@
 	b.changed = make(chan struct{})
 }
 
-// publish adds an event that changes the entries.
-func (b *eventBus) publish(entries ...listEntry) {
+// publish adds an event that adds or changes an endpoint.
+func (b *eventBus) publish(e endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, entry := range entries {
-		b.entries[entry.id] = entry
-	}
-	b.events = append(b.events, entries)
+	b.endpoints[e.id] = e
+	b.events = append(b.events, e)
 	b.wakeConnections()
 }
 
@@ -144,12 +115,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	targets := []fake.Target{}
-	for _, entry := range b.entries {
-		if entry.state != stateRemoved {
-			targets = append(targets, fake.Target{
-				UID: entry.name(), Endpoint: entry.addr.String(), AZ: engineZone, Model: engineKind,
-				State: stateNames[entry.state], CapacityHint: 1, BootMS: entry.bootMS,
-			})
+	for _, e := range b.endpoints {
+		if e.state != stateRemoved {
+			targets = append(targets, e.target())
 		}
 	}
 	return fake.KnownList(len(b.events), targets)
@@ -183,7 +151,7 @@
 	defer b.mu.Unlock()
 	view := busView{mode: b.mode, changed: b.changed, published: len(b.events)}
 	if sent < len(b.events) {
-		view.frame = encodeFrame(sent+1, eventFrame, b.events[sent])
+		view.frame = fake.BusFrame(uint64(sent+1), fake.BusFrameDelta, b.events[sent].record())
 	}
 	return view
 }
@@ -215,11 +183,12 @@
 		case <-view.changed:
 		case <-moved:
 			return
-		case <-time.After(fake.BusHeartbeat):
+		case <-time.After(fake.BusHeartbeatInterval):
 			if view.mode == busSilent {
 				continue
 			}
-			if _, err := conn.Write(encodeFrame(view.published, heartbeatFrame, nil)); err != nil {
+			heartbeat := fake.BusFrame(uint64(view.published), fake.BusFrameHeartbeat, nil)
+			if _, err := conn.Write(heartbeat); err != nil {
 				return
 			}
 		}
@@ -235,27 +204,3 @@
 	}
 	return int(binary.BigEndian.Uint64(request)), nil
 }
-
-// frameKind is the kind of a frame of the bus, by its number.
-type frameKind byte
-
-const (
-	heartbeatFrame frameKind = 0
-	eventFrame     frameKind = 2
-)
-
-// encodeFrame encodes an event with its number, or a heartbeat with the number of the last event.
-func encodeFrame(number int, kind frameKind, entries []listEntry) []byte {
-	const capacityHint = 1000 // thousandths
-	body := append(binary.BigEndian.AppendUint64(nil, uint64(number)), byte(kind))
-	for _, entry := range entries {
-		ip := entry.addr.Addr().As4()
-		body = binary.BigEndian.AppendUint32(body, entry.id)
-		body = append(body, ip[:]...)
-		body = binary.BigEndian.AppendUint16(body, entry.addr.Port())
-		body = append(body, byte(entry.state), 0, 0, 0, 0)
-		body = binary.BigEndian.AppendUint32(body, capacityHint)
-		body = binary.BigEndian.AppendUint64(body, uint64(entry.bootMS))
-	}
-	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
-}
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -17,24 +17,24 @@
 // engine is an engine of the endpoint list with its process. Only the fault that has claimed it changes
 // its fields. mu guards the fields that other goroutines read.
 type engine struct {
-	run    *run
-	id     uint32
-	addr   string            // at which the process listens
-	proxy  *faultproxy.Proxy // nil: front ends connect to the process itself
-	starts int
-	entry  listEntry
+	run      *run
+	id       uint32
+	addr     string            // at which the process listens
+	proxy    *faultproxy.Proxy // nil: front ends connect to the process itself
+	starts   int
+	endpoint endpoint
 
 	mu       sync.Mutex // guards the fields below
 	cmd      *exec.Cmd
 	thawedAt time.Time // end of the latest freeze
 }
 
-func (e *engine) name() string { return e.entry.name() }
+func (e *engine) name() string { return e.endpoint.name() }
 
 // newEngine starts an engine that is not on the list yet. If proxied is true, it starts a proxy in front
 // of it.
 func newEngine(r *run, id uint32, addr string, proxied bool) (*engine, error) {
-	created := &engine{run: r, id: id, addr: addr, entry: listEntry{id: id}}
+	created := &engine{run: r, id: id, addr: addr, endpoint: endpoint{id: id}}
 	if err := created.start(); err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 		created.end()
 		return nil, fmt.Errorf("address of engine %s: %w", created.name(), err)
 	}
-	created.entry.addr = parsed
+	created.endpoint.addr = parsed
 	return created, nil
 }
 
@@ -155,16 +155,16 @@
 // publishStart publishes that the engine is ready and when it started. The published time is that of the
 // engine's clock, which is wrong by clockStep.
 func (e *engine) publishStart(startedAt time.Time, clockStep time.Duration) {
-	e.entry.bootMS = startedAt.Add(clockStep).UnixMilli()
+	e.endpoint.bootMS = startedAt.Add(clockStep).UnixMilli()
 	e.publish(stateReady, startedAt)
 }
 
 func (e *engine) publish(state engineState, startedAt time.Time) {
-	e.entry.state = state
+	e.endpoint.state = state
 	e.run.history.addChange(engineChange{
 		engine: e.name(), state: state, publishedAt: time.Now(), startedAt: startedAt,
 	})
-	e.run.bus.publish(e.entry)
+	e.run.bus.publish(e.endpoint)
 }
 
 // end kills the process and closes the proxy.
--- a/internal/lab/soak/engineprocess_test.go
+++ b/internal/lab/soak/engineprocess_test.go
@@ -152,7 +152,7 @@
 			t.Fatal(err)
 		}
 	}
-	e := &engine{run: &run{history: newHistory()}, entry: listEntry{id: 5}}
+	e := &engine{run: &run{history: newHistory()}, endpoint: endpoint{id: 5}}
 	listening := make(chan struct{})
 	readFrom := time.Now()
 	e.readEvents("s/1", &events, listening)
--- a/internal/lab/soak/schedule_test.go
+++ b/internal/lab/soak/schedule_test.go
@@ -234,8 +234,8 @@
 		t.Fatal(err)
 	}
 	defer bus.close()
-	bus.publish(listEntry{id: 7, addr: netip.MustParseAddrPort("127.0.0.1:7"), state: stateDraining, bootMS: 42})
-	bus.publish(listEntry{id: 8, addr: netip.MustParseAddrPort("127.0.0.1:8"), state: stateRemoved})
+	bus.publish(endpoint{id: 7, addr: netip.MustParseAddrPort("127.0.0.1:7"), state: stateDraining, bootMS: 42})
+	bus.publish(endpoint{id: 8, addr: netip.MustParseAddrPort("127.0.0.1:8"), state: stateRemoved})
 	r := &run{bus: bus, settings: runSettings{cancel: true, deduplicationWindow: 1234 * ms}}
 	f := &frontEnd{run: r, name: "n1", addr: "127.0.0.1:1", configPath: filepath.Join(t.TempDir(), "config")}
 	r.frontEnds = make([]*frontEnd, 6)
