--- a/internal/lab/soak/bus.go
+++ b/internal/lab/soak/bus.go
@@ -21,10 +21,17 @@
 	busTruncating         // half of the next event is sent, and its connection closes
 )
 
+// busListener is a listener of the bus. It is closed before the connections that it has accepted.
+type busListener struct {
+	net.Listener
+
+	ended chan struct{} // closed when its connections must be closed
+}
+
 // eventBus publishes changes of the endpoint list. It is safe for concurrent use.
 type eventBus struct {
 	mu        sync.Mutex // guards the fields below
-	listener  net.Listener
+	listener  *busListener
 	mode      busMode
 	endpoints map[uint32]endpoint // by id
 	events    []endpoint          // the endpoint that each event changed, in its new state
@@ -39,45 +46,30 @@
 // move opens a listener at a new address and closes the old listener. Open connections of the old
 // listener are closed closeAfter later.
 func (b *eventBus) move() error {
-	const (
-		closeAfter   = 1500 * time.Millisecond
-		pollInterval = closeAfter / 10
-	)
-	listener, err := fake.Listen("127.0.0.1:0")
+	const closeAfter = 1500 * time.Millisecond
+	opened, err := fake.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
+	listener := &busListener{Listener: opened, ended: make(chan struct{})}
 	b.mu.Lock()
 	old := b.listener
 	b.listener = listener
 	b.mu.Unlock()
-	moved := make(chan struct{})
-	go b.accept(listener, moved)
+	go b.accept(listener)
 	if old != nil {
 		_ = old.Close()
+		time.AfterFunc(closeAfter, func() { close(old.ended) })
 	}
-	go func() {
-		for b.listensAt(listener) {
-			time.Sleep(pollInterval)
-		}
-		time.Sleep(closeAfter)
-		close(moved)
-	}()
 	return nil
 }
 
-// listensAt reports whether the listener is the current one.
-func (b *eventBus) listensAt(listener net.Listener) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.listener == listener
-}
-
+// close closes the listener and its connections.
 func (b *eventBus) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_ = b.listener.Close()
-	b.listener = nil
+	close(b.listener.ended)
 }
 
 func (b *eventBus) addr() string {
@@ -123,7 +115,9 @@
 	return fake.KnownList(len(b.events), targets)
 }
 
-func (b *eventBus) accept(listener net.Listener, moved <-chan struct{}) {
+// accept serves each connection of a listener until the listener is closed. Unlike the stand-ins of the
+// package fake, the bus keeps the open connections then.
+func (b *eventBus) accept(listener *busListener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -131,7 +125,7 @@
 		}
 		go func() {
 			defer func() { _ = conn.Close() }()
-			b.serve(conn, moved)
+			b.serve(conn, listener.ended)
 		}()
 	}
 }
@@ -156,8 +150,9 @@
 	return view
 }
 
-// serve reads the offset of a connection, sends the events from there on, and a heartbeat each second.
-func (b *eventBus) serve(conn net.Conn, moved <-chan struct{}) {
+// serve reads the offset of a connection, and sends the events from there on and a heartbeat each second
+// until the listener of the connection has ended.
+func (b *eventBus) serve(conn net.Conn, ended <-chan struct{}) {
 	const overlap = 1 // number of events that are sent although the front end already has them
 	sent, err := readResumeOffset(conn)
 	if err != nil {
@@ -181,7 +176,7 @@
 		}
 		select {
 		case <-view.changed:
-		case <-moved:
+		case <-ended:
 			return
 		case <-time.After(fake.BusHeartbeatInterval):
 			if view.mode == busSilent {
