--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -15,18 +15,18 @@
 )
 
 // engine is an engine of the endpoint list with its process. Only the fault that has claimed it changes
-// its fields. mu guards the fields that other goroutines read.
+// its fields and calls its methods, except readEvents.
 type engine struct {
 	run      *run
 	id       uint32
 	addr     string            // at which the process listens
 	proxy    *faultproxy.Proxy // nil: front ends connect to the process itself
-	starts   int
 	endpoint endpoint
-
-	mu       sync.Mutex // guards the fields below
 	cmd      *exec.Cmd
-	thawedAt time.Time // end of the latest freeze
+	starts   int // of the process so far
+
+	mu       sync.Mutex // guards the field below, which readEvents reads
+	thawedAt time.Time  // end of the latest freeze
 }
 
 func (e *engine) name() string { return e.endpoint.name() }
@@ -57,14 +57,17 @@
 	return created, nil
 }
 
+// processOptions returns the options of the process. Each start has its own seed.
+func (e *engine) processOptions() engineOptions {
+	const seedsPerEngine = 1000 // above the number of starts of an engine in a run
+	seed := e.run.options.Seed + uint64(e.id)*seedsPerEngine + uint64(e.starts)
+	return engineOptions{Addr: e.addr, Seed: seed, FaultyResponseShare: e.run.faultyResponseShare}
+}
+
 // start starts the process and waits until it listens.
 func (e *engine) start() error {
 	e.starts++
-	const seedsPerEngine = 1000 // above the number of starts of an engine in a run
-	options, err := json.Marshal(engineOptions{
-		Addr: e.addr, Seed: e.run.options.Seed + uint64(e.id)*seedsPerEngine + uint64(e.starts),
-		FaultyResponseShare: e.run.faultyResponseShare,
-	})
+	options, err := json.Marshal(e.processOptions())
 	if err != nil {
 		return fmt.Errorf("engine %s: %w", e.name(), err)
 	}
@@ -81,9 +84,7 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("engine %s: %w", e.name(), err)
 	}
-	e.mu.Lock()
 	e.cmd = cmd
-	e.mu.Unlock()
 	listening := make(chan struct{})
 	go e.readEvents(fmt.Sprintf("%s/%d", e.name(), e.starts), output, listening)
 	select {
@@ -96,7 +97,7 @@
 }
 
 // readEvents records the events of a process in the history until the process ends. It closes
-// listening when the process listens.
+// listening when the process listens. It runs on a separate goroutine.
 func (e *engine) readEvents(process string, output io.Reader, listening chan<- struct{}) {
 	events := json.NewDecoder(output)
 	for {
@@ -123,11 +124,8 @@
 
 // kill kills the process and waits for its end.
 func (e *engine) kill() {
-	e.mu.Lock()
-	cmd := e.cmd
-	e.mu.Unlock()
-	_ = cmd.Process.Kill()
-	_ = cmd.Wait()
+	_ = e.cmd.Process.Kill()
+	_ = e.cmd.Wait()
 }
 
 // freeze stops the process for the duration, with its connections open.
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -38,8 +38,8 @@
 var errNotReady = errors.New("not ready in time")
 
 // frontEnd is a front end whose process is restarted after each exit, under the same name and address.
-// During the workload, only the fault that has claimed it ends and starts it. Clients read its state from
-// their goroutines.
+// During the workload, only the fault that has claimed it ends and starts it, and may read process without
+// mu. Clients read its state from their goroutines.
 type frontEnd struct {
 	run          *run
 	name         string
