--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -75,7 +75,7 @@
 // contains reports whether the time lies in the span, which includes its ends.
 func (s span) contains(t time.Time) bool { return !t.Before(s.from) && !t.After(s.until) }
 
-// history is the record of a run by clients, engine processes and the injector of faults. It is safe for
+// history is the record of a run by clients, engine processes and the fault injector. It is safe for
 // concurrent use.
 type history struct {
 	mu         sync.Mutex
@@ -159,12 +159,12 @@
 }
 
 // outcomeCounts counts the requests by their outcome.
-func (h *history) outcomeCounts() map[string]int {
+func (h *history) outcomeCounts() map[outcome]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	counts := map[string]int{}
+	counts := map[outcome]int{}
 	for _, r := range h.requests {
-		counts[string(r.outcome)]++
+		counts[r.outcome]++
 	}
 	return counts
 }
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -5,27 +5,26 @@
 	"maps"
 	"slices"
 	"strings"
+
+	"flaxrelay/internal/lab/syscallfault"
 )
 
 // Result is the result of a run.
 type Result struct {
 	Seed       uint64
-	Folder     string         // contains the logs
-	Outcomes   map[string]int // number of requests by outcome
+	Folder     string          // contains the logs
+	Outcomes   map[outcome]int // number of requests by outcome
 	Attempts   int
-	Faults     map[string]int // number of faults of the schedule that began, by kind
-	Injected   map[string]int // number of injected faults of system calls, by kind
+	Faults     map[string]int            // number of faults of the schedule that began, by kind
+	Injected   map[syscallfault.Kind]int // number of injected faults of system calls, by kind
 	Violations []Violation
 }
 
 // String describes the result: its counts, and one line for each violation.
 func (r *Result) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "seed %d: %d attempts", r.Seed, r.Attempts)
-	for _, counts := range []map[string]int{r.Outcomes, r.Faults, r.Injected} {
-		text.WriteString("; " + formatCounts(counts))
-	}
-	fmt.Fprintf(&text, "; %d violations\n", len(r.Violations))
+	fmt.Fprintf(&text, "seed %d: %d attempts; %s; %s; %s; %d violations\n", r.Seed, r.Attempts,
+		formatCounts(r.Outcomes), formatCounts(r.Faults), formatCounts(r.Injected), len(r.Violations))
 	for _, v := range r.Violations {
 		fmt.Fprintf(&text, "  %s\n", v)
 	}
@@ -33,7 +32,7 @@
 }
 
 // formatCounts lists the counts in the order of their names.
-func formatCounts(counts map[string]int) string {
+func formatCounts[N ~string](counts map[N]int) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		parts = append(parts, fmt.Sprintf("%s %d", name, counts[name]))
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"flaxrelay/internal/lab/harness"
+	"flaxrelay/internal/lab/syscallfault"
 )
 
 // Options configure a run.
@@ -164,13 +165,13 @@
 // result checks the history and collects the result.
 func (r *run) result() *Result {
 	readyTimes := map[string][]time.Time{}
-	injected := map[string]int{}
+	injected := map[syscallfault.Kind]int{}
 	for _, f := range r.frontEnds {
 		f.checkLog()
 		readyTimes[f.name] = f.readyTimes
 		for _, process := range f.processes {
 			for kind, count := range process.Counts() {
-				injected[string(kind)] += count
+				injected[kind] += count
 			}
 		}
 	}
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	t.Log(result)
-	if len(result.Violations) > 0 || result.Outcomes[string(outcomeServed)] == 0 {
+	if len(result.Violations) > 0 || result.Outcomes[outcomeServed] == 0 {
 		t.Errorf("rules were violated, or no request was served; logs were in %s", result.Folder)
 	}
 }
