--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -14,15 +14,15 @@
 	// reportedEndTolerance replaces tolerance if the earlier of two attempts ended with a response: an
 	// engine process reports that end before it writes the response.
 	reportedEndTolerance = 5 * time.Millisecond
-	// remainingTimeSlack limits the excess of the time that an engine is given over the client's.
+	// remainingTimeSlack is how much more time than the client's remaining time an engine may be given.
 	remainingTimeSlack = 150 * time.Millisecond
 	// disconnectGrace is the time after the client's disconnect in which an attempt may still begin.
 	disconnectGrace = 100 * time.Millisecond
 	// notificationGraceAfterFault is the time from the start of a fault of the bus until all front
 	// ends count as notified of the changes that were published during the fault.
 	notificationGraceAfterFault = 4 * time.Second
-	// notificationSlack is the same time from the end of a fault of the bus, and from the time at
-	// which a front end is ready.
+	// notificationSlack is the time after the end of a fault of the bus, or after a front end is ready,
+	// in which the front ends are notified of the changes that they have missed.
 	notificationSlack = time.Second
 )
 
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -7,7 +7,7 @@
 // restarted and hanging engines, stepped clocks, failing system calls and disks, a bus that is
 // down or silent. Faults overlap in time.
 //
-// Clients, engine processes and the injector of faults record a history: each request with its
+// Clients, engine processes and the fault injector record a history: each request with its
 // outcome, each attempt as it begins and ends at an engine, and each change that the bus
 // publishes. The checker reads the history after the run and reports each violation of a Rule.
 //
--- a/internal/lab/soak/malformed.go
+++ b/internal/lab/soak/malformed.go
@@ -13,8 +13,8 @@
 // or a close: 3 s by the specification, and slack for a busy machine.
 const malformedResponseTimeout = 4 * time.Second
 
-// malformedRequests returns the requests of misbehaving clients. A change of their order changes the
-// requests of every seed.
+// malformedRequests returns the requests from which a client draws a malformed one. A change of their order
+// changes the requests of every seed.
 func malformedRequests(id string) []string {
 	const tooLongPath = 40000
 	return []string{
@@ -28,8 +28,8 @@
 	}
 }
 
-// sendMalformedRequest sends a malformed request on a new connection and checks that it gets any response
-// or a close.
+// sendMalformedRequest sends a malformed request on a new connection and checks that the front end responds
+// or closes the connection. The request is not part of the history.
 func (c *client) sendMalformedRequest() {
 	target := c.run.pickFrontEnd(c.random)
 	if target == nil {
@@ -42,7 +42,8 @@
 	defer func() { _ = conn.Close() }()
 	startedAt := time.Now()
 	_ = conn.SetDeadline(startedAt.Add(malformedResponseTimeout))
-	texts := malformedRequests(fmt.Sprintf("ffff%04x%08x", c.number, c.sent))
+	id := fmt.Sprintf("ffff%04x%08x", c.number, c.sent) // ffff in place of the seed
+	texts := malformedRequests(id)
 	if _, err := io.WriteString(conn, texts[c.random.IntN(len(texts))]); err != nil {
 		return // closed already
 	}
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -25,7 +25,7 @@
 	RuleSlowStart Rule = "slow-start-overload"
 )
 
-// The rules that are checked during the run.
+// The rules that clients check on the responses that they receive.
 const (
 	// RuleCompleteResult: a served response contains the complete result of an engine.
 	RuleCompleteResult Rule = "complete-result"
@@ -33,7 +33,12 @@
 	RuleRetryAfter Rule = "retry-after"
 	// RuleMalformedRequest: a client with a malformed request gets a response or a close.
 	RuleMalformedRequest Rule = "malformed-request"
-	// RuleProcess: a front end serves until it is signalled to exit, and then exits in time.
+)
+
+// The rules of a front end's process and its log.
+const (
+	// RuleProcess: a front end serves until it is signalled to exit, and then exits in time. An
+	// error of the test environment also violates it.
 	RuleProcess Rule = "process-lifetime"
 	// RuleInvariant: a front end reports no violation of its invariants and does not crash.
 	RuleInvariant Rule = "invariant"
