--- a/internal/lab/soak/checker_slowstart.go
+++ b/internal/lab/soak/checker_slowstart.go
@@ -6,25 +6,26 @@
 )
 
 // slowStartLimit returns the largest number of requests of mean work that may be sent to an engine in one
-// overload window while it is warming up. By the specification's rule it is N requests and an allowance
-// for chance.
+// overload window while it is warming up. By the specification's rule it is N + 2*sqrt(N) + 2, and for N
+// under 30 N + 3*sqrt(N) + 3. N is the number of requests whose work is the engine's capacity times the
+// overload factor. The other terms allow for chance.
 //
 // The front end's check at run time computes the same limit (overloadLimit in the package policy). This
 // function deliberately does not call that code: a checker that shared it would share its errors.
 func slowStartLimit(sinceStart time.Duration, meanWorkSeconds float64) float64 {
 	const (
-		minMeanWork  = 1e-3 // seconds
-		smallN       = 30   // below it the allowance is larger
-		smallRoots   = 3
-		smallSurplus = 3
-		roots        = 2
-		surplus      = 2
+		minMeanWork   = 1e-3 // seconds
+		smallN        = 30
+		smallNRoots   = 3
+		smallNSurplus = 3
+		roots         = 2
+		surplus       = 2
 	)
 	progress := min(max(float64(sinceStart)/float64(warmUpTime), 0), 1)
 	capacity := startCapacity + (1-startCapacity)*progress
 	n := overloadFactor * capacity * engineCores * overloadWindow.Seconds() / max(meanWorkSeconds, minMeanWork)
 	if n < smallN {
-		return n + smallRoots*math.Sqrt(n) + smallSurplus
+		return n + smallNRoots*math.Sqrt(n) + smallNSurplus
 	}
 	return n + roots*math.Sqrt(n) + surplus
 }
