--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -86,28 +86,37 @@
 	}
 	defer r.bus.close()
 	defer r.endProcesses()
-	if err := r.startProcesses(); err != nil {
+	if err := r.startEngines(); err != nil {
+		return nil, err
+	}
+	if err := r.startFrontEnds(); err != nil {
 		return nil, err
 	}
 	r.serveWorkload()
 	return r.result(), nil
 }
 
-// startProcesses starts engines and front ends.
-func (r *run) startProcesses() error {
+// startEngines starts the engines and publishes them.
+func (r *run) startEngines() error {
 	const proxiedEngineOneIn = 4
 	for i := range r.options.Engines {
 		addr, err := harness.FreeAddr()
 		if err != nil {
 			return err
 		}
-		e, err := newEngine(r, r.nextEngineID(), addr, i%proxiedEngineOneIn == proxiedEngineOneIn-1)
+		proxied := i%proxiedEngineOneIn == proxiedEngineOneIn-1
+		e, err := newEngine(r, r.nextEngineID(), addr, proxied)
 		if err != nil {
 			return err
 		}
 		r.engines.add(e)
 		e.publishState(stateReady)
 	}
+	return nil
+}
+
+// startFrontEnds starts the front ends one after the other.
+func (r *run) startFrontEnds() error {
 	for i := range r.options.FrontEnds {
 		f, err := newFrontEnd(r, i+1)
 		if err != nil {
@@ -162,23 +171,30 @@
 	}
 }
 
-// result checks the history and collects the result.
+// result checks the logs and the history, and collects the result.
 func (r *run) result() *Result {
 	readyTimes := map[string][]time.Time{}
-	injected := map[syscallfault.Kind]int{}
 	for _, f := range r.frontEnds {
 		f.checkLog()
 		readyTimes[f.name] = f.readyTimes
+	}
+	return &Result{
+		Seed: r.options.Seed, Folder: r.folder, Outcomes: r.history.outcomeCounts(), Attempts: r.history.attemptCount(),
+		Faults: r.faultCounts, Injected: r.injectedCounts(), Violations: r.history.check(readyTimes),
+	}
+}
+
+// injectedCounts counts the faults of system calls in all processes of the front ends.
+func (r *run) injectedCounts() map[syscallfault.Kind]int {
+	counts := map[syscallfault.Kind]int{}
+	for _, f := range r.frontEnds {
 		for _, process := range f.processes {
 			for kind, count := range process.Counts() {
-				injected[kind] += count
+				counts[kind] += count
 			}
 		}
 	}
-	return &Result{
-		Seed: r.options.Seed, Folder: r.folder, Outcomes: r.history.outcomeCounts(), Attempts: r.history.attemptCount(),
-		Faults: r.faultCounts, Injected: injected, Violations: r.history.check(readyTimes),
-	}
+	return counts
 }
 
 // recordFault counts a fault that begins and writes it to the log.
