--- a/internal/lab/soak/bus.go
+++ b/internal/lab/soak/bus.go
@@ -11,7 +11,7 @@
 	"flaxrelay/internal/lab/fake"
 )
 
-// busMode is the behaviour of the bus.
+// busMode is the behavior of the bus.
 type busMode int
 
 const (
--- a/internal/lab/soak/engineprocess.go
+++ b/internal/lab/soak/engineprocess.go
@@ -167,22 +167,22 @@
 	duplicateResult
 )
 
-// behaviorEighths divide the share of faulty responses among the behaviors, in eighths.
-var behaviorEighths = []struct {
+// faultyBehaviors are the behaviors that are drawn for a faulty response, each in proportion to its weight.
+var faultyBehaviors = []struct {
 	behavior responseBehavior
-	eighths  float64
+	weight   float64
 }{
 	{rejectAtOnce, 2}, {failAfterWork, 2}, {sendNoise, 1}, {truncateResult, 1}, {neverRespond, 1}, {duplicateResult, 1},
 }
 
 // behaviorFor returns the behavior for a number that was drawn from 0 to 1.
 func behaviorFor(drawn, faultyShare float64) responseBehavior {
-	const allEighths = 8
-	eighths := 0.0
-	for _, part := range behaviorEighths {
-		eighths += part.eighths
-		if drawn < faultyShare*eighths/allEighths {
-			return part.behavior
+	const totalWeight = 8 // of faultyBehaviors
+	cumulativeWeight := 0.0
+	for _, faulty := range faultyBehaviors {
+		cumulativeWeight += faulty.weight
+		if drawn < faultyShare*cumulativeWeight/totalWeight {
+			return faulty.behavior
 		}
 	}
 	return respondNormally
@@ -190,8 +190,8 @@
 
 // Handle implements fake.LineHandler: it works on a request and responds.
 func (e *engineProcess) Handle(ctx context.Context, exchange *fake.LineExchange) {
-	request := exchange.Request
 	const minWorkFactor = 0.5 // of the mean; the factor is uniform up to 1.5
+	request := exchange.Request
 	workTime := time.Duration((minWorkFactor + e.draw()) * float64(workTimes[request.Field("kind")]))
 	behavior := behaviorFor(e.draw(), e.faultyResponseShare)
 	if behavior == rejectAtOnce {
