--- a/internal/lab/soak/response.go
+++ b/internal/lab/soak/response.go
@@ -7,7 +7,6 @@
 	"io"
 	"net/http"
 	"strconv"
-	"strings"
 	"time"
 )
 
@@ -42,7 +41,7 @@
 		rows = append(rows, body.Result...)
 		if body.More == "" {
 			c.classifyResponse(r, response, body, rows)
-			if response.Close || strings.EqualFold(response.Header.Get("Connection"), "close") {
+			if response.Close {
 				c.disconnect()
 			}
 			return nil
