--- a/internal/lab/fake/engine_test.go
+++ b/internal/lab/fake/engine_test.go
@@ -22,7 +22,7 @@
 // connects to it.
 func startEngine(t *testing.T, serve func(net.Listener, Work, *slog.Logger)) net.Conn {
 	t.Helper()
-	listener, err := Listen("127.0.0.1:0")
+	listener, err := Listen(AnyLoopbackPort)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fake/listener.go
+++ b/internal/lab/fake/listener.go
@@ -7,6 +7,9 @@
 	"sync"
 )
 
+// AnyLoopbackPort is the loopback address with a port that the kernel chooses.
+const AnyLoopbackPort = "127.0.0.1:0"
+
 // NotLoopbackError reports an address that is not on the loopback interface.
 type NotLoopbackError struct {
 	Addr string
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -1,5 +1,5 @@
-// Package harness sets up flaxrelay with emulated surroundings on loopback addresses: engines, event
-// bus, catalogue, the files that name them, and flaxrelay's own processes.
+// Package harness sets up flaxrelay in an emulated environment on loopback addresses: engines, event bus,
+// catalogue, the files that name them, and flaxrelay's own processes.
 package harness
 
 import (
@@ -13,9 +13,6 @@
 	"flaxrelay/internal/lab/fake"
 )
 
-// anyLoopbackPort lets the kernel choose a free port.
-const anyLoopbackPort = "127.0.0.1:0"
-
 // catalogueService is the name of the engines' service in deploy/postgres.toml.
 const catalogueService = "stock-engine"
 
@@ -34,7 +31,7 @@
 	Log          *slog.Logger
 }
 
-// Environment is the emulated surroundings of flaxrelay. The caller must close it.
+// Environment is an emulated environment of flaxrelay. The caller must close it.
 type Environment struct {
 	ConfigFile string // the platform configuration of the HTTP front end
 	DeployFile string // of the PostgreSQL front end
@@ -91,7 +88,7 @@
 
 // listen opens a listener that is closed with the environment.
 func (e *Environment) listen() (net.Listener, error) {
-	listener, err := fake.Listen(anyLoopbackPort)
+	listener, err := fake.Listen(fake.AnyLoopbackPort)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/soak/bus.go
+++ b/internal/lab/soak/bus.go
@@ -47,7 +47,7 @@
 // listener are closed closeAfter later.
 func (b *eventBus) move() error {
 	const closeAfter = 1500 * time.Millisecond
-	opened, err := fake.Listen("127.0.0.1:0")
+	opened, err := fake.Listen(fake.AnyLoopbackPort)
 	if err != nil {
 		return err
 	}
