--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -189,7 +189,7 @@
 // A schedule with an unknown kind of fault, and an address that is not on loopback, are rejected.
 func TestListen_RejectsUnknownFaultsAndOtherHosts(t *testing.T) {
 	var unknown *UnknownKindError
-	if _, err := Listen("127.0.0.1:1", Options{Faults: []Fault{{Kind: "odd"}}}); !errors.As(err, &unknown) {
+	if _, err := Listen("127.0.0.1:1", Options{Faults: []Fault{{Kind: "unknown"}}}); !errors.As(err, &unknown) {
 		t.Errorf("unknown kind: %v", err)
 	}
 	var notLoopback *NotLoopbackError
