--- a/internal/lab/fake/engine_test.go
+++ b/internal/lab/fake/engine_test.go
@@ -47,7 +47,11 @@
 // no response.
 func TestServeLineProtocol_ReportsProgressAndEchoesTheRequest(t *testing.T) {
 	conn := startEngine(t, ServeLineProtocol)
-	const endless, cancel, quick = "want e k=1 7\r\nendless\r\n", "never_mind e\r\n", "want a k=1 8\r\nSELECT 1\r\n"
+	const (
+		endless = "want e k=1 7\r\nendless\r\n"
+		cancel  = "never_mind e\r\n"
+		quick   = "want a k=1 8\r\nSELECT 1\r\n"
+	)
 	if _, err := io.WriteString(conn, endless+cancel+quick); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fake/work.go
+++ b/internal/lab/fake/work.go
@@ -49,7 +49,10 @@
 
 // abbreviate shortens a statement for the log.
 func abbreviate(statement string) string {
-	const maxLength, ellipsis = 200, "..."
+	const (
+		maxLength = 200
+		ellipsis  = "..."
+	)
 	if len(statement) > maxLength {
 		return statement[:maxLength-len(ellipsis)] + ellipsis
 	}
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -100,7 +100,10 @@
 
 // Each fault has its effect while it is active.
 func TestProxy_EachFaultHasItsEffect(t *testing.T) {
-	const from, duration = 100 * time.Millisecond, 200 * time.Millisecond
+	const (
+		from     = 100 * time.Millisecond
+		duration = 200 * time.Millisecond
+	)
 	for kind, check := range map[Kind]func(*testing.T, *connection){
 		DropResponses:    checkDroppedResponses,
 		CorruptResponses: checkCorruptResponses,
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -98,13 +98,13 @@
 // which the address is drawn listens there.
 func FreeAddr() (string, error) {
 	const (
-		firstSecondByte = 64 // of 127.64.0.0/10
-		secondBytes     = 64
-		bytes           = 256
-		lastBytes       = 254 // without 0 and 255
+		minSecondByte    = 64 // of 127.64.0.0/10
+		secondByteValues = 64
+		thirdByteValues  = 256
+		fourthByteValues = 254 // without 0 and 255
 	)
 	host := fmt.Sprintf("127.%d.%d.%d",
-		firstSecondByte+rand.IntN(secondBytes), rand.IntN(bytes), 1+rand.IntN(lastBytes))
+		minSecondByte+rand.IntN(secondByteValues), rand.IntN(thirdByteValues), 1+rand.IntN(fourthByteValues))
 	listener, err := fake.Listen(net.JoinHostPort(host, "0"))
 	if err != nil {
 		return "", err
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -46,7 +46,10 @@
 }
 
 func drawEngineRestart(random *rand.Rand) engineRestart {
-	const maxDowntime, maxNotificationDelay = 800 * time.Millisecond, 600 * time.Millisecond
+	const (
+		maxDowntime          = 800 * time.Millisecond
+		maxNotificationDelay = 600 * time.Millisecond
+	)
 	downtime := drawDuration(random, 0, maxDowntime)
 	notificationDelay := drawDuration(random, 0, maxNotificationDelay)
 	return engineRestart{downtime: downtime, notificationDelay: notificationDelay, clockStep: drawClockStep(random)}
@@ -124,7 +127,10 @@
 }
 
 func drawFreezeTime(random *rand.Rand) time.Duration {
-	const minTime, timeRange = 300 * time.Millisecond, 3 * time.Second
+	const (
+		minTime   = 300 * time.Millisecond
+		timeRange = 3 * time.Second
+	)
 	return drawDuration(random, minTime, timeRange)
 }
 
@@ -161,7 +167,10 @@
 
 // reloadLater makes a front end that has just started reload once it has settled.
 func (r *run) reloadLater(f *frontEnd) {
-	const pollInterval, maxPolls = 100 * time.Millisecond, 100
+	const (
+		pollInterval = 100 * time.Millisecond
+		maxPolls     = 100
+	)
 	for range maxPolls {
 		time.Sleep(pollInterval)
 		if process, draining := f.settledProcess(); process != nil && !draining {
@@ -172,7 +181,10 @@
 }
 
 func drawBusFaultTime(random *rand.Rand) time.Duration {
-	const minTime, timeRange = 200 * time.Millisecond, 2 * time.Second
+	const (
+		minTime   = 200 * time.Millisecond
+		timeRange = 2 * time.Second
+	)
 	return drawDuration(random, minTime, timeRange)
 }
 
