--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -33,8 +33,8 @@
 	violations []Violation
 }
 
-// check returns all violations: first those that were detected during the run, then those that the
-// checker finds in the history.
+// check returns all violations: first those that were recorded before, then those that the checker finds
+// in the history.
 func (h *history) check(readyTimes map[string][]time.Time) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -49,8 +49,8 @@
 	idleSince time.Time
 }
 
-// serve sends requests until stop is closed.
-func (c *client) serve(stop <-chan struct{}) {
+// sendRequests sends requests, some of them malformed, until stop is closed.
+func (c *client) sendRequests(stop <-chan struct{}) {
 	defer c.disconnect()
 	for {
 		select {
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -147,7 +147,7 @@
 	return at.After(e.thawedAt) && at.Before(e.thawedAt.Add(catchUpTime))
 }
 
-// publishState publishes a state on the bus without a start.
+// publishState publishes a state on the bus that is not a start.
 func (e *engine) publishState(state engineState) { e.publish(state, time.Time{}) }
 
 // publishStart publishes that the engine is ready and when it started. The published time is that of the
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -57,11 +57,11 @@
 
 // restartEngine kills an engine's process and starts another.
 func (r *run) restartEngine(random *rand.Rand) error {
-	e, ok := r.engines.claim(random)
+	e, ok := r.enginePool.claim(random)
 	if !ok {
 		return nil
 	}
-	defer r.engines.release(e)
+	defer r.enginePool.release(e)
 	restart := drawEngineRestart(random)
 	e.kill()
 	time.Sleep(restart.downtime)
@@ -99,7 +99,7 @@
 
 // replaceEngine drains an engine, removes it and adds a new one.
 func (r *run) replaceEngine(random *rand.Rand) error {
-	replaced, ok := r.engines.claim(random)
+	replaced, ok := r.enginePool.claim(random)
 	if !ok {
 		return nil
 	}
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	r.engines.replace(replaced, successor)
+	r.enginePool.replace(replaced, successor)
 	successor.publishStart(startedAt, replacement.clockStep)
 	return nil
 }
@@ -136,8 +136,8 @@
 
 // freezeEngine stops an engine's process for a drawn time.
 func (r *run) freezeEngine(random *rand.Rand) error {
-	if e, ok := r.engines.claim(random); ok {
-		defer r.engines.release(e)
+	if e, ok := r.enginePool.claim(random); ok {
+		defer r.enginePool.release(e)
 		e.freeze(drawFreezeTime(random))
 	}
 	return nil
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -69,7 +69,7 @@
 	startedAt   time.Time // start of the engine by the real clock; zero: the change is not a start
 }
 
-// span is a time in which a fault of the bus may delay notifications.
+// span is the time between two instants.
 type span struct{ from, until time.Time }
 
 // contains reports whether the time lies in the span, which includes its ends.
@@ -83,8 +83,8 @@
 	attempts   []*attempt
 	inFlight   map[string]map[string]*attempt // by engine process and request id
 	changes    []engineChange
-	busFaults  []span
-	violations []Violation // detected during the run
+	busFaults  []span      // in which a fault of the bus may delay notifications
+	violations []Violation // recorded before the checker reads the history
 }
 
 func newHistory() *history { return &history{inFlight: map[string]map[string]*attempt{}} }
@@ -107,7 +107,7 @@
 	h.busFaults = append(h.busFaults, span{from, until})
 }
 
-// addViolation records a violation that was detected during the run.
+// addViolation records a violation that the checker cannot find in the history.
 func (h *history) addViolation(v Violation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -48,9 +48,9 @@
 	bus                 *eventBus
 	startedAt           time.Time
 
-	frontEnds    []*frontEnd // all; it does not change after the first is started
+	frontEnds    []*frontEnd // does not change after the first is started
 	frontEndPool *pool[*frontEnd]
-	engines      *pool[*engine]
+	enginePool   *pool[*engine]
 
 	faults  sync.WaitGroup // counts the faults in progress
 	busMove sync.Mutex     // serializes moves of the bus with the writes of all configurations
@@ -69,7 +69,7 @@
 	return &run{
 		options: options, settings: settings, faultyResponseShare: maxFaultyResponseShare * random.Float64(),
 		history: newHistory(), startedAt: time.Now(), random: random, faultCounts: map[string]int{},
-		frontEndPool: newPool[*frontEnd](frontEndReserveDivisor), engines: newPool[*engine](engineReserveDivisor),
+		frontEndPool: newPool[*frontEnd](frontEndReserveDivisor), enginePool: newPool[*engine](engineReserveDivisor),
 	}
 }
 
@@ -92,7 +92,7 @@
 	if err := r.startFrontEnds(); err != nil {
 		return nil, err
 	}
-	r.serveWorkload()
+	r.runWorkload()
 	return r.result(), nil
 }
 
@@ -109,7 +109,7 @@
 		if err != nil {
 			return err
 		}
-		r.engines.add(e)
+		r.enginePool.add(e)
 		e.publishState(stateReady)
 	}
 	return nil
@@ -133,16 +133,16 @@
 	return nil
 }
 
-// serveWorkload runs clients and faults for the duration of the run. It waits until all faults are over
+// runWorkload runs clients and faults for the duration of the run. It waits until all faults are over
 // and all requests have ended, and then terminates the front ends.
-func (r *run) serveWorkload() {
+func (r *run) runWorkload() {
 	stopClients := make(chan struct{})
 	stopFaults := make(chan struct{})
 	var clients, injector sync.WaitGroup
 	for i := range r.options.Clients {
 		random := rand.New(rand.NewPCG(r.options.Seed, uint64(i)+firstClientStream))
 		c := &client{run: r, number: i, random: random}
-		clients.Go(func() { c.serve(stopClients) })
+		clients.Go(func() { c.sendRequests(stopClients) })
 	}
 	schedule := rand.New(rand.NewPCG(r.options.Seed, scheduleStream))
 	injector.Go(func() { r.injectFaults(schedule, stopFaults) })
@@ -166,7 +166,7 @@
 			<-f.process.Ended()
 		}
 	}
-	for _, e := range r.engines.all() {
+	for _, e := range r.enginePool.all() {
 		e.end()
 	}
 }
@@ -219,7 +219,7 @@
 	return r.lastEngineID
 }
 
-// pickFrontEnd returns a front end that takes new connections, or nil. It searches from a drawn one on.
+// pickFrontEnd returns a front end that takes new connections, or nil. Its search begins at a random one.
 func (r *run) pickFrontEnd(random *rand.Rand) *frontEnd {
 	now := time.Now()
 	offset := random.IntN(len(r.frontEnds))
