--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"flaxrelay/internal/golden"
 	"flaxrelay/internal/tcptest"
 )
 
@@ -31,6 +32,17 @@
 	return rules
 }
 
+// The requests of a client follow from the run's seed and its number.
+func TestNewRequest_FollowsFromTheSeed(t *testing.T) {
+	c := &client{run: &run{options: Options{Seed: 0x12345}}, number: 3, random: rand.New(rand.NewPCG(0x12345, 4))}
+	var text strings.Builder
+	for range 6 {
+		r, sent := c.newRequest()
+		fmt.Fprintf(&text, "%s %s %v\n%s\n\n", r.id, r.class, r.wait, sent)
+	}
+	golden.Compare(t, "testdata/requests.golden", []byte(text.String()))
+}
+
 // The response determines the outcome of a request and the violated rules.
 func TestReceive_ClassifiesTheResponse(t *testing.T) {
 	const id = "000000000000000a" // whose result has two pages
--- /dev/null
+++ b/internal/lab/soak/settings_test.go
@@ -0,0 +1,23 @@
+package soak
+
+import (
+	"slices"
+	"testing"
+)
+
+// The variable settings of a run are drawn first, from its seed.
+func TestDrawRunSettings_FollowsFromTheSeed(t *testing.T) {
+	var got []runSettings
+	for seed := range uint64(4) {
+		got = append(got, drawRunSettings(seeded(seed)))
+	}
+	want := []runSettings{
+		{cancel: true, retryAfter: true, deduplicationWindow: 2717 * ms},
+		{cancel: true, retryAfter: true, deduplicationWindow: 5318 * ms},
+		{cancel: false, retryAfter: true, deduplicationWindow: 4080 * ms},
+		{cancel: false, retryAfter: false, deduplicationWindow: 1055 * ms},
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("the settings are %+v, want %+v", got, want)
+	}
+}
