--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -90,10 +90,12 @@
 	if a.delayed {
 		return
 	}
-	if remaining := r.deadline().Sub(a.beganAt); a.remainingTime > remaining+remainingTimeSlack {
+	waited := c.processorWait(r.sentAt, a.beganAt)
+	if remaining := r.deadline().Sub(a.beganAt); a.remainingTime > remaining+remainingTimeSlack+waited {
 		c.report(RuleRemainingTime, r.id, "%v given, %v left", a.remainingTime, remaining)
 	}
-	if r.outcome == outcomeDisconnected && a.beganAt.After(r.endedAt.Add(disconnectGrace+tolerance)) {
+	latestBegin := r.endedAt.Add(disconnectGrace + tolerance + c.processorWait(r.endedAt, a.beganAt))
+	if r.outcome == outcomeDisconnected && a.beganAt.After(latestBegin) {
 		since := a.beganAt.Sub(r.endedAt)
 		c.report(RuleSendAfterDisconnect, r.id, "an attempt began %v after the client had disconnected", since)
 	}
@@ -112,11 +114,23 @@
 	if earlier.response != responseNone {
 		allowed = reportedEndTolerance
 	}
+	allowed += c.processorWait(later.beganAt, earlier.endedAt)
 	if earlier.endedAt.IsZero() || earlier.endedAt.After(later.beganAt.Add(allowed)) {
 		c.report(RuleSingleInFlight, r.id, "%s", describeAttempts([]*attempt{earlier, later}, r.sentAt))
 	}
 }
 
+// processorWait returns how long processes of the run waited for a processor between two times. On a busy machine the
+// times that clients and engines record are late by that much at most, which says nothing of the program.
+func (c *checker) processorWait(from, until time.Time) (sum time.Duration) {
+	for _, w := range c.history.waits {
+		if w.from.Before(until) && w.until.After(from) {
+			sum += w.duration
+		}
+	}
+	return sum
+}
+
 // describeAttempts lists the attempts with their times since the given one.
 func describeAttempts(attempts []*attempt, since time.Time) string {
 	var text strings.Builder
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -25,8 +25,16 @@
 	cmd      *exec.Cmd
 	starts   int // of the process so far
 
-	mu       sync.Mutex // guards the field below, which readEvents reads
+	mu       sync.Mutex // guards the fields below, which other goroutines read
 	thawedAt time.Time  // end of the latest freeze
+	process  int        // id of the latest process
+}
+
+// processID returns the id of the latest process.
+func (e *engine) processID() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.process
 }
 
 func (e *engine) name() string { return e.endpoint.name() }
@@ -85,6 +93,9 @@
 		return fmt.Errorf("engine %s: %w", e.name(), err)
 	}
 	e.cmd = cmd
+	e.mu.Lock()
+	e.process = cmd.Process.Pid
+	e.mu.Unlock()
 	listening := make(chan struct{})
 	go e.readEvents(fmt.Sprintf("%s/%d", e.name(), e.starts), output, listening)
 	select {
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -99,6 +99,13 @@
 	return f.awaitReady()
 }
 
+// processID returns the id of the latest process. The front end must have been started.
+func (f *frontEnd) processID() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.process.ID()
+}
+
 // watch waits for the end of a process. It reports an end without a SIGTERM or SIGKILL before it.
 func (f *frontEnd) watch(process *syscallfault.Process) {
 	status, err := process.Wait()
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -83,7 +83,8 @@
 	attempts   []*attempt
 	inFlight   map[string]map[string]*attempt // by engine process and request id
 	changes    []engineChange
-	busFaults  []span      // in which a fault of the bus may delay notifications
+	busFaults  []span // in which a fault of the bus may delay notifications
+	waits      []processorWait
 	violations []Violation // recorded before the checker reads the history
 }
 
@@ -107,6 +108,22 @@
 	h.busFaults = append(h.busFaults, span{from, until})
 }
 
+func (h *history) addProcessorWait(w processorWait) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.waits = append(h.waits, w)
+}
+
+// processorWaitSum returns how long processes of the run waited for a processor.
+func (h *history) processorWaitSum() (sum time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, w := range h.waits {
+		sum += w.duration
+	}
+	return sum
+}
+
 // addViolation records a violation that the checker cannot find in the history.
 func (h *history) addViolation(v Violation) {
 	h.mu.Lock()
--- /dev/null
+++ b/internal/lab/soak/processorwait.go
@@ -0,0 +1,113 @@
+package soak
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	// waitSampleInterval is the time between two samples of a waitSampler.
+	waitSampleInterval = 20 * time.Millisecond
+	// minProcessorWait is the least wait within a sample that counts. Shorter waits occur on an idle machine too.
+	minProcessorWait = 5 * time.Millisecond
+)
+
+// processorWait is the time that processes of the run waited for a processor within a span.
+type processorWait struct {
+	span
+	duration time.Duration
+}
+
+// waitSampler measures how long threads that are ready to run wait for a processor. On a busy machine these waits delay
+// the front ends, the engines and this process, so that the times that the checker compares differ although the program
+// has done nothing wrong. It is for one goroutine.
+type waitSampler struct {
+	// groups returns the ids of the processes that a request depends on, one after the other: those of the front ends,
+	// those of the engines and so on.
+	groups func() [][]int
+	// threadWaits returns how long each thread of a process has waited for a processor since it began.
+	threadWaits func(process int) map[int]time.Duration
+
+	previous map[int]time.Duration // the total wait of each thread in the last sample
+}
+
+// newWaitSampler returns a sampler whose first sample begins now.
+func newWaitSampler(groups func() [][]int) *waitSampler {
+	s := &waitSampler{groups: groups, threadWaits: readThreadWaits}
+	s.sample()
+	return s
+}
+
+// run passes a sample to record at each interval until stop is closed.
+func (s *waitSampler) run(record func(processorWait), stop <-chan struct{}) {
+	from := time.Now()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-time.After(waitSampleInterval):
+		}
+		duration := s.sample()
+		now := time.Now()
+		if duration > 0 {
+			record(processorWait{span{from, now}, duration})
+		}
+		from = now
+	}
+}
+
+// sample returns the longest wait of any thread of each group since the previous sample, summed over the groups. That
+// is at least as long as a request was delayed, since its path has one process of each group.
+func (s *waitSampler) sample() (sum time.Duration) {
+	current := map[int]time.Duration{}
+	for _, processes := range s.groups() {
+		longest := time.Duration(0)
+		for _, process := range processes {
+			for thread, wait := range s.threadWaits(process) {
+				current[thread] = wait
+				longest = max(longest, wait-s.previous[thread])
+			}
+		}
+		if longest >= minProcessorWait {
+			sum += longest
+		}
+	}
+	s.previous = current
+	return sum
+}
+
+// readThreadWaits implements waitSampler.threadWaits. A process that has ended has no threads.
+func readThreadWaits(process int) map[int]time.Duration {
+	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process)) // the pattern is valid
+	waits := map[int]time.Duration{}
+	for _, file := range files {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			continue // the thread has ended
+		}
+		thread, err := strconv.Atoi(filepath.Base(filepath.Dir(file)))
+		if err != nil {
+			continue
+		}
+		if wait, ok := parseWait(string(text)); ok {
+			waits[thread] = wait
+		}
+	}
+	return waits
+}
+
+// parseWait returns the second field of a schedstat file: the time, in nanoseconds, that a thread was ready to run and
+// waited for a processor.
+func parseWait(schedstat string) (wait time.Duration, ok bool) {
+	const waitField = 1
+	fields := strings.Fields(schedstat)
+	if len(fields) <= waitField {
+		return 0, false
+	}
+	nanoseconds, err := strconv.ParseInt(fields[waitField], 10, 64)
+	return time.Duration(nanoseconds), err == nil
+}
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -5,26 +5,31 @@
 	"maps"
 	"slices"
 	"strings"
+	"time"
 
 	"flaxrelay/internal/lab/syscallfault"
 )
 
 // Result is the result of a run.
 type Result struct {
-	Seed       uint64
-	Folder     string          // contains the logs
-	Outcomes   map[outcome]int // number of requests by outcome
-	Attempts   int
-	Faults     map[string]int            // number of faults of the schedule that began, by kind
-	Injected   map[syscallfault.Kind]int // number of injected faults of system calls, by kind
-	Violations []Violation
+	Seed     uint64
+	Folder   string          // contains the logs
+	Outcomes map[outcome]int // number of requests by outcome
+	Attempts int
+	Faults   map[string]int            // number of faults of the schedule that began, by kind
+	Injected map[syscallfault.Kind]int // number of injected faults of system calls, by kind
+	// ProcessorWait is how long processes waited for a processor, as far as that exceeds the waits on an idle machine.
+	// The checker allows for it.
+	ProcessorWait time.Duration
+	Violations    []Violation
 }
 
 // String describes the result: its counts, and one line for each violation.
 func (r *Result) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "seed %d: %d attempts; %s; %s; %s; %d violations\n", r.Seed, r.Attempts,
-		formatCounts(r.Outcomes), formatCounts(r.Faults), formatCounts(r.Injected), len(r.Violations))
+	fmt.Fprintf(&text, "seed %d: %d attempts; %s; %s; %s; processor wait %v; %d violations\n", r.Seed, r.Attempts,
+		formatCounts(r.Outcomes), formatCounts(r.Faults), formatCounts(r.Injected),
+		r.ProcessorWait.Round(time.Millisecond), len(r.Violations))
 	for _, v := range r.Violations {
 		fmt.Fprintf(&text, "  %s\n", v)
 	}
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -92,10 +92,26 @@
 	if err := r.startFrontEnds(); err != nil {
 		return nil, err
 	}
+	stopSampling := make(chan struct{})
+	go newWaitSampler(r.processGroups).run(r.history.addProcessorWait, stopSampling)
 	r.runWorkload()
+	close(stopSampling)
 	return r.result(), nil
 }
 
+// processGroups returns the ids of the processes of the front ends, of those of the engines, and of this process, which
+// traces the front ends and runs the clients.
+func (r *run) processGroups() [][]int {
+	var frontEnds, engines []int
+	for _, f := range r.frontEnds {
+		frontEnds = append(frontEnds, f.processID())
+	}
+	for _, e := range r.enginePool.all() {
+		engines = append(engines, e.processID())
+	}
+	return [][]int{frontEnds, engines, {os.Getpid()}}
+}
+
 // startEngines starts the engines and publishes them.
 func (r *run) startEngines() error {
 	const proxiedEngineOneIn = 4
@@ -180,7 +196,8 @@
 	}
 	return &Result{
 		Seed: r.options.Seed, Folder: r.folder, Outcomes: r.history.outcomeCounts(), Attempts: r.history.attemptCount(),
-		Faults: r.faultCounts, Injected: r.injectedCounts(), Violations: r.history.check(readyTimes),
+		Faults: r.faultCounts, Injected: r.injectedCounts(), ProcessorWait: r.history.processorWaitSum(),
+		Violations: r.history.check(readyTimes),
 	}
 }
 
--- a/internal/lab/syscallfault/tracer.go
+++ b/internal/lab/syscallfault/tracer.go
@@ -35,6 +35,9 @@
 	return p, nil
 }
 
+// ID returns the id of the process.
+func (p *Process) ID() int { return p.pid }
+
 // Signal sends a signal to the program.
 func (p *Process) Signal(signal syscall.Signal) error {
 	if err := syscall.Kill(p.pid, signal); err != nil {
