--- a/internal/frontend/pgserver/simple_query.go
+++ b/internal/frontend/pgserver/simple_query.go
@@ -1,8 +1,6 @@
 package pgserver
 
-import (
-	"flaxrelay/internal/pgproto"
-)
+import "flaxrelay/internal/pgproto"
 
 // Parts of messages for a statement without parameters.
 var (
@@ -54,11 +52,9 @@
 // setStatementTimeout carries out a SET of statement_timeout, the only SET that is served
 // here.
 func (q *simpleQuery) setStatementTimeout(value string) *pgproto.Error {
-	timeout, failure := parseStatementTimeout(value)
-	if failure != nil {
+	if failure := q.settings.setStatementTimeout(value); failure != nil {
 		return failure
 	}
-	q.settings.statementTimeout = timeout
 	q.output.commandComplete("SET")
 	return nil
 }
--- a/internal/frontend/pgserver/startup.go
+++ b/internal/frontend/pgserver/startup.go
@@ -45,7 +45,8 @@
 	settings       sessionSettings
 }
 
-// readPacket reads a startup packet, which begins with a protocol version.
+// readPacket reads a startup packet, which begins with a protocol version. Its error is a *pgproto.Error, or wraps
+// pgproto.ErrMalformed.
 func (p *startupPhase) readPacket(version uint32, body []byte) error {
 	major := version >> majorVersionShift
 	if major != pgproto.ProtocolVersion>>majorVersionShift {
@@ -59,8 +60,8 @@
 		if name == "" {
 			break
 		}
-		if err := p.applyParameter(name, reader.CString()); err != nil {
-			return err
+		if failure := p.applyParameter(name, reader.CString()); failure != nil {
+			return failure
 		}
 	}
 	if !reader.Complete() {
@@ -70,7 +71,7 @@
 }
 
 // applyParameter applies one parameter of a startup packet. Unknown ones are ignored.
-func (p *startupPhase) applyParameter(name, value string) error {
+func (p *startupPhase) applyParameter(name, value string) *pgproto.Error {
 	switch {
 	case strings.HasPrefix(name, protocolOptionPrefix):
 		p.unknownOptions = append(p.unknownOptions, pgproto.CString(name))
@@ -86,7 +87,7 @@
 
 // applyOptions applies the server options of a startup packet, as in
 // "-c statement_timeout=5s". Others are ignored.
-func (p *startupPhase) applyOptions(text string) error {
+func (p *startupPhase) applyOptions(text string) *pgproto.Error {
 	words := strings.Fields(text)
 	for i, word := range words {
 		switch {
--- a/internal/frontend/pgserver/statement_timeout.go
+++ b/internal/frontend/pgserver/statement_timeout.go
@@ -13,7 +13,7 @@
 // statementTimeoutName is the only session setting that is supported.
 const statementTimeoutName = "statement_timeout"
 
-// timeoutUnits are the units of a time-out, as PostgreSQL writes them.
+// timeoutUnits are the units of a timeout, as PostgreSQL writes them.
 var timeoutUnits = map[string]time.Duration{
 	"":    time.Millisecond,
 	"us":  time.Microsecond,
@@ -29,9 +29,8 @@
 	statementTimeout time.Duration // 0: the deadline of the statement's class
 }
 
-// setStatementTimeout sets the time-out of the client's statements. Its error is a
-// *pgproto.Error.
-func (s *sessionSettings) setStatementTimeout(text string) error {
+// setStatementTimeout sets the timeout of the client's statements.
+func (s *sessionSettings) setStatementTimeout(text string) *pgproto.Error {
 	timeout, failure := parseStatementTimeout(text)
 	if failure != nil {
 		return failure
@@ -48,11 +47,11 @@
 	return class.Deadline
 }
 
-// maxTimeoutBits limits a time-out's number before its unit. PostgreSQL stores it as a
+// maxTimeoutBits is the size of the number before the unit of a timeout. PostgreSQL stores it as a
 // signed number of 32 bits.
 const maxTimeoutBits = 31
 
-// parseStatementTimeout reads a time as PostgreSQL writes it: in milliseconds, or with a
+// parseStatementTimeout reads a timeout as PostgreSQL writes it: in milliseconds, or with a
 // unit. It returns 0 for "default".
 func parseStatementTimeout(text string) (time.Duration, *pgproto.Error) {
 	text = strings.Trim(strings.TrimSpace(text), "'")
