--- a/internal/frontend/pgserver/messages.go
+++ b/internal/frontend/pgserver/messages.go
@@ -32,7 +32,7 @@
 	// A pending description is sent before the message is served. If it needs a
 	// request, the message is read again after the response.
 	exec, failure := c.extended.resolveDescribe(kind, body)
-	c.finish(extendedProtocol, exec, failure)
+	c.forwardOrFinish(extendedProtocol, exec, failure)
 	if c.state == stateInFlight {
 		return 0, nil
 	}
@@ -54,25 +54,29 @@
 	switch kind {
 	case pgproto.ClientQuery:
 		exec, failure := c.simple.serve(body)
-		c.finish(simpleProtocol, exec, failure)
+		c.forwardOrFinish(simpleProtocol, exec, failure)
 	case pgproto.ClientFunctionCall:
-		c.finish(extendedProtocol, nil, newError(codeFeatureNotSupported, "function calls are not supported"))
+		c.finish(extendedProtocol, newError(codeFeatureNotSupported, "function calls are not supported"))
 	case pgproto.ClientPassword:
-		c.finish(extendedProtocol, nil, newError(codeProtocolViolation, "no password was asked for"))
+		c.finish(extendedProtocol, newError(codeProtocolViolation, "no password was asked for"))
 	default:
 		exec, failure := c.extended.serve(kind, body)
-		c.finish(extendedProtocol, exec, failure)
+		c.forwardOrFinish(extendedProtocol, exec, failure)
 	}
 }
 
-// finish ends the service of a message with what its phase returned. It forwards an
-// execution and sends an error. If the phase returned neither, it has written its
-// response.
-func (c *connection) finish(protocol queryProtocol, exec *execution, failure *pgproto.Error) {
+// forwardOrFinish forwards the execution that a phase has returned for a message. If there is none, the message is
+// finished.
+func (c *connection) forwardOrFinish(protocol queryProtocol, exec *execution, failure *pgproto.Error) {
 	if exec != nil {
 		c.forward(exec)
 		return
 	}
+	c.finish(protocol, failure)
+}
+
+// finish ends the response to a message. Without an error, the phase of the message has written the response already.
+func (c *connection) finish(protocol queryProtocol, failure *pgproto.Error) {
 	if failure != nil {
 		c.server.counters.Increment(metrics.PostgresErrors.With(failure.Code))
 		c.output.errorResponse(failure)
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -56,7 +56,7 @@
 		return
 	}
 	_, exec := c.endRequest()
-	c.finish(exec.protocol, nil, exec.complete(response))
+	c.finish(exec.protocol, exec.complete(response))
 	c.resume()
 }
 
@@ -69,7 +69,7 @@
 		failure = errCompletionUnknown()
 	}
 	dispatcher.ClientDisconnected(request)
-	c.finish(exec.protocol, nil, failure)
+	c.finish(exec.protocol, failure)
 	c.resume()
 }
 
