--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -117,7 +117,7 @@
 		if clientconn.PauseUntilFlushed(c.socket, maxPendingWrite) {
 			break
 		}
-		size, err := c.readMessage(in.Bytes())
+		size, err := c.serveNext(in.Bytes())
 		if err != nil {
 			c.rejectMalformed(err)
 			return
@@ -136,18 +136,18 @@
 	c.flush()
 }
 
-// readMessage serves the first message of the input and returns its size, or 0 while it
+// serveNext serves the first message of the input and returns its size, or 0 while it
 // is incomplete or can't be served yet.
-func (c *connection) readMessage(input []byte) (size int, err error) {
+func (c *connection) serveNext(input []byte) (size int, err error) {
 	if c.state == stateStartup {
-		return c.readStartup(input)
+		return c.serveStartupMessage(input)
 	}
-	return c.readTyped(input)
+	return c.serveSessionMessage(input)
 }
 
-// readStartup serves a message of the startup and returns its size, or 0 while it is
+// serveStartupMessage serves a message of the startup and returns its size, or 0 while it is
 // incomplete.
-func (c *connection) readStartup(input []byte) (size int, err error) {
+func (c *connection) serveStartupMessage(input []byte) (size int, err error) {
 	code, body, size, err := pgproto.ParseStartup(input)
 	if err != nil || size == 0 {
 		return size, err
--- a/internal/frontend/pgserver/messages.go
+++ b/internal/frontend/pgserver/messages.go
@@ -19,9 +19,9 @@
 	pgproto.ClientCopyData, pgproto.ClientCopyDone, pgproto.ClientCopyFail, pgproto.ClientPassword,
 }
 
-// readTyped serves a message of the session and returns its size, or 0 while it is
+// serveSessionMessage serves a message after the startup and returns its size, or 0 while it is
 // incomplete or waits for the description of a portal.
-func (c *connection) readTyped(input []byte) (size int, err error) {
+func (c *connection) serveSessionMessage(input []byte) (size int, err error) {
 	if len(input) > 0 && !slices.Contains(clientMessages, input[0]) {
 		return 0, errUnknownMessage
 	}
@@ -29,8 +29,8 @@
 	if err != nil || size == 0 {
 		return 0, err
 	}
-	// A pending description is sent before the message is served. If it needs a
-	// request, the message is read again after the response.
+	// A pending description is sent before the message is served. If an engine has to describe the statement first,
+	// the message stays in the input, and OnData is called for it again after the engine's response.
 	exec, failure := c.extended.resolveDescribe(kind, body)
 	c.forwardOrFinish(extendedProtocol, exec, failure)
 	if c.state == stateInFlight {
