--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -110,7 +110,8 @@
 // OnData serves messages until one waits for its response.
 func (c *connection) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for c.awaitsMessage() {
-		if c.socket.Disconnected() { // nothing is accepted from a client that has disconnected
+		if c.socket.Disconnected() {
+			// Requests of a client that has disconnected are not accepted.
 			in.Consume(in.Len())
 			return
 		}
@@ -127,7 +128,10 @@
 		}
 		in.Consume(size)
 	}
-	c.restartStallTimer(in.Len() > 0)
+	c.stallTimer.Stop()
+	if in.Len() > 0 && c.awaitsClient() {
+		c.startStallTimer()
+	}
 	if c.state == stateInFlight {
 		c.socket.LimitReadAhead()
 	} else {
@@ -201,14 +205,14 @@
 	c.output.flushTo(c.socket)
 }
 
-// restartStallTimer limits the time until the client sends more of a message. It starts
-// the timer only if a part of the message was received and nothing on this side delays
-// reading.
-func (c *connection) restartStallTimer(partial bool) {
-	c.stallTimer.Stop()
-	if !partial || !c.awaitsMessage() || c.socket.PendingWrite() > maxPendingWrite {
-		return
-	}
+// awaitsClient reports whether only the client can make progress: nothing on this side delays the reading of a message.
+func (c *connection) awaitsClient() bool {
+	return c.awaitsMessage() && c.socket.PendingWrite() <= maxPendingWrite
+}
+
+// startStallTimer limits the time until the client sends more of a message, of which a part has arrived. Any part
+// restarts the timer: a large message may take a slow client longer than stallTimeout.
+func (c *connection) startStallTimer() {
 	c.stallTimer = c.server.loop.Timers.Schedule(c.server.loop.Now()+stallTimeout, func() {
 		c.server.counters.Increment(metrics.PostgresStalled)
 		c.fatal(newError(codeProtocolViolation, "a message stopped in the middle"))
