--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -115,7 +115,7 @@
 
 // execute runs a portal, or sends further rows of a portal that has run.
 func (q *extendedQuery) execute(body []byte) (*execution, *pgproto.Error) {
-	describe := q.pendingDescribe != nil
+	describePending := q.pendingDescribe != nil // resolveDescribe left it to the first Execute of this portal
 	q.pendingDescribe = nil
 	reader := pgproto.Reader{Unread: body}
 	name := reader.CString()
@@ -133,31 +133,16 @@
 	case executed.state != portalBound:
 		return nil, q.portals.fetch(executed, q.output, maxRows)
 	}
-	return q.firstExecution(executed, maxRows, describe), nil
-}
-
-// firstExecution returns the execution of a portal. If describe is set, the portal's
-// description is sent before its rows.
-func (q *extendedQuery) firstExecution(executed *portal, maxRows int, describe bool) *execution {
-	prepared := executed.statement
-	executed.binds.TypeOIDs = prepared.parameterOIDs()
-	return &execution{
-		protocol:  extendedProtocol,
-		statement: prepared,
-		message: &pgproto.Statement{
-			Query:          prepared.query,
-			ParameterTypes: prepared.parameterTypes,
-			Bind:           executed.bind,
-		},
-		idempotencyKey: executed.idempotencyKey,
-		binds:          &executed.binds,
-		onServed: func(result *pgproto.Result) *pgproto.Error {
-			if describe {
-				q.output.rowDescription(result.RowDescription)
-			}
-			return q.portals.run(executed, result, q.output, maxRows)
-		},
+	sendRows := func(result *pgproto.Result) *pgproto.Error {
+		return q.portals.run(executed, result, q.output, maxRows)
+	}
+	if !describePending {
+		return executed.newExecution(sendRows), nil
 	}
+	return executed.newExecution(func(result *pgproto.Result) *pgproto.Error {
+		q.output.rowDescription(result.RowDescription)
+		return sendRows(result)
+	}), nil
 }
 
 // closeTarget closes a statement or a portal.
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -44,6 +44,23 @@
 	unsentRows     []byte          // DataRow messages
 }
 
+// newExecution returns the execution of the portal by an engine. The function onServed is called with its result.
+func (p *portal) newExecution(onServed func(*pgproto.Result) *pgproto.Error) *execution {
+	p.binds.TypeOIDs = p.statement.parameterOIDs()
+	return &execution{
+		protocol:  extendedProtocol,
+		statement: p.statement,
+		message: &pgproto.Statement{
+			Query:          p.statement.query,
+			ParameterTypes: p.statement.parameterTypes,
+			Bind:           p.bind,
+		},
+		idempotencyKey: p.idempotencyKey,
+		binds:          &p.binds,
+		onServed:       onServed,
+	}
+}
+
 // start stores the result of the portal's execution.
 func (p *portal) start(result *pgproto.Result) {
 	p.state = portalSuspended
