--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -131,10 +131,10 @@
 		q.output.message(pgproto.ServerEmptyQueryResponse)
 		return nil, nil
 	case executed.state != portalBound:
-		return nil, q.portals.fetch(executed, q.output, maxRows)
+		return nil, q.portals.sendFurtherRows(executed, q.output, maxRows)
 	}
 	sendRows := func(result *pgproto.Result) *pgproto.Error {
-		return q.portals.run(executed, result, q.output, maxRows)
+		return q.portals.sendFirstRows(executed, result, q.output, maxRows)
 	}
 	if !describePending {
 		return executed.newExecution(sendRows), nil
--- a/internal/frontend/pgserver/message_writer.go
+++ b/internal/frontend/pgserver/message_writer.go
@@ -18,8 +18,8 @@
 	w.buffer = pgproto.AppendMessage(w.buffer, kind, body...)
 }
 
-// encoded appends complete messages.
-func (w *messageWriter) encoded(messages []byte) {
+// dataRows appends complete DataRow messages.
+func (w *messageWriter) dataRows(messages []byte) {
 	w.buffer = append(w.buffer, messages...)
 }
 
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// start stores the result of the portal's execution.
-func (p *portal) start(result *pgproto.Result) {
+// setResult stores the result of the portal's execution.
+func (p *portal) setResult(result *pgproto.Result) {
 	p.state = portalSuspended
 	p.result = result
 	p.unsentRows = result.DataRows
@@ -76,7 +76,7 @@
 		return newError(codeObjectNotInState, "the portal has run and cannot be run again")
 	}
 	rows, count := p.takeRows(maxRows)
-	output.encoded(rows)
+	output.dataRows(rows)
 	switch {
 	case maxRows > allRows && count == maxRows:
 		output.message(pgproto.ServerPortalSuspended)
@@ -94,6 +94,7 @@
 // buffer and returns them with their number.
 func (p *portal) takeRows(maxRows int) (rows []byte, count int) {
 	size := 0
+	// The loop ends, because unsentRows has complete messages only.
 	for size < len(p.unsentRows) && (maxRows <= allRows || count < maxRows) {
 		_, _, rowSize, _ := pgproto.ParseMessage(p.unsentRows[size:], len(p.unsentRows))
 		size += rowSize
@@ -137,17 +138,19 @@
 	s.byName[name] = opened
 }
 
-// run stores the result of a portal's execution and sends its first rows.
-func (s *portalSet) run(p *portal, result *pgproto.Result, output *messageWriter, maxRows int) *pgproto.Error {
-	p.start(result)
+// sendFirstRows stores the result of a portal's execution and sends its first rows.
+func (s *portalSet) sendFirstRows(
+	p *portal, result *pgproto.Result, output *messageWriter, maxRows int,
+) *pgproto.Error {
+	p.setResult(result)
 	if failure := p.sendRows(output, maxRows); failure != nil {
 		return failure
 	}
 	return s.reserve(p)
 }
 
-// fetch sends further rows of a portal that has run.
-func (s *portalSet) fetch(p *portal, output *messageWriter, maxRows int) *pgproto.Error {
+// sendFurtherRows sends further rows of a portal that has run.
+func (s *portalSet) sendFurtherRows(p *portal, output *messageWriter, maxRows int) *pgproto.Error {
 	s.release(p)
 	if failure := p.sendRows(output, maxRows); failure != nil {
 		return failure
--- a/internal/frontend/pgserver/portal_test.go
+++ b/internal/frontend/pgserver/portal_test.go
@@ -60,7 +60,7 @@
 		t.Run(name, func(t *testing.T) {
 			var output messageWriter
 			p := portal{statement: &statement{}}
-			p.start(tt.result)
+			p.setResult(tt.result)
 			for i, maxRows := range tt.maxRows {
 				failure := p.sendRows(&output, maxRows)
 				got := kinds(t, &output)
@@ -120,9 +120,9 @@
 		var output messageWriter
 		portals := portalSet{byName: map[string]*portal{}, budget: &budget}
 		p := &portal{statement: &statement{}}
-		p.start(tt.result)
+		p.setResult(tt.result)
 		for _, want := range tt.want {
-			failure := portals.fetch(p, &output, allRows)
+			failure := portals.sendFurtherRows(p, &output, allRows)
 			got := kinds(t, &output)
 			if failure != nil {
 				got += failure.Code
@@ -142,11 +142,11 @@
 	return &portalSet{byName: map[string]*portal{}, budget: budget}, budget
 }
 
-// runFirst opens a portal and fetches the first of its two rows.
-func runFirst(portals *portalSet, name string, output *messageWriter) (*portal, *pgproto.Error) {
+// openAndFetchOne opens a portal and fetches the first of its two rows.
+func openAndFetchOne(portals *portalSet, name string, output *messageWriter) (*portal, *pgproto.Error) {
 	opened := &portal{statement: &statement{}}
 	portals.open(name, opened)
-	return opened, portals.run(opened, resultOfRows("a", "b"), output, 1)
+	return opened, portals.sendFirstRows(opened, resultOfRows("a", "b"), output, 1)
 }
 
 // A portal that ends returns the rows that wait in it to the budget.
@@ -156,7 +156,7 @@
 		"all closed": func(portals *portalSet, _ *portal) { portals.closeAll() },
 		"replaced":   func(portals *portalSet, _ *portal) { portals.open("p", &portal{}) },
 		"fetched": func(portals *portalSet, p *portal) {
-			if failure := portals.fetch(p, &messageWriter{}, allRows); failure != nil {
+			if failure := portals.sendFurtherRows(p, &messageWriter{}, allRows); failure != nil {
 				t.Error(failure)
 			}
 		},
@@ -164,11 +164,11 @@
 		t.Run(name, func(t *testing.T) {
 			var output messageWriter
 			portals, budget := testPortals(t)
-			opened, failure := runFirst(portals, "p", &output)
+			opened, failure := openAndFetchOne(portals, "p", &output)
 			if failure != nil {
 				t.Fatal(failure)
 			}
-			if _, failure := runFirst(portals, "q", &output); failure == nil || failure.Code != codeOutOfMemory {
+			if _, failure := openAndFetchOne(portals, "q", &output); failure == nil || failure.Code != codeOutOfMemory {
 				t.Errorf("a portal past the budget: %v", failure)
 			}
 			end(portals, opened)
--- a/internal/frontend/pgserver/simple_query.go
+++ b/internal/frontend/pgserver/simple_query.go
@@ -64,6 +64,6 @@
 		q.output.rowDescription(result.RowDescription)
 	}
 	unnamed := portal{statement: prepared}
-	unnamed.start(result)
+	unnamed.setResult(result)
 	_ = unnamed.sendRows(q.output, allRows) // fails only for a portal that has run before
 }
