--- a/internal/frontend/pgserver/bind.go
+++ b/internal/frontend/pgserver/bind.go
@@ -15,42 +15,40 @@
 // nullLength is the length of a value that is null.
 const nullLength = -1
 
-// readBind reads a Bind past its names: formats, values and result formats. The formats
-// and the values are slices of the message.
-func readBind(reader *pgproto.Reader) (binds sqltext.Binds, ok bool) {
-	start := reader.Unread
-	formatCount, ok := readFormats(reader)
+// readBind reads a Bind past its names: the bound values with their formats, and the format codes of the result's
+// columns. All of them are slices of the message.
+func readBind(reader *pgproto.Reader) (binds sqltext.Binds, resultFormats []byte, ok bool) {
+	formats, ok := readFormats(reader)
 	if !ok {
-		return binds, false
+		return binds, nil, false
 	}
-	binds.Formats = start[countSize : countSize+formatCount*formatSize]
 	valueCount := reader.Count()
+	formatCount := len(formats) / formatSize
 	if formatCount > 1 && formatCount != valueCount || reader.Malformed {
-		return binds, false
+		return binds, nil, false
 	}
+	binds.Formats = formats
 	for range valueCount {
 		value, ok := readValue(reader)
 		if !ok {
-			return binds, false
+			return binds, nil, false
 		}
 		binds.Values = append(binds.Values, value)
 	}
-	if _, ok = readFormats(reader); !ok {
-		return binds, false
-	}
-	return binds, reader.Complete()
+	resultFormats, ok = readFormats(reader)
+	return binds, resultFormats, ok && reader.Complete()
 }
 
-// readFormats reads a count and as many format codes. It returns the count, and false
-// if a code is unknown.
-func readFormats(reader *pgproto.Reader) (count int, ok bool) {
-	count = reader.Count()
-	for range count {
-		if format := reader.Int16(); format != pgproto.FormatText && format != pgproto.FormatBinary {
-			return count, false
+// readFormats reads a count and as many format codes. It returns the codes, and false if one is unknown.
+func readFormats(reader *pgproto.Reader) (formats []byte, ok bool) {
+	formats = reader.Bytes(formatSize * reader.Count())
+	codes := pgproto.Reader{Unread: formats}
+	for len(codes.Unread) > 0 {
+		if format := codes.Int16(); format != pgproto.FormatText && format != pgproto.FormatBinary {
+			return nil, false
 		}
 	}
-	return count, !reader.Malformed
+	return formats, !reader.Malformed
 }
 
 // readValue reads one value, which is nil if it is null.
--- a/internal/frontend/pgserver/bind_test.go
+++ b/internal/frontend/pgserver/bind_test.go
@@ -18,7 +18,7 @@
 	)
 	fields := append([]byte{0, 1, 'c', 0}, make([]byte, 18)...) // one column, named c
 	f.Fuzz(func(t *testing.T, input []byte) {
-		binds, ok := readBind(&pgproto.Reader{Unread: input})
+		binds, resultFormats, ok := readBind(&pgproto.Reader{Unread: input})
 		if !ok {
 			return
 		}
@@ -29,7 +29,7 @@
 		if size > len(input) {
 			t.Fatalf("%d bytes of values in %d", size, len(input))
 		}
-		described, err := pgproto.ApplyResultFormats(fields, input)
+		described, err := pgproto.ApplyResultFormats(fields, resultFormats)
 		if err != nil || len(described) != len(fields) ||
 			binary.BigEndian.Uint16(described[formatOffset:]) > pgproto.FormatBinary {
 			t.Fatalf("formats %v, %v", described, err)
--- a/internal/frontend/pgserver/extended_describe.go
+++ b/internal/frontend/pgserver/extended_describe.go
@@ -91,7 +91,7 @@
 	case description == nil || description.RowDescription == nil:
 		q.output.rowDescription(nil)
 	default:
-		fields, err := pgproto.ApplyResultFormats(description.RowDescription, described.bind)
+		fields, err := pgproto.ApplyResultFormats(description.RowDescription, described.resultFormats)
 		if err != nil {
 			return errMalformed("RowDescription")
 		}
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -83,7 +83,7 @@
 	statementName := reader.CString()
 	reader.Unread = bytes.Clone(reader.Unread) // the portal keeps the copy, and the values are slices of it
 	bind := reader.Unread
-	binds, ok := readBind(&reader)
+	binds, resultFormats, ok := readBind(&reader)
 	if !ok {
 		return errMalformed("Bind")
 	}
@@ -97,7 +97,7 @@
 	if failure := prepared.checkValueCount(len(binds.Values)); failure != nil {
 		return failure
 	}
-	opened := &portal{statement: prepared, bind: bind}
+	opened := &portal{statement: prepared, bind: bind, resultFormats: resultFormats}
 	if prepared.parsed != nil { // only the estimator reads the values
 		opened.binds = binds
 	}
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -37,7 +37,8 @@
 type portal struct {
 	statement      *statement
 	bind           []byte        // the body of Bind past its names
-	binds          sqltext.Binds // the values, as slices of bind
+	binds          sqltext.Binds // the values, as slices of bind; empty without an estimator
+	resultFormats  []byte        // format codes of the result's columns, as a slice of bind
 	idempotencyKey string
 	state          portalState
 	result         *pgproto.Result // nil in portalBound; its DataRows are moved to unsentRows
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -27,7 +27,7 @@
 	statement      *statement
 	message        *pgproto.Statement // for the engine
 	idempotencyKey string
-	binds          *sqltext.Binds // nil without values
+	binds          *sqltext.Binds // of a portal; nil for a Query and for a description
 	// onServed writes the response of the message that made the execution.
 	onServed func(*pgproto.Result) *pgproto.Error
 }
--- a/internal/pgproto/results.go
+++ b/internal/pgproto/results.go
@@ -1,7 +1,5 @@
 package pgproto
 
-import "encoding/binary"
-
 // Statement is one execution of a statement with bound values, or a request to describe a
 // statement.
 type Statement struct {
@@ -28,14 +26,9 @@
 // formatSize is the size of a format code in bytes.
 const formatSize = int16Size
 
-// ApplyResultFormats returns a copy of the body of a RowDescription with the result
-// formats of a Bind, whose body past its names is given. The description of a statement
-// has no formats of its own.
-func ApplyResultFormats(fields, bind []byte) ([]byte, error) {
-	formats, err := resultFormats(bind)
-	if err != nil {
-		return nil, err
-	}
+// ApplyResultFormats returns a copy of the body of a RowDescription with the result formats of a Bind: the format codes
+// of no column, one for all columns, or one for each. The description of a statement has no formats of its own.
+func ApplyResultFormats(fields, formats []byte) ([]byte, error) {
 	described := append([]byte{}, fields...)
 	reader := Reader{Unread: described}
 	for column := range reader.Count() {
@@ -45,33 +38,11 @@
 		switch {
 		case reader.Malformed:
 			return nil, ErrMalformed
-		case len(formats) == 1: // one format applies to all columns
-			binary.BigEndian.PutUint16(format, uint16(formats[0]))
-		case column < len(formats):
-			binary.BigEndian.PutUint16(format, uint16(formats[column]))
+		case len(formats) == formatSize:
+			copy(format, formats)
+		case len(formats) >= formatSize*(column+1):
+			copy(format, formats[formatSize*column:])
 		}
 	}
 	return described, nil
 }
-
-// resultFormats returns the result formats of a Bind, whose body past its names is given.
-func resultFormats(bind []byte) ([]int, error) {
-	reader := Reader{Unread: bind}
-	reader.Bytes(formatSize * reader.Count())
-	for range reader.Count() {
-		if length := reader.Int32(); length > 0 {
-			reader.Bytes(length)
-		}
-		if reader.Malformed {
-			return nil, ErrMalformed
-		}
-	}
-	formats := make([]int, reader.Count())
-	for i := range formats {
-		formats[i] = reader.Int16()
-		if reader.Malformed {
-			return nil, ErrMalformed
-		}
-	}
-	return formats, nil
-}
