--- a/cmd/flaxrelay/postgres.go
+++ b/cmd/flaxrelay/postgres.go
@@ -119,10 +119,10 @@
 	}
 	for _, statement := range deploy.Statements {
 		options.Rules = append(options.Rules, pgserver.Rule{
-			Starts:   statement.Prefix,
-			Class:    statement.Class,
-			Key:      statement.KeyParameter,
-			ReadOnly: statement.ReadOnly,
+			Prefix:       statement.Prefix,
+			Class:        statement.Class,
+			KeyParameter: statement.KeyParameter,
+			ReadOnly:     statement.ReadOnly,
 		})
 	}
 	return options
--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -54,7 +54,7 @@
 }
 
 // loadRule classifies each INSERT as a load whose idempotency key is its first value.
-var loadRule = pgserver.Rule{Starts: "insert into", Class: "load", Key: 1}
+var loadRule = pgserver.Rule{Prefix: "insert into", Class: "load", KeyParameter: 1}
 
 // newFrontEnd returns a front end that does not serve yet. It has the settings of the deploy folder, as the function
 // change, which may be nil, has changed them.
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -129,8 +129,8 @@
 	front.pgOptions = pgserver.Options{
 		DefaultClass: "lookup", WriteClass: "write", ReadOnlyFunctions: map[string]bool{"stock.price_of": true},
 		Rules: []pgserver.Rule{
-			{Starts: "SELECT quiet", Class: "report", ReadOnly: true},
-			{Starts: "SELECT loud", Class: "report"},
+			{Prefix: "SELECT quiet", Class: "report", ReadOnly: true},
+			{Prefix: "SELECT loud", Class: "report"},
 		},
 	}
 	front.servePostgres(addr)
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -14,13 +14,13 @@
 // maxParameters is the largest number that a parameter may have, as in PostgreSQL.
 const maxParameters = 65535
 
-// Rule gives a class to statements that begin with some words, and names the parameter
-// that has their idempotency key.
+// Rule gives a class to the statements that begin with certain words, and names the parameter that has their
+// idempotency key.
 type Rule struct {
-	Starts   string // the words, in any case, after comments
-	Class    string
-	Key      int  // the parameter's number from 1; 0: none
-	ReadOnly bool // the operator declares such statements read-only, if their text doesn't show it
+	Prefix       string // the words that the statements begin with, in any case, after comments
+	Class        string
+	KeyParameter int  // the number of the parameter that has the idempotency key, from 1; 0: none
+	ReadOnly     bool // the operator declares the statements read-only; ignored if their text shows that they write
 }
 
 // classification is the result of classify: the class of a statement, and the parameter
@@ -36,7 +36,7 @@
 type classChoice struct {
 	class        string
 	keyParameter int
-	readOnly     bool // as a rule declares
+	readOnly     bool // the rule declares the statement read-only
 	explicit     bool // a comment or a rule names the class
 }
 
@@ -94,8 +94,13 @@
 func (s *Server) chooseClass(query string) (classChoice, *pgproto.Error) {
 	choice := classChoice{class: s.options.DefaultClass}
 	for _, rule := range s.options.Rules {
-		if sqltext.HasTokenPrefix(query, rule.Starts) {
-			choice = classChoice{class: rule.Class, keyParameter: rule.Key, readOnly: rule.ReadOnly, explicit: true}
+		if sqltext.HasTokenPrefix(query, rule.Prefix) {
+			choice = classChoice{
+				class:        rule.Class,
+				keyParameter: rule.KeyParameter,
+				readOnly:     rule.ReadOnly,
+				explicit:     true,
+			}
 			break
 		}
 	}
