--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -40,10 +40,9 @@
 	explicit     bool // a comment or a rule names the class
 }
 
-// classify returns a statement's class. Its leading comment overrides the rules, and the
-// rules override the default. A statement that may write never gets an idempotent class:
-// unless its class has an idempotency key, it gets the class for writes, which permits
-// one attempt.
+// classify returns a statement's class. Its leading comment overrides the rules, and the rules override the default. A
+// statement that may write never gets an idempotent class: it gets the class for writes, which permits one attempt, in
+// place of an idempotent default, and an error if a comment or a rule names the idempotent class.
 func (s *Server) classify(query string, parsed *stmtstats.Statement) (classification, *pgproto.Error) {
 	choice, failure := s.chooseClass(query)
 	if failure != nil {
@@ -151,8 +150,8 @@
 	return string(values[parameter-1]), nil
 }
 
-// unsupportedCommands are the first words of statements that need a session of their own
-// at an engine. All clients share the sessions there.
+// unsupportedCommands are the first words of statements that need a session of their own at an engine: all clients
+// share the sessions of the engines.
 var unsupportedCommands = map[string]bool{
 	"BEGIN": true, "START": true, "COMMIT": true, "END": true, "ROLLBACK": true, "ABORT": true, "SAVEPOINT": true,
 	"RELEASE": true, "COPY": true, "PREPARE": true, "EXECUTE": true, "DEALLOCATE": true, "DECLARE": true,
@@ -160,23 +159,23 @@
 	"DISCARD": true, "RESET": true, "SET": true,
 }
 
-// checkSupported returns an error for an unsupported statement, and reports whether the
-// text has no statement.
-func checkSupported(query string, parsed *stmtstats.Statement) (empty bool, failure *pgproto.Error) {
-	var command string
-	var several bool
+// commandOf returns the first word of a statement in upper case, "" if the text has no statement, and whether the text
+// has several statements.
+func commandOf(query string, parsed *stmtstats.Statement) (command string, several bool) {
 	if parsed != nil {
-		command = strings.ToUpper(parsed.FirstWord())
-		several = parsed.MultipleStatements()
-	} else {
-		command, several = sqltext.FirstWord(query)
+		return strings.ToUpper(parsed.FirstWord()), parsed.MultipleStatements()
 	}
+	return sqltext.FirstWord(query)
+}
+
+// checkSupported returns an error if the command is not supported, or the text has several statements.
+func checkSupported(command string, several bool) *pgproto.Error {
 	switch {
 	case several:
-		return false, newError(codeFeatureNotSupported, "only one statement at a time is supported")
+		return newError(codeFeatureNotSupported, "only one statement at a time is supported")
 	case unsupportedCommands[command]:
-		return false, newError(codeFeatureNotSupported,
+		return newError(codeFeatureNotSupported,
 			"%s is not supported: statements share their engines' sessions", command)
 	}
-	return command == "", nil
+	return nil
 }
--- a/internal/frontend/pgserver/statement.go
+++ b/internal/frontend/pgserver/statement.go
@@ -23,18 +23,19 @@
 	if estimator := s.options.Estimator; estimator != nil {
 		parsed = estimator.Parse(query, s.options.ReadOnlyFunctions)
 	}
-	empty, failure := checkSupported(query, parsed)
-	if failure != nil {
+	command, several := commandOf(query, parsed)
+	if failure := checkSupported(command, several); failure != nil {
 		return nil, failure
 	}
-	prepared := &statement{query: query, parameterTypes: bytes.Clone(parameterTypes), empty: empty}
-	if empty {
+	prepared := &statement{query: query, parameterTypes: bytes.Clone(parameterTypes), empty: command == ""}
+	if prepared.empty {
 		return prepared, nil
 	}
-	prepared.classification, failure = s.classify(query, parsed)
+	classified, failure := s.classify(query, parsed)
 	if failure != nil {
 		return nil, failure
 	}
+	prepared.classification = classified
 	prepared.parsed = parsed
 	return prepared, nil
 }
