--- a/internal/frontend/clientconn/flow.go
+++ b/internal/frontend/clientconn/backpressure.go
@@ -1,10 +1,6 @@
 package clientconn
 
-import (
-	"time"
-
-	"flaxrelay/internal/eventloop"
-)
+import "flaxrelay/internal/eventloop"
 
 // PauseUntilFlushed reports whether more than maxPending bytes wait to be sent to the client. If so, the handler must
 // return without reading more: it is called again once all bytes are sent. This protects against a client that sends
@@ -16,9 +12,3 @@
 	socket.OnFlushed(socket.Redeliver)
 	return true
 }
-
-// CeilMilliseconds returns the duration in milliseconds, rounded up: a client that waits for that time does not retry
-// too early.
-func CeilMilliseconds(d time.Duration) int64 {
-	return int64((d + time.Millisecond - 1) / time.Millisecond)
-}
