--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -15,7 +15,7 @@
 const (
 	// maxMessage is the largest message that is read from a client, in bytes.
 	maxMessage = 1 << 20
-	// maxUnread is how many bytes may be read ahead of the message that is being served.
+	// maxUnread is how many unread bytes of a client are buffered: one message, and a part of those after it.
 	maxUnread = maxMessage + 64<<10
 	// stallTimeout is how long a client may send nothing while a message is incomplete.
 	stallTimeout = 2 * time.Second
@@ -49,7 +49,7 @@
 //	state    -> next state  event
 //	startup  -> startup     request for encryption: declined with one byte
 //	startup  -> ready       startup packet of a client that is admitted
-//	startup  -> closing     CancelRequest, client not admitted, time-out
+//	startup  -> closing     CancelRequest, client not admitted, timeout
 //	ready    -> ready       message that is served without an engine, error in a Query
 //	ready    -> inFlight    message that needs an engine: its request is forwarded
 //	ready    -> skipping    error in a message that is not a Query
@@ -241,7 +241,7 @@
 	c.close()
 }
 
-// close closes the connection from this side once what was written has been sent.
+// close closes the connection from this side, once all written bytes are sent.
 func (c *connection) close() {
 	c.state = stateClosing
 	c.socket.Close()
--- a/internal/frontend/pgserver/errors.go
+++ b/internal/frontend/pgserver/errors.go
@@ -64,8 +64,7 @@
 	engineError, _ := response.ErrorDetail.(*pgproto.Error)
 	switch {
 	case response.MayHaveRun && engineError == nil:
-		// Also past the deadline: the error for a time-out would imply that nothing was
-		// done.
+		// This comes before DeadlinePassed: the error for a timeout would imply that nothing was done.
 		return errCompletionUnknown()
 	case response.MayHaveRun:
 		return engineError
--- a/internal/frontend/pgserver/extended_describe.go
+++ b/internal/frontend/pgserver/extended_describe.go
@@ -2,9 +2,8 @@
 
 import "flaxrelay/internal/pgproto"
 
-// describe describes a statement, or sets the pending description of a portal. That of
-// a portal is delayed because its first Execute usually follows, whose result includes
-// the description: a separate request to an engine is then not needed.
+// describe describes a statement at once, and a portal not before the next message. That message is usually the first
+// Execute of the portal, whose result includes the description: no separate request to an engine is needed then.
 func (q *extendedQuery) describe(body []byte) (*execution, *pgproto.Error) {
 	kind, name, failure := readTarget(body, "Describe")
 	if failure != nil {
@@ -28,9 +27,9 @@
 	})
 }
 
-// resolveDescribe sends a pending description, unless the next message, whose kind and
-// body are given, is the first Execute of the portal. It returns an execution if an
-// engine has to describe the statement first. The next message must then wait.
+// resolveDescribe sends a pending description, unless the next message is the first Execute of the portal. The kind and
+// the body are those of the next message, which must wait if resolveDescribe returns an execution: an engine has to
+// describe the statement first.
 func (q *extendedQuery) resolveDescribe(kind byte, body []byte) (*execution, *pgproto.Error) {
 	described := q.pendingDescribe
 	if described == nil || q.isFirstExecute(described, kind, body) {
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -30,10 +30,10 @@
 
 // Options come from the deploy file.
 type Options struct {
-	DefaultClass      string
-	WriteClass        string            // of writing statements without a class from comment or rule; "": rejected
-	ReadOnlyFunctions sqltext.Functions // functions that the operators declare read-only
-	Rules             []Rule
+	DefaultClass      string             // of statements for which neither a comment nor a rule names a class
+	WriteClass        string             // the default class of statements that may write; "": they are rejected
+	ReadOnlyFunctions sqltext.Functions  // functions that the operators declare read-only
+	Rules             []Rule             // the first that matches a statement applies
 	Estimator         *stmtstats.Service // gives classes and estimates by query shape; nil: off
 	MaxClients        int                // open connections; 0: no limit
 	MaxBufferedBytes  int                // bytes of rows that are buffered in all open portals together
@@ -99,8 +99,8 @@
 	s.rowBudget.SetLimit(options.MaxBufferedBytes)
 }
 
-// Drain begins a graceful shutdown: each connection is closed as soon as no request of
-// it is in flight.
+// Drain closes the connections in a graceful shutdown: each at once, or after its next ReadyForQuery if a request is in
+// flight. The last message is an ErrorResponse, which is the response to unread messages, too.
 func (s *Server) Drain() {
 	s.draining = true
 	for _, c := range s.connections {
@@ -110,8 +110,8 @@
 	}
 }
 
-// Finish ends a graceful shutdown. No request is in flight any more, so that Drain
-// closes the remaining connections.
+// Finish ends a graceful shutdown, once the dispatcher has responded to all requests: no request is in flight, so that
+// Drain closes all connections.
 func (s *Server) Finish() { s.Drain() }
 
 // Idle reports whether no client is connected.
--- a/internal/frontend/pgserver/startup.go
+++ b/internal/frontend/pgserver/startup.go
@@ -21,8 +21,8 @@
 
 // Values in messages of the startup.
 const (
-	newestMinorVersion = 0 // of NegotiateProtocolVersion
-	authenticationOk   = 0 // of Authentication
+	newestMinorVersion = 0 // of the protocol, in a NegotiateProtocolVersion
+	authenticationOk   = 0 // the kind of an Authentication that ends the authentication
 )
 
 // serverParameters are the ParameterStatus messages that end a startup.
