--- a/internal/frontend/pgserver/startup_test.go
+++ b/internal/frontend/pgserver/startup_test.go
@@ -17,13 +17,13 @@
 	return append(body, 0)
 }
 
-func TestStartupPhase_AppliesTheParametersThatItKnows(t *testing.T) {
+func TestStartupPhase_AppliesUserAndStatementTimeout(t *testing.T) {
 	const timeout = 5 * time.Second
 	for name, parameters := range map[string][]string{
-		"parameter": {"user", "desk", "statement_timeout", "5s"},
-		"apart":     {"options", "-x -c statement_timeout=5s", "user", "desk", "database", "x"},
-		"joined":    {"user", "desk", "options", "-cstatement_timeout=5000"},
-		"long":      {"user", "desk", "options", "--x=y --statement-timeout=5s"},
+		"parameter":          {"user", "desk", "statement_timeout", "5s"},
+		"option -c":          {"options", "-x -c statement_timeout=5s", "user", "desk", "database", "x"},
+		"option -c, joined":  {"user", "desk", "options", "-cstatement_timeout=5000"},
+		"option with a name": {"user", "desk", "options", "--x=y --statement-timeout=5s"},
 	} {
 		var startup startupPhase
 		err := startup.readPacket(pgproto.ProtocolVersion, packet(parameters...))
@@ -33,17 +33,17 @@
 	}
 }
 
-func TestStartupPhase_RejectsWhatItCannotRead(t *testing.T) {
+func TestStartupPhase_RejectsMalformedPacketsAndParameters(t *testing.T) {
 	for name, tt := range map[string]struct {
 		version uint32
 		body    []byte
 	}{
-		"old version":   {2 << 16, packet("user", "desk")},
-		"bad time-out":  {pgproto.ProtocolVersion, packet("statement_timeout", "soon")},
-		"bad option":    {pgproto.ProtocolVersion, packet("options", "-c statement_timeout=soon")},
-		"not ended":     {pgproto.ProtocolVersion, []byte("user\x00desk")},
-		"bytes after":   {pgproto.ProtocolVersion, append(packet("user", "desk"), 'x')},
-		"without value": {pgproto.ProtocolVersion, []byte("user\x00")},
+		"protocol version 2":        {2 << 16, packet("user", "desk")},
+		"invalid timeout":           {pgproto.ProtocolVersion, packet("statement_timeout", "soon")},
+		"invalid timeout in option": {pgproto.ProtocolVersion, packet("options", "-c statement_timeout=soon")},
+		"no zero byte at the end":   {pgproto.ProtocolVersion, []byte("user\x00desk")},
+		"bytes after the end":       {pgproto.ProtocolVersion, append(packet("user", "desk"), 'x')},
+		"parameter without a value": {pgproto.ProtocolVersion, []byte("user\x00")},
 	} {
 		var startup startupPhase
 		err := startup.readPacket(tt.version, tt.body)
--- a/internal/frontend/pgserver/statement_timeout_test.go
+++ b/internal/frontend/pgserver/statement_timeout_test.go
@@ -1,21 +1,33 @@
 package pgserver
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 func TestSetStatementTimeout_ReadsTimesAsPostgreSQLWritesThem(t *testing.T) {
-	for text, want := range map[string]int64{
-		"0": 0, "250": 250, "'2s'": 2000, "1 min": 60000, "DEFAULT": 0,
-		"": -1, "-1": -1, "5 weeks": -1, "1.5s": -1, "99999999999": -1,
+	for text, want := range map[string]time.Duration{
+		"0": 0, "250": 250 * time.Millisecond, "'2s'": 2 * time.Second, "1 min": time.Minute, "DEFAULT": 0,
 	} {
 		var settings sessionSettings
-		err := settings.setStatementTimeout(text)
-		if got := settings.statementTimeout.Milliseconds(); (err != nil) != (want < 0) || err == nil && got != want {
-			t.Errorf("%q: got %d ms, %v", text, got, err)
+		failure := settings.setStatementTimeout(text)
+		if failure != nil || settings.statementTimeout != want {
+			t.Errorf("%q: got %v, %v; want %v", text, settings.statementTimeout, failure, want)
 		}
 	}
 }
 
-func TestStatementTimeoutValue_FindsTheOneSettingServedHere(t *testing.T) {
+func TestSetStatementTimeout_InvalidTimeIsAnErrorAndChangesNothing(t *testing.T) {
+	for _, text := range []string{"", "-1", "5 weeks", "1.5s", "99999999999"} {
+		settings := sessionSettings{statementTimeout: time.Second}
+		failure := settings.setStatementTimeout(text)
+		if failure == nil || failure.Code != codeInvalidParameterValue || settings.statementTimeout != time.Second {
+			t.Errorf("%q: got %v, %v", text, settings.statementTimeout, failure)
+		}
+	}
+}
+
+func TestStatementTimeoutValue_ReadsOnlyASetOfStatementTimeout(t *testing.T) {
 	for query, want := range map[string]string{
 		"SET statement_timeout = '5s'":                   "'5s'",
 		"set session STATEMENT_TIMEOUT to 250;":          "250",
