--- a/internal/frontend/httpserver/eviction_test.go
+++ b/internal/frontend/httpserver/eviction_test.go
@@ -4,20 +4,18 @@
 	"bytes"
 	"fmt"
 	"io"
-	"net"
 	"testing"
 	"time"
 
 	"flaxrelay/internal/engine/lineclient"
-	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
 func TestEvictedBefore_PrefersConnectionsWithoutAValidRequest(t *testing.T) {
-	newSilent := &connection{lastActive: 9, state: stateNew}
-	oldSilent := &connection{lastActive: 5, state: stateNew}
-	newUsed := &connection{lastActive: 8, state: stateIdle}
-	oldUsed := &connection{lastActive: 1, state: stateIdle}
-	order := []*connection{oldSilent, newSilent, oldUsed, newUsed}
+	youngNew := &connection{lastActive: 9, state: stateNew}
+	oldNew := &connection{lastActive: 5, state: stateNew}
+	youngIdle := &connection{lastActive: 8, state: stateIdle}
+	oldIdle := &connection{lastActive: 1, state: stateIdle}
+	order := []*connection{oldNew, youngNew, oldIdle, youngIdle}
 	for i, first := range order {
 		for j, second := range order {
 			if got := first.evictedBefore(second); got != (i < j) {
@@ -27,60 +25,69 @@
 	}
 }
 
-// A closing connection is not aborted until its last response has been sent: the abort would cut
-// the response off.
+// Which connection may be evicted, by its state and the time since its latest request.
+func TestFindVictim_DependsOnStateAndInactivity(t *testing.T) {
+	var (
+		becomeIdle     = (*clientScenario).becomeIdle
+		startRequest   = (*clientScenario).startRequest
+		fetchFirstPage = (*clientScenario).fetchFirstPage
+	)
+	newClient := func(*clientScenario) {}
+	beDrained := func(s *clientScenario) { s.onLoop(s.server.Drain) }
+	for name, test := range map[string]struct {
+		prepare  func(s *clientScenario)
+		unread   string
+		inactive time.Duration
+		want     bool
+	}{
+		"new, just connected":                 {newClient, "", minSilentTime / 2, false},
+		"new":                                 {newClient, "", minSilentTime, true},
+		"new, a part of a request is unread":  {newClient, partialRequest, minSilentTime, true},
+		"idle for a moment":                   {becomeIdle, "", minIdleTime / 2, false},
+		"idle":                                {becomeIdle, "", minIdleTime, true},
+		"idle, a part of a request is unread": {becomeIdle, partialRequest, minIdleTime, false},
+		"in flight":                           {startRequest, "", time.Hour, false},
+		"paging":                              {fetchFirstPage, "", time.Hour, false},
+		"closing":                             {beDrained, "", time.Hour, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := newClientScenario(t, Options{})
+			test.prepare(s)
+			s.onLoopWithUnread(test.unread, func() {
+				s.c.lastActive = s.server.loop.Now() - test.inactive
+				if _, victim := s.server.evictor.findVictim(); (victim == s.c) != test.want {
+					t.Errorf("victim: %v, want %v", victim == s.c, test.want)
+				}
+			})
+		})
+	}
+}
+
+// A closing connection is not aborted until its last response has been sent: the abort would cut the response off.
 func TestFindVictim_ResponseThatWaitsToBeSentIsNotCutOff(t *testing.T) {
-	const most = 2000 // pages, more than the kernel's buffers hold
-	server := startTestServer(t, Options{})
+	const maxPages = 2000 // more than the kernel's buffers hold
+	s := newClientScenario(t, Options{})
 	page := lineclient.Rows{bytes.Repeat([]byte("a\tb\tc\n"), 8000)}
-	var path string
-	eventlooptest.Do(server.loop, func() { path, _ = server.results.add([]lineclient.Rows{page, page}, 1) })
-	client, err := net.Dial("tcp", server.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = client.Close() })
-	if err := client.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
-		t.Fatal(err)
-	}
-	c := firstConnection(server)
-	pages := 0
-	for pending := 0; pending == 0 && pages < most; pages++ {
-		before := lastActive(server, c)
-		requestPage(t, client, path, "")
-		for lastActive(server, c) == before {
-			time.Sleep(time.Millisecond)
-		}
-		eventlooptest.Do(server.loop, func() { pending = c.socket.PendingWrite() })
+	s.onLoop(func() { s.resultPath, _ = s.server.results.add([]lineclient.Rows{page, page}, 1) })
+	requested := 0
+	for pending := 0; pending == 0 && requested < maxPages; requested++ {
+		before := s.lastActive()
+		send(t, s.client, s.pageRequest(1))
+		awaitCondition(t, "the page to be served", func() bool { return s.lastActive() != before })
+		s.onLoop(func() { pending = s.c.socket.PendingWrite() })
 	}
-	requestPage(t, client, path, "Connection: close\r\n")
-	pages++
-	for closing := false; !closing; {
-		eventlooptest.Do(server.loop, func() { closing = c.state == stateClosing })
-	}
-	eventlooptest.Do(server.loop, func() {
-		if c.socket.PendingWrite() == 0 {
+	send(t, s.client, fmt.Sprintf("GET %s/1 HTTP/1.1\r\nConnection: close\r\n\r\n", s.resultPath))
+	requested++
+	awaitOnLoop(t, s.server, "the close after the last response", func() bool { return s.c.state == stateClosing })
+	s.onLoop(func() {
+		if s.c.socket.PendingWrite() == 0 {
 			t.Error("nothing waits to be sent")
 		}
-		server.evictor.findVictim()
+		s.server.evictor.findVictim()
 	})
-	received, err := io.ReadAll(client)
+	received, err := io.ReadAll(s.client)
 	got := bytes.Count(received, []byte("HTTP/1.1 200 OK"))
-	if err != nil || got != pages || !bytes.HasSuffix(received, []byte("]}")) {
-		t.Errorf("%d of %d responses, then %v", got, pages, err)
-	}
-}
-
-// requestPage requests the last page of a result.
-func requestPage(t *testing.T, client net.Conn, path, headers string) {
-	t.Helper()
-	if _, err := fmt.Fprintf(client, "GET %s/1 HTTP/1.1\r\n%s\r\n", path, headers); err != nil {
-		t.Fatal(err)
+	if err != nil || got != requested || !bytes.HasSuffix(received, []byte("]}")) {
+		t.Errorf("%d of %d responses, then %v", got, requested, err)
 	}
 }
-
-// lastActive returns when the connection served its latest request.
-func lastActive(server *Server, c *connection) (at time.Duration) {
-	eventlooptest.Do(server.loop, func() { at = c.lastActive })
-	return at
-}
--- a/internal/frontend/httpserver/helpers_test.go
+++ b/internal/frontend/httpserver/helpers_test.go
@@ -37,8 +37,7 @@
 func (noEngines) SetPriority(*lifecycle.Attempt, int) {}
 func (noEngines) UpdateEndpoint(lifecycle.Endpoint)   {}
 
-// startTestServer returns a server that runs until the end of the test. Its one engine can't be
-// reached.
+// startTestServer returns a server that runs until the end of the test. Its one engine can't be reached.
 func startTestServer(t *testing.T, options Options) *Server {
 	t.Helper()
 	raw, err := os.ReadFile("../../../deploy/postgres-settings.json")
@@ -107,15 +106,6 @@
 	}
 }
 
-// deliver writes text and waits until the poller has read it. It runs on the goroutine of the event
-// loop: the server has the text in a buffer then and has not been called for it.
-func deliver(t *testing.T, server *Server, client net.Conn, text string) {
-	t.Helper()
-	want := server.loop.BufferedBytes() + int64(len(text))
-	send(t, client, text)
-	awaitCondition(t, "the poller to read the text", func() bool { return server.loop.BufferedBytes() >= want })
-}
-
 // awaitCondition polls until the condition holds.
 func awaitCondition(t *testing.T, what string, holds func() bool) {
 	t.Helper()
