--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -18,10 +18,10 @@
 const (
 	closeByClient       closeReason = "client"          // the client closed it
 	closeByError        closeReason = "error"           // the connection broke
-	closeAfterResponse  closeReason = "response"        // the response announced the close
-	closeInvalidRequest closeReason = "invalid-request" // after the response to an invalid request
-	closeReadTimeout    closeReason = "read-timeout"    // no request came in time
-	closeIdleTimeout    closeReason = "idle"            // no request came for long
+	closeAfterResponse  closeReason = "response"        // after a response, for the client or a shutdown
+	closeInvalidRequest closeReason = "invalid-request" // after the response to an invalid or incomplete request
+	closeReadTimeout    closeReason = "read-timeout"    // a new client sent nothing in time
+	closeIdleTimeout    closeReason = "idle"            // an idle client sent nothing for maxIdleTime
 	closeEvicted        closeReason = "evicted"         // a new connection needed its descriptor
 	closeShutdown       closeReason = "shutdown"        // a graceful shutdown
 )
@@ -34,7 +34,7 @@
 
 // closeUnused closes the connection without a response, unless a request is in flight or bytes are unread. It reads
 // what the socket holds first, and reports whether it closed the connection. Every close from this side without a
-// response goes through here, so that no request is lost that was read. It must not be called from OnData.
+// response goes through here, so that no request that was read is lost. It must not be called from OnData.
 func (c *connection) closeUnused(reason closeReason) bool {
 	responded := c.state != stateInFlight
 	invariants := c.server.dispatcher.Invariants()
@@ -50,15 +50,13 @@
 }
 
 // write sends a response. If nothing more is to be served after it, the response announces the close and the connection
-// is closed.
+// is closed. It must not be called in stateClosing.
 func (c *connection) write(r response) {
-	switch {
-	case c.state == stateClosing:
-	case c.closesAfterResponse():
+	if c.closesAfterResponse() {
 		c.writeLast(r, cmp.Or(c.closeReason, closeAfterResponse))
-	default:
-		c.socket.Write(r.encode())
+		return
 	}
+	c.socket.Write(r.encode())
 }
 
 // closesAfterResponse reports whether the connection is to be closed after the response that is about to be written:
--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -85,7 +85,7 @@
 	defer c.reader.end()
 	for c.state.awaitsRequest() {
 		if c.socket.Disconnected() {
-			// None of the requests that it sent before is forwarded; there may be hundreds.
+			// The client may have sent hundreds of requests before it disconnected: none of them is forwarded.
 			c.reader.discardAll()
 			return
 		}
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -35,7 +35,6 @@
 	emptyBody    = `{}`
 	rejectedBody = `{"fault":"Busy"}`
 	failedBody   = `{"fault":"Failed"}`
-	notFound     = "nothing is held under this path"
 )
 
 // response is one response to a client.
@@ -55,7 +54,7 @@
 
 // resultNotFoundResponse responds to a path under which no result is buffered, as after a restart.
 func resultNotFoundResponse() response {
-	return response{status: http.StatusNotFound, body: encodeError(notFound)}
+	return response{status: http.StatusNotFound, body: encodeError("nothing is held under this path")}
 }
 
 // rejectedResponse responds to a request that did not run.
