--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -77,18 +77,18 @@
 		// earlier one on the connection has its response.
 		Deadline: request.arrivedAt + wait,
 	}
-	if err := setEstimates(built, request); err != nil {
+	if err := setClientEstimates(built, request); err != nil {
 		return nil, err
 	}
 	if err := setIdempotencyKey(built, class, request); err != nil {
 		return nil, err
 	}
-	b.observeStatement(built, statement)
+	b.estimateStatement(built, statement)
 	return built, nil
 }
 
-// observeStatement sets the data set that the statement names and, if there is an estimator, the estimated cost.
-func (b *requestBuilder) observeStatement(request *lifecycle.Request, statement string) {
+// estimateStatement sets the data set that the statement names and, if there is an estimator, the estimated cost.
+func (b *requestBuilder) estimateStatement(request *lifecycle.Request, statement string) {
 	if b.estimator != nil {
 		b.estimator.EstimateText(request, statement)
 		return
@@ -116,8 +116,8 @@
 	return config.FromMilliseconds(wait), nil
 }
 
-// setEstimates reads the client's estimates of the request's cost, if it gives any.
-func setEstimates(built *lifecycle.Request, request httpRequest) *statusError {
+// setClientEstimates sets the client's estimates of the request's cost, if it gives any.
+func setClientEstimates(built *lifecycle.Request, request httpRequest) *statusError {
 	if text, given := request.header[fieldWork]; given {
 		work, ok := parsePositive(text, milliseconds(maxEstimatedWork))
 		if !ok {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// setIdempotencyKey reads the key of a request whose class needs one: without it no engine would drop a duplicate of
+// setIdempotencyKey sets the key of a request whose class needs one: without it no engine would drop a duplicate of
 // the request.
 func setIdempotencyKey(built *lifecycle.Request, class policy.Class, request httpRequest) *statusError {
 	if class.Effect != policy.IdempotentByKey {
