--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -48,8 +48,7 @@
 	stateIdle
 	// statePaging awaits the next request, and the latest response named a further page of its result.
 	statePaging
-	// stateInFlight has a request whose response the dispatcher has not given yet. Nothing more is served
-	// meanwhile.
+	// stateInFlight has a request whose response the dispatcher has not given yet. Nothing more is served meanwhile.
 	stateInFlight
 	// stateEvicting rejects the requests that had arrived before the connection was evicted. The connection is closed
 	// after the last of these responses.
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// setIdempotencyKey sets the key of a request whose class needs one: without it no engine would drop a duplicate of
-// the request.
+// setIdempotencyKey sets the key of a request whose class needs one: without it no engine would drop a duplicate of the
+// request.
 func setIdempotencyKey(built *lifecycle.Request, class policy.Class, request httpRequest) *statusError {
 	if class.Effect != policy.IdempotentByKey {
 		return nil
--- a/internal/frontend/pgserver/bind_test.go
+++ b/internal/frontend/pgserver/bind_test.go
@@ -7,8 +7,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// The values of a Bind lie within the message, and the result formats of any Bind that is
-// accepted can be applied to a description.
+// The values of a Bind lie within the message, and the result formats of any Bind that is accepted can be applied to a
+// description.
 func FuzzReadBind_ValuesLieWithinTheMessage(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 1, 0, 2, 0, 0, 0, 1, 'k', 255, 255, 255, 255, 0, 1, 0, 1})
 	f.Add([]byte{255, 255})
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -23,16 +23,14 @@
 	ReadOnly     bool // the operator declares the statements read-only; ignored if their text shows that they write
 }
 
-// classification is the result of classify: the class of a statement, and the parameter
-// that has its idempotency key.
+// classification is the result of classify: the class of a statement, and the parameter that has its idempotency key.
 type classification struct {
 	class        policy.Class
 	keyParameter int  // the parameter that has the idempotency key, from 1; 0: none
 	classByShape bool // no rule or comment names a class, so that the query shape may choose another
 }
 
-// classChoice is the class that a statement's leading comment, a rule or the default
-// names.
+// classChoice is the class that a statement's leading comment, a rule or the default names.
 type classChoice struct {
 	class        string
 	keyParameter int
@@ -71,8 +69,8 @@
 	return classification{class: class}, nil
 }
 
-// errIdempotentClass is the error for a statement that may write although a comment or
-// a rule names an idempotent class for it.
+// errIdempotentClass is the error for a statement that may write although a comment or a rule names an idempotent class
+// for it.
 func errIdempotentClass(class string, verdict sqltext.Verdict) *pgproto.Error {
 	failure := newError(codeInvalidParameterValue,
 		"class %s is safe to repeat, and the statement may write (%v)", class, verdict)
@@ -127,9 +125,9 @@
 
 func separatesDirectives(char rune) bool { return char == ' ' || char == ',' || char == ';' }
 
-// idempotencyKey returns the key of an execution, from the bound values; "" if the class
-// needs none. It returns an error if the class needs a key and the execution has none:
-// such an execution is never forwarded, because engines could not drop a duplicate of it.
+// idempotencyKey returns the key of an execution, from the bound values; "" if the class needs none. It returns an
+// error if the class needs a key and the execution has none: such an execution is never forwarded, because engines
+// could not drop a duplicate of it.
 func (c classification) idempotencyKey(values [][]byte) (string, *pgproto.Error) {
 	if c.class.Effect != policy.IdempotentByKey {
 		return "", nil
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -19,8 +19,7 @@
 	maxUnread = maxMessage + 64<<10
 	// stallTimeout is how long a client may send nothing while a message is incomplete.
 	stallTimeout = 2 * time.Second
-	// maxPendingWrite is how many bytes may wait to be sent to a client before no more
-	// of its messages are read.
+	// maxPendingWrite is how many bytes may wait to be sent to a client before no more of its messages are read.
 	maxPendingWrite = 1 << 20
 )
 
@@ -40,11 +39,9 @@
 	stateClosing
 )
 
-// connection is the connection of one client. It owns the socket and the state of the
-// protocol, and passes each message to the phase that serves it: startupPhase,
-// simpleQuery or extendedQuery. A phase reads the message and either writes the
-// complete response to the output or returns an execution, which the connection
-// forwards.
+// connection is the connection of one client. It owns the socket and the state of the protocol, and passes each message
+// to the phase that serves it: startupPhase, simpleQuery or extendedQuery. A phase reads the message and either writes
+// the complete response to the output or returns an execution, which the connection forwards.
 //
 //	state    -> next state  event
 //	startup  -> startup     request for encryption: declined with one byte
@@ -62,8 +59,8 @@
 //	startup, ready, skipping -> closing  malformed message, or stop within a message
 //	any                      -> closing  client disconnected
 //
-// A graceful shutdown closes the connection at once unless a request is in flight, and
-// otherwise after the next ReadyForQuery.
+// A graceful shutdown closes the connection at once unless a request is in flight, and otherwise after the next
+// ReadyForQuery.
 //
 // A connection must be used from the goroutine of the event loop only.
 type connection struct {
@@ -140,8 +137,8 @@
 	c.flush()
 }
 
-// serveNext serves the first message of the input and returns its size, or 0 while it
-// is incomplete or can't be served yet.
+// serveNext serves the first message of the input and returns its size, or 0 while it is incomplete or can't be served
+// yet.
 func (c *connection) serveNext(input []byte) (size int, err error) {
 	if c.state == stateStartup {
 		return c.serveStartupMessage(input)
@@ -149,8 +146,7 @@
 	return c.serveSessionMessage(input)
 }
 
-// serveStartupMessage serves a message of the startup and returns its size, or 0 while it is
-// incomplete.
+// serveStartupMessage serves a message of the startup and returns its size, or 0 while it is incomplete.
 func (c *connection) serveStartupMessage(input []byte) (size int, err error) {
 	code, body, size, err := pgproto.ParseStartup(input)
 	if err != nil || size == 0 {
@@ -168,8 +164,7 @@
 	return size, nil
 }
 
-// beginSession reads the startup packet and begins the session of a client that is
-// admitted.
+// beginSession reads the startup packet and begins the session of a client that is admitted.
 func (c *connection) beginSession(version uint32, body []byte) error {
 	if err := c.startup.readPacket(version, body); err != nil {
 		return err
@@ -187,8 +182,7 @@
 	return nil
 }
 
-// sendReady ends the response to a Query or a Sync, and the connection in a graceful
-// shutdown.
+// sendReady ends the response to a Query or a Sync, and the connection in a graceful shutdown.
 func (c *connection) sendReady() {
 	c.output.message(pgproto.ServerReadyForQuery, []byte{pgproto.TransactionIdle})
 	if c.server.draining {
@@ -219,8 +213,7 @@
 	})
 }
 
-// rejectMalformed closes a connection whose input can't be decoded, after an
-// ErrorResponse.
+// rejectMalformed closes a connection whose input can't be decoded, after an ErrorResponse.
 func (c *connection) rejectMalformed(err error) {
 	c.server.counters.Increment(metrics.PostgresMalformed)
 	var failure *pgproto.Error
@@ -247,8 +240,8 @@
 	c.socket.Close()
 }
 
-// OnClosed abandons the request of a client that has disconnected. Unread messages of
-// the client are dropped with the connection.
+// OnClosed abandons the request of a client that has disconnected. Unread messages of the client are dropped with the
+// connection.
 func (c *connection) OnClosed(_ *eventloop.Conn, _ error) {
 	request, _ := c.endRequest()
 	c.state = stateClosing
--- a/internal/frontend/pgserver/errors.go
+++ b/internal/frontend/pgserver/errors.go
@@ -41,14 +41,12 @@
 	return newError(codeProtocolViolation, "malformed %s message", message)
 }
 
-// errCompletionUnknown is the error for a statement that was forwarded and may have
-// run.
+// errCompletionUnknown is the error for a statement that was forwarded and may have run.
 func errCompletionUnknown() *pgproto.Error {
 	return newError(codeStatementCompletionUnknown, "the statement failed on its way or at its engine; it may have run")
 }
 
-// errRejected is the error for a statement that was rejected: it did not run, and a
-// retry is harmless.
+// errRejected is the error for a statement that was rejected: it did not run, and a retry is harmless.
 func errRejected(retryAfter time.Duration) *pgproto.Error {
 	failure := newError(codeInsufficientResources,
 		"the engines are busy; the statement was refused, and trying again is harmless")
@@ -58,8 +56,8 @@
 	return failure
 }
 
-// responseError returns the error for a final response that is not a completion. Each
-// kind has a code of its own; an engine's error on the statement passes unchanged.
+// responseError returns the error for a final response that is not a completion. Each kind has a code of its own; an
+// engine's error on the statement passes unchanged.
 func responseError(response lifecycle.Response) *pgproto.Error {
 	engineError, _ := response.ErrorDetail.(*pgproto.Error)
 	switch {
--- a/internal/frontend/pgserver/extended_describe.go
+++ b/internal/frontend/pgserver/extended_describe.go
@@ -50,9 +50,8 @@
 	return q.portals.byName[reader.CString()] == described
 }
 
-// withDescription calls send at once if a description of the statement is known or not
-// needed. Otherwise it returns an execution that requests the description and then
-// calls send.
+// withDescription calls send at once if a description of the statement is known or not needed. Otherwise it returns an
+// execution that requests the description and then calls send.
 func (q *extendedQuery) withDescription(described *statement, send func() *pgproto.Error) (*execution, *pgproto.Error) {
 	if described.description != nil || described.empty {
 		return nil, send()
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -9,9 +9,8 @@
 // maxNamed limits the prepared statements, and the portals, of one connection.
 const maxNamed = 1000
 
-// extendedQuery serves the messages of the extended query protocol. It owns the
-// prepared statements and the portals of a connection, and the pending description of a
-// portal.
+// extendedQuery serves the messages of the extended query protocol. It owns the prepared statements and the portals of
+// a connection, and the pending description of a portal.
 //
 //	state   -> next state  event
 //	none    -> pending     Describe of a portal
@@ -22,8 +21,8 @@
 	output     *messageWriter
 	statements map[string]*statement
 	portals    portalSet
-	// pendingDescribe is the portal whose description has not been sent yet: the next
-	// message may be its first Execute, whose result includes it; nil: none is pending.
+	// pendingDescribe is the portal whose description has not been sent yet: the next message may be its first Execute,
+	// whose result includes it; nil: none is pending.
 	pendingDescribe *portal
 }
 
@@ -41,8 +40,8 @@
 	case pgproto.ClientClose:
 		return nil, q.closeTarget(body)
 	}
-	// A Flush requires no action, since all output is written in any case. Copy data is
-	// ignored: it can only follow a COPY, which is rejected.
+	// A Flush requires no action, since all output is written in any case. Copy data is ignored: it can only follow a
+	// COPY, which is rejected.
 	return nil, nil
 }
 
--- a/internal/frontend/pgserver/messages.go
+++ b/internal/frontend/pgserver/messages.go
@@ -8,8 +8,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// errUnknownMessage is returned for input whose first byte is not the kind of any
-// message of a client.
+// errUnknownMessage is returned for input whose first byte is not the kind of any message of a client.
 var errUnknownMessage = errors.New("a message of a kind that no client sends")
 
 // clientMessages are the kinds of messages that a client sends after its startup.
@@ -19,8 +18,8 @@
 	pgproto.ClientCopyData, pgproto.ClientCopyDone, pgproto.ClientCopyFail, pgproto.ClientPassword,
 }
 
-// serveSessionMessage serves a message after the startup and returns its size, or 0 while it is
-// incomplete or waits for the description of a portal.
+// serveSessionMessage serves a message after the startup and returns its size, or 0 while it is incomplete or waits for
+// the description of a portal.
 func (c *connection) serveSessionMessage(input []byte) (size int, err error) {
 	if len(input) > 0 && !slices.Contains(clientMessages, input[0]) {
 		return 0, errUnknownMessage
@@ -29,8 +28,8 @@
 	if err != nil || size == 0 {
 		return 0, err
 	}
-	// A pending description is sent before the message is served. If an engine has to describe the statement first,
-	// the message stays in the input, and OnData is called for it again after the engine's response.
+	// A pending description is sent before the message is served. If an engine has to describe the statement first, the
+	// message stays in the input, and OnData is called for it again after the engine's response.
 	exec, failure := c.extended.resolveDescribe(kind, body)
 	c.forwardOrFinish(extendedProtocol, exec, failure)
 	if c.state == stateInFlight {
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -9,8 +9,8 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// allRows is the maximum number of rows in an Execute that requests all of them. A
-// negative number requests all rows, too.
+// allRows is the maximum number of rows in an Execute that requests all of them. A negative number requests all rows,
+// too.
 const allRows = 0
 
 // portalState is the state of a portal.
@@ -32,8 +32,8 @@
 	portalCompleted
 )
 
-// portal is a statement with bound values. It runs once. Rows that are fetched later
-// come from its buffer, even if the engine has shut down meanwhile.
+// portal is a statement with bound values. It runs once. Rows that are fetched later come from its buffer, even if the
+// engine has shut down meanwhile.
 type portal struct {
 	statement      *statement
 	bind           []byte        // the body of Bind past its names
@@ -70,8 +70,8 @@
 	result.DataRows = nil
 }
 
-// sendRows sends rows of a portal that has run, at most maxRows of them if that is
-// positive, and its completion after the last row.
+// sendRows sends rows of a portal that has run, at most maxRows of them if that is positive, and its completion after
+// the last row.
 func (p *portal) sendRows(output *messageWriter, maxRows int) *pgproto.Error {
 	if p.state == portalCompleted && p.result.RowDescription == nil {
 		return newError(codeObjectNotInState, "the portal has run and cannot be run again")
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// takeRows removes the next rows, at most maxRows of them if that is positive, from the
-// buffer and returns them with their number.
+// takeRows removes the next rows, at most maxRows of them if that is positive, from the buffer and returns them with
+// their number.
 func (p *portal) takeRows(maxRows int) (rows []byte, count int) {
 	size := 0
 	// The loop ends, because unsentRows has complete messages only.
@@ -115,8 +115,8 @@
 	return verb + " " + strconv.Itoa(count)
 }
 
-// portalSet owns the open portals of a connection. Between two messages, the bytes of
-// their unsent rows are reserved in the budget, which all connections share.
+// portalSet owns the open portals of a connection. Between two messages, the bytes of their unsent rows are reserved in
+// the budget, which all connections share.
 type portalSet struct {
 	byName map[string]*portal
 	budget *memorybudget.Budget
@@ -175,8 +175,7 @@
 	clear(s.byName)
 }
 
-// reserve reserves the bytes of a portal's unsent rows. If they exceed the budget, it
-// drops them and returns an error.
+// reserve reserves the bytes of a portal's unsent rows. If they exceed the budget, it drops them and returns an error.
 func (s *portalSet) reserve(p *portal) *pgproto.Error {
 	if len(p.unsentRows) == 0 || s.budget.TryReserve(len(p.unsentRows)) {
 		return nil
--- a/internal/frontend/pgserver/portal_test.go
+++ b/internal/frontend/pgserver/portal_test.go
@@ -37,8 +37,7 @@
 	return text
 }
 
-// A portal runs once. It sends as many rows as it is asked for, and its completion after the
-// last row.
+// A portal runs once. It sends as many rows as it is asked for, and its completion after the last row.
 func TestPortal_SendsRowsInPartsAndThenItsCompletion(t *testing.T) {
 	insert := &pgproto.Result{CommandTag: "INSERT 0 1"}
 	emptyQuery := &pgproto.Result{EmptyQuery: true}
@@ -97,8 +96,8 @@
 	}
 }
 
-// The limit of the budget may be lowered while portals have reserved more. An Execute that leaves
-// no rows in its portal is then still served, with one final message.
+// The limit of the budget may be lowered while portals have reserved more. An Execute that leaves no rows in its portal
+// is then still served, with one final message.
 func TestPortalSet_ExecuteThatLeavesNoRowsNeedsNoBudget(t *testing.T) {
 	const (
 		reserved = 10
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -10,8 +10,7 @@
 	"flaxrelay/policy"
 )
 
-// queryProtocol is the part of the protocol that a message belongs to. It decides how a
-// message ends.
+// queryProtocol is the part of the protocol that a message belongs to. It decides how a message ends.
 type queryProtocol uint8
 
 const (
@@ -83,8 +82,7 @@
 	return request, exec
 }
 
-// resume writes the output and continues to read, first what the client has sent during
-// the request.
+// resume writes the output and continues to read, first what the client has sent during the request.
 func (c *connection) resume() {
 	c.flush()
 	c.socket.LiftReadAheadLimit()
@@ -108,8 +106,8 @@
 	return request
 }
 
-// executionClass returns the class of an execution. If the query shape determines the
-// class, it returns the estimator's execution, too.
+// executionClass returns the class of an execution. If the query shape determines the class, it returns the estimator's
+// execution, too.
 func (s *Server) executionClass(exec *execution) (policy.Class, *stmtstats.Execution) {
 	if exec.message.DescribeOnly {
 		// A description runs nothing, also if its statement would write.
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -1,6 +1,6 @@
-// Package pgserver serves clients that speak the PostgreSQL wire protocol, with simple
-// and extended queries. Each execution at an engine is one request to the dispatcher
-// and has one final response: a completion or one ErrorResponse.
+// Package pgserver serves clients that speak the PostgreSQL wire protocol, with simple and extended queries. Each
+// execution at an engine is one request to the dispatcher and has one final response: a completion or one
+// ErrorResponse.
 package pgserver
 
 import (
@@ -20,11 +20,10 @@
 const (
 	// startupTimeout is how long a connection may take until its startup is complete.
 	startupTimeout = 2 * time.Second
-	// spareClients is how many clients may connect past the limit, to cancel a request or
-	// to get the error that there are too many clients.
+	// spareClients is how many clients may connect past the limit, to cancel a request or to get the error that there
+	// are too many clients.
 	spareClients = 16
-	// defaultMaxBufferedBytes limits the rows in open portals if the options do not, in
-	// bytes.
+	// defaultMaxBufferedBytes limits the rows in open portals if the options do not, in bytes.
 	defaultMaxBufferedBytes = 32 << 20
 )
 
@@ -39,9 +38,8 @@
 	MaxBufferedBytes  int                // bytes of rows that are buffered in all open portals together
 }
 
-// Server accepts PostgreSQL clients. It owns their connections, decides the class of
-// each statement, and builds the request for each execution. The server and its
-// connections must be used from the goroutine of the event loop only.
+// Server accepts PostgreSQL clients. It owns their connections, decides the class of each statement, and builds the
+// request for each execution. The server and its connections must be used from the goroutine of the event loop only.
 type Server struct {
 	clientconn.Listener
 	loop       *eventloop.Loop
@@ -89,8 +87,7 @@
 	return c
 }
 
-// SetOptions changes the options for statements that are prepared and clients that
-// connect from now on.
+// SetOptions changes the options for statements that are prepared and clients that connect from now on.
 func (s *Server) SetOptions(options Options) {
 	if options.MaxBufferedBytes <= 0 {
 		options.MaxBufferedBytes = defaultMaxBufferedBytes
--- a/internal/frontend/pgserver/simple_query.go
+++ b/internal/frontend/pgserver/simple_query.go
@@ -8,16 +8,15 @@
 	emptyBind        = []byte{0, 0, 0, 0, 0, 0} // counts of 0: formats, values, result formats
 )
 
-// simpleQuery serves Query messages. It keeps no state between two of them: a SET
-// changes the settings of the session, which the connection owns.
+// simpleQuery serves Query messages. It keeps no state between two of them: a SET changes the settings of the session,
+// which the connection owns.
 type simpleQuery struct {
 	server   *Server
 	settings *sessionSettings
 	output   *messageWriter
 }
 
-// serve serves a Query of one statement. It returns an execution if an engine has to run
-// the statement.
+// serve serves a Query of one statement. It returns an execution if an engine has to run the statement.
 func (q *simpleQuery) serve(body []byte) (*execution, *pgproto.Error) {
 	reader := pgproto.Reader{Unread: body}
 	query := reader.CString()
@@ -49,8 +48,7 @@
 	}, nil
 }
 
-// setStatementTimeout carries out a SET of statement_timeout, the only SET that is served
-// here.
+// setStatementTimeout carries out a SET of statement_timeout, the only SET that is served here.
 func (q *simpleQuery) setStatementTimeout(value string) *pgproto.Error {
 	if failure := q.settings.setStatementTimeout(value); failure != nil {
 		return failure
--- a/internal/frontend/pgserver/startup.go
+++ b/internal/frontend/pgserver/startup.go
@@ -36,8 +36,8 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// startupPhase reads the startup packet of a client, holds its parameters, and writes
-// the messages that begin the session.
+// startupPhase reads the startup packet of a client, holds its parameters, and writes the messages that begin the
+// session.
 type startupPhase struct {
 	version        uint32
 	user           string
@@ -85,8 +85,7 @@
 	return nil
 }
 
-// applyOptions applies the server options of a startup packet, as in
-// "-c statement_timeout=5s". Others are ignored.
+// applyOptions applies the server options of a startup packet, as in "-c statement_timeout=5s". Others are ignored.
 func (p *startupPhase) applyOptions(text string) *pgproto.Error {
 	words := strings.Fields(text)
 	for i, word := range words {
@@ -108,8 +107,7 @@
 	return nil
 }
 
-// writeSession writes the messages that begin the session, up to its first
-// ReadyForQuery.
+// writeSession writes the messages that begin the session, up to its first ReadyForQuery.
 func (p *startupPhase) writeSession(output *messageWriter, key cancelKey) {
 	if p.version > pgproto.ProtocolVersion || len(p.unknownOptions) > 0 {
 		parts := [][]byte{pgproto.Int32(newestMinorVersion), pgproto.Int32(len(p.unknownOptions))}
@@ -122,8 +120,8 @@
 	output.message(pgproto.ServerBackendKeyData, key.body())
 }
 
-// admit returns an error for a client that may not begin a session. The client's own
-// connection counts among those that are open.
+// admit returns an error for a client that may not begin a session. The client's own connection counts among those that
+// are open.
 func (s *Server) admit(startup *startupPhase) *pgproto.Error {
 	if startup.user == "" {
 		return newError(codeInvalidAuthorization, "no user name in the startup packet")
--- a/internal/frontend/pgserver/statement.go
+++ b/internal/frontend/pgserver/statement.go
@@ -40,8 +40,8 @@
 	return prepared, nil
 }
 
-// checkValueCount returns an error if the number of bound values differs from the
-// number of parameters that an engine has described. It returns nil if none has.
+// checkValueCount returns an error if the number of bound values differs from the number of parameters that an engine
+// has described. It returns nil if none has.
 func (s *statement) checkValueCount(count int) *pgproto.Error {
 	if s.description == nil || len(s.description.ParameterDescription) < countSize {
 		return nil
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// parameterOIDs returns the types of the parameters: those that an engine has described,
-// or else those that the client gave.
+// parameterOIDs returns the types of the parameters: those that an engine has described, or else those that the client
+// gave.
 func (s *statement) parameterOIDs() []byte {
 	if s.description != nil && len(s.description.ParameterDescription) > countSize {
 		return s.description.ParameterDescription[countSize:]
--- a/internal/frontend/pgserver/statement_timeout.go
+++ b/internal/frontend/pgserver/statement_timeout.go
@@ -47,12 +47,12 @@
 	return class.Deadline
 }
 
-// maxTimeoutBits is the size of the number before the unit of a timeout. PostgreSQL stores it as a
-// signed number of 32 bits.
+// maxTimeoutBits is the size of the number before the unit of a timeout. PostgreSQL stores it as a signed number of 32
+// bits.
 const maxTimeoutBits = 31
 
-// parseStatementTimeout reads a timeout as PostgreSQL writes it: in milliseconds, or with a
-// unit. It returns 0 for "default".
+// parseStatementTimeout reads a timeout as PostgreSQL writes it: in milliseconds, or with a unit. It returns 0 for
+// "default".
 func parseStatementTimeout(text string) (time.Duration, *pgproto.Error) {
 	text = strings.Trim(strings.TrimSpace(text), "'")
 	if strings.EqualFold(text, "default") {
@@ -67,8 +67,8 @@
 	return time.Duration(number) * unit, nil
 }
 
-// statementTimeoutValue returns the value of a SET [SESSION] statement_timeout, with = or
-// TO; ok is false for any other query.
+// statementTimeoutValue returns the value of a SET [SESSION] statement_timeout, with = or TO; ok is false for any other
+// query.
 func statementTimeoutValue(query string) (value string, ok bool) {
 	query = strings.TrimRight(sqltext.SkipComments(query), "; \t\r\n")
 	words := strings.Fields(strings.ReplaceAll(query, "=", " = "))
--- a/internal/pgproto/messages_test.go
+++ b/internal/pgproto/messages_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A decoded message lies within the input, its body lies within the message, and no input
-// makes the decoders of bodies panic.
+// A decoded message lies within the input, its body lies within the message, and no input makes the decoders of bodies
+// panic.
 func FuzzMessages_LieWithinTheInput(f *testing.F) {
 	const maxLength = 1 << 16
 	errorResponse := (&Error{Severity: "ERROR", Code: "42P01", Message: "m", Hint: "h"}).Body()
--- a/internal/pgproto/results.go
+++ b/internal/pgproto/results.go
@@ -1,7 +1,6 @@
 package pgproto
 
-// Statement is one execution of a statement with bound values, or a request to describe a
-// statement.
+// Statement is one execution of a statement with bound values, or a request to describe a statement.
 type Statement struct {
 	Query          string
 	ParameterTypes []byte // the count and the types of the parameters, as in Parse
@@ -19,8 +18,7 @@
 	EmptyQuery           bool   // EmptyQueryResponse was received in place of CommandComplete
 }
 
-// fixedColumnSize is the number of bytes between a column's name and its format in a
-// RowDescription.
+// fixedColumnSize is the number of bytes between a column's name and its format in a RowDescription.
 const fixedColumnSize = 16
 
 // formatSize is the size of a format code in bytes.
