--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -23,7 +23,27 @@
 	maxPendingWrite = 1 << 20
 )
 
-// connectionState is the state of a connection in the protocol.
+// connectionState says which messages a connection serves next. Every connection begins in stateStartup and ends in
+// stateClosing.
+//
+//	state     -> next state  event
+//	startup   -> startup     request for encryption: declined with one byte
+//	startup   -> ready       startup packet of a client that is admitted
+//	startup   -> closing     CancelRequest, client not admitted, timeout
+//	ready     -> ready       message that is served without an engine, error in a Query
+//	ready     -> in flight   message whose request is forwarded
+//	ready     -> skipping    error in a message that is not a Query
+//	in flight -> ready       response to a Query, or its CancelRequest
+//	in flight -> ready       result for a message of the extended query
+//	in flight -> skipping    error for such a message, or its CancelRequest
+//	skipping  -> ready       Sync
+//	skipping  -> skipping    any other message, which is ignored
+//	ready, skipping          -> closing  Terminate
+//	startup, ready, skipping -> closing  malformed message, or a client that stalls within a message
+//	any                      -> closing  client disconnected
+//
+// A graceful shutdown closes the connection at once unless a request is in flight, and otherwise after the next
+// ReadyForQuery.
 type connectionState uint8
 
 const (
@@ -39,29 +59,13 @@
 	stateClosing
 )
 
+// awaitsMessage reports whether the next message may be served.
+func (s connectionState) awaitsMessage() bool { return s != stateInFlight && s != stateClosing }
+
 // connection is the connection of one client. It owns the socket and the state of the protocol, and passes each message
 // to the phase that serves it: startupPhase, simpleQuery or extendedQuery. A phase reads the message and either writes
 // the complete response to the output or returns an execution, which the connection forwards.
 //
-//	state    -> next state  event
-//	startup  -> startup     request for encryption: declined with one byte
-//	startup  -> ready       startup packet of a client that is admitted
-//	startup  -> closing     CancelRequest, client not admitted, timeout
-//	ready    -> ready       message that is served without an engine, error in a Query
-//	ready    -> inFlight    message that needs an engine: its request is forwarded
-//	ready    -> skipping    error in a message that is not a Query
-//	inFlight -> ready       response to a Query, or its CancelRequest
-//	inFlight -> ready       result for a message of the extended query
-//	inFlight -> skipping    error for such a message, or its CancelRequest
-//	skipping -> ready       Sync
-//	skipping -> skipping    any other message, which is ignored
-//	ready, skipping          -> closing  Terminate
-//	startup, ready, skipping -> closing  malformed message, or stop within a message
-//	any                      -> closing  client disconnected
-//
-// A graceful shutdown closes the connection at once unless a request is in flight, and otherwise after the next
-// ReadyForQuery.
-//
 // A connection must be used from the goroutine of the event loop only.
 type connection struct {
 	server   *Server
@@ -99,14 +103,9 @@
 	return c
 }
 
-// awaitsMessage reports whether the next message may be read.
-func (c *connection) awaitsMessage() bool {
-	return c.state != stateInFlight && c.state != stateClosing
-}
-
 // OnData serves messages until one waits for its response.
 func (c *connection) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
-	for c.awaitsMessage() {
+	for c.state.awaitsMessage() {
 		if c.socket.Disconnected() {
 			// Requests of a client that has disconnected are not accepted.
 			in.Consume(in.Len())
@@ -201,7 +200,7 @@
 
 // awaitsClient reports whether only the client can make progress: nothing on this side delays the reading of a message.
 func (c *connection) awaitsClient() bool {
-	return c.awaitsMessage() && c.socket.PendingWrite() <= maxPendingWrite
+	return c.state.awaitsMessage() && c.socket.PendingWrite() <= maxPendingWrite
 }
 
 // startStallTimer limits the time until the client sends more of a message, of which a part has arrived. Any part
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -1,6 +1,11 @@
 // Package pgserver serves clients that speak the PostgreSQL wire protocol, with simple and extended queries. Each
 // execution at an engine is one request to the dispatcher and has one final response: a completion or one
 // ErrorResponse.
+//
+// A Server accepts connections, gives each statement its class (classify) and builds the request of each execution
+// (newRequest). Each connection is a state machine, whose diagram is in the comment of connectionState. It passes the
+// messages to the part of the protocol that they belong to: startupPhase, simpleQuery, or extendedQuery with its
+// prepared statements and its portalSet.
 package pgserver
 
 import (
