--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -157,6 +157,20 @@
 	"DISCARD": true, "RESET": true, "SET": true,
 }
 
+// supportedCommand returns the first word of a statement in upper case, "" if the text has no statement. It returns an
+// error if the statement is not supported.
+func supportedCommand(query string, parsed *stmtstats.Statement) (string, *pgproto.Error) {
+	command, several := commandOf(query, parsed)
+	switch {
+	case several:
+		return "", newError(codeFeatureNotSupported, "only one statement at a time is supported")
+	case unsupportedCommands[command]:
+		return "", newError(codeFeatureNotSupported,
+			"%s is not supported: statements share their engines' sessions", command)
+	}
+	return command, nil
+}
+
 // commandOf returns the first word of a statement in upper case, "" if the text has no statement, and whether the text
 // has several statements.
 func commandOf(query string, parsed *stmtstats.Statement) (command string, several bool) {
@@ -165,15 +179,3 @@
 	}
 	return sqltext.FirstWord(query)
 }
-
-// checkSupported returns an error if the command is not supported, or the text has several statements.
-func checkSupported(command string, several bool) *pgproto.Error {
-	switch {
-	case several:
-		return newError(codeFeatureNotSupported, "only one statement at a time is supported")
-	case unsupportedCommands[command]:
-		return newError(codeFeatureNotSupported,
-			"%s is not supported: statements share their engines' sessions", command)
-	}
-	return nil
-}
--- a/internal/frontend/pgserver/statement.go
+++ b/internal/frontend/pgserver/statement.go
@@ -23,8 +23,8 @@
 	if estimator := s.options.Estimator; estimator != nil {
 		parsed = estimator.Parse(query, s.options.ReadOnlyFunctions)
 	}
-	command, several := commandOf(query, parsed)
-	if failure := checkSupported(command, several); failure != nil {
+	command, failure := supportedCommand(query, parsed)
+	if failure != nil {
 		return nil, failure
 	}
 	prepared := &statement{query: query, parameterTypes: bytes.Clone(parameterTypes), empty: command == ""}
