--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -113,8 +113,8 @@
 	return c
 }
 
-// Drain begins a graceful shutdown: each connection is closed as soon as it is unused. A request that has partly
-// arrived is still served once it is complete; its read timer limits the wait for it.
+// Drain closes the connections in a graceful shutdown: each as soon as it is unused. A request that has partly arrived
+// is still served once it is complete; its read timer limits the wait for it.
 func (s *Server) Drain() {
 	s.draining = true
 	for c := range s.connections {
--- a/internal/frontend/pgserver/errors.go
+++ b/internal/frontend/pgserver/errors.go
@@ -56,6 +56,11 @@
 	return failure
 }
 
+// errShuttingDown is the last error of a connection in a graceful shutdown.
+func errShuttingDown() *pgproto.Error {
+	return newError(codeAdminShutdown, "the gateway is stopping")
+}
+
 // responseError returns the error for a final response that is not a completion. Each kind has a code of its own; an
 // engine's error on the statement passes unchanged.
 func responseError(response lifecycle.Response) *pgproto.Error {
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -17,7 +17,6 @@
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/memorybudget"
 	"flaxrelay/internal/metrics"
-	"flaxrelay/internal/pgproto"
 	"flaxrelay/internal/sqltext"
 	"flaxrelay/internal/stmtstats"
 )
@@ -118,7 +117,3 @@
 
 // Idle reports whether no client is connected.
 func (s *Server) Idle() bool { return len(s.connections) == 0 }
-
-func errShuttingDown() *pgproto.Error {
-	return newError(codeAdminShutdown, "the gateway is stopping")
-}
