--- a/internal/pgproto/error_response.go
+++ b/internal/pgproto/error_response.go
@@ -1,6 +1,9 @@
 package pgproto
 
-import "fmt"
+import (
+	"bytes"
+	"fmt"
+)
 
 // Types of the fields of an ErrorResponse that this package reads or writes.
 const (
@@ -20,8 +23,7 @@
 	Code     string // SQLSTATE
 	Message  string
 	Hint     string // "": none
-	// raw is the body as an engine sent it, which Body returns unchanged. It is nil for an
-	// error of this program.
+	// raw is the body as an engine sent it, which Body returns unchanged. It is nil for an error of this program.
 	raw []byte
 }
 
@@ -54,7 +56,7 @@
 
 // ParseError reads the body of an ErrorResponse or a NoticeResponse.
 func ParseError(body []byte) (*Error, error) {
-	parsed := &Error{raw: append([]byte{}, body...)} // not nil, even if the body is empty
+	parsed := &Error{raw: bytes.Clone(body)}
 	reader := Reader{Unread: body}
 	for {
 		kind := reader.Byte()
@@ -69,7 +71,7 @@
 	return parsed, nil
 }
 
-// setField stores a field. Those of other types are kept in raw only.
+// setField stores a field of a known type. Fields of other types are kept in raw only.
 func (e *Error) setField(kind byte, value string) {
 	switch kind {
 	case fieldSeverity:
