--- a/internal/frontend/pgserver/extended_query_test.go
+++ b/internal/frontend/pgserver/extended_query_test.go
@@ -8,8 +8,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// testExtendedQuery has the prepared statement s, the open portals p and q of it, and an empty
-// statement e with the portal e.
+// testExtendedQuery has the prepared statement s, the open portals p and q of it, and an empty statement e with the
+// portal e.
 func testExtendedQuery() (*extendedQuery, *messageWriter) {
 	prepared := &statement{query: "SELECT part", parameterTypes: noParameterTypes}
 	empty := &statement{parameterTypes: noParameterTypes, empty: true}
@@ -36,27 +36,38 @@
 	return append(pgproto.CString(portal), pgproto.Int32(allRows)...)
 }
 
-// The description of a portal is not sent before the next message. The result of the portal's first
-// Execute includes it. Before any other message it is sent, and an engine may have to describe the
-// statement first.
+// The description of a portal is not sent before the next message. The result of the portal's first Execute includes
+// it. Before any other message it is sent, and an engine may have to describe the statement first.
 func TestExtendedQuery_PendingDescriptionIsResolvedByTheNextMessage(t *testing.T) {
 	for name, tt := range map[string]struct {
 		portal    string
 		described bool // an engine has described the statement before
-		kind      byte
+		kind      byte // of the next message
 		body      []byte
-		pending   bool // the description is left to the message
+		pending   bool // the description is left to the next message
 		forwarded bool // an engine has to describe the statement
 		want      string
 	}{
-		"first Execute":                {"p", false, pgproto.ClientExecute, executeBody("p"), true, false, ""},
-		"first Execute, described":     {"p", true, pgproto.ClientExecute, executeBody("p"), true, false, ""},
-		"Execute of another portal":    {"p", false, pgproto.ClientExecute, executeBody("q"), false, true, ""},
-		"Execute of another, known":    {"p", true, pgproto.ClientExecute, executeBody("q"), false, false, "T"},
-		"Execute of an unknown portal": {"p", true, pgproto.ClientExecute, executeBody("x"), false, false, "T"},
-		"Execute of an empty query":    {"e", false, pgproto.ClientExecute, executeBody("e"), false, false, "n"},
-		"Sync":                         {"p", false, pgproto.ClientSync, nil, false, true, ""},
-		"Sync, described":              {"p", true, pgproto.ClientSync, nil, false, false, "T"},
+		"first Execute": {
+			portal: "p", kind: pgproto.ClientExecute, body: executeBody("p"), pending: true,
+		},
+		"first Execute, described": {
+			portal: "p", described: true, kind: pgproto.ClientExecute, body: executeBody("p"), pending: true,
+		},
+		"Execute of another portal": {
+			portal: "p", kind: pgproto.ClientExecute, body: executeBody("q"), forwarded: true,
+		},
+		"Execute of another portal, described": {
+			portal: "p", described: true, kind: pgproto.ClientExecute, body: executeBody("q"), want: "T",
+		},
+		"Execute of an unknown portal, described": {
+			portal: "p", described: true, kind: pgproto.ClientExecute, body: executeBody("x"), want: "T",
+		},
+		"Execute of an empty query": {
+			portal: "e", kind: pgproto.ClientExecute, body: executeBody("e"), want: "n",
+		},
+		"Sync":            {portal: "p", kind: pgproto.ClientSync, forwarded: true},
+		"Sync, described": {portal: "p", described: true, kind: pgproto.ClientSync, want: "T"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			query, output := testExtendedQuery()
