--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -92,10 +92,7 @@
 	if err := r.startFrontEnds(); err != nil {
 		return nil, err
 	}
-	stopSampling := make(chan struct{})
-	go newWaitSampler(r.processGroups).run(r.history.addProcessorWait, stopSampling)
 	r.runWorkload()
-	close(stopSampling)
 	return r.result(), nil
 }
 
@@ -152,6 +149,9 @@
 // runWorkload runs clients and faults for the duration of the run. It waits until all faults are over
 // and all requests have ended, and then terminates the front ends.
 func (r *run) runWorkload() {
+	stopSampling := make(chan struct{})
+	defer close(stopSampling)
+	go newWaitSampler(r.processGroups).run(r.history.addProcessorWait, stopSampling)
 	stopClients := make(chan struct{})
 	stopFaults := make(chan struct{})
 	var clients, injector sync.WaitGroup
