--- a/cmd/flaxlab/main.go
+++ b/cmd/flaxlab/main.go
@@ -16,10 +16,10 @@
 
 // cli is the grammar of the command line.
 type cli struct {
-	Traffic trafficCommand `name:"traffic" cmd:"" help:"Generate, show and summarize recorded traffic."`
-	Shapes  shapesCommand  `name:"shapes" cmd:"" help:"Evaluate the classifier of statements, its cache and its cost."`
-	Try     tryCommand     `name:"try" cmd:"" help:"Start fake engines and discovery with both front ends."`
-	Soak    soakCommand    `name:"soak" cmd:"" help:"Inject random faults into real front ends and check the rules."`
+	Traffic trafficCommand `cmd:"" help:"Generate, show and summarize recorded traffic."`
+	Shapes  shapesCommand  `cmd:"" help:"Evaluate the classifier of statements, its cache and its cost."`
+	Try     tryCommand     `cmd:"" help:"Start fake engines and discovery with both front ends."`
+	Soak    soakCommand    `cmd:"" help:"Inject random faults into real front ends and check the rules."`
 }
 
 func main() {
--- a/cmd/flaxlab/program.go
+++ b/cmd/flaxlab/program.go
@@ -13,7 +13,7 @@
 
 // programFlag names the program of the front end.
 type programFlag struct {
-	Flaxrelay string `name:"flaxrelay" placeholder:"FILE" help:"The flaxrelay program; by default it is built here."`
+	Flaxrelay string `placeholder:"FILE" help:"The flaxrelay program; by default it is built here."`
 }
 
 // frontEndProgram returns the path of the flag. Without the flag, it builds the program into a temporary
--- a/cmd/flaxlab/shapes.go
+++ b/cmd/flaxlab/shapes.go
@@ -2,9 +2,9 @@
 
 // shapesCommand groups the experiments with query shapes.
 type shapesCommand struct {
-	Evaluate evaluateCommand `name:"evaluate" cmd:"" help:"Evaluate classes and estimates on recorded traffic."`
-	Flood    floodCommand    `name:"flood" cmd:"" help:"Flood the cache with shapes that occur once."`
-	Cost     costCommand     `name:"cost" cmd:"" help:"Measure the CPU time that shapes add to a request."`
+	Evaluate evaluateCommand `cmd:"" help:"Evaluate classes and estimates on recorded traffic."`
+	Flood    floodCommand    `cmd:"" help:"Flood the cache with shapes that occur once."`
+	Cost     costCommand     `cmd:"" help:"Measure the CPU time that shapes add to a request."`
 }
 
 // bytesPerKB and bytesPerMB turn counts of bytes into the units of the tables.
--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -13,12 +13,12 @@
 // costCommand measures the CPU time that query shapes add to a request.
 type costCommand struct {
 	programFlag
-	Clients  int    `name:"clients" default:"8" help:"Number of client connections."`
-	Requests int    `name:"requests" default:"40000" help:"Requests in each round."`
-	Rounds   int    `name:"rounds" default:"5" help:"Pairs of rounds, without shapes and with them."`
-	Prepared bool   `name:"prepared" help:"Prepare statements once and bind them many times, instead of a Query each."`
-	Seed     uint64 `name:"seed" default:"1" help:"Seed of the statements."`
-	Out      string `name:"out" placeholder:"FOLDER" help:"Write table, figures and chart to shapes-cost-query.* or shapes-cost-prepared.* there."`
+	Clients  int    `default:"8" help:"Number of client connections."`
+	Requests int    `default:"40000" help:"Requests in each round."`
+	Rounds   int    `default:"5" help:"Pairs of rounds, without shapes and with them."`
+	Prepared bool   `help:"Prepare statements once and bind them many times, instead of a Query each."`
+	Seed     uint64 `default:"1" help:"Seed of the statements."`
+	Out      string `placeholder:"FOLDER" help:"Write shapes-cost-query.* or shapes-cost-prepared.* there."`
 }
 
 // costTimeout limits an experiment, in case its front end stops responding. A large experiment takes a
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -12,11 +12,11 @@
 // evaluateCommand evaluates the classifier on recorded traffic.
 type evaluateCommand struct {
 	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; by default they are generated from the seeds."`
-	Seeds  []uint64 `name:"seeds" default:"1,2,3,4,5" help:"Seeds of generated workloads."`
-	Number int      `name:"number" default:"20000" help:"Statements in each generated workload."`
-	Train  float64  `name:"train" default:"0.5" help:"Share of the records that only trains and is not evaluated."`
-	Kbytes int      `name:"kbytes" default:"2048" help:"Cache size limit in KB."`
-	Out    string   `name:"out" placeholder:"FOLDER" help:"Write table, figures and chart to shapes-evaluate.* there."`
+	Seeds  []uint64 `default:"1,2,3,4,5" help:"Seeds of generated workloads."`
+	Number int      `default:"20000" help:"Statements in each generated workload."`
+	Train  float64  `default:"0.5" help:"Share of the records that only trains and is not evaluated."`
+	Kbytes int      `default:"2048" help:"Cache size limit in KB."`
+	Out    string   `placeholder:"FOLDER" help:"Write table, figures and chart to shapes-evaluate.* there."`
 }
 
 // recording is traffic with the seed that it was generated from.
--- a/cmd/flaxlab/shapes_flood.go
+++ b/cmd/flaxlab/shapes_flood.go
@@ -9,12 +9,12 @@
 
 // floodCommand floods the cache with shapes that never recur.
 type floodCommand struct {
-	Seeds     []uint64 `name:"seeds" default:"1,2,3,4,5" help:"Seeds, one run each."`
-	Recurring int      `name:"recurring" default:"200" help:"Number of recurring shapes."`
-	OneOff    int      `name:"one-off" default:"1000000" help:"Number of shapes that occur once."`
-	Share     float64  `name:"share" default:"0.2" help:"Share of statements with a recurring shape."`
-	Kbytes    int      `name:"kbytes" default:"1024" help:"Cache size limit in KB."`
-	Out       string   `name:"out" placeholder:"FOLDER" help:"Write table, figures and chart to shapes-flood.* there."`
+	Seeds     []uint64 `default:"1,2,3,4,5" help:"Seeds, one run each."`
+	Recurring int      `default:"200" help:"Number of recurring shapes."`
+	OneOff    int      `default:"1000000" help:"Number of shapes that occur once."`
+	Share     float64  `default:"0.2" help:"Share of statements with a recurring shape."`
+	Kbytes    int      `default:"1024" help:"Cache size limit in KB."`
+	Out       string   `placeholder:"FOLDER" help:"Write table, figures and chart to shapes-flood.* there."`
 }
 
 // floodedCaches are the kinds of cache that are compared.
--- a/cmd/flaxlab/soak.go
+++ b/cmd/flaxlab/soak.go
@@ -13,14 +13,14 @@
 // soakCommand injects randomized faults into real front ends.
 type soakCommand struct {
 	programFlag
-	Seed      uint64        `name:"seed" default:"1" help:"The first seed."`
-	Seeds     int           `name:"seeds" default:"1" help:"Number of seeds, which run one after the other."`
-	Duration  time.Duration `name:"duration" default:"12s" help:"Time in which faults begin. The run ends once these and all requests have ended."`
-	FrontEnds int           `name:"front-ends" default:"6" help:"Front-end processes."`
-	Engines   int           `name:"engines" default:"12" help:"Engine processes."`
-	Clients   int           `name:"clients" default:"32" help:"Clients."`
-	Folder    string        `name:"folder" placeholder:"FOLDER" help:"Keep the logs of all runs there, and not only of those with violations."`
-	Verbose   bool          `name:"verbose" help:"Print each fault as it begins."`
+	Seed      uint64        `default:"1" help:"The first seed."`
+	Seeds     int           `default:"1" help:"Number of seeds, which run one after the other."`
+	Duration  time.Duration `default:"12s" help:"Time in which faults begin; they end later, as do the last requests."`
+	FrontEnds int           `default:"6" help:"Front-end processes."`
+	Engines   int           `default:"12" help:"Engine processes."`
+	Clients   int           `default:"32" help:"Clients."`
+	Folder    string        `placeholder:"FOLDER" help:"Keep the logs of all runs there, not only of failed ones."`
+	Verbose   bool          `help:"Print each fault as it begins."`
 }
 
 var errViolations = errors.New("rules were violated")
--- a/cmd/flaxlab/traffic.go
+++ b/cmd/flaxlab/traffic.go
@@ -12,9 +12,9 @@
 
 // trafficCommand groups the commands on traffic files.
 type trafficCommand struct {
-	Generate generateCommand `name:"generate" cmd:"" help:"Write a file of generated traffic."`
-	Show     showCommand     `name:"show" cmd:"" help:"Print records."`
-	Stats    statsCommand    `name:"stats" cmd:"" help:"Summarize a file."`
+	Generate generateCommand `cmd:"" help:"Write a file of generated traffic."`
+	Show     showCommand     `cmd:"" help:"Print records."`
+	Stats    statsCommand    `cmd:"" help:"Summarize a file."`
 }
 
 // readRecords passes each record of a file to handle, which returns whether to continue. Of a truncated
--- a/cmd/flaxlab/traffic_generate.go
+++ b/cmd/flaxlab/traffic_generate.go
@@ -15,16 +15,16 @@
 
 // workloadFlags are the flags of the workload model.
 type workloadFlags struct {
-	Seed        uint64  `name:"seed" default:"1" help:"Seed of all random numbers."`
-	Number      int     `name:"number" default:"20000" help:"Number of statements."`
-	Templates   int     `name:"templates" default:"200" help:"Number of recurring shapes."`
-	OneOff      float64 `name:"one-off" default:"0.05" help:"Share of statements whose shape never recurs."`
-	Hard        float64 `name:"hard" default:"0.04" help:"Share of lookups whose values make them expensive reports."`
-	Writes      float64 `name:"writes" default:"0.02" help:"Share of statements that write and are not loads."`
-	DriftAt     float64 `name:"drift-at" default:"0.6" help:"Share of statements before the orders table grows; 0: it never does."`
-	Drift       float64 `name:"drift" default:"3" help:"Factor by which the orders table grows."`
-	HintNoise   float64 `name:"hint-noise" default:"0.7" help:"Standard deviation of the natural logarithm of hints."`
-	HintMissing float64 `name:"hint-missing" default:"0.15" help:"Share of statements without a hint."`
+	Seed        uint64  `default:"1" help:"Seed of all random numbers."`
+	Number      int     `default:"20000" help:"Number of statements."`
+	Templates   int     `default:"200" help:"Number of recurring shapes."`
+	OneOff      float64 `default:"0.05" help:"Share of statements whose shape never recurs."`
+	Hard        float64 `default:"0.04" help:"Share of lookups whose values make them expensive reports."`
+	Writes      float64 `default:"0.02" help:"Share of statements that write and are not loads."`
+	DriftAt     float64 `default:"0.6" help:"Share of statements before the orders table grows; 0: it never does."`
+	Drift       float64 `default:"3" help:"Factor by which the orders table grows."`
+	HintNoise   float64 `default:"0.7" help:"Standard deviation of the natural logarithm of hints."`
+	HintMissing float64 `default:"0.15" help:"Share of statements without a hint."`
 }
 
 func (f workloadFlags) options() workload.Options {
@@ -44,8 +44,8 @@
 // generateCommand writes a file of generated traffic.
 type generateCommand struct {
 	workloadFlags
-	File     string  `name:"file" arg:"" help:"The file to write."`
-	Rate     float64 `name:"rate" default:"99" help:"Mean statements per second."`
+	File     string  `arg:"" help:"The file to write."`
+	Rate     float64 `default:"99" help:"Mean statements per second."`
 	Arrivals string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"Arrival process: ${enum}."`
 }
 
--- a/cmd/flaxlab/traffic_show.go
+++ b/cmd/flaxlab/traffic_show.go
@@ -9,10 +9,10 @@
 
 // showCommand prints the records of a traffic file.
 type showCommand struct {
-	File string `name:"file" arg:"" help:"The file."`
-	From int    `name:"from" default:"0" help:"Number of the first record to print, which counts from 0."`
-	Most int    `name:"most" default:"20" help:"Maximum number of records."`
-	Hard bool   `name:"hard" help:"Print only the hard cases."`
+	File string `arg:"" help:"The file."`
+	From int    `default:"0" help:"Number of the first record to print, which counts from 0."`
+	Most int    `default:"20" help:"Maximum number of records."`
+	Hard bool   `help:"Print only the hard cases."`
 }
 
 // Run prints one line for each record.
--- a/cmd/flaxlab/traffic_stats.go
+++ b/cmd/flaxlab/traffic_stats.go
@@ -18,7 +18,7 @@
 
 // statsCommand summarizes a traffic file.
 type statsCommand struct {
-	File string `name:"file" arg:"" help:"The file."`
+	File string `arg:"" help:"The file."`
 }
 
 // Run prints the classes of a file with their times, and its hard cases. If the file is truncated, it
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -18,10 +18,10 @@
 // tryCommand runs both front ends with fake engines and discovery.
 type tryCommand struct {
 	programFlag
-	Engines  int           `name:"engines" default:"3" help:"Fake engines for each protocol, 1 to 16."`
-	HTTP     string        `name:"http" default:"127.0.0.1:9090" help:"Address of the HTTP front end."`
-	Postgres string        `name:"postgres" default:"127.0.0.1:5433" help:"Address of the PostgreSQL front end."`
-	For      time.Duration `name:"for" default:"1h" help:"Stop after this time."`
+	Engines  int           `default:"3" help:"Fake engines for each protocol, 1 to 16."`
+	HTTP     string        `default:"127.0.0.1:9090" help:"Address of the HTTP front end."`
+	Postgres string        `default:"127.0.0.1:5433" help:"Address of the PostgreSQL front end."`
+	For      time.Duration `default:"1h" help:"Stop after this time."`
 }
 
 // maxEngines limits the fake engines of each protocol, so that their logs stay readable.
