--- a/policy/actions.go
+++ b/policy/actions.go
@@ -6,11 +6,12 @@
 // CheckHealth, Reject, Fail, SetTimer, Subscribe, EngineEjected, EngineReadmitted or ReportOverload.
 type Action interface{ action() }
 
-// StartAttempt sends a request to an engine as its next attempt.
+// StartAttempt sends a request to an engine as its next attempt. The caller counts the attempts of each
+// request from 0; AttemptEnded, CancelAttempt and the like name an attempt by this number.
 type StartAttempt struct {
 	RequestID uint64
 	Engine    string
-	Timeout   time.Duration // above 0
+	Timeout   time.Duration // after it the caller ends the attempt with ResultTimedOut; above 0
 }
 
 // SetResources sets memory and priority of a request's attempts from here on, and the priority of
@@ -21,7 +22,8 @@
 	Priority  int     // 0 to 3, 3 the most urgent; 1 where engines heed none
 }
 
-// CancelAttempt ends one attempt; its AttemptEnded follows.
+// CancelAttempt ends one attempt; its AttemptEnded follows, with ResultCancelled unless it ended otherwise
+// before. The caller ignores it for an attempt that has ended.
 type CancelAttempt struct {
 	RequestID uint64
 	Attempt   int
@@ -37,8 +39,9 @@
 	Reason     RejectReason
 }
 
-// RejectReason says why no engine was chosen for a request. Each engine has a reason of its own, and the
-// greatest is reported: a lack of capacity at one engine hides the rules that exclude others.
+// RejectReason says why a request was rejected. From ReasonNoEndpoint to ReasonSlowStart the order matters:
+// each engine that isn't chosen has one of these reasons, and the greatest of all engines is reported, so a
+// lack of capacity at one engine hides the rules that exclude others.
 type RejectReason uint8
 
 // The reasons of a Reject.
@@ -49,8 +52,8 @@
 	ReasonNoEndpoint
 	// ReasonEjected: an engine is ready, but ejected, or the request's class is stalled there.
 	ReasonEjected
-	// ReasonAttemptsExhausted: a rule forbids it, of attempts, retry budget, idempotency, zones, kinds or
-	// ordering.
+	// ReasonAttemptsExhausted: one of the attemptRules forbids the attempt, such as the number of attempts,
+	// the retry budget, idempotency, the zones and kinds of the class, its ordering or the deadline.
 	ReasonAttemptsExhausted
 	// ReasonEngineLimit: the request exceeds an engine's limit.
 	ReasonEngineLimit
@@ -65,8 +68,15 @@
 )
 
 var rejectReasonNames = [...]string{
-	"unknown-class", "no-endpoint", "ejected", "attempts-exhausted", "engine-limit", "slow-start", "fleet-limit",
-	"retry-futile", "deadline",
+	ReasonUnknownClass:      "unknown-class",
+	ReasonNoEndpoint:        "no-endpoint",
+	ReasonEjected:           "ejected",
+	ReasonAttemptsExhausted: "attempts-exhausted",
+	ReasonEngineLimit:       "engine-limit",
+	ReasonSlowStart:         "slow-start",
+	ReasonFleetLimit:        "fleet-limit",
+	ReasonRetryFutile:       "retry-futile",
+	ReasonDeadline:          "deadline",
 }
 
 // String returns the reason's name in logs and counters.
@@ -96,13 +106,18 @@
 
 // The reasons of an EngineEjected.
 const (
-	EjectedSilent           EjectionReason = iota // all of its attempts are silent
+	EjectedSilent           EjectionReason = iota // neither responses nor progress reports arrive from it
 	EjectedErrors                                 // it responds with errors to requests that others serve
 	EjectedConnectionFaults                       // connections to it fail or break
 	EjectedOverdue                                // its responses are overdue
 )
 
-var ejectionReasonNames = [...]string{"silent", "errors", "connection-faults", "overdue"}
+var ejectionReasonNames = [...]string{
+	EjectedSilent:           "silent",
+	EjectedErrors:           "errors",
+	EjectedConnectionFaults: "connection-faults",
+	EjectedOverdue:          "overdue",
+}
 
 // String returns the reason's name in logs.
 func (r EjectionReason) String() string { return ejectionReasonNames[r] }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -63,12 +63,12 @@
 	}
 }
 
-// assess sets what the request is expected to cost and which share of a limit it may use.
+// assess sets what the request is expected to cost and which share of a limit it may use. It is called once
+// for each request, since it also updates the mean estimate, the mean rank and the tenant's quota.
 func (b *Balancer) assess(req *request, ev RequestArrived) {
 	c := req.class
 	if estimateMs := milliseconds(ev.EstimatedWork); estimateMs > 0 {
-		relative := c.relativeEstimate(estimateMs)
-		factor := min(max(relative, minWorkFactor), maxWorkFactor)
+		factor := min(max(c.observeEstimate(estimateMs), minWorkFactor), maxWorkFactor)
 		req.expectedWorkMs = c.workMs * factor
 		req.weight = c.Threads * min(max(factor, minWeightFactor), maxWeightFactor)
 	}
@@ -77,7 +77,7 @@
 	if ev.EstimatedWork > 0 {
 		req.valueFactor = min(max(1+req.valueRank/ranksToDouble, minValueFactor), maxValueFactor)
 	}
-	if b.quotas.exceeded(ev.Tenant, b.traffic.share(), b.now) {
+	if exceeded := b.quotas.charge(ev.Tenant, b.traffic.share(), b.now); exceeded {
 		req.quotaFactor = overQuotaFactor
 	}
 }
@@ -94,7 +94,8 @@
 	}
 }
 
-// rejectOrFail is the only place that responds without a result. It rejects where a retry is safe.
+// rejectOrFail responds to a request without a result: it rejects where a retry by the client is safe, and
+// fails otherwise. Only a request of an unknown class is rejected elsewhere, in onRequestArrived.
 func (b *Balancer) rejectOrFail(req *request, reason RejectReason) {
 	if req.completed {
 		return
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -38,7 +38,7 @@
 
 func (a *attempt) ended() bool { return a.phase == attemptEnded }
 
-// mayHaveRun reports whether the attempt may have had an effect: until its end proves otherwise, it may.
+// mayHaveRun reports whether the engine may have run the attempt: until its end proves otherwise, it may.
 func (a *attempt) mayHaveRun() bool { return !a.ended() || a.result.MayHaveRun() }
 
 // endedInError reports whether the engine responded with an error.
--- a/policy/attemptrules.go
+++ b/policy/attemptrules.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// attemptRules decides whether a request may have an attempt, and on which engines, from the limits
-// of the deployment, the effects of the earlier attempts and the retry budget. Its
-// conditions are necessary, and none of them depends on load.
+// attemptRules decides whether a request may have an attempt, and on which engines: by the limits of the
+// deployment, what the earlier attempts may have done, the retry budget, the ordering key and slow start.
+// Whether an engine has capacity is up to the limiters.
 type attemptRules struct {
 	limits  *Limits
 	budget  retryBudget
@@ -15,17 +15,18 @@
 	traffic *trafficEstimate
 }
 
-// MayHaveRun reports whether an attempt that ended so may have had an effect.
+// MayHaveRun reports whether the engine may have run an attempt with this result.
 func (r Result) MayHaveRun() bool {
 	return r != ResultOverloaded && r != ResultConnectFailed && r != ResultNotSent
 }
 
-// mayStillRun reports whether an attempt that ended so may still run on its engine.
+// mayStillRun reports whether an attempt with this result may still run on its engine.
 func (r Result) mayStillRun() bool {
 	return r == ResultTimedOut || r == ResultConnectionLost || r == ResultCancelled || r == ResultUnknown
 }
 
-// mayReject reports whether a client may safely send the request again.
+// mayReject reports whether a client may safely send the request again. Its retry may go to any engine, so an
+// idempotency key suffices only if all engines share it.
 func mayReject(req *request) bool {
 	return req.class.Effect == Idempotent ||
 		req.class.Effect == IdempotentByKey && req.class.DedupScope == ScopeAll ||
--- a/policy/attemptrunner.go
+++ b/policy/attemptrunner.go
@@ -40,7 +40,8 @@
 	return r.rules.permitsAttempt(a.request, now) && r.cancel(a)
 }
 
-// cancel cancels an attempt once, unless its response has begun, and reports whether it did.
+// cancel cancels an attempt and reports whether it did. It does nothing if the settings don't permit that,
+// the attempt was cancelled before, or its response has begun.
 func (r *attemptRunner) cancel(a *attempt) (cancelled bool) {
 	if a.cancelRequested || a.phase != attemptWaiting || !r.settings.Limits.Cancel {
 		return false
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -126,7 +126,8 @@
 
 // endControlPeriod updates the estimate of the traffic, runs the control loops and drops obsolete state.
 func (b *Balancer) endControlPeriod() {
-	b.traffic.endPeriod(float64(len(b.requests)) / float64(max(len(b.engines.all), 1)))
+	requestsPerEngine := float64(len(b.requests)) / float64(max(len(b.engines.all), 1))
+	b.traffic.endPeriod(requestsPerEngine)
 	share := b.traffic.share()
 	for _, e := range b.engines.all {
 		e.outlier.fade()
--- a/policy/class.go
+++ b/policy/class.go
@@ -7,7 +7,7 @@
 	maxResponseWindow   = 50     // and later on
 	quickLatencyGrowth  = 1.0005 // growth of the quick latency with each response: old minima fade
 	maxDeviation        = 5.0    // of one latency at most: an outlier must not hide later overdue attempts
-	objectiveToUsual    = 3      // a latency objective over this is the usual latency before any response
+	objectiveToUsual    = 3      // assumed ratio of latency objective to usual latency before any response
 )
 
 // class is a Class with what is learned of its requests.
@@ -37,8 +37,8 @@
 	}
 }
 
-// relativeEstimate returns an estimate of work over the mean estimate, which it updates.
-func (c *class) relativeEstimate(estimateMs float64) float64 {
+// observeEstimate records an estimate of work and returns its ratio to the mean estimate, itself included.
+func (c *class) observeEstimate(estimateMs float64) float64 {
 	c.estimateMs = ewmaSeeded(c.estimateMs, estimateMs, estimateWindow)
 	return estimateMs / c.estimateMs
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -10,9 +10,22 @@
 //	actions = balancer.Handle(now, event, actions[:0])
 //
 // The inputs are in events.go, the outputs in actions.go, the configuration in settings.go.
-// All instants are durations since one arbitrary origin of the caller's choosing. Handle treats an earlier
-// instant than the latest as the latest. The first event sets a timer of 100 ms that repeats, the tick; every
-// fifth tick ends a control period. The caller must perform all actions of an event before the next call.
+// All instants are durations since one arbitrary origin of the caller's choosing. If an event has an earlier
+// instant than the event before it, it counts as simultaneous with that event. The first event sets a timer
+// of 100 ms that repeats, the tick; every fifth tick ends a control period.
+//
+// # What the caller must do
+//
+// The caller performs all actions of an event before the next call of Handle. It numbers the attempts of each
+// request from 0, in the order of their StartAttempt actions. Events and actions name an attempt by this
+// number.
+//
+// Each attempt ends with exactly one AttemptEnded. The caller ends it with ResultTimedOut after the timeout of
+// its StartAttempt, and with ResultCancelled at a CancelAttempt, unless it has ended before. After a
+// StreamStarted the balancer neither cancels the attempt nor ends its request at the deadline.
+//
+// Each request ends with exactly one of these: an AttemptEnded with Completed set, a Reject, a Fail, or a
+// ClientDisconnected. Attempts of the request that are still in flight must end nevertheless.
 //
 // # How it works
 //
@@ -20,7 +33,7 @@
 // random draws come from one generator that is seeded by New. One goroutine at a time may call it.
 //
 // The Balancer routes events and composes the types below, each of which owns the state of one
-// concern. The files that decide are listed under policy in deploy/balancer.toml:
+// concern. Files from which decisions follow are listed under policy in deploy/balancer.toml. Where to look:
 //
 //   - balancer.go: routing of events, the periodic tick; new.go: composition of the types
 //   - admission.go: arrival of a request, its expected cost, rejection, completion
@@ -28,6 +41,7 @@
 //   - limiter.go: limiter, the adaptive concurrency limit; fleet.go: its use for all engines together
 //   - engine.go: engine, which holds the state of each concern for one engine
 //   - outcome.go: what is learned from the end of an attempt, and what follows from it
+//   - class.go: class, what is learned of the latency, work and memory of a class's requests
 //   - progress.go: progress reports of attempts in flight
 //   - attemptrules.go: attemptRules, retries and idempotency; retrybudget.go: retryBudget;
 //     attemptrunner.go: attemptRunner, which starts and cancels attempts
@@ -41,5 +55,6 @@
 //   - resources.go: memory grants and priorities
 //   - endpoints.go: the endpoint list
 //
-// The other files hold state and mechanisms that decide nothing.
+// request.go and attempt.go hold the state of a request and its attempts. overloadcheck.go checks slow start
+// at run time and decides nothing. The other files hold small mechanisms, such as averages and token buckets.
 package policy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -20,17 +20,17 @@
 	t.all = append(t.all, e)
 }
 
-// prune drops bulk loads that are over, and engines that are removed, idle and not warming up. An engine
-// that is warming up stays, since it may be listed again and its budget is still partly spent.
+// prune drops engines that are removed, idle and not warming up, and the bulk loads of the others that are
+// over. An engine that is warming up stays, since it may be listed again and its budget is partly spent.
 func (t *engineTable) prune(now time.Duration) {
-	t.all = slices.DeleteFunc(t.all, func(e *engine) bool {
+	obsolete := func(e *engine) bool {
+		return e.state == EngineRemoved && len(e.inFlight) == 0 && !e.slowStart.active(now)
+	}
+	t.all = slices.DeleteFunc(t.all, obsolete)
+	maps.DeleteFunc(t.byID, func(_ string, e *engine) bool { return obsolete(e) })
+	for _, e := range t.all {
 		maps.DeleteFunc(e.bulkLoads, func(_ int64, until time.Duration) bool { return now >= until })
-		obsolete := e.state == EngineRemoved && len(e.inFlight) == 0 && !e.slowStart.active(now)
-		if obsolete {
-			delete(t.byID, e.id)
-		}
-		return obsolete
-	})
+	}
 }
 
 // onEndpointsChanged applies the endpoint list or a change to it, or subscribes to it again.
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -39,7 +39,7 @@
 func (e *engine) available() bool { return e.state == EngineReady && !e.outlier.ejected() }
 
 // reset gives an engine that is new or has restarted its initial limits, for this front end's share
-// of the traffic. Kinds that the settings do not name count as the smallest.
+// of the traffic. An engine of a kind that the settings do not name, with zero cores, counts as having one.
 func (e *engine) reset(cores float64, target concurrencyTarget, share float64, now time.Duration) {
 	e.cores = max(cores, 1)
 	e.rescale(target, share, now)
@@ -51,8 +51,9 @@
 func (e *engine) rescale(target concurrencyTarget, share float64, now time.Duration) {
 	l := &e.limiter
 	l.initialLimit = target.threadsPerCore * e.cores * share
-	limit := maxLimitFactor*l.initialLimit + target.maxThreads*(1-share)
-	l.maxLimit = limit * min(1, kneeSlowdown/max(l.slowdown, 1)) * e.slowStart.capacityShare(now)
+	// The smaller the share, the more headroom there is for a single request of many threads.
+	fullCapacityLimit := maxLimitFactor*l.initialLimit + target.maxThreads*(1-share)
+	l.maxLimit = fullCapacityLimit * min(1, kneeSlowdown/max(l.slowdown, 1)) * e.slowStart.capacityShare(now)
 }
 
 // limitFor returns the limit that applies to the request on the engine, in threads. It is lower beyond the
@@ -65,11 +66,11 @@
 	return e.limiter.maxLimit * req.quotaFactor
 }
 
-// bulkLoads holds the instant until which a bulk load is assumed to block a data set on an engine.
+// bulkLoads holds, for data sets of an engine, until when a bulk load is assumed to block them.
 type bulkLoads map[int64]time.Duration
 
-// datasetBlocked reports whether a bulk load of this front end is in flight there, or one of its requests
-// has lately reported waiting for a load.
+// datasetBlocked reports whether a bulk load blocks the data set on the engine: one of this front end is in
+// flight, or an attempt has lately reported that it waits for one.
 func (e *engine) datasetBlocked(dataset int64, now time.Duration) bool {
 	return now < e.bulkLoads[dataset] || slices.ContainsFunc(e.inFlight, func(a *attempt) bool {
 		return a.request.class.BulkLoad && a.request.dataset == dataset
--- a/policy/events.go
+++ b/policy/events.go
@@ -13,7 +13,7 @@
 	Class             string
 	Tenant            string        // "": none
 	OrderKey          string        // ordering key; "": none
-	Dataset           int64         // that it reads or writes
+	Dataset           int64         // the data set that it reads or writes
 	Deadline          time.Duration // instant at which the client gives up
 	EstimatedWork     time.Duration // of all its threads; 0: no estimate
 	EstimatedMemoryMB float64       // 0: no estimate
@@ -85,10 +85,10 @@
 
 // The kinds of ProgressReported, with the meaning of its Value.
 const (
-	ProgressFraction       ProgressKind = iota + 1 // rough share of the work that is done
-	ProgressSpilling                               // memory that is missing, MB
-	ProgressAwaitingMemory                         // waits for memory; the value is ignored
-	ProgressAwaitingLoad                           // waits for a bulk load of its data set; the value is ignored
+	ProgressFraction       ProgressKind = iota + 1 // it runs; value: rough share of the work done, 0 to 1
+	ProgressSpilling                               // it lacks memory; value: the missing memory in MB
+	ProgressAwaitingMemory                         // it waits for memory; no value
+	ProgressAwaitingLoad                           // it waits for a bulk load of its data set; no value
 )
 
 // ProgressReported is a progress report of an attempt in flight.
@@ -99,7 +99,8 @@
 	Value     float64
 }
 
-// StreamStarted says that a streamed response has begun; its deadline no longer applies.
+// StreamStarted says that a streamed response has begun. From then on the balancer neither cancels the
+// attempt nor ends the request at its deadline.
 type StreamStarted struct {
 	RequestID uint64
 	Attempt   int
@@ -119,7 +120,7 @@
 	UpdateFailed UpdateMode = iota // the poll failed or the subscription broke: no entries
 	UpdateDelta                    // changed entries only
 	UpdateFull                     // all engines: others are removed
-	UpdateCached                   // all engines, from a cache that may be stale
+	UpdateCached                   // like UpdateFull, but from a cache that may be stale
 )
 
 // EndpointsChanged is the endpoint list, or a change to it.
@@ -145,12 +146,12 @@
 	Kind       string
 	Cell       int64 // see ScopeCell
 	State      EngineState
-	StartedAt  time.Duration // latest start by the engine's wall clock, which may have been stepped
-	StartKnown bool          // false: it started long ago
+	StartedAt  time.Duration // latest start, by the engine's wall clock, which may be wrong
+	StartKnown bool          // false: StartedAt is not set, and the engine is not warming up
 }
 
-// DeadlineTimer is the TimerFired that ends a request at its deadline. A caller may
-// pass it to Handle earlier, to end the request at once.
+// DeadlineTimer is the TimerFired that ends a request shortly before its deadline, unless its response is
+// being streamed. A caller may pass it to Handle earlier, to end the request at once.
 func DeadlineTimer(requestID uint64) TimerFired { return TimerFired{Token: requestID + 1} }
 
 // requestOfDeadline returns the request whose DeadlineTimer has the token.
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -46,7 +46,7 @@
 type fleet struct {
 	target    concurrencyTarget
 	limiter   limiter
-	loadLevel float64 // mean reported load; one where engines have all that they should hold
+	loadLevel float64 // mean reported load, relative to target.threadsPerCore
 }
 
 // rescale sets the limits from those of the engines that take requests, with headroom for the
@@ -70,12 +70,13 @@
 	// The factor is 1 without reports. It falls with the reported load, down to 0 at full load, and exceeds 1
 	// while the engines report little load.
 	headroom *= max((1-f.loadLevel)/assumedFreeShare, 0)
+	// How far the fleet is past the knee of the latency curve or past full load: 1 while it is not.
 	pastKnee := max(limiter.slowdown/kneeSlowdown, f.loadLevel, 1)
 	limiter.maxLimit = (maxLimitFactor*limiter.initialLimit + headroom/pastKnee) / pastKnee
 }
 
-// limitFor returns the limit that applies to the request, in threads: lower beyond its tenant's
-// quota, and higher the greater its priority weight over its expected work.
+// limitFor returns the limit that applies to the request, in threads. It is lower beyond its tenant's quota
+// and, unlike the limit of an engine, follows the request's value at all times.
 func (f *fleet) limitFor(req *request, now time.Duration) float64 {
 	if f.limiter.underPressure(now) {
 		return f.limiter.limit * req.quotaFactor * req.valueFactor
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	closedLoopPole       = 0.3              // pole of the closed loop, in the limit's update formula
+	closedLoopPole       = 0.3              // share of a deviation that is left after one control step
 	alphaSmoothing       = 0.3              // weight of the newest period in alpha
 	minAlpha             = 1e-6             // keeps the step of the limit finite
-	minLimit             = 0.5              // threads; under the weight of one request
-	pressureLatency      = 0.8              // mean latency over the objective from which the limit applies
+	minLimit             = 0.5              // threads; half of a one-thread request without an estimate
+	pressureLatency      = 0.8              // mean relative latency above which the limit applies
 	pressurePeriods      = 2                // control periods for which it applies from then on
 	overloadPeriods      = 4                // the same after the engine rejected a request
-	kneeSlowdown         = 1.6              // slowdown, past the curve's knee, where the maximum shrinks
+	kneeSlowdown         = 1.6              // slowdown past which the maximum shrinks: the knee of the curve
 	maxSlowdown          = 4 * kneeSlowdown // of one response at most
 	slowdownWindow       = 20               // responses that a slowdown is averaged over
 	readmissionLimitPart = 0.25             // of its initial limit that a readmitted engine starts with
@@ -30,7 +30,7 @@
 	limit          float64       // threads; applies under pressure
 	alpha          float64       // estimated relative latency that each thread of the limit adds
 	backlog        float64       // threads of the requests in flight
-	slowdown       float64       // mean latency over the quick latency of the request's class
+	slowdown       float64       // mean ratio of a latency to the quick latency of its class
 	latencySum     float64       // of the period's responses, each relative to its objective
 	samples        int           // responses in latencySum
 	pressuredUntil time.Duration // end of the pressure
@@ -58,7 +58,9 @@
 	}
 }
 
-// controlStep returns limit and alpha after one period, for a mean latency relative to the objective.
+// controlStep returns limit and alpha after one period, for a mean latency relative to the objective. It
+// models the relative latency as alpha times the limit and aims at 1: by that model each step leaves
+// closedLoopPole of the deviation.
 func controlStep(limit, alpha, meanLatency float64) (newLimit, newAlpha float64) {
 	deviation := 1 - meanLatency
 	newAlpha = max(alphaSmoothing*(meanLatency/limit)+(1-alphaSmoothing)*alpha, minAlpha)
@@ -85,8 +87,8 @@
 // underPressure reports whether the limit applies, rather than its maximum alone.
 func (l *limiter) underPressure(now time.Duration) bool { return now < l.pressuredUntil }
 
-// admits is the admission test: backlog and weight within the limit. A request that outweighs the
-// limit alone is admitted with probability limit/weight where nothing is in flight.
+// admits is the admission test: backlog and weight within the limit. A request whose weight alone exceeds
+// the limit would never pass: while nothing is in flight it is admitted with probability limit/weight.
 func (l *limiter) admits(weight, limit float64, rng *rand.Rand) bool {
 	if l.backlog == 0 && weight > limit {
 		return rng.Float64() < limit/weight
--- a/policy/load.go
+++ b/policy/load.go
@@ -26,13 +26,13 @@
 type loadReports struct {
 	threadsPerCore float64 // that an engine should have at most
 	swaps          bool    // an excess of memory slows down all requests of an engine
-	mean           float64 // mean reported load
+	mean           float64 // mean reported load; fleet.loadLevel follows faster and is relative
 	fleet          *fleet
 	traffic        *trafficEstimate
 }
 
-// record evaluates an engine's report: from its requests in flight or else its busy cores, and from
-// its granted memory where an excess slows all requests down.
+// record computes an engine's load from its report: from the requests in flight or, without these, from the
+// busy cores. Where an excess of memory slows all requests down, the load is at least that of the memory.
 func (l *loadReports) record(e *engine, report LoadReport, now time.Duration) {
 	if !report.Reported || !(max(report.InFlight, report.CPUShare) >= 0) { // neither figure, or NaN
 		return
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -7,19 +7,22 @@
 
 const (
 	datasetSpread    = 2.0 // engines near a data set, for each engine that its traffic would fill
-	datasetPrior     = 2.0 // requests that count for each data set before any was seen: popularity
-	priorDatasets    = 10  // starts from an even distribution over this many data sets
 	popularityWindow = 256 // requests over which the popularity of data sets is counted
+
+	// Popularity starts from an even distribution: as if each of priorDatasets data sets had been requested
+	// datasetPrior times.
+	datasetPrior  = 2.0
+	priorDatasets = 10
 )
 
-const fnvPrime = 0x100000001b3 // 64-bit FNV
+const fnvPrime = 0x100000001b3 // of 64-bit FNV
 
-// The increment and multipliers of SplitMix64, which spread the bits of a hash.
+// Constants that spread the bits of a hash: the increment and multipliers of SplitMix64, with one shift.
 const (
 	splitMixIncrement   = 0x9e3779b97f4a7c15
 	splitMixMultiplier1 = 0xbf58476d1ce4e5b9
 	splitMixMultiplier2 = 0x94d049bb133111eb
-	splitMixShift       = 29
+	affinityShift       = 29
 )
 
 // datasetAffinity decides which engines are near a data set, that is cache its tables: by rendezvous
@@ -52,7 +55,7 @@
 	return nthHighest(d.scores, near)
 }
 
-// hashID hashes an engine's id for affinity.
+// hashID hashes an engine's id for affinity: FNV-1a without its offset basis.
 func hashID(id string) uint64 {
 	hash := uint64(0)
 	for _, b := range []byte(id) {
@@ -61,11 +64,11 @@
 	return hash
 }
 
-// affinity is the rendezvous hash of an engine and a data set. All balancers
+// affinity is the rendezvous hash of an engine and a data set. All front ends
 // compute the same score, so they agree on the order of engines for a data set.
 func affinity(engineHash uint64, dataset int64) uint64 {
 	mixed := (engineHash ^ uint64(dataset)*splitMixIncrement) * splitMixMultiplier1
-	return (mixed ^ mixed>>splitMixShift) * splitMixMultiplier2
+	return (mixed ^ mixed>>affinityShift) * splitMixMultiplier2
 }
 
 // nthHighest returns the nth highest score, counted from one, or zero where there
--- a/policy/lostresponses.go
+++ b/policy/lostresponses.go
@@ -10,29 +10,30 @@
 // lostResponses finds classes that are stalled on an engine: their responses are lost while those of
 // other classes arrive.
 type lostResponses struct {
-	inARow       map[*class]int           // lost with no report of the class between
+	consecutive  map[*class]int           // responses lost since the class was last reported or served
 	stalledUntil map[*class]time.Duration // nothing of the class is sent until then
 }
 
 func newLostResponses() lostResponses {
-	return lostResponses{inARow: map[*class]int{}, stalledUntil: map[*class]time.Duration{}}
+	return lostResponses{consecutive: map[*class]int{}, stalledUntil: map[*class]time.Duration{}}
 }
 
-// add counts a lost response. From the second in a row on, the class is stalled until the given instant.
+// add counts a lost response. Once stalledAfterLost of a class are lost in a row, the class is stalled until
+// the given instant.
 func (l *lostResponses) add(c *class, stalledUntil time.Duration) {
-	l.inARow[c]++
-	if l.inARow[c] >= stalledAfterLost {
+	l.consecutive[c]++
+	if l.consecutive[c] >= stalledAfterLost {
 		l.stalledUntil[c] = stalledUntil
 	}
 }
 
-// reset ends the row: an attempt of the class was reported or served.
-func (l *lostResponses) reset(c *class) { delete(l.inARow, c) }
+// reset starts the count anew: an attempt of the class was reported or served.
+func (l *lostResponses) reset(c *class) { delete(l.consecutive, c) }
 
 // classStalled reports whether a class is stalled on the engine. After stalledUntil one
 // request at a time may go there, to find out whether it still is.
 func (e *engine) classStalled(c *class, now time.Duration) bool {
-	if e.lostResponses.inARow[c] < stalledAfterLost {
+	if e.lostResponses.consecutive[c] < stalledAfterLost {
 		return false
 	}
 	until := e.lostResponses.stalledUntil[c]
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -1,8 +1,10 @@
 package policy
 
+import "time"
+
 const (
 	maxEngineErrors  = 1 // errors of engines beyond which the request itself is considered faulty
-	retryTimeDivisor = 4 // a retry needs more time than its class's mean latency over this
+	retryTimeDivisor = 4 // a retry is futile with less time left than the class's mean latency divided by it
 )
 
 // onAttemptEnded ends an attempt and, where the client still waits, retries or responds.
@@ -24,14 +26,19 @@
 	case end.Completed || req.completed:
 		b.complete(req)
 	case req.hasAttemptInFlight(): // its end will decide
-	case req.engineErrors() > maxEngineErrors,
-		milliseconds(req.deadline-b.now) <= req.class.latencyMs/retryTimeDivisor:
+	case req.retryFutile(b.now):
 		b.rejectOrFail(req, ReasonRetryFutile)
 	default:
 		b.admit(req)
 	}
 }
 
+// retryFutile reports whether a retry would fail like the attempts so far, or has too little time.
+func (r *request) retryFutile(now time.Duration) bool {
+	timeLeftMs := milliseconds(r.deadline - now)
+	return r.engineErrors() > maxEngineErrors || timeLeftMs <= r.class.latencyMs/retryTimeDivisor
+}
+
 // learn updates what is known of the attempt's class and engine from its end.
 func (b *Balancer) learn(a *attempt, end AttemptEnded) {
 	e := a.engine
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -13,7 +13,7 @@
 
 // ejection says whether an engine is ejected, and what readmits it:
 //
-//	notEjected:          all attempts are silent -> ejectedUntilActive
+//	notEjected:          the engine is silent -> ejectedUntilActive
 //	any:                 fault rate above the threshold -> ejectedUntilServed
 //	ejectedUntilServed:  a request is served -> ejectedUntilActive
 //	ejectedUntilActive:  a progress report or a response -> notEjected
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -193,7 +193,7 @@
 		e.outlier.lastHeardAt = h.now // by way of other classes
 	}
 	if !h.stalled(e, "idempotent") || h.stalled(e, "non-idempotent") {
-		t.Fatalf("lost responses %v should stall the one class only", e.lostResponses.inARow)
+		t.Fatalf("lost responses %v should stall the one class only", e.lostResponses.consecutive)
 	}
 	if n := to("idempotent"); n > 0 {
 		t.Errorf("%d more of the stalled class", n)
--- a/policy/outlierdetector.go
+++ b/policy/outlierdetector.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// check retries the attempts at an engine whose response is lost or overdue. If the engine itself is
-// silent, it ejects the engine and retries its idempotent attempts elsewhere.
+// check looks at the attempts in flight at an engine and retries those whose response is lost or, at engines
+// without progress reports, overdue. If the engine itself is silent, check ejects it and retries its
+// idempotent attempts elsewhere.
 func (d *outlierDetector) check(e *engine, now time.Duration) {
 	if len(e.inFlight) == 0 {
 		return
@@ -56,12 +57,12 @@
 	for _, a := range e.inFlight {
 		switch {
 		case d.silence.progressInterval == 0:
-			d.detectOverdue(a, now)
+			d.retryIfOverdue(a, now)
 		case a.phase != attemptStreaming:
 			if d.silence.attemptSilence(a, now) > d.silence.timeout {
 				silentAttempts++
 			}
-			d.detectLostResponse(a, now)
+			d.retryIfLost(a, now)
 		}
 	}
 	if !d.silence.engineSilent(e, silentAttempts, now) {
@@ -75,8 +76,8 @@
 	}
 }
 
-// detectLostResponse retries an attempt whose response is lost.
-func (d *outlierDetector) detectLostResponse(a *attempt, now time.Duration) {
+// retryIfLost counts a lost response against the attempt's class on its engine, and retries the attempt.
+func (d *outlierDetector) retryIfLost(a *attempt, now time.Duration) {
 	if a.responseLost || !d.silence.responseLost(a, now) {
 		return
 	}
@@ -88,9 +89,9 @@
 	}
 }
 
-// detectOverdue is for engines that send no progress reports: it retries an overdue attempt while a retry
-// would meet the objective, and counts a fault.
-func (d *outlierDetector) detectOverdue(a *attempt, now time.Duration) {
+// retryIfOverdue is for engines that send no progress reports: it retries an overdue idempotent attempt if
+// the retry can still meet the latency objective, and then counts a fault of the engine.
+func (d *outlierDetector) retryIfOverdue(a *attempt, now time.Duration) {
 	req := a.request
 	if !d.silence.overdue(a, now) || req.class.Effect != Idempotent ||
 		!req.retryMeetsObjective(now, req.attempts[0].sentAt) {
--- a/policy/overloadcheck.go
+++ b/policy/overloadcheck.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Terms of the limit that the rules set for a warming engine: with N the requests of mean work
-// that the settings allow it, N plus a number of roots of N plus a constant.
+// The rules set the limit of a warming engine as n + a*sqrt(n) + b, where n is the number of requests of mean
+// work that the settings allow it, and a and b are larger below fewRequests.
 const (
-	fewRequests    = 30.0 // N below which the terms for few apply
-	rootsOfFew     = 3.0
-	constantOfFew  = 3.0
-	rootsOfMany    = 2.0
-	constantOfMany = 2.0
+	fewRequests    = 30.0
+	fewRootFactor  = 3.0 // a
+	fewConstant    = 3.0 // b
+	manyRootFactor = 2.0
+	manyConstant   = 2.0
 )
 
 // sentWork is the work of a request that was sent to a warming engine.
@@ -22,9 +22,9 @@
 	workMs float64
 }
 
-// overloadCheck checks at run time that this balancer alone does not send an engine in slow start
-// more than the engine bears from all balancers. It decides nothing: the budget of slowStart keeps
-// each balancer far below that. It sums up what was sent within the overload window.
+// overloadCheck checks at run time that this front end alone does not send an engine in slow start
+// more than the engine bears from all front ends. It decides nothing: the budget of slowStart keeps
+// each front end far below that. It sums up what was sent within the overload window.
 type overloadCheck struct {
 	sent []sentWork
 }
@@ -33,7 +33,7 @@
 func (c *overloadCheck) record(now, window time.Duration, workMs, meanWorkMs float64) (sent float64) {
 	windowStart := now - window
 	c.sent = slices.DeleteFunc(c.sent, func(s sentWork) bool { return s.at <= windowStart })
-	c.sent = append(c.sent, sentWork{now, workMs})
+	c.sent = append(c.sent, sentWork{at: now, workMs: workMs})
 	for _, s := range c.sent {
 		sent += s.workMs / meanWorkMs
 	}
@@ -61,7 +61,7 @@
 func overloadLimit(rules *Rules, capacityShare, cores, meanWorkMs float64) float64 {
 	n := rules.OverloadFactor * capacityShare * cores * milliseconds(rules.OverloadWindow) / meanWorkMs
 	if n < fewRequests {
-		return n + rootsOfFew*math.Sqrt(n) + constantOfFew
+		return n + fewRootFactor*math.Sqrt(n) + fewConstant
 	}
-	return n + rootsOfMany*math.Sqrt(n) + constantOfMany
+	return n + manyRootFactor*math.Sqrt(n) + manyConstant
 }
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -1,10 +1,10 @@
 package policy
 
 const (
-	badPlanFactor     = 5.0   // usual latencies from which an attempt has a bad plan or a slow engine
-	hopelessShare     = 0.7   // of the time left; a projected remainder beyond it ends the request early
+	badPlanFactor     = 5.0   // usual latencies; if as many are left, the plan or engine is at fault
+	hopelessShare     = 0.7   // share of the time left; an attempt that needs more than it is ended early
 	retryTimeFactor   = 1.5   // usual latencies that must be left for a retry of a slow attempt
-	minProgress       = 0.001 // least share done that a projection is made from
+	minProgress       = 0.001 // least share done; a lower report counts as this
 	slowAttemptWindow = 10    // attempts cancelled as slow that an engine's slowdown is averaged over
 )
 
@@ -60,9 +60,9 @@
 	}
 }
 
-// onFraction projects an attempt's end from the share that is done. An attempt on its way to a multiple of
-// the usual latency, or past the deadline, is cancelled where a retry has time to finish; a second one as
-// slow as the first shows that the request itself is expensive.
+// onFraction projects an attempt's remaining time from the share that is done. A first attempt that still
+// needs a multiple of the usual latency, or more time than is left, is cancelled if a retry has time to
+// finish. A second attempt is not: if it is slow too, the request itself is expensive.
 func (b *Balancer) onFraction(a *attempt, done float64) {
 	req := a.request
 	usualMs := req.usualLatencyMs()
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -28,10 +28,10 @@
 	return q
 }
 
-// exceeded charges a request to this front end's share of its tenant's quota, and reports whether it
+// charge charges a request to this front end's share of its tenant's quota, and reports whether the request
 // is beyond that. A tenant that the settings don't name has a quota of zero. Without any tenants in the
 // settings nothing is exceeded.
-func (q *quotas) exceeded(name string, trafficShare float64, now time.Duration) bool {
+func (q *quotas) charge(name string, trafficShare float64, now time.Duration) (exceeded bool) {
 	t := q.tenants[name]
 	if t == nil {
 		return len(q.tenants) > 0
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -7,7 +7,7 @@
 
 // overQuota charges one request of the tenant to its quota.
 func (h *harness) overQuota(tenant string) bool {
-	return h.balancer.quotas.exceeded(tenant, h.balancer.traffic.share(), h.now)
+	return h.balancer.quotas.charge(tenant, h.balancer.traffic.share(), h.now)
 }
 
 func TestQuotas_ForgiveUnevenArrivals(t *testing.T) {
--- a/policy/request.go
+++ b/policy/request.go
@@ -69,7 +69,7 @@
 	return count
 }
 
-// mayHaveRun reports whether an attempt may have had an effect.
+// mayHaveRun reports whether an engine may have run an attempt.
 func (r *request) mayHaveRun() bool { return slices.ContainsFunc(r.attempts, (*attempt).mayHaveRun) }
 
 // streaming reports whether the response of an attempt is being streamed.
--- a/policy/resources.go
+++ b/policy/resources.go
@@ -3,12 +3,15 @@
 import "math"
 
 const (
-	meanRankPriority = 2.5                      // priority at the mean rank, before rounding
-	maxPriority      = 3                        // of SetResources
-	defaultPriority  = 1                        // where engines heed none
-	grantCoverage    = 0.87                     // share of a class's requests whose need a grant should cover
-	grantIncrease    = 1 + grantCoverage/10     // factor after a grant that was too small
-	grantDecrease    = 1 - (1-grantCoverage)/10 // factor after one that sufficed; balances at the coverage
+	meanRankPriority = 2.5 // priority at the mean rank, before rounding
+	maxPriority      = 3   // of SetResources
+	defaultPriority  = 1   // where engines heed none
+
+	// A grant should cover the need of grantCoverage of a class's requests. The grant factor rises after a
+	// grant that was too small and falls after one that sufficed, by steps that cancel out at this share.
+	grantCoverage = 0.87
+	grantIncrease = 1 + grantCoverage/10
+	grantDecrease = 1 - (1-grantCoverage)/10
 )
 
 // resources returns the memory and priority of the next attempt. They need not be set where engines heed
--- a/policy/selector.go
+++ b/policy/selector.go
@@ -14,8 +14,8 @@
 
 // selector chooses the engine of a request's next attempt: of the engines that may take the request,
 // the one with the most spare capacity, adjusted by locality, reported load, faults and a random
-// term. Scores are in threads. It owns the popularity of data sets, sets when
-// an engine may have its next probation request, and reads the rest.
+// term. Scores are in threads. It owns the popularity of data sets, sets when an engine may have its
+// next probation request, and reads the rest.
 type selector struct {
 	zone     string // where this front end runs
 	rng      *rand.Rand
@@ -26,8 +26,9 @@
 	affinity datasetAffinity
 }
 
-// choose returns the engine for the request, or the reason why there is none: the greatest of the
-// reasons of all engines. The reason has a meaning only if the engine is nil.
+// choose returns the engine for the request: the first that is due for a probation request, or else the one
+// with the highest score. If there is none it returns nil and the reason, which is ReasonFleetLimit or the
+// greatest of the reasons of all engines.
 func (s *selector) choose(
 	req *request, engines []*engine, now time.Duration,
 ) (best *engine, reason RejectReason) {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,7 +6,7 @@
 // OverQuotaWeight, MaxGrantShare, Goal, Penalties or the fields whose comments say so; they are here
 // because the deployment's settings contain them.
 type Settings struct {
-	Replicas         int            // balancers that share the engines, this one included; at least 1
+	Replicas         int            // front ends that share the engines, this one included; at least 1
 	Zone             string         // where this balancer runs
 	Classes          []Class        // request classes; at least one
 	Kinds            []Kind         // kinds of machine that engines run on
@@ -87,7 +87,7 @@
 // Tenant is one customer.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second, over all balancers
+	Quota float64 // requests a second, over all front ends
 	Share float64 // its share of the service; not read by the balancer
 }
 
--- a/policy/silence.go
+++ b/policy/silence.go
@@ -39,13 +39,14 @@
 // probationInterval is the time between two requests to an ejected engine.
 func (d *silenceDetector) probationInterval() time.Duration { return 2 * d.timeout }
 
-// attemptSilence is how long an attempt has not been reported.
+// attemptSilence returns the time since the attempt's latest progress report, at most that since a pause.
 func (d *silenceDetector) attemptSilence(a *attempt, now time.Duration) time.Duration {
 	return now - max(a.lastHeardAt, d.resumedAt)
 }
 
-// engineSilent reports whether an engine is silent, given how many of its attempts are. With a single
-// silent attempt the engine must be silent twice as long: that attempt's response alone may be lost.
+// engineSilent reports whether an engine, which has an attempt in flight, is silent, given how many of its
+// attempts are. With a single silent attempt the engine must be silent twice as long: that attempt's response
+// alone may be lost.
 func (d *silenceDetector) engineSilent(e *engine, silentAttempts int, now time.Duration) bool {
 	silence := now - max(e.outlier.lastHeardAt, e.inFlight[0].sentAt, d.resumedAt)
 	return silentAttempts >= 2 && silence > d.timeout || silentAttempts == 1 && silence > 2*d.timeout
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -110,7 +110,7 @@
 	switch {
 	case !s.active(now) || window <= 0:
 		return true
-	case now < s.rules.firstEventAt+window:
+	case now < s.rules.firstEventAt+window: // an earlier process may have spent this window's budget
 		return false
 	}
 	from := s.budgetSpentUntil
@@ -132,9 +132,9 @@
 func (s *slowStart) cost(now time.Duration, workMs, cores, trafficShare float64) float64 {
 	rules := s.rules
 	grown := s.capacityShare(now) - rules.WarmupCapacity
-	capacityShare := rules.WarmupCapacity + grown*grown/max(1-rules.WarmupCapacity, minDivisor)
+	lateShare := rules.WarmupCapacity + grown*grown/max(1-rules.WarmupCapacity, minDivisor)
 	windowMs := milliseconds(rules.OverloadWindow)
-	budgetMs := slowStartBudgetMargin * rules.OverloadFactor * capacityShare * cores * windowMs * trafficShare
+	budgetMs := slowStartBudgetMargin * rules.OverloadFactor * lateShare * cores * windowMs * trafficShare
 	return slowStartCostFactor * workMs / budgetMs
 }
 
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -16,7 +16,7 @@
 	periods          int
 	arrivals         int     // requests in the current control period, without clients' retries
 	arrivalRate      float64 // the same, a second
-	ownInFlight      float64 // own requests in flight, per engine
+	ownInFlight      float64 // own unfinished requests, per engine: nearly all are in flight
 	reportedInFlight float64 // requests in flight that an engine reports, of all front ends
 	reports          float64 // load reports so far
 	meanWeight       float64 // threads of a request that was sent
@@ -32,7 +32,8 @@
 }
 
 // share returns this front end's share of all traffic, at least the even share. If the settings have quotas,
-// it is the arrival rate over the sum of the quotas; otherwise the own over the reported requests in flight.
+// it is the arrival rate divided by the sum of the quotas; otherwise the own requests in flight divided by
+// those that engines report.
 func (t *trafficEstimate) share() float64 {
 	even := 1 / float64(t.replicas)
 	if t.totalQuota <= 0 {
