--- a/internal/frontend/pgserver/errors.go
+++ b/internal/frontend/pgserver/errors.go
@@ -66,10 +66,10 @@
 func responseError(response lifecycle.Response) *pgproto.Error {
 	engineError, _ := response.ErrorDetail.(*pgproto.Error)
 	switch {
-	case response.MayHaveRun && engineError == nil:
+	case response.MayHaveHadEffect && engineError == nil:
 		// This comes before DeadlinePassed: the error for a timeout would imply that nothing was done.
 		return errCompletionUnknown()
-	case response.MayHaveRun:
+	case response.MayHaveHadEffect:
 		return engineError
 	case response.DeadlinePassed:
 		return newError(codeQueryCanceled, "canceling statement due to statement timeout")
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -64,7 +64,7 @@
 	dispatcher := c.server.dispatcher
 	request, exec := c.endRequest()
 	failure := newError(codeQueryCanceled, "canceling statement due to user request")
-	if dispatcher.MayHaveRun(request) {
+	if dispatcher.MayHaveHadEffect(request) {
 		failure = errCompletionUnknown()
 	}
 	dispatcher.ClientDisconnected(request)
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -22,7 +22,8 @@
 	DrainedEndpoint Rule = "drained-endpoint"
 	// RetryLimit: a request has no more attempts than the settings permit.
 	RetryLimit Rule = "retry-limit"
-	// SingleInFlight: a request has one attempt in flight at a time.
+	// SingleInFlight: a request has one attempt in flight at a time, unless the settings permit hedged
+	// requests.
 	SingleInFlight Rule = "single-in-flight"
 	// RetryIdempotency: a request that may have run is retried only if it is idempotent.
 	RetryIdempotency Rule = "retry-idempotency"
--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -17,8 +17,8 @@
 	minAttemptTimeout = time.Millisecond
 )
 
-// Attempt is one execution of a request at one engine. The exported fields are
-// for the engine client; all others belong to the Dispatcher.
+// Attempt is one execution of a request at one engine. The engine client reads the
+// exported fields and sets only ClientData; everything else belongs to the Dispatcher.
 type Attempt struct {
 	Request    *Request
 	Engine     string        // ID of the engine; a later engine may reuse the address of a removed one
@@ -64,7 +64,7 @@
 
 // DedupWindowClosed reports whether the attempt may no longer be written: an earlier
 // attempt may have run, and the window in which engines drop duplicates of its
-// idempotency key is about to end. Engine clients must check it before they write.
+// idempotency key is about to end. Dispatcher.PermitSend checks it.
 func (a *Attempt) DedupWindowClosed(now time.Duration) bool {
 	return a.sendDeadline > 0 && now >= a.sendDeadline
 }
@@ -91,8 +91,8 @@
 	return attemptNeverRan
 }
 
-// newAttempt adds the next attempt to a request.
-func newAttempt(r *Request, action policy.StartAttempt, class policy.Class, now time.Duration) *Attempt {
+// addAttempt adds the next attempt to the request and returns it.
+func (r *Request) addAttempt(action policy.StartAttempt, class policy.Class, now time.Duration) *Attempt {
 	a := &Attempt{
 		Request:      r,
 		Engine:       action.Engine,
@@ -109,7 +109,7 @@
 }
 
 // retrySendDeadline returns the instant at which a request with an idempotency
-// key may no longer be written again, or 0 if none of its attempts may have run.
+// key may no longer be written again, or 0 if there is none: it has no such key, or no attempt may have run.
 // The balancer observes the deduplication window too, but does not know how long
 // an attempt waits for its connection.
 func retrySendDeadline(r *Request, class policy.Class) time.Duration {
@@ -122,7 +122,7 @@
 
 // startAttempt starts an attempt of the request. Every attempt ends exactly once, in EndAttempt.
 func (d *Dispatcher) startAttempt(r *Request, action policy.StartAttempt) {
-	attempt := newAttempt(r, action, d.classes[r.Class], d.clock.Now())
+	attempt := r.addAttempt(action, d.classes[r.Class], d.clock.Now())
 	d.telemetry.attemptStarted(attempt)
 	// If the request is completed, the client has disconnected and the balancer has not been notified yet.
 	if r.completed() || !d.guard.permitStart(attempt, d.classes[r.Class].Effect) {
@@ -147,11 +147,7 @@
 	attempt.end(status)
 	elapsed := d.clock.Now() - attempt.StartedAt
 	d.telemetry.attemptEnded(attempt, elapsed, d.endpoints.warmingUp(attempt.Engine, attempt.StartedAt))
-	// The latest attempt that may have run decides the error detail, even if it has none. An attempt that
-	// never ran does so only while nothing that is not idempotent may have run: its error would hide that.
-	if attempt.state == attemptMayHaveRun || report.ErrorDetail != nil && !d.MayHaveRun(request) {
-		request.lastErrorDetail = report.ErrorDetail
-	}
+	request.recordErrorDetail(attempt, report.ErrorDetail, d.MayHaveHadEffect(request))
 	d.costs.observe(attempt, status, report, elapsed)
 	switch status {
 	case StatusServed:
@@ -164,7 +160,7 @@
 		RequestID: request.policyID,
 		Attempt:   attempt.index,
 		Result:    status.Result(),
-		Elapsed:   d.clock.Now() - attempt.StartedAt,
+		Elapsed:   d.clock.Now() - attempt.StartedAt, // includes the time that the response took
 		Completed: request.completed(),
 		Work:      report.Work,
 		MemoryMB:  report.MemoryMB,
--- a/internal/lifecycle/client.go
+++ b/internal/lifecycle/client.go
@@ -9,7 +9,8 @@
 // EngineClient carries attempts to engines. Its methods are called on the
 // goroutine that owns the Dispatcher.
 type EngineClient interface {
-	// Start begins an attempt, which Dispatcher.EndAttempt ends.
+	// Start begins an attempt. The engine client must report its end with
+	// Dispatcher.EndAttempt, which it may call before Start returns.
 	Start(a *Attempt)
 	// Abandon gives up an attempt that has not ended. The Dispatcher ends it
 	// itself; a later EndAttempt has no effect.
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -84,7 +84,8 @@
 // SetEngineClient sets the client that carries attempts to engines.
 func (d *Dispatcher) SetEngineClient(client EngineClient) { d.engineClient = client }
 
-// SetCostObserver sets the observer of what requests cost at their engines.
+// SetCostObserver sets the observer of what requests cost at their engines. It is optional; if it is set, then
+// before the first request.
 func (d *Dispatcher) SetCostObserver(observer CostObserver) { d.costs.observer = observer }
 
 // Class looks up a class by name.
@@ -200,8 +201,8 @@
 }
 
 // CompleteAll gives every pending request its response, in no particular order. It is called at the end of a
-// graceful shutdown, when clients would otherwise receive none. The balancer is passed the deadline of each
-// request, and so decides whether it is rejected or failed. Requests accepted later are rejected at once.
+// graceful shutdown, when clients would otherwise receive none. The balancer is passed the DeadlineTimer of
+// each request, and so decides whether it is rejected or failed. Requests accepted later are rejected at once.
 func (d *Dispatcher) CompleteAll() {
 	d.shuttingDown = true
 	for policyID, r := range d.requests.byID {
--- a/internal/lifecycle/dispatcher_test.go
+++ b/internal/lifecycle/dispatcher_test.go
@@ -161,7 +161,7 @@
 		{
 			"a write in doubt is not retried", writeClass,
 			func(f *fixture) { f.end(0, lifecycle.StatusConnectionReset) },
-			lifecycle.Response{Verdict: lifecycle.VerdictFailed, Forwarded: true, MayHaveRun: true},
+			lifecycle.Response{Verdict: lifecycle.VerdictFailed, Forwarded: true, MayHaveHadEffect: true},
 		},
 		{
 			"the statement is rejected", readClass, func(f *fixture) { f.end(0, lifecycle.StatusStatementRejected) },
@@ -171,12 +171,12 @@
 		{
 			"deadline passes", writeClass, func(f *fixture) { f.advance(requestDeadline) },
 			lifecycle.Response{
-				Verdict: lifecycle.VerdictFailed, DeadlinePassed: true, Forwarded: true, MayHaveRun: true,
+				Verdict: lifecycle.VerdictFailed, DeadlinePassed: true, Forwarded: true, MayHaveHadEffect: true,
 			},
 		},
 		{
 			"shutdown completes all", writeClass, func(f *fixture) { f.CompleteAll() },
-			lifecycle.Response{Verdict: lifecycle.VerdictFailed, Forwarded: true, MayHaveRun: true},
+			lifecycle.Response{Verdict: lifecycle.VerdictFailed, Forwarded: true, MayHaveHadEffect: true},
 		},
 	}
 	for _, tc := range tests {
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -49,16 +49,17 @@
 		slog.String("engine", a.Engine), slog.Int("attempt", a.index))
 }
 
-// checkDeadline checks that a request which has no response yet is not overdue.
+// checkDeadline checks that the deadline of a request without a response has not passed by more than the
+// rules grant.
 func (g *guard) checkDeadline(r *Request, now time.Duration) {
 	if late := now - r.Deadline; late > g.responseSlack+lateResponseMargin {
 		g.invariants.Check(false, invariant.ResponseDeadline, slog.String("request", r.ID), slog.Duration("late", late))
 	}
 }
 
-// PermitSend is the guard of sending: engine clients must call it directly before they write an
-// attempt's request, and write only if it returns true. Otherwise they end the attempt with
-// StatusNotSent.
+// PermitSend reports whether an attempt's request may be written now. Engine clients must call it directly
+// before they write the request, and otherwise end the attempt with StatusNotSent. An attempt that is too
+// late, by its timeout or its deduplication window, is counted; any other refusal violates an invariant.
 func (d *Dispatcher) PermitSend(a *Attempt) bool {
 	now := d.clock.Now()
 	if a.DedupWindowClosed(now) || now >= a.timeoutAt() {
@@ -68,8 +69,8 @@
 	return d.guard.permitSend(a, d.endpoints.ready(a.Engine))
 }
 
-// CheckPending checks that no pending request is overdue, and that the number of pending requests
-// agrees with the counter.
+// CheckPending checks that no pending request is past its deadline by more than the rules grant, and that
+// the number of pending requests agrees with the counter. The process calls it before each report of its counters.
 func (d *Dispatcher) CheckPending() {
 	now := d.clock.Now()
 	pending := d.requests.countPending(func(r *Request) { d.guard.checkDeadline(r, now) })
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -49,6 +49,15 @@
 	requestReleased                      // no attempt is in flight, and the dispatcher has dropped it
 )
 
+// recordErrorDetail sets the error detail that the response passes on, at the end of an attempt. The latest
+// attempt that may have run decides it, even if it has none. An attempt that never ran does so only while the
+// request can have had no effect: its error would hide that.
+func (r *Request) recordErrorDetail(a *Attempt, detail any, mayHaveHadEffect bool) {
+	if a.state == attemptMayHaveRun || detail != nil && !mayHaveHadEffect {
+		r.lastErrorDetail = detail
+	}
+}
+
 // completed reports whether the request needs no response any more.
 func (r *Request) completed() bool { return r.state >= requestCompleted }
 
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -16,20 +16,24 @@
 	VerdictServed
 )
 
-var verdictNames = [...]string{"failed", "rejected", "served"}
+var verdictNames = [...]string{
+	VerdictFailed:   "failed",
+	VerdictRejected: "rejected",
+	VerdictServed:   "served",
+}
 
 // String returns the name of the verdict in counters.
 func (v Verdict) String() string { return verdictNames[v] }
 
 // Response is the final response to a request.
 type Response struct {
-	Verdict        Verdict
-	RetryAfter     time.Duration // if rejected: the client may retry after this time; 0: not stated
-	DeadlinePassed bool          // not served, and the request's deadline has passed
-	Forwarded      bool          // at least one attempt was started
-	MayHaveRun     bool          // see Dispatcher.MayHaveRun
-	Result         any           // if served
-	ErrorDetail    any           // of the latest engine error; nil: none
+	Verdict          Verdict
+	RetryAfter       time.Duration // if rejected: the client may retry after this time; 0: not stated
+	DeadlinePassed   bool          // not served, and the deadline has passed or is less than the timer granularity away
+	Forwarded        bool          // at least one attempt was started
+	MayHaveHadEffect bool          // see Dispatcher.MayHaveHadEffect
+	Result           any           // if served
+	ErrorDetail      any           // of the latest engine error; nil: none
 }
 
 // respond gives a request its response. It has no effect on a request that
@@ -41,7 +45,7 @@
 	}
 	// The balancer ends a request up to Settings.TickInterval before its deadline.
 	response.DeadlinePassed = response.Verdict != VerdictServed && d.clock.Now() >= request.Deadline-d.tickInterval
-	response.MayHaveRun = d.MayHaveRun(request)
+	response.MayHaveHadEffect = d.MayHaveHadEffect(request)
 	response.Forwarded = len(request.attempts) > 0
 	response.ErrorDetail = request.lastErrorDetail
 	d.telemetry.requestCompleted(request, &response)
@@ -51,7 +55,8 @@
 	d.releaseIfIdle(request)
 }
 
-// MayHaveRun reports whether an engine may have run a request that is not idempotent by nature.
-func (d *Dispatcher) MayHaveRun(r *Request) bool {
+// MayHaveHadEffect reports whether an engine may have run the request and its class is not Idempotent, so
+// that a second run may do harm.
+func (d *Dispatcher) MayHaveHadEffect(r *Request) bool {
 	return d.classes[r.Class].Effect != policy.Idempotent && r.mayHaveRun()
 }
--- a/internal/lifecycle/status.go
+++ b/internal/lifecycle/status.go
@@ -79,7 +79,9 @@
 		return policy.ResultUnknown
 	case StatusCancelled:
 		return policy.ResultCancelled
-	case StatusDeadlinePassed, StatusNotSent, StatusStatementRejected:
+	case StatusDeadlinePassed, StatusStatementRejected: // sent, but without effect
+		return policy.ResultNotSent
+	case StatusNotSent:
 		return policy.ResultNotSent
 	case StatusNoDescriptor, StatusLocalFailure: // the fault is on this side, not the engine's
 		return policy.ResultNotSent
