--- a/internal/logevent/catalog.go
+++ b/internal/logevent/catalog.go
@@ -85,7 +85,7 @@
 		"A request has arrived completely.",
 		"request", "class", "time_left")
 	RequestRejected = declare("request.rejected", slog.LevelDebug,
-		"No engine was chosen for a request.",
+		"The balancer rejected a request.",
 		"request", "reason", "retry_after")
 	RequestCompleted = declare("request.completed", slog.LevelDebug,
 		"A request got its final response.",
--- a/internal/memorybudget/budget.go
+++ b/internal/memorybudget/budget.go
@@ -24,5 +24,5 @@
 	return true
 }
 
-// Release returns bytes that TryReserve reserved.
+// Release gives back bytes that TryReserve reserved.
 func (b *Budget) Release(bytes int) { b.reserved -= bytes }
--- a/internal/metrics/catalog.go
+++ b/internal/metrics/catalog.go
@@ -4,7 +4,7 @@
 const (
 	LabelClass    = "CLASS"    // a class of requests of the settings
 	LabelVerdict  = "VERDICT"  // the kind of a final response
-	LabelReason   = "REASON"   // why no engine was chosen
+	LabelReason   = "REASON"   // why a request was rejected
 	LabelRule     = "RULE"     // an invariant
 	LabelStatus   = "STATUS"   // how an attempt or a connection to an engine ended
 	LabelCause    = "CAUSE"    // why a client connection ended
@@ -22,12 +22,13 @@
 	RequestsDisconnected = declareVec("requests.disconnected", LabelClass,
 		"Requests whose client cancelled or closed its connection before the response.")
 	Rejections = declareVec("rejections", LabelReason,
-		"Requests for which no engine was chosen.")
+		"Requests rejected by the balancer, or during a graceful shutdown.")
 	InvariantsViolated = declareVec("invariants.violated", LabelRule,
 		"Violations of an invariant, prevented or not.")
 )
 
-// RejectionsShutdown counts the rejections at the end of a graceful shutdown.
+// RejectionsShutdown counts the requests that arrive after Dispatcher.CompleteAll. Those that were pending
+// then are counted by the balancer's reason.
 var RejectionsShutdown = Rejections.With("shutdown")
 
 // Attempts.
@@ -35,7 +36,7 @@
 	AttemptsStarted = declareVec("attempts.started", LabelClass,
 		"Attempts started.")
 	AttemptsRetried = declareVec("attempts.retried", LabelClass,
-		"Attempts started that were the second or third of their request.")
+		"Retries started: attempts after the first one of their request.")
 	AttemptsEnded = declareVec("attempts.ended", LabelStatus,
 		"Attempts ended.")
 	AttemptsEndedWarming = declareVec("attempts.ended-warming", LabelStatus,
@@ -135,7 +136,7 @@
 // The process.
 var (
 	PolicyUnsupportedActions = declare("policy.unsupported-actions",
-		"Actions of the policy that this program does not carry out.")
+		"Actions of the balancer that this program does not carry out.")
 	ReloadCompleted = declare("reload.completed",
 		"Reloads by SIGHUP that were carried out.")
 	ReloadFailed = declare("reload.failed",
