--- a/internal/lifecycle/dispatcher_test.go
+++ b/internal/lifecycle/dispatcher_test.go
@@ -2,147 +2,16 @@
 
 import (
 	"fmt"
-	"log/slog"
 	"testing"
 	"time"
 
 	"flaxrelay/internal/lifecycle"
 	"flaxrelay/internal/metrics"
-	"flaxrelay/internal/timerqueue"
 	"flaxrelay/policy"
 
 	"github.com/google/go-cmp/cmp"
 )
 
-const (
-	readClass  = "lookup"
-	keyedClass = "load"
-	writeClass = "write"
-
-	requestDeadline = time.Second // after its arrival
-	dedupWindow     = 500 * time.Millisecond
-	tickInterval    = 5 * time.Millisecond
-)
-
-// fixture is a dispatcher with two engines, and fakes of all that it talks to.
-type fixture struct {
-	*lifecycle.Dispatcher
-	t           *testing.T
-	now         time.Duration
-	timers      *timerqueue.Queue
-	counters    *metrics.Counters
-	started     []*lifecycle.Attempt
-	abandoned   []*lifecycle.Attempt
-	unsent      bool // attempts wait for a connection
-	endsAtStart bool // attempts end within Start, as connections are refused
-	updates     []lifecycle.Endpoint
-	responses   []lifecycle.Response
-	released    int
-}
-
-func newFixture(t *testing.T, changes ...func(*policy.Settings)) *fixture {
-	t.Helper()
-	f := &fixture{t: t, now: time.Hour, timers: timerqueue.New(), counters: metrics.New()}
-	class := func(name string, effect policy.Effect) policy.Class {
-		return policy.Class{
-			Name: name, LatencyObjective: 100 * time.Millisecond, Deadline: requestDeadline,
-			PriorityWeight: 1, Threads: 1, Effect: effect, DedupScope: policy.ScopeAll, DedupWindow: dedupWindow,
-		}
-	}
-	settings := policy.Settings{
-		Replicas: 1, Zone: "a", Kinds: []policy.Kind{{Name: "small", Cores: 4}}, TickInterval: tickInterval,
-		Classes: []policy.Class{
-			class(readClass, policy.Idempotent), class(keyedClass, policy.IdempotentByKey),
-			class(writeClass, policy.NonIdempotent),
-		},
-		Limits: policy.Limits{MaxAttempts: 3, Cancel: true},
-	}
-	for _, change := range changes {
-		change(&settings)
-	}
-	var err error
-	clock := clockFunc(func() time.Duration { return f.now })
-	f.Dispatcher, err = lifecycle.NewDispatcher(
-		settings, 1, clock, f.timers, f.counters, slog.New(slog.DiscardHandler),
-	)
-	if err != nil {
-		t.Fatal(err)
-	}
-	f.SetEngineClient(f)
-	f.SetCostObserver(f)
-	f.UpdateEndpoints(policy.UpdateFull, []lifecycle.Endpoint{
-		endpoint("e1", policy.EngineReady), endpoint("e2", policy.EngineReady),
-	})
-	f.updates = nil
-	return f
-}
-
-type clockFunc func() time.Duration
-
-func (c clockFunc) Now() time.Duration { return c() }
-
-func endpoint(id string, state policy.EngineState) lifecycle.Endpoint {
-	return lifecycle.Endpoint{Engine: policy.Engine{ID: id, Zone: "a", Kind: "small", State: state}, Address: id + ":1"}
-}
-
-// The fixture is the EngineClient, the Client and the CostObserver.
-
-func (f *fixture) Start(a *lifecycle.Attempt) {
-	f.started = append(f.started, a)
-	if f.endsAtStart {
-		f.EndAttempt(a, lifecycle.StatusConnectionRefused, lifecycle.AttemptReport{})
-	}
-}
-
-func (f *fixture) Abandon(a *lifecycle.Attempt)                     { f.abandoned = append(f.abandoned, a) }
-func (f *fixture) Withdraw(*lifecycle.Attempt) bool                 { return f.unsent }
-func (f *fixture) SetPriority(*lifecycle.Attempt, int)              {}
-func (f *fixture) UpdateEndpoint(e lifecycle.Endpoint)              { f.updates = append(f.updates, e) }
-func (f *fixture) Release(*lifecycle.Request)                       { f.released++ }
-func (f *fixture) ObserveTimeout(*lifecycle.Request, time.Duration) {}
-func (f *fixture) ObserveServed(*lifecycle.Request, lifecycle.AttemptReport, time.Duration) {
-}
-
-func (f *fixture) Respond(_ *lifecycle.Request, response lifecycle.Response) {
-	f.responses = append(f.responses, response)
-}
-
-func (f *fixture) accept(class string) *lifecycle.Request {
-	r := &lifecycle.Request{
-		ID: "client-id", Class: class, Deadline: f.now + requestDeadline, Client: f, ObserverData: "observed",
-	}
-	f.Accept(r)
-	return r
-}
-
-// attempt returns the attempt that was started as the given one, from 0.
-func (f *fixture) attempt(index int) *lifecycle.Attempt {
-	f.t.Helper()
-	if index >= len(f.started) {
-		f.t.Fatalf("%d attempts were started, want at least %d", len(f.started), index+1)
-	}
-	return f.started[index]
-}
-
-func (f *fixture) end(index int, status lifecycle.AttemptStatus) {
-	f.t.Helper()
-	f.EndAttempt(f.attempt(index), status, lifecycle.AttemptReport{})
-}
-
-// advance moves the clock and runs what is due.
-func (f *fixture) advance(by time.Duration) {
-	f.now += by
-	f.timers.RunDue(f.now)
-}
-
-// wantCount checks a counter.
-func (f *fixture) wantCount(counter metrics.Counter, want int64) {
-	f.t.Helper()
-	if got := f.counters.Get(counter); got != want {
-		f.t.Errorf("%s is %d, want %d", counter.Name(), got, want)
-	}
-}
-
 func TestDispatcher_GivesExactlyOneResponse(t *testing.T) {
 	tests := []struct {
 		name  string
