--- a/cmd/flaxlab/program.go
+++ b/cmd/flaxlab/program.go
@@ -8,7 +8,7 @@
 	"flaxrelay/internal/lab/harness"
 )
 
-// repositoryRoot is the folder that flaxlab runs in.
+// repositoryRoot is the directory that flaxlab runs in.
 const repositoryRoot = "."
 
 // programFlag names the program of the front end.
@@ -17,17 +17,17 @@
 }
 
 // frontEndProgram returns the path of the flag. Without the flag, it builds the program into a temporary
-// folder. The caller must call cleanUp.
+// directory. The caller must call cleanUp.
 func (f *programFlag) frontEndProgram(ctx context.Context) (program string, cleanUp func(), err error) {
 	if f.Flaxrelay != "" {
 		return f.Flaxrelay, func() {}, nil
 	}
-	folder, err := os.MkdirTemp("", "flaxlab-")
+	directory, err := os.MkdirTemp("", "flaxlab-")
 	if err != nil {
-		return "", nil, fmt.Errorf("folder for the program: %w", err)
+		return "", nil, fmt.Errorf("directory for the program: %w", err)
 	}
-	cleanUp = func() { removeFolder(folder) }
-	program, err = harness.Build(ctx, repositoryRoot, folder)
+	cleanUp = func() { removeDirectory(directory) }
+	program, err = harness.Build(ctx, repositoryRoot, directory)
 	if err != nil {
 		cleanUp()
 		return "", nil, err
--- a/cmd/flaxlab/results.go
+++ b/cmd/flaxlab/results.go
@@ -15,14 +15,14 @@
 	chart   report.Bars
 }
 
-// publish prints the summary. It writes summary, figures and chart to the folder, unless that is "".
-func (r *experimentResults) publish(folder string) error {
+// publish prints the summary. It writes summary, figures and chart to the directory, unless that is "".
+func (r *experimentResults) publish(directory string) error {
 	markdown, err := r.summary.Markdown()
 	if err != nil {
 		return err
 	}
 	fmt.Print(markdown)
-	if folder == "" {
+	if directory == "" {
 		return nil
 	}
 	csv, err := r.figures.CSV()
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	err = report.Write(folder, map[string][]byte{
+	err = report.Write(directory, map[string][]byte{
 		r.name + ".md":  []byte(markdown),
 		r.name + ".csv": []byte(csv),
 		r.name + ".svg": chart,
@@ -41,6 +41,6 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println("written to", filepath.Join(folder, r.name)+".*")
+	fmt.Println("written to", filepath.Join(directory, r.name)+".*")
 	return nil
 }
--- a/cmd/flaxlab/soak.go
+++ b/cmd/flaxlab/soak.go
@@ -57,11 +57,11 @@
 // options returns the options of the run with the seed.
 func (c *soakCommand) options(program, self string, seed uint64) soak.Options {
 	options := soak.Options{
-		Program: program, Self: self, Folder: c.Folder, Seed: seed, Duration: c.Duration,
+		Program: program, Self: self, Directory: c.Folder, Seed: seed, Duration: c.Duration,
 		FrontEnds: c.FrontEnds, Engines: c.Engines, Clients: c.Clients,
 	}
-	if options.Folder == "" {
-		options.Folder = os.TempDir()
+	if options.Directory == "" {
+		options.Directory = os.TempDir()
 	}
 	if c.Verbose {
 		options.Log = os.Stdout
@@ -69,13 +69,13 @@
 	return options
 }
 
-// report prints the result of a run. It removes the logs of a run without violations, unless a folder
+// report prints the result of a run. It removes the logs of a run without violations, unless a directory
 // was given.
 func (c *soakCommand) report(result *soak.Result) {
 	fmt.Print(result)
 	if len(result.Violations) > 0 {
-		fmt.Printf("  logs: %s\n", result.Folder)
+		fmt.Printf("  logs: %s\n", result.Directory)
 	} else if c.Folder == "" {
-		removeFolder(result.Folder)
+		removeDirectory(result.Directory)
 	}
 }
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -46,11 +46,11 @@
 	defer stopSignals()
 	ctx, cancel := context.WithTimeout(ctx, c.For)
 	defer cancel()
-	folder, err := os.MkdirTemp("", "flaxlab-try-")
+	directory, err := os.MkdirTemp("", "flaxlab-try-")
 	if err != nil {
-		return fmt.Errorf("folder of the environment: %w", err)
+		return fmt.Errorf("directory of the environment: %w", err)
 	}
-	defer removeFolder(folder)
+	defer removeDirectory(directory)
 	program, cleanUp, err := c.frontEndProgram(ctx)
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 	defer cleanUp()
 	environment, err := harness.New(harness.Options{
 		Root:         repositoryRoot,
-		Dir:          folder,
+		Dir:          directory,
 		Engines:      c.Engines,
 		Work:         fake.PlausibleWork,
 		HTTPAddr:     c.HTTP,
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -10,7 +10,7 @@
 type Postgres struct {
 	// Listen is the address for clients; "": the front end is off.
 	Listen string `toml:"listen"`
-	// SettingsFile is the path of the settings file, relative to the folder of the deploy file.
+	// SettingsFile is the path of the settings file, relative to the directory of the deploy file.
 	SettingsFile string `toml:"settings"`
 	// Settings is the content of the settings file.
 	Settings Settings `toml:"-"`
@@ -82,14 +82,14 @@
 	return &deploy, nil
 }
 
-// complete validates the deploy file, reads the settings from its folder and sets the defaults of
+// complete validates the deploy file, reads the settings from its directory and sets the defaults of
 // missing fields. It validates classes after it has read the settings, which define them.
-func (p *Postgres) complete(v *validator, folder string) {
+func (p *Postgres) complete(v *validator, directory string) {
 	p.validateServer(v)
 	if p.Database == "" {
 		p.Database = p.User
 	}
-	if !p.loadSettings(v, folder) {
+	if !p.loadSettings(v, directory) {
 		return
 	}
 	classes := p.Settings.Policy.Classes
@@ -103,10 +103,10 @@
 
 // loadSettings reads the settings file, and reports its faults to the validator. It returns false if
 // the file could not be read or decoded.
-func (p *Postgres) loadSettings(v *validator, folder string) bool {
+func (p *Postgres) loadSettings(v *validator, directory string) bool {
 	path := p.SettingsFile
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(folder, path)
+		path = filepath.Join(directory, path)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -56,7 +56,7 @@
 // loadRule classifies each INSERT as a load whose idempotency key is its first value.
 var loadRule = pgserver.Rule{Prefix: "insert into", Class: "load", KeyParameter: 1}
 
-// newFrontEnd returns a front end that does not serve yet. It has the settings of the deploy folder, as the function
+// newFrontEnd returns a front end that does not serve yet. It has the settings of the deploy directory, as the function
 // change, which may be nil, has changed them.
 func newFrontEnd(tb testing.TB, change func(*policy.Settings)) *frontEnd {
 	tb.Helper()
@@ -90,7 +90,7 @@
 	return front
 }
 
-// startHTTP is serveHTTP of a new front end with the settings of the deploy folder.
+// startHTTP is serveHTTP of a new front end with the settings of the deploy directory.
 func startHTTP(tb testing.TB, engines ...string) *frontEnd {
 	tb.Helper()
 	return newFrontEnd(tb, nil).serveHTTP(engines...)
@@ -106,7 +106,7 @@
 	return f
 }
 
-// startPostgres is servePostgres of a new front end with the settings of the deploy folder.
+// startPostgres is servePostgres of a new front end with the settings of the deploy directory.
 func startPostgres(tb testing.TB, engines ...string) *frontEnd {
 	tb.Helper()
 	return newFrontEnd(tb, nil).servePostgres(engines...)
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -79,7 +79,7 @@
 ) (CostRound, error) {
 	dir, err := os.MkdirTemp("", "flaxlab-cost-")
 	if err != nil {
-		return CostRound{}, fmt.Errorf("folder of a round: %w", err)
+		return CostRound{}, fmt.Errorf("directory of a round: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	addr, err := harness.FreeAddr()
@@ -99,7 +99,7 @@
 	if err != nil {
 		return CostRound{}, fmt.Errorf("log of a round: %w", err)
 	}
-	defer func() { _ = log.Close() }() // it is removed with its folder
+	defer func() { _ = log.Close() }() // it is removed with its directory
 	process, err := harness.Start(opts.Program, log, "serve", "--postgres", environment.DeployFile)
 	if err != nil {
 		return CostRound{}, err
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/lab/fake"
 )
 
-// Files of the deploy folder, and the settings in them that the harness changes.
+// Files of the deploy directory, and the settings in them that the harness changes.
 const (
 	deployFile   = "postgres.toml"
 	settingsFile = "postgres-settings.json"
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -119,15 +119,15 @@
 	return b.Bytes(), nil
 }
 
-// The modes of the folder of results and of its files.
+// The modes of the directory of results and of its files.
 const (
-	folderMode = 0o755
-	fileMode   = 0o644
+	directoryMode = 0o755
+	fileMode      = 0o644
 )
 
-// Write writes the files of one experiment, by their names, into a folder.
+// Write writes the files of one experiment, by their names, into a directory.
 func Write(dir string, files map[string][]byte) error {
-	if err := os.MkdirAll(dir, folderMode); err != nil {
+	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return fmt.Errorf("results: %w", err)
 	}
 	for name, content := range files {
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -65,9 +65,13 @@
 	}
 	name := fmt.Sprintf("n%d", number)
 	return &frontEnd{
-		run: r, name: name, addr: addr,
-		configPath: filepath.Join(r.folder, name+".json"), shapesPath: filepath.Join(r.folder, name+"-shapes.toml"),
-		snapshotPath: filepath.Join(r.folder, name+".snapshot"), logPath: filepath.Join(r.folder, name+".log"),
+		run:          r,
+		name:         name,
+		addr:         addr,
+		configPath:   filepath.Join(r.directory, name+".json"),
+		shapesPath:   filepath.Join(r.directory, name+"-shapes.toml"),
+		snapshotPath: filepath.Join(r.directory, name+".snapshot"),
+		logPath:      filepath.Join(r.directory, name+".log"),
 	}, nil
 }
 
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -12,12 +12,12 @@
 
 // Result is the result of a run.
 type Result struct {
-	Seed     uint64
-	Folder   string          // contains the logs
-	Outcomes map[outcome]int // number of requests by outcome
-	Attempts int
-	Faults   map[string]int            // number of faults of the schedule that began, by kind
-	Injected map[syscallfault.Kind]int // number of injected faults of system calls, by kind
+	Seed      uint64
+	Directory string          // contains the logs
+	Outcomes  map[outcome]int // number of requests by outcome
+	Attempts  int
+	Faults    map[string]int            // number of faults of the schedule that began, by kind
+	Injected  map[syscallfault.Kind]int // number of injected faults of system calls, by kind
 	// ProcessorWait is how long processes waited for a processor, as far as that exceeds the waits on an idle machine.
 	// The checker allows for it.
 	ProcessorWait time.Duration
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -17,7 +17,7 @@
 type Options struct {
 	Program   string // path of the front end's program
 	Self      string // path of a program for the engines, which calls RunEngineProcess first
-	Folder    string // in which the run creates a folder for its files
+	Directory string // in which the run creates a directory for its files
 	Seed      uint64
 	Duration  time.Duration
 	FrontEnds int
@@ -41,7 +41,7 @@
 // run is a run in progress. Its front ends, engines and clients refer to it.
 type run struct {
 	options             Options
-	folder              string
+	directory           string
 	settings            runSettings
 	faultyResponseShare float64 // of the requests that engines run
 	history             *history
@@ -76,11 +76,11 @@
 // Run runs the workload under the faults of a seed to its end and checks the history.
 func Run(options Options) (*Result, error) {
 	r := newRun(options)
-	folder, err := os.MkdirTemp(options.Folder, fmt.Sprintf("soak-%d-", options.Seed))
+	directory, err := os.MkdirTemp(options.Directory, fmt.Sprintf("soak-%d-", options.Seed))
 	if err != nil {
-		return nil, fmt.Errorf("folder of the run: %w", err)
+		return nil, fmt.Errorf("directory of the run: %w", err)
 	}
-	r.folder = folder
+	r.directory = directory
 	if r.bus, err = newEventBus(); err != nil {
 		return nil, err
 	}
@@ -195,9 +195,14 @@
 		readyTimes[f.name] = f.readyTimes
 	}
 	return &Result{
-		Seed: r.options.Seed, Folder: r.folder, Outcomes: r.history.outcomeCounts(), Attempts: r.history.attemptCount(),
-		Faults: r.faultCounts, Injected: r.injectedCounts(), ProcessorWait: r.history.processorWaitSum(),
-		Violations: r.history.check(readyTimes),
+		Seed:          r.options.Seed,
+		Directory:     r.directory,
+		Outcomes:      r.history.outcomeCounts(),
+		Attempts:      r.history.attemptCount(),
+		Faults:        r.faultCounts,
+		Injected:      r.injectedCounts(),
+		ProcessorWait: r.history.processorWaitSum(),
+		Violations:    r.history.check(readyTimes),
 	}
 }
 
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	result, err := Run(Options{
-		Program: program, Self: os.Args[0], Folder: t.TempDir(), Seed: 1, Duration: 6 * time.Second,
+		Program: program, Self: os.Args[0], Directory: t.TempDir(), Seed: 1, Duration: 6 * time.Second,
 		FrontEnds: 4, Engines: 8, Clients: 16,
 	})
 	if err != nil {
@@ -33,6 +33,6 @@
 	}
 	t.Log(result)
 	if len(result.Violations) > 0 || result.Outcomes[outcomeServed] == 0 {
-		t.Errorf("rules were violated, or no request was served; logs were in %s", result.Folder)
+		t.Errorf("rules were violated, or no request was served; logs were in %s", result.Directory)
 	}
 }
