--- a/internal/lab/fake/endpointlist.go
+++ b/internal/lab/fake/endpointlist.go
@@ -14,13 +14,13 @@
 
 // KnownEvents are the events of the bus in a platform configuration.
 type KnownEvents struct {
-	Offset int          `json:"offset"` // of the last event
-	Batch  []KnownEvent `json:"batch"`
+	LastEvent int          `json:"offset"` // number of the last event
+	Events    []KnownEvent `json:"batch"`
 }
 
 // KnownEvent is one event of KnownEvents.
 type KnownEvent struct {
-	Offset   int      `json:"offset"`
+	Number   int      `json:"offset"`
 	Topology Topology `json:"topology"`
 }
 
@@ -31,8 +31,8 @@
 	Targets  []Target `json:"targets"`
 }
 
-// KnownList returns the events up to an offset as one event with the complete list.
-func KnownList(offset int, targets []Target) KnownEvents {
-	event := KnownEvent{Offset: offset, Topology: Topology{Revision: offset, All: true, Targets: targets}}
-	return KnownEvents{Offset: offset, Batch: []KnownEvent{event}}
+// KnownList returns the events up to the last one as a single event with the complete list.
+func KnownList(lastEvent int, targets []Target) KnownEvents {
+	event := KnownEvent{Number: lastEvent, Topology: Topology{Revision: lastEvent, All: true, Targets: targets}}
+	return KnownEvents{LastEvent: lastEvent, Events: []KnownEvent{event}}
 }
--- a/internal/lab/fake/eventbus.go
+++ b/internal/lab/fake/eventbus.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// BusRequestLength is the length of a watch request in bytes: the offset from which to resume.
-	BusRequestLength = 8
+	// BusSubscriptionLength is the length in bytes of the first message on a connection: the number of the
+	// last event that the front end has received.
+	BusSubscriptionLength = 8
 	// BusHeartbeatInterval is the interval of the heartbeats, which is that of the real bus.
 	BusHeartbeatInterval = time.Second
 )
@@ -16,7 +17,7 @@
 // BusFrameKind is the kind of a frame of the bus, by its number.
 type BusFrameKind byte
 
-// The kinds of frames that emulated buses send.
+// The kinds of frames that fake buses send.
 const (
 	BusFrameHeartbeat BusFrameKind = 0 // has no records
 	BusFrameDelta     BusFrameKind = 2 // has the records of the engines that changed
@@ -29,13 +30,14 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 }
 
-// ServeEventBus serves an event bus on a listener that publishes no events, only heartbeats.
-func ServeEventBus(listener net.Listener, lastOffset uint64) {
+// ServeEventBus serves an event bus on a listener that publishes no events, only heartbeats. lastEvent is
+// the number in the heartbeats.
+func ServeEventBus(listener net.Listener, lastEvent uint64) {
 	serveConnections(listener, func(conn net.Conn) {
-		if _, err := conn.Read(make([]byte, BusRequestLength)); err != nil {
+		if _, err := conn.Read(make([]byte, BusSubscriptionLength)); err != nil {
 			return
 		}
-		heartbeat := BusFrame(lastOffset, BusFrameHeartbeat, nil)
+		heartbeat := BusFrame(lastEvent, BusFrameHeartbeat, nil)
 		for {
 			if _, err := conn.Write(heartbeat); err != nil {
 				return
--- a/internal/lab/fake/line_server.go
+++ b/internal/lab/fake/line_server.go
@@ -49,7 +49,7 @@
 	return value
 }
 
-// LineHandler implements a stand-in for an engine of the line protocol. Its methods are called from the
+// LineHandler determines the responses of a fake engine of the line protocol. Its methods are called from the
 // goroutines of all connections and must be safe for concurrent use.
 type LineHandler interface {
 	// Received is called with each request on its arrival, before Handle.
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -58,7 +58,7 @@
 	}
 	config["listen"] = opts.HTTPAddr
 	config["bus"] = bus
-	config["known"] = fake.KnownList(onlyOffset, targets)
+	config["known"] = fake.KnownList(onlyEvent, targets)
 	if raw, err = json.MarshalIndent(config, "", " "); err != nil {
 		return fmt.Errorf("harness: %w", err)
 	}
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -1,5 +1,6 @@
-// Package harness sets up flaxrelay in an emulated environment on loopback addresses: engines, event bus,
-// catalogue, the files that name them, and flaxrelay's own processes.
+// Package harness runs flaxrelay against fake systems on loopback addresses. New starts the engines, the
+// event bus and Consul of package fake, and writes the files that name them. Build and Start make and run
+// a process of flaxrelay, which is passed one of these files.
 package harness
 
 import (
@@ -16,8 +17,8 @@
 // catalogueService is the name of the engines' service in deploy/postgres.toml.
 const catalogueService = "stock-engine"
 
-// onlyOffset is the offset of the only event of the emulated bus.
-const onlyOffset = 1
+// onlyEvent is the number of the only event of the fake bus.
+const onlyEvent = 1
 
 // Options configure an Environment.
 type Options struct {
@@ -31,16 +32,16 @@
 	Log          *slog.Logger
 }
 
-// Environment is an emulated environment of flaxrelay. The caller must close it.
+// Environment is the fake systems that flaxrelay works with, and the files for it. The caller must close it.
 type Environment struct {
 	ConfigFile string // the platform configuration of the HTTP front end
 	DeployFile string // of the PostgreSQL front end
 	ShapesFile string // of query shapes, for both
 
-	listeners []net.Listener // of the emulated systems
+	listeners []net.Listener // of the fake systems
 }
 
-// New starts the emulated systems and writes the files.
+// New starts the fake systems and writes the files.
 func New(opts Options) (*Environment, error) {
 	environment := &Environment{
 		ConfigFile: filepath.Join(opts.Dir, "config.json"),
@@ -54,7 +55,7 @@
 	return environment, nil
 }
 
-// start starts the emulated systems and writes the files.
+// start starts the fake systems and writes the files.
 func (e *Environment) start(opts Options) error {
 	targets, err := e.startLineEngines(opts)
 	if err != nil {
@@ -68,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	go fake.ServeEventBus(bus, onlyOffset)
+	go fake.ServeEventBus(bus, onlyEvent)
 	consul, err := e.listen()
 	if err != nil {
 		return err
@@ -79,7 +80,7 @@
 	return e.writeFiles(opts, targets, bus.Addr().String(), consul.Addr().String())
 }
 
-// Close ends the emulated systems.
+// Close ends the fake systems.
 func (e *Environment) Close() {
 	for _, listener := range e.listeners {
 		_ = listener.Close()
--- a/internal/lab/soak/bus.go
+++ b/internal/lab/soak/bus.go
@@ -115,7 +115,7 @@
 	return fake.KnownList(len(b.events), targets)
 }
 
-// accept serves each connection of a listener until the listener is closed. Unlike the stand-ins of the
+// accept serves each connection of a listener until the listener is closed. Unlike the servers of the
 // package fake, the bus keeps the open connections then.
 func (b *eventBus) accept(listener *busListener) {
 	for {
@@ -150,15 +150,15 @@
 	return view
 }
 
-// serve reads the offset of a connection, and sends the events from there on and a heartbeat each second
-// until the listener of the connection has ended.
+// serve reads the number of the last event that the front end has received. It sends the events after that
+// one, and a heartbeat each second, until the listener of the connection has ended.
 func (b *eventBus) serve(conn net.Conn, ended <-chan struct{}) {
 	const overlap = 1 // number of events that are sent although the front end already has them
-	sent, err := readResumeOffset(conn)
+	lastEvent, err := readSubscription(conn)
 	if err != nil {
 		return
 	}
-	sent = max(sent-overlap, 0)
+	sent := max(lastEvent-overlap, 0)
 	for {
 		view := b.view(sent)
 		switch {
@@ -190,12 +190,12 @@
 	}
 }
 
-// readResumeOffset reads the first message of a connection: the number of the last event that the
-// front end has received.
-func readResumeOffset(conn net.Conn) (int, error) {
-	request := make([]byte, fake.BusRequestLength)
-	if _, err := io.ReadFull(conn, request); err != nil {
-		return 0, fmt.Errorf("read the offset of a watch: %w", err)
+// readSubscription reads the first message of a connection: the number of the last event that the front
+// end has received.
+func readSubscription(conn net.Conn) (lastEvent int, err error) {
+	subscription := make([]byte, fake.BusSubscriptionLength)
+	if _, err := io.ReadFull(conn, subscription); err != nil {
+		return 0, fmt.Errorf("read a subscription: %w", err)
 	}
-	return int(binary.BigEndian.Uint64(request)), nil
+	return int(binary.BigEndian.Uint64(subscription)), nil
 }
