--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -76,7 +76,7 @@
 		LastEvent: configuration.LastEvent,
 		Zones:     settings.Zones,
 		Kinds:     settings.Kinds,
-		// The event that an engine is draining must arrive well within its grace period.
+		// The event that an engine is draining must arrive well within the drain grace.
 		MaxBackoff: settings.Policy.Rules.DrainGrace / 2,
 	}, s.counters, s.logger)
 	watcher.Start()
--- a/cmd/flaxrelay/limits.go
+++ b/cmd/flaxrelay/limits.go
@@ -37,8 +37,8 @@
 	tenths          = 10
 )
 
-// The budget of descriptors. Clients get three quarters of the table minus closingClientReserve.
-// Engines get the rest minus httpserver.SpareClients and reservedDescriptors.
+// The division of the descriptor table. Clients get three quarters of it minus closingClientReserve.
+// Engines get what remains after the clients, minus httpserver.SpareClients and reservedDescriptors.
 const (
 	clientShareQuarters = 3
 	quarters            = 4
@@ -73,7 +73,7 @@
 	return memoryMB * bytesPerMB / divisor
 }
 
-// descriptorTable returns the size of the descriptor table.
+// descriptorTable returns the limit on descriptors.
 func (l resourceLimits) descriptorTable() int {
 	if l.descriptors <= 0 {
 		return defaultDescriptors
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -1,10 +1,10 @@
 // Command flaxrelay is a layer-7 proxy with admission control between query clients and engines. It
 // accepts requests, lets package policy decide where each one runs, and relays the responses.
 //
-// Without a command it serves the platform's HTTP protocol with the configuration $LB_CONFIG; with
-// --postgres it serves the PostgreSQL wire protocol with a deploy file. SIGHUP reloads that file,
-// SIGUSR1 prints the counters, and SIGTERM and SIGINT start a graceful shutdown. Other commands
-// validate files and inspect statement shapes.
+// Without a command it serves the platform's HTTP protocol with the configuration file that $LB_CONFIG or
+// --config names. With --postgres it serves the PostgreSQL wire protocol with a deploy file. SIGHUP
+// reloads the file that it serves with, SIGUSR1 prints the counters, and SIGTERM and SIGINT start a
+// graceful shutdown. Other commands validate files and inspect statement shapes.
 package main
 
 import (
--- a/cmd/flaxrelay/metrics.go
+++ b/cmd/flaxrelay/metrics.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// publishDropped sets the counter of dropped log lines.
+// publishDropped sets the counter of dropped log lines, which the log's writer counts.
 func (s *server) publishDropped() {
 	if s.output != nil {
 		s.counters.Set(metrics.LogDropped, s.output.Dropped())
--- a/cmd/flaxrelay/reload.go
+++ b/cmd/flaxrelay/reload.go
@@ -12,7 +12,8 @@
 
 const (
 	// reloadRetryTime is the time from SIGHUP during which a reload is retried if its file cannot be
-	// read. It must be less than 4 s, after which the events of a new event bus count as received.
+	// read. When the event bus moves, the platform counts every event as received 4 s later, whether or
+	// not the front end has connected to the new address. The retries must end before that.
 	reloadRetryTime = 3 * time.Second
 	// reloadRetryDelay is the time before each retry.
 	reloadRetryDelay = 50 * time.Millisecond
--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -15,8 +15,8 @@
 	"flaxrelay/policy"
 )
 
-// server is one front end with its event loop, dispatcher and engine client. While the loop runs, its
-// goroutine owns all fields; other goroutines use loop.Post.
+// server is one front end with its event loop, dispatcher and engine client. listen composes it, and serve
+// runs its loop. While the loop runs, its goroutine owns all fields; other goroutines use loop.Post.
 type server struct {
 	loop       *eventloop.Loop
 	dispatcher *lifecycle.Dispatcher
@@ -37,10 +37,11 @@
 	Addr() string
 	// CloseListener stops accepting connections.
 	CloseListener()
-	// Drain begins a graceful shutdown: each connection is closed as soon as it has no request.
+	// Drain closes the connections in a graceful shutdown, which has begun earlier with SIGTERM: each
+	// connection is closed as soon as it has no request in flight.
 	Drain()
-	// Finish ends a graceful shutdown: each connection that is still open is closed as soon as its
-	// responses are sent. It must be called after Dispatcher.CompleteAll.
+	// Finish closes the connections that are still open, each as soon as its responses are sent. It must
+	// be called after Dispatcher.CompleteAll.
 	Finish()
 	// Idle reports whether no client is connected and no client has yet to fetch a part of its result.
 	Idle() bool
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -43,8 +43,8 @@
 	Zones []string
 	Kinds []string
 	// MaxBackoff is the longest delay between two attempts to connect; 0: a default. It must be much
-	// less than the grace period of a draining engine, because an event counts as received as soon as
-	// the bus can be reached again.
+	// less than the drain grace. After an outage, that begins as soon as the bus can be reached again,
+	// and not when the watcher has connected.
 	MaxBackoff time.Duration
 }
 
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// The watcher reconnects well within the grace period of a draining engine, even after the bus was
-// unreachable for long: an event counts as received as soon as the bus can be reached again.
+// The watcher reconnects well within the drain grace, even after the bus was unreachable for long: the
+// drain grace of an engine begins as soon as the bus can be reached again.
 func TestWatcher_ReconnectsSoonAfterTheBusReturns(t *testing.T) {
 	// Nothing else uses this address, so no outgoing connection can get the port while it is free.
 	listener, err := net.Listen("tcp", "127.0.0.77:0")
--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -80,7 +80,7 @@
 	front.serveHTTP(addr)
 	client := connectHTTP(t, front.addr)
 	front.awaitCount("http.connections", 1)
-	const pastMinSilentTime = 30 * time.Millisecond
+	const pastMinSilentTime = 30 * time.Millisecond // longer than a new connection is safe from an eviction
 	time.Sleep(pastMinSilentTime)
 	front.onLoop(func() { // the new client is accepted on the next turn, and before the text is handed on
 		dial(t, front.addr)
--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// updateEndpoints delivers a watch event with a new state of the engines at the addresses.
+// updateEndpoints delivers an endpoint update with a new state of the engines at the addresses.
 func (f *frontEnd) updateEndpoints(state policy.EngineState, addrs ...string) {
 	f.applyUpdate(policy.UpdateDelta, state, addrs...)
 }
@@ -196,12 +196,12 @@
 	f.applyUpdate(policy.UpdateFull, policy.EngineReady, addrs...)
 }
 
-func (f *frontEnd) applyUpdate(kind policy.UpdateMode, state policy.EngineState, addrs ...string) {
+func (f *frontEnd) applyUpdate(mode policy.UpdateMode, state policy.EngineState, addrs ...string) {
 	var list []lifecycle.Endpoint
 	for _, addr := range addrs {
 		list = append(list, endpointAt(addr, state))
 	}
-	f.onLoop(func() { f.dispatcher.UpdateEndpoints(kind, list) })
+	f.onLoop(func() { f.dispatcher.UpdateEndpoints(mode, list) })
 }
 
 // awaitBuffered waits until the front end has received a number of bytes that it has not consumed.
@@ -213,7 +213,7 @@
 }
 
 // deliver writes text to a client's connection and waits until the poller has read it. It must be called on the loop's
-// goroutine. The loop handles the text only after what that goroutine does next.
+// goroutine, in a function that the loop runs: the loop handles the text only after that function has returned.
 func (f *frontEnd) deliver(client net.Conn, text string) {
 	f.t.Helper()
 	before := f.loop.BufferedBytes()
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -47,7 +47,7 @@
 
 const floodStream = 0x666c6f6f64 // second word of the seed: distinct from other uses of it
 
-// The true class and cost of every statement of the flood.
+// The cost of every statement of the flood.
 const (
 	floodWorkMS   = 200
 	floodMemoryMB = 10
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -18,8 +18,9 @@
 	remainingTimeSlack = 150 * time.Millisecond
 	// disconnectGrace is the time after the client's disconnect in which an attempt may still begin.
 	disconnectGrace = 100 * time.Millisecond
-	// notificationGraceAfterFault is the time from the start of a fault of the bus until all front
-	// ends count as notified of the changes that were published during the fault.
+	// notificationGraceAfterFault is the time from the start of a fault of the bus, such as its move to
+	// another address, until all front ends count as notified of the changes that were published during
+	// the fault.
 	notificationGraceAfterFault = 4 * time.Second
 	// notificationSlack is the time after the end of a fault of the bus, or after a front end is ready,
 	// in which the front ends are notified of the changes that they have missed.
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -173,7 +173,7 @@
 	)
 	for range maxPolls {
 		time.Sleep(pollInterval)
-		if process, draining := f.settledProcess(); process != nil && !draining {
+		if process, ending := f.settledProcess(); process != nil && !ending {
 			_ = process.Signal(syscall.SIGHUP)
 			return
 		}
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -101,7 +101,8 @@
 	t.aliased = random.IntN(aliasedOneIn) == 0
 	t.table = drawTable(random, allTables)
 	if tables := familySpecs[t.family].tables; tables != nil {
-		t.table = drawTable(random, tables) // a second draw, so that a seed gives the same traffic as ever
+		// The first draw is discarded. Without it, a seed would give other traffic than earlier versions.
+		t.table = drawTable(random, tables)
 	}
 	n := 1 + random.IntN(len(t.table.columns))
 	for _, column := range random.Perm(len(t.table.columns))[:n] {
