--- a/internal/logevent/catalog.go
+++ b/internal/logevent/catalog.go
@@ -37,7 +37,7 @@
 		"SIGHUP named another event bus.",
 		"from", "to", "last_event")
 	EventBusDisconnected = declare("eventbus.disconnected", slog.LevelWarn,
-		"The event bus closed the connection, sent no byte for 2.5 s or cannot be reached.",
+		"The event bus closed the connection, sent no byte for 2.5 s, violated the protocol or cannot be reached.",
 		"bus", "error", "retry_in")
 	ConsulRequestFailed = declare("consul.request-failed", slog.LevelWarn,
 		"A blocking query failed; the last list stays in use.",
--- a/internal/metrics/catalog.go
+++ b/internal/metrics/catalog.go
@@ -46,7 +46,7 @@
 	AttemptsRetriedAfter = declareVec("attempts.retried-after", LabelStatus,
 		"Attempts started after one that ended with the status.")
 	AttemptsWithheldLate = declare("attempts.withheld.late",
-		"Attempts not written because their time or the deduplication window was over; no violation.")
+		"Attempts not sent because their timeout or their deduplication window was over; this is no violation.")
 	AttemptsProgress = declare("attempts.progress",
 		"Progress reports of engines on attempts in flight.")
 )
@@ -54,9 +54,9 @@
 // Connections to engines.
 var (
 	EngineConnectionsDialed = declare("engine-connections.dialed",
-		"Connections to engines begun.")
+		"Connections to engines begun, established or not.")
 	EngineConnectionsClosed = declareVec("engine-connections.closed", LabelStatus,
-		"Connections to engines ended.")
+		"Connections to engines ended, established or not.")
 	EngineConnectionsEvicted = declare("engine-connections.evicted",
 		"Idle connections to engines closed to make a descriptor available.")
 	EngineConnectionsLateResponses = declare("engine-connections.late-responses",
@@ -104,7 +104,7 @@
 	EventBusReconnects = declare("eventbus.reconnects",
 		"Lost connections to the event bus, and failed attempts to connect.")
 	ConsulEvents = declare("consul.events",
-		"Results of Consul that were applied.")
+		"Lists of registrations or of health checks from Consul that were applied.")
 	ConsulErrors = declare("consul.errors",
 		"Failed queries to Consul.")
 )
@@ -118,7 +118,7 @@
 	ShapesCached = declare("shapes.held",
 		"Statement shapes in the cache; set when counters are printed.")
 	ShapesBytes = declare("shapes.bytes",
-		"Size of the cache of statement shapes; set when counters are printed.")
+		"Bytes in the cache of statement shapes; set when counters are printed.")
 	ShapesLearned = declare("shapes.learned",
 		"Served requests learned from; set when counters are printed.")
 	ShapesCorrected = declare("shapes.corrected",
@@ -142,7 +142,7 @@
 	ReloadFailed = declare("reload.failed",
 		"Reloads by SIGHUP whose file could not be used.")
 	ReloadRetried = declare("reload.retried",
-		"Repeated readings of a file that could not be read.")
+		"Retries of a reload whose file could not be read.")
 	LogDropped = declare("log.dropped",
 		"Log lines that were dropped or could not be written.")
 )
