--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -95,7 +95,7 @@
 		return nil
 	}
 	if limit := options.limits.memoryFraction(shapeStatisticsDivisor) / bytesPerKB; shapes.MemoryKB > limit {
-		return fmt.Errorf("shapes: memory_kb: %d is more than a quarter of the memory, %d", shapes.MemoryKB, limit)
+		return fmt.Errorf("shapes: memory_kb: %d is above %d, a quarter of the memory limit", shapes.MemoryKB, limit)
 	}
 	service, err := stmtstats.NewService(stmtstats.Settings{
 		CostModel:         shapes.CostModel(),
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -92,7 +92,8 @@
 	var fieldError FieldError
 	switch {
 	case errors.As(err, &typeError):
-		return FieldError{Field: typeError.Field, Problem: fmt.Sprintf("a %s does not fit", typeError.Value)}
+		problem := fmt.Sprintf("a JSON %s is not allowed here", typeError.Value)
+		return FieldError{Field: typeError.Field, Problem: problem}
 	case errors.As(err, &fieldError):
 		return fieldError
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -50,8 +50,8 @@
 		return nil, v.err()
 	}
 	configuration.Settings = *object.Settings
-	v.require(configuration.Settings.Policy.Replicas >= 1, "settings.balancers", "not at least 1")
-	v.require(len(configuration.Settings.Policy.Classes) > 0, "settings.classes", "none")
+	v.require(configuration.Settings.Policy.Replicas >= 1, "settings.balancers", "must be at least 1")
+	v.require(len(configuration.Settings.Policy.Classes) > 0, "settings.classes", noClassesText)
 	if err := v.err(); err != nil {
 		return nil, err
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -51,7 +51,7 @@
 	if !decodeSettings(v, raw, &settings) {
 		return v.err()
 	}
-	v.require(len(settings.Policy.Classes) > 0, "classes", "none")
+	v.require(len(settings.Policy.Classes) > 0, "classes", noClassesText)
 	return v.err()
 }
 
--- a/internal/config/settings_policy.go
+++ b/internal/config/settings_policy.go
@@ -12,8 +12,13 @@
 	noReportedLoad = "silent"     // of report.how
 )
 
-// unknownValueText is the problem of a field whose value is not one of the defined values.
-const unknownValueText = "unknown value %q"
+// Problems of fields.
+const (
+	// unknownValueText is the problem of a field whose value is not one of the defined values.
+	unknownValueText = "unknown value %q"
+	// noClassesText is the problem of an empty or missing list of classes.
+	noClassesText = "there must be at least one class"
+)
 
 // effects are the effects of classes by their names in the settings object.
 var effects = map[string]policy.Effect{
--- a/internal/lab/fake/line_server.go
+++ b/internal/lab/fake/line_server.go
@@ -129,7 +129,7 @@
 type statementLengthError struct{ word string }
 
 func (e *statementLengthError) Error() string {
-	return fmt.Sprintf("a statement of length %q", e.word)
+	return fmt.Sprintf("statement length %q is not a number from 0 to %d", e.word, maxStatementLength)
 }
 
 // readStatement reads the statement that follows a request line, and the CR LF after the statement.
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -50,7 +50,7 @@
 func (e *Environment) writeConfig(opts Options, targets []fake.Target, bus string) error {
 	raw, err := os.ReadFile(filepath.Join(opts.Root, "examples/toy/config.json"))
 	if err != nil {
-		return fmt.Errorf("start this from the repository's root: %w", err)
+		return fmt.Errorf("read the example configuration (run this from the repository's root): %w", err)
 	}
 	var config map[string]any // a map, since only three keys change
 	if err := json.Unmarshal(raw, &config); err != nil {
--- a/internal/lab/soak/malformed.go
+++ b/internal/lab/soak/malformed.go
@@ -51,6 +51,7 @@
 	var netError net.Error
 	timedOut := errors.As(err, &netError) && netError.Timeout()
 	if timedOut && !target.killedWithin(startedAt, time.Now()) {
-		target.report(RuleMalformedRequest, "%s: nothing within %v", target.name, malformedResponseTimeout)
+		target.report(RuleMalformedRequest, "%s: neither a response nor a close within %v",
+			target.name, malformedResponseTimeout)
 	}
 }
--- a/internal/lab/soak/response.go
+++ b/internal/lab/soak/response.go
@@ -102,11 +102,11 @@
 func checkRows(requestID string, rows [][]string) error {
 	const columns = 3 // as in resultPage
 	if len(rows) != pageCount(requestID) {
-		return fmt.Errorf("%d rows of %d", len(rows), pageCount(requestID))
+		return fmt.Errorf("the result has %d rows, want %d", len(rows), pageCount(requestID))
 	}
 	for i, row := range rows {
 		if len(row) != columns || row[0] != requestID || row[1] != strconv.Itoa(i) {
-			return fmt.Errorf("row %d is %q", i, row)
+			return fmt.Errorf("row %d of the result is %q, not the engine's", i, row)
 		}
 	}
 	return nil
--- a/internal/lab/traffic/arrivals.go
+++ b/internal/lab/traffic/arrivals.go
@@ -30,7 +30,9 @@
 type RateError float64
 
 // Error implements error.
-func (e RateError) Error() string { return fmt.Sprintf("arrivals: a rate of %g a second", float64(e)) }
+func (e RateError) Error() string {
+	return fmt.Sprintf("arrivals: the rate %g is not above 0", float64(e))
+}
 
 const microsPerSecond = 1e6
 
--- a/internal/lab/traffic/reader.go
+++ b/internal/lab/traffic/reader.go
@@ -61,7 +61,7 @@
 		return ErrForeign
 	}
 	if version := start[len(magic)]; version != formatVersion {
-		return fmt.Errorf("%w: %d, and %d is read here", ErrVersion, version, formatVersion)
+		return fmt.Errorf("%w: it is %d, only %d can be read", ErrVersion, version, formatVersion)
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 // readEnd checks the block that ends the file.
 func (r *Reader) readEnd(header blockHeader) error {
 	if header.checksum != r.records || header.records != 0 {
-		return fmt.Errorf("%w: it announces %d records and holds %d", ErrDamaged, header.checksum, r.records)
+		return fmt.Errorf("%w: it should have %d records and has %d", ErrDamaged, header.checksum, r.records)
 	}
 	r.ended = true
 	return io.EOF
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -89,7 +89,7 @@
 	case policy.EngineReadmitted:
 		return beginLine(output, messageLog, instanceID).text("engine " + action.Engine + " serves again").end()
 	}
-	panic(fmt.Sprintf("wire: no line for action %T", action))
+	panic(fmt.Sprintf("simprotocol: no message for action %T", action))
 }
 
 // ejectionTexts are the texts in SAY_LOG for the reasons of an ejection.
