--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -1,5 +1,6 @@
 // Package consul follows a service in Consul with blocking queries to its catalogue and its health
-// API, and notifies a sink of the engines that are ready, draining or removed.
+// API, and notifies a sink of the engines that are ready, draining or removed. New returns a Watcher;
+// Watch starts to follow a service, and may be called again to follow another one.
 package consul
 
 import (
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,6 @@
 // Package discovery contains the code that the sources of the endpoint list share. Each source is a
-// package in a subdirectory. It watches an external system and notifies one Sink of the engines.
+// package in a subdirectory: eventbus and consul. It watches an external system and notifies one Sink,
+// which is the dispatcher, of the engines.
 package discovery
 
 import (
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -1,5 +1,9 @@
 // Package eventbus receives the changes of the endpoint list from the platform's event bus over one
-// TCP connection.
+// TCP connection. New returns a Watcher, Start connects it, and its sink is notified of each event.
+//
+// On each connection the watcher first sends the number of the last event that it has processed, as 8
+// bytes. The bus then sends the events after that one, and heartbeats, as frames (see frames.go). A
+// frame of an event carries the records of engines (see records.go).
 package eventbus
 
 import (
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,7 @@
 // Package golden compares the output of a test with a golden file. Only tests and their helper
-// packages import it.
+// packages import it. With the flag -update, a test writes its golden files instead:
+//
+//	go test ./internal/observability -update
 package golden
 
 import (
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -1,6 +1,7 @@
 // Package faultproxy is a loopback TCP proxy that injects the faults of networks: delay with jitter,
 // limited bandwidth, stalls, disconnects, resets, half-closes, corrupt and lost responses. The faults
-// follow from a schedule and a seed, so that a run can be repeated.
+// follow from a schedule and a seed, so that a run can be repeated. Listen starts a proxy in front of a
+// server; clients connect to its Addr in place of the server's.
 package faultproxy
 
 import (
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,5 +1,6 @@
 // Package soak injects randomized faults into real front-end processes on loopback and checks rules that
-// must hold under every fault.
+// must hold under every fault. Run carries out one run and returns its Result with all violations. The
+// program that calls it must call RunEngineProcess first.
 //
 // A run starts front ends under internal/lab/syscallfault, engines as separate processes, an
 // event bus, proxies with faults in front of some engines, and the clients of the workload. The
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -1,5 +1,5 @@
 // Package traffic stores recorded traffic: statements with their values, hints and true
-// class and cost, each with its arrival time.
+// class and cost, each with its arrival time. Generate writes a file, and a Reader reads it.
 //
 // A file is "RWTRAFF" and a version byte, then blocks. A block is its length, the xxhash
 // of its bytes and the number of its records (4, 8 and 4 bytes, big-endian), then a zstd
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -1,5 +1,6 @@
 // Package workload generates SQL statements with their true classes and costs. It models a database of
-// parts, wholesalers and districts with rows of ten years, and the programs that query it.
+// parts, wholesalers and districts with rows of ten years, and the programs that query it. New returns a
+// Generator, whose method Next returns one statement after the other.
 //
 // The cost of a statement depends on its execution (the number of rows, their access path and the
 // operations on them) and never on its text. Nothing that flaxrelay's classifier reads contributes to it.
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -1,5 +1,8 @@
 // Package logevent declares the events that the programs write to their log. catalog.go lists all of
-// them; docs/operations.md explains them to operators.
+// them; docs/operations.md explains them to operators. Each event is a variable. Its fields must be
+// among those of its declaration, which a test of internal/observability checks:
+//
+//	logevent.EngineReadmitted.Log(logger, slog.String("engine", id))
 package logevent
 
 import (
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,5 +1,11 @@
 // Package metrics declares the counters of the program and holds their values. catalog.go lists
 // all of them; docs/operations.md explains them to operators.
+//
+// Each counter is a variable, and each family of counters a variable whose method With returns one of
+// them:
+//
+//	counters.Increment(metrics.HTTPConnections)
+//	counters.Increment(metrics.RequestsAccepted.With(class))
 package metrics
 
 import (
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -5,6 +5,8 @@
 // batches. A batch begins with CLOCK, which gives the time, and ends with OVER_TO_YOU. The messages
 // between them start and stop instances, set engine tables and carry the events of instances. The host
 // responds to a batch with the actions of all instances and NEXT.
+//
+// NewHost().Run(in, out) serves one simulator. names.go lists the messages and their fields.
 package simprotocol
 
 import (
