--- a/cmd/flaxlab/soak.go
+++ b/cmd/flaxlab/soak.go
@@ -32,13 +32,13 @@
 		return err
 	}
 	defer cleanUp()
-	self, err := os.Executable()
+	engineProgram, err := os.Executable() // main calls soak.RunEngineProcess
 	if err != nil {
 		return fmt.Errorf("path of the engines' program: %w", err)
 	}
 	violated := 0
 	for i := range c.Seeds {
-		result, err := soak.Run(c.options(program, self, c.Seed+uint64(i)))
+		result, err := soak.Run(c.options(program, engineProgram, c.Seed+uint64(i)))
 		if err != nil {
 			return err
 		}
@@ -55,10 +55,16 @@
 }
 
 // options returns the options of the run with the seed.
-func (c *soakCommand) options(program, self string, seed uint64) soak.Options {
+func (c *soakCommand) options(frontEndProgram, engineProgram string, seed uint64) soak.Options {
 	options := soak.Options{
-		Program: program, Self: self, Directory: c.Folder, Seed: seed, Duration: c.Duration,
-		FrontEnds: c.FrontEnds, Engines: c.Engines, Clients: c.Clients,
+		FrontEndProgram: frontEndProgram,
+		EngineProgram:   engineProgram,
+		Directory:       c.Folder,
+		Seed:            seed,
+		Duration:        c.Duration,
+		FrontEnds:       c.FrontEnds,
+		Engines:         c.Engines,
+		Clients:         c.Clients,
 	}
 	if options.Directory == "" {
 		options.Directory = os.TempDir()
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return fmt.Errorf("engine %s: %w", e.name(), err)
 	}
-	cmd := exec.Command(e.run.options.Self)
+	cmd := exec.Command(e.run.options.EngineProgram)
 	cmd.Env = append(os.Environ(), engineVariable+"="+string(options))
 	cmd.Stderr = os.Stderr
 	output, err := cmd.StdoutPipe()
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -90,7 +90,7 @@
 	defer func() { _ = output.Close() }()
 	args := []string{"--log-format=json", "--log-level=debug", "serve", "--shapes", f.shapesPath}
 	env := append(os.Environ(), "LB_CONFIG="+f.configPath, "LB_LISTEN=", "GOTRACEBACK=all")
-	process, err := syscallfault.Start(f.run.options.Program, args, env, output, seed, backgroundFaults())
+	process, err := syscallfault.Start(f.run.options.FrontEndProgram, args, env, output, seed, backgroundFaults())
 	if err != nil {
 		return err
 	}
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -15,15 +15,15 @@
 
 // Options configure a run.
 type Options struct {
-	Program   string // path of the front end's program
-	Self      string // path of a program for the engines, which calls RunEngineProcess first
-	Directory string // in which the run creates a directory for its files
-	Seed      uint64
-	Duration  time.Duration
-	FrontEnds int
-	Engines   int
-	Clients   int
-	Log       io.Writer // for a line about each fault; nil: none
+	FrontEndProgram string // path
+	EngineProgram   string // path; the program must call RunEngineProcess first
+	Directory       string // in which the run creates a directory for its files
+	Seed            uint64
+	Duration        time.Duration
+	FrontEnds       int
+	Engines         int
+	Clients         int
+	Log             io.Writer // for a line about each fault; nil: none
 }
 
 // Second words of the seeds of the schedule and of the clients. The first word is the seed of the run.
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -25,8 +25,8 @@
 		t.Fatal(err)
 	}
 	result, err := Run(Options{
-		Program: program, Self: os.Args[0], Directory: t.TempDir(), Seed: 1, Duration: 6 * time.Second,
-		FrontEnds: 4, Engines: 8, Clients: 16,
+		FrontEndProgram: program, EngineProgram: os.Args[0], Directory: t.TempDir(), Seed: 1,
+		Duration: 6 * time.Second, FrontEnds: 4, Engines: 8, Clients: 16,
 	})
 	if err != nil {
 		t.Fatal(err)
