--- a/cmd/flaxrelay/descriptors_test.go
+++ b/cmd/flaxrelay/descriptors_test.go
@@ -4,7 +4,6 @@
 	"encoding/binary"
 	"encoding/json"
 	"fmt"
-	"path/filepath"
 	"syscall"
 	"testing"
 	"time"
@@ -25,9 +24,7 @@
 		return
 	}
 	busAddress := unusedAddress(t)
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, path, smallTableConfig(t, busAddress))
-	p := startProcess(t, configVariable, path)
+	p := startProcess(t, configVariable, writeConfig(t, smallTableConfig(t, busAddress)))
 	address := p.awaitAddress()
 	logEnded := make(chan struct{})
 	go func() {
--- a/cmd/flaxrelay/files_test.go
+++ b/cmd/flaxrelay/files_test.go
@@ -26,8 +26,14 @@
 func writeExampleConfig(t *testing.T, replacements ...string) (path string) {
 	t.Helper()
 	replacements = append(replacements, exampleListenAddress, tcptest.AnyLoopbackPort)
+	return writeConfig(t, strings.NewReplacer(replacements...).Replace(readFile(t, exampleConfig)))
+}
+
+// writeConfig writes a configuration of the HTTP front end to a temporary directory and returns its path.
+func writeConfig(t *testing.T, text string) (path string) {
+	t.Helper()
 	path = filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, path, strings.NewReplacer(replacements...).Replace(readFile(t, exampleConfig)))
+	writeFile(t, path, text)
 	return path
 }
 
--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -68,8 +68,7 @@
 	t.Helper()
 	firstBus, firstSubscriptions := startEventBus(t, 7)
 	secondBus, secondSubscriptions := startEventBus(t, 8)
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeFile(t, path, configWithBus(t, firstBus))
+	path := writeConfig(t, configWithBus(t, firstBus))
 	p := startProcess(t, configVariable, path)
 	p.awaitAddress()
 	return twoBusSetup{
--- a/internal/lab/syscallfault/tracer_test.go
+++ b/internal/lab/syscallfault/tracer_test.go
@@ -12,6 +12,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"flaxrelay/internal/tcptest"
 )
 
 // roleVariable is the environment variable that makes a test binary run as the traced program. Its value
@@ -63,12 +65,8 @@
 // startTraced runs this test binary under the faults and returns what it prints.
 func startTraced(t *testing.T, faults Faults) (p *Process, printed string) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = listener.Close() })
-	go echo(listener)
+	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
+	go tcptest.Serve(listener, func(conn net.Conn) { _, _ = io.Copy(conn, conn) }) // sends each line back
 	path := filepath.Join(t.TempDir(), "output")
 	output, err := os.Create(path)
 	if err != nil {
@@ -93,20 +91,6 @@
 	return p, string(text)
 }
 
-// echo sends each line back.
-func echo(listener net.Listener) {
-	for {
-		conn, err := listener.Accept()
-		if err != nil {
-			return
-		}
-		go func() {
-			_, _ = io.Copy(conn, conn)
-			_ = conn.Close()
-		}()
-	}
-}
-
 // printedNumber returns the number after the words.
 func printedNumber(t *testing.T, printed, words string) (n int64) {
 	t.Helper()
--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/lab/traffic/traffic_test.go
@@ -94,7 +94,8 @@
 	}
 }
 
-func FuzzReader(f *testing.F) {
+// Reading ends with an error for any input: io.EOF after a complete file, or the fault of the file.
+func FuzzReader_AlwaysEnds(f *testing.F) {
 	f.Add(generate(f, Poisson, 20))
 	f.Add([]byte("RWTRAFF\x01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-func FuzzRun(f *testing.F) {
+// No input makes the module panic, and each error is one line.
+func FuzzRun_NeverPanics(f *testing.F) {
 	seed, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
 		f.Fatal(err)
