--- a/cmd/flaxlab/flags_test.go
+++ b/cmd/flaxlab/flags_test.go
@@ -15,7 +15,7 @@
 }
 
 // The flags of the workload have the defaults of workload.Defaults, which states them again.
-func TestWorkloadFlags_DefaultToTheModelledDeployment(t *testing.T) {
+func TestWorkloadFlags_DefaultToTheModeledDeployment(t *testing.T) {
 	var grammar cli
 	parser, err := kong.New(&grammar)
 	if err != nil {
--- a/cmd/flaxlab/shapes.go
+++ b/cmd/flaxlab/shapes.go
@@ -1,6 +1,6 @@
 package main
 
-// shapesCommand groups the experiments with query shapes.
+// shapesCommand groups the experiments with statement shapes.
 type shapesCommand struct {
 	Evaluate evaluateCommand `cmd:"" help:"Evaluate classes and estimates on recorded traffic."`
 	Flood    floodCommand    `cmd:"" help:"Flood the cache with shapes that occur once."`
--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/lab/report"
 )
 
-// costCommand measures the CPU time that query shapes add to a request.
+// costCommand measures the CPU time that statement shapes add to a request.
 type costCommand struct {
 	programFlag
 	Clients  int    `default:"8" help:"Number of client connections."`
@@ -34,7 +34,7 @@
 // costSeries are the two kinds of rounds.
 var costSeries = []string{"without", "with shapes"}
 
-// Run measures pairs of rounds, without and with query shapes.
+// Run measures pairs of rounds, without and with statement shapes.
 func (c *costCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), costTimeout)
 	defer cancel()
@@ -65,7 +65,7 @@
 	return "shapes-cost-query"
 }
 
-// costResults summarizes the rounds without and with query shapes, which ran in pairs.
+// costResults summarizes the rounds without and with statement shapes, which ran in pairs.
 func costResults(name string, without, with []experiment.CostRound) *experimentResults {
 	results := &experimentResults{
 		name:    name,
--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -45,7 +45,7 @@
 	Share float64 `json:"share"`
 }
 
-// goalObject contains the weights of the objective that the policy optimises.
+// goalObject contains the weights of the objective that the policy optimizes.
 type goalObject struct {
 	Total       float64 `json:"whole"`
 	WorstClass  float64 `json:"worst-class"`
--- a/internal/config/settings_policy.go
+++ b/internal/config/settings_policy.go
@@ -35,7 +35,7 @@
 	"":     policy.ScopeCell, // the default
 }
 
-// memoryShortages are the behaviours of engines that are short of memory, by their names in the
+// memoryShortages are the behaviors of engines that are short of memory, by their names in the
 // settings object.
 var memoryShortages = map[string]policy.MemoryShortage{
 	"queue": policy.ShortageQueue,
--- a/internal/discovery/consul/decoding.go
+++ b/internal/discovery/consul/decoding.go
@@ -19,7 +19,7 @@
 
 const maxPort = 65535
 
-// registration is an element of the catalogue's response. Other keys are ignored.
+// registration is an element of the catalog's response. Other keys are ignored.
 type registration struct {
 	Node           string            `json:"Node"`
 	Address        string            `json:"Address"`
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -1,4 +1,4 @@
-// Package consul follows a service in Consul with blocking queries to its catalogue and its health
+// Package consul follows a service in Consul with blocking queries to its catalog and its health
 // API, and notifies a sink of the engines that are ready, draining or removed. New returns a Watcher;
 // Watch starts to follow a service, and may be called again to follow another one.
 package consul
@@ -38,7 +38,7 @@
 	Kind    string // the default kind
 }
 
-// Watcher follows one service. The catalogue lists the registered engines and their addresses; the
+// Watcher follows one service. The catalog lists the registered engines and their addresses; the
 // health API lists their health checks. The sink's goroutine owns the state of a Watcher. The
 // queries of the two APIs run on one goroutine each, which posts the results to the sink's.
 type Watcher struct {
--- a/internal/e2e/query_shapes_test.go
+++ b/internal/e2e/statement_shapes_test.go
@@ -21,8 +21,8 @@
 	reportTime = 150 * time.Millisecond
 )
 
-// enableQueryShapes makes a front end, which must not serve yet, learn query shapes.
-func enableQueryShapes(t *testing.T, front *frontEnd, settings stmtstats.Settings) *stmtstats.Service {
+// enableStatementShapes makes a front end, which must not serve yet, learn statement shapes.
+func enableStatementShapes(t *testing.T, front *frontEnd, settings stmtstats.Settings) *stmtstats.Service {
 	t.Helper()
 	settings.MaxBytes = 256 << 10
 	settings.CostModel = costmodel.Config{
@@ -41,7 +41,7 @@
 // A statement is a lookup with a short list and a report with a long list: the class follows the bound values, once a
 // few executions have been seen. A comment that names a class overrides it, and a statement that may write is never
 // classified by its shape.
-func TestQueryShapes_ClassFollowsBoundValues(t *testing.T) {
+func TestStatementShapes_ClassFollowsBoundValues(t *testing.T) {
 	const (
 		longListLength = 78
 		learned        = 8 // executions with each list before their classes are counted
@@ -55,7 +55,7 @@
 		return pgRows("a")
 	})
 	front := newFrontEnd(t, nil)
-	enableQueryShapes(t, front, stmtstats.Settings{})
+	enableStatementShapes(t, front, stmtstats.Settings{})
 	front.servePostgres(addr)
 	client := connectPostgres(t, front.addr)
 	const text = "SELECT part FROM stock_4.parts WHERE district = ANY($1)"
@@ -92,13 +92,13 @@
 
 // A damaged snapshot is set aside under another name. The front end starts without it, and its next snapshot is
 // complete.
-func TestQueryShapes_DamagedSnapshotIsSetAside(t *testing.T) {
+func TestStatementShapes_DamagedSnapshotIsSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "shapes")
 	damaged := []byte("RWSHAPES no longer")
 	writeFile(t, path, damaged)
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
-	service := enableQueryShapes(t, front, stmtstats.Settings{SnapshotPath: path, SnapshotInterval: time.Hour})
+	service := enableStatementShapes(t, front, stmtstats.Settings{SnapshotPath: path, SnapshotInterval: time.Hour})
 	if n := front.counters.Get(metrics.ShapesSnapshotUnusable); n != 1 {
 		t.Errorf("%d snapshots found unusable, want 1", n)
 	}
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -12,13 +12,13 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// CostOptions configure the measurement of the CPU time that query shapes add to flaxrelay.
+// CostOptions configure the measurement of the CPU time that statement shapes add to flaxrelay.
 type CostOptions struct {
 	Root     string // the repository
 	Program  string // flaxrelay
 	Clients  int
 	Requests int // in each round
-	Pairs    int // of one round without and one with query shapes
+	Pairs    int // of one round without and one with statement shapes
 	Seed     uint64
 	Prepared bool // prepare statements once and bind them many times, instead of a Query each
 }
@@ -37,7 +37,7 @@
 	warmUpDivisor  = 5 // a round is warmed up with this fraction of its requests
 )
 
-// MeasureCost measures pairs of rounds without and with query shapes, one after the other. Each round
+// MeasureCost measures pairs of rounds without and with statement shapes, one after the other. Each round
 // starts its own front end, whose engines respond at once.
 func MeasureCost(ctx context.Context, opts CostOptions) (without, with []CostRound, err error) {
 	statements := lookups(opts.Seed, costStatements, opts.Prepared)
--- a/internal/lab/fake/consul.go
+++ b/internal/lab/fake/consul.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Instance is one registration in the catalogue.
+// Instance is one registration in the catalog.
 type Instance struct {
 	ID   string
 	Addr netip.AddrPort
 }
 
-// catalogueEntry is an element of the response to /v1/catalog/service.
-type catalogueEntry struct {
+// catalogEntry is an element of the response to /v1/catalog/service.
+type catalogEntry struct {
 	Node        string `json:"Node"`
 	Address     string `json:"Address"`
 	Datacenter  string `json:"Datacenter"`
@@ -52,13 +52,13 @@
 	onlyIndex = "1"
 )
 
-// ConsulHandler serves the catalogue and the health of instances that never change. Like a blocking query
+// ConsulHandler serves the catalog and the health of instances that never change. Like a blocking query
 // of the API, a query that names the only index is answered after its wait time.
 func ConsulHandler(service string, instances []Instance) http.Handler {
-	var catalogue []catalogueEntry
+	var catalog []catalogEntry
 	var health []healthEntry
 	for _, instance := range instances {
-		catalogue = append(catalogue, catalogueEntry{
+		catalog = append(catalog, catalogEntry{
 			Node: nodeName, Address: instance.Addr.Addr().String(), Datacenter: datacenterName,
 			ServiceID: instance.ID, ServicePort: int(instance.Addr.Port()),
 		})
@@ -68,7 +68,7 @@
 		})
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/v1/catalog/service/"+service, blockingQuery(catalogue))
+	mux.Handle("/v1/catalog/service/"+service, blockingQuery(catalog))
 	mux.Handle("/v1/health/service/"+service, blockingQuery(health))
 	return mux
 }
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -14,8 +14,8 @@
 	"flaxrelay/internal/lab/fake"
 )
 
-// catalogueService is the name of the engines' service in deploy/postgres.toml.
-const catalogueService = "stock-engine"
+// catalogService is the name of the engines' service in deploy/postgres.toml.
+const catalogService = "stock-engine"
 
 // onlyEvent is the number of the only event of the fake bus.
 const onlyEvent = 1
@@ -28,7 +28,7 @@
 	Work         fake.Work
 	HTTPAddr     string // at which the HTTP front end listens
 	PostgresAddr string // at which the PostgreSQL front end listens
-	EnableShapes bool   // whether query shapes are enabled in the PostgreSQL front end's file
+	EnableShapes bool   // whether statement shapes are enabled in the PostgreSQL front end's file
 	Log          *slog.Logger
 }
 
@@ -36,7 +36,7 @@
 type Environment struct {
 	ConfigFile string // the platform configuration of the HTTP front end
 	DeployFile string // of the PostgreSQL front end
-	ShapesFile string // of query shapes, for both
+	ShapesFile string // of statement shapes, for both
 
 	listeners []net.Listener // of the fake systems
 }
@@ -75,7 +75,7 @@
 		return err
 	}
 	go func() {
-		_ = http.Serve(consul, fake.ConsulHandler(catalogueService, instances)) // it ends with its listener
+		_ = http.Serve(consul, fake.ConsulHandler(catalogService, instances)) // it ends with its listener
 	}()
 	return e.writeFiles(opts, targets, bus.Addr().String(), consul.Addr().String())
 }
@@ -117,7 +117,7 @@
 }
 
 // startPostgresEngines starts the engines of the PostgreSQL protocol and returns their entries of the
-// catalogue.
+// catalog.
 func (e *Environment) startPostgresEngines(opts Options) ([]fake.Instance, error) {
 	var instances []fake.Instance
 	for i := range opts.Engines {
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -17,7 +17,7 @@
 // Options configure the generated workload.
 type Options struct {
 	Seed        uint64
-	Templates   int     // recurring query shapes; 0: DefaultTemplates
+	Templates   int     // recurring statement shapes; 0: DefaultTemplates
 	OneOffShare float64 // share of statements whose shape never recurs
 	HardShare   float64 // share of lookups whose values make them broad reports
 	WriteShare  float64 // share of statements that write and are not loads
@@ -32,10 +32,10 @@
 	HintMissingShare float64
 }
 
-// DefaultTemplates is the number of recurring query shapes if the options set none.
+// DefaultTemplates is the number of recurring statement shapes if the options set none.
 const DefaultTemplates = 200
 
-// Known or estimated figures of the modelled deployment.
+// Known or estimated figures of the modeled deployment.
 const (
 	defaultOneOffShare      = 0.05
 	defaultHardShare        = 0.04
@@ -46,7 +46,7 @@
 	defaultHintMissingShare = 0.15
 )
 
-// Defaults returns the options of the modelled deployment.
+// Defaults returns the options of the modeled deployment.
 func Defaults(seed uint64) Options {
 	return Options{
 		Seed:             seed,
--- a/internal/lab/workload/generator_test.go
+++ b/internal/lab/workload/generator_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// Every modelled day has a valid date in each style of values, and the first is 2016-01-01.
+// Every modeled day has a valid date in each style of values, and the first is 2016-01-01.
 func TestDayValue_IsAValidDate(t *testing.T) {
 	const first = "2016-01-01"
 	for number := range dayCount {
--- a/internal/lab/workload/text.go
+++ b/internal/lab/workload/text.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// The first modelled day is 2016-01-01; PostgreSQL's binary dates count from 2000-01-01.
+// The first modeled day is 2016-01-01; PostgreSQL's binary dates count from 2000-01-01.
 const (
 	firstYear              = 2016
 	daysOfYear             = 365
@@ -81,7 +81,7 @@
 	daysFrom2000ToFirstDay = 16*daysOfYear + 4
 )
 
-// dayValue adds a date by its number, which counts from the first modelled day. Each month has 31 days,
+// dayValue adds a date by its number, which counts from the first modeled day. Each month has 31 days,
 // and those past the 28th are written as the 28th, so that every date is valid.
 func (b *textBuilder) dayValue(number int) {
 	const lastSafeDay = 28
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the loggers of the programs. A logger writes coloured text to a terminal and
+// Package logging makes the loggers of the programs. A logger writes colored text to a terminal and
 // JSON to other files, and limits the rate of each event. Package logevent declares the events.
 package logging
 
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -13,7 +13,7 @@
 	for _, tc := range []struct{ format, want string }{
 		{"auto", `"level":"INFO","msg":"serving","port":1}`},
 		{"json", `"level":"INFO","msg":"serving","port":1}`},
-		{"text", "INF serving port=1"}, // without colours
+		{"text", "INF serving port=1"}, // without colors
 	} {
 		t.Run(tc.format, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "log")
