--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -11,8 +11,8 @@
 	errBufferBudgetExceeded = errors.New("the buffers of all connections are full")
 	// errWriteQueueFull ends a connection whose peer reads too slowly.
 	errWriteQueueFull = errors.New("too many bytes wait to be sent")
-	// errNoDescriptor is the error of convert for a connection that is not a TCP connection.
-	errNoDescriptor = errors.New("the connection has no descriptor")
+	// errNotTCP is the error of convert for a connection that is not a TCP connection.
+	errNotTCP = errors.New("the connection is not a TCP connection")
 )
 
 // localFailures are the errors of a call that lacked something on this machine, such as space in its tables or buffers,
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -92,10 +92,11 @@
 	return err
 }
 
-// remove ends the wait for a socket. It must be called before the socket's descriptor is closed. The kernel would then
-// drop the socket by itself, but while a wait of the poller's goroutine looks at a socket, it holds a reference to it:
-// a socket that is closed at that moment stays open until the wait returns, which may take long, and its peer is not
-// notified. remove waits until no reference is held.
+// remove ends the wait for a socket. It must be called before the socket's descriptor is closed.
+//
+// Closing a descriptor also ends the kernel's wait for it. But epoll_wait holds references to sockets while it examines
+// them. A socket that is closed meanwhile stays open until that call returns, which may take long, and until then its
+// peer is not notified of the close. EPOLL_CTL_DEL returns only when epoll_wait holds no reference to the socket.
 func (p *poller) remove(s *socket) {
 	p.mu.Lock()
 	delete(p.sockets, s.token)
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -27,7 +27,7 @@
 	readEvents = unix.EPOLLIN | unix.EPOLLRDHUP
 	// streamEndEvents are the end of the stream alone.
 	streamEndEvents = unix.EPOLLRDHUP
-	// noReadEvents are none, as while a buffer is full.
+	// noReadEvents is the empty set, for a socket that is not read because the buffer is full.
 	noReadEvents = 0
 )
 
@@ -85,7 +85,7 @@
 func convert(conn net.Conn) (*socket, error) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		return nil, errNoDescriptor
+		return nil, errNotTCP
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -208,8 +208,9 @@
 	}
 }
 
-// closeDescriptor closes the descriptor, and reports whether it was open. It first removes the socket from the poller;
-// see poller.remove. Besides, the kernel may give a closed descriptor to another socket.
+// closeDescriptor closes the descriptor, and reports whether it was open. It first removes the socket from the poller,
+// for the reason at poller.remove, and because a removal after the close might affect another socket: the kernel uses
+// the number of a closed descriptor again.
 func (s *socket) closeDescriptor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
