--- a/internal/frontend/clientconn/doc.go
+++ b/internal/frontend/clientconn/doc.go
@@ -3,8 +3,8 @@
 //
 // Three tasks look alike in both servers, but their protocols require different solutions:
 //
-//   - Time limits for reading. An HTTP request is small, and one limit holds for all of it. A PostgreSQL message may be
-//     large: the limit holds for each pause of the client within the message.
+//   - Read timeouts. An HTTP request is small, and its timeout limits the time until it is complete. A PostgreSQL
+//     message may be large: its timeout limits each pause of the client within the message.
 //   - The limit of connections. HTTP clients keep no state in their connections, and the server evicts idle ones. A
 //     PostgreSQL session has prepared statements and settings, and is never evicted: the server rejects further clients
 //     with an error.
--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -18,7 +18,7 @@
 const (
 	closeByClient       closeReason = "client"          // the client closed it
 	closeByError        closeReason = "error"           // the connection broke
-	closeAfterResponse  closeReason = "response"        // after a response, for the client or a shutdown
+	closeAfterResponse  closeReason = "response"        // after a response: the client wanted it, or a shutdown
 	closeInvalidRequest closeReason = "invalid-request" // after the response to an invalid or incomplete request
 	closeReadTimeout    closeReason = "read-timeout"    // a new client sent nothing in time
 	closeIdleTimeout    closeReason = "idle"            // an idle client sent nothing for maxIdleTime
--- a/internal/frontend/httpserver/eviction.go
+++ b/internal/frontend/httpserver/eviction.go
@@ -15,9 +15,10 @@
 	// minIdleTime is how long a connection is idle before it may be evicted. A client that has just received a response
 	// may be about to send its next request, which could cross the close.
 	minIdleTime = 100 * time.Millisecond
-	// minSilentTime is how long a new connection is open before it may be evicted. It is also the time between two
-	// searches for a connection to evict.
-	minSilentTime = 20 * time.Millisecond
+	// minOpenTime is how long a new connection is open before it may be evicted.
+	minOpenTime = 20 * time.Millisecond
+	// evictionRetryDelay is the time until the next search for a connection to evict, if none may be evicted yet.
+	evictionRetryDelay = minOpenTime
 )
 
 // evictor decides which unused connections are closed: those that are idle for too long, and those whose descriptors
@@ -26,11 +27,11 @@
 	loop           *eventloop.Loop
 	counters       *metrics.Counters
 	connections    map[*connection]struct{} // the server's
-	maxClients     int                      // open connections, not counting those that are closing or being evicted
+	maxClients     int                      // limit of open connections, not counting those that are closing or evicted
 	retryScheduled bool                     // a timer will call evictExcess again
 }
 
-// closeIdle closes the connections that are idle for too long, now and then every idleCheckInterval.
+// closeIdle closes the connections that are idle for too long. It calls itself again after each idleCheckInterval.
 func (e *evictor) closeIdle() {
 	now := e.loop.Now()
 	for c := range e.connections {
@@ -85,7 +86,7 @@
 		return
 	}
 	e.retryScheduled = true
-	e.loop.Timers.Schedule(e.loop.Now()+minSilentTime, func() {
+	e.loop.Timers.Schedule(e.loop.Now()+evictionRetryDelay, func() {
 		e.retryScheduled = false
 		e.evictExcess()
 	})
@@ -109,7 +110,7 @@
 	inactive := now - c.lastActive
 	switch c.state {
 	case stateNew:
-		return inactive >= minSilentTime
+		return inactive >= minOpenTime
 	case stateIdle:
 		return inactive >= minIdleTime && c.unused()
 	case statePaging, stateInFlight, stateEvicting, stateClosing:
--- a/internal/frontend/httpserver/eviction_test.go
+++ b/internal/frontend/httpserver/eviction_test.go
@@ -40,9 +40,9 @@
 		inactive time.Duration
 		want     bool
 	}{
-		"new, just connected":                 {newClient, "", minSilentTime / 2, false},
-		"new":                                 {newClient, "", minSilentTime, true},
-		"new, a part of a request is unread":  {newClient, partialRequest, minSilentTime, true},
+		"new, just connected":                 {newClient, "", minOpenTime / 2, false},
+		"new":                                 {newClient, "", minOpenTime, true},
+		"new, a part of a request is unread":  {newClient, partialRequest, minOpenTime, true},
 		"idle for a moment":                   {becomeIdle, "", minIdleTime / 2, false},
 		"idle":                                {becomeIdle, "", minIdleTime, true},
 		"idle, a part of a request is unread": {becomeIdle, partialRequest, minIdleTime, false},
--- a/internal/frontend/httpserver/parse.go
+++ b/internal/frontend/httpserver/parse.go
@@ -26,7 +26,7 @@
 	fieldRetry            = "req-retry"   // "1": the client has sent the request before
 	fieldIdempotencyKey   = "req-token"
 	fieldWork             = "req-cost" // estimated milliseconds of work
-	fieldMemory           = "req-kb"   // estimated memory; the number is taken as MB
+	fieldMemory           = "req-kb"   // estimated memory in MB, in spite of the name
 	fieldTenant           = "req-owner"
 	fieldOrderKey         = "req-key"
 )
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -63,8 +63,8 @@
 	requests    *requestBuilder
 	results     *resultStore
 
-	// Drain and Finish set these, in either order: if all deadlines are short, a graceful shutdown ends before
-	// connections are drained.
+	// Drain and Finish set these. Finish may be called first: if the deadlines of all classes are short, a graceful
+	// shutdown reaches the time of its final responses before that of Drain.
 	draining  bool // connections are closed as soon as they are unused
 	finishing bool // the process is about to end: partly received requests are rejected
 }
