--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -50,30 +50,20 @@
 	StateClosed               // the socket is closed, or the dial has failed
 )
 
-// admission is whether a connection accepts new attempts. It changes once, in any State: a
-// connection that is retired during its dial or startup still serves the attempts that wait for
-// it. A connection that closes is always retiring.
-//
-//	event                                                       from         to
-//	Dial                                                                     accepting
-//	Retire, StopAccepting, Close, a protocol error, or its end  accepting    retiring
-type admission uint8
-
-const (
-	accepting admission = iota // accepts new attempts, if the protocol has capacity for them
-	retiring                   // accepts none, and closes once none is in flight
-)
-
 // Connection is one connection to an engine, from the start of its dial to its end. It owns the
 // socket, and decides when it is closed and with which status the attempts end. A protocol's
 // type embeds it and calls Dial. It may be used only on the event loop's goroutine.
 type Connection[P Protocol] struct {
-	client    *Client[P]
-	engine    *Engine[P]
-	protocol  P
-	state     State
-	admission admission
-	socket    *eventloop.Conn // nil in StateDialing and StateClosed
+	client   *Client[P]
+	engine   *Engine[P]
+	protocol P
+	state    State
+	// retiring means that the connection accepts no new attempts, and closes once none is in flight.
+	// Retire, StopAccepting, Close, a protocol error and the connection's end set it, in any state,
+	// and nothing resets it. A connection that is retired during its dial or startup still serves
+	// the attempts that wait for it.
+	retiring bool
+	socket   *eventloop.Conn // nil in StateDialing and StateClosed
 	// closeStatus is why this side has closed the connection, in StateClosing.
 	closeStatus lifecycle.AttemptStatus
 	// lastUsed is when an attempt last began or ended, by the dispatcher's clock. While an
@@ -94,7 +84,7 @@
 }
 
 // Retiring reports whether the connection accepts no new attempts.
-func (c *Connection[P]) Retiring() bool { return c.admission == retiring }
+func (c *Connection[P]) Retiring() bool { return c.retiring }
 
 // Write sends b and reports whether the connection accepted it. If it returns false, the engine
 // does not receive all of b and does not run the request. The connection must be connected.
@@ -108,7 +98,7 @@
 
 // StopAccepting makes the connection accept no new attempts.
 func (c *Connection[P]) StopAccepting() {
-	c.admission = retiring
+	c.retiring = true
 	delete(c.client.accepting, c)
 }
 
