--- a/internal/engine/pgclient/messages.go
+++ b/internal/engine/pgclient/messages.go
@@ -7,41 +7,6 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// The kinds of the messages that this client sends.
-const (
-	kindParse    = 'P'
-	kindBind     = 'B'
-	kindDescribe = 'D'
-	kindExecute  = 'E'
-	kindSync     = 'S'
-)
-
-// What a Describe describes.
-const (
-	describeStatement = "S"
-	describePortal    = "P"
-)
-
-// The kinds of the messages that this client reads.
-const (
-	kindAuthentication       = 'R'
-	kindBackendKeyData       = 'K'
-	kindParameterStatus      = 'S'
-	kindNoticeResponse       = 'N'
-	kindNotificationResponse = 'A'
-	kindReadyForQuery        = 'Z'
-	kindErrorResponse        = 'E'
-	kindParseComplete        = '1'
-	kindBindComplete         = '2'
-	kindCloseComplete        = '3'
-	kindParameterDescription = 't'
-	kindRowDescription       = 'T'
-	kindNoData               = 'n'
-	kindDataRow              = 'D'
-	kindCommandComplete      = 'C'
-	kindEmptyQueryResponse   = 'I'
-)
-
 // message is one message of an engine. Its bytes are within the read buffer.
 type message struct {
 	kind byte
@@ -64,11 +29,11 @@
 // handle handles one message.
 func (c *connection) handle(received message) error {
 	switch received.kind {
-	case kindNoticeResponse, kindParameterStatus, kindNotificationResponse:
+	case pgproto.ServerNoticeResponse, pgproto.ServerParameterStatus, pgproto.ServerNotificationResponse:
 		return nil // these are about the session with the engine, and clients don't get them
-	case kindErrorResponse:
+	case pgproto.ServerErrorResponse:
 		return c.handleError(received.body)
-	case kindReadyForQuery:
+	case pgproto.ServerReadyForQuery:
 		return c.handleReady(received.body)
 	}
 	switch {
@@ -80,19 +45,16 @@
 	return c.handleResponse(received)
 }
 
-// transactionIdle is the body of a ReadyForQuery outside a transaction.
-const transactionIdle = "I"
-
 // handleReady handles a ReadyForQuery, which ends the startup or a response.
 func (c *connection) handleReady(body []byte) error {
 	switch {
-	case string(body) != transactionIdle:
+	case len(body) != 1 || body[0] != pgproto.TransactionIdle:
 		return errOpenTransaction
 	case c.State() == engine.StateStartup:
 		c.completeStartup()
 		return nil
 	case c.exchange.idle():
-		return &unexpectedMessageError{kind: kindReadyForQuery, phase: phaseIdle}
+		return &unexpectedMessageError{kind: pgproto.ServerReadyForQuery, phase: phaseIdle}
 	}
 	return c.completeResponse()
 }
--- a/internal/engine/pgclient/query.go
+++ b/internal/engine/pgclient/query.go
@@ -26,24 +26,22 @@
 	name := pgproto.CString(prepared.name)
 	if prepared.needsParse {
 		text := pgproto.CString(statement.Query)
-		query = pgproto.AppendMessage(query, kindParse, name, text, statement.ParameterTypes)
+		query = pgproto.AppendMessage(query, pgproto.ClientParse, name, text, statement.ParameterTypes)
 	}
 	if statement.DescribeOnly {
-		query = pgproto.AppendMessage(query, kindDescribe, []byte(describeStatement), name)
+		query = pgproto.AppendMessage(query, pgproto.ClientDescribe, []byte{pgproto.TargetStatement}, name)
 	} else {
 		query = appendExecution(query, name, statement.Bind)
 	}
-	return pgproto.AppendMessage(query, kindSync)
+	return pgproto.AppendMessage(query, pgproto.ClientSync)
 }
 
 // appendExecution appends the messages that run a prepared statement once, with the
 // unnamed portal and an unlimited number of rows.
 func appendExecution(query, name, bind []byte) []byte {
-	const (
-		unnamedPortal = "\x00"
-		unlimitedRows = 0
-	)
-	query = pgproto.AppendMessage(query, kindBind, []byte(unnamedPortal), name, bind)
-	query = pgproto.AppendMessage(query, kindDescribe, []byte(describePortal+unnamedPortal))
-	return pgproto.AppendMessage(query, kindExecute, []byte(unnamedPortal), pgproto.Int32(unlimitedRows))
+	const unlimitedRows = 0
+	unnamedPortal := pgproto.CString("")
+	query = pgproto.AppendMessage(query, pgproto.ClientBind, unnamedPortal, name, bind)
+	query = pgproto.AppendMessage(query, pgproto.ClientDescribe, []byte{pgproto.TargetPortal}, unnamedPortal)
+	return pgproto.AppendMessage(query, pgproto.ClientExecute, unnamedPortal, pgproto.Int32(unlimitedRows))
 }
--- a/internal/engine/pgclient/response.go
+++ b/internal/engine/pgclient/response.go
@@ -11,27 +11,27 @@
 func (c *connection) handleResponse(received message) error {
 	result := c.exchange.result
 	switch received.kind {
-	case kindParseComplete:
+	case pgproto.ServerParseComplete:
 		c.statements.markParsed(c.exchange.prepared)
-	case kindBindComplete:
+	case pgproto.ServerBindComplete:
 		c.exchange.state = exchangeBound
-	case kindCloseComplete:
-	case kindParameterDescription:
+	case pgproto.ServerCloseComplete:
+	case pgproto.ServerParameterDescription:
 		result.ParameterDescription = append([]byte{}, received.body...)
-	case kindRowDescription:
+	case pgproto.ServerRowDescription:
 		result.RowDescription = append([]byte{}, received.body...)
-	case kindNoData:
+	case pgproto.ServerNoData:
 		result.RowDescription = nil
-	case kindDataRow:
+	case pgproto.ServerDataRow:
 		c.addRow(received.raw)
-	case kindCommandComplete:
+	case pgproto.ServerCommandComplete:
 		tag := pgproto.Reader{Unread: received.body}
 		result.CommandTag = tag.CString()
 		c.exchange.complete = true
 		if !tag.Complete() {
 			return fmt.Errorf("%w: CommandComplete", pgproto.ErrMalformed)
 		}
-	case kindEmptyQueryResponse:
+	case pgproto.ServerEmptyQueryResponse:
 		result.EmptyQuery = true
 		c.exchange.complete = true
 	default:
--- a/internal/engine/pgclient/startup.go
+++ b/internal/engine/pgclient/startup.go
@@ -9,9 +9,6 @@
 // applicationName is the name of this program in the engine's lists of sessions.
 const applicationName = "ringwood"
 
-// authenticationOK is the code of an Authentication message that requests no credentials.
-const authenticationOK = 0
-
 // HandleConnected sends the startup message.
 func (c *connection) HandleConnected() {
 	options := c.client.options
@@ -38,12 +35,12 @@
 // handleStartup handles one message of the startup.
 func (c *connection) handleStartup(received message) error {
 	switch received.kind {
-	case kindAuthentication:
+	case pgproto.ServerAuthentication:
 		reader := pgproto.Reader{Unread: received.body}
-		if reader.Int32() != authenticationOK {
+		if reader.Int32() != pgproto.AuthenticationOK {
 			return errAuthentication
 		}
-	case kindBackendKeyData:
+	case pgproto.ServerBackendKeyData:
 		c.cancelKey = append([]byte{}, received.body...)
 	default:
 		return &unexpectedMessageError{kind: received.kind, phase: phaseStartup}
--- a/internal/frontend/pgserver/startup.go
+++ b/internal/frontend/pgserver/startup.go
@@ -19,11 +19,8 @@
 	minorVersionMask  = 0xffff
 )
 
-// Values in messages of the startup.
-const (
-	newestMinorVersion = 0 // of the protocol, in a NegotiateProtocolVersion
-	authenticationOk   = 0 // the kind of an Authentication that ends the authentication
-)
+// newestMinorVersion is the newest minor version of the protocol that is supported.
+const newestMinorVersion = 0
 
 // serverParameters are the ParameterStatus messages that end a startup.
 var serverParameters = [...]struct{ name, value string }{
@@ -113,7 +110,7 @@
 		parts := [][]byte{pgproto.Int32(newestMinorVersion), pgproto.Int32(len(p.unknownOptions))}
 		output.message(pgproto.ServerNegotiateProtocolVersion, append(parts, p.unknownOptions...)...)
 	}
-	output.message(pgproto.ServerAuthentication, pgproto.Int32(authenticationOk))
+	output.message(pgproto.ServerAuthentication, pgproto.Int32(pgproto.AuthenticationOK))
 	for _, parameter := range serverParameters {
 		output.message(pgproto.ServerParameterStatus, pgproto.CString(parameter.name), pgproto.CString(parameter.value))
 	}
--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -19,9 +19,6 @@
 // oidText is the object id of PostgreSQL's type for text.
 const oidText = 25
 
-// serverDataRow is the kind of a DataRow. pgproto does not name it, because front ends forward rows unparsed.
-const serverDataRow byte = 'D'
-
 // rowDescription is the body of a RowDescription with one column of text.
 var rowDescription = slices.Concat(
 	[]byte{0, 1}, pgproto.CString("asked"), // one column, with its name
@@ -164,7 +161,7 @@
 	case pgproto.ClientExecute:
 		took, _ := c.work(c.query)
 		time.Sleep(took)
-		c.queue(serverDataRow, []byte{0, 1}, pgproto.Int32(len(c.query)), []byte(c.query)) // one column
+		c.queue(pgproto.ServerDataRow, []byte{0, 1}, pgproto.Int32(len(c.query)), []byte(c.query)) // one column
 		c.queue(pgproto.ServerCommandComplete, pgproto.CString("SELECT 1"))
 	case pgproto.ClientSync:
 		c.queueReadyForQuery()
--- a/internal/pgproto/messages.go
+++ b/internal/pgproto/messages.go
@@ -34,10 +34,13 @@
 	ServerBindComplete             byte = '2'
 	ServerCloseComplete            byte = '3'
 	ServerCommandComplete          byte = 'C'
+	ServerDataRow                  byte = 'D'
 	ServerEmptyQueryResponse       byte = 'I'
 	ServerErrorResponse            byte = 'E'
 	ServerNegotiateProtocolVersion byte = 'v'
 	ServerNoData                   byte = 'n'
+	ServerNoticeResponse           byte = 'N'
+	ServerNotificationResponse     byte = 'A'
 	ServerParameterDescription     byte = 't'
 	ServerParameterStatus          byte = 'S'
 	ServerParseComplete            byte = '1'
@@ -46,6 +49,9 @@
 	ServerRowDescription           byte = 'T'
 )
 
+// AuthenticationOK is the body of an Authentication that ends the authentication, as a number.
+const AuthenticationOK = 0
+
 // Targets of a Describe or a Close.
 const (
 	TargetStatement byte = 'S'
