--- a/internal/decision/costmodel/state.go
+++ b/internal/decision/costmodel/state.go
@@ -64,7 +64,7 @@
 }
 
 // Check returns an error that wraps ErrState if the record contains a number that is not finite.
-func (r *ShapeRecord) Check() error { return checkFinite(reflect.ValueOf(r).Elem(), "entry") }
+func (r *ShapeRecord) Check() error { return checkFinite(reflect.ValueOf(r).Elem(), "record") }
 
 // checkFinite checks all floating-point numbers within a value. path names the value in
 // errors, by the field names of the stored form.
--- a/internal/decision/costmodel/state_test.go
+++ b/internal/decision/costmodel/state_test.go
@@ -41,7 +41,7 @@
 				record.Buckets[4].Work.Deviation = 2e12
 				return record.Check()
 			},
-			"invalid state: entry.Buckets[4].Work.Dev is 1.999999991808e+12",
+			"invalid state: record.Buckets[4].Work.Dev is 1.999999991808e+12",
 		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -12,8 +12,8 @@
 
 // Protocol errors of an engine. Each of them closes its connection.
 var (
-	errAuthentication     = errors.New("the engine wants a kind of authentication that is not supported")
-	errOpenTransaction    = errors.New("the session is left in a transaction")
+	errAuthentication     = errors.New("the engine requests a kind of authentication that is not supported")
+	errOpenTransaction    = errors.New("the ReadyForQuery of the engine reports an open transaction")
 	errIncompleteResponse = errors.New("a response ends without a CommandComplete")
 )
 
@@ -34,7 +34,7 @@
 
 // Error implements error.
 func (e *unexpectedMessageError) Error() string {
-	return fmt.Sprintf("message %q %s", e.kind, e.phase)
+	return fmt.Sprintf("unexpected message of kind %q %s", e.kind, e.phase)
 }
 
 // The severities of an ErrorResponse that this client distinguishes.
--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -10,9 +10,9 @@
 // Errors that say why a snapshot can't be used.
 var (
 	// ErrSnapshotForeign means that the file does not begin like a snapshot of shapes.
-	ErrSnapshotForeign = errors.New("no snapshot of shapes")
+	ErrSnapshotForeign = errors.New("the file is not a snapshot of shapes")
 	// ErrSnapshotVersion means that this version of the program can't read the format or the layout.
-	ErrSnapshotVersion = errors.New("a snapshot of another version")
+	ErrSnapshotVersion = errors.New("the snapshot has a version that can't be read")
 	// ErrSnapshotTruncated means that bytes are missing at the end.
 	ErrSnapshotTruncated = errors.New("the snapshot was cut off")
 	// ErrSnapshotDamaged means that the contents are invalid.
--- a/internal/stmtstats/snapshot_format.go
+++ b/internal/stmtstats/snapshot_format.go
@@ -146,12 +146,15 @@
 	return snapshot, nil
 }
 
-// check returns an error if the snapshot was written for another layout or contains numbers that are
-// not finite.
+// check returns an error if the snapshot was written for another layout, has no state of a model or contains
+// numbers that are not finite.
 func (s *Snapshot) check() error {
-	if s.Layout != costmodel.Layout || s.Model == nil {
+	if s.Layout != costmodel.Layout {
 		return fmt.Errorf("%w: layout %d, want %d", ErrSnapshotVersion, s.Layout, costmodel.Layout)
 	}
+	if s.Model == nil {
+		return fmt.Errorf("%w: it has no state of a model", ErrSnapshotDamaged)
+	}
 	for i := range s.Shapes {
 		if err := s.Shapes[i].Record.Check(); err != nil {
 			return fmt.Errorf("%w: shape %d: %w", ErrSnapshotDamaged, i, err)
--- a/internal/stmtstats/store_test.go
+++ b/internal/stmtstats/store_test.go
@@ -109,6 +109,15 @@
 	if _, err := decodeSnapshot(other); !errors.Is(err, ErrSnapshotVersion) {
 		t.Errorf("another version: %v", err)
 	}
+	snapshot := s.Snapshot()
+	snapshot.Model = nil
+	withoutModel, err := snapshot.encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := decodeSnapshot(withoutModel); !errors.Is(err, ErrSnapshotDamaged) {
+		t.Errorf("no state of a model: %v", err)
+	}
 }
 
 // A flood of one-off shapes does not exceed the limit in bytes and does not evict recurring shapes.
