--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -32,7 +32,7 @@
 type Options struct {
 	MaxClients       int                // open connections; beyond it some are evicted, see evictor
 	MaxBufferedBytes int                // bytes of results that are buffered for clients to fetch
-	Estimator        *stmtstats.Service // estimates costs by query shape; nil: off
+	Estimator        *stmtstats.Service // estimates costs by statement shape; nil: off
 	ReadTimeout      time.Duration      // time in which a connection's first or partly read request must be complete
 }
 
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -27,7 +27,7 @@
 type classification struct {
 	class        policy.Class
 	keyParameter int  // the parameter that has the idempotency key, from 1; 0: none
-	classByShape bool // no rule or comment names a class, so that the query shape may choose another
+	classByShape bool // no rule or comment names a class, so that the statement shape may decide it
 }
 
 // classChoice is the class that a statement's leading comment, a rule or the default names.
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -106,8 +106,8 @@
 	return request
 }
 
-// executionClass returns the class of an execution. If the query shape determines the class, it returns the estimator's
-// execution, too.
+// executionClass returns the class of an execution. If the statement shape determines the class, it returns the
+// estimator's execution, too.
 func (s *Server) executionClass(exec *execution) (policy.Class, *stmtstats.Execution) {
 	if exec.message.DescribeOnly {
 		// A description runs nothing, also if its statement would write.
@@ -117,7 +117,7 @@
 		return exec.statement.class, nil
 	}
 	if s.options.Estimator != nil && exec.statement.parsed != nil && exec.statement.classByShape {
-		if class, shapeExecution, ok := s.options.Estimator.Classify(exec.statement.parsed, exec.binds); ok {
+		if class, shapeExecution, ok := s.options.Estimator.EstimateClass(exec.statement.parsed, exec.binds); ok {
 			return class, shapeExecution
 		}
 	}
@@ -134,7 +134,7 @@
 	}
 	request.Dataset, _ = parsed.Dataset()
 	if shapeExecution != nil {
-		estimator.ApplyClassified(request, shapeExecution)
+		estimator.ApplyEstimate(request, shapeExecution)
 	} else if !exec.message.DescribeOnly {
 		estimator.EstimateRequest(request, parsed, exec.binds)
 	}
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -37,7 +37,7 @@
 	WriteClass        string             // the default class of statements that may write; "": they are rejected
 	ReadOnlyFunctions sqltext.Functions  // functions that the operators declare read-only
 	Rules             []Rule             // the first that matches a statement applies
-	Estimator         *stmtstats.Service // gives classes and estimates by query shape; nil: off
+	Estimator         *stmtstats.Service // gives classes and estimates by statement shape; nil: off
 	MaxClients        int                // open connections; 0: no limit
 	MaxBufferedBytes  int                // bytes of rows that are buffered in all open portals together
 }
--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -64,7 +64,7 @@
 	Fingerprint [2]uint64
 	// NormalForm is the normal form: the statement without values, comments, case and spacing,
 	// and with lists of alternatives and rows of values folded into one. The number in the
-	// name of a schema is replaced by #, so that all datasets share their shapes.
+	// name of a schema is replaced by #, so that all data sets share their shapes.
 	NormalForm []byte
 	// Truncated means that the normal form was too long and NormalForm is only its last part. The
 	// fingerprint covers all of it.
@@ -72,8 +72,8 @@
 	Classification
 	Features   Features
 	Slots      []Slot
-	Dataset    int64 // the dataset, as returned by DatasetOf
-	HasDataset bool  // the statement names a dataset
+	Dataset    int64 // the number of the data set, as returned by DatasetOf
+	HasDataset bool  // the statement names a data set
 	// Restrictions is the number of comparisons between a name and a value, which can narrow
 	// the result.
 	Restrictions int
--- a/internal/sqltext/dataset.go
+++ b/internal/sqltext/dataset.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// stagingSchema is the prefix of schemas that belong to no dataset.
+// stagingSchema is the prefix of schemas that belong to no data set.
 const stagingSchema = "staging"
 
-// DatasetOf returns the number of the dataset that a statement touches: the digits after the
+// DatasetOf returns the number of the data set that a statement touches: the digits after the
 // last underscore of its schema's name, 17 in sales_17.orders. Names in strings and
 // comments don't count. A name in the position of a table (after FROM and the like) takes
 // precedence over others, which may be a column of an alias.
@@ -20,11 +20,11 @@
 	return finder.dataset, finder.found
 }
 
-// datasetFinder finds the dataset in a sequence of tokens.
+// datasetFinder finds the data set in a sequence of tokens.
 type datasetFinder struct {
 	dataset        int64
 	found          bool
-	certain        bool // the dataset comes from a name in the position of a table: it is final
+	certain        bool // the data set comes from a name in the position of a table: it is final
 	afterTableWord bool // the name of a table is expected
 	previousName   Token
 	previousKind   Kind
@@ -65,7 +65,7 @@
 	}
 }
 
-// schemaDataset returns the dataset that the name of a schema ends in.
+// schemaDataset returns the data set that the name of a schema ends in.
 func schemaDataset(name string) (dataset int64, ok bool) {
 	const maxSuffixLength = 18 // the underscore and 17 digits, which fit into an int64
 	underscore := strings.LastIndexByte(name, '_')
--- a/internal/sqltext/doc.go
+++ b/internal/sqltext/doc.go
@@ -1,5 +1,5 @@
-// Package sqltext extracts from the text of a statement what the proxy needs to route it and to estimate
-// its cost: whether it may write, which dataset it touches, its normal form and the properties of its
+// Package sqltext extracts from the text of a statement what a front end needs to route it and to estimate
+// its cost: whether it may write, which data set it touches, its normal form and the properties of its
 // values. It splits the text into tokens by PostgreSQL's lexical rules and does not parse SQL.
 //
 // # Use
--- a/internal/stmtstats/doc.go
+++ b/internal/stmtstats/doc.go
@@ -4,9 +4,9 @@
 //
 // # Use
 //
-// The proxy has one Service, which belongs to the goroutine of the event loop. A front end passes each
-// request to EstimateText or EstimateRequest, or first has Classify choose the class and then calls
-// ApplyClassified. The lifecycle.Dispatcher reports the cost to the Service, its CostObserver.
+// A front end has one Service, which belongs to the goroutine of the event loop. The server of a client protocol passes
+// each request to EstimateText or EstimateRequest, or first gets the class from EstimateClass and then calls
+// ApplyEstimate. The lifecycle.Dispatcher reports the cost to the Service, its CostObserver.
 //
 // Tools and experiments use a Store without a Service:
 //
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -14,15 +14,15 @@
 type Settings struct {
 	CostModel         costmodel.Config
 	MaxBytes          int           // limit of the cache's size
-	ApplyEstimates    bool          // estimates replace the clients' hints in the decisions
+	ApplyEstimates    bool          // estimates replace those of the clients in the decisions
 	SnapshotPath      string        // path of the snapshot file; "": none
 	SnapshotInterval  time.Duration // between snapshots
 	EnginesReportWork bool          // engines report the work of a request; else its duration counts as its work
 }
 
-// Service connects a Store to a running proxy: the front ends get estimates from it when a
-// request arrives, and the lifecycle.Dispatcher reports what served requests have cost. All its
-// methods must be called from the goroutine of the event loop.
+// Service connects a Store to a running front end: the servers of the client protocols get estimates from it when a
+// request arrives, and the lifecycle.Dispatcher reports what served requests have cost. All its methods must be called
+// from the goroutine of the event loop.
 type Service struct {
 	store     *Store
 	settings  Settings
@@ -32,7 +32,7 @@
 	counters *metrics.Counters
 	log      *slog.Logger
 
-	corrected  int64 // number of requests whose hints were replaced
+	corrected  int64 // number of requests whose clients' estimates were replaced
 	executions executionPool
 }
 
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -23,7 +23,7 @@
 	s.estimateRequest(r, s.executions.get(), statement, binds)
 }
 
-// EstimateText parses a text, sets the request's dataset and does the same as EstimateRequest.
+// EstimateText parses a text, sets the request's data set and does the same as EstimateRequest.
 func (s *Service) EstimateText(r *lifecycle.Request, text string) {
 	execution := s.executions.get()
 	execution.parsed.set(text, s.store.analyzer.Analyze(text))
@@ -43,8 +43,9 @@
 	s.apply(r, execution, threads)
 }
 
-// apply attaches the execution to the request and, if the settings enable that, replaces the
-// client's hints by the estimate.
+// apply attaches the execution to the request and, if the settings enable that, replaces the client's estimates by
+// those of the execution. If engines report no work, the store learns durations, and threads is the number of threads
+// that a request uses: the decisions need the work of all of them. Otherwise threads is 1.
 func (s *Service) apply(r *lifecycle.Request, execution *Execution, threads float64) {
 	r.ObserverData = execution
 	if !s.settings.ApplyEstimates || !execution.Estimate.Known {
@@ -57,9 +58,9 @@
 	}
 }
 
-// Classify classifies a read-only statement whose class is given by no rule or comment. ok is false
-// if there is no estimate yet.
-func (s *Service) Classify(
+// EstimateClass estimates an execution of a read-only statement whose class is given by no rule or comment, and
+// returns the class that the estimate gives it. ok is false if there is no estimate yet.
+func (s *Service) EstimateClass(
 	statement *Statement, binds *sqltext.Binds,
 ) (class policy.Class, execution *Execution, ok bool) {
 	execution = s.executions.get()
@@ -70,9 +71,9 @@
 	return s.classes.readOnly[execution.Estimate.Class], execution, true
 }
 
-// ApplyClassified applies the result of Classify to the request. Only front ends whose engines report no
-// work use it: their estimate is a duration, and the decisions need the work of all threads.
-func (s *Service) ApplyClassified(r *lifecycle.Request, execution *Execution) {
+// ApplyEstimate applies the estimate of an execution that EstimateClass returned to the request, if the settings
+// enable that. It must not be used for engines that report the work of requests.
+func (s *Service) ApplyEstimate(r *lifecycle.Request, execution *Execution) {
 	s.apply(r, execution, s.classes.threads[r.Class])
 }
 
--- a/internal/stmtstats/statement.go
+++ b/internal/stmtstats/statement.go
@@ -37,7 +37,7 @@
 // MultipleStatements reports whether the text contains more than one statement.
 func (st *Statement) MultipleStatements() bool { return st.analysis.MultipleStatements }
 
-// Dataset returns the dataset that the statement's tables belong to. ok is false if it names none.
+// Dataset returns the number of the data set that the statement's tables belong to. ok is false if it names none.
 func (st *Statement) Dataset() (dataset int64, ok bool) {
 	return st.analysis.Dataset, st.analysis.HasDataset
 }
