--- a/internal/decision/costmodel/ensemble.go
+++ b/internal/decision/costmodel/ensemble.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Component is one estimator of the ensemble.
+// Component is the estimate by one component of the ensemble, and its share of the result.
 type Component struct {
 	Log2Cost  float64 // the expected cost
 	Deviation float64 // its expected error, as a base-2 logarithm
@@ -10,7 +10,7 @@
 	Weight    float64 // its share of the estimate, 0 to 1
 }
 
-// componentOf returns the estimator that adds the tracked offset to a base.
+// componentOf returns the component that adds the tracked offset to a base. A tracker of absolute costs has base 0.
 func componentOf(tracker *Tracker, base float64) Component {
 	return Component{
 		Log2Cost:  base + float64(tracker.Median),
@@ -46,7 +46,7 @@
 	uncorrectedHintDeviation = 2
 )
 
-// hintComponent returns the estimator of a hint, corrected by its errors for the shape. If too few of
+// hintComponent returns the component of a hint, corrected by its errors for the shape. If too few of
 // these are known, the errors for the class replace them. shapeErrors may be nil.
 func hintComponent(hint float64, shapeErrors, classErrors *Tracker) Component {
 	log2Hint := math.Log2(hint)
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -8,7 +8,7 @@
 	WorkMillis   float64 // median, in ms
 	SpreadFactor float64 // factor from the median to the 90th percentile
 	MemoryMB     float64 // 0: unknown
-	Class        int     // index among the configured classes, or NoClass
+	Class        int     // index into Config.Classes, or NoClass
 
 	// The components of the ensemble.
 	Record, Similar, Prior, Hint Component
@@ -91,7 +91,7 @@
 	errors.hint.adjust(&estimate.Hint, atypicality)
 }
 
-// priorComponent returns the prior's estimator, and the difference between the prior's prediction for
+// priorComponent returns the prior's component, and the difference between the prior's prediction for
 // this execution and its usual predictions for the shape.
 func (m *Model) priorComponent(query *Query) (component Component, atypicality float64) {
 	prediction := m.prior.predict(m.vectorOf(query))
--- a/internal/decision/costmodel/features.go
+++ b/internal/decision/costmodel/features.go
@@ -21,8 +21,8 @@
 // vector is the feature vector of one execution.
 type vector [dimensions]float64
 
-// newVector computes the features of a statement and its values. class is the index of the
-// class if it is known, else NoClass. The order is part of the stored state's layout.
+// newVector computes the features of a statement and its values. class is the
+// query's KnownClass. The order is part of the stored state's layout.
 func newVector(features *sqltext.Features, profile *sqltext.Profile, class int) vector {
 	const (
 		maxJoins = 6
--- a/internal/decision/costmodel/query.go
+++ b/internal/decision/costmodel/query.go
@@ -2,12 +2,15 @@
 
 import "flaxrelay/internal/sqltext"
 
-// Query is one execution, for Estimate and later for Learn.
+// Query describes one execution to the model. The caller fills it for Estimate, and passes it to Learn when the cost is
+// known.
 type Query struct {
-	Record         *ShapeRecord // of the statement's shape; nil: there is none
-	Features       *sqltext.Features
-	Profile        sqltext.Profile
-	KnownClass     int     // index of the class if it is already decided, else NoClass
+	Record   *ShapeRecord // of the statement's shape; nil: there is none
+	Features *sqltext.Features
+	Profile  sqltext.Profile
+	// KnownClass is the index of the class if it is already decided, else NoClass. It is an index into the caller's
+	// list of all classes, not into Config.Classes as Estimate.Class is.
+	KnownClass     int
 	HintWorkMillis float64 // the client's estimate of the work; 0: none
 	HintMemoryMB   float64 // the client's estimate of the memory; 0: none
 
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -96,7 +96,7 @@
 		return
 	}
 	isNewValue := expected.Record.Samples < newValueSamples
-	similar := &valueStatistics{} // discarded if parameters are switched off
+	similar := &valueStatistics{} // not stored if NoParameters is set
 	if !m.cfg.NoParameters {
 		similar = m.SimilarValues.add(similarKey(m.bucketKey(query), query.Profile.Column))
 		similar.Offset.add(log2Work-float64(record.Work.Median), m.weighting())
--- a/internal/stmtstats/class_table.go
+++ b/internal/stmtstats/class_table.go
@@ -5,8 +5,8 @@
 	"flaxrelay/policy"
 )
 
-// classTable looks up the policy's classes by name and by their index in the cost model. It is
-// read-only and may be used from any goroutine.
+// classTable looks up the policy's classes by name and by their index in the cost model, whose list has the classes of
+// read-only statements only. It is read-only and may be used from any goroutine.
 type classTable struct {
 	indexes  map[string]int     // index in the policy's list by class name
 	threads  map[string]float64 // number of threads that a request uses, at least 1, by class name
@@ -25,7 +25,7 @@
 	return table
 }
 
-// index returns the index of a class, or costmodel.NoClass if the policy has no class of that name.
+// index returns the index of a class in the policy's list, or costmodel.NoClass if that has no class of the name.
 func (t *classTable) index(name string) int {
 	if index, ok := t.indexes[name]; ok {
 		return index
