--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -7,9 +7,9 @@
 
 // classifierPhase is the classifier's position in a text, and whether the statement will be executed.
 //
-//	beforeFirstWord --EXPLAIN--> planOptions --another word--> planOnly
-//	beforeFirstWord --another word--> executed
-//	planOptions --ANALYZE--> executeOptions --another word--> executed
+//	beforeFirstWord --EXPLAIN--> planOptions --first word of the statement--> planOnly
+//	beforeFirstWord --any other word--> executed
+//	planOptions --ANALYZE--> executeOptions --first word of the statement--> executed
 type classifierPhase uint8
 
 const (
@@ -35,14 +35,16 @@
 	phase classifierPhase
 	depth int // of parentheses
 
-	// The last tokens. A name qualified by a schema counts as one token, except in kindBefore.
+	// The last token and the one before it. Dots are skipped, so that previous is the last part of a qualified name.
 	previous        Token
-	previousSchema  Token // of previous, if that is qualified
+	previousSchema  Token // the name before the dot, if previous is qualified
 	previousClass   keywordClass
 	previousKeyword keyword
-	previousKind    Kind
 	keywordBefore   keyword // of the token before previous
-	kindBefore      Kind
+
+	// The kinds of the last token and of the one before it, dots included.
+	previousKind Kind
+	kindBefore   Kind
 
 	hasDistinctOn bool // the statement has a DISTINCT ON, so that a call may follow a parenthesis
 	ctes          cteTracker
--- a/internal/sqltext/pass_lists.go
+++ b/internal/sqltext/pass_lists.go
@@ -6,7 +6,7 @@
 // alternatives of IN or ARRAY, or the rows of VALUES. Positions and lengths are in bytes of the
 // normal form.
 type foldedList struct {
-	depth          int // of its commas
+	depth          int // of parentheses and brackets around its commas
 	isRows         bool
 	start          int // of the first element
 	firstLength    int // length of the first element; unknownLength: it is not complete yet
