--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,6 +1,12 @@
 // Package engine is the part of an engine client that does not depend on the protocol: the
 // engines of the endpoint list, the connections to each, and the state of one connection from
-// its dial to its end. A protocol's client adds the messages; see Protocol.
+// its dial to its end.
+//
+// The client of a protocol has two types. Its connection embeds a Connection, implements Protocol
+// and is dialed with Connection.Dial. Its client embeds a Client and adds the other methods of
+// lifecycle.EngineClient: Start uses FindEngine, puts the attempt on one of the engine's Connections
+// or dials another, and stores an AttemptHandle in the attempt. Each attempt ends with a call of
+// Dispatcher.EndAttempt, unless it is abandoned first. See lineclient and pgclient.
 package engine
 
 import (
--- a/internal/engine/lineclient/client.go
+++ b/internal/engine/lineclient/client.go
@@ -1,5 +1,8 @@
 // Package lineclient carries attempts to engines that speak the platform's line
 // protocol: many requests on one connection, responses in any order.
+//
+// New returns a Client, which is passed to Dispatcher.SetEngineClient. The statement of a request
+// is a string, and the result of a served one is its Rows.
 package lineclient
 
 import (
@@ -46,17 +49,17 @@
 func New(
 	loop *eventloop.Loop,
 	dispatcher *lifecycle.Dispatcher,
-	site config.Settings,
+	settings config.Settings,
 	counters *metrics.Counters,
 	log *slog.Logger,
 ) *Client {
-	connectTimeout := site.ConnectTimeout
+	connectTimeout := settings.ConnectTimeout
 	if connectTimeout <= 0 {
 		connectTimeout = defaultConnectTimeout
 	}
 	options := engine.Options{
 		ConnectTimeout:       connectTimeout,
-		IdleTimeout:          time.Duration(float64(site.IdleClose) * idleFraction),
+		IdleTimeout:          time.Duration(float64(settings.IdleClose) * idleFraction),
 		ReadBufferBytes:      readBufferBytes,
 		StallTimeout:         stallTimeout,
 		MessageTimeout:       responseTimeout,
@@ -65,8 +68,8 @@
 	}
 	return &Client{
 		Client:     engine.NewClient[*connection](loop, dispatcher, options, counters, log),
-		maxStreams: max(site.MaxStreams, 1),
-		sendCancel: site.Policy.Limits.Cancel,
+		maxStreams: max(settings.MaxStreams, 1),
+		sendCancel: settings.Policy.Limits.Cancel,
 	}
 }
 
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -1,5 +1,9 @@
 // Package pgclient carries attempts to engines that speak the PostgreSQL wire protocol:
 // one attempt at a time on a connection, which is reused.
+//
+// New returns a Client, which is passed to Dispatcher.SetEngineClient. The statement of a request
+// is a *pgproto.Statement, the result of a served one a *pgproto.Result, and the error detail of an
+// attempt that an engine has ended with an error a *pgproto.Error.
 package pgclient
 
 import (
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -1,6 +1,9 @@
 // Package httpserver serves HTTP/1.1 clients: it reads one request at a time from each connection, passes it to the
 // dispatcher and writes the response.
 //
+// New returns a Server, and Server.Listen accepts clients. A graceful shutdown calls CloseListener and Drain, Finish at
+// the time of the final responses, and may end the process once Idle reports true.
+//
 // A Server accepts connections and owns the state that they share: the ids of requests in flight (requestBuilder), the
 // results that are fetched page by page (resultStore) and the limit of open connections (evictor). Each connection is a
 // state machine, whose diagram is in the comment of connectionState. Its requestReader parses the requests.
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -2,6 +2,9 @@
 // execution at an engine is one request to the dispatcher and has one final response: a completion or one
 // ErrorResponse.
 //
+// New returns a Server, and Server.Listen accepts clients. A graceful shutdown calls CloseListener and Drain, Finish at
+// the time of the final responses, and may end the process once Idle reports true.
+//
 // A Server accepts connections, gives each statement its class (classify) and builds the request of each execution
 // (newRequest). Each connection is a state machine, whose diagram is in the comment of connectionState. It passes the
 // messages to the part of the protocol that they belong to: startupPhase, simpleQuery, or extendedQuery with its
