--- a/internal/decision/hotrestart/hotrestart.go
+++ b/internal/decision/hotrestart/hotrestart.go
@@ -52,7 +52,7 @@
 // String implements fmt.Stringer.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Config limits a hot restart. The time limits of a phase count from its start.
+// Config limits a hot restart. The timeouts of a phase count from its start.
 type Config struct {
 	HelloTimeout     time.Duration // until the successor's hello, with the time to read its program from a disk
 	StateTimeout     time.Duration // until the successor has loaded the state and is ready
--- a/internal/decision/hotrestart/predecessor.go
+++ b/internal/decision/hotrestart/predecessor.go
@@ -65,7 +65,7 @@
 			c.state = connBusy
 		}
 	case ConnIdle:
-		return p.connIdle(event.Conn)
+		return p.handleConnIdle(event.Conn)
 	case ConnClosed:
 		if p.owned(event.Conn) != nil {
 			p.forget(event.Conn)
--- a/internal/decision/hotrestart/predecessor_conns.go
+++ b/internal/decision/hotrestart/predecessor_conns.go
@@ -39,8 +39,8 @@
 // transfersIdleConns reports whether a connection is transferred as soon as it is idle.
 func (p *Predecessor) transfersIdleConns() bool { return p.phase == Probation || p.phase == Draining }
 
-// connIdle handles a connection that can be transferred.
-func (p *Predecessor) connIdle(id ConnID) []Action {
+// handleConnIdle handles a connection that can be transferred.
+func (p *Predecessor) handleConnIdle(id ConnID) []Action {
 	c := p.owned(id)
 	if c == nil {
 		return nil
