--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -40,8 +40,8 @@
 	case pgproto.ClientClose:
 		return nil, q.closeTarget(body)
 	}
-	// A Flush requires no action, since all output is written in any case. Copy data is ignored: it can only follow a
-	// COPY, which is rejected.
+	// A Flush requires no action, since all output is written in any case. Copy data is ignored: the COPY that it would
+	// belong to was rejected.
 	return nil, nil
 }
 
@@ -90,7 +90,7 @@
 	if prepared == nil {
 		return errNoStatement(statementName)
 	}
-	if failure := q.portals.checkOpen(name); failure != nil {
+	if failure := q.portals.checkCanOpen(name); failure != nil {
 		return failure
 	}
 	if failure := prepared.checkValueCount(len(binds.Values)); failure != nil {
@@ -114,7 +114,9 @@
 
 // execute runs a portal, or sends further rows of a portal that has run.
 func (q *extendedQuery) execute(body []byte) (*execution, *pgproto.Error) {
-	describePending := q.pendingDescribe != nil // resolveDescribe left it to the first Execute of this portal
+	// A description that is still pending is that of the portal that this Execute runs: resolveDescribe has sent any
+	// other one.
+	describePending := q.pendingDescribe != nil
 	q.pendingDescribe = nil
 	reader := pgproto.Reader{Unread: body}
 	name := reader.CString()
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -122,8 +122,8 @@
 	budget *memorybudget.Budget
 }
 
-// checkOpen returns an error if no portal can be opened under the name.
-func (s *portalSet) checkOpen(name string) *pgproto.Error {
+// checkCanOpen returns an error if no portal can be opened under the name.
+func (s *portalSet) checkCanOpen(name string) *pgproto.Error {
 	if name != "" && s.byName[name] != nil {
 		return newError(codeDuplicateCursor, "portal %q already exists", name)
 	}
