--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -60,7 +60,7 @@
 		served:         servedPrinter{print: setup.PrintServed},
 	}
 	environment := Environment{Counters: exchange.Counters, Log: slog.New(slog.DiscardHandler)}
-	exchange.Check(json.Unmarshal([]byte(setup.Settings), &environment.Site))
+	exchange.Check(json.Unmarshal([]byte(setup.Settings), &environment.Settings))
 	exchange.startLoop(&environment)
 	exchange.Client = setup.NewClient(environment)
 	exchange.dispatcher.SetEngineClient(exchange.Client)
@@ -77,7 +77,7 @@
 	x.Check(err)
 	environment.Loop = x.loop
 	environment.Dispatcher, err = lifecycle.NewDispatcher(
-		environment.Site.Policy, 1, fixedClock{}, timerqueue.New(), x.Counters, environment.Log,
+		environment.Settings.Policy, 1, fixedClock{}, timerqueue.New(), x.Counters, environment.Log,
 	)
 	x.Check(err)
 	x.dispatcher = environment.Dispatcher
--- a/internal/engine/enginetest/script.go
+++ b/internal/engine/enginetest/script.go
@@ -23,7 +23,7 @@
 
 // Setup is how an Exchange creates the client under test, and how it prints the client's results.
 type Setup struct {
-	// Settings are the site's, as JSON.
+	// Settings are the value of Environment.Settings, as JSON.
 	Settings string
 	// NewClient returns the client under test.
 	NewClient func(Environment) lifecycle.EngineClient
@@ -35,7 +35,7 @@
 type Environment struct {
 	Loop       *eventloop.Loop
 	Dispatcher *lifecycle.Dispatcher
-	Site       config.Settings
+	Settings   config.Settings
 	Counters   *metrics.Counters
 	Log        *slog.Logger
 }
@@ -59,7 +59,7 @@
 	return fmt.Sprintf(format, name, effect)
 }
 
-// Settings returns a site's settings as JSON. limits are JSON fields of its limits, in addition
+// Settings returns settings as JSON. limits are JSON fields of their limits, in addition
 // to those that all tests have.
 func Settings(limits string, classes ...string) string {
 	parallelism := strings.TrimSuffix(strings.Repeat("1,", len(classes)), ",")
--- a/internal/engine/lineclient/exchange_test.go
+++ b/internal/engine/lineclient/exchange_test.go
@@ -31,7 +31,7 @@
 			fmt.Sprintf(`"cancel":%t,"max-streams":32`, s.cancels), enginetest.Class("report", "read_like"),
 		),
 		NewClient: func(env enginetest.Environment) lifecycle.EngineClient {
-			client := lineclient.New(env.Loop, env.Dispatcher, env.Site, env.Counters, env.Log)
+			client := lineclient.New(env.Loop, env.Dispatcher, env.Settings, env.Counters, env.Log)
 			client.MaxConnections = s.maxConnections
 			return client
 		},
--- a/internal/frontend/httpserver/helpers_test.go
+++ b/internal/frontend/httpserver/helpers_test.go
@@ -44,8 +44,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var site config.Settings
-	if err := json.Unmarshal(raw, &site); err != nil {
+	var settings config.Settings
+	if err := json.Unmarshal(raw, &settings); err != nil {
 		t.Fatal(err)
 	}
 	loop, err := eventloop.New()
@@ -55,7 +55,7 @@
 	counters := metrics.New()
 	const seed = 1
 	logger := slog.New(slog.DiscardHandler)
-	dispatcher, err := lifecycle.NewDispatcher(site.Policy, seed, loop, loop.Timers, counters, logger)
+	dispatcher, err := lifecycle.NewDispatcher(settings.Policy, seed, loop, loop.Timers, counters, logger)
 	if err != nil {
 		t.Fatal(err)
 	}
