--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -17,7 +17,7 @@
 // Rule gives a class to the statements that begin with certain words, and names the parameter that has their
 // idempotency key.
 type Rule struct {
-	Prefix       string // the words that the statements begin with, in any case, after comments
+	Prefix       string // the words that the statements begin with, after comments; upper and lower case are equal
 	Class        string
 	KeyParameter int  // the number of the parameter that has the idempotency key, from 1; 0: none
 	ReadOnly     bool // the operator declares the statements read-only; ignored if their text shows that they write
--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -77,7 +77,7 @@
 	// Restrictions is the number of comparisons between a name and a value, which can narrow
 	// the result.
 	Restrictions int
-	// Unrestricted means that a restriction holds for all rows, as in NULL IS NULL OR a = 1.
+	// Unrestricted means that a condition is true for all rows, as in NULL IS NULL OR a = 1.
 	Unrestricted bool
 }
 
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -15,7 +15,8 @@
 	cached    *CachedShape // nil: the shape was not cached when the execution was estimated
 }
 
-// Hint is the client's own estimate of an execution. A zero field means that the client gave none.
+// Hint is the client's own estimate of an execution, as opposed to the Estimate of the Store. A zero field means that
+// the client gave none.
 type Hint struct {
 	WorkMillis float64 // in milliseconds on one core
 	MemoryMB   float64
