--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -22,7 +22,7 @@
 	// the hint then suffice as components, and the model learns only from a sample of its executions while
 	// their cost is as expected. Most traffic belongs to such buckets.
 	wellKnownSamples = 200
-	// minTrackedSamples is the least number of observations that make an offset usable.
+	// minTrackedSamples is the least number of observations with which a Tracker of offsets or errors is used.
 	minTrackedSamples = 2
 	// minClassMemorySamples is the least number of observations that make the usual memory of a class
 	// usable.
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -19,8 +19,9 @@
 	readingWord
 )
 
-// keyword identifies a key word; 0: none. Some key words have a number that no code names: the normal
-// form has a space between a key word with a number and a parenthesis.
+// keyword is the number of a key word; 0: none. In the normal form, a space separates a key word that has a number from
+// a parenthesis after it. Some key words, such as OFFSET, have a number for that reason alone: without it the normal
+// forms in stored snapshots would no longer be those of their statements.
 type keyword uint8
 
 const (
