--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -10,7 +10,7 @@
 // Errors that say why a snapshot can't be used.
 var (
 	// ErrSnapshotForeign means that the file does not begin like a snapshot of shapes.
-	ErrSnapshotForeign = errors.New("the file is not a snapshot of shapes")
+	ErrSnapshotForeign = errors.New("the file is no snapshot of shapes")
 	// ErrSnapshotVersion means that this version of the program can't read the format or the layout.
 	ErrSnapshotVersion = errors.New("the snapshot has a version that can't be read")
 	// ErrSnapshotTruncated means that bytes are missing at the end.
