--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -119,7 +119,7 @@
 	const ms = time.Millisecond
 	return Settings{
 		Policy: policy.Settings{
-			Replicas: 1, Zone: "z", OverQuotaWeight: 2, PullDiscovery: true, TickInterval: 3 * ms,
+			Replicas: 1, Zone: "z", OverQuotaWeight: 2, PullDiscovery: true, TimerGranularity: 3 * ms,
 			Kinds:   []policy.Kind{{Name: "k", Cores: 36, MemoryMB: 37}},
 			Tenants: []policy.Tenant{{Name: "p", Quota: 4, Share: 5}},
 			Classes: []policy.Class{{
--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -4,21 +4,21 @@
 // and in INIT of the simulator's protocol. Other keys are ignored. Fields whose names end in MS are
 // fractional milliseconds.
 type settingsObject struct {
-	Replicas        int                `json:"balancers"`
-	Zone            string             `json:"zone"`
-	Classes         []classObject      `json:"classes"`
-	Kinds           []string           `json:"kinds"`
-	Zones           []string           `json:"zones"`
-	Tenants         []tenantObject     `json:"projects"`
-	OverQuotaWeight float64            `json:"over-share-worth"`
-	DiscoveryMode   string             `json:"membership-mode"`
-	TickIntervalMS  float64            `json:"round-ms"`
-	Goal            goalObject         `json:"goal"`
-	Penalties       penaltiesObject    `json:"costs"`
-	LoadReport      loadReportObject   `json:"report"`
-	Contract        contractObject     `json:"contract"`
-	Limits          policyLimitsObject `json:"limits"`
-	Extra           extraObject        `json:"extra"`
+	Replicas           int                `json:"balancers"`
+	Zone               string             `json:"zone"`
+	Classes            []classObject      `json:"classes"`
+	Kinds              []string           `json:"kinds"`
+	Zones              []string           `json:"zones"`
+	Tenants            []tenantObject     `json:"projects"`
+	OverQuotaWeight    float64            `json:"over-share-worth"`
+	DiscoveryMode      string             `json:"membership-mode"`
+	TimerGranularityMS float64            `json:"round-ms"`
+	Goal               goalObject         `json:"goal"`
+	Penalties          penaltiesObject    `json:"costs"`
+	LoadReport         loadReportObject   `json:"report"`
+	Contract           contractObject     `json:"contract"`
+	Limits             policyLimitsObject `json:"limits"`
+	Extra              extraObject        `json:"extra"`
 }
 
 // classObject is a class of requests.
--- a/internal/config/settings_policy.go
+++ b/internal/config/settings_policy.go
@@ -79,7 +79,7 @@
 		ReportsCost:      o.Extra.ReportsCost,
 		ReportsLoad:      len(o.LoadReport.Names) > 0 && o.LoadReport.Transport != noReportedLoad,
 		PullDiscovery:    o.DiscoveryMode == pullDiscovery,
-		TickInterval:     FromMilliseconds(o.TickIntervalMS),
+		TimerGranularity: FromMilliseconds(o.TimerGranularityMS),
 		Rules:            o.Contract.policyRules(),
 		Limits:           o.Limits.policyLimits(),
 		Goal: policy.Goal{
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -32,20 +32,20 @@
 // with its balancer, its requests and their attempts. Clients, engine clients and
 // observers may call its methods while it calls them.
 type Dispatcher struct {
-	clock        Clock
-	timers       *timerqueue.Queue
-	engineClient EngineClient
-	counters     *metrics.Counters
-	telemetry    telemetry
-	costs        costReporter
-	tickInterval time.Duration
-	limits       policy.Limits
-	classes      map[string]policy.Class
-	endpoints    endpointTable
-	requests     requestTable
-	queue        eventQueue
-	guard        guard
-	shuttingDown bool // CompleteAll was called: new requests are rejected
+	clock            Clock
+	timers           *timerqueue.Queue
+	engineClient     EngineClient
+	counters         *metrics.Counters
+	telemetry        telemetry
+	costs            costReporter
+	timerGranularity time.Duration
+	limits           policy.Limits
+	classes          map[string]policy.Class
+	endpoints        endpointTable
+	requests         requestTable
+	queue            eventQueue
+	guard            guard
+	shuttingDown     bool // CompleteAll was called: new requests are rejected
 }
 
 // NewDispatcher returns a dispatcher for the settings. SetEngineClient must follow before
@@ -59,15 +59,15 @@
 		return nil, err
 	}
 	d := &Dispatcher{
-		clock:        clock,
-		timers:       timers,
-		counters:     counters,
-		telemetry:    newTelemetry(clock, counters, logger),
-		tickInterval: settings.TickInterval,
-		limits:       settings.Limits,
-		classes:      map[string]policy.Class{},
-		endpoints:    newEndpointTable(settings.Rules.WarmupTime),
-		requests:     newRequestTable(),
+		clock:            clock,
+		timers:           timers,
+		counters:         counters,
+		telemetry:        newTelemetry(clock, counters, logger),
+		timerGranularity: settings.TimerGranularity,
+		limits:           settings.Limits,
+		classes:          map[string]policy.Class{},
+		endpoints:        newEndpointTable(settings.Rules.WarmupTime),
+		requests:         newRequestTable(),
 		guard: guard{
 			limits:        settings.Limits,
 			responseSlack: settings.Rules.ResponseSlack,
--- a/internal/lifecycle/dispatcher_test.go
+++ b/internal/lifecycle/dispatcher_test.go
@@ -230,7 +230,7 @@
 func TestDispatcher_ReleasesARequestAfterItsLastAttempt(t *testing.T) {
 	f := newFixture(t, func(settings *policy.Settings) { settings.Limits.Cancel = false })
 	f.accept(readClass)
-	f.advance(requestDeadline - tickInterval)
+	f.advance(requestDeadline - timerGranularity)
 	if len(f.responses) != 1 || f.released != 0 {
 		t.Errorf("with an attempt in flight: %d responses, %d released; want 1, 0", len(f.responses), f.released)
 	}
--- a/internal/lifecycle/fixture_test.go
+++ b/internal/lifecycle/fixture_test.go
@@ -16,9 +16,9 @@
 	keyedClass = "load"
 	writeClass = "write"
 
-	requestDeadline = time.Second // after its arrival
-	dedupWindow     = 500 * time.Millisecond
-	tickInterval    = 5 * time.Millisecond
+	requestDeadline  = time.Second // after its arrival
+	dedupWindow      = 500 * time.Millisecond
+	timerGranularity = 5 * time.Millisecond
 )
 
 // fixture is a dispatcher with two engines. It is itself the dispatcher's EngineClient and CostObserver, and the Client
@@ -49,7 +49,7 @@
 		}
 	}
 	settings := policy.Settings{
-		Replicas: 1, Zone: "a", Kinds: []policy.Kind{{Name: "small", Cores: 4}}, TickInterval: tickInterval,
+		Replicas: 1, Zone: "a", Kinds: []policy.Kind{{Name: "small", Cores: 4}}, TimerGranularity: timerGranularity,
 		Classes: []policy.Class{
 			class(readClass, policy.Idempotent), class(keyedClass, policy.IdempotentByKey),
 			class(writeClass, policy.NonIdempotent),
--- a/internal/lifecycle/guard_internal_test.go
+++ b/internal/lifecycle/guard_internal_test.go
@@ -46,7 +46,7 @@
 		t.Run(name, func(t *testing.T) {
 			counters := metrics.New()
 			settings := policy.Settings{
-				Replicas: 1, TickInterval: time.Millisecond, Limits: policy.Limits{MaxAttempts: 3},
+				Replicas: 1, TimerGranularity: time.Millisecond, Limits: policy.Limits{MaxAttempts: 3},
 				Classes: []policy.Class{{
 					Name: "c", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1,
 					Effect: test.effect,
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -43,8 +43,8 @@
 	if request == nil || request.state != requestPending {
 		return
 	}
-	// The balancer ends a request up to Settings.TickInterval before its deadline.
-	response.DeadlinePassed = response.Verdict != VerdictServed && d.clock.Now() >= request.Deadline-d.tickInterval
+	// The balancer ends a request up to Settings.TimerGranularity before its deadline.
+	response.DeadlinePassed = response.Verdict != VerdictServed && d.clock.Now() >= request.Deadline-d.timerGranularity
 	response.MayHaveHadEffect = d.MayHaveHadEffect(request)
 	response.Forwarded = len(request.attempts) > 0
 	response.ErrorDetail = request.lastErrorDetail
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -53,7 +53,7 @@
 	b.requests[req.id] = req
 	b.selector.affinity.observe(req.dataset)
 	b.checkHealth()
-	timeLeft := max(0, req.deadline-b.now-b.settings.TickInterval)
+	timeLeft := max(0, req.deadline-b.now-b.settings.TimerGranularity)
 	b.actions.add(SetTimer{After: timeLeft, Token: DeadlineTimer(req.id).Token})
 	b.ordered.queues.enqueue(req)
 	if b.ordered.atHead(req, b.now) {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -8,7 +8,7 @@
 const (
 	controlPeriod  = 500 * time.Millisecond         // between two runs of the control loops
 	ticksPerPeriod = 5                              // engines are checked for silence at each tick
-	tickPeriod     = controlPeriod / ticksPerPeriod // between two ticks; not Settings.TickInterval
+	tickPeriod     = controlPeriod / ticksPerPeriod // between two ticks
 	tickToken      = 0                              // token of the tick's timer; others are of DeadlineTimer
 )
 
--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -94,7 +94,7 @@
 func characterizationSettings() policy.Settings {
 	const second, msec = time.Second, time.Millisecond
 	return policy.Settings{
-		Replicas: 3, Zone: "a", ProgressInterval: 500 * msec, TickInterval: 5 * msec,
+		Replicas: 3, Zone: "a", ProgressInterval: 500 * msec, TimerGranularity: 5 * msec,
 		Kinds: []policy.Kind{{Name: "small", Cores: 4, MemoryMB: 4096}, {Name: "large", Cores: 8, MemoryMB: 8192}},
 		Classes: []policy.Class{
 			{
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -19,7 +19,7 @@
 // settings returns a deployment with one class of each kind.
 func settings() Settings {
 	return Settings{
-		Replicas: 2, Zone: "a", ProgressInterval: 500 * msec, TickInterval: 5 * msec,
+		Replicas: 2, Zone: "a", ProgressInterval: 500 * msec, TimerGranularity: 5 * msec,
 		Kinds: []Kind{{Name: "k", Cores: 8, MemoryMB: 8192}},
 		Classes: []Class{
 			{
--- a/policy/new.go
+++ b/policy/new.go
@@ -24,7 +24,7 @@
 	}
 	b.traffic = newTrafficEstimate(settings.Replicas, b.quotas.total)
 	b.slowStart = slowStartRules{Rules: &b.settings.Rules}
-	b.ordered = newOrderedRequests(settings.Rules.OrderSettleTime + settings.TickInterval)
+	b.ordered = newOrderedRequests(settings.Rules.OrderSettleTime + settings.TimerGranularity)
 	b.rules = attemptRules{
 		limits:  &b.settings.Limits,
 		budget:  retryBudget{rules: &b.settings.Rules},
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -20,7 +20,7 @@
 	ReportsCost      bool           // responses state the work and memory that the request needed
 	ReportsLoad      bool           // engines report their load, in responses or to health checks
 	PullDiscovery    bool           // the endpoint list must be subscribed to (Subscribe)
-	TickInterval     time.Duration  // granularity of the caller's timers; the balancer's own tick is tickPeriod
+	TimerGranularity time.Duration  // granularity of the caller's timers
 	Rules            Rules
 	Limits           Limits
 	Goal             Goal
