--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -110,15 +110,15 @@
 	}
 	c.exchange.errorResponse = response
 	if c.State() == engine.StateStartup || response.Severity == severityFatal {
-		c.Close(c.fatalStatus())
+		c.Close(c.exchange.fatalStatus())
 	}
 	return nil
 }
 
 // fatalStatus returns the status of the attempt after an error that ends the connection.
-func (c *connection) fatalStatus() lifecycle.AttemptStatus {
-	status := statusOf(c.exchange.errorResponse.Code)
-	written := c.exchange.written()
+func (e *exchange) fatalStatus() lifecycle.AttemptStatus {
+	status := statusOf(e.errorResponse.Code)
+	written := e.written()
 	switch {
 	case written && status == lifecycle.StatusTimeout, !written && status == lifecycle.StatusOverloaded:
 		return status
