--- a/cmd/flaxrelay/shutdown.go
+++ b/cmd/flaxrelay/shutdown.go
@@ -8,9 +8,9 @@
 
 // The schedule of a graceful shutdown, counted from SIGTERM.
 const (
-	// acceptPeriod is the time until the listener is closed, and readPeriod the time until no further
-	// requests are read. Clients connect for up to 0.4 s after SIGTERM, and send requests for 0.2 s
-	// more.
+	// acceptPeriod is the time until the listener is closed, and readPeriod the time until the server closes
+	// its connections; see frontEnd.Drain. Clients connect for up to 0.4 s after SIGTERM, and send requests
+	// for 0.2 s more.
 	acceptPeriod = 500 * time.Millisecond
 	readPeriod   = 800 * time.Millisecond
 
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -13,7 +13,7 @@
 	Class             string        // name of its class
 	Tenant            string        // whose quota it uses; "": none
 	OrderKey          string        // requests of one key run one at a time, in order; "": none
-	IdempotencyKey    string        // engines recognise duplicates by it; "": none
+	IdempotencyKey    string        // engines recognize duplicates by it; "": none
 	Statement         any           // as parsed by the front end, for an engine client of its protocol
 	Dataset           int64         // group of tables that it reads or writes
 	Deadline          time.Duration // instant at which the client gives up
--- a/internal/stmtstats/snapshot_writer_test.go
+++ b/internal/stmtstats/snapshot_writer_test.go
@@ -144,7 +144,7 @@
 	service.awaitCount(t, metrics.ShapesSnapshots, 2)
 }
 
-// A snapshot is tried at each interval without a call, also after failures. The folder of the file does
+// A snapshot is tried at each interval without a call, also after failures. The directory of the file does
 // not exist, so that no write outlasts the test.
 func TestNewService_TriesSnapshotAtEachInterval(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "missing", "shapes")
