--- a/internal/lifecycle/actions.go
+++ b/internal/lifecycle/actions.go
@@ -8,8 +8,8 @@
 	"flaxrelay/policy"
 )
 
-// perform carries out one action of the balancer. Actions on released requests
-// are ignored, since the balancer may not have been notified of their end yet.
+// perform carries out one action of the balancer. An action on a released request is
+// ignored, since the balancer may not have been notified yet that the request has ended.
 func (d *Dispatcher) perform(action policy.Action) {
 	switch action := action.(type) {
 	case policy.StartAttempt:
@@ -21,7 +21,7 @@
 			r.setResources(action, d.engineClient)
 		}
 	case policy.CancelAttempt:
-		// An attempt that has ended is ignored: the balancer may not have been notified yet.
+		// The action is ignored if the attempt has ended: the balancer may not have been notified of the end yet.
 		if a := d.requests.attempt(action.RequestID, action.Attempt); a != nil {
 			d.engineClient.Abandon(a)
 			d.EndAttempt(a, StatusCancelled, AttemptReport{})
@@ -49,8 +49,8 @@
 	}
 }
 
-// setResources sets the memory grant of the next attempts, and the priority of
-// these and of the attempts in flight.
+// setResources sets the memory grant of future attempts, and the priority of
+// future attempts and of attempts in flight.
 func (r *Request) setResources(action policy.SetResources, engineClient EngineClient) {
 	r.memoryGrantMB = action.MemoryMB
 	if r.priority == action.Priority {
--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// dedupWindowMargin is how long before the end of a deduplication window a
-	// retry is written at the latest, so that it reaches its engine within the window.
+	// dedupWindowMargin is the least time between the writing of a retry and the end of its
+	// deduplication window, so that the retry reaches its engine within the window.
 	dedupWindowMargin = 50 * time.Millisecond
 
-	// minAttemptTimeout keeps an attempt from timing out before it was started.
+	// minAttemptTimeout prevents an attempt from timing out before it is started.
 	minAttemptTimeout = time.Millisecond
 )
 
@@ -22,15 +22,15 @@
 type Attempt struct {
 	Request    *Request
 	Engine     string        // ID of the engine; a later engine may reuse the address of a removed one
-	Timeout    time.Duration // since StartedAt
+	Timeout    time.Duration // counted from StartedAt
 	StartedAt  time.Duration
-	MemoryMB   float64 // memory grant; 0: the engine's own choice
+	MemoryMB   float64 // memory grant; 0: the engine decides
 	Priority   int
-	ClientData any // opaque, for the engine client; cleared at the end
+	ClientData any // opaque, for the engine client; cleared when the attempt ends
 
 	index        int // in Request.attempts
 	state        attemptState
-	endStatus    AttemptStatus // once it has ended
+	endStatus    AttemptStatus // set when the attempt ends
 	sendDeadline time.Duration // see DedupWindowClosed; 0: none
 	timeoutTimer *timerqueue.Timer
 }
@@ -40,14 +40,14 @@
 //	attemptInFlight:  EndAttempt, with a status that proves it did not run -> attemptNeverRan
 //	attemptInFlight:  EndAttempt, with any other status -> attemptMayHaveRun
 //
-// A timeout, a cancellation and a withdrawal end an attempt from this side; what the engine
-// sends later has no effect.
+// A timeout, a cancellation and a withdrawal end an attempt without a response of its engine. A
+// response that arrives later has no effect.
 type attemptState uint8
 
 const (
 	attemptInFlight   attemptState = iota
 	attemptMayHaveRun              // ended; its engine may have run it
-	attemptNeverRan                // ended in a way that proves that its engine did not run it
+	attemptNeverRan                // ended with a status that proves that its engine did not run it
 )
 
 // AttemptReport is what an engine reported at the end of an attempt.
@@ -56,15 +56,15 @@
 	Work        time.Duration // that the query needed; 0: unknown
 	MemoryMB    float64       // that the query needed; 0: unknown
 	Load        policy.LoadReport
-	ErrorDetail any // of an engine error, for front ends of the same protocol
+	ErrorDetail any // details of an engine error, for front ends of the same protocol
 }
 
 // Ended reports whether the attempt has ended.
 func (a *Attempt) Ended() bool { return a.state != attemptInFlight }
 
 // DedupWindowClosed reports whether the attempt may no longer be written: an earlier
-// attempt may have run, and the window in which engines drop duplicates of its
-// idempotency key is about to end. Dispatcher.PermitSend checks it.
+// attempt may have run, and the window in which engines drop duplicates of the
+// request's idempotency key is about to end. Dispatcher.PermitSend checks this.
 func (a *Attempt) DedupWindowClosed(now time.Duration) bool {
 	return a.sendDeadline > 0 && now >= a.sendDeadline
 }
@@ -108,16 +108,15 @@
 	return a
 }
 
-// retrySendDeadline returns the instant at which a request with an idempotency
-// key may no longer be written again, or 0 if there is none: it has no such key, or no attempt may have run.
-// The balancer observes the deduplication window too, but does not know how long
-// an attempt waits for its connection.
+// retrySendDeadline returns the instant from which a request may no longer be written again, or 0 if there is no
+// such instant: the request's class is not idempotent by key, or no attempt may have run. The balancer observes the
+// deduplication window too, but does not know how long an attempt waits for its connection.
 func retrySendDeadline(r *Request, class policy.Class) time.Duration {
 	first := r.firstPossibleRun()
 	if class.Effect != policy.IdempotentByKey || first == nil {
 		return 0
 	}
-	return max(first.StartedAt+class.DedupWindow-dedupWindowMargin, 1) // 0 would mean none
+	return max(first.StartedAt+class.DedupWindow-dedupWindowMargin, 1) // 0 would mean no limit
 }
 
 // startAttempt starts an attempt of the request. Every attempt ends exactly once, in EndAttempt.
@@ -152,7 +151,7 @@
 	switch status {
 	case StatusServed:
 		d.respond(request.policyID, Response{Verdict: VerdictServed, Result: report.Result})
-	case StatusStatementRejected, StatusResultTooLarge: // any other engine would fail likewise
+	case StatusStatementRejected, StatusResultTooLarge: // any other engine would fail too
 		d.respond(request.policyID, Response{Verdict: VerdictFailed})
 	default: // the balancer decides on a retry
 	}
@@ -160,7 +159,7 @@
 		RequestID: request.policyID,
 		Attempt:   attempt.index,
 		Result:    status.Result(),
-		Elapsed:   d.clock.Now() - attempt.StartedAt, // includes the time that the response took
+		Elapsed:   d.clock.Now() - attempt.StartedAt, // includes the time that respond took
 		Completed: request.completed(),
 		Work:      report.Work,
 		MemoryMB:  report.MemoryMB,
--- a/internal/lifecycle/client.go
+++ b/internal/lifecycle/client.go
@@ -6,17 +6,17 @@
 	Respond(r *Request, response Response)
 }
 
-// EngineClient carries attempts to engines. Its methods are called on the
+// EngineClient sends attempts to engines. Its methods are called on the
 // goroutine that owns the Dispatcher.
 type EngineClient interface {
 	// Start begins an attempt. The engine client must report its end with
 	// Dispatcher.EndAttempt, which it may call before Start returns.
 	Start(a *Attempt)
-	// Abandon gives up an attempt that has not ended. The Dispatcher ends it
-	// itself; a later EndAttempt has no effect.
+	// Abandon gives up an attempt that has not ended. The Dispatcher itself ends the
+	// attempt; a later EndAttempt has no effect.
 	Abandon(a *Attempt)
-	// Withdraw abandons an attempt whose request is not written yet, and reports
-	// whether it did so. Nothing reaches the engine then, and the Dispatcher ends
+	// Withdraw abandons an attempt if its request has not been written yet, and reports
+	// whether it did so. If it did, nothing reaches the engine, and the Dispatcher ends
 	// the attempt.
 	Withdraw(a *Attempt) bool
 	// SetPriority changes the priority of an attempt in flight.
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -1,11 +1,11 @@
-// Package lifecycle carries each request from its arrival to its one final response.
+// Package lifecycle manages each request from its arrival to its one final response.
 //
-// A front end makes a Dispatcher, sets its EngineClient, reports the endpoint list with UpdateEndpoints
-// and passes each request that has arrived to Accept. The Dispatcher has a policy.Balancer admit and
-// place it, starts attempts at engines through the EngineClient, and gives the response to the request's
-// Client. Engine clients report the end of each attempt with EndAttempt.
+// A front end creates a Dispatcher, sets its EngineClient, reports the endpoint list with UpdateEndpoints
+// and passes each request that has arrived to Accept. The Dispatcher asks a policy.Balancer whether to admit
+// the request and which engine to use, starts attempts through the EngineClient, and gives the response to
+// the request's Client. Engine clients report the end of each attempt with EndAttempt.
 //
-// The package knows no protocol: front ends, engine clients and discovery use it through its
+// The package is independent of protocols: front ends, engine clients and discovery use it through its
 // interfaces.
 package lifecycle
 
@@ -24,13 +24,13 @@
 	Now() time.Duration
 }
 
-// Dispatcher connects the balancer that decides with the clients and engines that act. The requests,
-// the endpoints, the event queue and the guards are types of their own; the Dispatcher passes each
-// event from one to the other.
+// Dispatcher connects the balancer, which makes the decisions, with clients and engines. Separate types
+// hold the requests, the endpoints, the event queue and the guard; the Dispatcher passes each event
+// between them.
 //
-// It is not safe for concurrent use: the goroutine of the event loop owns it,
-// with its balancer, its requests and their attempts. Clients, engine clients and
-// observers may call its methods while it calls them.
+// It is not safe for concurrent use: the goroutine of the event loop owns the Dispatcher, its balancer, its
+// requests and their attempts. Clients, engine clients and observers may call methods of the Dispatcher
+// from within the methods that it calls on them.
 type Dispatcher struct {
 	clock            Clock
 	timers           *timerqueue.Queue
@@ -48,8 +48,8 @@
 	shuttingDown     bool // CompleteAll was called: new requests are rejected
 }
 
-// NewDispatcher returns a dispatcher for the settings. SetEngineClient must follow before
-// any request or endpoint.
+// NewDispatcher returns a dispatcher for the settings. SetEngineClient must be called before the
+// first request or endpoint.
 func NewDispatcher(
 	settings policy.Settings, seed uint64, clock Clock, timers *timerqueue.Queue,
 	counters *metrics.Counters, logger *slog.Logger,
@@ -81,11 +81,11 @@
 	return d, nil
 }
 
-// SetEngineClient sets the client that carries attempts to engines.
+// SetEngineClient sets the client that sends attempts to engines.
 func (d *Dispatcher) SetEngineClient(client EngineClient) { d.engineClient = client }
 
-// SetCostObserver sets the observer of what requests cost at their engines. It is optional; if it is set, then
-// before the first request.
+// SetCostObserver sets the observer of the cost of requests. The observer is optional. If there is one, it must be
+// set before the first request.
 func (d *Dispatcher) SetCostObserver(observer CostObserver) { d.costs.observer = observer }
 
 // Class looks up a class by name.
@@ -111,8 +111,8 @@
 // Invariants returns the checker of the rules that this program must never break.
 func (d *Dispatcher) Invariants() *invariant.Checker { return d.guard.invariants }
 
-// RetryAfter returns the Retry-After of a request that is rejected before it was accepted; 0 where
-// settings don't permit one.
+// RetryAfter returns the Retry-After of a request that is rejected without asking the balancer, or 0 if
+// the settings do not permit a Retry-After.
 func (d *Dispatcher) RetryAfter() time.Duration {
 	if !d.limits.RetryAfter {
 		return 0
@@ -120,8 +120,8 @@
 	return d.limits.MaxRetryAfter
 }
 
-// handleEvent passes an event to the balancer and performs the actions that it returns. Once all queued
-// events are handled, the requests whose release was deferred are released.
+// handleEvent passes an event to the balancer and performs the actions that the balancer returns. Once all
+// queued events are handled, it releases the requests whose release was deferred.
 func (d *Dispatcher) handleEvent(event policy.Event) {
 	if empty := d.queue.handle(event); !empty {
 		return
@@ -132,8 +132,8 @@
 	d.requests.releasable = d.requests.releasable[:0]
 }
 
-// Accept accepts a request that has arrived completely. From here on it is pending; its response may be
-// given before Accept returns.
+// Accept accepts a request that has arrived completely. The request is pending from now on; its response may
+// be given before Accept returns.
 func (d *Dispatcher) Accept(request *Request) {
 	d.requests.add(request)
 	d.telemetry.requestAccepted(request)
@@ -173,9 +173,9 @@
 	d.releaseIfIdle(r)
 }
 
-// complete marks a request as completed and withdraws its
-// attempts that still wait for a connection. These need no permission to cancel,
-// since their engines have received nothing of them.
+// complete marks a request as completed and withdraws its attempts that still wait for a connection.
+// This does not require the permission to cancel (Limits.Cancel), since nothing of these attempts has
+// reached an engine.
 func (d *Dispatcher) complete(r *Request) {
 	d.requests.complete(r)
 	for _, a := range r.attempts {
@@ -185,9 +185,9 @@
 	}
 }
 
-// releaseIfIdle releases a completed request that has no attempt in flight. While
-// events are queued the release is deferred, since the balancer may still start an attempt of
-// the request, and each attempt must end.
+// releaseIfIdle releases a request if it is completed and has no attempt in flight. While events are
+// queued, the release is deferred, since the balancer may still start an attempt of the request, and each
+// attempt must end.
 func (d *Dispatcher) releaseIfIdle(r *Request) {
 	if r.state != requestCompleted || r.inFlight > 0 {
 		return
@@ -201,15 +201,16 @@
 }
 
 // CompleteAll gives every pending request its response, in no particular order. It is called at the end of a
-// graceful shutdown, when clients would otherwise receive none. The balancer is passed the DeadlineTimer of
-// each request, and so decides whether it is rejected or failed. Requests accepted later are rejected at once.
+// graceful shutdown, when clients would otherwise receive no response. The balancer handles the DeadlineTimer
+// event of each request, and so decides whether the request is rejected or failed. Requests that are accepted
+// later are rejected at once.
 func (d *Dispatcher) CompleteAll() {
 	d.shuttingDown = true
 	for policyID, r := range d.requests.byID {
 		if r.state == requestPending {
 			d.handleEvent(policy.DeadlineTimer(policyID))
 		}
-		if r.state == requestPending { // the balancer lets a response that is being streamed go on
+		if r.state == requestPending { // the balancer does not end a request whose response is being streamed
 			d.respond(policyID, Response{Verdict: VerdictFailed})
 			d.abandonRemaining(r)
 		}
--- a/internal/lifecycle/dispatcher_test.go
+++ b/internal/lifecycle/dispatcher_test.go
@@ -28,7 +28,7 @@
 			f.end(1, lifecycle.StatusServed)
 		}, lifecycle.Response{Verdict: lifecycle.VerdictServed, Forwarded: true}},
 		{
-			"a write in doubt is not retried", writeClass,
+			"a write that may have run is not retried", writeClass,
 			func(f *fixture) { f.end(0, lifecycle.StatusConnectionReset) },
 			lifecycle.Response{Verdict: lifecycle.VerdictFailed, Forwarded: true, MayHaveHadEffect: true},
 		},
@@ -49,7 +49,7 @@
 		},
 	}
 	for _, tc := range tests {
-		for _, mayCancel := range []bool{true, false} { // without it attempts outlive the response
+		for _, mayCancel := range []bool{true, false} { // if false, attempts may outlive the response
 			t.Run(fmt.Sprintf("%s, cancel %v", tc.name, mayCancel), func(t *testing.T) {
 				f := newFixture(t, func(settings *policy.Settings) { settings.Limits.Cancel = mayCancel })
 				r := f.accept(tc.class)
@@ -201,10 +201,10 @@
 			const sendMargin = 50 * time.Millisecond
 			windowEnd := f.attempt(0).StartedAt + dedupWindow
 			if f.attempt(1).DedupWindowClosed(windowEnd - sendMargin - 1) {
-				t.Error("closed within the window")
+				t.Error("closed before the send deadline")
 			}
 			if got := f.attempt(1).DedupWindowClosed(windowEnd - sendMargin); got != tc.wantClosed {
-				t.Errorf("closed at the end of the window is %v, want %v", got, tc.wantClosed)
+				t.Errorf("closed at the send deadline is %v, want %v", got, tc.wantClosed)
 			}
 			if f.attempt(0).DedupWindowClosed(windowEnd) {
 				t.Error("the first attempt is limited by the window")
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -9,24 +9,24 @@
 	"flaxrelay/policy"
 )
 
-// Endpoint is an entry of the endpoint list: an engine with what the balancer
+// Endpoint is an entry of the endpoint list: an engine, and its address, which the balancer
 // does not need.
 type Endpoint struct {
 	policy.Engine
-	Address string // that the engine listens on
+	Address string // on which the engine listens
 }
 
 // endpointTable is the endpoint list as last reported, without removed engines.
 type endpointTable struct {
 	byID       map[string]Endpoint
-	warmupTime time.Duration // for this long after its start an engine counts as warming up
+	warmupTime time.Duration // how long after its start an engine counts as warming up
 }
 
 func newEndpointTable(warmupTime time.Duration) endpointTable {
 	return endpointTable{byID: map[string]Endpoint{}, warmupTime: warmupTime}
 }
 
-// ready reports whether an engine may be sent requests.
+// ready reports whether requests may be sent to an engine.
 func (t *endpointTable) ready(engineID string) bool {
 	return t.byID[engineID].State == policy.EngineReady
 }
@@ -46,7 +46,7 @@
 	}
 }
 
-// clear empties the table and returns what it held.
+// clear empties the table and returns its previous endpoints.
 func (t *endpointTable) clear() (previous map[string]Endpoint) {
 	previous = t.byID
 	t.byID = map[string]Endpoint{}
@@ -56,14 +56,14 @@
 // UpdateEndpoints applies the endpoint list or a change to it, according to mode.
 func (d *Dispatcher) UpdateEndpoints(mode policy.UpdateMode, endpoints []Endpoint) {
 	d.counters.Increment(metrics.DiscoveryUpdates)
-	var previous map[string]Endpoint // of a complete list
+	var previous map[string]Endpoint // nil if the list is not complete
 	if mode == policy.UpdateFull || mode == policy.UpdateCached {
 		previous = d.endpoints.clear()
 	}
 	event := policy.EndpointsChanged{Mode: mode}
 	for _, e := range endpoints {
 		event.Engines = append(event.Engines, e.Engine)
-		d.engineClient.UpdateEndpoint(e) // before the balancer may start an attempt there
+		d.engineClient.UpdateEndpoint(e) // before the balancer may start an attempt at this endpoint
 		d.endpoints.set(e)
 	}
 	for id, e := range previous {
@@ -77,8 +77,8 @@
 }
 
 // withdrawFromUnready ends the attempts that wait for a connection to an engine
-// that is draining or removed: the connection may take longer to come up than the
-// engine may still be sent requests.
+// that is draining or removed: by the time the connection is established, it may be
+// too late to send a request to the engine.
 func (d *Dispatcher) withdrawFromUnready() {
 	var withdrawn []*Attempt
 	for _, r := range d.requests.byID {
@@ -95,7 +95,7 @@
 }
 
 // byRequest orders attempts by the arrival of their request and then by their index, so that the order in
-// which they end does not depend on that of a map.
+// which they end does not depend on the iteration order of a map.
 func byRequest(a, b *Attempt) int {
 	return cmp.Or(cmp.Compare(a.Request.policyID, b.Request.policyID), cmp.Compare(a.index, b.index))
 }
--- a/internal/lifecycle/eventqueue.go
+++ b/internal/lifecycle/eventqueue.go
@@ -2,9 +2,9 @@
 
 import "flaxrelay/policy"
 
-// eventQueue passes events to the balancer one at a time and hands the actions that it returns to
-// perform. Events that arise meanwhile are queued, since the balancer must not be called again before
-// its actions are performed.
+// eventQueue passes events to the balancer one at a time and calls perform with each action that the
+// balancer returns. Events that occur meanwhile are queued, since the balancer must not be called again
+// before its actions are performed.
 type eventQueue struct {
 	balancer *policy.Balancer
 	clock    Clock
@@ -14,7 +14,7 @@
 	actions  []policy.Action // reused between calls of the balancer
 }
 
-// handle queues an event, and handles all queued ones unless a caller further up the stack does so. It
+// handle queues an event, and handles all queued events unless a caller further up the stack does so. It
 // reports whether the queue is empty.
 func (q *eventQueue) handle(event policy.Event) (empty bool) {
 	q.events = append(q.events, event)
--- a/internal/lifecycle/fixture_test.go
+++ b/internal/lifecycle/fixture_test.go
@@ -31,14 +31,14 @@
 	counters    *metrics.Counters
 	started     []*lifecycle.Attempt
 	abandoned   []*lifecycle.Attempt
-	unsent      bool // attempts wait for a connection: they can be withdrawn
-	endsAtStart bool // attempts end within Start, because connections are refused
+	unsent      bool // attempts wait for a connection and can be withdrawn
+	endsAtStart bool // attempts end within Start because connections are refused
 	updates     []lifecycle.Endpoint
 	responses   []lifecycle.Response
 	released    int
 }
 
-// newFixture returns a dispatcher with settings that the changes may alter.
+// newFixture returns a fixture whose dispatcher uses the default settings of the tests with the changes.
 func newFixture(t *testing.T, changes ...func(*policy.Settings)) *fixture {
 	t.Helper()
 	f := &fixture{t: t, now: time.Hour, timers: timerqueue.New(), counters: metrics.New()}
@@ -118,7 +118,7 @@
 	return r
 }
 
-// attempt returns an attempt by the order of the starts, from 0.
+// attempt returns an attempt by its index in the order of the starts, counted from 0.
 func (f *fixture) attempt(index int) *lifecycle.Attempt {
 	f.t.Helper()
 	if index >= len(f.started) {
@@ -127,7 +127,7 @@
 	return f.started[index]
 }
 
-// end ends an attempt.
+// end ends an attempt with the status.
 func (f *fixture) end(index int, status lifecycle.AttemptStatus) {
 	f.t.Helper()
 	f.EndAttempt(f.attempt(index), status, lifecycle.AttemptReport{})
@@ -139,7 +139,7 @@
 	f.timers.RunDue(f.now)
 }
 
-// wantCount checks a counter.
+// wantCount checks the value of a counter.
 func (f *fixture) wantCount(counter metrics.Counter, want int64) {
 	f.t.Helper()
 	if got := f.counters.Get(counter); got != want {
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -10,11 +10,11 @@
 )
 
 // lateResponseMargin is how late a response may be, beyond the slack of the settings, before it counts as a
-// violation. A response up to half a second late earns nothing, but breaks no rule.
+// violation. A response up to half a second late is worthless, but it is not a violation.
 const lateResponseMargin = 500 * time.Millisecond
 
 // guard checks the actions of this program against the rules, independently of the balancer, and
-// reports each violation to the invariants.
+// reports each violation to the invariant checker.
 type guard struct {
 	limits        policy.Limits
 	responseSlack time.Duration // how late a response may be
@@ -27,7 +27,8 @@
 	return g.check(pending, invariant.SendAfterCompletion, a) && g.check(engineReady, invariant.DrainedEndpoint, a)
 }
 
-// permitStart checks a new attempt of a request of the given effect against the earlier ones.
+// permitStart checks a new attempt against the earlier attempts of its request. The effect is that of the
+// request's class.
 func (g *guard) permitStart(a *Attempt, effect policy.Effect) bool {
 	withinLimit := a.index < max(g.limits.MaxAttempts, 1)
 	noneInFlight := true
@@ -42,7 +43,7 @@
 
 // check checks a rule for an attempt.
 func (g *guard) check(holds bool, rule invariant.Rule, a *Attempt) bool {
-	if holds { // without the cost of the attributes
+	if holds { // avoids the cost of creating the attributes
 		return true
 	}
 	return g.invariants.Check(false, rule, slog.String("request", a.Request.ID),
@@ -50,7 +51,7 @@
 }
 
 // checkDeadline checks that the deadline of a request without a response has not passed by more than the
-// rules grant.
+// rules permit.
 func (g *guard) checkDeadline(r *Request, now time.Duration) {
 	if late := now - r.Deadline; late > g.responseSlack+lateResponseMargin {
 		g.invariants.Check(false, invariant.ResponseDeadline, slog.String("request", r.ID), slog.Duration("late", late))
@@ -58,19 +59,21 @@
 }
 
 // PermitSend reports whether an attempt's request may be written now. Engine clients must call it directly
-// before they write the request, and otherwise end the attempt with StatusNotSent. An attempt that is too
-// late, by its timeout or its deduplication window, is counted; any other refusal violates an invariant.
+// before they write the request, and must end the attempt with StatusNotSent if it returns false. An attempt
+// whose timeout or deduplication window has passed is only counted; any other refusal means that an
+// invariant was violated.
 func (d *Dispatcher) PermitSend(a *Attempt) bool {
 	now := d.clock.Now()
 	if a.DedupWindowClosed(now) || now >= a.timeoutAt() {
-		d.counters.Increment(metrics.AttemptsWithheldLate) // its timer is due
+		// This is not a violation: the attempt's timer is due, or it waited for its connection for too long.
+		d.counters.Increment(metrics.AttemptsWithheldLate)
 		return false
 	}
 	return d.guard.permitSend(a, d.endpoints.ready(a.Engine))
 }
 
-// CheckPending checks that no pending request is past its deadline by more than the rules grant, and that
-// the number of pending requests agrees with the counter. The process calls it before each report of its counters.
+// CheckPending checks that no pending request is past its deadline by more than the rules permit, and that
+// the number of pending requests agrees with Pending. The process calls it before each report of its counters.
 func (d *Dispatcher) CheckPending() {
 	now := d.clock.Now()
 	pending := d.requests.countPending(func(r *Request) { d.guard.checkDeadline(r, now) })
--- a/internal/lifecycle/guard_internal_test.go
+++ b/internal/lifecycle/guard_internal_test.go
@@ -25,21 +25,21 @@
 
 func (c fixedClock) Now() time.Duration { return time.Duration(c) }
 
-// permitStart stops an attempt that breaks a rule, even if the balancer asks for it, and counts it.
+// permitStart prevents an attempt that violates a rule, even if the balancer requests it, and counts the violation.
 func TestPermitStart_StopsWhatBreaksARule(t *testing.T) {
 	for name, test := range map[string]struct {
 		earlier []attemptState
 		effect  policy.Effect
 		want    invariant.Rule // the rule that is violated; "": none
 	}{
-		"first":                   {nil, policy.NonIdempotent, ""},
-		"retry of what never ran": {[]attemptState{attemptNeverRan}, policy.NonIdempotent, ""},
-		"idempotent retry":        {[]attemptState{attemptMayHaveRun}, policy.Idempotent, ""},
-		"retry that is not idempotent": {
+		"first":            {nil, policy.NonIdempotent, ""},
+		"retry, never ran": {[]attemptState{attemptNeverRan}, policy.NonIdempotent, ""},
+		"idempotent retry": {[]attemptState{attemptMayHaveRun}, policy.Idempotent, ""},
+		"non-idempotent retry, may have run": {
 			[]attemptState{attemptMayHaveRun}, policy.NonIdempotent, invariant.RetryIdempotency,
 		},
 		"two in flight": {[]attemptState{attemptInFlight}, policy.Idempotent, invariant.SingleInFlight},
-		"too many": {
+		"too many attempts": {
 			[]attemptState{attemptNeverRan, attemptNeverRan, attemptNeverRan}, policy.Idempotent, invariant.RetryLimit,
 		},
 	} {
@@ -70,12 +70,12 @@
 			d.startAttempt(r, policy.StartAttempt{Engine: "e", Timeout: time.Second})
 			started := !r.attempts[len(test.earlier)].Ended()
 			if started != (test.want == "") {
-				t.Errorf("started: %v", started)
+				t.Errorf("the attempt was started: %v", started)
 			}
 			violations := counters.Get(metrics.InvariantsViolated.With(string(test.want)))
 			all := counters.Sum("invariants.violated.")
 			if test.want != "" && violations != 1 || all > 1 {
-				t.Errorf("violations: %d of %q, %d in all", violations, test.want, all)
+				t.Errorf("violations: %d of %q, %d in total", violations, test.want, all)
 			}
 		})
 	}
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -10,7 +10,7 @@
 	"flaxrelay/policy"
 )
 
-// assertViolations checks how often a rule was violated so far.
+// assertViolations checks how often a rule has been violated so far.
 func (f *fixture) assertViolations(rule invariant.Rule, want int64) {
 	f.t.Helper()
 	if got := f.counters.Get(metrics.InvariantsViolated.With(string(rule))); got != want {
@@ -18,13 +18,14 @@
 	}
 }
 
-// PermitSend permits what the rules permit, and counts what an engine client should not have tried.
+// PermitSend permits an attempt that violates no rule. It counts a violation if an engine client tries to send an
+// attempt that it should have given up.
 func TestPermitSend_WithholdsWhatBreaksARule(t *testing.T) {
 	f := newFixture(t)
 	request := f.accept(readClass)
 	attempt := f.attempt(0)
 	if !f.PermitSend(attempt) {
-		t.Error("an attempt in order is withheld")
+		t.Error("an attempt that violates no rule is withheld")
 	}
 	f.UpdateEndpoints(policy.UpdateDelta, []lifecycle.Endpoint{endpoint(attempt.Engine, policy.EngineDraining)})
 	if f.PermitSend(attempt) {
@@ -38,22 +39,22 @@
 	f.assertViolations(invariant.SendAfterCompletion, 1)
 }
 
-// An attempt whose time is over is withheld. That is no violation: its timer is due.
+// An attempt whose timeout has passed is withheld. This is not a violation: the attempt's timer is due.
 func TestPermitSend_WithholdsWhatIsLate(t *testing.T) {
 	f := newFixture(t)
 	f.accept(readClass)
 	f.now += requestDeadline
 	if f.PermitSend(f.attempt(0)) {
-		t.Error("sent past its deadline")
+		t.Error("sent after the deadline")
 	}
 	f.assertViolations(invariant.SendAfterCompletion, 0)
 	if n := f.counters.Get(metrics.AttemptsWithheldLate); n != 1 {
-		t.Errorf("%d attempts withheld, want 1", n)
+		t.Errorf("%d attempts are counted as withheld, want 1", n)
 	}
 }
 
-// A request that is overdue without a response is a violation, once it is looked for; a response
-// that comes then is another.
+// CheckPending counts a violation for a request that is overdue without a response. A late response to
+// the request counts as a second violation.
 func TestCheckPending_FindsOverdueRequests(t *testing.T) {
 	f := newFixture(t)
 	f.accept(readClass)
@@ -69,7 +70,7 @@
 	f.assertViolations(invariant.ResponseOnce, 0)
 }
 
-// Once a graceful shutdown has given all final responses, what is accepted is rejected at once.
+// After a graceful shutdown has given all final responses, new requests are rejected at once.
 func TestAccept_AfterCompleteAllIsRejected(t *testing.T) {
 	f := newFixture(t)
 	f.CompleteAll()
--- a/internal/lifecycle/observer.go
+++ b/internal/lifecycle/observer.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// CostObserver learns what requests cost at their engines. It is notified only of
+// CostObserver observes the cost of requests at their engines. It is notified only of
 // requests that have ObserverData.
 type CostObserver interface {
 	// ObserveServed reports an attempt that was served.
 	ObserveServed(r *Request, report AttemptReport, elapsed time.Duration)
 	// ObserveTimeout reports an attempt that was given up at its timeout.
 	ObserveTimeout(r *Request, elapsed time.Duration)
-	// Release announces that nothing more will be reported of the request, so
+	// Release announces that nothing more will be reported about the request, so
 	// that its ObserverData may be reused.
 	Release(r *Request)
 }
@@ -32,11 +32,11 @@
 		c.observer.ObserveServed(a.Request, report, elapsed)
 	case StatusTimeout:
 		c.observer.ObserveTimeout(a.Request, elapsed)
-	default: // says nothing of the cost
+	default: // no other status shows the cost
 	}
 }
 
-// release announces that nothing more will be reported of the request.
+// release announces that nothing more will be reported about the request.
 func (c *costReporter) release(r *Request) {
 	if c.observes(r) {
 		c.observer.Release(r)
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -9,10 +9,10 @@
 // before Dispatcher.Accept and do not change afterwards; all others belong to the
 // Dispatcher.
 type Request struct {
-	ID                string        // the client's, forwarded unchanged; may occur twice
+	ID                string        // set by the client and forwarded unchanged; not necessarily unique
 	Class             string        // name of its class
 	Tenant            string        // whose quota it uses; "": none
-	OrderKey          string        // requests of one key run one at a time, in order; "": none
+	OrderKey          string        // requests with the same key run one at a time, in order; "": none
 	IdempotencyKey    string        // engines recognize duplicates by it; "": none
 	Statement         any           // as parsed by the front end, for an engine client of its protocol
 	Dataset           int64         // group of tables that it reads or writes
@@ -27,9 +27,9 @@
 	state           requestState
 	attempts        []*Attempt // in the order of their start
 	inFlight        int        // attempts that have not ended
-	memoryGrantMB   float64    // for the next attempts; 0: the engine's own choice
+	memoryGrantMB   float64    // for future attempts; 0: the engine decides
 	priority        int
-	lastErrorDetail any // of the latest engine error that the response may pass on
+	lastErrorDetail any // details of the latest engine error that the response may pass on
 }
 
 // requestState is the state of a request, which only advances:
@@ -37,28 +37,28 @@
 //	requestNew:        Dispatcher.Accept -> requestPending
 //	requestPending:    its response is given -> requestCompleted
 //	requestPending:    Dispatcher.ClientDisconnected -> requestCompleted
-//	requestCompleted:  its attempts have ended, and the balancer was notified -> requestReleased
+//	requestCompleted:  its attempts have ended, and no events are queued -> requestReleased
 //
-// A completed request may have attempts in flight that its engines finish in vain.
+// A completed request may still have attempts in flight, whose results are no longer needed.
 type requestState uint8
 
 const (
 	requestNew       requestState = iota // not accepted yet
-	requestPending                       // accepted, without its response
+	requestPending                       // accepted; awaits its response
 	requestCompleted                     // it has its response, or its client has disconnected
 	requestReleased                      // no attempt is in flight, and the dispatcher has dropped it
 )
 
-// recordErrorDetail sets the error detail that the response passes on, at the end of an attempt. The latest
-// attempt that may have run decides it, even if it has none. An attempt that never ran does so only while the
-// request can have had no effect: its error would hide that.
+// recordErrorDetail sets the error detail that the response passes on when an attempt has ended. It is the detail
+// of the latest attempt that may have run, even if that attempt has no detail. The detail of an attempt that never
+// ran is used only while the request cannot have had an effect; otherwise it would hide the possible effect.
 func (r *Request) recordErrorDetail(a *Attempt, detail any, mayHaveHadEffect bool) {
 	if a.state == attemptMayHaveRun || detail != nil && !mayHaveHadEffect {
 		r.lastErrorDetail = detail
 	}
 }
 
-// completed reports whether the request needs no response any more.
+// completed reports whether the request no longer needs a response.
 func (r *Request) completed() bool { return r.state >= requestCompleted }
 
 // mayHaveRun reports whether an engine may have run an attempt of the request.
--- a/internal/lifecycle/requests.go
+++ b/internal/lifecycle/requests.go
@@ -1,12 +1,12 @@
 package lifecycle
 
-// requestTable holds the accepted requests until they are released, by the ID under which the
-// balancer knows them. It counts those that are pending.
+// requestTable holds the accepted requests until they are released, keyed by the ID that identifies
+// them to the balancer, and counts the pending requests.
 type requestTable struct {
 	lastID     uint64
 	byID       map[uint64]*Request
-	pending    int        // requests in requestPending
-	releasable []*Request // to be released once the event queue is empty; reused
+	pending    int        // number of requests in requestPending
+	releasable []*Request // released once the event queue is empty; the slice is reused
 }
 
 func newRequestTable() requestTable { return requestTable{byID: map[uint64]*Request{}} }
@@ -27,7 +27,7 @@
 	t.pending--
 }
 
-// release drops a completed request.
+// release removes a completed request.
 func (t *requestTable) release(r *Request) {
 	r.state = requestReleased
 	delete(t.byID, r.policyID)
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -11,8 +11,8 @@
 
 // The three verdicts. The zero value is the most cautious.
 const (
-	VerdictFailed   Verdict = iota // not served; an engine may have run it, or the statement itself is at fault
-	VerdictRejected                // a retry is harmless
+	VerdictFailed   Verdict = iota // not served; an engine may have run it, or it would fail at any engine
+	VerdictRejected                // not served; a retry is harmless
 	VerdictServed
 )
 
@@ -32,8 +32,8 @@
 	DeadlinePassed   bool          // not served, and the deadline has passed or is less than the timer granularity away
 	Forwarded        bool          // at least one attempt was started
 	MayHaveHadEffect bool          // see Dispatcher.MayHaveHadEffect
-	Result           any           // if served
-	ErrorDetail      any           // of the latest engine error; nil: none
+	Result           any           // the complete result, if served
+	ErrorDetail      any           // details of the latest engine error; nil: none
 }
 
 // respond gives a request its response. It has no effect on a request that
--- a/internal/lifecycle/status.go
+++ b/internal/lifecycle/status.go
@@ -9,22 +9,22 @@
 const (
 	StatusUnknown           AttemptStatus = iota
 	StatusServed                          // the complete result has arrived
-	StatusStatementRejected               // the engine found the statement itself at fault; it had no effect
-	StatusResultTooLarge                  // it ran, but its result exceeds what may be buffered here
+	StatusStatementRejected               // the engine found an error in the statement, which had no effect
+	StatusResultTooLarge                  // the attempt ran, but its result exceeds what this program may buffer
 	StatusEngineError                     // the engine responded with an error
-	StatusOverloaded                      // the engine shed it before looking at it
-	StatusDeadlinePassed                  // the engine found its deadline passed before it ran
-	StatusPagesLost                       // it ran, but some pages of its result are no longer available
+	StatusOverloaded                      // the engine shed the attempt without processing it
+	StatusDeadlinePassed                  // the deadline passed before the engine ran the attempt
+	StatusPagesLost                       // the attempt ran, but some pages of its result are no longer available
 	StatusTimeout                         // no response within the attempt's timeout
 	StatusConnectionRefused               // the engine refused the connection
-	StatusConnectTimeout                  // no connection in time
+	StatusConnectTimeout                  // no connection was established in time
 	StatusNoDescriptor                    // no file descriptor was free for a connection
-	StatusLocalFailure                    // a connection failed on this machine
-	StatusUnknownEngine                   // the endpoint list has no address of the engine
+	StatusLocalFailure                    // a connection failed for a reason on this machine
+	StatusUnknownEngine                   // the endpoint list has no address for the engine
 	StatusConnectionReset                 // the connection broke
 	StatusProtocolError                   // the engine's response was malformed
-	StatusCancelled                       // cancelled from this side
-	StatusNotSent                         // ended before any of it was written
+	StatusCancelled                       // cancelled by this program
+	StatusNotSent                         // ended before any part of its request was written
 	StatusIdleClosed                      // a connection with no attempt in flight was closed
 	statusCount
 )
@@ -59,11 +59,11 @@
 	return statusNames[StatusUnknown]
 }
 
-// Result translates the status for the balancer. It is the only place that decides what an end proves. An
-// undefined status counts as one that may have run.
+// Result translates the status for the balancer. No other code decides which statuses prove that an engine did
+// not run the attempt. An undefined status counts as StatusUnknown: the attempt may have run.
 func (s AttemptStatus) Result() policy.Result {
 	switch s {
-	case StatusServed, StatusResultTooLarge: // the engine did its part
+	case StatusServed, StatusResultTooLarge: // the engine ran the attempt
 		return policy.ResultServed
 	case StatusEngineError, StatusPagesLost:
 		return policy.ResultFailed
--- a/internal/lifecycle/telemetry.go
+++ b/internal/lifecycle/telemetry.go
@@ -11,13 +11,13 @@
 )
 
 // telemetry records what happens to requests, attempts and engines. It counts the steps of requests and attempts, and
-// at level debug logs each of them under the request's id, so that the log shows why each attempt, retry and rejection
+// at level debug logs each step with the request's ID, so that the log shows why each attempt, retry and rejection
 // happened. Ejections and readmissions of engines are always logged.
 type telemetry struct {
 	clock    Clock
 	counters *metrics.Counters
 	logger   *slog.Logger
-	debug    bool // steps are logged; checked before their attributes are made, which costs time
+	debug    bool // steps are logged; checked first, because creating the attributes of a step costs time
 }
 
 func newTelemetry(clock Clock, counters *metrics.Counters, logger *slog.Logger) telemetry {
@@ -39,7 +39,7 @@
 	}
 }
 
-// requestRejected records that the balancer has rejected a request, which is nil if it was released.
+// requestRejected records that the balancer has rejected a request. The request is nil if it was released.
 func (t *telemetry) requestRejected(r *Request, rejection policy.Reject) {
 	reason := rejection.Reason.String()
 	t.counters.Increment(metrics.Rejections.With(reason))
@@ -49,7 +49,7 @@
 	}
 }
 
-// requestCompleted records the response of a request.
+// requestCompleted records the response to a request.
 func (t *telemetry) requestCompleted(r *Request, response *Response) {
 	verdict := response.Verdict.String()
 	t.counters.Increment(metrics.RequestsCompleted.With(verdict, r.Class))
@@ -85,7 +85,8 @@
 	}
 }
 
-// attemptEnded records the end of an attempt. The engine was warming up if the attempt started within its slow start.
+// attemptEnded records the end of an attempt. engineWarmingUp is whether the attempt started during the engine's slow
+// start.
 func (t *telemetry) attemptEnded(a *Attempt, elapsed time.Duration, engineWarmingUp bool) {
 	status := a.endStatus.String()
 	if t.debug {
