--- a/internal/lifecycle/dispatcher_test.go
+++ b/internal/lifecycle/dispatcher_test.go
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestDedupWindowClosed_LimitsRetriesOfWhatMayHaveRun(t *testing.T) {
+func TestDedupWindowClosed_LimitsRetriesAfterAPossibleRun(t *testing.T) {
 	for _, tc := range []struct {
 		class      string
 		firstEnds  lifecycle.AttemptStatus
--- a/internal/lifecycle/guard_internal_test.go
+++ b/internal/lifecycle/guard_internal_test.go
@@ -11,22 +11,22 @@
 	"flaxrelay/policy"
 )
 
-// idleClient is an engine client and a client that do nothing.
-type idleClient struct{}
+// noopClient is an engine client and a client that do nothing.
+type noopClient struct{}
 
-func (idleClient) Start(*Attempt)             {}
-func (idleClient) Abandon(*Attempt)           {}
-func (idleClient) Withdraw(*Attempt) bool     { return false }
-func (idleClient) SetPriority(*Attempt, int)  {}
-func (idleClient) UpdateEndpoint(Endpoint)    {}
-func (idleClient) Respond(*Request, Response) {}
+func (noopClient) Start(*Attempt)             {}
+func (noopClient) Abandon(*Attempt)           {}
+func (noopClient) Withdraw(*Attempt) bool     { return false }
+func (noopClient) SetPriority(*Attempt, int)  {}
+func (noopClient) UpdateEndpoint(Endpoint)    {}
+func (noopClient) Respond(*Request, Response) {}
 
 type fixedClock time.Duration
 
 func (c fixedClock) Now() time.Duration { return time.Duration(c) }
 
 // permitStart prevents an attempt that violates a rule, even if the balancer requests it, and counts the violation.
-func TestPermitStart_StopsWhatBreaksARule(t *testing.T) {
+func TestPermitStart_PreventsAttemptsThatViolateARule(t *testing.T) {
 	for name, test := range map[string]struct {
 		earlier []attemptState
 		effect  policy.Effect
@@ -58,9 +58,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.SetEngineClient(idleClient{})
+			d.SetEngineClient(noopClient{})
 			r := &Request{
-				ID: "r", Class: "c", Client: idleClient{}, state: requestPending, Deadline: time.Hour + time.Second,
+				ID: "r", Class: "c", Client: noopClient{}, state: requestPending, Deadline: time.Hour + time.Second,
 			}
 			for i, state := range test.earlier {
 				r.attempts = append(r.attempts, &Attempt{Request: r, index: i, state: state})
@@ -73,9 +73,9 @@
 				t.Errorf("the attempt was started: %v", started)
 			}
 			violations := counters.Get(metrics.InvariantsViolated.With(string(test.want)))
-			all := counters.Sum("invariants.violated.")
-			if test.want != "" && violations != 1 || all > 1 {
-				t.Errorf("violations: %d of %q, %d in total", violations, test.want, all)
+			total := counters.Sum("invariants.violated.")
+			if test.want != "" && violations != 1 || total > 1 {
+				t.Errorf("violations: %d of %q, %d in total", violations, test.want, total)
 			}
 		})
 	}
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -20,7 +20,7 @@
 
 // PermitSend permits an attempt that violates no rule. It counts a violation if an engine client tries to send an
 // attempt that it should have given up.
-func TestPermitSend_WithholdsWhatBreaksARule(t *testing.T) {
+func TestPermitSend_WithholdsAttemptsThatViolateARule(t *testing.T) {
 	f := newFixture(t)
 	request := f.accept(readClass)
 	attempt := f.attempt(0)
@@ -40,7 +40,7 @@
 }
 
 // An attempt whose timeout has passed is withheld. This is not a violation: the attempt's timer is due.
-func TestPermitSend_WithholdsWhatIsLate(t *testing.T) {
+func TestPermitSend_WithholdsLateAttempts(t *testing.T) {
 	f := newFixture(t)
 	f.accept(readClass)
 	f.now += requestDeadline
