--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,5 @@
 // Package invariant counts and logs violations of the rules that a front end must never break. Other
-// packages check the rules and prevent a violation if they can. Any violation is a fault of this
+// packages check the rules and prevent a violation if they can. Any violation is a bug in this
 // program.
 package invariant
 
@@ -20,24 +20,25 @@
 	SendAfterCompletion Rule = "send-after-completion"
 	// DrainedEndpoint: nothing is sent to an engine that is draining or removed.
 	DrainedEndpoint Rule = "drained-endpoint"
-	// RetryLimit: a request has no more attempts than the settings permit.
+	// RetryLimit: no request has more attempts than the settings permit.
 	RetryLimit Rule = "retry-limit"
 	// SingleInFlight: a request has one attempt in flight at a time, unless the settings permit hedged
 	// requests.
 	SingleInFlight Rule = "single-in-flight"
 	// RetryIdempotency: a request that may have run is retried only if it is idempotent.
 	RetryIdempotency Rule = "retry-idempotency"
-	// ResponseDropped: no connection is closed from this side over a pending request.
+	// ResponseDropped: this program does not close a client connection whose request is pending.
 	ResponseDropped Rule = "response-dropped"
-	// ResponseDeadline: a response comes no later than the rules grant.
+	// ResponseDeadline: a response is given no later than the settings permit.
 	ResponseDeadline Rule = "response-deadline"
-	// ResponseOnce: each request has one response, or its client has disconnected.
+	// ResponseOnce: each request gets exactly one response, unless its client disconnects first.
 	ResponseOnce Rule = "response-once"
 	// SlowStartOverload: this front end alone does not overload an engine that is warming up.
 	SlowStartOverload Rule = "slow-start-overload"
 )
 
-// Checker counts and logs violations. It is owned by the goroutine of the event loop.
+// Checker counts and logs violations. It is not safe for concurrent use; the goroutine of the event loop
+// owns it.
 type Checker struct {
 	counters *metrics.Counters
 	log      *slog.Logger
@@ -48,8 +49,8 @@
 	return &Checker{counters: counters, log: log}
 }
 
-// Check returns holds. If the rule does not hold, Check counts the violation and logs it with
-// the fields.
+// Check counts a violation of the rule and logs it with the fields, unless the rule holds. It returns
+// holds.
 func (c *Checker) Check(holds bool, rule Rule, fields ...slog.Attr) bool {
 	if !holds {
 		c.counters.Increment(metrics.InvariantsViolated.With(string(rule)))
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -17,11 +17,11 @@
 		t.Error("Check does not return whether the rule holds")
 	}
 	if n := counters.Get(metrics.InvariantsViolated.With("drained-endpoint")); n != 1 {
-		t.Errorf("%d violations counted", n)
+		t.Errorf("%d violations are counted, want 1", n)
 	}
 	got := out.String()
 	const want = "msg=invariant.violated rule=drained-endpoint engine=e1"
 	if strings.Count(got, "\n") != 1 || !strings.Contains(got, want) {
-		t.Errorf("log: %q", got)
+		t.Errorf("log is %q, want one line with the rule and the engine", got)
 	}
 }
