--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,5 +1,5 @@
-// Package timerqueue is a queue of timers, ordered by due time, for a program with one event loop. The loop runs the
-// due timers once in each turn.
+// Package timerqueue provides a queue of timers, ordered by due time, for a program with one event loop. The loop runs
+// the due timers once in each iteration.
 package timerqueue
 
 import (
@@ -12,8 +12,8 @@
 const treeDegree = 16
 
 // Queue owns the timers that have not run yet. It runs them in the order of their due times, and timers with the same
-// due time in the order in which they were scheduled. Due times are those of the caller's clock. A Queue and its timers
-// are not safe for concurrent use.
+// due time in the order in which they were scheduled. Due times are readings of the caller's clock. A Queue and its
+// timers are not safe for concurrent use.
 type Queue struct {
 	tree         *btree.BTreeG[*Timer]
 	lastSequence uint64
@@ -22,7 +22,7 @@
 // Timer is one scheduled call.
 type Timer struct {
 	due      time.Duration
-	sequence uint64 // number of the timer in the queue, in the order of Schedule
+	sequence uint64 // orders timers with the same due time; counts the calls of Schedule
 	callback func()
 	queue    *Queue // nil after the timer ran or was stopped
 }
@@ -32,7 +32,7 @@
 	return &Queue{tree: btree.NewG(treeDegree, runsBefore)}
 }
 
-// runsBefore is the order of the queue.
+// runsBefore reports whether timer a runs before timer b.
 func runsBefore(a, b *Timer) bool {
 	if a.due != b.due {
 		return a.due < b.due
@@ -40,7 +40,7 @@
 	return a.sequence < b.sequence
 }
 
-// Schedule adds a timer. The first RunDue whose time is not before due runs the callback.
+// Schedule adds a timer. The first call of RunDue with a time at or after due runs the callback.
 func (q *Queue) Schedule(due time.Duration, callback func()) *Timer {
 	q.lastSequence++
 	t := &Timer{due: due, sequence: q.lastSequence, callback: callback, queue: q}
@@ -57,14 +57,15 @@
 	t.release()
 }
 
-// release drops the references of a timer that has run or was stopped, because its owner may keep it for long.
+// release drops the references of a timer that has run or was stopped, because its owner may keep the timer for a long
+// time.
 func (t *Timer) release() {
 	t.queue = nil
 	t.callback = nil
 }
 
-// RunDue runs all timers whose due time is not after now. Timers that their callbacks schedule wait for the next call,
-// also if they are due already. Otherwise a timer that reschedules itself could block the caller forever.
+// RunDue runs all timers that are due at or before now. Timers that their callbacks schedule wait for the next call of
+// RunDue, even if they are already due. Otherwise a timer that reschedules itself could block the caller forever.
 func (q *Queue) RunDue(now time.Duration) {
 	lastBeforeRun := q.lastSequence
 	var postponed []*Timer
@@ -89,7 +90,7 @@
 	}
 }
 
-// NextDue returns the due time of the earliest timer; ok is false if there is none.
+// NextDue returns the due time of the earliest timer; ok is false if the queue is empty.
 func (q *Queue) NextDue() (due time.Duration, ok bool) {
 	t, ok := q.tree.Min()
 	if !ok {
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// recorder notes the names of the timers that run, in their order.
+// recorder records the names of the timers that run, in the order in which they run.
 type recorder struct {
 	queue *Queue
 	ran   []string
@@ -15,7 +15,7 @@
 
 func newRecorder() *recorder { return &recorder{queue: New()} }
 
-// schedule adds a timer that notes its name when it runs.
+// schedule adds a timer that records its name when it runs.
 func (r *recorder) schedule(due time.Duration, name string) *Timer {
 	return r.queue.Schedule(due, func() { r.ran = append(r.ran, name) })
 }
