--- a/internal/memorybudget/budget.go
+++ b/internal/memorybudget/budget.go
@@ -2,20 +2,20 @@
 // results.
 package memorybudget
 
-// Budget is the number of bytes that its users may buffer together. The zero value permits none. A
+// Budget limits the number of bytes that its users may buffer in total. The zero value permits none. A
 // Budget is not safe for concurrent use.
 type Budget struct {
 	limit    int // bytes
 	reserved int // bytes
 }
 
-// New returns a budget of which nothing is reserved.
+// New returns a budget with a limit in bytes and no reservations.
 func New(limit int) Budget { return Budget{limit: limit} }
 
-// SetLimit changes the limit. Reservations stay, even if they exceed the new limit.
+// SetLimit changes the limit. Existing reservations remain, even if they exceed the new limit.
 func (b *Budget) SetLimit(bytes int) { b.limit = bytes }
 
-// TryReserve reserves bytes and reports whether they were within the limit.
+// TryReserve reserves bytes if the limit permits it, and reports whether it did so.
 func (b *Budget) TryReserve(bytes int) bool {
 	if b.reserved+bytes > b.limit {
 		return false
@@ -24,5 +24,5 @@
 	return true
 }
 
-// Release gives back bytes that TryReserve reserved.
+// Release releases bytes that TryReserve reserved.
 func (b *Budget) Release(bytes int) { b.reserved -= bytes }
