--- a/internal/metrics/catalog.go
+++ b/internal/metrics/catalog.go
@@ -2,7 +2,7 @@
 
 // The labels of families of counters.
 const (
-	LabelClass    = "CLASS"    // a class of requests of the settings
+	LabelClass    = "CLASS"    // a request class of the settings
 	LabelVerdict  = "VERDICT"  // the kind of a final response
 	LabelReason   = "REASON"   // why a request was rejected
 	LabelRule     = "RULE"     // an invariant
@@ -18,7 +18,7 @@
 	RequestsCompleted = declareVec2("requests.completed", LabelVerdict, LabelClass,
 		"Requests that got their final response.")
 	RequestsCompletedLate = declareVec("requests.completed-late", LabelClass,
-		"Requests rejected or failed whose deadline had passed.")
+		"Rejected or failed requests whose deadline had passed.")
 	RequestsDisconnected = declareVec("requests.disconnected", LabelClass,
 		"Requests whose client cancelled or closed its connection before the response.")
 	Rejections = declareVec("rejections", LabelReason,
@@ -27,8 +27,8 @@
 		"Violations of an invariant, prevented or not.")
 )
 
-// RejectionsShutdown counts the requests that arrive after Dispatcher.CompleteAll. Those that were pending
-// then are counted by the balancer's reason.
+// RejectionsShutdown counts the requests that arrive after Dispatcher.CompleteAll. Requests that were pending
+// at that time are counted under the balancer's reason, if they are rejected.
 var RejectionsShutdown = Rejections.With("shutdown")
 
 // Attempts.
@@ -46,7 +46,7 @@
 	AttemptsRetriedAfter = declareVec("attempts.retried-after", LabelStatus,
 		"Attempts started after one that ended with the status.")
 	AttemptsWithheldLate = declare("attempts.withheld.late",
-		"Attempts not sent because their timeout or their deduplication window was over; this is no violation.")
+		"Attempts not sent because their timeout or their deduplication window had passed; this is not a violation.")
 	AttemptsProgress = declare("attempts.progress",
 		"Progress reports of engines on attempts in flight.")
 )
@@ -54,9 +54,9 @@
 // Connections to engines.
 var (
 	EngineConnectionsDialed = declare("engine-connections.dialed",
-		"Connections to engines begun, established or not.")
+		"Connections to engines that were dialed, established or not.")
 	EngineConnectionsClosed = declareVec("engine-connections.closed", LabelStatus,
-		"Connections to engines ended, established or not.")
+		"Connections to engines that ended, established or not.")
 	EngineConnectionsEvicted = declare("engine-connections.evicted",
 		"Idle connections to engines closed to make a descriptor available.")
 	EngineConnectionsLateResponses = declare("engine-connections.late-responses",
@@ -120,9 +120,9 @@
 	ShapesBytes = declare("shapes.bytes",
 		"Bytes in the cache of statement shapes; set when counters are printed.")
 	ShapesLearned = declare("shapes.learned",
-		"Served requests learned from; set when counters are printed.")
+		"Executions whose cost was learned; set when counters are printed.")
 	ShapesCorrected = declare("shapes.corrected",
-		"Requests whose estimate replaced the client's; set when counters are printed.")
+		"Requests for which the learned estimate replaced the client's; set when counters are printed.")
 	ShapesSnapshots = declare("shapes.snapshots",
 		"Snapshots written.")
 	ShapesSnapshotFailed = declare("shapes.snapshot-failed",
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,8 +1,8 @@
 // Package metrics declares the counters of the program and holds their values. catalog.go lists
 // all of them; docs/operations.md explains them to operators.
 //
-// Each counter is a variable, and each family of counters a variable whose method With returns one of
-// them:
+// Each counter is a variable. Each family of counters is a variable too, whose method With returns one
+// counter of the family:
 //
 //	counters.Increment(metrics.HTTPConnections)
 //	counters.Increment(metrics.RequestsAccepted.With(class))
@@ -32,7 +32,7 @@
 // Increment increments a counter by one.
 func (c *Counters) Increment(counter Counter) { c.counts[counter.name]++ }
 
-// Set sets a counter whose value another component counts.
+// Set sets a counter to a value that another component maintains.
 func (c *Counters) Set(counter Counter, value int64) { c.counts[counter.name] = value }
 
 // Get returns the value of a counter.
@@ -49,8 +49,8 @@
 	return sum
 }
 
-// Deltas returns by how much each counter has changed since the previous call, in order of name,
-// as the fields of a log event. Unchanged counters are left out.
+// Deltas returns how much each counter has changed since the previous call, in order of name,
+// as the fields of a log event. Unchanged counters are omitted.
 func (c *Counters) Deltas() []slog.Attr {
 	var deltas []slog.Attr
 	for _, name := range c.sortedNames() {
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -56,6 +56,6 @@
 		t.Errorf("the counter is %d, want 2", got)
 	}
 	if got := c.Sum("requests.accepted."); got != 3 {
-		t.Errorf("the family's sum is %d, want 3", got)
+		t.Errorf("the sum of the family is %d, want 3", got)
 	}
 }
--- a/internal/metrics/declaration.go
+++ b/internal/metrics/declaration.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Counter identifies one counter. Only the catalog declares counters; the zero value identifies
-// none.
+// Counter identifies one counter. Only the catalog declares counters; the zero value is not a valid
+// counter.
 type Counter struct{ name string }
 
 // Name returns the counter's name. Its parts are joined by dots: first the area, such as requests or
@@ -28,11 +28,11 @@
 
 // Declaration describes a counter or a family of counters of the catalog.
 type Declaration struct {
-	Name string // for a family with its labels as last parts, as in attempts.ended.STATUS
+	Name string // the name of a family ends with its labels, as in attempts.ended.STATUS
 	Help string // one sentence: what it counts
 }
 
-// declarations holds the catalog, in the order of its file.
+// declarations holds the catalog, in the order of catalog.go.
 var declarations []Declaration
 
 // Catalog returns the declarations of all counters.
