--- a/internal/logevent/catalog.go
+++ b/internal/logevent/catalog.go
@@ -8,13 +8,13 @@
 		"The front end accepts requests.",
 		"addr")
 	ServerStartFailed = declare("server.start-failed", slog.LevelError,
-		"A fault prevents the front end from starting; one line for each fault.",
+		"An error prevents the front end from starting; there is one line for each error.",
 		"file", "line", "field", "error")
 	ServerDisabled = declare("server.disabled", slog.LevelInfo,
-		"The deploy file names no address to listen at.",
+		"The deploy file does not name an address to listen on.",
 		"reason")
 	ShutdownStarted = declare("shutdown.started", slog.LevelInfo,
-		"SIGTERM or SIGINT has begun the graceful shutdown.")
+		"SIGTERM or SIGINT has started the graceful shutdown.")
 	MetricsDelta = declare("metrics.delta", slog.LevelInfo,
 		"Every 5 s: by how much each counter has changed since the previous line.",
 		CounterField)
@@ -34,7 +34,7 @@
 // Discovery.
 var (
 	EventBusMoved = declare("eventbus.moved", slog.LevelInfo,
-		"SIGHUP named another event bus.",
+		"A reload by SIGHUP named another event bus.",
 		"from", "to", "last_event")
 	EventBusDisconnected = declare("eventbus.disconnected", slog.LevelWarn,
 		"The event bus closed the connection, sent no byte for 2.5 s, violated the protocol or cannot be reached.",
@@ -59,7 +59,7 @@
 		"A connection to an engine was not established; refused connections are only counted.",
 		"engine", "error")
 	EngineProtocolError = declare("engine.protocol-error", slog.LevelWarn,
-		"A response could not be read or stopped in the middle; the connection was closed with all attempts on it.",
+		"A response was malformed or incomplete; its connection was closed, which ended all attempts on it.",
 		"engine", "error")
 )
 
@@ -72,10 +72,10 @@
 		"A snapshot could not be written.",
 		"file", "error")
 	ShapesSnapshotUnreadable = declare("shapes.snapshot-unreadable", slog.LevelWarn,
-		"The snapshot could not be read in five attempts; learning starts anew.",
+		"The snapshot could not be read in five attempts; learning starts again from zero.",
 		"file", "error")
 	ShapesSnapshotUnusable = declare("shapes.snapshot-unusable", slog.LevelWarn,
-		"The snapshot is damaged or of another version; it was renamed and learning starts anew.",
+		"The snapshot is damaged or of another version; it was renamed, and learning starts again from zero.",
 		"file", "error", "renamed_to", "rename_error")
 )
 
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -1,6 +1,6 @@
 // Package logevent declares the events that the programs write to their log. catalog.go lists all of
-// them; docs/operations.md explains them to operators. Each event is a variable. Its fields must be
-// among those of its declaration, which a test of internal/observability checks:
+// them; docs/operations.md explains them to operators. Each event is a variable. It must be logged only
+// with fields that its declaration lists, which a test of internal/observability checks:
 //
 //	logevent.EngineReadmitted.Log(logger, slog.String("engine", id))
 package logevent
@@ -17,7 +17,7 @@
 	level slog.Level
 }
 
-// Log writes the event with its fields to a logger.
+// Log writes the event with the fields to a logger.
 func (e Event) Log(logger *slog.Logger, fields ...slog.Attr) {
 	logger.LogAttrs(context.Background(), e.level, e.name, fields...)
 }
@@ -30,11 +30,11 @@
 	Fields []string // keys of the fields that the event may have, or CounterField
 }
 
-// CounterField is an entry of Declaration.Fields that represents all fields whose keys are names of
+// CounterField is an entry of Declaration.Fields that stands for all fields whose keys are names of
 // counters.
 const CounterField = "COUNTER"
 
-// declarations holds the catalog, in the order of its file.
+// declarations holds the catalog, in the order of catalog.go.
 var declarations []Declaration
 
 // Catalog returns the declarations of all events.
--- a/internal/logevent/event_test.go
+++ b/internal/logevent/event_test.go
@@ -21,7 +21,7 @@
 	logger := slog.New(slog.NewJSONHandler(&out, options))
 	EventBusDisconnected.Log(logger, slog.String("bus", "127.0.0.1:1"),
 		slog.Any("error", errors.New("closed")), slog.Duration("retry_in", time.Second))
-	AttemptEnded.Log(logger, slog.String("request", "r")) // the logger's level is info
+	AttemptEnded.Log(logger, slog.String("request", "r")) // not written: the level of the logger is info
 	want := `{"level":"WARN","msg":"eventbus.disconnected",` +
 		`"bus":"127.0.0.1:1","error":"closed","retry_in":1000000000}` + "\n"
 	if diff := cmp.Diff(want, out.String()); diff != "" {
