--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -13,9 +13,9 @@
 	flushPollInterval = time.Millisecond
 )
 
-// AsyncWriter writes lines on a goroutine of its own, so that Write never blocks. While the output
-// blocks, such as a pipe that nobody reads, lines are queued up to a limit; lines beyond it are
-// dropped and counted. It is safe for concurrent use.
+// AsyncWriter writes lines on its own goroutine, so that Write never blocks. While the output blocks,
+// for example a pipe that nobody reads, lines are queued up to maxQueuedBytes; lines beyond this limit
+// are dropped and counted. AsyncWriter is safe for concurrent use.
 type AsyncWriter struct {
 	out    io.Writer
 	wakeUp chan struct{} // holds a value while lines wait
@@ -27,7 +27,7 @@
 	dropped     int64
 }
 
-// NewAsyncWriter returns a writer to the output. Its goroutine runs until the process ends.
+// NewAsyncWriter returns a writer to the output. Its goroutine runs until the process exits.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	w := &AsyncWriter{out: out, wakeUp: make(chan struct{}, 1)}
 	go w.run()
@@ -35,7 +35,7 @@
 }
 
 // Write implements io.Writer. It returns no error for a dropped line, because callers have nowhere
-// else to report it; Dropped counts such lines.
+// else to report the error; Dropped counts such lines.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.queuedBytes+len(line) > maxQueuedBytes {
--- a/internal/logging/asyncwriter_test.go
+++ b/internal/logging/asyncwriter_test.go
@@ -23,8 +23,8 @@
 	return g.out.Write(p) //nolint:wrapcheck // a bytes.Buffer returns no error
 }
 
-// Lines are written complete and in order. While the output blocks, Write does not, the queue stays
-// limited, and lines that do not fit are counted.
+// Lines are written completely and in order. While the output blocks, Write does not block, the queue
+// stays limited, and lines that do not fit into it are counted.
 func TestAsyncWriter_WriteDoesNotBlockWhileTheOutputDoes(t *testing.T) {
 	const lines = 20000
 	var output gate
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the loggers of the programs. A logger writes colored text to a terminal and
+// Package logging creates the loggers of the programs. A logger writes colored text to a terminal and
 // JSON to other files, and limits the rate of each event. Package logevent declares the events.
 package logging
 
@@ -18,27 +18,27 @@
 	formatText = "text"
 )
 
-// terminalTimeFormat has no date, because a terminal shows recent events.
+// terminalTimeFormat omits the date, because a terminal shows recent events.
 const terminalTimeFormat = "15:04:05.000"
 
 // Options configure a logger.
 type Options struct {
-	Format string // auto, json or text; auto is text on a terminal and JSON elsewhere
+	Format string // auto, json or text; auto selects text on a terminal and JSON elsewhere
 	Level  string // debug, info, warn or error
 	// Terminal is whether the lines are shown on a terminal (see IsTerminal).
 	Terminal bool
 }
 
-// FormatError reports a log format that does not exist.
+// FormatError reports an unknown log format.
 type FormatError struct{ Format string }
 
 // Error implements error.
 func (e *FormatError) Error() string {
-	return fmt.Sprintf("log format: %q is none of auto, json, text", e.Format)
+	return fmt.Sprintf("log format: %q is not one of auto, json, text", e.Format)
 }
 
-// New returns a logger that writes to the writer. The error is a *FormatError or wraps the error of
-// the level.
+// New returns a logger that writes to out. The error is a *FormatError, or wraps the error of an
+// unknown level.
 func New(out io.Writer, opts Options) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(opts.Level)); err != nil {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -47,6 +47,6 @@
 	}
 	_, err = New(os.Stderr, Options{Format: "json", Level: "loud"})
 	if err == nil || !strings.HasPrefix(err.Error(), "log level: ") {
-		t.Errorf("level loud: error is %v, want a fault of the log level", err)
+		t.Errorf("level loud: error is %v, want an error about the log level", err)
 	}
 }
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -23,9 +23,10 @@
 const suppressedKey = "suppressed"
 
 // rateLimitHandler limits how often each event is written, so that a peer cannot fill the log. The
-// message of a record identifies its event. The next record of the event that is written has a field
-// with the number of suppressed ones. Errors are always written, and so are records below level info,
-// because the steps of a request are useful only if they are complete. It is safe for concurrent use.
+// message of a record identifies its event. After records of an event were suppressed, the next written
+// record of this event has a field with their number. Errors are always written. So are records below
+// level info, because the log of a request's steps is useful only if it is complete. rateLimitHandler
+// is safe for concurrent use.
 type rateLimitHandler struct {
 	slog.Handler
 	limiters *eventLimiters
