--- a/internal/logging/asyncwriter_test.go
+++ b/internal/logging/asyncwriter_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// gate is an output that blocks while it is locked.
-type gate struct {
+// blockingOutput is an output that blocks while it is locked.
+type blockingOutput struct {
 	mu  sync.Mutex
 	out bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *blockingOutput) Write(p []byte) (int, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.out.Write(p) //nolint:wrapcheck // a bytes.Buffer returns no error
@@ -27,7 +27,7 @@
 // stays limited, and lines that do not fit into it are counted.
 func TestAsyncWriter_WriteDoesNotBlockWhileTheOutputDoes(t *testing.T) {
 	const lines = 20000
-	var output gate
+	var output blockingOutput
 	writer := NewAsyncWriter(&output)
 	output.mu.Lock()
 	for n := range lines {
