--- a/internal/observability/labels_test.go
+++ b/internal/observability/labels_test.go
@@ -11,7 +11,7 @@
 	"flaxrelay/policy"
 )
 
-// ejectionReasons is a key of labelValues that is not a label, but a field of an event.
+// ejectionReasons is a key of the map of labelValues. It stands for a field of an event, not for a label.
 const ejectionReasons = "reason of engine.ejected"
 
 // labelValues returns the values of each label with a fixed set of values, and of ejectionReasons.
@@ -39,7 +39,7 @@
 	for label := range values {
 		slices.Sort(values[label])
 		if len(values[label]) < 2 {
-			t.Errorf("only the values %v are found for the label %s", values[label], label)
+			t.Errorf("found only the values %v of the label %s, want at least two", values[label], label)
 		}
 	}
 	return values
--- a/internal/observability/names_test.go
+++ b/internal/observability/names_test.go
@@ -1,5 +1,5 @@
-// Package observability contains the tests of the names that operators see: those of counters and
-// log events, and the values that are part of these names.
+// Package observability contains the tests of the names that operators see: the names of counters and
+// log events, and the label values that are part of these names.
 package observability
 
 import (
@@ -38,7 +38,7 @@
 	golden.Compare(t, "testdata/names.golden", fmt.Appendln(nil, strings.Join(lines, "\n")))
 }
 
-// withoutLabels returns a declared name in which the placeholder replaces each label.
+// withoutLabels returns a declared name with each label replaced by the placeholder.
 func withoutLabels(name, placeholder string) string {
 	parts := strings.Split(name, ".")
 	for i, part := range parts {
@@ -49,7 +49,7 @@
 	return strings.Join(parts, ".")
 }
 
-// isLabel reports whether a part of a declared name is a label. Labels are in capitals.
+// isLabel reports whether a part of a declared name is a label. Labels are in upper case.
 func isLabel(part string) bool { return part == strings.ToUpper(part) }
 
 // TestCatalogs_DeclareEachNameOnceWithASentence checks the form of the declarations.
--- a/internal/observability/page_test.go
+++ b/internal/observability/page_test.go
@@ -17,7 +17,7 @@
 // operationsPage is the page that explains counters and log events to operators.
 const operationsPage = "docs/operations.md"
 
-// oldNamesHeading is the heading of the part of the page that lists names of earlier versions.
+// oldNamesHeading is the heading of the section of the page that lists names of earlier versions.
 const oldNamesHeading = "## Names before this version"
 
 func readOperationsPage(t *testing.T) string {
@@ -32,7 +32,7 @@
 // pageRow is a row of a table of the page. It maps the headers of the columns to the cells.
 type pageRow map[string]string
 
-// rowsOf returns the rows of all tables of the page whose first column has the header.
+// rowsOf returns the rows of all tables of the page whose first column has the given header.
 func rowsOf(t *testing.T, firstHeader string) []pageRow {
 	t.Helper()
 	var rows []pageRow
@@ -58,7 +58,7 @@
 	return rows
 }
 
-// cellsOf splits a line of a table into its cells.
+// cellsOf splits a line of a table into its cells. isRow is false if the line is not part of a table.
 func cellsOf(line string) (cells []string, isRow bool) {
 	line, isRow = strings.CutPrefix(strings.TrimSpace(line), "|")
 	if !isRow {
@@ -86,7 +86,7 @@
 	t.Helper()
 	words := codeWords(cell)
 	if len(words) != 1 || cell != "`"+words[0]+"`" {
-		t.Fatalf("%s: the cell %q is not one name", operationsPage, cell)
+		t.Fatalf("%s: the cell %q is not a single code span", operationsPage, cell)
 	}
 	return words[0]
 }
@@ -152,7 +152,7 @@
 	}
 	text, _, found := strings.Cut(readOperationsPage(t), oldNamesHeading)
 	if !found {
-		t.Fatalf("%s has no part %q", operationsPage, oldNamesHeading)
+		t.Fatalf("%s has no section %q", operationsPage, oldNamesHeading)
 	}
 	for _, word := range codeWords(text) {
 		area, _, isDotted := strings.Cut(word, ".")
@@ -166,7 +166,7 @@
 }
 
 // declaredNames returns the names of all counters and events. A family of counters is listed with
-// its labels as declared, and again with each value of a label that has a fixed set of values.
+// its labels as declared, and also with each value of a label that has a fixed set of values.
 func declaredNames(t *testing.T) []string {
 	t.Helper()
 	values := labelValues(t)
--- a/internal/observability/sources_test.go
+++ b/internal/observability/sources_test.go
@@ -56,8 +56,8 @@
 	return files
 }
 
-// TestSources_UseEachDeclaration fails if a counter is declared that nothing counts, or an event
-// that nothing logs.
+// TestSources_UseEachDeclaration fails if a declared counter is never counted, or a declared event is
+// never logged.
 func TestSources_UseEachDeclaration(t *testing.T) {
 	sources := parseServingSources(t)
 	used := map[string]bool{}
@@ -136,8 +136,8 @@
 	}
 }
 
-// eventOf returns the variable of package logevent that a call logs: as the receiver of Log, as an
-// argument of a function that logs it, or through invariant.Checker.
+// eventOf returns the variable of package logevent that a call logs. The variable is the receiver of Log,
+// or an argument of a function that logs it. A call of invariant.Checker logs InvariantViolated.
 func eventOf(call *ast.CallExpr) (variable string, isEvent bool) {
 	candidates := slices.Clone(call.Args)
 	if method, isMethod := call.Fun.(*ast.SelectorExpr); isMethod {
@@ -155,7 +155,7 @@
 	return "", false
 }
 
-// attributeKeys returns the keys of the calls of slog's constructors among the arguments.
+// attributeKeys returns the keys of those arguments that are calls of attribute constructors of slog.
 func attributeKeys(arguments []ast.Expr) []string {
 	var keys []string
 	for _, argument := range arguments {
@@ -174,8 +174,8 @@
 	return keys
 }
 
-// declaredVariables returns the declarations of a package's catalog: the names of counters or
-// events, by the names of their variables.
+// declaredVariables returns the counters or events that a package's catalog declares: their names,
+// keyed by the names of their variables.
 func (files sourceFiles) declaredVariables(packageName string) map[string]string {
 	variables := map[string]string{}
 	for _, file := range files {
@@ -220,7 +220,7 @@
 	return text, err == nil
 }
 
-// constantsOfType returns the values of all constants of the string type with the given name, sorted.
+// constantsOfType returns the sorted values of all constants of the string type with the given name.
 func (files sourceFiles) constantsOfType(name string) []string {
 	var values []string
 	files.eachValueSpec(func(constants *ast.ValueSpec) {
