--- a/internal/observability/page_test.go
+++ b/internal/observability/page_test.go
@@ -32,13 +32,13 @@
 // pageRow is a row of a table of the page. It maps the headers of the columns to the cells.
 type pageRow map[string]string
 
-// rowsOf returns the rows of all tables of the page whose first column has the given header.
-func rowsOf(t *testing.T, firstHeader string) []pageRow {
+// tableRows returns the rows of all tables of the page whose first column has the given header.
+func tableRows(t *testing.T, firstHeader string) []pageRow {
 	t.Helper()
 	var rows []pageRow
 	var headers []string
 	for line := range strings.Lines(readOperationsPage(t)) {
-		cells, isRow := cellsOf(line)
+		cells, isRow := splitRow(line)
 		switch {
 		case !isRow:
 			headers = nil
@@ -58,8 +58,8 @@
 	return rows
 }
 
-// cellsOf splits a line of a table into its cells. isRow is false if the line is not part of a table.
-func cellsOf(line string) (cells []string, isRow bool) {
+// splitRow splits a line of a table into its cells. isRow is false if the line is not part of a table.
+func splitRow(line string) (cells []string, isRow bool) {
 	line, isRow = strings.CutPrefix(strings.TrimSpace(line), "|")
 	if !isRow {
 		return nil, false
@@ -97,7 +97,7 @@
 		declared[counter.Name] = counter.Help
 	}
 	documented := map[string]string{}
-	for _, row := range rowsOf(t, "counter") {
+	for _, row := range tableRows(t, "counter") {
 		name := codeWord(t, row["counter"])
 		if _, isDuplicate := documented[name]; isDuplicate {
 			t.Errorf("%s explains the counter %s twice", operationsPage, name)
@@ -116,7 +116,7 @@
 		declared[e.Name] = event{strings.ToLower(e.Level.String()), strings.Join(e.Fields, " "), e.Help}
 	}
 	documented := map[string]event{}
-	for _, row := range rowsOf(t, "event") {
+	for _, row := range tableRows(t, "event") {
 		name := codeWord(t, row["event"])
 		if _, isDuplicate := documented[name]; isDuplicate {
 			t.Errorf("%s explains the event %s twice", operationsPage, name)
@@ -131,7 +131,7 @@
 func TestOperationsPage_HasTheValuesOfEachLabel(t *testing.T) {
 	for label, values := range labelValues(t) {
 		var documented []string
-		for _, row := range rowsOf(t, label) {
+		for _, row := range tableRows(t, label) {
 			documented = append(documented, codeWord(t, row[label]))
 		}
 		slices.Sort(documented)
--- a/internal/observability/sources_test.go
+++ b/internal/observability/sources_test.go
@@ -117,7 +117,7 @@
 			if !isCall {
 				return true
 			}
-			variable, isEvent := eventOf(call)
+			variable, isEvent := loggedEvent(call)
 			if !isEvent {
 				return true
 			}
@@ -136,9 +136,9 @@
 	}
 }
 
-// eventOf returns the variable of package logevent that a call logs. The variable is the receiver of Log,
+// loggedEvent returns the variable of package logevent that a call logs. The variable is the receiver of Log,
 // or an argument of a function that logs it. A call of invariant.Checker logs InvariantViolated.
-func eventOf(call *ast.CallExpr) (variable string, isEvent bool) {
+func loggedEvent(call *ast.CallExpr) (variable string, isEvent bool) {
 	candidates := slices.Clone(call.Args)
 	if method, isMethod := call.Fun.(*ast.SelectorExpr); isMethod {
 		if method.Sel.Name == "Check" && strings.EqualFold(lastName(method.X), "invariants") {
