--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -65,7 +65,7 @@
 func (d *Dispatcher) PermitSend(a *Attempt) bool {
 	now := d.clock.Now()
 	if a.DedupWindowClosed(now) || now >= a.timeoutAt() {
-		// This is not a violation: the attempt's timer is due, or it waited for its connection for too long.
+		// This is not a violation: the attempt's timer is due, or the attempt waited too long for its connection.
 		d.counters.Increment(metrics.AttemptsWithheldLate)
 		return false
 	}
--- a/internal/lifecycle/status.go
+++ b/internal/lifecycle/status.go
@@ -83,7 +83,7 @@
 		return policy.ResultNotSent
 	case StatusNotSent:
 		return policy.ResultNotSent
-	case StatusNoDescriptor, StatusLocalFailure: // the fault is on this side, not the engine's
+	case StatusNoDescriptor, StatusLocalFailure: // the failure is on this machine, not at the engine
 		return policy.ResultNotSent
 	case StatusUnknown, StatusIdleClosed, statusCount:
 		return policy.ResultUnknown
