--- a/internal/decision/costmodel/classify.go
+++ b/internal/decision/costmodel/classify.go
@@ -1,7 +1,7 @@
 package costmodel
 
-// classify returns the index of the class for an expected work in ms. bucket may be nil. A bucket
-// stores its class, which changes only if the estimate passes the class's limit by the hysteresis.
+// classify returns the index of the class for an expected work in ms. bucket may be nil. A bucket stores its
+// class, which changes only if the work passes the limit between two classes by the factor of the hysteresis.
 func (m *Model) classify(work float64, bucket *Bucket) int {
 	if len(m.cfg.Classes) == 0 {
 		return NoClass
@@ -28,7 +28,7 @@
 	return m.classFor(work*m.cfg.Hysteresis) >= current
 }
 
-// classFor returns the index of the first class whose limit is not exceeded.
+// classFor returns the index of the first class whose limit the work does not exceed, or else of the last class.
 func (m *Model) classFor(work float64) int {
 	for i, class := range m.cfg.Classes {
 		if class.MaxWorkMillis <= 0 || work <= class.MaxWorkMillis {
--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -1,6 +1,6 @@
-// Package costmodel predicts what a statement costs, and of which class it is, from the
-// costs of earlier executions. It is pure: it uses no clock and no I/O, and the same calls
-// give the same results.
+// Package costmodel predicts the cost and the class of a statement from the costs of earlier
+// executions. It is deterministic: it uses no clock and no I/O, and the same calls give the same
+// results.
 //
 // # Use
 //
@@ -11,21 +11,22 @@
 // # Estimates
 //
 // An estimate is an ensemble of four components. Each is weighted by the inverse of the
-// variance that its errors have shown, which is the best linear combination of independent
+// observed variance of its errors, which is the best linear combination of independent
 // unbiased estimators:
 //
 //   - the record of the shape, separately for each profile of the values (record.go);
-//   - similar values: the deviation of executions with such values from the usual cost of
+//   - similar values: the deviation of executions with similar values from the usual cost of
 //     their shapes, over all shapes (similar.go);
 //   - the prior, a regression over features that learns from all shapes, corrected by its
 //     errors for this shape (prior.go, features.go);
 //   - the client's hint, corrected by its errors for this shape.
 //
-// A frequent value whose cost deviates from that of others adds a correction to their result (frequent.go).
+// A frequent value whose cost differs from the cost of other values adds a correction to the
+// combined result (frequent.go).
 //
 // Work is measured in milliseconds on one core and memory in megabytes. Both are stored as
 // base-2 logarithms, since costs spread over orders of magnitude and errors count by ratio.
-// A single reported cost has little influence: see Tracker.
+// A single reported cost has little influence on later estimates; see Tracker.
 package costmodel
 
 // Limits of plausible reports. Reports outside these limits are ignored: an hour of work on one core
@@ -40,10 +41,10 @@
 func plausibleWork(ms float64) bool   { return ms >= minWorkMillis && ms <= maxWorkMillis }
 func plausibleMemory(mb float64) bool { return mb >= minMemoryMB && mb <= maxMemoryMB }
 
-// NoClass is the class index of an execution whose class is not decided.
+// NoClass is the class index of an execution whose class has not been chosen.
 const NoClass = -1
 
-// Class is a class of statements, which is chosen by their expected work.
+// Class is a class of statements. The expected work of a statement determines its class.
 type Class struct {
 	Name          string
 	MaxWorkMillis float64 // limit of the expected work in ms; 0: no limit
@@ -51,8 +52,8 @@
 
 // Config configures a Model.
 type Config struct {
-	// Classes are in ascending order of their limits; the last has no limit. If there are none, the
-	// model decides no classes.
+	// Classes are in ascending order of their limits; the last class has no limit. If the list is empty,
+	// the model does not choose classes.
 	Classes []Class
 	// Hysteresis is the factor by which an estimate must pass the limit between two
 	// classes before a bucket changes its class. A factor of 1 means no hysteresis; a lower
@@ -60,21 +61,21 @@
 	Hysteresis float64
 	// Independent options, each of which switches off one part of the model. Only experiments set them, to
 	// measure the contribution of that part.
-	NoParameters bool // the values of an execution are ignored: no profiles, similar and frequent values
-	NoPrior      bool // the prior is no component of estimates
-	NoForgetting bool // old observations count as much as new ones
-	NoHint       bool // the clients' hints are no component of estimates
+	NoParameters bool // ignores the values of executions: no profiles, similar values and frequent values
+	NoPrior      bool // leaves the prior out of estimates
+	NoForgetting bool // gives old observations the same weight as new ones
+	NoHint       bool // leaves the clients' hints out of estimates
 }
 
 // DefaultHysteresis is used if a configuration sets no hysteresis.
 const DefaultHysteresis = 1.3
 
-// Model learns from executions and estimates others. It may be used by one goroutine at a time.
+// Model learns from executions and estimates others. It is not safe for concurrent use.
 type Model struct {
 	cfg   Config
 	prior *prior
 	state
-	noErrors Tracker // used in place of a tracker without errors
+	noErrors Tracker // always empty; stands for the errors of a component if none are tracked
 }
 
 // New returns a model without observations.
@@ -90,7 +91,7 @@
 	return !m.cfg.NoHint && plausibleWork(query.HintWorkMillis)
 }
 
-// weighting returns the weighting of the observations that the model learns from.
+// weighting returns the weighting of old observations that the configuration selects.
 func (m *Model) weighting() weighting {
 	if m.cfg.NoForgetting {
 		return equalWeights
--- a/internal/decision/costmodel/costmodel_test.go
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// learn makes the model learn a number of executions of the given work.
+// learn makes the model learn the given number of executions with the given work.
 func (f *shapeFixture) learn(executions int, work float64) {
 	for range executions {
 		q := f.query
@@ -80,8 +80,8 @@
 	})
 }
 
-// checkLimits checks that a known estimate consists of finite numbers within their limits and one of two
-// classes.
+// checkLimits checks that the numbers of a known estimate are finite and within their limits, and that its
+// class is one of the two classes.
 func checkLimits(t *rapid.T, estimate Estimate) {
 	t.Helper()
 	if !estimate.Known {
@@ -121,8 +121,8 @@
 	}
 }
 
-// After a change of the cost by a factor of ten, the estimate adapts within some ten observations. Without
-// forgetting it does not.
+// After a change of the cost by a factor of ten, the estimate adapts within about ten observations. Without
+// forgetting, it does not adapt.
 func TestLearn_FollowsChangedCostOnlyWithForgetting(t *testing.T) {
 	for _, forget := range []bool{true, false} {
 		f := newShapeFixture(Config{Classes: classes(), NoForgetting: !forget})
@@ -159,7 +159,7 @@
 	}
 	e := model.Estimate(&Query{Features: features, KnownClass: 0, HintWorkMillis: 50})
 	if e.WorkMillis < 350 || e.WorkMillis > 700 {
-		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.WorkMillis, e.Explain())
+		t.Errorf("estimate of %.0f ms for a hint of 50 ms, a tenth of the work: %s", e.WorkMillis, e.Explain())
 	}
 }
 
@@ -195,14 +195,14 @@
 		f.model.Learn(&q, Observation{WorkMillis: 100, LowerBound: true})
 	}
 	if got := f.estimate().WorkMillis; got < 150 {
-		t.Errorf("%.0f ms after lower bounds below the cost", got)
+		t.Errorf("estimate of %.0f ms after lower bounds below the cost", got)
 	}
 	for range 30 {
 		q := f.query
 		f.model.Learn(&q, Observation{WorkMillis: 6000, LowerBound: true})
 	}
 	if got := f.estimate().WorkMillis; got < 2000 {
-		t.Errorf("%.0f ms after 30 executions were cancelled at 6000", got)
+		t.Errorf("estimate of %.0f ms after 30 executions were cancelled at 6000 ms", got)
 	}
 }
 
@@ -226,6 +226,6 @@
 	}
 	q.Profile.Key = 7
 	if e := f.model.Estimate(&q); e.WorkMillis > 300 {
-		t.Errorf("%.0f ms for another: %s", e.WorkMillis, e.Explain())
+		t.Errorf("%.0f ms for another value: %s", e.WorkMillis, e.Explain())
 	}
 }
--- a/internal/decision/costmodel/ensemble.go
+++ b/internal/decision/costmodel/ensemble.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// Component is the estimate by one component of the ensemble, and its share of the result.
+// Component is the estimate of one component of the ensemble, and its share of the result.
 type Component struct {
 	Log2Cost  float64 // the expected cost
 	Deviation float64 // its expected error, as a base-2 logarithm
-	Samples   float64 // number of its observations; 0: the estimate does not use it
+	Samples   float64 // number of observations; 0: the component is not used
 	Weight    float64 // its share of the estimate, 0 to 1
 }
 
-// componentOf returns the component that adds the tracked offset to a base. A tracker of absolute costs has base 0.
+// componentOf returns the component whose cost is the base plus the tracked median. The base is 0 for a
+// tracker of absolute costs.
 func componentOf(tracker *Tracker, base float64) Component {
 	return Component{
 		Log2Cost:  base + float64(tracker.Median),
@@ -20,7 +21,7 @@
 }
 
 // combine weights the components by the inverse of their variances. It ignores components without
-// samples. ok is false if no component has any.
+// samples. ok is false if no component has samples.
 func combine(components ...*Component) (log2Cost, variance float64, ok bool) {
 	totalWeight := 0.0
 	for _, c := range components {
@@ -40,14 +41,14 @@
 }
 
 const (
-	// minHintSamples is the least number of known errors by which a hint is corrected.
+	// minHintSamples is the minimum number of known errors for the correction of a hint.
 	minHintSamples = 3
 	// uncorrectedHintDeviation is the expected error of a hint without known errors: a factor of four.
 	uncorrectedHintDeviation = 2
 )
 
-// hintComponent returns the component of a hint, corrected by its errors for the shape. If too few of
-// these are known, the errors for the class replace them. shapeErrors may be nil.
+// hintComponent returns the component of a hint. The hint is corrected by the errors of earlier hints for the
+// shape or, if too few of them are known, for the class. shapeErrors may be nil.
 func hintComponent(hint float64, shapeErrors, classErrors *Tracker) Component {
 	log2Hint := math.Log2(hint)
 	switch {
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -12,8 +12,8 @@
 
 	// The components of the ensemble.
 	Record, Similar, Prior, Hint Component
-	// FrequentValue is the correction for a frequent value whose cost deviates from that of others. It
-	// is added to the ensemble's result.
+	// FrequentValue is the correction for a frequent value whose cost differs from the cost of other
+	// values. It is added to the ensemble's result.
 	FrequentValue Component
 }
 
@@ -22,10 +22,9 @@
 	// the hint then suffice as components, and the model learns only from a sample of its executions while
 	// their cost is as expected. Most traffic belongs to such buckets.
 	wellKnownSamples = 200
-	// minTrackedSamples is the least number of observations with which a Tracker of offsets or errors is used.
+	// minTrackedSamples is the minimum number of observations for a Tracker of offsets or errors to be used.
 	minTrackedSamples = 2
-	// minClassMemorySamples is the least number of observations that make the usual memory of a class
-	// usable.
+	// minClassMemorySamples is the minimum number of observations for the usual memory of a class to be used.
 	minClassMemorySamples = 3
 	// percentile90 is the 90th percentile of the standard normal distribution.
 	percentile90 = 1.28
@@ -101,8 +100,8 @@
 	return componentOf(&m.prior.Errors, prediction), 0
 }
 
-// memory returns the expected memory in MB: an ensemble of the record and the corrected
-// hint. It is 0 if there is neither.
+// memory returns the expected memory in MB: an ensemble of the record, or else the usual memory of the
+// class, and the corrected hint. It returns 0 if none of them is known.
 func (m *Model) memory(query *Query, bucket *Bucket) float64 {
 	var record, hint Component
 	class := m.classStatistics(query.KnownClass)
--- a/internal/decision/costmodel/features.go
+++ b/internal/decision/costmodel/features.go
@@ -6,7 +6,7 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// Indexes into a vector. The features at these indexes are set after the literal of the vector.
+// Indexes of the features that newVector sets after the vector literal.
 const (
 	largeListFeature  = 22
 	largeSpanFeature  = 23
@@ -21,8 +21,8 @@
 // vector is the feature vector of one execution.
 type vector [dimensions]float64
 
-// newVector computes the features of a statement and its values. class is the
-// query's KnownClass. The order is part of the stored state's layout.
+// newVector computes the features of a statement and its values. class is the query's KnownClass. The
+// order of the features is part of the stored state's layout.
 func newVector(features *sqltext.Features, profile *sqltext.Profile, class int) vector {
 	const (
 		maxJoins = 6
@@ -63,7 +63,7 @@
 		indicator(profile.Unrestricted),
 		math.Log2(1+float64(profile.Rows)) / rowsScale,
 	}
-	// Above some size each doubling raises the cost by more: an index serves short lists only.
+	// Above a certain size, each doubling raises the cost by more, because an index helps only with short lists.
 	values[largeListFeature] = math.Max(0, math.Log2(1+float64(profile.Alternatives))-largeList) / largeListScale
 	values[largeSpanFeature] = math.Max(0, math.Log2(1+profile.Span)-largeSpan) / largeSpanScale
 	values[largeLimitFeature] = math.Max(0, math.Log2(1+profile.RowLimit)-largeLimit) / largeLimitScale
@@ -73,7 +73,7 @@
 	return values
 }
 
-// indicator returns 1 for a property that holds, else 0.
+// indicator returns 1 if the property holds, else 0.
 func indicator(holds bool) float64 {
 	if holds {
 		return 1
--- a/internal/decision/costmodel/frequent.go
+++ b/internal/decision/costmodel/frequent.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	// minFrequentSamples is the least number of occurrences of a value whose cost is corrected.
+	// minFrequentSamples is the minimum number of observations of a value for the correction of its cost.
 	minFrequentSamples = 6
-	// minFrequentOffset is the least deviation of its cost that is corrected, as a base-2 logarithm:
-	// a factor of 1.5.
+	// minFrequentOffset is the minimum deviation of a value's cost for its correction, as a base-2
+	// logarithm: a factor of 1.5.
 	minFrequentOffset = 0.6
 )
 
-// frequentValueComponent returns the correction for the query's value. It has no samples, and changes
-// nothing, unless the value is frequent and its cost deviates from that of others.
+// frequentValueComponent returns the correction for the query's value. The correction has no samples, and
+// changes nothing, unless the value is frequent and its cost differs from the cost of other values.
 func (m *Model) frequentValueComponent(query *Query) Component {
 	if m.cfg.NoParameters {
 		return Component{}
@@ -28,8 +28,8 @@
 	}
 }
 
-// significant reports whether estimates are corrected by the value: its cost deviates enough, over
-// enough observations.
+// significant reports whether the cost of the value has deviated enough, over enough observations, for
+// estimates to be corrected.
 func (v *valueStatistics) significant() bool {
 	deviates := v.Offset.Median > minFrequentOffset || v.Offset.Median < -minFrequentOffset
 	return deviates && v.Offset.Samples >= minFrequentSamples
--- a/internal/decision/costmodel/golden_test.go
+++ b/internal/decision/costmodel/golden_test.go
@@ -12,7 +12,7 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// goldenConfigs are the configurations whose learning is compared.
+// goldenConfigs returns the configurations whose results are compared with the golden file.
 func goldenConfigs() []Config {
 	return []Config{
 		{Classes: classes()},
@@ -44,7 +44,7 @@
 	return traffic
 }
 
-// next draws one query, with and without a record, and its cost.
+// next draws one query, with or without a record, and its cost.
 func (g *goldenTraffic) next() (Query, Observation) {
 	shape := g.rng.IntN(len(g.features))
 	query := Query{
@@ -82,12 +82,12 @@
 	return query, observed
 }
 
-// digest returns a hash of all figures of some values.
+// digest returns a hash of the formatted values.
 func digest(values ...any) string {
 	return fmt.Sprintf("%x", sha256.Sum256(fmt.Append(nil, values...)))
 }
 
-// Estimates and the learned state are the same to the last bit, for each configuration.
+// For each configuration, estimates and the learned state equal the golden ones to the last bit.
 func TestModel_LearnsGoldenFigures(t *testing.T) {
 	var out strings.Builder
 	for i, config := range goldenConfigs() {
@@ -109,8 +109,8 @@
 	golden.Compare(t, "testdata/learned.golden", []byte(out.String()))
 }
 
-// The prior learns the same weights to the last bit, even after it has stopped forgetting. It stops because
-// most features never occur.
+// The prior learns the golden weights to the last bit, even after it has stopped forgetting. It stops
+// because most features never occur.
 func TestPrior_LearnsGoldenFigures(t *testing.T) {
 	var out strings.Builder
 	rng := rand.New(rand.NewPCG(9, 1))
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -41,8 +41,8 @@
 	m.learnFrequentValue(query, &expected, log2Work)
 }
 
-// skips reports whether the model does not learn from an execution because its bucket is sampled: the
-// bucket is well known and its recent costs were as expected.
+// skips reports whether sampling leaves an execution out. Only a bucket that is well known and whose recent
+// costs were as expected is sampled.
 func (m *Model) skips(query *Query) bool {
 	if query.Record == nil || query.Record.Executions%learnSampleInterval == 0 {
 		return false
@@ -80,7 +80,7 @@
 	}
 }
 
-// learnMemory updates the memory of the class and the errors of its hint.
+// learnMemory updates the memory of the class, and the errors of the memory hint for the class and the shape.
 func (m *Model) learnMemory(query *Query, memoryMB float64) {
 	if !plausibleMemory(memoryMB) {
 		return
--- a/internal/decision/costmodel/prior.go
+++ b/internal/decision/costmodel/prior.go
@@ -14,7 +14,7 @@
 	priorForgetting = 0.9995 // the forgetting factor for one observation
 	priorRidge      = 0.05   // regularization of the weights
 	priorClip       = 3      // limit of an error, as a base-2 logarithm: a factor of eight
-	priorMinSamples = 30     // number of observations before it makes predictions
+	priorMinSamples = 30     // minimum number of observations for predictions
 	// priorMaxTrace limits the covariance's trace. Above it the prior stops forgetting. Otherwise the
 	// covariance would grow without limit in directions that no longer occur in the traffic.
 	priorMaxTrace = 1e4
@@ -56,7 +56,7 @@
 	p.update(x, predictionError, forgetting)
 }
 
-// update makes one step of the recursive least squares.
+// update performs one step of the recursive least squares.
 func (p *prior) update(x *vector, predictionError, forgetting float64) {
 	var product vector // of the covariance and the features
 	scale := forgetting
--- a/internal/decision/costmodel/query.go
+++ b/internal/decision/costmodel/query.go
@@ -5,11 +5,11 @@
 // Query describes one execution to the model. The caller fills it for Estimate, and passes it to Learn when the cost is
 // known.
 type Query struct {
-	Record   *ShapeRecord // of the statement's shape; nil: there is none
+	Record   *ShapeRecord // record of the statement's shape; nil if there is none
 	Features *sqltext.Features
 	Profile  sqltext.Profile
-	// KnownClass is the index of the class if it is already decided, else NoClass. It is an index into the caller's
-	// list of all classes, not into Config.Classes as Estimate.Class is.
+	// KnownClass is the index of the class if the class is already known, else NoClass. It is an index into the
+	// caller's list of all classes, whereas Estimate.Class is an index into Config.Classes.
 	KnownClass     int
 	HintWorkMillis float64 // the client's estimate of the work; 0: none
 	HintMemoryMB   float64 // the client's estimate of the memory; 0: none
@@ -24,9 +24,9 @@
 type Observation struct {
 	WorkMillis float64
 	MemoryMB   float64
-	// LowerBound means that the execution was cancelled before its end, so that the work is a
-	// lower bound. Without such observations the model would learn the cost of expensive
-	// statements only from those executions that ended in time.
+	// LowerBound means that the execution was cancelled before it completed, so that the work is a
+	// lower bound. Without such observations, the model would learn the cost of expensive
+	// statements only from executions that completed in time.
 	LowerBound bool
 }
 
--- a/internal/decision/costmodel/record.go
+++ b/internal/decision/costmodel/record.go
@@ -1,6 +1,6 @@
 package costmodel
 
-// maxBuckets is the number of profiles that the record of one shape distinguishes.
+// maxBuckets is the maximum number of profiles that the record of one shape distinguishes.
 const maxBuckets = 8
 
 // ShapeRecord is the record of one shape. All trackers hold base-2 logarithms. Its size is
@@ -15,14 +15,13 @@
 	Buckets         [maxBuckets]Bucket `cbor:"Buckets"`
 }
 
-// Bucket is the record of those executions of one shape whose values have the same coarse
-// profile.
+// Bucket is the record of the executions of one shape whose values have the same coarse profile.
 type Bucket struct {
 	Key      uint32  `cbor:"Key"`
 	LastUsed uint32  `cbor:"Used"` // the record's Executions when the bucket was last used
 	Work     Tracker `cbor:"Work"`
 	Memory   Tracker `cbor:"Memory"`
-	// ClassPlusOne is one more than the index of the class decided last; 0: none yet.
+	// ClassPlusOne is one more than the index of the class that was chosen last; 0: none yet.
 	ClassPlusOne uint8 `cbor:"Class"`
 }
 
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -7,21 +7,21 @@
 // shapes. Otherwise a broad report would get the estimate of a lookup of the same shape.
 
 const (
-	// newValueSamples is the number of executions of a bucket at which its values stop counting as new
-	// to the shape.
+	// newValueSamples is the number of executions of a bucket from which its values no longer count as
+	// new to the shape.
 	newValueSamples = 5
-	// similarValueSamples is the number of executions of a bucket at which the errors made on similar
-	// values stop being used.
+	// similarValueSamples is the number of executions of a bucket from which the errors made on similar
+	// values are no longer used.
 	similarValueSamples = 10
 )
 
-// newValueErrors are the errors that two components made on values new to a shape.
+// newValueErrors are the errors that the prior and the hint made on values new to a shape.
 type newValueErrors struct {
 	Prior Tracker `cbor:"Prior"`
 	Hint  Tracker `cbor:"Hint"`
 }
 
-// componentErrors are the errors by which two components must be corrected.
+// componentErrors are the errors by which the prior and the hint must be corrected.
 type componentErrors struct {
 	prior *Tracker
 	hint  *Tracker
@@ -30,8 +30,8 @@
 // atypicalityLevels is the number of levels that atypicalityLevel returns.
 const atypicalityLevels = 3
 
-// atypicalityLevel grades the distance between the prior's predictions for an execution
-// and for the shape's usual ones.
+// atypicalityLevel grades the difference between the prior's prediction for an execution and its usual
+// predictions for the shape.
 func atypicalityLevel(atypicality float64) int {
 	const (
 		moderate = 0.7 // a base-2 logarithm: a factor of 1.6
@@ -46,7 +46,7 @@
 	return 2
 }
 
-// findSimilar returns the statistics of values like those of the query, or nil.
+// findSimilar returns the statistics of values similar to the query's values, or nil.
 func (m *Model) findSimilar(query *Query) *valueStatistics {
 	if m.cfg.NoParameters {
 		return nil
@@ -75,8 +75,8 @@
 	return errors
 }
 
-// adjust corrects a component by the tracked errors and raises its deviation to theirs.
-// If too few errors are known, it raises the deviation by the atypicality instead.
+// adjust corrects a component by the median of the tracked errors and raises its deviation to at least
+// their deviation. If too few errors are known, it raises the deviation by the atypicality instead.
 func (t *Tracker) adjust(component *Component, atypicality float64) {
 	switch {
 	case component.Samples == 0:
@@ -122,8 +122,8 @@
 }
 
 // similarKey identifies similar values across all shapes: by their bucket and by the column of the
-// longest list or the widest range. An array of all districts, for example, has similar effects on
-// each statement.
+// longest list or the widest range. An array of all districts, for example, has similar effects on the
+// cost of every statement.
 func similarKey(bucket, column uint32) uint64 {
 	const (
 		multiplier  = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -18,10 +18,10 @@
 type valueStatistics struct {
 	Key   uint64 `cbor:"Key"`
 	Count uint32 `cbor:"Count"`
-	// Offset is the cost of a frequent value relative to the estimate, and that of similar
-	// values relative to the usual cost of their shape.
+	// Offset is the cost relative to the estimate, for a frequent value, or relative to the usual cost of
+	// the shapes, for similar values.
 	Offset Tracker `cbor:"Offset"`
-	// The errors that two components made on similar values.
+	// The errors that the prior and the hint made on similar values.
 	PriorError Tracker `cbor:"Prior"`
 	HintError  Tracker `cbor:"Hint"`
 }
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// add counts a value. A new value replaces the least frequent value of its set. It inherits that
-// value's count, because it may have occurred as often before.
+// add counts a value. A new value replaces the least frequent value of its set and inherits the count of
+// that value, because the new value may have occurred as often before.
 func (s *spaceSaving) add(key uint64) *valueStatistics {
 	const maxCount = 1 << 31
 	value := s.find(key)
--- a/internal/decision/costmodel/state.go
+++ b/internal/decision/costmodel/state.go
@@ -9,7 +9,7 @@
 
 // Layout is the version of State and ShapeRecord. It must be increased when a field changes its
 // meaning. A state of another layout can't be restored. The fields can be renamed, because the stored form
-// has the names of their tags, which must stay as they are.
+// uses the names in their tags, which must not change.
 const Layout = 1
 
 // State is the state of a model in a form that can be stored.
@@ -66,8 +66,8 @@
 // Check returns an error that wraps ErrState if the record contains a number that is not finite.
 func (r *ShapeRecord) Check() error { return checkFinite(reflect.ValueOf(r).Elem(), "record") }
 
-// checkFinite checks all floating-point numbers within a value. path names the value in
-// errors, by the field names of the stored form.
+// checkFinite returns an error if a floating-point number within a value is not finite or is larger than
+// any that can be learned. path names the value in errors, by the field names of the stored form.
 func checkFinite(value reflect.Value, path string) error {
 	const largest = 1e12 // above any logarithm, weight or covariance that can be learned
 	switch value.Kind() {
--- a/internal/decision/costmodel/tracker.go
+++ b/internal/decision/costmodel/tracker.go
@@ -2,29 +2,30 @@
 
 import "math"
 
-// Tracker estimates the median of a figure and its mean absolute deviation, both as base-2
+// Tracker estimates the median of a quantity and its mean absolute deviation, both as base-2
 // logarithms. It is robust: one observation moves the median by a limited step. The update is a
 // Robbins-Monro step on a clipped error (Huber, "Robust Estimation of a Location Parameter", 1964).
 //
-// With decayingWeights, the median adapts to a changed cost within some ten observations: a run of
-// errors on one side raises the step, as in a CUSUM chart (Page, "Continuous Inspection Schemes", 1954).
+// With decayingWeights, the median adapts to a changed cost within about ten observations: a run of
+// errors with the same sign raises the step, as in a CUSUM chart (Page, "Continuous Inspection
+// Schemes", 1954).
 //
-// Its size is 16 bytes.
+// A Tracker takes 16 bytes.
 type Tracker struct {
 	Median    float32 `cbor:"Mid"`
 	Deviation float32 `cbor:"Dev"` // mean absolute deviation from the median
 	Samples   float32 `cbor:"N"`   // number of observations, at most maxTrackedSamples
-	Run       int8    `cbor:"Run"` // length of the current run of errors on one side, with their sign
+	Run       int8    `cbor:"Run"` // length of the current run of errors with the same sign, times that sign
 }
 
 const (
 	maxTrackedSamples = 1000
 
-	minGain          = 0.06 // an effective window of some 16 observations
+	minGain          = 0.06 // an effective window of about 16 observations
 	minDeviationGain = 0.03
 
-	// A run of changeRun errors on one side counts as a change of the cost. The median then moves by
-	// larger steps.
+	// A run of changeRun errors with the same sign counts as a change of the cost. The median then moves
+	// by larger steps.
 	changeRun  = 5
 	changeGain = 0.35
 	changeClip = 4
@@ -33,17 +34,17 @@
 	// A run of up to steadyRun errors does not indicate a change.
 	steadyRun = 1
 
-	minDeviation     = 0.15 // the least deviation that is assumed
+	minDeviation     = 0.15 // lower limit of the deviation
 	initialDeviation = 1.5  // after the first observation
 
-	// Errors are clipped to clipDeviations deviations or, for the first earlySamples observations, to
-	// earlyClip.
+	// Errors are clipped to clipDeviations times the deviation or, for the first earlySamples
+	// observations, to earlyClip.
 	clipDeviations = 3
 	earlySamples   = 4
 	earlyClip      = 6
 )
 
-// weighting says how much old observations count beside new ones.
+// weighting is the weight of old observations relative to new ones.
 type weighting uint8
 
 const (
@@ -83,7 +84,7 @@
 	t.Samples = min(t.Samples+1, maxTrackedSamples)
 }
 
-// extendRun counts an error that exceeds the deviation. A smaller one ends the run.
+// extendRun adds an error to the current run. An error below the deviation ends the run.
 func (t *Tracker) extendRun(residual, deviation float64) {
 	switch {
 	case math.Abs(residual) < deviation:
