--- a/internal/decision/costmodel/costmodel_test.go
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -45,11 +45,11 @@
 func TestEstimate_StaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newShapeFixture(Config{Classes: classes()})
-		odd := rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)})
-		figure := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), odd)
+		implausible := rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)})
+		cost := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), implausible)
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			q := f.query
-			q.HintWorkMillis = figure.Draw(t, "hint")
+			q.HintWorkMillis = cost.Draw(t, "hint")
 			q.Profile = sqltext.Profile{
 				Alternatives: rapid.IntRange(0, 1e6).Draw(t, "alternatives"),
 				Span:         rapid.Float64Range(0, 1e12).Draw(t, "span"),
@@ -57,8 +57,8 @@
 				Key:          rapid.Uint64Range(0, 5).Draw(t, "key"),
 			}
 			observed := Observation{
-				WorkMillis: figure.Draw(t, "work"),
-				MemoryMB:   figure.Draw(t, "memory"),
+				WorkMillis: cost.Draw(t, "work"),
+				MemoryMB:   cost.Draw(t, "memory"),
 				LowerBound: rapid.Bool().Draw(t, "at least"),
 			}
 			before := *f.query.Record
@@ -137,13 +137,13 @@
 
 // One implausible report, or one execution with a bad plan, has little influence.
 func TestLearn_OutlierHasLittleInfluence(t *testing.T) {
-	for _, odd := range []float64{-1, 0, math.NaN(), math.Inf(1), 1e12, 3.5e6, 0.011} {
+	for _, outlier := range []float64{-1, 0, math.NaN(), math.Inf(1), 1e12, 3.5e6, 0.011} {
 		f := newShapeFixture(Config{Classes: classes()})
 		f.learn(40, 200)
 		before := f.estimate().WorkMillis
-		f.learn(1, odd)
+		f.learn(1, outlier)
 		if got := f.estimate().WorkMillis; math.Abs(math.Log2(got/before)) > 0.25 {
-			t.Errorf("one cost of %g ms moved the estimate from %.0f to %.0f ms", odd, before, got)
+			t.Errorf("one cost of %g ms moved the estimate from %.0f to %.0f ms", outlier, before, got)
 		}
 	}
 }
--- a/internal/decision/costmodel/state.go
+++ b/internal/decision/costmodel/state.go
@@ -69,10 +69,10 @@
 // checkFinite returns an error if a floating-point number within a value is not finite or is larger than
 // any that can be learned. path names the value in errors, by the field names of the stored form.
 func checkFinite(value reflect.Value, path string) error {
-	const largest = 1e12 // above any logarithm, weight or covariance that can be learned
+	const maxMagnitude = 1e12 // above any logarithm, weight or covariance that can be learned
 	switch value.Kind() {
 	case reflect.Float32, reflect.Float64:
-		if number := value.Float(); math.IsNaN(number) || math.Abs(number) > largest {
+		if number := value.Float(); math.IsNaN(number) || math.Abs(number) > maxMagnitude {
 			return fmt.Errorf("%w: %s is %g", ErrState, path, number)
 		}
 	case reflect.Struct:
