--- a/internal/decision/hotrestart/actions.go
+++ b/internal/decision/hotrestart/actions.go
@@ -18,19 +18,19 @@
 	TransferConn struct{ Conn ConnID }
 	// SendCommit sends Commit.
 	SendCommit struct{}
-	// ReleaseConn closes the duplicate of a connection.
+	// ReleaseConn closes the duplicate of a connection's descriptor.
 	ReleaseConn struct{ Conn ConnID }
 	// KillSuccessor kills the successor. SuccessorExited follows.
 	KillSuccessor struct{}
-	// ReclaimConn makes the predecessor the owner of a connection again. Recover decides on its
-	// request, after the kernel has reported how much of the response was written.
+	// ReclaimConn makes the predecessor the owner of a connection again. Recover decides what happens to
+	// its request, after the kernel has reported how much of the response was written.
 	ReclaimConn struct {
 		Conn    ConnID
 		Request Request
 	}
-	// ReportResult reports to the requester how the hot restart ended; no failure means success.
+	// ReportResult reports the result of the hot restart to its requester. Failure is "" on success.
 	ReportResult struct{ Failure string }
-	// BeginShutdown begins the graceful shutdown.
+	// BeginShutdown starts the graceful shutdown.
 	BeginShutdown struct{}
 )
 
@@ -51,11 +51,12 @@
 	}
 	// SendReady sends Ready.
 	SendReady struct{}
-	// LoadState begins to load the state. StateLoaded follows.
+	// LoadState starts loading the state. StateLoaded follows.
 	LoadState struct{}
 	// AdoptConn starts to serve a transferred connection.
 	AdoptConn struct{ Conn ConnID }
-	// StopRecording ends the records of requests, as nothing can be reclaimed any more.
+	// StopRecording stops sending records of requests, because the predecessor can no longer reclaim
+	// connections.
 	StopRecording struct{}
 )
 
--- a/internal/decision/hotrestart/events.go
+++ b/internal/decision/hotrestart/events.go
@@ -17,9 +17,10 @@
 	ConnIdle struct{ Conn ConnID }
 	// ConnClosed reports that a connection of this process was closed.
 	ConnClosed struct{ Conn ConnID }
-	// SuccessorExited reports that the successor has exited and the channel was read to its end.
+	// SuccessorExited reports that the successor has exited and that all its messages in the channel
+	// have been read.
 	SuccessorExited struct{}
-	// SuccessorMemory reports the memory of the successor.
+	// SuccessorMemory reports how much memory the successor uses.
 	SuccessorMemory struct{ Bytes int64 }
 	// Tick reports only the time.
 	Tick struct{}
@@ -27,15 +28,16 @@
 
 // Messages of the successor to the predecessor.
 type (
-	// Hello identifies the successor. Problem is the reason for which it can't take over, such as an
-	// invalid configuration or a limit that is too low; "" means that it can.
+	// Hello identifies the successor. Problem is the reason why it can't take over, such as an invalid
+	// configuration or a limit that is too low; "" means that it can.
 	Hello struct {
 		Version Version
 		Problem string
 	}
-	// Ready reports that the successor has loaded the state and could serve.
+	// Ready reports that the successor has loaded the state and is able to serve.
 	Ready struct{}
-	// Heartbeat reports that the successor is alive, and its responses since the last one.
+	// Heartbeat reports that the successor is alive, and the number of its responses since the last
+	// heartbeat.
 	Heartbeat struct{ Successes, Failures int }
 	// SuccessorAccepted carries a duplicate of a connection that the successor accepted.
 	SuccessorAccepted struct{ Conn ConnID }
@@ -50,12 +52,12 @@
 
 // Events of the successor's own process.
 type (
-	// Started reports that the process runs and has read its configuration. Problem is the reason
-	// for which it can't serve; "" means that it can.
+	// Started reports that the process runs and has read its configuration. Problem is the reason why it
+	// can't serve; "" means that it can.
 	Started struct{ Problem string }
 	// StateLoaded reports that the state was loaded.
 	StateLoaded struct{}
-	// PredecessorExited reports the end of the channel.
+	// PredecessorExited reports the end of the channel, which proves that the predecessor has exited.
 	PredecessorExited struct{}
 )
 
--- a/internal/decision/hotrestart/hotrestart.go
+++ b/internal/decision/hotrestart/hotrestart.go
@@ -1,7 +1,8 @@
-// Package hotrestart models a hot restart; no program links it, and only its model test uses it.
+// Package hotrestart models a hot restart. No program links the package; only its model test uses it.
 //
 // In a hot restart, one process of flaxrelay (the predecessor) hands its listeners, its client
-// connections and its work over to a newer one (the successor), and reclaims them if that fails.
+// connections and its work over to a newer process (the successor), and reclaims them if the
+// hot restart fails.
 // The package consists of two state machines without I/O, Predecessor and Successor. Their method
 // Step handles an event (a message of the other process, a change of a connection, a tick) and
 // returns actions, which the caller must carry out in order. The model test explores all
@@ -11,11 +12,12 @@
 //
 //   - The predecessor is the parent of the successor. It can kill the successor, and the kernel
 //     reports the successor's exit. Connections are reclaimed only after that report and after all
-//     messages of the successor in the channel have been read. Silence never counts as an exit.
-//   - The predecessor never closes the channel while both processes run. The end of the channel
-//     therefore proves to the successor that the predecessor has exited.
-//   - A descriptor sent over a unix socket is in the kernel once it is sent, and is received
-//     even if its sender exits at once (unix(7), SCM_RIGHTS).
+//     messages of the successor in the channel have been read. A silent successor is never taken for
+//     one that has exited.
+//   - The predecessor never closes the channel while both processes run. A read that reaches the end
+//     of the channel therefore proves to the successor that the predecessor has exited.
+//   - Once a descriptor has been sent over a unix socket, the kernel holds it, and it is received even
+//     if its sender exits at once (unix(7), SCM_RIGHTS).
 //
 // Therefore no acknowledgements are needed: the successor owns a connection as soon as the predecessor
 // has sent it, and the two never own it at the same time. A connection with a request in flight is
@@ -40,9 +42,9 @@
 	AwaitingHello                  // the successor was started and has not sent its hello
 	TransferringState              // the successor loads the state and has not reported that it is ready
 	Probation                      // the successor accepts and serves; its connections can still be reclaimed
-	Draining                       // the successor is the final owner; the predecessor completes its requests
+	Draining                       // the successor is the final owner; the predecessor completes its own requests
 	RollingBack                    // the successor was killed; connections are reclaimed after its exit
-	Exited                         // the predecessor ends
+	Exited                         // the predecessor exits
 )
 
 var phaseNames = [...]string{
@@ -54,14 +56,14 @@
 
 // Config limits a hot restart. The timeouts of a phase count from its start.
 type Config struct {
-	HelloTimeout     time.Duration // until the successor's hello, with the time to read its program from a disk
+	HelloTimeout     time.Duration // until the successor's hello, including the time to read its program from disk
 	StateTimeout     time.Duration // until the successor has loaded the state and is ready
 	MinProbation     time.Duration // shortest probation
-	MaxProbation     time.Duration // longest probation, also with fewer than MinSuccesses; above MinProbation
-	HeartbeatTimeout time.Duration // longest time without a message of the successor during the probation
+	MaxProbation     time.Duration // longest probation, even with fewer than MinSuccesses; above MinProbation
+	HeartbeatTimeout time.Duration // longest time without a message from the successor during the probation
 	MinSuccesses     int           // number of successful responses that end the probation after MinProbation
 	MaxFailureRate   float64       // share of responses that may be errors of the successor itself, 0 to 1
-	MaxMemoryBytes   int64         // of the successor; 0: no limit
+	MaxMemoryBytes   int64         // limit of the successor's memory; 0: no limit
 }
 
 // DefaultConfig returns limits for a machine that has the capacity for both processes at once.
--- a/internal/decision/hotrestart/model_test.go
+++ b/internal/decision/hotrestart/model_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// maxStates limits the exploration.
+// maxStates is the maximum number of states that are checked.
 const maxStates = 3_000_000
 
 // exploration is the result of exploring the states of the model.
 type exploration struct {
 	states    int      // number of states that were reached
 	depth     int      // number of steps to the last state that was checked
-	violation string   // "": none
+	violation string   // the violated invariant; "": none
 	trace     []string // the steps that lead to the violation
 }
 
--- a/internal/decision/hotrestart/predecessor.go
+++ b/internal/decision/hotrestart/predecessor.go
@@ -8,10 +8,10 @@
 const (
 	// connIdle: the connection is owned by this process and can be transferred.
 	connIdle connState = iota
-	// connBusy: the connection is owned by this process and can't be transferred: a request is in
-	// flight, or a part of a message was read or has to be written.
+	// connBusy: the connection is owned by this process and can't be transferred, because a request is
+	// in flight, or part of a message was read or remains to be written.
 	connBusy
-	// connTransferred: the successor owns the connection. This process has a duplicate of its
+	// connTransferred: the successor owns the connection. This process keeps a duplicate of its
 	// descriptor.
 	connTransferred
 )
@@ -23,24 +23,24 @@
 	request Request // as recorded by the successor
 }
 
-// Predecessor is the state machine of the process that hands over. It may be used by one goroutine
-// at a time.
+// Predecessor is the state machine of the process that hands over its work. It is not safe for
+// concurrent use.
 type Predecessor struct {
 	cfg     Config
 	version Version
 
 	phase         Phase
 	phaseStart    time.Duration
-	lastMessage   time.Duration // of the successor
-	successes     int           // responses of the successor during the probation
-	failures      int
-	failureReason string // of the rollback
+	lastMessage   time.Duration // time of the successor's last message
+	successes     int           // successful responses of the successor during the probation
+	failures      int           // failed ones
+	failureReason string        // reason of the rollback
 
-	shutdownRequested bool // the shutdown follows the end of the hot restart
+	shutdownRequested bool // a shutdown follows when the hot restart has ended
 	conns             []connection
 }
 
-// NewPredecessor returns the state machine of a process that serves.
+// NewPredecessor returns the state machine of a process that is serving.
 func NewPredecessor(cfg Config, version Version) *Predecessor {
 	return &Predecessor{cfg: cfg, version: version}
 }
@@ -57,7 +57,7 @@
 		return p.shutdown(now)
 	case ConnAccepted:
 		p.conns = append(p.conns, connection{id: event.Conn})
-		if p.transfersIdleConns() { // it was accepted just before StopAccepting
+		if p.transfersIdleConns() { // the connection was accepted just before StopAccepting
 			return p.transfer(event.Conn)
 		}
 	case ConnBusy:
@@ -75,7 +75,7 @@
 		return p.successorExited(now)
 	case SuccessorMemory:
 		if p.cfg.MaxMemoryBytes > 0 && event.Bytes > p.cfg.MaxMemoryBytes && p.canRollBack() {
-			return p.rollBack(now, "it uses too much memory")
+			return p.rollBack(now, "the successor uses too much memory")
 		}
 	case Tick:
 		return p.tick(now)
@@ -114,7 +114,7 @@
 	return nil // RollingBack: the shutdown follows the rollback; Draining: the process exits anyway
 }
 
-// message handles a message of the successor.
+// message handles a message from the successor.
 func (p *Predecessor) message(now time.Duration, event Event) []Action {
 	p.lastMessage = now
 	switch event := event.(type) {
@@ -142,7 +142,7 @@
 	case hello.Problem != "":
 		return p.rollBack(now, hello.Problem)
 	case !p.version.CompatibleWith(hello.Version):
-		return p.rollBack(now, "its protocol version is not compatible")
+		return p.rollBack(now, "the successor's protocol version is not compatible")
 	}
 	p.enter(TransferringState, now)
 	return []Action{SendState{}}
@@ -154,17 +154,17 @@
 	switch p.phase {
 	case AwaitingHello:
 		if elapsed >= p.cfg.HelloTimeout {
-			return p.rollBack(now, "no hello in time")
+			return p.rollBack(now, "the successor sent no hello in time")
 		}
 	case TransferringState:
 		if elapsed >= p.cfg.StateTimeout {
-			return p.rollBack(now, "it was not ready in time")
+			return p.rollBack(now, "the successor was not ready in time")
 		}
 	case Probation:
 		if now-p.lastMessage >= p.cfg.HeartbeatTimeout {
-			return p.rollBack(now, "no heartbeat in time")
+			return p.rollBack(now, "the successor sent no heartbeat in time")
 		}
-	case Idle, Draining, RollingBack, Exited: // without a timeout
+	case Idle, Draining, RollingBack, Exited: // these phases have no timeout
 	}
 	return nil
 }
@@ -193,7 +193,7 @@
 		return nil
 	}
 	if p.phase != RollingBack {
-		p.failureReason = "it exited unexpectedly"
+		p.failureReason = "the successor exited unexpectedly"
 	}
 	accepting := p.phase == AwaitingHello || p.phase == TransferringState
 	p.enter(Idle, now)
--- a/internal/decision/hotrestart/predecessor_conns.go
+++ b/internal/decision/hotrestart/predecessor_conns.go
@@ -52,7 +52,7 @@
 	return append(p.transfer(id), p.exitWhenDrained()...)
 }
 
-// connMessage handles a message of the successor on one connection. It accepts records in every
+// connMessage handles a message from the successor about one connection. It accepts records in every
 // phase, including RollingBack, because the last messages are read after the successor's exit.
 func (p *Predecessor) connMessage(event Event) []Action {
 	switch event := event.(type) {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// beginProbation begins the handover: the successor accepts new connections, and every idle
+// beginProbation starts the handover: the successor accepts new connections, and every idle
 // connection is transferred.
 func (p *Predecessor) beginProbation(now time.Duration) []Action {
 	p.enter(Probation, now)
@@ -87,8 +87,8 @@
 	return actions
 }
 
-// transfer makes the successor the owner of a connection. When draining, no connection is reclaimed any
-// more, so the duplicate is released at once.
+// transfer makes the successor the owner of a connection. While draining, connections are no longer
+// reclaimed, so the duplicate of the descriptor is released at once.
 func (p *Predecessor) transfer(id ConnID) []Action {
 	if p.phase == Draining {
 		p.forget(id)
@@ -123,14 +123,14 @@
 	p.failures += heartbeat.Failures
 	total := p.successes + p.failures
 	if total >= p.cfg.MinSuccesses && float64(p.failures) > p.cfg.MaxFailureRate*float64(total) {
-		return p.rollBack(now, "too many of its responses are its own errors")
+		return p.rollBack(now, "too many responses of the successor are errors of its own")
 	}
 	elapsed := now - p.phaseStart
 	if elapsed < p.cfg.MinProbation || p.successes < p.cfg.MinSuccesses && elapsed < p.cfg.MaxProbation {
 		return nil
 	}
 	if p.successes == 0 && p.failures > 0 {
-		return p.rollBack(now, "none of its responses was successful")
+		return p.rollBack(now, "no response of the successor was successful")
 	}
 	return p.commit(now)
 }
@@ -148,7 +148,7 @@
 	return append(append(actions, ReportResult{}), p.exitWhenDrained()...)
 }
 
-// exitWhenDrained ends the process if it is draining and has no connection.
+// exitWhenDrained makes the process exit if it is draining and has no connections left.
 func (p *Predecessor) exitWhenDrained() []Action {
 	if p.phase != Draining || len(p.conns) > 0 {
 		return nil
--- a/internal/decision/hotrestart/recovery.go
+++ b/internal/decision/hotrestart/recovery.go
@@ -18,31 +18,31 @@
 	InFlight          bool
 	Effect            Effect
 	Forwarded         bool          // to an engine: it may have been executed
-	FirstForwardedAt  time.Duration // by either process, on their common clock
-	IdempotencyWindow time.Duration // in which engines drop duplicates of a key; for IdempotentByKey
-	Deadline          time.Duration // of the client
+	FirstForwardedAt  time.Duration // when either process first forwarded it, on their common clock
+	IdempotencyWindow time.Duration // how long engines drop duplicates of a key; for IdempotentByKey
+	Deadline          time.Duration // the client's deadline
 	ResponseBytes     int           // length of the response that is being written; 0: none yet
 }
 
-// Recovery is the treatment of a request whose process has exited.
+// Recovery is what happens to a request whose process has exited.
 type Recovery uint8
 
 // Recoveries.
 const (
-	NoRecovery             Recovery = iota // there is no request, or it has its response
+	NoRecovery             Recovery = iota // there is no request, or its response was written completely
 	Retry                                  // forward it, with its key and the time of its first attempt, if any
 	ReportUnknownOutcome                   // respond at once that it may have run; a retry is not permitted
 	ReportDeadlineExceeded                 // its deadline has passed
-	CloseConnection                        // a part of its response was written, so no other response is possible
+	CloseConnection                        // its response was written in part, so no other response is possible
 )
 
-// windowMargin is the least remaining time of an idempotency window in which a retry is forwarded: the
-// request has to reach its engine within the window.
+// windowMargin is the minimum time that must remain of an idempotency window for a retry to be forwarded,
+// because the request must reach its engine within the window.
 const windowMargin = 50 * time.Millisecond
 
-// Recover decides on a request of a process that has exited. written is the number of bytes of the
-// response that were written to this connection since the record with ResponseBytes. The kernel
-// reports it for a socket, regardless of which process wrote (tcp(7), TCP_INFO).
+// Recover decides what happens to a request of a process that has exited. written is the number of bytes of
+// the response that were written to this connection since the record with ResponseBytes. The kernel
+// reports this number for a socket, regardless of which process wrote the bytes (tcp(7), TCP_INFO).
 func Recover(r Request, written int, now time.Duration) Recovery {
 	switch {
 	case !r.InFlight:
--- a/internal/decision/hotrestart/successor.go
+++ b/internal/decision/hotrestart/successor.go
@@ -13,12 +13,12 @@
 	stateLoaded
 )
 
-// Successor is the state machine of the newer process. It may be used by one goroutine at a time.
+// Successor is the state machine of the newer process. It is not safe for concurrent use.
 type Successor struct {
 	version   Version
 	state     stateProgress
 	accepting bool
-	owner     bool // the process is the final owner: the predecessor reclaims no connection any more
+	owner     bool // the process is the final owner: the predecessor can no longer reclaim connections
 	orphaned  bool // the predecessor has exited
 }
 
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// predecessorExited takes ownership, or does so later if the state is being loaded. A process that has
-// not received a state serves like one that was started without a predecessor.
+// predecessorExited takes ownership at once or, while the state is being loaded, after it was loaded. A
+// process that has not received a state serves like one that was started without a predecessor.
 func (s *Successor) predecessorExited() []Action {
 	s.orphaned = true
 	if s.owner || s.state == stateLoading {
--- a/internal/decision/hotrestart/world_steps_test.go
+++ b/internal/decision/hotrestart/world_steps_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// addStep adds the state after a change as a possible next state.
+// addStep adds the state that results from a change as a possible next state.
 type addStep func(name string, change func(*world))
 
 // steps returns all possible next states. Crashes come last.
@@ -175,11 +175,11 @@
 		case c.predecessorOwns && c.successorOwns && w.predecessorAlive && w.successorAlive:
 			return fmt.Sprintf("connection %d has two owners", i)
 		case c.responses > 1:
-			return fmt.Sprintf("request %d has two responses", i)
+			return fmt.Sprintf("request %d has more than one response", i)
 		case c.effect == NonIdempotent && c.executions > 1:
-			return fmt.Sprintf("request %d, which may be executed once, was executed twice", i)
+			return fmt.Sprintf("non-idempotent request %d was executed more than once", i)
 		case c.executedPastWindow:
-			return fmt.Sprintf("request %d was retried after its window", i)
+			return fmt.Sprintf("request %d was retried after its idempotency window", i)
 		}
 	}
 	if (w.predecessorAlive || w.successorAlive) && !w.predecessorListenerOpen && !w.successorListenerOpen {
@@ -188,10 +188,11 @@
 	return ""
 }
 
-// deadlock describes what can't complete in a state in which only crashes are possible, or returns "".
+// deadlock returns what can't complete in a state where only crashes are possible, or "" if nothing is left
+// incomplete.
 func (w *world) deadlock() string {
 	if !w.predecessorAlive && !w.successorAlive {
-		return "" // no process runs that could respond
+		return "" // no process is left that could respond
 	}
 	accepting := w.predecessorAlive && w.predecessorAccepts || w.successorAlive && w.successorAccepts
 	if !accepting {
--- a/internal/decision/hotrestart/world_test.go
+++ b/internal/decision/hotrestart/world_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// world is the state of two processes, the channel between them, two clients and the engines. To limit
-// the number of states, each client has one connection and sends one request. The booleans are
+// world is the state of the model: two processes, the channel between them, two clients and the engines.
+// To limit the number of states, each client has one connection and sends one request. The booleans are
 // independent of each other.
 type world struct {
 	predecessor Predecessor
 	successor   Successor
 
 	predecessorAlive bool
-	successorAlive   bool // it was started and has not exited
-	spawned          bool // it was started and its exit was not reported
-	started          bool // it has read its configuration, and reads the channel
-	loadingState     bool
+	successorAlive   bool // the successor was started and has not exited
+	spawned          bool // the successor was started and its exit has not been reported
+	started          bool // the successor has read its configuration, and reads the channel
+	loadingState     bool // the successor is loading the state
 
 	toSuccessor   []Event // messages in the channel
 	toPredecessor []Event
@@ -37,10 +37,10 @@
 type handler byte
 
 const (
-	handlerNone        handler = iota // the request is in the socket, or not sent yet
-	handlerPredecessor                // the predecessor has read it
-	handlerSuccessor                  // the successor has read it
-	handlerDone                       // no process handles it any more
+	handlerNone        handler = iota // the request is in the socket, or has not been sent yet
+	handlerPredecessor                // the predecessor has read the request
+	handlerSuccessor                  // the successor has read the request
+	handlerDone                       // the request has been handled
 )
 
 // stage is the successor's progress on a request.
@@ -57,20 +57,20 @@
 // client is one connection and the state of its request.
 type client struct {
 	effect             Effect
-	predecessorOwns    bool // the connection
-	successorOwns      bool
+	predecessorOwns    bool // the predecessor owns the connection
+	successorOwns      bool // the successor owns the connection
 	requested          bool // the request was sent
 	handler            handler
 	stage              stage
-	executions         int  // by engines
-	executedPastWindow bool // it was retried after its window
+	executions         int  // number of executions by engines
+	executedPastWindow bool // the request was retried after its idempotency window
 	responses          int
-	closed             bool // without a response
-	responseWritten    bool // by the successor
+	closed             bool // the connection was closed without a response
+	responseWritten    bool // the successor has written the response
 }
 
-// limit is the length of all timeouts. Steps happen at time 0, except for the passing of time and
-// heartbeats, which happen at limit.
+// limit is the length of all timeouts. Steps happen at time 0, except for timeouts and heartbeats, which
+// happen at limit.
 const limit = time.Second
 
 func modelConfig() Config {
@@ -113,8 +113,8 @@
 	return w
 }
 
-// key identifies the state, with the types of the messages in the channel. It clears the fields that do
-// not influence the next steps.
+// key returns a string that identifies the state, including the types of the messages in the channel. It
+// clears the fields that do not influence the next steps.
 func (w *world) key() string {
 	w.predecessor.phaseStart = 0
 	w.predecessor.lastMessage = 0
@@ -122,11 +122,11 @@
 	return fmt.Sprintf("%#v", *w)
 }
 
-// faults are seeded mistakes, each of which removes one safeguard.
+// faults are seeded mistakes in the protocol. Each removes one safeguard.
 type faults struct {
 	reclaimBeforeExit   bool // connections are reclaimed before the successor has exited
-	reclaimBeforeDrain  bool // they are reclaimed before all its messages were read
-	forwardBeforeRecord bool // the successor forwards a request before it records that
+	reclaimBeforeDrain  bool // connections are reclaimed before all messages of the successor have been read
+	forwardBeforeRecord bool // the successor forwards a request before it records the forwarding
 	retryAnything       bool // a request that may have run is retried even if it is not idempotent
 }
 
@@ -142,7 +142,7 @@
 	next world
 }
 
-// isProgress reports whether the step is not a fault of the environment.
+// isProgress reports whether the step is not a crash.
 func (s step) isProgress() bool {
 	return s.name != stepSuccessorCrashes && s.name != stepPredecessorCrashes
 }
@@ -209,7 +209,7 @@
 	c := &w.conns[action.Conn]
 	c.predecessorOwns = true
 	if c.handler != handlerSuccessor {
-		return // its request, if there is one, is still in the socket
+		return // the successor handles no request of the connection; an unread one is still in the socket
 	}
 	now := time.Duration(0)
 	if w.windowsOver {
@@ -225,7 +225,8 @@
 	}
 	switch recovery {
 	case NoRecovery:
-		if !action.Request.InFlight { // never recorded: the predecessor reads it again, if it is still in the socket
+		// A request that was never recorded is read again by the predecessor, if it is still in the socket.
+		if !action.Request.InFlight {
 			if c.stage <= stageReceived {
 				c.handler = handlerNone
 				c.stage = stageNone
@@ -276,7 +277,7 @@
 	}
 }
 
-// record makes the successor send its record of a request, before it enters the stage.
+// record makes the successor send its record of a request that has reached the given stage.
 func (w *world) record(i int, reached stage) {
 	if w.successor.Owner() {
 		return
