--- a/internal/decision/hotrestart/predecessor.go
+++ b/internal/decision/hotrestart/predecessor.go
@@ -54,7 +54,7 @@
 	case StartHotRestart:
 		return p.startHotRestart(now)
 	case Shutdown:
-		return p.shutdown(now)
+		return p.handleShutdown(now)
 	case ConnAccepted:
 		p.conns = append(p.conns, connection{id: event.Conn})
 		if p.transfersIdleConns() { // the connection was accepted just before StopAccepting
@@ -72,15 +72,15 @@
 			return p.exitWhenDrained()
 		}
 	case SuccessorExited:
-		return p.successorExited(now)
+		return p.handleSuccessorExit(now)
 	case SuccessorMemory:
 		if p.cfg.MaxMemoryBytes > 0 && event.Bytes > p.cfg.MaxMemoryBytes && p.canRollBack() {
 			return p.rollBack(now, "the successor uses too much memory")
 		}
 	case Tick:
-		return p.tick(now)
+		return p.checkTimeouts(now)
 	default:
-		return p.message(now, event)
+		return p.handleMessage(now, event)
 	}
 	return nil
 }
@@ -98,9 +98,9 @@
 	return []Action{SpawnSuccessor{}}
 }
 
-// shutdown handles the request for a graceful shutdown. A hot restart that is not committed
-// is rolled back first.
-func (p *Predecessor) shutdown(now time.Duration) []Action {
+// handleShutdown handles the request for a graceful shutdown. A hot restart that is not committed is
+// rolled back first.
+func (p *Predecessor) handleShutdown(now time.Duration) []Action {
 	if p.shutdownRequested {
 		return nil
 	}
@@ -114,28 +114,28 @@
 	return nil // RollingBack: the shutdown follows the rollback; Draining: the process exits anyway
 }
 
-// message handles a message from the successor.
-func (p *Predecessor) message(now time.Duration, event Event) []Action {
+// handleMessage handles a message from the successor.
+func (p *Predecessor) handleMessage(now time.Duration, event Event) []Action {
 	p.lastMessage = now
 	switch event := event.(type) {
 	case SuccessorAccepted, RequestRecorded, SuccessorClosed:
-		return p.connMessage(event)
+		return p.handleConnMessage(event)
 	case Hello:
-		return p.hello(now, event)
+		return p.handleHello(now, event)
 	case Ready:
 		if p.phase == TransferringState {
 			return p.beginProbation(now)
 		}
 	case Heartbeat:
 		if p.phase == Probation {
-			return p.heartbeat(now, event)
+			return p.handleHeartbeat(now, event)
 		}
 	}
 	return nil
 }
 
-// hello checks whether the successor can take over.
-func (p *Predecessor) hello(now time.Duration, hello Hello) []Action {
+// handleHello checks whether the successor can take over.
+func (p *Predecessor) handleHello(now time.Duration, hello Hello) []Action {
 	switch {
 	case p.phase != AwaitingHello:
 		return nil
@@ -148,8 +148,8 @@
 	return []Action{SendState{}}
 }
 
-// tick checks the timeouts of the phase.
-func (p *Predecessor) tick(now time.Duration) []Action {
+// checkTimeouts rolls the hot restart back if a timeout of the current phase has expired.
+func (p *Predecessor) checkTimeouts(now time.Duration) []Action {
 	elapsed := now - p.phaseStart
 	switch p.phase {
 	case AwaitingHello:
@@ -187,8 +187,8 @@
 	return []Action{KillSuccessor{}}
 }
 
-// successorExited reclaims all connections, unless the successor was already the final owner.
-func (p *Predecessor) successorExited(now time.Duration) []Action {
+// handleSuccessorExit reclaims all connections, unless the successor was already the final owner.
+func (p *Predecessor) handleSuccessorExit(now time.Duration) []Action {
 	if p.phase == Idle || p.phase == Draining || p.phase == Exited {
 		return nil
 	}
--- a/internal/decision/hotrestart/predecessor_conns.go
+++ b/internal/decision/hotrestart/predecessor_conns.go
@@ -52,9 +52,9 @@
 	return append(p.transfer(id), p.exitWhenDrained()...)
 }
 
-// connMessage handles a message from the successor about one connection. It accepts records in every
+// handleConnMessage handles a message from the successor about one connection. It accepts records in every
 // phase, including RollingBack, because the last messages are read after the successor's exit.
-func (p *Predecessor) connMessage(event Event) []Action {
+func (p *Predecessor) handleConnMessage(event Event) []Action {
 	switch event := event.(type) {
 	case SuccessorAccepted:
 		if p.phase != Probation && p.phase != RollingBack {
@@ -117,8 +117,8 @@
 	return actions
 }
 
-// heartbeat evaluates the successor's responses during the probation.
-func (p *Predecessor) heartbeat(now time.Duration, heartbeat Heartbeat) []Action {
+// handleHeartbeat evaluates the successor's responses during the probation.
+func (p *Predecessor) handleHeartbeat(now time.Duration, heartbeat Heartbeat) []Action {
 	p.successes += heartbeat.Successes
 	p.failures += heartbeat.Failures
 	total := p.successes + p.failures
--- a/internal/decision/hotrestart/successor.go
+++ b/internal/decision/hotrestart/successor.go
@@ -64,14 +64,14 @@
 			return []Action{StopRecording{}}
 		}
 	case PredecessorExited:
-		return s.predecessorExited()
+		return s.handlePredecessorExit()
 	}
 	return nil
 }
 
-// predecessorExited takes ownership at once or, while the state is being loaded, after it was loaded. A
+// handlePredecessorExit takes ownership at once or, while the state is being loaded, after it was loaded. A
 // process that has not received a state serves like one that was started without a predecessor.
-func (s *Successor) predecessorExited() []Action {
+func (s *Successor) handlePredecessorExit() []Action {
 	s.orphaned = true
 	if s.owner || s.state == stateLoading {
 		return nil
