--- a/internal/stmtstats/cache.go
+++ b/internal/stmtstats/cache.go
@@ -6,22 +6,22 @@
 	"flaxrelay/internal/decision/costmodel"
 )
 
-// Fingerprint identifies a shape within this process: its seeds are drawn at the start.
+// Fingerprint identifies a shape within this process. The seeds of the hash are drawn when the process starts.
 type Fingerprint = [2]uint64
 
 // CachedShape is the cached record of one shape. The cache owns it; the Store updates it in place.
 type CachedShape struct {
 	costmodel.ShapeRecord
 	normalForm string // at most maxNormalFormBytes
-	truncated  bool   // normalForm is only a part, so the shape can't be identified after a restart
+	truncated  bool   // normalForm is incomplete, so the shape can't be identified after a restart
 }
 
 // maxNormalFormBytes limits the part of a shape's normal form that is cached.
 const maxNormalFormBytes = 1 << 10
 
-// entryOverhead is the memory in bytes that a cache needs for one entry in addition to the
-// entry: the eviction policy's node, the map's slot with its spare capacity, and the
-// allocator's rounding. It was measured with a million shapes and rounded up.
+// entryOverhead is the memory in bytes that a cache needs for each shape in addition to the shape
+// itself: the eviction policy's node, the map's slot with its spare capacity, and the allocator's
+// rounding.
 const entryOverhead = 240
 
 // Size returns the number of bytes that the shape adds to the size of a cache.
@@ -30,7 +30,7 @@
 }
 
 // Cache stores shapes up to a limit in bytes. Its policy decides which shapes it evicts and which new
-// shapes it rejects. It may be used by one goroutine at a time.
+// shapes it rejects. It is not safe for concurrent use.
 type Cache interface {
 	// Get returns the shape, or nil if it is not cached.
 	Get(fingerprint Fingerprint) *CachedShape
@@ -40,6 +40,6 @@
 	Len() int
 	// Bytes returns the sum of the shapes' sizes, as CachedShape.Size counts them.
 	Bytes() int
-	// Each calls yield for each shape until it returns false.
+	// Each calls yield for each shape until yield returns false.
 	Each(yield func(Fingerprint, *CachedShape) bool)
 }
--- a/internal/stmtstats/cache_lru.go
+++ b/internal/stmtstats/cache_lru.go
@@ -6,7 +6,7 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// entryCache is the common interface of golang-lru's caches.
+// entryCache is the interface that the caches of golang-lru have in common.
 type entryCache interface {
 	Get(fingerprint Fingerprint) (*CachedShape, bool)
 	Add(fingerprint Fingerprint, shape *CachedShape)
@@ -15,7 +15,7 @@
 	Len() int
 }
 
-// lruCache drops the result of lru.Cache.Add, so that it is an entryCache.
+// lruCache discards the result of lru.Cache.Add, so that it implements entryCache.
 type lruCache struct {
 	*lru.Cache[Fingerprint, *CachedShape]
 }
@@ -35,8 +35,8 @@
 	return max(bytes/(shape.Size()+typicalNormalFormBytes), 1)
 }
 
-// NewLRU returns a cache that evicts the least recently used shape. It serves comparisons
-// with W-TinyLFU.
+// NewLRU returns a cache that evicts the least recently used shape. Experiments compare it with
+// W-TinyLFU.
 func NewLRU(bytes int) (Cache, error) {
 	cache, err := lru.New[Fingerprint, *CachedShape](entriesWithin(bytes))
 	if err != nil {
@@ -46,7 +46,7 @@
 }
 
 // New2Q returns a 2Q cache (Johnson, Shasha, "2Q: A Low Overhead High Performance Buffer
-// Management Replacement Algorithm", 1994). It serves comparisons with W-TinyLFU.
+// Management Replacement Algorithm", 1994). Experiments compare it with W-TinyLFU.
 func New2Q(bytes int) (Cache, error) {
 	const leastEntries = 2 // one for each of its queues
 	cache, err := lru.New2Q[Fingerprint, *CachedShape](max(entriesWithin(bytes), leastEntries))
--- a/internal/stmtstats/cache_tinylfu.go
+++ b/internal/stmtstats/cache_tinylfu.go
@@ -13,7 +13,7 @@
 	*otter.Cache[Fingerprint, *CachedShape]
 }
 
-// NewTinyLFU returns a W-TinyLFU cache of the given size. Its maintenance runs in the
+// NewTinyLFU returns a W-TinyLFU cache of the given size in bytes. Its maintenance runs in the
 // goroutine of the caller.
 func NewTinyLFU(bytes int) (Cache, error) {
 	cache, err := otter.New(&otter.Options[Fingerprint, *CachedShape]{
--- a/internal/stmtstats/class_table.go
+++ b/internal/stmtstats/class_table.go
@@ -5,11 +5,11 @@
 	"flaxrelay/policy"
 )
 
-// classTable looks up the policy's classes by name and by their index in the cost model, whose list has the classes of
-// read-only statements only. It is read-only and may be used from any goroutine.
+// classTable looks up the policy's classes by name and by their index in the cost model. The cost model's list
+// contains only the classes of read-only statements. A classTable is immutable and safe for concurrent use.
 type classTable struct {
-	indexes  map[string]int     // index in the policy's list by class name
-	threads  map[string]float64 // number of threads that a request uses, at least 1, by class name
+	indexes  map[string]int     // index in the policy's list; by class name
+	threads  map[string]float64 // number of threads that a request uses, at least 1; by class name
 	readOnly []policy.Class     // the classes of the cost model, in its order
 }
 
@@ -25,7 +25,7 @@
 	return table
 }
 
-// index returns the index of a class in the policy's list, or costmodel.NoClass if that has no class of the name.
+// index returns the index of a class in the policy's list, or costmodel.NoClass if the list has no such class.
 func (t *classTable) index(name string) int {
 	if index, ok := t.indexes[name]; ok {
 		return index
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -5,35 +5,35 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// Execution is one execution of a statement, from its estimate until its cost is learned. It belongs to
-// the goroutine of its Store.
+// Execution is one execution of a statement, from its estimate until its cost is learned. It must be used
+// only in the goroutine of its Store.
 type Execution struct {
 	Estimate  costmodel.Estimate
 	statement *Statement
-	parsed    Statement // statement points here if it was parsed for this execution alone
+	parsed    Statement // the target of statement, if the statement was parsed for this execution only
 	query     costmodel.Query
 	cached    *CachedShape // nil: the shape was not cached when the execution was estimated
 }
 
-// Hint is the client's own estimate of an execution, as opposed to the Estimate of the Store. A zero field means that
-// the client gave none.
+// Hint is the client's own estimate of an execution, as opposed to the Estimate of the Store. A zero field
+// means that the client gave no estimate.
 type Hint struct {
 	WorkMillis float64 // in milliseconds on one core
 	MemoryMB   float64
 }
 
-// noBinds are the bound values of a statement without any.
+// noBinds are the bound values of a statement without parameters.
 var noBinds sqltext.Binds
 
-// Estimate estimates one execution. knownClass is the index of its class if that is already
-// decided, else costmodel.NoClass. binds may be nil.
+// Estimate estimates one execution. knownClass is the index of its class if the class is already known,
+// else costmodel.NoClass. binds may be nil.
 func (s *Store) Estimate(statement *Statement, binds *sqltext.Binds, knownClass int, hint Hint) *Execution {
 	execution := &Execution{}
 	s.estimate(execution, statement, binds, knownClass, hint)
 	return execution
 }
 
-// estimate sets the execution, which must be empty except for its own parsed statement.
+// estimate sets the fields of the execution, which must be empty except for its field parsed.
 func (s *Store) estimate(
 	execution *Execution, statement *Statement, binds *sqltext.Binds, knownClass int, hint Hint,
 ) {
@@ -71,8 +71,8 @@
 	s.model.Learn(&execution.query, observed)
 }
 
-// cacheShape returns the cached shape of a statement. If there is none, it offers a new shape to the
-// cache and returns that.
+// cacheShape returns the cached shape of a statement. If the shape is not cached, cacheShape offers a new
+// one to the cache and returns it.
 func (s *Store) cacheShape(statement *Statement) *CachedShape {
 	fingerprint := statement.analysis.Fingerprint
 	if shape := s.cache.Get(fingerprint); shape != nil {
--- a/internal/stmtstats/execution_pool.go
+++ b/internal/stmtstats/execution_pool.go
@@ -1,14 +1,14 @@
 package stmtstats
 
-// maxFreeExecutions is the number of released executions in a pool. More requests are seldom
-// in flight at once. The garbage collector frees further executions.
+// maxFreeExecutions is the maximum number of released executions in a pool, since there are seldom more
+// requests in flight. The garbage collector frees further executions.
 const maxFreeExecutions = 512
 
-// executionPool reuses released executions, which saves an allocation for each request. It may be used
-// by one goroutine at a time.
+// executionPool reuses released executions, which saves an allocation for each request. It is not safe for
+// concurrent use.
 type executionPool struct{ free []*Execution }
 
-// get returns an empty execution, a released one if possible.
+// get returns an empty execution, if possible a released one.
 func (p *executionPool) get() *Execution {
 	last := len(p.free) - 1
 	if last < 0 {
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -14,20 +14,20 @@
 type Settings struct {
 	CostModel         costmodel.Config
 	MaxBytes          int           // limit of the cache's size
-	ApplyEstimates    bool          // estimates replace those of the clients in the decisions
+	ApplyEstimates    bool          // decisions use the store's estimates in place of the clients'
 	SnapshotPath      string        // path of the snapshot file; "": none
-	SnapshotInterval  time.Duration // between snapshots
+	SnapshotInterval  time.Duration // time between snapshots
 	EnginesReportWork bool          // engines report the work of a request; else its duration counts as its work
 }
 
 // Service connects a Store to a running front end: the servers of the client protocols get estimates from it when a
-// request arrives, and the lifecycle.Dispatcher reports what served requests have cost. All its methods must be called
+// request arrives, and the lifecycle.Dispatcher reports the costs of served requests. All its methods must be called
 // from the goroutine of the event loop.
 type Service struct {
 	store     *Store
 	settings  Settings
 	classes   classTable
-	snapshots *snapshotWriter // nil: the settings name no file
+	snapshots *snapshotWriter // nil if the settings name no file
 
 	counters *metrics.Counters
 	log      *slog.Logger
@@ -36,8 +36,8 @@
 	executions executionPool
 }
 
-// NewService returns a service that continues from the snapshot, if there is one. A
-// snapshot that can't be used is logged and renamed to FILE.unusable.
+// NewService returns a service that continues from the snapshot, if there is one. If the snapshot can't be
+// used, the service logs that and renames the file to FILE.unusable.
 func NewService(
 	settings Settings, classes []policy.Class, loop *eventloop.Loop, counters *metrics.Counters, log *slog.Logger,
 ) (*Service, error) {
@@ -68,7 +68,7 @@
 	return service, nil
 }
 
-// SaveSnapshot begins to write a snapshot in the background, if the settings name a file and no
+// SaveSnapshot starts writing a snapshot in the background, if the settings name a file and no
 // snapshot is being written.
 func (s *Service) SaveSnapshot() {
 	if s.snapshots != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// PublishCounters sets the counters of the store's figures.
+// PublishCounters sets the counters to the current statistics of the store.
 func (s *Service) PublishCounters() {
 	s.counters.Set(metrics.ShapesCorrected, s.corrected)
 	s.counters.Set(metrics.ShapesCached, int64(s.store.Len()))
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -9,7 +9,7 @@
 	"flaxrelay/policy"
 )
 
-// Parse parses a statement and classifies its effect. readOnly names further functions that
+// Parse parses a statement and classifies its effect. readOnly contains additional functions that
 // the operators declare to be read-only.
 func (s *Service) Parse(text string, readOnly sqltext.Functions) *Statement {
 	statement := &Statement{}
@@ -44,8 +44,8 @@
 }
 
 // apply attaches the execution to the request and, if the settings enable that, replaces the client's estimates by
-// those of the execution. If engines report no work, the store learns durations, and threads is the number of threads
-// that a request uses: the decisions need the work of all of them. Otherwise threads is 1.
+// the store's estimates. If engines report no work, the store learns durations. Decisions need the work of all
+// threads, so threads is then the number of threads that the request uses. Otherwise threads is 1.
 func (s *Service) apply(r *lifecycle.Request, execution *Execution, threads float64) {
 	r.ObserverData = execution
 	if !s.settings.ApplyEstimates || !execution.Estimate.Known {
@@ -58,8 +58,8 @@
 	}
 }
 
-// EstimateClass estimates an execution of a read-only statement whose class is given by no rule or comment, and
-// returns the class that the estimate gives it. ok is false if there is no estimate yet.
+// EstimateClass estimates an execution of a read-only statement whose class is not set by a rule or a comment, and
+// returns the class that follows from the estimate. ok is false if there is no estimate yet.
 func (s *Service) EstimateClass(
 	statement *Statement, binds *sqltext.Binds,
 ) (class policy.Class, execution *Execution, ok bool) {
@@ -77,16 +77,16 @@
 	s.apply(r, execution, s.classes.threads[r.Class])
 }
 
-// ObserveServed learns what a served request has cost. It implements lifecycle.CostObserver.
+// ObserveServed learns the cost of a served request. It implements lifecycle.CostObserver.
 func (s *Service) ObserveServed(r *lifecycle.Request, report lifecycle.AttemptReport, elapsed time.Duration) {
 	s.learn(r, costmodel.Observation{WorkMillis: workOrElapsed(report.Work, elapsed), MemoryMB: report.MemoryMB})
 }
 
-// ObserveTimeout learns that a request that exceeded its deadline costs at least what it
-// had used by then. It implements lifecycle.CostObserver.
+// ObserveTimeout learns the elapsed time of a request that exceeded its deadline, as a lower bound of its
+// cost. It implements lifecycle.CostObserver.
 func (s *Service) ObserveTimeout(r *lifecycle.Request, elapsed time.Duration) {
 	if s.settings.EnginesReportWork {
-		return // on an overloaded engine, a duration hardly depends on the work
+		return // on an overloaded engine, the duration of a request hardly depends on its work
 	}
 	s.learn(r, costmodel.Observation{WorkMillis: milliseconds(elapsed), LowerBound: true})
 }
--- a/internal/stmtstats/service_restore.go
+++ b/internal/stmtstats/service_restore.go
@@ -41,8 +41,8 @@
 	readRetryDelay = 20 * time.Millisecond
 )
 
-// restoreWithRetries restores from the file. It retries if the file exists and can't be read, because
-// a fault of the disk may be transient.
+// restoreWithRetries restores a store from the file. It retries if the file exists but can't be read,
+// because a disk fault may be transient.
 func restoreWithRetries(options Options, path string) (store *Store, err error) {
 	for range readAttempts {
 		var readError *fs.PathError
--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -7,9 +7,9 @@
 	"flaxrelay/internal/decision/costmodel"
 )
 
-// Errors that say why a snapshot can't be used.
+// Reasons why a snapshot can't be used.
 var (
-	// ErrSnapshotForeign means that the file does not begin like a snapshot of shapes.
+	// ErrSnapshotForeign means that the file does not start with the magic bytes of a snapshot.
 	ErrSnapshotForeign = errors.New("the file is no snapshot of shapes")
 	// ErrSnapshotVersion means that this version of the program can't read the format or the layout.
 	ErrSnapshotVersion = errors.New("the snapshot has a version that can't be read")
@@ -19,14 +19,14 @@
 	ErrSnapshotDamaged = errors.New("the snapshot is damaged")
 )
 
-// Snapshot is the state of a Store in a form that outlives the process. It contains no
-// fingerprints, because their seeds belong to one process: Restore computes them again.
+// Snapshot is the state of a Store in a form that can be stored. It contains no fingerprints, because
+// their seeds differ between processes: Restore computes them again.
 type Snapshot struct {
 	Layout    int              `cbor:"1,keyasint"`
 	HashSeed  uint64           `cbor:"2,keyasint"` // seed of the hashes of values
 	Model     *costmodel.State `cbor:"3,keyasint"`
 	Shapes    []SavedShape     `cbor:"4,keyasint"`
-	Truncated int              `cbor:"5,keyasint"` // shapes left out, as their normal forms are truncated
+	Truncated int              `cbor:"5,keyasint"` // number of shapes left out because their normal forms are truncated
 }
 
 // SavedShape is one shape of a Snapshot.
@@ -35,7 +35,7 @@
 	Record     costmodel.ShapeRecord `cbor:"2,keyasint"`
 }
 
-// Snapshot copies the state of the store. Another goroutine may use the copy.
+// Snapshot copies the state of the store. The copy may be used in another goroutine.
 func (s *Store) Snapshot() *Snapshot {
 	snapshot := &Snapshot{Layout: costmodel.Layout, HashSeed: s.hashSeed, Model: s.model.State()}
 	s.cache.Each(func(_ Fingerprint, shape *CachedShape) bool {
--- a/internal/stmtstats/snapshot_disk_test.go
+++ b/internal/stmtstats/snapshot_disk_test.go
@@ -19,7 +19,7 @@
 }
 
 // The temporary files of a process that was killed during a write are removed at the next start, because
-// nothing else removes them.
+// nothing else would remove them.
 func TestNewService_RemovesIncompleteTemporaryFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "shapes")
@@ -32,10 +32,10 @@
 	}
 	startService(t, path)
 	if _, err := os.Stat(leftover); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the file is still there: %v", err)
+		t.Errorf("the temporary file was not removed: %v", err)
 	}
 	if _, err := os.Stat(other); err != nil {
-		t.Errorf("a file of another name was removed: %v", err)
+		t.Errorf("a file with another name was removed: %v", err)
 	}
 }
 
--- a/internal/stmtstats/snapshot_file.go
+++ b/internal/stmtstats/snapshot_file.go
@@ -19,8 +19,8 @@
 	return snapshot, nil
 }
 
-// Write stores the snapshot in a file. It writes a temporary file, syncs it and renames it
-// over the old one, so that a crash leaves either the old file or the new one.
+// Write stores the snapshot in a file. It writes a temporary file, syncs it and renames it over the
+// snapshot file, so that a crash leaves either the old snapshot or the new one.
 func (s *Snapshot) Write(path string) error {
 	encoded, err := s.encode()
 	if err != nil {
@@ -36,8 +36,9 @@
 // temporaryInfix separates the name of the snapshot from the random part in the name of a temporary file.
 const temporaryInfix = ".new-"
 
-// removeLeftovers removes the temporary files of processes that were killed during a write. It ignores
-// errors, because a leftover file only uses disk space. No other process writes this snapshot.
+// removeLeftovers removes the temporary files of processes that were killed during a write. No other
+// process writes this snapshot, so the files are not in use. Errors are ignored, because a leftover file
+// only uses disk space.
 func removeLeftovers(path string) {
 	leftovers, err := filepath.Glob(path + temporaryInfix + "*")
 	if err != nil {
@@ -82,7 +83,7 @@
 }
 
 // syncDirectory makes a rename within the directory durable. It ignores errors: if the machine crashes
-// before the rename is durable, the previous snapshot remains, which is complete too.
+// before the rename is durable, the previous snapshot remains and is complete.
 func syncDirectory(path string) {
 	directory, err := os.Open(path)
 	if err != nil {
--- a/internal/stmtstats/snapshot_format.go
+++ b/internal/stmtstats/snapshot_format.go
@@ -35,11 +35,11 @@
 	snapshotHeaderSize = checksumOffset + checksumSize
 )
 
-// maxSnapshotBytes limits the size of the decompressed item. It protects against files that
-// decompress to more than any snapshot can contain.
+// maxSnapshotBytes is the maximum size of the decompressed item. It protects against files that decompress
+// to more than any snapshot contains.
 const maxSnapshotBytes = 256 << 20
 
-// Limits of the CBOR item. They protect against nesting and lengths that no snapshot has.
+// Limits of the CBOR item. They protect against deeper nesting and greater lengths than any snapshot has.
 const (
 	maxSnapshotNesting  = 16
 	maxSnapshotElements = 1 << 20
@@ -146,8 +146,8 @@
 	return snapshot, nil
 }
 
-// check returns an error if the snapshot was written for another layout, has no state of a model or contains
-// numbers that are not finite.
+// check returns an error if the snapshot has another layout, lacks the state of the model or contains numbers
+// that are not finite.
 func (s *Snapshot) check() error {
 	if s.Layout != costmodel.Layout {
 		return fmt.Errorf("%w: layout %d, want %d", ErrSnapshotVersion, s.Layout, costmodel.Layout)
--- a/internal/stmtstats/snapshot_stored_test.go
+++ b/internal/stmtstats/snapshot_stored_test.go
@@ -25,7 +25,7 @@
 	storedProbes   = "../lab/traffic/testdata/season-seed7-100.traffic"
 )
 
-// describeEstimate formats every figure of an estimate to its last digit.
+// describeEstimate formats every number of an estimate to its last digit.
 func describeEstimate(e costmodel.Estimate) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "known=%v work=%v spread=%v memory-mb=%v class=%d",
@@ -36,7 +36,7 @@
 	return b.String()
 }
 
-// probes returns the statements whose estimates are compared.
+// probes returns the statements whose estimates are compared with the golden file.
 func probes(t *testing.T) (all []traffic.Record) {
 	t.Helper()
 	raw, err := os.ReadFile(storedProbes)
@@ -66,7 +66,7 @@
 	return all
 }
 
-// A snapshot of an earlier version gives the same estimates as in that version, to the last digit.
+// A snapshot that an earlier version stored gives the same estimates as in that version, to the last digit.
 func TestStoredSnapshot_KeepsEstimates(t *testing.T) {
 	snapshot, err := ReadSnapshot(storedSnapshot)
 	if err != nil {
--- a/internal/stmtstats/snapshot_writer.go
+++ b/internal/stmtstats/snapshot_writer.go
@@ -9,9 +9,9 @@
 	"flaxrelay/internal/metrics"
 )
 
-// snapshotWriter writes snapshots of a store to a file and reports the outcome of each write. It owns
-// the schedule of the snapshots. Its methods must be called from the goroutine of the event loop. Each
-// write runs in a separate goroutine, because a disk may hang.
+// snapshotWriter writes snapshots of a store to a file, at intervals and on request, and reports the result
+// of each write. Its methods must be called from the goroutine of the event loop. Each write runs in a
+// separate goroutine, because a disk may hang.
 type snapshotWriter struct {
 	store    *Store
 	path     string
@@ -21,10 +21,10 @@
 	counters *metrics.Counters
 	log      *slog.Logger
 
-	writing bool // a write is in progress, or the loop has not handled its outcome yet
+	writing bool // a write is in progress, or the event loop has not handled its result yet
 }
 
-// schedule schedules the next snapshot and all that follow.
+// schedule schedules the next snapshot and all later ones.
 func (w *snapshotWriter) schedule() {
 	w.loop.Timers.Schedule(w.loop.Now()+w.interval, func() {
 		w.save()
@@ -32,8 +32,8 @@
 	})
 }
 
-// save begins to write a snapshot. While one is being written it does nothing, so that a disk that
-// hangs blocks one goroutine at most.
+// save starts writing a snapshot. It does nothing while another snapshot is being written, so that a disk
+// that hangs blocks at most one goroutine.
 func (w *snapshotWriter) save() {
 	if w.writing {
 		return
--- a/internal/stmtstats/snapshot_writer_test.go
+++ b/internal/stmtstats/snapshot_writer_test.go
@@ -14,17 +14,17 @@
 	"flaxrelay/policy"
 )
 
-// waitLimit limits the wait for the outcome of a write.
+// waitLimit limits the wait for the result of a write.
 const waitLimit = 10 * time.Second
 
-// testService is a service with the loop that it runs on.
+// testService is a service with the event loop that it runs on.
 type testService struct {
 	*Service
 	loop     *eventloop.Loop
 	counters *metrics.Counters
 }
 
-// newTestService returns a service of one class. Its loop runs until the end of the test.
+// newTestService returns a service with one class. Its event loop runs until the end of the test.
 func newTestService(t *testing.T, settings Settings, log *slog.Logger) *testService {
 	t.Helper()
 	loop, err := eventloop.New()
@@ -40,7 +40,7 @@
 	return &testService{Service: service, loop: loop, counters: counters}
 }
 
-// onLoop calls do on the goroutine of the loop and waits for its end.
+// onLoop calls do in the goroutine of the event loop and waits until do returns.
 func (s *testService) onLoop(do func()) { eventlooptest.Do(s.loop, do) }
 
 // count returns the value of a counter.
@@ -49,7 +49,7 @@
 	return value
 }
 
-// awaitCount waits until a counter has reached a value.
+// awaitCount waits until a counter is at least the given value.
 func (s *testService) awaitCount(t *testing.T, counter metrics.Counter, atLeast int64) {
 	t.Helper()
 	for deadline := time.Now().Add(waitLimit); s.count(counter) < atLeast; time.Sleep(time.Millisecond) {
@@ -71,15 +71,15 @@
 	c.Cache.Each(yield)
 }
 
-// countReads replaces the cache of the service by one that counts the snapshots.
+// countReads replaces the cache of the service by one that counts how often it is read for a snapshot.
 func (s *testService) countReads() *countingCache {
 	cache := &countingCache{Cache: s.store.cache}
 	s.onLoop(func() { s.store.cache = cache })
 	return cache
 }
 
-// A written snapshot is counted. One that can't be written is counted and logged with its file and the
-// error, and the next one is tried again.
+// A written snapshot is counted. A failed write is counted and logged with the file and the error, and the
+// next write is attempted as usual.
 func TestSaveSnapshot_ReportsItsOutcome(t *testing.T) {
 	dir := t.TempDir()
 	missing := filepath.Join(dir, "missing", "shapes")
@@ -124,7 +124,7 @@
 	}
 }
 
-// No snapshot is begun before the outcome of the last write is known.
+// No snapshot is started before the result of the previous write is known.
 func TestSaveSnapshot_WritesOneAtATime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "shapes")
 	settings := Settings{MaxBytes: testCacheBytes, SnapshotPath: path, SnapshotInterval: time.Hour}
@@ -132,20 +132,20 @@
 	cache := service.countReads()
 	service.onLoop(func() {
 		service.SaveSnapshot()
-		service.SaveSnapshot() // the outcome of the first is handled after this function
+		service.SaveSnapshot() // the result of the first write is handled after this function
 	})
 	service.awaitCount(t, metrics.ShapesSnapshots, 1)
 	service.onLoop(func() {
 		if cache.reads != 1 {
-			t.Errorf("%d snapshots begun, want 1", cache.reads)
+			t.Errorf("%d snapshots started, want 1", cache.reads)
 		}
 		service.SaveSnapshot()
 	})
 	service.awaitCount(t, metrics.ShapesSnapshots, 2)
 }
 
-// A snapshot is tried at each interval without a call, also after failures. The directory of the file does
-// not exist, so that no write outlasts the test.
+// A snapshot is attempted at each interval without a call of SaveSnapshot, even after failures. The directory
+// of the file does not exist, so that no write outlasts the test.
 func TestNewService_TriesSnapshotAtEachInterval(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "missing", "shapes")
 	settings := Settings{MaxBytes: testCacheBytes, SnapshotPath: path, SnapshotInterval: time.Millisecond}
@@ -153,14 +153,14 @@
 	service.awaitCount(t, metrics.ShapesSnapshotFailed, 3)
 }
 
-// Without a file in the settings nothing is written.
+// If the settings name no file, nothing is written.
 func TestSaveSnapshot_DoesNothingWithoutFile(t *testing.T) {
 	service := newTestService(t, Settings{MaxBytes: testCacheBytes}, slog.New(slog.DiscardHandler))
 	cache := service.countReads()
 	service.onLoop(func() {
 		service.SaveSnapshot()
 		if cache.reads != 0 {
-			t.Errorf("%d snapshots begun, want none", cache.reads)
+			t.Errorf("%d snapshots started, want none", cache.reads)
 		}
 	})
 }
--- a/internal/stmtstats/statement.go
+++ b/internal/stmtstats/statement.go
@@ -20,7 +20,7 @@
 	return statement
 }
 
-// set sets an empty statement to a text and a copy of its analysis.
+// set initializes an empty statement with a text and a copy of its analysis.
 func (st *Statement) set(text string, analysis *sqltext.Analysis) {
 	st.text = text
 	st.analysis = *analysis
@@ -37,7 +37,8 @@
 // MultipleStatements reports whether the text contains more than one statement.
 func (st *Statement) MultipleStatements() bool { return st.analysis.MultipleStatements }
 
-// Dataset returns the number of the data set that the statement's tables belong to. ok is false if it names none.
+// Dataset returns the number of the data set that the statement's tables belong to. ok is false if the statement
+// names no data set.
 func (st *Statement) Dataset() (dataset int64, ok bool) {
 	return st.analysis.Dataset, st.analysis.HasDataset
 }
--- a/internal/stmtstats/store.go
+++ b/internal/stmtstats/store.go
@@ -15,11 +15,11 @@
 	Cache     Cache // nil: a W-TinyLFU cache of MaxBytes
 }
 
-// minBytes is the smallest cache size, which suffices for a few dozen shapes.
+// minBytes is the minimum cache size, which is enough for a few dozen shapes.
 const minBytes = 64 << 10
 
 // Store estimates executions of statements and learns from their costs. It owns the cost model and the
-// cache of shapes. It may be used by one goroutine at a time.
+// cache of shapes. It is not safe for concurrent use.
 type Store struct {
 	analyzer *sqltext.Analyzer
 	model    *costmodel.Model
@@ -31,7 +31,7 @@
 // Stats counts the events of a Store.
 type Stats struct {
 	Hits    uint64 // executions whose shape was cached
-	Misses  uint64 // executions whose shape was not
+	Misses  uint64 // executions whose shape was not cached
 	Learned uint64 // executions whose cost was learned
 }
 
--- a/internal/stmtstats/store_test.go
+++ b/internal/stmtstats/store_test.go
@@ -36,8 +36,8 @@
 	return s.Estimate(s.Parse(text), nil, costmodel.NoClass, Hint{}).Estimate
 }
 
-// learn makes the store learn the given number of executions of a text. It then estimates one more,
-// because each lookup counts for the policy of the cache.
+// learn makes the store learn the given number of executions of a text. It then estimates one more execution,
+// because the cache's policy counts each lookup.
 func learn(s *Store, text string, executions int, work float64) {
 	for range executions {
 		execution := s.Estimate(s.Parse(text), nil, costmodel.NoClass, Hint{})
@@ -73,7 +73,7 @@
 	before := estimate(s, text).WorkMillis
 	after := estimate(restored, text).WorkMillis
 	if before != after || before < 350 || before > 550 {
-		t.Errorf("%.1f ms expected before, %.1f after", before, after)
+		t.Errorf("estimate of %.1f ms before the restart, %.1f ms after it", before, after)
 	}
 	files, err := os.ReadDir(dir)
 	if err != nil || len(files) != 1 {
@@ -81,8 +81,8 @@
 	}
 }
 
-// A snapshot that is truncated, changed in any byte, of another version or of another format is
-// rejected with the error for that fault.
+// A snapshot that is truncated, has a changed byte, or has another version or format is rejected with the
+// matching error.
 func TestDecodeSnapshot_RejectsDamage(t *testing.T) {
 	s := newTestStore(t)
 	learn(s, "SELECT a FROM stock_1.parts WHERE part = 'p'", 5, 200)
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	if _, err := decodeSnapshot(withoutModel); !errors.Is(err, ErrSnapshotDamaged) {
-		t.Errorf("no state of a model: %v", err)
+		t.Errorf("without the state of the model: %v", err)
 	}
 }
 
