--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -12,9 +12,9 @@
 	// ErrSnapshotForeign means that the file does not start with the magic bytes of a snapshot.
 	ErrSnapshotForeign = errors.New("the file is no snapshot of shapes")
 	// ErrSnapshotVersion means that this version of the program can't read the format or the layout.
-	ErrSnapshotVersion = errors.New("the snapshot has a version that can't be read")
+	ErrSnapshotVersion = errors.New("the version of the snapshot is not supported")
 	// ErrSnapshotTruncated means that bytes are missing at the end.
-	ErrSnapshotTruncated = errors.New("the snapshot was cut off")
+	ErrSnapshotTruncated = errors.New("the snapshot is truncated")
 	// ErrSnapshotDamaged means that the contents are invalid.
 	ErrSnapshotDamaged = errors.New("the snapshot is damaged")
 )
--- a/internal/stmtstats/snapshot_format.go
+++ b/internal/stmtstats/snapshot_format.go
@@ -107,9 +107,9 @@
 	case actual < stated:
 		return nil, fmt.Errorf("%w: %d of %d bytes", ErrSnapshotTruncated, actual, stated)
 	case actual > stated:
-		return nil, fmt.Errorf("%w: %d bytes where its header says %d", ErrSnapshotDamaged, actual, stated)
+		return nil, fmt.Errorf("%w: %d bytes, but its header states %d", ErrSnapshotDamaged, actual, stated)
 	case xxhash.Sum64(body) != binary.BigEndian.Uint64(encoded[checksumOffset:]):
-		return nil, fmt.Errorf("%w: its checksum differs", ErrSnapshotDamaged)
+		return nil, fmt.Errorf("%w: checksum mismatch", ErrSnapshotDamaged)
 	}
 	return body, nil
 }
@@ -153,7 +153,7 @@
 		return fmt.Errorf("%w: layout %d, want %d", ErrSnapshotVersion, s.Layout, costmodel.Layout)
 	}
 	if s.Model == nil {
-		return fmt.Errorf("%w: it has no state of a model", ErrSnapshotDamaged)
+		return fmt.Errorf("%w: the state of the model is missing", ErrSnapshotDamaged)
 	}
 	for i := range s.Shapes {
 		if err := s.Shapes[i].Record.Check(); err != nil {
