--- a/internal/stmtstats/cache_lru.go
+++ b/internal/stmtstats/cache_lru.go
@@ -48,8 +48,8 @@
 // New2Q returns a 2Q cache (Johnson, Shasha, "2Q: A Low Overhead High Performance Buffer
 // Management Replacement Algorithm", 1994). Experiments compare it with W-TinyLFU.
 func New2Q(bytes int) (Cache, error) {
-	const leastEntries = 2 // one for each of its queues
-	cache, err := lru.New2Q[Fingerprint, *CachedShape](max(entriesWithin(bytes), leastEntries))
+	const minEntries = 2 // one for each of its queues
+	cache, err := lru.New2Q[Fingerprint, *CachedShape](max(entriesWithin(bytes), minEntries))
 	if err != nil {
 		return nil, fmt.Errorf("cache of shapes: %w", err)
 	}
--- a/internal/stmtstats/snapshot_writer.go
+++ b/internal/stmtstats/snapshot_writer.go
@@ -42,12 +42,12 @@
 	snapshot := w.store.Snapshot()
 	go func() {
 		err := snapshot.Write(w.path)
-		w.loop.Post(func() { w.handleOutcome(err) })
+		w.loop.Post(func() { w.handleWriteResult(err) })
 	}()
 }
 
-// handleOutcome counts the result of a write and logs a failure.
-func (w *snapshotWriter) handleOutcome(err error) {
+// handleWriteResult counts the result of a write and logs a failure.
+func (w *snapshotWriter) handleWriteResult(err error) {
 	w.writing = false
 	if err != nil {
 		w.counters.Increment(metrics.ShapesSnapshotFailed)
--- a/internal/stmtstats/snapshot_writer_test.go
+++ b/internal/stmtstats/snapshot_writer_test.go
@@ -85,19 +85,19 @@
 	missing := filepath.Join(dir, "missing", "shapes")
 	failure := `level=WARN msg=shapes.snapshot-failed file=` + missing + ` error="snapshot: create temporary file: `
 	for _, test := range []struct {
-		name    string
-		path    string
-		counted metrics.Counter
-		other   metrics.Counter
-		log     string // of each write
+		name       string
+		path       string
+		counted    metrics.Counter
+		notCounted metrics.Counter
+		log        string // of each write
 	}{
 		{
 			name: "written", path: filepath.Join(dir, "shapes"),
-			counted: metrics.ShapesSnapshots, other: metrics.ShapesSnapshotFailed,
+			counted: metrics.ShapesSnapshots, notCounted: metrics.ShapesSnapshotFailed,
 		},
 		{
 			name: "failed", path: missing,
-			counted: metrics.ShapesSnapshotFailed, other: metrics.ShapesSnapshots,
+			counted: metrics.ShapesSnapshotFailed, notCounted: metrics.ShapesSnapshots,
 			log: failure,
 		},
 	} {
@@ -109,8 +109,8 @@
 				service.onLoop(service.SaveSnapshot)
 				service.awaitCount(t, test.counted, written)
 			}
-			if n := service.count(test.other); n != 0 {
-				t.Errorf("%s is %d, want 0", test.other.Name(), n)
+			if n := service.count(test.notCounted); n != 0 {
+				t.Errorf("%s is %d, want 0", test.notCounted.Name(), n)
 			}
 			var text string
 			service.onLoop(func() { text = log.String() })
--- a/internal/stmtstats/store_test.go
+++ b/internal/stmtstats/store_test.go
@@ -104,9 +104,9 @@
 	if _, err := decodeSnapshot(append(bytes.Clone(good), 0)); !errors.Is(err, ErrSnapshotDamaged) {
 		t.Errorf("a byte after the end: %v", err)
 	}
-	other := bytes.Clone(good)
-	other[len(snapshotMagic)+3] = 99
-	if _, err := decodeSnapshot(other); !errors.Is(err, ErrSnapshotVersion) {
+	otherVersion := bytes.Clone(good)
+	otherVersion[len(snapshotMagic)+3] = 99
+	if _, err := decodeSnapshot(otherVersion); !errors.Is(err, ErrSnapshotVersion) {
 		t.Errorf("another version: %v", err)
 	}
 	snapshot := s.Snapshot()
