--- a/internal/decision/costmodel/prior.go
+++ b/internal/decision/costmodel/prior.go
@@ -7,7 +7,7 @@
 	Weights    vector                          `cbor:"W"`
 	Covariance [dimensions][dimensions]float64 `cbor:"P"`
 	Samples    int                             `cbor:"N"`
-	Errors     Tracker                         `cbor:"Track"` // of its own predictions
+	Errors     Tracker                         `cbor:"Track"` // errors of the prior's predictions
 }
 
 const (
--- a/internal/decision/costmodel/tracker.go
+++ b/internal/decision/costmodel/tracker.go
@@ -103,7 +103,7 @@
 func (t *Tracker) variance() float64 {
 	const (
 		perMeanDeviation = 1.25 // standard deviation over mean absolute deviation of a normal distribution
-		medianVariance   = 4    // variance of the median over that of an observation, for one observation
+		medianVariance   = 4    // variance of the median after one observation, over the variance of an observation
 	)
 	deviation := perMeanDeviation * max(float64(t.Deviation), minDeviation)
 	return deviation * deviation * (1 + medianVariance/float64(t.Samples))
--- a/internal/decision/hotrestart/predecessor_conns.go
+++ b/internal/decision/hotrestart/predecessor_conns.go
@@ -123,7 +123,7 @@
 	p.failures += heartbeat.Failures
 	total := p.successes + p.failures
 	if total >= p.cfg.MinSuccesses && float64(p.failures) > p.cfg.MaxFailureRate*float64(total) {
-		return p.rollBack(now, "too many responses of the successor are errors of its own")
+		return p.rollBack(now, "too many responses of the successor are its own errors")
 	}
 	elapsed := now - p.phaseStart
 	if elapsed < p.cfg.MinProbation || p.successes < p.cfg.MinSuccesses && elapsed < p.cfg.MaxProbation {
