--- a/internal/decision/costmodel/costmodel_test.go
+++ b/internal/decision/costmodel/costmodel_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// learn makes the model learn a number of executions of the given work.
+// learn makes the model learn the given number of executions with the given work.
 func (f *shapeFixture) learn(executions int, work float64) {
 	for range executions {
 		q := f.query
@@ -45,11 +45,11 @@
 func TestEstimate_StaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newShapeFixture(Config{Classes: classes()})
-		odd := rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)})
-		figure := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), odd)
+		implausible := rapid.SampledFrom([]float64{0, -5, 1e12, math.NaN(), math.Inf(1)})
+		cost := rapid.OneOf(rapid.Float64(), rapid.Float64Range(0.01, 1e5), implausible)
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
 			q := f.query
-			q.HintWorkMillis = figure.Draw(t, "hint")
+			q.HintWorkMillis = cost.Draw(t, "hint")
 			q.Profile = sqltext.Profile{
 				Alternatives: rapid.IntRange(0, 1e6).Draw(t, "alternatives"),
 				Span:         rapid.Float64Range(0, 1e12).Draw(t, "span"),
@@ -57,8 +57,8 @@
 				Key:          rapid.Uint64Range(0, 5).Draw(t, "key"),
 			}
 			observed := Observation{
-				WorkMillis: figure.Draw(t, "work"),
-				MemoryMB:   figure.Draw(t, "memory"),
+				WorkMillis: cost.Draw(t, "work"),
+				MemoryMB:   cost.Draw(t, "memory"),
 				LowerBound: rapid.Bool().Draw(t, "at least"),
 			}
 			before := *f.query.Record
@@ -80,8 +80,8 @@
 	})
 }
 
-// checkLimits checks that a known estimate consists of finite numbers within their limits and one of two
-// classes.
+// checkLimits checks that the numbers of a known estimate are finite and within their limits, and that its
+// class is one of the two classes.
 func checkLimits(t *rapid.T, estimate Estimate) {
 	t.Helper()
 	if !estimate.Known {
@@ -121,8 +121,8 @@
 	}
 }
 
-// After a change of the cost by a factor of ten, the estimate adapts within some ten observations. Without
-// forgetting it does not.
+// After a change of the cost by a factor of ten, the estimate adapts within about ten observations. Without
+// forgetting, it does not adapt.
 func TestLearn_FollowsChangedCostOnlyWithForgetting(t *testing.T) {
 	for _, forget := range []bool{true, false} {
 		f := newShapeFixture(Config{Classes: classes(), NoForgetting: !forget})
@@ -137,13 +137,13 @@
 
 // One implausible report, or one execution with a bad plan, has little influence.
 func TestLearn_OutlierHasLittleInfluence(t *testing.T) {
-	for _, odd := range []float64{-1, 0, math.NaN(), math.Inf(1), 1e12, 3.5e6, 0.011} {
+	for _, outlier := range []float64{-1, 0, math.NaN(), math.Inf(1), 1e12, 3.5e6, 0.011} {
 		f := newShapeFixture(Config{Classes: classes()})
 		f.learn(40, 200)
 		before := f.estimate().WorkMillis
-		f.learn(1, odd)
+		f.learn(1, outlier)
 		if got := f.estimate().WorkMillis; math.Abs(math.Log2(got/before)) > 0.25 {
-			t.Errorf("one cost of %g ms moved the estimate from %.0f to %.0f ms", odd, before, got)
+			t.Errorf("one cost of %g ms moved the estimate from %.0f to %.0f ms", outlier, before, got)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	}
 	e := model.Estimate(&Query{Features: features, KnownClass: 0, HintWorkMillis: 50})
 	if e.WorkMillis < 350 || e.WorkMillis > 700 {
-		t.Errorf("%.0f ms expected with a hint of 50 that is a tenth: %s", e.WorkMillis, e.Explain())
+		t.Errorf("estimate of %.0f ms for a hint of 50 ms, a tenth of the work: %s", e.WorkMillis, e.Explain())
 	}
 }
 
@@ -195,14 +195,14 @@
 		f.model.Learn(&q, Observation{WorkMillis: 100, LowerBound: true})
 	}
 	if got := f.estimate().WorkMillis; got < 150 {
-		t.Errorf("%.0f ms after lower bounds below the cost", got)
+		t.Errorf("estimate of %.0f ms after lower bounds below the cost", got)
 	}
 	for range 30 {
 		q := f.query
 		f.model.Learn(&q, Observation{WorkMillis: 6000, LowerBound: true})
 	}
 	if got := f.estimate().WorkMillis; got < 2000 {
-		t.Errorf("%.0f ms after 30 executions were cancelled at 6000", got)
+		t.Errorf("estimate of %.0f ms after 30 executions were cancelled at 6000 ms", got)
 	}
 }
 
@@ -226,6 +226,6 @@
 	}
 	q.Profile.Key = 7
 	if e := f.model.Estimate(&q); e.WorkMillis > 300 {
-		t.Errorf("%.0f ms for another: %s", e.WorkMillis, e.Explain())
+		t.Errorf("%.0f ms for another value: %s", e.WorkMillis, e.Explain())
 	}
 }
--- a/internal/stmtstats/snapshot_format.go
+++ b/internal/stmtstats/snapshot_format.go
@@ -35,11 +35,11 @@
 	snapshotHeaderSize = checksumOffset + checksumSize
 )
 
-// maxSnapshotBytes limits the size of the decompressed item. It protects against files that
-// decompress to more than any snapshot can contain.
+// maxSnapshotBytes is the maximum size of the decompressed item. It protects against files that decompress
+// to more than any snapshot contains.
 const maxSnapshotBytes = 256 << 20
 
-// Limits of the CBOR item. They protect against nesting and lengths that no snapshot has.
+// Limits of the CBOR item. They protect against deeper nesting and greater lengths than any snapshot has.
 const (
 	maxSnapshotNesting  = 16
 	maxSnapshotElements = 1 << 20
@@ -107,9 +107,9 @@
 	case actual < stated:
 		return nil, fmt.Errorf("%w: %d of %d bytes", ErrSnapshotTruncated, actual, stated)
 	case actual > stated:
-		return nil, fmt.Errorf("%w: %d bytes where its header says %d", ErrSnapshotDamaged, actual, stated)
+		return nil, fmt.Errorf("%w: %d bytes, but its header states %d", ErrSnapshotDamaged, actual, stated)
 	case xxhash.Sum64(body) != binary.BigEndian.Uint64(encoded[checksumOffset:]):
-		return nil, fmt.Errorf("%w: its checksum differs", ErrSnapshotDamaged)
+		return nil, fmt.Errorf("%w: checksum mismatch", ErrSnapshotDamaged)
 	}
 	return body, nil
 }
@@ -146,14 +146,14 @@
 	return snapshot, nil
 }
 
-// check returns an error if the snapshot was written for another layout, has no state of a model or contains
-// numbers that are not finite.
+// check returns an error if the snapshot has another layout, lacks the state of the model or contains numbers
+// that are not finite.
 func (s *Snapshot) check() error {
 	if s.Layout != costmodel.Layout {
 		return fmt.Errorf("%w: layout %d, want %d", ErrSnapshotVersion, s.Layout, costmodel.Layout)
 	}
 	if s.Model == nil {
-		return fmt.Errorf("%w: it has no state of a model", ErrSnapshotDamaged)
+		return fmt.Errorf("%w: the state of the model is missing", ErrSnapshotDamaged)
 	}
 	for i := range s.Shapes {
 		if err := s.Shapes[i].Record.Check(); err != nil {
