--- a/internal/frontend/clientconn/backpressure_test.go
+++ b/internal/frontend/clientconn/backpressure_test.go
@@ -10,13 +10,13 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// pausingHandler writes to its client until PauseUntilFlushed has it pause, and closes the connection when it is called
-// again.
+// pausingHandler writes to its client until PauseUntilFlushed reports that it must pause. It closes the connection when
+// it is called again.
 type pausingHandler struct {
 	calls        int
 	paused       chan struct{} // closed by the first call
-	pendingLater int           // bytes that waited to be sent when the handler was called again
-	unreadLater  int           // bytes of the client that were unread then
+	pendingLater int           // bytes waiting to be sent at the second call
+	unreadLater  int           // unread bytes of the client at the second call
 }
 
 // OnData implements eventloop.Handler.
@@ -64,7 +64,7 @@
 	if _, err := io.WriteString(client, request); err != nil {
 		t.Fatal(err)
 	}
-	// The client reads nothing until the handler pauses: otherwise bytes might never wait to be sent.
+	// The client does not read until the handler pauses: otherwise all bytes might be sent at once.
 	select {
 	case <-handler.paused:
 	case <-time.After(waitLimit):
--- a/internal/frontend/clientconn/listener.go
+++ b/internal/frontend/clientconn/listener.go
@@ -6,13 +6,13 @@
 	"flaxrelay/internal/eventloop"
 )
 
-// Listener accepts the connections of clients.
+// Listener accepts client connections.
 type Listener struct {
 	listener net.Listener
 }
 
-// Listen accepts connections at the address. At most maxConnections are open at once (0: no limit); readLimit limits
-// the unread bytes of each. The function accept is called on the goroutine of the event loop.
+// Listen accepts connections at the address. At most maxConnections connections are open at once (0: no limit);
+// readLimit limits the unread bytes of each. The function accept is called on the goroutine of the event loop.
 func Listen(
 	loop *eventloop.Loop, address string, readLimit, maxConnections int, accept func(*eventloop.Conn) eventloop.Handler,
 ) (Listener, error) {
@@ -23,6 +23,6 @@
 // Addr returns the address that clients connect to.
 func (l *Listener) Addr() string { return l.listener.Addr().String() }
 
-// CloseListener stops accepting connections. Open ones stay open. The error of the close is dropped: the listener is
-// not used any more in either case.
+// CloseListener stops accepting connections. Open connections stay open. An error is ignored: the listener is not used
+// again in either case.
 func (l *Listener) CloseListener() { _ = l.listener.Close() }
