--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -8,7 +8,7 @@
 	"flaxrelay/internal/metrics"
 )
 
-// closeReason is the reason why a connection ended, as in the name of the counter http.closed.REASON.
+// closeReason is the reason why a connection was closed, as in the name of the counter http.closed.REASON.
 type closeReason string
 
 // closeNone is the reason of a connection that this side does not close. It is not counted.
@@ -18,11 +18,11 @@
 const (
 	closeByClient       closeReason = "client"          // the client closed it
 	closeByError        closeReason = "error"           // the connection broke
-	closeAfterResponse  closeReason = "response"        // after a response: the client wanted it, or a shutdown
+	closeAfterResponse  closeReason = "response"        // after a response: at the client's request or in a shutdown
 	closeInvalidRequest closeReason = "invalid-request" // after the response to an invalid or incomplete request
 	closeReadTimeout    closeReason = "read-timeout"    // a new client sent nothing in time
 	closeIdleTimeout    closeReason = "idle"            // an idle client sent nothing for maxIdleTime
-	closeEvicted        closeReason = "evicted"         // a new connection needed its descriptor
+	closeEvicted        closeReason = "evicted"         // a new connection needed a descriptor
 	closeShutdown       closeReason = "shutdown"        // a graceful shutdown
 )
 
@@ -32,9 +32,10 @@
 	return c.state.awaitsRequest() && c.state != statePaging && c.reader.unread() == 0
 }
 
-// closeUnused closes the connection without a response, unless a request is in flight or bytes are unread. It reads
-// what the socket holds first, and reports whether it closed the connection. Every close from this side without a
-// response goes through here, so that no request that was read is lost. It must not be called from OnData.
+// closeUnused closes the connection without a response, unless a request is in flight or bytes are unread. It first
+// reads the bytes that the socket holds, and reports whether it closed the connection. Every close from this side
+// without a response goes through closeUnused, so that no request that was read is lost. It must not be called from
+// OnData.
 func (c *connection) closeUnused(reason closeReason) bool {
 	responded := c.state != stateInFlight
 	invariants := c.server.dispatcher.Invariants()
@@ -49,7 +50,7 @@
 	return true
 }
 
-// write sends a response. If nothing more is to be served after it, the response announces the close and the connection
+// write sends a response. If nothing more will be served after it, the response announces the close and the connection
 // is closed. It must not be called in stateClosing.
 func (c *connection) write(r response) {
 	if c.closesAfterResponse() {
@@ -59,9 +60,9 @@
 	c.socket.Write(r.encode())
 }
 
-// closesAfterResponse reports whether the connection is to be closed after the response that is about to be written:
-// because the client wants that, or because the connection is being evicted or the server drains, and nothing is
-// outstanding after the response.
+// closesAfterResponse reports whether the connection must be closed after the response that is about to be written: if
+// the client wants that, or if nothing is outstanding after the response and the connection is being evicted or the
+// server is draining.
 func (c *connection) closesAfterResponse() bool {
 	if c.wantsClose {
 		return true
@@ -72,20 +73,21 @@
 	return c.state != statePaging && c.reader.unread() == 0
 }
 
-// writeLast sends a response that announces the end of the connection, and closes the connection after it.
+// writeLast sends a response that announces the close, and then closes the connection.
 func (c *connection) writeLast(r response, reason closeReason) {
 	c.socket.Write(r.encodeLast())
 	c.state = stateClosing
 	c.closeReason = reason
 	if r.isClientError() {
-		c.socket.CloseAfterLinger() // nothing more is read of the client
+		c.socket.CloseAfterLinger() // nothing more is read from the client
 	} else {
 		c.socket.Close()
 	}
 }
 
-// reject responds to an invalid request and closes the connection. After a request that can't be parsed, it is unknown
-// where the next one begins, and a client that sends invalid requests without pause has to connect for each.
+// reject responds to an invalid request and closes the connection. After a request that can't be parsed, the start of
+// the next one is unknown. The close also forces a client that keeps sending invalid requests to connect again for
+// each.
 func (c *connection) reject(err *statusError) {
 	c.server.counters.Increment(metrics.HTTPBadRequests)
 	c.writeLast(errorResponse(err), closeInvalidRequest)
@@ -97,13 +99,14 @@
 	c.write(rejectedResponse(c.server.dispatcher.RetryAfter()))
 }
 
-// rejectPartial rejects a request of which only a part has arrived, and closes the connection. Nothing of the request
-// was forwarded.
+// rejectPartial rejects a request that has arrived only in part, and closes the connection. No part of the request was
+// forwarded.
 func (c *connection) rejectPartial(reason closeReason) {
 	c.writeLast(rejectedResponse(c.server.dispatcher.RetryAfter()), reason)
 }
 
-// countClose counts the end of the connection by its reason. The error is the socket's; nil if either side closed it.
+// countClose counts the close of the connection by its reason. The error is that of the socket, or nil if either side
+// closed it.
 func (c *connection) countClose(err error) {
 	reason := c.closeReason
 	switch {
--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -16,53 +16,53 @@
 // are read.
 const maxPendingWrite = 256 << 10
 
-// connectionState says what a connection may do next for its client's requests. Every connection begins in stateNew and
-// ends in stateClosing.
+// connectionState determines what a connection may do next. Every connection starts in stateNew and ends in
+// stateClosing.
 //
 //	state              event                                              next state
 //	new, idle, paging  a statement                                        in flight
 //	new, idle, paging  a health check, a release, a last or unknown page  idle
-//	new, idle, paging  a page that names a further one                    paging
+//	new, idle, paging  a page after which another one follows             paging
 //	in flight          response: complete result, rejection or failure    idle
 //	in flight          response: the first of several pages               paging
 //	evicting           a request with further bytes after it              evicting
-//	new                eviction after a part of a request has arrived     evicting
+//	new                eviction while bytes of requests are unread        evicting
 //	new, idle, paging  closed without a response (closeUnused)            closing
 //	all but closing    the last response (writeLast)                      closing
 //	all                the client disconnected, or the connection broke   closing
 //
-// closeUnused closes connections without unread bytes: those whose client sends no first request in time or is idle for
-// too long, those that are evicted, and any in a graceful shutdown. The last response is the response to an invalid or
-// incomplete request, the response after which the client wants the close, or, in eviction and graceful shutdown, the
-// response after which nothing is outstanding.
+// closeUnused closes a connection that has no unread bytes if its client sends no first request in time or is idle for
+// too long, if the connection is evicted, or in a graceful shutdown. The last response is the response to an invalid or
+// incomplete request, the response after which the client wants the connection closed, or, in eviction and graceful
+// shutdown, the response after which nothing is outstanding.
 //
-// A request that is in flight when its client disconnects, or when bytes that can't be a request follow it, is
-// abandoned. After each response the next request is read.
+// A request in flight is abandoned if its client disconnects or sends bytes after it that can't be a request. After
+// each response the next request is read.
 type connectionState uint8
 
 const (
 	// stateNew awaits the first request. Eviction closes connections in this state first: their clients have not made a
 	// valid request yet.
 	stateNew connectionState = iota
-	// stateIdle awaits the next request of a client that has made a valid request.
+	// stateIdle awaits the next request of a client that has already made a valid one.
 	stateIdle
-	// statePaging awaits the next request, and the latest response named a further page of its result.
+	// statePaging awaits the next request after a response that named a further page of its result.
 	statePaging
-	// stateInFlight has a request whose response the dispatcher has not given yet. Nothing more is served meanwhile.
+	// stateInFlight waits for the dispatcher's response to a request. No further request is served meanwhile.
 	stateInFlight
 	// stateEvicting rejects the requests that had arrived before the connection was evicted. The connection is closed
 	// after the last of these responses.
 	stateEvicting
-	// stateClosing reads and writes nothing more.
+	// stateClosing neither reads nor writes.
 	stateClosing
 )
 
 // awaitsRequest reports whether the next request may be read.
 func (s connectionState) awaitsRequest() bool { return s != stateInFlight && s != stateClosing }
 
-// connection is the connection of one client. It serves one request after the other and ensures that each has one
-// response: only closeUnused closes the connection without a response. A connection must be used from the goroutine of
-// the event loop only.
+// connection is the connection of one client. It serves one request at a time and ensures that each has one response:
+// only closeUnused closes the connection without a response. A connection must be used from the goroutine of the event
+// loop only.
 type connection struct {
 	server *Server
 	socket *eventloop.Conn
@@ -70,11 +70,11 @@
 	state  connectionState
 
 	request    *lifecycle.Request // set in stateInFlight only
-	wantsClose bool               // the client wants the close after the response to its latest request
+	wantsClose bool               // the client wants the connection closed after the response to its latest request
 	lastActive time.Duration      // time of the latest request or response, as of Loop.Now
 	readTimer  *timerqueue.Timer  // calls onReadTimeout; nil: no time limit on the next request
-	// closeReason says why this side closes the connection. It is set together with stateClosing, or in stateEvicting
-	// by the first rejection. Until then it is closeNone.
+	// closeReason is the reason why this side closes the connection. It is set together with stateClosing, or in
+	// stateEvicting by the first rejection; until then it is closeNone.
 	closeReason closeReason
 }
 
@@ -124,7 +124,7 @@
 		c.rejectPartial(closeEvicted)
 	case c.server.finishing && unread > 0:
 		c.rejectPartial(closeShutdown)
-	case c.readTimer == nil && unread > 0: // in stateNew the timer runs from the accept on
+	case c.readTimer == nil && unread > 0: // in stateNew the timer already runs
 		c.startReadTimer()
 	}
 	if c.state == stateInFlight {
@@ -162,8 +162,7 @@
 	c.server.dispatcher.Accept(request)
 }
 
-// Respond writes the response to the request in flight and continues to read: the client may have sent further
-// requests.
+// Respond writes the response to the request in flight and resumes reading: the client may have sent further requests.
 func (c *connection) Respond(request *lifecycle.Request, response lifecycle.Response) {
 	c.request = nil
 	c.state = stateIdle
--- a/internal/frontend/httpserver/connection_test.go
+++ b/internal/frontend/httpserver/connection_test.go
@@ -18,7 +18,7 @@
 	malformedRequest = "GET /health HTTP/1.1\r\nHost\r\n\r\n"
 )
 
-// However a connection ends, and from whichever state, its client has received each response, and one reason is
+// In every state and for every way in which a connection can end, its client receives all responses, and one reason is
 // counted.
 func TestConnection_EndsWithAllResponsesAndOneReason(t *testing.T) {
 	const shortReadTimeout = 50 * time.Millisecond
@@ -29,9 +29,9 @@
 	)
 	for name, test := range map[string]struct {
 		options      Options
-		prepare      func(s *clientScenario) // brings the new connection into another state
+		prepare      func(s *clientScenario) // brings the new connection to the state of the case
 		run          func(s *clientScenario)
-		responses    []string // after those that prepare and run receive
+		responses    []string // those that neither prepare nor run receives
 		wantCounters map[string]int
 	}{
 		"new, closed by its client": {
@@ -40,7 +40,7 @@
 		},
 		"new, broken": {
 			run: func(s *clientScenario) {
-				if err := s.client.(*net.TCPConn).SetLinger(0); err != nil { // Close resets the connection
+				if err := s.client.(*net.TCPConn).SetLinger(0); err != nil { // so that Close resets the connection
 					s.t.Error(err)
 				}
 				s.closeClient()
@@ -214,7 +214,7 @@
 			options: Options{ReadTimeout: shortReadTimeout},
 			prepare: becomeIdle,
 			run: func(s *clientScenario) {
-				time.Sleep(2 * shortReadTimeout) // no time limit holds between two requests
+				time.Sleep(2 * shortReadTimeout) // there is no time limit between two requests
 				send(s.t, s.client, partialRequest)
 			},
 			responses: []string{"408 close"},
@@ -260,7 +260,7 @@
 			prepare: fetchFirstPage,
 			run: func(s *clientScenario) {
 				s.onLoop(s.server.Drain)
-				s.roundTrip(s.pageRequest(1)) // again: it names a further page
+				s.roundTrip(s.pageRequest(1)) // the same page again: it names a further page
 				send(s.t, s.client, s.pageRequest(2))
 			},
 			responses:    []string{"200 close"},
@@ -306,14 +306,14 @@
 			}
 			s.onLoop(func() {
 				if n := s.server.dispatcher.Pending(); n != 0 {
-					t.Errorf("%d requests are pending after the end of their connection", n)
+					t.Errorf("%d requests are pending after their connection was closed", n)
 				}
 			})
 		})
 	}
 }
 
-// A client disconnects while its request is in flight, and sends the request again: its id is free.
+// A client that disconnects while its request is in flight may send the request again with the same id.
 func TestConnection_IDOfAnAbandonedRequestCanBeUsedAgain(t *testing.T) {
 	s := newClientScenario(t, Options{})
 	s.startRequest()
@@ -325,7 +325,7 @@
 	})
 }
 
-// A client sends requests and disconnects before the first of them is read: none is accepted.
+// If a client sends requests and disconnects before the first of them is read, none is accepted.
 func TestConnection_RequestsOfADisconnectedClientAreDropped(t *testing.T) {
 	s := newClientScenario(t, Options{})
 	s.onLoop(func() {
@@ -349,7 +349,7 @@
 	s.startRequest()
 	s.onLoop(func() {
 		if s.c.closeUnused(closeIdleTimeout) {
-			t.Error("the connection was closed, and its request has no response")
+			t.Error("the connection was closed before its request had a response")
 		}
 		if n := s.server.counters.Sum("invariants.violated."); n != 1 {
 			t.Errorf("%d violations are counted, want 1", n)
--- a/internal/frontend/httpserver/encoding.go
+++ b/internal/frontend/httpserver/encoding.go
@@ -57,7 +57,7 @@
 	return append(b, '}')
 }
 
-// appendString appends a JSON string. All bytes stay as they are except those that JSON needs escaped.
+// appendString appends a JSON string. All bytes are copied unchanged except those that JSON requires to be escaped.
 func appendString(b, s []byte) []byte {
 	const (
 		hexDigits    = "0123456789abcdef"
--- a/internal/frontend/httpserver/errors.go
+++ b/internal/frontend/httpserver/errors.go
@@ -12,7 +12,7 @@
 	message string
 }
 
-// Error returns the message that the client is given.
+// Error returns the message for the client.
 func (e *statusError) Error() string { return e.message }
 
 func badRequest(format string, args ...any) *statusError {
@@ -23,7 +23,7 @@
 	return &statusError{http.StatusRequestHeaderFieldsTooLarge, "the head of the request is too large"}
 }
 
-// wrongContentLength returns the error of a request after which bytes arrived that can't be a request.
+// wrongContentLength returns the error for a request that is followed by bytes that can't be a request.
 func wrongContentLength() *statusError {
 	return badRequest("what follows the call is no other: Content-Length is wrong")
 }
--- a/internal/frontend/httpserver/eviction.go
+++ b/internal/frontend/httpserver/eviction.go
@@ -8,9 +8,10 @@
 )
 
 const (
-	// maxIdleTime is how long a connection is kept after its last request. Clients close theirs sooner.
+	// maxIdleTime is how long a connection is kept after its last request. Clients close their idle connections
+	// earlier.
 	maxIdleTime = 30 * time.Second
-	// idleCheckInterval is the time between two searches for connections past maxIdleTime.
+	// idleCheckInterval is the time between two checks for connections past maxIdleTime.
 	idleCheckInterval = maxIdleTime / 4
 	// minIdleTime is how long a connection is idle before it may be evicted. A client that has just received a response
 	// may be about to send its next request, which could cross the close.
@@ -21,12 +22,12 @@
 	evictionRetryDelay = minOpenTime
 )
 
-// evictor decides which unused connections are closed: those that are idle for too long, and those whose descriptors
-// new connections need. It must be used from the goroutine of the event loop only.
+// evictor closes connections that are idle for too long, and connections whose descriptors new connections need. It
+// must be used from the goroutine of the event loop only.
 type evictor struct {
 	loop           *eventloop.Loop
 	counters       *metrics.Counters
-	connections    map[*connection]struct{} // the server's
+	connections    map[*connection]struct{} // shared with the server
 	maxClients     int                      // limit of open connections, not counting those that are closing or evicted
 	retryScheduled bool                     // a timer will call evictExcess again
 }
@@ -43,9 +44,9 @@
 }
 
 // evictExcess evicts connections while too many are open: first those without a valid request, the oldest first, and
-// then those that are idle for the longest time. This protects against clients that open hundreds of connections, or
-// keep them open after one request: other clients would find no descriptor left. If no connection can be evicted yet, a
-// timer calls evictExcess again. Nothing else would call it, since no connection is accepted at the limit.
+// then those that have been idle for the longest time. This protects against clients that open hundreds of connections,
+// or keep them open after one request: other clients would find no descriptor left. If no connection can be evicted
+// yet, a timer calls evictExcess again. No other event would call it, since no connection is accepted at the limit.
 func (e *evictor) evictExcess() {
 	for {
 		open, victim := e.findVictim()
@@ -66,7 +67,7 @@
 	now := e.loop.Now()
 	for c := range e.connections {
 		switch c.state {
-		case stateEvicting: // it ends once its requests are rejected
+		case stateEvicting: // it is closed once its requests are rejected
 		case stateClosing:
 			if c.socket.PendingWrite() == 0 {
 				c.socket.Abort()
@@ -92,8 +93,8 @@
 	})
 }
 
-// evict closes the connection to make a descriptor available. If bytes of requests are unread, it depends on the state:
-// a new client's requests are rejected first, and a client that was served before keeps its connection.
+// evict closes the connection to make a descriptor available. If bytes of requests are unread, the connection is not
+// closed at once: a new client's requests are rejected first, and a client that was served before keeps its connection.
 func (c *connection) evict() {
 	if !c.closeUnused(closeEvicted) {
 		if c.state != stateNew {
@@ -119,7 +120,7 @@
 	return false
 }
 
-// evictedBefore reports whether the connection is evicted before the other one, if both are evictable.
+// evictedBefore reports whether the connection must be evicted before the other one if both are evictable.
 func (c *connection) evictedBefore(other *connection) bool {
 	isNew := c.state == stateNew
 	if otherIsNew := other.state == stateNew; isNew != otherIsNew {
--- a/internal/frontend/httpserver/eviction_test.go
+++ b/internal/frontend/httpserver/eviction_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// Which connection may be evicted, by its state and the time since its latest request.
+// Whether a connection may be evicted depends on its state and on the time since its latest request.
 func TestFindVictim_DependsOnStateAndInactivity(t *testing.T) {
 	var (
 		becomeIdle     = (*clientScenario).becomeIdle
--- a/internal/frontend/httpserver/helpers_test.go
+++ b/internal/frontend/httpserver/helpers_test.go
@@ -28,7 +28,7 @@
 		"Req-Id: 9b1f03aa5c7e2d41\r\nReq-Wait-Ms: 9000\r\nContent-Length: 8\r\n\r\nSELECT 1"
 )
 
-// noEngines is an engine client that reaches no engine: an attempt stays in flight.
+// noEngines is an engine client that never sends an attempt to an engine: each attempt stays in flight.
 type noEngines struct{}
 
 func (noEngines) Start(*lifecycle.Attempt)            {}
@@ -37,7 +37,7 @@
 func (noEngines) SetPriority(*lifecycle.Attempt, int) {}
 func (noEngines) UpdateEndpoint(lifecycle.Endpoint)   {}
 
-// startTestServer returns a server that runs until the end of the test. Its one engine can't be reached.
+// startTestServer returns a server that runs until the end of the test. Its only engine is unreachable.
 func startTestServer(t *testing.T, options Options) *Server {
 	t.Helper()
 	raw, err := os.ReadFile("../../../deploy/postgres-settings.json")
@@ -72,7 +72,7 @@
 	return server
 }
 
-// firstConnection waits for a client's connection.
+// firstConnection waits until a client is connected, and returns its connection.
 func firstConnection(server *Server) (c *connection) {
 	for c == nil {
 		eventlooptest.Do(server.loop, func() {
@@ -98,7 +98,7 @@
 	return client
 }
 
-// send writes text and does not wait for a response.
+// send writes text without waiting for a response.
 func send(t *testing.T, client net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(client, text); err != nil {
--- a/internal/frontend/httpserver/parse.go
+++ b/internal/frontend/httpserver/parse.go
@@ -26,7 +26,7 @@
 	fieldRetry            = "req-retry"   // "1": the client has sent the request before
 	fieldIdempotencyKey   = "req-token"
 	fieldWork             = "req-cost" // estimated milliseconds of work
-	fieldMemory           = "req-kb"   // estimated memory in MB, in spite of the name
+	fieldMemory           = "req-kb"   // estimated memory in MB, despite the name
 	fieldTenant           = "req-owner"
 	fieldOrderKey         = "req-key"
 )
@@ -84,8 +84,8 @@
 
 // parseHead reads the request line and the header fields.
 func parseHead(head []byte) (request httpRequest, err *statusError) {
-	// This prevents request smuggling: other programs may take a lone CR or LF for the end of a line, and then find a
-	// field that is hidden here.
+	// This prevents request smuggling: other HTTP implementations may accept a lone CR or LF as the end of a line, and
+	// then read a header field that this parser does not see.
 	if bytes.ContainsAny(bytes.ReplaceAll(head, []byte(lineEnd), nil), "\r\n\x00") {
 		return request, badRequest("a line of the head has a stray CR, LF or NUL")
 	}
@@ -103,7 +103,8 @@
 			return request, err
 		}
 	}
-	// The field is rejected even if it is empty: its body might hide another request if there is a Content-Length, too.
+	// Transfer-Encoding is rejected even if it is empty: if there is a Content-Length, too, the body might hide another
+	// request.
 	if _, ok := request.header[fieldTransferEncoding]; ok {
 		return request, &statusError{http.StatusNotImplemented, "transfer encodings are not taken; send Content-Length"}
 	}
@@ -121,7 +122,7 @@
 	return parts[0], parts[1], parts[2], nil
 }
 
-// parseField reads one header field and adds it to the header if it is a known one.
+// parseField reads one header field and adds it to the header if its name is known.
 func parseField(header map[string]string, line string) *statusError {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsAny(name, " \t") {
--- a/internal/frontend/httpserver/parse_test.go
+++ b/internal/frontend/httpserver/parse_test.go
@@ -8,8 +8,7 @@
 	"flaxrelay/internal/engine/lineclient"
 )
 
-// For every input, a request lies within it, and a longer input never turns a
-// complete request into another one.
+// A parsed request lies within the input, and bytes that are appended to the input do not change a complete request.
 func FuzzParse_RequestLiesWithinTheInput(f *testing.F) {
 	const statement = "POST /rpc/lookup HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 2\r\n\r\nab"
 	f.Add([]byte(statement), []byte("GET / HTTP/1.1\r\n\r\n"))
@@ -31,7 +30,7 @@
 	})
 }
 
-// Responses are JSON for all bytes of the rows.
+// The encoded rows are valid JSON whatever bytes they contain.
 func FuzzEncodeRows_IsJSON(f *testing.F) {
 	f.Add("a\t\"b\"\\\x01\nc\td\n")
 	f.Fuzz(func(t *testing.T, page string) {
--- a/internal/frontend/httpserver/reader.go
+++ b/internal/frontend/httpserver/reader.go
@@ -6,13 +6,13 @@
 // request being served from those after it. It must be used from the goroutine of the event loop only.
 type requestReader struct {
 	socket *eventloop.Conn
-	// input is the socket's buffer while OnData runs, and nil otherwise. The buffer is locked while OnData runs, so
-	// that eventloop.Conn.UnreadBytes must not be called.
+	// input is the socket's buffer while OnData runs, and nil otherwise. OnData runs with the buffer locked, so
+	// eventloop.Conn.UnreadBytes must not be called then.
 	input       *eventloop.Buffer
 	requestSize int // bytes at the start of input that belong to the request being served
 }
 
-// begin sets the buffer for the time in which OnData runs, until end.
+// begin sets the buffer to read from until end is called. OnData calls both.
 func (r *requestReader) begin(input *eventloop.Buffer) { r.input = input }
 
 func (r *requestReader) end() {
@@ -20,7 +20,8 @@
 	r.requestSize = 0
 }
 
-// next parses the next request and reports whether it is complete. The request stays in the buffer until consume.
+// next parses the next request and reports whether it is complete. The request stays in the buffer until consume is
+// called.
 func (r *requestReader) next() (request httpRequest, complete bool, err *statusError) {
 	input := r.input.Bytes()
 	request, size, err := parse(input)
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -28,7 +28,7 @@
 // goroutine of the event loop only.
 type requestBuilder struct {
 	dispatcher  *lifecycle.Dispatcher
-	estimator   *stmtstats.Service // nil: off
+	estimator   *stmtstats.Service // nil: no estimates
 	inFlightIDs map[string]struct{}
 }
 
@@ -73,8 +73,8 @@
 		Client:      client,
 		Tenant:      request.header[fieldTenant],
 		OrderKey:    request.header[fieldOrderKey],
-		// The client's wait begins with the last byte of the request, also if the request is not served until an
-		// earlier one on the connection has its response.
+		// The client's wait starts when the last byte of the request arrives, even if the request is not served until
+		// an earlier one on the connection has its response.
 		Deadline: request.arrivedAt + wait,
 	}
 	if err := setClientEstimates(built, request); err != nil {
@@ -116,7 +116,7 @@
 	return config.FromMilliseconds(wait), nil
 }
 
-// setClientEstimates sets the client's estimates of the request's cost, if it gives any.
+// setClientEstimates sets the client's estimates of the request's cost, if the request has any.
 func setClientEstimates(built *lifecycle.Request, request httpRequest) *statusError {
 	if text, given := request.header[fieldWork]; given {
 		work, ok := parsePositive(text, milliseconds(maxEstimatedWork))
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// setIdempotencyKey sets the key of a request whose class needs one: without it no engine would drop a duplicate of the
-// request.
+// setIdempotencyKey sets the key of a request whose class needs one: without a key, engines would not drop a duplicate
+// of the request.
 func setIdempotencyKey(built *lifecycle.Request, class policy.Class, request httpRequest) *statusError {
 	if class.Effect != policy.IdempotentByKey {
 		return nil
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -9,7 +9,7 @@
 	"flaxrelay/internal/frontend/clientconn"
 )
 
-// reasonPhrases are those of RFC 9110; net/http has an older one for status 413.
+// reasonPhrases are the reason phrases of RFC 9110; net/http has an older one for status 413.
 var reasonPhrases = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusBadRequest:                  "Bad Request",
@@ -47,7 +47,7 @@
 // emptyResponse confirms a request that has no result.
 func emptyResponse() response { return response{status: http.StatusOK, body: []byte(emptyBody)} }
 
-// rowsResponse has rows of a result, and the path of the next page unless it is empty.
+// rowsResponse contains rows of a result, and the path of the next page unless that is empty.
 func rowsResponse(rows lineclient.Rows, nextPath string) response {
 	return response{status: http.StatusOK, body: encodeRows(rows, nextPath)}
 }
@@ -77,13 +77,13 @@
 	return r.status >= http.StatusBadRequest && r.status < http.StatusInternalServerError
 }
 
-// encode returns the response in one piece.
+// encode returns the response as it is sent.
 func (r response) encode() []byte { return r.encodeWith("") }
 
-// encodeLast returns the response in one piece, as the last one of its connection.
+// encodeLast returns the response as the last one of its connection: it announces the close.
 func (r response) encodeLast() []byte { return r.encodeWith("Connection: close\r\n") }
 
-// encodeWith returns the response with a further header field.
+// encodeWith returns the response with an additional header field, which ends with CRLF if it is not empty.
 func (r response) encodeWith(field string) []byte {
 	b := make([]byte, 0, usualHeadSize+len(r.body))
 	b = append(b, "HTTP/1.1 "...)
--- a/internal/frontend/httpserver/results.go
+++ b/internal/frontend/httpserver/results.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// maxPageSize limits the bytes of rows in one page of a result. A single page of the engine may have more; it is
-	// then a page of its own.
+	// maxPageSize limits the bytes of rows in one page of a result. A larger page of the engine is not divided: it
+	// becomes one page of the result.
 	maxPageSize = 64 << 10
-	// resultGracePeriod is how long after its request's deadline a result can be fetched.
+	// resultGracePeriod is how long a result can be fetched after the deadline of its request.
 	resultGracePeriod = time.Second
 )
 
@@ -75,7 +75,7 @@
 	return path, true
 }
 
-// release drops a result and reports whether it was there.
+// release drops a result and reports whether it was buffered.
 func (s *resultStore) release(path string) bool {
 	result := s.byPath[path]
 	if result == nil {
@@ -96,7 +96,8 @@
 	return true
 }
 
-// page returns a page of a result and the path of the next one, "" after the last.
+// page returns a page of a result and the path of the next page, which is "" for the last one. ok is false if there is
+// no such page.
 func (s *resultStore) page(path string) (rows lineclient.Rows, nextPath string, ok bool) {
 	basePath := resultPath(path)
 	result := s.byPath[basePath]
@@ -114,12 +115,13 @@
 // pagePath returns the path of a page of a result.
 func pagePath(resultPath string, number int) string { return fmt.Sprintf("%s/%d", resultPath, number) }
 
-// resultPath returns the path of a result, which is that of a page without its number.
+// resultPath returns the path of the result that a page belongs to: the path of the page without its number.
 func resultPath(pagePath string) string {
 	return pagePath[:strings.LastIndexByte(pagePath, '/')]
 }
 
-// paginate combines the pages of an engine into pages of responses. It returns them and the number of bytes in all.
+// paginate combines the pages of an engine into pages of responses. It returns these pages and their total size in
+// bytes.
 func paginate(rows lineclient.Rows) (pages []lineclient.Rows, size int) {
 	pageSize := 0
 	for _, part := range rows {
--- a/internal/frontend/httpserver/results_test.go
+++ b/internal/frontend/httpserver/results_test.go
@@ -47,7 +47,7 @@
 		t.Fatal("a result within the budget was rejected")
 	}
 	if _, ok := store.add(pages, 1); ok {
-		t.Error("a result past the budget was buffered")
+		t.Error("a result that exceeds the budget was buffered")
 	}
 	if _, next, ok := store.page(path + "/1"); !ok || next != path+"/2" || store.allServed() {
 		t.Errorf("page 1: next %q, %v, all served %v", next, ok, store.allServed())
--- a/internal/frontend/httpserver/routing.go
+++ b/internal/frontend/httpserver/routing.go
@@ -19,10 +19,10 @@
 type route uint8
 
 const (
-	routeHealth    route = iota // whether the front end serves
-	routeStatement              // a statement, which an engine runs
+	routeHealth    route = iota // a health check of the front end
+	routeStatement              // a statement for an engine
 	routePage                   // a further page of a result
-	routeRelease                // the release of a result, of which the client fetches no further page
+	routeRelease                // the release of a result: the client fetches no further pages
 )
 
 // routeOf returns the route of a method and a path.
@@ -92,7 +92,7 @@
 	c.write(rowsResponse(rows, nextPath))
 }
 
-// serveRelease drops a result, of which the client fetches no further page.
+// serveRelease drops a result: its client fetches no further pages.
 func (c *connection) serveRelease(path string) {
 	c.state = stateIdle
 	if !c.server.results.release(resultPath(path)) {
--- a/internal/frontend/httpserver/scenario_test.go
+++ b/internal/frontend/httpserver/scenario_test.go
@@ -23,7 +23,7 @@
 	client     net.Conn
 	in         *bufio.Reader
 	c          *connection
-	resultPath string // of the result that fetchFirstPage has buffered
+	resultPath string // path of the result that fetchFirstPage buffers
 }
 
 func newClientScenario(t *testing.T, options Options) *clientScenario {
@@ -38,7 +38,7 @@
 // onLoop calls do on the goroutine of the event loop.
 func (s *clientScenario) onLoop(do func()) { eventlooptest.Do(s.server.loop, do) }
 
-// onLoopWithUnread sends text, and calls do on the goroutine of the event loop once the poller has read the text and
+// onLoopWithUnread sends text and calls do on the goroutine of the event loop after the poller has read the text and
 // before OnData is called for it.
 func (s *clientScenario) onLoopWithUnread(text string, do func()) {
 	s.t.Helper()
@@ -91,7 +91,7 @@
 	}
 }
 
-// becomeIdle has a request served, which needs no engine.
+// becomeIdle sends a request that is served without an engine.
 func (s *clientScenario) becomeIdle() {
 	s.t.Helper()
 	s.roundTrip(healthRequest)
@@ -114,7 +114,7 @@
 	s.roundTrip(s.pageRequest(1))
 }
 
-// pageRequest is the request of a further page of the buffered result.
+// pageRequest returns the request for a further page of the buffered result.
 func (s *clientScenario) pageRequest(number int) string {
 	return fmt.Sprintf("GET %s/%d HTTP/1.1\r\n\r\n", s.resultPath, number)
 }
@@ -125,7 +125,7 @@
 	s.server.Finish()
 }
 
-// awaitUnregistered waits until the server has no connection any more.
+// awaitUnregistered waits until the server has no connections.
 func (s *clientScenario) awaitUnregistered() {
 	s.t.Helper()
 	awaitOnLoop(s.t, s.server, "the connection to be unregistered", func() bool {
@@ -133,7 +133,7 @@
 	})
 }
 
-// lastActive returns when the connection served its latest request.
+// lastActive returns the time of the connection's latest request or response.
 func (s *clientScenario) lastActive() (at time.Duration) {
 	s.onLoop(func() { at = s.c.lastActive })
 	return at
@@ -146,7 +146,7 @@
 	}
 }
 
-// httpCounters returns the server's own counters, without that of accepted connections.
+// httpCounters returns the HTTP server's counters except that of accepted connections.
 func (s *clientScenario) httpCounters() map[string]int {
 	s.t.Helper()
 	var printed bytes.Buffer
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -1,8 +1,8 @@
 // Package httpserver serves HTTP/1.1 clients: it reads one request at a time from each connection, passes it to the
 // dispatcher and writes the response.
 //
-// New returns a Server, and Server.Listen accepts clients. A graceful shutdown calls CloseListener and Drain, Finish at
-// the time of the final responses, and may end the process once Idle reports true.
+// New returns a Server, and Server.Listen accepts clients. A graceful shutdown calls CloseListener and Drain, and
+// Finish when the final responses are due. The process may exit once Idle reports true.
 //
 // A Server accepts connections and owns the state that they share: the ids of requests in flight (requestBuilder), the
 // results that are fetched page by page (resultStore) and the limit of open connections (evictor). Each connection is a
@@ -28,15 +28,16 @@
 	defaultReadTimeout      = 2 * time.Second
 )
 
-// SpareClients is how many connections may be accepted beyond MaxClients, while others are evicted for them.
+// SpareClients is the number of connections that may be accepted beyond MaxClients while others are evicted to make
+// room.
 const SpareClients = 16
 
 // Options limit the resources that clients may use.
 type Options struct {
-	MaxClients       int                // open connections; beyond it some are evicted, see evictor
-	MaxBufferedBytes int                // bytes of results that are buffered for clients to fetch
-	Estimator        *stmtstats.Service // estimates costs by statement shape; nil: off
-	ReadTimeout      time.Duration      // time in which a connection's first or partly read request must be complete
+	MaxClients       int                // limit of open connections; beyond it some are evicted, see evictor
+	MaxBufferedBytes int                // limit of bytes of results that are buffered for clients to fetch
+	Estimator        *stmtstats.Service // estimates costs by statement shape; nil: no estimates
+	ReadTimeout      time.Duration      // limit of the time until a first or partly read request is complete
 }
 
 func (o Options) withDefaults() Options {
@@ -66,10 +67,10 @@
 	requests    *requestBuilder
 	results     *resultStore
 
-	// Drain and Finish set these. Finish may be called first: if the deadlines of all classes are short, a graceful
-	// shutdown reaches the time of its final responses before that of Drain.
+	// Drain and Finish set these. Finish may be called first: if the deadlines of all classes are short, the final
+	// responses of a graceful shutdown are due before it would call Drain.
 	draining  bool // connections are closed as soon as they are unused
-	finishing bool // the process is about to end: partly received requests are rejected
+	finishing bool // the process is about to exit: partly received requests are rejected
 }
 
 // New returns a server that passes its requests to the dispatcher.
@@ -116,8 +117,8 @@
 	return c
 }
 
-// Drain closes the connections in a graceful shutdown: each as soon as it is unused. A request that has partly arrived
-// is still served once it is complete; its read timer limits the wait for it.
+// Drain closes the connections in a graceful shutdown, each as soon as it is unused. A partly received request is still
+// served once it is complete; the read timer of its connection limits the wait.
 func (s *Server) Drain() {
 	s.draining = true
 	for c := range s.connections {
@@ -128,7 +129,7 @@
 }
 
 // Finish ends a graceful shutdown, once the dispatcher rejects all new requests. The dispatcher then rejects the
-// requests that have arrived, and the server rejects those that have arrived in part.
+// requests that have arrived completely, and the server rejects those that have arrived only in part.
 func (s *Server) Finish() {
 	s.finishing = true
 	for c := range s.connections {
