--- a/internal/frontend/clientconn/backpressure_test.go
+++ b/internal/frontend/clientconn/backpressure_test.go
@@ -13,10 +13,10 @@
 // pausingHandler writes to its client until PauseUntilFlushed reports that it must pause. It closes the connection when
 // it is called again.
 type pausingHandler struct {
-	calls        int
-	paused       chan struct{} // closed by the first call
-	pendingLater int           // bytes waiting to be sent at the second call
-	unreadLater  int           // unread bytes of the client at the second call
+	calls               int
+	paused              chan struct{} // closed by the first call
+	pendingAtSecondCall int           // bytes waiting to be sent at the second call
+	unreadAtSecondCall  int           // unread bytes of the client at the second call
 }
 
 // OnData implements eventloop.Handler.
@@ -24,8 +24,8 @@
 	const maxPending = 1 << 10
 	h.calls++
 	if h.calls > 1 {
-		h.pendingLater = socket.PendingWrite()
-		h.unreadLater = in.Len()
+		h.pendingAtSecondCall = socket.PendingWrite()
+		h.unreadAtSecondCall = in.Len()
 		socket.Close()
 		return
 	}
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	handler := &pausingHandler{paused: make(chan struct{}), pendingLater: -1}
+	handler := &pausingHandler{paused: make(chan struct{}), pendingAtSecondCall: -1}
 	listener, err := Listen(loop, "127.0.0.1:0", 1<<10, 0, func(*eventloop.Conn) eventloop.Handler { return handler })
 	if err != nil {
 		t.Fatal(err)
@@ -74,9 +74,9 @@
 		t.Fatal(err) // the handler was not called again, and the connection stays open
 	}
 	eventlooptest.Do(loop, func() {
-		if handler.pendingLater != 0 || handler.unreadLater != len(request) {
+		if handler.pendingAtSecondCall != 0 || handler.unreadAtSecondCall != len(request) {
 			t.Errorf("called again with %d bytes pending and %d unread, want 0 and %d",
-				handler.pendingLater, handler.unreadLater, len(request))
+				handler.pendingAtSecondCall, handler.unreadAtSecondCall, len(request))
 		}
 	})
 }
--- a/internal/frontend/httpserver/connection_test.go
+++ b/internal/frontend/httpserver/connection_test.go
@@ -80,41 +80,47 @@
 			wantCounters: map[string]int{"http.closed.shutdown": 1},
 		},
 		"new, evicted": {
-			run:          func(s *clientScenario) { s.onLoop(s.c.evict) },
+			run:          func(s *clientScenario) { s.onLoop(s.connection.evict) },
 			wantCounters: map[string]int{"http.closed.evicted": 1, "http.evicted": 1},
 		},
 		"new, evicted with a part of a request unread": {
-			run:          func(s *clientScenario) { s.onLoopWithUnread(partialRequest, s.c.evict) },
+			run:          func(s *clientScenario) { s.onLoopWithUnread(partialRequest, s.connection.evict) },
 			responses:    []string{"503 close"},
 			wantCounters: map[string]int{"http.closed.evicted": 1, "http.evicted": 1},
 		},
 		"new, evicted after OnData was called for a part of a request": {
 			run: func(s *clientScenario) {
 				s.onLoopWithUnread(partialRequest, func() {})
-				s.onLoop(s.c.evict)
+				s.onLoop(s.connection.evict)
 			},
 			responses:    []string{"503 close"},
 			wantCounters: map[string]int{"http.closed.evicted": 1, "http.evicted": 1},
 		},
 		"new, evicted with requests unread": {
-			run:          func(s *clientScenario) { s.onLoopWithUnread(healthRequest+statementRequest, s.c.evict) },
+			run: func(s *clientScenario) {
+				s.onLoopWithUnread(healthRequest+statementRequest, s.connection.evict)
+			},
 			responses:    []string{"503", "503 close"},
 			wantCounters: map[string]int{"http.closed.evicted": 1, "http.evicted": 1},
 		},
 		"new, evicted with requests and a part of one unread": {
 			run: func(s *clientScenario) {
-				s.onLoopWithUnread(healthRequest+healthRequest+partialRequest, s.c.evict)
+				s.onLoopWithUnread(healthRequest+healthRequest+partialRequest, s.connection.evict)
 			},
 			responses:    []string{"503", "503", "503 close"},
 			wantCounters: map[string]int{"http.closed.evicted": 1, "http.evicted": 1},
 		},
 		"new, evicted with a request unread after which its client wants the close": {
-			run:          func(s *clientScenario) { s.onLoopWithUnread(closingRequest+healthRequest, s.c.evict) },
+			run: func(s *clientScenario) {
+				s.onLoopWithUnread(closingRequest+healthRequest, s.connection.evict)
+			},
 			responses:    []string{"503 close"},
 			wantCounters: map[string]int{"http.closed.evicted": 1, "http.evicted": 1},
 		},
 		"new, evicted with an invalid request unread": {
-			run:       func(s *clientScenario) { s.onLoopWithUnread(healthRequest+malformedRequest, s.c.evict) },
+			run: func(s *clientScenario) {
+				s.onLoopWithUnread(healthRequest+malformedRequest, s.connection.evict)
+			},
 			responses: []string{"503", "400 close"},
 			wantCounters: map[string]int{
 				"http.closed.invalid-request": 1, "http.bad-requests": 1, "http.evicted": 1,
@@ -123,7 +129,7 @@
 		"new, evicted with a part of a request unread, then drained and finished": {
 			run: func(s *clientScenario) {
 				s.onLoopWithUnread(partialRequest, func() {
-					s.c.evict()
+					s.connection.evict()
 					s.drainAndFinish()
 				})
 			},
@@ -134,7 +140,7 @@
 			prepare: becomeIdle,
 			run: func(s *clientScenario) {
 				s.onLoop(func() {
-					s.c.lastActive -= maxIdleTime + time.Millisecond
+					s.connection.lastActive -= maxIdleTime + time.Millisecond
 					s.server.evictor.closeIdle()
 				})
 			},
@@ -162,13 +168,13 @@
 		},
 		"idle, evicted": {
 			prepare:      becomeIdle,
-			run:          func(s *clientScenario) { s.onLoop(s.c.evict) },
+			run:          func(s *clientScenario) { s.onLoop(s.connection.evict) },
 			wantCounters: map[string]int{"http.closed.evicted": 1, "http.evicted": 1},
 		},
 		"idle, not evicted with a request unread": {
 			prepare: becomeIdle,
 			run: func(s *clientScenario) {
-				s.onLoopWithUnread(healthRequest, s.c.evict)
+				s.onLoopWithUnread(healthRequest, s.connection.evict)
 				if got, err := s.receive(); got != "200" {
 					s.t.Errorf("got %q, %v", got, err)
 				}
@@ -331,7 +337,7 @@
 	s.onLoop(func() {
 		send(t, s.client, statementRequest+statementRequest)
 		s.closeClient()
-		awaitCondition(t, "the end of the connection", s.c.socket.Disconnected)
+		awaitCondition(t, "the end of the connection", s.connection.socket.Disconnected)
 	})
 	// Disconnected is true before OnClosed is called, and OnData is called before OnClosed: once the connection is
 	// unregistered, all requests have been handled.
@@ -348,7 +354,7 @@
 	s := newClientScenario(t, Options{})
 	s.startRequest()
 	s.onLoop(func() {
-		if s.c.closeUnused(closeIdleTimeout) {
+		if s.connection.closeUnused(closeIdleTimeout) {
 			t.Error("the connection was closed before its request had a response")
 		}
 		if n := s.server.counters.Sum("invariants.violated."); n != 1 {
--- a/internal/frontend/httpserver/eviction_test.go
+++ b/internal/frontend/httpserver/eviction_test.go
@@ -32,31 +32,31 @@
 		startRequest   = (*clientScenario).startRequest
 		fetchFirstPage = (*clientScenario).fetchFirstPage
 	)
-	newClient := func(*clientScenario) {}
-	beDrained := func(s *clientScenario) { s.onLoop(s.server.Drain) }
+	stayNew := func(*clientScenario) {}
+	drain := func(s *clientScenario) { s.onLoop(s.server.Drain) }
 	for name, test := range map[string]struct {
 		prepare  func(s *clientScenario)
 		unread   string
 		inactive time.Duration
 		want     bool
 	}{
-		"new, just connected":                 {newClient, "", minOpenTime / 2, false},
-		"new":                                 {newClient, "", minOpenTime, true},
-		"new, a part of a request is unread":  {newClient, partialRequest, minOpenTime, true},
+		"new, just connected":                 {stayNew, "", minOpenTime / 2, false},
+		"new":                                 {stayNew, "", minOpenTime, true},
+		"new, a part of a request is unread":  {stayNew, partialRequest, minOpenTime, true},
 		"idle for a moment":                   {becomeIdle, "", minIdleTime / 2, false},
 		"idle":                                {becomeIdle, "", minIdleTime, true},
 		"idle, a part of a request is unread": {becomeIdle, partialRequest, minIdleTime, false},
 		"in flight":                           {startRequest, "", time.Hour, false},
 		"paging":                              {fetchFirstPage, "", time.Hour, false},
-		"closing":                             {beDrained, "", time.Hour, false},
+		"closing":                             {drain, "", time.Hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newClientScenario(t, Options{})
 			test.prepare(s)
 			s.onLoopWithUnread(test.unread, func() {
-				s.c.lastActive = s.server.loop.Now() - test.inactive
-				if _, victim := s.server.evictor.findVictim(); (victim == s.c) != test.want {
-					t.Errorf("victim: %v, want %v", victim == s.c, test.want)
+				s.connection.lastActive = s.server.loop.Now() - test.inactive
+				if _, victim := s.server.evictor.findVictim(); (victim == s.connection) != test.want {
+					t.Errorf("victim: %v, want %v", victim == s.connection, test.want)
 				}
 			})
 		})
@@ -74,13 +74,15 @@
 		before := s.lastActive()
 		send(t, s.client, s.pageRequest(1))
 		awaitCondition(t, "the page to be served", func() bool { return s.lastActive() != before })
-		s.onLoop(func() { pending = s.c.socket.PendingWrite() })
+		s.onLoop(func() { pending = s.connection.socket.PendingWrite() })
 	}
 	send(t, s.client, fmt.Sprintf("GET %s/1 HTTP/1.1\r\nConnection: close\r\n\r\n", s.resultPath))
 	requested++
-	awaitOnLoop(t, s.server, "the close after the last response", func() bool { return s.c.state == stateClosing })
+	awaitOnLoop(t, s.server, "the close after the last response", func() bool {
+		return s.connection.state == stateClosing
+	})
 	s.onLoop(func() {
-		if s.c.socket.PendingWrite() == 0 {
+		if s.connection.socket.PendingWrite() == 0 {
 			t.Error("nothing waits to be sent")
 		}
 		s.server.evictor.findVictim()
--- a/internal/frontend/httpserver/helpers_test.go
+++ b/internal/frontend/httpserver/helpers_test.go
@@ -107,9 +107,9 @@
 }
 
 // awaitCondition polls until the condition holds.
-func awaitCondition(t *testing.T, what string, holds func() bool) {
+func awaitCondition(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(waitLimit); !holds(); runtime.Gosched() {
+	for deadline := time.Now().Add(waitLimit); !condition(); runtime.Gosched() {
 		if time.Now().After(deadline) {
 			t.Errorf("waited %v for %s", waitLimit, what)
 			return
@@ -118,10 +118,10 @@
 }
 
 // awaitOnLoop polls on the goroutine of the event loop until the condition holds.
-func awaitOnLoop(t *testing.T, server *Server, what string, holds func() bool) {
+func awaitOnLoop(t *testing.T, server *Server, what string, condition func() bool) {
 	t.Helper()
-	awaitCondition(t, what, func() (held bool) {
-		eventlooptest.Do(server.loop, func() { held = holds() })
-		return held
+	awaitCondition(t, what, func() (met bool) {
+		eventlooptest.Do(server.loop, func() { met = condition() })
+		return met
 	})
 }
--- a/internal/frontend/httpserver/parse.go
+++ b/internal/frontend/httpserver/parse.go
@@ -132,7 +132,7 @@
 	if !knownFields[name] {
 		return nil
 	}
-	if _, twice := header[name]; twice {
+	if _, duplicate := header[name]; duplicate {
 		return badRequest("header field %s came twice", name)
 	}
 	header[name] = strings.Trim(value, " \t")
--- a/internal/frontend/httpserver/scenario_test.go
+++ b/internal/frontend/httpserver/scenario_test.go
@@ -21,8 +21,8 @@
 	t          *testing.T
 	server     *Server
 	client     net.Conn
-	in         *bufio.Reader
-	c          *connection
+	reader     *bufio.Reader
+	connection *connection
 	resultPath string // path of the result that fetchFirstPage buffers
 }
 
@@ -31,7 +31,7 @@
 	server := startTestServer(t, options)
 	client := connect(t, server)
 	return &clientScenario{
-		t: t, server: server, client: client, in: bufio.NewReader(client), c: firstConnection(server),
+		t: t, server: server, client: client, reader: bufio.NewReader(client), connection: firstConnection(server),
 	}
 }
 
@@ -63,7 +63,7 @@
 }
 
 func (s *clientScenario) receive() (string, error) {
-	response, err := http.ReadResponse(s.in, nil)
+	response, err := http.ReadResponse(s.reader, nil)
 	if err != nil {
 		return "", fmt.Errorf("read a response: %w", err)
 	}
@@ -135,7 +135,7 @@
 
 // lastActive returns the time of the connection's latest request or response.
 func (s *clientScenario) lastActive() (at time.Duration) {
-	s.onLoop(func() { at = s.c.lastActive })
+	s.onLoop(func() { at = s.connection.lastActive })
 	return at
 }
 
