--- a/internal/frontend/pgserver/bind.go
+++ b/internal/frontend/pgserver/bind.go
@@ -7,16 +7,16 @@
 
 // Sizes of fields in messages, in bytes.
 const (
-	countSize  = 2 // a number of fields that follow
+	countSize  = 2 // the number of fields that follow
 	formatSize = 2 // the format code of a value
 	oidSize    = 4 // the object ID of a type
 )
 
-// nullLength is the length of a value that is null.
+// nullLength is the length field of a null value.
 const nullLength = -1
 
-// readBind reads a Bind past its names: the bound values with their formats, and the format codes of the result's
-// columns. All of them are slices of the message.
+// readBind reads a Bind after its two names: the bound values with their formats, and the format codes of the result's
+// columns. All returned values are slices of the message.
 func readBind(reader *pgproto.Reader) (binds sqltext.Binds, resultFormats []byte, ok bool) {
 	formats, ok := readFormats(reader)
 	if !ok {
@@ -39,7 +39,7 @@
 	return binds, resultFormats, ok && reader.Complete()
 }
 
-// readFormats reads a count and as many format codes. It returns the codes, and false if one is unknown.
+// readFormats reads a count and that many format codes. ok is false if a code is unknown or missing.
 func readFormats(reader *pgproto.Reader) (formats []byte, ok bool) {
 	formats = reader.Bytes(formatSize * reader.Count())
 	codes := pgproto.Reader{Unread: formats}
@@ -51,7 +51,7 @@
 	return formats, !reader.Malformed
 }
 
-// readValue reads one value, which is nil if it is null.
+// readValue reads one value. A null value is returned as nil.
 func readValue(reader *pgproto.Reader) (value []byte, ok bool) {
 	length := reader.Int32()
 	if length >= 0 {
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -14,23 +14,24 @@
 // maxParameters is the largest number that a parameter may have, as in PostgreSQL.
 const maxParameters = 65535
 
-// Rule gives a class to the statements that begin with certain words, and names the parameter that has their
+// Rule assigns a class to the statements that start with certain words, and names the parameter that contains their
 // idempotency key.
 type Rule struct {
-	Prefix       string // the words that the statements begin with, after comments; upper and lower case are equal
+	Prefix       string // the words that the statements start with, after comments; letter case is ignored
 	Class        string
-	KeyParameter int  // the number of the parameter that has the idempotency key, from 1; 0: none
+	KeyParameter int  // the number of the parameter that contains the idempotency key, from 1; 0: none
 	ReadOnly     bool // the operator declares the statements read-only; ignored if their text shows that they write
 }
 
-// classification is the result of classify: the class of a statement, and the parameter that has its idempotency key.
+// classification is the result of classify: the class of a statement, and the parameter that contains its idempotency
+// key.
 type classification struct {
 	class        policy.Class
-	keyParameter int  // the parameter that has the idempotency key, from 1; 0: none
-	classByShape bool // no rule or comment names a class, so that the statement shape may decide it
+	keyParameter int  // the number of the parameter that contains the idempotency key, from 1; 0: none
+	classByShape bool // no rule or comment names a class, so the statement shape may determine it
 }
 
-// classChoice is the class that a statement's leading comment, a rule or the default names.
+// classChoice is the class that a statement's leading comment, a rule or the default specifies.
 type classChoice struct {
 	class        string
 	keyParameter int
@@ -39,8 +40,8 @@
 }
 
 // classify returns a statement's class. Its leading comment overrides the rules, and the rules override the default. A
-// statement that may write never gets an idempotent class: it gets the class for writes, which permits one attempt, in
-// place of an idempotent default, and an error if a comment or a rule names the idempotent class.
+// statement that may write never gets an idempotent class. If its class is the default, it gets the class for writes
+// instead, which permits one attempt. If a comment or a rule names an idempotent class, classify returns an error.
 func (s *Server) classify(query string, parsed *stmtstats.Statement) (classification, *pgproto.Error) {
 	choice, failure := s.chooseClass(query)
 	if failure != nil {
@@ -79,7 +80,7 @@
 	return failure
 }
 
-// effectOf returns what a statement may do to stored data.
+// effectOf determines whether a statement may write stored data.
 func (s *Server) effectOf(query string, parsed *stmtstats.Statement) sqltext.Verdict {
 	if parsed != nil {
 		return parsed.Effect()
@@ -125,9 +126,9 @@
 
 func separatesDirectives(char rune) bool { return char == ' ' || char == ',' || char == ';' }
 
-// idempotencyKey returns the key of an execution, from the bound values; "" if the class needs none. It returns an
-// error if the class needs a key and the execution has none: such an execution is never forwarded, because engines
-// could not drop a duplicate of it.
+// idempotencyKey returns the key of an execution, which is one of the bound values, or "" if the class does not need a
+// key. It returns an error if the class needs a key and the execution lacks it: such an execution is never forwarded,
+// because engines could not drop a duplicate of it.
 func (c classification) idempotencyKey(values [][]byte) (string, *pgproto.Error) {
 	if c.class.Effect != policy.IdempotentByKey {
 		return "", nil
@@ -148,8 +149,8 @@
 	return string(values[parameter-1]), nil
 }
 
-// unsupportedCommands are the first words of statements that need a session of their own at an engine: all clients
-// share the sessions of the engines.
+// unsupportedCommands are the first words of statements that need a dedicated engine session: all clients share the
+// sessions of the engines.
 var unsupportedCommands = map[string]bool{
 	"BEGIN": true, "START": true, "COMMIT": true, "END": true, "ROLLBACK": true, "ABORT": true, "SAVEPOINT": true,
 	"RELEASE": true, "COPY": true, "PREPARE": true, "EXECUTE": true, "DEALLOCATE": true, "DECLARE": true,
@@ -157,8 +158,8 @@
 	"DISCARD": true, "RESET": true, "SET": true,
 }
 
-// supportedCommand returns the first word of a statement in upper case, "" if the text has no statement. It returns an
-// error if the statement is not supported.
+// supportedCommand returns the first word of a statement in upper case, or "" if the text contains no statement. It
+// returns an error if the statement is not supported.
 func supportedCommand(query string, parsed *stmtstats.Statement) (string, *pgproto.Error) {
 	command, several := commandOf(query, parsed)
 	switch {
@@ -171,8 +172,8 @@
 	return command, nil
 }
 
-// commandOf returns the first word of a statement in upper case, "" if the text has no statement, and whether the text
-// has several statements.
+// commandOf returns the first word of a statement in upper case, or "" if the text contains no statement. It also
+// reports whether the text contains several statements.
 func commandOf(query string, parsed *stmtstats.Statement) (command string, several bool) {
 	if parsed != nil {
 		return strings.ToUpper(parsed.FirstWord()), parsed.MultipleStatements()
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -15,7 +15,7 @@
 const (
 	// maxMessage is the largest message that is read from a client, in bytes.
 	maxMessage = 1 << 20
-	// maxUnread is how many unread bytes of a client are buffered: one message, and a part of those after it.
+	// maxUnread is how many unread bytes of a client are buffered: one message and some of the bytes after it.
 	maxUnread = maxMessage + 64<<10
 	// stallTimeout is how long a client may send nothing while a message is incomplete.
 	stallTimeout = 2 * time.Second
@@ -23,14 +23,14 @@
 	maxPendingWrite = 1 << 20
 )
 
-// connectionState says which messages a connection serves next. Every connection begins in stateStartup and ends in
-// stateClosing.
+// connectionState determines which messages a connection serves next. Every connection starts in stateStartup and ends
+// in stateClosing.
 //
 //	state     -> next state  event
 //	startup   -> startup     request for encryption: declined with one byte
 //	startup   -> ready       startup packet of a client that is admitted
 //	startup   -> closing     CancelRequest, client not admitted, timeout
-//	ready     -> ready       message that is served without an engine, error in a Query
+//	ready     -> ready       message that is served without an engine, or error in a Query
 //	ready     -> in flight   message whose request is forwarded
 //	ready     -> skipping    error in a message that is not a Query
 //	in flight -> ready       response to a Query, or its CancelRequest
@@ -49,13 +49,13 @@
 const (
 	// stateStartup: the startup packet has not been read completely.
 	stateStartup connectionState = iota
-	// stateReady: the next message is served once it is complete.
+	// stateReady: the next message is served as soon as it is complete.
 	stateReady
 	// stateInFlight: the message being served waits for the response to its request.
 	stateInFlight
 	// stateSkipping: messages up to the next Sync are ignored, since an error was sent.
 	stateSkipping
-	// stateClosing: nothing more is read or written.
+	// stateClosing: the connection neither reads nor writes.
 	stateClosing
 )
 
@@ -63,8 +63,8 @@
 func (s connectionState) awaitsMessage() bool { return s != stateInFlight && s != stateClosing }
 
 // connection is the connection of one client. It owns the socket and the state of the protocol, and passes each message
-// to the phase that serves it: startupPhase, simpleQuery or extendedQuery. A phase reads the message and either writes
-// the complete response to the output or returns an execution, which the connection forwards.
+// to its handler: startupPhase, simpleQuery or extendedQuery. A handler reads the message and either writes the
+// complete response to the output or returns an execution, which the connection forwards.
 //
 // A connection must be used from the goroutine of the event loop only.
 type connection struct {
@@ -79,9 +79,9 @@
 	extended extendedQuery
 
 	output     messageWriter
-	stallTimer *timerqueue.Timer // closes a connection that stops within a message
+	stallTimer *timerqueue.Timer // calls fatal if the client stops within a message
 
-	// Both are set in stateInFlight only.
+	// The request in flight and its execution; both are nil except in stateInFlight.
 	request   *lifecycle.Request
 	execution *execution
 }
@@ -107,7 +107,7 @@
 func (c *connection) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for c.state.awaitsMessage() {
 		if c.socket.Disconnected() {
-			// Requests of a client that has disconnected are not accepted.
+			// Requests of a disconnected client are not accepted.
 			in.Consume(in.Len())
 			return
 		}
@@ -181,7 +181,8 @@
 	return nil
 }
 
-// sendReady ends the response to a Query or a Sync, and the connection in a graceful shutdown.
+// sendReady sends the ReadyForQuery that ends the response to a Query or a Sync. In a graceful shutdown it also closes
+// the connection.
 func (c *connection) sendReady() {
 	c.output.message(pgproto.ServerReadyForQuery, []byte{pgproto.TransactionIdle})
 	if c.server.draining {
@@ -189,7 +190,7 @@
 	}
 }
 
-// flush writes the output. Once the connection is closing, it drops the output.
+// flush writes the output to the socket, or drops it in stateClosing.
 func (c *connection) flush() {
 	if c.state == stateClosing {
 		c.output.discard()
@@ -198,13 +199,13 @@
 	c.output.flushTo(c.socket)
 }
 
-// awaitsClient reports whether only the client can make progress: nothing on this side delays the reading of a message.
+// awaitsClient reports whether the connection waits for nothing but further bytes from the client.
 func (c *connection) awaitsClient() bool {
 	return c.state.awaitsMessage() && c.socket.PendingWrite() <= maxPendingWrite
 }
 
-// startStallTimer limits the time until the client sends more of a message, of which a part has arrived. Any part
-// restarts the timer: a large message may take a slow client longer than stallTimeout.
+// startStallTimer limits the time until the client sends more of a message that has arrived only in part. Each further
+// part restarts the timer, because a slow client may need longer than stallTimeout for a large message.
 func (c *connection) startStallTimer() {
 	c.stallTimer = c.server.loop.Timers.Schedule(c.server.loop.Now()+stallTimeout, func() {
 		c.server.counters.Increment(metrics.PostgresStalled)
@@ -212,7 +213,7 @@
 	})
 }
 
-// rejectMalformed closes a connection whose input can't be decoded, after an ErrorResponse.
+// rejectMalformed sends an ErrorResponse for input that can't be decoded, and closes the connection.
 func (c *connection) rejectMalformed(err error) {
 	c.server.counters.Increment(metrics.PostgresMalformed)
 	var failure *pgproto.Error
@@ -222,7 +223,7 @@
 	c.fatal(failure)
 }
 
-// fatal sends a last ErrorResponse and closes the connection.
+// fatal sends a final ErrorResponse and closes the connection.
 func (c *connection) fatal(failure *pgproto.Error) {
 	if c.state == stateClosing {
 		return
--- a/internal/frontend/pgserver/errors.go
+++ b/internal/frontend/pgserver/errors.go
@@ -9,7 +9,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// SQLSTATE codes of the server's own errors, by the names of PostgreSQL's errcodes.txt.
+// SQLSTATE codes of the server's own errors, named as in PostgreSQL's errcodes.txt.
 const (
 	codeProtocolViolation          = "08P01"
 	codeFeatureNotSupported        = "0A000"
@@ -61,13 +61,13 @@
 	return newError(codeAdminShutdown, "the gateway is stopping")
 }
 
-// responseError returns the error for a final response that is not a completion. Each kind has a code of its own; an
-// engine's error on the statement passes unchanged.
+// responseError returns the error for a final response that is not a completion. Each kind of response has a different
+// code; an engine's error on the statement is returned unchanged.
 func responseError(response lifecycle.Response) *pgproto.Error {
 	engineError, _ := response.ErrorDetail.(*pgproto.Error)
 	switch {
 	case response.MayHaveHadEffect && engineError == nil:
-		// This comes before DeadlinePassed: the error for a timeout would imply that nothing was done.
+		// This case comes before DeadlinePassed: the error for a timeout would imply that the statement had no effect.
 		return errCompletionUnknown()
 	case response.MayHaveHadEffect:
 		return engineError
--- a/internal/frontend/pgserver/extended_describe.go
+++ b/internal/frontend/pgserver/extended_describe.go
@@ -2,8 +2,9 @@
 
 import "flaxrelay/internal/pgproto"
 
-// describe describes a statement at once, and a portal not before the next message. That message is usually the first
-// Execute of the portal, whose result includes the description: no separate request to an engine is needed then.
+// describe sends the description of a statement at once, but delays that of a portal until the next message arrives.
+// That message is usually the first Execute of the portal, whose result includes the description, so that no separate
+// request to an engine is needed.
 func (q *extendedQuery) describe(body []byte) (*execution, *pgproto.Error) {
 	kind, name, failure := readTarget(body, "Describe")
 	if failure != nil {
@@ -41,7 +42,7 @@
 	})
 }
 
-// isFirstExecute reports whether a message is the Execute that runs the portal.
+// isFirstExecute reports whether the message is the Execute that runs the portal.
 func (q *extendedQuery) isFirstExecute(described *portal, kind byte, body []byte) bool {
 	if kind != pgproto.ClientExecute || described.state != portalBound || described.statement.empty {
 		return false
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -6,7 +6,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// maxNamed limits the prepared statements, and the portals, of one connection.
+// maxNamed limits the number of prepared statements, and the number of portals, of one connection.
 const maxNamed = 1000
 
 // extendedQuery serves the messages of the extended query protocol. It owns the prepared statements and the portals of
@@ -21,8 +21,8 @@
 	output     *messageWriter
 	statements map[string]*statement
 	portals    portalSet
-	// pendingDescribe is the portal whose description has not been sent yet: the next message may be its first Execute,
-	// whose result includes it; nil: none is pending.
+	// pendingDescribe is the portal whose description has not been sent yet, because the next message may be its first
+	// Execute, whose result includes the description. It is nil if no description is pending.
 	pendingDescribe *portal
 }
 
@@ -40,12 +40,12 @@
 	case pgproto.ClientClose:
 		return nil, q.closeTarget(body)
 	}
-	// A Flush requires no action, since all output is written in any case. Copy data is ignored: the COPY that it would
-	// belong to was rejected.
+	// A Flush requires no action, since all output is written in any case. Copy data is ignored, since its COPY was
+	// rejected.
 	return nil, nil
 }
 
-// sync ends the implicit transaction of a batch. Its portals end with it.
+// sync ends the implicit transaction of a batch, which closes the portals.
 func (q *extendedQuery) sync() {
 	q.portals.closeAll()
 }
@@ -114,8 +114,8 @@
 
 // execute runs a portal, or sends further rows of a portal that has run.
 func (q *extendedQuery) execute(body []byte) (*execution, *pgproto.Error) {
-	// A description that is still pending is that of the portal that this Execute runs: resolveDescribe has sent any
-	// other one.
+	// A description that is still pending belongs to the portal that this Execute runs: resolveDescribe has sent any
+	// other description.
 	describePending := q.pendingDescribe != nil
 	q.pendingDescribe = nil
 	reader := pgproto.Reader{Unread: body}
--- a/internal/frontend/pgserver/extended_query_test.go
+++ b/internal/frontend/pgserver/extended_query_test.go
@@ -8,8 +8,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// testExtendedQuery has the prepared statement s, the open portals p and q of it, and an empty statement e with the
-// portal e.
+// testExtendedQuery returns an extendedQuery with the prepared statement s, its open portals p and q, and an empty
+// statement e with the portal e.
 func testExtendedQuery() (*extendedQuery, *messageWriter) {
 	prepared := &statement{query: "SELECT part", parameterTypes: noParameterTypes}
 	empty := &statement{parameterTypes: noParameterTypes, empty: true}
@@ -37,14 +37,15 @@
 }
 
 // The description of a portal is not sent before the next message. The result of the portal's first Execute includes
-// it. Before any other message it is sent, and an engine may have to describe the statement first.
+// it. The description is sent before any other message is served, and an engine may have to describe the statement
+// first.
 func TestExtendedQuery_PendingDescriptionIsResolvedByTheNextMessage(t *testing.T) {
 	for name, tt := range map[string]struct {
 		portal    string
 		described bool // an engine has described the statement before
 		kind      byte // of the next message
 		body      []byte
-		pending   bool // the description is left to the next message
+		pending   bool // the description is left to the Execute
 		forwarded bool // an engine has to describe the statement
 		want      string
 	}{
@@ -90,7 +91,7 @@
 	}
 }
 
-// The description that an engine has given is kept for the next Describe of the statement.
+// The description from an engine is kept for the next Describe of the statement.
 func TestExtendedQuery_StatementIsDescribedByAnEngineOnce(t *testing.T) {
 	query, output := testExtendedQuery()
 	exec, failure := query.describe(describeBody(pgproto.TargetStatement, "s"))
@@ -110,7 +111,7 @@
 	}
 }
 
-// A portal runs once. An Execute of a portal that has run is served from its rows.
+// A portal runs once. An Execute of a portal that has run is served from the rows in the portal.
 func TestExtendedQuery_PortalRunsOnce(t *testing.T) {
 	query, output := testExtendedQuery()
 	exec, failure := query.execute(executeBody("p"))
@@ -129,7 +130,7 @@
 	}
 }
 
-// The parameter types that an engine has described replace those that the client gave.
+// The parameter types that an engine has described replace those that the client has specified.
 func TestStatement_ParameterTypesOfTheEngineReplaceThoseOfTheClient(t *testing.T) {
 	given := []byte{0, 1, 0, 0, 0, 23}
 	described := []byte{0, 1, 0, 0, 0, 25}
@@ -144,7 +145,7 @@
 			statement{parameterTypes: given, description: &pgproto.Result{ParameterDescription: described}},
 			described[countSize:],
 		},
-		"described without": {
+		"described without parameters": {
 			statement{parameterTypes: given, description: &pgproto.Result{ParameterDescription: noParameterTypes}},
 			given[countSize:],
 		},
--- a/internal/frontend/pgserver/messages.go
+++ b/internal/frontend/pgserver/messages.go
@@ -8,7 +8,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// errUnknownMessage is returned for input whose first byte is not the kind of any message of a client.
+// errUnknownMessage is returned for input whose first byte is not a kind of client message.
 var errUnknownMessage = errors.New("a message of a kind that no client sends")
 
 // clientMessages are the kinds of messages that a client sends after its startup.
@@ -48,7 +48,7 @@
 	return size, nil
 }
 
-// serve passes a message to its phase.
+// serve passes a message to its handler.
 func (c *connection) serve(kind byte, body []byte) {
 	switch kind {
 	case pgproto.ClientQuery:
@@ -64,8 +64,8 @@
 	}
 }
 
-// forwardOrFinish forwards the execution that a phase has returned for a message. If there is none, the message is
-// finished.
+// forwardOrFinish forwards the execution that a handler has returned for a message. If there is no execution, it
+// finishes the message.
 func (c *connection) forwardOrFinish(protocol queryProtocol, exec *execution, failure *pgproto.Error) {
 	if exec != nil {
 		c.forward(exec)
@@ -74,7 +74,8 @@
 	c.finish(protocol, failure)
 }
 
-// finish ends the response to a message. Without an error, the phase of the message has written the response already.
+// finish ends the response to a message. If there is no error, the handler of the message has already written the
+// response.
 func (c *connection) finish(protocol queryProtocol, failure *pgproto.Error) {
 	if failure != nil {
 		c.server.counters.Increment(metrics.PostgresErrors.With(failure.Code))
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -9,34 +9,33 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// allRows is the maximum number of rows in an Execute that requests all of them. A negative number requests all rows,
-// too.
+// allRows is the row limit in an Execute that requests all rows. A negative limit also requests all rows.
 const allRows = 0
 
 // portalState is the state of a portal.
 //
 //	state     -> next state  event
 //	bound     -> suspended   an engine has returned the result for the first Execute
-//	suspended -> suspended   the maximum of rows has been sent for an Execute
+//	suspended -> suspended   the maximum number of rows has been sent for an Execute
 //	suspended -> completed   all rows and the completion have been sent
-//	completed -> completed   further Execute: a completion of no rows, or an error if the
-//	                         statement returns none
+//	completed -> completed   further Execute: a completion without rows, or an error if the
+//	                         statement does not return rows
 type portalState uint8
 
 const (
 	// portalBound: the portal has not run.
 	portalBound portalState = iota
-	// portalSuspended: it has run, and its completion has not been sent.
+	// portalSuspended: the portal has run, and its completion has not been sent.
 	portalSuspended
-	// portalCompleted: its completion has been sent.
+	// portalCompleted: the completion has been sent.
 	portalCompleted
 )
 
 // portal is a statement with bound values. It runs once. Rows that are fetched later come from its buffer, even if the
-// engine has shut down meanwhile.
+// engine has shut down in the meantime.
 type portal struct {
 	statement      *statement
-	bind           []byte        // the body of Bind past its names
+	bind           []byte        // the body of Bind after its names
 	binds          sqltext.Binds // the values, as slices of bind; empty without an estimator
 	resultFormats  []byte        // format codes of the result's columns, as a slice of bind
 	idempotencyKey string
@@ -45,7 +44,7 @@
 	unsentRows     []byte          // DataRow messages
 }
 
-// newExecution returns the execution of the portal by an engine. The function onServed is called with its result.
+// newExecution returns the execution of the portal by an engine. The function onServed is called with the result.
 func (p *portal) newExecution(onServed func(*pgproto.Result) *pgproto.Error) *execution {
 	p.binds.TypeOIDs = p.statement.parameterOIDs()
 	return &execution{
@@ -91,11 +90,11 @@
 	return nil
 }
 
-// takeRows removes the next rows, at most maxRows of them if that is positive, from the buffer and returns them with
+// takeRows removes the next rows, at most maxRows of them if that is positive, from the buffer and returns them and
 // their number.
 func (p *portal) takeRows(maxRows int) (rows []byte, count int) {
 	size := 0
-	// The loop ends, because unsentRows has complete messages only.
+	// The loop terminates because unsentRows contains only complete messages.
 	for size < len(p.unsentRows) && (maxRows <= allRows || count < maxRows) {
 		_, _, rowSize, _ := pgproto.ParseMessage(p.unsentRows[size:], len(p.unsentRows))
 		size += rowSize
@@ -159,7 +158,7 @@
 	return s.reserve(p)
 }
 
-// close removes a portal, if there is one of the name.
+// close removes the portal with the name, if there is one.
 func (s *portalSet) close(name string) {
 	if closed := s.byName[name]; closed != nil {
 		s.release(closed)
@@ -184,7 +183,7 @@
 	return newError(codeOutOfMemory, "open portals hold too many rows; fetch them, or ask for all at once")
 }
 
-// release ends the reservation of a portal's unsent rows.
+// release returns the bytes of a portal's unsent rows to the budget.
 func (s *portalSet) release(p *portal) {
 	s.budget.Release(len(p.unsentRows))
 }
--- a/internal/frontend/pgserver/portal_test.go
+++ b/internal/frontend/pgserver/portal_test.go
@@ -7,12 +7,12 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// dataRow is a DataRow message with one column.
+// dataRow returns a DataRow message with one column.
 func dataRow(value string) []byte {
 	return pgproto.AppendMessage(nil, 'D', []byte{0, 1}, pgproto.Int32(len(value)), []byte(value))
 }
 
-// resultOfRows is the result of a SELECT.
+// resultOfRows returns the result of a SELECT with one column.
 func resultOfRows(values ...string) *pgproto.Result {
 	result := &pgproto.Result{RowDescription: []byte{0, 1}, RowCount: len(values), CommandTag: "SELECT 2"}
 	for _, value := range values {
@@ -28,7 +28,7 @@
 	for unread := output.buffer; len(unread) > 0; {
 		kind, _, size, err := pgproto.ParseMessage(unread, len(unread))
 		if err != nil || size == 0 {
-			t.Fatalf("the output is no sequence of messages: %q, %v", output.buffer, err)
+			t.Fatalf("the output is not a sequence of messages: %q, %v", output.buffer, err)
 		}
 		text += string(kind)
 		unread = unread[size:]
@@ -37,7 +37,7 @@
 	return text
 }
 
-// A portal runs once. It sends as many rows as it is asked for, and its completion after the last row.
+// A portal runs once. It sends as many rows as an Execute requests, and its completion after the last row.
 func TestPortal_SendsRowsInPartsAndThenItsCompletion(t *testing.T) {
 	insert := &pgproto.Result{CommandTag: "INSERT 0 1"}
 	emptyQuery := &pgproto.Result{EmptyQuery: true}
@@ -47,14 +47,14 @@
 		want    []string // kinds of messages; "55000": an error with this code
 		state   portalState
 	}{
-		"all":            {resultOfRows("a", "b"), []int{allRows}, []string{"DDC"}, portalCompleted},
-		"negative":       {resultOfRows("a", "b"), []int{-1}, []string{"DDC"}, portalCompleted},
-		"in parts":       {resultOfRows("a", "b"), []int{1, 2}, []string{"Ds", "DC"}, portalCompleted},
-		"suspended":      {resultOfRows("a", "b"), []int{2}, []string{"DDs"}, portalSuspended},
-		"nothing left":   {resultOfRows("a", "b"), []int{2, 1}, []string{"DDs", "C"}, portalCompleted},
-		"after its end":  {resultOfRows("a", "b"), []int{allRows, allRows}, []string{"DDC", "C"}, portalCompleted},
-		"without rows":   {insert, []int{1, allRows}, []string{"C", "55000"}, portalCompleted},
-		"empty response": {emptyQuery, []int{allRows, 1}, []string{"I", "55000"}, portalCompleted},
+		"all":              {resultOfRows("a", "b"), []int{allRows}, []string{"DDC"}, portalCompleted},
+		"negative":         {resultOfRows("a", "b"), []int{-1}, []string{"DDC"}, portalCompleted},
+		"in parts":         {resultOfRows("a", "b"), []int{1, 2}, []string{"Ds", "DC"}, portalCompleted},
+		"suspended":        {resultOfRows("a", "b"), []int{2}, []string{"DDs"}, portalSuspended},
+		"nothing left":     {resultOfRows("a", "b"), []int{2, 1}, []string{"DDs", "C"}, portalCompleted},
+		"after completion": {resultOfRows("a", "b"), []int{allRows, allRows}, []string{"DDC", "C"}, portalCompleted},
+		"without rows":     {insert, []int{1, allRows}, []string{"C", "55000"}, portalCompleted},
+		"empty response":   {emptyQuery, []int{allRows, 1}, []string{"I", "55000"}, portalCompleted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var output messageWriter
@@ -71,13 +71,13 @@
 				}
 			}
 			if p.state != tt.state {
-				t.Errorf("the portal ends in state %d, want %d", p.state, tt.state)
+				t.Errorf("the portal is in state %d, want %d", p.state, tt.state)
 			}
 		})
 	}
 }
 
-// The completion counts the rows that this Execute has sent.
+// The command tag contains the number of rows that the latest Execute has sent.
 func TestCommandTag_CountsTheRowsOfOneExecute(t *testing.T) {
 	for _, tt := range []struct {
 		tag   string
@@ -133,7 +133,7 @@
 	}
 }
 
-// testPortals is a set of portals with a budget for one of two rows.
+// testPortals returns a set of portals and its budget, which is enough for one row.
 func testPortals(t *testing.T) (portals *portalSet, budget *memorybudget.Budget) {
 	t.Helper()
 	budget = &memorybudget.Budget{}
@@ -148,7 +148,7 @@
 	return opened, portals.sendFirstRows(opened, resultOfRows("a", "b"), output, 1)
 }
 
-// A portal that ends returns the rows that wait in it to the budget.
+// When a portal ends, the bytes of its unsent rows are returned to the budget.
 func TestPortalSet_EndedPortalReturnsItsRows(t *testing.T) {
 	for name, end := range map[string]func(portals *portalSet, p *portal){
 		"closed":     func(portals *portalSet, _ *portal) { portals.close("p") },
@@ -168,7 +168,7 @@
 				t.Fatal(failure)
 			}
 			if _, failure := openAndFetchOne(portals, "q", &output); failure == nil || failure.Code != codeOutOfMemory {
-				t.Errorf("a portal past the budget: %v", failure)
+				t.Errorf("a portal that exceeds the budget: %v", failure)
 			}
 			end(portals, opened)
 			if !budget.TryReserve(len(dataRow("a"))) {
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -10,13 +10,14 @@
 	"flaxrelay/policy"
 )
 
-// queryProtocol is the part of the protocol that a message belongs to. It decides how a message ends.
+// queryProtocol is the part of the protocol that a message belongs to. It determines how the response to the message
+// ends.
 type queryProtocol uint8
 
 const (
-	// simpleProtocol: a Query ends with a ReadyForQuery, also after an error.
+	// simpleProtocol: the response to a Query ends with a ReadyForQuery, even after an error.
 	simpleProtocol queryProtocol = iota
-	// extendedProtocol: after an error everything up to the next Sync is skipped.
+	// extendedProtocol: after an error, all messages up to the next Sync are skipped.
 	extendedProtocol
 )
 
@@ -24,14 +25,14 @@
 type execution struct {
 	protocol       queryProtocol
 	statement      *statement
-	message        *pgproto.Statement // for the engine
+	message        *pgproto.Statement // the message to the engine
 	idempotencyKey string
 	binds          *sqltext.Binds // of a portal; nil for a Query and for a description
-	// onServed writes the response of the message that made the execution.
+	// onServed writes the response to the client's message that led to the execution.
 	onServed func(*pgproto.Result) *pgproto.Error
 }
 
-// complete writes the result of an execution, or returns the error to send instead.
+// complete writes the result of the execution, or returns the error to send instead.
 func (e *execution) complete(response lifecycle.Response) *pgproto.Error {
 	result, ok := response.Result.(*pgproto.Result)
 	if response.Verdict != lifecycle.VerdictServed || !ok {
@@ -49,7 +50,7 @@
 	c.server.dispatcher.Accept(request)
 }
 
-// Respond finishes the message that made the request, and continues to read.
+// Respond finishes the message that led to the request, and resumes reading.
 func (c *connection) Respond(_ *lifecycle.Request, response lifecycle.Response) {
 	if c.state != stateInFlight {
 		return
@@ -59,7 +60,7 @@
 	c.resume()
 }
 
-// cancel ends the request in flight for a CancelRequest, and continues to read.
+// cancel ends the request in flight for a CancelRequest, and resumes reading.
 func (c *connection) cancel() {
 	dispatcher := c.server.dispatcher
 	request, exec := c.endRequest()
@@ -72,7 +73,7 @@
 	c.resume()
 }
 
-// endRequest leaves stateInFlight.
+// endRequest moves the connection to stateReady. It returns the request and the execution that were in flight, or nil.
 func (c *connection) endRequest() (*lifecycle.Request, *execution) {
 	request := c.request
 	exec := c.execution
@@ -82,7 +83,7 @@
 	return request, exec
 }
 
-// resume writes the output and continues to read, first what the client has sent during the request.
+// resume writes the output and resumes reading, starting with what the client has sent during the request.
 func (c *connection) resume() {
 	c.flush()
 	c.socket.LiftReadAheadLimit()
@@ -110,7 +111,7 @@
 // estimator's execution, too.
 func (s *Server) executionClass(exec *execution) (policy.Class, *stmtstats.Execution) {
 	if exec.message.DescribeOnly {
-		// A description runs nothing, also if its statement would write.
+		// A description does not run its statement, even if that would write.
 		if class, ok := s.dispatcher.Class(s.options.DefaultClass); ok && class.Effect == policy.Idempotent {
 			return class, nil
 		}
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -2,13 +2,12 @@
 // execution at an engine is one request to the dispatcher and has one final response: a completion or one
 // ErrorResponse.
 //
-// New returns a Server, and Server.Listen accepts clients. A graceful shutdown calls CloseListener and Drain, Finish at
-// the time of the final responses, and may end the process once Idle reports true.
+// New returns a Server, and Server.Listen accepts clients. A graceful shutdown calls CloseListener and Drain, and
+// Finish when the final responses are due. The process may exit once Idle reports true.
 //
-// A Server accepts connections, gives each statement its class (classify) and builds the request of each execution
-// (newRequest). Each connection is a state machine, whose diagram is in the comment of connectionState. It passes the
-// messages to the part of the protocol that they belong to: startupPhase, simpleQuery, or extendedQuery with its
-// prepared statements and its portalSet.
+// A Server accepts connections, assigns a class to each statement (classify) and builds the request of each execution
+// (newRequest). Each connection is a state machine, whose diagram is in the comment of connectionState. It passes each
+// message to its handler: startupPhase, simpleQuery, or extendedQuery with its prepared statements and its portalSet.
 package pgserver
 
 import (
@@ -27,22 +26,22 @@
 const (
 	// startupTimeout is how long a connection may take until its startup is complete.
 	startupTimeout = 2 * time.Second
-	// spareClients is how many clients may connect past the limit, to cancel a request or to get the error that there
-	// are too many clients.
+	// spareClients is how many clients may connect beyond the limit, to cancel a request or to receive the error that
+	// there are too many clients.
 	spareClients = 16
-	// defaultMaxBufferedBytes limits the rows in open portals if the options do not, in bytes.
+	// defaultMaxBufferedBytes is the default of Options.MaxBufferedBytes.
 	defaultMaxBufferedBytes = 32 << 20
 )
 
-// Options come from the deploy file.
+// Options are the settings of a Server from the deploy file.
 type Options struct {
-	DefaultClass      string             // of statements for which neither a comment nor a rule names a class
+	DefaultClass      string             // class of statements for which neither a comment nor a rule names a class
 	WriteClass        string             // the default class of statements that may write; "": they are rejected
 	ReadOnlyFunctions sqltext.Functions  // functions that the operators declare read-only
-	Rules             []Rule             // the first that matches a statement applies
-	Estimator         *stmtstats.Service // gives classes and estimates by statement shape; nil: off
-	MaxClients        int                // open connections; 0: no limit
-	MaxBufferedBytes  int                // bytes of rows that are buffered in all open portals together
+	Rules             []Rule             // the first rule that matches a statement applies
+	Estimator         *stmtstats.Service // determines classes and estimates by statement shape; nil: off
+	MaxClients        int                // limit of open connections; 0: no limit
+	MaxBufferedBytes  int                // limit of bytes of rows in all open portals together; 0: default
 }
 
 // Server accepts PostgreSQL clients. It owns their connections, decides the class of each statement, and builds the
@@ -56,7 +55,7 @@
 
 	connections   map[uint32]*connection // by process ID
 	lastProcessID uint32
-	rowBudget     memorybudget.Budget // of rows in open portals
+	rowBudget     memorybudget.Budget // bytes of rows in open portals
 	draining      bool                // a graceful shutdown has begun
 }
 
@@ -94,7 +93,7 @@
 	return c
 }
 
-// SetOptions changes the options for statements that are prepared and clients that connect from now on.
+// SetOptions changes the options for statements that are prepared later and clients that connect later.
 func (s *Server) SetOptions(options Options) {
 	if options.MaxBufferedBytes <= 0 {
 		options.MaxBufferedBytes = defaultMaxBufferedBytes
@@ -103,8 +102,8 @@
 	s.rowBudget.SetLimit(options.MaxBufferedBytes)
 }
 
-// Drain closes the connections in a graceful shutdown: each at once, or after its next ReadyForQuery if a request is in
-// flight. The last message is an ErrorResponse, which is the response to unread messages, too.
+// Drain closes the connections in a graceful shutdown, each at once, or after its next ReadyForQuery if a request is in
+// flight. The last message is an ErrorResponse, which is also the response to unread messages.
 func (s *Server) Drain() {
 	s.draining = true
 	for _, c := range s.connections {
--- a/internal/frontend/pgserver/simple_query.go
+++ b/internal/frontend/pgserver/simple_query.go
@@ -8,7 +8,7 @@
 	emptyBind        = []byte{0, 0, 0, 0, 0, 0} // counts of 0: formats, values, result formats
 )
 
-// simpleQuery serves Query messages. It keeps no state between two of them: a SET changes the settings of the session,
+// simpleQuery serves Query messages. It keeps no state between messages: a SET changes the settings of the session,
 // which the connection owns.
 type simpleQuery struct {
 	server   *Server
@@ -16,7 +16,7 @@
 	output   *messageWriter
 }
 
-// serve serves a Query of one statement. It returns an execution if an engine has to run the statement.
+// serve serves a Query with one statement. It returns an execution if an engine has to run the statement.
 func (q *simpleQuery) serve(body []byte) (*execution, *pgproto.Error) {
 	reader := pgproto.Reader{Unread: body}
 	query := reader.CString()
@@ -48,7 +48,7 @@
 	}, nil
 }
 
-// setStatementTimeout carries out a SET of statement_timeout, the only SET that is served here.
+// setStatementTimeout executes a SET of statement_timeout, the only SET that the server supports.
 func (q *simpleQuery) setStatementTimeout(value string) *pgproto.Error {
 	if failure := q.settings.setStatementTimeout(value); failure != nil {
 		return failure
--- a/internal/frontend/pgserver/startup.go
+++ b/internal/frontend/pgserver/startup.go
@@ -10,7 +10,7 @@
 // encryptionDeclined is the response to a request for TLS or GSSAPI encryption.
 const encryptionDeclined = 'N'
 
-// protocolOptionPrefix begins the names of protocol options in a startup packet.
+// protocolOptionPrefix is the prefix of the names of protocol options in a startup packet.
 const protocolOptionPrefix = "_pq_."
 
 // Fields of a protocol version, which is a number of 32 bits.
@@ -22,7 +22,7 @@
 // newestMinorVersion is the newest minor version of the protocol that is supported.
 const newestMinorVersion = 0
 
-// serverParameters are the ParameterStatus messages that end a startup.
+// serverParameters are sent as ParameterStatus messages at the end of the startup.
 var serverParameters = [...]struct{ name, value string }{
 	{"server_version", "16.0 (ringwood)"},
 	{"server_encoding", "UTF8"},
@@ -38,12 +38,12 @@
 type startupPhase struct {
 	version        uint32
 	user           string
-	unknownOptions [][]byte // names of protocol options, none of which is known here
+	unknownOptions [][]byte // names of requested protocol options; the server supports none
 	settings       sessionSettings
 }
 
-// readPacket reads a startup packet, which begins with a protocol version. Its error is a *pgproto.Error, or wraps
-// pgproto.ErrMalformed.
+// readPacket reads a startup packet, which starts with a protocol version. The returned error is a *pgproto.Error or
+// wraps pgproto.ErrMalformed.
 func (p *startupPhase) readPacket(version uint32, body []byte) error {
 	major := version >> majorVersionShift
 	if major != pgproto.ProtocolVersion>>majorVersionShift {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// applyParameter applies one parameter of a startup packet. Unknown ones are ignored.
+// applyParameter applies one parameter of a startup packet. Unknown parameters are ignored.
 func (p *startupPhase) applyParameter(name, value string) *pgproto.Error {
 	switch {
 	case strings.HasPrefix(name, protocolOptionPrefix):
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// applyOptions applies the server options of a startup packet, as in "-c statement_timeout=5s". Others are ignored.
+// applyOptions applies the statement_timeout of the "options" parameter, as in "-c statement_timeout=5s". Other options
+// are ignored.
 func (p *startupPhase) applyOptions(text string) *pgproto.Error {
 	words := strings.Fields(text)
 	for i, word := range words {
@@ -117,8 +118,8 @@
 	output.message(pgproto.ServerBackendKeyData, key.body())
 }
 
-// admit returns an error for a client that may not begin a session. The client's own connection counts among those that
-// are open.
+// admit returns an error for a client that may not begin a session. The number of open connections includes the
+// client's own.
 func (s *Server) admit(startup *startupPhase) *pgproto.Error {
 	if startup.user == "" {
 		return newError(codeInvalidAuthorization, "no user name in the startup packet")
--- a/internal/frontend/pgserver/startup_test.go
+++ b/internal/frontend/pgserver/startup_test.go
@@ -8,7 +8,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// packet is the body of a startup packet.
+// packet returns the body of a startup packet.
 func packet(parameters ...string) []byte {
 	var body []byte
 	for _, parameter := range parameters {
--- a/internal/frontend/pgserver/statement.go
+++ b/internal/frontend/pgserver/statement.go
@@ -12,7 +12,7 @@
 	classification
 	query          string
 	parameterTypes []byte               // as in Parse: their count and object IDs
-	empty          bool                 // the query has only white space and comments
+	empty          bool                 // the query contains only white space and comments
 	parsed         *stmtstats.Statement // nil without an estimator
 	description    *pgproto.Result      // nil until an engine has described the statement
 }
@@ -41,7 +41,7 @@
 }
 
 // checkValueCount returns an error if the number of bound values differs from the number of parameters that an engine
-// has described. It returns nil if none has.
+// has described. It returns nil if no engine has described the statement.
 func (s *statement) checkValueCount(count int) *pgproto.Error {
 	if s.description == nil || len(s.description.ParameterDescription) < countSize {
 		return nil
@@ -55,7 +55,7 @@
 }
 
 // parameterOIDs returns the types of the parameters: those that an engine has described, or else those that the client
-// gave.
+// has specified.
 func (s *statement) parameterOIDs() []byte {
 	if s.description != nil && len(s.description.ParameterDescription) > countSize {
 		return s.description.ParameterDescription[countSize:]
--- a/internal/frontend/pgserver/statement_timeout.go
+++ b/internal/frontend/pgserver/statement_timeout.go
@@ -13,7 +13,7 @@
 // statementTimeoutName is the only session setting that is supported.
 const statementTimeoutName = "statement_timeout"
 
-// timeoutUnits are the units of a timeout, as PostgreSQL writes them.
+// timeoutUnits are the units of a timeout in the syntax of PostgreSQL.
 var timeoutUnits = map[string]time.Duration{
 	"":    time.Millisecond,
 	"us":  time.Microsecond,
@@ -26,7 +26,7 @@
 
 // sessionSettings are the settings that a client may change for its session.
 type sessionSettings struct {
-	statementTimeout time.Duration // 0: the deadline of the statement's class
+	statementTimeout time.Duration // 0: the deadline of the statement's class applies
 }
 
 // setStatementTimeout sets the timeout of the client's statements.
@@ -47,12 +47,12 @@
 	return class.Deadline
 }
 
-// maxTimeoutBits is the size of the number before the unit of a timeout. PostgreSQL stores it as a signed number of 32
-// bits.
+// maxTimeoutBits is the size in bits of the number before the unit of a timeout: PostgreSQL stores it as a signed
+// 32-bit integer.
 const maxTimeoutBits = 31
 
-// parseStatementTimeout reads a timeout as PostgreSQL writes it: in milliseconds, or with a unit. It returns 0 for
-// "default".
+// parseStatementTimeout parses a timeout in the syntax of PostgreSQL: a number of milliseconds, or a number with a
+// unit. It returns 0 for "default".
 func parseStatementTimeout(text string) (time.Duration, *pgproto.Error) {
 	text = strings.Trim(strings.TrimSpace(text), "'")
 	if strings.EqualFold(text, "default") {
