--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -106,7 +106,7 @@
 	if !ok {
 		return choice, nil
 	}
-	for _, word := range strings.FieldsFunc(comment, separatesDirectives) {
+	for _, word := range strings.FieldsFunc(comment, isDirectiveSeparator) {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "class":
@@ -124,7 +124,7 @@
 	return choice, nil
 }
 
-func separatesDirectives(char rune) bool { return char == ' ' || char == ',' || char == ';' }
+func isDirectiveSeparator(char rune) bool { return char == ' ' || char == ',' || char == ';' }
 
 // idempotencyKey returns the key of an execution, which is one of the bound values, or "" if the class does not need a
 // key. It returns an error if the class needs a key and the execution lacks it: such an execution is never forwarded,
@@ -161,9 +161,9 @@
 // supportedCommand returns the first word of a statement in upper case, or "" if the text contains no statement. It
 // returns an error if the statement is not supported.
 func supportedCommand(query string, parsed *stmtstats.Statement) (string, *pgproto.Error) {
-	command, several := commandOf(query, parsed)
+	command, multiple := commandOf(query, parsed)
 	switch {
-	case several:
+	case multiple:
 		return "", newError(codeFeatureNotSupported, "only one statement at a time is supported")
 	case unsupportedCommands[command]:
 		return "", newError(codeFeatureNotSupported,
@@ -173,8 +173,8 @@
 }
 
 // commandOf returns the first word of a statement in upper case, or "" if the text contains no statement. It also
-// reports whether the text contains several statements.
-func commandOf(query string, parsed *stmtstats.Statement) (command string, several bool) {
+// reports whether the text contains multiple statements.
+func commandOf(query string, parsed *stmtstats.Statement) (command string, multiple bool) {
 	if parsed != nil {
 		return strings.ToUpper(parsed.FirstWord()), parsed.MultipleStatements()
 	}
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -81,7 +81,7 @@
 	name := reader.CString()
 	statementName := reader.CString()
 	reader.Unread = bytes.Clone(reader.Unread) // the portal keeps the copy, and the values are slices of it
-	bind := reader.Unread
+	bindBody := reader.Unread
 	binds, resultFormats, ok := readBind(&reader)
 	if !ok {
 		return errMalformed("Bind")
@@ -96,7 +96,7 @@
 	if failure := prepared.checkValueCount(len(binds.Values)); failure != nil {
 		return failure
 	}
-	opened := &portal{statement: prepared, bind: bind, resultFormats: resultFormats}
+	opened := &portal{statement: prepared, bindBody: bindBody, resultFormats: resultFormats}
 	if prepared.parsed != nil { // only the estimator reads the values
 		opened.binds = binds
 	}
--- a/internal/frontend/pgserver/extended_query_test.go
+++ b/internal/frontend/pgserver/extended_query_test.go
@@ -19,9 +19,9 @@
 		statements: map[string]*statement{"s": prepared, "e": empty},
 		portals: portalSet{
 			byName: map[string]*portal{
-				"p": {statement: prepared, bind: emptyBind},
-				"q": {statement: prepared, bind: emptyBind},
-				"e": {statement: empty, bind: emptyBind},
+				"p": {statement: prepared, bindBody: emptyBind},
+				"q": {statement: prepared, bindBody: emptyBind},
+				"e": {statement: empty, bindBody: emptyBind},
 			},
 			budget: &memorybudget.Budget{},
 		},
@@ -76,11 +76,11 @@
 				query.statements["s"].description = &pgproto.Result{RowDescription: []byte{0, 0}}
 			}
 			exec, failure := query.describe(describeBody(pgproto.TargetPortal, tt.portal))
-			if exec != nil || failure != nil || kinds(t, output) != "" || query.pendingDescribe == nil {
+			if exec != nil || failure != nil || takeMessageKinds(t, output) != "" || query.pendingDescribe == nil {
 				t.Fatalf("the description does not wait: %v, %v", exec, failure)
 			}
 			exec, failure = query.resolveDescribe(tt.kind, tt.body)
-			got := kinds(t, output)
+			got := takeMessageKinds(t, output)
 			if failure != nil || got != tt.want || (exec != nil) != tt.forwarded {
 				t.Errorf("got %q, %v, %v; want %q", got, exec, failure, tt.want)
 			}
@@ -102,11 +102,11 @@
 	if failure := exec.onServed(description); failure != nil {
 		t.Fatal(failure)
 	}
-	if got := kinds(t, output); got != "tT" {
+	if got := takeMessageKinds(t, output); got != "tT" {
 		t.Errorf("first description: %q", got)
 	}
 	exec, failure = query.describe(describeBody(pgproto.TargetStatement, "s"))
-	if got := kinds(t, output); failure != nil || exec != nil || got != "tT" {
+	if got := takeMessageKinds(t, output); failure != nil || exec != nil || got != "tT" {
 		t.Errorf("second description: %q, %v, %v", got, exec, failure)
 	}
 }
@@ -121,11 +121,11 @@
 	if failure := exec.onServed(resultOfRows("a", "b")); failure != nil {
 		t.Fatal(failure)
 	}
-	if got := kinds(t, output); got != "DDC" {
+	if got := takeMessageKinds(t, output); got != "DDC" {
 		t.Errorf("first execution: %q", got)
 	}
 	exec, failure = query.execute(executeBody("p"))
-	if got := kinds(t, output); failure != nil || exec != nil || got != "C" {
+	if got := takeMessageKinds(t, output); failure != nil || exec != nil || got != "C" {
 		t.Errorf("second execution: %q, %v, %v", got, exec, failure)
 	}
 }
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -35,9 +35,9 @@
 // engine has shut down in the meantime.
 type portal struct {
 	statement      *statement
-	bind           []byte        // the body of Bind after its names
-	binds          sqltext.Binds // the values, as slices of bind; empty without an estimator
-	resultFormats  []byte        // format codes of the result's columns, as a slice of bind
+	bindBody       []byte        // the body of Bind after its names
+	binds          sqltext.Binds // the values, as slices of bindBody; empty without an estimator
+	resultFormats  []byte        // format codes of the result's columns, as a slice of bindBody
 	idempotencyKey string
 	state          portalState
 	result         *pgproto.Result // nil in portalBound; its DataRows are moved to unsentRows
@@ -53,7 +53,7 @@
 		message: &pgproto.Statement{
 			Query:          p.statement.query,
 			ParameterTypes: p.statement.parameterTypes,
-			Bind:           p.bind,
+			Bind:           p.bindBody,
 		},
 		idempotencyKey: p.idempotencyKey,
 		binds:          &p.binds,
--- a/internal/frontend/pgserver/portal_test.go
+++ b/internal/frontend/pgserver/portal_test.go
@@ -21,8 +21,8 @@
 	return result
 }
 
-// kinds returns the kinds of the messages in the output, and empties it.
-func kinds(t *testing.T, output *messageWriter) string {
+// takeMessageKinds returns the kinds of the messages in the output, and empties it.
+func takeMessageKinds(t *testing.T, output *messageWriter) string {
 	t.Helper()
 	text := ""
 	for unread := output.buffer; len(unread) > 0; {
@@ -62,7 +62,7 @@
 			p.setResult(tt.result)
 			for i, maxRows := range tt.maxRows {
 				failure := p.sendRows(&output, maxRows)
-				got := kinds(t, &output)
+				got := takeMessageKinds(t, &output)
 				if failure != nil {
 					got += failure.Code
 				}
@@ -122,7 +122,7 @@
 		p.setResult(tt.result)
 		for _, want := range tt.want {
 			failure := portals.sendFurtherRows(p, &output, allRows)
-			got := kinds(t, &output)
+			got := takeMessageKinds(t, &output)
 			if failure != nil {
 				got += failure.Code
 			}
