--- a/internal/pgproto/error_response.go
+++ b/internal/pgproto/error_response.go
@@ -8,7 +8,7 @@
 // Types of the fields of an ErrorResponse that this package reads or writes.
 const (
 	fieldSeverity          byte = 'S'
-	fieldSeverityUnchanged byte = 'V' // the severity, which no locale translates
+	fieldSeverityUnchanged byte = 'V' // the severity, never localized
 	fieldCode              byte = 'C'
 	fieldMessage           byte = 'M'
 	fieldHint              byte = 'H'
@@ -23,14 +23,15 @@
 	Code     string // SQLSTATE
 	Message  string
 	Hint     string // "": none
-	// raw is the body as an engine sent it, which Body returns unchanged. It is nil for an error of this program.
+	// raw is the body as an engine sent it; Body returns it unchanged. It is nil for an error that this program
+	// created.
 	raw []byte
 }
 
 // Error returns the code and the message.
 func (e *Error) Error() string { return e.Code + ": " + e.Message }
 
-// Body returns the body of the message.
+// Body returns the body of the ErrorResponse.
 func (e *Error) Body() []byte {
 	if e.raw != nil {
 		return e.raw
@@ -71,7 +72,7 @@
 	return parsed, nil
 }
 
-// setField stores a field of a known type. Fields of other types are kept in raw only.
+// setField stores the value of a field that has a place in Error. Other fields are only kept in raw.
 func (e *Error) setField(kind byte, value string) {
 	switch kind {
 	case fieldSeverity:
--- a/internal/pgproto/error_response_test.go
+++ b/internal/pgproto/error_response_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The fields that this package does not read, such as the detail, reach the client as the engine sent them.
+// Fields that this package does not read, such as the detail, reach the client as the engine sent them.
 func TestParseError_BodyStaysAsReceived(t *testing.T) {
 	body := []byte("SERROR\x00C42P01\x00Mno such table\x00Hcheck its name\x00Ddetail\x00\x00")
 	parsed, err := ParseError(body)
@@ -27,7 +27,7 @@
 func TestParseError_MalformedBodyIsAnError(t *testing.T) {
 	for name, body := range map[string]string{
 		"empty":                  "",
-		"no zero byte after":     "SERROR\x00C42P01\x00",
+		"no final zero byte":     "SERROR\x00C42P01\x00",
 		"truncated field":        "SERROR\x00C42P01",
 		"bytes after the end":    "SERROR\x00C42P01\x00\x00x",
 		"no code":                "SERROR\x00\x00",
--- a/internal/pgproto/fields.go
+++ b/internal/pgproto/fields.go
@@ -11,14 +11,14 @@
 	int32Size = 4
 )
 
-// CString returns the encoding of a string, which ends with a zero byte.
+// CString encodes a string, which ends with a zero byte.
 func CString(s string) []byte { return append([]byte(s), 0) }
 
-// Int32 returns the encoding of a number of four bytes.
+// Int32 encodes a number in four bytes, in network byte order.
 func Int32(n int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
 
-// Reader reads the fields of a message's body one after another. If a field is missing
-// or cut short, it sets Malformed, and returns zero values from then on.
+// Reader reads the fields of a message body one after another. If a field is missing or truncated, it sets Malformed
+// and returns zero values from then on.
 type Reader struct {
 	Unread    []byte // the rest of the body
 	Malformed bool
--- a/internal/pgproto/messages.go
+++ b/internal/pgproto/messages.go
@@ -49,7 +49,7 @@
 	ServerRowDescription           byte = 'T'
 )
 
-// AuthenticationOK is the body of an Authentication that ends the authentication, as a number.
+// AuthenticationOK is the code of an Authentication message that ends the authentication.
 const AuthenticationOK = 0
 
 // Targets of a Describe or a Close.
@@ -58,7 +58,7 @@
 	TargetPortal    byte = 'P'
 )
 
-// TransactionIdle is the status in a ReadyForQuery outside a transaction.
+// TransactionIdle is the transaction status in a ReadyForQuery outside a transaction.
 const TransactionIdle byte = 'I'
 
 // Format codes of values.
@@ -67,8 +67,8 @@
 	FormatBinary = 1
 )
 
-// messageHeaderSize is the size of a message's kind and length in bytes. The length
-// counts itself and the body, but not the kind.
+// messageHeaderSize is the size of a message's kind and length fields in bytes. The length includes itself and the
+// body, but not the kind.
 const messageHeaderSize = 1 + lengthSize
 
 // ParseMessage decodes the first message of the input: its kind and its body, which is
@@ -89,7 +89,7 @@
 	return input[0], input[messageHeaderSize:size], size, nil
 }
 
-// AppendMessage appends one message, whose body is given in parts.
+// AppendMessage appends one message. Its body is the concatenation of the parts.
 func AppendMessage(output []byte, kind byte, body ...[]byte) []byte {
 	length := lengthSize
 	for _, part := range body {
--- a/internal/pgproto/results.go
+++ b/internal/pgproto/results.go
@@ -4,8 +4,8 @@
 type Statement struct {
 	Query          string
 	ParameterTypes []byte // the count and the types of the parameters, as in Parse
-	Bind           []byte // the body of a Bind past its two names, unchanged
-	DescribeOnly   bool   // the statement is described and does not run
+	Bind           []byte // the body of a Bind after its two names, unchanged
+	DescribeOnly   bool   // the statement is only described and does not run
 }
 
 // Result is the response of an engine: the bodies of its messages, unchanged.
@@ -14,7 +14,7 @@
 	RowDescription       []byte // nil: NoData
 	DataRows             []byte // complete DataRow messages in order
 	RowCount             int
-	CommandTag           string // of CommandComplete
+	CommandTag           string // the tag in CommandComplete
 	EmptyQuery           bool   // EmptyQueryResponse was received in place of CommandComplete
 }
 
@@ -25,7 +25,7 @@
 const formatSize = int16Size
 
 // ApplyResultFormats returns a copy of the body of a RowDescription with the result formats of a Bind: the format codes
-// of no column, one for all columns, or one for each. The description of a statement has no formats of its own.
+// of no column, one for all columns, or one for each. The description of a statement does not specify formats.
 func ApplyResultFormats(fields, formats []byte) ([]byte, error) {
 	described := append([]byte{}, fields...)
 	reader := Reader{Unread: described}
--- a/internal/pgproto/results_test.go
+++ b/internal/pgproto/results_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// describeColumns is the body of a RowDescription of columns with the format codes.
+// describeColumns returns the body of a RowDescription with one column for each format code.
 func describeColumns(formats ...byte) []byte {
 	body := []byte{0, byte(len(formats))}
 	for _, format := range formats {
@@ -22,10 +22,10 @@
 		formats []byte
 		want    []byte
 	}{
-		"none":                {nil, describeColumns(FormatText, FormatText)},
-		"one for all columns": {[]byte{0, 1}, describeColumns(FormatBinary, FormatBinary)},
-		"one for each column": {[]byte{0, 0, 0, 1}, describeColumns(FormatText, FormatBinary)},
-		"more than columns":   {[]byte{0, 1, 0, 0, 0, 1}, describeColumns(FormatBinary, FormatText)},
+		"none":                      {nil, describeColumns(FormatText, FormatText)},
+		"one for all columns":       {[]byte{0, 1}, describeColumns(FormatBinary, FormatBinary)},
+		"one for each column":       {[]byte{0, 0, 0, 1}, describeColumns(FormatText, FormatBinary)},
+		"more formats than columns": {[]byte{0, 1, 0, 0, 0, 1}, describeColumns(FormatBinary, FormatText)},
 	} {
 		got, err := ApplyResultFormats(describeColumns(FormatText, FormatText), tt.formats)
 		if err != nil || !bytes.Equal(got, tt.want) {
--- a/internal/pgproto/startup.go
+++ b/internal/pgproto/startup.go
@@ -5,8 +5,7 @@
 	"fmt"
 )
 
-// Codes at the beginning of a connection's first message: a protocol version, or a request
-// in its place.
+// Codes at the start of a connection's first message: a protocol version, or a special request in place of a startup.
 const (
 	ProtocolVersion   = 3 << 16
 	CancelRequestCode = 80877102
@@ -18,7 +17,7 @@
 const maxStartup = 10000
 
 const (
-	lengthSize        = int32Size // of a message's length, which counts itself
+	lengthSize        = int32Size // size of a message's length field, which includes itself
 	codeSize          = int32Size
 	startupHeaderSize = lengthSize + codeSize
 )
