--- a/internal/pgproto/error_response.go
+++ b/internal/pgproto/error_response.go
@@ -7,11 +7,11 @@
 
 // Types of the fields of an ErrorResponse that this package reads or writes.
 const (
-	fieldSeverity          byte = 'S'
-	fieldSeverityUnchanged byte = 'V' // the severity, never localized
-	fieldCode              byte = 'C'
-	fieldMessage           byte = 'M'
-	fieldHint              byte = 'H'
+	fieldSeverity             byte = 'S'
+	fieldSeverityNonlocalized byte = 'V' // the severity in English, whatever the locale
+	fieldCode                 byte = 'C'
+	fieldMessage              byte = 'M'
+	fieldHint                 byte = 'H'
 )
 
 // sqlStateLength is the length of an error's code in bytes.
@@ -42,7 +42,7 @@
 		value string
 	}{
 		{fieldSeverity, e.Severity},
-		{fieldSeverityUnchanged, e.Severity},
+		{fieldSeverityNonlocalized, e.Severity},
 		{fieldCode, e.Code},
 		{fieldMessage, e.Message},
 		{fieldHint, e.Hint},
--- a/internal/pgproto/results.go
+++ b/internal/pgproto/results.go
@@ -26,8 +26,8 @@
 
 // ApplyResultFormats returns a copy of the body of a RowDescription with the result formats of a Bind: the format codes
 // of no column, one for all columns, or one for each. The description of a statement does not specify formats.
-func ApplyResultFormats(fields, formats []byte) ([]byte, error) {
-	described := append([]byte{}, fields...)
+func ApplyResultFormats(rowDescription, formats []byte) ([]byte, error) {
+	described := append([]byte{}, rowDescription...)
 	reader := Reader{Unread: described}
 	for column := range reader.Count() {
 		reader.CString()
