--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -53,7 +53,7 @@
 	// stateEvicting rejects the requests that had arrived before the connection was evicted. The connection is closed
 	// after the last of these responses.
 	stateEvicting
-	// stateClosing neither reads nor writes.
+	// stateClosing reads and writes nothing more.
 	stateClosing
 )
 
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -55,7 +55,7 @@
 	stateInFlight
 	// stateSkipping: messages up to the next Sync are ignored, since an error was sent.
 	stateSkipping
-	// stateClosing: the connection neither reads nor writes.
+	// stateClosing: nothing more is read or written.
 	stateClosing
 )
 
