--- a/internal/frontend/pgserver/extended_query_test.go
+++ b/internal/frontend/pgserver/extended_query_test.go
@@ -8,8 +8,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// testExtendedQuery has the prepared statement s, the open portals p and q of it, and an empty statement e with the
-// portal e.
+// testExtendedQuery returns an extendedQuery with the prepared statement s, its open portals p and q, and an empty
+// statement e with the portal e.
 func testExtendedQuery() (*extendedQuery, *messageWriter) {
 	prepared := &statement{query: "SELECT part", parameterTypes: noParameterTypes}
 	empty := &statement{parameterTypes: noParameterTypes, empty: true}
@@ -19,9 +19,9 @@
 		statements: map[string]*statement{"s": prepared, "e": empty},
 		portals: portalSet{
 			byName: map[string]*portal{
-				"p": {statement: prepared, bind: emptyBind},
-				"q": {statement: prepared, bind: emptyBind},
-				"e": {statement: empty, bind: emptyBind},
+				"p": {statement: prepared, bindBody: emptyBind},
+				"q": {statement: prepared, bindBody: emptyBind},
+				"e": {statement: empty, bindBody: emptyBind},
 			},
 			budget: &memorybudget.Budget{},
 		},
@@ -37,14 +37,15 @@
 }
 
 // The description of a portal is not sent before the next message. The result of the portal's first Execute includes
-// it. Before any other message it is sent, and an engine may have to describe the statement first.
+// it. The description is sent before any other message is served, and an engine may have to describe the statement
+// first.
 func TestExtendedQuery_PendingDescriptionIsResolvedByTheNextMessage(t *testing.T) {
 	for name, tt := range map[string]struct {
 		portal    string
 		described bool // an engine has described the statement before
 		kind      byte // of the next message
 		body      []byte
-		pending   bool // the description is left to the next message
+		pending   bool // the description is left to the Execute
 		forwarded bool // an engine has to describe the statement
 		want      string
 	}{
@@ -75,11 +76,11 @@
 				query.statements["s"].description = &pgproto.Result{RowDescription: []byte{0, 0}}
 			}
 			exec, failure := query.describe(describeBody(pgproto.TargetPortal, tt.portal))
-			if exec != nil || failure != nil || kinds(t, output) != "" || query.pendingDescribe == nil {
+			if exec != nil || failure != nil || takeMessageKinds(t, output) != "" || query.pendingDescribe == nil {
 				t.Fatalf("the description does not wait: %v, %v", exec, failure)
 			}
 			exec, failure = query.resolveDescribe(tt.kind, tt.body)
-			got := kinds(t, output)
+			got := takeMessageKinds(t, output)
 			if failure != nil || got != tt.want || (exec != nil) != tt.forwarded {
 				t.Errorf("got %q, %v, %v; want %q", got, exec, failure, tt.want)
 			}
@@ -90,7 +91,7 @@
 	}
 }
 
-// The description that an engine has given is kept for the next Describe of the statement.
+// The description from an engine is kept for the next Describe of the statement.
 func TestExtendedQuery_StatementIsDescribedByAnEngineOnce(t *testing.T) {
 	query, output := testExtendedQuery()
 	exec, failure := query.describe(describeBody(pgproto.TargetStatement, "s"))
@@ -101,16 +102,16 @@
 	if failure := exec.onServed(description); failure != nil {
 		t.Fatal(failure)
 	}
-	if got := kinds(t, output); got != "tT" {
+	if got := takeMessageKinds(t, output); got != "tT" {
 		t.Errorf("first description: %q", got)
 	}
 	exec, failure = query.describe(describeBody(pgproto.TargetStatement, "s"))
-	if got := kinds(t, output); failure != nil || exec != nil || got != "tT" {
+	if got := takeMessageKinds(t, output); failure != nil || exec != nil || got != "tT" {
 		t.Errorf("second description: %q, %v, %v", got, exec, failure)
 	}
 }
 
-// A portal runs once. An Execute of a portal that has run is served from its rows.
+// A portal runs once. An Execute of a portal that has run is served from the rows in the portal.
 func TestExtendedQuery_PortalRunsOnce(t *testing.T) {
 	query, output := testExtendedQuery()
 	exec, failure := query.execute(executeBody("p"))
@@ -120,16 +121,16 @@
 	if failure := exec.onServed(resultOfRows("a", "b")); failure != nil {
 		t.Fatal(failure)
 	}
-	if got := kinds(t, output); got != "DDC" {
+	if got := takeMessageKinds(t, output); got != "DDC" {
 		t.Errorf("first execution: %q", got)
 	}
 	exec, failure = query.execute(executeBody("p"))
-	if got := kinds(t, output); failure != nil || exec != nil || got != "C" {
+	if got := takeMessageKinds(t, output); failure != nil || exec != nil || got != "C" {
 		t.Errorf("second execution: %q, %v, %v", got, exec, failure)
 	}
 }
 
-// The parameter types that an engine has described replace those that the client gave.
+// The parameter types that an engine has described replace those that the client has specified.
 func TestStatement_ParameterTypesOfTheEngineReplaceThoseOfTheClient(t *testing.T) {
 	given := []byte{0, 1, 0, 0, 0, 23}
 	described := []byte{0, 1, 0, 0, 0, 25}
@@ -144,7 +145,7 @@
 			statement{parameterTypes: given, description: &pgproto.Result{ParameterDescription: described}},
 			described[countSize:],
 		},
-		"described without": {
+		"described without parameters": {
 			statement{parameterTypes: given, description: &pgproto.Result{ParameterDescription: noParameterTypes}},
 			given[countSize:],
 		},
