--- a/policy/overloadcheck.go
+++ b/policy/overloadcheck.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The rules set the limit of a warming engine as n + a*sqrt(n) + b, where n is the number of requests of mean
-// work that the settings allow it, and a and b are larger below fewRequests.
+// The limit of a warming engine is n + a*sqrt(n) + b, where n is the number of requests of mean work that the
+// settings allow, and a and b are larger if n is below fewRequests.
 const (
 	fewRequests    = 30.0
 	fewRootFactor  = 3.0 // a
@@ -22,14 +22,14 @@
 	workMs float64
 }
 
-// overloadCheck checks at run time that this front end alone does not send an engine in slow start
-// more than the engine bears from all front ends. It decides nothing: the budget of slowStart keeps
-// each front end far below that. It sums up what was sent within the overload window.
+// overloadCheck checks at run time that this front end alone does not send an engine in slow start more
+// work than the engine can handle from all front ends together. It does not affect decisions: the budget
+// of slowStart keeps each front end far below that limit. It holds what was sent within the overload window.
 type overloadCheck struct {
 	sent []sentWork
 }
 
-// record adds a request and returns how many requests of mean work were sent within the window.
+// record adds a request and returns the work sent within the window, as a number of requests of mean work.
 func (c *overloadCheck) record(now, window time.Duration, workMs, meanWorkMs float64) (sent float64) {
 	windowStart := now - window
 	c.sent = slices.DeleteFunc(c.sent, func(s sentWork) bool { return s.at <= windowStart })
@@ -40,9 +40,9 @@
 	return sent
 }
 
-// checkOverload records a request that is sent to the engine, and reports if the limit is exceeded.
-// A single request may outweigh the limit, as it has to run somewhere. Nothing is checked while the
-// slow start is only assumed.
+// checkOverload records a request that is sent to the engine, and reports whether the limit is exceeded.
+// A single request may exceed the limit, since it has to run somewhere. While the restart is only assumed,
+// nothing is recorded or checked.
 func (e *engine) checkOverload(now time.Duration, workMs, meanWorkMs float64) (report ReportOverload, exceeded bool) {
 	if !e.slowStart.active(now) || e.slowStart.restartAssumed {
 		e.overload.sent = nil
@@ -55,9 +55,9 @@
 	return report, len(e.overload.sent) >= 2 && sent > limit
 }
 
-// overloadLimit returns how many requests of mean work a warming engine bears within the overload
-// window, from all front ends together. The checker of internal/lab/soak computes the same limit on its
-// own, on purpose: a mistake in one of them shows.
+// overloadLimit returns how many requests of mean work a warming engine can handle within the overload
+// window, from all front ends together. The checker of internal/lab/soak deliberately computes the same
+// limit independently, so that a mistake in either shows.
 func overloadLimit(rules *Rules, capacityShare, cores, meanWorkMs float64) float64 {
 	n := rules.OverloadFactor * capacityShare * cores * milliseconds(rules.OverloadWindow) / meanWorkMs
 	if n < fewRequests {
--- a/policy/reportedstart.go
+++ b/policy/reportedstart.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// maxNoticeShare is the share of the warm-up time after which a reported start is too old to be
-	// believed: a notice is some seconds late at most, and a wall clock may be wrong by any time. At this
-	// age the budget, which assumes that capacity grows as a square, has hardly grown.
+	// maxNoticeShare is the greatest age of a reported start that is believed, as a share of the warm-up
+	// time: the endpoint list reports a start a few seconds late at most, but the engine's wall clock may be
+	// wrong by any amount. At this age the budget, which assumes quadratic growth of the capacity, has
+	// hardly grown.
 	maxNoticeShare = 0.25
-	// firstListTime is the time after the first event in which a reported start of any age is believed: it
-	// is of the list that the balancer begins with.
+	// firstListTime is how long after the first event a reported start of any age is believed, as it belongs
+	// to the first endpoint list, which may name starts of any age.
 	firstListTime = time.Second
 )
 
-// reportedStart is the start of an engine as the endpoint list reports it, by the engine's own
-// wall clock. That clock may be stepped between two starts, so a later start may be reported as
-// an earlier instant.
+// reportedStart is the start of an engine as the endpoint list reports it, by the engine's wall clock. The
+// wall clock may be stepped between two starts, so a later start may be reported as an earlier instant.
 type reportedStart struct {
 	latest   time.Duration
 	previous time.Duration
@@ -28,8 +28,8 @@
 	return reportedStart{latest: math.MinInt64, previous: math.MinInt64}
 }
 
-// differs reports whether a reported start is neither the latest nor the one before it. The one
-// before it comes from a list that is out of date.
+// differs reports whether a reported start is neither the latest nor the previous one. The previous one
+// comes from an endpoint list that is out of date.
 func (r *reportedStart) differs(start time.Duration) bool {
 	return start != r.latest && start != r.previous
 }
@@ -40,10 +40,9 @@
 	r.latest = start
 }
 
-// estimateStart translates a start that has just been reported to the balancer's clock. A start that
-// lies in the future, or further in the past than a notice can be late, is treated as a start right
-// now: the engine's wall clock was stepped. The list that the balancer begins with may name starts
-// of any age.
+// estimateStart converts a start that has just been reported to the balancer's clock. A start in the
+// future, or so long ago that the endpoint list would have reported it earlier, is treated as a start right
+// now: the engine's wall clock was stepped. The first endpoint list may name starts of any age.
 func (r *slowStartRules) estimateStart(now, reported time.Duration) time.Duration {
 	if reported > now {
 		return now
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	minRestartTime        = 2 * time.Second // no process ends and serves again sooner
+	minRestartTime        = 2 * time.Second // shortest time from a process's exit until it serves again
 	slowStartBudgetMargin = 0.7             // share of a warming engine's budget that is used
 	slowStartBurst        = 0.5             // share of a window's budget that may be spent at once
-	slowStartCostFactor   = 1.3             // expected work is charged this many times: estimates err
+	slowStartCostFactor   = 1.3             // multiple of the expected work that is charged: estimates err
 	minDivisor            = 1e-9            // avoids a division by zero at full initial capacity
 )
 
 // slowStartRules are the rules that the slow starts of all engines share.
 type slowStartRules struct {
 	*Rules
-	// firstEventAt is when this balancer began. What was sent to engines before, by an earlier
-	// process of the same front end, is unknown.
+	// firstEventAt is when this balancer handled its first event. What an earlier process of the same
+	// front end sent to engines before that is unknown.
 	firstEventAt time.Duration
 }
 
-// slowStart is the slow start of one engine as this balancer sees it: from the engine's start on,
-// this balancer sends it no more than its share of what the engine bears while it warms up. The
-// budget is work per overload window. A request's cost is its work over this budget, a number of
-// windows. Since the endpoint list reports restarts late, a fault of a connection is taken for a
-// restart until the engine proves otherwise.
+// slowStart limits what this balancer sends to one engine while the engine warms up after a start: to
+// this balancer's share of the load that the engine can handle in that time. The budget is work per
+// overload window. The cost of a request is its work divided by the budget, so its unit is one overload
+// window. The endpoint list reports restarts late, so a connection fault is treated as a restart until a
+// response of the engine shows that it did not restart.
 type slowStart struct {
 	rules            *slowStartRules
 	reported         reportedStart
-	startedAt        time.Duration // latest reported, by this balancer's clock; math.MinInt64: none
+	startedAt        time.Duration // latest reported start, by this balancer's clock; math.MinInt64: none
 	noticedAt        time.Duration // when this balancer learned of the start
 	endsAt           time.Duration
 	budgetSpentUntil time.Duration // this balancer's share of the budget is spent until then
-	firstSlot        float64       // random share, 0 to 1, of its cost that a large request waits at first
+	firstSlot        float64       // first large request waits this random share, 0 to 1, of its own cost
 
-	restartAssumed         bool          // the slow start rests on a lost connection alone
-	endsAtBeforeAssumption time.Duration // endsAt before that
+	restartAssumed         bool          // the only evidence of a restart is a lost connection
+	endsAtBeforeAssumption time.Duration // endsAt before the restart was assumed
 }
 
-// newSlowStart returns the state of an engine of which no start is known.
+// newSlowStart returns the state of an engine without a known start.
 func newSlowStart(rules *slowStartRules) slowStart {
 	return slowStart{rules: rules, reported: newReportedStart(), startedAt: math.MinInt64}
 }
@@ -48,8 +48,8 @@
 // active reports whether the engine is warming up.
 func (s *slowStart) active(now time.Duration) bool { return now < s.endsAt }
 
-// begin treats the engine as warming up until an instant. If it was not warming up, the slot for
-// large requests is drawn.
+// begin treats the engine as warming up until the given instant. Unless the engine is already warming up,
+// begin draws the slot for large requests.
 func (s *slowStart) begin(now, until time.Duration, rng *rand.Rand) {
 	if !s.active(now) {
 		s.budgetSpentUntil = max(s.budgetSpentUntil, now)
@@ -64,7 +64,7 @@
 	s.reported.set(start)
 	s.startedAt = s.rules.estimateStart(now, start)
 	s.restartAssumed = false
-	s.endsAt = 0 // a new slow start, with a new slot for large requests
+	s.endsAt = 0 // so that begin starts a new slow start, with a new slot for large requests
 	s.begin(now, s.startedAt+s.rules.WarmupTime, rng)
 }
 
@@ -73,9 +73,9 @@
 	return now < s.startedAt+s.rules.WarmupTime
 }
 
-// assumeRestart begins a slow start after a fault of a connection. If a connection could not be made, the
-// process was down. If one broke, a restart is only assumed: withdrawAssumption ends the slow start when
-// the engine responds too early for that.
+// assumeRestart begins a slow start after a connection fault. If the connection could not be made, the
+// process was down. If it broke, the restart is only assumed: withdrawAssumption ends the slow start when
+// the engine responds sooner than a restarted process could.
 func (s *slowStart) assumeRestart(now time.Duration, result Result, rng *rand.Rand) {
 	if result == ResultConnectFailed {
 		s.restartAssumed = false
@@ -86,8 +86,8 @@
 	s.begin(now, max(s.endsAt, now+s.rules.WarmupTime), rng)
 }
 
-// withdrawAssumption ends an assumed slow start when the engine responds to an attempt that was sent
-// after the connection broke, sooner than a process starts: only the connection was lost.
+// withdrawAssumption ends an assumed slow start when the engine responds, within minRestartTime of the
+// broken connection, to an attempt that was sent after it: only the connection was lost.
 func (s *slowStart) withdrawAssumption(now, sentAt, connectionFaultAt time.Duration) {
 	if s.restartAssumed && sentAt > connectionFaultAt && now < connectionFaultAt+minRestartTime {
 		s.restartAssumed = false
@@ -95,16 +95,16 @@
 	}
 }
 
-// capacityShare returns the share of its full capacity that limits assume, which grows linearly over the
-// slow start. cost assumes a slower growth.
+// capacityShare returns the share of the engine's full capacity that concurrency limits assume. It grows
+// linearly over the slow start; cost assumes slower growth.
 func (s *slowStart) capacityShare(now time.Duration) float64 {
 	left := float64(s.endsAt-now) / float64(max(s.rules.WarmupTime, 1))
 	return 1 - (1-s.rules.WarmupCapacity)*min(max(left, 0), 1)
 }
 
-// permits reports whether a request of this cost is within this balancer's share of the budget. A
-// request that costs more than a burst is permitted once every `cost` windows. The first slot is
-// drawn at random, so that front ends do not send such requests at the same time.
+// permits reports whether a request of this cost is within this balancer's share of the budget. A request
+// that costs more than a burst is permitted once every `cost` windows. The first one waits for a slot that
+// is drawn at random, so that front ends do not send such requests at the same time.
 func (s *slowStart) permits(now time.Duration, cost float64) bool {
 	window := s.rules.OverloadWindow
 	switch {
@@ -120,15 +120,15 @@
 	return from <= now+time.Duration(max(0, slowStartBurst-cost)*float64(window))
 }
 
-// charge charges the cost of a request that was sent to the budget.
+// charge deducts the cost of a request that was sent to the engine from the budget.
 func (s *slowStart) charge(now time.Duration, cost float64) {
 	spent := time.Duration(cost * float64(s.rules.OverloadWindow))
 	s.budgetSpentUntil = max(s.budgetSpentUntil, now) + spent
 }
 
-// cost returns what a request of the expected work costs, in overload windows of this balancer's
-// share of the budget. How the capacity really grows is unknown; cost assumes the square of the linear
-// growth, the late case.
+// cost returns the cost of a request of the expected work, in overload windows of this balancer's share of
+// the budget. The actual growth of the engine's capacity is unknown; cost assumes the square of the linear
+// growth, so that capacity comes late.
 func (s *slowStart) cost(now time.Duration, workMs, cores, trafficShare float64) float64 {
 	rules := s.rules
 	grown := s.capacityShare(now) - rules.WarmupCapacity
@@ -138,15 +138,15 @@
 	return slowStartCostFactor * workMs / budgetMs
 }
 
-// slowStartPermits reports whether the engine is not warming up, or the request is within the budget.
-// The share of the traffic is computed only for engines that are warming up: this runs for each engine
+// slowStartPermits reports whether the engine is not warming up or the request is within the budget. It
+// computes the share of the traffic only for an engine that is warming up, since it runs for every engine
 // and request.
 func (e *engine) slowStartPermits(req *request, traffic *trafficEstimate, now time.Duration) bool {
 	return !e.slowStart.active(now) ||
 		e.slowStart.permits(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, traffic.share()))
 }
 
-// chargeSlowStart charges a request that was sent to the budget of an engine that is warming up.
+// chargeSlowStart deducts a request that was sent to the engine from its budget if it is warming up.
 func (e *engine) chargeSlowStart(req *request, traffic *trafficEstimate, now time.Duration) {
 	if e.slowStart.active(now) {
 		e.slowStart.charge(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, traffic.share()))
