--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,24 +7,25 @@
 
 const (
 	overQuotaFactor = 0.5 // share of a limit that requests beyond their tenant's quota may use
-	minValueFactor  = 0.5 // least share of a limit, for a request of low value
-	maxValueFactor  = 1.5 // most, for a request of high value
+	minValueFactor  = 0.5 // smallest share of a limit, for requests of low value
+	maxValueFactor  = 1.5 // largest share of a limit, for requests of high value
 
-	// An estimate scales the expected work by a factor within these: an outlier must not count as nothing
-	// or fill a limit.
+	// Bounds of the factor by which an estimate scales the expected work: a request with an extreme estimate
+	// must neither count as almost nothing nor fill a limit alone.
 	minWorkFactor = 0.1
 	maxWorkFactor = 30.0
 
-	// The same for the weight in threads: more work runs longer, on no more threads.
+	// Bounds of the factor by which an estimate scales the weight in threads. They are narrower, since a
+	// request with more work runs longer but not on more threads.
 	minWeightFactor = 0.25
 	maxWeightFactor = 2.0
 
 	minPriorityWeight = 1e-9 // replaces a priority weight of zero, which has no logarithm
-	ranksToDouble     = 4.0  // ranks above the mean from which a request's share of a limit would double
-	estimateWindow    = 50   // requests that estimates of work and ranks are averaged over
+	ranksToDouble     = 4.0  // rank above the mean at which a request's share of a limit would double
+	estimateWindow    = 50   // requests over which estimates of work and ranks are averaged
 )
 
-// valueRanking ranks requests by log2 of priority weight over expected work, relative to the mean.
+// valueRanking ranks requests by the log2 of priority weight divided by expected work, relative to the mean.
 type valueRanking struct{ mean float64 }
 
 // rank updates the mean with a request and returns the request's rank relative to it.
@@ -34,7 +35,7 @@
 	return rank - v.mean
 }
 
-// onRequestArrived admits a request, queues it behind others of its key, or rejects it.
+// onRequestArrived admits a request, queues it behind earlier requests of its ordering key, or rejects it.
 func (b *Balancer) onRequestArrived(ev RequestArrived) {
 	if b.requests[ev.RequestID] != nil {
 		return
@@ -44,7 +45,7 @@
 	}
 	b.rules.budget.observeArrival(b.now)
 	c := b.classes[ev.Class]
-	if c == nil { // whether it is idempotent is unknown: nothing is sent
+	if c == nil { // not sent, since it is unknown whether the request is idempotent
 		b.actions.add(Reject{RequestID: ev.RequestID, RetryAfter: b.retryAfter(), Reason: ReasonUnknownClass})
 		return
 	}
@@ -63,8 +64,9 @@
 	}
 }
 
-// assess sets what the request is expected to cost and which share of a limit it may use. It is called once
-// for each request, since it also updates the mean estimate, the mean rank and the tenant's quota.
+// assess sets the request's expected work, its weight and the share of a limit that it may use. It must be
+// called only once for each request, since it also updates the mean estimate, the mean rank and the
+// tenant's quota.
 func (b *Balancer) assess(req *request, ev RequestArrived) {
 	c := req.class
 	if estimateMs := milliseconds(ev.EstimatedWork); estimateMs > 0 {
@@ -73,7 +75,7 @@
 		req.weight = c.Threads * min(max(factor, minWeightFactor), maxWeightFactor)
 	}
 	req.valueRank = b.values.rank(c.PriorityWeight, req.expectedWorkMs)
-	// Without an estimate all requests of the class have one rank, and would all be shed together.
+	// Without estimates all requests of a class have the same rank and would all be shed together.
 	if ev.EstimatedWork > 0 {
 		req.valueFactor = min(max(1+req.valueRank/ranksToDouble, minValueFactor), maxValueFactor)
 	}
@@ -82,20 +84,20 @@
 	}
 }
 
-// admit sends the request to an engine that it fits, or rejects it at once.
+// admit sends the request to an engine with capacity for it, or rejects it at once.
 func (b *Balancer) admit(req *request) {
 	e, reason := b.selector.choose(req, b.engines.all, b.now)
 	if e == nil {
 		b.rejectOrFail(req, reason)
 		return
 	}
-	if !b.attempts.start(req, e, b.now) { // choose has applied the same rules; start checks them once more
+	if !b.attempts.start(req, e, b.now) { // choose has applied the same rules; start checks them again
 		b.rejectOrFail(req, ReasonAttemptsExhausted)
 	}
 }
 
-// rejectOrFail responds to a request without a result: it rejects where a retry by the client is safe, and
-// fails otherwise. Only a request of an unknown class is rejected elsewhere, in onRequestArrived.
+// rejectOrFail responds to a request that has no result: with a Reject if a retry by the client is safe, and
+// with a Fail otherwise. Only requests of an unknown class are rejected elsewhere, in onRequestArrived.
 func (b *Balancer) rejectOrFail(req *request, reason RejectReason) {
 	if req.completed {
 		return
@@ -108,8 +110,8 @@
 	b.complete(req)
 }
 
-// complete ends a request that has its response or whose client has disconnected. Until its attempts
-// have ended it stays in the backlog and in its key's queue.
+// complete ends a request that has its final response or whose client has disconnected. Until its attempts
+// have ended, the request stays in the backlog and in the queue of its ordering key.
 func (b *Balancer) complete(req *request) {
 	req.completed = true
 	for _, a := range req.attempts {
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// attemptPhase is the phase of an attempt, which only advances:
+// attemptPhase is the phase of an attempt. An attempt never returns to an earlier phase:
 //
 //	attemptWaiting:    StreamStarted -> attemptStreaming
 //	attemptWaiting:    AttemptEnded -> attemptEnded
@@ -18,7 +18,7 @@
 // attempt is one execution of a request on an engine.
 type attempt struct {
 	request         *request
-	index           int // among the request's attempts
+	index           int // number among the request's attempts, from 0
 	engine          *engine
 	sentAt          time.Duration
 	lastHeardAt     time.Duration // latest progress report; sentAt before the first
@@ -28,23 +28,24 @@
 	lastProgress    ProgressKind // of the latest progress report; 0 before the first
 	cancelRequested bool
 	spilled         bool // it has reported a lack of memory
-	responseLost    bool // its response was given up as lost
+	responseLost    bool // its response is considered lost
 }
 
-// newAttempt returns the request's next attempt.
+// newAttempt returns the request's next attempt, which fleet.reserve adds to the request.
 func newAttempt(req *request, e *engine, now time.Duration) *attempt {
 	return &attempt{request: req, index: len(req.attempts), engine: e, sentAt: now, lastHeardAt: now}
 }
 
 func (a *attempt) ended() bool { return a.phase == attemptEnded }
 
-// mayHaveRun reports whether the engine may have run the attempt: until its end proves otherwise, it may.
+// mayHaveRun reports whether the engine may have run the attempt. This is assumed until the attempt's result
+// shows that it never ran.
 func (a *attempt) mayHaveRun() bool { return !a.ended() || a.result.MayHaveRun() }
 
 // endedInError reports whether the engine responded with an error.
 func (a *attempt) endedInError() bool { return a.ended() && a.result == ResultFailed }
 
-// blocked reports whether the attempt's latest progress report said that it waits on its engine.
+// blocked reports whether, by its latest progress report, the attempt waits for memory or a bulk load.
 func (a *attempt) blocked() bool {
 	return a.lastProgress == ProgressAwaitingMemory || a.lastProgress == ProgressAwaitingLoad
 }
--- a/policy/attemptrules.go
+++ b/policy/attemptrules.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// attemptRules decides whether a request may have an attempt, and on which engines: by the limits of the
-// deployment, what the earlier attempts may have done, the retry budget, the ordering key and slow start.
-// Whether an engine has capacity is up to the limiters.
+// attemptRules decides whether a request may have an attempt, and on which engines. The decision depends on
+// the limits of the deployment, the possible effects of earlier attempts, the retry budget, the ordering key
+// and slow start. The limiters decide whether an engine has capacity.
 type attemptRules struct {
 	limits  *Limits
 	budget  retryBudget
@@ -25,15 +25,16 @@
 	return r == ResultTimedOut || r == ResultConnectionLost || r == ResultCancelled || r == ResultUnknown
 }
 
-// mayReject reports whether a client may safely send the request again. Its retry may go to any engine, so an
-// idempotency key suffices only if all engines share it.
+// mayReject reports whether the client may safely send the request again. The client's retry may reach any
+// engine, so an idempotency key suffices only if all engines drop each other's duplicates.
 func mayReject(req *request) bool {
 	return req.class.Effect == Idempotent ||
 		req.class.Effect == IdempotentByKey && req.class.DedupScope == ScopeAll ||
 		!req.mayHaveRun()
 }
 
-// permitsAttempt reports whether the request may have a first or a further attempt once none is in flight.
+// permitsAttempt reports whether the request may have a first or another attempt. It counts an attempt in
+// flight as one that may have run; whether that attempt has to end first is checked by mayStart.
 func (r *attemptRules) permitsAttempt(req *request, now time.Duration) bool {
 	attemptsLeft := len(req.attempts) < max(r.limits.MaxAttempts, 1)
 	if req.completed || !attemptsLeft {
@@ -52,7 +53,7 @@
 	return true
 }
 
-// mayStart reports whether the request may be sent to the engine now. It checks every rule.
+// mayStart reports whether the request may be sent to the engine now. It checks all rules.
 func (r *attemptRules) mayStart(req *request, e *engine, now time.Duration) bool {
 	c := req.class
 	if e.state != EngineReady || now >= req.deadline || !r.permitsAttempt(req, now) ||
--- a/policy/attemptrunner.go
+++ b/policy/attemptrunner.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// attemptRunner starts and cancels attempts, within the attemptRules.
+// attemptRunner starts and cancels attempts if the attemptRules permit it.
 type attemptRunner struct {
 	settings *Settings
 	actions  *actionList
@@ -11,7 +11,8 @@
 	traffic  *trafficEstimate
 }
 
-// start is the only place where a request is sent to an engine. It reports whether the rules permit that.
+// start sends the request to the engine if the rules permit it, and reports whether they do. No other
+// function sends requests to engines.
 func (r *attemptRunner) start(req *request, e *engine, now time.Duration) (started bool) {
 	if !r.rules.mayStart(req, e, now) {
 		return false
@@ -34,14 +35,14 @@
 	return true
 }
 
-// cancelForRetry cancels an attempt if its request may have another, and reports whether it did. The retry
-// follows when the attempt's AttemptEnded arrives.
+// cancelForRetry cancels an attempt if its request may have another one, and reports whether it did so. The
+// retry starts when the AttemptEnded of the cancelled attempt arrives.
 func (r *attemptRunner) cancelForRetry(a *attempt, now time.Duration) (cancelled bool) {
 	return r.rules.permitsAttempt(a.request, now) && r.cancel(a)
 }
 
-// cancel cancels an attempt and reports whether it did. It does nothing if the settings don't permit that,
-// the attempt was cancelled before, or its response has begun.
+// cancel cancels an attempt and reports whether it did so. It does nothing if the settings do not permit
+// cancellation, the attempt was cancelled before, it has ended, or its response has begun.
 func (r *attemptRunner) cancel(a *attempt) (cancelled bool) {
 	if a.cancelRequested || a.phase != attemptWaiting || !r.settings.Limits.Cancel {
 		return false
--- a/policy/keyqueue.go
+++ b/policy/keyqueue.go
@@ -8,13 +8,13 @@
 // keyQueue holds the unfinished requests of one ordering key, in order of arrival.
 type keyQueue struct {
 	requests     []*request
-	blockedUntil time.Duration // no new request of the key is sent before
+	blockedUntil time.Duration // no new request of the key is sent before this instant
 }
 
-// isHead reports whether the request is the oldest of the queue.
+// isHead reports whether the request is the oldest in the queue, which must not be empty.
 func (q *keyQueue) isHead(req *request) bool { return q.requests[0] == req }
 
-// blockUntil blocks the queue until an instant, or until a later one set before.
+// blockUntil blocks the queue until the given instant. It never shortens an earlier block.
 func (q *keyQueue) blockUntil(instant time.Duration) {
 	q.blockedUntil = max(q.blockedUntil, instant)
 }
@@ -27,7 +27,7 @@
 // keyQueues are the queues of all ordering keys in use.
 type keyQueues map[string]*keyQueue
 
-// of returns the queue of the request's ordering key, or nil where it has none.
+// of returns the queue of the request's ordering key, or nil if the request is not ordered.
 func (qs keyQueues) of(req *request) *keyQueue {
 	if !req.isOrdered() {
 		return nil
@@ -35,7 +35,7 @@
 	return qs[req.orderKey]
 }
 
-// enqueue puts the request behind the earlier ones of its ordering key.
+// enqueue appends the request to the queue of its ordering key, if it has one.
 func (qs keyQueues) enqueue(req *request) {
 	if !req.isOrdered() {
 		return
@@ -48,7 +48,7 @@
 	queue.requests = append(queue.requests, req)
 }
 
-// dequeue takes a finished request out of its queue, and drops a queue that is idle.
+// dequeue removes a finished request from its queue, and drops the queue if it is idle.
 func (qs keyQueues) dequeue(req *request, now time.Duration) {
 	queue := qs.of(req)
 	if queue == nil {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	maxEngineErrors  = 1 // errors of engines beyond which the request itself is considered faulty
-	retryTimeDivisor = 4 // a retry is futile with less time left than the class's mean latency divided by it
+	maxEngineErrors  = 1 // a request with more errors of engines is itself considered faulty
+	retryTimeDivisor = 4 // a retry needs more time than the class's mean latency divided by this
 )
 
-// onAttemptEnded ends an attempt and, where the client still waits, retries or responds.
+// onAttemptEnded ends an attempt. If the client still waits for a response and no other attempt is in
+// flight, it retries or responds.
 func (b *Balancer) onAttemptEnded(end AttemptEnded) {
 	a := b.attempt(end.RequestID, end.Attempt)
 	if a == nil || a.ended() {
@@ -25,7 +26,7 @@
 	switch {
 	case end.Completed || req.completed:
 		b.complete(req)
-	case req.hasAttemptInFlight(): // its end will decide
+	case req.hasAttemptInFlight(): // retried or responded to when that attempt ends
 	case req.retryFutile(b.now):
 		b.rejectOrFail(req, ReasonRetryFutile)
 	default:
@@ -33,13 +34,13 @@
 	}
 }
 
-// retryFutile reports whether a retry would fail like the attempts so far, or has too little time.
+// retryFutile reports whether a retry is expected to fail like the earlier attempts, or has too little time.
 func (r *request) retryFutile(now time.Duration) bool {
 	timeLeftMs := milliseconds(r.deadline - now)
 	return r.engineErrors() > maxEngineErrors || timeLeftMs <= r.class.latencyMs/retryTimeDivisor
 }
 
-// learn updates what is known of the attempt's class and engine from its end.
+// learn updates the state of the attempt's engine and class from its result.
 func (b *Balancer) learn(a *attempt, end AttemptEnded) {
 	e := a.engine
 	switch end.Result {
@@ -59,11 +60,11 @@
 		e.slowStart.assumeRestart(b.now, end.Result, b.rng)
 	case ResultFailed:
 		e.outlier.lastHeardAt = b.now
-	case ResultUnknown, ResultCancelled, ResultNotSent: // say nothing of the engine
+	case ResultUnknown, ResultCancelled, ResultNotSent: // no information about the engine
 	}
 }
 
-// learnServed updates the class, the limits and the outlier state from a request that was served.
+// learnServed updates the class, the limits and the outlier state after a request was served.
 func (b *Balancer) learnServed(a *attempt, end AttemptEnded) {
 	req := a.request
 	c := req.class
--- a/policy/request.go
+++ b/policy/request.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// request is a request without its final response, or with attempts that have not all ended.
+// request is a request that still needs a final response or has attempts that have not ended.
 type request struct {
 	id                uint64
 	class             *class
@@ -14,10 +14,10 @@
 	deadline          time.Duration
 	estimatedMemoryMB float64
 	expectedWorkMs    float64 // of all threads
-	weight            float64 // threads that it counts as in a backlog
-	valueRank         float64 // log2 of priority weight over expected work, relative to the mean
-	quotaFactor       float64 // share of a limit that is open to its tenant
-	valueFactor       float64 // share of a limit that is open to its value rank
+	weight            float64 // threads, as counted in backlogs
+	valueRank         float64 // log2 of priority weight divided by expected work, relative to the mean
+	quotaFactor       float64 // share of a limit that it may use, by its tenant's quota
+	valueFactor       float64 // share of a limit that it may use, by its value rank
 	attempts          []*attempt
 	completed         bool // it has its final response, or its client has disconnected
 }
@@ -37,29 +37,30 @@
 	}
 }
 
-// usualLatencyMs returns the class's mean latency, scaled by the request's expected work over the class's
-// mean work.
+// usualLatencyMs returns the class's mean latency, scaled by the ratio of the request's expected work to the
+// class's mean work.
 func (r *request) usualLatencyMs() float64 {
 	return r.class.latencyMs * r.expectedWorkMs / r.class.workMs
 }
 
-// latencyObjectiveMs returns the class's objective, stretched by the expected work up to the class's deadline.
+// latencyObjectiveMs returns the class's latency objective, extended in proportion to the expected work, but
+// no later than the class's deadline.
 func (r *request) latencyObjectiveMs() float64 {
 	c := r.class
 	stretchMs := c.ObjectiveStretch * r.expectedWorkMs / c.Threads
 	return min(milliseconds(c.LatencyObjective)+stretchMs, milliseconds(c.Deadline))
 }
 
-// retryMeetsObjective reports whether a retry of usual latency, started now, would meet the latency
-// objective as counted from an earlier instant.
+// retryMeetsObjective reports whether a retry with the usual latency, started now, would meet the latency
+// objective counted from an earlier instant.
 func (r *request) retryMeetsObjective(now, from time.Duration) bool {
 	return milliseconds(now-from)+r.usualLatencyMs() < r.latencyObjectiveMs()
 }
 
-// isOrdered reports whether the request belongs to an ordering key.
+// isOrdered reports whether the request has an ordering key that its class observes.
 func (r *request) isOrdered() bool { return r.class.Ordered && r.orderKey != "" }
 
-// engineErrors counts the attempts that ended in an error of the engine.
+// engineErrors returns the number of attempts that ended in an error of the engine.
 func (r *request) engineErrors() (count int) {
 	for _, a := range r.attempts {
 		if a.endedInError() {
@@ -69,7 +70,7 @@
 	return count
 }
 
-// mayHaveRun reports whether an engine may have run an attempt.
+// mayHaveRun reports whether an engine may have run any of the attempts.
 func (r *request) mayHaveRun() bool { return slices.ContainsFunc(r.attempts, (*attempt).mayHaveRun) }
 
 // streaming reports whether the response of an attempt is being streamed.
@@ -77,7 +78,7 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.phase == attemptStreaming })
 }
 
-// hasAttemptInFlight reports whether an attempt has not ended.
+// hasAttemptInFlight reports whether any attempt has not ended.
 func (r *request) hasAttemptInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.ended() })
 }
