--- a/policy/lostresponses.go
+++ b/policy/lostresponses.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-const stalledAfterLost = 2 // responses of a class lost in a row after which it is stalled on an engine
+const stalledAfterLost = 2 // consecutive lost responses after which a class is stalled on an engine
 
-// lostResponses finds classes that are stalled on an engine: their responses are lost while those of
-// other classes arrive.
+// lostResponses finds the classes that are stalled on one engine: their responses are lost while responses
+// of other classes arrive.
 type lostResponses struct {
-	consecutive  map[*class]int           // responses lost since the class was last reported or served
-	stalledUntil map[*class]time.Duration // nothing of the class is sent until then
+	consecutive  map[*class]int           // responses lost since the latest report or served response
+	stalledUntil map[*class]time.Duration // no request of the class is sent until then
 }
 
 func newLostResponses() lostResponses {
 	return lostResponses{consecutive: map[*class]int{}, stalledUntil: map[*class]time.Duration{}}
 }
 
-// add counts a lost response. Once stalledAfterLost of a class are lost in a row, the class is stalled until
-// the given instant.
+// add counts a lost response of a class. After stalledAfterLost in a row, it stalls the class until the given
+// instant.
 func (l *lostResponses) add(c *class, stalledUntil time.Duration) {
 	l.consecutive[c]++
 	if l.consecutive[c] >= stalledAfterLost {
@@ -27,11 +27,11 @@
 	}
 }
 
-// reset starts the count anew: an attempt of the class was reported or served.
+// reset clears the count of a class after a progress report or served response of one of its attempts.
 func (l *lostResponses) reset(c *class) { delete(l.consecutive, c) }
 
-// classStalled reports whether a class is stalled on the engine. After stalledUntil one
-// request at a time may go there, to find out whether it still is.
+// classStalled reports whether a class is stalled on the engine. After stalledUntil, one request of the class
+// at a time may be sent there, to find out whether the class is still stalled.
 func (e *engine) classStalled(c *class, now time.Duration) bool {
 	if e.lostResponses.consecutive[c] < stalledAfterLost {
 		return false
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,15 +3,16 @@
 import "time"
 
 const (
-	connectionFaultWeight = 0.4                       // of a failed connection in the fault rate
-	errorWeight           = connectionFaultWeight / 2 // of a response with an error, and of a served request
-	overdueWeight         = connectionFaultWeight / 4 // of an overdue response
+	// Weights of one sample in the fault rate.
+	connectionFaultWeight = 0.4                       // failed or broken connection
+	errorWeight           = connectionFaultWeight / 2 // response with an error, or a served request
+	overdueWeight         = connectionFaultWeight / 4 // overdue response
 
-	faultDecayPeriods = 40  // control periods in which a fault rate fades without responses
-	ejectionFaultRate = 0.6 // above it an engine is ejected, as after two connection faults
+	faultDecayPeriods = 40  // control periods over which the fault rate decays without responses
+	ejectionFaultRate = 0.6 // an engine above it is ejected; two connection faults in a row exceed it
 )
 
-// ejection says whether an engine is ejected, and what readmits it:
+// ejection is whether an engine is ejected and, if so, what it takes to readmit it:
 //
 //	notEjected:          the engine is silent -> ejectedUntilActive
 //	any:                 fault rate above the threshold -> ejectedUntilServed
@@ -26,44 +27,44 @@
 	ejectedUntilServed
 )
 
-// outlierState is the state of outlier detection for one engine: how long it has been silent, and which
-// share of its latest attempts failed. An ejected engine is sent nothing but single idempotent
-// requests, as probation.
+// outlierState is the state of outlier detection for one engine: when it was last heard from, and the share
+// of its latest attempts that failed. On probation, an ejected engine is sent only idempotent requests, one
+// at a time.
 type outlierState struct {
 	ejection          ejection
 	faultRate         float64       // share of the latest attempts that failed
 	lastHeardAt       time.Duration // latest response or progress report
 	connectionFaultAt time.Duration // latest fault of a connection; 0: never
-	probationAt       time.Duration // when it may next be sent a request while ejected
+	probationAt       time.Duration // earliest instant of the next probation request
 }
 
 func (o *outlierState) ejected() bool { return o.ejection != notEjected }
 
-// reset forgets the faults of an engine that has restarted.
+// reset ends the ejection of an engine that has restarted, and clears its fault rate.
 func (o *outlierState) reset() {
 	o.ejection = notEjected
 	o.faultRate = 0
 }
 
-// recordFault adds a fault to the rate and reports whether the rate exceeds the threshold. An engine that
-// fails fast would attract requests, since it always has capacity.
+// recordFault adds a fault to the fault rate and reports whether the rate exceeds the ejection threshold.
+// Without ejection, an engine that fails fast would attract requests, since it always has capacity.
 func (o *outlierState) recordFault(weight float64) (exceeded bool) {
 	o.faultRate = ewmaWeighted(o.faultRate, 1, weight)
 	return o.faultRate > ejectionFaultRate
 }
 
-// recordConnectionFault notes a fault of a connection and reports whether to count it. Connections that
-// break within a tick count once; each connection that failed counts.
+// recordConnectionFault records a connection fault and reports whether it counts in the fault rate. A
+// connection that breaks within a tick of the previous fault does not count; every failure to connect does.
 func (o *outlierState) recordConnectionFault(now time.Duration, result Result) (counts bool) {
 	counts = now-o.connectionFaultAt >= tickPeriod || result == ResultConnectFailed
 	o.connectionFaultAt = now
 	return counts
 }
 
-// fade lowers the fault rate once a control period.
+// fade lowers the fault rate at the end of a control period.
 func (o *outlierState) fade() { o.faultRate = ewma(o.faultRate, 0, faultDecayPeriods) }
 
-// recordServed counts a request that was served.
+// recordServed records a request that was served, which lowers the fault rate.
 func (o *outlierState) recordServed(now time.Duration) {
 	o.faultRate = ewmaWeighted(o.faultRate, 0, errorWeight)
 	o.lastHeardAt = now
@@ -72,8 +73,8 @@
 	}
 }
 
-// eject ejects the engine into the given state, unless it is in a stricter one, and reports whether it was
-// not ejected before.
+// eject ejects the engine into the given state, unless it is in a stricter one, and reports whether this
+// engine was not ejected before.
 func (o *outlierState) eject(target ejection, now, probationInterval time.Duration) (changed bool) {
 	changed = o.ejection == notEjected
 	o.ejection = max(o.ejection, target)
@@ -83,7 +84,7 @@
 	return changed
 }
 
-// readmit ends an ejection that waits for no more than a sign of activity, and reports whether it did.
+// readmit ends an ejection for which any activity of the engine suffices, and reports whether it did so.
 func (o *outlierState) readmit() (changed bool) {
 	if o.ejection != ejectedUntilActive {
 		return false
--- a/policy/outlierdetector.go
+++ b/policy/outlierdetector.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// outlierDetector ejects engines that are silent or that fail too often, and readmits them. Attempts
-// that are silent, or whose response is lost, are retried on other engines.
+// outlierDetector ejects engines that are silent or that fail too often, and readmits them. It has attempts
+// retried on other engines if their engine is silent, their response is lost, or they are overdue.
 type outlierDetector struct {
 	silence  silenceDetector
 	actions  *actionList
 	attempts *attemptRunner
 }
 
-// recordFault counts a fault of an engine, and ejects it when there are too many.
+// recordFault counts a fault of an engine, and ejects the engine if its fault rate is too high.
 func (d *outlierDetector) recordFault(e *engine, weight float64, reason EjectionReason, now time.Duration) {
 	if e.outlier.recordFault(weight) {
 		d.eject(e, ejectedUntilServed, reason, now)
 	}
 }
 
-// eject ejects an engine into the given state, and reports that if it was not ejected before.
+// eject ejects an engine into the given state. It adds an EngineEjected if the engine was not ejected before.
 func (d *outlierDetector) eject(e *engine, target ejection, reason EjectionReason, now time.Duration) {
 	if e.outlier.eject(target, now, d.silence.probationInterval()) {
 		d.actions.add(EngineEjected{Engine: e.id, Reason: reason, InFlight: len(e.inFlight)})
 	}
 }
 
-// onActivity notes a progress report or response of an attempt: neither its class nor its engine is
-// stalled, and an engine that was ejected for silence is readmitted.
+// onActivity handles a progress report or a served response of an attempt: the attempt's class is not
+// stalled on its engine, and an engine that is ejectedUntilActive is readmitted.
 func (d *outlierDetector) onActivity(a *attempt, now time.Duration) {
 	e := a.engine
 	e.lostResponses.reset(a.request.class)
@@ -36,8 +36,8 @@
 	e.slowStart.withdrawAssumption(now, a.sentAt, e.outlier.connectionFaultAt)
 }
 
-// blameErrors counts earlier errors on a request against their engines. An error may be the request's
-// own fault, but not where another engine serves it.
+// blameErrors counts earlier errors on a request that was served as faults of the engines that returned
+// them. A request may cause errors itself, but this one did not, since another engine has served it.
 func (d *outlierDetector) blameErrors(req *request, servedBy *engine, now time.Duration) {
 	for _, earlier := range req.attempts {
 		if earlier.endedInError() && earlier.engine != servedBy {
@@ -46,8 +46,8 @@
 	}
 }
 
-// check looks at the attempts in flight at an engine and retries those whose response is lost or, at engines
-// without progress reports, overdue. If the engine itself is silent, check ejects it and retries its
+// check examines the attempts in flight at an engine and retries those whose response is lost or, if engines
+// send no progress reports, overdue. If the engine itself is silent, check ejects it and retries its
 // idempotent attempts elsewhere.
 func (d *outlierDetector) check(e *engine, now time.Duration) {
 	if len(e.inFlight) == 0 {
@@ -76,7 +76,8 @@
 	}
 }
 
-// retryIfLost counts a lost response against the attempt's class on its engine, and retries the attempt.
+// retryIfLost counts a lost response for the attempt's class on its engine and, unless the class is
+// NonIdempotent, retries the attempt.
 func (d *outlierDetector) retryIfLost(a *attempt, now time.Duration) {
 	if a.responseLost || !d.silence.responseLost(a, now) {
 		return
@@ -89,8 +90,8 @@
 	}
 }
 
-// retryIfOverdue is for engines that send no progress reports: it retries an overdue idempotent attempt if
-// the retry can still meet the latency objective, and then counts a fault of the engine.
+// retryIfOverdue retries an overdue idempotent attempt if the retry can still meet the latency objective, and
+// then counts a fault of the engine. It is used if engines send no progress reports.
 func (d *outlierDetector) retryIfOverdue(a *attempt, now time.Duration) {
 	req := a.request
 	if !d.silence.overdue(a, now) || req.class.Effect != Idempotent ||
--- a/policy/silence.go
+++ b/policy/silence.go
@@ -3,17 +3,19 @@
 import "time"
 
 const (
-	silentIntervals       = 2.6  // progress intervals without a report after which an attempt is silent
-	lostResponseIntervals = 2.2  // the same, while the engine reports others: its response is lost
-	blockedLostIntervals  = 13.0 // the same for an attempt that waits, which is reported less often
-	overdueDeviations     = 3.0  // mean deviations of latency after which an attempt is overdue
+	// Numbers of progress intervals in which no progress report of an attempt arrives.
+	silentIntervals       = 2.6  // after these the attempt is silent
+	lostResponseIntervals = 2.2  // after these its response is lost, if the engine reports other attempts
+	blockedLostIntervals  = 13.0 // the latter for a blocked attempt, which is reported less often
+
+	overdueDeviations = 3.0 // mean deviations above the usual latency at which an attempt is overdue
 )
 
-// silenceDetector finds attempts and engines that report nothing any more. Pauses of this process
-// itself, which show as late ticks, don't count as silence.
+// silenceDetector finds attempts and engines that have stopped reporting. Pauses of this process itself,
+// which it detects by late ticks, do not count as silence.
 type silenceDetector struct {
 	progressInterval time.Duration // between progress reports of an attempt; 0: engines send none
-	timeout          time.Duration // after which an attempt is silent; also sets the probation interval
+	timeout          time.Duration // an attempt is silent after it; also sets the probation interval
 	lastTickAt       time.Duration
 	resumedAt        time.Duration // end of the latest pause of this process
 }
@@ -28,7 +30,7 @@
 	return silenceDetector{progressInterval: s.ProgressInterval, timeout: timeout}
 }
 
-// onTick notes a tick. A late one means that this process was paused.
+// onTick records a tick. A late tick means that this process was paused.
 func (d *silenceDetector) onTick(now time.Duration) {
 	if now-d.lastTickAt > 2*tickPeriod {
 		d.resumedAt = now
@@ -36,23 +38,25 @@
 	d.lastTickAt = now
 }
 
-// probationInterval is the time between two requests to an ejected engine.
+// probationInterval is the minimum time between two probation requests to an ejected engine.
 func (d *silenceDetector) probationInterval() time.Duration { return 2 * d.timeout }
 
-// attemptSilence returns the time since the attempt's latest progress report, at most that since a pause.
+// attemptSilence returns the time since the attempt's latest progress report or, if it is shorter, since the
+// end of the latest pause of this process.
 func (d *silenceDetector) attemptSilence(a *attempt, now time.Duration) time.Duration {
 	return now - max(a.lastHeardAt, d.resumedAt)
 }
 
-// engineSilent reports whether an engine, which has an attempt in flight, is silent, given how many of its
-// attempts are. With a single silent attempt the engine must be silent twice as long: that attempt's response
-// alone may be lost.
+// engineSilent reports whether an engine is silent, given the number of its silent attempts. At least one
+// attempt must be in flight there. With a single silent attempt, the engine must be silent for twice the
+// time, since only the response of that attempt may be lost.
 func (d *silenceDetector) engineSilent(e *engine, silentAttempts int, now time.Duration) bool {
 	silence := now - max(e.outlier.lastHeardAt, e.inFlight[0].sentAt, d.resumedAt)
 	return silentAttempts >= 2 && silence > d.timeout || silentAttempts == 1 && silence > 2*d.timeout
 }
 
-// responseLost reports whether the engine reports others but has long not reported this attempt.
+// responseLost reports whether the engine has recently reported something, but has not reported this attempt
+// for a long time.
 func (d *silenceDetector) responseLost(a *attempt, now time.Duration) bool {
 	intervals := lostResponseIntervals
 	if a.blocked() {
@@ -63,7 +67,8 @@
 	return engineHeard && silence >= intervals*float64(d.progressInterval)
 }
 
-// overdue reports whether an attempt is in flight for longer than the latencies of its class usually vary.
+// overdue reports whether an attempt has been in flight for longer than the usual latency plus the usual
+// variation of latencies in its class.
 func (d *silenceDetector) overdue(a *attempt, now time.Duration) bool {
 	inFlightMs := milliseconds(now - max(a.sentAt, d.resumedAt))
 	overdueMs := a.request.usualLatencyMs() * (1 + overdueDeviations*a.request.class.latencySpread)
