--- a/policy/engine.go
+++ b/policy/engine.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// engine is an engine of the endpoint list, with the state that each concern keeps for it.
+// engine is an engine that the endpoint list has named, with the state that each concern keeps for it.
 type engine struct {
 	id       string
 	zone     string
@@ -38,8 +38,8 @@
 // available reports whether the engine takes requests.
 func (e *engine) available() bool { return e.state == EngineReady && !e.outlier.ejected() }
 
-// reset gives an engine that is new or has restarted its initial limits, for this front end's share
-// of the traffic. An engine of a kind that the settings do not name, with zero cores, counts as having one.
+// reset sets the initial limits of an engine that is new or has restarted, for this front end's share of the
+// traffic. If the settings do not name the engine's kind, cores is zero, and one core is assumed.
 func (e *engine) reset(cores float64, target concurrencyTarget, share float64, now time.Duration) {
 	e.cores = max(cores, 1)
 	e.rescale(target, share, now)
@@ -56,9 +56,9 @@
 	l.maxLimit = fullCapacityLimit * min(1, kneeSlowdown/max(l.slowdown, 1)) * e.slowStart.capacityShare(now)
 }
 
-// limitFor returns the limit that applies to the request on the engine, in threads. It is lower beyond the
-// tenant's quota. Only under pressure it follows the request's value too: without pressure, shedding costly
-// requests would waste capacity.
+// limitFor returns the limit that applies to the request on the engine, in threads. It is lower for a request
+// beyond its tenant's quota. It depends on the request's value only under pressure: without pressure,
+// shedding costly requests would waste capacity.
 func (e *engine) limitFor(req *request, now time.Duration) float64 {
 	if e.limiter.underPressure(now) {
 		return e.limiter.limit * req.quotaFactor * req.valueFactor
@@ -66,11 +66,11 @@
 	return e.limiter.maxLimit * req.quotaFactor
 }
 
-// bulkLoads holds, for data sets of an engine, until when a bulk load is assumed to block them.
+// bulkLoads maps data sets of an engine to the instant until which a bulk load is assumed to block them.
 type bulkLoads map[int64]time.Duration
 
-// datasetBlocked reports whether a bulk load blocks the data set on the engine: one of this front end is in
-// flight, or an attempt has lately reported that it waits for one.
+// datasetBlocked reports whether a bulk load blocks the data set on the engine: a bulk load of this front end
+// is in flight there, or an attempt has recently reported that it waits for one.
 func (e *engine) datasetBlocked(dataset int64, now time.Duration) bool {
 	return now < e.bulkLoads[dataset] || slices.ContainsFunc(e.inFlight, func(a *attempt) bool {
 		return a.request.class.BulkLoad && a.request.dataset == dataset
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	initialThreadsPerCore = 2.0  // initial limit
-	swapLimitFactor       = 0.75 // of that, where an engine short of memory slows down altogether
-	queueLimitFactor      = 1.5  // of that, where requests short of memory queue at the engine
-	maxLimitFactor        = 1.2  // maximum of a limit, in initial limits
+	initialThreadsPerCore = 2.0  // initial limit, before the factor for memory shortage
+	swapLimitFactor       = 0.75 // factor if an engine short of memory slows down for all requests
+	queueLimitFactor      = 1.5  // factor if requests short of memory queue at the engine
+	maxLimitFactor        = 1.2  // maximum of a limit, as a multiple of the initial limit
 	backlogSpread         = 2.0  // headroom, in standard deviations of this front end's own backlog
-	negligibleBacklog     = 1e-9 // threads; below any request's weight: a smaller backlog is a rounding error
+	negligibleBacklog     = 1e-9 // threads, below any request's weight; a smaller backlog is a rounding error
 
-	// assumedFreeShare is the share of the fleet's capacity that counts as free until engines report their
-	// load. At this share the headroom has its nominal size.
+	// assumedFreeShare is the share of the fleet's capacity that is assumed to be free until engines report
+	// their load. At this share the headroom has its nominal size.
 	assumedFreeShare = 0.3
 )
 
-// concurrencyTarget is what an engine should have in flight at most, from the settings alone.
+// concurrencyTarget is the most that an engine should have in flight, as derived from the settings alone.
 type concurrencyTarget struct {
 	threadsPerCore float64
-	maxThreads     float64 // of one request, of the class with the most
+	maxThreads     float64 // threads of one request, in the class with the most
 }
 
 func newConcurrencyTarget(s *Settings) concurrencyTarget {
@@ -31,7 +31,7 @@
 	switch s.Shortage {
 	case ShortageSwap:
 		target.threadsPerCore *= swapLimitFactor
-	case ShortageQueue: // the engine's own queue holds an excess, ordered by priority
+	case ShortageQueue: // the engine queues excess requests, ordered by priority
 		target.threadsPerCore *= queueLimitFactor
 	case ShortageTrim:
 	}
@@ -41,16 +41,16 @@
 	return target
 }
 
-// fleet limits what this front end has in flight at all engines together. The fleet may be overloaded
-// while no single engine seems to be.
+// fleet limits what this front end has in flight at all engines together. The fleet may be overloaded even
+// if no single engine appears to be.
 type fleet struct {
 	target    concurrencyTarget
 	limiter   limiter
 	loadLevel float64 // mean reported load, relative to target.threadsPerCore
 }
 
-// rescale sets the limits from those of the engines that take requests, with headroom for the
-// random variation of few requests in flight.
+// rescale sets the initial and maximum limit from the limits of the available engines, with headroom for the
+// random variation of a small number of requests in flight.
 func (f *fleet) rescale(engines []*engine, now time.Duration) {
 	limiter := &f.limiter
 	empty := limiter.initialLimit == 0
@@ -60,23 +60,23 @@
 			limiter.initialLimit += e.limiter.initialLimit * e.slowStart.capacityShare(now)
 		}
 	}
-	if empty { // at the start, and again after a time in which no engine was available
+	if empty { // first call, or no engine was available at the previous call
 		limiter.limit = limiter.initialLimit
 		limiter.alpha = 1 / max(limiter.initialLimit, minLimit)
 		limiter.slowdown = 1
 		f.loadLevel = 1 - assumedFreeShare
 	}
 	headroom := f.target.maxThreads + backlogSpread*math.Sqrt(limiter.initialLimit*f.target.maxThreads)
-	// The factor is 1 without reports. It falls with the reported load, down to 0 at full load, and exceeds 1
-	// while the engines report little load.
+	// This factor is 1 without load reports. It falls as the reported load rises, down to 0 at full load, and
+	// exceeds 1 while the engines report little load.
 	headroom *= max((1-f.loadLevel)/assumedFreeShare, 0)
-	// How far the fleet is past the knee of the latency curve or past full load: 1 while it is not.
+	// How far the fleet is past the knee of the latency curve or past full load; 1 if it is past neither.
 	pastKnee := max(limiter.slowdown/kneeSlowdown, f.loadLevel, 1)
 	limiter.maxLimit = (maxLimitFactor*limiter.initialLimit + headroom/pastKnee) / pastKnee
 }
 
-// limitFor returns the limit that applies to the request, in threads. It is lower beyond its tenant's quota
-// and, unlike the limit of an engine, follows the request's value at all times.
+// limitFor returns the limit that applies to the request, in threads. It is lower for a request beyond its
+// tenant's quota and, unlike the limit of an engine, always depends on the request's value.
 func (f *fleet) limitFor(req *request, now time.Duration) float64 {
 	if f.limiter.underPressure(now) {
 		return f.limiter.limit * req.quotaFactor * req.valueFactor
@@ -97,7 +97,7 @@
 	f.limiter.backlog += a.request.weight
 }
 
-// release removes an attempt that has ended from those in flight.
+// release removes an attempt that has ended from the attempts in flight and from both backlogs.
 func (f *fleet) release(a *attempt) {
 	e := a.engine
 	e.inFlight = slices.DeleteFunc(e.inFlight, func(other *attempt) bool { return other == a })
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	closedLoopPole       = 0.3              // share of a deviation that is left after one control step
+	closedLoopPole       = 0.3              // share of a deviation that remains after one control step
 	alphaSmoothing       = 0.3              // weight of the newest period in alpha
 	minAlpha             = 1e-6             // keeps the step of the limit finite
 	minLimit             = 0.5              // threads; half of a one-thread request without an estimate
 	pressureLatency      = 0.8              // mean relative latency above which the limit applies
-	pressurePeriods      = 2                // control periods for which it applies from then on
-	overloadPeriods      = 4                // the same after the engine rejected a request
-	kneeSlowdown         = 1.6              // slowdown past which the maximum shrinks: the knee of the curve
-	maxSlowdown          = 4 * kneeSlowdown // of one response at most
-	slowdownWindow       = 20               // responses that a slowdown is averaged over
-	readmissionLimitPart = 0.25             // of its initial limit that a readmitted engine starts with
+	pressurePeriods      = 2                // control periods for which it applies after such a latency
+	overloadPeriods      = 4                // control periods for which it applies after a rejection
+	kneeSlowdown         = 1.6              // knee of the latency curve; the maximum shrinks above it
+	maxSlowdown          = 4 * kneeSlowdown // a greater slowdown of one response counts as this
+	slowdownWindow       = 20               // responses over which the slowdown is averaged
+	readmissionLimitPart = 0.25             // share of its initial limit at which a readmitted engine starts
 )
 
-// limiter is an adaptive concurrency limit: one for each engine, and one for the fleet. Its unit is
-// a thread. A control loop moves the limit, once a control period, so that the mean latency meets
-// its objective. The limit applies under pressure only, that is for some periods after a period of
-// high latency or after a rejection by a full engine; at other times maxLimit applies. Engine and fleet set
-// initialLimit and maxLimit; fleet.reserve and release update backlog.
+// limiter is an adaptive concurrency limit, in threads: one for each engine, and one for the fleet. Once a
+// control period, a control loop adjusts the limit so that the mean latency meets its objective. The limit
+// applies only under pressure, that is for some periods after a period of high latency or after a full
+// engine rejected a request; at other times maxLimit applies. engine.rescale and fleet.rescale set
+// initialLimit and maxLimit; fleet.reserve and fleet.release update backlog.
 type limiter struct {
 	initialLimit   float64       // threads
 	maxLimit       float64       // threads; always applies
@@ -31,9 +31,9 @@
 	alpha          float64       // estimated relative latency that each thread of the limit adds
 	backlog        float64       // threads of the requests in flight
 	slowdown       float64       // mean ratio of a latency to the quick latency of its class
-	latencySum     float64       // of the period's responses, each relative to its objective
-	samples        int           // responses in latencySum
-	pressuredUntil time.Duration // end of the pressure
+	latencySum     float64       // latencies in this period, each relative to its objective
+	samples        int           // latencies in latencySum
+	pressuredUntil time.Duration // the limit is under pressure until then
 }
 
 // observe records one latency, relative to its objective and to the quick latency of its class.
@@ -43,7 +43,7 @@
 	l.slowdown = ewma(l.slowdown, min(slowdown, maxSlowdown), slowdownWindow)
 }
 
-// endPeriod runs the control loop for one period. A period without samples changes nothing.
+// endPeriod runs one step of the control loop. A period without samples changes nothing.
 func (l *limiter) endPeriod(now time.Duration) {
 	if l.samples == 0 {
 		return
@@ -58,16 +58,16 @@
 	}
 }
 
-// controlStep returns limit and alpha after one period, for a mean latency relative to the objective. It
-// models the relative latency as alpha times the limit and aims at 1: by that model each step leaves
-// closedLoopPole of the deviation.
+// controlStep returns limit and alpha after one period, given the mean latency relative to the objective. It
+// models the relative latency as alpha times the limit and aims at 1. By this model each step reduces the
+// deviation to closedLoopPole times its size.
 func controlStep(limit, alpha, meanLatency float64) (newLimit, newAlpha float64) {
 	deviation := 1 - meanLatency
 	newAlpha = max(alphaSmoothing*(meanLatency/limit)+(1-alphaSmoothing)*alpha, minAlpha)
 	return limit + (1-closedLoopPole)/newAlpha*deviation, newAlpha
 }
 
-// reset starts the control loop at the initial limit.
+// reset restarts the control loop at the initial limit.
 func (l *limiter) reset() {
 	l.limit = l.initialLimit
 	l.alpha = 1 / l.initialLimit
@@ -76,7 +76,7 @@
 	l.samples = 0
 }
 
-// readmit starts a readmitted engine with a small limit, which the control loop raises.
+// readmit gives a readmitted engine a small limit, which the control loop raises.
 func (l *limiter) readmit() { l.limit = max(minLimit, l.initialLimit*readmissionLimitPart) }
 
 // onOverloaded applies the limit for some periods after the engine rejected a request.
@@ -84,11 +84,12 @@
 	l.pressuredUntil = now + overloadPeriods*controlPeriod
 }
 
-// underPressure reports whether the limit applies, rather than its maximum alone.
+// underPressure reports whether limit applies; otherwise only maxLimit does.
 func (l *limiter) underPressure(now time.Duration) bool { return now < l.pressuredUntil }
 
-// admits is the admission test: backlog and weight within the limit. A request whose weight alone exceeds
-// the limit would never pass: while nothing is in flight it is admitted with probability limit/weight.
+// admits is the admission test: the backlog plus the weight must be within the limit. A request whose weight
+// alone exceeds the limit would never pass, so it is admitted with probability limit/weight while nothing is
+// in flight.
 func (l *limiter) admits(weight, limit float64, rng *rand.Rand) bool {
 	if l.backlog == 0 && weight > limit {
 		return rng.Float64() < limit/weight
