--- a/policy/load.go
+++ b/policy/load.go
@@ -7,32 +7,33 @@
 
 const (
 	loadReportDecay    = 8 * controlPeriod // age at which a report counts 1/e; wide requests run for seconds
-	maxReportedPerCore = 50.0              // requests in flight a core; a higher report counts as this
-	fleetLevelWindow   = 5                 // reports that the fleet's load level is averaged over
-	meanLoadWindow     = 20                // reports that the mean load is averaged over
-	maxOverload        = 2                 // intended loads; a higher reported load counts as this
-	minCheckLevel      = 0.3               // load level at and below which health checks are rarest
+	maxReportedPerCore = 50.0              // requests in flight per core; a higher report counts as this
+	fleetLevelWindow   = 5                 // reports over which the fleet's load level is averaged
+	meanLoadWindow     = 20                // reports over which the mean load is averaged
+	maxOverload        = 2                 // multiple of the intended load; a higher load counts as this
+	minCheckLevel      = 0.3               // load level at and below which health checks are least frequent
 	loadPenaltyFactor  = 0.25              // share of a difference in load that counts against an engine
 )
 
-// reportedLoad is the latest load that an engine has reported.
+// reportedLoad is the load that an engine has reported last.
 type reportedLoad struct {
 	threadsPerCore float64
-	at             time.Duration // 0: never
+	at             time.Duration // 0: no report yet
 }
 
-// loadReports evaluates the load that engines report, which includes what other front ends have sent. Its
-// unit is threads a core.
+// loadReports evaluates the load that engines report, which includes the requests of other front ends. Loads
+// are in threads per core.
 type loadReports struct {
-	threadsPerCore float64 // that an engine should have at most
-	swaps          bool    // an excess of memory slows down all requests of an engine
-	mean           float64 // mean reported load; fleet.loadLevel follows faster and is relative
+	threadsPerCore float64 // intended load: the most that an engine should have
+	swaps          bool    // an engine that grants more memory than it has slows down for all requests
+	mean           float64 // mean reported load; fleet.loadLevel adapts faster and is relative
 	fleet          *fleet
 	traffic        *trafficEstimate
 }
 
-// record computes an engine's load from its report: from the requests in flight or, without these, from the
-// busy cores. Where an excess of memory slows all requests down, the load is at least that of the memory.
+// record computes an engine's load from its report: from the requests in flight or, if these are not
+// reported, from the busy cores. If engines swap, the load is at least the intended load times the share of
+// the memory that is granted.
 func (l *loadReports) record(e *engine, report LoadReport, now time.Duration) {
 	if !report.Reported || !(max(report.InFlight, report.CPUShare) >= 0) { // neither figure, or NaN
 		return
@@ -52,15 +53,16 @@
 	l.mean = ewma(l.mean, load, meanLoadWindow)
 }
 
-// penalty returns the part of an engine's score, at most 0 and in threads, for a reported load above the
-// mean. It fades with the report's age.
+// penalty returns the term of an engine's score for a reported load above the mean, in threads; it is never
+// positive. It decays with the age of the report.
 func (l *loadReports) penalty(e *engine, now time.Duration) float64 {
 	age := float64(now - e.load.at)
 	difference := min(l.mean-e.load.threadsPerCore, 0)
 	return loadPenaltyFactor * difference * e.cores * math.Exp(-age/float64(loadReportDecay))
 }
 
-// checkHealth requests the load of a random engine, at each arrival or less often while the fleet is idle.
+// checkHealth, which runs at each arrival, requests the load of a random engine. While the reported load is
+// low, it does so only with a probability below 1.
 func (b *Balancer) checkHealth() {
 	probability := max(b.fleet.loadLevel, minCheckLevel) / (1 - assumedFreeShare)
 	enabled := b.settings.Limits.HealthChecks && b.settings.ReportsLoad
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	datasetSpread    = 2.0 // engines near a data set, for each engine that its traffic would fill
+	datasetSpread    = 2.0 // number of engines near a data set per engine that its traffic would occupy
 	popularityWindow = 256 // requests over which the popularity of data sets is counted
 
-	// Popularity starts from an even distribution: as if each of priorDatasets data sets had been requested
+	// Popularity starts from an even distribution, as if each of priorDatasets data sets had been requested
 	// datasetPrior times.
 	datasetPrior  = 2.0
 	priorDatasets = 10
@@ -17,7 +17,8 @@
 
 const fnvPrime = 0x100000001b3 // of 64-bit FNV
 
-// Constants that spread the bits of a hash: the increment and multipliers of SplitMix64, with one shift.
+// Constants of the hash that mixes an engine and a data set: the increment and the multipliers of SplitMix64,
+// and a shift.
 const (
 	splitMixIncrement   = 0x9e3779b97f4a7c15
 	splitMixMultiplier1 = 0xbf58476d1ce4e5b9
@@ -25,8 +26,8 @@
 	affinityShift       = 29
 )
 
-// datasetAffinity decides which engines are near a data set, that is cache its tables: by rendezvous
-// hashing, so that all front ends agree, and more engines the more popular the data set is.
+// datasetAffinity decides which engines are near a data set, that is, cache its tables. It uses rendezvous
+// hashing, so that all front ends agree. The more popular a data set is, the more engines are near it.
 type datasetAffinity struct {
 	zone       string
 	popularity decayingCounter
@@ -37,12 +38,12 @@
 	return datasetAffinity{zone: zone, popularity: newDecayingCounter()}
 }
 
-// observe counts a request of the data set.
+// observe counts a request for the data set.
 func (d *datasetAffinity) observe(dataset int64) { d.popularity.add(dataset, popularityWindow) }
 
-// cutoff returns the least affinity that counts as near the data set, among the available engines of
-// the zone: one engine, and more in proportion to the data set's popularity, so that a popular one
-// doesn't crowd a few.
+// cutoff returns the lowest affinity at which an available engine of the zone counts as near the data set. At
+// least one engine is near, and further ones in proportion to the data set's popularity, so that a popular
+// data set does not overload a few engines.
 func (d *datasetAffinity) cutoff(engines []*engine, dataset int64) uint64 {
 	d.scores = d.scores[:0]
 	for _, e := range engines {
@@ -64,15 +65,15 @@
 	return hash
 }
 
-// affinity is the rendezvous hash of an engine and a data set. All front ends
-// compute the same score, so they agree on the order of engines for a data set.
+// affinity returns the rendezvous hash of an engine and a data set. All front ends compute the same value, so
+// they agree on the order of engines for a data set.
 func affinity(engineHash uint64, dataset int64) uint64 {
 	mixed := (engineHash ^ uint64(dataset)*splitMixIncrement) * splitMixMultiplier1
 	return (mixed ^ mixed>>affinityShift) * splitMixMultiplier2
 }
 
-// nthHighest returns the nth highest score, counted from one, or zero where there
-// are fewer. It sorts the scores.
+// nthHighest returns the nth highest score, counted from one, or zero if there are fewer than n. It sorts the
+// scores in place.
 func nthHighest(scores []uint64, n int) uint64 {
 	if n > len(scores) {
 		return 0
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -7,10 +7,10 @@
 
 const quotaBurstSpread = 2.0 // standard deviations of a second's arrivals by which a quota may be exceeded
 
-// quotas decides which requests are beyond the quota of their tenant, by this front end's share of it.
+// quotas decides which requests exceed this front end's share of their tenant's quota.
 type quotas struct {
 	tenants map[string]*tenant
-	total   float64 // requests a second, of all tenants
+	total   float64 // sum of all quotas, in requests a second
 }
 
 // tenant is a Tenant with the state of its quota.
@@ -29,8 +29,8 @@
 }
 
 // charge charges a request to this front end's share of its tenant's quota, and reports whether the request
-// is beyond that. A tenant that the settings don't name has a quota of zero. Without any tenants in the
-// settings nothing is exceeded.
+// exceeds it. A tenant that the settings do not name has a quota of zero. If the settings name no tenants,
+// there are no quotas to exceed.
 func (q *quotas) charge(name string, trafficShare float64, now time.Duration) (exceeded bool) {
 	t := q.tenants[name]
 	if t == nil {
--- a/policy/selector.go
+++ b/policy/selector.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	slowStartPreference = 2.0 // weights in favour of slow start: an unused budget expires
-	oversizePenalty     = 3.0 // weights against an engine too small for the request
+	// Terms of a score, as multiples of the request's weight.
+	slowStartPreference = 2.0 // added for a recently started engine: its budget expires if unused
+	oversizePenalty     = 3.0 // subtracted for an engine that is too small for the request
 )
 
-// selector chooses the engine of a request's next attempt: of the engines that may take the request,
-// the one with the most spare capacity, adjusted by locality, reported load, faults and a random
-// term. Scores are in threads. It owns the popularity of data sets, sets when an engine may have its
-// next probation request, and reads the rest.
+// selector chooses the engine for a request's next attempt: among the engines that may take the request, the
+// one with the most spare capacity, adjusted by locality, reported load, faults and a random term. Scores
+// are in threads. The selector owns the popularity of data sets, sets when an engine may have its next
+// probation request, and only reads all other state.
 type selector struct {
 	zone     string // where this front end runs
 	rng      *rand.Rand
@@ -26,9 +27,9 @@
 	affinity datasetAffinity
 }
 
-// choose returns the engine for the request: the first that is due for a probation request, or else the one
-// with the highest score. If there is none it returns nil and the reason, which is ReasonFleetLimit or the
-// greatest of the reasons of all engines.
+// choose returns the engine for the request: the first engine that is due for a probation request or,
+// without such an engine, the one with the highest score. If no engine may take the request, it returns nil
+// and the reason, which is ReasonFleetLimit or the greatest of the reasons of all engines.
 func (s *selector) choose(
 	req *request, engines []*engine, now time.Duration,
 ) (best *engine, reason RejectReason) {
@@ -56,7 +57,7 @@
 	return best, reason
 }
 
-// rejectReason reports whether the engine can't be sent the request, and why.
+// rejectReason reports whether the engine may not be sent the request, and the reason.
 func (s *selector) rejectReason(
 	req *request, e *engine, limit float64, now time.Duration,
 ) (reason RejectReason, rejected bool) {
@@ -75,8 +76,9 @@
 	return 0, false
 }
 
-// startProbation reports whether the request may be the probation request of an idle ejected engine, and
-// if so sets when the next one may follow. Only the first attempt of an idempotent request may.
+// startProbation reports whether the request may be the probation request of an ejected engine and, if so,
+// sets when the next one may follow. The engine must be idle, and the request must be idempotent and without
+// earlier attempts.
 func (s *selector) startProbation(req *request, e *engine, now time.Duration) bool {
 	idle := len(e.inFlight) == 0
 	firstAttempt := len(req.attempts) == 0
@@ -89,8 +91,8 @@
 }
 
 // score returns the engine's spare capacity for the request in threads, adjusted by locality, reported
-// load, faults and slow start. The random term is exponential, with a mean of the request's weight a core,
-// so that front ends do not all choose the same engine.
+// load, faults and slow start. An exponential random term is subtracted, so that front ends do not all
+// choose the same engine; its mean is the request's weight divided by the engine's cores.
 func (s *selector) score(req *request, e *engine, limit float64, near bool, now time.Duration) float64 {
 	score := limit - e.limiter.backlog + s.locality(req, e, near, now)
 	score += math.Log(1-s.rng.Float64()) * req.weight / e.cores
@@ -107,7 +109,7 @@
 	return score
 }
 
-// locality favours engines of the own zone and, among these, the ones that cache the data set.
+// locality favours engines in this front end's zone and, among these, those that cache the data set.
 func (s *selector) locality(req *request, e *engine, near bool, now time.Duration) float64 {
 	bonus := 0.0
 	if e.zone == s.zone {
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -1,26 +1,26 @@
 package policy
 
 const (
-	maxRateWindow     = 80  // control periods that the arrival rate is averaged over
-	firstRateWindow   = 4   // the same in the first period: one period's arrivals scatter
-	maxInFlightWindow = 40  // control periods, and load reports, that requests in flight are averaged over
-	weightWindow      = 20  // attempts that the mean weight is averaged over
-	meanWorkWindow    = 100 // requests over which the mean work is averaged
+	maxRateWindow     = 80  // control periods over which the arrival rate is averaged
+	firstRateWindow   = 4   // control periods at first: the arrivals of a single period vary a lot
+	maxInFlightWindow = 40  // control periods, and load reports, over which requests in flight are averaged
+	weightWindow      = 20  // attempts over which the mean weight is averaged
+	meanWorkWindow    = 100 // attempts over which the mean work is averaged
 )
 
-// trafficEstimate estimates this front end's share of all traffic, from moving averages. Their
-// windows grow from the start on, so that the first observations count more.
+// trafficEstimate estimates this front end's share of all traffic from moving averages. Their windows grow
+// at first, so that the first observations count more.
 type trafficEstimate struct {
 	replicas         int     // front ends that share the engines
 	totalQuota       float64 // requests a second that all tenants may send; 0: unknown
 	periods          int
-	arrivals         int     // requests in the current control period, without clients' retries
-	arrivalRate      float64 // the same, a second
-	ownInFlight      float64 // own unfinished requests, per engine: nearly all are in flight
-	reportedInFlight float64 // requests in flight that an engine reports, of all front ends
+	arrivals         int     // requests in the current control period, without retries by clients
+	arrivalRate      float64 // mean arrivals a second, without retries by clients
+	ownInFlight      float64 // mean unfinished requests, nearly all in flight, of this front end per engine
+	reportedInFlight float64 // mean requests in flight, of all front ends, that an engine reports
 	reports          float64 // load reports so far
-	meanWeight       float64 // threads of a request that was sent
-	meanWorkMs       float64 // expected work of a request that was sent
+	meanWeight       float64 // mean threads of the attempts sent
+	meanWorkMs       float64 // mean expected work of the attempts sent
 }
 
 func newTrafficEstimate(replicas int, totalQuota float64) trafficEstimate {
@@ -32,8 +32,8 @@
 }
 
 // share returns this front end's share of all traffic, at least the even share. If the settings have quotas,
-// it is the arrival rate divided by the sum of the quotas; otherwise the own requests in flight divided by
-// those that engines report.
+// it is the arrival rate divided by the sum of the quotas; otherwise it is the requests of this front end in
+// flight divided by the requests in flight that engines report.
 func (t *trafficEstimate) share() float64 {
 	even := 1 / float64(t.replicas)
 	if t.totalQuota <= 0 {
@@ -42,10 +42,10 @@
 	return min(max(t.arrivalRate/t.totalQuota, even), 1)
 }
 
-// observeArrival counts a request that is no retry of a client.
+// observeArrival counts a request that is not marked as a retry by the client.
 func (t *trafficEstimate) observeArrival() { t.arrivals++ }
 
-// endPeriod records the arrivals of a control period and the own requests per engine at its end.
+// endPeriod records the arrivals of a control period and this front end's requests per engine at its end.
 func (t *trafficEstimate) endPeriod(requestsPerEngine float64) {
 	t.periods++
 	rate := float64(t.arrivals) / controlPeriod.Seconds()
@@ -60,7 +60,7 @@
 	t.reportedInFlight = ewma(t.reportedInFlight, inFlight, min(t.reports, maxInFlightWindow))
 }
 
-// observeSent records the weight and the expected work of a request that was sent.
+// observeSent records the weight and the expected work of an attempt that is sent.
 func (t *trafficEstimate) observeSent(req *request) {
 	t.meanWeight = ewma(t.meanWeight, req.weight, weightWindow)
 	t.meanWorkMs = ewmaSeeded(t.meanWorkMs, req.expectedWorkMs, meanWorkWindow)
