--- a/policy/class.go
+++ b/policy/class.go
@@ -3,22 +3,22 @@
 import "math"
 
 const (
-	firstResponseWindow = 10     // responses that a class's figures are averaged over at first
-	maxResponseWindow   = 50     // and later on
-	quickLatencyGrowth  = 1.0005 // growth of the quick latency with each response: old minima fade
-	maxDeviation        = 5.0    // of one latency at most: an outlier must not hide later overdue attempts
+	firstResponseWindow = 10     // responses over which a class's values are averaged at first
+	maxResponseWindow   = 50     // responses over which they are averaged later on
+	quickLatencyGrowth  = 1.0005 // growth of the quick latency with each response, so that old minima expire
+	maxDeviation        = 5.0    // a greater deviation counts as this: it would hide later overdue attempts
 	objectiveToUsual    = 3      // assumed ratio of latency objective to usual latency before any response
 )
 
-// class is a Class with what is learned of its requests.
+// class is a Class with what the balancer has learned about its requests.
 type class struct {
 	Class
 	responses      int
 	latencyMs      float64 // mean latency of a response
 	quickLatencyMs float64 // lowest recent mean latency
 	workMs         float64 // mean work of a request, of all threads
-	latencySpread  float64 // mean deviation of a latency from the expected one, as a share of that
-	estimateMs     float64 // mean estimate of the work; 0: none so far
+	latencySpread  float64 // mean deviation of a latency from the expected one, as a share of the latter
+	estimateMs     float64 // mean estimate of the work; 0: no estimate so far
 	grantFactor    float64 // memory to grant, as a multiple of the estimate
 }
 
@@ -37,13 +37,13 @@
 	}
 }
 
-// observeEstimate records an estimate of work and returns its ratio to the mean estimate, itself included.
+// observeEstimate records an estimate of work and returns its ratio to the mean estimate, which includes it.
 func (c *class) observeEstimate(estimateMs float64) float64 {
 	c.estimateMs = ewmaSeeded(c.estimateMs, estimateMs, estimateWindow)
 	return estimateMs / c.estimateMs
 }
 
-// observeLatency records the latency of a response to a request of the expected work.
+// observeLatency records the latency of a response to a request that was expected to need the given work.
 func (c *class) observeLatency(latencyMs, expectedWorkMs float64) {
 	c.responses++
 	deviation := math.Abs(latencyMs*c.workMs/(c.latencyMs*expectedWorkMs) - 1)
@@ -57,13 +57,14 @@
 	c.workMs = ewma(c.workMs, workMs, c.window())
 }
 
-// window grows with the responses, so that the first ones count more.
+// window returns the number of responses to average over. It grows with the number of responses, so that the
+// first responses count more.
 func (c *class) window() float64 {
 	return float64(min(firstResponseWindow+c.responses, maxResponseWindow))
 }
 
-// observeMemory records the memory that a request needed. The grant factor follows
-// the quantile grantCoverage of the need over the estimate, by multiplicative steps.
+// observeMemory records the memory that a request needed. In multiplicative steps, the grant factor follows
+// the grantCoverage quantile of the ratio of the memory needed to the estimate.
 func (c *class) observeMemory(estimateMB, neededMB float64, spilled bool) {
 	switch {
 	case !(estimateMB > 0): // no estimate, or NaN
--- a/policy/decayingcounter.go
+++ b/policy/decayingcounter.go
@@ -1,7 +1,7 @@
 package policy
 
-// decayingCounter counts events by key. All counts are halved whenever the total
-// reaches a limit, so that recent events prevail and rare keys are forgotten.
+// decayingCounter counts events by key. All counts are halved whenever their total reaches a limit, so that
+// recent events count more and rare keys are dropped.
 type decayingCounter struct {
 	counts map[int64]float64
 	total  float64
@@ -19,7 +19,7 @@
 		return
 	}
 	for k, count := range d.counts {
-		if count < 2 { // it would fall under one
+		if count < 2 { // half of it would be less than one
 			delete(d.counts, k)
 		} else {
 			d.counts[k] = count / 2
--- a/policy/ewma.go
+++ b/policy/ewma.go
@@ -1,19 +1,18 @@
 package policy
 
-// ewma returns an exponentially weighted moving average after one more sample. A
-// sample's weight is 1/window. Callers that let the window grow from a small one
-// to its final size learn faster from the first samples.
+// ewma returns an exponentially weighted moving average after one more sample, which has weight 1/window. A
+// caller that lets the window grow from a small one to its final size learns faster from the first samples.
 func ewma(mean, sample, window float64) float64 {
 	return mean + (sample-mean)/window
 }
 
-// ewmaWeighted is like ewma, for a sample of the given weight. The two round
-// differently: 1/window is not always a float64.
+// ewmaWeighted is like ewma, but takes the weight of the sample. The two round differently, since 1/window
+// often has no exact float64.
 func ewmaWeighted(mean, sample, weight float64) float64 {
 	return mean + (sample-mean)*weight
 }
 
-// ewmaSeeded is like ewma, but a mean of zero starts at the sample.
+// ewmaSeeded is like ewma, but replaces a mean of zero by the sample.
 func ewmaSeeded(mean, sample, window float64) float64 {
 	if mean == 0 {
 		mean = sample
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -1,11 +1,11 @@
 package policy
 
 const (
-	badPlanFactor     = 5.0   // usual latencies; if as many are left, the plan or engine is at fault
-	hopelessShare     = 0.7   // share of the time left; an attempt that needs more than it is ended early
+	badPlanFactor     = 5.0   // remaining time, in usual latencies, above which plan or engine is at fault
+	hopelessShare     = 0.7   // share of the time left; a request that needs more is rejected early
 	retryTimeFactor   = 1.5   // usual latencies that must be left for a retry of a slow attempt
-	minProgress       = 0.001 // least share done; a lower report counts as this
-	slowAttemptWindow = 10    // attempts cancelled as slow that an engine's slowdown is averaged over
+	minProgress       = 0.001 // smallest share done; a lower report counts as this
+	slowAttemptWindow = 10    // cancelled slow attempts over which an engine's slowdown is averaged
 )
 
 // onProgress handles a progress report of an attempt in flight.
@@ -49,8 +49,9 @@
 	a.engine.outlier.lastHeardAt = b.now
 }
 
-// onBlocked retries elsewhere an attempt that waits on its engine: for memory only once, since where two
-// engines lack memory a third is no better. Where settings have a retry budget it is kept for faults.
+// onBlocked retries a blocked attempt on another engine. If the settings have a retry budget, it does not,
+// since the budget is kept for faults. An attempt that waits for memory is retried only once: if two engines
+// lack memory, a third is not better.
 func (b *Balancer) onBlocked(a *attempt, kind ProgressKind) {
 	req := a.request
 	permitted := kind == ProgressAwaitingLoad || len(req.attempts) == 1
@@ -60,9 +61,9 @@
 	}
 }
 
-// onFraction projects an attempt's remaining time from the share that is done. A first attempt that still
-// needs a multiple of the usual latency, or more time than is left, is cancelled if a retry has time to
-// finish. A second attempt is not: if it is slow too, the request itself is expensive.
+// onFraction projects an attempt's remaining time from the share of the work done. A first attempt that still
+// needs a multiple of the usual latency, or more time than is left, is cancelled for a retry if the retry has
+// time to finish. A second attempt is not: if it is slow too, the request itself is expensive.
 func (b *Balancer) onFraction(a *attempt, done float64) {
 	req := a.request
 	usualMs := req.usualLatencyMs()
@@ -78,13 +79,13 @@
 		limiter.slowdown = ewma(limiter.slowdown, maxSlowdown, slowAttemptWindow)
 		return
 	}
-	if remainingMs > hopelessShare*timeLeftMs && mayReject(req) { // it would use capacity until its deadline
+	if remainingMs > hopelessShare*timeLeftMs && mayReject(req) { // frees the capacity before the deadline
 		b.rejectOrFail(req, ReasonRetryFutile)
 	}
 }
 
-// observeSpill records the first report that an attempt lacks memory: the class's grant
-// factor rises halfway to the need, and by one step at least.
+// observeSpill records the first report that an attempt lacks memory. It raises the class's grant factor
+// halfway to the memory needed, and by one step at least.
 func (a *attempt) observeSpill(missingMB float64) {
 	c := a.request.class
 	estimateMB := a.request.estimatedMemoryMB
--- a/policy/resources.go
+++ b/policy/resources.go
@@ -4,18 +4,18 @@
 
 const (
 	meanRankPriority = 2.5 // priority at the mean rank, before rounding
-	maxPriority      = 3   // of SetResources
-	defaultPriority  = 1   // where engines heed none
+	maxPriority      = 3   // most urgent priority of SetResources
+	defaultPriority  = 1   // used if engines ignore priorities
 
-	// A grant should cover the need of grantCoverage of a class's requests. The grant factor rises after a
-	// grant that was too small and falls after one that sufficed, by steps that cancel out at this share.
+	// A grant should suffice for a share of grantCoverage of a class's requests. The grant factor rises after
+	// a grant that was too small and falls after a grant that sufficed; the steps cancel out at this share.
 	grantCoverage = 0.87
 	grantIncrease = 1 + grantCoverage/10
 	grantDecrease = 1 - (1-grantCoverage)/10
 )
 
-// resources returns the memory and priority of the next attempt. They need not be set where engines heed
-// neither.
+// resources returns the memory and priority of the next attempt, and whether to set them: they are not set if
+// there is no memory to grant and engines ignore priorities.
 func (r *attemptRunner) resources(req *request) (resources SetResources, set bool) {
 	resources = SetResources{RequestID: req.id, Priority: defaultPriority}
 	if r.settings.MemoryGrants {
@@ -27,8 +27,9 @@
 	return resources, resources.MemoryMB > 0 || r.settings.Priorities
 }
 
-// priority rises by one step with each doubling of priority weight over expected work: long requests lose
-// little where short ones overtake them. A bulk load blocks the readers of its data set, so it comes first.
+// priority returns the priority of a request. It rises by one with each doubling of the ratio of priority
+// weight to expected work: long requests lose little when short ones overtake them. A bulk load has the
+// highest priority, since it blocks the readers of its data set.
 func priority(req *request) int {
 	if req.class.BulkLoad {
 		return maxPriority
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// retryBudget limits the retries within a sliding window to a constant plus a share of the requests
-// that arrived within it. Without a window in the settings there is no limit. It holds the instants
-// of the window's arrivals and retries.
+// retryBudget limits the retries within a sliding window to a constant plus a share of the requests that
+// arrived within it. If the settings have no window, retries are not limited.
 type retryBudget struct {
 	rules    *Rules
-	arrivals []time.Duration
-	retries  []time.Duration
+	arrivals []time.Duration // instants within the window
+	retries  []time.Duration // instants within the window
 }
 
 func (r *retryBudget) limited() bool { return r.rules.RetryBudgetWindow > 0 }
@@ -23,7 +22,7 @@
 	}
 }
 
-// spend counts a retry that was sent.
+// spend counts a retry that is sent.
 func (r *retryBudget) spend(now time.Duration) {
 	if r.limited() {
 		r.retries = append(r.retries, now)
@@ -40,7 +39,7 @@
 	return float64(len(r.retries)+1) <= budget
 }
 
-// expire drops the instants before the start of the window. Of those exactly at its start it drops
+// expire drops the arrivals and retries before the start of the window. Exactly at the start, it drops
 // arrivals and keeps retries, so that the budget is never too large.
 func (r *retryBudget) expire(now time.Duration) {
 	start := now - r.rules.RetryBudgetWindow
