--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// Action is what the caller must do, in the order given: StartAttempt, SetResources, CancelAttempt,
-// CheckHealth, Reject, Fail, SetTimer, Subscribe, EngineEjected, EngineReadmitted or ReportOverload.
+// Action is something that the caller must do: StartAttempt, SetResources, CancelAttempt, CheckHealth, Reject,
+// Fail, SetTimer, Subscribe, EngineEjected, EngineReadmitted or ReportOverload. The caller performs the actions
+// of an event in their order.
 type Action interface{ action() }
 
-// StartAttempt sends a request to an engine as its next attempt. The caller counts the attempts of each
-// request from 0; AttemptEnded, CancelAttempt and the like name an attempt by this number.
+// StartAttempt sends a request to an engine as the request's next attempt. The caller numbers the attempts of
+// each request from 0; AttemptEnded, CancelAttempt and others refer to an attempt by this number.
 type StartAttempt struct {
 	RequestID uint64
 	Engine    string
-	Timeout   time.Duration // after it the caller ends the attempt with ResultTimedOut; above 0
+	Timeout   time.Duration // after this the caller ends the attempt with ResultTimedOut; above 0
 }
 
-// SetResources sets memory and priority of a request's attempts from here on, and the priority of
-// those in flight.
+// SetResources sets the memory and priority of a request's later attempts, and the priority of its attempts in
+// flight.
 type SetResources struct {
 	RequestID uint64
 	MemoryMB  float64 // 0: the engine chooses
-	Priority  int     // 0 to 3, 3 the most urgent; 1 where engines heed none
+	Priority  int     // 0 to 3, where 3 is the most urgent; 1 if engines ignore priorities
 }
 
-// CancelAttempt ends one attempt; its AttemptEnded follows, with ResultCancelled unless it ended otherwise
-// before. The caller ignores it for an attempt that has ended.
+// CancelAttempt ends one attempt. An AttemptEnded with ResultCancelled follows, unless the attempt has ended
+// before; in this case the caller ignores the action.
 type CancelAttempt struct {
 	RequestID uint64
 	Attempt   int
@@ -32,38 +33,38 @@
 // CheckHealth asks an engine for its load; HealthChecked follows.
 type CheckHealth struct{ Engine string }
 
-// Reject is a final response after which the client may safely retry.
+// Reject is a final response after which the client may safely send the request again.
 type Reject struct {
 	RequestID  uint64
-	RetryAfter time.Duration // 0: not stated
+	RetryAfter time.Duration // 0: the response does not state when to retry
 	Reason     RejectReason
 }
 
-// RejectReason says why a request was rejected. From ReasonNoEndpoint to ReasonSlowStart the order matters:
-// each engine that isn't chosen has one of these reasons, and the greatest of all engines is reported, so a
-// lack of capacity at one engine hides the rules that exclude others.
+// RejectReason is the reason why a request was rejected. The order from ReasonNoEndpoint to ReasonSlowStart
+// matters: if no engine is chosen, each engine has one of these reasons, and the greatest of them is reported.
+// A lack of capacity at one engine thus takes precedence over the rules that exclude others.
 type RejectReason uint8
 
 // The reasons of a Reject.
 const (
-	// ReasonUnknownClass: the settings have no such class.
+	// ReasonUnknownClass: the settings do not name the request's class.
 	ReasonUnknownClass RejectReason = iota
-	// ReasonNoEndpoint: no engine of the endpoint list is ready.
+	// ReasonNoEndpoint: no engine in the endpoint list is ready.
 	ReasonNoEndpoint
-	// ReasonEjected: an engine is ready, but ejected, or the request's class is stalled there.
+	// ReasonEjected: an engine is ready but ejected, or the request's class is stalled there.
 	ReasonEjected
 	// ReasonAttemptsExhausted: one of the attemptRules forbids the attempt, such as the number of attempts,
 	// the retry budget, idempotency, the zones and kinds of the class, its ordering or the deadline.
 	ReasonAttemptsExhausted
-	// ReasonEngineLimit: the request exceeds an engine's limit.
+	// ReasonEngineLimit: the request exceeds an engine's concurrency limit.
 	ReasonEngineLimit
 	// ReasonSlowStart: an engine is in slow start, and this balancer's share of its budget is spent.
 	ReasonSlowStart
-	// ReasonFleetLimit: the request exceeds the limit of all engines together.
+	// ReasonFleetLimit: the request exceeds the concurrency limit of all engines together.
 	ReasonFleetLimit
 	// ReasonRetryFutile: an attempt failed or is too slow, and a retry would be too late or fail as well.
 	ReasonRetryFutile
-	// ReasonDeadline: the request's deadline is reached.
+	// ReasonDeadline: the request's deadline has been reached.
 	ReasonDeadline
 )
 
@@ -85,7 +86,7 @@
 // Fail is a final response after which the request may have had an effect.
 type Fail struct{ RequestID uint64 }
 
-// SetTimer asks for a TimerFired with the same token.
+// SetTimer asks for a TimerFired with the same token after the given time.
 type SetTimer struct {
 	After time.Duration
 	Token uint64
@@ -94,19 +95,19 @@
 // Subscribe asks for the endpoint list and its changes.
 type Subscribe struct{}
 
-// EngineEjected says that an engine was ejected as an outlier; it is for the operators.
+// EngineEjected tells the operators that an engine was ejected as an outlier.
 type EngineEjected struct {
 	Engine   string
 	Reason   EjectionReason
-	InFlight int // attempts in flight there
+	InFlight int // attempts in flight at the engine
 }
 
-// EjectionReason says why an engine was ejected.
+// EjectionReason is the reason why an engine was ejected.
 type EjectionReason uint8
 
 // The reasons of an EngineEjected.
 const (
-	EjectedSilent           EjectionReason = iota // neither responses nor progress reports arrive from it
+	EjectedSilent           EjectionReason = iota // it sends neither responses nor progress reports
 	EjectedErrors                                 // it responds with errors to requests that others serve
 	EjectedConnectionFaults                       // connections to it fail or break
 	EjectedOverdue                                // its responses are overdue
@@ -122,15 +123,16 @@
 // String returns the reason's name in logs.
 func (r EjectionReason) String() string { return ejectionReasonNames[r] }
 
-// EngineReadmitted says that an ejected engine takes requests again; it is for the operators.
+// EngineReadmitted tells the operators that an ejected engine takes requests again.
 type EngineReadmitted struct{ Engine string }
 
-// ReportOverload says that this balancer alone has sent a warming engine more than it bears, which its
-// budget rules out: a fault of this package. Nothing depends on it.
+// ReportOverload reports that this balancer alone has sent a warming engine more work than the engine can
+// handle from all balancers. The budget of slow start should prevent this, so it is a bug in this package. No
+// decision depends on it.
 type ReportOverload struct {
 	Engine string
 	Sent   float64 // requests of mean work within the overload window
-	Limit  float64
+	Limit  float64 // in the same unit
 }
 
 func (StartAttempt) action()     {}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -9,10 +9,10 @@
 	controlPeriod  = 500 * time.Millisecond         // between two runs of the control loops
 	ticksPerPeriod = 5                              // engines are checked for silence at each tick
 	tickPeriod     = controlPeriod / ticksPerPeriod // between two ticks
-	tickToken      = 0                              // token of the tick's timer; others are of DeadlineTimer
+	tickToken      = 0                              // token of the tick; DeadlineTimer uses all others
 )
 
-// actionList collects the actions of the event in hand.
+// actionList collects the actions of the current event.
 type actionList struct{ list []Action }
 
 func (l *actionList) add(a Action) { l.list = append(l.list, a) }
@@ -21,10 +21,10 @@
 // concern, and collects their actions. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
-	now      time.Duration // of the event in hand
-	actions  actionList    // of the event in hand
+	now      time.Duration // instant of the current event, never earlier than that of the previous event
+	actions  actionList    // of the current event
 	rng      *rand.Rand
-	started  bool // the first event has come
+	started  bool // the first event has been handled
 	ticks    int
 
 	requests  map[uint64]*request // until they are completed and their attempts have ended
@@ -43,7 +43,7 @@
 	load      loadReports
 }
 
-// Handle processes one event and appends the actions that it leads to.
+// Handle processes one event and returns actions with the actions of the event appended.
 func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
 	b.now = max(now, b.now)
 	b.actions.list = actions
@@ -77,7 +77,8 @@
 	return actions
 }
 
-// attempt returns an attempt, which may have ended, of a request that is still tracked, or nil.
+// attempt returns an attempt, or nil if its request is no longer tracked or has no such attempt. The attempt
+// may have ended.
 func (b *Balancer) attempt(requestID uint64, index int) *attempt {
 	req := b.requests[requestID]
 	if req == nil || index < 0 || index >= len(req.attempts) {
@@ -86,7 +87,7 @@
 	return req.attempts[index]
 }
 
-// onFirstEvent starts the ticks and, where the endpoint list isn't pushed, subscribes to it.
+// onFirstEvent starts the ticks and, if the endpoint list is not pushed, subscribes to it.
 func (b *Balancer) onFirstEvent(now time.Duration) {
 	b.started = true
 	b.slowStart.firstEventAt = now
@@ -96,8 +97,7 @@
 	}
 }
 
-// onTimer runs a tick, or rejects a request whose client is about to give up. A response that is
-// being streamed goes on.
+// onTimer runs a tick, or ends a request shortly before its deadline unless its response is being streamed.
 func (b *Balancer) onTimer(token uint64) {
 	if token == tickToken {
 		b.tick()
@@ -109,8 +109,8 @@
 	}
 }
 
-// tick checks the engines for silence and overdue attempts, admits queued requests and, once a control
-// period, runs the control loops.
+// tick checks the engines for silence and their attempts for lost or overdue responses, admits queued
+// requests and, once a control period, runs the control loops.
 func (b *Balancer) tick() {
 	b.actions.add(SetTimer{After: tickPeriod})
 	b.outliers.silence.onTick(b.now)
@@ -124,7 +124,7 @@
 	}
 }
 
-// endControlPeriod updates the estimate of the traffic, runs the control loops and drops obsolete state.
+// endControlPeriod updates the traffic estimate, runs the control loops and drops obsolete state.
 func (b *Balancer) endControlPeriod() {
 	requestsPerEngine := float64(len(b.requests)) / float64(max(len(b.engines.all), 1))
 	b.traffic.endPeriod(requestsPerEngine)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -10,51 +10,53 @@
 //	actions = balancer.Handle(now, event, actions[:0])
 //
 // The inputs are in events.go, the outputs in actions.go, the configuration in settings.go.
-// All instants are durations since one arbitrary origin of the caller's choosing. If an event has an earlier
-// instant than the event before it, it counts as simultaneous with that event. The first event sets a timer
-// of 100 ms that repeats, the tick; every fifth tick ends a control period.
+// All instants are durations since one origin, which the caller chooses. An event with an earlier instant than
+// the previous event is treated as simultaneous with that event. The first event starts a timer that repeats
+// every 100 ms, the tick; every fifth tick ends a control period.
 //
 // # What the caller must do
 //
 // The caller performs all actions of an event before the next call of Handle. It numbers the attempts of each
-// request from 0, in the order of their StartAttempt actions. Events and actions name an attempt by this
+// request from 0, in the order of their StartAttempt actions. Events and actions refer to an attempt by this
 // number.
 //
 // Each attempt ends with exactly one AttemptEnded. The caller ends it with ResultTimedOut after the timeout of
-// its StartAttempt, and with ResultCancelled at a CancelAttempt, unless it has ended before. After a
+// its StartAttempt, and with ResultCancelled on a CancelAttempt, unless it has ended before. After a
 // StreamStarted the balancer neither cancels the attempt nor ends its request at the deadline.
 //
 // Each request ends with exactly one of these: an AttemptEnded with Completed set, a Reject, a Fail, or a
-// ClientDisconnected. Attempts of the request that are still in flight must end nevertheless.
+// ClientDisconnected. Attempts of the request that are still in flight must then still get their AttemptEnded.
 //
 // # How it works
 //
-// A Balancer is a pure state machine: it reads no clock, does no I/O and starts no goroutine. Its
-// random draws come from one generator that is seeded by New. One goroutine at a time may call it.
+// A Balancer is a pure state machine: it reads no clock, does no I/O and starts no goroutine. Its random
+// numbers come from one generator that New seeds. It is not safe for concurrent use.
 //
-// The Balancer routes events and composes the types below, each of which owns the state of one
-// concern. Files from which decisions follow are listed under policy in deploy/balancer.toml. Where to look:
+// The Balancer routes events and composes the types below, each of which owns the state of one concern. The
+// files that contain decisions are listed under policy in deploy/balancer.toml. Where to look:
 //
 //   - balancer.go: routing of events, the periodic tick; new.go: composition of the types
 //   - admission.go: arrival of a request, its expected cost, rejection, completion
 //   - selector.go: selector, the choice of engine
 //   - limiter.go: limiter, the adaptive concurrency limit; fleet.go: its use for all engines together
 //   - engine.go: engine, which holds the state of each concern for one engine
-//   - outcome.go: what is learned from the end of an attempt, and what follows from it
-//   - class.go: class, what is learned of the latency, work and memory of a class's requests
+//   - outcome.go: handling of the end of an attempt, and learning from it
+//   - class.go: class, with the latency, work and memory learned from the requests of a class
 //   - progress.go: progress reports of attempts in flight
 //   - attemptrules.go: attemptRules, retries and idempotency; retrybudget.go: retryBudget;
 //     attemptrunner.go: attemptRunner, which starts and cancels attempts
-//   - outlierdetector.go: outlierDetector, ejection and readmission; outlier.go: outlierState, its state of
+//   - outlierdetector.go: outlierDetector, ejection and readmission; outlier.go: outlierState, the state for
 //     one engine; silence.go: silenceDetector; lostresponses.go: classes that are stalled on an engine
-//   - slowstart.go: slowStart, the budget of an engine that is warming up; reportedstart.go: its start
+//   - slowstart.go: slowStart, the budget of an engine that is warming up; reportedstart.go: when it started
 //   - quota.go: quotas of tenants; traffic.go: trafficEstimate, this front end's share of the traffic
-//   - ordering.go: orderedRequests, requests of one ordering key, one at a time; keyqueue.go: their queues
+//   - ordering.go: orderedRequests, which runs the requests of one ordering key one at a time; keyqueue.go:
+//     their queues
 //   - load.go: loadReports, the load that engines report
 //   - locality.go: datasetAffinity, which engines cache a data set
 //   - resources.go: memory grants and priorities
 //   - endpoints.go: the endpoint list
 //
 // request.go and attempt.go hold the state of a request and its attempts. overloadcheck.go checks slow start
-// at run time and decides nothing. The other files hold small mechanisms, such as averages and token buckets.
+// at run time and does not affect decisions. The other files hold small mechanisms, such as averages and token
+// buckets.
 package policy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// engineTable holds the engines that the endpoint list has named, until they are removed and nothing
-// of them is in flight.
+// engineTable holds the engines that the endpoint list has named. prune drops them once they are no longer
+// needed.
 type engineTable struct {
-	all  []*engine // in order of first sight
+	all  []*engine // in the order in which the endpoint list first named them
 	byID map[string]*engine
 }
 
@@ -20,8 +20,8 @@
 	t.all = append(t.all, e)
 }
 
-// prune drops engines that are removed, idle and not warming up, and the bulk loads of the others that are
-// over. An engine that is warming up stays, since it may be listed again and its budget is partly spent.
+// prune drops engines that are removed, idle and not warming up, and the expired bulk loads of the other
+// engines. An engine that is warming up stays, since it may be listed again with a partly spent budget.
 func (t *engineTable) prune(now time.Duration) {
 	obsolete := func(e *engine) bool {
 		return e.state == EngineRemoved && len(e.inFlight) == 0 && !e.slowStart.active(now)
@@ -33,14 +33,15 @@
 	}
 }
 
-// onEndpointsChanged applies the endpoint list or a change to it, or subscribes to it again.
+// onEndpointsChanged applies the endpoint list or a change to it. After a failure it subscribes again if the
+// list must be subscribed to.
 func (b *Balancer) onEndpointsChanged(ev EndpointsChanged) {
 	if ev.Mode == UpdateFailed && b.settings.PullDiscovery {
 		b.actions.add(Subscribe{})
 	}
 	if ev.Mode == UpdateFull || ev.Mode == UpdateCached {
 		for _, e := range b.engines.all {
-			e.state = EngineRemoved // unless the list names it
+			e.state = EngineRemoved // until updateEndpoint sets the state of listed engines
 		}
 	}
 	for _, endpoint := range ev.Engines {
@@ -49,7 +50,8 @@
 	b.fleet.rescale(b.engines.all, b.now)
 }
 
-// updateEndpoint adds or updates an engine. A new or restarted one gets initial values.
+// updateEndpoint adds or updates an engine. It resets the limits and the outlier state of an engine that is
+// new or has restarted.
 func (b *Balancer) updateEndpoint(endpoint Engine) {
 	cores := b.settings.coresOf(endpoint.Kind)
 	e := b.engines.byID[endpoint.ID]
--- a/policy/events.go
+++ b/policy/events.go
@@ -6,34 +6,34 @@
 // StreamStarted, ClientDisconnected, TimerFired or EndpointsChanged.
 type Event interface{ event() }
 
-// RequestArrived is a new request. It is pending until its one final response: an AttemptEnded
-// with Completed set, a Reject or a Fail; or until a ClientDisconnected.
+// RequestArrived is a new request. The request is pending until its only final response, which is an
+// AttemptEnded with Completed set, a Reject or a Fail, or until a ClientDisconnected.
 type RequestArrived struct {
-	RequestID         uint64 // never reused, not even for a retry by the client
+	RequestID         uint64 // unique; a retry by the client has another one
 	Class             string
-	Tenant            string        // "": none
-	OrderKey          string        // ordering key; "": none
-	Dataset           int64         // the data set that it reads or writes
+	Tenant            string        // "": no tenant
+	OrderKey          string        // ordering key; "": no ordering key
+	Dataset           int64         // the data set that the request reads or writes
 	Deadline          time.Duration // instant at which the client gives up
-	EstimatedWork     time.Duration // of all its threads; 0: no estimate
+	EstimatedWork     time.Duration // sum over all threads; 0: no estimate
 	EstimatedMemoryMB float64       // 0: no estimate
-	ClientRetry       bool          // the client marks it as a retry of its own
+	ClientRetry       bool          // the client has marked the request as a retry
 }
 
 // Result is how an attempt ended.
 type Result uint8
 
-// The results of attempts. ResultUnknown, the zero value, counts as one that may have run.
+// The results of attempts. An attempt with ResultUnknown, the zero value, may have run.
 const (
 	ResultUnknown        Result = iota
 	ResultServed                // the engine responded with the result
 	ResultFailed                // the engine returned an error; may have run
 	ResultOverloaded            // rejected by the engine; never ran
-	ResultTimedOut              // no response in time; may run still
-	ResultConnectFailed         // never reached the engine; never ran
+	ResultTimedOut              // no response in time; may still run
+	ResultConnectFailed         // the connection could not be made; never ran
 	ResultConnectionLost        // the connection broke; may have run
 	ResultCancelled             // ended by CancelAttempt; may have run
-	ResultNotSent               // not sent at all; never ran
+	ResultNotSent               // not sent; never ran
 )
 
 // AttemptEnded ends one attempt; each StartAttempt gets exactly one.
@@ -43,26 +43,26 @@
 	Result    Result
 	Elapsed   time.Duration // since the StartAttempt
 	Completed bool          // the client has its response, or has disconnected
-	Work      time.Duration // that the request needed, where the engine reports it; else 0
-	MemoryMB  float64       // the same
+	Work      time.Duration // work that the request needed; 0: not reported by the engine
+	MemoryMB  float64       // memory that the request needed; 0: not reported by the engine
 	Load      LoadReport
 }
 
-// LoadReport is an engine's report of its load, delayed and noisy. A figure that the deployment
-// doesn't report is -1.
+// LoadReport is an engine's report of its load, which is delayed and noisy. A figure that engines of the
+// deployment do not report is -1.
 type LoadReport struct {
 	Reported    bool    // false: there was no report
 	CPUShare    float64 // share of its cores in use
 	InFlight    float64 // requests
 	Queued      float64 // requests waiting for memory
-	MemoryShare float64 // share of memory granted
-	DiskShare   float64 // share of disks busy
+	MemoryShare float64 // share of its memory that is granted
+	DiskShare   float64 // share of its disks that is busy
 }
 
-// unreportedFigure is the value of a figure that the deployment doesn't report.
+// unreportedFigure is the value of a figure that is not reported.
 const unreportedFigure = -1
 
-// UnreportedLoad returns a report without any figure, for callers to fill in.
+// UnreportedLoad returns a report in which no figure is reported, for callers to fill in.
 func UnreportedLoad() LoadReport {
 	return LoadReport{
 		CPUShare:    unreportedFigure,
@@ -85,10 +85,10 @@
 
 // The kinds of ProgressReported, with the meaning of its Value.
 const (
-	ProgressFraction       ProgressKind = iota + 1 // it runs; value: rough share of the work done, 0 to 1
-	ProgressSpilling                               // it lacks memory; value: the missing memory in MB
-	ProgressAwaitingMemory                         // it waits for memory; no value
-	ProgressAwaitingLoad                           // it waits for a bulk load of its data set; no value
+	ProgressFraction       ProgressKind = iota + 1 // running; value: rough share of the work done, 0 to 1
+	ProgressSpilling                               // lacks memory; value: the missing memory in MB
+	ProgressAwaitingMemory                         // waits for memory; no value
+	ProgressAwaitingLoad                           // waits for a bulk load of its data set; no value
 )
 
 // ProgressReported is a progress report of an attempt in flight.
@@ -99,27 +99,27 @@
 	Value     float64
 }
 
-// StreamStarted says that a streamed response has begun. From then on the balancer neither cancels the
+// StreamStarted reports that a streamed response has begun. From then on the balancer neither cancels the
 // attempt nor ends the request at its deadline.
 type StreamStarted struct {
 	RequestID uint64
 	Attempt   int
 }
 
-// ClientDisconnected says that the client has disconnected: the request needs no response any more.
+// ClientDisconnected reports that the client has disconnected, so the request no longer needs a response.
 type ClientDisconnected struct{ RequestID uint64 }
 
-// TimerFired says that the SetTimer with the same token is due.
+// TimerFired reports that the SetTimer with the same token is due.
 type TimerFired struct{ Token uint64 }
 
-// UpdateMode says how an endpoint list is to be read.
+// UpdateMode is how the balancer applies an EndpointsChanged.
 type UpdateMode uint8
 
 // The modes of EndpointsChanged.
 const (
-	UpdateFailed UpdateMode = iota // the poll failed or the subscription broke: no entries
+	UpdateFailed UpdateMode = iota // no entries: the poll failed or the subscription broke
 	UpdateDelta                    // changed entries only
-	UpdateFull                     // all engines: others are removed
+	UpdateFull                     // all engines; engines that are not listed are removed
 	UpdateCached                   // like UpdateFull, but from a cache that may be stale
 )
 
@@ -132,7 +132,7 @@
 // EngineState is the state of an engine in the endpoint list.
 type EngineState uint8
 
-// The states of an engine. EngineRemoved is the zero value, as the most cautious.
+// The states of an engine. EngineRemoved is the zero value, since it is the most cautious state.
 const (
 	EngineRemoved EngineState = iota
 	EngineDraining
@@ -147,11 +147,11 @@
 	Cell       int64 // see ScopeCell
 	State      EngineState
 	StartedAt  time.Duration // latest start, by the engine's wall clock, which may be wrong
-	StartKnown bool          // false: StartedAt is not set, and the engine is not warming up
+	StartKnown bool          // false: StartedAt is not set, and the entry begins no slow start
 }
 
-// DeadlineTimer is the TimerFired that ends a request shortly before its deadline, unless its response is
-// being streamed. A caller may pass it to Handle earlier, to end the request at once.
+// DeadlineTimer returns the TimerFired that ends a request shortly before its deadline, unless its response is
+// being streamed. The caller may pass it to Handle earlier to end the request at once.
 func DeadlineTimer(requestID uint64) TimerFired { return TimerFired{Token: requestID + 1} }
 
 // requestOfDeadline returns the request whose DeadlineTimer has the token.
--- a/policy/validate.go
+++ b/policy/validate.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// SettingsError says what is wrong with one field of the settings.
+// SettingsError describes an invalid field of the settings.
 type SettingsError struct {
-	Field   string // of Settings, with the index of a class
+	Field   string // path from Settings, such as "Classes[0].Name"
 	Problem string
 }
 
@@ -18,7 +18,7 @@
 	return &SettingsError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// validate names the first field of the settings that no balancer can work with.
+// validate returns a *SettingsError for the first invalid field of the settings, or nil.
 func validate(settings *Settings) error {
 	if settings.Replicas < 1 {
 		return settingsError("Replicas", "%d is under 1", settings.Replicas)
@@ -34,7 +34,7 @@
 	switch {
 	case settings.ProgressInterval < 0:
 		return settingsError("ProgressInterval", "%v is under 0", settings.ProgressInterval)
-	case !(settings.Rules.RetryBudgetMin >= 0): // also where it is not a number
+	case !(settings.Rules.RetryBudgetMin >= 0): // written so that it includes NaN
 		return settingsError("Rules.RetryBudgetMin", "%v is under 0", settings.Rules.RetryBudgetMin)
 	case !(settings.Rules.RetryBudgetRatio >= 0):
 		return settingsError("Rules.RetryBudgetRatio", "%v is under 0", settings.Rules.RetryBudgetRatio)
