--- a/policy/validate.go
+++ b/policy/validate.go
@@ -35,9 +35,9 @@
 	case settings.ProgressInterval < 0:
 		return settingsError("ProgressInterval", "%v is under 0", settings.ProgressInterval)
 	case !(settings.Rules.RetryBudgetMin >= 0): // written so that it includes NaN
-		return settingsError("Rules.RetryBudgetMin", "%v is under 0", settings.Rules.RetryBudgetMin)
+		return settingsError("Rules.RetryBudgetMin", "%v is not 0 or above", settings.Rules.RetryBudgetMin)
 	case !(settings.Rules.RetryBudgetRatio >= 0):
-		return settingsError("Rules.RetryBudgetRatio", "%v is under 0", settings.Rules.RetryBudgetRatio)
+		return settingsError("Rules.RetryBudgetRatio", "%v is not 0 or above", settings.Rules.RetryBudgetRatio)
 	case settings.Rules.RetryBudgetWindow < 0:
 		return settingsError("Rules.RetryBudgetWindow", "%v is under 0", settings.Rules.RetryBudgetWindow)
 	}
@@ -53,9 +53,9 @@
 	case c.Deadline <= 0:
 		return settingsError(field+".Deadline", "%v is not above 0", c.Deadline)
 	case c.Threads < 0 || math.IsNaN(c.Threads) || math.IsInf(c.Threads, 0):
-		return settingsError(field+".Threads", "%v is not a count", c.Threads)
+		return settingsError(field+".Threads", "%v is not a finite number of 0 or above", c.Threads)
 	case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0):
-		return settingsError(field+".PriorityWeight", "%v is not a weight", c.PriorityWeight)
+		return settingsError(field+".PriorityWeight", "%v is not a finite number of 0 or above", c.PriorityWeight)
 	case c.Effect == IdempotentByKey && c.DedupWindow < 0:
 		return settingsError(field+".DedupWindow", "%v is under 0", c.DedupWindow)
 	}
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -16,16 +16,22 @@
 		{"Classes[0].Name", "empty", func(s *Settings) { s.Classes[0].Name = "" }},
 		{"Classes[1].LatencyObjective", "0s is not above 0", func(s *Settings) { s.Classes[1].LatencyObjective = 0 }},
 		{"Classes[2].Deadline", "-1ns is not above 0", func(s *Settings) { s.Classes[2].Deadline = -1 }},
-		{"Classes[0].Threads", "NaN is not a count", func(s *Settings) { s.Classes[0].Threads = math.NaN() }},
 		{
-			"Classes[0].PriorityWeight", "NaN is not a weight",
+			"Classes[0].Threads", "NaN is not a finite number of 0 or above",
+			func(s *Settings) { s.Classes[0].Threads = math.NaN() },
+		},
+		{
+			"Classes[0].PriorityWeight", "NaN is not a finite number of 0 or above",
 			func(s *Settings) { s.Classes[0].PriorityWeight = math.NaN() },
 		},
 		{"Classes[3].DedupWindow", "-1ns is under 0", func(s *Settings) { s.Classes[3].DedupWindow = -1 }},
 		{"ProgressInterval", "-1ns is under 0", func(s *Settings) { s.ProgressInterval = -1 }},
 		{"Rules.RetryBudgetWindow", "-1ns is under 0", func(s *Settings) { s.Rules.RetryBudgetWindow = -1 }},
-		{"Rules.RetryBudgetMin", "-1 is under 0", func(s *Settings) { s.Rules.RetryBudgetMin = -1 }},
-		{"Rules.RetryBudgetRatio", "NaN is under 0", func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() }},
+		{"Rules.RetryBudgetMin", "-1 is not 0 or above", func(s *Settings) { s.Rules.RetryBudgetMin = -1 }},
+		{
+			"Rules.RetryBudgetRatio", "NaN is not 0 or above",
+			func(s *Settings) { s.Rules.RetryBudgetRatio = math.NaN() },
+		},
 	} {
 		s := settings()
 		c.breakSetting(&s)
