--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -8,7 +8,8 @@
 	"flaxrelay/policy"
 )
 
-// BenchmarkDecision measures one arrival with its outcome at a balancer of 40 engines.
+// BenchmarkDecision measures the arrival and the served attempt of one request at a balancer with 40 engines, with a
+// tick every 100 requests.
 func BenchmarkDecision(b *testing.B) {
 	settings := characterizationSettings()
 	balancer, err := policy.New(settings, 1)
--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -13,7 +13,7 @@
 const (
 	characterizationEvents     = 6000 // events handled in each scenario
 	characterizationCheckpoint = 250  // events between two lines of the golden file
-	characterizationState      = 10   // events between two looks at all that was learned
+	characterizationState      = 10   // events between two additions of the learned state to the digest
 )
 
 // scenario is a deployment that the characterization test simulates.
@@ -23,14 +23,14 @@
 	engines  int
 	rate     float64 // arrivals a second
 	speed    float64 // work done a second on one idle core, in seconds
-	faults   float64 // share of attempts that end in something other than a result
-	estimate bool    // arrivals carry estimates of work and memory
+	faults   float64 // share of attempts to which a fault happens
+	estimate bool    // arrivals have estimates of work and memory
 }
 
-// TestBalancer_DecisionsAreUnchanged simulates each scenario. It compares a digest of all actions and, every ten
-// events, of all that the balancer has learned, bit for bit, with the digest of the golden file. A change of any
-// decision, of the order of random draws or of a floating-point operation shows as a difference. The fields of the
-// actions that are only for operators are left out.
+// TestBalancer_DecisionsAreUnchanged simulates each scenario. It compares a digest with the one in the golden file.
+// The digest covers all actions and, every ten events, all values that the balancer has learned, bit for bit. A change
+// of any decision, of the order of random draws or of a floating-point operation shows as a difference. The fields of
+// the actions for operators are left out.
 func TestBalancer_DecisionsAreUnchanged(t *testing.T) {
 	var got bytes.Buffer
 	for _, s := range scenarios() {
@@ -40,8 +40,8 @@
 	golden.Compare(t, path, got.Bytes())
 }
 
-// scenarios returns the scenarios of the golden file. Their names stay, since the golden file contains them and their
-// length seeds the random numbers.
+// scenarios returns the scenarios of the golden file. Their names must not change, since the golden file contains them
+// and the length of each name seeds the random numbers.
 func scenarios() []scenario {
 	plain := characterizationSettings()
 	quotas := characterizationSettings()
--- a/policy/decisionfiles_test.go
+++ b/policy/decisionfiles_test.go
@@ -13,11 +13,11 @@
 const (
 	deployFile           = "../deploy/balancer.toml"
 	maxDecisionFileLines = 160 // lines that are not blank, in one decision file
-	maxLineLength        = 110 // characters, where a tab counts as four
+	maxLineLength        = 110 // characters; a tab counts as four
 )
 
-// filesWithoutDecisions hold the interface, state and mechanisms that decide
-// nothing. A file with decisions belongs to the policy list of the deploy file.
+// filesWithoutDecisions hold the interface, state and mechanisms, none of which contain decisions. A file with
+// decisions must be in the policy list of the deploy file.
 var filesWithoutDecisions = []string{
 	"actions.go", "attempt.go", "decayingcounter.go", "doc.go", "events.go", "ewma.go", "keyqueue.go", "new.go",
 	"overloadcheck.go", "request.go", "settings.go", "tokenbucket.go", "units.go", "validate.go",
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// digestWriter hashes actions in a form that doesn't depend on Go names.
+// digestWriter hashes actions in a form that does not depend on names in the code.
 type digestWriter struct {
 	hash hash.Hash64
 }
@@ -38,7 +38,7 @@
 	d.hash.Write(b)
 }
 
-// float adds a figure.
+// float adds a value.
 func (d *digestWriter) float(value float64) {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], math.Float64bits(value))
--- a/policy/export_test.go
+++ b/policy/export_test.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LearnedState lists every figure that the balancer has learned, in a fixed
-// order, for the characterization test.
+// LearnedState returns all values that the balancer has learned, in a fixed order, for the characterization
+// test.
 func (b *Balancer) LearnedState() []float64 {
 	figures := []float64{
 		b.quotas.total, b.fleet.target.threadsPerCore, b.traffic.meanWeight, b.fleet.target.maxThreads,
@@ -12,7 +12,7 @@
 	}
 	figures = append(figures, b.fleet.limiter.figures(b.fleet.loadLevel)...)
 	for _, e := range b.engines.all {
-		figures = append(figures, e.limiter.figures(0)...) // the load level is of the fleet alone
+		figures = append(figures, e.limiter.figures(0)...) // only the fleet has a load level
 		figures = append(figures, e.cores, e.slowStart.firstSlot, e.load.threadsPerCore, e.outlier.faultRate)
 		for _, instant := range []time.Duration{
 			e.slowStart.endsAt, e.slowStart.noticedAt, e.slowStart.budgetSpentUntil,
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -8,7 +8,7 @@
 
 const msec = time.Millisecond
 
-// harness drives one balancer and keeps the actions of the latest event.
+// harness passes events to one balancer and keeps the actions of the latest event.
 type harness struct {
 	t        *testing.T
 	balancer *Balancer
@@ -16,7 +16,8 @@
 	actions  []Action
 }
 
-// settings returns a deployment with one class of each kind.
+// settings returns the settings of a deployment with one class for each value of Effect, and a wide, an ordered
+// and a placed class.
 func settings() Settings {
 	return Settings{
 		Replicas: 2, Zone: "a", ProgressInterval: 500 * msec, TimerGranularity: 5 * msec,
@@ -55,13 +56,13 @@
 	}
 }
 
-// readyEngine returns an endpoint that takes requests.
+// readyEngine returns the endpoint list entry of an engine that takes requests.
 func readyEngine(id, zone string, cell int64) Engine {
 	return Engine{ID: id, Zone: zone, Kind: "k", Cell: cell, State: EngineReady}
 }
 
-// manyBalancers returns settings and engines of a deployment with so many balancers
-// that an even share of an engine is far less than the weight of one request.
+// manyBalancers returns the settings and n engines of a deployment with so many balancers that an even share of
+// an engine is far less than the weight of one request.
 func manyBalancers(n int) (Settings, []Engine) {
 	s := settings()
 	s.Replicas = 200
@@ -72,7 +73,7 @@
 	return s, list
 }
 
-// mustNew returns a balancer for settings that are valid.
+// mustNew returns a balancer, and fails the test if the settings are invalid.
 func mustNew(t *testing.T, s Settings, seed uint64) *Balancer {
 	t.Helper()
 	b, err := New(s, seed)
@@ -82,7 +83,7 @@
 	return b
 }
 
-// newHarness returns a balancer with the engines listed.
+// newHarness returns a harness whose balancer has received the engines as its first endpoint list.
 func newHarness(t *testing.T, s Settings, engines ...Engine) *harness {
 	t.Helper()
 	h := &harness{t: t, balancer: mustNew(t, s, 1), now: time.Minute}
@@ -100,7 +101,7 @@
 	return h
 }
 
-// runFor fires the periodic timer for a while and returns all actions.
+// runFor fires the tick every 100 ms for the given time and returns all actions.
 func (h *harness) runFor(d time.Duration) (all []Action) {
 	for end := h.now + d; h.now < end; {
 		all = append(all, h.advance(100*msec).handle(TimerFired{})...)
--- a/policy/keyqueue_test.go
+++ b/policy/keyqueue_test.go
@@ -25,7 +25,7 @@
 	for _, req := range []*request{{class: ordered}, {class: unordered, orderKey: "x"}} {
 		queues.enqueue(req)
 		if queues.of(req) != nil {
-			t.Errorf("a queue for a request without an ordering key: %+v", req)
+			t.Errorf("there is a queue for a request without an ordering key: %+v", req)
 		}
 	}
 	if len(queues) != 2 {
--- a/policy/simulation_actions_test.go
+++ b/policy/simulation_actions_test.go
@@ -9,7 +9,7 @@
 // actionKind is the kind of an action in the digest and in the counts of the golden file.
 type actionKind int
 
-// The kinds of actions. Their order stays, since the golden file depends on it.
+// The kinds of actions. Their order must not change, since the golden file depends on it.
 const (
 	actionStart actionKind = iota
 	actionSetResources
@@ -24,7 +24,7 @@
 	actionKinds
 )
 
-// perform carries out an action, and adds it to the digest.
+// perform adds an action to the digest and simulates its effect.
 func (s *simulation) perform(action policy.Action) {
 	switch a := action.(type) {
 	case policy.StartAttempt:
@@ -60,7 +60,7 @@
 	}
 }
 
-// record counts an action, and adds it to the digest.
+// record counts an action and adds it to the digest.
 func (s *simulation) record(kind actionKind, values ...any) {
 	s.counts[kind]++
 	s.digest.write(kind, s.now, values)
--- a/policy/simulation_attempts_test.go
+++ b/policy/simulation_attempts_test.go
@@ -6,7 +6,7 @@
 	"flaxrelay/policy"
 )
 
-// send starts an attempt and schedules its end.
+// send starts an attempt, and schedules its end and its progress reports.
 func (s *simulation) send(send policy.StartAttempt) {
 	req := s.requests[send.RequestID]
 	e := s.byID[send.Engine]
@@ -42,13 +42,13 @@
 	s.reportProgress(req, n, took)
 }
 
-// duration is how long an engine takes for a request, given its load.
+// duration returns how long an engine takes for a request, given the engine's load.
 func (s *simulation) duration(req *simulatedRequest, e *simulatedEngine) time.Duration {
 	crowding := 1 + float64(e.attempts*e.attempts)/100
 	return time.Duration(float64(req.work)*crowding*e.slowdown/s.speed) + time.Millisecond
 }
 
-// reportProgress schedules progress reports of an attempt: now and then a wait or a spill.
+// reportProgress schedules the progress reports of an attempt, some of which report a wait or a spill.
 func (s *simulation) reportProgress(req *simulatedRequest, n int, took time.Duration) {
 	id := req.arrive.RequestID
 	if s.settings.Classes[0].Name != req.arrive.Class && s.random.IntN(3) == 0 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// end ends an attempt and returns its end, or nil if it has ended before.
+// end ends an attempt and returns its AttemptEnded, or nil if the attempt has ended before.
 func (s *simulation) end(requestID uint64, n int, result policy.Result) policy.Event {
 	req := s.requests[requestID]
 	if n >= len(req.attempts) || req.attempts[n].ended {
--- a/policy/simulation_endpoints_test.go
+++ b/policy/simulation_endpoints_test.go
@@ -7,7 +7,8 @@
 	"flaxrelay/policy"
 )
 
-// firstList adds the first engines and returns their list. Half of them started long ago.
+// firstList adds the first engines and returns the list of them. Half of them report no start, as if they had started
+// long ago.
 func (s *simulation) firstList() policy.Event {
 	for range s.scenario.engines {
 		s.addEngine(len(s.engines)%2 == 0)
@@ -15,7 +16,7 @@
 	return s.fullList(policy.UpdateCached)
 }
 
-// addEngine adds an engine. If startKnown is true, it has started now.
+// addEngine adds an engine. If startKnown is true, the endpoint list reports that the engine has started now.
 func (s *simulation) addEngine(startKnown bool) *simulatedEngine {
 	n := len(s.engines)
 	e := &simulatedEngine{slowdown: 0.8 + 0.4*s.random.Float64(), entry: policy.Engine{
@@ -28,7 +29,7 @@
 	return e
 }
 
-// fullList returns the list of all engines that are not removed.
+// fullList returns an endpoint list with all engines that are not removed.
 func (s *simulation) fullList(mode policy.UpdateMode) policy.Event {
 	list := policy.EndpointsChanged{Mode: mode}
 	for _, e := range s.engines {
@@ -39,7 +40,8 @@
 	return list
 }
 
-// nextListEvent changes an engine (drain, end, return, hang, slowdown) and returns the update of the list, if any.
+// nextListEvent changes an engine at random (it hangs, slows down, drains, is removed or starts again) and returns
+// the update of the endpoint list, or nil if the change does not affect the list.
 func (s *simulation) nextListEvent() policy.Event {
 	s.after(time.Duration(200+s.random.IntN(1500))*time.Millisecond, s.nextListEvent)
 	e := s.engines[s.random.IntN(len(s.engines))]
--- a/policy/simulation_requests_test.go
+++ b/policy/simulation_requests_test.go
@@ -8,10 +8,10 @@
 	"flaxrelay/policy"
 )
 
-// nextArrival schedules the arrival after this one, and returns a request.
+// nextArrival returns the arrival of a random request, and schedules the next arrival.
 func (s *simulation) nextArrival() policy.Event {
 	rate := s.rate
-	if int(s.now/(5*time.Second))%3 == 2 { // a burst
+	if int(s.now/(5*time.Second))%3 == 2 { // a burst in every third span of five seconds
 		rate *= 2
 	}
 	s.after(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), s.nextArrival)
@@ -44,7 +44,7 @@
 	return req.arrive
 }
 
-// drawClass draws the class of a request: every other request is of the first class.
+// drawClass draws the class of a request: the first class with probability 1/2, otherwise any class.
 func (s *simulation) drawClass() policy.Class {
 	if s.random.IntN(2) == 0 {
 		return s.settings.Classes[0]
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -11,7 +11,7 @@
 	"flaxrelay/policy"
 )
 
-// workOfClass is the mean work of a request of a class.
+// workOfClass is the work of a typical request, by class; nextArrival scales it with a random factor.
 var workOfClass = map[string]time.Duration{
 	"lookup": 80 * time.Millisecond, "report": 2 * time.Second, "write": 300 * time.Millisecond,
 	"keyed": 250 * time.Millisecond, "keyed-zone": 150 * time.Millisecond, "keyed-all": 150 * time.Millisecond,
@@ -19,17 +19,17 @@
 	"reader": 200 * time.Millisecond, "stream": 400 * time.Millisecond, "placed": 150 * time.Millisecond,
 }
 
-// scheduledEvent is an event of the simulation that is due at an instant.
+// scheduledEvent is an event that the simulation passes to the balancer at a given instant.
 type scheduledEvent struct {
 	at       time.Duration
-	sequence int // orders the events that are due at the same instant
+	sequence int // orders the events of one instant
 	event    policy.Event
-	// makeEvent replaces event if it is not nil. It may change the simulation, and returns nil if the event has
-	// become obsolete.
+	// makeEvent, if it is not nil, is called in place of using event. It may change the simulation, and returns nil
+	// if the event has become obsolete.
 	makeEvent func() policy.Event
 }
 
-// schedule is a heap of events, the next one first.
+// schedule is a heap of events with the next event first.
 type schedule []scheduledEvent
 
 func (s schedule) Len() int { return len(s) }
@@ -44,7 +44,7 @@
 	return last
 }
 
-// simulatedEngine is an engine of the simulation.
+// simulatedEngine is an engine with its simulated load and faults.
 type simulatedEngine struct {
 	entry      policy.Engine
 	attempts   int // in flight
@@ -67,8 +67,8 @@
 	ended  bool
 }
 
-// simulation runs a balancer in a closed loop: it draws the arrivals and the changes of the endpoint list, carries out
-// the balancer's actions, and draws what follows from them.
+// simulation runs a balancer in a closed loop: it draws the arrivals and the changes of the endpoint list at random,
+// performs the balancer's actions, and draws the events that result from them.
 type simulation struct {
 	scenario
 
@@ -76,12 +76,12 @@
 	random        *rand.Rand
 	now           time.Duration
 	schedule      schedule
-	scheduled     int // events so far
+	scheduled     int // events scheduled so far
 	engines       []*simulatedEngine
 	byID          map[string]*simulatedEngine
 	requests      map[uint64]*simulatedRequest
 	lastRequestID uint64
-	handled       int // events so far
+	handled       int // events handled so far
 	counts        [actionKinds]int
 	digest        *digestWriter
 }
@@ -107,7 +107,7 @@
 	}
 }
 
-// run runs the simulation to its end, and writes a line about it at each checkpoint.
+// run handles characterizationEvents events and writes a line with the counts and the digest at each checkpoint.
 func (s *simulation) run(t *testing.T, out *bytes.Buffer) {
 	t.Helper()
 	s.handle(s.firstList())
@@ -128,7 +128,7 @@
 	}
 }
 
-// nextEvent advances the time to that of the next scheduled event, and returns the event, or nil if it is obsolete.
+// nextEvent advances the time to the next scheduled event, and returns this event, or nil if it is obsolete.
 func (s *simulation) nextEvent() policy.Event {
 	next := heap.Pop(&s.schedule).(scheduledEvent)
 	s.now = max(s.now, next.at)
@@ -138,7 +138,7 @@
 	return next.event
 }
 
-// add schedules an event.
+// add puts an event on the schedule after a delay.
 func (s *simulation) add(delay time.Duration, event scheduledEvent) {
 	s.scheduled++
 	event.at = s.now + delay
@@ -146,18 +146,18 @@
 	heap.Push(&s.schedule, event)
 }
 
-// after schedules an event that is made when it is due.
+// after schedules a call of makeEvent after a delay.
 func (s *simulation) after(delay time.Duration, makeEvent func() policy.Event) {
 	s.add(delay, scheduledEvent{makeEvent: makeEvent})
 }
 
-// eventAfter schedules an event.
+// eventAfter schedules a given event after a delay.
 func (s *simulation) eventAfter(delay time.Duration, event policy.Event) {
 	s.add(delay, scheduledEvent{event: event})
 }
 
-// handle passes an event to the balancer and carries out its actions. Now and then it adds all that the balancer has
-// learned to the digest.
+// handle passes an event to the balancer and performs its actions. After every characterizationState events it also
+// adds all values that the balancer has learned to the digest.
 func (s *simulation) handle(event policy.Event) {
 	s.handled++
 	for _, action := range s.balancer.Handle(s.now, event, nil) {
