--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -34,7 +34,7 @@
 	}
 	h.handle(RequestArrived{RequestID: 200, Class: "wide", EstimatedWork: time.Second, Deadline: h.now + 9*time.Second})
 	if got, limit := h.balancer.requests[200], 2*4.0; got == nil || got.weight > limit {
-		t.Fatalf("a request of a thousand times the usual work should have a weight of %v at most: %+v", limit, got)
+		t.Fatalf("a request with a thousand times the usual work should have a weight of at most %v: %+v", limit, got)
 	}
 }
 
@@ -62,7 +62,7 @@
 		t.Fatalf("limits of a short, a usual and a long request: %.1f, %.1f, %.1f", short, usual, long)
 	}
 	if got := limit("idempotent", 0); math.Abs(got-usual) > usual/10 {
-		t.Fatalf("limit without an estimate %.1f, of a usual request %.1f", got, usual)
+		t.Fatalf("limit of a request without an estimate is %.1f, of a usual request %.1f", got, usual)
 	}
 	for range 50 { // a priority weight of zero must not break the mean rank
 		h.balancer.classes["idempotent"].PriorityWeight = 0
@@ -106,7 +106,7 @@
 	}
 }
 
-// A request of little value for its work is shed first under pressure, but not by an engine without pressure.
+// A request with little value for its work is shed first, but an engine does so only under pressure.
 func TestEngineLimitFor_ValueFactorAppliesOnlyUnderPressure(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	e := h.balancer.engines.byID["e"]
@@ -118,7 +118,7 @@
 	pressured := e.limitFor(expensive, h.now)
 	if unpressured != all || pressured != all/2 {
 		t.Errorf(
-			"of %.1f such a request may use %.1f without pressure and %.1f under it, want all and half", all,
+			"of a limit of %.1f the request may use %.1f without and %.1f under pressure, want all and half of it", all,
 			unpressured, pressured,
 		)
 	}
--- a/policy/attemptrules_test.go
+++ b/policy/attemptrules_test.go
@@ -27,7 +27,7 @@
 	h.advance(1100 * msec)
 	actions := h.endAttempt(1, 1, ResultFailed)
 	if len(startedAttempts(actions)) != 0 || !hasAction[Fail](actions) {
-		t.Fatalf("beyond the window: %+v", actions)
+		t.Fatalf("after the window of the idempotency key: %+v", actions)
 	}
 }
 
--- a/policy/limiter_test.go
+++ b/policy/limiter_test.go
@@ -8,7 +8,7 @@
 
 func TestControlStep_MatchesHandComputedValues(t *testing.T) {
 	for _, c := range []struct{ limit, alpha, meanLatency, wantLimit, wantAlpha float64 }{
-		{10, 0.1, 1, 10, 0.1},                 // on the objective: alpha = .3*.1+.7*.1, nothing moves
+		{10, 0.1, 1, 10, 0.1},                 // on the objective: alpha = .3*.1+.7*.1, nothing changes
 		{10, 0.1, 2, 10 - 0.7/0.13, 0.13},     // alpha = .3*.2+.7*.1
 		{8, 0.05, 0.4, 8 + 0.7/0.05*0.6, .05}, // alpha = .3*.05+.7*.05
 	} {
@@ -26,7 +26,7 @@
 	before := *limiter
 	limiter.endPeriod(h.now)
 	if limiter.limit != before.limit || limiter.alpha != before.alpha {
-		t.Fatalf("an idle period moved the loop to %v, %v", limiter.limit, limiter.alpha)
+		t.Fatalf("an idle period changed the limit to %v and alpha to %v", limiter.limit, limiter.alpha)
 	}
 	for range 50 {
 		limiter.latencySum = 50
@@ -34,7 +34,7 @@
 		limiter.endPeriod(h.now)
 	}
 	if limiter.limit <= 0 || limiter.limit >= 1 {
-		t.Fatalf("limit %v, want a floor under one request's weight", limiter.limit)
+		t.Fatalf("limit %v, want a minimum above 0 and below one request's weight", limiter.limit)
 	}
 }
 
@@ -77,11 +77,11 @@
 	before := limiter.maxLimit
 	serve(1000, 200*msec) // still under the objective of 300 ms
 	if limiter.maxLimit > 0.7*before {
-		t.Fatalf("maximum limit %v after latencies of ten times the quick ones, %v before", limiter.maxLimit, before)
+		t.Fatalf("maximum limit %v after latencies ten times as long, %v before", limiter.maxLimit, before)
 	}
 }
 
-// A limit that one bad period has lowered far must not apply once the pressure is over.
+// A limit that one period of high latency has lowered a lot must not apply once the pressure is over.
 func TestLimiter_LimitAppliesOnlyUnderPressure(t *testing.T) {
 	for _, c := range []struct {
 		latency  float64 // relative to the objective
@@ -101,13 +101,13 @@
 		h.advance(c.after).handle(ClientDisconnected{}) // only advances the clock
 		req := &request{class: h.balancer.classes["idempotent"], weight: 1, quotaFactor: 1, valueFactor: 1}
 		if admitted := h.balancer.fleet.admits(req, h.balancer.now, h.balancer.rng); admitted != c.admitted {
-			t.Errorf("latency %v of the objective, %v later: admitted is %v", c.latency, c.after, admitted)
+			t.Errorf("latency %v times the objective, %v later: admitted is %v", c.latency, c.after, admitted)
 		}
 	}
 }
 
-// runWithLoadReports serves 19 requests, whose engines report the share of their processors
-// that is busy, and lets a second pass.
+// runWithLoadReports serves 19 requests, whose engines report the given share of their cores as busy, and then runs
+// for one second.
 func (h *harness) runWithLoadReports(cpuShare float64) {
 	for id := uint64(1); id < 20; id++ {
 		h.arrive(id, "idempotent")
@@ -126,7 +126,7 @@
 	free := fleet.maxLimit
 	h.runWithLoadReports(1)
 	if got := fleet.maxLimit; got > maxLimitFactor*fleet.initialLimit+0.05*free {
-		t.Fatalf("maximum limit of the fleet %v with all engines reported busy, %v without reports", got, free)
+		t.Fatalf("maximum limit of the fleet is %v if all engines are busy, %v without reports", got, free)
 	}
 }
 
@@ -137,7 +137,7 @@
 	before := fleet.maxLimit
 	if h.runWithLoadReports(0.2); fleet.maxLimit < 1.5*before {
 		t.Fatalf(
-			"maximum limit of the fleet %v with all engines reported idle, %v without reports", fleet.maxLimit, before,
+			"maximum limit of the fleet is %v if all engines are idle, %v without reports", fleet.maxLimit, before,
 		)
 	}
 }
@@ -146,7 +146,7 @@
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	limiter := &h.balancer.engines.byID["e"].limiter
 	before := limiter.maxLimit
-	for id := uint64(1); id < 9; id++ { // none of them ever has a response
+	for id := uint64(1); id < 9; id++ { // none of the requests has a response
 		h.arrive(id, "wide")
 		h.advance(500 * msec).handle(ProgressReported{RequestID: id, Kind: ProgressFraction, Value: 0.01})
 		h.endAttempt(id, 0, ResultCancelled)
@@ -169,7 +169,7 @@
 	}
 	if limit := 4 * 40 * 8 / 200.0; inFlight == 0 || inFlight > 4*limit {
 		t.Fatalf(
-			"one of 200 balancers has %v threads in flight at 40 engines; its share of four threads a core is %v",
+			"one of 200 balancers has %v threads in flight at 40 engines; its share of four threads per core is %v",
 			inFlight, limit,
 		)
 	}
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -10,7 +10,7 @@
 	s := settings()
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 	if actions := h.arrive(1, "idempotent"); hasAction[CheckHealth](actions) {
-		t.Fatalf("a health check where none is permitted: %+v", actions)
+		t.Fatalf("a health check although the settings do not permit health checks: %+v", actions)
 	}
 	s.Limits.HealthChecks = true
 	s.ReportsLoad = true
@@ -44,8 +44,8 @@
 		}
 		h.endAttempt(id, 0, ResultServed)
 	}
-	if checks < 20 || checks > 70 { // some must go on: otherwise rising load would go unnoticed
-		t.Fatalf("%d health checks with 100 arrivals while all are idle", checks)
+	if checks < 20 || checks > 70 { // without any checks, rising load would not be noticed
+		t.Fatalf("%d health checks with 100 arrivals while all engines are idle", checks)
 	}
 }
 
@@ -78,8 +78,8 @@
 	}
 }
 
-// An engine with few requests in flight but more memory granted than it has is swapping, and
-// every further request makes that worse.
+// An engine with few requests in flight but more memory granted than it has is swapping, and every additional request
+// makes this worse.
 func TestLoadReports_EngineWithOvercommittedMemoryIsAvoided(t *testing.T) {
 	for _, c := range []struct {
 		short MemoryShortage
@@ -106,13 +106,13 @@
 			h.endAttempt(id, 0, ResultServed)
 		}
 		if avoided := to["e"] == 0; avoided != c.avoid {
-			t.Errorf("memory shortage %v: sent %v", c.short, to)
+			t.Errorf("memory shortage %v: requests sent by engine: %v", c.short, to)
 		}
 	}
 }
 
-// Among many balancers each hears of an engine only every few seconds: a report must steer
-// it until then.
+// With many balancers, each of them receives a load report of an engine only every few seconds. A report must affect
+// the choice of engine until the next one arrives.
 func TestLoadReports_SteerForSeconds(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 	h.balancer.outliers.silence.timeout = time.Hour
@@ -132,6 +132,6 @@
 		h.endAttempt(id, 0, ResultServed)
 	}
 	if to["e"] > to["f"]/8 {
-		t.Errorf("4 s after the reports, sent %v", to)
+		t.Errorf("4 s after the reports, requests sent by engine: %v", to)
 	}
 }
--- a/policy/outlier_state_test.go
+++ b/policy/outlier_state_test.go
@@ -39,10 +39,10 @@
 func TestEject_SetsProbationOnceAndReportsTheChange(t *testing.T) {
 	var state outlierState
 	if !state.eject(ejectedUntilActive, time.Second, time.Second) {
-		t.Error("the first ejection is no change")
+		t.Error("the first ejection was not reported as a change")
 	}
 	if state.eject(ejectedUntilServed, time.Minute, time.Second) {
-		t.Error("the second ejection is a change")
+		t.Error("the second ejection was reported as a change")
 	}
 	if want := 2 * time.Second; state.probationAt != want {
 		t.Errorf("probation at %v, want %v", state.probationAt, want)
@@ -63,16 +63,16 @@
 	var state outlierState
 	now := time.Minute
 	if !state.recordConnectionFault(now, ResultConnectionLost) {
-		t.Error("the first one does not count")
+		t.Error("the first broken connection does not count")
 	}
 	if state.recordConnectionFault(now+tickPeriod-1, ResultConnectionLost) {
-		t.Error("another one at the same time counts")
+		t.Error("a connection that breaks within the same tick period counts")
 	}
 	if !state.recordConnectionFault(now+tickPeriod, ResultConnectFailed) {
-		t.Error("a failed connection does not count")
+		t.Error("a failure to connect does not count")
 	}
 	if !state.recordConnectionFault(now+2*tickPeriod, ResultConnectionLost) {
-		t.Error("one that breaks a tick later does not count")
+		t.Error("a connection that breaks a tick period later does not count")
 	}
 }
 
@@ -98,17 +98,17 @@
 	until := time.Minute
 	e.lostResponses.add(lookup, until)
 	if e.classStalled(lookup, 0) {
-		t.Error("stalled after one")
+		t.Error("the class is stalled after one lost response")
 	}
 	e.lostResponses.add(lookup, until)
 	if !e.classStalled(lookup, until-1) || e.classStalled(report, until-1) {
-		t.Error("after two, that class alone should be stalled")
+		t.Error("after two lost responses only their class should be stalled")
 	}
 	if e.classStalled(lookup, until) {
-		t.Error("still stalled at the end of its time, with nothing in flight")
+		t.Error("the class is still stalled at the end of its time, with nothing in flight")
 	}
 	e.lostResponses.reset(lookup)
 	if e.classStalled(lookup, until-1) {
-		t.Error("stalled after a report of the class")
+		t.Error("the class is stalled after its count was reset")
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -14,7 +14,7 @@
 	if !hasAction[CancelAttempt](actions) || !hasAction[EngineEjected](actions) {
 		t.Fatalf("want cancellations and an ejection, got %+v", actions)
 	}
-	h.wantNoAttempt(actions) // never two attempts at once
+	h.wantNoAttempt(actions) // never two attempts in flight
 	h.wantAttempt(h.endAttempt(1, 0, ResultCancelled), "good")
 }
 
@@ -22,7 +22,7 @@
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	h.arrive(1, "wide")
 	if actions := h.runFor(1500 * msec); hasAction[CancelAttempt](actions) {
-		t.Fatalf("ejected for one attempt: %+v", actions)
+		t.Fatalf("ejected for one silent attempt: %+v", actions)
 	}
 }
 
@@ -36,7 +36,7 @@
 	if actions := h.advance(
 		3 * time.Second,
 	).handle(TimerFired{}); hasAction[CancelAttempt](actions) || hasAction[EngineEjected](actions) {
-		t.Fatalf("a pause of the balancer counted as silence of an engine: %+v", actions)
+		t.Fatalf("a pause of the balancer was counted as silence of an engine: %+v", actions)
 	}
 }
 
@@ -63,9 +63,9 @@
 	}
 }
 
-// A connection that breaks ends all attempts on it. That is one fault, and
-// a report on an attempt sent after it, sooner than a process starts, shows that the engine
-// did not restart. After a failed connection it counts as restarted.
+// A connection that breaks ends all attempts on it, which counts as one fault. A progress report of an attempt that
+// was sent later shows that the engine did not restart, if the report arrives sooner than a process starts. After a
+// failure to connect, the engine is treated as restarted.
 func TestOutlierDetector_CountsABrokenConnectionOnce(t *testing.T) {
 	for _, c := range []struct {
 		result  Result
@@ -97,8 +97,8 @@
 	}
 }
 
-// An error may be the request's own fault: it counts against an engine only once another
-// engine has served the request. A request that fails on two engines is not sent to a third.
+// A request may cause an error itself, so an error counts as a fault of the engine only once another engine has
+// served the request. A request that fails on two engines is not sent to a third one.
 func TestOutlierDetector_CountsAnErrorOnlyWhereAnotherEngineServes(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1), readyEngine("g", "a", 1))
 	for id := uint64(1); id < 20; id++ {
@@ -118,13 +118,12 @@
 	first := h.balancer.engines.byID[startedAttempts(h.arrive(20, "idempotent"))[0].Engine]
 	h.endAttempt(20, 0, ResultFailed)
 	if h.endAttempt(20, 1, ResultServed); first.outlier.faultRate == 0 {
-		t.Error("no fault for an error on a request that another engine served")
+		t.Error("no fault was counted for an error on a request that another engine served")
 	}
 }
 
-// An attempt without progress reports, while its engine reports others, has lost its
-// response: it is retried where its class permits. Waiting attempts are reported
-// less often.
+// If an engine reports other attempts but not this one, the response of this attempt is lost. The attempt is retried
+// if its class permits that. Waiting attempts are reported less often.
 func TestLostResponse_IsRetried(t *testing.T) {
 	for _, c := range []struct {
 		class         string
@@ -159,8 +158,8 @@
 	return e.classStalled(h.balancer.classes[class], h.balancer.now)
 }
 
-// One class is stalled on an engine while another runs there: the engine gets no more of the
-// first, but one request at a time, until one of them reports progress.
+// A class is stalled on an engine while another class runs there. The engine gets no requests of the stalled class for
+// a time, and then one request at a time until one of them reports progress.
 func TestStalledClass_IsTriedOneRequestAtATime(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	e := h.balancer.engines.byID["e"]
@@ -190,31 +189,31 @@
 	}
 	for range 4 {
 		h.runFor(300 * msec)
-		e.outlier.lastHeardAt = h.now // by way of other classes
+		e.outlier.lastHeardAt = h.now // as if other classes had reported
 	}
 	if !h.stalled(e, "idempotent") || h.stalled(e, "non-idempotent") {
-		t.Fatalf("lost responses %v should stall the one class only", e.lostResponses.consecutive)
+		t.Fatalf("lost responses %v should stall only the class idempotent", e.lostResponses.consecutive)
 	}
 	if n := to("idempotent"); n > 0 {
-		t.Errorf("%d more of the stalled class", n)
+		t.Errorf("%d more requests of the stalled class were sent to the engine", n)
 	}
 	other := readyEngine("f", "a", 1)
 	other.State = EngineDraining
 	h.handle(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{other}})
 	if n := to("non-idempotent"); n == 0 {
-		t.Error("none of the class that runs")
+		t.Error("no request of the class that is not stalled was sent to the engine")
 	}
 	h.advance(3 * h.balancer.outliers.silence.timeout)
 	for id := uint64(200); id < 220 && !h.stalled(e, "idempotent"); id++ {
 		h.arrive(id, "idempotent")
 	}
 	if !h.stalled(e, "idempotent") {
-		t.Error("the class is not stalled while one request of it is in flight")
+		t.Error("the class is not stalled while one of its requests is in flight")
 	}
 	trial := e.inFlight[len(e.inFlight)-1]
 	h.handle(ProgressReported{RequestID: trial.request.id, Attempt: trial.index, Kind: ProgressFraction, Value: 0.5})
 	if h.stalled(e, "idempotent") {
-		t.Error("stalled after a progress report of the class")
+		t.Error("the class is stalled after a progress report of one of its requests")
 	}
 }
 
@@ -231,9 +230,9 @@
 	if actions := h.runFor(1500 * msec); hasAction[CancelAttempt](actions) {
 		t.Fatalf("cancelled within the usual variation: %+v", actions)
 	}
-	// 1 s is usual, twice that is overdue; the objective is 5.5 s
+	// The usual latency is 1 s, and an attempt is overdue at twice that; the objective is 5.5 s.
 	if actions := h.runFor(700 * msec); !hasAction[CancelAttempt](actions) {
-		t.Fatalf("an attempt of twice the usual latency was not cancelled: %+v", actions)
+		t.Fatalf("an attempt that takes twice the usual latency was not cancelled: %+v", actions)
 	}
 	again := startedAttempts(h.endAttempt(1, 0, ResultCancelled))
 	if len(again) != 1 || again[0].Engine == first[0].Engine {
--- a/policy/progress_test.go
+++ b/policy/progress_test.go
@@ -12,7 +12,7 @@
 	if actions := h.handle(ProgressReported{
 		RequestID: 1, Kind: ProgressFraction, Value: 0.01,
 	}); !hasAction[CancelAttempt](actions) {
-		t.Fatalf("a hopeless attempt was not cancelled: %+v", actions)
+		t.Fatalf("an attempt with a bad plan was not cancelled: %+v", actions)
 	}
 	h.wantAttempt(h.endAttempt(1, 0, ResultCancelled), "")
 	h.advance(time.Second)
@@ -32,7 +32,7 @@
 		RequestID: 1, Attempt: 1, Kind: ProgressFraction, Value: 0.01,
 	})
 	if !hasAction[Reject](actions) || !hasAction[CancelAttempt](actions) {
-		t.Fatalf("a second attempt far past the deadline was kept: %+v", actions)
+		t.Fatalf("a second attempt that would end far past the deadline was not cancelled: %+v", actions)
 	}
 	h.wantNoAttempt(h.endAttempt(1, 1, ResultCancelled))
 }
@@ -43,7 +43,7 @@
 	if actions := h.advance(500 * msec).handle(ProgressReported{
 		RequestID: 1, Kind: ProgressFraction, Value: 0.4,
 	}); hasAction[CancelAttempt](actions) {
-		t.Fatalf("cancelled though no attempt is left: %+v", actions)
+		t.Fatalf("cancelled although a retry would be late too: %+v", actions)
 	}
 }
 
@@ -63,26 +63,26 @@
 			if actions = h.endAttempt(
 				1, 0, ResultCancelled,
 			); len(startedAttempts(actions)) != 1 || startedAttempts(actions)[0].Engine == first {
-				t.Fatalf("it was not retried elsewhere than %s: %+v", first, actions)
+				t.Fatalf("the attempt on %s was not retried on the other engine: %+v", first, actions)
 			}
 		}
 	}
 }
 
-// An attempt that waits for memory is retried once: engines that all lack memory would otherwise use
-// up the attempts of every request at once, and leave none for faults.
+// An attempt that waits for memory is retried only once. Otherwise, if all engines lack memory, every request would
+// use up its attempts at once and have none left for faults.
 func TestProgress_AttemptAwaitingMemoryIsRetriedOnce(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1), readyEngine("g", "a", 1))
 	h.arrive(1, "wide")
 	if actions := h.handle(ProgressReported{
 		RequestID: 1, Kind: ProgressAwaitingMemory,
 	}); !hasAction[CancelAttempt](actions) {
-		t.Fatalf("it was not retried: %+v", actions)
+		t.Fatalf("the attempt was not retried: %+v", actions)
 	}
 	h.endAttempt(1, 0, ResultCancelled)
 	if actions := h.handle(ProgressReported{
 		RequestID: 1, Attempt: 1, Kind: ProgressAwaitingMemory,
 	}); hasAction[CancelAttempt](actions) {
-		t.Fatalf("it was retried again: %+v", actions)
+		t.Fatalf("the second attempt was retried too: %+v", actions)
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// model tracks the actions that a balancer gives and checks each against the rules.
+// model tracks the actions of a balancer and checks each of them against the rules.
 type model struct {
 	t        *testing.T
 	settings Settings
@@ -20,7 +20,7 @@
 	retries  []time.Duration
 }
 
-// modelRequest is a request as the model knows it.
+// modelRequest is the model's view of a request.
 type modelRequest struct {
 	id        uint64
 	class     Class
@@ -30,7 +30,7 @@
 	completed bool
 }
 
-// modelAttempt is an attempt as the model knows it.
+// modelAttempt is the model's view of an attempt.
 type modelAttempt struct {
 	engine      string
 	startedAt   time.Duration
@@ -45,7 +45,7 @@
 	m.t.Fatalf("at %v: %s", m.now, fmt.Sprintf(format, args...))
 }
 
-// apply checks the actions and takes them into the model.
+// apply checks the actions and updates the model with them.
 func (m *model) apply(actions []Action) {
 	m.t.Helper()
 	for _, action := range actions {
@@ -68,12 +68,12 @@
 	}
 }
 
-// complete records a response; a request must have one only.
+// complete records the final response of a request, of which there must be only one.
 func (m *model) complete(requestID uint64) *modelRequest {
 	m.t.Helper()
 	req := m.byID[requestID]
 	if req == nil || req.completed {
-		m.fail("request %d: a second response", requestID)
+		m.fail("request %d: unknown, or a second response", requestID)
 	}
 	req.completed = true
 	return req
@@ -85,7 +85,7 @@
 	for _, attempt := range req.attempts {
 		repeatable := class.Effect == Idempotent || class.Effect == IdempotentByKey && class.DedupScope == ScopeAll
 		if attempt.mayHaveRun && !repeatable {
-			m.fail("request %d rejected though it may have run", req.id)
+			m.fail("request %d rejected although it may have run", req.id)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	m.t.Helper()
 	req := m.byID[a.RequestID]
 	if req == nil || req.completed {
-		m.fail("request %d sent after its end", a.RequestID)
+		m.fail("request %d sent after its completion, or unknown", a.RequestID)
 	}
 	if m.states[a.Engine] != EngineReady {
 		m.fail("request %d sent to %s, which is not ready", a.RequestID, a.Engine)
@@ -117,7 +117,8 @@
 	})
 }
 
-// checkEarlierAttempts checks hedging and idempotency.
+// checkEarlierAttempts checks that a retry is permitted after the earlier attempts: none is in flight, and those that
+// may have run are idempotent on the engine of the retry.
 func (m *model) checkEarlierAttempts(req *modelRequest, engine Engine) {
 	m.t.Helper()
 	class := req.class
@@ -156,7 +157,8 @@
 	return count
 }
 
-// checkOrder checks that all earlier requests of the ordering key have ended and settled.
+// checkOrder checks that all earlier requests of the ordering key are completed, that none of their attempts is in
+// flight, and that the settle time has passed since the end of attempts that may still run.
 func (m *model) checkOrder(req *modelRequest) {
 	m.t.Helper()
 	if !req.class.Ordered {
@@ -170,19 +172,19 @@
 			continue
 		}
 		if !earlier.completed {
-			m.fail("request %d sent before request %d was completed", req.id, earlier.id)
+			m.fail("request %d sent before the completion of request %d", req.id, earlier.id)
 		}
 		for _, attempt := range earlier.attempts {
 			settling := attempt.mayStillRun && m.now-attempt.endedAt < m.settings.Rules.OrderSettleTime
 			if attempt.inFlight || settling {
-				m.fail("request %d sent while request %d may run", req.id, earlier.id)
+				m.fail("request %d sent while request %d may still run", req.id, earlier.id)
 			}
 		}
 	}
 }
 
-// TestBalancer_KeepsTheRulesOnRandomEvents gives legal events in random order, with stale
-// and duplicate ones among them, and checks each rule on the actions.
+// TestBalancer_KeepsTheRulesOnRandomEvents passes valid events in random order, some of them stale or duplicate, and
+// checks the actions against each rule.
 func TestBalancer_KeepsTheRulesOnRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		playRandomEvents(t, seed)
@@ -195,7 +197,7 @@
 	s.Rules.RetryBudgetWindow = 2 * time.Second
 	s.Rules.RetryBudgetMin = 3
 	s.Rules.RetryBudgetRatio = 0.2
-	if seed%2 == 0 { // no progress reports, but load: retries come in bursts, at ticks and after pauses
+	if seed%2 == 0 { // no progress reports but load reports: retries come in bursts, at ticks and after pauses
 		s.ProgressInterval = 0
 		s.Priorities = true
 		s.MemoryGrants = true
@@ -274,7 +276,7 @@
 	}, nil))
 }
 
-// endAttempt ends one attempt that is in flight, or repeats the end of one that has ended.
+// endAttempt ends a random attempt, or repeats its AttemptEnded if it has ended before.
 func (m *model) endAttempt(b *Balancer, rng *rand.Rand) {
 	m.t.Helper()
 	req := m.requests[rng.IntN(len(m.requests))]
@@ -299,7 +301,7 @@
 	}, nil))
 }
 
-// report gives a progress report and a load report, some of them of nothing that exists.
+// report passes a progress report and a load report, some of them for attempts or engines that do not exist.
 func (m *model) report(b *Balancer, rng *rand.Rand) {
 	m.t.Helper()
 	req := m.requests[rng.IntN(len(m.requests))]
@@ -312,7 +314,7 @@
 	}, nil))
 }
 
-// finish lets the deadlines of all requests pass: each must then have its response.
+// finish lets the deadlines of all requests pass, after which each request must have its response.
 func (m *model) finish(b *Balancer) {
 	m.t.Helper()
 	for _, req := range m.requests {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// overQuota charges one request of the tenant to its quota.
+// overQuota charges one request to the tenant's quota, and reports whether the request exceeds it.
 func (h *harness) overQuota(tenant string) bool {
 	return h.balancer.quotas.charge(tenant, h.balancer.traffic.share(), h.now)
 }
@@ -16,14 +16,14 @@
 	s.Tenants = []Tenant{{Name: "t", Quota: 100, Share: 1}}
 	h := newHarness(t, s, readyEngine("e", "a", 1))
 	over := 0
-	for id := uint64(1); id < 40; id++ { // one in two seconds, an even share
+	for id := uint64(1); id < 40; id++ { // one request every two seconds is the even share
 		h.advance(2 * time.Second).handle(TimerFired{})
 		if h.overQuota("t") {
 			over++
 		}
 	}
 	if over > 0 {
-		t.Fatalf("%d of 39 requests within the quota counted as beyond it", over)
+		t.Fatalf("%d of 39 requests within the quota were counted as beyond the quota", over)
 	}
 	for range 100 {
 		if h.advance(100 * msec).handle(TimerFired{}); h.overQuota("t") {
@@ -31,7 +31,7 @@
 		}
 	}
 	if over < 80 {
-		t.Fatalf("of a twentyfold excess only %d in 100 counted as beyond the quota", over)
+		t.Fatalf("at twenty times the quota only %d of 100 requests were counted as beyond the quota", over)
 	}
 }
 
@@ -39,7 +39,7 @@
 	s := settings()
 	s.Replicas = 100
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
-	h.balancer.outliers.silence.progressInterval = time.Hour // nothing is silent here
+	h.balancer.outliers.silence.progressInterval = time.Hour // so that no attempt is silent
 	h.balancer.outliers.silence.timeout = time.Hour
 	for id := uint64(1); id <= 8; id++ {
 		h.arrive(id, "non-idempotent")
@@ -48,14 +48,14 @@
 	if inFlight < 2 {
 		t.Fatalf("%v requests in flight, too few to test with", inFlight)
 	}
-	for range 100 { // half of the requests in flight at the two engines are own ones
+	for range 100 { // half of the requests in flight at the two engines are from this balancer
 		h.handle(HealthChecked{
 			Engine: "e", Result: ResultServed, Load: LoadReport{Reported: true, CPUShare: 0.5, InFlight: inFlight},
 		})
 		h.runFor(500 * msec)
 	}
 	if got := h.balancer.traffic.share(); got < 0.4 || got > 0.6 {
-		t.Fatalf("a share of %.2f where half of the requests in flight are own ones", got)
+		t.Fatalf("the share is %.2f, although half of the requests in flight are from this balancer", got)
 	}
 	for range 200 {
 		h.handle(HealthChecked{
@@ -63,12 +63,12 @@
 		})
 	}
 	if got := h.balancer.traffic.share(); got < 0.01 || got > 0.011 {
-		t.Fatalf("a share of %v, which is not the even one", got)
+		t.Fatalf("the share is %v, want the even share of 0.01", got)
 	}
 }
 
-// A balancer with far more than an even share must know it within seconds: its limits
-// are for that share, and until then it rejects what the engines have capacity for.
+// A balancer with far more than the even share of the traffic must learn its share within seconds. Its limits are
+// proportional to the estimated share, so until then it rejects requests for which the engines have capacity.
 func TestTrafficShare_ConvergesOnFirstReports(t *testing.T) {
 	s := settings()
 	s.Replicas = 100
@@ -78,7 +78,7 @@
 		h.arrive(id, "non-idempotent")
 	}
 	inFlight := float64(len(h.balancer.requests))
-	for range 6 { // 3 s in which a fifth of the requests in flight are own ones
+	for range 6 { // 3 s in which a fifth of the requests in flight are from this balancer
 		for range 10 {
 			h.handle(HealthChecked{
 				Engine: "e", Result: ResultServed,
@@ -88,6 +88,6 @@
 		h.runFor(500 * msec)
 	}
 	if got := h.balancer.traffic.share(); got < 0.15 || got > 0.25 {
-		t.Fatalf("a share of %.3f after 3 s, want a fifth", got)
+		t.Fatalf("the share is %.3f after 3 s, want a fifth", got)
 	}
 }
--- a/policy/resources_test.go
+++ b/policy/resources_test.go
@@ -19,7 +19,7 @@
 		h.handle(AttemptEnded{RequestID: id, Result: ResultServed, Elapsed: 50 * msec, Completed: true, MemoryMB: 50})
 	}
 	if grant < 45 || grant > 65 {
-		t.Fatalf("granted %v MB for an estimate of 100 that is twice the need", grant)
+		t.Fatalf("granted %v MB for an estimate of 100 MB, which is twice the memory needed", grant)
 	}
 }
 
@@ -51,7 +51,7 @@
 	s.MemoryGrants = true
 	h := newHarness(t, s, readyEngine("e", "a", 1))
 	var grant float64
-	for id := uint64(1); id < 20; id++ { // each needs twice its estimate
+	for id := uint64(1); id < 20; id++ { // each request needs twice its estimate
 		grant = resourcesOf(h.handle(RequestArrived{
 			RequestID: id, Class: "idempotent", EstimatedMemoryMB: 100, Deadline: h.now + time.Second,
 		})).MemoryMB
@@ -61,6 +61,6 @@
 		h.endAttempt(id, 0, ResultServed)
 	}
 	if grant < 180 || grant > 260 {
-		t.Fatalf("granted %v MB of the 200 that are needed", grant)
+		t.Fatalf("granted %v MB of the 200 MB that are needed", grant)
 	}
 }
--- a/policy/selector_test.go
+++ b/policy/selector_test.go
@@ -65,7 +65,7 @@
 		b := mustNew(t, s, seed)
 		b.Handle(0, EndpointsChanged{Mode: UpdateFull, Engines: list}, nil)
 		for _, e := range b.engines.all {
-			e.limiter.maxLimit = 3 // under the weight of four
+			e.limiter.maxLimit = 3 // below the request's weight of 4
 		}
 		for _, a := range startedAttempts(b.Handle(
 			0, RequestArrived{RequestID: 1, Class: "wide", Dataset: int64(seed), Deadline: time.Second}, nil,
@@ -94,12 +94,12 @@
 			near, far = far, near
 		}
 		far.zone = "b"
-		near.limiter.maxLimit = 3.9 // under the weight of four; it is near and in the own zone all the same
+		near.limiter.maxLimit = 3.9 // below the request's weight of 4, but near and in the balancer's zone
 		for _, a := range startedAttempts(b.Handle(
 			0, RequestArrived{RequestID: 1, Class: "wide", Dataset: 7, Deadline: time.Second}, nil,
 		)) {
 			if a.Engine != far.id {
-				t.Fatalf("seed %d: sent to %s, which it outweighs, while it fits %s", seed, near.id, far.id)
+				t.Fatalf("seed %d: sent to %s, whose limit it exceeds, although it fits %s", seed, near.id, far.id)
 			}
 		}
 	}
--- a/policy/slowstart_state_test.go
+++ b/policy/slowstart_state_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// newTestSlowStart returns the slow start of an engine without a known start, at a balancer that
-// began at instant zero: ten seconds from 0.3 of the capacity, with windows of two seconds.
+// newTestSlowStart returns the slow start of an engine without a known start, at a balancer that handled its first
+// event at instant zero. The warm-up takes ten seconds from 0.3 of the capacity; overload windows are two seconds long.
 func newTestSlowStart() (state slowStart, rng *rand.Rand) {
 	rules := &slowStartRules{Rules: &Rules{
 		WarmupCapacity: 0.3, WarmupTime: 10 * time.Second, OverloadFactor: 3, OverloadWindow: 2 * time.Second,
@@ -20,12 +20,12 @@
 	state, rng := newTestSlowStart()
 	start := time.Minute
 	if got := state.capacityShare(start); got != 1 {
-		t.Errorf("capacity %v of an engine that is not warming up, want 1", got)
+		t.Errorf("capacity share %v of an engine that is not warming up, want 1", got)
 	}
 	state.onReportedStart(start, start, rng)
 	for after, want := range map[time.Duration]float64{0: 0.3, 5 * time.Second: 0.65, 10 * time.Second: 1} {
 		if got := state.capacityShare(start + after); math.Abs(got-want) > 1e-9 {
-			t.Errorf("capacity %v after %v, want %v", got, after, want)
+			t.Errorf("capacity share %v after %v, want %v", got, after, want)
 		}
 	}
 	if state.active(start + 10*time.Second) {
@@ -72,9 +72,9 @@
 		sentAt, now   time.Duration
 		wantWithdrawn bool
 	}{
-		{"sent after the loss, response at once", ResultConnectionLost, lostAt + time.Second, lostAt + 1500*msec, true},
+		{"sent after the loss, early response", ResultConnectionLost, lostAt + time.Second, lostAt + 1500*msec, true},
 		{"sent before the loss", ResultConnectionLost, lostAt - time.Second, lostAt + time.Second, false},
-		{"a process may have started since", ResultConnectionLost, lostAt + time.Second, lostAt + 3*time.Second, false},
+		{"late enough for a restart", ResultConnectionLost, lostAt + time.Second, lostAt + 3*time.Second, false},
 		{"connection failed", ResultConnectFailed, lostAt + time.Second, lostAt + 1500*msec, false},
 	} {
 		state, rng := newTestSlowStart()
@@ -108,8 +108,8 @@
 		now, reported time.Duration
 		want          time.Duration
 	}{
-		{"a notice that is late", time.Minute, time.Minute - maxNotice, time.Minute - maxNotice},
-		{"too old for a notice", time.Minute, time.Minute - maxNotice - 1, time.Minute},
+		{"the oldest that is believed", time.Minute, time.Minute - maxNotice, time.Minute - maxNotice},
+		{"too old to be believed", time.Minute, time.Minute - maxNotice - 1, time.Minute},
 		{"in the future", time.Minute, time.Hour, time.Minute},
 		{"old, in the first list", firstListTime - 1, -time.Hour, -time.Hour},
 		{"in the future, in the first list", firstListTime - 1, time.Hour, firstListTime - 1},
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// TestSlowStart_ManyBalancersKeepToOneBudget adds up what all balancers together send one warming
-// engine within any overload window, with many requests of all sizes. With a negative number
-// the engine was down before: failed connections began a warm-up at each balancer,
-// and the start that the endpoint list reports must begin another.
+// TestSlowStart_ManyBalancersKeepToOneBudget adds up the work that all balancers together send to one warming engine
+// within any overload window, with many requests of all sizes. A negative number of balancers means that the engine
+// was down before: failed connections began a slow start at each balancer, and the start that the endpoint list
+// reports must begin another one.
 func TestSlowStart_ManyBalancersKeepToOneBudget(t *testing.T) {
 	for _, n := range []int{2, 9, 40, 200, -9, -40, -200} {
 		down := n < 0
@@ -76,7 +76,7 @@
 				}
 			}
 		}
-		// the most work within a window, over the capacity as it begins
+		// The most work within a window, divided by the capacity share at the start of the window.
 		peak := 0.0
 		total := 0.0
 		for i, from := range all {
@@ -86,7 +86,7 @@
 					sum += a.work
 				}
 			}
-			grown := float64(from.at-time.Minute) / float64(s.Rules.WarmupTime) // capacity comes late, as a square
+			grown := float64(from.at-time.Minute) / float64(s.Rules.WarmupTime) // assumes quadratic growth
 			capacity := s.Rules.WarmupCapacity + (1-s.Rules.WarmupCapacity)*grown*grown
 			peak = max(peak, sum/capacity)
 			total += from.work
@@ -94,7 +94,7 @@
 		limit := s.Rules.OverloadFactor * 8 * milliseconds(s.Rules.OverloadWindow)
 		if peak > limit || total < 0.1*limit*s.Rules.WarmupCapacity*float64(s.Rules.WarmupTime/s.Rules.OverloadWindow) {
 			t.Errorf(
-				"%d balancers: %.0f ms of work within a window over the capacity, %.0f in all; the limit is %.0f", n,
+				"%d balancers: %.0f ms of work in a window per capacity share, %.0f ms in all; the limit is %.0f", n,
 				peak, total, limit,
 			)
 		}
@@ -108,7 +108,7 @@
 	h.arrive(1, "idempotent")
 	h.endAttempt(1, 0, ResultConnectionLost)
 	work := 0.0
-	for id := uint64(2); id < 200; id++ { // all at once, to an engine that may have restarted
+	for id := uint64(2); id < 200; id++ { // all at the same instant, while the engine may have restarted
 		for range startedAttempts(h.arrive(id, "idempotent")) {
 			work += h.balancer.classes["idempotent"].workMs
 			h.endAttempt(id, 0, ResultServed)
@@ -116,12 +116,13 @@
 	}
 	part := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 200
 	if work > part+h.balancer.classes["idempotent"].workMs {
-		t.Fatalf("%v ms of work after a broken connection; this balancer's share of a warm-up budget is %v", work, part)
+		t.Fatalf("%v ms of work after a broken connection; this balancer's share of the budget is %v", work, part)
 	}
 }
 
-// The balancers with most of the traffic must be able to spend a warming engine's budget, and it
-// grows with the engine: otherwise a half-replaced fleet is idle while the rest is overloaded.
+// The balancers with most of the traffic must be able to spend a warming engine's budget, and the budget must grow
+// with the engine's capacity. Otherwise the new engines of a half-replaced fleet are idle while the others are
+// overloaded.
 func TestSlowStart_BudgetFollowsTrafficShareAndCapacity(t *testing.T) {
 	s := settings()
 	s.Replicas = 100
@@ -133,7 +134,7 @@
 		h.advance(5 * time.Second).handle(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{warming}})
 		h.advance(from - 5*time.Second)
 		for id := uint64(1); id <= 30; id++ {
-			// of ten requests in flight at an engine
+			// ownInFlight of the ten requests in flight at an engine are from this balancer.
 			h.balancer.traffic.ownInFlight = ownInFlight
 			h.balancer.traffic.reportedInFlight = 10
 			n += len(startedAttempts(h.advance(100*msec).arrive(id, "idempotent")))
@@ -145,19 +146,19 @@
 	heavy := sent(2, 5*time.Second)
 	later := sent(0.1, 9*time.Second)
 	if heavy < 10*max(even, 1) {
-		t.Errorf("a balancer with a fifth of the traffic sent %d within a window, one with a hundredth %d", heavy, even)
+		t.Errorf("a balancer with a fifth of the traffic sent %d requests, one with a hundredth sent %d", heavy, even)
 	}
 	if later <= even {
-		t.Errorf("%d sent within a window to an engine nearly warm, %d to one just started", later, even)
+		t.Errorf("sent %d requests to an engine that is nearly warm, %d to one that has just started", later, even)
 	}
 }
 
-// burst is more requests than a warming engine's budget holds.
+// burst is a number of requests that exceeds a warming engine's budget.
 const burst = 400
 
-// restartWith restarts a warm engine whose wall clock has been stepped, so that the start which
-// the endpoint list reports is wrong by that step. It returns how many requests of a burst are
-// sent to the engine before the restart, right after it, and when the warm-up is over.
+// restartWith restarts a warm engine whose wall clock has been stepped, so that the start that the endpoint list
+// reports is wrong by the step. It returns how many requests of a burst are sent to the engine before the restart,
+// right after the restart, and after the warm-up.
 func restartWith(t *testing.T, step time.Duration) (before, atStart, afterwards int) {
 	t.Helper()
 	s := settings()
@@ -176,7 +177,7 @@
 	return before, atStart, h.sendBurst()
 }
 
-// The slow start is a span of real time from the start on, even if the engine's wall clock is stepped.
+// The slow start lasts for the warm-up time after the actual start, even if the engine's wall clock is stepped.
 func TestSlowStart_DoesNotFollowASteppedClock(t *testing.T) {
 	_, want, _ := restartWith(t, 0)
 	for _, step := range []time.Duration{
@@ -188,15 +189,14 @@
 		}
 		if before != burst || afterwards != burst {
 			t.Errorf(
-				"stepped by %v: %d of %d requests sent before the restart and %d when the warm-up was over", step,
+				"stepped by %v: %d of %d requests sent before the restart and %d after the warm-up", step,
 				before, burst, afterwards,
 			)
 		}
 	}
 }
 
-// A start that the balancer's own list holds as it begins, and that is ahead of its clock, is
-// taken for one right now.
+// A start in the first endpoint list that is in the future by the balancer's clock is treated as a start right now.
 func TestSlowStart_OfAStartInTheFutureInTheFirstListBeginsNow(t *testing.T) {
 	s := settings()
 	s.Replicas = 1
@@ -206,11 +206,12 @@
 	h := newHarness(t, s, engine)
 	h.runFor(s.Rules.WarmupTime + time.Second)
 	if n := h.sendBurst(); n != burst {
-		t.Errorf("sent %d of %d requests when the warm-up was over", n, burst)
+		t.Errorf("sent %d of %d requests after the warm-up", n, burst)
 	}
 }
 
-// sendBurst has a burst of requests arrive, each served at once, and returns how many were sent.
+// sendBurst passes a burst of arrivals to the balancer, has each request that is sent served at once, and returns how
+// many were sent.
 func (h *harness) sendBurst() (sent int) {
 	first := uint64(1_000_000) + uint64(h.now)
 	for id := first; id < first+burst; id++ {
@@ -222,8 +223,8 @@
 	return sent
 }
 
-// What one balancer sends a warming engine is checked against what the engine bears from all: the
-// budget keeps to it, and a budget that did not would be reported.
+// The work that one balancer sends to a warming engine is checked against the load that the engine can handle from all
+// balancers. The budget keeps the work below that; without the budget an overload is reported.
 func TestCheckOverload_ReportsWhatExceedsTheLimit(t *testing.T) {
 	s := settings()
 	s.Replicas = 1
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -16,7 +16,7 @@
 		{500 * msec, 1},              // one token at two a second
 		{750 * msec, 0},              // half a token
 		{time.Second, 1},             // the other half
-		{time.Minute, capacity},      // full, and no more
+		{time.Minute, capacity},      // full, at the capacity
 		{time.Minute + 250*msec, 0},  // half a token
 		{time.Minute + time.Hour, 3}, // full again
 	} {
