--- a/policy/admission.go
+++ b/policy/admission.go
@@ -74,7 +74,7 @@
 		req.expectedWorkMs = c.workMs * factor
 		req.weight = c.Threads * min(max(factor, minWeightFactor), maxWeightFactor)
 	}
-	req.valueRank = b.values.rank(c.PriorityWeight, req.expectedWorkMs)
+	req.valueRank = b.valueRanking.rank(c.PriorityWeight, req.expectedWorkMs)
 	// Without estimates all requests of a class have the same rank and would all be shed together.
 	if ev.EstimatedWork > 0 {
 		req.valueFactor = min(max(1+req.valueRank/ranksToDouble, minValueFactor), maxValueFactor)
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -68,8 +68,8 @@
 		h.balancer.classes["idempotent"].PriorityWeight = 0
 		limit("idempotent", 100*msec)
 	}
-	if math.IsNaN(h.balancer.values.mean) || math.IsInf(h.balancer.values.mean, 0) {
-		t.Fatalf("mean rank is %v", h.balancer.values.mean)
+	if math.IsNaN(h.balancer.valueRanking.mean) || math.IsInf(h.balancer.valueRanking.mean, 0) {
+		t.Fatalf("mean rank is %v", h.balancer.valueRanking.mean)
 	}
 }
 
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -27,20 +27,20 @@
 	started  bool // the first event has been handled
 	ticks    int
 
-	requests  map[uint64]*request // until they are completed and their attempts have ended
-	classes   map[string]*class
-	engines   engineTable
-	fleet     fleet
-	selector  selector
-	rules     attemptRules
-	attempts  attemptRunner
-	ordered   orderedRequests
-	slowStart slowStartRules
-	outliers  outlierDetector
-	quotas    quotas
-	traffic   trafficEstimate
-	values    valueRanking
-	load      loadReports
+	requests     map[uint64]*request // until they are completed and their attempts have ended
+	classes      map[string]*class
+	engines      engineTable
+	fleet        fleet
+	selector     selector
+	rules        attemptRules
+	attempts     attemptRunner
+	ordered      orderedRequests
+	slowStart    slowStartRules
+	outliers     outlierDetector
+	quotas       quotas
+	traffic      trafficEstimate
+	valueRanking valueRanking
+	load         loadReports
 }
 
 // Handle processes one event and returns actions with the actions of the event appended.
@@ -130,7 +130,7 @@
 	b.traffic.endPeriod(requestsPerEngine)
 	share := b.traffic.share()
 	for _, e := range b.engines.all {
-		e.outlier.fade()
+		e.outlier.decayFaultRate()
 		e.rescale(b.fleet.target, share, b.now)
 		e.limiter.endPeriod(b.now)
 	}
--- a/policy/export_test.go
+++ b/policy/export_test.go
@@ -7,7 +7,7 @@
 func (b *Balancer) LearnedState() []float64 {
 	figures := []float64{
 		b.quotas.total, b.fleet.target.threadsPerCore, b.traffic.meanWeight, b.fleet.target.maxThreads,
-		b.selector.affinity.popularity.total, b.values.mean, b.load.mean,
+		b.selector.affinity.popularity.total, b.valueRanking.mean, b.load.mean,
 		b.traffic.ownInFlight, b.traffic.reportedInFlight, b.traffic.reports, b.traffic.arrivalRate,
 	}
 	figures = append(figures, b.fleet.limiter.figures(b.fleet.loadLevel)...)
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	closedLoopPole       = 0.3              // share of a deviation that remains after one control step
-	alphaSmoothing       = 0.3              // weight of the newest period in alpha
-	minAlpha             = 1e-6             // keeps the step of the limit finite
-	minLimit             = 0.5              // threads; half of a one-thread request without an estimate
-	pressureLatency      = 0.8              // mean relative latency above which the limit applies
-	pressurePeriods      = 2                // control periods for which it applies after such a latency
-	overloadPeriods      = 4                // control periods for which it applies after a rejection
-	kneeSlowdown         = 1.6              // knee of the latency curve; the maximum shrinks above it
-	maxSlowdown          = 4 * kneeSlowdown // a greater slowdown of one response counts as this
-	slowdownWindow       = 20               // responses over which the slowdown is averaged
-	readmissionLimitPart = 0.25             // share of its initial limit at which a readmitted engine starts
+	closedLoopPole        = 0.3              // share of a deviation that remains after one control step
+	alphaSmoothing        = 0.3              // weight of the newest period in alpha
+	minAlpha              = 1e-6             // keeps the step of the limit finite
+	minLimit              = 0.5              // threads; half of a one-thread request without an estimate
+	pressureLatency       = 0.8              // mean relative latency above which the limit applies
+	pressurePeriods       = 2                // control periods for which it applies after such a latency
+	overloadPeriods       = 4                // control periods for which it applies after a rejection
+	kneeSlowdown          = 1.6              // knee of the latency curve; the maximum shrinks above it
+	maxSlowdown           = 4 * kneeSlowdown // a greater slowdown of one response counts as this
+	slowdownWindow        = 20               // responses over which the slowdown is averaged
+	readmissionLimitShare = 0.25             // share of its initial limit at which a readmitted engine starts
 )
 
 // limiter is an adaptive concurrency limit, in threads: one for each engine, and one for the fleet. Once a
@@ -77,7 +77,7 @@
 }
 
 // readmit gives a readmitted engine a small limit, which the control loop raises.
-func (l *limiter) readmit() { l.limit = max(minLimit, l.initialLimit*readmissionLimitPart) }
+func (l *limiter) readmit() { l.limit = max(minLimit, l.initialLimit*readmissionLimitShare) }
 
 // onOverloaded applies the limit for some periods after the engine rejected a request.
 func (l *limiter) onOverloaded(now time.Duration) {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -61,8 +61,8 @@
 	return counts
 }
 
-// fade lowers the fault rate at the end of a control period.
-func (o *outlierState) fade() { o.faultRate = ewma(o.faultRate, 0, faultDecayPeriods) }
+// decayFaultRate lowers the fault rate at the end of a control period.
+func (o *outlierState) decayFaultRate() { o.faultRate = ewma(o.faultRate, 0, faultDecayPeriods) }
 
 // recordServed records a request that was served, which lowers the fault rate.
 func (o *outlierState) recordServed(now time.Duration) {
--- a/policy/reportedstart.go
+++ b/policy/reportedstart.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// maxNoticeShare is the greatest age of a reported start that is believed, as a share of the warm-up
+	// maxStartAgeShare is the greatest age of a reported start that is believed, as a share of the warm-up
 	// time: the endpoint list reports a start a few seconds late at most, but the engine's wall clock may be
 	// wrong by any amount. At this age the budget, which assumes quadratic growth of the capacity, has
 	// hardly grown.
-	maxNoticeShare = 0.25
-	// firstListTime is how long after the first event a reported start of any age is believed, as it belongs
+	maxStartAgeShare = 0.25
+	// firstListPeriod is how long after the first event a reported start of any age is believed: it belongs
 	// to the first endpoint list, which may name starts of any age.
-	firstListTime = time.Second
+	firstListPeriod = time.Second
 )
 
 // reportedStart is the start of an engine as the endpoint list reports it, by the engine's wall clock. The
@@ -47,9 +47,9 @@
 	if reported > now {
 		return now
 	}
-	inFirstList := now < r.firstEventAt+firstListTime
-	maxNotice := time.Duration(maxNoticeShare * float64(r.WarmupTime))
-	if !inFirstList && reported < now-maxNotice {
+	inFirstList := now < r.firstEventAt+firstListPeriod
+	maxStartAge := time.Duration(maxStartAgeShare * float64(r.WarmupTime))
+	if !inFirstList && reported < now-maxStartAge {
 		return now
 	}
 	return reported
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -113,11 +113,11 @@
 	case now < s.rules.firstEventAt+window: // an earlier process may have spent this window's budget
 		return false
 	}
-	from := s.budgetSpentUntil
+	permittedFrom := s.budgetSpentUntil
 	if cost > slowStartBurst {
-		from = max(from, s.noticedAt+time.Duration(s.firstSlot*cost*float64(window)))
+		permittedFrom = max(permittedFrom, s.noticedAt+time.Duration(s.firstSlot*cost*float64(window)))
 	}
-	return from <= now+time.Duration(max(0, slowStartBurst-cost)*float64(window))
+	return permittedFrom <= now+time.Duration(max(0, slowStartBurst-cost)*float64(window))
 }
 
 // charge deducts the cost of a request that was sent to the engine from the budget.
@@ -132,9 +132,9 @@
 func (s *slowStart) cost(now time.Duration, workMs, cores, trafficShare float64) float64 {
 	rules := s.rules
 	grown := s.capacityShare(now) - rules.WarmupCapacity
-	lateShare := rules.WarmupCapacity + grown*grown/max(1-rules.WarmupCapacity, minDivisor)
+	assumedShare := rules.WarmupCapacity + grown*grown/max(1-rules.WarmupCapacity, minDivisor)
 	windowMs := milliseconds(rules.OverloadWindow)
-	budgetMs := slowStartBudgetMargin * rules.OverloadFactor * lateShare * cores * windowMs * trafficShare
+	budgetMs := slowStartBudgetMargin * rules.OverloadFactor * assumedShare * cores * windowMs * trafficShare
 	return slowStartCostFactor * workMs / budgetMs
 }
 
--- a/policy/slowstart_state_test.go
+++ b/policy/slowstart_state_test.go
@@ -102,17 +102,17 @@
 
 func TestEstimateStart_TreatsImplausibleStartsAsNow(t *testing.T) {
 	rules := &slowStartRules{Rules: &Rules{WarmupTime: 20 * time.Second}}
-	const maxNotice = 5 * time.Second // a quarter of the warm-up time
+	const maxStartAge = 5 * time.Second // a quarter of the warm-up time
 	for _, c := range []struct {
 		name          string
 		now, reported time.Duration
 		want          time.Duration
 	}{
-		{"the oldest that is believed", time.Minute, time.Minute - maxNotice, time.Minute - maxNotice},
-		{"too old to be believed", time.Minute, time.Minute - maxNotice - 1, time.Minute},
+		{"the oldest that is believed", time.Minute, time.Minute - maxStartAge, time.Minute - maxStartAge},
+		{"too old to be believed", time.Minute, time.Minute - maxStartAge - 1, time.Minute},
 		{"in the future", time.Minute, time.Hour, time.Minute},
-		{"old, in the first list", firstListTime - 1, -time.Hour, -time.Hour},
-		{"in the future, in the first list", firstListTime - 1, time.Hour, firstListTime - 1},
+		{"old, in the first list", firstListPeriod - 1, -time.Hour, -time.Hour},
+		{"in the future, in the first list", firstListPeriod - 1, time.Hour, firstListPeriod - 1},
 	} {
 		if got := rules.estimateStart(c.now, c.reported); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
