--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -14,7 +14,7 @@
 			continue
 		}
 		for _, a := range actions {
-			if no, ok := a.(Reject); ok && no.RetryAfter > 0 && no.RetryAfter <= time.Second {
+			if reject, ok := a.(Reject); ok && reject.RetryAfter > 0 && reject.RetryAfter <= time.Second {
 				return
 			}
 		}
@@ -80,9 +80,9 @@
 	draining := readyEngine("e", "a", 1)
 	draining.State = EngineDraining
 	for _, c := range []struct {
-		want   RejectReason
-		engine Engine
-		set    func(b *Balancer, e *engine)
+		want    RejectReason
+		engine  Engine
+		prepare func(b *Balancer, e *engine)
 	}{
 		{ReasonNoEndpoint, draining, func(*Balancer, *engine) {}},
 		{ReasonSlowStart, warming, func(*Balancer, *engine) {}}, // the balancer itself has just started
@@ -93,11 +93,11 @@
 		{ReasonFleetLimit, readyEngine("e", "a", 1), func(b *Balancer, _ *engine) { b.fleet.limiter.backlog = 100 }},
 	} {
 		h := newHarness(t, settings(), c.engine)
-		c.set(h.balancer, h.balancer.engines.byID["e"])
+		c.prepare(h.balancer, h.balancer.engines.byID["e"])
 		reason := ReasonUnknownClass
 		for _, a := range h.arrive(1, "idempotent") {
-			if no, ok := a.(Reject); ok {
-				reason = no.Reason
+			if reject, ok := a.(Reject); ok {
+				reason = reject.Reason
 			}
 		}
 		if reason != c.want {
@@ -111,15 +111,15 @@
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	e := h.balancer.engines.byID["e"]
 	expensive := &request{class: h.balancer.classes["wide"], weight: 4, quotaFactor: 1, valueFactor: 0.5}
-	all := e.limiter.maxLimit
+	fullLimit := e.limiter.maxLimit
 	unpressured := e.limitFor(expensive, h.now)
 	e.limiter.pressuredUntil = h.now + time.Second
-	e.limiter.limit = all
+	e.limiter.limit = fullLimit
 	pressured := e.limitFor(expensive, h.now)
-	if unpressured != all || pressured != all/2 {
+	if unpressured != fullLimit || pressured != fullLimit/2 {
 		t.Errorf(
-			"of a limit of %.1f the request may use %.1f without and %.1f under pressure, want all and half of it", all,
-			unpressured, pressured,
+			"of a limit of %.1f the request may use %.1f without and %.1f under pressure, want all and half of it",
+			fullLimit, unpressured, pressured,
 		)
 	}
 }
--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	characterizationEvents     = 6000 // events handled in each scenario
-	characterizationCheckpoint = 250  // events between two lines of the golden file
-	characterizationState      = 10   // events between two additions of the learned state to the digest
+	eventsPerScenario    = 6000 // events handled in each scenario
+	checkpointInterval   = 250  // events between two lines of the golden file
+	learnedStateInterval = 10   // events between two additions of the learned state to the digest
 )
 
 // scenario is a deployment that the characterization test simulates.
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -37,7 +37,7 @@
 	for _, e := range b.engines.all {
 		blocked += len(e.bulkLoads)
 	}
-	for what, n := range map[string]int{
+	for name, n := range map[string]int{
 		"arrivals in the retry window": len(b.rules.budget.arrivals),
 		"retries in the retry window":  len(b.rules.budget.retries),
 		"engines":                      len(b.engines.all),
@@ -49,7 +49,7 @@
 		"blocked data sets":            blocked,
 	} {
 		if n > 300 {
-			t.Errorf("%s: %d kept after 5000 requests and engines", what, n)
+			t.Errorf("%s: %d kept after 5000 requests and engines", name, n)
 		}
 	}
 }
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -54,11 +54,11 @@
 	s.Limits.HealthChecks = true
 	s.ReportsLoad = true
 	h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
-	for id, odd := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
+	for id, malformed := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -7, 1e300} {
 		for _, load := range []LoadReport{
-			{Reported: true, CPUShare: odd, InFlight: -1},
-			{Reported: true, CPUShare: 0.5, InFlight: odd},
-			{Reported: true, CPUShare: odd, InFlight: odd},
+			{Reported: true, CPUShare: malformed, InFlight: -1},
+			{Reported: true, CPUShare: 0.5, InFlight: malformed},
+			{Reported: true, CPUShare: malformed, InFlight: malformed},
 		} {
 			h.handle(HealthChecked{Engine: "e", Result: ResultTimedOut, Load: load})
 			h.handle(HealthChecked{Engine: "e", Result: ResultServed, Load: load})
@@ -82,13 +82,13 @@
 // makes this worse.
 func TestLoadReports_EngineWithOvercommittedMemoryIsAvoided(t *testing.T) {
 	for _, c := range []struct {
-		short MemoryShortage
-		avoid bool
+		shortage    MemoryShortage
+		wantAvoided bool
 	}{{ShortageSwap, true}, {ShortageQueue, false}} {
 		s := settings()
-		s.Shortage = c.short
+		s.Shortage = c.shortage
 		h := newHarness(t, s, readyEngine("e", "a", 1), readyEngine("f", "a", 2))
-		to := map[string]int{}
+		sentTo := map[string]int{}
 		for id := uint64(1); id <= 40; id++ {
 			for range 5 {
 				h.handle(HealthChecked{
@@ -101,12 +101,12 @@
 				})
 			}
 			for _, a := range startedAttempts(h.arrive(id, "idempotent")) {
-				to[a.Engine]++
+				sentTo[a.Engine]++
 			}
 			h.endAttempt(id, 0, ResultServed)
 		}
-		if avoided := to["e"] == 0; avoided != c.avoid {
-			t.Errorf("memory shortage %v: requests sent by engine: %v", c.short, to)
+		if avoided := sentTo["e"] == 0; avoided != c.wantAvoided {
+			t.Errorf("memory shortage %v: requests sent by engine: %v", c.shortage, sentTo)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 func TestLoadReports_SteerForSeconds(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 2))
 	h.balancer.outliers.silence.timeout = time.Hour
-	to := map[string]int{}
+	sentTo := map[string]int{}
 	for id := uint64(1); id <= 40; id++ {
 		for range 5 {
 			h.handle(HealthChecked{
@@ -127,11 +127,11 @@
 			})
 		}
 		for _, a := range startedAttempts(h.advance(4*time.Second).arrive(id, "idempotent")) {
-			to[a.Engine]++
+			sentTo[a.Engine]++
 		}
 		h.endAttempt(id, 0, ResultServed)
 	}
-	if to["e"] > to["f"]/8 {
-		t.Errorf("4 s after the reports, requests sent by engine: %v", to)
+	if sentTo["e"] > sentTo["f"]/8 {
+		t.Errorf("4 s after the reports, requests sent by engine: %v", sentTo)
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -163,7 +163,7 @@
 func TestStalledClass_IsTriedOneRequestAtATime(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	e := h.balancer.engines.byID["e"]
-	to := func(class string) (n int) {
+	sentToE := func(class string) (n int) {
 		for id := uint64(100); id < 110; id++ {
 			for _, s := range startedAttempts(h.arrive(id, class)) {
 				if s.Engine == "e" {
@@ -194,13 +194,13 @@
 	if !h.stalled(e, "idempotent") || h.stalled(e, "non-idempotent") {
 		t.Fatalf("lost responses %v should stall only the class idempotent", e.lostResponses.consecutive)
 	}
-	if n := to("idempotent"); n > 0 {
+	if n := sentToE("idempotent"); n > 0 {
 		t.Errorf("%d more requests of the stalled class were sent to the engine", n)
 	}
 	other := readyEngine("f", "a", 1)
 	other.State = EngineDraining
 	h.handle(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{other}})
-	if n := to("non-idempotent"); n == 0 {
+	if n := sentToE("non-idempotent"); n == 0 {
 		t.Error("no request of the class that is not stalled was sent to the engine")
 	}
 	h.advance(3 * h.balancer.outliers.silence.timeout)
@@ -234,9 +234,9 @@
 	if actions := h.runFor(700 * msec); !hasAction[CancelAttempt](actions) {
 		t.Fatalf("an attempt that takes twice the usual latency was not cancelled: %+v", actions)
 	}
-	again := startedAttempts(h.endAttempt(1, 0, ResultCancelled))
-	if len(again) != 1 || again[0].Engine == first[0].Engine {
-		t.Fatalf("want an attempt on another engine than %q, got %+v", first[0].Engine, again)
+	second := startedAttempts(h.endAttempt(1, 0, ResultCancelled))
+	if len(second) != 1 || second[0].Engine == first[0].Engine {
+		t.Fatalf("want an attempt on another engine than %q, got %+v", first[0].Engine, second)
 	}
 	if actions := h.runFor(5 * time.Second); hasAction[CancelAttempt](actions) {
 		t.Fatalf("cancelled though no attempt is left: %+v", actions)
--- a/policy/progress_test.go
+++ b/policy/progress_test.go
@@ -37,7 +37,7 @@
 	h.wantNoAttempt(h.endAttempt(1, 1, ResultCancelled))
 }
 
-func TestProgress_LateAttemptFinishesWhereRetryWouldBeLateToo(t *testing.T) {
+func TestProgress_LateAttemptFinishesIfRetryWouldBeLateToo(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	h.arrive(1, "idempotent")
 	if actions := h.advance(500 * msec).handle(ProgressReported{
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestProgress_BlockedAttemptIsRetriedWhereRetryMeetsObjective(t *testing.T) {
+func TestProgress_BlockedAttemptIsRetriedIfRetryMeetsObjective(t *testing.T) {
 	for _, c := range []struct {
 		class   string
 		after   time.Duration
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -187,11 +187,11 @@
 // checks the actions against each rule.
 func TestBalancer_KeepsTheRulesOnRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
-		playRandomEvents(t, seed)
+		checkRandomEvents(t, seed)
 	}
 }
 
-func playRandomEvents(t *testing.T, seed uint64) {
+func checkRandomEvents(t *testing.T, seed uint64) {
 	t.Helper()
 	s := settings()
 	s.Rules.RetryBudgetWindow = 2 * time.Second
--- a/policy/selector_test.go
+++ b/policy/selector_test.go
@@ -15,7 +15,7 @@
 	h.wantNoAttempt(h.arrive(2, "idempotent"))
 }
 
-func TestSelector_PlacementHoldsWithoutPermittedEngines(t *testing.T) {
+func TestSelector_SendsNothingOutsidePermittedZones(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	h.wantNoAttempt(h.arrive(1, "placed"))
 	h.handle(EndpointsChanged{Mode: UpdateDelta, Engines: []Engine{readyEngine("f", "b", 1)}})
--- a/policy/simulation_attempts_test.go
+++ b/policy/simulation_attempts_test.go
@@ -20,7 +20,7 @@
 	end(send.Timeout, policy.ResultTimedOut)
 	took := s.duration(req, e)
 	switch {
-	case e.entry.State == policy.EngineRemoved:
+	case e.endpoint.State == policy.EngineRemoved:
 		end(time.Millisecond, policy.ResultConnectFailed)
 		return
 	case s.now < e.hangsUntil:
@@ -50,8 +50,8 @@
 
 // reportProgress schedules the progress reports of an attempt, some of which report a wait or a spill.
 func (s *simulation) reportProgress(req *simulatedRequest, n int, took time.Duration) {
-	id := req.arrive.RequestID
-	if s.settings.Classes[0].Name != req.arrive.Class && s.random.IntN(3) == 0 {
+	id := req.arrival.RequestID
+	if s.settings.Classes[0].Name != req.arrival.Class && s.random.IntN(3) == 0 {
 		s.eventAfter(took/3, policy.StreamStarted{RequestID: id, Attempt: n})
 	}
 	if s.settings.ProgressInterval == 0 {
@@ -85,24 +85,24 @@
 	a := req.attempts[n]
 	a.ended = true
 	a.engine.attempts--
-	outcome := policy.AttemptEnded{
+	event := policy.AttemptEnded{
 		RequestID: requestID, Attempt: n, Result: result, Elapsed: s.now - a.sent,
 		Load: policy.LoadReport{CPUShare: -1, InFlight: -1},
 	}
 	if result == policy.ResultServed {
 		req.completed = true
-		outcome.Work = req.work
-		outcome.MemoryMB = 30 + 100*s.random.Float64()
+		event.Work = req.work
+		event.MemoryMB = 30 + 100*s.random.Float64()
 		if !s.settings.ReportsCost {
-			outcome.Work = 0
-			outcome.MemoryMB = 0
+			event.Work = 0
+			event.MemoryMB = 0
 		}
 	}
 	if result == policy.ResultServed || result == policy.ResultFailed {
-		outcome.Load = s.load(a.engine)
+		event.Load = s.load(a.engine)
 	}
-	outcome.Completed = req.completed
-	return outcome
+	event.Completed = req.completed
+	return event
 }
 
 // load returns the load report of an engine.
--- a/policy/simulation_endpoints_test.go
+++ b/policy/simulation_endpoints_test.go
@@ -19,13 +19,13 @@
 // addEngine adds an engine. If startKnown is true, the endpoint list reports that the engine has started now.
 func (s *simulation) addEngine(startKnown bool) *simulatedEngine {
 	n := len(s.engines)
-	e := &simulatedEngine{slowdown: 0.8 + 0.4*s.random.Float64(), entry: policy.Engine{
+	e := &simulatedEngine{slowdown: 0.8 + 0.4*s.random.Float64(), endpoint: policy.Engine{
 		ID: fmt.Sprintf("s-%08x", n*2654435761), Zone: []string{"a", "b"}[n%2],
 		Kind: []string{"large", "small", "large"}[n%3],
 		Cell: int64(n % 3), State: policy.EngineReady, StartedAt: s.now, StartKnown: startKnown,
 	}}
 	s.engines = append(s.engines, e)
-	s.byID[e.entry.ID] = e
+	s.byID[e.endpoint.ID] = e
 	return e
 }
 
@@ -33,8 +33,8 @@
 func (s *simulation) fullList(mode policy.UpdateMode) policy.Event {
 	list := policy.EndpointsChanged{Mode: mode}
 	for _, e := range s.engines {
-		if e.entry.State != policy.EngineRemoved {
-			list.Engines = append(list.Engines, e.entry)
+		if e.endpoint.State != policy.EngineRemoved {
+			list.Engines = append(list.Engines, e.endpoint)
 		}
 	}
 	return list
@@ -57,21 +57,21 @@
 	case 3:
 		return policy.EndpointsChanged{Mode: policy.UpdateFailed}
 	case 4:
-		e.entry.State = policy.EngineDraining
+		e.endpoint.State = policy.EngineDraining
 	case 5:
-		e.entry.State = policy.EngineRemoved
+		e.endpoint.State = policy.EngineRemoved
 		if s.random.IntN(2) == 0 {
 			replacement := s.addEngine(true)
 			return policy.EndpointsChanged{
-				Mode: policy.UpdateDelta, Engines: []policy.Engine{e.entry, replacement.entry},
+				Mode: policy.UpdateDelta, Engines: []policy.Engine{e.endpoint, replacement.endpoint},
 			}
 		}
 	default:
-		if e.entry.State != policy.EngineReady {
-			e.entry.State = policy.EngineReady
-			e.entry.StartKnown = true
-			e.entry.StartedAt = s.now
+		if e.endpoint.State != policy.EngineReady {
+			e.endpoint.State = policy.EngineReady
+			e.endpoint.StartKnown = true
+			e.endpoint.StartedAt = s.now
 		}
 	}
-	return policy.EndpointsChanged{Mode: policy.UpdateDelta, Engines: []policy.Engine{e.entry}}
+	return policy.EndpointsChanged{Mode: policy.UpdateDelta, Engines: []policy.Engine{e.endpoint}}
 }
--- a/policy/simulation_requests_test.go
+++ b/policy/simulation_requests_test.go
@@ -18,20 +18,20 @@
 	s.lastRequestID++
 	class := s.drawClass()
 	req := &simulatedRequest{work: time.Duration(float64(workOfClass[class.Name]) * (0.3 + s.random.ExpFloat64()))}
-	req.arrive = policy.RequestArrived{
+	req.arrival = policy.RequestArrived{
 		RequestID: s.lastRequestID, Class: class.Name, Dataset: int64(math.Sqrt(float64(s.random.IntN(400)))),
 		Deadline: s.now + time.Duration((0.8+0.2*s.random.Float64())*float64(class.Deadline)),
 		Tenant:   []string{"north", "south", "stranger", ""}[s.random.IntN(4)], ClientRetry: s.random.IntN(9) == 0,
 	}
 	if class.Ordered && s.random.IntN(8) > 0 {
-		req.arrive.OrderKey = fmt.Sprint("key-", s.random.IntN(4))
+		req.arrival.OrderKey = fmt.Sprint("key-", s.random.IntN(4))
 	}
 	if s.estimate {
-		req.arrive.EstimatedWork = time.Duration(float64(req.work) * (0.5 + s.random.Float64()))
-		req.arrive.EstimatedMemoryMB = 20 + 200*s.random.Float64()
+		req.arrival.EstimatedWork = time.Duration(float64(req.work) * (0.5 + s.random.Float64()))
+		req.arrival.EstimatedMemoryMB = 20 + 200*s.random.Float64()
 	}
 	if s.random.IntN(200) == 0 {
-		req.arrive.Class = "no such class"
+		req.arrival.Class = "no such class"
 	}
 	s.requests[s.lastRequestID] = req
 	if s.random.IntN(25) == 0 { // the client will disconnect
@@ -41,7 +41,7 @@
 			return policy.ClientDisconnected{RequestID: id}
 		})
 	}
-	return req.arrive
+	return req.arrival
 }
 
 // drawClass draws the class of a request: the first class with probability 1/2, otherwise any class.
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -46,7 +46,7 @@
 
 // simulatedEngine is an engine with its simulated load and faults.
 type simulatedEngine struct {
-	entry      policy.Engine
+	endpoint   policy.Engine
 	attempts   int // in flight
 	slowdown   float64
 	hangsUntil time.Duration
@@ -54,7 +54,7 @@
 
 // simulatedRequest is a request of the simulation with its attempts.
 type simulatedRequest struct {
-	arrive    policy.RequestArrived
+	arrival   policy.RequestArrived
 	work      time.Duration
 	attempts  []*simulatedAttempt
 	completed bool
@@ -107,23 +107,23 @@
 	}
 }
 
-// run handles characterizationEvents events and writes a line with the counts and the digest at each checkpoint.
+// run handles eventsPerScenario events and writes a line with the counts and the digest at each checkpoint.
 func (s *simulation) run(t *testing.T, out *bytes.Buffer) {
 	t.Helper()
 	s.handle(s.firstList())
 	s.after(0, s.nextArrival)
 	s.after(time.Second, s.nextListEvent)
-	for s.handled < characterizationEvents && len(s.schedule) > 0 {
+	for s.handled < eventsPerScenario && len(s.schedule) > 0 {
 		event := s.nextEvent()
 		if event == nil {
 			continue
 		}
 		s.handle(event)
-		if s.handled%characterizationCheckpoint == 0 {
+		if s.handled%checkpointInterval == 0 {
 			fmt.Fprintf(out, "%s %d %v %016x\n", s.name, s.handled, s.counts, s.digest.hash.Sum64())
 		}
 	}
-	if s.handled < characterizationEvents {
+	if s.handled < eventsPerScenario {
 		t.Fatalf("%s: only %d events", s.name, s.handled)
 	}
 }
@@ -156,16 +156,16 @@
 	s.add(delay, scheduledEvent{event: event})
 }
 
-// handle passes an event to the balancer and performs its actions. After every characterizationState events it also
+// handle passes an event to the balancer and performs its actions. After every learnedStateInterval events it also
 // adds all values that the balancer has learned to the digest.
 func (s *simulation) handle(event policy.Event) {
 	s.handled++
 	for _, action := range s.balancer.Handle(s.now, event, nil) {
 		s.perform(action)
 	}
-	if s.handled%characterizationState == 0 {
-		for _, figure := range s.balancer.LearnedState() {
-			s.digest.float(figure)
+	if s.handled%learnedStateInterval == 0 {
+		for _, value := range s.balancer.LearnedState() {
+			s.digest.float(value)
 		}
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -30,7 +30,7 @@
 // reports must begin another one.
 func TestSlowStart_ManyBalancersKeepToOneBudget(t *testing.T) {
 	for _, n := range []int{2, 9, 40, 200, -9, -40, -200} {
-		down := n < 0
+		wasDown := n < 0
 		n = max(n, -n)
 		s := settings()
 		s.Replicas = n
@@ -46,7 +46,7 @@
 		for i := range balancers {
 			balancers[i] = mustNew(t, s, uint64(i))
 			balancers[i].Handle(30*time.Second, TimerFired{}, nil)
-			if down {
+			if wasDown {
 				balancers[i].Handle(
 					30*time.Second,
 					EndpointsChanged{Mode: UpdateFull, Engines: []Engine{readyEngine("warming", "a", 1)}}, nil,
@@ -114,9 +114,9 @@
 			h.endAttempt(id, 0, ResultServed)
 		}
 	}
-	part := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 200
-	if work > part+h.balancer.classes["idempotent"].workMs {
-		t.Fatalf("%v ms of work after a broken connection; this balancer's share of the budget is %v", work, part)
+	budgetShare := s.Rules.OverloadFactor * s.Rules.WarmupCapacity * 8 * 2000 / 200
+	if work > budgetShare+h.balancer.classes["idempotent"].workMs {
+		t.Fatalf("%v ms of work after a broken connection; the balancer's share of the budget is %v", work, budgetShare)
 	}
 }
 
@@ -156,10 +156,10 @@
 // burst is a number of requests that exceeds a warming engine's budget.
 const burst = 400
 
-// restartWith restarts a warm engine whose wall clock has been stepped, so that the start that the endpoint list
-// reports is wrong by the step. It returns how many requests of a burst are sent to the engine before the restart,
-// right after the restart, and after the warm-up.
-func restartWith(t *testing.T, step time.Duration) (before, atStart, afterwards int) {
+// restartWithClockStep restarts a warm engine whose wall clock has been stepped, so that the start that the endpoint
+// list reports is wrong by the step. It returns how many requests of a burst are sent to the engine before the
+// restart, right after the restart, and after the warm-up.
+func restartWithClockStep(t *testing.T, step time.Duration) (before, atStart, afterwards int) {
 	t.Helper()
 	s := settings()
 	s.Replicas = 1
@@ -179,11 +179,11 @@
 
 // The slow start lasts for the warm-up time after the actual start, even if the engine's wall clock is stepped.
 func TestSlowStart_DoesNotFollowASteppedClock(t *testing.T) {
-	_, want, _ := restartWith(t, 0)
+	_, want, _ := restartWithClockStep(t, 0)
 	for _, step := range []time.Duration{
 		-5 * time.Second, -20 * time.Second, -40 * time.Second, -time.Hour, 5 * time.Second, time.Hour,
 	} {
-		before, atStart, afterwards := restartWith(t, step)
+		before, atStart, afterwards := restartWithClockStep(t, step)
 		if atStart == 0 || atStart > want {
 			t.Errorf("stepped by %v: %d requests sent right after the start, %d without a step", step, atStart, want)
 		}
@@ -197,7 +197,7 @@
 }
 
 // A start in the first endpoint list that is in the future by the balancer's clock is treated as a start right now.
-func TestSlowStart_OfAStartInTheFutureInTheFirstListBeginsNow(t *testing.T) {
+func TestSlowStart_TreatsFutureStartInFirstListAsNow(t *testing.T) {
 	s := settings()
 	s.Replicas = 1
 	engine := readyEngine("stepped", "a", 1)
@@ -233,9 +233,9 @@
 	warming.StartKnown = true
 	h := newHarness(t, s)
 	h.advance(5 * time.Second).handle(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{warming}})
-	reports := func(spend bool) (n int) {
+	reports := func(budgetEnforced bool) (n int) {
 		for id := uint64(1); id <= 400; id++ {
-			if !spend {
+			if !budgetEnforced {
 				h.balancer.engines.byID["warming"].slowStart.budgetSpentUntil = 0 // as if nothing had been sent
 			}
 			for _, action := range h.arrive(id+uint64(h.now), "idempotent") {
