--- a/policy/actions.go
+++ b/policy/actions.go
@@ -108,7 +108,7 @@
 // The reasons of an EngineEjected.
 const (
 	EjectedSilent           EjectionReason = iota // it sends neither responses nor progress reports
-	EjectedErrors                                 // it responds with errors to requests that others serve
+	EjectedErrors                                 // it responds with errors to requests that other engines serve
 	EjectedConnectionFaults                       // connections to it fail or break
 	EjectedOverdue                                // its responses are overdue
 )
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -21,11 +21,11 @@
 	index           int // number among the request's attempts, from 0
 	engine          *engine
 	sentAt          time.Duration
-	lastHeardAt     time.Duration // latest progress report; sentAt before the first
+	lastHeardAt     time.Duration // latest progress report; sentAt before the first report
 	grantedMB       float64
 	phase           attemptPhase
-	result          Result       // once it has ended
-	lastProgress    ProgressKind // of the latest progress report; 0 before the first
+	result          Result       // set when the attempt ends
+	lastProgress    ProgressKind // kind of the latest progress report; 0 before the first report
 	cancelRequested bool
 	spilled         bool // it has reported a lack of memory
 	responseLost    bool // its response is considered lost
--- a/policy/attemptrunner.go
+++ b/policy/attemptrunner.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// attemptRunner starts and cancels attempts if the attemptRules permit it.
+// attemptRunner starts attempts that the attemptRules permit, and cancels attempts.
 type attemptRunner struct {
 	settings *Settings
 	actions  *actionList
--- a/policy/events.go
+++ b/policy/events.go
@@ -53,7 +53,7 @@
 type LoadReport struct {
 	Reported    bool    // false: there was no report
 	CPUShare    float64 // share of its cores in use
-	InFlight    float64 // requests
+	InFlight    float64 // requests in flight
 	Queued      float64 // requests waiting for memory
 	MemoryShare float64 // share of its memory that is granted
 	DiskShare   float64 // share of its disks that is busy
@@ -76,7 +76,7 @@
 // HealthChecked is the result of a CheckHealth.
 type HealthChecked struct {
 	Engine string
-	Result Result // ResultServed where the engine responded
+	Result Result // ResultServed if the engine responded
 	Load   LoadReport
 }
 
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -12,7 +12,7 @@
 	minLimit              = 0.5              // threads; half of a one-thread request without an estimate
 	pressureLatency       = 0.8              // mean relative latency above which the limit applies
 	pressurePeriods       = 2                // control periods for which it applies after such a latency
-	overloadPeriods       = 4                // control periods for which it applies after a rejection
+	overloadPeriods       = 4                // control periods for which it applies after the engine rejects
 	kneeSlowdown          = 1.6              // knee of the latency curve; the maximum shrinks above it
 	maxSlowdown           = 4 * kneeSlowdown // a greater slowdown of one response counts as this
 	slowdownWindow        = 20               // responses over which the slowdown is averaged
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -41,9 +41,9 @@
 // observe counts a request for the data set.
 func (d *datasetAffinity) observe(dataset int64) { d.popularity.add(dataset, popularityWindow) }
 
-// cutoff returns the lowest affinity at which an available engine of the zone counts as near the data set. At
-// least one engine is near, and further ones in proportion to the data set's popularity, so that a popular
-// data set does not overload a few engines.
+// cutoff returns the lowest affinity at which an available engine of the zone counts as near the data set.
+// One engine is near, plus a number in proportion to the data set's popularity, so that a popular data set
+// does not overload a few engines.
 func (d *datasetAffinity) cutoff(engines []*engine, dataset int64) uint64 {
 	d.scores = d.scores[:0]
 	for _, e := range engines {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -34,7 +34,7 @@
 	ejection          ejection
 	faultRate         float64       // share of the latest attempts that failed
 	lastHeardAt       time.Duration // latest response or progress report
-	connectionFaultAt time.Duration // latest fault of a connection; 0: never
+	connectionFaultAt time.Duration // latest connection fault; 0: no fault so far
 	probationAt       time.Duration // earliest instant of the next probation request
 }
 
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -239,6 +239,6 @@
 		t.Fatalf("want an attempt on another engine than %q, got %+v", first[0].Engine, second)
 	}
 	if actions := h.runFor(5 * time.Second); hasAction[CancelAttempt](actions) {
-		t.Fatalf("cancelled though no attempt is left: %+v", actions)
+		t.Fatalf("cancelled although no attempt is left: %+v", actions)
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -30,11 +30,11 @@
 type slowStart struct {
 	rules            *slowStartRules
 	reported         reportedStart
-	startedAt        time.Duration // latest reported start, by this balancer's clock; math.MinInt64: none
+	startedAt        time.Duration // latest reported start, by this balancer's clock; math.MinInt64: unknown
 	noticedAt        time.Duration // when this balancer learned of the start
 	endsAt           time.Duration
 	budgetSpentUntil time.Duration // this balancer's share of the budget is spent until then
-	firstSlot        float64       // first large request waits this random share, 0 to 1, of its own cost
+	firstSlot        float64       // the first large request waits for this random share, 0 to 1, of its cost
 
 	restartAssumed         bool          // the only evidence of a restart is a lost connection
 	endsAtBeforeAssumption time.Duration // endsAt before the restart was assumed
