--- a/policy/settings.go
+++ b/policy/settings.go
@@ -94,7 +94,7 @@
 // Rules are the bounds that all attempts and responses must observe.
 type Rules struct {
 	ResponseSlack     time.Duration // longest delay of a final response after the deadline
-	DrainGrace        time.Duration // longest time from a drain notice to an attempt there; not read by the balancer
+	DrainGrace        time.Duration // latest start of an attempt after the notice of a drain; not read by the balancer
 	WarmupCapacity    float64       // smallest share of its full capacity that an engine has when it starts
 	WarmupTime        time.Duration // an engine has its full capacity no later than this after its start
 	OverloadFactor    float64       // a warming engine fails beyond this multiple of its present capacity
