--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -14,7 +14,7 @@
 			continue
 		}
 		for _, a := range actions {
-			if no, ok := a.(Reject); ok && no.RetryAfter > 0 && no.RetryAfter <= time.Second {
+			if reject, ok := a.(Reject); ok && reject.RetryAfter > 0 && reject.RetryAfter <= time.Second {
 				return
 			}
 		}
@@ -34,7 +34,7 @@
 	}
 	h.handle(RequestArrived{RequestID: 200, Class: "wide", EstimatedWork: time.Second, Deadline: h.now + 9*time.Second})
 	if got, limit := h.balancer.requests[200], 2*4.0; got == nil || got.weight > limit {
-		t.Fatalf("a request of a thousand times the usual work should have a weight of %v at most: %+v", limit, got)
+		t.Fatalf("a request with a thousand times the usual work should have a weight of at most %v: %+v", limit, got)
 	}
 }
 
@@ -62,14 +62,14 @@
 		t.Fatalf("limits of a short, a usual and a long request: %.1f, %.1f, %.1f", short, usual, long)
 	}
 	if got := limit("idempotent", 0); math.Abs(got-usual) > usual/10 {
-		t.Fatalf("limit without an estimate %.1f, of a usual request %.1f", got, usual)
+		t.Fatalf("limit of a request without an estimate is %.1f, of a usual request %.1f", got, usual)
 	}
 	for range 50 { // a priority weight of zero must not break the mean rank
 		h.balancer.classes["idempotent"].PriorityWeight = 0
 		limit("idempotent", 100*msec)
 	}
-	if math.IsNaN(h.balancer.values.mean) || math.IsInf(h.balancer.values.mean, 0) {
-		t.Fatalf("mean rank is %v", h.balancer.values.mean)
+	if math.IsNaN(h.balancer.valueRanking.mean) || math.IsInf(h.balancer.valueRanking.mean, 0) {
+		t.Fatalf("mean rank is %v", h.balancer.valueRanking.mean)
 	}
 }
 
@@ -80,9 +80,9 @@
 	draining := readyEngine("e", "a", 1)
 	draining.State = EngineDraining
 	for _, c := range []struct {
-		want   RejectReason
-		engine Engine
-		set    func(b *Balancer, e *engine)
+		want    RejectReason
+		engine  Engine
+		prepare func(b *Balancer, e *engine)
 	}{
 		{ReasonNoEndpoint, draining, func(*Balancer, *engine) {}},
 		{ReasonSlowStart, warming, func(*Balancer, *engine) {}}, // the balancer itself has just started
@@ -93,11 +93,11 @@
 		{ReasonFleetLimit, readyEngine("e", "a", 1), func(b *Balancer, _ *engine) { b.fleet.limiter.backlog = 100 }},
 	} {
 		h := newHarness(t, settings(), c.engine)
-		c.set(h.balancer, h.balancer.engines.byID["e"])
+		c.prepare(h.balancer, h.balancer.engines.byID["e"])
 		reason := ReasonUnknownClass
 		for _, a := range h.arrive(1, "idempotent") {
-			if no, ok := a.(Reject); ok {
-				reason = no.Reason
+			if reject, ok := a.(Reject); ok {
+				reason = reject.Reason
 			}
 		}
 		if reason != c.want {
@@ -106,20 +106,20 @@
 	}
 }
 
-// A request of little value for its work is shed first under pressure, but not by an engine without pressure.
+// A request with little value for its work is shed first, but an engine does so only under pressure.
 func TestEngineLimitFor_ValueFactorAppliesOnlyUnderPressure(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	e := h.balancer.engines.byID["e"]
 	expensive := &request{class: h.balancer.classes["wide"], weight: 4, quotaFactor: 1, valueFactor: 0.5}
-	all := e.limiter.maxLimit
+	fullLimit := e.limiter.maxLimit
 	unpressured := e.limitFor(expensive, h.now)
 	e.limiter.pressuredUntil = h.now + time.Second
-	e.limiter.limit = all
+	e.limiter.limit = fullLimit
 	pressured := e.limitFor(expensive, h.now)
-	if unpressured != all || pressured != all/2 {
+	if unpressured != fullLimit || pressured != fullLimit/2 {
 		t.Errorf(
-			"of %.1f such a request may use %.1f without pressure and %.1f under it, want all and half", all,
-			unpressured, pressured,
+			"of a limit of %.1f the request may use %.1f without and %.1f under pressure, want all and half of it",
+			fullLimit, unpressured, pressured,
 		)
 	}
 }
--- a/policy/simulation_endpoints_test.go
+++ b/policy/simulation_endpoints_test.go
@@ -7,7 +7,8 @@
 	"flaxrelay/policy"
 )
 
-// firstList adds the first engines and returns their list. Half of them started long ago.
+// firstList adds the first engines and returns the list of them. Half of them report no start, as if they had started
+// long ago.
 func (s *simulation) firstList() policy.Event {
 	for range s.scenario.engines {
 		s.addEngine(len(s.engines)%2 == 0)
@@ -15,31 +16,32 @@
 	return s.fullList(policy.UpdateCached)
 }
 
-// addEngine adds an engine. If startKnown is true, it has started now.
+// addEngine adds an engine. If startKnown is true, the endpoint list reports that the engine has started now.
 func (s *simulation) addEngine(startKnown bool) *simulatedEngine {
 	n := len(s.engines)
-	e := &simulatedEngine{slowdown: 0.8 + 0.4*s.random.Float64(), entry: policy.Engine{
+	e := &simulatedEngine{slowdown: 0.8 + 0.4*s.random.Float64(), endpoint: policy.Engine{
 		ID: fmt.Sprintf("s-%08x", n*2654435761), Zone: []string{"a", "b"}[n%2],
 		Kind: []string{"large", "small", "large"}[n%3],
 		Cell: int64(n % 3), State: policy.EngineReady, StartedAt: s.now, StartKnown: startKnown,
 	}}
 	s.engines = append(s.engines, e)
-	s.byID[e.entry.ID] = e
+	s.byID[e.endpoint.ID] = e
 	return e
 }
 
-// fullList returns the list of all engines that are not removed.
+// fullList returns an endpoint list with all engines that are not removed.
 func (s *simulation) fullList(mode policy.UpdateMode) policy.Event {
 	list := policy.EndpointsChanged{Mode: mode}
 	for _, e := range s.engines {
-		if e.entry.State != policy.EngineRemoved {
-			list.Engines = append(list.Engines, e.entry)
+		if e.endpoint.State != policy.EngineRemoved {
+			list.Engines = append(list.Engines, e.endpoint)
 		}
 	}
 	return list
 }
 
-// nextListEvent changes an engine (drain, end, return, hang, slowdown) and returns the update of the list, if any.
+// nextListEvent changes an engine at random (it hangs, slows down, drains, is removed or starts again) and returns
+// the update of the endpoint list, or nil if the change does not affect the list.
 func (s *simulation) nextListEvent() policy.Event {
 	s.after(time.Duration(200+s.random.IntN(1500))*time.Millisecond, s.nextListEvent)
 	e := s.engines[s.random.IntN(len(s.engines))]
@@ -55,21 +57,21 @@
 	case 3:
 		return policy.EndpointsChanged{Mode: policy.UpdateFailed}
 	case 4:
-		e.entry.State = policy.EngineDraining
+		e.endpoint.State = policy.EngineDraining
 	case 5:
-		e.entry.State = policy.EngineRemoved
+		e.endpoint.State = policy.EngineRemoved
 		if s.random.IntN(2) == 0 {
 			replacement := s.addEngine(true)
 			return policy.EndpointsChanged{
-				Mode: policy.UpdateDelta, Engines: []policy.Engine{e.entry, replacement.entry},
+				Mode: policy.UpdateDelta, Engines: []policy.Engine{e.endpoint, replacement.endpoint},
 			}
 		}
 	default:
-		if e.entry.State != policy.EngineReady {
-			e.entry.State = policy.EngineReady
-			e.entry.StartKnown = true
-			e.entry.StartedAt = s.now
+		if e.endpoint.State != policy.EngineReady {
+			e.endpoint.State = policy.EngineReady
+			e.endpoint.StartKnown = true
+			e.endpoint.StartedAt = s.now
 		}
 	}
-	return policy.EndpointsChanged{Mode: policy.UpdateDelta, Engines: []policy.Engine{e.entry}}
+	return policy.EndpointsChanged{Mode: policy.UpdateDelta, Engines: []policy.Engine{e.endpoint}}
 }
