--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -15,7 +15,7 @@
 	v.locate = func(field string) int { return tomlLine(raw, field) }
 	metadata, err := toml.Decode(string(raw), into)
 	if err != nil {
-		v.faults = append(v.faults, tomlFault(v.file, err))
+		v.fieldErrors = append(v.fieldErrors, tomlFieldError(v.file, err))
 		return false
 	}
 	for _, key := range metadata.Undecoded() {
@@ -24,22 +24,22 @@
 	return true
 }
 
-// tomlFault translates an error of the TOML decoder.
-func tomlFault(file string, err error) FieldError {
+// tomlFieldError translates an error of the TOML decoder.
+func tomlFieldError(file string, err error) FieldError {
 	var parseError toml.ParseError
 	if !errors.As(err, &parseError) {
 		return FieldError{File: file, Problem: err.Error()}
 	}
-	fault := FieldError{
+	fieldError := FieldError{
 		File:    file,
 		Line:    parseError.Position.Line,
 		Field:   parseError.LastKey,
 		Problem: parseError.Message,
 	}
-	if fault.Problem == "" {
-		fault.Problem = err.Error()
+	if fieldError.Problem == "" {
+		fieldError.Problem = err.Error()
 	}
-	return fault
+	return fieldError
 }
 
 // decodeJSON decodes JSON. From then on the validator finds the line of a fault by its field.
@@ -55,8 +55,8 @@
 	if err == nil {
 		return true
 	}
-	fault := jsonFault(err)
-	v.report(fault.Field, "%s", fault.Problem)
+	fieldError := jsonFieldError(err)
+	v.report(fieldError.Field, "%s", fieldError.Problem)
 	return false
 }
 
@@ -68,11 +68,11 @@
 	}
 	if syntaxError, isSyntaxError := errors.AsType[*json.SyntaxError](err); isSyntaxError {
 		line := lineAt(raw, syntaxError.Offset)
-		v.faults = append(v.faults, FieldError{File: v.file, Line: line, Problem: err.Error()})
+		v.fieldErrors = append(v.fieldErrors, FieldError{File: v.file, Line: line, Problem: err.Error()})
 		return false
 	}
-	fault := jsonFault(err)
-	v.report(platformField(raw, fault.Field), "%s", fault.Problem)
+	fieldError := jsonFieldError(err)
+	v.report(platformField(raw, fieldError.Field), "%s", fieldError.Problem)
 	return false
 }
 
@@ -86,8 +86,8 @@
 	return field
 }
 
-// jsonFault translates an error of the JSON decoder. The result has neither file nor line.
-func jsonFault(err error) FieldError {
+// jsonFieldError translates an error of the JSON decoder. The result has neither file nor line.
+func jsonFieldError(err error) FieldError {
 	var typeError *json.UnmarshalTypeError
 	var fieldError FieldError
 	switch {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -36,8 +36,8 @@
 // Error returns one line for each fault.
 func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
-	for i, fault := range f {
-		lines[i] = fault.Error()
+	for i, fieldError := range f {
+		lines[i] = fieldError.Error()
 	}
 	return strings.Join(lines, "\n")
 }
@@ -45,15 +45,15 @@
 // FieldErrorsOf returns the faults that an error wraps. Any other error becomes one fault without
 // file, line and field.
 func FieldErrorsOf(err error) FieldErrors {
-	var faults FieldErrors
-	var fault FieldError
+	var fieldErrors FieldErrors
+	var fieldError FieldError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &faults):
-		return faults
-	case errors.As(err, &fault):
-		return FieldErrors{fault}
+	case errors.As(err, &fieldErrors):
+		return fieldErrors
+	case errors.As(err, &fieldError):
+		return FieldErrors{fieldError}
 	}
 	return FieldErrors{{Problem: err.Error()}}
 }
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestSettings_FaultsNameTheKeysOfTheFile(t *testing.T) {
+func TestSettings_ErrorsNameTheKeysOfTheFile(t *testing.T) {
 	for key, text := range map[string]string{
 		"balancers":      `{"balancers": "x"}`,
 		"classes.name":   `{"classes": [{"name": 1}]}`,
@@ -171,7 +171,7 @@
 	} {
 		var settings Settings
 		err := json.Unmarshal([]byte(text), &settings)
-		if field := jsonFault(err).Field; field != key {
+		if field := jsonFieldError(err).Field; field != key {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
--- a/internal/config/location_test.go
+++ b/internal/config/location_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestJSONLine_ReturnsTheLineOfAFieldBeforeAFault(t *testing.T) {
+func TestJSONLine_ReturnsTheLineOfAFieldBeforeASyntaxError(t *testing.T) {
 	malformed := []byte(jsonDocument[:len(jsonDocument)/2])
 	if got := jsonLine(malformed, "two.three"); got != 3 {
 		t.Errorf("line %d, want 3", got)
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -115,7 +115,7 @@
 	}
 	settingsValidator := &validator{file: path}
 	decoded := decodeSettings(settingsValidator, raw, &p.Settings)
-	v.faults = append(v.faults, settingsValidator.faults...)
+	v.fieldErrors = append(v.fieldErrors, settingsValidator.fieldErrors...)
 	return decoded
 }
 
--- a/internal/config/shapes_validate.go
+++ b/internal/config/shapes_validate.go
@@ -63,16 +63,17 @@
 // validateClass reports faults of one class. Its name must be that of an idempotent class. Its limit
 // must be above that of the previous class; the last class must have none.
 func (s *Shapes) validateClass(v *validator, index int, prefix string, classes []policy.Class) {
-	shape := &s.Classes[index]
-	class := findClass(classes, shape.Name)
-	v.require(class != nil, prefix+"name", unknownClassText, shape.Name)
+	shapeClass := &s.Classes[index]
+	class := findClass(classes, shapeClass.Name)
+	v.require(class != nil, prefix+"name", unknownClassText, shapeClass.Name)
 	v.require(class == nil || class.Effect == policy.Idempotent, prefix+"name",
-		"class %q is not idempotent; classes of read-only statements must be", shape.Name)
+		"class %q is not idempotent; classes of read-only statements must be", shapeClass.Name)
 	last := index == len(s.Classes)-1
 	if last {
-		v.require(shape.UpToMS == 0, prefix+"up_to_ms", "the last class must have no limit")
+		v.require(shapeClass.UpToMS == 0, prefix+"up_to_ms", "the last class must have no limit")
 		return
 	}
-	rises := index == 0 || shape.UpToMS > s.Classes[index-1].UpToMS
-	v.require(shape.UpToMS > 0 && rises, prefix+"up_to_ms", "%g is not above the previous class", shape.UpToMS)
+	abovePrevious := index == 0 || shapeClass.UpToMS > s.Classes[index-1].UpToMS
+	v.require(shapeClass.UpToMS > 0 && abovePrevious, prefix+"up_to_ms",
+		"%g is not above the previous class", shapeClass.UpToMS)
 }
--- a/internal/config/validation_test.go
+++ b/internal/config/validation_test.go
@@ -9,12 +9,12 @@
 	"flaxrelay/policy"
 )
 
-func TestParsePlatform_FaultsNameTheField(t *testing.T) {
+func TestParsePlatform_ErrorsNameTheField(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/toy/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := string(raw)
+	valid := string(raw)
 	for _, test := range []struct{ old, new, field string }{
 		{`"name": "toy"`, `"name": 5`, "name"},
 		{`"listen": "127.0.0.1:9090"`, `"listen": "nowhere"`, "listen"},
@@ -30,13 +30,13 @@
 		{``, ``, ""},
 		{`"when-short": "queue"`, `"when-short": "odd"`, "extra.when-short"},
 	} {
-		_, err := parsePlatform([]byte(strings.Replace(good, test.old, test.new, 1)), "configuration")
-		assertFaultOf(t, err, test.field, test.new)
+		_, err := parsePlatform([]byte(strings.Replace(valid, test.old, test.new, 1)), "configuration")
+		assertFieldError(t, err, test.field, test.new)
 	}
 }
 
-// assertFaultOf checks that the error names the field, or that there is none if the field is "".
-func assertFaultOf(t *testing.T, err error, field, replacement string) {
+// assertFieldError checks that the error names the field, or that there is none if the field is "".
+func assertFieldError(t *testing.T, err error, field, replacement string) {
 	t.Helper()
 	if field == "" {
 		if err != nil {
@@ -68,7 +68,7 @@
 }
 
 // Without a listen address the front end is off, which is not a fault.
-func TestLoadPostgres_FaultsNameTheField(t *testing.T) {
+func TestLoadPostgres_ErrorsNameTheField(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/postgres.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -103,6 +103,6 @@
 			t.Fatal(err)
 		}
 		_, err := LoadPostgres(path)
-		assertFaultOf(t, err, test.field, test.new)
+		assertFieldError(t, err, test.field, test.new)
 	}
 }
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -8,18 +8,18 @@
 
 // validator collects the faults of one file.
 type validator struct {
-	file   string
-	locate func(field string) int // returns the line of a field; nil if lines are unknown
-	faults FieldErrors
+	file        string
+	locate      func(field string) int // returns the line of a field; nil if lines are unknown
+	fieldErrors FieldErrors
 }
 
 // report adds a fault of a field.
 func (v *validator) report(field, format string, args ...any) {
-	fault := FieldError{File: v.file, Field: field, Problem: fmt.Sprintf(format, args...)}
+	fieldError := FieldError{File: v.file, Field: field, Problem: fmt.Sprintf(format, args...)}
 	if v.locate != nil {
-		fault.Line = v.locate(field)
+		fieldError.Line = v.locate(field)
 	}
-	v.faults = append(v.faults, fault)
+	v.fieldErrors = append(v.fieldErrors, fieldError)
 }
 
 // require reports a fault of a field if the condition is false.
@@ -45,10 +45,10 @@
 
 // err returns the collected faults, or nil.
 func (v *validator) err() error {
-	if len(v.faults) == 0 {
+	if len(v.fieldErrors) == 0 {
 		return nil
 	}
-	return v.faults
+	return v.fieldErrors
 }
 
 // portError reports an address whose port is a service name or out of range.
