--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -9,8 +9,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// decodeTOML decodes TOML and reports unknown keys as faults. If the text cannot be decoded, it
-// reports the fault and returns false.
+// decodeTOML decodes TOML and reports unknown keys. If the text cannot be decoded, it reports the error
+// and returns false.
 func decodeTOML(v *validator, raw []byte, into any) bool {
 	v.locate = func(field string) int { return tomlLine(raw, field) }
 	metadata, err := toml.Decode(string(raw), into)
@@ -24,7 +24,7 @@
 	return true
 }
 
-// tomlFieldError translates an error of the TOML decoder.
+// tomlFieldError converts an error of the TOML decoder to a FieldError.
 func tomlFieldError(file string, err error) FieldError {
 	var parseError toml.ParseError
 	if !errors.As(err, &parseError) {
@@ -42,14 +42,14 @@
 	return fieldError
 }
 
-// decodeJSON decodes JSON. From then on the validator finds the line of a fault by its field.
+// decodeJSON decodes JSON. It also lets the validator look up the line of a field in the text.
 func decodeJSON(v *validator, raw []byte, into any) error {
 	v.locate = func(field string) int { return jsonLine(raw, field) }
-	return json.Unmarshal(raw, into) //nolint:wrapcheck // jsonFault translates the error
+	return json.Unmarshal(raw, into) //nolint:wrapcheck // jsonFieldError converts the error
 }
 
 // decodeSettings decodes the settings object. If it cannot be decoded, decodeSettings reports the
-// fault and returns false.
+// error and returns false.
 func decodeSettings(v *validator, raw []byte, into *Settings) bool {
 	err := decodeJSON(v, raw, into)
 	if err == nil {
@@ -76,8 +76,8 @@
 	return false
 }
 
-// platformField returns the path of a faulty field from the top of the platform's configuration. A
-// fault inside the settings object gives the path from the top of that object.
+// platformField returns the path of an invalid field from the root of the platform's configuration. The
+// decoder reports a field of the settings object with a path from the root of that object.
 func platformField(raw []byte, field string) string {
 	inSettings := settingsKey + "." + field
 	if field != "" && jsonLine(raw, inSettings) > jsonLine(raw, settingsKey) {
@@ -86,7 +86,7 @@
 	return field
 }
 
-// jsonFieldError translates an error of the JSON decoder. The result has neither file nor line.
+// jsonFieldError converts an error of the JSON decoder to a FieldError without file and line.
 func jsonFieldError(err error) FieldError {
 	var typeError *json.UnmarshalTypeError
 	var fieldError FieldError
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// FieldError is one fault of a configuration file.
+// FieldError is an error in a configuration file.
 type FieldError struct {
 	File    string // path; "" if the text was not read from a file
 	Line    int    // from 1; 0: unknown
-	Field   string // path of the field in the file, as in statement[0].class; "": unknown
+	Field   string // path of the field in the file, such as statement[0].class; "": unknown
 	Problem string // what is wrong and what is expected
 }
 
-// Error returns file, line, field and problem, without those that are unknown.
+// Error returns the file, line, field and problem, and omits what is unknown.
 func (f FieldError) Error() string {
 	var parts []string
 	switch {
@@ -30,10 +30,10 @@
 	return strings.Join(parts, ": ")
 }
 
-// FieldErrors are all faults of a file.
+// FieldErrors are all errors in a file.
 type FieldErrors []FieldError
 
-// Error returns one line for each fault.
+// Error returns one line for each error.
 func (f FieldErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, fieldError := range f {
@@ -42,8 +42,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// FieldErrorsOf returns the faults that an error wraps. Any other error becomes one fault without
-// file, line and field.
+// FieldErrorsOf returns the FieldErrors that an error wraps, or nil if the error is nil. Any other error
+// becomes one FieldError without file, line and field.
 func FieldErrorsOf(err error) FieldErrors {
 	var fieldErrors FieldErrors
 	var fieldError FieldError
--- a/internal/config/json_location.go
+++ b/internal/config/json_location.go
@@ -34,7 +34,7 @@
 // noMatch is less than the length of any path.
 const noMatch = -1
 
-// visit records the line of a path if it leads to the field and is the longest such path so far.
+// visit records the line of a path if the path leads to the field and is the longest such path so far.
 func (l *jsonLocator) visit(path string) {
 	if len(path) > l.matched && leadsTo(path, l.field) {
 		l.line = lineAt(l.raw, l.decoder.InputOffset())
@@ -42,7 +42,8 @@
 	}
 }
 
-// leadsTo reports whether the path is that of the field or of an object or list that contains it.
+// leadsTo reports whether the path is the path of the field, or of an object or list that contains the
+// field.
 func leadsTo(path, field string) bool {
 	rest, isPrefix := strings.CutPrefix(field, path)
 	return isPrefix && (rest == "" || rest[0] == '.' || rest[0] == '[')
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// completeSettings has every key of the settings object, and an unknown one.
+// completeSettings has every key of the settings object, and an unknown key.
 const completeSettings = `{"balancers": 1, "zone": "z", "unknown": 0, "over-share-worth": 2,
 "membership-mode": "on_request", "round-ms": 3, "kinds": ["k"], "zones": ["z"],
 "projects": [{"name": "p", "quota-per-s": 4, "share": 5}],
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -11,10 +11,10 @@
 
 // Platform is the platform's configuration of the HTTP front end.
 type Platform struct {
-	Listen         string           // address for clients; "": none is given
+	Listen         string           // address for clients; "": not configured
 	Seed           uint64           // of the balancer's random numbers
-	MemoryMB       int              // limit on memory; 0: none is given
-	MaxDescriptors int              // limit on descriptors; 0: none is given
+	MemoryMB       int              // limit on memory; 0: not configured
+	MaxDescriptors int              // limit on descriptors; 0: not configured
 	EventBus       string           // address of the event bus; "": the endpoint list does not change
 	LastEvent      uint64           // number of the last known event
 	InitialUpdates []EndpointUpdate // of the endpoint list, up to the last known event
@@ -27,8 +27,8 @@
 	Engines []lifecycle.Endpoint
 }
 
-// LoadPlatform reads the configuration at the path. The error contains all faults with their lines and
-// fields (see FieldErrorsOf).
+// LoadPlatform reads the configuration at the path. The returned error contains all errors in the file,
+// with their lines and fields (see FieldErrorsOf).
 func LoadPlatform(path string) (*Platform, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return parsePlatform(raw, path)
 }
 
-// parsePlatform decodes and validates a configuration. The path is that of its faults.
+// parsePlatform decodes and validates a configuration. Errors name the path.
 func parsePlatform(raw []byte, path string) (*Platform, error) {
 	v := &validator{file: path}
 	var object platformObject
@@ -73,7 +73,7 @@
 	return configuration
 }
 
-// parseSeed returns the seed of the configuration, 0 if it has none, and reports an invalid one.
+// parseSeed parses a hexadecimal seed, and reports an invalid seed. A missing seed is 0.
 func parseSeed(v *validator, text string) uint64 {
 	if text == "" {
 		return 0
--- a/internal/config/platform_object.go
+++ b/internal/config/platform_object.go
@@ -28,7 +28,7 @@
 	MaxDescriptors float64 `json:"sockets"`
 }
 
-// knownEventsObject contains the events of the event bus up to a number.
+// knownEventsObject contains the events of the event bus up to the last known event.
 type knownEventsObject struct {
 	LastEvent uint64        `json:"offset"`
 	Events    []eventObject `json:"batch"`
@@ -104,8 +104,8 @@
 	return endpoint
 }
 
-// startTime converts the start time of an engine into a time of package policy, which has the same
-// origin. The start time 0 means that the engine started long ago; when is unknown.
+// startTime converts the start time of an engine to a time of package policy, which also counts from
+// the Unix epoch. A start time of 0 means that the engine started long ago, at an unknown time.
 func startTime(unixMS float64) (at time.Duration, known bool) {
 	if unixMS <= 0 {
 		return 0, false
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -22,18 +22,19 @@
 
 	// Statements are the rules that assign classes to statements. The first that matches applies.
 	Statements []StatementRule `toml:"statement"`
-	// DefaultClass is the class of statements to which neither a rule nor their leading comment assigns
-	// a class.
+	// DefaultClass is the class of statements that get no class from a rule or from their leading
+	// comment.
 	DefaultClass string `toml:"default_class"`
 	// WriteClass replaces an idempotent DefaultClass for statements that may write; "": firstWriteClass
 	// chooses it.
 	WriteClass string `toml:"write_class"`
-	// ReadOnlyFunctions are functions that write nothing, with their schema if they need one.
+	// ReadOnlyFunctions are functions, besides those of pg_catalog, that write nothing. Their names
+	// include the schema if the statements do.
 	ReadOnlyFunctions []string `toml:"read_only_functions"`
 
-	// User is the user of the connections to engines.
+	// User is the PostgreSQL role that the front end uses on engines.
 	User string `toml:"user"`
-	// Database is the database of these connections; "": the name of the user.
+	// Database is the database on engines; "": the database that has the name of the user.
 	Database         string  `toml:"database"`
 	ConnectTimeoutMS float64 `toml:"connect_timeout_ms"`
 	IdleTimeoutMS    float64 `toml:"idle_close_ms"`
@@ -42,7 +43,7 @@
 	Shapes Shapes `toml:"shapes"`
 }
 
-// StatementRule assigns a class to statements that begin with some words, and names the parameter
+// StatementRule assigns a class to statements that begin with the same words, and names the parameter
 // that contains their idempotency key.
 type StatementRule struct {
 	Prefix       string `toml:"starts"` // the words that the statements begin with
@@ -56,13 +57,13 @@
 	Address string `toml:"address"`
 	Service string `toml:"service"`
 	Token   string `toml:"token"`
-	Zone    string `toml:"zone"` // zone of engines without one in their metadata
-	Kind    string `toml:"kind"` // kind of engines without one in their metadata
+	Zone    string `toml:"zone"` // zone of engines whose metadata has none
+	Kind    string `toml:"kind"` // kind of engines whose metadata has none
 }
 
 // LoadPostgres reads the deploy file of the PostgreSQL front end and the settings file that it names.
-// The error contains all faults with their files, lines and fields (see FieldErrorsOf). If the front
-// end is off, the deploy file is only decoded.
+// The returned error contains all errors in the files, with their lines and fields (see FieldErrorsOf).
+// If the front end is off, the deploy file is decoded but not validated.
 func LoadPostgres(path string) (*Postgres, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -82,8 +83,9 @@
 	return &deploy, nil
 }
 
-// complete validates the deploy file, reads the settings from its directory and sets the defaults of
-// missing fields. It validates classes after it has read the settings, which define them.
+// complete validates the deploy file, reads the settings file and sets the defaults of missing fields.
+// The path of the settings file may be relative to the directory. Classes are validated after the
+// settings have been read, because the settings define them.
 func (p *Postgres) complete(v *validator, directory string) {
 	p.validateServer(v)
 	if p.Database == "" {
@@ -101,8 +103,8 @@
 	p.Shapes.validate(v, "shapes.", classes)
 }
 
-// loadSettings reads the settings file, and reports its faults to the validator. It returns false if
-// the file could not be read or decoded.
+// loadSettings reads the settings file, and reports the errors in it to the validator. It returns false
+// if the file could not be read or decoded.
 func (p *Postgres) loadSettings(v *validator, directory string) bool {
 	path := p.SettingsFile
 	if !filepath.IsAbs(path) {
--- a/internal/config/postgres_validate.go
+++ b/internal/config/postgres_validate.go
@@ -9,30 +9,30 @@
 	"flaxrelay/policy"
 )
 
-// maxParameterNumber is the largest number of a parameter. The PostgreSQL protocol has 16 bits for
-// it.
+// maxParameterNumber is the largest number of a parameter. The PostgreSQL protocol counts parameters
+// with 16 bits.
 const maxParameterNumber = 1<<16 - 1
 
-// unknownClassText is the problem of a field that names a class which the settings do not have.
+// unknownClassText is the problem of a field that names a class which is not in the settings.
 const unknownClassText = "%q is not a class of the settings"
 
-// validateServer reports faults of the fields that can be checked without the settings.
+// validateServer validates the fields that do not depend on the settings.
 func (p *Postgres) validateServer(v *validator) {
 	v.requireAddress("listen", p.Listen)
 	v.requireAddress("consul.address", p.Consul.Address)
 	v.require(p.Consul.Service != "", "consul.service", "missing; expected the name of the engines' service")
 	v.require(p.User != "", "user", "missing; expected the user that connects to engines")
-	v.require(p.MemoryMB >= 0, "memory_mb", "%d is below 0", p.MemoryMB)
-	v.require(p.MaxDescriptors >= 0, "sockets", "%d is below 0", p.MaxDescriptors)
+	v.require(p.MemoryMB >= 0, "memory_mb", "%d is negative", p.MemoryMB)
+	v.require(p.MaxDescriptors >= 0, "sockets", "%d is negative", p.MaxDescriptors)
 	for i, name := range p.ReadOnlyFunctions {
 		field := fmt.Sprintf("read_only_functions[%d]", i)
 		v.require(isFunctionName(name), field,
-			"%q is not the name of a function in lower case, as in price_of or stock.price_of", name)
+			"%q is not the name of a function in lower case, such as price_of or stock.price_of", name)
 	}
 }
 
-// isFunctionName reports whether a name is that of a function in lower case, with or without a
-// schema.
+// isFunctionName reports whether the text has the form of a function name in lower case, with or without
+// a schema.
 func isFunctionName(name string) bool {
 	return name != "" &&
 		name == strings.ToLower(name) &&
@@ -51,8 +51,8 @@
 	return ""
 }
 
-// validateClasses reports classes that the settings do not have, and classes whose effect does not
-// fit the statements that get them.
+// validateClasses reports classes that are not in the settings, and classes whose effect does not match
+// the statements that they are assigned to.
 func (p *Postgres) validateClasses(v *validator) {
 	classes := p.Settings.Policy.Classes
 	v.require(findClass(classes, p.DefaultClass) != nil, "default_class", unknownClassText, p.DefaultClass)
@@ -66,7 +66,7 @@
 	}
 }
 
-// validate reports faults of one statement rule.
+// validate reports the invalid fields of the rule. The prefix precedes their names in errors.
 func (r *StatementRule) validate(v *validator, prefix string, classes []policy.Class) {
 	class := findClass(classes, r.Class)
 	writes := sqltext.EffectOf(r.Prefix, nil).Effect == sqltext.EffectWrites
@@ -74,13 +74,13 @@
 	v.require(class != nil, prefix+"class", unknownClassText, r.Class)
 	v.require(r.KeyParameter >= 0 && r.KeyParameter <= maxParameterNumber, prefix+"key",
 		"%d is not the number of a parameter, 1 to %d", r.KeyParameter, maxParameterNumber)
-	v.require(!writes || !r.ReadOnly, prefix+"read_only", "%q writes", r.Prefix)
+	v.require(!writes || !r.ReadOnly, prefix+"read_only", "statements that begin with %q write", r.Prefix)
 	v.require(class == nil || !writes || class.Effect != policy.Idempotent, prefix+"class",
-		"%q writes, but class %q is idempotent", r.Prefix, r.Class)
+		"statements that begin with %q write, but class %q is idempotent", r.Prefix, r.Class)
 }
 
-// findClass returns the class with the name, or nil. If several classes have the name it returns the
-// last one, like lifecycle.Dispatcher.Class.
+// findClass returns the class with the name, or nil. If several classes have the name, it returns the
+// last of them, like lifecycle.Dispatcher.Class.
 func findClass(classes []policy.Class, name string) *policy.Class {
 	for i := range slices.Backward(classes) {
 		if classes[i].Name == name {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -25,7 +25,7 @@
 func (s *Settings) UnmarshalJSON(raw []byte) error {
 	var object settingsObject
 	if err := json.Unmarshal(raw, &object); err != nil {
-		return err //nolint:wrapcheck // jsonFault translates the error
+		return err //nolint:wrapcheck // jsonFieldError converts the error
 	}
 	settings, err := object.policySettings()
 	if err != nil {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// CheckSettings validates a file that contains only the settings object. The error contains all
-// faults (see FieldErrorsOf).
+// CheckSettings validates a file that contains only the settings object. The returned error
+// contains all errors in the file (see FieldErrorsOf).
 func CheckSettings(path string, raw []byte) error {
 	v := &validator{file: path}
 	var settings Settings
--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -53,7 +53,7 @@
 	WorstWindow float64 `json:"worst-window"`
 }
 
-// penaltiesObject contains what the policy pays for its choices.
+// penaltiesObject contains the penalties that side effects of decisions subtract from the objective.
 type penaltiesObject struct {
 	CrossZone   float64 `json:"cross-zone"`
 	Waste       float64 `json:"waste"`
@@ -61,7 +61,7 @@
 	HealthCheck float64 `json:"probe"`
 }
 
-// loadReportObject says how engines report their load, and names the values of a report.
+// loadReportObject defines how engines report their load, and names the values of a report.
 type loadReportObject struct {
 	Transport string   `json:"how"`
 	Names     []string `json:"names"`
--- a/internal/config/settings_policy.go
+++ b/internal/config/settings_policy.go
@@ -8,8 +8,8 @@
 
 // Values of the settings object.
 const (
-	pullDiscovery  = "on_request" // of membership-mode
-	noReportedLoad = "silent"     // of report.how
+	pullDiscovery  = "on_request" // value of membership-mode
+	noReportedLoad = "silent"     // value of report.how
 )
 
 // Problems of fields.
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -8,24 +8,24 @@
 	"flaxrelay/internal/decision/costmodel"
 )
 
-// Shapes configures classification and cost estimates by statement shape. It is the table [shapes] of
-// the deploy file of the PostgreSQL front end, or a file of its own for the HTTP front end.
+// Shapes configures classification and cost estimates by statement shape. The PostgreSQL front
+// end reads it from the table [shapes] of its deploy file, the HTTP front end from a separate file.
 type Shapes struct {
-	// Enabled turns statement statistics on. If they are off, classes and estimates come from clients
-	// and rules only.
+	// Enabled turns statement statistics on. Without them, classes and estimates come from clients and
+	// rules only.
 	Enabled bool `toml:"enabled"`
 	// MemoryKB limits the size of the cache of shapes. It must be at most a quarter of memory_mb.
 	MemoryKB int `toml:"memory_kb"`
-	// Hysteresis is the factor by which the expected cost of a shape must pass the limit between two
-	// classes before the shape changes its class.
+	// Hysteresis is the factor by which the expected cost of a shape must be beyond the limit between
+	// two classes before the shape changes its class.
 	Hysteresis float64 `toml:"hysteresis"`
-	// CorrectEstimates replaces the estimates of clients by expected costs.
+	// CorrectEstimates replaces the estimates of clients with expected costs.
 	CorrectEstimates bool `toml:"correct_estimates"`
-	// Snapshot is the file that preserves the statistics over a restart; "": none.
+	// Snapshot is the file that preserves the statistics across restarts; "": they are not saved.
 	Snapshot string `toml:"snapshot"`
 	// SnapshotSeconds is the time between snapshots.
 	SnapshotSeconds float64 `toml:"snapshot_every_s"`
-	// Classes are the classes of read-only statements, the cheapest first. If there are none,
+	// Classes are the classes of read-only statements, the cheapest first. If the list is empty,
 	// statements are not classified by their shape.
 	Classes []ShapeClass `toml:"class"`
 }
@@ -36,8 +36,8 @@
 	UpToMS float64 `toml:"up_to_ms"` // limit on the expected execution time; 0 for the last class
 }
 
-// LoadShapes reads the file of shape settings of the HTTP front end. The error contains all faults
-// (see FieldErrorsOf).
+// LoadShapes reads the file of shape settings of the HTTP front end. The returned error contains
+// all errors in the file (see FieldErrorsOf).
 func LoadShapes(path string) (*Shapes, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/shapes_validate.go
+++ b/internal/config/shapes_validate.go
@@ -11,7 +11,7 @@
 
 // Limits and defaults of Shapes.
 const (
-	minShapesKB     = 64 // enough for a few shapes at least
+	minShapesKB     = 64 // enough for a few shapes
 	maxShapesKB     = 1 << 20
 	defaultShapesKB = 2048
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// validate reports faults, unless statement statistics are off. The prefix is that of the fields in
-// the file; the classes are those of the settings.
+// validate reports invalid fields, unless statement statistics are off. The prefix precedes the names of
+// the fields in errors; classes are the classes of the settings.
 func (s *Shapes) validate(v *validator, prefix string, classes []policy.Class) {
 	if !s.Enabled {
 		return
@@ -60,14 +60,14 @@
 	}
 }
 
-// validateClass reports faults of one class. Its name must be that of an idempotent class. Its limit
-// must be above that of the previous class; the last class must have none.
+// validateClass validates one class. It must have the name of an idempotent class of the settings. Its
+// limit must be above the limit of the previous class; the last class must have no limit.
 func (s *Shapes) validateClass(v *validator, index int, prefix string, classes []policy.Class) {
 	shapeClass := &s.Classes[index]
 	class := findClass(classes, shapeClass.Name)
 	v.require(class != nil, prefix+"name", unknownClassText, shapeClass.Name)
 	v.require(class == nil || class.Effect == policy.Idempotent, prefix+"name",
-		"class %q is not idempotent; classes of read-only statements must be", shapeClass.Name)
+		"class %q is not idempotent; read-only statements need an idempotent class", shapeClass.Name)
 	last := index == len(s.Classes)-1
 	if last {
 		v.require(shapeClass.UpToMS == 0, prefix+"up_to_ms", "the last class must have no limit")
@@ -75,5 +75,5 @@
 	}
 	abovePrevious := index == 0 || shapeClass.UpToMS > s.Classes[index-1].UpToMS
 	v.require(shapeClass.UpToMS > 0 && abovePrevious, prefix+"up_to_ms",
-		"%g is not above the previous class", shapeClass.UpToMS)
+		"%g is not above the limit of the previous class", shapeClass.UpToMS)
 }
--- a/internal/config/toml_location.go
+++ b/internal/config/toml_location.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// tomlField is the place of a field in a TOML document.
+// tomlField is the location of a field in a TOML document.
 type tomlField struct {
-	path  string // as in statement[1].class
+	path  string // such as statement[1].class
 	table string // "" for the top level
 	index int    // of the table in its array; 0 for a single table
 	key   string
 }
 
-// parseTOMLField splits a path like statement[1].class. The index of an element of a list of plain
-// values is dropped, because the line of such a list is that of its key.
+// parseTOMLField splits a path like statement[1].class. The index of an element in a list of plain
+// values is dropped, because tomlLine returns the line of the key for all elements.
 func parseTOMLField(path string) tomlField {
 	field := tomlField{path: path, key: path}
 	if dot := strings.LastIndexByte(path, '.'); dot >= 0 {
@@ -30,7 +30,7 @@
 }
 
 // tomlLine returns the line, from 1, of a field in tables and arrays of tables. If the field is
-// missing it returns the line of its table, or 0 if that is missing too.
+// missing it returns the line of its table, or 0 if the table is missing too.
 func tomlLine(raw []byte, path string) int {
 	field := parseTOMLField(path)
 	position := tomlPosition{seen: map[string]int{}}
@@ -59,7 +59,7 @@
 	seen  map[string]int // number of tables of each array
 }
 
-// enterTable moves the position into the table that a line like [name] or [[name]] begins.
+// enterTable moves the position into the table that starts at a line like [name] or [[name]].
 func (p *tomlPosition) enterTable(header string) {
 	p.table = tomlHeader(header)
 	p.index = 0
@@ -69,12 +69,12 @@
 	}
 }
 
-// isTableOf reports whether the field is in the table, or is the table itself.
+// isTableOf reports whether the field is in the current table, or is the table itself.
 func (p *tomlPosition) isTableOf(field tomlField) bool {
 	return p.contains(field) || p.table == field.path
 }
 
-// contains reports whether the field belongs to the table.
+// contains reports whether the field is in the current table.
 func (p *tomlPosition) contains(field tomlField) bool {
 	return p.table == field.table && p.index == field.index
 }
@@ -85,7 +85,7 @@
 	return strings.TrimSpace(strings.Trim(header, "[] \t"))
 }
 
-// tomlKey returns the key that a line assigns to, if it is an assignment.
+// tomlKey returns the key that a line assigns a value to, and whether the line is an assignment.
 func tomlKey(line string) (key string, isAssignment bool) {
 	key, _, isAssignment = strings.Cut(line, "=")
 	return strings.Trim(strings.TrimSpace(key), `"'`), isAssignment
--- a/internal/config/validation_test.go
+++ b/internal/config/validation_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// assertFieldError checks that the error names the field, or that there is none if the field is "".
+// assertFieldError checks that the error names the field, or that the error is nil if the field is "".
 func assertFieldError(t *testing.T, err error, field, replacement string) {
 	t.Helper()
 	if field == "" {
@@ -45,7 +45,7 @@
 		return
 	}
 	if err == nil || !strings.Contains(err.Error(), field) {
-		t.Errorf("%s: error is %v, want a fault of %s", replacement, err, field)
+		t.Errorf("%s: error is %v, want an error of %s", replacement, err, field)
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// Without a listen address the front end is off, which is not a fault.
+// A deploy file without a listen address is valid: it turns the front end off.
 func TestLoadPostgres_ErrorsNameTheField(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/postgres.toml")
 	if err != nil {
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -6,14 +6,14 @@
 	"strconv"
 )
 
-// validator collects the faults of one file.
+// validator collects the errors in one file.
 type validator struct {
 	file        string
 	locate      func(field string) int // returns the line of a field; nil if lines are unknown
 	fieldErrors FieldErrors
 }
 
-// report adds a fault of a field.
+// report adds an error of a field.
 func (v *validator) report(field, format string, args ...any) {
 	fieldError := FieldError{File: v.file, Field: field, Problem: fmt.Sprintf(format, args...)}
 	if v.locate != nil {
@@ -22,14 +22,14 @@
 	v.fieldErrors = append(v.fieldErrors, fieldError)
 }
 
-// require reports a fault of a field if the condition is false.
+// require reports an error of a field if the condition is false.
 func (v *validator) require(condition bool, field, format string, args ...any) {
 	if !condition {
 		v.report(field, format, args...)
 	}
 }
 
-// requireAddress reports a fault of a field unless its value has the form HOST:PORT.
+// requireAddress reports an error of a field unless its value has the form HOST:PORT.
 func (v *validator) requireAddress(field, address string) {
 	if err := checkAddress(address); err != nil {
 		v.report(field, "%v; expected HOST:PORT", err)
@@ -43,7 +43,7 @@
 	}
 }
 
-// err returns the collected faults, or nil.
+// err returns the collected errors, or nil if there are none.
 func (v *validator) err() error {
 	if len(v.fieldErrors) == 0 {
 		return nil
@@ -51,7 +51,7 @@
 	return v.fieldErrors
 }
 
-// portError reports an address whose port is a service name or out of range.
+// portError is the error of an address whose port is a service name or out of range.
 type portError struct{ address string }
 
 func (e *portError) Error() string {
