--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -7,7 +7,7 @@
 type Backoff struct {
 	// Initial is the first delay, and the first after Reset, even if Max is less.
 	Initial time.Duration
-	// Max limits all delays but the first.
+	// Max limits all delays except the first.
 	Max time.Duration
 
 	next time.Duration // the next delay; 0: Initial
--- a/internal/discovery/consul/client.go
+++ b/internal/discovery/consul/client.go
@@ -18,8 +18,8 @@
 	maxResponseSize = 8 << 20
 	// queryWait is the wait parameter of a blocking query: how long Consul waits for a change.
 	queryWait = 30 * time.Second
-	// queryWaitMargin is added to queryWait to get the time limit of a query, because Consul adds
-	// jitter to the wait.
+	// queryWaitMargin is how much longer than queryWait a query may take, because Consul adds jitter to
+	// the wait.
 	queryWaitMargin = 5 * time.Second
 	// maxErrorText limits how much of the body of an error response is logged, in characters.
 	maxErrorText = 100
@@ -50,8 +50,8 @@
 
 func (c *client) closeIdleConnections() { c.http.CloseIdleConnections() }
 
-// query makes one blocking query. It blocks until Consul's index differs from index or queryWait
-// has passed. It decodes the body of the response into list and returns the index of the response.
+// query makes one blocking query. It blocks until Consul's index differs from the given index or
+// queryWait has passed. It decodes the body of the response into list and returns the index of the response.
 func (c *client) query(
 	ctx context.Context, opts Options, path string, index uint64, list any,
 ) (received uint64, err error) {
--- a/internal/discovery/consul/decoding.go
+++ b/internal/discovery/consul/decoding.go
@@ -11,7 +11,7 @@
 	"flaxrelay/policy"
 )
 
-// The ids of the health checks that Consul registers for an engine in maintenance mode.
+// The ids of the health checks that Consul registers for a node or a service in maintenance mode.
 const (
 	nodeMaintenanceCheck          = "_node_maintenance"
 	serviceMaintenanceCheckPrefix = "_service_maintenance"
@@ -71,8 +71,8 @@
 
 func (e *healthEntry) engineID() string { return engineID(e.Node.Node, e.Service.ID) }
 
-// state returns the state of the engine. It is draining in maintenance mode; else removed if a health
-// check is critical; else draining if the service's metadata say so; else ready.
+// state returns the state of the engine: draining in maintenance mode; otherwise removed if a health
+// check is critical; otherwise draining if the metadata of the service say so; otherwise ready.
 func (e *healthEntry) state() policy.EngineState {
 	state := policy.EngineReady
 	if e.Service.Meta["draining"] == "true" {
@@ -89,5 +89,6 @@
 	return state
 }
 
-// engineID returns the id of an engine. Ids of services are unique only on their node.
+// engineID returns the id of an engine. It includes the node, because service ids are unique only on a
+// node.
 func engineID(node, service string) string { return node + "/" + service }
--- a/internal/discovery/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -33,8 +33,8 @@
 	c <- text
 }
 
-// scriptedAgent is a Consul agent with given responses. The queries on its two paths are concurrent
-// and may use any connection, so that each path has its own responses and its own log.
+// scriptedAgent is a Consul agent that sends predefined responses. The queries on its two paths are
+// concurrent and may use any connection, so each path has its own responses and its own log.
 type scriptedAgent struct {
 	mu        sync.Mutex
 	logs      map[string]*bytes.Buffer // guarded by mu
@@ -122,8 +122,8 @@
 	nodeMaintenance = `{"CheckID":"_node_maintenance","Status":"critical"}`
 )
 
-// steps are the responses in their order. notified is whether the sink is notified of a change after
-// the response.
+// steps are the responses in the order in which they are sent. notified is whether the response makes
+// the watcher notify the sink.
 var steps = []struct {
 	path, response string
 	notified       bool
@@ -147,7 +147,7 @@
 	{catalogPath, response("200 OK", "8", jsonList(secondEngine)), true},
 }
 
-// The golden file has the bytes of all requests, except for the port in Host, and the notifications
+// The golden file contains the bytes of all requests, except for the port in Host, and the notification
 // after each response.
 func TestWatcher_ExchangeMatchesTheGoldenFile(t *testing.T) {
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
--- a/internal/discovery/consul/helpers_test.go
+++ b/internal/discovery/consul/helpers_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/internal/metrics"
 )
 
-// startWatcher starts a watcher that runs until the end of the test. The watcher and the test run
-// functions with post, one at a time, in place of the sink's goroutine.
+// startWatcher starts a watcher that runs until the end of the test. post replaces the sink's goroutine:
+// it runs the functions of the watcher and of the test one at a time.
 func startWatcher(t *testing.T, opts Options, sink discovery.Sink) (post func(func()), counters *metrics.Counters) {
 	t.Helper()
 	var owner sync.Mutex
--- a/internal/discovery/consul/reconcile.go
+++ b/internal/discovery/consul/reconcile.go
@@ -48,9 +48,9 @@
 	return current
 }
 
-// changedEndpoints returns the engines that are new or have changed, and the engines that are
-// missing in the list as removed, in the order of their ids. It also returns the list as a map by
-// id.
+// changedEndpoints returns the engines that are new or have changed, and the engines that are no longer
+// in the list, with the state removed. They are in the order of their ids. It also returns the list as a
+// map by id.
 func changedEndpoints(
 	before map[string]lifecycle.Endpoint, list []lifecycle.Endpoint,
 ) (changes []lifecycle.Endpoint, after map[string]lifecycle.Endpoint) {
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -1,6 +1,6 @@
 // Package consul follows a service in Consul with blocking queries to its catalog and its health
 // API, and notifies a sink of the engines that are ready, draining or removed. New returns a Watcher;
-// Watch starts to follow a service, and may be called again to follow another one.
+// Watch starts to follow a service, and may be called again to follow another service.
 package consul
 
 import (
@@ -28,23 +28,23 @@
 	healthPath  = "/v1/health/service/"
 )
 
-// Options name the service to watch, and set the zone and the kind of engines whose metadata have none.
+// Options name the service to watch, and set defaults for the zone and the kind of engines.
 // They come from the deploy file.
 type Options struct {
 	Address string // host:port of the HTTP API
 	Service string
 	Token   string // ACL token; "": none
-	Zone    string // the default zone
-	Kind    string // the default kind
+	Zone    string // zone of engines whose metadata has none
+	Kind    string // kind of engines whose metadata has none
 }
 
 // Watcher follows one service. The catalog lists the registered engines and their addresses; the
-// health API lists their health checks. The sink's goroutine owns the state of a Watcher. The
-// queries of the two APIs run on one goroutine each, which posts the results to the sink's.
+// health API lists their health checks. The sink's goroutine owns the state of a Watcher. The queries of
+// each API run on a separate goroutine, which posts the results to the sink's goroutine.
 type Watcher struct {
 	post     func(func()) // runs a function on the sink's goroutine
 	sink     discovery.Sink
-	counters *metrics.Counters // belongs to the sink's goroutine
+	counters *metrics.Counters // owned by the sink's goroutine
 	log      *slog.Logger
 	client   *client
 
@@ -52,7 +52,7 @@
 	cancelQueries context.CancelFunc            // ends the queries of the latest Watch
 	registered    []registration                // nil until received
 	health        map[string]policy.EngineState // by id of the engine; nil until received
-	notified      map[string]lifecycle.Endpoint // the engines as last sent to the sink, by id
+	notified      map[string]lifecycle.Endpoint // the engines that the sink was notified of, by id
 }
 
 // New returns a watcher that notifies the sink through post.
@@ -68,7 +68,7 @@
 	}
 }
 
-// Watch follows the service that the options name until the context ends or Watch is called again.
+// Watch follows the service that the options name until the context is done or Watch is called again.
 // The sink keeps the engines of the previous service until both lists of the new service are
 // received. Watch must be called on the sink's goroutine and does not block.
 func (w *Watcher) Watch(ctx context.Context, opts Options) {
@@ -91,7 +91,7 @@
 	})
 }
 
-// poll makes blocking queries on one path until the context ends. It posts each changed result to
+// poll makes blocking queries on one path until the context is done. It posts each changed result to
 // the handler, which runs on the sink's goroutine.
 func poll[T any](ctx context.Context, w *Watcher, opts Options, path string, handle func([]T)) {
 	backoff := discovery.Backoff{Initial: initialBackoff, Max: maxBackoff}
@@ -132,9 +132,9 @@
 		slog.Any("error", err), slog.Duration("retry_in", retryIn))
 }
 
-// nextIndex returns the index for the next query. index is that of the previous query, received
-// that of its response. If the index went back, nextIndex returns 0: Consul's servers were restored
-// from a backup or replaced.
+// nextIndex returns the index for the next query, given the index of the previous query and the index
+// that its response contained. It returns 0 if the index went back, because Consul's servers were
+// restored from a backup or replaced.
 func nextIndex(index, received uint64) uint64 {
 	if received < index {
 		return 0
@@ -142,7 +142,7 @@
 	return max(received, 1) // Consul does not block on an index of 0
 }
 
-// sleep blocks for the duration or until the context ends.
+// sleep blocks for the duration or until the context is done.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/discovery/consul/watcher_test.go
+++ b/internal/discovery/consul/watcher_test.go
@@ -28,13 +28,13 @@
 	r <- strings.Join(lines, "; ")
 }
 
-// fakeAgent is a Consul agent. It responds to a query when its index differs from that of the query,
-// and fails a given number of queries.
+// fakeAgent is a Consul agent. It responds to a query when its index differs from the index in the
+// query, and fails a given number of queries.
 type fakeAgent struct {
 	mu       sync.Mutex
 	changed  chan struct{} // closed by the next change
 	index    uint64
-	failures int               // number of next queries that fail
+	failures int               // number of the next queries that fail
 	checks   map[string]string // by service id: "passing", "warning", "critical" or "maintenance"
 	queries  []string
 }
@@ -94,8 +94,8 @@
 		id, checkID, check)
 }
 
-// An engine is ready, in maintenance, critical and deregistered in turn. Meanwhile queries fail, and
-// the index goes back as after a restore from a backup.
+// The engine is ready, in maintenance, critical, ready again and deregistered. Meanwhile queries fail,
+// and the index goes back as after a restore from a backup.
 func TestWatcher_NotifiesOfEachChangeOnce(t *testing.T) {
 	agent := &fakeAgent{index: 50, checks: map[string]string{"e1": "passing"}, changed: make(chan struct{})}
 	server := httptest.NewServer(agent)
@@ -128,7 +128,7 @@
 		}, "gone"},
 	} {
 		agent.update(step.change)
-		got := discoverytest.Receive(t, notifications, "notification that it is "+step.want)
+		got := discoverytest.Receive(t, notifications, "notification that the engine is "+step.want)
 		if diff := cmp.Diff("n1/e1 127.0.0.1:70 hall-a/std-8 "+step.want, got); diff != "" {
 			t.Error(diff)
 		}
@@ -157,10 +157,10 @@
 		name                  string
 		index, received, want uint64
 	}{
-		{"it advances", 7, 9, 9},
-		{"it did not change within the wait", 7, 7, 7},
-		{"it went back", 7, 3, 0},
-		{"the first response says 0", 0, 0, 1},
+		{"the index advances", 7, 9, 9},
+		{"the index does not change within the wait", 7, 7, 7},
+		{"the index goes back", 7, 3, 0},
+		{"the first response has index 0", 0, 0, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := nextIndex(test.index, test.received); got != test.want {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery contains the code that the sources of the endpoint list share. Each source is a
+// Package discovery contains the code that is common to the sources of the endpoint list. Each source is a
 // package in a subdirectory: eventbus and consul. It watches an external system and notifies one Sink,
 // which is the dispatcher, of the engines.
 package discovery
@@ -22,7 +22,7 @@
 const startTimeLimit = 1 << 43
 
 // StartTime converts the start time of an engine as a source reports it, in milliseconds since the
-// Unix epoch. The start time is unknown if that is zero, negative or out of range.
+// Unix epoch. The start time is unknown if the number is zero, negative or out of range.
 func StartTime(unixMilliseconds int64) (at time.Duration, known bool) {
 	if unixMilliseconds <= 0 || unixMilliseconds >= startTimeLimit {
 		return 0, false
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -9,17 +9,17 @@
 	"flaxrelay/policy"
 )
 
-// Timeout limits each wait of a test for an event that must come.
+// Timeout limits how long a test waits for an expected event.
 const Timeout = 10 * time.Second
 
-// StateNames are the names of the states of engines in golden files.
+// StateNames are the names of engine states in golden files.
 var StateNames = map[policy.EngineState]string{
 	policy.EngineReady:    "ready",
 	policy.EngineDraining: "draining",
 	policy.EngineRemoved:  "gone",
 }
 
-// Must ends the test if there is an error.
+// Must fails the test immediately if there is an error.
 func Must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -27,7 +27,8 @@
 	}
 }
 
-// Receive returns the next value of a channel, and ends the test if none comes in time.
+// Receive returns the next value from a channel, and fails the test immediately if no value arrives
+// within Timeout.
 func Receive[T any](t *testing.T, values <-chan T, description string) T {
 	t.Helper()
 	select {
--- a/internal/discovery/eventbus/frames.go
+++ b/internal/discovery/eventbus/frames.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// The layout of a frame, as offsets and sizes in bytes: the length of the rest, the number of the
+// The layout of a frame, as offsets and sizes in bytes: the length of what follows, the number of the
 // event, the kind and the payload. Numbers are big-endian.
 const (
 	lengthSize     = 4
@@ -43,7 +43,7 @@
 	errUnknownFrameKind = errors.New("unknown frame kind")
 )
 
-// errFrameIncomplete means that the end of the frame has not been received yet.
+// errFrameIncomplete reports that a frame has been received only in part.
 var errFrameIncomplete = errors.New("frame incomplete")
 
 // eventError is a protocol error in the records of one event.
@@ -59,7 +59,7 @@
 func (e *eventError) Unwrap() error { return e.Err }
 
 // parseFrame parses the frame at the start of the input. It returns errFrameIncomplete if the input
-// ends before the frame does.
+// ends inside the frame.
 func parseFrame(input []byte) (frame, error) {
 	if len(input) < lengthSize {
 		return frame{}, errFrameIncomplete
--- a/internal/discovery/eventbus/frames_test.go
+++ b/internal/discovery/eventbus/frames_test.go
@@ -12,11 +12,11 @@
 		in   []byte
 		want error
 	}{
-		{"nothing", nil, errFrameIncomplete},
+		{"empty input", nil, errFrameIncomplete},
 		{"half a length", complete[:2], errFrameIncomplete},
 		{"all but the last byte", complete[:len(complete)-1], errFrameIncomplete},
 		{"complete", complete, nil},
-		{"too short to hold a kind", []byte{0, 0, 0, 8}, errFrameLength},
+		{"too short for a kind", []byte{0, 0, 0, 8}, errFrameLength},
 		{"longest", []byte{0, 0x10, 0, 0}, errFrameIncomplete},
 		{"too long", []byte{0, 0x10, 0, 1}, errFrameLength},
 	} {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Frames of a faulty bus are rejected and never read past their end.
+// Invalid frames are rejected and never read past their end.
 func FuzzParseFrame_NeverReadsPastTheInput(f *testing.F) {
 	f.Add(encodeFrame(4, frameDelta, record{id: 7, port: 70}.encode()))
 	f.Add([]byte{0, 0, 0, 1, 0})
@@ -56,16 +56,16 @@
 		parsed, err := parseFrame(input)
 		if err != nil {
 			if parsed.payload != nil {
-				t.Fatalf("%d bytes of payload with %v", len(parsed.payload), err)
+				t.Fatalf("returned %d bytes of payload with error %v", len(parsed.payload), err)
 			}
 			return
 		}
 		if parsed.size() > len(input) {
-			t.Fatalf("a frame of %d bytes in %d", parsed.size(), len(input))
+			t.Fatalf("parsed a frame of %d bytes from %d bytes of input", parsed.size(), len(input))
 		}
 		engines, err := decoder.decode(parsed.payload)
 		if err == nil && len(engines)*recordSize != len(parsed.payload) {
-			t.Fatalf("%d records of %d bytes", len(engines), len(parsed.payload))
+			t.Fatalf("decoded %d records from a payload of %d bytes", len(engines), len(parsed.payload))
 		}
 	})
 }
--- a/internal/discovery/eventbus/golden_test.go
+++ b/internal/discovery/eventbus/golden_test.go
@@ -37,7 +37,7 @@
 type session struct {
 	frames          [][]byte
 	updates         int  // number of notifications after the frames
-	closedByWatcher bool // and not by the bus
+	closedByWatcher bool // false: closed by the bus
 }
 
 // goldenIP is the address of the engines in the golden file.
@@ -55,7 +55,7 @@
 		encodeFrame(42, frameHeartbeat),
 		encodeFrame(43, frameDelta,
 			record{id: 0x00c41f7a, ip: goldenIP, port: 9090, state: 2, cell: 2, weight: 4000}.encode()),
-		// Repeated.
+		// A repeated event.
 		encodeFrame(43, frameDelta, record{id: 0x00c41f7a, ip: goldenIP, port: 9090, cell: 2, weight: 4000}.encode()),
 		// A zone, a kind and a start time out of range.
 		encodeFrame(1<<40, frameDelta,
@@ -63,17 +63,17 @@
 		encodeFrame(1<<40+1, frameDelta),
 	}},
 	{updates: 1, frames: [][]byte{encodeFrame(1<<40+2, frameFull)}},
-	// Cut off.
+	// The bus closes the connection inside a frame.
 	{frames: [][]byte{encodeFrame(1<<40+3, frameDelta, record{id: 1, ip: goldenIP, port: 80}.encode())[:30]}},
-	// Unknown kind.
+	// A frame of an unknown kind.
 	{closedByWatcher: true, frames: [][]byte{encodeFrame(1<<40+3, 3)}},
-	// Not a multiple of the size of a record.
+	// A payload whose length is not a multiple of the size of a record.
 	{closedByWatcher: true, frames: [][]byte{encodeFrame(1<<40+3, frameDelta, []byte("no record"))}},
-	// Unknown state.
+	// A record with an unknown state.
 	{closedByWatcher: true, frames: [][]byte{
 		encodeFrame(1<<40+3, frameDelta, record{id: 1, ip: goldenIP, port: 80, state: 3}.encode()),
 	}},
-	// Lengths below the minimum and above the maximum.
+	// Frames whose lengths are below the minimum and above the maximum.
 	{closedByWatcher: true, frames: [][]byte{{0, 0, 0, 8, 0, 0, 0, 0, 0, 0, 0, 0}}},
 	{closedByWatcher: true, frames: [][]byte{{0x7f, 0, 0, 0}}},
 	{updates: 1, frames: [][]byte{
@@ -83,8 +83,8 @@
 	}},
 }
 
-// The golden file has all bytes of each connection and the notifications that follow from them: `> `
-// by the watcher, `< ` by the bus, `= ` to the sink.
+// The golden file contains all bytes of each connection and the resulting notifications. Lines start with
+// `> ` for bytes from the watcher, `< ` for bytes from the bus, and `= ` for notifications of the sink.
 func TestWatcher_ExchangeMatchesTheGoldenFile(t *testing.T) {
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	notifications := make(transcript, 10)
--- a/internal/discovery/eventbus/helpers_test.go
+++ b/internal/discovery/eventbus/helpers_test.go
@@ -17,7 +17,7 @@
 	"flaxrelay/internal/metrics"
 )
 
-// encodeFrame returns a frame whose payload is the records one after the other.
+// encodeFrame encodes a frame whose payload is the concatenation of the records.
 func encodeFrame(event uint64, kind frameKind, records ...[]byte) []byte {
 	payload := bytes.Join(records, nil)
 	encoded := binary.BigEndian.AppendUint32(nil, uint32(minFrameLength+len(payload)))
@@ -74,8 +74,8 @@
 	t.Cleanup(func() { eventlooptest.Do(loop, watcher.Stop) }) // before the loop stops
 }
 
-// disconnects is a log handler that sends the reason of each lost connection and of each failed
-// attempt to connect to a channel.
+// disconnects is a log handler for events eventbus.disconnected. It sends their errors to a channel: the
+// reason of each lost connection and of each failed attempt to connect.
 type disconnects struct {
 	slog.Handler
 	reasons chan error
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// accept blocks until the watcher's next connection. It returns the connection and the number of the
-// last event that the watcher sends on it.
+// accept waits for the watcher's next connection. It returns the connection and the number of the last
+// event, which the watcher sends first.
 func accept(t *testing.T, listener *net.TCPListener) (conn *net.TCPConn, lastEvent uint64) {
 	t.Helper()
 	discoverytest.Must(t, listener.SetDeadline(time.Now().Add(discoverytest.Timeout)))
--- a/internal/discovery/eventbus/records.go
+++ b/internal/discovery/eventbus/records.go
@@ -80,7 +80,7 @@
 	return engine, nil
 }
 
-// nameAt returns the name at the index, or "" if the settings have fewer names.
+// nameAt returns the name at the index, or "" if the index is out of range.
 func nameAt(names []string, index byte) string {
 	if int(index) < len(names) {
 		return names[index]
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -1,5 +1,5 @@
 // Package eventbus receives the changes of the endpoint list from the platform's event bus over one
-// TCP connection. New returns a Watcher, Start connects it, and its sink is notified of each event.
+// TCP connection. New returns a Watcher. After Start, the Watcher notifies its sink of each event.
 //
 // On each connection the watcher first sends the number of the last event that it has processed, as 8
 // bytes. The bus then sends the events after that one, and heartbeats, as frames (see frames.go). A
@@ -24,12 +24,12 @@
 const (
 	dialTimeout    = time.Second
 	initialBackoff = 50 * time.Millisecond
-	// defaultMaxBackoff applies if the options give no MaxBackoff.
+	// defaultMaxBackoff applies if the options do not set MaxBackoff.
 	defaultMaxBackoff = 250 * time.Millisecond
-	// defaultIdleTimeout is how long a connection may receive nothing. The bus sends a heartbeat
-	// every second.
+	// defaultIdleTimeout is how long a connection may go without receiving data. The bus sends a
+	// heartbeat every second.
 	defaultIdleTimeout = 2500 * time.Millisecond
-	// maxFrameTimeouts limits the time in which a frame may arrive in pieces, as a number of idle
+	// maxFrameTimeouts limits how long a frame may take to arrive in pieces, as a number of idle
 	// timeouts. The endpoint list of a large fleet may arrive slowly if the bus is busy.
 	maxFrameTimeouts = 8
 )
@@ -47,8 +47,8 @@
 	Zones []string
 	Kinds []string
 	// MaxBackoff is the longest delay between two attempts to connect; 0: a default. It must be much
-	// less than the drain grace. After an outage, that begins as soon as the bus can be reached again,
-	// and not when the watcher has connected.
+	// less than the drain grace. After an outage, the drain grace begins as soon as the bus can be
+	// reached again, even if the watcher has not connected yet.
 	MaxBackoff time.Duration
 }
 
@@ -90,12 +90,12 @@
 
 	state      watcherState
 	attempt    int    // number of dials; a dial of an earlier attempt is stale
-	cancelDial func() // cancels the latest dial; has no effect after its end; nil before the first dial
+	cancelDial func() // cancels the latest dial if it is in progress; nil before the first dial
 	conn       *eventloop.Conn
 	retryTimer *timerqueue.Timer // starts the next dial
 	idleTimer  *timerqueue.Timer // closes a connection that receives nothing
-	// partialSince is when the first bytes of an incomplete frame were received, by the loop's
-	// clock; 0: no frame is incomplete.
+	// partialSince is the time of the loop's clock at which the first bytes of an incomplete frame were
+	// received; 0: no frame is incomplete.
 	partialSince time.Duration
 }
 
@@ -119,8 +119,8 @@
 	}
 }
 
-// Start connects to the bus. From then on the watcher reconnects whenever the connection ends or is
-// idle for too long.
+// Start connects to the bus. After that, the watcher reconnects whenever the connection ends or is idle
+// for too long.
 func (w *Watcher) Start() { w.connect() }
 
 // MoveTo connects to the bus at another address and requests the events after the last processed
@@ -222,8 +222,8 @@
 	w.retryTimer = w.loop.Timers.Schedule(w.loop.Now()+delay, w.connect)
 }
 
-// OnData handles all complete frames of the input, until the connection is closed: by a protocol
-// error, or because the sink calls MoveTo or Stop.
+// OnData handles all complete frames of the input. It stops when the connection is closed, because of a
+// protocol error or because the sink calls MoveTo or Stop.
 func (w *Watcher) OnData(conn *eventloop.Conn, input *eventloop.Buffer) {
 	for conn == w.conn {
 		received, err := parseFrame(input.Bytes())
@@ -246,8 +246,8 @@
 }
 
 // onPartialFrame restarts the idle timer when a part of a frame arrives, because the bus is alive. It
-// no longer does so maxFrameTimeouts idle timeouts after the first part, so that a frame that never
-// ends does not keep the connection open.
+// stops doing so maxFrameTimeouts idle timeouts after the first part, so that a frame that never
+// completes does not keep the connection open.
 func (w *Watcher) onPartialFrame() {
 	now := w.loop.Now()
 	if w.partialSince == 0 {
@@ -270,8 +270,8 @@
 	w.retry(err)
 }
 
-// handleFrame notifies the sink of the event of a frame. It ignores an event that was processed
-// before, because the bus may repeat events after a reconnection.
+// handleFrame notifies the sink of the event in a frame. It ignores an event that was processed before,
+// because the bus may repeat events after a reconnection.
 func (w *Watcher) handleFrame(received frame) error {
 	w.backoff.Reset()
 	w.restartIdleTimer()
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -28,8 +28,8 @@
 	r <- update{mode, engines}
 }
 
-// The bus dies in the middle of a frame and comes back. A repeated event is ignored, and a malformed
-// frame only ends the connection.
+// The bus closes the connection inside a frame and accepts the next connection. A repeated event is
+// ignored, and a malformed frame only ends the connection.
 func TestWatcher_ResumesAfterTheLastProcessedEvent(t *testing.T) {
 	first := record{id: 7, ip: [4]byte{127, 0, 0, 9}, port: 70, zone: 1, cell: 3, weight: 1000}
 	second := record{id: 8, ip: [4]byte{127, 0, 0, 9}, port: 80, zone: 1, cell: 3, weight: 1000, startTime: 5000}
@@ -99,7 +99,7 @@
 	for _, test := range []struct {
 		stream    []byte
 		want      error
-		wantEvent uint64 // of an error in an event's records; 0: none
+		wantEvent uint64 // event whose records are invalid; 0: the error is not in a record
 	}{
 		{[]byte{0, 0, 0, 8}, errFrameLength, 0},
 		{encodeFrame(1, 3), errUnknownFrameKind, 0},
@@ -120,8 +120,8 @@
 	}
 }
 
-// The watcher reconnects well within the drain grace, even after the bus was unreachable for long: the
-// drain grace of an engine begins as soon as the bus can be reached again.
+// The watcher reconnects well within the drain grace, even if the bus was unreachable for a long time,
+// because the drain grace of an engine begins as soon as the bus can be reached again.
 func TestWatcher_ReconnectsSoonAfterTheBusReturns(t *testing.T) {
 	// Nothing else uses this address, so no outgoing connection can get the port while it is free.
 	listener, err := net.Listen("tcp", "127.0.0.77:0")
@@ -130,7 +130,7 @@
 	discoverytest.Must(t, listener.Close())
 	log := newDisconnects()
 	startWatcher(t, watcherSetup{options: Options{Address: addr}, sink: make(recorder, 1), log: log})
-	for range 8 { // enough for the longest delay
+	for range 8 { // enough attempts to reach the longest delay
 		if err := discoverytest.Receive(t, log.reasons, "failed attempt"); !eventloop.IsConnectionRefused(err) {
 			t.Fatalf("an attempt failed with %v, want a refused connection", err)
 		}
@@ -144,8 +144,8 @@
 	discoverytest.Must(t, conn.Close())
 }
 
-// The watcher waits for a frame that arrives slowly and in pieces. If it closed the connection, a
-// busy bus would have to send the frame from its start again and again.
+// The watcher waits for a frame that arrives slowly and in pieces. If it closed the connection, a busy
+// bus would have to send the frame from the start repeatedly.
 func TestWatcher_WaitsForAFrameThatArrivesInPieces(t *testing.T) {
 	const (
 		idleTimeout = 200 * time.Millisecond
