--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -39,7 +39,7 @@
 // Unwrap returns the error in the input.
 func (e *BatchError) Unwrap() error { return e.Err }
 
-// batchState is whether a batch is open. Between batches, the next message must open one.
+// batchState defines whether a batch is open. Between batches, the next message must open a batch.
 type batchState int
 
 const (
@@ -54,11 +54,11 @@
 	out   io.Writer
 	state batchState
 	batch int64         // number of the batch that was opened last
-	now   time.Duration // the time of that batch
+	now   time.Duration // the time of the batch that was opened last
 }
 
-// Run responds to batches until the input ends. It returns nil if the input ends between batches, and a
-// *BatchError if the input is invalid or can't be read. An error of out is returned with its context.
+// Run responds to batches until the input ends. It returns nil if the input ends between batches, a
+// *BatchError if the input is invalid or cannot be read, and a wrapped error of out if a write fails.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, initialLineBuffer), maxLineLength)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// inputError returns an error in the input with the number of the batch.
+// inputError adds the number of the batch to an error in the input.
 func (r *batchReader) inputError(err error) error { return &BatchError{Batch: r.batch, Err: err} }
 
 // handleLine handles one line of input.
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// open starts a batch at the time of its message.
+// open starts a batch. The message contains its time and number.
 func (r *batchReader) open(message *inputMessage) {
 	r.now = config.FromMilliseconds(clockTimeMS.required(message))
 	r.batch = clockBatch.required(message)
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -8,8 +8,8 @@
 	"flaxrelay/policy"
 )
 
-// decodeEvent returns the event of a message to an instance, or nil if the policy module has no
-// event for it.
+// decodeEvent returns the event that a message to an instance contains, or nil if the policy module
+// has no event for the message.
 func (h *Host) decodeEvent(target *instance, message *inputMessage) policy.Event {
 	switch message.name {
 	case messageEndpoints:
@@ -43,7 +43,8 @@
 	}
 }
 
-// decodeEndpoints decodes a change of the endpoint list, whose engines are those of a table.
+// decodeEndpoints decodes a change of the endpoint list. The message refers to an engine table, which
+// contains the engines.
 func (h *Host) decodeEndpoints(message *inputMessage) policy.Event {
 	modeName := endpointsMode.required(message)
 	mode, known := updateModes[modeName]
@@ -95,7 +96,7 @@
 	return event
 }
 
-// noTenant is the JSON value of the tenant of a request that has none. All others are strings.
+// noTenant is the JSON value of the tenant if a request has no tenant. All other values are strings.
 const noTenant = "0"
 
 func decodeTenant(message *inputMessage) string {
@@ -105,8 +106,8 @@
 	return requestTenant.optional(message)
 }
 
-// The cost of an attempt is one number: its work in milliseconds times costMemorySteps,
-// plus its memory in steps of costMemoryStepMB.
+// The cost of an attempt is one number: its work in milliseconds times costMemorySteps, plus its memory
+// in steps of costMemoryStepMB.
 const (
 	costMemorySteps  = 4096
 	costMemoryStepMB = 4
@@ -134,7 +135,7 @@
 	progressAwaiting = 3 // the value is the awaited resource
 )
 
-// awaitingLoad is the value of a wait for a bulk load. Any other is a wait for memory.
+// awaitingLoad is the value if an attempt waits for a bulk load. Any other value is a wait for memory.
 const awaitingLoad = 2
 
 func decodeProgress(message *inputMessage) policy.Event {
@@ -158,7 +159,7 @@
 	return event
 }
 
-// decodeLoad decodes a load report. Its values are in the order of the names in the instance's
+// decodeLoad decodes a load report, whose values are in the order of the names in the instance's
 // settings. Values that the policy module does not use are skipped.
 func (in *instance) decodeLoad(message *inputMessage, report field[[]float64]) policy.LoadReport {
 	load := policy.UnreportedLoad()
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -16,7 +16,7 @@
 	floatBits = 64
 )
 
-// outputLine is the output with the start of a message at its end. Its methods append one field each.
+// outputLine is the output while its last message is incomplete. Each method but end appends one field.
 type outputLine []byte
 
 // beginLine appends the start of a message of an instance to the output.
@@ -39,7 +39,7 @@
 	return strconv.AppendFloat(append(l, ','), value, 'f', shortest, floatBits)
 }
 
-// milliseconds appends a duration in fractional milliseconds.
+// milliseconds appends a duration as fractional milliseconds.
 func (l outputLine) milliseconds(duration time.Duration) outputLine {
 	return l.float(float64(duration) / float64(time.Millisecond))
 }
@@ -56,7 +56,7 @@
 	return append(append(l, ','), encoded...)
 }
 
-// end ends the message and returns the output.
+// end completes the message and returns the output.
 func (l outputLine) end() []byte { return append(l, "]\n"...) }
 
 // encodeAction appends the message for an action of an instance to the output.
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/internal/golden"
 )
 
-// goldenBatches maps the names of the recorded inputs under testdata/golden to the messages that the host
-// writes at least once for each. They prevent that an update of the golden files loses a kind of message.
+// goldenBatches maps the name of each recorded input under testdata/golden to messages that the host must
+// write at least once in response. An update of the golden files that loses such a message fails the test.
 var goldenBatches = map[string][]string{
 	"queries":   {"ALLOT", "FORWARD", "ABORT_ATTEMPT", "SLEEP", "DROP_REQUEST"},
 	"loads":     {"ALLOT", "FORWARD", "SLEEP"},
@@ -20,9 +20,9 @@
 	"faults":    {"ASK_LOAD", "SAY_LOG", "FORWARD", "SLEEP"},
 }
 
-// The host's responses to complete runs are compared byte for byte. Together the runs contain each event
-// of the protocol and each action that the host writes. The inputs contain the times and the seeds, so
-// that the responses are the same in each run.
+// The host's responses to complete inputs are compared byte for byte. Together the inputs contain each
+// event of the protocol, and the responses each action that the host writes. The inputs contain the times
+// and the seeds, so the responses are the same every time.
 func TestRun_MatchesGoldenBatches(t *testing.T) {
 	for name, actions := range goldenBatches {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -1,10 +1,10 @@
 // Package simprotocol implements the simulator's line protocol for many instances of the policy module
 // in one process. It translates messages to events and actions to messages, and makes no decisions.
 //
-// Each line is a message: a JSON array of the message's name and its fields. The simulator sends
-// batches. A batch begins with CLOCK, which gives the time, and ends with OVER_TO_YOU. The messages
-// between them start and stop instances, set engine tables and carry the events of instances. The host
-// responds to a batch with the actions of all instances and NEXT.
+// Each line is a message: a JSON array that contains the name of the message and its fields. The
+// simulator sends batches. A batch begins with CLOCK, which contains the time, and ends with OVER_TO_YOU.
+// The messages between them start and stop instances, set engine tables and contain the events of
+// instances. The host responds to a batch with the actions of all instances, followed by NEXT.
 //
 // NewHost().Run(in, out) serves one simulator. names.go lists the messages and their fields.
 package simprotocol
@@ -19,13 +19,13 @@
 // engineTableCount is the number of engine tables, which messages number from 0.
 const engineTableCount = 16
 
-// Host owns the instances of one process and the engine tables that they share. Only one goroutine at
-// a time may call Run.
+// Host owns the instances of one process and the engine tables that they share. It is not safe for
+// concurrent use.
 type Host struct {
 	instances    map[int64]*instance // by number
 	engineTables [engineTableCount][]policy.Engine
 	actions      []policy.Action // buffer for the actions of one event
-	output       []byte          // the response to the open batch; the buffer is reused for the next
+	output       []byte          // the response to the open batch; its buffer is reused for the next batch
 }
 
 // instance is the policy module of one simulated front end.
@@ -89,7 +89,7 @@
 	return output
 }
 
-// startInstance starts an instance, which replaces an earlier one of the same number.
+// startInstance starts an instance. It replaces an instance that has the same number.
 func (h *Host) startInstance(message *inputMessage) {
 	id := fieldInstance.required(message)
 	seed := startSeed.required(message)
@@ -105,7 +105,7 @@
 	h.instances[id] = &instance{balancer: balancer, loadFields: settings.LoadFields}
 }
 
-// setEngineTable replaces one engine table. Later messages refer to it by its number.
+// setEngineTable replaces one engine table. Later messages refer to the table by its number.
 func (h *Host) setEngineTable(message *inputMessage) {
 	table := h.decodeTableNumber(message, engineTableNumber)
 	rows := engineTableRows.required(message)
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/golden"
 )
 
-// The input restarts an instance and replaces an engine table that is in use.
+// The input starts an instance again and replaces an engine table that is in use.
 func TestRun_HandlesRestartAndReusedTable(t *testing.T) {
 	in, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
@@ -43,7 +43,7 @@
 			t.Errorf("%q: want one line with %q, got %v", in, want, err)
 		}
 		if _, ok := errors.AsType[*BatchError](err); !ok {
-			t.Errorf("%q: %T is no *BatchError", in, err)
+			t.Errorf("%q: %T is not a *BatchError", in, err)
 		}
 		if out.Len() != 0 {
 			t.Errorf("%q: wrote %q", in, out.String())
@@ -69,7 +69,7 @@
 	}
 }
 
-// No input makes the module panic, and each error is one line.
+// No input may make the policy module panic, and the text of each error is one line.
 func FuzzRun_NeverPanics(f *testing.F) {
 	seed, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
@@ -84,13 +84,13 @@
 			t.Fatalf("the module panicked: %s", out.String())
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Fatalf("error of several lines: %v", err)
+			t.Fatalf("the error has several lines: %v", err)
 		}
 	})
 }
 
-// A health check is sent if the settings permit it. A response that is late, failed or from an
-// unknown engine is no error.
+// The host sends a health check if the settings permit it. It accepts a response that is late, that
+// reports a failure or that is from an unknown engine.
 func TestRun_SendsHealthCheckAndAcceptsResponses(t *testing.T) {
 	batch, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
--- a/internal/simprotocol/message.go
+++ b/internal/simprotocol/message.go
@@ -23,8 +23,8 @@
 // messageName is the name of a message, as the protocol spells it.
 type messageName string
 
-// inputMessage is one line of input. Its fields are decoded one after the other, without a check
-// after each of them: err is the first error, after which the decoded values must not be used.
+// inputMessage is one line of input. Its fields are decoded without an error check after each of them.
+// err is the first error; if err is not nil, the decoded values must not be used.
 type inputMessage struct {
 	name   messageName
 	values []json.RawMessage // without the name
@@ -47,7 +47,7 @@
 	return &inputMessage{name: name, values: elements[1:]}, nil
 }
 
-// fail sets the message's error, unless there is one already. field is the field's name in errors.
+// fail sets the message's error, unless it is already set. field is the name of the field in the error.
 func (m *inputMessage) fail(field, format string, args ...any) {
 	if m.err == nil {
 		m.err = &MessageError{Message: string(m.name), Field: field, Problem: fmt.Sprintf(format, args...)}
@@ -65,7 +65,7 @@
 	return f.index < len(message.values) && string(message.values[f.index]) != "null"
 }
 
-// required returns the value. It is an error if the value is not present.
+// required returns the value. If the value is not present, the message fails.
 func (f field[T]) required(message *inputMessage) (value T) {
 	if !f.present(message) {
 		message.fail(f.name, "missing")
--- a/internal/simprotocol/names.go
+++ b/internal/simprotocol/names.go
@@ -40,8 +40,8 @@
 	messageLog           messageName = "SAY_LOG"
 )
 
-// The same field has different indexes in different messages, so each message has a list of fields of
-// its own, although the lists look alike.
+// Each message has its own list of fields, although the lists look alike, because a field may have
+// different indexes in different messages.
 
 // Fields of CLOCK.
 var (
@@ -49,7 +49,7 @@
 	clockBatch  = field[int64]{1, "batch"}
 )
 
-// fieldInstance is the first field of every message to one instance.
+// fieldInstance is the first field of every message to an instance.
 var fieldInstance = field[int64]{0, "who"}
 
 // Fields of INIT.
@@ -58,7 +58,7 @@
 	startSettings = field[config.Settings]{2, "profile-data"}
 )
 
-// Fields of POOL, and of each row of its engines.
+// Fields of POOL, and of each row of its engine table.
 var (
 	engineTableNumber = field[int64]{0, "table"}
 	engineTableRows   = field[[][]json.RawMessage]{1, "elements"}
