--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestRun_EndBetweenBatchesIsNoError(t *testing.T) {
+func TestRun_AcceptsEndOfInputBetweenBatches(t *testing.T) {
 	var out bytes.Buffer
 	err := NewHost().Run(strings.NewReader("[\"CLOCK\",1,3]\n[\"OVER_TO_YOU\"]\n"), &out)
 	if err != nil || out.String() != "[\"NEXT\",3]\n" {
