--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -16,19 +16,19 @@
 
 // Run prints all faults of all files. It returns an error if there are any.
 func (c *checkCommand) Run() error {
-	faultCount := 0
+	errorCount := 0
 	for _, path := range c.Files {
-		faults := config.FieldErrorsOf(checkFile(path))
-		for _, fault := range faults {
-			fmt.Println(fault.Error())
+		fieldErrors := config.FieldErrorsOf(checkFile(path))
+		for _, fieldError := range fieldErrors {
+			fmt.Println(fieldError.Error())
 		}
-		if len(faults) == 0 {
+		if len(fieldErrors) == 0 {
 			fmt.Printf("%s: good\n", path)
 		}
-		faultCount += len(faults)
+		errorCount += len(fieldErrors)
 	}
-	if faultCount > 0 {
-		fmt.Printf("%d faults\n", faultCount)
+	if errorCount > 0 {
+		fmt.Printf("%d faults\n", errorCount)
 		return errReported
 	}
 	return nil
@@ -40,7 +40,7 @@
 	if err != nil {
 		return config.FieldError{File: path, Problem: err.Error()}
 	}
-	switch kindOf(path, raw) {
+	switch detectFileKind(path, raw) {
 	case platformFile:
 		_, err = config.LoadPlatform(path)
 	case settingsFile:
@@ -66,9 +66,9 @@
 	shapesFile            // shape settings of the HTTP front end
 )
 
-// kindOf returns the kind of a file, from its extension and its keys. Only deploy files have a listen
-// address or a Consul table; their extension does not matter.
-func kindOf(path string, raw []byte) fileKind {
+// detectFileKind returns the kind of a file, from its extension and its keys. Only deploy files have a
+// listen address or a Consul table; their extension does not matter.
+func detectFileKind(path string, raw []byte) fileKind {
 	extension := filepath.Ext(path)
 	switch {
 	case extension == ".json" && bytes.Contains(raw, []byte(`"settings"`)):
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -35,9 +35,10 @@
 	}
 	files := serveFiles{config: c.Config, postgres: c.Postgres, shapes: c.Shapes}
 	if err := serve(files, logger, output); err != nil {
-		for _, fault := range config.FieldErrorsOf(err) {
-			logevent.ServerStartFailed.Log(logger, slog.String("file", fault.File), slog.Int("line", fault.Line),
-				slog.String("field", fault.Field), slog.String("error", fault.Problem))
+		for _, fieldError := range config.FieldErrorsOf(err) {
+			logevent.ServerStartFailed.Log(logger,
+				slog.String("file", fieldError.File), slog.Int("line", fieldError.Line),
+				slog.String("field", fieldError.Field), slog.String("error", fieldError.Problem))
 		}
 		return errReported
 	}
--- a/cmd/flaxrelay/syscalls_test.go
+++ b/cmd/flaxrelay/syscalls_test.go
@@ -13,9 +13,9 @@
 	"flaxrelay/internal/lab/syscallfault"
 )
 
-// startFaulty runs the calling test, which must call serveInChild, in a traced process of its own with
+// startWithFaults runs the calling test, which must call serveInChild, in a traced process of its own with
 // one engine. It returns the process and the address of its listener.
-func startFaulty(
+func startWithFaults(
 	t *testing.T, engine string, faults syscallfault.Faults,
 ) (p *syscallfault.Process, address string) {
 	t.Helper()
@@ -62,7 +62,7 @@
 		"failing connects":   {FailSocket: 0.3, FailConnect: 0.3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, address := startFaulty(t, startEngine(t, respondWithoutRows), faults)
+			p, address := startWithFaults(t, startEngine(t, respondWithoutRows), faults)
 			unserved := runClients(address)
 			if len(unserved) > 0 {
 				t.Errorf("%d of %d requests were not served, such as %s; faults %v",
