--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -14,7 +14,7 @@
 	Files []string `arg:"" name:"file" help:"Settings (JSON), deploy files or shape settings (TOML)."`
 }
 
-// Run prints all faults of all files. It returns an error if there are any.
+// Run prints all errors in the files. It returns errReported if there are any.
 func (c *checkCommand) Run() error {
 	errorCount := 0
 	for _, path := range c.Files {
@@ -28,13 +28,13 @@
 		errorCount += len(fieldErrors)
 	}
 	if errorCount > 0 {
-		fmt.Printf("%d faults\n", errorCount)
+		fmt.Printf("%d errors\n", errorCount)
 		return errReported
 	}
 	return nil
 }
 
-// checkFile returns the faults of a file. Its name and content determine how it is read.
+// checkFile validates a file. The name and the content of the file determine how it is read.
 func checkFile(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -50,7 +50,7 @@
 	case shapesFile:
 		_, err = config.LoadShapes(path)
 	case unknownFile:
-		err = config.FieldError{File: path, Problem: "the kind of this file is unknown: it is neither .json nor .toml"}
+		err = config.FieldError{File: path, Problem: "unknown kind of file: the extension is neither .json nor .toml"}
 	}
 	return err
 }
@@ -61,12 +61,12 @@
 const (
 	unknownFile  fileKind = iota
 	platformFile          // configuration of the HTTP front end
-	settingsFile          // the settings object alone
+	settingsFile          // only the settings object
 	postgresFile          // deploy file of the PostgreSQL front end
 	shapesFile            // shape settings of the HTTP front end
 )
 
-// detectFileKind returns the kind of a file, from its extension and its keys. Only deploy files have a
+// detectFileKind derives the kind of a file from its extension and its keys. Only deploy files have a
 // listen address or a Consul table; their extension does not matter.
 func detectFileKind(path string, raw []byte) fileKind {
 	extension := filepath.Ext(path)
--- a/cmd/flaxrelay/client_test.go
+++ b/cmd/flaxrelay/client_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// sendLookup sends one request on a connection of its own. The channel receives the status of the
+// sendLookup sends one request on a new connection. The channel receives the status of the
 // response, followed by ", retry after" if the response has a Retry-After time.
 func sendLookup(t *testing.T, address, requestID string) <-chan string {
 	t.Helper()
@@ -74,10 +74,10 @@
 	return status
 }
 
-// lookupTimeout limits the time of lookupOnce.
+// lookupTimeout limits the duration of lookupOnce.
 const lookupTimeout = 2200 * time.Millisecond
 
-// lookupOnce sends one request on a connection of its own and returns the status of the response.
+// lookupOnce sends one request on a new connection and returns the status of the response.
 func lookupOnce(address, requestID string) (status string, err error) {
 	conn, err := net.DialTimeout("tcp", address, lookupTimeout)
 	if err != nil {
@@ -113,8 +113,8 @@
 	return conn
 }
 
-// closeQuietly closes a resource that the test no longer needs.
+// closeQuietly closes a resource and ignores the error.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// sequentialRequestID returns a request id that is unique to the number.
+// sequentialRequestID returns the request id for a number. Different numbers have different ids.
 func sequentialRequestID(n int) string { return fmt.Sprintf("%016x", n) }
--- a/cmd/flaxrelay/completion.go
+++ b/cmd/flaxrelay/completion.go
@@ -10,7 +10,7 @@
 // zshPrologue makes zsh accept a completion script for bash.
 const zshPrologue = "autoload -U +X bashcompinit && bashcompinit\n"
 
-// completionScript is the format of a bash script. The branches of its case statement, which are
+// completionScript is the format string of a bash script. The branches of the case statement, which are
 // inserted at %s, set the words that may follow the commands typed so far.
 const completionScript = `_flaxrelay() {
   local path="" word words="" i
@@ -30,7 +30,7 @@
 	Shell string `arg:"" enum:"bash,zsh" default:"bash" help:"One of ${enum}."`
 }
 
-// Run prints a script that is generated from the grammar of the command line.
+// Run prints a script that it generates from the grammar of the command line.
 //
 //nolint:unparam // kong only calls a Run method that returns an error
 func (c *completionCommand) Run(parser *kong.Kong) error {
@@ -45,7 +45,7 @@
 }
 
 // writeCompletionCases writes a branch of the case statement for the command and for each of its
-// subcommands. The path contains the names of the commands that lead to it.
+// subcommands. The path contains the names of the commands that lead to the command.
 func writeCompletionCases(cases *strings.Builder, command *kong.Node, path string) {
 	var words []string
 	for _, child := range command.Children {
--- a/cmd/flaxrelay/descriptors_test.go
+++ b/cmd/flaxrelay/descriptors_test.go
@@ -11,13 +11,13 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// smallTable is a limit on descriptors that is lower than the number of descriptors that clients and
-// engines together use.
+// smallTable is a limit on descriptors that is below the number of descriptors that clients and engines
+// together use.
 const smallTable = 64
 
-// While the event bus is down, idle clients open all the connections that they can, and requests go to
+// While the event bus is down, idle clients open as many connections as they can, and requests go to
 // more engines than there are descriptors. Requests and health checks still get responses, and
-// discovery has a descriptor to reconnect with when the bus is back.
+// discovery has a descriptor to reconnect with when the bus returns.
 func TestDiscovery_ReconnectsWhenDescriptorsRunOut(t *testing.T) {
 	limitDescriptorsOfChild(t)
 	if serveInChild(t) {
@@ -34,7 +34,7 @@
 
 	client := newHTTPClient(t, address, 15*time.Second)
 	client.expectOK(healthRequest)
-	for range 3 * smallTable { // some are not accepted, some evict others
+	for range 3 * smallTable { // some are not accepted, some evict other connections
 		dial(t, address)
 	}
 	for i := range 8 * smallTable {
@@ -47,7 +47,7 @@
 	p.wait()
 }
 
-// limitDescriptorsOfChild lowers the limit on descriptors if this is a process that serves.
+// limitDescriptorsOfChild lowers the limit on descriptors if startProcess started this process.
 func limitDescriptorsOfChild(t *testing.T) {
 	t.Helper()
 	if !inChild() {
@@ -59,8 +59,8 @@
 	}
 }
 
-// unusedAddress returns an address without a listener. Outgoing connections do not use its host, so
-// that none of them takes the port.
+// unusedAddress returns an address without a listener. Outgoing connections do not use its host, so no
+// outgoing connection can get the port.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener := tcptest.Listen(t, "127.0.0.77:0")
@@ -96,7 +96,7 @@
 }
 
 // expectSubscription starts the event bus and checks that the front end connects to it in time and
-// requests the events after the first.
+// requests the events after event 1.
 func expectSubscription(t *testing.T, busAddress string) {
 	t.Helper()
 	bus := tcptest.Listen(t, busAddress)
@@ -110,6 +110,6 @@
 	t.Cleanup(func() { closeQuietly(conn) })
 	var lastEvent uint64
 	if err := binary.Read(conn, binary.BigEndian, &lastEvent); err != nil || lastEvent != 1 {
-		t.Errorf("the subscription is from event %d, %v", lastEvent, err)
+		t.Errorf("the subscription starts after event %d, want 1; error %v", lastEvent, err)
 	}
 }
--- a/cmd/flaxrelay/engine_test.go
+++ b/cmd/flaxrelay/engine_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// startEngine starts an engine of the line protocol that passes each request to the handler. It
-// returns its address.
+// startEngine starts an engine that speaks the line protocol and passes each request to the handler. It
+// returns the address of the engine.
 func startEngine(t *testing.T, handle func(conn net.Conn, requestID string)) (address string) {
 	t.Helper()
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
@@ -29,5 +29,5 @@
 
 // respondWithoutRows sends a complete result without rows.
 func respondWithoutRows(conn net.Conn, requestID string) {
-	_, _ = fmt.Fprintf(conn, "%s DONE batches=1 0\r\n\r\n", requestID) // the client notices a lost connection
+	_, _ = fmt.Fprintf(conn, "%s DONE batches=1 0\r\n\r\n", requestID) // the front end notices a lost connection
 }
--- a/cmd/flaxrelay/files_test.go
+++ b/cmd/flaxrelay/files_test.go
@@ -22,7 +22,7 @@
 )
 
 // writeExampleConfig writes the example configuration with replacements, which are pairs of texts, and
-// returns its path. The listen address is replaced by any free port, unless the replacements do that.
+// returns its path. The listen address becomes any free port, unless it is one of the replacements.
 func writeExampleConfig(t *testing.T, replacements ...string) (path string) {
 	t.Helper()
 	replacements = append(replacements, exampleListenAddress, tcptest.AnyLoopbackPort)
--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -19,8 +19,8 @@
 	errNoEventBus      = errors.New("configuration: bus: missing")
 )
 
-// listenHTTP composes the server for the platform's HTTP protocol and opens its listener. Engines
-// speak the line protocol; the event bus is the source of the endpoint list.
+// listenHTTP sets up the server for the platform's HTTP protocol and opens its listener. Engines speak
+// the line protocol; the event bus is the source of the endpoint list.
 func (s *server) listenHTTP(configPath, shapesPath string) error {
 	configuration, err := loadHTTPConfig(configPath)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return frontEnd.Listen(configuration.Listen)
 }
 
-// loadHTTPConfig reads the configuration and applies the environment's listen address, if it is set.
+// loadHTTPConfig reads the configuration. The environment may override its listen address.
 func loadHTTPConfig(path string) (*config.Platform, error) {
 	configuration, err := config.LoadPlatform(path)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return configuration, nil
 }
 
-// watchEventBus starts a watcher of the event bus, which follows it from the last event of the
+// watchEventBus starts a watcher of the event bus. It requests the events after the last event in the
 // configuration.
 func (s *server) watchEventBus(configuration *config.Platform) *eventbus.Watcher {
 	settings := &configuration.Settings
@@ -76,15 +76,15 @@
 		LastEvent: configuration.LastEvent,
 		Zones:     settings.Zones,
 		Kinds:     settings.Kinds,
-		// The event that an engine is draining must arrive well within the drain grace.
+		// The watcher must learn that an engine is draining well within the drain grace.
 		MaxBackoff: settings.Policy.Rules.DrainGrace / 2,
 	}, s.counters, s.logger)
 	watcher.Start()
 	return watcher
 }
 
-// reloadEventBus moves the watcher to the event bus that the configuration file names now. If it
-// returns an error, nothing has changed.
+// reloadEventBus reads the configuration file again and moves the watcher to the event bus that it names.
+// If reloadEventBus returns an error, nothing has changed.
 func reloadEventBus(watcher *eventbus.Watcher, configPath string) error {
 	next, err := config.LoadPlatform(configPath)
 	if err != nil {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// startHTTPStatistics starts statement statistics with the shape settings of the file. If the path is
-// "" they are off.
+// startHTTPStatistics starts statement statistics with the shape settings of the file. If the path is "",
+// statement statistics stay off.
 func (s *server) startHTTPStatistics(path string, configuration *config.Platform, limits resourceLimits) error {
 	if path == "" {
 		return nil
--- a/cmd/flaxrelay/limits.go
+++ b/cmd/flaxrelay/limits.go
@@ -18,44 +18,44 @@
 	defaultDescriptors = 1024
 )
 
-// Divisors of the memory limit. Each gives the share of one part of the program: the limit divided by
-// 6 is the share of the read buffers, and so on. Without statement statistics, the shares add up to
-// less than a third of the limit in the HTTP front end, and to less than six tenths in the PostgreSQL
-// front end. The rest is for the program itself and the garbage collector.
+// Divisors of the memory limit. Each defines the share of one part of the program: read buffers may use a
+// sixth of the limit, for example. Without statement statistics, the shares add up to less than a third
+// of the limit in the HTTP front end, and to less than six tenths in the PostgreSQL front end. The rest
+// is for the program itself and the garbage collector.
 const (
 	loopBufferDivisor      = 6 // read buffers of all connections of the event loop
-	bufferedResultsDivisor = 8 // HTTP results whose next page is not fetched yet
+	bufferedResultsDivisor = 8 // HTTP results whose next page has not been fetched yet
 	openPortalsDivisor     = 6 // rows in open portals of PostgreSQL clients
-	engineBufferDivisor    = 4 // results of PostgreSQL engines that are not sent to their clients yet
-	shapeStatisticsDivisor = 4 // statement statistics, at most
+	engineBufferDivisor    = 4 // results of PostgreSQL engines that have not been sent to clients yet
+	shapeStatisticsDivisor = 4 // maximum for statement statistics
 )
 
-// The Go runtime's soft memory limit is heapLimitTenths / tenths of the configured memory limit. It is
-// well below 1, because buffers outside the heap count towards the configured limit too.
+// The Go runtime's soft memory limit is heapLimitTenths / tenths of the configured memory limit. The
+// fraction is well below 1, because buffers outside the heap count towards the configured limit too.
 const (
 	heapLimitTenths = 6
 	tenths          = 10
 )
 
-// The division of the descriptor table. Clients get three quarters of it minus closingClientReserve.
-// Engines get what remains after the clients, minus httpserver.SpareClients and reservedDescriptors.
+// The division of the descriptor table. Clients get three quarters of the table minus
+// closingClientReserve. Engines get the rest minus httpserver.SpareClients and reservedDescriptors.
 const (
 	clientShareQuarters = 3
 	quarters            = 4
-	// closingClientReserve is for connections of clients that are being closed while others are
-	// accepted.
+	// closingClientReserve is for connections of clients that are being closed while other connections
+	// are accepted.
 	closingClientReserve = 32
 	// reservedDescriptors are available to neither clients nor engines. They are for the program
 	// itself, for connections that are being closed, and for discovery, which must be able to
-	// reconnect even if the table filled up while its source was unreachable.
+	// reconnect even if the table filled up while the source of the endpoint list was unreachable.
 	reservedDescriptors = 24
-	// The least numbers of connections, which keep a front end with a very small table working.
+	// The minimum numbers of connections, so that a front end with a very small table still works.
 	minClients           = 8
 	minEngineConnections = 4
 )
 
-// maxProcessors is the value of GOMAXPROCS. It is more than one even on one core, because the event
-// loop's poller occupies one while it waits.
+// maxProcessors is the value of GOMAXPROCS. It is more than 1 even on one core, because the event loop's
+// poller occupies a processor while it waits.
 const maxProcessors = 3
 
 // resourceLimits are the configured limits of the process; 0 or less selects the default.
--- a/cmd/flaxrelay/limits_test.go
+++ b/cmd/flaxrelay/limits_test.go
@@ -11,7 +11,7 @@
 		sixthOfMemory     int
 	}{
 		{"not configured", resourceLimits{}, 736, 248, 32 << 20},
-		{"of the platform", resourceLimits{memoryMB: 192, descriptors: 1024}, 736, 248, 32 << 20},
+		{"limits of the platform", resourceLimits{memoryMB: 192, descriptors: 1024}, 736, 248, 32 << 20},
 		{"small table", resourceLimits{memoryMB: 96, descriptors: 64}, 16, 8, 16 << 20},
 		{"table too small", resourceLimits{memoryMB: 6, descriptors: 10}, 8, 4, 1 << 20},
 	} {
--- a/cmd/flaxrelay/log_test.go
+++ b/cmd/flaxrelay/log_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// startListening starts a front end with one engine in a process of its own. It returns the address
-// of the listener as soon as the log has it, and reads nothing more of the log.
+// startListening starts a front end with one engine in a child process. It returns the address of the
+// listener as soon as the log contains it, and does not read the rest of the log.
 func startListening(t *testing.T) (p *process, address string) {
 	t.Helper()
 	path := writeExampleConfig(t, exampleEngineAddress, startEngine(t, respondWithoutRows))
@@ -16,7 +16,7 @@
 	return p, p.awaitAddress()
 }
 
-// expectServed sends a request on a connection of its own and checks that it is served.
+// expectServed sends a request on a new connection and checks that the request is served.
 func expectServed(t *testing.T, address string) {
 	t.Helper()
 	if status, err := lookupOnce(address, sequentialRequestID(1)); err != nil || status != "200 OK" {
@@ -24,13 +24,13 @@
 	}
 }
 
-// Lines of a log that nobody reads are dropped.
+// If nothing reads the log, its lines are dropped and requests are still served.
 func TestLog_ThatIsNotReadDoesNotStopTheService(t *testing.T) {
 	if serveInChild(t) {
 		return
 	}
 	p, address := startListening(t)
-	for range 300 { // each prints all counters: far more than a pipe's buffer
+	for range 300 { // each prints all counters; together they far exceed the buffer of the pipe
 		p.signal(syscall.SIGUSR1)
 		time.Sleep(2 * time.Millisecond)
 		expectServed(t, address)
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -3,8 +3,8 @@
 //
 // Without a command it serves the platform's HTTP protocol with the configuration file that $LB_CONFIG or
 // --config names. With --postgres it serves the PostgreSQL wire protocol with a deploy file. SIGHUP
-// reloads the file that it serves with, SIGUSR1 prints the counters, and SIGTERM and SIGINT start a
-// graceful shutdown. Other commands validate files and inspect statement shapes.
+// reloads that file, SIGUSR1 prints the counters, and SIGTERM and SIGINT start a graceful shutdown. Other
+// commands validate files and inspect statement shapes.
 package main
 
 import (
@@ -29,18 +29,18 @@
 	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"Minimum log level: ${enum}."`
 
 	Serve      serveCommand      `cmd:"" default:"withargs" help:"Serve requests (the default command)."`
-	Check      checkCommand      `cmd:"" help:"Check settings and deploy files and report every fault."`
+	Check      checkCommand      `cmd:"" help:"Check settings and deploy files and report every error."`
 	Shapes     shapesCommand     `cmd:"" help:"Show the statistics of statement shapes."`
 	Completion completionCommand `cmd:"" help:"Print a completion script for a shell."`
 	Version    versionCommand    `cmd:"" help:"Print the version."`
 }
 
 // errReported is returned by a command that has already printed or logged its error. main then exits
-// with a failure and prints nothing more.
+// with status 1 and prints nothing more.
 var errReported = errors.New("already reported")
 
-// legacyFlags maps the flags of versions without commands, which have a single dash, to the flags that
-// replace them.
+// legacyFlags maps flags with a single dash, from versions that had no commands, to the flags that
+// replaced them.
 var legacyFlags = map[string]string{"-config": "--config", "-postgres": "--postgres"}
 
 // modernArguments returns the arguments with legacy flags replaced.
@@ -73,5 +73,5 @@
 	}
 	ctx, err := parser.Parse(modernArguments(arguments))
 	parser.FatalIfErrorf(err)
-	return ctx.Run(&grammar, parser) //nolint:wrapcheck // the error is that of a command
+	return ctx.Run(&grammar, parser) //nolint:wrapcheck // the error of the command itself
 }
--- a/cmd/flaxrelay/metrics.go
+++ b/cmd/flaxrelay/metrics.go
@@ -8,11 +8,11 @@
 )
 
 // metricsReportInterval is the time between two log lines with the changes of counters. It is short
-// enough for the log to show how the counters changed right before a fault.
+// enough for the log to show how the counters changed right before a problem.
 const metricsReportInterval = 5 * time.Second
 
 // scheduleMetricsReport sets the timer of the next report. Before each report, the invariants of pending
-// requests are checked, so that it contains their violations.
+// requests are checked, so that the report counts their violations.
 func (s *server) scheduleMetricsReport() {
 	s.loop.Timers.Schedule(s.loop.Now()+metricsReportInterval, func() {
 		s.dispatcher.CheckPending()
@@ -29,7 +29,8 @@
 	}
 }
 
-// publishDropped sets the counter of dropped log lines, which the log's writer counts.
+// publishDropped sets the counter of dropped log lines to the number that the writer of the log has
+// counted.
 func (s *server) publishDropped() {
 	if s.output != nil {
 		s.counters.Set(metrics.LogDropped, s.output.Dropped())
--- a/cmd/flaxrelay/postgres.go
+++ b/cmd/flaxrelay/postgres.go
@@ -16,18 +16,17 @@
 
 var errNoPostgresListenAddress = errors.New("deploy file: listen: missing")
 
-// unknownClassError reports that a reloaded deploy file names a class which the settings did not have
-// at the start. The settings file is not applied again by a reload.
+// unknownClassError reports that a reloaded deploy file names a class that was not in the settings when
+// the program started. A reload does not apply the settings file.
 type unknownClassError struct{ class string }
 
 // Error implements error.
 func (e *unknownClassError) Error() string {
-	return fmt.Sprintf("deploy file: class %q is not among the settings that this program started with", e.class)
+	return fmt.Sprintf("deploy file: class %q is not in the settings with which the program started", e.class)
 }
 
-// listenPostgres composes the server for the PostgreSQL wire protocol and opens its listener. Consul
-// is the source of the endpoint list. If the deploy file has no listen address, the server remains
-// without a front end.
+// listenPostgres sets up the server for the PostgreSQL wire protocol and opens its listener. Consul is
+// the source of the endpoint list. If the deploy file has no listen address, s.frontEnd remains nil.
 func (s *server) listenPostgres(ctx context.Context, path string) error {
 	deploy, err := config.LoadPostgres(path)
 	if err != nil {
@@ -37,7 +36,7 @@
 		return nil
 	}
 	limits := postgresLimits(deploy)
-	// The deploy file has no seed. The process id differs between the replicas on one host.
+	// The deploy file has no seed. Process ids differ between the replicas on one host.
 	seed := uint64(os.Getpid())
 	if err := s.startCore(deploy.Settings.Policy, seed, limits); err != nil {
 		return err
@@ -62,8 +61,8 @@
 	return frontEnd.Listen(deploy.Listen)
 }
 
-// postgresReloader applies changes of the deploy file while the server runs. It is owned by the event
-// loop's goroutine.
+// postgresReloader applies changes of the deploy file while the server runs. The event loop's goroutine
+// owns it.
 type postgresReloader struct {
 	server   *server
 	path     string
@@ -72,8 +71,8 @@
 	watcher  *consul.Watcher
 }
 
-// reload reads the deploy file and applies its statement rules, client limit and Consul service. If
-// it returns an error, nothing has changed.
+// reload reads the deploy file again and applies its statement rules, client limit and Consul service. If
+// reload returns an error, nothing has changed.
 func (r *postgresReloader) reload(ctx context.Context) error {
 	next, err := config.LoadPostgres(r.path)
 	if err != nil {
@@ -100,7 +99,7 @@
 	return resourceLimits{memoryMB: deploy.MemoryMB, descriptors: deploy.MaxDescriptors}
 }
 
-// postgresOptions returns the options of the front end that the deploy file sets.
+// postgresOptions returns the options that the deploy file sets for the front end.
 func postgresOptions(deploy *config.Postgres, estimator *stmtstats.Service) pgserver.Options {
 	limits := postgresLimits(deploy)
 	options := pgserver.Options{
@@ -128,7 +127,7 @@
 	return options
 }
 
-// consulOptions returns the options of the watcher that the deploy file sets.
+// consulOptions returns the options that the deploy file sets for the watcher.
 func consulOptions(settings config.Consul) consul.Options {
 	return consul.Options{
 		Address: settings.Address,
--- a/cmd/flaxrelay/process_test.go
+++ b/cmd/flaxrelay/process_test.go
@@ -15,16 +15,17 @@
 	"flaxrelay/internal/logging"
 )
 
-// Environment variables with the files that a process of startProcess serves.
+// Environment variables that name the file which a process of startProcess serves.
 const (
 	configVariable   = "FLAXRELAY_TEST_CONFIG"
 	postgresVariable = "FLAXRELAY_TEST_POSTGRES"
 )
 
-// processTimeout limits the time of a process, so that no test waits forever for a line of its log.
+// processTimeout limits how long a process runs, so that no test waits forever for a line of the log.
 const processTimeout = 20 * time.Second
 
-// childFiles returns the files that this process has to serve, if startProcess started it.
+// childFiles returns the files that this process must serve. If startProcess did not start this process,
+// all paths are "".
 func childFiles() serveFiles {
 	return serveFiles{config: os.Getenv(configVariable), postgres: os.Getenv(postgresVariable)}
 }
@@ -47,7 +48,7 @@
 	return true
 }
 
-// process is a front end in a process of its own.
+// process is a front end in a child process.
 type process struct {
 	t   *testing.T
 	cmd *exec.Cmd
@@ -56,8 +57,8 @@
 	logPipe io.Closer // the reading end of the log
 }
 
-// startProcess runs the calling test, which must call serveInChild, in a process of its own. The
-// environment variable is configVariable or postgresVariable; the process serves the file at the path.
+// startProcess runs the calling test, which must call serveInChild, in a child process. The environment
+// variable is configVariable or postgresVariable; the child process serves the file at the path.
 func startProcess(t *testing.T, variable, path string) *process {
 	t.Helper()
 	p := &process{t: t, cmd: exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")}
@@ -87,7 +88,7 @@
 			return p.log.Text()
 		}
 	}
-	p.t.Fatalf("the program ended without %q", text)
+	p.t.Fatalf("the process ended without printing %q", text)
 	return ""
 }
 
@@ -104,22 +105,23 @@
 	return match[1]
 }
 
-// drainLog reads the log to its end, which is the end of the process.
+// drainLog reads the log until the process ends.
 func (p *process) drainLog() {
 	for p.log.Scan() {
 		continue
 	}
 }
 
-// wait checks that the process ends without a failure. The log must have been read to its end.
+// wait waits for the process and checks that it exits with status 0. The log must have been read to its
+// end.
 func (p *process) wait() {
 	p.t.Helper()
 	if err := p.cmd.Wait(); err != nil {
-		p.t.Errorf("the program ended with %v", err)
+		p.t.Errorf("the process ended with %v", err)
 	}
 }
 
-// shutDown shuts the process down and checks that it prints the text and ends without a failure.
+// shutDown shuts the process down and checks that it prints the text and exits with status 0.
 func (p *process) shutDown(text string) {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
--- a/cmd/flaxrelay/reload.go
+++ b/cmd/flaxrelay/reload.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// reloadRetryTime is the time from SIGHUP during which a reload is retried if its file cannot be
-	// read. When the event bus moves, the platform counts every event as received 4 s later, whether or
-	// not the front end has connected to the new address. The retries must end before that.
+	// reloadRetryTime is how long after SIGHUP a reload is retried if its file cannot be read. When the
+	// event bus moves, the platform counts every event as received 4 s later, whether or not the front
+	// end has connected to the new address. The retries must end before that.
 	reloadRetryTime = 3 * time.Second
 	// reloadRetryDelay is the time before each retry.
 	reloadRetryDelay = 50 * time.Millisecond
 )
 
 // reloadFile applies the parts of the configuration file that may change while the server runs. An
-// invalid file changes nothing. If the file cannot be read, the reload is retried for reloadRetryTime,
-// because the reason may be temporary and the operator sends no second signal: there was no free
-// descriptor, or the file is being replaced. reloadFile must be called on the event loop's goroutine.
+// invalid file changes nothing. If the file cannot be read, the reload is retried for reloadRetryTime:
+// the cause may be temporary, such as a lack of free descriptors or a file that is being replaced, and
+// the operator does not send a second signal. reloadFile must be called on the event loop's goroutine.
 func (s *server) reloadFile() {
 	s.reloadRetry.Stop() // this reload replaces the earlier one
 	if s.reload == nil {
-		logevent.ReloadSkipped.Log(s.logger, slog.String("reason", "nothing in this configuration may change"))
+		logevent.ReloadSkipped.Log(s.logger, slog.String("reason", "no part of this configuration can be reloaded"))
 		return
 	}
 	err := s.reload()
@@ -40,8 +40,8 @@
 	s.scheduleReloadRetry(err, s.loop.Now()+reloadRetryTime)
 }
 
-// scheduleReloadRetry schedules a retry if the error says that the file could not be read, unless the
-// retry would be after giveUpAt.
+// scheduleReloadRetry schedules a retry if the error is that the file could not be read, unless the retry
+// would be after giveUpAt.
 func (s *server) scheduleReloadRetry(err error, giveUpAt time.Duration) {
 	var unreadable *fs.PathError
 	next := s.loop.Now() + reloadRetryDelay
@@ -58,7 +58,7 @@
 	})
 }
 
-// reloadCompleted counts and logs a reload that was carried out.
+// reloadCompleted counts and logs a successful reload.
 func (s *server) reloadCompleted() {
 	s.counters.Increment(metrics.ReloadCompleted)
 	logevent.ReloadCompleted.Log(s.logger)
--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	const (
 		eventLength = 9 // of the number and the kind
-		emptyDelta  = 2 // the kind of an event that changes some engines; here none
+		emptyDelta  = 2 // the kind of an event with changed engines; this event has no engines
 	)
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
 	received := make(chan uint64, 10)
@@ -77,8 +77,8 @@
 	}
 }
 
-// A reload with an invalid file is logged and changes nothing. A reload with a valid one moves the
-// server to its event bus, where it continues after the last event.
+// A reload with an invalid file is logged and changes nothing. A reload with a valid file moves the server
+// to the event bus in the file, where the server continues after the last event.
 func TestReload_MovesToTheNewEventBus(t *testing.T) {
 	if serveInChild(t) {
 		return
@@ -102,7 +102,7 @@
 }
 
 // A reload with a deploy file that names an unknown class changes nothing. A reload with another Consul
-// address makes the server query that one.
+// address makes the server query that address.
 func TestReload_OfTheDeployFileChangesConsul(t *testing.T) {
 	if serveInChild(t) {
 		return
@@ -127,8 +127,8 @@
 	p.shutDown("count reload.failed 1")
 }
 
-// A reload whose file cannot be read for a moment is carried out as soon as it can be, without another
-// signal.
+// If the file cannot be read for a moment, the reload succeeds as soon as the file can be read, without
+// another signal.
 func TestReload_RetriesAFileThatCannotBeRead(t *testing.T) {
 	if serveInChild(t) {
 		return
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -21,7 +21,7 @@
 	Shapes   string `placeholder:"FILE" help:"Shape settings of the HTTP front end (TOML)."`
 }
 
-// Run serves until a graceful shutdown ends. It logs each fault that keeps the server from starting.
+// Run serves until a graceful shutdown ends. It logs each error that prevents the server from starting.
 func (c *serveCommand) Run(global *cli) error {
 	output := logging.NewAsyncWriter(os.Stderr)
 	defer output.Flush(finalFlushTime)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// finalFlushTime limits the time that the program waits at its end until the log is written.
+// finalFlushTime limits how long the program waits before it exits until the log is written.
 const finalFlushTime = 500 * time.Millisecond
 
 // serveFiles are the paths of the files that configure a front end.
@@ -57,11 +57,11 @@
 
 var errNothingToServe = errors.New("nothing to serve: set LB_CONFIG, --config or --postgres")
 
-// serve runs the front end that the files select until it has shut down. The logger writes to the
-// output; the counters are printed to it too.
+// serve runs the front end that the files select until it has shut down. The logger writes to the output;
+// the counters are printed to the output too.
 func serve(files serveFiles, logger *slog.Logger, output *logging.AsyncWriter) error {
-	received := subscribeSignals() // first, because until then a signal ends the process at once
-	signal.Ignore(syscall.SIGPIPE) // the process must survive a write to a log whose reader has ended
+	received := subscribeSignals() // first, because before this a signal ends the process at once
+	signal.Ignore(syscall.SIGPIPE) // the process must survive a write to a log pipe whose reader has exited
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s := newServer(logger)
@@ -70,7 +70,7 @@
 		return err
 	}
 	if s.frontEnd == nil {
-		logevent.ServerDisabled.Log(logger, slog.String("reason", "the deploy file names no address to listen at"))
+		logevent.ServerDisabled.Log(logger, slog.String("reason", "the deploy file has no listen address"))
 		return nil
 	}
 	logevent.ServerListening.Log(logger, slog.String("addr", s.frontEnd.Addr()))
--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -15,7 +15,7 @@
 	"flaxrelay/policy"
 )
 
-// server is one front end with its event loop, dispatcher and engine client. listen composes it, and serve
+// server is one front end with its event loop, dispatcher and engine client. listen sets it up, and serve
 // runs its loop. While the loop runs, its goroutine owns all fields; other goroutines use loop.Post.
 type server struct {
 	loop       *eventloop.Loop
@@ -25,8 +25,8 @@
 	logger     *slog.Logger
 	output     *logging.AsyncWriter // of the log and the counters; nil: counters are not printed
 	statistics *stmtstats.Service   // statement statistics; nil if they are off
-	reload     func() error         // applies the changed file; nil if nothing in it may change
-	// reloadRetry retries a reload whose file could not be read; nil if there was none.
+	reload     func() error         // applies the changed file; nil if no part of it can be reloaded
+	// reloadRetry retries a reload whose file could not be read; nil if no such reload has occurred.
 	reloadRetry *timerqueue.Timer
 }
 
@@ -37,13 +37,13 @@
 	Addr() string
 	// CloseListener stops accepting connections.
 	CloseListener()
-	// Drain closes the connections in a graceful shutdown, which has begun earlier with SIGTERM: each
-	// connection is closed as soon as it has no request in flight.
+	// Drain closes each connection as soon as it has no request in flight. It is called some time after
+	// the start of a graceful shutdown.
 	Drain()
-	// Finish closes the connections that are still open, each as soon as its responses are sent. It must
-	// be called after Dispatcher.CompleteAll.
+	// Finish closes the connections that are still open, each as soon as its responses have been sent. It
+	// must be called after Dispatcher.CompleteAll.
 	Finish()
-	// Idle reports whether no client is connected and no client has yet to fetch a part of its result.
+	// Idle reports whether no client is connected and all buffered results have been fetched.
 	Idle() bool
 }
 
@@ -52,7 +52,7 @@
 	return &server{counters: metrics.New(), logger: logger}
 }
 
-// listen composes the server for the protocol that the files select and opens its listener.
+// listen sets up the server for the protocol that the files select and opens its listener.
 func (s *server) listen(ctx context.Context, files serveFiles) error {
 	switch {
 	case files.postgres != "":
@@ -64,7 +64,7 @@
 	}
 }
 
-// startCore makes the event loop and the dispatcher, which all protocols need.
+// startCore creates the event loop and the dispatcher, which all protocols need.
 func (s *server) startCore(settings policy.Settings, seed uint64, limits resourceLimits) error {
 	limits.applyToRuntime()
 	loop, err := eventloop.New()
--- a/cmd/flaxrelay/shapes.go
+++ b/cmd/flaxrelay/shapes.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// medianWork returns the median work of the executions of a shape in milliseconds, or 0 if there are
-// none. Records contain the binary logarithm of the median.
+// medianWork returns the median work of the executions of a shape in milliseconds, or 0 if there are no
+// executions. Records contain the binary logarithm of the median.
 func medianWork(shape *stmtstats.SavedShape) float64 {
 	if shape.Record.Work.Samples == 0 {
 		return 0
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -11,13 +11,13 @@
 
 // diffCommand compares two snapshots.
 type diffCommand struct {
-	Old       string  `arg:"" help:"The older file."`
-	New       string  `arg:"" help:"The newer file."`
+	Old       string  `arg:"" help:"The older snapshot."`
+	New       string  `arg:"" help:"The newer snapshot."`
 	MaxRows   int     `name:"most" default:"20" help:"Maximum number of rows."`
-	MinFactor float64 `name:"over" default:"1.5" help:"Smallest factor between the two that is listed."`
+	MinFactor float64 `name:"over" default:"1.5" help:"Minimum factor by which the work must have changed."`
 }
 
-// workChange is a shape of both snapshots, with its median work in each, in milliseconds.
+// workChange is a shape that is in both snapshots, with its median work in each, in milliseconds.
 type workChange struct {
 	normalForm string
 	before     float64
--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -12,20 +12,20 @@
 // explainCommand explains how one statement is classified and estimated.
 type explainCommand struct {
 	SQL  string   `arg:"" help:"The statement."`
-	Bind []string `sep:"none" placeholder:"VALUE" help:"Value of the next parameter; NULL is null."`
+	Bind []string `sep:"none" placeholder:"VALUE" help:"Value of the next parameter; NULL stands for null."`
 
-	Snapshot   string  `placeholder:"FILE" help:"Snapshot to use; by default there are no statistics."`
+	Snapshot   string  `placeholder:"FILE" help:"Snapshot to use; without a snapshot there are no statistics."`
 	HintMillis float64 `name:"hint" placeholder:"MS" help:"The client's estimate of the work, in ms."`
 	KnownClass int     `name:"known" default:"-1" help:"Index of the class if it is known, from 0; -1: unknown."`
 
-	Bounds            []float64 `default:"800" help:"Limits between the classes of reading statements, in ms of work."`
+	Bounds            []float64 `default:"800" help:"Limits between classes of read-only statements, in ms of work."`
 	ReadOnlyFunctions []string  `name:"readers" help:"Read-only functions besides PostgreSQL's own."`
 }
 
 // explainStoreBytes is enough for any snapshot that a front end writes with usual settings.
 const explainStoreBytes = 64 << 20
 
-// nullArgument is the null value on the command line.
+// nullArgument stands for null on the command line.
 const nullArgument = "NULL"
 
 // Run prints how a front end would classify and estimate the statement.
@@ -68,7 +68,7 @@
 	return model
 }
 
-// openStore returns the statistics of the snapshot, or empty ones if no snapshot is given.
+// openStore returns the statistics of the snapshot, or empty statistics if no snapshot is given.
 func (c *explainCommand) openStore(model costmodel.Config) (*stmtstats.Store, error) {
 	options := stmtstats.Options{CostModel: model, MaxBytes: explainStoreBytes}
 	store, err := stmtstats.New(options)
@@ -95,7 +95,6 @@
 	return binds
 }
 
-// analyze returns the analysis of the statement.
 func (c *explainCommand) analyze() *sqltext.Analysis {
 	readOnly := sqltext.Functions{}
 	for _, name := range c.ReadOnlyFunctions {
@@ -117,7 +116,7 @@
 	t.row("profile\t%s", formatProfile(&profile))
 }
 
-// maxTokensLength is the length of the list of tokens, in bytes, after which it is cut off.
+// maxTokensLength is the length, in bytes, after which a list of tokens is truncated.
 const maxTokensLength = 2000
 
 // formatTokens lists the tokens of a statement.
@@ -148,7 +147,7 @@
 	addIf(profile.Alternatives > 0, "%d alternatives", profile.Alternatives)
 	addIf(profile.Span > 0, "a range of %.4g", profile.Span)
 	addIf(profile.HalfOpen, "a half-open range")
-	addIf(profile.Wildcard == sqltext.InnerWildcard, "a pattern with a fixed beginning")
+	addIf(profile.Wildcard == sqltext.InnerWildcard, "a pattern with a fixed prefix")
 	addIf(profile.Wildcard == sqltext.LeadingWildcard, "a pattern with a leading wildcard")
 	addIf(profile.RowLimit > 0, "at most %.0f rows", profile.RowLimit)
 	addIf(profile.DisabledRestrictions > 0, "%d restrictions disabled by null", profile.DisabledRestrictions)
--- a/cmd/flaxrelay/shapes_top.go
+++ b/cmd/flaxrelay/shapes_top.go
@@ -9,11 +9,11 @@
 
 // topCommand lists the shapes of a snapshot that take the most work.
 type topCommand struct {
-	Snapshot string `arg:"" help:"The file."`
+	Snapshot string `arg:"" help:"The snapshot."`
 	MaxRows  int    `name:"most" default:"20" help:"Maximum number of rows."`
 }
 
-// Run lists the shapes, those with the most total work first.
+// Run lists the shapes in descending order of total work.
 func (c *topCommand) Run() error {
 	snapshot, err := stmtstats.ReadSnapshot(c.Snapshot)
 	if err != nil {
--- a/cmd/flaxrelay/shutdown.go
+++ b/cmd/flaxrelay/shutdown.go
@@ -14,9 +14,9 @@
 	acceptPeriod = 500 * time.Millisecond
 	readPeriod   = 800 * time.Millisecond
 
-	// The platform kills the process no sooner than killGrace plus the longest deadline of a request
-	// after SIGTERM. A deadline above maxKillDeadline counts as maxKillDeadline. Requests that are
-	// still pending finalResponseLead before the kill get their final response at that time.
+	// The earliest time at which the platform kills the process is killGrace plus the longest deadline
+	// of a request after SIGTERM. A deadline above maxKillDeadline counts as maxKillDeadline. Requests
+	// that are still pending finalResponseLead before the kill get their final response at that time.
 	maxKillDeadline   = 3 * time.Second
 	killGrace         = 700 * time.Millisecond
 	finalResponseLead = 250 * time.Millisecond
@@ -28,24 +28,23 @@
 	idlePollInterval = 20 * time.Millisecond
 )
 
-// shutdown is a graceful shutdown in progress. Its times are those of the event loop, whose goroutine
-// owns it.
+// shutdown is a graceful shutdown in progress. The event loop's goroutine owns it. Its times are readings
+// of the loop's clock.
 type shutdown struct {
 	server     *server
 	drainAt    time.Duration // the front end reads no further requests from this time on
 	completeAt time.Duration // pending requests get their final response at this time
 }
 
-// startShutdown starts a graceful shutdown. The server continues to serve as long as new clients may
-// arrive, and ends when no request is pending. startShutdown must be called on the event loop's
-// goroutine.
+// startShutdown starts a graceful shutdown. The server continues to serve while new clients may arrive,
+// and stops when no request is pending. startShutdown must be called on the event loop's goroutine.
 func (s *server) startShutdown() {
 	startedAt := s.loop.Now()
 	untilKill := min(s.dispatcher.LongestDeadline(), maxKillDeadline) + killGrace
 	logevent.ShutdownStarted.Log(s.logger)
 	if s.statistics != nil {
-		// The snapshot is written now, because the process does not wait for the write when it ends.
-		// Executions that end after this are not in the snapshot.
+		// The snapshot is written now, because the process does not wait for the write before it exits.
+		// Executions that end later are not in the snapshot.
 		s.statistics.SaveSnapshot()
 	}
 	progress := &shutdown{
@@ -73,8 +72,8 @@
 	loop.Timers.Schedule(now+idlePollInterval, p.poll)
 }
 
-// finished reports whether no request is pending, or all pending requests were given their final
-// responses flushPeriod ago.
+// finished reports whether the front end is idle and no request is pending, or the pending requests got
+// their final responses at least flushPeriod ago.
 func (p *shutdown) finished(now time.Duration) bool {
 	if now >= p.completeAt+flushPeriod {
 		return true
--- a/cmd/flaxrelay/shutdown_test.go
+++ b/cmd/flaxrelay/shutdown_test.go
@@ -10,7 +10,7 @@
 )
 
 // startServer runs a server of the HTTP protocol with one engine in this process. Replacements are
-// pairs of texts in the example configuration. The channel is closed at the end of the server's loop.
+// pairs of texts in the example configuration. The channel is closed when the server's loop ends.
 func startServer(t *testing.T, engine string, replacements ...string) (s *server, ended <-chan struct{}) {
 	t.Helper()
 	path := writeExampleConfig(t, append(replacements, exampleEngineAddress, engine)...)
@@ -27,7 +27,7 @@
 }
 
 // A client that connects right after SIGTERM is still served. A request to which no engine responds
-// gets its final response before the kill. Then the server ends.
+// gets its final response before the kill. Then the server stops.
 func TestGracefulShutdown_GivesEachRequestItsResponseBeforeTheKill(t *testing.T) {
 	const (
 		pendingID = "9b1f03aa5c7e2d41" // the engine does not respond to it
@@ -48,7 +48,7 @@
 	if got := <-sendLookup(t, s.frontEnd.Addr(), servedID); got != "200 OK" {
 		t.Errorf("a request right after SIGTERM got %s", got)
 	}
-	// The request is idempotent, so that it is rejected with a Retry-After time.
+	// The request is idempotent, so it is rejected with a Retry-After time.
 	if got := <-pending; got != "503 Service Unavailable, retry after" {
 		t.Errorf("the pending request got %s", got)
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// The last bytes of the request arrive after the final responses of a graceful shutdown, just before
-// its end.
+// The last bytes of the request arrive after the final responses of a graceful shutdown, just before the
+// shutdown ends.
 func TestGracefulShutdown_RequestThatCompletesAtItsEndGetsAResponse(t *testing.T) {
 	engine := startEngine(t, func(net.Conn, string) {}) // never responds
 	s, ended := startServer(t, engine,
--- a/cmd/flaxrelay/signals.go
+++ b/cmd/flaxrelay/signals.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// signalQueueLength is the length of the channel of signals. Package signal drops signals when the
-// channel is full. An operator sends far fewer while one is handled.
+// signalQueueLength is the capacity of the channel of signals. Package signal drops signals when the
+// channel is full. While one signal is handled, an operator sends far fewer signals than that.
 const signalQueueLength = 16
 
 // subscribeSignals returns a channel that receives the signals that control the server.
--- a/cmd/flaxrelay/syscalls_test.go
+++ b/cmd/flaxrelay/syscalls_test.go
@@ -13,8 +13,8 @@
 	"flaxrelay/internal/lab/syscallfault"
 )
 
-// startWithFaults runs the calling test, which must call serveInChild, in a traced process of its own with
-// one engine. It returns the process and the address of its listener.
+// startWithFaults runs the calling test, which must call serveInChild, in a traced child process with one
+// engine. It returns the process and the address of its listener.
 func startWithFaults(
 	t *testing.T, engine string, faults syscallfault.Faults,
 ) (p *syscallfault.Process, address string) {
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = p.Signal(syscall.SIGKILL) // it may have ended
+		_ = p.Signal(syscall.SIGKILL) // the process may have ended already
 		<-p.Ended()
 	})
 	deadline := time.Now().Add(processTimeout)
@@ -47,8 +47,8 @@
 	return nil, ""
 }
 
-// System calls of the front end are cut short, interrupted or fail. None of these faults excuses a
-// missing response.
+// System calls of the front end are cut short, interrupted or fail. Every request must be served despite
+// these faults.
 func TestFaultySystemCalls_EveryRequestIsServed(t *testing.T) {
 	if serveInChild(t) {
 		return
@@ -78,8 +78,8 @@
 	requestsPerClient = 15
 )
 
-// runClients runs clients concurrently, each of which sends requests one after another. It returns the
-// outcome of each request that was not served.
+// runClients runs clients concurrently. Each client sends requests one after another. runClients returns
+// the status and the error of each request that was not served.
 func runClients(address string) (unserved []string) {
 	var mu sync.Mutex // guards unserved
 	var running sync.WaitGroup
--- a/cmd/flaxrelay/version.go
+++ b/cmd/flaxrelay/version.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-var errNoBuildInfo = errors.New("this program was built without version information")
+var errNoBuildInfo = errors.New("the program was built without version information")
 
 // versionCommand prints the version of the program.
 type versionCommand struct{}
@@ -24,7 +24,7 @@
 		case setting.Key == "vcs.revision":
 			revision = setting.Value
 		case setting.Key == "vcs.modified" && setting.Value == "true":
-			modified = ", changed since"
+			modified = ", modified"
 		}
 	}
 	fmt.Printf("%s %s (%s%s), %s\n", programName, info.Main.Version, revision, modified, info.GoVersion)
