--- a/internal/config/json_location.go
+++ b/internal/config/json_location.go
@@ -8,8 +8,8 @@
 )
 
 // jsonLine returns the line, from 1, of a field like known.batch[0].topology. If the field is missing
-// it returns the line of the innermost object or list on its path, or 0 if there is none. The text
-// may be malformed after the field.
+// it returns the line of the innermost object or list on its path that exists, or 0 if none exists. The
+// text may be malformed after the field.
 func jsonLine(raw []byte, field string) int {
 	locator := &jsonLocator{
 		raw:     raw,
@@ -27,7 +27,7 @@
 	raw     []byte
 	decoder *json.Decoder
 	field   string
-	line    int // line of the longest path so far that leads to the field; 0 if there is none
+	line    int // line of the longest path so far that leads to the field; 0 if no path does
 	matched int // length of that path in bytes, or noMatch
 }
 
--- a/internal/config/postgres_validate.go
+++ b/internal/config/postgres_validate.go
@@ -40,8 +40,8 @@
 		strings.Count(name, ".") <= 1
 }
 
-// firstWriteClass returns the name of the first class that is not idempotent and has a name, or "" if
-// there is none. It is the default of write_class.
+// firstWriteClass returns the name of the first class that has the effect non_idempotent and a name, or ""
+// if no class has both. It is the default of write_class.
 func firstWriteClass(classes []policy.Class) string {
 	for i := range classes {
 		if classes[i].Effect == policy.NonIdempotent && classes[i].Name != "" {
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -2,8 +2,8 @@
 // TCP connection. New returns a Watcher. After Start, the Watcher notifies its sink of each event.
 //
 // On each connection the watcher first sends the number of the last event that it has processed, as 8
-// bytes. The bus then sends the events after that one, and heartbeats, as frames (see frames.go). A
-// frame of an event carries the records of engines (see records.go).
+// bytes. The bus then sends the later events, and heartbeats, as frames (see frames.go). The frame of an
+// event contains the records of engines (see records.go).
 package eventbus
 
 import (
