--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -143,7 +143,7 @@
 			ProgressInterval: 40 * ms, Shortage: policy.ShortageSwap,
 		},
 		LoadFields: []string{"n"}, Zones: []string{"z"}, Kinds: []string{"k"}, MaxStreams: 33,
-		ConnectTimeout: 31 * ms, IdleClose: 32 * ms,
+		ConnectTimeout: 31 * ms, EngineIdleTimeout: 32 * ms,
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,13 +11,13 @@
 // Settings contains the settings of a deployment: those of package policy, and those that other
 // packages need.
 type Settings struct {
-	Policy         policy.Settings
-	LoadFields     []string      // names of the values in a load report, in order
-	Zones          []string      // names by their index on the event bus
-	Kinds          []string      // names by their index on the event bus
-	MaxStreams     int           // maximum number of attempts in flight on one connection to an engine
-	ConnectTimeout time.Duration // limit on the time to establish a connection to an engine
-	IdleClose      time.Duration // idle time after which engines close a connection
+	Policy            policy.Settings
+	LoadFields        []string      // names of the values in a load report, in order
+	Zones             []string      // names by their index on the event bus
+	Kinds             []string      // names by their index on the event bus
+	MaxStreams        int           // maximum number of attempts in flight on one connection to an engine
+	ConnectTimeout    time.Duration // limit on the time to establish a connection to an engine
+	EngineIdleTimeout time.Duration // idle time after which engines close a connection
 }
 
 // UnmarshalJSON decodes the settings object, which is part of the platform's configuration and of the
@@ -32,13 +32,13 @@
 		return err
 	}
 	*s = Settings{
-		Policy:         settings,
-		LoadFields:     object.LoadReport.Names,
-		Zones:          object.Zones,
-		Kinds:          object.Kinds,
-		MaxStreams:     object.Limits.MaxStreams,
-		ConnectTimeout: FromMilliseconds(object.Limits.ConnectTimeoutMS),
-		IdleClose:      FromMilliseconds(object.Limits.IdleCloseMS),
+		Policy:            settings,
+		LoadFields:        object.LoadReport.Names,
+		Zones:             object.Zones,
+		Kinds:             object.Kinds,
+		MaxStreams:        object.Limits.MaxStreams,
+		ConnectTimeout:    FromMilliseconds(object.Limits.ConnectTimeoutMS),
+		EngineIdleTimeout: FromMilliseconds(object.Limits.IdleCloseMS),
 	}
 	return nil
 }
--- a/internal/engine/lineclient/client.go
+++ b/internal/engine/lineclient/client.go
@@ -59,7 +59,7 @@
 	}
 	options := engine.Options{
 		ConnectTimeout:       connectTimeout,
-		IdleTimeout:          time.Duration(float64(settings.IdleClose) * idleFraction),
+		IdleTimeout:          time.Duration(float64(settings.EngineIdleTimeout) * idleFraction),
 		ReadBufferBytes:      readBufferBytes,
 		StallTimeout:         stallTimeout,
 		MessageTimeout:       responseTimeout,
