--- a/internal/config/json_location.go
+++ b/internal/config/json_location.go
@@ -8,8 +8,8 @@
 )
 
 // jsonLine returns the line, from 1, of a field like known.batch[0].topology. If the field is missing
-// it returns the line of the innermost object or list on its path, or 0 if there is none. The text
-// may be malformed after the field.
+// it returns the line of the innermost object or list on its path that exists, or 0 if none exists. The
+// text may be malformed after the field.
 func jsonLine(raw []byte, field string) int {
 	locator := &jsonLocator{
 		raw:     raw,
@@ -27,14 +27,14 @@
 	raw     []byte
 	decoder *json.Decoder
 	field   string
-	line    int // line of the longest path so far that leads to the field; 0 if there is none
+	line    int // line of the longest path so far that leads to the field; 0 if no path does
 	matched int // length of that path in bytes, or noMatch
 }
 
 // noMatch is less than the length of any path.
 const noMatch = -1
 
-// visit records the line of a path if it leads to the field and is the longest such path so far.
+// visit records the line of a path if the path leads to the field and is the longest such path so far.
 func (l *jsonLocator) visit(path string) {
 	if len(path) > l.matched && leadsTo(path, l.field) {
 		l.line = lineAt(l.raw, l.decoder.InputOffset())
@@ -42,7 +42,8 @@
 	}
 }
 
-// leadsTo reports whether the path is that of the field or of an object or list that contains it.
+// leadsTo reports whether the path is the path of the field, or of an object or list that contains the
+// field.
 func leadsTo(path, field string) bool {
 	rest, isPrefix := strings.CutPrefix(field, path)
 	return isPrefix && (rest == "" || rest[0] == '.' || rest[0] == '[')
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// completeSettings has every key of the settings object, and an unknown one.
+// completeSettings has every key of the settings object, and an unknown key.
 const completeSettings = `{"balancers": 1, "zone": "z", "unknown": 0, "over-share-worth": 2,
 "membership-mode": "on_request", "round-ms": 3, "kinds": ["k"], "zones": ["z"],
 "projects": [{"name": "p", "quota-per-s": 4, "share": 5}],
@@ -143,7 +143,7 @@
 			ProgressInterval: 40 * ms, Shortage: policy.ShortageSwap,
 		},
 		LoadFields: []string{"n"}, Zones: []string{"z"}, Kinds: []string{"k"}, MaxStreams: 33,
-		ConnectTimeout: 31 * ms, IdleClose: 32 * ms,
+		ConnectTimeout: 31 * ms, EngineIdleTimeout: 32 * ms,
 	}
 }
 
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestSettings_FaultsNameTheKeysOfTheFile(t *testing.T) {
+func TestSettings_ErrorsNameTheKeysOfTheFile(t *testing.T) {
 	for key, text := range map[string]string{
 		"balancers":      `{"balancers": "x"}`,
 		"classes.name":   `{"classes": [{"name": 1}]}`,
@@ -171,7 +171,7 @@
 	} {
 		var settings Settings
 		err := json.Unmarshal([]byte(text), &settings)
-		if field := jsonFault(err).Field; field != key {
+		if field := jsonFieldError(err).Field; field != key {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
