--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,6 +1,6 @@
 // Package engine is the part of an engine client that does not depend on the protocol: the
 // engines of the endpoint list, the connections to each, and the state of one connection from
-// its dial to its end.
+// its dial to its close.
 //
 // The client of a protocol has two types. Its connection embeds a Connection, implements Protocol
 // and is dialed with Connection.Dial. Its client embeds a Client and adds the other methods of
@@ -29,13 +29,13 @@
 	ReadBufferBytes int
 	// StallTimeout limits the wait for the next bytes of an incomplete message.
 	StallTimeout time.Duration
-	// MessageTimeout limits the time from the first bytes of an incomplete message to
-	// its last; 0: unlimited.
+	// MessageTimeout limits the time from the first bytes of a message to its last bytes; 0:
+	// unlimited.
 	MessageTimeout time.Duration
 	// LogDialErrors enables a log event for each failed dial, except for refused connections.
 	LogDialErrors bool
-	// AbortOnProtocolError closes a connection at once after a protocol error, and discards bytes
-	// that are written and not sent yet. Without it, they are sent first.
+	// AbortOnProtocolError closes a connection at once after a protocol error, and discards the
+	// written bytes that are not sent yet. If it is false, these bytes are sent first.
 	AbortOnProtocolError bool
 }
 
@@ -77,12 +77,12 @@
 // UpdateEndpoint applies an entry of the endpoint list. It is part of lifecycle.EngineClient.
 func (c *Client[P]) UpdateEndpoint(endpoint lifecycle.Endpoint) { c.pool.updateEndpoint(endpoint) }
 
-// FindEngine returns the engine of this id, or nil if the endpoint list has none.
+// FindEngine returns the engine with this id, or nil if the endpoint list does not contain it.
 func (c *Client[P]) FindEngine(id string) *Engine[P] { return c.pool.get(id) }
 
 // EnsureCapacity reports whether one more connection may be dialed. limit is the maximum number
 // of connections that accept attempts; 0: unlimited. At the limit, EnsureCapacity evicts the
-// least recently used idle connection, and returns false if there is none.
+// least recently used idle connection, or returns false if no connection is idle.
 func (c *Client[P]) EnsureCapacity(limit int) bool {
 	if limit <= 0 || len(c.accepting) < limit {
 		return true
@@ -96,8 +96,8 @@
 	return true
 }
 
-// leastRecentlyUsedIdle returns, of the connections that accept attempts, the idle one that was
-// used least recently. It returns nil if none is idle.
+// leastRecentlyUsedIdle returns the least recently used idle connection among those that accept
+// attempts, or nil if none of them is idle.
 func (c *Client[P]) leastRecentlyUsedIdle() *Connection[P] {
 	var found *Connection[P]
 	for connection := range c.accepting {
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -23,11 +23,11 @@
 	// ResetStatus returns the status of the attempts that were in flight when the engine
 	// closed the connection.
 	ResetStatus() lifecycle.AttemptStatus
-	// HandleClosed is called when the connection has ended. It ends the attempts on it.
+	// HandleClosed is called when the connection is closed. It ends the attempts on the connection.
 	HandleClosed(status lifecycle.AttemptStatus)
 }
 
-// State is the phase of a connection between its dial and its end.
+// State is the phase of a connection between its dial and its close.
 //
 //	event                           from                         to
 //	Dial                                                         StateDialing
@@ -41,7 +41,7 @@
 // In StateOpen a connection is idle or busy; Protocol.InFlight distinguishes the two.
 type State uint8
 
-// The states of a connection, in their order.
+// The states of a connection, in the order in which it passes through them.
 const (
 	StateDialing State = iota // the dial is in progress; there is no socket
 	StateStartup              // the socket is connected; the protocol's startup is in progress
@@ -50,21 +50,21 @@
 	StateClosed               // the socket is closed, or the dial has failed
 )
 
-// Connection is one connection to an engine, from the start of its dial to its end. It owns the
-// socket, and decides when it is closed and with which status the attempts end. A protocol's
-// type embeds it and calls Dial. It may be used only on the event loop's goroutine.
+// Connection is one connection to an engine, from the start of its dial to its close. It owns the
+// socket, and decides when the socket is closed and with which status the attempts end. A
+// protocol's type embeds it and calls Dial. It may be used only on the event loop's goroutine.
 type Connection[P Protocol] struct {
 	client   *Client[P]
 	engine   *Engine[P]
 	protocol P
 	state    State
-	// retiring means that the connection accepts no new attempts, and closes once none is in flight.
-	// Retire, StopAccepting, Close, a protocol error and the connection's end set it, in any state,
-	// and nothing resets it. A connection that is retired during its dial or startup still serves
-	// the attempts that wait for it.
+	// retiring means that the connection accepts no new attempts, and closes once no attempt is in
+	// flight. Retire, StopAccepting, Close, a protocol error and the closing of the socket set it,
+	// in any state. It is never reset. A connection that is retired during its dial or startup
+	// still serves the attempts that wait for it.
 	retiring bool
 	socket   *eventloop.Conn // nil in StateDialing and StateClosed
-	// closeStatus is why this side has closed the connection, in StateClosing.
+	// closeStatus is the reason why this side has closed the connection. It is valid in StateClosing.
 	closeStatus lifecycle.AttemptStatus
 	// lastUsed is when an attempt last began or ended, by the dispatcher's clock. While an
 	// attempt is in flight, checkIdle advances it.
@@ -86,7 +86,7 @@
 // Retiring reports whether the connection accepts no new attempts.
 func (c *Connection[P]) Retiring() bool { return c.retiring }
 
-// Write sends b and reports whether the connection accepted it. If it returns false, the engine
+// Write sends b and reports whether the connection accepted it. If Write returns false, the engine
 // does not receive all of b and does not run the request. The connection must be connected.
 func (c *Connection[P]) Write(b []byte) bool { return c.socket.Write(b) }
 
@@ -96,20 +96,20 @@
 // MarkUsed records that an attempt has begun or ended.
 func (c *Connection[P]) MarkUsed() { c.lastUsed = c.client.Dispatcher.Now() }
 
-// StopAccepting makes the connection accept no new attempts.
+// StopAccepting prevents new attempts on the connection.
 func (c *Connection[P]) StopAccepting() {
 	c.retiring = true
 	delete(c.client.accepting, c)
 }
 
-// Retire makes the connection accept no new attempts and close once none is in flight.
+// Retire prevents new attempts on the connection, and closes it once no attempt is in flight.
 func (c *Connection[P]) Retire() {
 	c.StopAccepting()
 	c.CloseIfRetiringAndIdle()
 }
 
-// CloseIfRetiringAndIdle closes the connection if it accepts no new attempts and none is in flight.
-// It does nothing during the dial; the protocol calls it again when the connection is open.
+// CloseIfRetiringAndIdle closes the connection if it accepts no new attempts and has no attempt in
+// flight. It does nothing during the dial; the protocol calls it again when the connection is open.
 func (c *Connection[P]) CloseIfRetiringAndIdle() {
 	if c.Retiring() && c.Connected() && c.protocol.InFlight() == 0 {
 		c.Close(lifecycle.StatusIdleClosed)
@@ -133,7 +133,7 @@
 	c.closeStatus = status
 }
 
-// OnClosed handles the end of the socket, whichever side closed it. The event loop calls it.
+// OnClosed handles the close of the socket by either side. The event loop calls it.
 func (c *Connection[P]) OnClosed(*eventloop.Conn, error) { c.end(c.endStatus()) }
 
 // endStatus returns the status with which the attempts end when the socket has been closed.
--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -55,7 +55,7 @@
 	return NewClient[*fakeConnection](nil, nil, Options{}, metrics.New(), slog.New(slog.DiscardHandler))
 }
 
-// newFakeConnection returns a connection in the state, as its dial would leave it.
+// newFakeConnection returns a connection in this state, with the fields that Dial sets.
 func newFakeConnection(client *Client[*fakeConnection], state State) *fakeConnection {
 	c := &fakeConnection{closed: make(chan lifecycle.AttemptStatus, 1)}
 	c.client = client
@@ -89,12 +89,12 @@
 		t.Error("a connection was evicted below the limit")
 	}
 	if !client.EnsureCapacity(4) || !leastRecent.retired || dialing.retired || busy.retired || recent.retired {
-		t.Error("the least recently used idle connection is not the one that was evicted")
+		t.Error("want only the least recently used idle connection evicted")
 	}
 	recent.StopAccepting()
 	leastRecent.StopAccepting()
 	if client.EnsureCapacity(2) {
-		t.Error("there is capacity where no connection is idle")
+		t.Error("EnsureCapacity returned true although no connection is idle")
 	}
 }
 
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -20,7 +20,7 @@
 	client.Loop.Dial(engine.Address, client.options.ConnectTimeout, client.options.ReadBufferBytes, c, c.dialed)
 }
 
-// dialed handles the outcome of the dial.
+// dialed handles the result of the dial.
 func (c *Connection[P]) dialed(socket *eventloop.Conn, err error) {
 	if err != nil {
 		c.failDial(err)
@@ -31,7 +31,7 @@
 	c.protocol.HandleConnected()
 }
 
-// failDial logs the error of a failed dial, and ends the connection.
+// failDial logs the error of a failed dial, and moves the connection to StateClosed.
 func (c *Connection[P]) failDial(err error) {
 	status := dialStatus(err)
 	if c.client.options.LogDialErrors && status != lifecycle.StatusConnectionRefused {
--- a/internal/engine/framing.go
+++ b/internal/engine/framing.go
@@ -12,10 +12,10 @@
 )
 
 // errMessageTimeout is the protocol error of a message that stays incomplete for too long.
-var errMessageTimeout = errors.New("a message stalled or took too long")
+var errMessageTimeout = errors.New("timed out waiting for the rest of a message")
 
 // messageTimer limits how long a message may be incomplete, because no later message on the
-// connection can be read before its end.
+// connection can be read until it is complete.
 type messageTimer struct {
 	timer *timerqueue.Timer
 	// partialSince is when the first bytes of the incomplete message were read, by the
--- a/internal/engine/idle.go
+++ b/internal/engine/idle.go
@@ -8,8 +8,8 @@
 	}
 }
 
-// scheduleIdleCheck schedules a check for the end of the idle timeout. After a slow dial, that may
-// have passed already, and the check is due at once.
+// scheduleIdleCheck schedules a check for the end of the idle timeout. After a slow dial, the
+// timeout may have passed already; the check is then due at once.
 func (c *Connection[P]) scheduleIdleCheck() {
 	due := max(c.lastUsed+c.client.options.IdleTimeout, c.client.Dispatcher.Now())
 	c.client.Loop.Timers.Schedule(due, c.checkIdle)
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -11,7 +11,7 @@
 // pooled is a connection in a pool.
 type pooled interface {
 	comparable
-	// Retire makes the connection accept no new attempts and close once none is in flight.
+	// Retire prevents new attempts on the connection, and closes it once no attempt is in flight.
 	Retire()
 }
 
@@ -25,7 +25,7 @@
 	ID      string
 	Address string
 	// Connections are in the order of their dials. A connection is added when its dial starts,
-	// and removed when it has ended.
+	// and removed when it is closed or its dial has failed.
 	Connections []C
 	startedAt   time.Duration // as the endpoint list reports it
 }
@@ -33,7 +33,7 @@
 // newPool returns an empty pool.
 func newPool[C pooled]() *pool[C] { return &pool[C]{engines: map[string]*Engine[C]{}} }
 
-// get returns the engine of this id, or nil if the endpoint list has none.
+// get returns the engine with this id, or nil if the endpoint list does not contain it.
 func (p *pool[C]) get(id string) *Engine[C] { return p.engines[id] }
 
 // updateEndpoint applies an entry of the endpoint list. It retires the connections to an
@@ -63,7 +63,7 @@
 	}
 }
 
-// remove removes a connection that has ended.
+// remove removes a connection that is closed or whose dial has failed.
 func (e *Engine[C]) remove(connection C) {
 	e.Connections = slices.DeleteFunc(e.Connections, func(other C) bool { return other == connection })
 }
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// A new engine at the address of a removed one is another engine: connections to the old one
-// take no more requests.
+// An engine that reuses the address of a removed engine is a different engine: the connections to
+// the removed engine accept no more requests.
 func TestPool_ReusedAddressIsAnotherEngine(t *testing.T) {
 	var retired []string
 	pool := newPool[*recordingConnection]()
@@ -68,11 +68,11 @@
 	}
 }
 
-// recordingConnection notes when it is retired.
+// recordingConnection records the id of its engine when it is retired.
 type recordingConnection struct {
 	engineID string
 	retired  *[]string
 }
 
-// Retire implements the connection of a pool.
+// Retire implements pooled.
 func (c *recordingConnection) Retire() { *c.retired = append(*c.retired, c.engineID) }
