--- a/internal/engine/lineclient/abandoned.go
+++ b/internal/engine/lineclient/abandoned.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// abandonedIDTTL is how long an abandoned id is not used on its connection again. Otherwise a
-// late response to the abandoned request would be taken for a response to the next one.
+// abandonedIDTTL is how long an abandoned id is not reused on its connection. Otherwise a late
+// response to the abandoned request would be taken for a response to the next request of this id.
 const abandonedIDTTL = 30 * time.Second
 
 // abandonedIDs are the ids of abandoned requests for which a response may still arrive on one
@@ -15,11 +15,11 @@
 
 func newAbandonedIDs() abandonedIDs { return abandonedIDs{expiry: map[string]time.Duration{}} }
 
-// has reports whether the id must not be used yet.
+// has reports whether the id was abandoned and must not be used yet.
 func (a *abandonedIDs) has(id string, now time.Duration) bool { return now < a.expiry[id] }
 
-// add prevents the use of an id for abandonedIDTTL. It drops the expired ids, so that their
-// number stays small on a connection that stays open for days.
+// add prevents the use of an id for abandonedIDTTL. It also drops the expired ids, so that few are
+// stored on a connection that stays open for days.
 func (a *abandonedIDs) add(id string, now time.Duration) {
 	for len(a.oldestFirst) > 0 && now >= a.expiry[a.oldestFirst[0]] {
 		delete(a.expiry, a.oldestFirst[0])
--- a/internal/engine/lineclient/client.go
+++ b/internal/engine/lineclient/client.go
@@ -1,8 +1,8 @@
-// Package lineclient carries attempts to engines that speak the platform's line
-// protocol: many requests on one connection, responses in any order.
+// Package lineclient sends attempts to engines in the platform's line protocol. One connection
+// carries many requests at a time, and their responses arrive in any order.
 //
 // New returns a Client, which is passed to Dispatcher.SetEngineClient. The statement of a request
-// is a string, and the result of a served one is its Rows.
+// is a string, and the result of a served request has the type Rows.
 package lineclient
 
 import (
@@ -19,15 +19,16 @@
 const (
 	// readBufferBytes limits the read buffer of one connection. The largest response is much smaller.
 	readBufferBytes = 64 << 10
-	// stallTimeout is how long a response may pause in the middle. Engines send each in one piece.
+	// stallTimeout limits the wait for the next bytes of an incomplete response. Engines send each
+	// response in one piece.
 	stallTimeout = 500 * time.Millisecond
-	// responseTimeout limits a response that arrives in pieces. Otherwise a response that never
-	// ends would block all other responses on its connection.
+	// responseTimeout limits the time from the first to the last bytes of a response that arrives in
+	// pieces. Otherwise a response that never ends would block all others on its connection.
 	responseTimeout = 4 * stallTimeout
 	// idleFraction is the fraction of the engines' idle timeout after which this side closes an
 	// idle connection, so that it does not send a request while the engine closes the connection.
 	idleFraction = 0.8
-	// defaultConnectTimeout applies if the settings give none.
+	// defaultConnectTimeout applies if the settings contain no connect timeout.
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
@@ -37,8 +38,8 @@
 	*engine.Client[*connection]
 
 	// MaxConnections limits the connections that accept attempts, so that descriptors
-	// remain for discovery and for clients; 0: unlimited. At the limit an idle connection is
-	// evicted for a new one. It must be set before the first Start.
+	// remain for discovery and for clients; 0: unlimited. At the limit, a new connection replaces
+	// an idle one, which is evicted. It must be set before the first Start.
 	MaxConnections int
 
 	maxStreams int  // limit of the attempts in flight on one connection
@@ -91,7 +92,7 @@
 	conn.add(attempt)
 }
 
-// findConnection returns a connection to the engine that accepts a request of this id, or nil.
+// findConnection returns a connection to the engine that accepts a request with this id, or nil.
 func (c *Client) findConnection(target *engine.Engine[*connection], id string) *connection {
 	now := c.Dispatcher.Now()
 	for _, conn := range target.Connections {
--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -21,7 +21,7 @@
 	abandoned abandonedIDs
 }
 
-// newConnection starts a connection to the engine.
+// newConnection returns a new connection to the engine and starts its dial.
 func newConnection(client *Client, target *engine.Engine[*connection]) *connection {
 	c := &connection{client: client, streams: map[string]*stream{}, abandoned: newAbandonedIDs()}
 	c.Dial(client.Client, target, c)
@@ -65,7 +65,7 @@
 func (c *connection) has(s *stream) bool { return c.streams[s.attempt.Request.ID] == s }
 
 // streamsInStartOrder returns the streams in the order in which their attempts started. The
-// order of the map differs from run to run.
+// iteration order of the map is random.
 func (c *connection) streamsInStartOrder() []*stream {
 	list := make([]*stream, 0, len(c.streams))
 	for _, s := range c.streams {
--- a/internal/engine/lineclient/exchange_test.go
+++ b/internal/engine/lineclient/exchange_test.go
@@ -11,7 +11,7 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-// attemptTimeout is the timeout of an attempt, which the golden files contain.
+// attemptTimeout is the timeout of an attempt. The golden files contain it.
 const attemptTimeout = 1500 * time.Millisecond
 
 // script is a golden test of the line protocol.
@@ -125,7 +125,7 @@
 	x.Printf("> %q\n", body)
 }
 
-// write sends text of the engine in one piece.
+// write sends text from the engine to the client in one piece.
 func (x exchange) write(text string) {
 	x.T.Helper()
 	x.Write([]byte(text))
--- a/internal/engine/lineclient/fields.go
+++ b/internal/engine/lineclient/fields.go
@@ -23,7 +23,7 @@
 	fieldProgressValue = "num"     // of a progress response: depends on its kind
 )
 
-// value returns the value of the first field of this name.
+// value returns the value of the first field with this name.
 func (f fieldList) value(name string) (value string, ok bool) {
 	rest := string(f)
 	for rest != "" && rest != "-" {
@@ -36,7 +36,7 @@
 	return "", false
 }
 
-// number returns the value of the first field of this name; ok is false if there is no such
+// number returns the value of the first field with this name; ok is false if there is no such
 // field or its value is not a finite number.
 func (f fieldList) number(name string) (number float64, ok bool) {
 	text, ok := f.value(name)
@@ -69,7 +69,7 @@
 }
 
 // setLoad sets the load of this name, and reports whether the name is known. An engine may use the
-// name of the wire protocol or that of the settings.
+// name in the wire protocol or the name in the settings.
 func setLoad(report *policy.LoadReport, name string, value float64) bool {
 	switch name {
 	case "util", "cpu":
@@ -90,12 +90,13 @@
 
 // The values of fieldProgressKind.
 const (
-	progressFraction = "p" // fieldProgressValue is the fraction that is done
+	progressFraction = "p" // fieldProgressValue is the completed fraction
 	progressSpilling = "s" // the statement spills to disk
 	progressAwaiting = "w" // the statement waits for the resource that fieldProgressValue names
 )
 
-// awaitingLoad is the fieldProgressValue of a wait for a bulk load. Any other is a wait for memory.
+// awaitingLoad is the fieldProgressValue of a wait for a bulk load. Any other value indicates a wait
+// for memory.
 const awaitingLoad = 2
 
 // progress returns the kind and value of a progress report; ok is false if the fields do not
--- a/internal/engine/lineclient/fields_test.go
+++ b/internal/engine/lineclient/fields_test.go
@@ -6,7 +6,7 @@
 	"flaxrelay/policy"
 )
 
-// Each progress response has a kind of its own; any other response has none.
+// Each kind of progress report is recognized; fields without a progress report yield no kind.
 func TestFieldList_ProgressHasAKindForEachResource(t *testing.T) {
 	for fields, want := range map[string]struct {
 		kind  policy.ProgressKind
--- a/internal/engine/lineclient/framing.go
+++ b/internal/engine/lineclient/framing.go
@@ -11,7 +11,7 @@
 const (
 	// maxLineBytes limits the first line of a response.
 	maxLineBytes = 2 << 10
-	// maxBodyBytes limits a page. The limit of the protocol is lower.
+	// maxBodyBytes limits the body of a response, such as a page. The limit of the protocol is lower.
 	maxBodyBytes = 16 << 10
 	// wordsPerLine is the number of words of the first line: the request's id, the kind
 	// of the response, its fields and the length of its body in bytes.
@@ -26,13 +26,13 @@
 	body      []byte // within the read buffer
 }
 
-// errMalformedResponse is wrapped by the error of each response that can't be read.
+// errMalformedResponse is wrapped by the error of each response that can't be parsed.
 var errMalformedResponse = errors.New("malformed response")
 
 var (
-	errLine   = fmt.Errorf("%w: a line is too long or not ended by CR LF", errMalformedResponse)
+	errLine   = fmt.Errorf("%w: the first line is too long or does not end with CR LF", errMalformedResponse)
 	errWords  = fmt.Errorf("%w: the first line does not have four words", errMalformedResponse)
-	errLength = fmt.Errorf("%w: the length is no number or too large", errMalformedResponse)
+	errLength = fmt.Errorf("%w: the length of the body is not a number or is too large", errMalformedResponse)
 	errBody   = fmt.Errorf("%w: the body is not followed by CR LF", errMalformedResponse)
 )
 
@@ -69,7 +69,7 @@
 	return parsed, messageEnd, nil
 }
 
-// firstLine returns the first line of b without its line end, if the line is complete.
+// firstLine returns the first line of b without its CR LF, if the line is complete.
 func firstLine(b []byte) (line []byte, complete bool, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxLineBytes)], '\n')
 	switch {
--- a/internal/engine/lineclient/framing_test.go
+++ b/internal/engine/lineclient/framing_test.go
@@ -13,7 +13,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		parsed, length, err := parseResponse(b)
 		if length > len(b) || len(parsed.body) > length || err != nil && length != 0 {
-			t.Fatalf("%d of %d bytes, body %d, %v", length, len(b), len(parsed.body), err)
+			t.Fatalf("length %d in %d bytes, body of %d bytes, error %v", length, len(b), len(parsed.body), err)
 		}
 		if err != nil && !errors.Is(err, errMalformedResponse) {
 			t.Fatalf("%v does not wrap %q", err, errMalformedResponse)
@@ -35,16 +35,16 @@
 		"endless line":      {strings.Repeat("x", maxLineBytes), errLine},
 		"three words":       {"9b1f DONE -\r\n", errWords},
 		"no id":             {" DONE - 0\r\n", errWords},
-		"length no number":  {"9b1f DONE - x\r\n", errLength},
+		"length not number": {"9b1f DONE - x\r\n", errLength},
 		"length too large":  {"9b1f DONE - 16385\r\n", errLength},
 		"body without end":  {"9b1f DONE - 1\r\naxx", errBody},
 		"negative length":   {"9b1f DONE - -1\r\n", errLength},
-		"body's end is cut": {"9b1f DONE - 1\r\na\r", nil},
+		"body end is cut":   {"9b1f DONE - 1\r\na\r", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, length, err := parseResponse([]byte(test.in))
 			if length != 0 || !errors.Is(err, test.want) {
-				t.Errorf("%d bytes and error %v, want %v", length, err, test.want)
+				t.Errorf("length %d and error %v, want 0 and %v", length, err, test.want)
 			}
 		})
 	}
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -16,7 +16,7 @@
 	nextID             = "0000000000000002"
 	statement          = "SELECT 1"
 	multilineStatement = "SELECT day FROM sales_17.orders WHERE note = 'é\r\n'"
-	// The responses without the id that they begin with.
+	// Responses without the request id at their start.
 	emptyResult = " DONE batches=1 0\r\n\r\n"
 	firstOfTwo  = " DONE batches=2 6\r\na\tb\tc\n\r\n"
 	unknownKind = " ODD - 0\r\n\r\n"
@@ -144,7 +144,7 @@
 	enginetest.PlayScripts(t, exchangeScripts)
 }
 
-// connectionScripts are the exchanges that show how connections begin, retire and end, by the
+// connectionScripts are the exchanges in which connections are dialed, retired and closed, by the
 // name of their golden file.
 var connectionScripts = map[string]script{
 	"withdrawn-while-dialing": {cancels: true, play: func(x exchange) {
@@ -152,7 +152,7 @@
 		next := x.newAttempt(otherID, statement)
 		x.StartThen(withdrawn, func() {
 			if !x.Client.Withdraw(withdrawn) {
-				x.T.Error("an attempt that was not written could not be withdrawn")
+				x.T.Error("Withdraw failed although the request is not written")
 			}
 			x.Client.Start(next)
 		})
@@ -162,7 +162,7 @@
 		again := x.start(id, statement) // nothing was written for it: the id may be used
 		x.Do(func() {
 			if x.Client.Withdraw(again) {
-				x.T.Error("an attempt that was written could be withdrawn")
+				x.T.Error("Withdraw succeeded although the request is written")
 			}
 		})
 		x.respond(again)
@@ -209,7 +209,7 @@
 	"closed-by-engine": {play: func(x exchange) {
 		served := x.start(id, statement)
 		lost := x.start(otherID, "SELECT 2")
-		x.write(id + emptyResult) // read and handled before the end of the connection
+		x.write(id + emptyResult) // read and handled before the connection is closed
 		x.respondFirstPage(lost)
 		x.write(otherID + " MORE ba")
 		x.Disconnect()
@@ -223,7 +223,7 @@
 		x.BlockLoop(func() {
 			x.Reset()
 			time.Sleep(resetDelay)
-		}, func() { // the client has not been notified of the end yet when it writes
+		}, func() { // the client has not been notified of the reset yet when it writes
 			x.Client.Start(unwritten)
 		})
 		x.AwaitEnd(unwritten)
@@ -233,7 +233,7 @@
 	"abandoned-after-protocol-error": {cancels: true, play: func(x exchange) {
 		served := x.start(id, statement)
 		abandoned := x.start(otherID, "SELECT 2")
-		// The end of the connection is posted after this, when the second response is read.
+		// The close of the connection is posted after this, when the second response is read.
 		x.Do(func() {
 			x.OnServed(func() { x.Post(func() { x.Client.Abandon(abandoned) }) })
 		})
@@ -270,8 +270,8 @@
 	}},
 }
 
-// TestClient_ConnectionsMatchTheGoldenFiles checks how connections and their attempts begin,
-// retire and end.
+// TestClient_ConnectionsMatchTheGoldenFiles checks how connections are dialed, retired and closed,
+// and how the attempts on them end.
 func TestClient_ConnectionsMatchTheGoldenFiles(t *testing.T) {
 	enginetest.PlayScripts(t, connectionScripts)
 }
--- a/internal/engine/lineclient/pages.go
+++ b/internal/engine/lineclient/pages.go
@@ -9,16 +9,17 @@
 const (
 	// maxPages limits the pages of one result.
 	maxPages = 64
-	// maxResultBytes limits all pages of one result, which by the protocol has at most 48,000 bytes.
+	// maxResultBytes limits the total size of the pages of one result. The protocol permits at most
+	// 48,000 bytes.
 	maxResultBytes = 256 << 10
 	// columnsPerRow is the number of columns of every row.
 	columnsPerRow = 3
 )
 
 var (
-	errPageCount      = fmt.Errorf("%w: bad number of pages", errMalformedResponse)
-	errPageNumber     = fmt.Errorf("%w: bad page number", errMalformedResponse)
-	errMalformedPage  = fmt.Errorf("%w: a page is not made of rows of three columns of text", errMalformedResponse)
+	errPageCount      = fmt.Errorf("%w: invalid number of pages", errMalformedResponse)
+	errPageNumber     = fmt.Errorf("%w: invalid page number", errMalformedResponse)
+	errMalformedPage  = fmt.Errorf("%w: a page does not consist of rows with three text columns", errMalformedResponse)
 	errResultTooLarge = errors.New("a result is larger than the protocol permits")
 )
 
@@ -33,7 +34,7 @@
 	bytes   int  // total size of the pages that have arrived
 }
 
-// newPartialResult returns a result of which no page has arrived.
+// newPartialResult returns a result with this number of pages, all of them missing.
 func newPartialResult(pages int) partialResult {
 	return partialResult{pages: make(Rows, pages), missing: pages}
 }
@@ -41,7 +42,7 @@
 // has reports whether the page has arrived.
 func (r *partialResult) has(page int) bool { return r.pages[page] != nil }
 
-// add stores a copy of a missing page, because body is within the read buffer.
+// add stores a missing page. It copies body, which is within the read buffer.
 func (r *partialResult) add(page int, body []byte) {
 	r.pages[page] = append([]byte{}, body...) // not nil, even if the page is empty
 	r.bytes += len(body)
--- a/internal/engine/lineclient/requests.go
+++ b/internal/engine/lineclient/requests.go
@@ -18,10 +18,10 @@
 
 const lineEnd = "\r\n"
 
-// executeCommandSize is the usual size of an execute command without its statement.
+// executeCommandSize is the usual size of an execute command without its statement, in bytes.
 const executeCommandSize = 160
 
-// executeCommand encodes an attempt's request, with the rest of its timeout in milliseconds.
+// executeCommand encodes an attempt's request, with the time until its timeout in milliseconds.
 func executeCommand(attempt *lifecycle.Attempt, now time.Duration) []byte {
 	request := attempt.Request
 	statement, _ := request.Statement.(string)
@@ -53,7 +53,7 @@
 // cancelCommand encodes the cancellation of a request that may be running.
 func cancelCommand(id string) []byte { return []byte(commandCancel + id + lineEnd) }
 
-// releaseCommand encodes that no more pages of a result will be fetched.
+// releaseCommand encodes the release of a result: no more of its pages will be fetched.
 func releaseCommand(id string) []byte { return []byte(commandRelease + id + lineEnd) }
 
 // priorityCommand encodes a change of a request's priority.
--- a/internal/engine/lineclient/responses.go
+++ b/internal/engine/lineclient/responses.go
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// handleResult stores the first page and requests the others. No row is sent to the client
-// before all pages have arrived. If the engine is lost before that, only the attempt fails, and
-// another attempt may serve the request.
+// handleResult stores the first page and fetches the others. No row is sent to the client before
+// all pages have arrived: if the engine is lost earlier, only the attempt fails, and another
+// attempt may serve the request.
 func (s *stream) handleResult(received response) error {
 	if s.state == streamFetching {
 		s.conn.client.Counters.Increment(metrics.EngineConnectionsDuplicateResponses)
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// handleFailure ends an attempt without a result. During streamFetching the status is
-// StatusPagesLost: the engine no longer has the pages.
+// handleFailure ends an attempt without a result. In streamFetching the status is StatusPagesLost:
+// the engine no longer has the pages.
 func (s *stream) handleFailure(received response, status lifecycle.AttemptStatus) {
 	if s.state == streamFetching {
 		status = lifecycle.StatusPagesLost
--- a/internal/engine/lineclient/stream.go
+++ b/internal/engine/lineclient/stream.go
@@ -12,12 +12,12 @@
 //	the connection is open, the request is written   streamWaiting    streamWritten
 //	the first of several pages arrives               streamWritten    streamFetching
 //
-// A stream is removed from its connection in any state, when it is abandoned, when its attempt
-// ends, or when the connection ends.
+// A stream is removed from its connection, in any state, when it is abandoned, when its attempt
+// ends, or when the connection is closed.
 type streamState uint8
 
 const (
-	streamWaiting  streamState = iota // nothing of the request is written
+	streamWaiting  streamState = iota // no part of the request is written
 	streamWritten                     // the request is written; no result has arrived
 	streamFetching                    // the first page has arrived; others are missing
 )
@@ -37,14 +37,14 @@
 // Written reports whether the request is written.
 func (s *stream) Written() bool { return s.state != streamWaiting }
 
-// Abandon removes the stream from its connection before the attempt has ended. A written
-// request is cancelled if the settings permit that. A result whose pages are being fetched is
-// always released, because the engine has no work to cancel.
+// Abandon removes the stream, whose attempt has not ended, from its connection. A written request
+// is cancelled if the settings permit that. A result whose pages are being fetched is always
+// released instead, because the engine has no work to cancel.
 func (s *stream) Abandon() {
 	c := s.conn
 	id := s.attempt.Request.ID
 	delete(c.streams, id)
-	// HandleClosed ends the streams one by one, so the connection may have ended already.
+	// HandleClosed ends the streams one by one, so the connection may be closed already.
 	if s.Written() && c.Connected() {
 		c.markAbandoned(id)
 		switch {
