--- a/internal/engine/pgclient/cancel.go
+++ b/internal/engine/pgclient/cancel.go
@@ -13,7 +13,7 @@
 const cancelTimeout = time.Second
 
 // cancel closes the connection and sends a CancelRequest for its query. If the engine can't be
-// reached or has sent no cancel key, the query runs to its end.
+// reached or has sent no cancel key, the query runs to completion.
 func (c *connection) cancel() {
 	client := c.client
 	client.Counters.Increment(metrics.EngineConnectionsCancelRequests)
@@ -25,7 +25,7 @@
 	client.Loop.Dial(c.Engine().Address, timeout, readBufferBytes, discardHandler{}, c.sendCancelRequest)
 }
 
-// sendCancelRequest sends the CancelRequest on a connection of its own.
+// sendCancelRequest sends the CancelRequest on a separate connection, if its dial has succeeded.
 func (c *connection) sendCancelRequest(socket *eventloop.Conn, err error) {
 	if err != nil {
 		return
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -1,9 +1,9 @@
-// Package pgclient carries attempts to engines that speak the PostgreSQL wire protocol:
-// one attempt at a time on a connection, which is reused.
+// Package pgclient sends attempts to engines in the PostgreSQL wire protocol. A connection carries
+// one attempt at a time and is reused.
 //
 // New returns a Client, which is passed to Dispatcher.SetEngineClient. The statement of a request
-// is a *pgproto.Statement, the result of a served one a *pgproto.Result, and the error detail of an
-// attempt that an engine has ended with an error a *pgproto.Error.
+// is a *pgproto.Statement, and the result of a served request is a *pgproto.Result. If an engine
+// has ended an attempt with an error, its error detail is a *pgproto.Error.
 package pgclient
 
 import (
@@ -22,14 +22,14 @@
 	maxResultBytes = 4 << 20
 	// maxMessageBytes limits one message.
 	maxMessageBytes = maxResultBytes
-	// readBufferBytes limits the read buffer of one connection: the longest message, and the
-	// bytes after it that arrive with its end.
+	// readBufferBytes limits the read buffer of one connection. The buffer has space for the longest
+	// message and for the bytes that arrive together with the end of that message.
 	readBufferBytes = maxMessageBytes + 64<<10
-	// stallTimeout is how long an engine may send nothing in the middle of a message.
+	// stallTimeout limits the wait for the next bytes of an incomplete message.
 	stallTimeout = 2 * time.Second
-	// defaultConnectTimeout applies if the options give no ConnectTimeout.
+	// defaultConnectTimeout applies if the options contain no ConnectTimeout.
 	defaultConnectTimeout = time.Second
-	// defaultBufferedBytes applies if the options give no MaxBufferedBytes.
+	// defaultBufferedBytes applies if the options contain no MaxBufferedBytes.
 	defaultBufferedBytes = 48 << 20
 )
 
@@ -93,7 +93,7 @@
 	conn.add(attempt)
 }
 
-// findIdle returns a connection to the engine that has no attempt, or nil.
+// findIdle returns an idle connection to the engine that accepts attempts, or nil.
 func findIdle(target *engine.Engine[*connection]) *connection {
 	for _, conn := range target.Connections {
 		if !conn.Retiring() && conn.exchange.idle() {
--- a/internal/engine/pgclient/connection.go
+++ b/internal/engine/pgclient/connection.go
@@ -16,8 +16,8 @@
 	client *Client
 	// startupDeadline is when the startup must be complete, by the event loop's clock.
 	startupDeadline time.Duration
-	// cancelKey is the process and secret of BackendKeyData, as a CancelRequest contains
-	// them; nil: the engine has sent none.
+	// cancelKey is the process id and the secret key of BackendKeyData, as a CancelRequest contains
+	// them; nil: the engine has not sent BackendKeyData.
 	cancelKey  []byte
 	statements preparedStatements
 	exchange   exchange
@@ -25,7 +25,7 @@
 
 var _ engine.AttemptHandle = (*connection)(nil)
 
-// newConnection starts a connection to the engine.
+// newConnection returns a new connection to the engine and starts its dial.
 func newConnection(client *Client, target *engine.Engine[*connection]) *connection {
 	c := &connection{client: client, statements: newPreparedStatements()}
 	c.startupDeadline = client.Loop.Now() + client.options.ConnectTimeout
@@ -54,9 +54,9 @@
 // Written reports whether the query of the connection's attempt is written.
 func (c *connection) Written() bool { return c.exchange.written() }
 
-// Abandon removes the attempt from the connection before it has ended. If its query is written,
-// this connection is closed and a CancelRequest is sent on another: the CancelRequest may arrive
-// late, and would then cancel the next query on this connection.
+// Abandon removes the attempt, which has not ended, from the connection. If its query is written,
+// the connection is closed and a CancelRequest is sent on another connection. If this connection
+// were reused, a CancelRequest that arrives late would cancel its next query.
 func (c *connection) Abandon() {
 	written := c.exchange.written()
 	c.removeAttempt()
@@ -83,7 +83,7 @@
 
 // ResetStatus returns the status of an attempt whose connection the engine has closed.
 func (c *connection) ResetStatus() lifecycle.AttemptStatus {
-	if !c.exchange.written() { // closed during the startup: nothing of the attempt was sent
+	if !c.exchange.written() { // closed during the startup: no part of the query was sent
 		return lifecycle.StatusConnectionRefused
 	}
 	return lifecycle.StatusConnectionReset
--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -10,11 +10,11 @@
 	"flaxrelay/policy"
 )
 
-// Protocol errors of an engine. Each of them closes its connection.
+// Protocol errors of an engine. Each of them closes the connection.
 var (
-	errAuthentication     = errors.New("the engine requests a kind of authentication that is not supported")
-	errOpenTransaction    = errors.New("the ReadyForQuery of the engine reports an open transaction")
-	errIncompleteResponse = errors.New("a response ends without a CommandComplete")
+	errAuthentication     = errors.New("the engine requests an authentication method that is not supported")
+	errOpenTransaction    = errors.New("the engine's ReadyForQuery reports an open transaction")
+	errIncompleteResponse = errors.New("a response ends without CommandComplete")
 )
 
 // phase is the part of a connection's lifetime in which an unexpected message arrived.
@@ -45,7 +45,7 @@
 
 // The SQLSTATE codes that this client uses, under their names in PostgreSQL's documentation.
 const (
-	sqlStateFeatureNotSupported  = "0A000" // among others, the result type of a prepared statement has changed
+	sqlStateFeatureNotSupported  = "0A000" // also if the result type of a prepared statement has changed
 	sqlStateInvalidStatementName = "26000"
 	sqlStateOutOfMemory          = "53200"
 	sqlStateProgramLimitExceeded = "54000"
@@ -54,7 +54,7 @@
 	sqlStateCannotConnectNow     = "57P03"
 )
 
-// classLength is the number of characters at the start of a SQLSTATE code that are its class.
+// classLength is the number of characters of a SQLSTATE class, which is the start of the code.
 const classLength = 2
 
 // The SQLSTATE classes of errors that are not caused by the statement itself.
@@ -101,8 +101,7 @@
 }
 
 // handleError handles an ErrorResponse. The error ends the attempt at the end of the response.
-// An error during the startup or of severity FATAL closes the connection, and the attempt ends
-// with it.
+// An error during the startup or of severity FATAL closes the connection, which ends the attempt.
 func (c *connection) handleError(body []byte) error {
 	response, err := pgproto.ParseError(body)
 	if err != nil {
@@ -115,7 +114,7 @@
 	return nil
 }
 
-// fatalStatus returns the status of the attempt after an error that ends the connection.
+// fatalStatus returns the status of the attempt after an error that closes the connection.
 func (e *exchange) fatalStatus() lifecycle.AttemptStatus {
 	status := statusOf(e.errorResponse.Code)
 	written := e.written()
--- a/internal/engine/pgclient/exchange.go
+++ b/internal/engine/pgclient/exchange.go
@@ -45,8 +45,8 @@
 // idle reports whether there is no attempt.
 func (e *exchange) idle() bool { return e.attempt == nil }
 
-// written reports whether the query of the attempt was written, or that of the previous attempt
-// if the connection is idle.
+// written reports whether the query of the attempt was written. If the connection is idle, it
+// reports whether the query of the previous attempt was written.
 func (e *exchange) written() bool { return e.state != exchangeNone && e.state != exchangePending }
 
 // clear removes the attempt.
--- a/internal/engine/pgclient/exchange_test.go
+++ b/internal/engine/pgclient/exchange_test.go
@@ -87,14 +87,14 @@
 	return attempt
 }
 
-// respond sends the end of the attempt's response, and awaits the end of the attempt.
+// respond sends the rest of the attempt's response, and waits until the attempt has ended.
 func (x exchange) respond(attempt *lifecycle.Attempt, messages ...[]byte) {
 	x.T.Helper()
 	x.Write(messages...)
 	x.AwaitEnd(attempt)
 }
 
-// acceptPacket accepts the next connection and reads the packet that it begins with.
+// acceptPacket accepts the next connection and reads its first packet.
 func (x exchange) acceptPacket() {
 	x.T.Helper()
 	x.Accept()
@@ -102,8 +102,7 @@
 	x.readPacket(0)
 }
 
-// readPacket reads one packet, whose length comes after this many bytes, and returns its
-// first byte.
+// readPacket reads one packet, whose length field is at this offset, and returns its first byte.
 func (x exchange) readPacket(lengthOffset int) byte {
 	x.T.Helper()
 	head, err := x.Reader.Peek(lengthOffset + lengthSize)
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -38,7 +38,7 @@
 	"cancel": {play: func(x exchange) {
 		x.Abandon(x.connectAndStart(lookupStatement))
 		x.AwaitClose()
-		x.acceptPacket() // the cancel request, on a connection of its own
+		x.acceptPacket() // the CancelRequest, on a separate connection
 		x.AwaitClose()
 		x.respond(x.connectAndStart(lookupStatement), emptyResponse...)
 		x.RemoveEngineAndAwaitClose()
@@ -50,7 +50,7 @@
 		x.readQuery()
 		x.Abandon(attempt)
 		x.AwaitClose()
-		// No cancel request: the next connection is that of the next attempt.
+		// No CancelRequest is sent: the next connection is dialed for the next attempt.
 		x.respond(x.connectAndStart(lookupStatement), emptyResponse...)
 		x.RemoveEngineAndAwaitClose()
 	}},
@@ -74,7 +74,7 @@
 			x.readQuery()
 			x.respond(attempt, parseComplete, bindComplete, errorResponse("ERROR", code), readyForQuery)
 		}
-		// A statement that is not idempotent: it may have had an effect, and must not be retried.
+		// A statement that is not idempotent may have had an effect and must not be retried.
 		attempt := x.newAttempt("write", statement("INSERT 1"))
 		x.Start(attempt)
 		x.readQuery()
@@ -107,8 +107,8 @@
 			message('G', "\x00\x00\x00"), // CopyInResponse
 			message('Z', "T"),            // ReadyForQuery within a transaction
 			readyForQuery,                // before the end of the response
-			message('C', "SELECT"),       // CommandComplete whose text does not end
-			message('E', "x"),            // ErrorResponse whose field does not end
+			message('C', "SELECT"),       // CommandComplete whose text is not terminated
+			message('E', "x"),            // ErrorResponse whose field is not terminated
 			{'D', 0, 0, 0, 3},            // shorter than its length field
 			{'D', 0x7f, 0, 0, 0},         // longer than maxMessageBytes
 		} {
@@ -139,10 +139,10 @@
 // shortTimeout and smallBudget are exceeded on purpose.
 const (
 	shortTimeout = 50 * time.Millisecond
-	smallBudget  = 40 // bytes; three rows of these tests are more
+	smallBudget  = 40 // bytes; less than three rows of these tests
 )
 
-// connectionScripts are the exchanges that show how connections begin, retire and end, by the
+// connectionScripts are the exchanges in which connections are dialed, retired and closed, by the
 // name of their golden file.
 var connectionScripts = map[string]script{
 	"retired-during-startup": {play: func(x exchange) {
@@ -220,7 +220,7 @@
 		x.Disconnect()
 		x.AwaitEnd(attempt)
 		attempt = x.connectAndStart(lookupStatement)
-		x.Write(emptyResponse...) // read and handled before the end of the connection
+		x.Write(emptyResponse...) // read and handled before the connection is closed
 		x.Disconnect()
 		x.AwaitEnd(attempt)
 		x.PrintConnections()
@@ -242,7 +242,7 @@
 				attempt := x.connectAndStart(lookupStatement)
 				x.respond(attempt, responseWithRows(3)...)
 				x.AwaitClose()
-				x.acceptPacket() // the cancel request
+				x.acceptPacket() // the CancelRequest
 				x.AwaitClose()
 			}
 			x.respond(x.connectAndStart(lookupStatement), responseWithRows(2)...)
@@ -257,7 +257,7 @@
 			x.AwaitClose()
 			x.PrintConnections()
 		}
-		// On a connection on which nothing was written.
+		// On a connection on which no query was written.
 		for _, code := range []string{adminShutdown, idleSessionTimeout} {
 			attempt := x.start(lookupStatement)
 			x.acceptPacket()
@@ -269,8 +269,8 @@
 	}},
 }
 
-// TestClient_ConnectionsMatchTheGoldenFiles checks how connections and their attempts begin,
-// retire and end.
+// TestClient_ConnectionsMatchTheGoldenFiles checks how connections are dialed, retired and closed,
+// and how the attempts on them end.
 func TestClient_ConnectionsMatchTheGoldenFiles(t *testing.T) {
 	enginetest.PlayScripts(t, connectionScripts)
 }
--- a/internal/engine/pgclient/messages.go
+++ b/internal/engine/pgclient/messages.go
@@ -30,7 +30,7 @@
 func (c *connection) handle(received message) error {
 	switch received.kind {
 	case pgproto.ServerNoticeResponse, pgproto.ServerParameterStatus, pgproto.ServerNotificationResponse:
-		return nil // these are about the session with the engine, and clients don't get them
+		return nil // these concern the session with the engine and are not forwarded to clients
 	case pgproto.ServerErrorResponse:
 		return c.handleError(received.body)
 	case pgproto.ServerReadyForQuery:
--- a/internal/engine/pgclient/messages_test.go
+++ b/internal/engine/pgclient/messages_test.go
@@ -7,7 +7,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// lengthSize is the size in bytes of a message's length, which includes itself.
+// lengthSize is the size of a message's length field in bytes. The length includes the field itself.
 const lengthSize = 4
 
 // message returns a message of the engine.
@@ -16,8 +16,8 @@
 	return append(b, body...)
 }
 
-// columnDescription describes a text column after its name: no table (4 bytes) and attribute (2),
-// the type (4), its size (2) and modifier (4), and the format (2).
+// columnDescription is the description of a text column without its name: no table (4 bytes) and no
+// attribute (2), the type (4), its size (2) and modifier (4), and the format (2).
 const columnDescription = "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00"
 
 // The messages of the engine, under their names in PostgreSQL's documentation.
--- a/internal/engine/pgclient/prepared.go
+++ b/internal/engine/pgclient/prepared.go
@@ -10,24 +10,24 @@
 	// maxPrepared limits the statements that stay prepared on one connection.
 	maxPrepared = 32
 	// maxPreparedKeyBytes limits the key of a statement that stays prepared. The keys are kept
-	// in memory as long as the connection.
+	// in memory until the connection is closed.
 	maxPreparedKeyBytes = 4 << 10
 )
 
 // unnamed is the name of the engine's unnamed statement, which the next unnamed Parse replaces.
 const unnamed = ""
 
-// preparation is how a query refers to its statement, and whether it prepares the statement first.
+// preparation states how a query refers to its statement, and whether the query prepares it first.
 type preparation struct {
 	key        string // see statementKey
-	name       string // of the prepared statement; unnamed: it does not stay prepared
+	name       string // of the prepared statement; unnamed: the statement does not stay prepared
 	needsParse bool   // the query begins with a Parse, because the statement is not prepared yet
 }
 
 // preparedStatements are the statements that stay prepared on one connection.
 type preparedStatements struct {
 	names    map[string]string // of the statements, by key
-	lastName int               // number in the latest new name
+	lastName int               // number in the name of the latest statement
 }
 
 func newPreparedStatements() preparedStatements {
@@ -65,8 +65,8 @@
 
 // forgetStale reports whether the query failed because its statement, which an earlier query
 // had prepared, is stale: the engine has dropped it, or a table that it refers to has changed.
-// If so, it forgets the statement. The query may then be retried: both errors come before
-// BindComplete, so nothing has run.
+// If so, it forgets the statement. The query may then be retried: both errors arrive before
+// BindComplete, so the statement has not run.
 func (c *connection) forgetStale(sqlState string) bool {
 	if c.exchange.prepared.needsParse || c.exchange.state == exchangeBound {
 		return false
--- a/internal/engine/pgclient/startup.go
+++ b/internal/engine/pgclient/startup.go
@@ -6,7 +6,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// applicationName is the name of this program in the engine's lists of sessions.
+// applicationName is the name under which the engine lists the sessions of this program.
 const applicationName = "ringwood"
 
 // HandleConnected sends the startup message.
