--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -25,28 +25,28 @@
 	pollInterval = time.Millisecond
 )
 
-// fixedClock always returns the same time. The rest of an attempt's timeout is then always its
+// fixedClock always returns the same time. The time until an attempt's timeout is then always the
 // full timeout, so that the golden files contain no measured times.
 type fixedClock struct{}
 
 func (fixedClock) Now() time.Duration { return time.Hour }
 
 // Exchange is the client under test with the engine that a script plays, and the transcript of
-// what both do. It runs the client on an event loop of its own. Unless their comments say
-// otherwise, methods must be called on the test's goroutine.
+// what both do. It runs the client on a separate event loop. Unless their comments say otherwise,
+// methods must be called on the test's goroutine.
 type Exchange struct {
 	*Transcript
 	*ScriptedEngine
 
 	// Client is the client under test. It must be called in Do.
 	Client lifecycle.EngineClient
-	// Counters are the client's. They must be read in Do.
+	// Counters are the client's counters. They must be read in Do.
 	Counters *metrics.Counters
 
 	loop       *eventloop.Loop
 	dispatcher *lifecycle.Dispatcher
-	startedAt  time.Duration // of the engine; belongs to the event loop's goroutine
-	served     servedPrinter // belongs to the event loop's goroutine
+	startedAt  time.Duration // of the engine; used only on the event loop's goroutine
+	served     servedPrinter // used only on the event loop's goroutine
 }
 
 // newExchange starts a client whose endpoint list contains the scripted engine.
@@ -68,8 +68,8 @@
 	return exchange
 }
 
-// startLoop starts the event loop, with a dispatcher that belongs to its goroutine. It adds both to
-// the environment.
+// startLoop starts the event loop, with a dispatcher that is used only on its goroutine. It adds
+// both to the environment.
 func (x *Exchange) startLoop(environment *Environment) {
 	x.T.Helper()
 	var err error
@@ -85,7 +85,7 @@
 	eventlooptest.Run(x.T, x.loop)
 }
 
-// Do runs f on the event loop's goroutine, and waits for it.
+// Do runs f on the event loop's goroutine, and returns once f has returned.
 func (x *Exchange) Do(f func()) { eventlooptest.Do(x.loop, f) }
 
 // Post schedules f on the event loop's goroutine, after the functions that were posted before.
@@ -112,7 +112,8 @@
 	<-done
 }
 
-// updateEndpoint applies an entry of the endpoint list. It belongs to the event loop's goroutine.
+// updateEndpoint applies an entry of the endpoint list. It must be called on the event loop's
+// goroutine.
 func (x *Exchange) updateEndpoint(state policy.EngineState) {
 	x.dispatcher.UpdateEndpoints(policy.UpdateDelta, []lifecycle.Endpoint{{
 		Address: x.address(),
@@ -131,25 +132,25 @@
 // be called in Do.
 func (x *Exchange) RemoveEngine() { x.updateEndpoint(policy.EngineRemoved) }
 
-// RemoveEngineAndAwaitClose removes the engine from the endpoint list, and awaits the end of its
-// connection, which must be idle.
+// RemoveEngineAndAwaitClose removes the engine from the endpoint list, and waits until the client
+// has closed the connection, which must be idle.
 func (x *Exchange) RemoveEngineAndAwaitClose() {
 	x.T.Helper()
 	x.Do(x.RemoveEngine)
 	x.AwaitClose()
 }
 
-// NewAttempt returns an attempt for the request. The attempt has not begun.
+// NewAttempt returns an attempt for the request. The attempt is not started.
 func (x *Exchange) NewAttempt(request *lifecycle.Request, timeout time.Duration) *lifecycle.Attempt {
 	request.ObserverData = "observed" // without it the observer is not called
 	return &lifecycle.Attempt{Request: request, Engine: engineID, StartedAt: fixedClock{}.Now(), Timeout: timeout}
 }
 
-// Start begins the attempt.
+// Start starts the attempt.
 func (x *Exchange) Start(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Start(attempt) }) }
 
-// StartThen begins the attempt and calls next in the same turn of the event loop. A dial that
-// the attempt has begun is then still in progress.
+// StartThen starts the attempt and calls next in the same turn of the event loop. If the attempt
+// needs a dial, the dial is then still in progress.
 func (x *Exchange) StartThen(attempt *lifecycle.Attempt, next func()) {
 	x.Do(func() {
 		x.Client.Start(attempt)
@@ -160,13 +161,13 @@
 // Abandon abandons the attempt.
 func (x *Exchange) Abandon(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Abandon(attempt) }) }
 
-// Withdraw withdraws the attempt, and ends the test if that is not possible.
+// Withdraw withdraws the attempt, and ends the test if Client.Withdraw fails.
 func (x *Exchange) Withdraw(attempt *lifecycle.Attempt) {
 	x.T.Helper()
 	withdrawn := false
 	x.Do(func() { withdrawn = x.Client.Withdraw(attempt) })
 	if !withdrawn {
-		x.fatalf("an attempt that was not written could not be withdrawn")
+		x.fatalf("Withdraw failed although the request is not written")
 	}
 }
 
@@ -184,10 +185,10 @@
 	})
 }
 
-// PrintConnections waits until all connections have ended, and prints their counters.
+// PrintConnections waits until all connections are closed, and prints their counters.
 func (x *Exchange) PrintConnections() {
 	x.T.Helper()
-	x.await("the end of all connections", func() bool {
+	x.await("the close of all connections", func() bool {
 		dialed := x.Counters.Get(metrics.EngineConnectionsDialed)
 		return x.Counters.Sum(metrics.EngineConnectionsClosed.With("").Name()) == dialed
 	})
@@ -204,7 +205,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			x.fatalf("%s did not come", what)
+			x.fatalf("timed out waiting for %s", what)
 		}
 	}
 }
--- a/internal/engine/enginetest/script.go
+++ b/internal/engine/enginetest/script.go
@@ -13,7 +13,7 @@
 	"flaxrelay/internal/metrics"
 )
 
-// Script is one golden test, in which the test plays the engine for a client of its own.
+// Script is one golden test, in which the test plays the engine for a new client.
 type Script interface {
 	// Setup returns how to create the client under test.
 	Setup() Setup
@@ -21,9 +21,9 @@
 	Play(x *Exchange)
 }
 
-// Setup is how an Exchange creates the client under test, and how it prints the client's results.
+// Setup defines how an Exchange creates the client under test and prints the client's results.
 type Setup struct {
-	// Settings are the value of Environment.Settings, as JSON.
+	// Settings is the JSON text of Environment.Settings.
 	Settings string
 	// NewClient returns the client under test.
 	NewClient func(Environment) lifecycle.EngineClient
@@ -59,8 +59,8 @@
 	return fmt.Sprintf(format, name, effect)
 }
 
-// Settings returns settings as JSON. limits are JSON fields of their limits, in addition
-// to those that all tests have.
+// Settings returns settings as JSON. limits contains the JSON fields that are added to the limits
+// of all tests.
 func Settings(limits string, classes ...string) string {
 	parallelism := strings.TrimSuffix(strings.Repeat("1,", len(classes)), ",")
 	return fmt.Sprintf(`{"balancers":1,"zone":"a","zones":["a"],"kinds":["k"],"round-ms":5,
--- a/internal/engine/enginetest/scriptedengine.go
+++ b/internal/engine/enginetest/scriptedengine.go
@@ -12,8 +12,8 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// ScriptedEngine is the engine that a script plays. It owns the listener to which the client
-// dials, and the engine's end of the connection that was accepted last. It adds what happens on the
+// ScriptedEngine is the engine that a script plays. It owns the listener that the client dials, and
+// the engine's side of the connection that was accepted last. It adds what happens on the
 // connection to the transcript, except for the bytes that the script reads with Reader. It must be
 // used on the test's goroutine.
 type ScriptedEngine struct {
@@ -22,7 +22,7 @@
 
 	transcript *Transcript
 	listener   *net.TCPListener
-	connection *net.TCPConn // nil: none is open
+	connection *net.TCPConn // nil: no connection is open
 }
 
 // newScriptedEngine returns an engine that listens for connections.
@@ -53,7 +53,7 @@
 // closed it.
 func (e *ScriptedEngine) Connected() bool { return e.connection != nil }
 
-// Write sends messages in one piece. Each is a line of the transcript.
+// Write sends messages in one piece. It adds each message to the transcript as one line.
 func (e *ScriptedEngine) Write(messages ...[]byte) {
 	e.transcript.T.Helper()
 	for _, message := range messages {
@@ -80,8 +80,8 @@
 	e.connection = nil
 }
 
-// AwaitClose waits until the client has closed the connection. It adds everything that the client
-// wrote up to then to the transcript.
+// AwaitClose waits until the client has closed the connection. It adds the bytes that the client
+// wrote before the close to the transcript.
 func (e *ScriptedEngine) AwaitClose() {
 	e.transcript.T.Helper()
 	rest, err := io.ReadAll(e.Reader)
--- a/internal/engine/enginetest/transcript.go
+++ b/internal/engine/enginetest/transcript.go
@@ -12,8 +12,9 @@
 )
 
 // Transcript is the text that an Exchange compares with its golden file. Its lines begin with `> `
-// for bytes of the client, with `< ` for bytes of the engine, and with `= ` for reports of the
-// client. It must be used on the test's goroutine, or on another one while that waits for it.
+// for bytes from the client, with `< ` for bytes from the engine, and with `= ` for reports of the
+// client. It must be used on the test's goroutine, or on another goroutine while the test's
+// goroutine waits for it.
 type Transcript struct {
 	// T is the test that plays the engine.
 	T *testing.T
@@ -39,14 +40,14 @@
 	}
 }
 
-// fatalf ends the test with a message and the transcript up to here.
+// fatalf ends the test with a message and the current transcript.
 func (t *Transcript) fatalf(format string, args ...any) {
 	t.T.Helper()
-	t.T.Fatalf("%s; up to here:\n%s", fmt.Sprintf(format, args...), t.text.String())
+	t.T.Fatalf("%s; transcript so far:\n%s", fmt.Sprintf(format, args...), t.text.String())
 }
 
-// printCounters adds the counters whose names begin with the prefix, except for those that were
-// added with the same value before.
+// printCounters adds the counters whose names begin with the prefix, except for the counters that
+// were added earlier with the same value.
 func (t *Transcript) printCounters(counters *metrics.Counters, prefix string) {
 	var lines bytes.Buffer
 	counters.Print(&lines)
