--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -196,7 +196,7 @@
 }
 
 // await waits until the condition is true. It calls condition on the event loop's goroutine.
-func (x *Exchange) await(what string, condition func() bool) {
+func (x *Exchange) await(event string, condition func() bool) {
 	x.T.Helper()
 	for deadline := time.Now().Add(Timeout); ; time.Sleep(pollInterval) {
 		holds := false
@@ -205,7 +205,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			x.fatalf("timed out waiting for %s", what)
+			x.fatalf("timed out waiting for %s", event)
 		}
 	}
 }
--- a/internal/engine/pgclient/prepared.go
+++ b/internal/engine/pgclient/prepared.go
@@ -26,8 +26,8 @@
 
 // preparedStatements are the statements that stay prepared on one connection.
 type preparedStatements struct {
-	names    map[string]string // of the statements, by key
-	lastName int               // number in the name of the latest statement
+	names      map[string]string // of the statements, by key
+	lastNumber int               // number in the name of the latest statement
 }
 
 func newPreparedStatements() preparedStatements {
@@ -49,8 +49,8 @@
 	if len(p.names) >= maxPrepared || len(key) > maxPreparedKeyBytes {
 		return preparation{key: key, name: unnamed, needsParse: true}
 	}
-	p.lastName++
-	return preparation{key: key, name: "s" + strconv.Itoa(p.lastName), needsParse: true}
+	p.lastNumber++
+	return preparation{key: key, name: "s" + strconv.Itoa(p.lastNumber), needsParse: true}
 }
 
 // markParsed records that the engine has parsed the query's statement.
