--- a/internal/eventloop/backlog.go
+++ b/internal/eventloop/backlog.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxBacklogFailures is the number of failed accepts after which the rest of a backlog is given up.
+	// maxBacklogFailures is the number of failed accepts after which the rest of a backlog is abandoned.
 	maxBacklogFailures = 20
 	// backlogRetryDelay is the pause after a failed accept.
 	backlogRetryDelay = time.Millisecond
@@ -28,7 +28,7 @@
 	return a.Listener.Close()
 }
 
-// acceptBacklog hands the connections that wait to be accepted to the loop, also beyond the limit of open connections.
+// acceptBacklog hands the connections that wait to be accepted to the loop, even beyond the limit of open connections.
 func (a *acceptor) acceptBacklog() {
 	tcp, ok := a.Listener.(*net.TCPListener)
 	if !ok {
@@ -52,8 +52,8 @@
 	}
 }
 
-// acceptWaiting accepts a connection without blocking. It returns errBacklogEmpty if none waits, or if the listener has
-// been closed already.
+// acceptWaiting accepts a connection without blocking. It returns errBacklogEmpty if no connection waits, or if the
+// listener has been closed already.
 func acceptWaiting(listener syscall.RawConn) (descriptor int, err error) {
 	controlErr := listener.Control(func(fd uintptr) {
 		descriptor, _, err = unix.Accept4(int(fd), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -69,7 +69,7 @@
 
 // adoptDescriptor hands an accepted descriptor to the loop.
 func (a *acceptor) adoptDescriptor(descriptor int) {
-	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // its failure only costs speed
+	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // a failure affects only the latency
 	s := newSocket(descriptor)
-	a.adopt(s, func() {}) // it has no slot
+	a.adopt(s, func() {}) // the connection occupies no slot
 }
--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -49,7 +49,8 @@
 	b.arrivals.note(len(received), at)
 }
 
-// clear empties the buffer. One large message must not keep its memory forever.
+// clear empties the buffer. It releases memory beyond maxIdleBuffer, so that a connection does not keep the memory of
+// one large message until it ends.
 func (b *Buffer) clear() {
 	b.consumed = 0
 	b.data = b.data[:0]
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -10,8 +10,8 @@
 	maxFlushTime = 3 * time.Second
 
 	// lingerTime is how long a connection stays open after its write side is shut, or after CloseAfterLinger, so that
-	// its peer can close it first. A socket that is closed with unread bytes resets the connection, and the peer may
-	// then never read the last response.
+	// the peer can close the connection first. A socket that is closed with unread bytes resets the connection, and the
+	// peer may then never read the last response.
 	lingerTime = 250 * time.Millisecond
 )
 
@@ -26,11 +26,11 @@
 //	any       the peer ends the stream        unchanged   close the socket
 //	any       a read or a write fails         unchanged   close the socket with the error
 //	any       Abort                           unchanged   close the socket
-//	any       a turn after the socket's end   closed      drop the read buffer, call Handler.OnClosed
+//	any       a turn after the socket closes  closed      drop the read buffer, call Handler.OnClosed
 //
-// The handler is notified of the socket's end on a later turn of the loop, so that bytes which were read before are
+// The handler is notified of the closed socket on a later turn of the loop, so that bytes which were read before are
 // delivered first. Close and CloseAfterLinger do nothing unless the connection is open. CloseIfIdle on a connection
-// in the state closing or lingering that has nothing unread shuts the write side if no write is pending.
+// in the state closing or lingering that has no unread bytes shuts the write side if no write is pending.
 type connState int32
 
 const (
@@ -76,7 +76,7 @@
 	c.flushAndShutdownWrite()
 }
 
-// closeIfIdle closes the connection unless bytes of the peer are unread, and reports whether none are.
+// closeIfIdle closes the connection and returns true, unless bytes of the peer are unread.
 func (c *closer) closeIfIdle() bool {
 	idle := c.startClosingIfIdle()
 	if idle {
@@ -120,8 +120,8 @@
 	}
 }
 
-// shutdownWrite shuts the write side, and gives the peer a moment to close its own. What the peer sends meanwhile is
-// read and discarded.
+// shutdownWrite shuts the write side, and gives the peer lingerTime to close the connection. What the peer sends
+// meanwhile is read and discarded.
 func (c *closer) shutdownWrite() {
 	if err := c.socket.shutdownWrite(); err != nil {
 		c.abort()
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -70,12 +70,12 @@
 // call that has not run yet. A Close or CloseIfIdle while bytes wait drops the function.
 func (c *Conn) OnFlushed(f func()) { c.writer.notifyWhenFlushed(f) }
 
-// LimitReadAhead has reading pause once readSize bytes are unread, instead of at the connection's read limit. Servers
+// LimitReadAhead makes reading pause once readSize bytes are unread, instead of at the connection's read limit. Servers
 // limit the read-ahead while a client's request is in flight.
 func (c *Conn) LimitReadAhead() { c.reader.aheadLimited.Store(true) }
 
-// LiftReadAheadLimit ends the effect of LimitReadAhead. Unless it is called by OnData, Redeliver must be called after
-// it: reading that has paused resumes after the next call of OnData.
+// LiftReadAheadLimit ends the effect of LimitReadAhead. Unless OnData calls it, Redeliver must be called after it:
+// reading that has paused resumes only after the next call of OnData.
 func (c *Conn) LiftReadAheadLimit() { c.reader.aheadLimited.Store(false) }
 
 // Redeliver schedules another call of OnData, on a later turn, for the bytes that an earlier call left in the buffer.
@@ -94,15 +94,15 @@
 func (c *Conn) CloseAfterLinger() { c.closer.closeAfterLinger() }
 
 // CloseIfIdle reads what the socket holds, and then ends the connection as Close does if no bytes are unread. It
-// reports whether none are unread. Bytes that this call reads are handed to OnData on a later turn. CloseIfIdle must
-// not be called from OnData.
+// returns true if no bytes are unread. Bytes that this call reads are handed to OnData on a later turn. CloseIfIdle
+// must not be called from OnData.
 func (c *Conn) CloseIfIdle() bool { return c.closer.closeIfIdle() }
 
 // Abort ends the connection at once and drops the bytes that wait to be sent.
 func (c *Conn) Abort() { c.closer.abort() }
 
-// Disconnected reports whether the connection has ended. OnClosed is called later than that; bytes that were read
-// before the end are still handed to OnData in between.
+// Disconnected reports whether the socket is closed. OnClosed is called on a later turn; bytes that were read before
+// the socket was closed are handed to OnData first.
 func (c *Conn) Disconnected() bool { return c.closer.disconnected.Load() }
 
 // readable implements socketOwner.
@@ -122,7 +122,7 @@
 	c.loop.Post(func() { c.finish(err) })
 }
 
-// finish ends the connection for the loop and the handler, once.
+// finish removes the connection from the loop and notifies the handler. Only the first call has an effect.
 func (c *Conn) finish(err error) {
 	if c.closer.state.load() == connClosed {
 		return
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -3,7 +3,7 @@
 // # Use
 //
 // New returns a Loop, and Loop.Run runs it on the calling goroutine until Loop.Stop. Loop.Listen and Loop.Dial make
-// connections. The Handler of a connection is called with the bytes that arrive and with the end of the connection. It
+// connections. The Handler of a connection is called when bytes have arrived and when the connection has ended. It
 // responds with Conn.Write, and ends the connection with one of the Close methods or with Conn.Abort.
 //
 //	loop, err := eventloop.New()
@@ -19,14 +19,15 @@
 //	loop.Run()
 //
 // Handlers, timers and posted functions run one at a time on the goroutine of Run, called the loop's goroutine below.
-// They must not block. State that only they use needs no lock. Other goroutines hand work over with Loop.Post.
+// They must not block. State that only they use needs no lock. Other goroutines pass functions to the loop's goroutine
+// with Loop.Post.
 //
 // # Parts
 //
-// A Conn consists of three parts over one socket, each with state of its own:
+// A Conn consists of three parts over one socket, each with its own state:
 //
 //   - reader fills the read buffer and hands it to the handler;
-//   - writer counts the bytes that wait to be sent, and reports when none do;
+//   - writer counts the bytes that wait to be sent, and reports when all are sent;
 //   - closer runs the state machine of the close. Its diagram is in the comment of connState.
 //
 // A socket makes the system calls and queues the bytes that the kernel does not accept at once. The poller waits for
@@ -42,7 +43,7 @@
 //     new socket.
 //
 // Loop.Post, Loop.Now, Loop.Dial, Loop.Listen, Loop.BufferedBytes and the Close of a listener may be called from any
-// goroutine. Every other exported method of Loop, Conn and Buffer belongs to the loop's goroutine.
+// goroutine. Every other exported method of Loop, Conn and Buffer must be called on the loop's goroutine.
 //
 // # Locks
 //
@@ -54,7 +55,7 @@
 //   - taskQueue.mu guards the functions that wait for the loop's goroutine.
 //
 // They are locked in this order: reader.mu, then socket.mu, then poller.mu or taskQueue.mu. No other lock is taken
-// while one of the last two is held. No lock is held while a posted function begins, a timer runs or Handler.OnClosed
+// while one of the last two is held. No lock is held when a posted function starts, a timer fires or Handler.OnClosed
 // is called. The state of the close and the counters of bytes are atomic and need no lock.
 //
 // A method whose name ends in Locked must be called with the mutex of its type held.
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -8,29 +8,29 @@
 
 var (
 	// errBufferBudgetExceeded ends a connection when the read buffers of all connections exceed Loop.BufferBudget.
-	errBufferBudgetExceeded = errors.New("the buffers of all connections are full")
+	errBufferBudgetExceeded = errors.New("the read buffers of all connections exceed the budget")
 	// errWriteQueueFull ends a connection whose peer reads too slowly.
 	errWriteQueueFull = errors.New("too many bytes wait to be sent")
 	// errNotTCP is the error of convert for a connection that is not a TCP connection.
 	errNotTCP = errors.New("the connection is not a TCP connection")
 )
 
-// localFailures are the errors of a call that lacked something on this machine, such as space in its tables or buffers,
-// or a port. They do not indicate a fault of the peer.
+// localFailures are the errors of a call that failed because this machine lacked a resource, such as space in its
+// tables or buffers, or a port. They do not indicate a fault of the peer.
 var localFailures = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.EINTR,
 }
 
-// routeFailures are the errors of a dial that finds no route. If another dial succeeds at once, the fault was on this
-// machine. If the errors last, the peer counts as down.
+// routeFailures are the errors of a dial that finds no route. If a retry succeeds at once, the fault was on this
+// machine. If the errors persist, the peer counts as down.
 var routeFailures = []error{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM}
 
 // IsConnectionRefused reports whether the peer's host answered the dial and refused it, as opposed to a dial that timed
 // out or failed on this machine.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// IsLocalFailure reports whether a call failed because this machine lacked something.
+// IsLocalFailure reports whether a call failed because this machine lacked a resource.
 func IsLocalFailure(err error) bool { return isAny(err, localFailures) }
 
 // IsDescriptorExhausted reports whether a call failed because this process or the system has no file descriptor left.
--- a/internal/eventloop/eventlooptest/eventlooptest.go
+++ b/internal/eventloop/eventlooptest/eventlooptest.go
@@ -27,7 +27,7 @@
 	return done
 }
 
-// Do calls f on the loop's goroutine and returns once f has. It must not be called on that goroutine.
+// Do calls f on the loop's goroutine and waits until f has returned. It must not be called on that goroutine.
 func Do(loop Loop, f func()) {
 	done := make(chan struct{})
 	loop.Post(func() {
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -14,8 +14,8 @@
 	// listenRetryDelay is the pause between two attempts to listen.
 	listenRetryDelay = 20 * time.Millisecond
 
-	// acceptRetryDelay is the pause after a failed accept. It prevents a busy loop while the descriptor table is full:
-	// the listener stays readable all that time.
+	// acceptRetryDelay is the pause after a failed accept. It prevents a busy loop while the descriptor table is full,
+	// because the listener stays readable then.
 	acceptRetryDelay = 20 * time.Millisecond
 
 	// maxConvertAttempts limits how often an accepted connection is converted. The pause between two attempts is
@@ -23,7 +23,7 @@
 	maxConvertAttempts = 250
 )
 
-// acceptor is the listener that Loop.Listen returns. It accepts the connections on a goroutine of its own, and hands
+// acceptor is the listener that Loop.Listen returns. It accepts the connections on a separate goroutine, and hands
 // them to the loop.
 type acceptor struct {
 	net.Listener
@@ -34,12 +34,12 @@
 }
 
 // Listen accepts connections at the address until the returned listener is closed. The function newHandler is called on
-// the loop's goroutine and returns the handler of each connection, whose read buffer holds up to readLimit bytes. That
-// must be at least the size of the largest message.
+// the loop's goroutine and returns the handler of each connection. The read buffer of a connection holds up to
+// readLimit bytes, which must be at least the size of the largest message.
 //
-// At most maxConnections accepted connections are open at a time (0: no limit). Further ones wait to be accepted, so
-// that clients cannot use up the descriptors that connections to engines need. Closing the listener accepts the
-// connections that wait, beyond maxConnections if necessary.
+// At most maxConnections accepted connections are open at a time (0: no limit). Further connections wait to be
+// accepted, so that clients cannot use up the descriptors that connections to engines need. Closing the listener
+// accepts the connections that wait, beyond maxConnections if necessary.
 //
 // Listen may be called from any goroutine. It blocks while it retries a listen that fails locally.
 func (l *Loop) Listen(
@@ -60,7 +60,7 @@
 	return a, nil
 }
 
-// listenWithRetries listens, and retries for listenRetryTime if this machine lacks something that a later attempt may
+// listenWithRetries listens, and retries for listenRetryTime if this machine lacks a resource that a later attempt may
 // find. An address that this machine does not have is reported at once.
 func (l *Loop) listenWithRetries(addr string) (net.Listener, error) {
 	for giveUpAt := time.Now().Add(listenRetryTime); ; time.Sleep(listenRetryDelay) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// release ends the use of a slot that was acquired.
+// release frees an acquired slot.
 func (s connectionSlots) release() {
 	if s != nil {
 		<-s
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -20,13 +20,13 @@
 	pollerShutdownTimeout = 100 * time.Millisecond
 )
 
-// Loop owns the sockets, the timers and the goroutine on which all handlers run. That goroutine is the one that calls
-// Run. Only Post, Now, Dial, Listen and BufferedBytes may be called from others.
+// Loop owns the sockets and the timers, and calls all handlers on the goroutine that calls Run. Only Post, Now, Dial,
+// Listen and BufferedBytes may be called from other goroutines.
 type Loop struct {
-	// Timers holds the timers that Run fires. It belongs to the loop's goroutine.
+	// Timers holds the timers that Run fires. It must be used only on the loop's goroutine.
 	Timers *timerqueue.Queue
-	// BufferBudget limits the total size of the read buffers of all connections, in bytes. Beyond it, the next
-	// connection whose message needs more than one read is closed. It must be set before Run.
+	// BufferBudget limits the total size of the read buffers of all connections, in bytes. While it is exceeded, the
+	// next connection whose message needs more than one read is closed. It must be set before Run.
 	BufferBudget int64
 
 	startedAt     time.Time
@@ -37,13 +37,13 @@
 	tasks         *taskQueue
 	bufferedBytes atomic.Int64
 
-	// The loop's goroutine owns these.
+	// The fields below are used only on the loop's goroutine.
 	scratch     []byte // receives the bytes of one read on this goroutine
 	connections map[*Conn]struct{}
 	stopped     bool
 }
 
-// New returns a loop. Its poller runs already; Run must be called to run the loop itself.
+// New returns a loop whose poller is already running. Run must be called to run the loop itself.
 func New() (*Loop, error) {
 	now := time.Now()
 	startedPoller, err := startPoller()
@@ -64,23 +64,23 @@
 	}, nil
 }
 
-// Now returns the time since the Unix epoch by a clock that never goes back: it starts at the system's time and is
-// monotonic from there. It may be called from any goroutine.
+// Now returns the time since the Unix epoch by a monotonic clock that starts at the system's time. It may be called
+// from any goroutine.
 func (l *Loop) Now() time.Duration { return l.startedAtUnix + time.Since(l.startedAt) }
 
 // Post schedules f to run on the loop's goroutine, after all functions posted before it. It may be called from any
 // goroutine.
 func (l *Loop) Post(f func()) { l.tasks.post(f) }
 
-// Run runs turns of the loop until Stop. Each turn runs the posted functions and then the timers that are due. At the
-// end it closes all connections and the poller.
+// Run runs turns of the loop until Stop. Each turn runs the posted functions and then the timers that are due. Before
+// Run returns, it closes all connections and stops the poller.
 func (l *Loop) Run() {
 	wakeTimer := time.NewTimer(maxIdleWait)
 	defer wakeTimer.Stop()
 	for !l.stopped {
 		l.tasks.runPosted()
 		l.Timers.RunDue(l.Now())
-		if l.stopped { // then nothing might end the wait
+		if l.stopped { // otherwise wait might block for maxIdleWait
 			break
 		}
 		l.wait(wakeTimer)
@@ -88,7 +88,7 @@
 	l.shutdown()
 }
 
-// wait returns once a function is posted or the next timer is due.
+// wait blocks until a function is posted or the next timer is due.
 func (l *Loop) wait(wakeTimer *time.Timer) {
 	delay := maxIdleWait
 	if due, ok := l.Timers.NextDue(); ok {
@@ -104,7 +104,7 @@
 	}
 }
 
-// shutdown closes all connections and ends the poller.
+// shutdown closes all connections and stops the poller.
 func (l *Loop) shutdown() {
 	for c := range l.connections {
 		c.Abort()
@@ -112,7 +112,7 @@
 	l.poller.stop(pollerShutdownTimeout) // a poller that takes longer ends with the process
 }
 
-// Stop ends Run after the current turn.
+// Stop makes Run return after the current turn.
 func (l *Loop) Stop() { l.stopped = true }
 
 // BufferedBytes returns the number of bytes in the read buffers of all connections. It may be called from any
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -28,13 +28,13 @@
 	tokenHighShift = 32
 )
 
-// poller waits for the events of all sockets, on a goroutine of its own. It uses a level-triggered epoll(7): a socket
+// poller waits for the events of all sockets, on a separate goroutine. It uses a level-triggered epoll(7): a socket
 // raises events as long as it has bytes to read or can send. A read or a write that was cut short or interrupted is
-// therefore always followed by another. Its methods may be called from any goroutine.
+// therefore always followed by another. The poller's methods may be called from any goroutine.
 type poller struct {
 	epoll   int
-	wakeUp  int           // an eventfd: readable once the poller is to end
-	stopped chan struct{} // closed once the poller's goroutine has ended
+	wakeUp  int           // an eventfd: readable once the poller must stop
+	stopped chan struct{} // closed once the poller's goroutine has stopped
 
 	mu        sync.Mutex
 	sockets   map[uint64]*socket // guarded by mu; by token
@@ -70,20 +70,20 @@
 	return nil
 }
 
-// tokenOf returns the token that control was given for the event's descriptor.
+// tokenOf returns the token that was passed to control for the event's descriptor.
 func tokenOf(event *unix.EpollEvent) uint64 {
 	return uint64(uint32(event.Fd)) | uint64(uint32(event.Pad))<<tokenHighShift
 }
 
-// add begins to wait for a socket. Tokens are never used twice: a late event of a socket that has been closed finds
-// nothing, even if another socket has its descriptor by then.
+// add starts to poll a socket. Tokens are never reused, so that a late event of a closed socket finds no socket, even
+// if another socket has the same descriptor by then.
 func (p *poller) add(s *socket) error {
 	p.mu.Lock()
 	p.lastToken++
 	s.token = p.lastToken
 	p.sockets[s.token] = s
 	p.mu.Unlock()
-	s.mu.Lock() // the first event may come, and change the interest, before control returns
+	s.mu.Lock() // the first event may arrive, and change the interest, before control returns
 	err := p.control(unix.EPOLL_CTL_ADD, s.descriptor, s.token, s.interest)
 	s.mu.Unlock()
 	if err != nil {
@@ -92,7 +92,7 @@
 	return err
 }
 
-// remove ends the wait for a socket. It must be called before the socket's descriptor is closed.
+// remove stops polling a socket. It must be called before the socket's descriptor is closed.
 //
 // Closing a descriptor also ends the kernel's wait for it. But epoll_wait holds references to sockets while it examines
 // them. A socket that is closed meanwhile stays open until that call returns, which may take long, and until then its
@@ -101,7 +101,7 @@
 	p.mu.Lock()
 	delete(p.sockets, s.token)
 	p.mu.Unlock()
-	// This fails only if the poller does not have the descriptor, as after a failed add or the poller's end.
+	// This fails only if the poller does not have the descriptor, such as after a failed add or after stop.
 	_ = p.control(unix.EPOLL_CTL_DEL, s.descriptor, s.token, 0)
 }
 
@@ -139,7 +139,7 @@
 	}
 }
 
-// stop ends the poller and waits for the end of its goroutine, at most for the timeout.
+// stop stops the poller's goroutine and waits until it has stopped, at most for the timeout.
 func (p *poller) stop(timeout time.Duration) {
 	const increment = "\x01\x00\x00\x00\x00\x00\x00\x00" // 1 as a 64-bit integer in the byte order of the machine
 	for {
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -14,9 +14,9 @@
 // determines whether bytes are buffered, discarded or left in the socket. Reading pauses while the buffer is full.
 //
 // Both goroutines read: the poller's when the socket is readable, the loop's before an idle connection is closed and
-// after a failed write. The mutex mu separates these reads from each other and from the handler's use of the buffer.
+// after a failed write. The mutex mu serializes these reads and the handler's use of the buffer.
 //
-// The booleans are independent of each other: any combination of them occurs.
+// The booleans are independent of each other: any combination of them can occur.
 type reader struct {
 	// Set once, by newConn.
 	loop   *Loop
@@ -25,17 +25,17 @@
 	limit  int           // unread bytes at which the buffer is full; at least the size of the largest message
 	onData func(*Buffer) // calls the handler
 
-	aheadLimited atomic.Bool // written by the loop's goroutine alone
+	aheadLimited atomic.Bool // written only by the loop's goroutine
 
 	mu                 sync.Mutex
-	in                 Buffer // guarded by mu, as are those below
+	in                 Buffer // guarded by mu, as are the fields below
 	deliveryPosted     bool   // a call of deliver is in the loop's queue
 	paused             bool   // the buffer is full, and the socket may hold more
-	bytesMayHaveWaited bool   // the next bytes may have been in the socket for long
+	bytesMayHaveWaited bool   // the next bytes may have been in the socket for a long time
 	discarded          int    // bytes received after Close
 }
 
-// readMode says how long a socket is read, unless the buffer becomes full before.
+// readMode defines when reading a socket ends, unless the buffer becomes full earlier.
 type readMode int
 
 const (
@@ -75,8 +75,8 @@
 	}
 }
 
-// readAvailableLocked reads. It reports whether the handler must be called, and whether the stream has ended, with an
-// error or without.
+// readAvailableLocked reads what the socket holds, as far as the mode and the buffer permit. It reports whether the
+// handler must be called, and whether the stream has ended, with an error or without.
 func (r *reader) readAvailableLocked(scratch []byte, mode readMode) (deliver, ended bool, err error) {
 	for {
 		if r.state.load() == connLingering {
@@ -104,7 +104,7 @@
 }
 
 // pauseLocked stops the poller's events until there is space in the buffer. If the read-ahead is limited, the poller
-// still reports the end of the stream. Otherwise the end is noticed once the bytes before it are read.
+// still reports the end of the stream. Otherwise the end is detected once the bytes before it are read.
 func (r *reader) pauseLocked() {
 	r.paused = true
 	if r.aheadLimited.Load() {
@@ -123,9 +123,9 @@
 	return true, r.bufferLocked(data)
 }
 
-// discardLocked counts bytes that came after Close and are dropped. They are read because a socket that is closed with
-// unread bytes resets the connection. It reports whether to read on. Reading ends once more than the size of a full
-// buffer has been discarded: such a peer may go on sending at full speed.
+// discardLocked counts bytes that arrived after Close and are dropped. They are read because a socket that is closed
+// with unread bytes resets the connection. It reports whether to read on. Reading ends once more than the size of a
+// full buffer has been discarded, because such a peer may continue to send at full speed.
 func (r *reader) discardLocked(n int) (readOn bool) {
 	r.discarded += n
 	if r.discarded > r.limit {
@@ -135,9 +135,9 @@
 	return true
 }
 
-// bufferLocked buffers bytes for the handler, and reports whether to read on. Beyond the loop's budget it closes a
-// connection whose buffer holds more than one read: otherwise many peers that each stop in the middle of a long message
-// could use up the memory.
+// bufferLocked buffers bytes for the handler, and reports whether to read on. While the loop's budget is exceeded, it
+// closes a connection whose buffer holds more than one read: otherwise many peers that each send only part of a long
+// message could use up the memory.
 func (r *reader) bufferLocked(data []byte) (readOn bool) {
 	r.in.append(data, r.arrivalTimeLocked())
 	total := r.loop.bufferedBytes.Add(int64(len(data)))
@@ -149,8 +149,8 @@
 	return false
 }
 
-// arrivalTimeLocked returns when the bytes that have just been read arrived. That is now, unless they may have waited
-// for the connection to be accepted, or for space in the buffer.
+// arrivalTimeLocked returns when the bytes that have just been read arrived. That is the current time, unless the bytes
+// may have waited for the connection to be accepted, or for space in the buffer.
 func (r *reader) arrivalTimeLocked() time.Duration {
 	now := r.loop.Now()
 	if !r.bytesMayHaveWaited {
@@ -183,7 +183,7 @@
 	case connOpen:
 		r.onData(&r.in)
 	case connClosing, connLingering:
-		// The peer of a closed connection must assume that what it sent last was not acted on.
+		// The peer of a closed connection must assume that its last bytes were not processed.
 		r.in.Consume(before)
 	case connClosed:
 	}
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// systemCalls are the system calls that a socket makes, so that a test can make them fail.
+// systemCalls are the system calls that a socket makes. Tests replace them to make calls fail.
 type systemCalls struct {
 	read  func(descriptor int, p []byte) (int, error)
 	write func(descriptor int, p []byte) (int, error)
@@ -22,10 +22,10 @@
 
 // The events for reading that a socket may wait for. The kernel reports errors and resets in any case.
 const (
-	// readEvents are received bytes, and the end of the stream. The end is reported as soon as it has arrived, also
+	// readEvents are received bytes, and the end of the stream. The end is reported as soon as it has arrived, even
 	// while bytes before it are unread.
 	readEvents = unix.EPOLLIN | unix.EPOLLRDHUP
-	// streamEndEvents are the end of the stream alone.
+	// streamEndEvents is only the end of the stream.
 	streamEndEvents = unix.EPOLLRDHUP
 	// noReadEvents is the empty set, for a socket that is not read because the buffer is full.
 	noReadEvents = 0
@@ -37,18 +37,19 @@
 // socketOwner is notified of a socket's events, on the poller's goroutine or on the goroutine of the call that caused
 // the event.
 type socketOwner interface {
-	// readable reads what the socket holds, by way of scratch. The socket's mutex is not held.
+	// readable reads what the socket holds, using scratch for each read. The socket's mutex is not held.
 	readable(scratch []byte, mode readMode)
 	// bytesSent reports that n bytes were sent. The socket's mutex is held.
 	bytesSent(n int)
 	// writeFailed reports, once, that nothing can be sent any more. The socket is still open, since it may hold bytes
-	// that the peer sent before. The socket's mutex is not held; that of the reader may be.
+	// that the peer sent before. The socket's mutex is not held; the reader's mutex may be held.
 	writeFailed(err error)
-	// socketClosed reports, once, that the socket is closed. The socket's mutex is not held; that of the reader may be.
+	// socketClosed reports, once, that the socket is closed. The socket's mutex is not held; the reader's mutex may be
+	// held.
 	socketClosed(err error)
 }
 
-// socketState says what a socket can still do. It only changes to a later one of the constants.
+// socketState defines the operations that a socket still supports. It only advances in the order of the constants.
 type socketState int
 
 const (
@@ -69,7 +70,7 @@
 	token      uint64      // set by poller.add
 
 	mu       sync.Mutex
-	system   systemCalls // guarded by mu, as are those below
+	system   systemCalls // guarded by mu, as are the fields below
 	state    socketState
 	queue    sendQueue
 	interest uint32 // the events that the poller waits for
@@ -101,8 +102,8 @@
 	return newSocket(descriptor), nil
 }
 
-// handle handles an event of the poller, on its goroutine. It reads before it sends: bytes that the peer has sent count
-// even if the send fails.
+// handle handles an event of the poller, on the poller's goroutine. It reads before it sends, so that bytes that the
+// peer has sent are delivered even if the send fails.
 func (s *socket) handle(events uint32, scratch []byte) {
 	switch {
 	case events&unix.EPOLLIN != 0:
@@ -154,7 +155,7 @@
 	}
 }
 
-// lastDataAge returns how long ago the peer's latest bytes arrived, or 0 if the kernel does not say.
+// lastDataAge returns how long ago the peer's latest bytes arrived, or 0 if that is unknown.
 func (s *socket) lastDataAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,8 +169,8 @@
 	return min(time.Duration(info.Last_data_recv)*time.Millisecond, maxDataAge)
 }
 
-// setReadInterest sets the events for reading that the poller waits for. Whether the poller also waits until the socket
-// can send stays as it is.
+// setReadInterest sets the events for reading that the poller waits for. It does not change whether the poller waits
+// until the socket can send.
 func (s *socket) setReadInterest(events uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,11 +185,11 @@
 		return
 	}
 	s.interest = events
-	// This fails only if the poller does not have the descriptor, as after the poller's end.
+	// This fails only if the poller does not have the descriptor, such as after poller.stop.
 	_ = s.poller.control(unix.EPOLL_CTL_MOD, s.descriptor, s.token, events)
 }
 
-// shutdownWrite ends the sending direction.
+// shutdownWrite shuts the write side, and thereby ends the stream to the peer.
 func (s *socket) shutdownWrite() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,8 +210,8 @@
 }
 
 // closeDescriptor closes the descriptor, and reports whether it was open. It first removes the socket from the poller,
-// for the reason at poller.remove, and because a removal after the close might affect another socket: the kernel uses
-// the number of a closed descriptor again.
+// for the reason given at poller.remove, and because a removal after the close might affect another socket: the kernel
+// reuses the number of a closed descriptor.
 func (s *socket) closeDescriptor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/eventloop/socket_write.go
+++ b/internal/eventloop/socket_write.go
@@ -12,7 +12,7 @@
 const maxPendingWrite = 8 << 20
 
 // write sends data, or queues what the socket does not accept at once. If it returns an error, the data was not sent
-// completely and the connection is about to end.
+// completely and the connection will end.
 func (s *socket) write(data []byte) error {
 	err := s.tryWrite(data)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
@@ -89,7 +89,7 @@
 }
 
 // sendLocked writes until all data is sent, the kernel accepts no more, or a call fails. One call may accept only a
-// part.
+// part of the data.
 func (s *socket) sendLocked(data []byte) (sent int, err error) {
 	for sent < len(data) {
 		n, err := s.system.write(s.descriptor, data[sent:])
--- a/internal/eventloop/writer.go
+++ b/internal/eventloop/writer.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// writer passes the handler's writes to the socket. It owns the number of bytes that wait to be sent, and reports when
-// it falls to 0. The method bytesSent may be called from any goroutine, the others from the loop's goroutine only.
+// writer passes the handler's writes to the socket. It counts the bytes that wait to be sent, and reports when all are
+// sent. The method bytesSent may be called from any goroutine, the others from the loop's goroutine only.
 type writer struct {
 	// Set once, by newConn.
 	loop         *Loop
@@ -13,7 +13,7 @@
 
 	pending      atomic.Int64 // bytes not yet sent: the loop's goroutine adds, the goroutine that sends subtracts
 	flushAwaited atomic.Bool  // flushed must be posted once nothing is pending
-	onFlushed    func()       // the handler's; belongs to the loop's goroutine; may be nil
+	onFlushed    func()       // set by the handler, or nil; used only on the loop's goroutine
 }
 
 // write sends or queues data, and returns false if the connection does not accept it.
