--- a/internal/eventloop/bench_test.go
+++ b/internal/eventloop/bench_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkPost measures a post from another goroutine, until it has run.
+// BenchmarkPost measures the time from a post on another goroutine until the posted function has run.
 func BenchmarkPost(b *testing.B) {
 	l, err := New()
 	if err != nil {
--- a/internal/eventloop/buffer_test.go
+++ b/internal/eventloop/buffer_test.go
@@ -14,12 +14,12 @@
 	b.Consume(len("first, "))
 	b.append([]byte(", third"), 0)
 	if got := string(b.Bytes()); got != "second, third" || b.Len() != len(got) {
-		t.Errorf("%q of %d bytes", got, b.Len())
+		t.Errorf("the buffer holds %q and has a length of %d", got, b.Len())
 	}
 	b.append(bytes.Repeat([]byte("x"), maxIdleBuffer), 0)
 	b.Consume(b.Len())
 	if b.Len() != 0 || b.data != nil {
-		t.Errorf("%d bytes in memory of %d once all is consumed", b.Len(), cap(b.data))
+		t.Errorf("length %d and capacity %d once all bytes are consumed", b.Len(), cap(b.data))
 	}
 }
 
@@ -28,7 +28,7 @@
 	var b Buffer
 	b.append([]byte("first"), time.Second)
 	b.append([]byte("second"), 2*time.Second)
-	b.append([]byte("!"), 2*time.Second+arrivalPrecision/2) // counts as one read with the one before
+	b.append([]byte("!"), 2*time.Second+arrivalPrecision/2) // recorded with the previous read as one arrival
 	b.append([]byte("third"), 3*time.Second)
 	for n, want := range map[int]time.Duration{
 		1:  time.Second,
@@ -51,6 +51,6 @@
 	}
 	b.Consume(b.Len())
 	if recorded := len(b.arrivals.arrivals); recorded != 0 {
-		t.Errorf("%d arrivals are recorded of an empty buffer", recorded)
+		t.Errorf("%d arrivals are recorded for an empty buffer", recorded)
 	}
 }
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// Bytes that were read just before Close are not delivered after it: their sender sees the close alone, and may send
-// them again.
+// Bytes that were read just before Close are not delivered after it: the peer sees only the close, and may send the
+// bytes again.
 func TestClose_DropsBytesReadJustBefore(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -45,7 +45,7 @@
 	checkPeerReads(t, peer, "response")
 }
 
-// A closed connection ends although its peer goes on writing and never closes.
+// A closed connection ends although its peer continues to write and never closes the connection.
 func TestClose_EndsWithoutThePeer(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, r.conn.Close)
@@ -59,7 +59,7 @@
 	awaitEnd(t, r)
 }
 
-// A second close changes nothing, a write to a closing connection is rejected, and the handler is notified of the end
+// A second close has no effect, a write to a closing connection is rejected, and the handler is notified of the end
 // once.
 func TestClose_ChangesTheStateOnce(t *testing.T) {
 	for _, test := range []struct {
@@ -99,15 +99,15 @@
 	}
 }
 
-// A connection is closed as idle only if nothing has arrived on it, not even bytes that the poller has not read: these
-// are delivered.
+// A connection is closed as idle only if no bytes have arrived on it. Bytes that have arrived and that the poller has
+// not read are delivered instead.
 func TestCloseIfIdle_DeliversUnreadBytesInstead(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
 		r.conn.socket.setReadInterest(noReadEvents) // the poller does not read
 		send(t, peer, "a request")
-		if r.conn.CloseIfIdle() { // loopback has carried it by the end of the write
-			t.Error("closed over bytes that had arrived")
+		if r.conn.CloseIfIdle() { // on loopback, the bytes have arrived once the peer's write returns
+			t.Error("the connection was closed although bytes had arrived")
 		}
 	})
 	checkData(t, l, r, "a request")
@@ -119,8 +119,8 @@
 	checkPeerReads(t, peer, "")
 }
 
-// What a peer sends after Close is read and dropped, up to the size of a read buffer: beyond that it would be read at
-// full speed for nothing.
+// What a peer sends after Close is read and dropped, up to the size of a read buffer. Without this limit, the bytes of
+// a peer that never stops would be read at full speed, only to be dropped.
 func TestClose_DiscardsNoMoreThanABuffer(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	discarded := func() int {
@@ -132,7 +132,7 @@
 		r.conn.Close()
 		send(t, peer, make([]byte, 2*readLimit))
 		awaitPoller(t, "the limit is exceeded", func() bool { return discarded() > readLimit })
-		time.Sleep(20 * time.Millisecond) // time in which too much would be read
+		time.Sleep(20 * time.Millisecond) // long enough for a read beyond the limit
 		if got := discarded(); got > readLimit+readSize {
 			t.Errorf("%d bytes discarded, want at most %d", got, readLimit+readSize)
 		}
@@ -140,14 +140,14 @@
 	awaitEnd(t, r)
 }
 
-// OnClosed is called with the error of the peer's reset, also while the socket is not read.
+// OnClosed is called with the error of the peer's reset, even while the socket is not read.
 func TestOnClosed_ReportsAReset(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		events uint32
 	}{
 		{"reading", readEvents},
-		{"waiting for the end only", streamEndEvents},
+		{"waiting only for the end", streamEndEvents},
 		{"not reading", noReadEvents},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// Close makes space in a full buffer, so that what the peer still sends is read: left unread, it would reset the
+// Close makes space in a full buffer, so that what the peer still sends is read: unread bytes would reset the
 // connection.
 func TestClose_ReadsOnAfterAFullBuffer(t *testing.T) {
 	const size = readLimit + 2*readSize // more than is read before a pause
@@ -198,7 +198,7 @@
 	awaitEnd(t, r)
 }
 
-// Bytes that were not consumed are no longer counted after the end.
+// Bytes that were not consumed are no longer counted as buffered after the connection has ended.
 func TestOnClosed_ReleasesUnreadBytes(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
@@ -266,7 +266,7 @@
 				}
 				l.Timers.RunDue(due)
 				if !r.conn.Disconnected() {
-					t.Error("the connection has not ended when its time is up")
+					t.Error("the connection is not closed after its time limit")
 				}
 			})
 			checkEnd(t, r, nil)
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -33,7 +33,7 @@
 	return made.Load(), err
 }
 
-// A dial that fails for lack of something on this machine is retried within its timeout: the peer is not at fault, and
+// A dial that fails because this machine lacks a resource is retried within its timeout: the peer is not at fault, and
 // the next attempt may succeed.
 func TestDial_RetriesLocalFailures(t *testing.T) {
 	for _, failure := range []error{
@@ -45,7 +45,7 @@
 	}
 }
 
-// A lasting local failure is reported after a moment, and a failure of the peer at once.
+// A local failure that persists is reported after dialRetryTime, and a failure of the peer at once.
 func TestDial_ReportsLastingFailures(t *testing.T) {
 	const always = 1 << 40
 	startedAt := time.Now()
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -27,10 +27,10 @@
 	conn   *Conn
 	closed chan error
 
-	// Of the loop's goroutine.
+	// The fields below are used only on the loop's goroutine.
 	data      []string
-	arrivedAt []time.Duration // of the first byte of each of data
-	idle      bool            // nothing is consumed
+	arrivedAt []time.Duration // of the first byte of each element of data
+	idle      bool            // OnData consumes nothing
 }
 
 func (r *recorder) OnData(_ *Conn, in *Buffer) {
@@ -46,7 +46,7 @@
 
 func (r *recorder) OnClosed(_ *Conn, err error) { r.closed <- err }
 
-// startLoop returns a loop that runs, and a channel that is closed when Run returns.
+// startLoop returns a running loop, and a channel that is closed when Run returns.
 func startLoop(t *testing.T) (l *Loop, ended <-chan struct{}) {
 	t.Helper()
 	l, err := New()
@@ -106,19 +106,19 @@
 	return l, r, peer
 }
 
-// setSystemCalls has the connection make its calls by others than the kernel's.
+// setSystemCalls replaces the system calls of the connection.
 func setSystemCalls(c *Conn, calls systemCalls) {
 	c.socket.mu.Lock()
 	defer c.socket.mu.Unlock()
 	c.socket.system = calls
 }
 
-// setWrite has the connection write by another function than the kernel's.
+// setWrite replaces the write call of the connection.
 func setWrite(c *Conn, write func(descriptor int, p []byte) (int, error)) {
 	setSystemCalls(c, systemCalls{read: unix.Read, write: write})
 }
 
-// blockWrites has the kernel accept no byte of the connection until the returned function is called.
+// blockWrites makes all writes of the connection fail with EAGAIN until the returned function is called.
 func blockWrites(c *Conn) (unblock func()) {
 	setWrite(c, func(int, []byte) (int, error) { return -1, unix.EAGAIN })
 	return func() { setSystemCalls(c, kernel) }
@@ -131,7 +131,7 @@
 	return c.socket.interest
 }
 
-// awaitOnLoop waits until the condition holds. It calls the condition on the loop's goroutine.
+// awaitOnLoop waits until the condition is true. It calls the condition on the loop's goroutine.
 func awaitOnLoop(t *testing.T, l *Loop, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(awaitTimeout); ; time.Sleep(time.Millisecond) {
@@ -146,8 +146,8 @@
 	}
 }
 
-// awaitPoller waits until the condition holds. It must be called on the loop's goroutine, which does nothing else
-// meanwhile: what changes is done by the poller.
+// awaitPoller waits until the condition is true. It must be called on the loop's goroutine and blocks it, so that only
+// the poller can make the condition true.
 func awaitPoller(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(awaitTimeout); !condition(); runtime.Gosched() {
@@ -194,7 +194,7 @@
 	})
 }
 
-// checkEnd waits until OnClosed is called, and fails the test unless that is with the error.
+// checkEnd waits until OnClosed is called, and fails the test unless the call has the wanted error.
 func checkEnd(t *testing.T, r *recorder, want error) {
 	t.Helper()
 	if err := await(t, r.closed, "the end of the connection"); !errors.Is(err, want) {
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -12,7 +12,7 @@
 )
 
 // A connection that the kernel has accepted before the listener is closed is served, even if it had to wait for another
-// to end: its client may have sent a request by then.
+// connection to end: its client may have sent a request by then.
 func TestListenerClose_ServesTheBacklog(t *testing.T) {
 	l, _ := startLoop(t)
 	listener, accepted := listen(t, l, 1)
@@ -31,11 +31,11 @@
 	}
 	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		_ = conn.Close()
-		t.Error("still listening")
+		t.Error("the closed listener still accepts connections")
 	}
 }
 
-// A connection beyond the limit is accepted once another has ended.
+// A connection beyond the limit is accepted once another connection has ended.
 func TestListen_LimitsOpenConnections(t *testing.T) {
 	l, _ := startLoop(t)
 	listener, accepted := listen(t, l, 1)
@@ -51,7 +51,7 @@
 	await(t, accepted, "the second connection")
 }
 
-// Local failures that pass do not end a listen: the program would have to be started again for them.
+// A listen is retried after transient local failures. Otherwise the program would have to be restarted after them.
 func TestListen_RetriesLocalFailures(t *testing.T) {
 	for _, failure := range []error{unix.ENOBUFS, unix.ENFILE, unix.EMFILE} {
 		l, _ := startLoop(t)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -15,7 +15,8 @@
 	await(t, ended, "the end of Run")
 }
 
-// Posted functions run in their order. What they post runs on the next turn, after the timers of this one.
+// Posted functions run in the order of their posts. Functions that they post run on the next turn, after the timers of
+// the current turn.
 func TestPost_RunsInOrderAndLetsTimersRunBetweenTurns(t *testing.T) {
 	l, _ := startLoop(t)
 	var got []string
@@ -36,7 +37,7 @@
 	}
 }
 
-// The end of Run closes the connections.
+// Run closes the connections before it returns.
 func TestRun_ClosesConnectionsAtItsEnd(t *testing.T) {
 	l, _, peer := connectedPair(t)
 	eventlooptest.Do(l, l.Stop)
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -8,8 +8,8 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// Beyond the budget of all buffers, a connection that needs more than one read is closed, and its bytes are no longer
-// counted. A close by its handler meanwhile changes nothing.
+// If the budget of all buffers is exceeded, a connection that needs more than one read is closed, and its bytes are no
+// longer counted. A close by its handler meanwhile has no effect.
 func TestBufferBudget_ClosesTheConnectionThatExceedsIt(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -25,7 +25,7 @@
 			r, peer := connectTo(t, l)
 			eventlooptest.Do(l, func() {
 				r.idle = true
-				// An error is the reset by the closed connection.
+				// A write error means that the closed connection was reset.
 				_, _ = peer.Write(make([]byte, 2*readSize))
 				awaitPoller(t, "the connection is closed", r.conn.Disconnected)
 				test.close(r.conn)
@@ -91,8 +91,8 @@
 	}
 }
 
-// The end of a client is noticed while its read-ahead is limited and nothing more is read, as during a request in
-// flight, also if the buffer was full before the read-ahead was limited.
+// The disconnect of a client is detected while the read-ahead is limited and reading has paused, as during a request in
+// flight, even if the buffer was full before the read-ahead was limited.
 func TestLimitReadAhead_NoticesTheEndWhileTheBufferIsFull(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
@@ -112,18 +112,18 @@
 			t.Errorf("closed with %v", err)
 		}
 	case <-time.After(2 * time.Second):
-		t.Error("the end was not noticed")
+		t.Error("the disconnect was not detected")
 	}
 }
 
-// Reading pauses while the buffer is full, and resumes once the handler has consumed.
+// Reading pauses while the buffer is full, and resumes once the handler has consumed bytes.
 func TestRead_PausesWhileTheBufferIsFull(t *testing.T) {
 	const size = 300 << 10
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() { r.idle = true })
 	go func() { _, _ = peer.Write(make([]byte, size)) }()
 	awaitOnLoop(t, l, "the buffer is full", func() bool { return r.conn.UnreadBytes() >= readLimit })
-	time.Sleep(20 * time.Millisecond) // time in which too much would be read
+	time.Sleep(20 * time.Millisecond) // long enough for a read beyond the limit
 	eventlooptest.Do(l, func() {
 		if got := r.conn.UnreadBytes(); got >= readLimit+readSize || int64(got) != l.BufferedBytes() {
 			t.Errorf("%d bytes are unread with a limit of %d; %d are counted", got, readLimit, l.BufferedBytes())
@@ -143,7 +143,8 @@
 	}
 }
 
-// With a limited read-ahead, less than two reads are buffered. Redeliver resumes reading once the limit is lifted.
+// With a limited read-ahead, fewer bytes than two reads are buffered. Redeliver resumes reading once the limit is
+// lifted.
 func TestLimitReadAhead_HoldsUntilItIsLifted(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -152,7 +153,7 @@
 	})
 	go func() { _, _ = peer.Write(make([]byte, 300<<10)) }()
 	awaitOnLoop(t, l, "one read is buffered", func() bool { return r.conn.UnreadBytes() >= readSize })
-	time.Sleep(20 * time.Millisecond) // time in which too much would be read
+	time.Sleep(20 * time.Millisecond) // long enough for a read beyond the limit
 	eventlooptest.Do(l, func() {
 		if got := r.conn.UnreadBytes(); got >= 2*readSize {
 			t.Errorf("%d bytes are unread, want less than %d", got, 2*readSize)
@@ -163,8 +164,8 @@
 	awaitOnLoop(t, l, "the rest is read", func() bool { return r.conn.UnreadBytes() >= readLimit })
 }
 
-// Bytes that waited in the kernel keep the time at which the kernel received them; later ones are stamped when they
-// are read.
+// Bytes that waited in the kernel keep the time at which the kernel received them. The arrival time of later bytes is
+// the time of the read.
 func TestArrivedAt_CountsTheWaitInTheKernel(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	l, r, peer := connectedPair(t)
@@ -188,7 +189,7 @@
 	}
 }
 
-// What is read before the handler is called is delivered by one call.
+// Bytes of several reads before the handler is called are delivered by one call.
 func TestRead_PostsOneDeliveryForSeveralReads(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
--- a/internal/eventloop/sendqueue_test.go
+++ b/internal/eventloop/sendqueue_test.go
@@ -7,7 +7,7 @@
 	var q sendQueue
 	q.append([]byte("first, "))
 	q.advance(2)
-	q.append([]byte("second, ")) // less than half is sent: nothing moves
+	q.append([]byte("second, ")) // less than half is sent: the bytes are not moved
 	if got := string(q.unsent()); got != "rst, second, " || q.sent != 2 {
 		t.Errorf("%q waits, and %d sent bytes are in memory", got, q.sent)
 	}
@@ -18,6 +18,6 @@
 	}
 	q.advance(q.len())
 	if q.len() != 0 || q.data != nil {
-		t.Errorf("%d bytes wait in memory of %d once all are sent", q.len(), cap(q.data))
+		t.Errorf("length %d and capacity %d once all bytes are sent", q.len(), cap(q.data))
 	}
 }
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Reads and writes that are cut short, interrupted or fail with EAGAIN at any time delay bytes and lose none.
+// Reads and writes that are cut short, interrupted or fail with EAGAIN at any time delay bytes but do not lose any.
 func TestSocket_LosesNothingToFaultyCalls(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 8<<10) // more than the socket accepts at once
@@ -87,7 +87,7 @@
 }
 
 // After a failed write nothing is sent any more, even if the kernel accepts bytes again, and the poller no longer waits
-// to send.
+// until the socket can send.
 func TestWrite_SendsNothingAfterAFailure(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -107,7 +107,8 @@
 	checkPeerReads(t, peer, "")
 }
 
-// What a peer has sent is delivered although a write to it fails: it may be the response to an earlier request.
+// Bytes that a peer has sent are delivered although a write to the peer fails: they may be the response to an earlier
+// request.
 func TestWrite_DeliversReceivedBytesBeforeItsFailure(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -122,7 +123,7 @@
 	checkData(t, l, r, "a response")
 }
 
-// If the peer has ended the stream, that counts as the reason of the end, and not the write that failed after it.
+// If the peer has ended the stream, OnClosed is called without an error, although a write fails afterwards.
 func TestWrite_ReportsThePeersEndBeforeItsFailure(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -140,7 +141,7 @@
 	checkData(t, l, r, "a response")
 }
 
-// Bytes that were sent do not stay in memory while a peer that reads slowly leaves the queue never empty.
+// Bytes that were sent do not stay in memory, even if the queue never becomes empty because the peer reads slowly.
 func TestSendQueue_ReleasesSentBytes(t *testing.T) {
 	const (
 		size   = 1000
@@ -171,9 +172,9 @@
 	})
 }
 
-// A socket leaves the poller before its descriptor is closed. Otherwise a wait of the poller that looks at the socket
-// just then keeps it open: the peer is notified of the close only after the next event of any socket. The duplicate
-// descriptor keeps the kernel from removing the socket at the close.
+// A socket is removed from the poller before its descriptor is closed. Otherwise an epoll_wait that examines the socket
+// at that moment keeps it open: the peer is notified of the close only after the next event of any socket. The
+// duplicate descriptor prevents the kernel from removing the socket at the close.
 func TestSocket_LeavesThePollerBeforeItIsClosed(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	s := r.conn.socket
@@ -201,7 +202,7 @@
 	return strings.Contains(string(info), fmt.Sprintf(" data: %16x ", s.token))
 }
 
-// An event of a socket that has been closed does not reach the socket that has its descriptor now.
+// An event of a closed socket does not reach a new socket that has the same descriptor.
 func TestPoller_DropsStaleEvents(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	stale := r.conn.socket
@@ -219,8 +220,8 @@
 	}
 }
 
-// adopt of a socket that cannot be polled returns the error, and makes no handler that would have to be notified of an
-// end.
+// For a socket that cannot be polled, adopt returns the error and makes no handler: the handler would have to be
+// notified of the end.
 func TestAdopt_ClosesASocketThatCannotBePolled(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -228,7 +229,7 @@
 		_, err := l.adopt(s, readSize, func(*Conn) Handler {
 			t.Error("newHandler was called")
 			return r
-		}, func() { t.Error("an end was reported") })
+		}, func() { t.Error("onEnded was called") })
 		if !errors.Is(err, unix.EBADF) {
 			t.Errorf("got %v, want EBADF", err)
 		}
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -29,18 +29,18 @@
 					pendingAtCall = r.conn.PendingWrite()
 				})
 				if calls > 0 {
-					t.Error("called on the turn of OnFlushed")
+					t.Error("the function was called on the same turn as OnFlushed")
 				}
 			})
 			eventlooptest.Do(l, func() {
 				if test.pending != "" && calls > 0 {
-					t.Error("called while bytes are pending")
+					t.Error("the function was called while bytes are pending")
 				}
 				unblock()
 			})
 			awaitOnLoop(t, l, "OnFlushed calls its function", func() bool { return calls > 0 })
 			if pendingAtCall != 0 {
-				t.Errorf("%d bytes pending when it was called", pendingAtCall)
+				t.Errorf("%d bytes were pending when the function was called", pendingAtCall)
 			}
 			eventlooptest.Do(l, func() { r.conn.Write([]byte(" more")) })
 			got := make([]byte, len(test.pending+" more"))
@@ -75,7 +75,7 @@
 	checkEnd(t, r, errWriteQueueFull)
 }
 
-// Bytes that are written after OnFlushed's function was scheduled, and before it runs, are sent first, too.
+// Bytes that are written after OnFlushed's function was scheduled, and before the function runs, are sent first, too.
 func TestOnFlushed_WaitsForBytesWrittenMeanwhile(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	flushed := make(chan struct{})
@@ -83,7 +83,7 @@
 	eventlooptest.Do(l, func() {
 		r.conn.OnFlushed(func() {
 			if got := r.conn.PendingWrite(); got != 0 {
-				t.Errorf("called while %d bytes are pending", got)
+				t.Errorf("the function was called while %d bytes are pending", got)
 			}
 			close(flushed)
 		})
