--- a/internal/tcptest/tcptest.go
+++ b/internal/tcptest/tcptest.go
@@ -25,8 +25,8 @@
 	return tcpListener
 }
 
-// Serve accepts connections until the listener is closed. It calls serve for each connection on a goroutine of its own,
-// and closes the connection when serve returns.
+// Serve accepts connections until the listener is closed. It calls serve for each connection on a new goroutine, and
+// closes the connection when serve returns.
 func Serve(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
