--- a/internal/eventloop/arrivallog.go
+++ b/internal/eventloop/arrivallog.go
@@ -19,8 +19,8 @@
 	at  time.Duration // time of the first of these reads, as of Loop.Now
 }
 
-// note records that n bytes were read.
-func (l *arrivalLog) note(n int, at time.Duration) {
+// record records that n bytes were read.
+func (l *arrivalLog) record(n int, at time.Duration) {
 	l.received += int64(n)
 	if last := len(l.arrivals) - 1; last >= 0 && at-l.arrivals[last].at < arrivalPrecision {
 		l.arrivals[last].end = l.received
--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -46,7 +46,7 @@
 		b.consumed = 0
 	}
 	b.data = append(b.data, received...)
-	b.arrivals.note(len(received), at)
+	b.arrivals.record(len(received), at)
 }
 
 // clear empties the buffer. It releases memory beyond maxIdleBuffer, so that a connection does not keep the memory of
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -169,7 +169,7 @@
 func TestClose_ReadsOnAfterAFullBuffer(t *testing.T) {
 	const size = readLimit + 2*readSize // more than is read before a pause
 	l, r, peer := connectedPair(t)
-	eventlooptest.Do(l, func() { r.idle = true })
+	eventlooptest.Do(l, func() { r.ignoresData = true })
 	send(t, peer, make([]byte, size))
 	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == noReadEvents })
 	eventlooptest.Do(l, func() {
@@ -201,7 +201,7 @@
 // Bytes that were not consumed are no longer counted as buffered after the connection has ended.
 func TestOnClosed_ReleasesUnreadBytes(t *testing.T) {
 	l, r, peer := connectedPair(t)
-	eventlooptest.Do(l, func() { r.idle = true })
+	eventlooptest.Do(l, func() { r.ignoresData = true })
 	send(t, peer, "part of a request")
 	awaitOnLoop(t, l, "the bytes are read", func() bool { return r.conn.UnreadBytes() > 0 })
 	if err := peer.Close(); err != nil {
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -28,13 +28,13 @@
 	closed chan error
 
 	// The fields below are used only on the loop's goroutine.
-	data      []string
-	arrivedAt []time.Duration // of the first byte of each element of data
-	idle      bool            // OnData consumes nothing
+	data        []string
+	arrivedAt   []time.Duration // of the first byte of each element of data
+	ignoresData bool            // OnData consumes nothing
 }
 
 func (r *recorder) OnData(_ *Conn, in *Buffer) {
-	if r.idle {
+	if r.ignoresData {
 		return
 	}
 	if in.Len() > 0 {
@@ -132,7 +132,7 @@
 }
 
 // awaitOnLoop waits until the condition is true. It calls the condition on the loop's goroutine.
-func awaitOnLoop(t *testing.T, l *Loop, what string, condition func() bool) {
+func awaitOnLoop(t *testing.T, l *Loop, event string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(awaitTimeout); ; time.Sleep(time.Millisecond) {
 		holds := false
@@ -141,18 +141,18 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", awaitTimeout, what)
+			t.Fatalf("not within %v: %s", awaitTimeout, event)
 		}
 	}
 }
 
 // awaitPoller waits until the condition is true. It must be called on the loop's goroutine and blocks it, so that only
 // the poller can make the condition true.
-func awaitPoller(t *testing.T, what string, condition func() bool) {
+func awaitPoller(t *testing.T, event string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(awaitTimeout); !condition(); runtime.Gosched() {
 		if time.Now().After(deadline) {
-			t.Errorf("not within %v: %s", awaitTimeout, what)
+			t.Errorf("not within %v: %s", awaitTimeout, event)
 			return
 		}
 	}
@@ -160,12 +160,12 @@
 
 // await returns the next value of the channel, or the zero value once the channel is closed. It fails the test after
 // awaitTimeout.
-func await[T any](t *testing.T, c <-chan T, what string) (value T) {
+func await[T any](t *testing.T, c <-chan T, event string) (value T) {
 	t.Helper()
 	select {
 	case value = <-c:
 	case <-time.After(awaitTimeout):
-		t.Fatalf("not within %v: %s", awaitTimeout, what)
+		t.Fatalf("not within %v: %s", awaitTimeout, event)
 	}
 	return value
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -21,15 +21,15 @@
 	l, _ := startLoop(t)
 	var got []string
 	done := make(chan struct{})
-	note := func(what string) func() { return func() { got = append(got, what) } }
+	record := func(name string) func() { return func() { got = append(got, name) } }
 	eventlooptest.Do(l, func() {
 		l.Post(func() {
-			l.Timers.Schedule(l.Now(), note("timer"))
-			l.Post(note("third"))
+			l.Timers.Schedule(l.Now(), record("timer"))
+			l.Post(record("third"))
 			l.Post(func() { close(done) })
 			got = append(got, "first")
 		})
-		l.Post(note("second"))
+		l.Post(record("second"))
 	})
 	await(t, done, "the posted functions")
 	if want := []string{"first", "second", "timer", "third"}; !slices.Equal(got, want) {
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -24,7 +24,7 @@
 			eventlooptest.Do(l, func() { l.BufferBudget = 1 })
 			r, peer := connectTo(t, l)
 			eventlooptest.Do(l, func() {
-				r.idle = true
+				r.ignoresData = true
 				// A write error means that the closed connection was reset.
 				_, _ = peer.Write(make([]byte, 2*readSize))
 				awaitPoller(t, "the connection is closed", r.conn.Disconnected)
@@ -95,7 +95,7 @@
 // flight, even if the buffer was full before the read-ahead was limited.
 func TestLimitReadAhead_NoticesTheEndWhileTheBufferIsFull(t *testing.T) {
 	l, r, peer := connectedPair(t)
-	eventlooptest.Do(l, func() { r.idle = true })
+	eventlooptest.Do(l, func() { r.ignoresData = true })
 	send(t, peer, make([]byte, readLimit+2*readSize)) // more than is read before a pause
 	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == noReadEvents })
 	eventlooptest.Do(l, func() {
@@ -120,7 +120,7 @@
 func TestRead_PausesWhileTheBufferIsFull(t *testing.T) {
 	const size = 300 << 10
 	l, r, peer := connectedPair(t)
-	eventlooptest.Do(l, func() { r.idle = true })
+	eventlooptest.Do(l, func() { r.ignoresData = true })
 	go func() { _, _ = peer.Write(make([]byte, size)) }()
 	awaitOnLoop(t, l, "the buffer is full", func() bool { return r.conn.UnreadBytes() >= readLimit })
 	time.Sleep(20 * time.Millisecond) // long enough for a read beyond the limit
@@ -128,7 +128,7 @@
 		if got := r.conn.UnreadBytes(); got >= readLimit+readSize || int64(got) != l.BufferedBytes() {
 			t.Errorf("%d bytes are unread with a limit of %d; %d are counted", got, readLimit, l.BufferedBytes())
 		}
-		r.idle = false
+		r.ignoresData = false
 		r.conn.Redeliver()
 	})
 	awaitOnLoop(t, l, "all bytes are delivered", func() bool {
@@ -148,7 +148,7 @@
 func TestLimitReadAhead_HoldsUntilItIsLifted(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		r.idle = true
+		r.ignoresData = true
 		r.conn.LimitReadAhead()
 	})
 	go func() { _, _ = peer.Write(make([]byte, 300<<10)) }()
@@ -206,7 +206,7 @@
 func TestArrivedAt_CountsTheWaitForSpace(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	l, r, peer := connectedPair(t)
-	eventlooptest.Do(l, func() { r.idle = true })
+	eventlooptest.Do(l, func() { r.ignoresData = true })
 	send(t, peer, make([]byte, readLimit))
 	awaitOnLoop(t, l, "the buffer is full", func() bool { return r.conn.UnreadBytes() == readLimit })
 	sentAt := l.Now()
@@ -214,7 +214,7 @@
 	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == noReadEvents })
 	time.Sleep(wait)
 	eventlooptest.Do(l, func() {
-		r.idle = false
+		r.ignoresData = false
 		r.conn.Redeliver()
 	})
 	awaitOnLoop(t, l, "the bytes are delivered", func() bool { return len(r.data) == 2 })
