--- a/internal/engine/connection_test.go
+++ b/internal/engine/connection_test.go
@@ -115,7 +115,7 @@
 			c.inFlight = test.inFlight
 			if test.closeStatus != lifecycle.StatusUnknown {
 				c.beginClose(test.closeStatus)
-				c.beginClose(lifecycle.StatusIdleClosed) // the first status stays
+				c.beginClose(lifecycle.StatusIdleClosed) // does not replace the first status
 			}
 			c.OnClosed(nil, nil)
 			if status := <-c.closed; status != test.want {
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -9,8 +9,9 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-// Only a dial that failed because this machine lacks a resource does not indicate a failure of the
-// engine. If there is no route to the engine, it counts as down, so that other engines are chosen.
+// A dial that failed because this machine lacks a resource does not indicate a failure of the
+// engine. Every other failed dial does: without a route to the engine, for example, the engine
+// counts as down, so that other engines are chosen.
 func TestDialStatus_SeparatesLocalFailuresFromThoseOfTheEngine(t *testing.T) {
 	for err, want := range map[error]lifecycle.AttemptStatus{
 		syscall.ECONNREFUSED:     lifecycle.StatusConnectionRefused,
--- a/internal/engine/enginetest/script.go
+++ b/internal/engine/enginetest/script.go
@@ -59,8 +59,8 @@
 	return fmt.Sprintf(format, name, effect)
 }
 
-// Settings returns settings as JSON. limits contains the JSON fields that are added to the limits
-// of all tests.
+// Settings returns settings as JSON. limits contains JSON fields of the settings' limits, in
+// addition to the fields that all tests have.
 func Settings(limits string, classes ...string) string {
 	parallelism := strings.TrimSuffix(strings.Repeat("1,", len(classes)), ",")
 	return fmt.Sprintf(`{"balancers":1,"zone":"a","zones":["a"],"kinds":["k"],"round-ms":5,
--- a/internal/engine/framing.go
+++ b/internal/engine/framing.go
@@ -14,8 +14,8 @@
 // errMessageTimeout is the protocol error of a message that stays incomplete for too long.
 var errMessageTimeout = errors.New("timed out waiting for the rest of a message")
 
-// messageTimer limits how long a message may be incomplete, because no later message on the
-// connection can be read until it is complete.
+// messageTimer limits how long a message may be incomplete, because an incomplete message blocks all
+// later messages on its connection.
 type messageTimer struct {
 	timer *timerqueue.Timer
 	// partialSince is when the first bytes of the incomplete message were read, by the
--- a/internal/engine/lineclient/client.go
+++ b/internal/engine/lineclient/client.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Start begins an attempt on a connection that has capacity, or on a new connection.
+// Start starts an attempt on a connection that has capacity, or on a new connection.
 func (c *Client) Start(attempt *lifecycle.Attempt) {
 	target := c.FindEngine(attempt.Engine)
 	if target == nil {
--- a/internal/engine/lineclient/exchange_test.go
+++ b/internal/engine/lineclient/exchange_test.go
@@ -92,7 +92,7 @@
 	return attempt
 }
 
-// respond sends the complete result of one empty page, and awaits the end of the attempt.
+// respond sends a complete result of one empty page, and waits until the attempt has ended.
 func (x exchange) respond(attempt *lifecycle.Attempt) {
 	x.T.Helper()
 	x.write(attempt.Request.ID + emptyResult)
--- a/internal/engine/lineclient/fields_test.go
+++ b/internal/engine/lineclient/fields_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// A value that is not a finite number counts as absent, since the cost figures of a result are
-// used without a further check.
+// A value that is not a finite number is treated as absent, because the costs of a result are used
+// without a further check.
 func TestFieldList_NumberAcceptsFiniteValuesOnly(t *testing.T) {
 	for fields, want := range map[string]struct {
 		number float64
--- a/internal/engine/lineclient/framing_test.go
+++ b/internal/engine/lineclient/framing_test.go
@@ -28,18 +28,18 @@
 		in   string
 		want error
 	}{
-		"incomplete line":   {"9b1f DONE - ", nil},
-		"incomplete body":   {"9b1f DONE - 3\r\na\t", nil},
-		"line end":          {"9b1f DONE - 0\n", errLine},
-		"empty line":        {"\n", errLine},
-		"endless line":      {strings.Repeat("x", maxLineBytes), errLine},
-		"three words":       {"9b1f DONE -\r\n", errWords},
-		"no id":             {" DONE - 0\r\n", errWords},
-		"length not number": {"9b1f DONE - x\r\n", errLength},
-		"length too large":  {"9b1f DONE - 16385\r\n", errLength},
-		"body without end":  {"9b1f DONE - 1\r\naxx", errBody},
-		"negative length":   {"9b1f DONE - -1\r\n", errLength},
-		"body end is cut":   {"9b1f DONE - 1\r\na\r", nil},
+		"incomplete line":    {"9b1f DONE - ", nil},
+		"incomplete body":    {"9b1f DONE - 3\r\na\t", nil},
+		"line end":           {"9b1f DONE - 0\n", errLine},
+		"empty line":         {"\n", errLine},
+		"endless line":       {strings.Repeat("x", maxLineBytes), errLine},
+		"three words":        {"9b1f DONE -\r\n", errWords},
+		"no id":              {" DONE - 0\r\n", errWords},
+		"length not numeric": {"9b1f DONE - x\r\n", errLength},
+		"length too large":   {"9b1f DONE - 16385\r\n", errLength},
+		"body without end":   {"9b1f DONE - 1\r\naxx", errBody},
+		"negative length":    {"9b1f DONE - -1\r\n", errLength},
+		"body end is cut":    {"9b1f DONE - 1\r\na\r", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, length, err := parseResponse([]byte(test.in))
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Start begins an attempt on an idle connection, or on a new connection.
+// Start starts an attempt on an idle connection, or on a new connection.
 func (c *Client) Start(attempt *lifecycle.Attempt) {
 	target := c.FindEngine(attempt.Engine)
 	if target == nil {
--- a/internal/engine/pgclient/connection.go
+++ b/internal/engine/pgclient/connection.go
@@ -68,7 +68,7 @@
 // removeAttempt removes the attempt from the connection.
 func (c *connection) removeAttempt() {
 	c.client.resultBudget.Release(len(c.exchange.result.DataRows))
-	c.exchange.attempt.ClientData = nil // the connection may get another attempt
+	c.exchange.attempt.ClientData = nil // the connection may get another attempt, which this one must not abandon
 	c.exchange.clear()
 }
 
