--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -128,7 +128,7 @@
 		defer r.conn.reader.mu.Unlock()
 		return r.conn.reader.discarded
 	}
-	eventlooptest.Do(l, func() { // no timer ends the connection meanwhile
+	eventlooptest.Do(l, func() { // blocks the loop, so that no timer ends the connection meanwhile
 		r.conn.Close()
 		send(t, peer, make([]byte, 2*readLimit))
 		awaitPoller(t, "the limit is exceeded", func() bool { return discarded() > readLimit })
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -67,7 +67,7 @@
 func (c *Conn) PendingWrite() int { return int(c.writer.pending.Load()) }
 
 // OnFlushed schedules f to run on a later turn, once no bytes wait to be sent. It replaces the function of an earlier
-// call that has not run yet. A Close or CloseIfIdle while bytes wait drops the function.
+// call that has not run yet. Close and CloseIfIdle drop the function if bytes wait to be sent.
 func (c *Conn) OnFlushed(f func()) { c.writer.notifyWhenFlushed(f) }
 
 // LimitReadAhead makes reading pause once readSize bytes are unread, instead of at the connection's read limit. Servers
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -110,8 +110,9 @@
 }
 
 // convertAccepted converts an accepted connection to a socket, or closes it and returns nil. The conversion needs a
-// second descriptor. If none is left, convertAccepted waits for one and meanwhile no further connection is accepted:
-// closing this connection would reject a client, and accepting more would leave no descriptor for any of them.
+// second descriptor. If no descriptor is left, convertAccepted waits for one and meanwhile no further connection is
+// accepted: closing this connection would reject a client, and accepting more would leave no descriptor for any of
+// them.
 func convertAccepted(conn net.Conn) *socket {
 	for range maxConvertAttempts {
 		s, err := convert(conn)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -109,7 +109,7 @@
 	for c := range l.connections {
 		c.Abort()
 	}
-	l.poller.stop(pollerShutdownTimeout) // a poller that takes longer ends with the process
+	l.poller.stop(pollerShutdownTimeout) // a poller that takes longer may run until the process exits
 }
 
 // Stop makes Run return after the current turn.
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// bufferOrDiscardLocked buffers received bytes for the handler, or discards them if a close has begun, as it may have
+// bufferOrDiscardLocked buffers received bytes for the handler, or discards them if a close has started, possibly
 // during the read. It reports whether the bytes are for the handler, and whether to read on.
 func (r *reader) bufferOrDiscardLocked(data []byte) (buffered, readOn bool) {
 	if r.state.load() != connOpen {
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// A read that began before its connection was closed may end after. Its bytes must neither count against the buffer
-// budget nor end the linger, in which the peer reads the last response.
+// A read that started before its connection was closed may end after the close. Its bytes must neither count against
+// the buffer budget nor end the linger, in which the peer reads the last response.
 func TestRead_DiscardsBytesThatCrossAClose(t *testing.T) {
 	for name, closeConn := range map[string]func(*Conn){
 		"Close":            (*Conn).Close,
@@ -79,7 +79,7 @@
 func TestRead_DeliversBytesBeforeTheEnd(t *testing.T) {
 	for range 50 {
 		l, r, peer := connectedPair(t)
-		eventlooptest.Do(l, func() { // both have arrived before the loop goes on
+		eventlooptest.Do(l, func() { // the bytes and the end have arrived before the loop continues
 			send(t, peer, "a response")
 			if err := peer.Close(); err != nil {
 				t.Error(err)
