--- a/internal/engine/lineclient/exchange_test.go
+++ b/internal/engine/lineclient/exchange_test.go
@@ -11,7 +11,7 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-// attemptTimeout is the timeout of an attempt, which the golden files contain.
+// attemptTimeout is the timeout of an attempt. The golden files contain it.
 const attemptTimeout = 1500 * time.Millisecond
 
 // script is a golden test of the line protocol.
@@ -92,7 +92,7 @@
 	return attempt
 }
 
-// respond sends the complete result of one empty page, and awaits the end of the attempt.
+// respond sends a complete result of one empty page, and waits until the attempt has ended.
 func (x exchange) respond(attempt *lifecycle.Attempt) {
 	x.T.Helper()
 	x.write(attempt.Request.ID + emptyResult)
@@ -125,7 +125,7 @@
 	x.Printf("> %q\n", body)
 }
 
-// write sends text of the engine in one piece.
+// write sends text from the engine to the client in one piece.
 func (x exchange) write(text string) {
 	x.T.Helper()
 	x.Write([]byte(text))
--- a/internal/eventloop/arrivallog.go
+++ b/internal/eventloop/arrivallog.go
@@ -10,7 +10,7 @@
 // It is not safe for concurrent use.
 type arrivalLog struct {
 	received int64     // bytes read so far
-	arrivals []arrival // in order of time; without those whose bytes are all forgotten
+	arrivals []arrival // in order of time; without arrivals whose bytes have all been forgotten
 }
 
 // arrival is one read, or several within arrivalPrecision.
@@ -19,8 +19,8 @@
 	at  time.Duration // time of the first of these reads, as of Loop.Now
 }
 
-// note records that n bytes were read.
-func (l *arrivalLog) note(n int, at time.Duration) {
+// record records that n bytes were read.
+func (l *arrivalLog) record(n int, at time.Duration) {
 	l.received += int64(n)
 	if last := len(l.arrivals) - 1; last >= 0 && at-l.arrivals[last].at < arrivalPrecision {
 		l.arrivals[last].end = l.received
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -15,20 +15,21 @@
 	await(t, ended, "the end of Run")
 }
 
-// Posted functions run in their order. What they post runs on the next turn, after the timers of this one.
+// Posted functions run in the order of their posts. Functions that they post run on the next turn, after the timers of
+// the current turn.
 func TestPost_RunsInOrderAndLetsTimersRunBetweenTurns(t *testing.T) {
 	l, _ := startLoop(t)
 	var got []string
 	done := make(chan struct{})
-	note := func(what string) func() { return func() { got = append(got, what) } }
+	record := func(name string) func() { return func() { got = append(got, name) } }
 	eventlooptest.Do(l, func() {
 		l.Post(func() {
-			l.Timers.Schedule(l.Now(), note("timer"))
-			l.Post(note("third"))
+			l.Timers.Schedule(l.Now(), record("timer"))
+			l.Post(record("third"))
 			l.Post(func() { close(done) })
 			got = append(got, "first")
 		})
-		l.Post(note("second"))
+		l.Post(record("second"))
 	})
 	await(t, done, "the posted functions")
 	if want := []string{"first", "second", "timer", "third"}; !slices.Equal(got, want) {
@@ -36,7 +37,7 @@
 	}
 }
 
-// The end of Run closes the connections.
+// Run closes the connections before it returns.
 func TestRun_ClosesConnectionsAtItsEnd(t *testing.T) {
 	l, _, peer := connectedPair(t)
 	eventlooptest.Do(l, l.Stop)
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -8,8 +8,8 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// Beyond the budget of all buffers, a connection that needs more than one read is closed, and its bytes are no longer
-// counted. A close by its handler meanwhile changes nothing.
+// If the budget of all buffers is exceeded, a connection that needs more than one read is closed, and its bytes are no
+// longer counted. A close by its handler meanwhile has no effect.
 func TestBufferBudget_ClosesTheConnectionThatExceedsIt(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -24,8 +24,8 @@
 			eventlooptest.Do(l, func() { l.BufferBudget = 1 })
 			r, peer := connectTo(t, l)
 			eventlooptest.Do(l, func() {
-				r.idle = true
-				// An error is the reset by the closed connection.
+				r.ignoresData = true
+				// A write error means that the closed connection was reset.
 				_, _ = peer.Write(make([]byte, 2*readSize))
 				awaitPoller(t, "the connection is closed", r.conn.Disconnected)
 				test.close(r.conn)
@@ -43,8 +43,8 @@
 	}
 }
 
-// A read that began before its connection was closed may end after. Its bytes must neither count against the buffer
-// budget nor end the linger, in which the peer reads the last response.
+// A read that started before its connection was closed may end after the close. Its bytes must neither count against
+// the buffer budget nor end the linger, in which the peer reads the last response.
 func TestRead_DiscardsBytesThatCrossAClose(t *testing.T) {
 	for name, closeConn := range map[string]func(*Conn){
 		"Close":            (*Conn).Close,
@@ -79,7 +79,7 @@
 func TestRead_DeliversBytesBeforeTheEnd(t *testing.T) {
 	for range 50 {
 		l, r, peer := connectedPair(t)
-		eventlooptest.Do(l, func() { // both have arrived before the loop goes on
+		eventlooptest.Do(l, func() { // the bytes and the end have arrived before the loop continues
 			send(t, peer, "a response")
 			if err := peer.Close(); err != nil {
 				t.Error(err)
@@ -91,11 +91,11 @@
 	}
 }
 
-// The end of a client is noticed while its read-ahead is limited and nothing more is read, as during a request in
-// flight, also if the buffer was full before the read-ahead was limited.
+// The disconnect of a client is detected while the read-ahead is limited and reading has paused, as during a request in
+// flight, even if the buffer was full before the read-ahead was limited.
 func TestLimitReadAhead_NoticesTheEndWhileTheBufferIsFull(t *testing.T) {
 	l, r, peer := connectedPair(t)
-	eventlooptest.Do(l, func() { r.idle = true })
+	eventlooptest.Do(l, func() { r.ignoresData = true })
 	send(t, peer, make([]byte, readLimit+2*readSize)) // more than is read before a pause
 	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == noReadEvents })
 	eventlooptest.Do(l, func() {
@@ -112,23 +112,23 @@
 			t.Errorf("closed with %v", err)
 		}
 	case <-time.After(2 * time.Second):
-		t.Error("the end was not noticed")
+		t.Error("the disconnect was not detected")
 	}
 }
 
-// Reading pauses while the buffer is full, and resumes once the handler has consumed.
+// Reading pauses while the buffer is full, and resumes once the handler has consumed bytes.
 func TestRead_PausesWhileTheBufferIsFull(t *testing.T) {
 	const size = 300 << 10
 	l, r, peer := connectedPair(t)
-	eventlooptest.Do(l, func() { r.idle = true })
+	eventlooptest.Do(l, func() { r.ignoresData = true })
 	go func() { _, _ = peer.Write(make([]byte, size)) }()
 	awaitOnLoop(t, l, "the buffer is full", func() bool { return r.conn.UnreadBytes() >= readLimit })
-	time.Sleep(20 * time.Millisecond) // time in which too much would be read
+	time.Sleep(20 * time.Millisecond) // long enough for a read beyond the limit
 	eventlooptest.Do(l, func() {
 		if got := r.conn.UnreadBytes(); got >= readLimit+readSize || int64(got) != l.BufferedBytes() {
 			t.Errorf("%d bytes are unread with a limit of %d; %d are counted", got, readLimit, l.BufferedBytes())
 		}
-		r.idle = false
+		r.ignoresData = false
 		r.conn.Redeliver()
 	})
 	awaitOnLoop(t, l, "all bytes are delivered", func() bool {
@@ -143,16 +143,17 @@
 	}
 }
 
-// With a limited read-ahead, less than two reads are buffered. Redeliver resumes reading once the limit is lifted.
+// With a limited read-ahead, fewer bytes than two reads are buffered. Redeliver resumes reading once the limit is
+// lifted.
 func TestLimitReadAhead_HoldsUntilItIsLifted(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
-		r.idle = true
+		r.ignoresData = true
 		r.conn.LimitReadAhead()
 	})
 	go func() { _, _ = peer.Write(make([]byte, 300<<10)) }()
 	awaitOnLoop(t, l, "one read is buffered", func() bool { return r.conn.UnreadBytes() >= readSize })
-	time.Sleep(20 * time.Millisecond) // time in which too much would be read
+	time.Sleep(20 * time.Millisecond) // long enough for a read beyond the limit
 	eventlooptest.Do(l, func() {
 		if got := r.conn.UnreadBytes(); got >= 2*readSize {
 			t.Errorf("%d bytes are unread, want less than %d", got, 2*readSize)
@@ -163,8 +164,8 @@
 	awaitOnLoop(t, l, "the rest is read", func() bool { return r.conn.UnreadBytes() >= readLimit })
 }
 
-// Bytes that waited in the kernel keep the time at which the kernel received them; later ones are stamped when they
-// are read.
+// Bytes that waited in the kernel keep the time at which the kernel received them. The arrival time of later bytes is
+// the time of the read.
 func TestArrivedAt_CountsTheWaitInTheKernel(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	l, r, peer := connectedPair(t)
@@ -188,7 +189,7 @@
 	}
 }
 
-// What is read before the handler is called is delivered by one call.
+// Bytes of several reads before the handler is called are delivered by one call.
 func TestRead_PostsOneDeliveryForSeveralReads(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -205,7 +206,7 @@
 func TestArrivedAt_CountsTheWaitForSpace(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	l, r, peer := connectedPair(t)
-	eventlooptest.Do(l, func() { r.idle = true })
+	eventlooptest.Do(l, func() { r.ignoresData = true })
 	send(t, peer, make([]byte, readLimit))
 	awaitOnLoop(t, l, "the buffer is full", func() bool { return r.conn.UnreadBytes() == readLimit })
 	sentAt := l.Now()
@@ -213,7 +214,7 @@
 	awaitOnLoop(t, l, "reading pauses", func() bool { return interestOf(r.conn) == noReadEvents })
 	time.Sleep(wait)
 	eventlooptest.Do(l, func() {
-		r.idle = false
+		r.ignoresData = false
 		r.conn.Redeliver()
 	})
 	awaitOnLoop(t, l, "the bytes are delivered", func() bool { return len(r.data) == 2 })
