--- a/internal/sqltext/analyzer.go
+++ b/internal/sqltext/analyzer.go
@@ -17,7 +17,7 @@
 // classifier determines the Classification of a statement.
 type classifier struct {
 	effect     effectClassifier
-	statements statementCounter
+	statements statementTracker
 }
 
 // NewAnalyzer returns an analyzer with random seeds.
@@ -37,12 +37,12 @@
 	return a.analyze(stmt, &a.classifier)
 }
 
-// maxRetainedBuffer is the largest buffer, in bytes, that an analyzer reuses for the next statement.
-const maxRetainedBuffer = 64 << 10
+// maxRetainedBytes is the largest buffer, in bytes, that an analyzer reuses for the next statement.
+const maxRetainedBytes = 64 << 10
 
 // analyze analyzes a statement, and classifies it if classifier is not nil.
 func (a *Analyzer) analyze(stmt string, classifier *classifier) *Analysis {
-	if cap(a.buffer) > maxRetainedBuffer {
+	if cap(a.buffer) > maxRetainedBytes {
 		a.buffer = nil
 	}
 	a.buffer = a.buffer[:0]
@@ -59,9 +59,9 @@
 	}
 	for t := pass.lexer.Next(); t.Kind != EndOfText; t = pass.lexer.Next() {
 		if classifier != nil {
-			classifier.token(&pass.lexer, t)
+			classifier.addToken(&pass.lexer, t)
 		}
-		pass.token(t)
+		pass.addToken(t)
 	}
 	pass.finish()
 	if classifier != nil {
@@ -71,11 +71,11 @@
 	return &a.result
 }
 
-// token adds the next token.
-func (c *classifier) token(lexer *Lexer, t Token) {
-	c.statements.token(lexer, t)
+// addToken adds the next token.
+func (c *classifier) addToken(lexer *Lexer, t Token) {
+	c.statements.addToken(lexer, t)
 	if !c.effect.decided() {
-		c.effect.token(lexer, t)
+		c.effect.addToken(lexer, t)
 	}
 }
 
--- a/internal/sqltext/analyzer_test.go
+++ b/internal/sqltext/analyzer_test.go
@@ -144,15 +144,15 @@
 	key := func(stmt string, binds Binds) uint64 {
 		return NewAnalyzer().Analyze(stmt).Profile(stmt, &binds, 7).Key
 	}
-	one := key("SELECT a FROM t WHERE part = 4711", Binds{})
+	want := key("SELECT a FROM t WHERE part = 4711", Binds{})
 	binary := Binds{Values: [][]byte{bigEndian(4711, 4)}, Formats: []byte{0, 1}, TypeOIDs: bigEndian(oidInt4, 4)}
-	for _, other := range []uint64{
+	for _, got := range []uint64{
 		key("SELECT a FROM t WHERE part = '4711'", Binds{}),
 		key("SELECT a FROM t WHERE part = $1", Binds{Values: [][]byte{[]byte("4711")}}),
 		key("SELECT a FROM t WHERE part = $1", binary),
 	} {
-		if other != one || one == 0 {
-			t.Errorf("key %x, want %x", other, one)
+		if got != want || want == 0 {
+			t.Errorf("key %x, want %x", got, want)
 		}
 	}
 }
@@ -210,16 +210,16 @@
 			binds := &Binds{Values: [][]byte{value, nil, value}, Formats: formats, TypeOIDs: value}
 			profile := analysis.Profile(stmt, binds, 1)
 			_ = profile.Bucket()
-			counts := min(profile.Alternatives, profile.DisabledRestrictions)
-			if counts < 0 || profile.Span < 0 || profile.RowLimit < 0 {
+			minCount := min(profile.Alternatives, profile.DisabledRestrictions)
+			if minCount < 0 || profile.Span < 0 || profile.RowLimit < 0 {
 				t.Fatalf("profile %+v", profile)
 			}
 		}
 	})
 }
 
-// usual is a statement of typical length.
-const usual = "SELECT o.day, count(*), max(o.note) FROM sales_17.orders o JOIN sales_17.parts p ON p.id = o.part " +
+// usualStmt is a statement of typical length.
+const usualStmt = "SELECT o.day, count(*), max(o.note) FROM sales_17.orders o JOIN sales_17.parts p ON p.id = o.part " +
 	"WHERE o.tag = $1 AND o.day BETWEEN $2 AND $3 AND o.status IN ('open', 'late') GROUP BY o.day ORDER BY 1 LIMIT 50"
 
 // usualLookup is the statement that makes up most of the traffic.
@@ -249,7 +249,7 @@
 		oidText = 25
 		oidDate = 1082
 	)
-	benchmarkAnalyze(b, usual, &Binds{
+	benchmarkAnalyze(b, usualStmt, &Binds{
 		Values:   [][]byte{[]byte("3f9c"), bigEndian(100, 4), bigEndian(130, 4)},
 		Formats:  []byte{0, 0, 0, 1, 0, 1},
 		TypeOIDs: slices.Concat(bigEndian(oidText, 4), bigEndian(oidDate, 4), bigEndian(oidDate, 4)),
--- a/internal/sqltext/binds.go
+++ b/internal/sqltext/binds.go
@@ -89,7 +89,7 @@
 func (v *slotValue) listLength(listed int32) int {
 	switch {
 	case v.form == formText:
-		return boundArrayLength(v.bound)
+		return boundTextArrayLength(v.bound)
 	case v.form == formBinary:
 		return binaryArrayLength(v.bound)
 	case v.literal != "":
--- a/internal/sqltext/bucket.go
+++ b/internal/sqltext/bucket.go
@@ -37,13 +37,13 @@
 // log2Bucket returns 0 for an absent figure, else one more than its base-2 logarithm, up
 // to a largest bucket.
 func log2Bucket(x float64, largest uint32) uint32 {
-	const unbounded = 1 << 40 // from here on, the integer conversion is avoided
+	const largestBucketFrom = 1 << 40 // from here on, the integer conversion is avoided
 	switch {
 	case x <= 0:
 		return 0
 	case x < 1:
 		return 1
-	case x >= unbounded:
+	case x >= largestBucketFrom:
 		return largest
 	}
 	return min(uint32(bits.Len64(uint64(x))), largest)
--- a/internal/sqltext/dataset.go
+++ b/internal/sqltext/dataset.go
@@ -13,7 +13,7 @@
 	l := Lexer{Src: stmt}
 	var finder datasetFinder
 	for t := l.Next(); t.Kind != EndOfText; t = l.Next() {
-		if finder.token(&l, t) {
+		if finder.addToken(&l, t) {
 			break
 		}
 	}
@@ -30,8 +30,8 @@
 	previousKind   Kind
 }
 
-// token adds the next token, and reports whether the result is final.
-func (f *datasetFinder) token(l *Lexer, t Token) (done bool) {
+// addToken adds the next token, and reports whether the result is final.
+func (f *datasetFinder) addToken(l *Lexer, t Token) (done bool) {
 	if f.certain {
 		return true
 	}
@@ -45,7 +45,7 @@
 		f.previousName = t // in a.b.c, the last name before a dot is the schema
 	case Dot:
 		if f.previousKind == Identifier || f.previousKind == QuotedIdentifier {
-			f.schema(unquoteIdentifier(l.Text(f.previousName)))
+			f.addQualifier(unquoteIdentifier(l.Text(f.previousName)))
 		}
 	case LeftParen:
 	default:
@@ -55,8 +55,8 @@
 	return f.certain
 }
 
-// schema handles a name that qualifies another name.
-func (f *datasetFinder) schema(name string) {
+// addQualifier handles a name that qualifies another name.
+func (f *datasetFinder) addQualifier(name string) {
 	dataset, ok := schemaDataset(name)
 	if ok && (f.afterTableWord || !f.found) {
 		f.dataset = dataset
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -50,7 +50,7 @@
 	l := Lexer{Src: stmt}
 	classifier := effectClassifier{readOnly: readOnly}
 	for t := l.Next(); t.Kind != EndOfText; t = l.Next() {
-		classifier.token(&l, t)
+		classifier.addToken(&l, t)
 		if classifier.decided() {
 			return classifier.worst
 		}
--- a/internal/sqltext/effect_call.go
+++ b/internal/sqltext/effect_call.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// leftParen classifies a parenthesis, which begins a call after the name of a function.
-func (c *effectClassifier) leftParen(lexer *Lexer) {
+// classifyLeftParen classifies a parenthesis, which begins a call after the name of a function.
+func (c *effectClassifier) classifyLeftParen(lexer *Lexer) {
 	if c.phase != executed || !c.beginsCall() {
 		return
 	}
@@ -14,7 +14,7 @@
 	}
 	if c.qualified() {
 		if schema := unquoteIdentifier(lexer.Text(c.previousSchema)); !equalFold(schema, "pg_catalog") {
-			c.qualifiedCall(schema + "." + name)
+			c.classifyQualifiedCall(schema + "." + name)
 			return
 		}
 	}
@@ -24,8 +24,8 @@
 	}
 }
 
-// qualifiedCall classifies a call of a function of another schema than pg_catalog.
-func (c *effectClassifier) qualifiedCall(name string) {
+// classifyQualifiedCall classifies a call of a function of another schema than pg_catalog.
+func (c *effectClassifier) classifyQualifiedCall(name string) {
 	if !c.readOnly.has(name) {
 		c.report(EffectUnknown, name, unknownFunction)
 	}
--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// token adds the next token.
-func (c *effectClassifier) token(lexer *Lexer, t Token) {
+// addToken adds the next token.
+func (c *effectClassifier) addToken(lexer *Lexer, t Token) {
 	word := t.keyword()
 	class := t.class()
 	schema := Token{}
@@ -74,26 +74,26 @@
 				schema = c.previous
 			}
 		}
-		c.identifier(lexer, t, word, class)
+		c.addIdentifier(lexer, t, word, class)
 	case LeftParen:
-		c.leftParen(lexer)
+		c.classifyLeftParen(lexer)
 		c.depth++
-		c.ctes.enter(c.depth)
+		c.ctes.enterParen(c.depth)
 	case RightParen:
 		c.depth--
 	case Comma:
-		c.ctes.comma(c.depth)
+		c.ctes.addComma(c.depth)
 	case Operator:
 		if !isReadOnlyOperator(lexer.Text(t)) {
 			c.report(EffectUnknown, lexer.Text(t), "an operator that is not known")
 		}
 	default: // other tokens have no effect
 	}
-	c.remember(t, word, class, schema)
+	c.setPrevious(t, word, class, schema)
 }
 
-// remember makes a token the previous one.
-func (c *effectClassifier) remember(t Token, word keyword, class keywordClass, schema Token) {
+// setPrevious makes a token the previous one.
+func (c *effectClassifier) setPrevious(t Token, word keyword, class keywordClass, schema Token) {
 	c.kindBefore = c.previousKind
 	c.previousKind = t.Kind
 	if t.Kind == Dot { // the name continues
@@ -106,15 +106,15 @@
 	c.previousSchema = schema
 }
 
-// identifier adds a key word or a name.
-func (c *effectClassifier) identifier(lexer *Lexer, t Token, word keyword, class keywordClass) {
+// addIdentifier adds a key word or a name.
+func (c *effectClassifier) addIdentifier(lexer *Lexer, t Token, word keyword, class keywordClass) {
 	c.ctes.afterName = false
 	text := lexer.Text(t)
 	beginsStatement := c.phase == beforeFirstWord || c.previousKind == LeftParen
 	if c.phase == beforeFirstWord {
-		c.firstToken(text, t.Kind, word, class)
+		c.classifyFirstWord(text, t.Kind, word, class)
 	} else if c.phase.inOptions() {
-		c.explainOption(text, t.Kind, class)
+		c.classifyExplainOption(text, t.Kind, class)
 		beginsStatement = beginsStatement || !c.phase.inOptions()
 	}
 	if word == keywordNone && class == 0 && c.ctes.nameExpected == 0 {
@@ -124,7 +124,7 @@
 	if word == keywordOn && c.previousKeyword == keywordDistinct && !c.ctes.isNameExpected(c.depth) {
 		c.hasDistinctOn = true
 	}
-	c.ctes.word(c.depth, word, class, c.previousKeyword, beginsStatement)
+	c.ctes.addWord(c.depth, word, class, c.previousKeyword, beginsStatement)
 }
 
 // reportKeyword reports a key word that shows a write, a lock or an operator that may do anything.
@@ -135,7 +135,7 @@
 	if c.phase.onlyPlans() {
 		return
 	}
-	isFirstToken := c.previous.Kind == EndOfText // firstToken has classified it
+	isFirstToken := c.previous.Kind == EndOfText // classifyFirstWord has classified it
 	if class&writingWord != 0 && c.previousKeyword != keywordAs && !isFirstToken {
 		c.report(EffectWrites, text, "it writes")
 	}
@@ -149,8 +149,8 @@
 	}
 }
 
-// firstToken classifies the first word or name of the text.
-func (c *effectClassifier) firstToken(text string, kind Kind, word keyword, class keywordClass) {
+// classifyFirstWord classifies the first word or name of the text.
+func (c *effectClassifier) classifyFirstWord(text string, kind Kind, word keyword, class keywordClass) {
 	if word == keywordExplain {
 		c.phase = planOptions
 		return
@@ -161,12 +161,12 @@
 	case class&writingWord != 0:
 		c.report(EffectWrites, text, "it writes")
 	default:
-		c.otherStatement(text, kind)
+		c.classifyOtherStatement(text, kind)
 	}
 }
 
-// otherStatement classifies the first word of a statement that is not known to read.
-func (c *effectClassifier) otherStatement(text string, kind Kind) {
+// classifyOtherStatement classifies the first word of a statement that is not known to read.
+func (c *effectClassifier) classifyOtherStatement(text string, kind Kind) {
 	if kind == Identifier {
 		switch strings.ToUpper(text) {
 		case "CREATE", "ALTER", "DROP", "TRUNCATE", "COMMENT", "GRANT", "REVOKE", "REINDEX", "CLUSTER", "VACUUM",
@@ -181,9 +181,9 @@
 	c.report(EffectUnknown, text, "it begins no statement that is known to read")
 }
 
-// explainOption classifies a word between EXPLAIN and its statement. ANALYZE in any form
+// classifyExplainOption classifies a word between EXPLAIN and its statement. ANALYZE in any form
 // executes the statement. A word that is not known as an option begins the statement.
-func (c *effectClassifier) explainOption(text string, kind Kind, class keywordClass) {
+func (c *effectClassifier) classifyExplainOption(text string, kind Kind, class keywordClass) {
 	name := unquoteIdentifier(text)
 	if strings.EqualFold(name, "analyze") || strings.EqualFold(name, "analyse") {
 		c.phase = executeOptions
@@ -202,7 +202,7 @@
 	case class&writingWord != 0:
 		c.report(EffectWrites, text, "EXPLAIN ANALYZE runs it")
 	default:
-		c.otherStatement(text, kind)
+		c.classifyOtherStatement(text, kind)
 	}
 }
 
@@ -225,9 +225,9 @@
 	if c.phase == beforeFirstWord {
 		return Verdict{Effect: EffectUnknown, Reason: "no word begins it"}
 	}
-	for _, known := range flawReasons {
-		if lexer.Flaws&known.flaw != 0 {
-			return Verdict{Effect: EffectUnknown, Reason: known.reason}
+	for _, flawReason := range flawReasons {
+		if lexer.Flaws&flawReason.flaw != 0 {
+			return Verdict{Effect: EffectUnknown, Reason: flawReason.reason}
 		}
 	}
 	if lexer.Flaws&NonASCII != 0 && !utf8.ValidString(lexer.Src) {
--- a/internal/sqltext/effect_cte.go
+++ b/internal/sqltext/effect_cte.go
@@ -20,15 +20,15 @@
 	return 1 << depth
 }
 
-// enter begins a parenthesis of the given depth.
-func (c *cteTracker) enter(depth int) {
+// enterParen begins a parenthesis of the given depth.
+func (c *cteTracker) enterParen(depth int) {
 	bit := depthBit(depth)
 	c.lists &^= bit
 	c.nameExpected &^= bit
 }
 
-// comma handles a comma. If it separates expressions of a list, the next name begins an expression.
-func (c *cteTracker) comma(depth int) {
+// addComma handles a comma. If it separates expressions of a list, the next name begins an expression.
+func (c *cteTracker) addComma(depth int) {
 	bit := depthBit(depth)
 	if c.lists&bit != 0 {
 		c.nameExpected |= bit
@@ -38,8 +38,8 @@
 // isNameExpected reports whether the next name at the depth begins an expression.
 func (c *cteTracker) isNameExpected(depth int) bool { return c.nameExpected&depthBit(depth) != 0 }
 
-// word handles a key word or a name.
-func (c *cteTracker) word(depth int, word keyword, class keywordClass, previous keyword, beginsStatement bool) {
+// addWord handles a key word or a name.
+func (c *cteTracker) addWord(depth int, word keyword, class keywordClass, previous keyword, beginsStatement bool) {
 	bit := depthBit(depth)
 	switch {
 	case word == keywordWith && beginsStatement: // else it is WITH ORDINALITY, WITH TIES or the like
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -9,7 +9,7 @@
 
 // A statement that may write is never classified as read-only, however it is written.
 func TestEffectOf_NeverReadOnlyIfStatementMayWrite(t *testing.T) {
-	more := Functions{"stock.price_of": true, "is_open": true}
+	readOnly := Functions{"stock.price_of": true, "is_open": true}
 	for stmt, want := range map[string]Effect{
 		"DELETE FROM t":                EffectWrites,
 		" /* c */ UPDATE t SET a = 1":  EffectWrites,
@@ -85,11 +85,11 @@
 		"SELECT substring(a FROM 1 FOR 3), position('a' IN b) FROM t":                                   EffectReads,
 		"SELECT percentile_cont(0.5) WITHIN GROUP (ORDER BY a) FROM t GROUP BY GROUPING SETS ((a), ())": EffectReads,
 	} {
-		got := EffectOf(stmt, more)
+		got := EffectOf(stmt, readOnly)
 		if got.Effect != want {
 			t.Errorf("%s: %v (%v), want %v", stmt, got.Effect, got, want)
 		}
-		if analyzed := NewAnalyzer().AnalyzeAndClassify(stmt, more).Verdict; analyzed != got {
+		if analyzed := NewAnalyzer().AnalyzeAndClassify(stmt, readOnly).Verdict; analyzed != got {
 			t.Errorf("%s: %v by AnalyzeAndClassify, %v by EffectOf", stmt, analyzed, got)
 		}
 	}
--- a/internal/sqltext/keyword_table.go
+++ b/internal/sqltext/keyword_table.go
@@ -13,7 +13,7 @@
 // keywordsByHash is a hash table with linear probing. Its hash is hashName, which the
 // lexer computes for each name anyway.
 var keywordsByHash = func() (table [keywordTableSize]keywordEntry) {
-	for _, entry := range lexicon {
+	for _, entry := range keywords {
 		for i := hashName(entry.text, 0, len(entry.text)); ; i++ {
 			if slot := &table[i%keywordTableSize]; slot.text == "" {
 				*slot = entry
--- a/internal/sqltext/keyword_table_test.go
+++ b/internal/sqltext/keyword_table_test.go
@@ -5,7 +5,7 @@
 // Names longer than maxKeywordLength are not looked up, so the longest key word must have that length.
 func TestMaxKeywordLength_IsLengthOfLongestKeyword(t *testing.T) {
 	longest := 0
-	for _, entry := range lexicon {
+	for _, entry := range keywords {
 		longest = max(longest, len(entry.text))
 	}
 	if longest != maxKeywordLength {
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -91,9 +91,9 @@
 	keywordCoalesce
 )
 
-// lexicon lists the key words (appendix C of the manual). Words that are not reserved are
+// keywords lists the key words (appendix C of the manual). Words that are not reserved are
 // listed only if this package needs them.
-var lexicon = []keywordEntry{
+var keywords = []keywordEntry{
 	{"all", keywordAll, reservedWord},
 	{"analyse", keywordAnalyze, reservedWord},
 	{"analyze", keywordAnalyze, reservedWord},
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -73,16 +73,16 @@
 		if start+1 < len(src) && isDigit(src[start+1]) {
 			return l.scanNumber()
 		}
-		return l.single(Dot)
+		return l.scanSingle(Dot)
 	case ':':
 		return l.scanColon()
 	}
 	l.Flaws |= InvalidCharacter
-	return l.single(Invalid)
+	return l.scanSingle(Invalid)
 }
 
-// single scans a token of one character.
-func (l *Lexer) single(kind Kind) Token {
+// scanSingle scans a token of one character.
+func (l *Lexer) scanSingle(kind Kind) Token {
 	start := l.Pos
 	l.Pos = start + 1
 	return Token{Kind: kind, Start: start, End: l.Pos}
@@ -90,7 +90,7 @@
 
 // scanColon scans one of the tokens :, := and ::.
 func (l *Lexer) scanColon() Token {
-	t := l.single(Colon)
+	t := l.scanSingle(Colon)
 	if l.Pos < len(l.Src) && l.Src[l.Pos] == ':' {
 		t.Kind = Cast
 		l.Pos++
@@ -101,8 +101,8 @@
 	return t
 }
 
-// commentMark is the length in bytes of each of the marks --, /* and */.
-const commentMark = 2
+// commentDelimiterLength is the length in bytes of each of the marks --, /* and */.
+const commentDelimiterLength = 2
 
 // skipSpace skips white space and comments.
 func (l *Lexer) skipSpace() {
@@ -114,7 +114,7 @@
 		case charClasses[c]&charSpace != 0:
 			i++
 		case c == '-' && i+1 < len(src) && src[i+1] == '-':
-			i = lineCommentEnd(src, i+commentMark)
+			i = lineCommentEnd(src, i+commentDelimiterLength)
 		case c == '/' && i+1 < len(src) && src[i+1] == '*':
 			end, ok := blockCommentEnd(src, i)
 			if !ok {
@@ -145,10 +145,10 @@
 		switch {
 		case src[i] == '/' && src[i+1] == '*':
 			depth++
-			i += commentMark
+			i += commentDelimiterLength
 		case src[i] == '*' && src[i+1] == '/':
 			depth--
-			i += commentMark
+			i += commentDelimiterLength
 			if depth == 0 {
 				return i, true
 			}
--- a/internal/sqltext/lexer_string.go
+++ b/internal/sqltext/lexer_string.go
@@ -58,7 +58,7 @@
 		case charClasses[c]&charSpace != 0:
 			i++
 		case c == '-' && i+1 < len(src) && src[i+1] == '-':
-			i = lineCommentEnd(src, i+commentMark)
+			i = lineCommentEnd(src, i+commentDelimiterLength)
 		case c == '\'' && lineEnded:
 			return i + 1, true
 		default:
@@ -85,7 +85,7 @@
 	}
 	if i >= len(src) || src[i] != '$' {
 		l.Flaws |= InvalidCharacter
-		return l.single(Invalid)
+		return l.scanSingle(Invalid)
 	}
 	tag := src[start : i+1]
 	if end, ok := indexTag(src, i+1, tag); ok {
--- a/internal/sqltext/normalform.go
+++ b/internal/sqltext/normalform.go
@@ -47,8 +47,8 @@
 	return n.signOffset, ok
 }
 
-// forgetSign makes the last operator an operator between values, not a sign.
-func (n *normalForm) forgetSign() { n.signStart = 0 }
+// clearSign makes the last operator an operator between values, not a sign.
+func (n *normalForm) clearSign() { n.signStart = 0 }
 
 // canRemoveSign reports whether a sign at start can be removed together with its value. It must have
 // a separator before it.
--- a/internal/sqltext/pass.go
+++ b/internal/sqltext/pass.go
@@ -18,8 +18,8 @@
 	expected        expectedValue
 }
 
-// token adds one token.
-func (p *analysisPass) token(t Token) {
+// addToken adds one token.
+func (p *analysisPass) addToken(t Token) {
 	word := t.keyword()
 	class := t.class()
 	if p.previousKind == Dot { // part of a qualified name
@@ -27,11 +27,11 @@
 		class = 0
 	}
 	if finder := &p.dataset; !finder.certain {
-		// This does the same as datasetFinder.token, but calls it only for the tokens that can
+		// This does the same as datasetFinder.addToken, but calls it only for the tokens that can
 		// change the result: the call is too expensive for each token.
 		switch {
 		case t.Kind == Dot || t.class()&tableWord != 0:
-			finder.token(&p.lexer, t)
+			finder.addToken(&p.lexer, t)
 		case t.Kind <= QuotedIdentifier:
 			finder.previousName = t
 			finder.previousKind = t.Kind
@@ -47,14 +47,14 @@
 	}
 	switch t.Kind {
 	case Identifier, QuotedIdentifier:
-		p.identifier(t, word, class)
+		p.addIdentifier(t, word, class)
 	case String, BitString, DollarString, Number, Parameter:
-		p.value(t)
+		p.addValue(t)
 	default:
-		p.punctuation(t)
+		p.addPunctuation(t)
 	}
 	if t.Kind != Operator {
-		p.normal.forgetSign()
+		p.normal.clearSign()
 	}
 	p.keywordBefore = p.previousKeyword
 	p.previousKeyword = word
@@ -81,8 +81,8 @@
 	return p.hasher.sumParts()
 }
 
-// maxPendingNormalForm is the length in bytes from which on a normal form is hashed in parts.
-const maxPendingNormalForm = 16 << 10
+// maxPendingBytes is the length in bytes from which on a normal form is hashed in parts.
+const maxPendingBytes = 16 << 10
 
 // hashPending hashes the normal form so far and empties its buffer, so that a long statement
 // needs no long buffer.
--- a/internal/sqltext/pass_identifier.go
+++ b/internal/sqltext/pass_identifier.go
@@ -1,7 +1,7 @@
 package sqltext
 
-// identifier adds a key word or a name.
-func (p *analysisPass) identifier(t Token, word keyword, class keywordClass) {
+// addIdentifier adds a key word or a name.
+func (p *analysisPass) addIdentifier(t Token, word keyword, class keywordClass) {
 	p.normal.addSpace(p.previousKind)
 	text := p.lexer.Src[t.Start:t.End]
 	p.normal.addName(t, text)
@@ -10,7 +10,7 @@
 		p.expected.parameter = 0
 	}
 	if word == keywordNone && class == 0 {
-		p.name(t, text)
+		p.addName(t, text)
 		return
 	}
 	p.result.Features.countKeyword(word, p.previousKeyword)
@@ -68,11 +68,11 @@
 	}
 }
 
-// maxAggregateName is the length in bytes of the longest aggregate function's name, rounded up.
-const maxAggregateName = 12
+// maxAggregateNameLength is the length in bytes of the longest aggregate function's name, rounded up.
+const maxAggregateNameLength = 12
 
-// name handles a name that is not a key word.
-func (p *analysisPass) name(t Token, text string) {
+// addName handles a name that is not a key word.
+func (p *analysisPass) addName(t Token, text string) {
 	p.expected.column = t.hash()
 	if t.Kind == QuotedIdentifier {
 		p.expected.column = hashQuotedName(text)
@@ -89,7 +89,7 @@
 // isAggregateCall reports whether a name is that of an aggregate function and a parenthesis follows.
 func (p *analysisPass) isAggregateCall(t Token, text string) bool {
 	end := p.lexer.Pos
-	if end >= len(p.lexer.Src) || len(text) > maxAggregateName {
+	if end >= len(p.lexer.Src) || len(text) > maxAggregateNameLength {
 		return false
 	}
 	switch p.lexer.Src[end] { // the next character excludes most names without a look-up
--- a/internal/sqltext/pass_lists.go
+++ b/internal/sqltext/pass_lists.go
@@ -116,14 +116,14 @@
 // (?, ?, ?), and 0 for other rows.
 func plainRowLength(row []byte) int {
 	const (
-		values        = "?, "
-		bytesPerValue = len(values) // the parentheses count as the last separator
+		valuePattern  = "?, "
+		bytesPerValue = len(valuePattern) // the parentheses count as the last separator
 	)
 	if len(row) < bytesPerValue || len(row)%bytesPerValue != 0 || row[0] != '(' || row[len(row)-1] != ')' {
 		return 0
 	}
 	for i, c := range row[1 : len(row)-1] {
-		if c != values[i%bytesPerValue] {
+		if c != valuePattern[i%bytesPerValue] {
 			return 0
 		}
 	}
--- a/internal/sqltext/pass_punctuation.go
+++ b/internal/sqltext/pass_punctuation.go
@@ -1,14 +1,14 @@
 package sqltext
 
-// punctuation adds a punctuation mark or an operator.
-func (p *analysisPass) punctuation(t Token) {
+// addPunctuation adds a punctuation mark or an operator.
+func (p *analysisPass) addPunctuation(t Token) {
 	p.expected.afterInterval = false
 	if t.Kind != Cast {
 		p.expected.parameter = 0
 	}
 	switch t.Kind {
 	case LeftParen:
-		p.leftParen()
+		p.addLeftParen()
 	case LeftBracket:
 		p.normal.text = append(p.normal.text, '[')
 		p.depth++
@@ -19,7 +19,7 @@
 		p.normal.text = append(p.normal.text, p.lexer.Src[t.Start])
 		p.depth--
 	case Comma:
-		if p.lists.count == 0 && len(p.normal.text) > maxPendingNormalForm {
+		if p.lists.count == 0 && len(p.normal.text) > maxPendingBytes {
 			p.hashPending()
 		}
 		p.normal.text = append(p.normal.text, ',')
@@ -31,14 +31,14 @@
 		p.normal.text = append(p.normal.text, '.')
 	case Semicolon:
 	case Operator:
-		p.operator(p.lexer.Src[t.Start:t.End])
+		p.addOperator(p.lexer.Src[t.Start:t.End])
 	default:
 		p.normal.text = append(p.normal.text, p.lexer.Src[t.Start:t.End]...)
 	}
 }
 
-// leftParen adds a parenthesis, which may begin a list of alternatives or a subquery.
-func (p *analysisPass) leftParen() {
+// addLeftParen adds a parenthesis, which may begin a list of alternatives or a subquery.
+func (p *analysisPass) addLeftParen() {
 	if p.previousKind == Operator || p.previousKind == Comma || p.previousKeyword != keywordNone {
 		p.normal.addSpace(p.previousKind)
 	}
@@ -60,9 +60,9 @@
 	}
 }
 
-// operator adds an operator, and sets the role of a value after it.
-func (p *analysisPass) operator(text string) {
-	p.normal.forgetSign()
+// addOperator adds an operator, and sets the role of a value after it.
+func (p *analysisPass) addOperator(text string) {
+	p.normal.clearSign()
 	signed := text == "-" && p.expectsOperand()
 	p.normal.addSpace(p.previousKind)
 	start := len(p.normal.text)
--- a/internal/sqltext/pass_value.go
+++ b/internal/sqltext/pass_value.go
@@ -101,8 +101,8 @@
 	p.expected.role = RoleOther
 }
 
-// value adds a literal or a parameter.
-func (p *analysisPass) value(t Token) {
+// addValue adds a literal or a parameter.
+func (p *analysisPass) addValue(t Token) {
 	p.result.Features.Values++
 	signOffset, signed := p.normal.addPlaceholder(p.previousKind)
 	role := p.expected.role
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -8,14 +8,14 @@
 	stmt = strings.TrimLeft(stmt, " \t\r\n\f\v")
 	switch {
 	case strings.HasPrefix(stmt, "--"):
-		end := lineCommentEnd(stmt, commentMark)
-		return strings.TrimSpace(stmt[commentMark:end]), true
+		end := lineCommentEnd(stmt, commentDelimiterLength)
+		return strings.TrimSpace(stmt[commentDelimiterLength:end]), true
 	case strings.HasPrefix(stmt, "/*"):
 		end, ok := blockCommentEnd(stmt, 0)
 		if !ok {
 			return "", false
 		}
-		return strings.TrimSpace(stmt[commentMark : end-commentMark]), true
+		return strings.TrimSpace(stmt[commentDelimiterLength : end-commentDelimiterLength]), true
 	}
 	return "", false
 }
@@ -23,15 +23,15 @@
 // noWord replaces the first word of a statement that begins with another token.
 const noWord = "("
 
-// statementCounter finds the first word of a text, and whether the text contains more than one statement.
-type statementCounter struct {
+// statementTracker finds the first word of a text, and whether the text contains more than one statement.
+type statementTracker struct {
 	firstWord string // as written; noWord: the text begins with another token; "": no token so far
 	ended     bool   // the first statement has ended
 	multiple  bool
 }
 
-// token adds the next token.
-func (s *statementCounter) token(l *Lexer, t Token) {
+// addToken adds the next token.
+func (s *statementTracker) addToken(l *Lexer, t Token) {
 	switch {
 	case t.Kind == Semicolon:
 		s.ended = s.firstWord != ""
@@ -50,9 +50,9 @@
 // the word is "(".
 func FirstWord(stmt string) (word string, multiple bool) {
 	l := Lexer{Src: stmt}
-	var statements statementCounter
+	var statements statementTracker
 	for t := l.Next(); t.Kind != EndOfText && !statements.multiple; t = l.Next() {
-		statements.token(&l, t)
+		statements.addToken(&l, t)
 	}
 	return strings.ToUpper(statements.firstWord), statements.multiple
 }
--- a/internal/sqltext/statement_test.go
+++ b/internal/sqltext/statement_test.go
@@ -37,20 +37,20 @@
 
 func TestFirstWord_SkipsCommentsAndReportsFurtherStatements(t *testing.T) {
 	for stmt, want := range map[string]struct {
-		word string
-		more bool
+		word     string
+		multiple bool
 	}{
 		"":                         {},
 		" ; -- x":                  {},
 		"/* c */ begin;":           {word: "BEGIN"},
 		"select ';' ; -- ; x":      {word: "SELECT"},
-		"select 1; ; select 2":     {word: "SELECT", more: true},
+		"select 1; ; select 2":     {word: "SELECT", multiple: true},
 		"(select 1)":               {word: "("},
-		"select $1; /* */ commit ": {word: "SELECT", more: true},
+		"select $1; /* */ commit ": {word: "SELECT", multiple: true},
 	} {
-		word, more := FirstWord(stmt)
-		if word != want.word || more != want.more {
-			t.Errorf("%q: got %q, %v", stmt, word, more)
+		word, multiple := FirstWord(stmt)
+		if word != want.word || multiple != want.multiple {
+			t.Errorf("%q: got %q, %v", stmt, word, multiple)
 		}
 	}
 }
--- a/internal/sqltext/value_text.go
+++ b/internal/sqltext/value_text.go
@@ -69,9 +69,9 @@
 // length of a longer array is extrapolated.
 const maxCountedArrayBytes = 1 << 16
 
-// boundArrayLength returns the number of elements of a bound array in text form, which is an estimate for
+// boundTextArrayLength returns the number of elements of a bound array in text form, which is an estimate for
 // a long array, or 0 if it is malformed.
-func boundArrayLength(array []byte) int {
+func boundTextArrayLength(array []byte) int {
 	counted := array[:min(len(array), maxCountedArrayBytes)]
 	return textArrayLength(string(counted)) * max(1, len(array)/maxCountedArrayBytes)
 }
@@ -163,9 +163,9 @@
 }
 
 // prefixLength returns the length of the longest prefix whose characters all have a property.
-func prefixLength(text string, has func(byte) bool) int {
+func prefixLength(text string, matches func(byte) bool) int {
 	length := 0
-	for length < len(text) && has(text[length]) {
+	for length < len(text) && matches(text[length]) {
 		length++
 	}
 	return length
