--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -1,6 +1,6 @@
 package sqltext
 
-// Role is what a value means for the size of its statement's result.
+// Role describes how a value affects the size of the result of its statement.
 type Role uint8
 
 // Roles of a value.
@@ -10,12 +10,12 @@
 	RoleList            // the alternatives of a list (IN, ANY)
 	RoleLowerBound      // lower bound of a range
 	RoleUpperBound      // upper bound of a range
-	RolePattern         // of LIKE, ILIKE, SIMILAR TO and the operators ~ and ~~
+	RolePattern         // pattern of LIKE, ILIKE, SIMILAR TO and the operators ~ and ~~
 	RoleLimit           // number of rows
-	RoleInterval        // a length of time, as in now() - interval '1 year'
+	RoleInterval        // a duration, as in now() - interval '1 year'
 )
 
-// Slot is one value of a statement, or one list of values, that the size of the result may depend on.
+// Slot is a value of a statement, or a list of values, that may affect the size of the result.
 type Slot struct {
 	Role      Role
 	NullGuard bool   // the statement tests the value for null, as in $1 IS NULL OR a = $1
@@ -26,7 +26,7 @@
 	Count     int32  // number of alternatives in a list of literals
 }
 
-// Verb is the command that decides the kind of a statement; 0: none of those below.
+// Verb is the main command of a statement, or 0 if the statement has none of the verbs below.
 type Verb byte
 
 // The verbs.
@@ -45,37 +45,38 @@
 	Tables     int32 // names after FROM and JOIN
 	Joins      int32
 	Aggregates int32 // calls of aggregate functions
-	Windows    int32 // OVER
+	Windows    int32 // window functions: OVER
 	Groups     int32 // GROUP BY
 	Sorts      int32 // ORDER BY
 	Distincts  int32
 	Selects    int32 // SELECT, including those of subqueries and unions
-	Rows       int32 // of VALUES
+	Rows       int32 // rows of VALUES
 	Values     int32 // literals and parameters
 	Where      bool
 	Limited    bool
 }
 
-// Analysis is the result of analyzing a statement. It belongs to its Analyzer.
+// Analysis is the result of analyzing a statement. It is valid until the next analysis by the same Analyzer.
 type Analysis struct {
-	// Fingerprint identifies the normal form by two hashes of 64 bits. Their seeds belong to
-	// this process and are secret, so that a client can't write a statement that collides
-	// with another one. Other processes have other fingerprints of the same normal form.
+	// Fingerprint identifies the normal form by two 64-bit hashes. Their seeds are specific to this process
+	// and secret, so that a client can't construct a statement whose fingerprint collides with that of another
+	// statement. Processes have different fingerprints for the same normal form.
 	Fingerprint [2]uint64
-	// NormalForm is the normal form: the statement without values, comments, case and spacing,
-	// and with lists of alternatives and rows of values folded into one. The number in the
-	// name of a schema is replaced by #, so that all data sets share their shapes.
+	// NormalForm is the text of the statement without values, comments, and differences of case and spacing.
+	// Lists of alternatives and rows of VALUES are folded: those that equal the first one in this form are
+	// omitted. The number in the name of a schema is replaced by #, so that statements on different data sets
+	// have the same shape.
 	NormalForm []byte
-	// Truncated means that the normal form was too long and NormalForm is only its last part. The
-	// fingerprint covers all of it.
+	// Truncated means that the normal form was too long and NormalForm holds only its last part. The
+	// fingerprint covers the complete normal form.
 	Truncated bool
 	Classification
 	Features   Features
 	Slots      []Slot
 	Dataset    int64 // the number of the data set, as returned by DatasetOf
 	HasDataset bool  // the statement names a data set
-	// Restrictions is the number of comparisons between a name and a value, which can narrow
-	// the result.
+	// Restrictions is the number of comparisons between a name and a value. Such comparisons can narrow the
+	// result.
 	Restrictions int
 	// Unrestricted means that a condition is true for all rows, as in NULL IS NULL OR a = 1.
 	Unrestricted bool
@@ -85,6 +86,6 @@
 // has the most cautious effect, EffectUnknown.
 type Classification struct {
 	Verdict            Verdict // as returned by EffectOf
-	FirstWord          string  // as returned by the function FirstWord, but in the case of the text
+	FirstWord          string  // as returned by the function FirstWord, but not in upper case
 	MultipleStatements bool    // the text contains more than one statement
 }
--- a/internal/sqltext/analyzer.go
+++ b/internal/sqltext/analyzer.go
@@ -1,12 +1,11 @@
 package sqltext
 
-// Analyzer analyzes statements. It allocates only when its buffer grows. It may be used by one
-// goroutine at a time.
+// Analyzer analyzes statements. It allocates only when its buffer grows. It is not safe for concurrent use.
 type Analyzer struct {
 	hasher fingerprintHasher
-	buffer []byte // of the normal form
+	buffer []byte // holds the normal form
 
-	// These are not part of the pass, which is cleared for each statement. Clearing them would
+	// These fields are not part of analysisPass, which is cleared for each statement. Clearing them would
 	// take longer than the analysis of most statements.
 	slots      slotBuffer
 	lists      listStack
@@ -31,13 +30,13 @@
 func (a *Analyzer) Analyze(stmt string) *Analysis { return a.analyze(stmt, nil) }
 
 // AnalyzeAndClassify analyzes a statement like Analyze and also sets the Classification of the result.
-// readOnly names read-only functions beside PostgreSQL's own.
+// readOnly lists read-only functions in addition to those of PostgreSQL.
 func (a *Analyzer) AnalyzeAndClassify(stmt string, readOnly Functions) *Analysis {
 	a.classifier = classifier{effect: effectClassifier{readOnly: readOnly}}
 	return a.analyze(stmt, &a.classifier)
 }
 
-// maxRetainedBytes is the largest buffer, in bytes, that an analyzer reuses for the next statement.
+// maxRetainedBytes is the size of the largest buffer that an analyzer reuses for the next statement.
 const maxRetainedBytes = 64 << 10
 
 // analyze analyzes a statement, and classifies it if classifier is not nil.
@@ -71,7 +70,7 @@
 	return &a.result
 }
 
-// addToken adds the next token.
+// addToken passes the next token to the classifier's two parts.
 func (c *classifier) addToken(lexer *Lexer, t Token) {
 	c.statements.addToken(lexer, t)
 	if !c.effect.decided() {
--- a/internal/sqltext/binds.go
+++ b/internal/sqltext/binds.go
@@ -2,11 +2,11 @@
 
 import "encoding/binary"
 
-// Binds are the bound values of one execution, as in a Bind message of PostgreSQL.
+// Binds holds the bound values of one execution, encoded as in PostgreSQL's Bind message.
 type Binds struct {
 	Values   [][]byte // nil: null
 	Formats  []byte   // format codes of two bytes each: none, one for all values, or one for each
-	TypeOIDs []byte   // type OIDs of four bytes each, as of Parse or the engine; may be shorter than Values
+	TypeOIDs []byte   // type OIDs of four bytes each, from Parse or the engine; may be fewer than Values
 }
 
 const (
@@ -32,7 +32,7 @@
 
 // isBinary reports whether the value of parameter n is in binary form.
 func (b *Binds) isBinary(n int) bool {
-	if len(b.Formats) == formatSize { // one for all values
+	if len(b.Formats) == formatSize { // one format for all values
 		n = 1
 	}
 	return len(b.Formats) >= formatSize*n && b.Formats[formatSize*n-1] == binaryFormat
@@ -46,7 +46,7 @@
 	return binary.BigEndian.Uint32(b.TypeOIDs[typeOIDSize*(n-1):])
 }
 
-// valueForm is the form in which an execution has the value of a slot.
+// valueForm is the form of the value of a slot in one execution.
 type valueForm uint8
 
 const (
@@ -60,7 +60,7 @@
 // slotValue is the value of a slot in one execution.
 type slotValue struct {
 	form    valueForm
-	literal string // of formLiteral, quotes included
+	literal string // of formLiteral, including the quotes
 	bound   []byte // of formText and formBinary
 	typeOID uint32 // of a bound value; 0: unknown
 }
@@ -73,10 +73,10 @@
 	return b.parameter(slot.Parameter)
 }
 
-// maxPatternBytes limits the part of a bound pattern that is searched for its first wildcard.
+// maxPatternBytes limits the part of a bound pattern that is searched for the first wildcard.
 const maxPatternBytes = 64
 
-// pattern returns the pattern, or its beginning. It is empty if no pattern is bound.
+// pattern returns the pattern, or the beginning of a long one. It returns "" if no pattern is bound.
 func (v *slotValue) pattern() string {
 	if v.form == formLiteral {
 		return unquote(v.literal)
@@ -85,7 +85,7 @@
 }
 
 // listLength returns the number of alternatives of a list: the length of an array, or listed if the
-// statement lists them one by one.
+// statement lists the alternatives one by one.
 func (v *slotValue) listLength(listed int32) int {
 	switch {
 	case v.form == formText:
@@ -98,10 +98,11 @@
 	return int(listed)
 }
 
-// maxNumberBytes limits the text of a number.
+// maxNumberBytes limits the length of a number in text form.
 const maxNumberBytes = 40
 
-// number returns the value as a number, dates and times as days. ok is false if it is none.
+// number returns the value as a number; dates and timestamps are returned as days since 2000-01-01. ok is false if
+// the value is none of these.
 func (v *slotValue) number() (x float64, ok bool) {
 	switch v.form {
 	case formLiteral:
--- a/internal/sqltext/bucket.go
+++ b/internal/sqltext/bucket.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// The widths of a bucket's parts, in bits. Two flags of one bit each follow them.
+// Widths in bits of the fields of a bucket, in their order. Two flags of one bit each follow the fields.
 const (
 	alternativesBits = 4
 	spanBits         = 5
@@ -12,12 +12,12 @@
 	rowsBits         = 4
 )
 
-// maxLog2RowLimit limits the logarithm of a row limit. Half of the logarithm is stored, so that a
-// step is a factor of four.
+// maxLog2RowLimit is the maximum for the logarithm of a row limit. Half of the logarithm is stored, so that
+// the row limits of adjacent buckets differ by a factor of four.
 const maxLog2RowLimit = 30
 
-// Bucket returns a coarse form of the profile, packed into bits. Executions of one shape
-// with equal buckets are expected to cost the same.
+// Bucket returns a coarse form of the profile, packed into bits. Executions of the same statement shape with
+// equal buckets are expected to cost the same.
 func (p *Profile) Bucket() uint32 {
 	bucket := log2Bucket(float64(p.Alternatives), 1<<alternativesBits-1)
 	bucket = bucket<<spanBits | log2Bucket(p.Span, 1<<spanBits-1)
@@ -34,10 +34,10 @@
 	return bucket
 }
 
-// log2Bucket returns 0 for an absent figure, else one more than its base-2 logarithm, up
-// to a largest bucket.
+// log2Bucket returns 0 if x is absent (not positive), and 1 if x is below 1. Otherwise it returns the base-2
+// logarithm of x, rounded down, plus one, but at most largest.
 func log2Bucket(x float64, largest uint32) uint32 {
-	const largestBucketFrom = 1 << 40 // from here on, the integer conversion is avoided
+	const largestBucketFrom = 1 << 40 // values from here on are not converted to an integer
 	switch {
 	case x <= 0:
 		return 0
--- a/internal/sqltext/chars.go
+++ b/internal/sqltext/chars.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// lowerCaseBit is the bit by which a lower-case ASCII letter differs from the upper-case one.
+	// lowerCaseBit is the bit that is set in a lower-case ASCII letter and clear in the upper-case one.
 	lowerCaseBit = 0x20
 	// firstNonASCII is the first byte value that is not ASCII.
 	firstNonASCII = 0x80
@@ -48,7 +48,7 @@
 	return classes
 }()
 
-// foldedChars holds the lower case of each byte that may be part of a name, and 0 for others.
+// foldedChars maps each byte that may be part of a name to lower case, and all other bytes to 0.
 var foldedChars = func() (folded [byteValues]uint8) {
 	for c := range folded {
 		if charClasses[c]&charName != 0 {
@@ -61,7 +61,7 @@
 	return folded
 }()
 
-// decimal is the base of the numbers that are parsed and formatted here.
+// decimal is the base of the numbers that this package parses and formats.
 const decimal = 10
 
 func isDigit(c byte) bool { return charClasses[c]&charDigit != 0 }
@@ -71,15 +71,15 @@
 	return isDigit(c) || letter >= 'a' && letter <= 'f'
 }
 
-// equalFold reports whether a text equals a lower-case name, regardless of case.
+// equalFold reports whether s equals a lower-case name, ignoring case.
 func equalFold(s, lower string) bool { return len(s) == len(lower) && matchesFolded(s, lower) }
 
-// hasPrefixFold reports whether a text begins with a lower-case name, regardless of case.
+// hasPrefixFold reports whether s begins with a lower-case name, ignoring case.
 func hasPrefixFold(s, lower string) bool {
 	return len(s) >= len(lower) && matchesFolded(s[:len(lower)], lower)
 }
 
-// matchesFolded compares a text with a lower-case name of the same length, regardless of case.
+// matchesFolded reports whether s equals a lower-case name of the same length, ignoring case.
 func matchesFolded(s, lower string) bool {
 	for i := range len(lower) {
 		if foldedChars[s[i]] != lower[i] {
--- a/internal/sqltext/dataset.go
+++ b/internal/sqltext/dataset.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// stagingSchema is the prefix of schemas that belong to no data set.
+// stagingSchema is the prefix of the names of schemas that do not belong to a data set.
 const stagingSchema = "staging"
 
-// DatasetOf returns the number of the data set that a statement touches: the digits after the
-// last underscore of its schema's name, 17 in sales_17.orders. Names in strings and
-// comments don't count. A name in the position of a table (after FROM and the like) takes
-// precedence over others, which may be a column of an alias.
+// DatasetOf returns the number of the data set that a statement touches: the digits after the last underscore in
+// the name of the schema, such as 17 in sales_17.orders. Names in strings and comments are ignored. A name in the
+// position of a table (after FROM and the like) takes precedence over other names, since those may be columns of
+// an alias. ok is false if the statement names no data set.
 func DatasetOf(stmt string) (dataset int64, ok bool) {
 	l := Lexer{Src: stmt}
 	var finder datasetFinder
@@ -24,13 +24,13 @@
 type datasetFinder struct {
 	dataset        int64
 	found          bool
-	certain        bool // the data set comes from a name in the position of a table: it is final
+	certain        bool // the data set comes from a name in the position of a table, so it is final
 	afterTableWord bool // the name of a table is expected
 	previousName   Token
 	previousKind   Kind
 }
 
-// addToken adds the next token, and reports whether the result is final.
+// addToken adds the next token and reports whether the result is final.
 func (f *datasetFinder) addToken(l *Lexer, t Token) (done bool) {
 	if f.certain {
 		return true
@@ -65,7 +65,7 @@
 	}
 }
 
-// schemaDataset returns the data set that the name of a schema ends in.
+// schemaDataset returns the number of the data set at the end of the name of a schema.
 func schemaDataset(name string) (dataset int64, ok bool) {
 	const maxSuffixLength = 18 // the underscore and 17 digits, which fit into an int64
 	underscore := strings.LastIndexByte(name, '_')
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -7,9 +7,9 @@
 
 // Effects. The zero value is the most cautious.
 const (
-	EffectUnknown Effect = iota // unknown: it may write
-	EffectWrites                // its words show that it writes
-	EffectReads                 // all of its words and functions are known to be read-only
+	EffectUnknown Effect = iota // the statement may write
+	EffectWrites                // the words of the statement show that it writes
+	EffectReads                 // all words and functions of the statement are known to be read-only
 )
 
 var effectNames = [...]string{"can't be told", "writes", "reads"}
@@ -17,11 +17,11 @@
 // String implements fmt.Stringer.
 func (e Effect) String() string { return effectNames[e] }
 
-// Verdict is the effect of a statement and what decided it.
+// Verdict is the effect of a statement and the reason for this classification.
 type Verdict struct {
 	Effect Effect
-	Reason string // a few words
-	Word   string // the word that decided, as written in the statement; "": no single word did
+	Reason string // a short phrase
+	Word   string // the word that determined the effect, as written in the statement; "": no single word did
 }
 
 // String returns the word and the reason.
@@ -32,20 +32,20 @@
 	return v.Word + ": " + v.Reason
 }
 
-// Functions is a set of read-only functions. Names are in lower case, and have their schema unless that
-// is pg_catalog.
+// Functions is a set of read-only functions. Names are in lower case and qualified by their schema, unless the
+// schema is pg_catalog.
 type Functions map[string]bool
 
-// has reports whether the set contains a function. Most names are in lower case and need no allocation.
+// has reports whether the set contains a function. For names in lower case, as most are, it does not allocate.
 func (f Functions) has(name string) bool { return f[name] || f[strings.ToLower(name)] }
 
-// EffectOf classifies a statement, and errs on the side of writing: it is read-only only if
-// its first word begins a read-only statement, no word of it writes or locks, and all functions
-// and operators that it names are known to be read-only. readOnly names functions beside
-// PostgreSQL's own.
+// EffectOf classifies a statement. It treats a statement as one that may write unless the statement is known to be
+// read-only: its first word begins a read-only statement, none of its words writes or locks rows, and all functions
+// and operators that it names are known to be read-only. readOnly lists read-only functions in addition to those of
+// PostgreSQL.
 //
-// Writes that the text doesn't show are not detected: a view or an operator over a function that
-// writes, a cast that calls a function, and a function that is called like a column (t.f).
+// Writes that the text does not show are not detected: a view or an operator that is based on a function that
+// writes, a cast that calls a function, and a function that is called with the syntax of a column (t.f).
 func EffectOf(stmt string, readOnly Functions) Verdict {
 	l := Lexer{Src: stmt}
 	classifier := effectClassifier{readOnly: readOnly}
--- a/internal/sqltext/effect_call.go
+++ b/internal/sqltext/effect_call.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// classifyLeftParen classifies a parenthesis, which begins a call after the name of a function.
+// classifyLeftParen classifies an opening parenthesis, which begins a call if it follows the name of a function.
 func (c *effectClassifier) classifyLeftParen(lexer *Lexer) {
 	if c.phase != executed || !c.beginsCall() {
 		return
@@ -24,17 +24,17 @@
 	}
 }
 
-// classifyQualifiedCall classifies a call of a function of another schema than pg_catalog.
+// classifyQualifiedCall classifies a call of a function in a schema other than pg_catalog.
 func (c *effectClassifier) classifyQualifiedCall(name string) {
 	if !c.readOnly.has(name) {
 		c.report(EffectUnknown, name, unknownFunction)
 	}
 }
 
-// unknownFunction is the reason for which a call has no known effect.
+// unknownFunction is the reason in the verdict on a call whose effect is unknown.
 const unknownFunction = "a function not known to read only"
 
-// qualified reports whether the previous name has a schema.
+// qualified reports whether the previous name is qualified by a schema.
 func (c *effectClassifier) qualified() bool { return c.previousSchema.Kind != EndOfText }
 
 // beginsCall reports whether a parenthesis after the previous token may begin a call.
@@ -51,20 +51,20 @@
 	return c.previousKind == QuotedIdentifier || c.wordBeginsCall()
 }
 
-// inAlias reports whether a parenthesis contains the columns of an alias.
+// inAlias reports whether a parenthesis after the previous token contains the columns of an alias.
 func (c *effectClassifier) inAlias() bool {
 	return c.keywordBefore == keywordAs ||
 		c.kindBefore == RightParen && !c.hasDistinctOn && c.previousClass&(reservedWord|infixWord) == 0
 }
 
-// wordBeginsCall reports whether a parenthesis after an unquoted, unqualified word may
+// wordBeginsCall reports whether a parenthesis after the previous token, an unquoted and unqualified word, may
 // begin a call.
 func (c *effectClassifier) wordBeginsCall() bool {
 	if c.previousClass&(reservedWord|typeWord) != 0 || c.ctes.afterName {
 		return false
 	}
 	if c.previousKeyword == keywordOver || c.previousKeyword == keywordFilter {
-		return c.kindBefore != RightParen // after a call, it belongs to that call
+		return c.kindBefore != RightParen // after a call, OVER or FILTER belongs to that call
 	}
 	if c.previousClass&infixWord != 0 {
 		return !c.afterOperand()
@@ -83,8 +83,8 @@
 	}
 }
 
-// afterOperand reports whether the previous word follows an operand, or a word that can't
-// precede a function's name either. An infix word there is an operator.
+// afterOperand reports whether the previous word follows an operand, or another word that can't precede the name
+// of a function. In that position, an infix word is an operator.
 func (c *effectClassifier) afterOperand() bool {
 	switch c.kindBefore {
 	case RightParen, RightBracket, QuotedIdentifier, String, Number, Parameter:
--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -5,7 +5,7 @@
 	"unicode/utf8"
 )
 
-// classifierPhase is the classifier's position in a text, and whether the statement will be executed.
+// classifierPhase is the position of the classifier in a text. It also tells whether the statement will be executed.
 //
 //	beforeFirstWord --EXPLAIN--> planOptions --first word of the statement--> planOnly
 //	beforeFirstWord --any other word--> executed
@@ -20,7 +20,7 @@
 	executed                        // in a statement that is executed
 )
 
-// onlyPlans reports whether the statement is planned without execution, by the options so far.
+// onlyPlans reports whether the statement is only planned and not executed, according to the options so far.
 func (p classifierPhase) onlyPlans() bool { return p == planOptions || p == planOnly }
 
 // inOptions reports whether the options of EXPLAIN may continue.
@@ -29,11 +29,11 @@
 // effectClassifier classifies a sequence of tokens.
 type effectClassifier struct {
 	readOnly Functions
-	// worst is the first verdict that is not EffectReads; EffectWrites replaces EffectUnknown. Its reason is
-	// empty while there is none.
+	// worst is the first verdict with an effect other than EffectReads; EffectWrites replaces EffectUnknown. Its
+	// reason is empty if there is no such verdict yet.
 	worst Verdict
 	phase classifierPhase
-	depth int // of parentheses
+	depth int // nesting depth of parentheses
 
 	// The last token and the one before it. Dots are skipped, so that previous is the last part of a qualified name.
 	previous        Token
@@ -46,14 +46,14 @@
 	previousKind Kind
 	kindBefore   Kind
 
-	hasDistinctOn bool // the statement has a DISTINCT ON, so that a call may follow a parenthesis
+	hasDistinctOn bool // the statement contains DISTINCT ON, so that a call may follow a parenthesis
 	ctes          cteTracker
 }
 
 // decided reports whether no further token can change the verdict.
 func (c *effectClassifier) decided() bool { return c.worst.Effect == EffectWrites }
 
-// report records that a word has a worse effect than reading.
+// report records a word whose effect is not EffectReads.
 func (c *effectClassifier) report(effect Effect, word, reason string) {
 	if c.worst.Reason == "" || effect == EffectWrites && c.worst.Effect == EffectUnknown {
 		c.worst = Verdict{Effect: effect, Reason: reason, Word: word}
@@ -92,7 +92,7 @@
 	c.setPrevious(t, word, class, schema)
 }
 
-// setPrevious makes a token the previous one.
+// setPrevious makes t the previous token.
 func (c *effectClassifier) setPrevious(t Token, word keyword, class keywordClass, schema Token) {
 	c.kindBefore = c.previousKind
 	c.previousKind = t.Kind
@@ -118,7 +118,7 @@
 		beginsStatement = beginsStatement || !c.phase.inOptions()
 	}
 	if word == keywordNone && class == 0 && c.ctes.nameExpected == 0 {
-		return // a plain name changes nothing below
+		return // a plain name is irrelevant to the checks below
 	}
 	c.reportKeyword(text, word, class)
 	if word == keywordOn && c.previousKeyword == keywordDistinct && !c.ctes.isNameExpected(c.depth) {
@@ -127,7 +127,7 @@
 	c.ctes.addWord(c.depth, word, class, c.previousKeyword, beginsStatement)
 }
 
-// reportKeyword reports a key word that shows a write, a lock or an operator that may do anything.
+// reportKeyword reports a key word that indicates a write, a lock on rows or an operator whose effect is unknown.
 func (c *effectClassifier) reportKeyword(text string, word keyword, class keywordClass) {
 	if word == keywordOperator {
 		c.report(EffectUnknown, text, "an operator named by its schema")
@@ -165,7 +165,7 @@
 	}
 }
 
-// classifyOtherStatement classifies the first word of a statement that is not known to read.
+// classifyOtherStatement classifies a statement whose first word is neither a readingWord nor a writingWord.
 func (c *effectClassifier) classifyOtherStatement(text string, kind Kind) {
 	if kind == Identifier {
 		switch strings.ToUpper(text) {
@@ -181,8 +181,8 @@
 	c.report(EffectUnknown, text, "it begins no statement that is known to read")
 }
 
-// classifyExplainOption classifies a word between EXPLAIN and its statement. ANALYZE in any form
-// executes the statement. A word that is not known as an option begins the statement.
+// classifyExplainOption classifies a word between EXPLAIN and its statement. ANALYZE in any form causes the
+// statement to be executed. A word that is not a known option begins the statement.
 func (c *effectClassifier) classifyExplainOption(text string, kind Kind, class keywordClass) {
 	name := unquoteIdentifier(text)
 	if strings.EqualFold(name, "analyze") || strings.EqualFold(name, "analyse") {
@@ -206,7 +206,7 @@
 	}
 }
 
-// flawReasons are the reasons for which a text with a flaw has no known effect, the most important first.
+// flawReasons lists the reasons in the verdicts on texts with flaws, the most important first.
 var flawReasons = []struct {
 	flaw   Flaw
 	reason string
--- a/internal/sqltext/effect_cte.go
+++ b/internal/sqltext/effect_cte.go
@@ -1,17 +1,17 @@
 package sqltext
 
 // cteTracker tracks the lists of common table expressions (CTE) that follow WITH in a statement. It finds
-// the names of the expressions. A parenthesis after such a name contains columns and begins no call.
+// the names of the expressions. A parenthesis after such a name contains columns and does not begin a call.
 type cteTracker struct {
-	// lists and nameExpected have one bit for each depth of parentheses, which depthBit returns. A bit of
-	// lists is set within a list. A bit of nameExpected is set while the next name begins an expression.
+	// lists and nameExpected have one bit for each depth of parentheses, which depthBit returns. A bit of lists is
+	// set within a list. A bit of nameExpected is set if the next name at that depth begins an expression.
 	lists        uint64
 	nameExpected uint64
 	afterName    bool // the previous token is the name of an expression
 }
 
-// depthBit returns the bit of a depth, or 0 beyond the depths that are tracked. The columns of deeper
-// lists look like calls, so that the statement counts as one that may write.
+// depthBit returns the bit of a depth, or 0 if the depth is not tracked. At depths that are not tracked, a name with
+// columns is taken for a call, so that the statement is classified as one that may write.
 func depthBit(depth int) uint64 {
 	const trackedDepths = 64
 	if depth < 0 || depth >= trackedDepths {
@@ -20,7 +20,7 @@
 	return 1 << depth
 }
 
-// enterParen begins a parenthesis of the given depth.
+// enterParen handles an opening parenthesis. depth is the depth inside it.
 func (c *cteTracker) enterParen(depth int) {
 	bit := depthBit(depth)
 	c.lists &^= bit
@@ -42,7 +42,7 @@
 func (c *cteTracker) addWord(depth int, word keyword, class keywordClass, previous keyword, beginsStatement bool) {
 	bit := depthBit(depth)
 	switch {
-	case word == keywordWith && beginsStatement: // else it is WITH ORDINALITY, WITH TIES or the like
+	case word == keywordWith && beginsStatement: // otherwise it is WITH ORDINALITY, WITH TIES or the like
 		c.lists |= bit
 		c.nameExpected |= bit
 	case word == keywordRecursive && previous == keywordWith:
--- a/internal/sqltext/fingerprint.go
+++ b/internal/sqltext/fingerprint.go
@@ -2,11 +2,11 @@
 
 import "hash/maphash"
 
-// fingerprintHasher computes the fingerprints of normal forms by two hashes with different seeds. It may
-// be used by one goroutine at a time.
+// fingerprintHasher computes the fingerprints of normal forms by two hashes with different seeds. It is not
+// safe for concurrent use.
 type fingerprintHasher struct {
 	seeds        [2]maphash.Seed
-	prefixHashes [2]maphash.Hash // of the parts of a long normal form that were hashed before its end
+	prefixHashes [2]maphash.Hash // of the parts of a long normal form that have been added so far
 }
 
 func newFingerprintHasher() fingerprintHasher {
@@ -21,7 +21,7 @@
 	return fingerprint
 }
 
-// ofBytes does the same for bytes.
+// ofBytes is like ofString for a normal form in a byte slice.
 func (h *fingerprintHasher) ofBytes(normalForm []byte) (fingerprint [2]uint64) {
 	for i, seed := range h.seeds {
 		fingerprint[i] = maphash.Bytes(seed, normalForm)
@@ -29,7 +29,7 @@
 	return fingerprint
 }
 
-// beginParts begins a long normal form, which is hashed in parts.
+// beginParts starts to hash a long normal form in parts.
 func (h *fingerprintHasher) beginParts() {
 	for i := range h.prefixHashes {
 		h.prefixHashes[i].SetSeed(h.seeds[i]) // this also resets the hash
@@ -39,12 +39,12 @@
 // addPart hashes the next part of a long normal form.
 func (h *fingerprintHasher) addPart(part []byte) {
 	for i := range h.prefixHashes {
-		_, _ = h.prefixHashes[i].Write(part) // it never fails
+		_, _ = h.prefixHashes[i].Write(part) // Write never returns an error
 	}
 }
 
-// sumParts returns the fingerprint of a normal form whose parts were all added. It equals that
-// of the same normal form hashed at once.
+// sumParts returns the fingerprint of a normal form after all its parts have been added. The fingerprint is the
+// same as if the normal form had been hashed at once.
 func (h *fingerprintHasher) sumParts() (fingerprint [2]uint64) {
 	for i := range h.prefixHashes {
 		fingerprint[i] = h.prefixHashes[i].Sum64()
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -1,15 +1,16 @@
 package sqltext
 
-// keywordClass is what a key word means to this package, as bits.
+// keywordClass holds the properties of a key word that this package uses, as bits.
 type keywordClass uint16
 
 const (
-	// reservedWord: the word names no function, so a parenthesis after it begins no call.
+	// reservedWord: the word can't be the name of a function, so a parenthesis after it does not begin a call.
 	reservedWord keywordClass = 1 << iota
-	// typeWord: the word is a type or a built-in form with a parenthesis after it, which
-	// can't be the name of a function either.
+	// typeWord: the word is a type or a built-in construct with a parenthesis after it. Such a word can't be the
+	// name of a function either.
 	typeWord
-	// infixWord: the word is an operator between two values. After a complete value, it begins no call.
+	// infixWord: the word is an operator between two values. If a complete value precedes the word, a parenthesis
+	// after the word does not begin a call.
 	infixWord
 	// writingWord: the word begins, or is part of, something that changes stored data.
 	writingWord
@@ -20,8 +21,8 @@
 )
 
 // keyword is the number of a key word; 0: none. In the normal form, a space separates a key word that has a number from
-// a parenthesis after it. Some key words, such as OFFSET, have a number for that reason alone: without it the normal
-// forms in stored snapshots would no longer be those of their statements.
+// a parenthesis after it. Some key words, such as OFFSET, have a number only for that reason: without the number, the
+// normal forms in stored snapshots would no longer match their statements.
 type keyword uint8
 
 const (
@@ -91,8 +92,8 @@
 	keywordCoalesce
 )
 
-// keywords lists the key words (appendix C of the manual). Words that are not reserved are
-// listed only if this package needs them.
+// keywords lists the key words of PostgreSQL (appendix C of its manual). Words that are not reserved are listed
+// only if this package needs them.
 var keywords = []keywordEntry{
 	{"all", keywordAll, reservedWord},
 	{"analyse", keywordAnalyze, reservedWord},
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -1,7 +1,7 @@
 package sqltext
 
-// Lexer splits a text into tokens. Its zero value with Src set is ready for use. Its only
-// state is its position, so it can be copied to look ahead.
+// Lexer splits a text into tokens. Its zero value with Src set is ready for use. It has no state besides its
+// fields, so it can be copied to look ahead.
 type Lexer struct {
 	Src   string
 	Pos   int
@@ -15,7 +15,7 @@
 func (l *Lexer) Next() Token {
 	src := l.Src
 	start := l.Pos
-	if start < len(src) && src[start] == ' ' { // most tokens are one space apart
+	if start < len(src) && src[start] == ' ' { // most tokens follow a single space
 		start++
 		l.Pos = start
 	}
@@ -46,8 +46,8 @@
 	return l.scanPunctuation()
 }
 
-// singleKinds holds the kinds of the tokens that are always one character long. It is
-// EndOfText for all other bytes.
+// singleKinds maps each character that is always a token by itself to the kind of that token, and all other
+// bytes to EndOfText.
 var singleKinds = [byteValues]Kind{
 	'(': LeftParen,
 	')': RightParen,
@@ -57,8 +57,8 @@
 	';': Semicolon,
 }
 
-// scanPunctuation scans a token that begins with a character of no class: a double
-// quote, a dollar sign, or a punctuation mark that may be part of a longer token.
+// scanPunctuation scans a token that begins with a character without a class: a double quote, a dollar sign,
+// a punctuation mark that may be part of a longer token, or an invalid character.
 func (l *Lexer) scanPunctuation() Token {
 	src := l.Src
 	start := l.Pos
@@ -101,7 +101,7 @@
 	return t
 }
 
-// commentDelimiterLength is the length in bytes of each of the marks --, /* and */.
+// commentDelimiterLength is the length in bytes of each of the delimiters --, /* and */.
 const commentDelimiterLength = 2
 
 // skipSpace skips white space and comments.
@@ -129,8 +129,9 @@
 	l.Pos = i
 }
 
-// lineCommentEnd returns the end of a -- comment: a line feed or a carriage return. A carriage
-// return ends the comment for the engine too, so a statement after it must not be skipped.
+// lineCommentEnd returns the end of the -- comment that contains position i: a line feed, a carriage return or
+// the end of the text. A carriage return ends the comment for the engine too, so a statement after it must not
+// be skipped.
 func lineCommentEnd(src string, i int) int {
 	for i < len(src) && src[i] != '\n' && src[i] != '\r' {
 		i++
@@ -138,7 +139,8 @@
 	return i
 }
 
-// blockCommentEnd returns the end of the /* comment that begins at i. Such comments nest.
+// blockCommentEnd returns the end of the /* comment that begins at i. Such comments nest. ok is false if the
+// comment is not terminated.
 func blockCommentEnd(src string, i int) (end int, ok bool) {
 	depth := 0
 	for i+1 < len(src) {
--- a/internal/sqltext/lexer_identifier.go
+++ b/internal/sqltext/lexer_identifier.go
@@ -3,12 +3,12 @@
 import "strings"
 
 // scanIdentifier scans a key word or a name. If the name is the prefix of a string or of a quoted name,
-// as in E'..', it scans that instead.
+// as in E'..', scanIdentifier scans the whole string or quoted name.
 func (l *Lexer) scanIdentifier() Token {
 	src := l.Src
 	start := l.Pos
 	end := start
-	seen := uint8(0) // the classes of all characters
+	seen := uint8(0) // the classes of all characters of the name
 	for ; end < len(src); end++ {
 		class := charClasses[src[end]]
 		if class&charName == 0 {
@@ -35,8 +35,8 @@
 	return Token{Kind: Identifier, Start: start, End: end, info: info}
 }
 
-// scanPrefixed scans a string or a quoted name after its prefix of one letter, which is already
-// scanned. ok is false if the letter is no prefix.
+// scanPrefixed scans the rest of a string or of a quoted name, whose one-letter prefix at start is already
+// scanned. ok is false if the letter is not a prefix.
 func (l *Lexer) scanPrefixed(start int) (t Token, ok bool) {
 	prefix := l.Src[start] | lowerCaseBit
 	next := l.Src[start+1]
@@ -62,7 +62,7 @@
 	return Token{Kind: kind, Start: start, End: l.Pos}, true
 }
 
-// scanUnicodeEscaped scans U&'..' or U&"..".
+// scanUnicodeEscaped scans U&'..' or U&"..". ok is false if no quote follows U&.
 func (l *Lexer) scanUnicodeEscaped(start int) (t Token, ok bool) {
 	const prefixLength = len("U&")
 	quote := start + prefixLength
@@ -105,7 +105,7 @@
 	l.Pos = len(src)
 }
 
-// unquoteIdentifier removes the quotes of a name. Doubled quotes within it stay.
+// unquoteIdentifier removes the quotes around a name. It leaves doubled quotes within the name as they are.
 func unquoteIdentifier(name string) string {
 	if len(name) >= len(`""`) && name[0] == '"' {
 		return strings.TrimSuffix(name[1:], `"`)
@@ -113,16 +113,15 @@
 	return name
 }
 
-// hashQuotedName hashes a quoted name like the same name without quotes.
+// hashQuotedName returns the hash of a quoted name, which equals that of the same name without quotes.
 func hashQuotedName(name string) uint32 {
 	name = unquoteIdentifier(name)
 	return hashName(name, 0, len(name))
 }
 
-// hashName hashes the name src[start:end] regardless of case, by its length and its first
-// and last eight bytes. It serves to find key words and columns; nothing relies on
-// different names having different hashes. It takes the surrounding text to read eight bytes at once
-// also if the name is shorter.
+// hashName hashes the name src[start:end], ignoring case, by its length and its first and last eight bytes. The
+// hash is used to look up key words and to match columns; nothing relies on different names having different
+// hashes. hashName takes the surrounding text so that it can read eight bytes at once even if the name is shorter.
 func hashName(src string, start, end int) uint32 {
 	const (
 		multiplier   = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
@@ -151,7 +150,7 @@
 	return uint32(hash >> upper32Shift)
 }
 
-// load8 reads eight bytes, little-endian; the compiler turns it into one load.
+// load8 reads eight bytes in little-endian order; the compiler turns it into a single load.
 func load8(s string) uint64 {
 	_ = s[7]
 	return uint64(s[0]) | uint64(s[1])<<8 | uint64(s[2])<<16 | uint64(s[3])<<24 |
--- a/internal/sqltext/lexer_number.go
+++ b/internal/sqltext/lexer_number.go
@@ -1,7 +1,7 @@
 package sqltext
 
-// scanNumber scans a number. What follows without a space, such as a letter, is the next
-// token, as it was up to PostgreSQL 14; later versions reject it.
+// scanNumber scans a number. Text that follows the number without a space, such as a letter, begins the next
+// token, as in PostgreSQL up to version 14; later versions reject such text.
 func (l *Lexer) scanNumber() Token {
 	src := l.Src
 	i := l.Pos
@@ -23,8 +23,8 @@
 	return Token{Kind: Number, Start: start, End: end}
 }
 
-// radixDigits returns the test for the digits of a number that begins with 0 and the given
-// letter, or nil if the letter is no radix prefix.
+// radixDigits returns the predicate for the digits of a number that begins with 0 and the given letter, or nil if
+// 0 and the letter are not a radix prefix.
 func radixDigits(letter byte) func(byte) bool {
 	switch letter | lowerCaseBit {
 	case 'x':
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// skipDigits returns the end of a run of digits, which single underscores may separate.
+// skipDigits returns the end of the run of digits at i. Single underscores may separate the digits.
 func skipDigits(src string, i int, isDigit func(byte) bool) int {
 	for i < len(src) && (isDigit(src[i]) || src[i] == '_' && i+1 < len(src) && isDigit(src[i+1])) {
 		i++
--- a/internal/sqltext/lexer_operator.go
+++ b/internal/sqltext/lexer_operator.go
@@ -1,8 +1,8 @@
 package sqltext
 
 // scanOperator scans an operator: a run of operator characters, up to a comment if one begins within the run. A + or -
-// at the end belongs to the operator only if one of ~ ! @ # % ^ & | ` ? precedes it. Otherwise it is the next token, as
-// in a=-1.
+// at the end belongs to the operator only if the operator contains one of ~ ! @ # % ^ & | ` ?. Otherwise the + or - is
+// the next token, as in a=-1.
 func (l *Lexer) scanOperator() Token {
 	src := l.Src
 	start := l.Pos
--- a/internal/sqltext/lexer_string.go
+++ b/internal/sqltext/lexer_string.go
@@ -1,6 +1,6 @@
 package sqltext
 
-// stringSyntax says what a backslash means in a string.
+// stringSyntax determines the meaning of a backslash in a string.
 type stringSyntax uint8
 
 const (
@@ -8,9 +8,9 @@
 	escapeString                       // E'..': a backslash escapes the character after it
 )
 
-// skipString skips the rest of a string, whose opening quote is already scanned. A doubled quote or an
-// escaped one is part of the string. The string continues after its closing quote if only white space with
-// a line end separates it from another quote.
+// skipString skips the rest of a string, whose opening quote is already scanned. A doubled or an escaped quote
+// is part of the string. The string continues after its closing quote if only white space with a line end and
+// -- comments separate that quote from another one.
 func (l *Lexer) skipString(syntax stringSyntax) {
 	src := l.Src
 	i := l.Pos
@@ -46,8 +46,8 @@
 	l.Pos = len(src)
 }
 
-// stringContinuation returns the position at which a string that ended before i continues. ok is false
-// if it does not continue.
+// stringContinuation returns the position at which a string continues whose closing quote is directly before i.
+// ok is false if the string does not continue.
 func stringContinuation(src string, i int) (next int, ok bool) {
 	lineEnded := false
 	for i < len(src) {
@@ -103,8 +103,8 @@
 	return Token{Kind: DollarString, Start: start, End: l.Pos}
 }
 
-// indexTag returns the first position of the tag from i on. ok is false if there is none. A tag has
-// dollar signs only at its start and its end, so no byte is compared twice.
+// indexTag returns the position of the first occurrence of the tag at or after i. ok is false if the tag does not
+// occur. A tag has dollar signs only at its start and its end, so no byte is compared twice.
 func indexTag(src string, i int, tag string) (index int, ok bool) {
 	for i+len(tag) <= len(src) {
 		if src[i] != '$' {
--- a/internal/sqltext/normalform.go
+++ b/internal/sqltext/normalform.go
@@ -3,15 +3,15 @@
 // normalForm builds the normal form of a statement.
 type normalForm struct {
 	text      []byte
-	nameStart int // of the name that was added last, in text
+	nameStart int // position in text of the name that was added last
 
-	// A sign is part of the literal after it. signStart is its position in text, or 0 if there is none.
-	// signOffset is its position in the statement.
+	// If the last token is the sign of a literal, signStart is its position in text and signOffset its position
+	// in the statement. Otherwise signStart is 0. The sign belongs to the literal after it.
 	signStart  int
 	signOffset int
 }
 
-// spacelessKinds holds the kinds of token that no space follows in the normal form.
+// spacelessKinds holds the kinds of tokens that are not followed by a space in the normal form.
 var spacelessKinds = [Invalid + 1]bool{EndOfText: true, Dot: true, LeftParen: true, LeftBracket: true, Cast: true}
 
 // addSpace separates the next word from the previous token.
@@ -35,7 +35,7 @@
 }
 
 // addPlaceholder adds a placeholder in place of a value and its sign. It returns the position of the
-// sign in the statement; ok is false if there is none.
+// sign in the statement; ok is false if the value has no sign.
 func (n *normalForm) addPlaceholder(previous Kind) (signOffset int, ok bool) {
 	ok = n.signStart > 0
 	if ok {
@@ -50,8 +50,8 @@
 // clearSign makes the last operator an operator between values, not a sign.
 func (n *normalForm) clearSign() { n.signStart = 0 }
 
-// canRemoveSign reports whether a sign at start can be removed together with its value. It must have
-// a separator before it.
+// canRemoveSign reports whether a sign at start can be removed together with its value. A separator must precede
+// the sign.
 func (n *normalForm) canRemoveSign(start int) bool {
 	if start == 0 {
 		return false
@@ -63,8 +63,8 @@
 	return false
 }
 
-// maskDataset replaces the number in a schema's name by #. It is called at the dot that follows the
-// name, since only the dot shows that the name is that of a schema.
+// maskDataset replaces the number at the end of a schema's name by #. It is called at the dot that follows the
+// name, since only the dot shows that the name is the name of a schema.
 func (n *normalForm) maskDataset(previous Kind) {
 	if previous != Identifier && previous != QuotedIdentifier || n.nameStart >= len(n.text) {
 		return
@@ -95,7 +95,7 @@
 	return buffer
 }
 
-// appendQuoted appends a quoted name. It omits the quotes if the name means the same without them.
+// appendQuoted appends a quoted name. It omits the quotes if they do not change the meaning of the name.
 func appendQuoted(buffer []byte, name string) []byte {
 	const shortest = len(`"a"`)
 	if len(name) < shortest || name[0] != '"' || charClasses[name[1]]&charNameStart == 0 {
--- a/internal/sqltext/pass.go
+++ b/internal/sqltext/pass.go
@@ -1,7 +1,7 @@
 package sqltext
 
-// analysisPass is the state of the analysis of one statement. It adds each token to the normal
-// form, the slots and the features.
+// analysisPass is the state of the analysis of one statement. It passes each token to the normal form, the
+// slots and the features.
 type analysisPass struct {
 	lexer   Lexer
 	result  *Analysis
@@ -11,14 +11,14 @@
 	normal  normalForm
 	dataset datasetFinder
 
-	depth           int // of parentheses and brackets
+	depth           int // nesting depth of parentheses and brackets
 	previousKind    Kind
 	previousKeyword keyword
 	keywordBefore   keyword // of the token before the previous one
 	expected        expectedValue
 }
 
-// addToken adds one token.
+// addToken adds the next token.
 func (p *analysisPass) addToken(t Token) {
 	word := t.keyword()
 	class := t.class()
@@ -27,8 +27,8 @@
 		class = 0
 	}
 	if finder := &p.dataset; !finder.certain {
-		// This does the same as datasetFinder.addToken, but calls it only for the tokens that can
-		// change the result: the call is too expensive for each token.
+		// This switch has the same effect as datasetFinder.addToken, but calls it only for the tokens that can
+		// change the result: a call for each token is too expensive.
 		switch {
 		case t.Kind == Dot || t.class()&tableWord != 0:
 			finder.addToken(&p.lexer, t)
@@ -63,7 +63,7 @@
 
 // finish completes the result at the end of the text.
 func (p *analysisPass) finish() {
-	p.endLists(-1) // all, unless the parentheses are unbalanced
+	p.endLists(-1) // ends all lists, unless the parentheses are unbalanced
 	p.normal.trimSpace()
 	p.result.Fingerprint = p.fingerprint()
 	p.result.NormalForm = p.normal.text
@@ -81,11 +81,11 @@
 	return p.hasher.sumParts()
 }
 
-// maxPendingBytes is the length in bytes from which on a normal form is hashed in parts.
+// maxPendingBytes is the length of the pending normal form above which it is hashed in parts.
 const maxPendingBytes = 16 << 10
 
-// hashPending hashes the normal form so far and empties its buffer, so that a long statement
-// needs no long buffer.
+// hashPending hashes the normal form so far and empties its buffer, so that a long statement does not need a
+// long buffer.
 func (p *analysisPass) hashPending() {
 	if !p.result.Truncated {
 		p.hasher.beginParts()
--- a/internal/sqltext/pass_identifier.go
+++ b/internal/sqltext/pass_identifier.go
@@ -61,14 +61,14 @@
 	}
 }
 
-// setVerb sets the verb. A verb that writes replaces a SELECT before it.
+// setVerb sets the verb. Any other verb replaces an earlier SELECT.
 func (f *Features) setVerb(verb Verb) {
 	if f.Verb == 0 || f.Verb == VerbSelect && verb != VerbSelect {
 		f.Verb = verb
 	}
 }
 
-// maxAggregateNameLength is the length in bytes of the longest aggregate function's name, rounded up.
+// maxAggregateNameLength is the length in bytes of the longest name in isAggregate, rounded up.
 const maxAggregateNameLength = 12
 
 // addName handles a name that is not a key word.
@@ -81,12 +81,12 @@
 		p.result.Features.Aggregates++
 	}
 	if p.expected.role != RoleOther && (equalFold(text, "date") || equalFold(text, "timestamptz")) {
-		return // the type of the literal that follows
+		return // the name is the type of the literal that follows
 	}
 	p.expected.role = RoleOther
 }
 
-// isAggregateCall reports whether a name is that of an aggregate function and a parenthesis follows.
+// isAggregateCall reports whether a name is the name of an aggregate function and a parenthesis follows it.
 func (p *analysisPass) isAggregateCall(t Token, text string) bool {
 	end := p.lexer.Pos
 	if end >= len(p.lexer.Src) || len(text) > maxAggregateNameLength {
--- a/internal/sqltext/pass_lists.go
+++ b/internal/sqltext/pass_lists.go
@@ -2,16 +2,15 @@
 
 import "bytes"
 
-// foldedList is a list whose elements are folded into one in the normal form: the
-// alternatives of IN or ARRAY, or the rows of VALUES. Positions and lengths are in bytes of the
-// normal form.
+// foldedList is a list whose elements are folded into one in the normal form: the alternatives of IN or ARRAY,
+// or the rows of VALUES. Positions and lengths are in bytes of the normal form.
 type foldedList struct {
-	depth          int // of parentheses and brackets around its commas
+	depth          int // nesting depth of parentheses and brackets at the commas of the list
 	isRows         bool
-	start          int // of the first element
+	start          int // start of the first element
 	firstLength    int // length of the first element; unknownLength: it is not complete yet
-	elementStart   int // of the current element
-	count          int // of complete elements
+	elementStart   int // start of the current element
+	count          int // number of complete elements
 	slot           int // index of the slot with the number of elements, or noSlot
 	plainRowLength int // number of values in the first row if it contains nothing else, or 0
 }
@@ -42,10 +41,10 @@
 	s.count++
 }
 
-// innermost returns the innermost list. There must be one.
+// innermost returns the innermost list. At least one list must be open.
 func (s *listStack) innermost() *foldedList { return &s.entries[s.count-1] }
 
-// beginAlternatives begins a list of alternatives. Its parenthesis or bracket is already added.
+// beginAlternatives begins a list of alternatives. Its opening parenthesis or bracket must have been added already.
 func (p *analysisPass) beginAlternatives() {
 	list := newFoldedList(p.depth, len(p.normal.text))
 	if !p.slots.full() {
@@ -63,7 +62,7 @@
 	p.lists.push(list)
 }
 
-// inAlternatives reports whether a value here is an element of a list of alternatives.
+// inAlternatives reports whether a value at the current position is an element of a list of alternatives.
 func (p *analysisPass) inAlternatives() bool {
 	if p.lists.count == 0 {
 		return false
@@ -72,7 +71,7 @@
 	return !list.isRows && list.depth == p.depth
 }
 
-// trackElement ends the current element, or the list, if the token does so. A list must be open.
+// trackElement ends the current element, or the list, if t ends it. At least one list must be open.
 func (p *analysisPass) trackElement(t Token) {
 	list := p.lists.innermost()
 	switch {
@@ -95,8 +94,8 @@
 	}
 }
 
-// skipElements skips further plain values, all but the last one, in a list whose first
-// element is a plain value. Lists of thousands of values make the longest statements.
+// skipElements skips further plain values, all but the last one, in a list whose first element is a plain value.
+// The longest statements are those with lists of thousands of values.
 func (p *analysisPass) skipElements(list *foldedList) {
 	for {
 		next := p.lexer
@@ -112,12 +111,12 @@
 	}
 }
 
-// plainRowLength returns the number of values of a row that contains nothing else, such as
-// (?, ?, ?), and 0 for other rows.
+// plainRowLength returns the number of values of a row that contains nothing but plain values, such as (?, ?, ?),
+// and 0 for other rows.
 func plainRowLength(row []byte) int {
 	const (
 		valuePattern  = "?, "
-		bytesPerValue = len(valuePattern) // the parentheses count as the last separator
+		bytesPerValue = len(valuePattern) // the two parentheses make up for the missing last separator
 	)
 	if len(row) < bytesPerValue || len(row)%bytesPerValue != 0 || row[0] != '(' || row[len(row)-1] != ')' {
 		return 0
@@ -130,8 +129,7 @@
 	return len(row) / bytesPerValue
 }
 
-// skipRows skips further rows of plain values, all but the last one. The row before them has the same
-// number of plain values.
+// skipRows skips further rows that consist of as many plain values as the first row, all but the last of them.
 func (p *analysisPass) skipRows(list *foldedList) {
 	for {
 		next := p.lexer
@@ -144,8 +142,8 @@
 	}
 }
 
-// skipPlainRow skips a row of the given number of plain values. It returns false if the text continues
-// with something else.
+// skipPlainRow skips a row of the given number of plain values. It returns false if the next tokens are not such
+// a row.
 func skipPlainRow(l *Lexer, length int) bool {
 	if l.Next().Kind != LeftParen {
 		return false
@@ -164,8 +162,7 @@
 	}
 }
 
-// endElement ends the current element. If it repeats the first element, it is removed from the
-// normal form.
+// endElement ends the current element, and removes it from the normal form if it repeats the first element.
 func (p *analysisPass) endElement(list *foldedList) {
 	list.count++
 	first := p.normal.text[list.start:]
@@ -181,12 +178,12 @@
 	}
 }
 
-// sameElement compares an element, which has its separator before it, with the first one.
+// sameElement reports whether an element equals the first one, apart from the separators before them.
 func sameElement(element, first []byte) bool {
 	return bytes.Equal(trimSeparator(element), trimSeparator(first))
 }
 
-// trimSeparator removes the comma and the space before an element.
+// trimSeparator removes the comma and the spaces before an element.
 func trimSeparator(element []byte) []byte {
 	for len(element) > 0 && (element[0] == ',' || element[0] == ' ') {
 		element = element[1:]
@@ -194,7 +191,7 @@
 	return element
 }
 
-// endLists ends the lists that are deeper than the given depth.
+// endLists ends the open lists whose depth is greater than the given one.
 func (p *analysisPass) endLists(depth int) {
 	for p.lists.count > 0 && p.lists.innermost().depth > depth {
 		list := p.lists.innermost()
--- a/internal/sqltext/pass_punctuation.go
+++ b/internal/sqltext/pass_punctuation.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// addLeftParen adds a parenthesis, which may begin a list of alternatives or a subquery.
+// addLeftParen adds an opening parenthesis, which may begin a list of alternatives or a subquery.
 func (p *analysisPass) addLeftParen() {
 	if p.previousKind == Operator || p.previousKind == Comma || p.previousKeyword != keywordNone {
 		p.normal.addSpace(p.previousKind)
@@ -60,7 +60,7 @@
 	}
 }
 
-// addOperator adds an operator, and sets the role of a value after it.
+// addOperator adds an operator and sets the role of the value that follows it.
 func (p *analysisPass) addOperator(text string) {
 	p.normal.clearSign()
 	signed := text == "-" && p.expectsOperand()
@@ -86,7 +86,7 @@
 	}
 }
 
-// expectsOperand reports whether an operand follows, so that a minus is a sign.
+// expectsOperand reports whether the next token must be an operand, so that a minus is a sign.
 func (p *analysisPass) expectsOperand() bool {
 	switch p.previousKind {
 	case Operator, LeftParen, Comma, LeftBracket:
--- a/internal/sqltext/pass_value.go
+++ b/internal/sqltext/pass_value.go
@@ -1,9 +1,9 @@
 package sqltext
 
-// maxSlots is the number of slots of one statement. Further values are only counted.
+// maxSlots is the maximum number of slots of a statement. Further values are only counted.
 const maxSlots = 24
 
-// slotBuffer is the list of the slots of one statement. Its array is reused for the next statement.
+// slotBuffer holds the slots of a statement. Its array is reused for the next statement.
 type slotBuffer struct {
 	entries [maxSlots]Slot
 	count   int
@@ -19,10 +19,10 @@
 	return index
 }
 
-// used returns the slots that were added. They are valid until the next statement.
+// used returns the slots that have been added. They are valid until the next statement.
 func (b *slotBuffer) used() []Slot { return b.entries[:b.count] }
 
-// expectedValue is what the tokens so far say about the next value.
+// expectedValue is what can be inferred about the next value from the tokens so far.
 type expectedValue struct {
 	role           Role
 	comparedColumn uint32 // hash of the column that the value is compared with
@@ -32,13 +32,13 @@
 	parameter      int    // number of the last parameter if only casts followed it, else 0
 }
 
-// compare expects a value of the given role, which is compared with the last name.
+// compare sets the role of the next value, which is compared with the last name.
 func (e *expectedValue) compare(role Role) {
 	e.role = role
 	e.comparedColumn = e.column
 }
 
-// endComparison forgets the last name and the expected role.
+// endComparison clears the last name and the expected role.
 func (e *expectedValue) endComparison() {
 	e.role = RoleOther
 	e.column = 0
@@ -74,7 +74,7 @@
 	case keywordIs:
 		p.markNullGuard()
 	default:
-		if class&typeWord == 0 { // types such as timestamp leave the comparison as it is
+		if class&typeWord == 0 { // a type such as timestamp does not end the comparison
 			p.expected.role = RoleOther
 		}
 	}
@@ -85,8 +85,8 @@
 	p.result.Features.Limited = true
 }
 
-// markNullGuard handles IS. A parameter before it is tested for null; a literal NULL before it makes the
-// condition true for all rows.
+// markNullGuard handles IS, which is taken for the start of IS NULL: the statement tests a parameter before IS
+// for null. A literal NULL before IS makes the condition true for all rows.
 func (p *analysisPass) markNullGuard() {
 	used := p.slots.used()
 	for i := range used {
@@ -119,7 +119,7 @@
 		p.expected.parameter = parameterNumber(p.lexer.Src[t.Start+1 : t.End])
 	}
 	role = p.countRestriction(role)
-	// A value without a role has a slot only if it may disable the restriction on another one.
+	// A value without a role gets a slot only if it may disable the restriction on another value.
 	mayBeNullGuard := t.Kind == Parameter && p.result.Features.Verb != VerbInsert
 	if role == RoleOther && !mayBeNullGuard || p.slots.full() {
 		return
@@ -138,8 +138,8 @@
 	p.expected.role = RoleOther
 }
 
-// countRestriction counts a value that narrows the result. It returns RoleOther for a
-// value that is compared with no column, as in 1 = 1.
+// countRestriction counts a value that narrows the result and returns the role of the value. It returns RoleOther
+// for a value that is compared, but not with a column, as in 1 = 1.
 func (p *analysisPass) countRestriction(role Role) Role {
 	switch role {
 	case RoleInterval:
@@ -154,8 +154,8 @@
 	return role
 }
 
-// parameterNumber parses the number of a parameter. All numbers above those that the protocol
-// allows give the same result.
+// parameterNumber parses the number of a parameter. All numbers above the largest one that the protocol allows
+// give the same result.
 func parameterNumber(digits string) (number int) {
 	const limit = 1 << 16
 	for i := range len(digits) {
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -7,29 +7,29 @@
 const (
 	NoPattern       Wildcard = iota // the statement has no pattern
 	NoWildcard                      // the pattern has no wildcard
-	InnerWildcard                   // after other characters, so that an index can serve the pattern
+	InnerWildcard                   // after other characters, so that an index can be used
 	LeadingWildcard                 // at the start
 )
 
-// Profile holds what the values of one execution indicate of the size of its result.
+// Profile holds the properties of the values of one execution that indicate the size of its result.
 type Profile struct {
 	Alternatives         int     // length of the longest list; 0: no list
 	Span                 float64 // width of the widest closed range, for dates in days; 0: none
 	HalfOpen             bool    // a range has only one bound
 	Wildcard             Wildcard
 	RowLimit             float64 // number of rows; 0: none
-	DisabledRestrictions int     // restrictions that a null switches off
+	DisabledRestrictions int     // restrictions that a null value disables
 	Unrestricted         bool    // nothing restricts the result
 	Rows                 int     // rows to write
-	Column               uint32  // hash of the column of the longest list or, without any, the widest range
+	Column               uint32  // hash of the column of the longest list or, if there is no list, of the widest range
 	Key                  uint64  // hash of the first value compared for equality; 0: none
 }
 
-// maxSpan limits the width of a range. It also replaces a width that is a NaN.
+// maxSpan is the maximum width of a range. A width that is a NaN is also replaced by maxSpan.
 const maxSpan = 1e12
 
-// Profile evaluates the values of one execution, both literals and bound values. seed is
-// the seed of the hash of the key.
+// Profile evaluates the values of one execution, both literals and bound values. seed is the seed of the hash
+// in Profile.Key.
 func (a *Analysis) Profile(stmt string, binds *Binds, seed uint64) Profile {
 	builder := profileBuilder{
 		profile:      Profile{Rows: int(a.Features.Rows)},
@@ -55,7 +55,7 @@
 	return *profile
 }
 
-// hasNullGuard reports whether a null in the parameter switches its restriction off.
+// hasNullGuard reports whether a null value of the parameter disables its restrictions.
 func (a *Analysis) hasNullGuard(parameter int32) bool {
 	for i := range a.Slots {
 		if a.Slots[i].Parameter == parameter && a.Slots[i].NullGuard {
@@ -65,10 +65,10 @@
 	return false
 }
 
-// profileBuilder collects a Profile slot by slot.
+// profileBuilder builds a Profile slot by slot.
 type profileBuilder struct {
 	profile      Profile
-	restrictions int // that are in effect
+	restrictions int // number of restrictions in effect
 	seed         uint64
 
 	lower boundList
@@ -123,7 +123,7 @@
 		if rows, ok := value.number(); ok && rows > 0 {
 			profile.RowLimit = rows
 		}
-	case RoleOther: // it does not indicate the size of the result
+	case RoleOther: // the value does not indicate the size of the result
 	}
 }
 
@@ -139,7 +139,7 @@
 	}
 }
 
-// matchBounds combines the bounds of each column into ranges.
+// matchBounds combines the lower and upper bounds of each column into ranges.
 func (b *profileBuilder) matchBounds() {
 	profile := &b.profile
 	for _, lower := range b.lower.all() {
--- a/internal/sqltext/readonly.go
+++ b/internal/sqltext/readonly.go
@@ -61,8 +61,8 @@
 	return functions
 }()
 
-// readOnlyOperators are the operators of pg_catalog, all of which are read-only. Others may
-// call any function.
+// readOnlyOperators are the operators of pg_catalog. All of them are read-only. Operators of other schemas may call
+// any function.
 var readOnlyOperators = func() map[string]bool {
 	operators := map[string]bool{}
 	for operator := range strings.FieldsSeq(
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -2,8 +2,9 @@
 
 import "strings"
 
-// LeadingComment returns the text of the comment at the beginning of a statement, without its marks.
-// Only white space may precede it. ok is false if the statement begins with no complete comment.
+// LeadingComment returns the text of the comment at the beginning of a statement, without the comment's
+// delimiters. Only white space may precede the comment. ok is false if the statement does not begin with a
+// complete comment.
 func LeadingComment(stmt string) (text string, ok bool) {
 	stmt = strings.TrimLeft(stmt, " \t\r\n\f\v")
 	switch {
@@ -20,12 +21,12 @@
 	return "", false
 }
 
-// noWord replaces the first word of a statement that begins with another token.
+// noWord is returned in place of the first word of a statement that does not begin with an unquoted word.
 const noWord = "("
 
 // statementTracker finds the first word of a text, and whether the text contains more than one statement.
 type statementTracker struct {
-	firstWord string // as written; noWord: the text begins with another token; "": no token so far
+	firstWord string // as written; noWord: the text begins with another kind of token; "": no token so far
 	ended     bool   // the first statement has ended
 	multiple  bool
 }
@@ -46,8 +47,8 @@
 }
 
 // FirstWord returns the first word of a statement in upper case, and whether the text contains more
-// than one statement. Comments before the word are skipped. If the statement begins with another token,
-// the word is "(".
+// than one statement. Comments before the word are skipped. If the statement does not begin with an unquoted
+// word, "(" is returned as the word. The word is empty if the text contains no statement.
 func FirstWord(stmt string) (word string, multiple bool) {
 	l := Lexer{Src: stmt}
 	var statements statementTracker
@@ -64,8 +65,8 @@
 	return l.Src[l.Pos:]
 }
 
-// HasTokenPrefix reports whether a statement begins with the tokens of a non-empty prefix. White
-// space, comments, and the case of key words and unquoted names make no difference.
+// HasTokenPrefix reports whether a statement begins with the tokens of prefix. It ignores white space,
+// comments, and the case of key words and unquoted names. It returns false if prefix contains no token.
 func HasTokenPrefix(stmt, prefix string) bool {
 	statementLexer := Lexer{Src: stmt}
 	prefixLexer := Lexer{Src: prefix}
@@ -81,7 +82,7 @@
 	}
 }
 
-// sameText compares the texts of two tokens of one kind.
+// sameText reports whether the texts of two tokens of the same kind are equivalent.
 func sameText(kind Kind, a, b string) bool {
 	return a == b || kind == Identifier && strings.EqualFold(a, b)
 }
--- a/internal/sqltext/token.go
+++ b/internal/sqltext/token.go
@@ -8,7 +8,7 @@
 	EndOfText        Kind = iota // the end of the text
 	Identifier                   // a key word or an unquoted name
 	QuotedIdentifier             // a name in double quotes
-	String                       // '..', E'..', U&'..', N'..', with its continuations
+	String                       // '..', E'..', U&'..', N'..', including its continuations
 	BitString                    // B'..', X'..'
 	DollarString                 // $tag$..$tag$
 	Number                       // 1, 1_000, 0x1F, 1.5e-3
@@ -26,8 +26,8 @@
 	Invalid                      // a character that no rule accepts, or a lone $
 )
 
-// Token is one token: its kind and its position, as byte offsets. The compiler keeps a struct of up to
-// four fields in registers. With more fields, copying tokens took half of the time of an analysis.
+// Token is a token with its position as byte offsets. The compiler keeps a struct of up to four fields in
+// registers. With more fields, copying tokens took half of the time of an analysis.
 type Token struct {
 	Start, End int
 	Kind       Kind
@@ -35,7 +35,7 @@
 }
 
 // identifierInfo packs the properties of an Identifier: its case-insensitive hash (bits 0 to 31), its
-// class and its number as a key word (bits 32 to 47 and 48 to 55), and whether it has upper-case
+// class and its number as a key word (bits 32 to 47 and 48 to 55), and whether it contains upper-case
 // letters (bit 56).
 type identifierInfo uint64
 
@@ -57,15 +57,15 @@
 
 // Flaws, as bits.
 const (
-	// Unterminated means that a string, a quoted name or a comment is open at the end.
+	// Unterminated means that a string, a quoted name or a comment is not closed before the end of the text.
 	Unterminated Flaw = 1 << iota
 	// BackslashQuote means that a backslash precedes a quote in an ordinary string. If
-	// standard_conforming_strings is off, the string does not end there.
+	// standard_conforming_strings is off, the string does not end at that quote.
 	BackslashQuote
 	// UnicodeEscape means that a name or string has the prefix U&, so that escapes may hide its
 	// characters.
 	UnicodeEscape
-	// InvalidCharacter means that no lexical rule accepts a character, such as NUL.
+	// InvalidCharacter means that the text contains a character that no lexical rule accepts, such as NUL.
 	InvalidCharacter
 	// NonASCII means that the text contains bytes above 0x7f. The positions of tokens are unreliable
 	// only if the text is also not valid UTF-8.
--- a/internal/sqltext/value_binary.go
+++ b/internal/sqltext/value_binary.go
@@ -35,7 +35,7 @@
 		if typeOID == oidFloat4 {
 			return finite(float64(math.Float32frombits(bits)))
 		}
-		return float64(int32(bits)), true // a date is in days already
+		return float64(int32(bits)), true // a date is already in days
 	case size64:
 		bits := binary.BigEndian.Uint64(value)
 		switch typeOID {
@@ -52,15 +52,15 @@
 // finite returns a number and whether it is finite.
 func finite(x float64) (number float64, ok bool) { return x, !math.IsNaN(x) && !math.IsInf(x, 0) }
 
-// The header of an array in binary form: the number of dimensions, a flag and the type of
-// the elements, of four bytes each, and eight bytes for each dimension.
+// The header of an array in binary form consists of the number of dimensions, a flag and the type of the
+// elements, of four bytes each, and of eight bytes for each dimension.
 const (
 	arrayHeaderBytes    = 12
 	arrayDimensionBytes = 8
 	maxArrayDimensions  = 6 // MAXDIM of PostgreSQL
 )
 
-// binaryArrayLength returns the number of elements of an array in binary form, or 0 if it is malformed.
+// binaryArrayLength returns the number of elements of an array in binary form, or 0 if the array is malformed.
 func binaryArrayLength(array []byte) int {
 	if len(array) < arrayHeaderBytes {
 		return 0
--- a/internal/sqltext/value_hash.go
+++ b/internal/sqltext/value_hash.go
@@ -11,11 +11,11 @@
 // maxHashedBytes limits the part of a value that is hashed.
 const maxHashedBytes = 64
 
-// hashKey hashes a value that is compared for equality. The hash does not depend on
-// whether the value is a literal or bound, in text or in binary form. It is never 0.
+// hashKey hashes a value that is compared for equality. The hash is the same for a literal and for a bound value,
+// in text and in binary form. It is never 0.
 func hashKey(value *slotValue, seed uint64) uint64 {
 	const (
-		maxIntDigits = 24 // above the digits of any int64 with its sign
+		maxIntDigits = 24 // more than any int64 needs, including its sign
 		upper32Shift = 32
 	)
 	hash := seed ^ fnvOffset
@@ -41,7 +41,7 @@
 	return typeOID == oidInt2 || typeOID == oidInt4 || typeOID == oidInt8
 }
 
-// fnv continues an FNV-1a hash with some bytes.
+// fnv returns an FNV-1a hash after adding data to it.
 func fnv[T string | []byte](hash uint64, data T) uint64 {
 	for i := range len(data) {
 		hash = (hash ^ uint64(data[i])) * fnvPrime
--- a/internal/sqltext/value_text.go
+++ b/internal/sqltext/value_text.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// unquote removes the delimiters of a string. Doubled quotes within it stay.
+// unquote removes the delimiters of a string. It leaves doubled quotes within the string as they are.
 func unquote(s string) string {
 	const maxPrefixLength = len("U&")
 	if i := strings.IndexByte(s, '\''); i >= 0 && i <= maxPrefixLength {
@@ -24,9 +24,8 @@
 	return s
 }
 
-// firstWildcard returns the position of the first wildcard of a pattern. A regular
-// expression has a leading wildcard if its first special character is at its start or
-// directly after the anchor ^.
+// firstWildcard returns the position of the first wildcard of a pattern. The wildcard of a regular expression is
+// leading if the first special character is at the start or directly after the anchor ^.
 func firstWildcard(pattern string) Wildcard {
 	for i := range len(pattern) {
 		switch pattern[i] {
@@ -65,12 +64,12 @@
 	return length
 }
 
-// maxCountedArrayBytes is the part of a bound array in text form whose elements are counted. The
-// length of a longer array is extrapolated.
+// maxCountedArrayBytes limits the part of a bound array in text form whose elements are counted. The length of a
+// longer array is extrapolated.
 const maxCountedArrayBytes = 1 << 16
 
-// boundTextArrayLength returns the number of elements of a bound array in text form, which is an estimate for
-// a long array, or 0 if it is malformed.
+// boundTextArrayLength returns the number of elements of a bound array in text form, or 0 if the array is malformed.
+// The number is an estimate for an array that is longer than maxCountedArrayBytes.
 func boundTextArrayLength(array []byte) int {
 	counted := array[:min(len(array), maxCountedArrayBytes)]
 	return textArrayLength(string(counted)) * max(1, len(array)/maxCountedArrayBytes)
@@ -79,7 +78,7 @@
 // floatBits is the size of a number in bits, for strconv.ParseFloat.
 const floatBits = 64
 
-// parseNumber parses a literal or a value in text form as a number, or a date as days.
+// parseNumber parses a literal or a value in text form as a number. It returns a date as days since 2000-01-01.
 func parseNumber(text string) (number float64, ok bool) {
 	text = unquote(text)
 	if days, ok := parseDate(text); ok {
@@ -95,7 +94,7 @@
 	return finite(number)
 }
 
-// parseDate parses the date that a text begins with, as days since 2000-01-01.
+// parseDate parses the date at the start of a text and returns it as days since 2000-01-01.
 func parseDate(s string) (days float64, ok bool) {
 	const (
 		yearEnd     = len("2000")
@@ -116,7 +115,7 @@
 	return float64(daysFromCivil(year, month, day)), true
 }
 
-// parseDigits parses a text that consists of digits.
+// parseDigits parses a text that must consist of digits only.
 func parseDigits(s string) (n int, ok bool) {
 	for _, c := range []byte(s) {
 		if c < '0' || c > '9' {
@@ -142,8 +141,8 @@
 	return 365*year + leapDays + daysBeforeMonth + day - 1 - epoch
 }
 
-// parseInterval parses an interval such as '3 months' or '1 year 2 days', as days. ok is
-// false if it does not begin with a number.
+// parseInterval parses an interval such as '3 months' or '1 year 2 days' and returns its length in days. ok is
+// false if the text does not begin with a number.
 func parseInterval(text string) (days float64, ok bool) {
 	const maxFields = 4
 	for n := 0; n < maxFields && text != ""; n++ {
@@ -162,7 +161,7 @@
 	return days, ok
 }
 
-// prefixLength returns the length of the longest prefix whose characters all have a property.
+// prefixLength returns the length of the longest prefix of text whose characters all match.
 func prefixLength(text string, matches func(byte) bool) int {
 	length := 0
 	for length < len(text) && matches(text[length]) {
@@ -174,8 +173,8 @@
 func isNumberChar(c byte) bool { return isDigit(c) || c == '.' || c == '-' || c == '+' }
 func isUnitChar(c byte) bool   { return charClasses[c]&charNameStart != 0 }
 
-// unitDays returns the absolute length in days of an interval of one unit, which may be
-// abbreviated. Without a unit, the quantity is in seconds.
+// unitDays returns the absolute length in days of a quantity of one unit. The name of the unit may be abbreviated.
+// If there is no unit, the quantity is in seconds.
 func unitDays(quantity float64, unit string) float64 {
 	const (
 		daysPerYear   = 365.25
