--- a/internal/sqltext/analyzer_test.go
+++ b/internal/sqltext/analyzer_test.go
@@ -48,14 +48,14 @@
 	}
 }
 
-// bigEndian encodes the lower bytes of a number in big-endian order.
+// bigEndian encodes the lowest size bytes of a number in big-endian order.
 func bigEndian(n uint64, size int) []byte {
 	encoded := make([]byte, 8)
 	binary.BigEndian.PutUint64(encoded, n)
 	return encoded[8-size:]
 }
 
-// binaryArray returns a one-dimensional array of text in binary form.
+// binaryArray returns a one-dimensional array of n texts in binary form.
 func binaryArray(n int) []byte {
 	const oidText = 25
 	array := slices.Concat(
@@ -66,8 +66,7 @@
 	return array
 }
 
-// The values of an execution show when a statement with the shape of a lookup is a broad
-// report.
+// The values of an execution distinguish a broad report from a lookup of the same statement shape.
 func TestProfile_DistinguishesReportFromLookupOfSameShape(t *testing.T) {
 	text := func(values ...string) (binds Binds) {
 		for _, value := range values {
@@ -157,8 +156,7 @@
 	}
 }
 
-// The fingerprint of a long statement also covers those parts of its normal form that are not in the
-// result.
+// The fingerprint of a long statement also covers the parts of its normal form that the result does not contain.
 func TestFingerprint_CoversTruncatedNormalForm(t *testing.T) {
 	a := NewAnalyzer()
 	long := strings.Repeat("a_column_of_note, ", 5000) + "b FROM t"
@@ -170,15 +168,15 @@
 		t.Fatalf("truncated %v and %v, and the returned parts are equal: %v", first.Truncated, other.Truncated, equal)
 	}
 	if first.Fingerprint == other.Fingerprint {
-		t.Error("two statements that differ in a part that is not returned have one fingerprint")
+		t.Error("two statements that differ only in a part that is not returned have the same fingerprint")
 	}
 	if again := a.Analyze("select X, " + long); again.Fingerprint != first.Fingerprint {
-		t.Error("a statement of the same normal form has another fingerprint")
+		t.Error("a statement with the same normal form has a different fingerprint")
 	}
 }
 
-// The analysis ends on any text, and agrees with the functions for its parts. Its slots lie
-// within the text, and the normal form is not longer than about twice the text.
+// The analysis terminates for any text, and agrees with EffectOf, FirstWord and DatasetOf. Its slots lie within the
+// text, and the normal form is not longer than about twice the text.
 func FuzzAnalyzer(f *testing.F) {
 	f.Add("SELECT a FROM t WHERE b IN (1, -2) AND c LIKE '%x' LIMIT 5", []byte{0, 1, 2, 3})
 	f.Add("INSERT INTO s_1.t VALUES (1, ARRAY[2,3]), ((4)) ; VALUES IN (VALUES", []byte{})
@@ -199,11 +197,11 @@
 				stmt, analysis.Dataset, analysis.HasDataset, dataset, hasDataset)
 		}
 		if len(analysis.NormalForm) > 2*len(stmt)+16 {
-			t.Fatalf("%d bytes of normal form for %d", len(analysis.NormalForm), len(stmt))
+			t.Fatalf("normal form of %d bytes for a statement of %d bytes", len(analysis.NormalForm), len(stmt))
 		}
 		for _, slot := range analysis.Slots {
 			if slot.From < 0 || slot.To < slot.From || int(slot.To) > len(stmt) || slot.Count < 0 {
-				t.Fatalf("slot %+v of %d bytes", slot, len(stmt))
+				t.Fatalf("invalid slot %+v of a statement of %d bytes", slot, len(stmt))
 			}
 		}
 		for _, formats := range [][]byte{nil, {0, 1}} {
@@ -212,7 +210,7 @@
 			_ = profile.Bucket()
 			minCount := min(profile.Alternatives, profile.DisabledRestrictions)
 			if minCount < 0 || profile.Span < 0 || profile.RowLimit < 0 {
-				t.Fatalf("profile %+v", profile)
+				t.Fatalf("profile with a negative value: %+v", profile)
 			}
 		}
 	})
@@ -225,7 +223,7 @@
 // usualLookup is the statement that makes up most of the traffic.
 const usualLookup = "SELECT part, n FROM stock_17.stock WHERE part = 'p-00017'"
 
-// benchmarkAnalyze measures the analysis of a statement and the profile of one execution.
+// benchmarkAnalyze measures the analysis of a statement together with the profile of one execution.
 func benchmarkAnalyze(b *testing.B, stmt string, binds *Binds) {
 	b.Helper()
 	analyzer := NewAnalyzer()
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -121,14 +121,14 @@
 		end := 0
 		for tok := l.Next(); tok.Kind != EndOfText; tok = l.Next() {
 			if tok.Start < end || tok.End <= tok.Start || tok.End > len(stmt) || l.Pos != tok.End {
-				t.Fatalf("token %+v after %d, lexer at %d of %d", tok, end, l.Pos, len(stmt))
+				t.Fatalf("token %+v after position %d; the lexer is at %d of %d bytes", tok, end, l.Pos, len(stmt))
 			}
 			end = tok.End
 		}
 		DatasetOf(stmt)
 		FirstWord(stmt)
 		if text, ok := LeadingComment(stmt); ok && !strings.Contains(stmt, text) {
-			t.Fatalf("the leading comment %q is no part of %q", text, stmt)
+			t.Fatalf("the leading comment %q is not part of %q", text, stmt)
 		}
 		SkipComments(stmt)
 		HasTokenPrefix(stmt, stmt)
@@ -141,8 +141,8 @@
 	})
 }
 
-// A write is detected for all comments, spaces and letter cases between and in its words, and within
-// all read-only statements.
+// A write is detected whatever the comments and white space between its words and the case of its letters, also
+// within a statement that is otherwise read-only.
 func TestEffectOf_DetectsDisguisedWrites(t *testing.T) {
 	writes := []string{
 		"DELETE FROM t", "UPDATE t SET a = 1", "INSERT INTO t VALUES ( 1 )", "SELECT a INTO x FROM t",
--- a/internal/sqltext/golden_test.go
+++ b/internal/sqltext/golden_test.go
@@ -49,7 +49,7 @@
 	"(VALUES (1), (2)) UNION TABLE staging_4.t JOIN my_5 . u USING (a) CROSS JOIN LATERAL g(1) WITH ORDINALITY",
 }
 
-// goldenFragments are the pieces of the composed statements.
+// goldenFragments are the fragments that composeStatement chooses from.
 var goldenFragments = []string{
 	"SELECT", "INSERT INTO", "UPDATE", "DELETE", "MERGE", "EXPLAIN", "ANALYZE", "VERBOSE", "WITH", "RECURSIVE", "AS",
 	"FROM", "JOIN", "ON", "USING", "WHERE", "AND", "OR", "NOT", "IN", "ANY", "SOME", "ARRAY", "BETWEEN", "SYMMETRIC",
@@ -63,7 +63,7 @@
 	"count", "Sum", "lower", "evil", "pg_catalog", "caf\xc3\xa9", "\xff", "--c\r", "/* c */", "/*",
 }
 
-// composeStatement returns a statement of random fragments and separators.
+// composeStatement returns a statement that consists of random fragments and separators.
 func composeStatement(rng *rand.Rand) string {
 	separators := []string{" ", " ", " ", " ", "", "\n", "/**/"}
 	var stmt strings.Builder
@@ -82,8 +82,8 @@
 	return []*Binds{{}, {Values: values}, {Values: binary, Formats: []byte{0, 1}, TypeOIDs: typeOIDs}}
 }
 
-// describeStatement formats all that the package returns for a statement, except the fingerprint,
-// whose seeds differ in each process.
+// describeStatement formats everything that the package returns for a statement, except the fingerprint, whose seeds
+// differ between processes.
 func describeStatement(stmt string) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "statement %q\n", stmt)
@@ -123,8 +123,8 @@
 	return out.String()
 }
 
-// The results for listed statements are compared in full. The results for composed statements are
-// compared by a hash of each block.
+// The results for the statements in goldenStatements are compared in full. The results for composed statements are
+// compared by one hash for each block of statements.
 func TestResults_MatchGolden(t *testing.T) {
 	var out strings.Builder
 	for _, stmt := range goldenStatements {
--- a/internal/sqltext/statement_test.go
+++ b/internal/sqltext/statement_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Only the schema of a table names the data set. Strings, comments and aliases do not.
+// The data set is taken only from the schema of a table, not from strings, comments or aliases.
 func TestDatasetOf_FindsSchemaOfTable(t *testing.T) {
 	for stmt, want := range map[string]int64{
 		"SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day": 17,
