--- a/internal/sqltext/pass_identifier.go
+++ b/internal/sqltext/pass_identifier.go
@@ -10,7 +10,7 @@
 		p.expected.parameter = 0
 	}
 	if word == keywordNone && class == 0 {
-		p.addName(t, text)
+		p.addPlainName(t, text)
 		return
 	}
 	p.result.Features.countKeyword(word, p.previousKeyword)
@@ -71,8 +71,8 @@
 // maxAggregateNameLength is the length in bytes of the longest name in isAggregate, rounded up.
 const maxAggregateNameLength = 12
 
-// addName handles a name that is not a key word.
-func (p *analysisPass) addName(t Token, text string) {
+// addPlainName handles a name that is not a key word.
+func (p *analysisPass) addPlainName(t Token, text string) {
 	p.expected.column = t.hash()
 	if t.Kind == QuotedIdentifier {
 		p.expected.column = hashQuotedName(text)
