--- a/internal/sqltext/pass.go
+++ b/internal/sqltext/pass.go
@@ -1,7 +1,7 @@
 package sqltext
 
-// analysisPass is the state of the analysis of one statement. It adds each token to the normal
-// form, the slots and the features.
+// analysisPass is the state of the analysis of one statement. It passes each token to the normal form, the
+// slots and the features.
 type analysisPass struct {
 	lexer   Lexer
 	result  *Analysis
@@ -11,15 +11,15 @@
 	normal  normalForm
 	dataset datasetFinder
 
-	depth           int // of parentheses and brackets
+	depth           int // nesting depth of parentheses and brackets
 	previousKind    Kind
 	previousKeyword keyword
 	keywordBefore   keyword // of the token before the previous one
 	expected        expectedValue
 }
 
-// token adds one token.
-func (p *analysisPass) token(t Token) {
+// addToken adds the next token.
+func (p *analysisPass) addToken(t Token) {
 	word := t.keyword()
 	class := t.class()
 	if p.previousKind == Dot { // part of a qualified name
@@ -27,11 +27,11 @@
 		class = 0
 	}
 	if finder := &p.dataset; !finder.certain {
-		// This does the same as datasetFinder.token, but calls it only for the tokens that can
-		// change the result: the call is too expensive for each token.
+		// This switch has the same effect as datasetFinder.addToken, but calls it only for the tokens that can
+		// change the result: a call for each token is too expensive.
 		switch {
 		case t.Kind == Dot || t.class()&tableWord != 0:
-			finder.token(&p.lexer, t)
+			finder.addToken(&p.lexer, t)
 		case t.Kind <= QuotedIdentifier:
 			finder.previousName = t
 			finder.previousKind = t.Kind
@@ -47,14 +47,14 @@
 	}
 	switch t.Kind {
 	case Identifier, QuotedIdentifier:
-		p.identifier(t, word, class)
+		p.addIdentifier(t, word, class)
 	case String, BitString, DollarString, Number, Parameter:
-		p.value(t)
+		p.addValue(t)
 	default:
-		p.punctuation(t)
+		p.addPunctuation(t)
 	}
 	if t.Kind != Operator {
-		p.normal.forgetSign()
+		p.normal.clearSign()
 	}
 	p.keywordBefore = p.previousKeyword
 	p.previousKeyword = word
@@ -63,7 +63,7 @@
 
 // finish completes the result at the end of the text.
 func (p *analysisPass) finish() {
-	p.endLists(-1) // all, unless the parentheses are unbalanced
+	p.endLists(-1) // ends all lists, unless the parentheses are unbalanced
 	p.normal.trimSpace()
 	p.result.Fingerprint = p.fingerprint()
 	p.result.NormalForm = p.normal.text
@@ -81,11 +81,11 @@
 	return p.hasher.sumParts()
 }
 
-// maxPendingNormalForm is the length in bytes from which on a normal form is hashed in parts.
-const maxPendingNormalForm = 16 << 10
+// maxPendingBytes is the length of the pending normal form above which it is hashed in parts.
+const maxPendingBytes = 16 << 10
 
-// hashPending hashes the normal form so far and empties its buffer, so that a long statement
-// needs no long buffer.
+// hashPending hashes the normal form so far and empties its buffer, so that a long statement does not need a
+// long buffer.
 func (p *analysisPass) hashPending() {
 	if !p.result.Truncated {
 		p.hasher.beginParts()
--- a/internal/sqltext/pass_identifier.go
+++ b/internal/sqltext/pass_identifier.go
@@ -1,7 +1,7 @@
 package sqltext
 
-// identifier adds a key word or a name.
-func (p *analysisPass) identifier(t Token, word keyword, class keywordClass) {
+// addIdentifier adds a key word or a name.
+func (p *analysisPass) addIdentifier(t Token, word keyword, class keywordClass) {
 	p.normal.addSpace(p.previousKind)
 	text := p.lexer.Src[t.Start:t.End]
 	p.normal.addName(t, text)
@@ -10,7 +10,7 @@
 		p.expected.parameter = 0
 	}
 	if word == keywordNone && class == 0 {
-		p.name(t, text)
+		p.addPlainName(t, text)
 		return
 	}
 	p.result.Features.countKeyword(word, p.previousKeyword)
@@ -61,18 +61,18 @@
 	}
 }
 
-// setVerb sets the verb. A verb that writes replaces a SELECT before it.
+// setVerb sets the verb. Any other verb replaces an earlier SELECT.
 func (f *Features) setVerb(verb Verb) {
 	if f.Verb == 0 || f.Verb == VerbSelect && verb != VerbSelect {
 		f.Verb = verb
 	}
 }
 
-// maxAggregateName is the length in bytes of the longest aggregate function's name, rounded up.
-const maxAggregateName = 12
+// maxAggregateNameLength is the length in bytes of the longest name in isAggregate, rounded up.
+const maxAggregateNameLength = 12
 
-// name handles a name that is not a key word.
-func (p *analysisPass) name(t Token, text string) {
+// addPlainName handles a name that is not a key word.
+func (p *analysisPass) addPlainName(t Token, text string) {
 	p.expected.column = t.hash()
 	if t.Kind == QuotedIdentifier {
 		p.expected.column = hashQuotedName(text)
@@ -81,15 +81,15 @@
 		p.result.Features.Aggregates++
 	}
 	if p.expected.role != RoleOther && (equalFold(text, "date") || equalFold(text, "timestamptz")) {
-		return // the type of the literal that follows
+		return // the name is the type of the literal that follows
 	}
 	p.expected.role = RoleOther
 }
 
-// isAggregateCall reports whether a name is that of an aggregate function and a parenthesis follows.
+// isAggregateCall reports whether a name is the name of an aggregate function and a parenthesis follows it.
 func (p *analysisPass) isAggregateCall(t Token, text string) bool {
 	end := p.lexer.Pos
-	if end >= len(p.lexer.Src) || len(text) > maxAggregateName {
+	if end >= len(p.lexer.Src) || len(text) > maxAggregateNameLength {
 		return false
 	}
 	switch p.lexer.Src[end] { // the next character excludes most names without a look-up
