--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -46,7 +46,7 @@
 	}
 	for _, r := range h.requests {
 		attempts := byRequest[r.id]
-		sortByBegin(attempts)
+		sortByStart(attempts)
 		c.checkRequest(r, attempts)
 	}
 	c.checkDrainedEngines()
@@ -54,7 +54,7 @@
 	return c.violations
 }
 
-func sortByBegin(attempts []*attempt) {
+func sortByStart(attempts []*attempt) {
 	slices.SortFunc(attempts, func(a, b *attempt) int { return a.beganAt.Compare(b.beganAt) })
 }
 
@@ -76,7 +76,7 @@
 		if a.response != responseRejected {
 			runs++
 		}
-		c.checkBegin(req, a)
+		c.checkAttempt(req, a)
 		if i > 0 {
 			c.checkOverlap(req, attempts[i-1], a)
 		}
@@ -86,8 +86,8 @@
 	}
 }
 
-// checkBegin checks the begin of an attempt and the remaining time that its engine was given.
-func (c *checker) checkBegin(r *request, a *attempt) {
+// checkAttempt checks the begin of an attempt and the remaining time that its engine was given.
+func (c *checker) checkAttempt(r *request, a *attempt) {
 	if a.delayed {
 		return
 	}
@@ -95,8 +95,8 @@
 	if remaining := r.deadline().Sub(a.beganAt); a.remainingTime > remaining+remainingTimeSlack+waited {
 		c.report(RuleRemainingTime, r.id, "%v given, %v left", a.remainingTime, remaining)
 	}
-	latestBegin := r.endedAt.Add(disconnectGrace + tolerance + c.processorWait(r.endedAt, a.beganAt))
-	if r.outcome == outcomeDisconnected && a.beganAt.After(latestBegin) {
+	latestStart := r.endedAt.Add(disconnectGrace + tolerance + c.processorWait(r.endedAt, a.beganAt))
+	if r.outcome == outcomeDisconnected && a.beganAt.After(latestStart) {
 		since := a.beganAt.Sub(r.endedAt)
 		c.report(RuleSendAfterDisconnect, r.id, "an attempt began %v after the client had disconnected", since)
 	}
@@ -124,7 +124,7 @@
 // processorWait returns how long processes of the run waited for a processor between two times. On a busy machine the
 // times that clients and engines record are late by that much at most, which says nothing of the program.
 func (c *checker) processorWait(from, until time.Time) (sum time.Duration) {
-	for _, w := range c.history.waits {
+	for _, w := range c.history.processorWaits {
 		if w.from.Before(until) && w.until.After(from) {
 			sum += w.duration
 		}
@@ -140,8 +140,8 @@
 		if !a.endedAt.IsZero() {
 			end = a.endedAt.Sub(since).Round(time.Millisecond).String()
 		}
-		begin := a.beganAt.Sub(since).Round(time.Millisecond)
-		fmt.Fprintf(&text, "[%s %v to %s %s]", a.engine, begin, end, a.response)
+		start := a.beganAt.Sub(since).Round(time.Millisecond)
+		fmt.Fprintf(&text, "[%s %v to %s %s]", a.engine, start, end, a.response)
 	}
 	return text.String()
 }
@@ -178,12 +178,12 @@
 		if change.state == stateReady {
 			continue
 		}
-		latestBegin := c.notifiedAt(change).Add(drainGrace + tolerance)
+		latestStart := c.notifiedAt(change).Add(drainGrace + tolerance)
 		for _, a := range c.history.attempts {
 			if a.engine != change.engine || a.delayed {
 				continue
 			}
-			if a.beganAt.After(latestBegin) && !c.readyAgain(change, a.beganAt) {
+			if a.beganAt.After(latestStart) && !c.readyAgain(change, a.beganAt) {
 				since := a.beganAt.Sub(change.publishedAt)
 				c.report(RuleDrainedEndpoint, a.requestID, "%s: began %v after the notification", a.engine, since)
 			}
--- a/internal/lab/soak/checker_slowstart.go
+++ b/internal/lab/soak/checker_slowstart.go
@@ -14,20 +14,20 @@
 // function deliberately does not call that code: a checker that shared it would share its errors.
 func slowStartLimit(sinceStart time.Duration, meanWorkSeconds float64) float64 {
 	const (
-		minMeanWork   = 1e-3 // seconds
-		smallN        = 30
-		smallNRoots   = 3
-		smallNSurplus = 3
-		roots         = 2
-		surplus       = 2
+		minMeanWork        = 1e-3 // seconds
+		smallN             = 30
+		smallNRootFactor   = 3
+		smallNConstantTerm = 3
+		rootFactor         = 2
+		constantTerm       = 2
 	)
 	progress := min(max(float64(sinceStart)/float64(warmUpTime), 0), 1)
 	capacity := startCapacity + (1-startCapacity)*progress
 	n := overloadFactor * capacity * engineCores * overloadWindow.Seconds() / max(meanWorkSeconds, minMeanWork)
 	if n < smallN {
-		return n + smallNRoots*math.Sqrt(n) + smallNSurplus
+		return n + smallNRootFactor*math.Sqrt(n) + smallNConstantTerm
 	}
-	return n + roots*math.Sqrt(n) + surplus
+	return n + rootFactor*math.Sqrt(n) + constantTerm
 }
 
 // checkSlowStarts checks the overload windows after each published start of an engine. It reports at
@@ -43,15 +43,15 @@
 
 func (c *checker) checkSlowStart(start engineChange, meanWorkSeconds float64) {
 	sent := c.attemptsInSlowStart(start)
-	for first, from := range sent {
-		windowEnd := from.beganAt.Add(overloadWindow)
+	for i, first := range sent {
+		windowEnd := first.beganAt.Add(overloadWindow)
 		work := 0.0 // in requests of mean work
-		for _, a := range sent[first:] {
+		for _, a := range sent[i:] {
 			if a.beganAt.Before(windowEnd) {
 				work += workTimes[a.class].Seconds() / meanWorkSeconds
 			}
 		}
-		sinceStart := from.beganAt.Sub(start.startedAt)
+		sinceStart := first.beganAt.Sub(start.startedAt)
 		if limit := slowStartLimit(sinceStart, meanWorkSeconds); work > limit {
 			c.report(RuleSlowStart, "",
 				"%s: %.0f requests of mean work in a window from %v after its start, %.0f at most",
@@ -72,7 +72,7 @@
 			sent = append(sent, a)
 		}
 	}
-	sortByBegin(sent)
+	sortByStart(sent)
 	return sent
 }
 
--- a/internal/lab/soak/checker_slowstart_test.go
+++ b/internal/lab/soak/checker_slowstart_test.go
@@ -12,16 +12,16 @@
 }
 
 // addLookups records attempts at the engine that begin at the same time.
-func (h *builtHistory) addLookups(count int, begin time.Duration, change ...func(*attempt)) {
+func (h *builtHistory) addLookups(count int, start time.Duration, change ...func(*attempt)) {
 	for i := range count {
-		h.addAttempt(fmt.Sprintf("lookup-%v-%d", begin, i), begin, begin+40*ms, responseServed, change...)
+		h.addAttempt(fmt.Sprintf("lookup-%v-%d", start, i), start, start+40*ms, responseServed, change...)
 	}
 }
 
 // addLoads records attempts of loads, which have twice the work of lookups.
-func (h *builtHistory) addLoads(count int, begin time.Duration) {
+func (h *builtHistory) addLoads(count int, start time.Duration) {
 	for i := range count {
-		h.addAttempt(fmt.Sprintf("load-%v-%d", begin, i), begin, begin+80*ms, responseServed, func(a *attempt) {
+		h.addAttempt(fmt.Sprintf("load-%v-%d", start, i), start, start+80*ms, responseServed, func(a *attempt) {
 			a.class = classLoad
 			a.workTime = workTimes[classLoad]
 		})
@@ -31,12 +31,12 @@
 // The work that an engine in slow start is sent in a window stays within its limit, which grows with
 // the time since the start.
 func TestCheck_ReportsAnOverloadedEngineInSlowStart(t *testing.T) {
-	broken := []string{string(RuleSlowStart)}
+	violated := []string{string(RuleSlowStart)}
 	// lookups starts the engine and sends it lookups at one time after its start.
-	lookups := func(count int, begin time.Duration, change ...func(*attempt)) func(h *builtHistory) {
+	lookups := func(count int, start time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addStart(0)
-			h.addLookups(count, begin, change...)
+			h.addLookups(count, start, change...)
 		}
 	}
 	inOrder := func(builds ...func(h *builtHistory)) func(h *builtHistory) {
@@ -46,8 +46,8 @@
 			}
 		}
 	}
-	addLookups := func(count int, begin time.Duration) func(h *builtHistory) {
-		return func(h *builtHistory) { h.addLookups(count, begin) }
+	addLookups := func(count int, start time.Duration) func(h *builtHistory) {
+		return func(h *builtHistory) { h.addLookups(count, start) }
 	}
 	loads := func(count int) func(h *builtHistory) {
 		return func(h *builtHistory) {
@@ -78,23 +78,23 @@
 	}
 	runCheckerCases(t, []checkerCase{
 		{"N 37.5: 51 at once", lookups(51, 0), nil},
-		{"N 37.5: 52 at once", lookups(52, 0), broken},
+		{"N 37.5: 52 at once", lookups(52, 0), violated},
 		{"N 18.75: 34 at once", loads(34), nil},
-		{"N 18.75: 35 at once", loads(35), broken},
+		{"N 18.75: 35 at once", loads(35), violated},
 		{"N 25: 21 lookups and 21 loads", mixed(21), nil},
-		{"N 25: 22 lookups and 22 loads", mixed(22), broken},
+		{"N 25: 22 lookups and 22 loads", mixed(22), violated},
 		{"N 81.25 after 4 s: 101 at once", lookups(101, 4*time.Second), nil},
-		{"N 81.25 after 4 s: 102 at once", lookups(102, 4*time.Second), broken},
+		{"N 81.25 after 4 s: 102 at once", lookups(102, 4*time.Second), violated},
 		{"after the slow start", lookups(200, 8*time.Second), nil},
-		{"just before its end", lookups(200, 8*time.Second-ms), broken},
-		{"within a window", inOrder(lookups(26, 0), addLookups(26, 999*ms)), broken},
+		{"just before its end", lookups(200, 8*time.Second-ms), violated},
+		{"within a window", inOrder(lookups(26, 0), addLookups(26, 999*ms)), violated},
 		{"in two windows", inOrder(lookups(26, 0), addLookups(26, time.Second)), nil},
 		{"before the notification", publishedLate, nil},
 		{"no start", notAStart, nil},
 		{"delayed", lookups(200, 0, delayed), nil},
 		{"another engine", lookups(200, 0, func(a *attempt) { a.engine = "s-2" }), nil},
 		{"attempts without work don't count for the mean", inOrder(lookups(51, 0), withoutWork), nil},
-		{"two overloaded windows are one violation", inOrder(lookups(60, 0), addLookups(150, 3*time.Second)), broken},
+		{"two overloaded windows are one violation", inOrder(lookups(60, 0), addLookups(150, 3*time.Second)), violated},
 	})
 }
 
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -23,10 +23,10 @@
 
 // addAttempt records an attempt, and its end if that is above 0.
 func (h *builtHistory) addAttempt(
-	requestID string, begin, end time.Duration, response responseKind, change ...func(*attempt),
+	requestID string, start, end time.Duration, response responseKind, change ...func(*attempt),
 ) {
 	a := &attempt{
-		requestID: requestID, engine: "s-1", class: classLookup, beganAt: after(begin), response: response,
+		requestID: requestID, engine: "s-1", class: classLookup, beganAt: after(start), response: response,
 		workTime: workTimes[classLookup],
 	}
 	if end > 0 {
@@ -98,11 +98,11 @@
 // Violations that were detected during the run come first, unchanged.
 func TestCheck_KeepsTheViolationsOfTheRun(t *testing.T) {
 	h := newHistory()
-	seen := Violation{Rule: RuleProcess, Detail: "it has ended"}
-	h.addViolation(seen)
+	recorded := Violation{Rule: RuleProcess, Detail: "it has ended"}
+	h.addViolation(recorded)
 	h.addRequest(&request{id: "r", outcome: outcomeLost})
 	got := h.check(nil)
-	if len(got) != 2 || got[0] != seen || got[1].Rule != RuleResponse || got[1].Request != "r" {
+	if len(got) != 2 || got[0] != recorded || got[1].Rule != RuleResponse || got[1].Request != "r" {
 		t.Errorf("the violations are %v", got)
 	}
 }
@@ -113,8 +113,8 @@
 		return func(h *builtHistory) {
 			h.addServed("r", classLookup)
 			for i := range count {
-				begin := time.Duration(i) * 10 * ms
-				h.addAttempt("r", begin+ms, begin+9*ms, responseFailed)
+				start := time.Duration(i) * 10 * ms
+				h.addAttempt("r", start+ms, start+9*ms, responseFailed)
 			}
 		}
 	}
@@ -177,12 +177,12 @@
 			h.addAttempt("r", 130*ms, 160*ms, responseServed)
 		}
 	}
-	broken := []string{string(RuleRetryIdempotency) + " r"}
+	violated := []string{string(RuleRetryIdempotency) + " r"}
 	runCheckerCases(t, []checkerCase{
 		{"write rejected first", twoAttempts(classWrite, responseRejected), nil},
-		{"write failed first", twoAttempts(classWrite, responseFailed), broken},
-		{"write malformed first", twoAttempts(classWrite, responseMalformed), broken},
-		{"write cancelled first", twoAttempts(classWrite, responseNone), broken},
+		{"write failed first", twoAttempts(classWrite, responseFailed), violated},
+		{"write malformed first", twoAttempts(classWrite, responseMalformed), violated},
+		{"write cancelled first", twoAttempts(classWrite, responseNone), violated},
 		{"lookup failed first", twoAttempts(classLookup, responseFailed), nil},
 		{"load failed first", twoAttempts(classLoad, responseFailed), nil},
 	})
@@ -190,12 +190,12 @@
 
 // No attempt begins more than 100 ms, and the tolerance of 100 ms, after its client has disconnected.
 func TestCheck_ReportsAnAttemptAfterADisconnect(t *testing.T) {
-	begins := func(o outcome, begin time.Duration, change ...func(*attempt)) func(h *builtHistory) {
+	begins := func(o outcome, start time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			r := h.addServed("r", classLookup)
 			r.outcome = o
 			r.endedAt = after(50 * ms)
-			h.addAttempt("r", begin, begin+10*ms, responseServed, change...)
+			h.addAttempt("r", start, start+10*ms, responseServed, change...)
 		}
 	}
 	runCheckerCases(t, []checkerCase{
@@ -227,7 +227,7 @@
 // notification.
 func TestCheck_ReportsAnAttemptAtADrainedEngine(t *testing.T) {
 	const published = 10 * time.Second
-	broken := []string{string(RuleDrainedEndpoint) + " r"}
+	violated := []string{string(RuleDrainedEndpoint) + " r"}
 	begins := func(state engineState, delay time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addState(state, published)
@@ -254,28 +254,28 @@
 	}
 	runCheckerCases(t, []checkerCase{
 		{"draining, 600 ms", begins(stateDraining, 600*ms), nil},
-		{"draining, 601 ms", begins(stateDraining, 601*ms), broken},
+		{"draining, 601 ms", begins(stateDraining, 601*ms), violated},
 		{"removed, 600 ms", begins(stateRemoved, 600*ms), nil},
-		{"removed, 601 ms", begins(stateRemoved, 601*ms), broken},
+		{"removed, 601 ms", begins(stateRemoved, 601*ms), violated},
 		{"ready, 601 ms", begins(stateReady, 601*ms), nil},
 		{"delayed, 601 ms", begins(stateDraining, 601*ms, delayed), nil},
 		{"another engine, 601 ms", begins(stateDraining, 601*ms, func(a *attempt) { a.engine = "s-2" }), nil},
 		{"ready again before", readyAgain(700*ms, 701*ms), nil},
-		{"ready again at the same time", readyAgain(701*ms, 701*ms), broken},
-		{"ready again after", readyAgain(702*ms, 701*ms), broken},
-		{"ready before the notification", readyAgain(-ms, 701*ms), broken},
+		{"ready again at the same time", readyAgain(701*ms, 701*ms), violated},
+		{"ready again after", readyAgain(702*ms, 701*ms), violated},
+		{"ready before the notification", readyAgain(-ms, 701*ms), violated},
 		{"bus fault, 4 s after it began", busFault(-time.Second, 100*ms, 3600*ms), nil},
-		{"bus fault, later", busFault(-time.Second, 100*ms, 3601*ms), broken},
+		{"bus fault, later", busFault(-time.Second, 100*ms, 3601*ms), violated},
 		{"long bus fault, 1 s after its end", busFault(-time.Second, 5*time.Second, 6600*ms), nil},
-		{"long bus fault, later", busFault(-time.Second, 5*time.Second, 6601*ms), broken},
+		{"long bus fault, later", busFault(-time.Second, 5*time.Second, 6601*ms), violated},
 		{"bus fault begins 100 ms later", busFault(100*ms, 200*ms, 4700*ms), nil},
-		{"bus fault begins 101 ms later", busFault(101*ms, 200*ms, 601*ms), broken},
+		{"bus fault begins 101 ms later", busFault(101*ms, 200*ms, 601*ms), violated},
 		{"bus fault ends with the notification", busFault(-time.Second, 0, 3600*ms), nil},
-		{"bus fault ends before it", busFault(-time.Second, -ms, 601*ms), broken},
+		{"bus fault ends before it", busFault(-time.Second, -ms, 601*ms), violated},
 		{"front end started, 1 s later", started(2*time.Second, 3600*ms), nil},
-		{"front end started, later", started(2*time.Second, 3601*ms), broken},
+		{"front end started, later", started(2*time.Second, 3601*ms), violated},
 		{"front end started 3.999 s later", started(3999*ms, 5599*ms), nil},
-		{"front end started 4 s later", started(4*time.Second, 601*ms), broken},
-		{"front end started with the notification", started(0, 601*ms), broken},
+		{"front end started 4 s later", started(4*time.Second, 601*ms), violated},
+		{"front end started with the notification", started(0, 601*ms), violated},
 	})
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -58,7 +58,7 @@
 			return
 		case <-time.After(drawDuration(c.random, 0, maxPause)):
 		}
-		if c.conn != nil && (time.Since(c.idleSince) > clientIdleTime || !c.target.takesRequests(time.Now())) {
+		if c.conn != nil && (time.Since(c.idleSince) > clientIdleTime || !c.target.acceptsRequests(time.Now())) {
 			c.disconnect()
 		}
 		if c.random.IntN(malformedRequestOneIn) == 0 {
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -24,8 +24,8 @@
 	return r
 }
 
-// brokenRules returns the rules of the violations that were detected during the run.
-func brokenRules(r *run) (rules []Rule) {
+// violatedRules returns the rules of the violations that were detected during the run.
+func violatedRules(r *run) (rules []Rule) {
 	for _, v := range r.history.violations {
 		rules = append(rules, v.Rule)
 	}
@@ -62,27 +62,27 @@
 	for _, c := range []struct {
 		name, responses string
 		want            outcome
-		broken          []Rule
+		violated        []Rule
 		fails           bool
 	}{
 		{name: "complete result", responses: result(first, second), want: outcomeServed},
 		{name: "complete result in two pages", responses: firstPage + result(second), want: outcomeServed},
-		{name: "half a result", responses: result(first), want: outcomeServed, broken: incomplete},
-		{name: "rows out of order", responses: result(second, first), want: outcomeServed, broken: incomplete},
+		{name: "half a result", responses: result(first), want: outcomeServed, violated: incomplete},
+		{name: "rows out of order", responses: result(second, first), want: outcomeServed, violated: incomplete},
 		{
 			name: "rows of another request", responses: result(`"x","0","2"`, `"x","1","2"`),
-			want: outcomeServed, broken: incomplete,
+			want: outcomeServed, violated: incomplete,
 		},
-		{name: "short row", responses: result(`"`+id+`"`, second), want: outcomeServed, broken: incomplete},
+		{name: "short row", responses: result(`"`+id+`"`, second), want: outcomeServed, violated: incomplete},
 		{name: "503 with Retry-After", responses: response("503 Busy", retryAfter, "{}"), want: outcomeRejected},
 		{
 			name: "503 without Retry-After", responses: response("503 Busy", "", "{}"),
-			want: outcomeRejected, broken: noRetryAfter,
+			want: outcomeRejected, violated: noRetryAfter,
 		},
 		{name: "429 with Retry-After", responses: response("429 Busy", retryAfter, "{}"), want: outcomeRejected},
 		{
 			name: "429 without Retry-After", responses: response("429 Busy", "", "{}"),
-			want: outcomeRejected, broken: noRetryAfter,
+			want: outcomeRejected, violated: noRetryAfter,
 		},
 		{
 			name: "busy with Retry-After", responses: response("200 OK", retryAfter, `{"fault":"Busy"}`),
@@ -90,7 +90,7 @@
 		},
 		{
 			name: "busy without Retry-After", responses: response("200 OK", "", `{"fault":"Busy"}`),
-			want: outcomeRejected, broken: noRetryAfter,
+			want: outcomeRejected, violated: noRetryAfter,
 		},
 		{name: "fault", responses: response("200 OK", "", `{"fault":"Broken"}`), want: outcomeFailed},
 		{name: "500", responses: response("500 Broken", "", "{}"), want: outcomeFailed},
@@ -117,22 +117,22 @@
 			defer client.disconnect()
 			request := &request{id: id, sentAt: time.Now(), wait: 5 * time.Second}
 			err := client.receive(request)
-			if (err != nil) != c.fails || request.outcome != c.want || !slices.Equal(brokenRules(r), c.broken) {
-				t.Errorf("%v, outcome %q, broken %q, want %+v", err, request.outcome, brokenRules(r), c)
+			if (err != nil) != c.fails || request.outcome != c.want || !slices.Equal(violatedRules(r), c.violated) {
+				t.Errorf("%v, outcome %q, violated %q, want %+v", err, request.outcome, violatedRules(r), c)
 			}
 		})
 	}
 }
 
 // A rejection without Retry-After breaks no rule if the settings have none.
-func TestReceive_NeedsRetryAfterOnlyIfSettingsSaySo(t *testing.T) {
+func TestReceive_RequiresRetryAfterOnlyIfConfigured(t *testing.T) {
 	r := newTestRun("")
 	r.settings.retryAfter = false
 	request := &request{id: "a"}
 	c := &client{run: r}
 	c.classifyResponse(request, &http.Response{StatusCode: http.StatusServiceUnavailable}, responseBody{}, nil)
-	if request.outcome != outcomeRejected || brokenRules(r) != nil {
-		t.Errorf("outcome %q, broken %q", request.outcome, brokenRules(r))
+	if request.outcome != outcomeRejected || violatedRules(r) != nil {
+		t.Errorf("outcome %q, violated %q", request.outcome, violatedRules(r))
 	}
 }
 
@@ -227,8 +227,8 @@
 func TestSendMalformedRequest_ReportsSilence(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		serve  func(net.Conn)
-		broken []Rule
+		serve    func(net.Conn)
+		violated []Rule
 	}{
 		"response and close": {func(conn net.Conn) { _, _ = io.WriteString(conn, "HTTP/1.1 400 Bad\r\n\r\n") }, nil},
 		"close":              {func(net.Conn) {}, nil},
@@ -240,8 +240,8 @@
 			go tcptest.Serve(listener, c.serve)
 			r := newTestRun(listener.Addr().String())
 			(&client{run: r, random: rand.New(rand.NewPCG(1, 1))}).sendMalformedRequest()
-			if !slices.Equal(brokenRules(r), c.broken) {
-				t.Errorf("broken %q, want %q", brokenRules(r), c.broken)
+			if !slices.Equal(violatedRules(r), c.violated) {
+				t.Errorf("violated %q, want %q", violatedRules(r), c.violated)
 			}
 		})
 	}
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -27,14 +27,14 @@
 
 	mu       sync.Mutex // guards the fields below, which other goroutines read
 	thawedAt time.Time  // end of the latest freeze
-	process  int        // id of the latest process
+	pid      int        // id of the latest process
 }
 
 // processID returns the id of the latest process.
 func (e *engine) processID() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.process
+	return e.pid
 }
 
 func (e *engine) name() string { return e.endpoint.name() }
@@ -58,7 +58,7 @@
 	}
 	parsed, err := netip.ParseAddrPort(listedAddr)
 	if err != nil {
-		created.end()
+		created.stop()
 		return nil, fmt.Errorf("address of engine %s: %w", created.name(), err)
 	}
 	created.endpoint.addr = parsed
@@ -94,7 +94,7 @@
 	}
 	e.cmd = cmd
 	e.mu.Lock()
-	e.process = cmd.Process.Pid
+	e.pid = cmd.Process.Pid
 	e.mu.Unlock()
 	listening := make(chan struct{})
 	go e.readEvents(fmt.Sprintf("%s/%d", e.name(), e.starts), output, listening)
@@ -176,8 +176,8 @@
 	e.run.bus.publish(e.endpoint)
 }
 
-// end kills the process and closes the proxy.
-func (e *engine) end() {
+// stop kills the process and closes the proxy.
+func (e *engine) stop() {
 	e.kill()
 	if e.proxy != nil {
 		e.proxy.Close()
--- a/internal/lab/soak/engineprocess.go
+++ b/internal/lab/soak/engineprocess.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func (e *engineProcess) draw() float64 {
+func (e *engineProcess) randomFloat() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.random.Float64()
@@ -176,12 +176,12 @@
 }
 
 // behaviorFor returns the behavior for a number that was drawn from 0 to 1.
-func behaviorFor(drawn, faultyShare float64) responseBehavior {
+func behaviorFor(randomNumber, faultyShare float64) responseBehavior {
 	const totalWeight = 8 // of faultyBehaviors
 	cumulativeWeight := 0.0
 	for _, faulty := range faultyBehaviors {
 		cumulativeWeight += faulty.weight
-		if drawn < faultyShare*cumulativeWeight/totalWeight {
+		if randomNumber < faultyShare*cumulativeWeight/totalWeight {
 			return faulty.behavior
 		}
 	}
@@ -192,8 +192,8 @@
 func (e *engineProcess) Handle(ctx context.Context, exchange *fake.LineExchange) {
 	const minWorkFactor = 0.5 // of the mean; the factor is uniform up to 1.5
 	request := exchange.Request
-	workTime := time.Duration((minWorkFactor + e.draw()) * float64(workTimes[request.Field("kind")]))
-	behavior := behaviorFor(e.draw(), e.faultyResponseShare)
+	workTime := time.Duration((minWorkFactor + e.randomFloat()) * float64(workTimes[request.Field("kind")]))
+	behavior := behaviorFor(e.randomFloat(), e.faultyResponseShare)
 	if behavior == rejectAtOnce {
 		e.respond(exchange, responseRejected, 0, fake.LineMessage(request.ID, fake.MessageRejected, "-", ""))
 		return
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -108,7 +108,7 @@
 	time.Sleep(replacement.drainTime)
 	replaced.publishState(stateRemoved)
 	time.Sleep(drainGrace)
-	replaced.end()
+	replaced.stop()
 	addr := replaced.addr
 	if replacement.newAddress {
 		var err error
@@ -173,7 +173,7 @@
 	)
 	for range maxPolls {
 		time.Sleep(pollInterval)
-		if process, ending := f.settledProcess(); process != nil && !ending {
+		if process, exiting := f.settledProcess(); process != nil && !exiting {
 			_ = process.Signal(syscall.SIGHUP)
 			return
 		}
@@ -221,11 +221,11 @@
 		minTime        = 300 * time.Millisecond
 		timeRange      = 2 * time.Second
 		maxRate        = 0.3
-		rateOneIn      = 2
+		noFaultOneIn   = 2
 		maxShortLength = 80
 	)
 	rate := func() float64 {
-		if random.IntN(rateOneIn) == 0 {
+		if random.IntN(noFaultOneIn) == 0 {
 			return 0
 		}
 		return maxRate * random.Float64()
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -49,13 +49,13 @@
 	snapshotPath string // of the statement statistics
 	logPath      string
 
-	mu         sync.Mutex // guards the fields below
-	process    *syscallfault.Process
-	processes  []*syscallfault.Process // all so far, the current one last
-	ready      bool                    // the current process serves
-	endingAt   time.Time               // when it was sent the latest SIGTERM or SIGKILL; zero: none
-	kills      []time.Time             // when a process was sent SIGKILL
-	readyTimes []time.Time             // when each process became ready
+	mu          sync.Mutex // guards the fields below
+	process     *syscallfault.Process
+	processes   []*syscallfault.Process // all so far, the current one last
+	ready       bool                    // the current process serves
+	signalledAt time.Time               // when it was sent the latest SIGTERM or SIGKILL; zero: none
+	kills       []time.Time             // when a process was sent SIGKILL
+	readyTimes  []time.Time             // when each process became ready
 }
 
 func newFrontEnd(r *run, number int) (*frontEnd, error) {
@@ -96,7 +96,7 @@
 	}
 	f.mu.Lock()
 	f.process = process
-	f.endingAt = time.Time{}
+	f.signalledAt = time.Time{}
 	f.processes = append(f.processes, process)
 	f.mu.Unlock()
 	go f.watch(process)
@@ -116,7 +116,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ready = false
-	if f.endingAt.IsZero() || err != nil {
+	if f.signalledAt.IsZero() || err != nil {
 		f.report(RuleProcess, "%s ended with status %#x, %v; see %s", f.name, int(status), err, f.logPath)
 	}
 }
@@ -151,32 +151,32 @@
 	return fmt.Errorf("%s: %w; see %s", f.name, errNotReady, f.logPath)
 }
 
-// takesNewConnections reports whether clients may open new connections.
-func (f *frontEnd) takesNewConnections(now time.Time) bool {
+// acceptsNewConnections reports whether clients may open new connections.
+func (f *frontEnd) acceptsNewConnections(now time.Time) bool {
 	return f.servesFor(newConnectionsEnd, now)
 }
 
-// takesRequests reports whether clients may send requests on open connections.
-func (f *frontEnd) takesRequests(now time.Time) bool { return f.servesFor(openConnectionsEnd, now) }
+// acceptsRequests reports whether clients may send requests on open connections.
+func (f *frontEnd) acceptsRequests(now time.Time) bool { return f.servesFor(openConnectionsEnd, now) }
 
 // servesFor reports whether the front end is ready and either was not signalled to exit, or was signalled
 // less than afterSignal ago.
 func (f *frontEnd) servesFor(afterSignal time.Duration, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ready && (f.endingAt.IsZero() || now.Before(f.endingAt.Add(afterSignal)))
+	return f.ready && (f.signalledAt.IsZero() || now.Before(f.signalledAt.Add(afterSignal)))
 }
 
 // settledProcess returns the process, and whether it was signalled to exit. It returns nil if the process
 // has not been ready for longer than settleTime.
-func (f *frontEnd) settledProcess() (process *syscallfault.Process, ending bool) {
+func (f *frontEnd) settledProcess() (process *syscallfault.Process, exiting bool) {
 	const settleTime = time.Second
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.ready || len(f.readyTimes) == 0 || time.Since(f.readyTimes[len(f.readyTimes)-1]) <= settleTime {
 		return nil, false
 	}
-	return f.process, !f.endingAt.IsZero()
+	return f.process, !f.signalledAt.IsZero()
 }
 
 // killedWithin reports whether a SIGKILL was sent within the span, which includes its ends.
@@ -192,7 +192,7 @@
 	defer f.mu.Unlock()
 	now := time.Now()
 	if signal == syscall.SIGTERM || signal == syscall.SIGKILL {
-		f.endingAt = now
+		f.signalledAt = now
 	}
 	if signal == syscall.SIGKILL {
 		f.kills = append(f.kills, now)
@@ -215,8 +215,8 @@
 	}
 }
 
-// violationSigns are the texts that mark log lines of a violated invariant, a crash or a data race.
-var violationSigns = []string{
+// violationMarkers are the texts that mark log lines of a violated invariant, a crash or a data race.
+var violationMarkers = []string{
 	`"invariant.violated"`, "count invariants.violated", "panic:", "fatal error:", "DATA RACE",
 }
 
@@ -228,8 +228,8 @@
 		return
 	}
 	for line := range bytes.Lines(text) {
-		for _, sign := range violationSigns {
-			if bytes.Contains(line, []byte(sign)) {
+		for _, marker := range violationMarkers {
+			if bytes.Contains(line, []byte(marker)) {
 				f.report(RuleInvariant, "%s: %s", f.name, bytes.TrimSpace(line))
 			}
 		}
--- a/internal/lab/soak/frontend_test.go
+++ b/internal/lab/soak/frontend_test.go
@@ -22,8 +22,8 @@
 	counters.Increment(metrics.InvariantsViolated.With("x"))
 	counters.Print(&counts)
 	for _, c := range []struct {
-		line   string
-		broken []Rule
+		line     string
+		violated []Rule
 	}{
 		{`{"msg":"attempt"}`, nil},
 		{event.String(), []Rule{RuleInvariant}},
@@ -39,15 +39,15 @@
 			t.Fatal(err)
 		}
 		f.checkLog()
-		if !slices.Equal(brokenRules(r), c.broken) {
-			t.Errorf("%s: broken %q, want %q", c.line, brokenRules(r), c.broken)
+		if !slices.Equal(violatedRules(r), c.violated) {
+			t.Errorf("%s: violated %q, want %q", c.line, violatedRules(r), c.violated)
 		}
 	}
 	r := newTestRun("")
 	r.frontEnds[0].logPath = filepath.Join(t.TempDir(), "none")
 	r.frontEnds[0].checkLog()
-	if !slices.Equal(brokenRules(r), []Rule{RuleProcess}) {
-		t.Errorf("without a log: broken %q", brokenRules(r))
+	if !slices.Equal(violatedRules(r), []Rule{RuleProcess}) {
+		t.Errorf("without a log: violated %q", violatedRules(r))
 	}
 }
 
@@ -55,7 +55,7 @@
 func TestWatch_ReportsAnEndWithoutASignal(t *testing.T) {
 	for name, c := range map[string]struct {
 		endingAt time.Time
-		broken   []Rule
+		violated []Rule
 	}{
 		"signalled":     {time.Now(), nil},
 		"not signalled": {time.Time{}, []Rule{RuleProcess}},
@@ -73,10 +73,10 @@
 			}
 			r := newTestRun("")
 			f := r.frontEnds[0]
-			f.endingAt = c.endingAt
+			f.signalledAt = c.endingAt
 			f.watch(process)
-			if !slices.Equal(brokenRules(r), c.broken) || f.ready {
-				t.Errorf("broken %q, want %q; ready %v", brokenRules(r), c.broken, f.ready)
+			if !slices.Equal(violatedRules(r), c.violated) || f.ready {
+				t.Errorf("violated %q, want %q; ready %v", violatedRules(r), c.violated, f.ready)
 			}
 		})
 	}
@@ -101,13 +101,13 @@
 }
 
 // Clients open new connections for 300 ms after a SIGTERM, and use open connections for 500 ms.
-func TestTakesRequests_EndsSomeTimeAfterTheSignal(t *testing.T) {
+func TestAcceptsRequests_EndsSomeTimeAfterTheSignal(t *testing.T) {
 	f := &frontEnd{ready: true}
 	now := time.Now()
 	for _, c := range []struct {
-		since         time.Duration
-		takesNew      bool
-		takesRequests bool
+		since           time.Duration
+		acceptsNew      bool
+		acceptsRequests bool
 	}{
 		{0, true, true},
 		{299 * time.Millisecond, true, true},
@@ -115,19 +115,19 @@
 		{499 * time.Millisecond, false, true},
 		{500 * time.Millisecond, false, false},
 	} {
-		f.endingAt = now.Add(-c.since)
-		takesNew := f.takesNewConnections(now)
-		takesRequests := f.takesRequests(now)
-		if takesNew != c.takesNew || takesRequests != c.takesRequests {
-			t.Errorf("%v after SIGTERM: new %v, open %v", c.since, takesNew, takesRequests)
+		f.signalledAt = now.Add(-c.since)
+		acceptsNew := f.acceptsNewConnections(now)
+		acceptsRequests := f.acceptsRequests(now)
+		if acceptsNew != c.acceptsNew || acceptsRequests != c.acceptsRequests {
+			t.Errorf("%v after SIGTERM: new %v, open %v", c.since, acceptsNew, acceptsRequests)
 		}
 	}
-	f.endingAt = time.Time{}
-	if !f.takesNewConnections(now) || !f.takesRequests(now) {
+	f.signalledAt = time.Time{}
+	if !f.acceptsNewConnections(now) || !f.acceptsRequests(now) {
 		t.Error("a front end that was not signalled takes no requests")
 	}
 	f.ready = false
-	if f.takesNewConnections(now) || f.takesRequests(now) {
+	if f.acceptsNewConnections(now) || f.acceptsRequests(now) {
 		t.Error("a front end that is not ready takes requests")
 	}
 }
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -78,14 +78,14 @@
 // history is the record of a run by clients, engine processes and the fault injector. It is safe for
 // concurrent use.
 type history struct {
-	mu         sync.Mutex
-	requests   []*request
-	attempts   []*attempt
-	inFlight   map[string]map[string]*attempt // by engine process and request id
-	changes    []engineChange
-	busFaults  []span // in which a fault of the bus may delay notifications
-	waits      []processorWait
-	violations []Violation // recorded before the checker reads the history
+	mu             sync.Mutex
+	requests       []*request
+	attempts       []*attempt
+	inFlight       map[string]map[string]*attempt // by engine process and request id
+	changes        []engineChange
+	busFaults      []span // in which a fault of the bus may delay notifications
+	processorWaits []processorWait
+	violations     []Violation // recorded before the checker reads the history
 }
 
 func newHistory() *history { return &history{inFlight: map[string]map[string]*attempt{}} }
@@ -111,14 +111,14 @@
 func (h *history) addProcessorWait(w processorWait) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.waits = append(h.waits, w)
+	h.processorWaits = append(h.processorWaits, w)
 }
 
 // processorWaitSum returns how long processes of the run waited for a processor.
 func (h *history) processorWaitSum() (sum time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, w := range h.waits {
+	for _, w := range h.processorWaits {
 		sum += w.duration
 	}
 	return sum
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	defer r.bus.close()
-	defer r.endProcesses()
+	defer r.killProcesses()
 	if err := r.startEngines(); err != nil {
 		return nil, err
 	}
@@ -174,8 +174,8 @@
 	r.faults.Wait()
 }
 
-// endProcesses kills the processes that still run.
-func (r *run) endProcesses() {
+// killProcesses kills the processes that still run.
+func (r *run) killProcesses() {
 	for _, f := range r.frontEnds {
 		if f.process != nil {
 			f.signal(syscall.SIGKILL)
@@ -183,7 +183,7 @@
 		}
 	}
 	for _, e := range r.enginePool.all() {
-		e.end()
+		e.stop()
 	}
 }
 
@@ -246,7 +246,7 @@
 	now := time.Now()
 	offset := random.IntN(len(r.frontEnds))
 	for i := range r.frontEnds {
-		if f := r.frontEnds[(offset+i)%len(r.frontEnds)]; f.takesNewConnections(now) {
+		if f := r.frontEnds[(offset+i)%len(r.frontEnds)]; f.acceptsNewConnections(now) {
 			return f
 		}
 	}
