--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -153,9 +153,9 @@
 
 func checkStall(t *testing.T, conn *connection) {
 	t.Helper()
-	const leastStall = 20 * time.Millisecond // the remaining time of the fault if the byte is sent late
+	const minStall = 20 * time.Millisecond // the remaining time of the fault if the byte is sent late
 	start := time.Now()
-	if got, err := conn.roundTrip('b'); err != nil || got != 'b' || time.Since(start) < leastStall {
+	if got, err := conn.roundTrip('b'); err != nil || got != 'b' || time.Since(start) < minStall {
 		t.Errorf("%q, %v after %v: it was not delayed", got, err, time.Since(start))
 	}
 }
--- a/internal/lab/faultproxy/relay.go
+++ b/internal/lab/faultproxy/relay.go
@@ -74,21 +74,21 @@
 
 // copy relays one direction until the relay ends. The reader sets the time at which each chunk is due,
 // and the writer waits for that time.
-func (r *relay) copy(from, to *net.TCPConn, way direction) {
+func (r *relay) copy(from, to *net.TCPConn, dir direction) {
 	transit := make(chan chunk, maxChunksInTransit)
-	go r.read(from, way, transit)
+	go r.read(from, dir, transit)
 	r.write(to, transit)
 }
 
 // read puts the received bytes in transit until the sender's direction or the relay ends.
-func (r *relay) read(from *net.TCPConn, way direction, transit chan<- chunk) {
+func (r *relay) read(from *net.TCPConn, dir direction, transit chan<- chunk) {
 	defer close(transit)
 	var lastDue time.Time
 	for {
 		bytes := make([]byte, chunkSize)
 		n, err := from.Read(bytes)
 		if n > 0 {
-			if way == responses && r.proxy.active(DropResponses) {
+			if dir == responses && r.proxy.active(DropResponses) {
 				continue
 			}
 			due := time.Now().Add(r.proxy.delay())
@@ -96,7 +96,7 @@
 				due = lastDue
 			}
 			lastDue = due
-			if way == responses && r.proxy.active(CorruptResponses) {
+			if dir == responses && r.proxy.active(CorruptResponses) {
 				bytes[r.proxy.randomIndex(n)] ^= corruption
 			}
 			if !r.send(transit, chunk{bytes: bytes[:n], due: due}) {
@@ -152,8 +152,8 @@
 
 // waitUntil waits until a time, and then until no stall is active. It returns false if the relay ends
 // first.
-func (r *relay) waitUntil(moment time.Time) bool {
-	if wait := time.Until(moment); wait > 0 {
+func (r *relay) waitUntil(due time.Time) bool {
+	if wait := time.Until(due); wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
