--- a/internal/lab/syscallfault/faults.go
+++ b/internal/lab/syscallfault/faults.go
@@ -77,8 +77,8 @@
 	i.faults = faults
 }
 
-// counted returns the number of injected faults of each kind.
-func (i *injector) counted() map[Kind]int {
+// injectedCounts returns the number of injected faults of each kind.
+func (i *injector) injectedCounts() map[Kind]int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return maps.Clone(i.counts)
@@ -99,8 +99,8 @@
 	length int        // the call is made with this length; 0: with its own
 }
 
-// draw decides whether a fault of the given rate happens, and counts it. The caller must hold mu.
-func (i *injector) draw(rate float64, kind Kind) bool {
+// drawFault decides whether a fault of the given rate happens, and counts it. The caller must hold mu.
+func (i *injector) drawFault(rate float64, kind Kind) bool {
 	if rate <= 0 || i.random.Float64() >= rate {
 		return false
 	}
@@ -125,23 +125,23 @@
 			return i.decideSocketRead(length)
 		}
 	case unix.SYS_FSYNC:
-		if i.draw(i.faults.FailFile, KindFile) {
+		if i.drawFault(i.faults.FailFile, KindFile) {
 			return i.failWithOneOf(fileErrors)
 		}
 	case unix.SYS_EPOLL_WAIT, unix.SYS_EPOLL_PWAIT:
-		if i.draw(i.faults.InterruptWait, KindInterruptWait) {
+		if i.drawFault(i.faults.InterruptWait, KindInterruptWait) {
 			return decision{err: unix.EINTR}
 		}
 	case unix.SYS_ACCEPT4:
-		if i.draw(i.faults.FailAccept, KindAccept) {
+		if i.drawFault(i.faults.FailAccept, KindAccept) {
 			return i.failWithOneOf(acceptErrors)
 		}
 	case unix.SYS_SOCKET:
-		if i.draw(i.faults.FailSocket, KindSocket) {
+		if i.drawFault(i.faults.FailSocket, KindSocket) {
 			return i.failWithOneOf(socketErrors)
 		}
 	case unix.SYS_CONNECT:
-		if i.draw(i.faults.FailConnect, KindConnect) {
+		if i.drawFault(i.faults.FailConnect, KindConnect) {
 			return i.failWithOneOf(connectErrors)
 		}
 	}
@@ -173,9 +173,9 @@
 // decideSocketWrite decides on a write to a socket. The caller must hold mu.
 func (i *injector) decideSocketWrite(length int) decision {
 	switch {
-	case length > 1 && i.draw(i.faults.ShortWrite, KindShortWrite):
+	case length > 1 && i.drawFault(i.faults.ShortWrite, KindShortWrite):
 		return decision{length: i.shortLength(length)}
-	case i.draw(i.faults.InterruptWrite, KindInterruptWrite):
+	case i.drawFault(i.faults.InterruptWrite, KindInterruptWrite):
 		return decision{err: unix.EINTR}
 	}
 	return decision{}
@@ -184,9 +184,9 @@
 // decideSocketRead decides on a read from a socket. The caller must hold mu.
 func (i *injector) decideSocketRead(length int) decision {
 	switch {
-	case length > 1 && i.draw(i.faults.ShortRead, KindShortRead):
+	case length > 1 && i.drawFault(i.faults.ShortRead, KindShortRead):
 		return decision{length: i.shortLength(length)}
-	case i.draw(i.faults.InterruptRead, KindInterruptRead):
+	case i.drawFault(i.faults.InterruptRead, KindInterruptRead):
 		return decision{err: unix.EINTR}
 	}
 	return decision{}
@@ -195,9 +195,9 @@
 // decideFileWrite decides on a write to a file. The caller must hold mu.
 func (i *injector) decideFileWrite(length int) decision {
 	switch {
-	case i.draw(i.faults.FailFile, KindFile):
+	case i.drawFault(i.faults.FailFile, KindFile):
 		return i.failWithOneOf(fileErrors)
-	case length > 1 && i.draw(i.faults.TornFile, KindTornFile):
+	case length > 1 && i.drawFault(i.faults.TornFile, KindTornFile):
 		return decision{length: length / 2}
 	}
 	return decision{}
--- a/internal/lab/syscallfault/tracer.go
+++ b/internal/lab/syscallfault/tracer.go
@@ -50,7 +50,7 @@
 func (p *Process) SetFaults(faults Faults) { p.injector.set(faults) }
 
 // Counts returns the number of injected faults of each kind.
-func (p *Process) Counts() map[Kind]int { return p.injector.counted() }
+func (p *Process) Counts() map[Kind]int { return p.injector.injectedCounts() }
 
 // Ended returns a channel that is closed when the program has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
