--- a/internal/lab/soak/bus.go
+++ b/internal/lab/soak/bus.go
@@ -21,11 +21,11 @@
 	busTruncating         // half of the next event is sent, and its connection closes
 )
 
-// busListener is a listener of the bus. It is closed before the connections that it has accepted.
+// busListener is a listener of the bus. The listener is closed before the connections that it has accepted.
 type busListener struct {
 	net.Listener
 
-	ended chan struct{} // closed when its connections must be closed
+	ended chan struct{} // closed when the accepted connections must be closed
 }
 
 // eventBus publishes changes of the endpoint list. It is safe for concurrent use.
@@ -43,8 +43,8 @@
 	return b, b.move()
 }
 
-// move opens a listener at a new address and closes the old listener. Open connections of the old
-// listener are closed closeAfter later.
+// move opens a listener at a new address and closes the old listener. Connections that the old listener
+// has accepted are closed closeAfter later.
 func (b *eventBus) move() error {
 	const closeAfter = 1500 * time.Millisecond
 	opened, err := fake.Listen(fake.AnyLoopbackPort)
@@ -78,7 +78,6 @@
 	return b.listener.Addr().String()
 }
 
-// setMode changes how the bus behaves.
 func (b *eventBus) setMode(mode busMode) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,7 +85,7 @@
 	b.wakeConnections()
 }
 
-// wakeConnections makes the connections read the changed state. The caller must hold mu.
+// wakeConnections makes the goroutines that serve connections read the changed state. The caller must hold mu.
 func (b *eventBus) wakeConnections() {
 	close(b.changed)
 	b.changed = make(chan struct{})
@@ -101,8 +100,8 @@
 	b.wakeConnections()
 }
 
-// known returns the events so far in the form of a front end's configuration: one event with the complete
-// list.
+// known returns the published events in the format of a front end's configuration: a single event with
+// the complete endpoint list.
 func (b *eventBus) known() fake.KnownEvents {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -116,7 +115,7 @@
 }
 
 // accept serves each connection of a listener until the listener is closed. Unlike the servers of the
-// package fake, the bus keeps the open connections then.
+// package fake, it leaves the accepted connections open at that point.
 func (b *eventBus) accept(listener *busListener) {
 	for {
 		conn, err := listener.Accept()
@@ -135,11 +134,11 @@
 	mode      busMode
 	changed   <-chan struct{}
 	published int    // number of events so far
-	frame     []byte // the next event for the connection; nil: it has been sent all events
+	frame     []byte // the next event for the connection; nil: all events have been sent
 }
 
-// view returns the current state of the bus for a connection that has been sent the given number of
-// events.
+// view returns the current state of the bus for a connection. sent is the number of events that have been
+// sent on the connection.
 func (b *eventBus) view(sent int) busView {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,10 +149,10 @@
 	return view
 }
 
-// serve reads the number of the last event that the front end has received. It sends the events after that
-// one, and a heartbeat each second, until the listener of the connection has ended.
+// serve reads the subscription of a front end. It then sends the events that the front end has not received,
+// and a heartbeat each second, until ended is closed.
 func (b *eventBus) serve(conn net.Conn, ended <-chan struct{}) {
-	const overlap = 1 // number of events that are sent although the front end already has them
+	const overlap = 1 // number of events that are sent again although the front end has received them
 	lastEvent, err := readSubscription(conn)
 	if err != nil {
 		return
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -9,33 +9,35 @@
 
 // Allowances of the checker.
 const (
-	// tolerance is the largest difference between two processes' measurements of the same time.
+	// tolerance is the largest allowed difference between the times that two processes record for the
+	// same event.
 	tolerance = 100 * time.Millisecond
 	// reportedEndTolerance replaces tolerance if the earlier of two attempts ended with a response: an
 	// engine process reports that end before it writes the response.
 	reportedEndTolerance = 5 * time.Millisecond
-	// remainingTimeSlack is how much more time than the client's remaining time an engine may be given.
+	// remainingTimeSlack is by how much the time that an engine is given may exceed the client's
+	// remaining time.
 	remainingTimeSlack = 150 * time.Millisecond
-	// disconnectGrace is the time after the client's disconnect in which an attempt may still begin.
+	// disconnectGrace is the time after the client's disconnect during which an attempt may still begin.
 	disconnectGrace = 100 * time.Millisecond
-	// notificationGraceAfterFault is the time from the start of a fault of the bus, such as its move to
-	// another address, until all front ends count as notified of the changes that were published during
-	// the fault.
+	// notificationGraceAfterFault is the time from the start of a bus fault, such as a move to another
+	// address, until all front ends count as notified of the changes that were published during the
+	// fault.
 	notificationGraceAfterFault = 4 * time.Second
-	// notificationSlack is the time after the end of a fault of the bus, or after a front end is ready,
-	// in which the front ends are notified of the changes that they have missed.
+	// notificationSlack is the time after the end of a bus fault, or after a front end has become ready,
+	// within which front ends are notified of the changes that they have missed.
 	notificationSlack = time.Second
 )
 
-// checker reads the history of a completed run and collects the violations. It is for one goroutine.
+// checker reads the history of a completed run and collects the violations. It is not safe for concurrent use.
 type checker struct {
 	history    *history
 	readyTimes map[string][]time.Time // when each process of a front end became ready, by front end
 	violations []Violation
 }
 
-// check returns all violations: first those that were recorded before, then those that the checker finds
-// in the history.
+// check returns all violations: the violations that were recorded earlier, followed by the violations that
+// the checker finds in the history.
 func (h *history) check(readyTimes map[string][]time.Time) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,7 +64,7 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Request: requestID, Detail: fmt.Sprintf(format, args...)})
 }
 
-// checkRequest checks a request with its attempts, which must be in the order of their begin.
+// checkRequest checks a request with its attempts, which must be sorted by their start.
 func (c *checker) checkRequest(req *request, attempts []*attempt) {
 	description := describeAttempts(attempts, req.sentAt)
 	if req.outcome == outcomeLost {
@@ -86,14 +88,15 @@
 	}
 }
 
-// checkAttempt checks the begin of an attempt and the remaining time that its engine was given.
+// checkAttempt checks the remaining time that the engine of an attempt was given, and that the attempt did
+// not begin after its client had disconnected.
 func (c *checker) checkAttempt(r *request, a *attempt) {
 	if a.delayed {
 		return
 	}
 	waited := c.processorWait(r.sentAt, a.beganAt)
 	if remaining := r.deadline().Sub(a.beganAt); a.remainingTime > remaining+remainingTimeSlack+waited {
-		c.report(RuleRemainingTime, r.id, "%v given, %v left", a.remainingTime, remaining)
+		c.report(RuleRemainingTime, r.id, "the engine was given %v, but %v remained", a.remainingTime, remaining)
 	}
 	latestStart := r.endedAt.Add(disconnectGrace + tolerance + c.processorWait(r.endedAt, a.beganAt))
 	if r.outcome == outcomeDisconnected && a.beganAt.After(latestStart) {
@@ -104,8 +107,8 @@
 
 // checkOverlap checks that an attempt ended before the next attempt began.
 func (c *checker) checkOverlap(r *request, earlier, later *attempt) {
-	// An attempt that ends right after its begin was read from a connection that the front end had
-	// already closed.
+	// An attempt that ends without a response right after its start was read from a connection that the
+	// front end had already closed.
 	readAfterClose := later.response == responseNone && !later.endedAt.IsZero() &&
 		later.endedAt.Sub(later.beganAt) < tolerance
 	if earlier.delayed || later.delayed || readAfterClose {
@@ -121,8 +124,8 @@
 	}
 }
 
-// processorWait returns how long processes of the run waited for a processor between two times. On a busy machine the
-// times that clients and engines record are late by that much at most, which says nothing of the program.
+// processorWait returns how long processes of the run waited for a processor between two times. On a busy machine, the
+// times that clients and engines record are late by at most this duration, which is not an error of the front end.
 func (c *checker) processorWait(from, until time.Time) (sum time.Duration) {
 	for _, w := range c.history.processorWaits {
 		if w.from.Before(until) && w.until.After(from) {
@@ -132,7 +135,7 @@
 	return sum
 }
 
-// describeAttempts lists the attempts with their times since the given one.
+// describeAttempts lists the attempts with their starts and ends relative to since.
 func describeAttempts(attempts []*attempt, since time.Time) string {
 	var text strings.Builder
 	for _, a := range attempts {
@@ -146,8 +149,8 @@
 	return text.String()
 }
 
-// notifiedAt returns the time from which every front end counts as notified of a change. That is the
-// time of its publication, or later if a fault of the bus or the start of a front end delayed it.
+// notifiedAt returns the time from which all front ends count as notified of a change: the time at which the
+// change was published, or a later time if a bus fault or the start of a front end delayed the notification.
 func (c *checker) notifiedAt(change engineChange) time.Time {
 	notified := change.publishedAt
 	delayUntil := func(t time.Time) {
@@ -171,8 +174,8 @@
 	return notified
 }
 
-// checkDrainedEngines checks that no attempt begins at an engine that is draining or removed, once all
-// front ends are notified of it and drainGrace is over.
+// checkDrainedEngines checks that no attempt begins at a draining or removed engine after all front ends
+// have been notified of the change and drainGrace has passed.
 func (c *checker) checkDrainedEngines() {
 	for _, change := range c.history.changes {
 		if change.state == stateReady {
@@ -185,13 +188,14 @@
 			}
 			if a.beganAt.After(latestStart) && !c.readyAgain(change, a.beganAt) {
 				since := a.beganAt.Sub(change.publishedAt)
-				c.report(RuleDrainedEndpoint, a.requestID, "%s: began %v after the notification", a.engine, since)
+				c.report(RuleDrainedEndpoint, a.requestID,
+					"%s: an attempt began %v after the change was published", a.engine, since)
 			}
 		}
 	}
 }
 
-// readyAgain reports whether a later change made the engine ready before the time.
+// readyAgain reports whether a later change made the engine ready before the given time.
 func (c *checker) readyAgain(change engineChange, at time.Time) bool {
 	return slices.ContainsFunc(c.history.changes, func(later engineChange) bool {
 		return later.engine == change.engine && later.state == stateReady &&
--- a/internal/lab/soak/checker_slowstart.go
+++ b/internal/lab/soak/checker_slowstart.go
@@ -6,12 +6,12 @@
 )
 
 // slowStartLimit returns the largest number of requests of mean work that may be sent to an engine in one
-// overload window while it is warming up. By the specification's rule it is N + 2*sqrt(N) + 2, and for N
-// under 30 N + 3*sqrt(N) + 3. N is the number of requests whose work is the engine's capacity times the
-// overload factor. The other terms allow for chance.
+// overload window while the engine is warming up. The specification defines it as N + 2*sqrt(N) + 2, or as
+// N + 3*sqrt(N) + 3 if N is below 30, where N is the number of requests of mean work that amount to the
+// engine's capacity times the overload factor. The other terms allow for random variation.
 //
 // The front end's check at run time computes the same limit (overloadLimit in the package policy). This
-// function deliberately does not call that code: a checker that shared it would share its errors.
+// function deliberately does not call that code: a checker that shared the code would share its errors.
 func slowStartLimit(sinceStart time.Duration, meanWorkSeconds float64) float64 {
 	const (
 		minMeanWork        = 1e-3 // seconds
@@ -61,8 +61,8 @@
 	}
 }
 
-// attemptsInSlowStart returns the attempts that began while the engine was warming up and all front
-// ends were notified of its start, in the order of their begin.
+// attemptsInSlowStart returns the attempts that began while the engine was warming up and after all front
+// ends had been notified of its start, sorted by their start.
 func (c *checker) attemptsInSlowStart(start engineChange) []*attempt {
 	notifiedAt := c.notifiedAt(start)
 	warmUpEnd := start.startedAt.Add(warmUpTime)
@@ -76,7 +76,8 @@
 	return sent
 }
 
-// meanWorkSeconds returns the mean work of the attempts that ended with work, in seconds of one core.
+// meanWorkSeconds returns the mean work of the attempts with a work time, in seconds of one core, and at least
+// one millisecond.
 func (c *checker) meanWorkSeconds() float64 {
 	sum := 0.0
 	count := 0
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -12,8 +12,8 @@
 
 const (
 	dialTimeout = time.Second
-	// idleCloseRace is the time after a request in which the end of its connection counts as a race
-	// with an idle close by the front end. The client may then send the request again.
+	// idleCloseRace is the time after sending a request during which a close of its connection counts as
+	// a race with the front end's close of the idle connection. The client may then send the request again.
 	idleCloseRace = 50 * time.Millisecond
 	// clientIdleTime is the idle time after which a client closes its connection.
 	clientIdleTime = 4 * time.Second
@@ -21,7 +21,7 @@
 	maxPause = 120 * time.Millisecond
 )
 
-// How often a client does not simply send a request and wait for its response: once in this number of
+// How often a client deviates from sending a request and waiting for its response: once in this number of
 // requests.
 const (
 	malformedRequestOneIn = 40
@@ -29,19 +29,20 @@
 	slowWriteOneIn        = 8
 )
 
-// Longest delays of a client in the middle of a request, and before it disconnects.
+// Upper limits of a client's delay between the two parts of a request that it writes slowly, and of its
+// delay before it disconnects early.
 const (
 	maxWriteDelayMS      = 60
 	maxDisconnectDelayMS = 50
 )
 
-// client sends requests one after the other, like the usual clients of the platform. It sends some
-// requests slowly, and disconnects early from others. It is for one goroutine.
+// client sends requests one after the other, as the platform's clients usually do. It writes some requests
+// slowly and disconnects early during others. It is not safe for concurrent use.
 type client struct {
 	run    *run
 	number int
 	random *rand.Rand
-	sent   int // requests
+	sent   int // number of requests so far
 
 	conn      net.Conn // nil: none is open
 	in        *bufio.Reader
@@ -76,7 +77,7 @@
 	}
 }
 
-// connect opens a connection to a front end that accepts new connections, and reports its success.
+// connect opens a connection to a front end that accepts new connections, and reports whether it succeeded.
 func (c *client) connect() bool {
 	target := c.run.pickFrontEnd(c.random)
 	if target == nil {
@@ -84,7 +85,7 @@
 	}
 	conn, err := net.DialTimeout("tcp", target.addr, dialTimeout)
 	if err != nil {
-		return false // nothing was accepted
+		return false // the connection was not accepted
 	}
 	c.conn = conn
 	c.in = bufio.NewReader(conn)
@@ -118,10 +119,10 @@
 }
 
 // errNotSent reports a request that was not sent completely.
-var errNotSent = errors.New("not sent completely")
+var errNotSent = errors.New("request not sent completely")
 
-// sendRequest sends one request, waits for its end and records it. If the front end closes the idle
-// connection at the same time, it sends the request a second time, on a new connection.
+// sendRequest sends one request, waits until it has ended and records it. If the front end closes the idle
+// connection at the same time, the client sends the request again on a new connection.
 func (c *client) sendRequest() {
 	req, text := c.newRequest()
 	if c.conn != nil {
@@ -137,8 +138,8 @@
 	}
 }
 
-// exchange sends a request on the open connection and waits for its end. If it returns an error, it has
-// closed the connection and the request has no outcome yet.
+// exchange sends a request on the open connection and waits until the request has ended. If it returns an
+// error, it has closed the connection and the request has no outcome yet.
 func (c *client) exchange(req *request, text string) error {
 	req.frontEnd = c.target.name
 	if !c.write(req, text) {
@@ -178,8 +179,8 @@
 	c.run.history.addRequest(req)
 }
 
-// write sends a request, in some cases in two parts, and sets sentAt after its last byte. It reports
-// whether the complete request was sent.
+// write sends a request, sometimes in two parts, and sets sentAt after the last byte. It reports whether the
+// complete request was sent.
 func (c *client) write(r *request, text string) bool {
 	_ = c.conn.SetDeadline(time.Now().Add(dialTimeout))
 	if c.random.IntN(slowWriteOneIn) == 0 {
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,9 +1,9 @@
 // Package soak injects randomized faults into real front-end processes on loopback and checks rules that
 // must hold under every fault. Run carries out one run and returns its Result with all violations. The
-// program that calls it must call RunEngineProcess first.
+// calling program must call RunEngineProcess before anything else.
 //
 // A run starts front ends under internal/lab/syscallfault, engines as separate processes, an
-// event bus, proxies with faults in front of some engines, and the clients of the workload. The
+// event bus, fault-injecting proxies in front of some engines, and the clients of the workload. The
 // fault schedule is drawn from the run's seed: graceful shutdowns, kills, reloads, drained,
 // restarted and hanging engines, stepped clocks, failing system calls and disks, a bus that is
 // down or silent. Faults overlap in time.
--- a/internal/lab/soak/endpoint.go
+++ b/internal/lab/soak/endpoint.go
@@ -8,7 +8,7 @@
 	"flaxrelay/internal/lab/fake"
 )
 
-// engineState is the state of an engine on the bus, by its number in an event.
+// engineState is the state of an engine on the bus. The values are the numbers in the events of the bus.
 type engineState byte
 
 const (
@@ -24,7 +24,7 @@
 	stateRemoved:  "terminated",
 }
 
-// endpoint is an engine of the endpoint list.
+// endpoint is an engine in the endpoint list.
 type endpoint struct {
 	id     uint32
 	addr   netip.AddrPort
@@ -34,7 +34,7 @@
 
 func (e *endpoint) name() string { return fmt.Sprintf("s-%08x", e.id) }
 
-// target returns the endpoint in the form of a configuration.
+// target returns the endpoint in the format of a configuration.
 func (e *endpoint) target() fake.Target {
 	return fake.Target{
 		UID: e.name(), Endpoint: e.addr.String(), AZ: engineZone, Model: engineKind, State: stateNames[e.state],
@@ -42,7 +42,7 @@
 	}
 }
 
-// record returns the endpoint in the form of an event of the bus.
+// record returns the endpoint in the format of an event of the bus.
 func (e *endpoint) record() []byte {
 	const (
 		zoneIndex    = 0 // of engineZone in the settings
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -14,8 +14,9 @@
 	"flaxrelay/internal/lab/faultproxy"
 )
 
-// engine is an engine of the endpoint list with its process. Only the fault that has claimed it changes
-// its fields and calls its methods, except readEvents.
+// engine is an engine in the endpoint list, with its process. During the workload, only the fault that has
+// claimed the engine changes its fields and calls its methods. The exceptions are readEvents, which runs on
+// a separate goroutine, and processID.
 type engine struct {
 	run      *run
 	id       uint32
@@ -23,7 +24,7 @@
 	proxy    *faultproxy.Proxy // nil: front ends connect to the process itself
 	endpoint endpoint
 	cmd      *exec.Cmd
-	starts   int // of the process so far
+	starts   int // number of starts of the process so far
 
 	mu       sync.Mutex // guards the fields below, which other goroutines read
 	thawedAt time.Time  // end of the latest freeze
@@ -39,8 +40,8 @@
 
 func (e *engine) name() string { return e.endpoint.name() }
 
-// newEngine starts an engine that is not on the list yet. If proxied is true, it starts a proxy in front
-// of it.
+// newEngine starts an engine and, if proxied is true, a proxy in front of the engine. It does not publish the
+// engine.
 func newEngine(r *run, id uint32, addr string, proxied bool) (*engine, error) {
 	created := &engine{run: r, id: id, addr: addr, endpoint: endpoint{id: id}}
 	if err := created.start(); err != nil {
@@ -65,9 +66,9 @@
 	return created, nil
 }
 
-// processOptions returns the options of the process. Each start has its own seed.
+// processOptions returns the options of the process. Each start uses a different seed.
 func (e *engine) processOptions() engineOptions {
-	const seedsPerEngine = 1000 // above the number of starts of an engine in a run
+	const seedsPerEngine = 1000 // exceeds the number of starts of an engine in a run
 	seed := e.run.options.Seed + uint64(e.id)*seedsPerEngine + uint64(e.starts)
 	return engineOptions{Addr: e.addr, Seed: seed, FaultyResponseShare: e.run.faultyResponseShare}
 }
@@ -107,8 +108,8 @@
 	}
 }
 
-// readEvents records the events of a process in the history until the process ends. It closes
-// listening when the process listens. It runs on a separate goroutine.
+// readEvents records the events of a process in the history until the process exits. It closes listening
+// when the process listens. It runs on a separate goroutine.
 func (e *engine) readEvents(process string, output io.Reader, listening chan<- struct{}) {
 	events := json.NewDecoder(output)
 	for {
@@ -133,13 +134,13 @@
 	}
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process and waits until it has exited.
 func (e *engine) kill() {
 	_ = e.cmd.Process.Kill()
 	_ = e.cmd.Wait()
 }
 
-// freeze stops the process for the duration, with its connections open.
+// freeze suspends the process for the duration. The connections of the process stay open.
 func (e *engine) freeze(duration time.Duration) {
 	_ = e.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(duration)
@@ -149,8 +150,8 @@
 	_ = e.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// readLate reports whether the bytes that the process read at the time may have arrived while it was
-// frozen.
+// readLate reports whether bytes that the process read at the given time may have arrived while the process
+// was frozen.
 func (e *engine) readLate(at time.Time) bool {
 	const catchUpTime = 500 * time.Millisecond
 	e.mu.Lock()
@@ -158,10 +159,10 @@
 	return at.After(e.thawedAt) && at.Before(e.thawedAt.Add(catchUpTime))
 }
 
-// publishState publishes a state on the bus that is not a start.
+// publishState publishes a state of the engine. The change does not count as a start of the engine.
 func (e *engine) publishState(state engineState) { e.publish(state, time.Time{}) }
 
-// publishStart publishes that the engine is ready and when it started. The published time is that of the
+// publishStart publishes that the engine is ready and when it started. The published time is startedAt by the
 // engine's clock, which is wrong by clockStep.
 func (e *engine) publishStart(startedAt time.Time, clockStep time.Duration) {
 	e.endpoint.bootMS = startedAt.Add(clockStep).UnixMilli()
--- a/internal/lab/soak/engineprocess.go
+++ b/internal/lab/soak/engineprocess.go
@@ -15,15 +15,15 @@
 	"flaxrelay/internal/lab/fake"
 )
 
-// engineVariable is the environment variable that makes a process an engine. Its value is the
-// engineOptions as JSON.
+// engineVariable is the environment variable that makes a process serve as an engine. Its value is the
+// engineOptions in JSON.
 const engineVariable = "FLAXLAB_SOAK_ENGINE"
 
 // engineOptions configure an engine process.
 type engineOptions struct {
 	Addr                string  `json:"addr"`
 	Seed                uint64  `json:"seed"`
-	FaultyResponseShare float64 `json:"faulty_response_share"` // of requests without a normal result
+	FaultyResponseShare float64 `json:"faulty_response_share"` // share of requests without a normal result
 }
 
 // engineEventKind is the kind of an event at an engine process.
@@ -32,11 +32,11 @@
 const (
 	eventListening        engineEventKind = "listening"         // the process accepts connections
 	eventAttemptBegan     engineEventKind = "attempt began"     // a request has arrived
-	eventAttemptEnded     engineEventKind = "attempt ended"     // its response is about to be written
-	eventAttemptCancelled engineEventKind = "attempt cancelled" // it was cancelled, or its connection has ended
+	eventAttemptEnded     engineEventKind = "attempt ended"     // the response is about to be written
+	eventAttemptCancelled engineEventKind = "attempt cancelled" // the attempt was cancelled, or its connection ended
 )
 
-// engineEvent is a message from an engine process to its parent, a line of JSON on standard output.
+// engineEvent is a message from an engine process to its parent. It is one line of JSON on standard output.
 type engineEvent struct {
 	Kind          engineEventKind `json:"kind"`
 	At            time.Time       `json:"at"` // by the wall clock, which all processes of a run share
@@ -48,7 +48,7 @@
 }
 
 // RunEngineProcess serves as an engine if this process was started as one, and reports whether it
-// was. Programs and test binaries that start runs call it first.
+// was. Programs and test binaries that start runs must call it first.
 func RunEngineProcess() bool {
 	encoded := os.Getenv(engineVariable)
 	if encoded == "" {
@@ -61,7 +61,7 @@
 	return true
 }
 
-// serveEngine serves as an engine with the encoded options until the parent ends.
+// serveEngine serves as an engine with the encoded options until the parent exits.
 func serveEngine(encodedOptions string) error {
 	var options engineOptions
 	if err := json.Unmarshal([]byte(encodedOptions), &options); err != nil {
@@ -78,15 +78,16 @@
 	return nil
 }
 
-// exitWithParent ends the process when its parent has ended: the parent has the other end of standard
-// input and never closes it.
+// exitWithParent exits when the parent has exited. The parent never closes its end of the pipe at standard
+// input, so that the input ends only when the parent exits.
 func exitWithParent() {
 	_, _ = io.Copy(io.Discard, os.Stdin)
 	os.Exit(0)
 }
 
-// engineProcess is an engine of a run, a fake.LineHandler. It reports each attempt to its parent, and
-// responds to a share of them in a faulty way. It is safe for concurrent use.
+// engineProcess handles the requests to an engine of a run. It reports each attempt to the parent process, and
+// sends faulty responses to a share of the attempts. It implements fake.LineHandler and is safe for
+// concurrent use.
 type engineProcess struct {
 	faultyResponseShare float64
 
@@ -112,7 +113,7 @@
 	err := e.events.Encode(event)
 	e.mu.Unlock()
 	if err != nil {
-		os.Exit(1) // the parent has ended
+		os.Exit(1) // the parent has exited
 	}
 }
 
@@ -154,7 +155,7 @@
 	return fmt.Sprintf("%s\t%s\t%d\n", requestID, page, pageCount(requestID))
 }
 
-// responseBehavior is the behavior of an engine on one request.
+// responseBehavior is how an engine responds to one request.
 type responseBehavior int
 
 const (
@@ -167,7 +168,7 @@
 	duplicateResult
 )
 
-// faultyBehaviors are the behaviors that are drawn for a faulty response, each in proportion to its weight.
+// faultyBehaviors are the behaviors from which a faulty response is drawn, each in proportion to its weight.
 var faultyBehaviors = []struct {
 	behavior responseBehavior
 	weight   float64
@@ -175,7 +176,7 @@
 	{rejectAtOnce, 2}, {failAfterWork, 2}, {sendNoise, 1}, {truncateResult, 1}, {neverRespond, 1}, {duplicateResult, 1},
 }
 
-// behaviorFor returns the behavior for a number that was drawn from 0 to 1.
+// behaviorFor returns the behavior for a random number from 0 to 1.
 func behaviorFor(randomNumber, faultyShare float64) responseBehavior {
 	const totalWeight = 8 // of faultyBehaviors
 	cumulativeWeight := 0.0
@@ -188,7 +189,7 @@
 	return respondNormally
 }
 
-// Handle implements fake.LineHandler: it works on a request and responds.
+// Handle implements fake.LineHandler: it waits for the work time of a request and responds.
 func (e *engineProcess) Handle(ctx context.Context, exchange *fake.LineExchange) {
 	const minWorkFactor = 0.5 // of the mean; the factor is uniform up to 1.5
 	request := exchange.Request
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/lab/syscallfault"
 )
 
-// clockSteps are the possible errors of a wall clock.
+// clockSteps are the errors of a wall clock from which a fault draws one.
 var clockSteps = []time.Duration{0, 0, 0, -5 * time.Second, -time.Hour, time.Hour}
 
 func drawClockStep(random *rand.Rand) time.Duration { return clockSteps[random.IntN(len(clockSteps))] }
@@ -41,8 +41,8 @@
 // engineRestart describes the restart of an engine.
 type engineRestart struct {
 	downtime          time.Duration
-	notificationDelay time.Duration // from its start until the bus publishes the start
-	clockStep         time.Duration // error of the engine's clock, from which its published start comes
+	notificationDelay time.Duration // from the engine's start until the bus publishes it
+	clockStep         time.Duration // error of the engine's clock, which determines the published start
 }
 
 func drawEngineRestart(random *rand.Rand) engineRestart {
@@ -76,7 +76,7 @@
 
 // engineReplacement describes the replacement of an engine by a successor.
 type engineReplacement struct {
-	drainTime  time.Duration // between the notifications that it is draining and that it is removed
+	drainTime  time.Duration // between the notifications of the draining and of the removal
 	newAddress bool          // the successor listens at another address than the replaced engine
 	proxied    bool          // the successor is reached through a proxy
 	clockStep  time.Duration // error of the successor's clock
@@ -97,7 +97,7 @@
 	}
 }
 
-// replaceEngine drains an engine, removes it and adds a new one.
+// replaceEngine drains an engine, removes it and adds a successor.
 func (r *run) replaceEngine(random *rand.Rand) error {
 	replaced, ok := r.enginePool.claim(random)
 	if !ok {
@@ -134,7 +134,7 @@
 	return drawDuration(random, minTime, timeRange)
 }
 
-// freezeEngine stops an engine's process for a drawn time.
+// freezeEngine suspends an engine's process for a random time.
 func (r *run) freezeEngine(random *rand.Rand) error {
 	if e, ok := r.enginePool.claim(random); ok {
 		defer r.enginePool.release(e)
@@ -157,7 +157,7 @@
 			return err
 		}
 		if process, _ := f.settledProcess(); process != nil {
-			_ = process.Signal(syscall.SIGHUP) // a process that has ended reads the file when it starts
+			_ = process.Signal(syscall.SIGHUP) // if the process has exited, the next one reads the file at its start
 		} else {
 			r.faults.Go(func() { r.reloadLater(f) })
 		}
@@ -165,7 +165,8 @@
 	return nil
 }
 
-// reloadLater makes a front end that has just started reload once it has settled.
+// reloadLater makes a front end that has just started reload its configuration once settledProcess returns
+// its process.
 func (r *run) reloadLater(f *frontEnd) {
 	const (
 		pollInterval = 100 * time.Millisecond
@@ -188,7 +189,7 @@
 	return drawDuration(random, minTime, timeRange)
 }
 
-// busFault returns a fault that switches the bus to a mode for a drawn time.
+// busFault returns a fault that switches the bus to a mode for a random time.
 func busFault(mode busMode) faultInjector {
 	return func(r *run, random *rand.Rand) error {
 		duration := drawBusFaultTime(random)
@@ -201,8 +202,8 @@
 	}
 }
 
-// backgroundFaults are the system call faults of a front end between the faults of the schedule. They are
-// rare, except for faults of files, which are seldom written.
+// backgroundFaults returns the system call faults of a front end while no scheduled fault changes them. The
+// rates are low, except for faults of files: files are seldom written.
 func backgroundFaults() syscallfault.Faults {
 	const (
 		socketFaultRate = 0.01
@@ -214,8 +215,8 @@
 	}
 }
 
-// drawSystemCallFaults draws the faults of a front end's system calls and their duration. About half of
-// the kinds occur.
+// drawSystemCallFaults draws the faults of a front end's system calls and their duration. Each of the kinds
+// occurs with a probability of one half.
 func drawSystemCallFaults(random *rand.Rand) (faults syscallfault.Faults, duration time.Duration) {
 	const (
 		minTime        = 300 * time.Millisecond
@@ -238,7 +239,7 @@
 	return faults, drawDuration(random, minTime, timeRange)
 }
 
-// failSystemCalls makes system calls of a front end fail for a drawn time.
+// failSystemCalls makes system calls of a front end fail for a random time.
 func (r *run) failSystemCalls(random *rand.Rand) error {
 	if f, ok := r.frontEndPool.claim(random); ok {
 		defer r.frontEndPool.release(f)
@@ -250,8 +251,8 @@
 	return nil
 }
 
-// stepClock steps the wall clock of a front end's machine. The clock stays wrong until the next
-// fault of the front end.
+// stepClock steps the wall clock that a front end reads. The clock stays wrong until the next fault of the
+// front end.
 func (r *run) stepClock(random *rand.Rand) error {
 	const duration = 2 * time.Second
 	if f, ok := r.frontEndPool.claim(random); ok {
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -20,14 +20,14 @@
 const (
 	// startTimeout limits the start of a front end or an engine.
 	startTimeout = 20 * time.Second
-	// newConnectionsEnd and openConnectionsEnd are the times after SIGTERM until which clients open
-	// new connections, and send requests on open connections.
+	// newConnectionsEnd and openConnectionsEnd are the times after SIGTERM at which clients stop opening
+	// new connections, and stop sending requests on open connections.
 	newConnectionsEnd  = 300 * time.Millisecond
 	openConnectionsEnd = 500 * time.Millisecond
-	// maxShutdownTime limits the part of a graceful shutdown in which pending requests end.
+	// maxShutdownTime limits the part of a graceful shutdown in which pending requests complete.
 	maxShutdownTime = 3 * time.Second
-	// killGrace is the time after that part in which the process must exit. The platform may kill it
-	// after that.
+	// killGrace is the time after that part within which the process must exit. The platform may kill a
+	// process that is still running then.
 	killGrace = 700 * time.Millisecond
 	// exitSlack is the additional time that an exit may take on a busy machine.
 	exitSlack = 300 * time.Millisecond
@@ -38,8 +38,8 @@
 var errNotReady = errors.New("not ready in time")
 
 // frontEnd is a front end whose process is restarted after each exit, under the same name and address.
-// During the workload, only the fault that has claimed it ends and starts it, and may read process without
-// mu. Clients read its state from their goroutines.
+// During the workload, only the fault that has claimed the front end stops and starts it, and may read
+// process without mu. Clients read the state from their goroutines.
 type frontEnd struct {
 	run          *run
 	name         string
@@ -51,9 +51,9 @@
 
 	mu          sync.Mutex // guards the fields below
 	process     *syscallfault.Process
-	processes   []*syscallfault.Process // all so far, the current one last
+	processes   []*syscallfault.Process // all processes so far, the current one last
 	ready       bool                    // the current process serves
-	signalledAt time.Time               // when it was sent the latest SIGTERM or SIGKILL; zero: none
+	signalledAt time.Time               // when the current process was last sent SIGTERM or SIGKILL; zero: never
 	kills       []time.Time             // when a process was sent SIGKILL
 	readyTimes  []time.Time             // when each process became ready
 }
@@ -110,7 +110,8 @@
 	return f.process.ID()
 }
 
-// watch waits for the end of a process. It reports an end without a SIGTERM or SIGKILL before it.
+// watch waits until a process has ended. It reports a violation if the process ended without having been sent
+// SIGTERM or SIGKILL, or if waiting for it failed.
 func (f *frontEnd) watch(process *syscallfault.Process) {
 	status, err := process.Wait()
 	f.mu.Lock()
@@ -179,14 +180,14 @@
 	return f.process, !f.signalledAt.IsZero()
 }
 
-// killedWithin reports whether a SIGKILL was sent within the span, which includes its ends.
+// killedWithin reports whether a SIGKILL was sent between the two times, both included.
 func (f *frontEnd) killedWithin(from, until time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.ContainsFunc(f.kills, span{from, until}.contains)
 }
 
-// signal sends a signal. It records SIGTERM and SIGKILL, after which the process may end.
+// signal sends a signal to the process. It records SIGTERM and SIGKILL, after which the process may exit.
 func (f *frontEnd) signal(signal syscall.Signal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,7 +202,7 @@
 	_ = f.process.Signal(signal) // fails if the process has already ended
 }
 
-// terminate sends SIGTERM and waits for the end of the process. If that takes too long, it records a
+// terminate sends SIGTERM and waits until the process has exited. If that takes too long, it records a
 // violation and kills the process.
 func (f *frontEnd) terminate() {
 	const limit = min(longestDeadline, maxShutdownTime) + killGrace + exitSlack
@@ -209,7 +210,7 @@
 	select {
 	case <-f.process.Ended():
 	case <-time.After(limit):
-		f.report(RuleProcess, "%s has not ended %v after SIGTERM; see %s", f.name, limit, f.logPath)
+		f.report(RuleProcess, "%s has not exited %v after SIGTERM; see %s", f.name, limit, f.logPath)
 		_ = f.process.Signal(syscall.SIGKILL)
 		<-f.process.Ended()
 	}
--- a/internal/lab/soak/frontendconfig.go
+++ b/internal/lab/soak/frontendconfig.go
@@ -29,7 +29,7 @@
 // frontEndLimits are the limits of every front end.
 var frontEndLimits = machineLimits{Cores: 1, MemoryMB: 192, Sockets: 512}
 
-// formatSeed writes a seed in the form of the configuration.
+// formatSeed returns a seed in the format of the configuration.
 func formatSeed(seed uint64) string { return fmt.Sprintf("%016x", seed) }
 
 // encode returns the configuration as the content of a file.
@@ -41,7 +41,7 @@
 	return encoded, nil
 }
 
-// writeConfig atomically replaces the configuration file. The new file has the current state of the bus.
+// writeConfig atomically replaces the configuration file. The new file contains the current state of the bus.
 func (f *frontEnd) writeConfig(seed uint64) error {
 	config := frontEndConfig{
 		Name: f.name, Listen: f.addr, Seed: formatSeed(seed), Limits: frontEndLimits, Bus: f.run.bus.addr(),
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// shapesConfigFormat is the configuration of the statement statistics. Its argument is the path of the
-// snapshot.
+// shapesConfigFormat is the format of the configuration of the statement statistics. Its argument is the path
+// of the snapshot.
 const shapesConfigFormat = `enabled = true
 correct_estimates = true
 memory_kb = 256
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -13,8 +13,8 @@
 	outcomeRejected     outcome = "rejected"
 	outcomeFailed       outcome = "failed"
 	outcomeDisconnected outcome = "disconnected" // the client closed its connection before the response
-	outcomeExcused      outcome = "excused"      // no response, since the front end was killed
-	outcomeLost         outcome = "lost"         // no response, a late one, or an incomplete one
+	outcomeExcused      outcome = "excused"      // no response, because the front end was killed
+	outcomeLost         outcome = "lost"         // the response was missing, late or incomplete
 )
 
 // request is one request of a client.
@@ -28,17 +28,16 @@
 	outcome  outcome
 	detail   string
 
-	newConnection bool // it was the first on its connection
+	newConnection bool // the request was the first on its connection
 }
 
-// deadline is when the client gives up.
 func (r *request) deadline() time.Time { return r.sentAt.Add(r.wait) }
 
 // responseKind is the kind of an engine's response to an attempt.
 type responseKind string
 
 const (
-	responseNone      responseKind = ""          // none was written
+	responseNone      responseKind = ""          // no response was written
 	responseServed    responseKind = "served"    // a result
 	responseRejected  responseKind = "rejected"  // the engine has no capacity; the request has not run
 	responseFailed    responseKind = "failed"    // the request may have run
@@ -57,7 +56,7 @@
 	workTime      time.Duration
 
 	// delayed means that a proxy or a frozen engine may have delayed the attempt, so that its times
-	// differ from those of the front end.
+	// differ from the times at the front end.
 	delayed bool
 }
 
@@ -72,10 +71,10 @@
 // span is the time between two instants.
 type span struct{ from, until time.Time }
 
-// contains reports whether the time lies in the span, which includes its ends.
+// contains reports whether the time lies in the span, both ends included.
 func (s span) contains(t time.Time) bool { return !t.Before(s.from) && !t.After(s.until) }
 
-// history is the record of a run by clients, engine processes and the fault injector. It is safe for
+// history records what clients, engine processes and the fault injector observe during a run. It is safe for
 // concurrent use.
 type history struct {
 	mu             sync.Mutex
@@ -83,7 +82,7 @@
 	attempts       []*attempt
 	inFlight       map[string]map[string]*attempt // by engine process and request id
 	changes        []engineChange
-	busFaults      []span // in which a fault of the bus may delay notifications
+	busFaults      []span // in which a bus fault may delay notifications
 	processorWaits []processorWait
 	violations     []Violation // recorded before the checker reads the history
 }
@@ -114,7 +113,7 @@
 	h.processorWaits = append(h.processorWaits, w)
 }
 
-// processorWaitSum returns how long processes of the run waited for a processor.
+// processorWaitSum returns how long processes of the run waited for a processor in total.
 func (h *history) processorWaitSum() (sum time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -150,7 +149,8 @@
 	delayed  bool // the engine process may have noticed the end late
 }
 
-// endAttempt records the end of an attempt that is in flight at an engine process.
+// endAttempt records the end of an attempt that is in flight at an engine process. It has no effect if the
+// attempt has already ended.
 func (h *history) endAttempt(process, requestID string, end attemptEnd) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -165,7 +165,7 @@
 	a.delayed = a.delayed || end.delayed
 }
 
-// endProcess records the end of an engine process, which ends its attempts in flight.
+// endProcess records the exit of an engine process, which ends its attempts in flight.
 func (h *history) endProcess(process string, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/soak/malformed.go
+++ b/internal/lab/soak/malformed.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// malformedResponseTimeout is the time in which a client with a malformed request must get a response
-// or a close: 3 s by the specification, and slack for a busy machine.
+// malformedResponseTimeout is the time within which a front end must respond to a malformed request or close
+// the connection: 3 s by the specification, plus slack for a busy machine.
 const malformedResponseTimeout = 4 * time.Second
 
-// malformedRequests returns the requests from which a client draws a malformed one. A change of their order
+// malformedRequests returns the malformed requests from which a client draws one. A change of their order
 // changes the requests of every seed.
 func malformedRequests(id string) []string {
 	const tooLongPath = 40000
@@ -23,8 +23,8 @@
 		"POST /rpc/lookup HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Wait-Ms: NaN\r\nContent-Length: 1\r\n\r\nx",
 		"POST /rpc/nowhere HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Wait-Ms: 100\r\nContent-Length: 1\r\n\r\nx",
 		"GET /" + strings.Repeat("x", tooLongPath),
-		"POST /rpc/lookup HTTP/1.1\r\nReq-Id: " + id + "\r\nContent-Le", // ends in its head
-		"", // nothing is sent at all
+		"POST /rpc/lookup HTTP/1.1\r\nReq-Id: " + id + "\r\nContent-Le", // truncated in a header
+		"", // nothing is sent
 	}
 }
 
@@ -45,7 +45,7 @@
 	id := fmt.Sprintf("ffff%04x%08x", c.number, c.sent) // ffff in place of the seed
 	texts := malformedRequests(id)
 	if _, err := io.WriteString(conn, texts[c.random.IntN(len(texts))]); err != nil {
-		return // closed already
+		return // the front end has already closed the connection
 	}
 	_, err = io.Copy(io.Discard, conn)
 	var netError net.Error
--- a/internal/lab/soak/pool.go
+++ b/internal/lab/soak/pool.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// pool decides which members of a run, front ends or engines, faults may affect. One fault at a time can
-// claim a member. A share of the members is always unclaimed, so that the run can serve requests. It is
-// safe for concurrent use.
+// pool contains the front ends or the engines of a run. A fault claims the member that it affects, and a
+// member has at most one claim at a time. A share of the members always stays unclaimed, so that the run can
+// serve requests. A pool is safe for concurrent use.
 type pool[M comparable] struct {
-	reserveDivisor int // at least one in reserveDivisor members is unclaimed
+	reserveDivisor int // at least one in reserveDivisor members stays unclaimed
 
 	mu      sync.Mutex // guards the fields below
 	members []M
@@ -60,7 +60,7 @@
 	delete(p.claimed, member)
 }
 
-// replace replaces a claimed member by its successor, which is unclaimed.
+// replace replaces a claimed member with its successor, which is unclaimed.
 func (p *pool[M]) replace(old, successor M) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/soak/processorwait.go
+++ b/internal/lab/soak/processorwait.go
@@ -12,7 +12,7 @@
 const (
 	// waitSampleInterval is the time between two samples of a waitSampler.
 	waitSampleInterval = 20 * time.Millisecond
-	// minProcessorWait is the least wait within a sample that counts. Shorter waits occur on an idle machine too.
+	// minProcessorWait is the shortest wait within a sample that counts. Shorter waits occur on an idle machine too.
 	minProcessorWait = 5 * time.Millisecond
 )
 
@@ -23,13 +23,14 @@
 }
 
 // waitSampler measures how long threads that are ready to run wait for a processor. On a busy machine these waits delay
-// the front ends, the engines and this process, so that the times that the checker compares differ although the program
-// has done nothing wrong. It is for one goroutine.
+// the front ends, the engines and this process, so that the times that the checker compares differ without an error of
+// the front end. A waitSampler is not safe for concurrent use.
 type waitSampler struct {
-	// groups returns the ids of the processes that a request depends on, one after the other: those of the front ends,
-	// those of the engines and so on.
+	// groups returns the ids of the processes of the run: one group for the front ends, one for the engines and so on.
+	// A request passes through one process of each group, one after the other.
 	groups func() [][]int
-	// threadWaits returns how long each thread of a process has waited for a processor since it began.
+	// threadWaits returns how long each thread of a process has waited for a processor since the thread started, by
+	// thread id.
 	threadWaits func(process int) map[int]time.Duration
 
 	previous map[int]time.Duration // the total wait of each thread in the last sample
@@ -42,7 +43,7 @@
 	return s
 }
 
-// run passes a sample to record at each interval until stop is closed.
+// run takes a sample at each interval and passes it to record unless it is 0, until stop is closed.
 func (s *waitSampler) run(record func(processorWait), stop <-chan struct{}) {
 	from := time.Now()
 	for {
@@ -60,8 +61,8 @@
 	}
 }
 
-// sample returns the longest wait of any thread of each group since the previous sample, summed over the groups. That
-// is at least as long as a request was delayed, since its path has one process of each group.
+// sample returns the longest wait of any thread in a group since the previous sample, summed over the groups. The sum
+// is at least as long as the delay of a request, because a request passes through one process of each group.
 func (s *waitSampler) sample() (sum time.Duration) {
 	current := map[int]time.Duration{}
 	for _, processes := range s.groups() {
@@ -80,7 +81,7 @@
 	return sum
 }
 
-// readThreadWaits implements waitSampler.threadWaits. A process that has ended has no threads.
+// readThreadWaits implements waitSampler.threadWaits. It returns no threads for a process that has exited.
 func readThreadWaits(process int) map[int]time.Duration {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process)) // the pattern is valid
 	waits := map[int]time.Duration{}
--- a/internal/lab/soak/response.go
+++ b/internal/lab/soak/response.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// responseSlack is the time that a client waits after its deadline. A later response is lost.
+	// responseSlack is how long a client waits after its deadline. A response that arrives later is lost.
 	responseSlack = 500 * time.Millisecond
 	// maxPages limits the pages of a result that a client reads.
 	maxPages = 8
@@ -19,12 +19,12 @@
 
 // responseBody is the JSON object of a response.
 type responseBody struct {
-	More   string     `json:"more"` // path of the next page; "": this is the last
+	More   string     `json:"more"` // path of the next page; "": there are no more pages
 	Result [][]string `json:"result"`
 	Fault  string     `json:"fault"`
 }
 
-var errTooManyPages = errors.New("more pages than the result has")
+var errTooManyPages = errors.New("result has too many pages")
 
 // receive reads a response with all of its pages and sets the request's outcome. It returns an error if
 // there is no complete response.
@@ -93,12 +93,12 @@
 	}
 }
 
-// report records a violation that concerns a request.
+// report records a violation by the response to a request.
 func (c *client) report(rule Rule, r *request, detail string) {
 	c.run.history.addViolation(Violation{Rule: rule, Request: r.id, Detail: detail})
 }
 
-// checkRows compares the rows of a result with those that an engine returns for the request.
+// checkRows compares the rows of a result with the rows that an engine returns for the request.
 func checkRows(requestID string, rows [][]string) error {
 	const columns = 3 // as in resultPage
 	if len(rows) != pageCount(requestID) {
@@ -106,7 +106,7 @@
 	}
 	for i, row := range rows {
 		if len(row) != columns || row[0] != requestID || row[1] != strconv.Itoa(i) {
-			return fmt.Errorf("row %d of the result is %q, not the engine's", i, row)
+			return fmt.Errorf("row %d of the result is %q, not the row that the engine returned", i, row)
 		}
 	}
 	return nil
@@ -122,5 +122,6 @@
 	}
 	r.outcome = outcomeLost
 	waited := r.endedAt.Sub(r.sentAt).Round(time.Millisecond)
-	r.detail = fmt.Sprintf("%v after %v of %v, new connection: %v", cause, waited, r.wait, r.newConnection)
+	r.detail = fmt.Sprintf("%v, %v after the request was sent with a deadline of %v; new connection: %v",
+		cause, waited, r.wait, r.newConnection)
 }
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -10,16 +10,16 @@
 	"flaxrelay/internal/lab/syscallfault"
 )
 
-// Result is the result of a run.
+// Result contains the counts and the violations of a completed run.
 type Result struct {
 	Seed      uint64
 	Directory string          // contains the logs
 	Outcomes  map[outcome]int // number of requests by outcome
 	Attempts  int
-	Faults    map[string]int            // number of faults of the schedule that began, by kind
+	Faults    map[string]int            // number of scheduled faults that were started, by kind
 	Injected  map[syscallfault.Kind]int // number of injected faults of system calls, by kind
-	// ProcessorWait is how long processes waited for a processor, as far as that exceeds the waits on an idle machine.
-	// The checker allows for it.
+	// ProcessorWait is how long processes waited for a processor in total, without waits as short as those on an idle
+	// machine. The checker allows for these waits.
 	ProcessorWait time.Duration
 	Violations    []Violation
 }
@@ -36,7 +36,7 @@
 	return text.String()
 }
 
-// formatCounts lists the counts in the order of their names.
+// formatCounts lists the counts, sorted by name.
 func formatCounts[N ~string](counts map[N]int) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -4,9 +4,9 @@
 // at run time, the rule has the name of its invariant (docs/glossary.md).
 type Rule string
 
-// The rules that the checker checks on the history after the run.
+// The rules that the checker applies to the history after the run.
 const (
-	// RuleResponse: every request has one complete response in time, unless its client has
+	// RuleResponse: every request gets one complete response in time, unless its client has
 	// disconnected or its front end was killed.
 	RuleResponse Rule = "response-deadline"
 	// RuleRetryLimit: a request has at most three attempts.
@@ -25,29 +25,29 @@
 	RuleSlowStart Rule = "slow-start-overload"
 )
 
-// The rules that clients check on the responses that they receive.
+// The rules that clients apply to the responses that they receive.
 const (
 	// RuleCompleteResult: a served response contains the complete result of an engine.
 	RuleCompleteResult Rule = "complete-result"
-	// RuleRetryAfter: a rejection has a Retry-After.
+	// RuleRetryAfter: a rejection has a Retry-After if the settings require one.
 	RuleRetryAfter Rule = "retry-after"
-	// RuleMalformedRequest: a client with a malformed request gets a response or a close.
+	// RuleMalformedRequest: a front end responds to a malformed request or closes the connection.
 	RuleMalformedRequest Rule = "malformed-request"
 )
 
 // The rules of a front end's process and its log.
 const (
-	// RuleProcess: a front end serves until it is signalled to exit, and then exits in time. An
-	// error of the test environment also violates it.
+	// RuleProcess: a front end serves until it is signalled to exit, and then exits in time. Errors of
+	// the test environment are reported under this rule too.
 	RuleProcess Rule = "process-lifetime"
 	// RuleInvariant: a front end reports no violation of its invariants and does not crash.
 	RuleInvariant Rule = "invariant"
 )
 
-// Violation is one break of a rule.
+// Violation describes how a rule was violated.
 type Violation struct {
 	Rule    Rule
-	Request string // id; "": the violation belongs to no single request
+	Request string // id; "": the violation does not concern a single request
 	Detail  string
 }
 
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -23,16 +23,16 @@
 	FrontEnds       int
 	Engines         int
 	Clients         int
-	Log             io.Writer // for a line about each fault; nil: none
+	Log             io.Writer // receives a line about each fault; nil: no log is written
 }
 
 // Second words of the seeds of the schedule and of the clients. The first word is the seed of the run.
 const (
 	scheduleStream    = 0
-	firstClientStream = 1 // and one more for each further client
+	firstClientStream = 1 // plus the number of the client
 )
 
-// One front end in two and one engine in three have no fault at any time.
+// At any time, at least one front end in two and one engine in three are not claimed by a fault.
 const (
 	frontEndReserveDivisor = 2
 	engineReserveDivisor   = 3
@@ -48,7 +48,7 @@
 	bus                 *eventBus
 	startedAt           time.Time
 
-	frontEnds    []*frontEnd // does not change after the first is started
+	frontEnds    []*frontEnd // does not change after the first front end is started
 	frontEndPool *pool[*frontEnd]
 	enginePool   *pool[*engine]
 
@@ -58,7 +58,7 @@
 	mu           sync.Mutex // guards the fields below
 	random       *rand.Rand
 	lastEngineID uint32
-	faultCounts  map[string]int // number of faults that began, by kind
+	faultCounts  map[string]int // number of faults that were started, by kind
 }
 
 // newRun draws the settings of a run from its seed.
@@ -73,12 +73,12 @@
 	}
 }
 
-// Run runs the workload under the faults of a seed to its end and checks the history.
+// Run runs the workload while it injects the faults of the seed, and then checks the history.
 func Run(options Options) (*Result, error) {
 	r := newRun(options)
 	directory, err := os.MkdirTemp(options.Directory, fmt.Sprintf("soak-%d-", options.Seed))
 	if err != nil {
-		return nil, fmt.Errorf("directory of the run: %w", err)
+		return nil, fmt.Errorf("create the directory of the run: %w", err)
 	}
 	r.directory = directory
 	if r.bus, err = newEventBus(); err != nil {
@@ -96,8 +96,8 @@
 	return r.result(), nil
 }
 
-// processGroups returns the ids of the processes of the front ends, of those of the engines, and of this process, which
-// traces the front ends and runs the clients.
+// processGroups returns the process ids of the front ends, of the engines, and of this process, which traces the front
+// ends and runs the clients.
 func (r *run) processGroups() [][]int {
 	var frontEnds, engines []int
 	for _, f := range r.frontEnds {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// runWorkload runs clients and faults for the duration of the run. It waits until all faults are over
+// runWorkload runs clients and injects faults for the duration of the run. It waits until all faults are over
 // and all requests have ended, and then terminates the front ends.
 func (r *run) runWorkload() {
 	stopSampling := make(chan struct{})
@@ -174,7 +174,7 @@
 	r.faults.Wait()
 }
 
-// killProcesses kills the processes that still run.
+// killProcesses kills the processes that are still running.
 func (r *run) killProcesses() {
 	for _, f := range r.frontEnds {
 		if f.process != nil {
@@ -219,7 +219,7 @@
 	return counts
 }
 
-// recordFault counts a fault that begins and writes it to the log.
+// recordFault counts a fault that is being started and writes it to the log.
 func (r *run) recordFault(kind string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,7 +229,7 @@
 	}
 }
 
-// recordError records an error of the test environment as a violation, so that the run does not pass.
+// recordError records an error of the test environment as a violation, so that the run fails.
 func (r *run) recordError(err error) {
 	r.history.addViolation(Violation{Rule: RuleProcess, Detail: err.Error()})
 }
@@ -241,7 +241,8 @@
 	return r.lastEngineID
 }
 
-// pickFrontEnd returns a front end that takes new connections, or nil. Its search begins at a random one.
+// pickFrontEnd returns a front end that accepts new connections, or nil if there is none. The search begins at
+// a random front end.
 func (r *run) pickFrontEnd(random *rand.Rand) *frontEnd {
 	now := time.Now()
 	offset := random.IntN(len(r.frontEnds))
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// faultInjector injects a fault into a run and returns at its end. It draws the target and the parameters
-// of the fault. If no target can be claimed, it does nothing. Its errors are those of the test environment.
+// faultInjector injects a fault into a run and returns when the fault is over. It draws the target and the
+// parameters of the fault. If no target can be claimed, it does nothing. It returns an error only if the test
+// environment fails.
 type faultInjector func(r *run, random *rand.Rand) error
 
 // faultKind is one kind of fault.
@@ -51,13 +52,13 @@
 	return scheduledFault{pause: pause, kind: kind, seed: random.Uint64()}
 }
 
-// drawDuration draws from the range that begins at the minimum.
+// drawDuration draws a duration of at least minimum and less than minimum+rangeSize.
 func drawDuration(random *rand.Rand, minimum, rangeSize time.Duration) time.Duration {
 	return minimum + time.Duration(random.Int64N(int64(rangeSize)))
 }
 
 // injectFaults starts the faults of the schedule one after the other until stop is closed. It does not
-// wait for their ends, so that faults overlap.
+// wait until a fault is over, so that faults overlap.
 func (r *run) injectFaults(random *rand.Rand, stop <-chan struct{}) {
 	for {
 		fault := nextFault(random)
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -14,7 +14,7 @@
 
 var classes = []string{classLookup, classLoad, classWrite}
 
-// workTimes are the mean times that an engine works on a request.
+// workTimes are the mean times that an engine works on a request, by class.
 var workTimes = map[string]time.Duration{
 	classLookup: 40 * time.Millisecond,
 	classLoad:   80 * time.Millisecond,
@@ -29,7 +29,7 @@
 	maxRetryAfter   = 300 * time.Millisecond
 )
 
-// The slow start of an engine in every run.
+// Parameters of the slow start of an engine in every run.
 const (
 	warmUpTime     = 8 * time.Second
 	startCapacity  = 0.3 // capacity right after the start, as a share of the full capacity
@@ -65,7 +65,7 @@
 }
 
 // settingsObject returns the settings object of a front end's configuration. It is a map with the keys of
-// the specification. A struct would duplicate the type into which the program decodes them.
+// the specification: a struct would duplicate the type into which the front end decodes the settings.
 func settingsObject(varying runSettings, frontEnds int) map[string]any {
 	deadlineMS := longestDeadline.Milliseconds()
 	return map[string]any{
