--- a/internal/lab/soak/checker_slowstart_test.go
+++ b/internal/lab/soak/checker_slowstart_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// addStart records a start of the engine at the start of the run, published at the time.
+// addStart records a start of the engine at the start of the run, published at the given time.
 func (h *builtHistory) addStart(published time.Duration) {
 	h.addChange(engineChange{engine: "s-1", state: stateReady, publishedAt: after(published), startedAt: runStart})
 }
@@ -28,11 +28,11 @@
 	}
 }
 
-// The work that an engine in slow start is sent in a window stays within its limit, which grows with
-// the time since the start.
+// The work sent to an engine in slow start within a window must not exceed a limit that grows with the time
+// since the engine's start.
 func TestCheck_ReportsAnOverloadedEngineInSlowStart(t *testing.T) {
 	violated := []string{string(RuleSlowStart)}
-	// lookups starts the engine and sends it lookups at one time after its start.
+	// lookups records a start of the engine and lookups at one time after the start.
 	lookups := func(count int, start time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addStart(0)
@@ -64,13 +64,13 @@
 		h.addLookups(200, 0)
 	}
 	mixed := func(loadCount int) func(h *builtHistory) {
-		return func(h *builtHistory) { // a mean of 60 ms
+		return func(h *builtHistory) { // mean work of 60 ms
 			h.addStart(0)
 			h.addLoads(loadCount, 0)
 			h.addLookups(loadCount, 0)
 		}
 	}
-	withoutWork := func(h *builtHistory) { // counted, they would halve the mean
+	withoutWork := func(h *builtHistory) { // if counted, these attempts would halve the mean
 		h.addLookups(52, 0, func(a *attempt) {
 			a.engine = "s-2"
 			a.workTime = 0
@@ -90,15 +90,15 @@
 		{"within a window", inOrder(lookups(26, 0), addLookups(26, 999*ms)), violated},
 		{"in two windows", inOrder(lookups(26, 0), addLookups(26, time.Second)), nil},
 		{"before the notification", publishedLate, nil},
-		{"no start", notAStart, nil},
+		{"change that is not a start", notAStart, nil},
 		{"delayed", lookups(200, 0, delayed), nil},
 		{"another engine", lookups(200, 0, func(a *attempt) { a.engine = "s-2" }), nil},
-		{"attempts without work don't count for the mean", inOrder(lookups(51, 0), withoutWork), nil},
+		{"attempts without work don't count towards the mean", inOrder(lookups(51, 0), withoutWork), nil},
 		{"two overloaded windows are one violation", inOrder(lookups(60, 0), addLookups(150, 3*time.Second)), violated},
 	})
 }
 
-// The limit is N + 2*sqrt(N) + 2, and for N under 30 N + 3*sqrt(N) + 3.
+// The limit is N + 2*sqrt(N) + 2, or N + 3*sqrt(N) + 3 if N is below 30.
 func TestSlowStartLimit_FollowsTheGrowthOfCapacity(t *testing.T) {
 	for _, c := range []struct {
 		sinceStart time.Duration
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -21,7 +21,7 @@
 	readyTimes map[string][]time.Time
 }
 
-// addAttempt records an attempt, and its end if that is above 0.
+// addAttempt records an attempt. An end of 0 means that the attempt is in flight.
 func (h *builtHistory) addAttempt(
 	requestID string, start, end time.Duration, response responseKind, change ...func(*attempt),
 ) {
@@ -50,12 +50,12 @@
 	return r
 }
 
-// addState records a change of the engine that is published at the time.
+// addState records a change of the engine's state that is published at the given time.
 func (h *builtHistory) addState(state engineState, published time.Duration) {
 	h.addChange(engineChange{engine: "s-1", state: state, publishedAt: after(published)})
 }
 
-// checkerCase is a built history and its violations: the rules with the ids of the requests.
+// checkerCase is a built history and its expected violations: the rules with the ids of the requests.
 type checkerCase struct {
 	name  string
 	build func(h *builtHistory)
@@ -79,7 +79,7 @@
 	}
 }
 
-// Only a lost request violates the rule of one response in time.
+// Of all outcomes, only a lost request violates RuleResponse.
 func TestCheck_ReportsALostRequest(t *testing.T) {
 	cases := []checkerCase{{name: "empty history", build: func(*builtHistory) {}}}
 	outcomes := []outcome{
@@ -107,7 +107,7 @@
 	}
 }
 
-// A request has three attempts at most, each of which begins after the end of the one before.
+// A request has at most three attempts, and each attempt begins after the previous attempt has ended.
 func TestCheck_ReportsTooManyOrOverlappingAttempts(t *testing.T) {
 	sequence := func(count int) func(h *builtHistory) {
 		return func(h *builtHistory) {
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	// pair returns an attempt from 20 ms to 170 ms, and an attempt that begins at the given time.
+	// pair records an attempt from 20 ms to 170 ms, and an attempt that begins at the given time.
 	pair := func(earlierResponse responseKind, laterBegin time.Duration) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addServed("r", classLookup)
@@ -159,7 +159,7 @@
 			a.endedAt = time.Time{}
 			a.response = responseNone
 		}), inFlight},
-		{"attempts of two requests at a time", func(h *builtHistory) {
+		{"attempts of two requests at the same time", func(h *builtHistory) {
 			h.addServed("r", classLookup)
 			h.addServed("s", classLookup)
 			h.addAttempt("r", 10*ms, 50*ms, responseServed)
@@ -188,7 +188,7 @@
 	})
 }
 
-// No attempt begins more than 100 ms, and the tolerance of 100 ms, after its client has disconnected.
+// No attempt begins more than 100 ms, plus the tolerance of 100 ms, after its client has disconnected.
 func TestCheck_ReportsAnAttemptAfterADisconnect(t *testing.T) {
 	begins := func(o outcome, start time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
@@ -206,7 +206,7 @@
 	})
 }
 
-// An engine is given at most the client's remaining time, with 150 ms of slack.
+// An engine is given at most the client's remaining time plus 150 ms of slack.
 func TestCheck_ReportsMoreThanTheRemainingTime(t *testing.T) {
 	given := func(remainingTime time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
@@ -222,8 +222,8 @@
 	})
 }
 
-// No attempt begins at an engine more than 500 ms, and the tolerance of 100 ms, after the notification
-// that it is draining or removed. A fault of the bus and the start of a front end may delay the
+// No attempt begins at an engine more than 500 ms, plus the tolerance of 100 ms, after the notification
+// that the engine is draining or removed. A bus fault and the start of a front end may delay the
 // notification.
 func TestCheck_ReportsAnAttemptAtADrainedEngine(t *testing.T) {
 	const published = 10 * time.Second
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -32,7 +32,7 @@
 	return rules
 }
 
-// The requests of a client follow from the run's seed and its number.
+// The run's seed and the client's number determine the requests of a client.
 func TestNewRequest_FollowsFromTheSeed(t *testing.T) {
 	c := &client{run: &run{options: Options{Seed: 0x12345}}, number: 3, random: rand.New(rand.NewPCG(0x12345, 4))}
 	var text strings.Builder
@@ -45,7 +45,7 @@
 
 // The response determines the outcome of a request and the violated rules.
 func TestReceive_ClassifiesTheResponse(t *testing.T) {
-	const id = "000000000000000a" // whose result has two pages
+	const id = "000000000000000a" // a request whose result has two pages
 	response := func(status, header, body string) string {
 		length := fmt.Sprintf("Content-Length: %d\r\n", len(body))
 		return "HTTP/1.1 " + status + "\r\n" + header + length + "\r\n" + body
@@ -124,7 +124,7 @@
 	}
 }
 
-// A rejection without Retry-After breaks no rule if the settings have none.
+// A rejection without Retry-After is allowed if the settings do not require Retry-After.
 func TestReceive_RequiresRetryAfterOnlyIfConfigured(t *testing.T) {
 	r := newTestRun("")
 	r.settings.retryAfter = false
@@ -160,8 +160,8 @@
 	}
 }
 
-// A request whose idle connection the front end has closed is sent again, once and only if no kill explains
-// the close.
+// A request on an idle connection that the front end has closed is sent again once, unless the front end was
+// killed.
 func TestSendRequest_ResendsAfterAnIdleClose(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -223,7 +223,7 @@
 	}
 }
 
-// A malformed request gets a response or a close. A front end that does neither breaks the rule.
+// A front end that neither responds to a malformed request nor closes the connection violates the rule.
 func TestSendMalformedRequest_ReportsSilence(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/lab/soak/engineprocess_test.go
+++ b/internal/lab/soak/engineprocess_test.go
@@ -32,7 +32,7 @@
 	return len(b), nil
 }
 
-// describe returns the events so far, one a line, without their times.
+// describe returns a text for each event so far, without its time.
 func (l *eventLog) describe(t *testing.T) (events []string) {
 	t.Helper()
 	l.mu.Lock()
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		if time.Since(e.At) > time.Minute || time.Until(e.At) > 0 {
-			t.Errorf("an event of the time %v", e.At)
+			t.Errorf("an event has the time %v", e.At)
 		}
 		switch e.Kind {
 		case eventListening:
@@ -60,7 +60,7 @@
 	return events
 }
 
-// startTestEngine serves as an engine of a seed and returns its address.
+// startTestEngine serves as an engine with the seed and returns the engine's address.
 func startTestEngine(t *testing.T, seed uint64, faultyResponseShare float64, events *eventLog) (addr string) {
 	t.Helper()
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
@@ -161,7 +161,7 @@
 	if len(got) != 3 || got[2].endedAt.Before(readFrom) {
 		t.Fatalf("the attempts are %+v", got)
 	}
-	got[2].endedAt = time.Time{} // of the process
+	got[2].endedAt = time.Time{} // was the end of the process
 	want := []attempt{
 		{
 			requestID: "served", engine: "s-00000005", class: classLookup, beganAt: at(1), remainingTime: 300 * ms,
@@ -180,8 +180,8 @@
 	}
 }
 
-// An attempt counts as delayed if its engine has a proxy, or if it began or ended within 500 ms after
-// the engine was frozen.
+// An attempt counts as delayed if its engine has a proxy, or if the attempt began or ended within 500 ms
+// after the end of a freeze of the engine.
 func TestReadEvents_MarksDelayedAttempts(t *testing.T) {
 	thawedAt := after(0)
 	for _, c := range []struct {
--- a/internal/lab/soak/faults_test.go
+++ b/internal/lab/soak/faults_test.go
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/lab/syscallfault"
 )
 
-// Each fault draws its parameters from the random numbers of its seed, in the same order.
+// Each fault draws its parameters from the random numbers of its seed, in a fixed order.
 func TestFaults_DrawTheirParametersFromTheSeed(t *testing.T) {
 	for seed, want := range []struct {
 		restart           engineRestart
@@ -63,12 +63,12 @@
 		got.busFaultTime = drawBusFaultTime(seeded(uint64(seed)))
 		got.systemCalls, got.systemCallsFailed = drawSystemCallFaults(seeded(uint64(seed)))
 		if got != want {
-			t.Errorf("seed %d: drawn are %+v, want %+v", seed, got, want)
+			t.Errorf("seed %d: drew %+v, want %+v", seed, got, want)
 		}
 	}
 }
 
-// Faults between those of the schedule are rare, except for faults of files.
+// Faults of system calls are rare while no scheduled fault changes them, except for faults of files.
 func TestBackgroundFaults_AreRare(t *testing.T) {
 	want := syscallfault.Faults{
 		ShortWrite: 0.01, InterruptWrite: 0.01, ShortRead: 0.01, InterruptRead: 0.01, FailFile: 0.2, TornFile: 0.2,
@@ -78,7 +78,7 @@
 	}
 }
 
-// The faults of a proxy follow from the random numbers of the run.
+// The random numbers of the run determine the faults of a proxy.
 func TestDrawProxyOptions_FollowsFromTheSeed(t *testing.T) {
 	r := &run{options: Options{Duration: 12 * time.Second}, random: seeded(7)}
 	var text strings.Builder
--- a/internal/lab/soak/frontend_test.go
+++ b/internal/lab/soak/frontend_test.go
@@ -14,7 +14,7 @@
 	"flaxrelay/internal/metrics"
 )
 
-// The violations and crashes that a front end reports in its log are found.
+// checkLog finds the violations and crashes in the log of a front end.
 func TestCheckLog_FindsViolationsAndCrashes(t *testing.T) {
 	var event, counts bytes.Buffer
 	logevent.InvariantViolated.Log(slog.New(slog.NewJSONHandler(&event, nil)), slog.String("rule", "x"))
@@ -51,7 +51,7 @@
 	}
 }
 
-// A process that ends without a signal of the run breaks the rule.
+// A process that ends without having been signalled to exit violates the rule.
 func TestWatch_ReportsAnEndWithoutASignal(t *testing.T) {
 	for name, c := range map[string]struct {
 		endingAt time.Time
@@ -82,7 +82,7 @@
 	}
 }
 
-// A span contains a kill at its ends too.
+// A kill at either end of the span counts.
 func TestKilledWithin_LooksForAKillInTheSpan(t *testing.T) {
 	at := time.Now()
 	f := &frontEnd{kills: []time.Time{at}}
@@ -124,10 +124,10 @@
 	}
 	f.signalledAt = time.Time{}
 	if !f.acceptsNewConnections(now) || !f.acceptsRequests(now) {
-		t.Error("a front end that was not signalled takes no requests")
+		t.Error("a front end that was not signalled accepts no requests")
 	}
 	f.ready = false
 	if f.acceptsNewConnections(now) || f.acceptsRequests(now) {
-		t.Error("a front end that is not ready takes requests")
+		t.Error("a front end that is not ready accepts requests")
 	}
 }
--- a/internal/lab/soak/processorwait_test.go
+++ b/internal/lab/soak/processorwait_test.go
@@ -8,15 +8,14 @@
 	"time"
 )
 
-// The waits of processes for a processor extend what the checker tolerates, if they lie between the two times that it
-// compares.
+// The checker adds the processor waits between the two times that it compares to its tolerance.
 func TestCheck_AllowsForProcessorWaits(t *testing.T) {
 	waits := func(from, until, duration time.Duration) func(*builtHistory) {
 		return func(h *builtHistory) {
 			h.addProcessorWait(processorWait{span{after(from), after(until)}, duration})
 		}
 	}
-	tooMuchTime := func(h *builtHistory) { // 160 ms more than remain
+	tooMuchTime := func(h *builtHistory) { // 160 ms more than the remaining time
 		h.addServed("r", classLookup)
 		h.addAttempt("r", 200*ms, 240*ms, responseServed, func(a *attempt) { a.remainingTime = 960 * ms })
 	}
@@ -72,8 +71,8 @@
 	}
 }
 
-// A sample is the sum of the longest wait of each group since the previous sample. Short waits do not count, and a new
-// thread has not waited before.
+// A sample is the sum of the longest wait of each group since the previous sample. Short waits do not count. The wait
+// of a new thread counts in full.
 func TestSample_SumsTheLongestWaitOfEachGroup(t *testing.T) {
 	waits := map[int]map[int]time.Duration{ // by process and thread
 		1: {10: 100 * ms, 11: 200 * ms},
--- a/internal/lab/soak/settings_test.go
+++ b/internal/lab/soak/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The variable settings of a run are drawn first, from its seed.
+// The settings that vary from run to run are the first numbers drawn from the run's seed.
 func TestDrawRunSettings_FollowsFromTheSeed(t *testing.T) {
 	var got []runSettings
 	for seed := range uint64(4) {
