--- a/internal/lab/faultproxy/faults.go
+++ b/internal/lab/faultproxy/faults.go
@@ -10,15 +10,15 @@
 
 // Kinds of fault. Responses are the bytes from the server to the client.
 const (
-	Stall            Kind = "stall"             // bytes of both directions are read, and written after its end
-	DropResponses    Kind = "drop-responses"    // responses are read and discarded; requests arrive
+	Stall            Kind = "stall"             // bytes of both directions are read, but written after the fault
+	DropResponses    Kind = "drop-responses"    // responses are read and discarded; requests are relayed
 	CorruptResponses Kind = "corrupt-responses" // one byte of each chunk of the responses is changed
 	Disconnect       Kind = "disconnect"        // connections are closed, and new ones are reset
-	Reset            Kind = "reset"             // connections are reset (RST), once at its start
-	HalfClose        Kind = "half-close"        // the direction to the server is closed, the other stays open
+	Reset            Kind = "reset"             // connections are reset (RST), once at the start of the fault
+	HalfClose        Kind = "half-close"        // the direction to the server is closed; the other direction stays open
 )
 
-// known reports whether the kind exists.
+// known reports whether the kind is one of the constants.
 func (k Kind) known() bool {
 	switch k {
 	case Stall, DropResponses, CorruptResponses, Disconnect, Reset, HalfClose:
@@ -31,7 +31,7 @@
 type Fault struct {
 	Kind Kind
 	From time.Duration // since the start of the proxy
-	For  time.Duration // 0: until the proxy ends; Reset and HalfClose happen once
+	For  time.Duration // 0: until the proxy is closed; Reset and HalfClose happen once
 }
 
 // activeAt reports whether the fault is active at a time since the start of the proxy.
@@ -71,7 +71,7 @@
 	}
 }
 
-// begin applies the effects that a fault has once, at its start. Relays apply lasting effects.
+// begin applies the effects that a fault has only at its start. Relays apply the lasting effects.
 func (p *Proxy) begin(fault Fault) {
 	switch fault.Kind {
 	case Stall, DropResponses, CorruptResponses:
@@ -80,7 +80,7 @@
 	case Reset:
 		p.forEachRelay(func(r *relay) { r.close(closeByReset) })
 	case HalfClose:
-		p.forEachRelay(func(r *relay) { _ = r.server.CloseWrite() }) // it may be closed already
+		p.forEachRelay(func(r *relay) { _ = r.server.CloseWrite() }) // the direction may be closed already
 	}
 	p.notifyChange()
 }
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -1,7 +1,7 @@
-// Package faultproxy is a loopback TCP proxy that injects the faults of networks: delay with jitter,
-// limited bandwidth, stalls, disconnects, resets, half-closes, corrupt and lost responses. The faults
-// follow from a schedule and a seed, so that a run can be repeated. Listen starts a proxy in front of a
-// server; clients connect to its Addr in place of the server's.
+// Package faultproxy is a loopback TCP proxy that injects network faults: delay with jitter, limited
+// bandwidth, stalls, disconnects, resets, half-closes, corrupt and lost responses. A schedule and a seed
+// determine the faults, so that a run can be repeated. Listen starts a proxy in front of a server; clients
+// connect to the proxy's Addr in place of the server's address.
 package faultproxy
 
 import (
@@ -14,9 +14,9 @@
 )
 
 const (
-	// serverDialTimeout limits the attempt to connect to the server.
+	// serverDialTimeout limits each attempt to connect to the server.
 	serverDialTimeout = 2 * time.Second
-	// randomStream is the second word of the seed: distinct from other uses of it.
+	// randomStream is the second word of the seed. It differs from the second words of other uses of the seed.
 	randomStream = 0x6c696e6b
 )
 
@@ -26,13 +26,13 @@
 // Options configure a proxy.
 type Options struct {
 	Delay     time.Duration // of each direction
-	Jitter    time.Duration // is added to the delay, uniform from 0 to this; the order of bytes stays
+	Jitter    time.Duration // largest addition to the delay, uniform from 0; the bytes stay in order
 	Bandwidth int           // bytes per second of each direction; 0: no limit
 	Faults    []Fault
 	Seed      uint64
 }
 
-// Proxy is a TCP proxy that listens. It is safe for concurrent use.
+// Proxy is a listening TCP proxy. It is safe for concurrent use.
 type Proxy struct {
 	opts     Options
 	server   string
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("faultproxy: %q is not a loopback address", e.Addr)
 }
 
-// Listen opens a proxy to a server, both on loopback.
+// Listen starts a proxy in front of a server, both on loopback.
 func Listen(server string, opts Options) (*Proxy, error) {
 	for i, fault := range opts.Faults {
 		if !fault.Kind.known() {
@@ -84,7 +84,7 @@
 // Addr returns the address at which clients connect.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Close ends the proxy and all connections through it.
+// Close closes the proxy and all connections through it.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -96,7 +96,7 @@
 	p.forEachRelay(func(r *relay) { r.close(closeGracefully) })
 }
 
-// forEachRelay calls do for all open relays, without holding mu: do may lock it.
+// forEachRelay calls do for each open relay. It does not hold mu during the calls, because do may lock mu.
 func (p *Proxy) forEachRelay(do func(*relay)) {
 	p.mu.Lock()
 	all := make([]*relay, 0, len(p.relays))
@@ -172,7 +172,7 @@
 	delete(p.relays, r)
 }
 
-// delay draws the time for which one chunk is in transit.
+// delay draws how long one chunk is in transit.
 func (p *Proxy) delay() time.Duration {
 	if p.opts.Jitter <= 0 {
 		return p.opts.Delay
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -12,10 +12,10 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// waitLimit limits every wait.
+// waitLimit limits the time of each connection.
 const waitLimit = 10 * time.Second
 
-// startEchoServer sends each byte back, and reports the bytes that it received.
+// startEchoServer starts a server that sends each byte back and passes the received bytes to a channel.
 func startEchoServer(t *testing.T) (addr string, received chan byte) {
 	t.Helper()
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
@@ -71,7 +71,7 @@
 	return got[0], err
 }
 
-// readError returns how the connection ends, or nil if a byte arrives.
+// readError returns the error of a read, or nil if a byte arrives.
 func (c *connection) readError() error {
 	_, err := c.Read(make([]byte, 1))
 	return err
@@ -119,7 +119,7 @@
 			}
 			<-conn.received
 			if change := conn.proxy.nextChange(); !conn.proxy.active(kind) {
-				<-change // it begins
+				<-change // the fault begins
 			}
 			check(t, conn)
 		})
@@ -147,16 +147,16 @@
 func checkCorruptResponses(t *testing.T, conn *connection) {
 	t.Helper()
 	if got, err := conn.roundTrip('b'); err != nil || got == 'b' {
-		t.Errorf("%q, %v: the response came unchanged", got, err)
+		t.Errorf("%q, %v: the response arrived unchanged", got, err)
 	}
 }
 
 func checkStall(t *testing.T, conn *connection) {
 	t.Helper()
-	const minStall = 20 * time.Millisecond // the remaining time of the fault if the byte is sent late
+	const minStall = 20 * time.Millisecond // time that remains of the fault if the byte is sent late
 	start := time.Now()
 	if got, err := conn.roundTrip('b'); err != nil || got != 'b' || time.Since(start) < minStall {
-		t.Errorf("%q, %v after %v: it was not delayed", got, err, time.Since(start))
+		t.Errorf("%q, %v after %v: the byte was not delayed", got, err, time.Since(start))
 	}
 }
 
@@ -189,7 +189,7 @@
 	}
 }
 
-// A schedule with an unknown kind of fault, and an address that is not on loopback, are rejected.
+// Listen rejects a schedule with an unknown kind of fault, and an address that is not on loopback.
 func TestListen_RejectsUnknownFaultsAndOtherHosts(t *testing.T) {
 	var unknown *UnknownKindError
 	if _, err := Listen("127.0.0.1:1", Options{Faults: []Fault{{Kind: "unknown"}}}); !errors.As(err, &unknown) {
--- a/internal/lab/faultproxy/relay.go
+++ b/internal/lab/faultproxy/relay.go
@@ -14,7 +14,7 @@
 	// maxChunksInTransit limits the chunks in transit in one direction, so that a slow direction
 	// applies back pressure to its sender.
 	maxChunksInTransit = 64
-	// corruption is combined with a byte by exclusive or to change it.
+	// corruption is XORed into a byte to change it.
 	corruption = 0x55
 )
 
@@ -34,9 +34,9 @@
 	closeByReset
 )
 
-// reset closes a connection with a RST.
+// reset closes a connection with an RST.
 func reset(conn *net.TCPConn) {
-	_ = conn.SetLinger(0) // without it Close would end the connection gracefully
+	_ = conn.SetLinger(0) // without this, Close would close the connection gracefully
 	_ = conn.Close()
 }
 
@@ -65,14 +65,14 @@
 	})
 }
 
-// chunk is an element in transit: bytes, or the end of the sender's direction.
+// chunk is an element in transit: bytes, or the end of the sender's stream.
 type chunk struct {
 	bytes []byte
-	due   time.Time // when it is written
+	due   time.Time // when the chunk is written
 	end   bool
 }
 
-// copy relays one direction until the relay ends. The reader sets the time at which each chunk is due,
+// copy relays one direction until the relay is closed. The reader sets the time at which each chunk is due,
 // and the writer waits for that time.
 func (r *relay) copy(from, to *net.TCPConn, dir direction) {
 	transit := make(chan chunk, maxChunksInTransit)
@@ -80,7 +80,7 @@
 	r.write(to, transit)
 }
 
-// read puts the received bytes in transit until the sender's direction or the relay ends.
+// read puts the received bytes in transit until the sender closes its direction or the relay is closed.
 func (r *relay) read(from *net.TCPConn, dir direction, transit chan<- chunk) {
 	defer close(transit)
 	var lastDue time.Time
@@ -131,7 +131,7 @@
 			return
 		}
 		if c.end {
-			_ = to.CloseWrite() // it may be closed already
+			_ = to.CloseWrite() // the direction may be closed already
 			continue
 		}
 		if _, err := to.Write(c.bytes); err != nil {
@@ -145,13 +145,13 @@
 	}
 }
 
-// transferTime returns how long the bytes take at a bandwidth in bytes per second.
+// transferTime returns how long the transfer of length bytes takes at a bandwidth in bytes per second.
 func transferTime(length, bandwidth int) time.Duration {
 	return time.Duration(float64(length) / float64(bandwidth) * float64(time.Second))
 }
 
-// waitUntil waits until a time, and then until no stall is active. It returns false if the relay ends
-// first.
+// waitUntil waits until the due time, and then until no stall is active. It returns false if the relay is
+// closed first.
 func (r *relay) waitUntil(due time.Time) bool {
 	if wait := time.Until(due); wait > 0 {
 		timer := time.NewTimer(wait)
