--- a/internal/lab/syscallfault/faults.go
+++ b/internal/lab/syscallfault/faults.go
@@ -22,7 +22,7 @@
 	FailConnect    float64 // connect returns EADDRNOTAVAIL, ENETUNREACH or ENOBUFS
 	FailFile       float64 // writes to files and syncs return ENOSPC or EIO
 	TornFile       float64 // writes to files write half of their bytes
-	ShortLength    int     // 0: defaultShortLength
+	ShortLength    int     // in bytes; 0: defaultShortLength
 
 	// ClockStep is added to the wall clock that the program reads.
 	ClockStep time.Duration
@@ -31,7 +31,7 @@
 // defaultShortLength limits a short read or write, in bytes.
 const defaultShortLength = 60
 
-// Kind names a fault in Counts.
+// Kind is the name of a fault in Counts.
 type Kind string
 
 // The kinds of faults.
@@ -49,7 +49,7 @@
 	KindClock          Kind = "stepped-clock-read"
 )
 
-// The errors of each call that its manual page lists for transient conditions.
+// The errors that the manual page of each call lists for transient conditions.
 var (
 	acceptErrors  = []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EINTR}
 	socketErrors  = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS}
@@ -84,19 +84,19 @@
 	return maps.Clone(i.counts)
 }
 
-// descriptorKind is what the file descriptor of a call refers to.
+// descriptorKind is the kind of file to which the file descriptor of a call refers.
 type descriptorKind int
 
 const (
-	descriptorOther descriptorKind = iota // no file descriptor, or one that has no faults
+	descriptorOther descriptorKind = iota // no file descriptor, or a file descriptor without faults
 	descriptorSocket
 	descriptorFile // a regular file
 )
 
-// decision is what happens to one call. The zero value leaves the call unchanged.
+// decision determines how one call is changed. The zero value leaves the call unchanged.
 type decision struct {
-	err    unix.Errno // the call is not made and returns this; 0: it is made
-	length int        // the call is made with this length; 0: with its own
+	err    unix.Errno // the call is skipped and returns this error; 0: the call is made
+	length int        // the call is made with this length; 0: with its own length
 }
 
 // drawFault decides whether a fault of the given rate happens, and counts it. The caller must hold mu.
@@ -108,12 +108,12 @@
 	return true
 }
 
-// failWithOneOf draws the error that a call returns. The caller must hold mu.
+// failWithOneOf draws the error that a call returns from the given errors. The caller must hold mu.
 func (i *injector) failWithOneOf(errors []unix.Errno) decision {
 	return decision{err: errors[i.random.IntN(len(errors))]}
 }
 
-// decide decides on one system call. Its descriptor and length matter only for reads and writes.
+// decide decides on one system call. The descriptor and the length are used only for reads and writes.
 func (i *injector) decide(number uint64, descriptor descriptorKind, length int) decision {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/lab/syscallfault/filter.go
+++ b/internal/lab/syscallfault/filter.go
@@ -29,7 +29,7 @@
 // instructionSize is the size of a struct sock_filter in bytes.
 const instructionSize = 8
 
-// filterProgram returns the seccomp filter in the kernel's form. It stops the program at the traced
+// filterProgram returns the seccomp filter in the kernel's format. The filter stops the program at the traced
 // calls and at reads of the wall clock, and allows all other calls.
 func filterProgram() []byte {
 	const (
--- a/internal/lab/syscallfault/prepare.go
+++ b/internal/lab/syscallfault/prepare.go
@@ -23,18 +23,18 @@
 // syscallInstruction is the instruction that makes a system call.
 var syscallInstruction = []byte{0x0f, 0x05}
 
-// redZone is the size in bytes of the area below the stack pointer that may contain data.
+// redZone is the size in bytes of the area below the stack pointer that may contain data of the program.
 const redZone = 4096
 
-// prepare hides the vDSO from the program and installs the filter in it. The program is stopped at its
-// first instruction; prepare continues it.
+// prepare hides the vDSO from the program and installs the filter in the program. The program stops at its
+// first instruction, and prepare continues it after these changes.
 func (p *Process) prepare() error {
 	var status syscall.WaitStatus
 	if _, err := syscall.Wait4(p.pid, &status, syscall.WALL, nil); err != nil {
 		return fmt.Errorf("wait: %w", err)
 	}
 	if !status.Stopped() {
-		return fmt.Errorf("not stopped at its start: status %#x", int(status))
+		return fmt.Errorf("program not stopped at its start: status %#x", int(status))
 	}
 	const options = syscall.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_EXITKILL
 	if err := syscall.PtraceSetOptions(p.pid, options); err != nil {
@@ -74,7 +74,7 @@
 }
 
 // findAuxiliaryVector returns the address of the auxiliary vector on the program's initial stack. The
-// count of the arguments, the arguments, a zero word, the environment and another zero word precede it.
+// argument count, the arguments, a zero word, the environment and another zero word precede the vector.
 func (p *Process) findAuxiliaryVector() (address uint64, err error) {
 	var registers syscall.PtraceRegs
 	if err := syscall.PtraceGetRegs(p.pid, &registers); err != nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// installFilter makes the program execute the two system calls that install the filter. For that time, a
+// installFilter makes the program execute the two system calls that install the filter. During these calls, a
 // system call instruction replaces the program's first instruction.
 func (p *Process) installFilter() error {
 	var registers syscall.PtraceRegs
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// systemCall is a system call that the program is made to execute. Its other arguments are 0.
+// systemCall is a system call that the tracer makes the program execute. All further arguments are 0.
 type systemCall struct {
 	number    uint64
 	arguments [3]uint64
--- a/internal/lab/syscallfault/tracer.go
+++ b/internal/lab/syscallfault/tracer.go
@@ -23,8 +23,8 @@
 }
 
 // Start starts a program under the faults. Standard output and error go to the given file. The random
-// numbers that decide on the calls come from the seed, but the order of the calls depends on the
-// program's threads.
+// numbers that decide which calls fail come from the seed, but the order of the calls depends on the
+// scheduling of the program's threads.
 func Start(path string, args, env []string, output *os.File, seed uint64, faults Faults) (*Process, error) {
 	p := &Process{injector: newInjector(seed, faults), ended: make(chan struct{})}
 	started := make(chan error, 1)
@@ -55,14 +55,14 @@
 // Ended returns a channel that is closed when the program has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Wait waits for the end of the program and returns its status.
+// Wait waits until the program has ended and returns its status.
 func (p *Process) Wait() (syscall.WaitStatus, error) {
 	<-p.ended
 	return p.status, p.err
 }
 
-// trace starts the program and traces it until its end. All requests of ptrace must come
-// from the thread that started the program.
+// trace starts the program and traces it until it has ended. All ptrace requests must come from the thread
+// that started the program.
 func (p *Process) trace(path string, args, env []string, output *os.File, started chan<- error) {
 	runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
 	defer close(p.ended)
@@ -107,8 +107,8 @@
 	}
 }
 
-// resume handles one stop of a thread and continues the thread. It ignores errors of ptrace: they mean
-// that the thread was killed, which the next wait reports.
+// resume handles one stop of a thread and continues the thread. It ignores errors of ptrace: such an error
+// means that the thread was killed, which the next wait reports.
 func (p *Process) resume(thread int, status syscall.WaitStatus) {
 	signal := status.StopSignal()
 	switch {
--- a/internal/lab/syscallfault/tracer_test.go
+++ b/internal/lab/syscallfault/tracer_test.go
@@ -33,7 +33,7 @@
 	os.Exit(m.Run())
 }
 
-// runTraced makes the calls that the parent checks, and prints their outcomes.
+// runTraced makes the system calls that the parent checks, and prints the results.
 func runTraced() {
 	startedAt := time.Now()
 	fmt.Println("clock", startedAt.Unix())
@@ -62,7 +62,7 @@
 	fmt.Println("elapsed", int(time.Since(startedAt).Hours()))
 }
 
-// startTraced runs this test binary under the faults and returns what it prints.
+// startTraced runs this test binary under the faults, waits until it has ended and returns its output.
 func startTraced(t *testing.T, faults Faults) (p *Process, printed string) {
 	t.Helper()
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
@@ -91,7 +91,7 @@
 	return p, string(text)
 }
 
-// printedNumber returns the number after the words.
+// printedNumber returns the number that follows the words in the printed text.
 func printedNumber(t *testing.T, printed, words string) (n int64) {
 	t.Helper()
 	_, rest, found := strings.Cut(printed, words)
@@ -104,7 +104,7 @@
 	return n
 }
 
-// Each kind of fault happens to the program. Its wall clock is stepped, its monotonic clock is not.
+// The configured faults are injected into the program. Its wall clock is stepped, its monotonic clock is not.
 func TestStart_InjectsFaultsAndStepsTheWallClock(t *testing.T) {
 	p, printed := startTraced(t, testFaults)
 	counts := p.Counts()
@@ -120,7 +120,7 @@
 		t.Errorf("%d of 100 connects failed", n)
 	}
 	if n := printedNumber(t, printed, "failed writes "); n < 5 || n > 35 {
-		t.Errorf("%d of 40 files failed", n)
+		t.Errorf("%d of 40 writes of files failed", n)
 	}
 	if n := printedNumber(t, printed, "elapsed "); n != 0 {
 		t.Errorf("%d hours passed", n)
