--- a/internal/lab/soak/checker_slowstart.go
+++ b/internal/lab/soak/checker_slowstart.go
@@ -6,28 +6,28 @@
 )
 
 // slowStartLimit returns the largest number of requests of mean work that may be sent to an engine in one
-// overload window while it is warming up. By the specification's rule it is N + 2*sqrt(N) + 2, and for N
-// under 30 N + 3*sqrt(N) + 3. N is the number of requests whose work is the engine's capacity times the
-// overload factor. The other terms allow for chance.
+// overload window while the engine is warming up. The specification defines it as N + 2*sqrt(N) + 2, or as
+// N + 3*sqrt(N) + 3 if N is below 30, where N is the number of requests of mean work that amount to the
+// engine's capacity times the overload factor. The other terms allow for random variation.
 //
 // The front end's check at run time computes the same limit (overloadLimit in the package policy). This
-// function deliberately does not call that code: a checker that shared it would share its errors.
+// function deliberately does not call that code: a checker that shared the code would share its errors.
 func slowStartLimit(sinceStart time.Duration, meanWorkSeconds float64) float64 {
 	const (
-		minMeanWork   = 1e-3 // seconds
-		smallN        = 30
-		smallNRoots   = 3
-		smallNSurplus = 3
-		roots         = 2
-		surplus       = 2
+		minMeanWork        = 1e-3 // seconds
+		smallN             = 30
+		smallNRootFactor   = 3
+		smallNConstantTerm = 3
+		rootFactor         = 2
+		constantTerm       = 2
 	)
 	progress := min(max(float64(sinceStart)/float64(warmUpTime), 0), 1)
 	capacity := startCapacity + (1-startCapacity)*progress
 	n := overloadFactor * capacity * engineCores * overloadWindow.Seconds() / max(meanWorkSeconds, minMeanWork)
 	if n < smallN {
-		return n + smallNRoots*math.Sqrt(n) + smallNSurplus
+		return n + smallNRootFactor*math.Sqrt(n) + smallNConstantTerm
 	}
-	return n + roots*math.Sqrt(n) + surplus
+	return n + rootFactor*math.Sqrt(n) + constantTerm
 }
 
 // checkSlowStarts checks the overload windows after each published start of an engine. It reports at
@@ -43,15 +43,15 @@
 
 func (c *checker) checkSlowStart(start engineChange, meanWorkSeconds float64) {
 	sent := c.attemptsInSlowStart(start)
-	for first, from := range sent {
-		windowEnd := from.beganAt.Add(overloadWindow)
+	for i, first := range sent {
+		windowEnd := first.beganAt.Add(overloadWindow)
 		work := 0.0 // in requests of mean work
-		for _, a := range sent[first:] {
+		for _, a := range sent[i:] {
 			if a.beganAt.Before(windowEnd) {
 				work += workTimes[a.class].Seconds() / meanWorkSeconds
 			}
 		}
-		sinceStart := from.beganAt.Sub(start.startedAt)
+		sinceStart := first.beganAt.Sub(start.startedAt)
 		if limit := slowStartLimit(sinceStart, meanWorkSeconds); work > limit {
 			c.report(RuleSlowStart, "",
 				"%s: %.0f requests of mean work in a window from %v after its start, %.0f at most",
@@ -61,8 +61,8 @@
 	}
 }
 
-// attemptsInSlowStart returns the attempts that began while the engine was warming up and all front
-// ends were notified of its start, in the order of their begin.
+// attemptsInSlowStart returns the attempts that began while the engine was warming up and after all front
+// ends had been notified of its start, sorted by their start.
 func (c *checker) attemptsInSlowStart(start engineChange) []*attempt {
 	notifiedAt := c.notifiedAt(start)
 	warmUpEnd := start.startedAt.Add(warmUpTime)
@@ -72,11 +72,12 @@
 			sent = append(sent, a)
 		}
 	}
-	sortByBegin(sent)
+	sortByStart(sent)
 	return sent
 }
 
-// meanWorkSeconds returns the mean work of the attempts that ended with work, in seconds of one core.
+// meanWorkSeconds returns the mean work of the attempts with a work time, in seconds of one core, and at least
+// one millisecond.
 func (c *checker) meanWorkSeconds() float64 {
 	sum := 0.0
 	count := 0
--- a/internal/lab/soak/checker_slowstart_test.go
+++ b/internal/lab/soak/checker_slowstart_test.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// addStart records a start of the engine at the start of the run, published at the time.
+// addStart records a start of the engine at the start of the run, published at the given time.
 func (h *builtHistory) addStart(published time.Duration) {
 	h.addChange(engineChange{engine: "s-1", state: stateReady, publishedAt: after(published), startedAt: runStart})
 }
 
 // addLookups records attempts at the engine that begin at the same time.
-func (h *builtHistory) addLookups(count int, begin time.Duration, change ...func(*attempt)) {
+func (h *builtHistory) addLookups(count int, start time.Duration, change ...func(*attempt)) {
 	for i := range count {
-		h.addAttempt(fmt.Sprintf("lookup-%v-%d", begin, i), begin, begin+40*ms, responseServed, change...)
+		h.addAttempt(fmt.Sprintf("lookup-%v-%d", start, i), start, start+40*ms, responseServed, change...)
 	}
 }
 
 // addLoads records attempts of loads, which have twice the work of lookups.
-func (h *builtHistory) addLoads(count int, begin time.Duration) {
+func (h *builtHistory) addLoads(count int, start time.Duration) {
 	for i := range count {
-		h.addAttempt(fmt.Sprintf("load-%v-%d", begin, i), begin, begin+80*ms, responseServed, func(a *attempt) {
+		h.addAttempt(fmt.Sprintf("load-%v-%d", start, i), start, start+80*ms, responseServed, func(a *attempt) {
 			a.class = classLoad
 			a.workTime = workTimes[classLoad]
 		})
 	}
 }
 
-// The work that an engine in slow start is sent in a window stays within its limit, which grows with
-// the time since the start.
+// The work sent to an engine in slow start within a window must not exceed a limit that grows with the time
+// since the engine's start.
 func TestCheck_ReportsAnOverloadedEngineInSlowStart(t *testing.T) {
-	broken := []string{string(RuleSlowStart)}
-	// lookups starts the engine and sends it lookups at one time after its start.
-	lookups := func(count int, begin time.Duration, change ...func(*attempt)) func(h *builtHistory) {
+	violated := []string{string(RuleSlowStart)}
+	// lookups records a start of the engine and lookups at one time after the start.
+	lookups := func(count int, start time.Duration, change ...func(*attempt)) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addStart(0)
-			h.addLookups(count, begin, change...)
+			h.addLookups(count, start, change...)
 		}
 	}
 	inOrder := func(builds ...func(h *builtHistory)) func(h *builtHistory) {
@@ -46,8 +46,8 @@
 			}
 		}
 	}
-	addLookups := func(count int, begin time.Duration) func(h *builtHistory) {
-		return func(h *builtHistory) { h.addLookups(count, begin) }
+	addLookups := func(count int, start time.Duration) func(h *builtHistory) {
+		return func(h *builtHistory) { h.addLookups(count, start) }
 	}
 	loads := func(count int) func(h *builtHistory) {
 		return func(h *builtHistory) {
@@ -64,13 +64,13 @@
 		h.addLookups(200, 0)
 	}
 	mixed := func(loadCount int) func(h *builtHistory) {
-		return func(h *builtHistory) { // a mean of 60 ms
+		return func(h *builtHistory) { // mean work of 60 ms
 			h.addStart(0)
 			h.addLoads(loadCount, 0)
 			h.addLookups(loadCount, 0)
 		}
 	}
-	withoutWork := func(h *builtHistory) { // counted, they would halve the mean
+	withoutWork := func(h *builtHistory) { // if counted, these attempts would halve the mean
 		h.addLookups(52, 0, func(a *attempt) {
 			a.engine = "s-2"
 			a.workTime = 0
@@ -78,27 +78,27 @@
 	}
 	runCheckerCases(t, []checkerCase{
 		{"N 37.5: 51 at once", lookups(51, 0), nil},
-		{"N 37.5: 52 at once", lookups(52, 0), broken},
+		{"N 37.5: 52 at once", lookups(52, 0), violated},
 		{"N 18.75: 34 at once", loads(34), nil},
-		{"N 18.75: 35 at once", loads(35), broken},
+		{"N 18.75: 35 at once", loads(35), violated},
 		{"N 25: 21 lookups and 21 loads", mixed(21), nil},
-		{"N 25: 22 lookups and 22 loads", mixed(22), broken},
+		{"N 25: 22 lookups and 22 loads", mixed(22), violated},
 		{"N 81.25 after 4 s: 101 at once", lookups(101, 4*time.Second), nil},
-		{"N 81.25 after 4 s: 102 at once", lookups(102, 4*time.Second), broken},
+		{"N 81.25 after 4 s: 102 at once", lookups(102, 4*time.Second), violated},
 		{"after the slow start", lookups(200, 8*time.Second), nil},
-		{"just before its end", lookups(200, 8*time.Second-ms), broken},
-		{"within a window", inOrder(lookups(26, 0), addLookups(26, 999*ms)), broken},
+		{"just before its end", lookups(200, 8*time.Second-ms), violated},
+		{"within a window", inOrder(lookups(26, 0), addLookups(26, 999*ms)), violated},
 		{"in two windows", inOrder(lookups(26, 0), addLookups(26, time.Second)), nil},
 		{"before the notification", publishedLate, nil},
-		{"no start", notAStart, nil},
+		{"change that is not a start", notAStart, nil},
 		{"delayed", lookups(200, 0, delayed), nil},
 		{"another engine", lookups(200, 0, func(a *attempt) { a.engine = "s-2" }), nil},
-		{"attempts without work don't count for the mean", inOrder(lookups(51, 0), withoutWork), nil},
-		{"two overloaded windows are one violation", inOrder(lookups(60, 0), addLookups(150, 3*time.Second)), broken},
+		{"attempts without work don't count towards the mean", inOrder(lookups(51, 0), withoutWork), nil},
+		{"two overloaded windows are one violation", inOrder(lookups(60, 0), addLookups(150, 3*time.Second)), violated},
 	})
 }
 
-// The limit is N + 2*sqrt(N) + 2, and for N under 30 N + 3*sqrt(N) + 3.
+// The limit is N + 2*sqrt(N) + 2, or N + 3*sqrt(N) + 3 if N is below 30.
 func TestSlowStartLimit_FollowsTheGrowthOfCapacity(t *testing.T) {
 	for _, c := range []struct {
 		sinceStart time.Duration
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -24,15 +24,15 @@
 	return r
 }
 
-// brokenRules returns the rules of the violations that were detected during the run.
-func brokenRules(r *run) (rules []Rule) {
+// violatedRules returns the rules of the violations that were detected during the run.
+func violatedRules(r *run) (rules []Rule) {
 	for _, v := range r.history.violations {
 		rules = append(rules, v.Rule)
 	}
 	return rules
 }
 
-// The requests of a client follow from the run's seed and its number.
+// The run's seed and the client's number determine the requests of a client.
 func TestNewRequest_FollowsFromTheSeed(t *testing.T) {
 	c := &client{run: &run{options: Options{Seed: 0x12345}}, number: 3, random: rand.New(rand.NewPCG(0x12345, 4))}
 	var text strings.Builder
@@ -45,7 +45,7 @@
 
 // The response determines the outcome of a request and the violated rules.
 func TestReceive_ClassifiesTheResponse(t *testing.T) {
-	const id = "000000000000000a" // whose result has two pages
+	const id = "000000000000000a" // a request whose result has two pages
 	response := func(status, header, body string) string {
 		length := fmt.Sprintf("Content-Length: %d\r\n", len(body))
 		return "HTTP/1.1 " + status + "\r\n" + header + length + "\r\n" + body
@@ -62,27 +62,27 @@
 	for _, c := range []struct {
 		name, responses string
 		want            outcome
-		broken          []Rule
+		violated        []Rule
 		fails           bool
 	}{
 		{name: "complete result", responses: result(first, second), want: outcomeServed},
 		{name: "complete result in two pages", responses: firstPage + result(second), want: outcomeServed},
-		{name: "half a result", responses: result(first), want: outcomeServed, broken: incomplete},
-		{name: "rows out of order", responses: result(second, first), want: outcomeServed, broken: incomplete},
+		{name: "half a result", responses: result(first), want: outcomeServed, violated: incomplete},
+		{name: "rows out of order", responses: result(second, first), want: outcomeServed, violated: incomplete},
 		{
 			name: "rows of another request", responses: result(`"x","0","2"`, `"x","1","2"`),
-			want: outcomeServed, broken: incomplete,
+			want: outcomeServed, violated: incomplete,
 		},
-		{name: "short row", responses: result(`"`+id+`"`, second), want: outcomeServed, broken: incomplete},
+		{name: "short row", responses: result(`"`+id+`"`, second), want: outcomeServed, violated: incomplete},
 		{name: "503 with Retry-After", responses: response("503 Busy", retryAfter, "{}"), want: outcomeRejected},
 		{
 			name: "503 without Retry-After", responses: response("503 Busy", "", "{}"),
-			want: outcomeRejected, broken: noRetryAfter,
+			want: outcomeRejected, violated: noRetryAfter,
 		},
 		{name: "429 with Retry-After", responses: response("429 Busy", retryAfter, "{}"), want: outcomeRejected},
 		{
 			name: "429 without Retry-After", responses: response("429 Busy", "", "{}"),
-			want: outcomeRejected, broken: noRetryAfter,
+			want: outcomeRejected, violated: noRetryAfter,
 		},
 		{
 			name: "busy with Retry-After", responses: response("200 OK", retryAfter, `{"fault":"Busy"}`),
@@ -90,7 +90,7 @@
 		},
 		{
 			name: "busy without Retry-After", responses: response("200 OK", "", `{"fault":"Busy"}`),
-			want: outcomeRejected, broken: noRetryAfter,
+			want: outcomeRejected, violated: noRetryAfter,
 		},
 		{name: "fault", responses: response("200 OK", "", `{"fault":"Broken"}`), want: outcomeFailed},
 		{name: "500", responses: response("500 Broken", "", "{}"), want: outcomeFailed},
@@ -117,22 +117,22 @@
 			defer client.disconnect()
 			request := &request{id: id, sentAt: time.Now(), wait: 5 * time.Second}
 			err := client.receive(request)
-			if (err != nil) != c.fails || request.outcome != c.want || !slices.Equal(brokenRules(r), c.broken) {
-				t.Errorf("%v, outcome %q, broken %q, want %+v", err, request.outcome, brokenRules(r), c)
+			if (err != nil) != c.fails || request.outcome != c.want || !slices.Equal(violatedRules(r), c.violated) {
+				t.Errorf("%v, outcome %q, violated %q, want %+v", err, request.outcome, violatedRules(r), c)
 			}
 		})
 	}
 }
 
-// A rejection without Retry-After breaks no rule if the settings have none.
-func TestReceive_NeedsRetryAfterOnlyIfSettingsSaySo(t *testing.T) {
+// A rejection without Retry-After is allowed if the settings do not require Retry-After.
+func TestReceive_RequiresRetryAfterOnlyIfConfigured(t *testing.T) {
 	r := newTestRun("")
 	r.settings.retryAfter = false
 	request := &request{id: "a"}
 	c := &client{run: r}
 	c.classifyResponse(request, &http.Response{StatusCode: http.StatusServiceUnavailable}, responseBody{}, nil)
-	if request.outcome != outcomeRejected || brokenRules(r) != nil {
-		t.Errorf("outcome %q, broken %q", request.outcome, brokenRules(r))
+	if request.outcome != outcomeRejected || violatedRules(r) != nil {
+		t.Errorf("outcome %q, violated %q", request.outcome, violatedRules(r))
 	}
 }
 
@@ -160,8 +160,8 @@
 	}
 }
 
-// A request whose idle connection the front end has closed is sent again, once and only if no kill explains
-// the close.
+// A request on an idle connection that the front end has closed is sent again once, unless the front end was
+// killed.
 func TestSendRequest_ResendsAfterAnIdleClose(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -223,12 +223,12 @@
 	}
 }
 
-// A malformed request gets a response or a close. A front end that does neither breaks the rule.
+// A front end that neither responds to a malformed request nor closes the connection violates the rule.
 func TestSendMalformedRequest_ReportsSilence(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		serve  func(net.Conn)
-		broken []Rule
+		serve    func(net.Conn)
+		violated []Rule
 	}{
 		"response and close": {func(conn net.Conn) { _, _ = io.WriteString(conn, "HTTP/1.1 400 Bad\r\n\r\n") }, nil},
 		"close":              {func(net.Conn) {}, nil},
@@ -240,8 +240,8 @@
 			go tcptest.Serve(listener, c.serve)
 			r := newTestRun(listener.Addr().String())
 			(&client{run: r, random: rand.New(rand.NewPCG(1, 1))}).sendMalformedRequest()
-			if !slices.Equal(brokenRules(r), c.broken) {
-				t.Errorf("broken %q, want %q", brokenRules(r), c.broken)
+			if !slices.Equal(violatedRules(r), c.violated) {
+				t.Errorf("violated %q, want %q", violatedRules(r), c.violated)
 			}
 		})
 	}
--- a/internal/lab/syscallfault/faults.go
+++ b/internal/lab/syscallfault/faults.go
@@ -22,7 +22,7 @@
 	FailConnect    float64 // connect returns EADDRNOTAVAIL, ENETUNREACH or ENOBUFS
 	FailFile       float64 // writes to files and syncs return ENOSPC or EIO
 	TornFile       float64 // writes to files write half of their bytes
-	ShortLength    int     // 0: defaultShortLength
+	ShortLength    int     // in bytes; 0: defaultShortLength
 
 	// ClockStep is added to the wall clock that the program reads.
 	ClockStep time.Duration
@@ -31,7 +31,7 @@
 // defaultShortLength limits a short read or write, in bytes.
 const defaultShortLength = 60
 
-// Kind names a fault in Counts.
+// Kind is the name of a fault in Counts.
 type Kind string
 
 // The kinds of faults.
@@ -49,7 +49,7 @@
 	KindClock          Kind = "stepped-clock-read"
 )
 
-// The errors of each call that its manual page lists for transient conditions.
+// The errors that the manual page of each call lists for transient conditions.
 var (
 	acceptErrors  = []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.EINTR}
 	socketErrors  = []unix.Errno{unix.ENFILE, unix.EMFILE, unix.ENOBUFS}
@@ -77,30 +77,30 @@
 	i.faults = faults
 }
 
-// counted returns the number of injected faults of each kind.
-func (i *injector) counted() map[Kind]int {
+// injectedCounts returns the number of injected faults of each kind.
+func (i *injector) injectedCounts() map[Kind]int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return maps.Clone(i.counts)
 }
 
-// descriptorKind is what the file descriptor of a call refers to.
+// descriptorKind is the kind of file to which the file descriptor of a call refers.
 type descriptorKind int
 
 const (
-	descriptorOther descriptorKind = iota // no file descriptor, or one that has no faults
+	descriptorOther descriptorKind = iota // no file descriptor, or a file descriptor without faults
 	descriptorSocket
 	descriptorFile // a regular file
 )
 
-// decision is what happens to one call. The zero value leaves the call unchanged.
+// decision determines how one call is changed. The zero value leaves the call unchanged.
 type decision struct {
-	err    unix.Errno // the call is not made and returns this; 0: it is made
-	length int        // the call is made with this length; 0: with its own
+	err    unix.Errno // the call is skipped and returns this error; 0: the call is made
+	length int        // the call is made with this length; 0: with its own length
 }
 
-// draw decides whether a fault of the given rate happens, and counts it. The caller must hold mu.
-func (i *injector) draw(rate float64, kind Kind) bool {
+// drawFault decides whether a fault of the given rate happens, and counts it. The caller must hold mu.
+func (i *injector) drawFault(rate float64, kind Kind) bool {
 	if rate <= 0 || i.random.Float64() >= rate {
 		return false
 	}
@@ -108,12 +108,12 @@
 	return true
 }
 
-// failWithOneOf draws the error that a call returns. The caller must hold mu.
+// failWithOneOf draws the error that a call returns from the given errors. The caller must hold mu.
 func (i *injector) failWithOneOf(errors []unix.Errno) decision {
 	return decision{err: errors[i.random.IntN(len(errors))]}
 }
 
-// decide decides on one system call. Its descriptor and length matter only for reads and writes.
+// decide decides on one system call. The descriptor and the length are used only for reads and writes.
 func (i *injector) decide(number uint64, descriptor descriptorKind, length int) decision {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -125,23 +125,23 @@
 			return i.decideSocketRead(length)
 		}
 	case unix.SYS_FSYNC:
-		if i.draw(i.faults.FailFile, KindFile) {
+		if i.drawFault(i.faults.FailFile, KindFile) {
 			return i.failWithOneOf(fileErrors)
 		}
 	case unix.SYS_EPOLL_WAIT, unix.SYS_EPOLL_PWAIT:
-		if i.draw(i.faults.InterruptWait, KindInterruptWait) {
+		if i.drawFault(i.faults.InterruptWait, KindInterruptWait) {
 			return decision{err: unix.EINTR}
 		}
 	case unix.SYS_ACCEPT4:
-		if i.draw(i.faults.FailAccept, KindAccept) {
+		if i.drawFault(i.faults.FailAccept, KindAccept) {
 			return i.failWithOneOf(acceptErrors)
 		}
 	case unix.SYS_SOCKET:
-		if i.draw(i.faults.FailSocket, KindSocket) {
+		if i.drawFault(i.faults.FailSocket, KindSocket) {
 			return i.failWithOneOf(socketErrors)
 		}
 	case unix.SYS_CONNECT:
-		if i.draw(i.faults.FailConnect, KindConnect) {
+		if i.drawFault(i.faults.FailConnect, KindConnect) {
 			return i.failWithOneOf(connectErrors)
 		}
 	}
@@ -173,9 +173,9 @@
 // decideSocketWrite decides on a write to a socket. The caller must hold mu.
 func (i *injector) decideSocketWrite(length int) decision {
 	switch {
-	case length > 1 && i.draw(i.faults.ShortWrite, KindShortWrite):
+	case length > 1 && i.drawFault(i.faults.ShortWrite, KindShortWrite):
 		return decision{length: i.shortLength(length)}
-	case i.draw(i.faults.InterruptWrite, KindInterruptWrite):
+	case i.drawFault(i.faults.InterruptWrite, KindInterruptWrite):
 		return decision{err: unix.EINTR}
 	}
 	return decision{}
@@ -184,9 +184,9 @@
 // decideSocketRead decides on a read from a socket. The caller must hold mu.
 func (i *injector) decideSocketRead(length int) decision {
 	switch {
-	case length > 1 && i.draw(i.faults.ShortRead, KindShortRead):
+	case length > 1 && i.drawFault(i.faults.ShortRead, KindShortRead):
 		return decision{length: i.shortLength(length)}
-	case i.draw(i.faults.InterruptRead, KindInterruptRead):
+	case i.drawFault(i.faults.InterruptRead, KindInterruptRead):
 		return decision{err: unix.EINTR}
 	}
 	return decision{}
@@ -195,9 +195,9 @@
 // decideFileWrite decides on a write to a file. The caller must hold mu.
 func (i *injector) decideFileWrite(length int) decision {
 	switch {
-	case i.draw(i.faults.FailFile, KindFile):
+	case i.drawFault(i.faults.FailFile, KindFile):
 		return i.failWithOneOf(fileErrors)
-	case length > 1 && i.draw(i.faults.TornFile, KindTornFile):
+	case length > 1 && i.drawFault(i.faults.TornFile, KindTornFile):
 		return decision{length: length / 2}
 	}
 	return decision{}
