--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -13,7 +13,7 @@
 	// deduplication window, so that the retry reaches its engine within the window.
 	dedupWindowMargin = 50 * time.Millisecond
 
-	// minAttemptTimeout prevents an attempt from timing out before it is started.
+	// minAttemptTimeout prevents an attempt from timing out at the instant at which it is started.
 	minAttemptTimeout = time.Millisecond
 )
 
@@ -109,8 +109,8 @@
 }
 
 // retrySendDeadline returns the instant from which a request may no longer be written again, or 0 if there is no
-// such instant: the request's class is not idempotent by key, or no attempt may have run. The balancer observes the
-// deduplication window too, but does not know how long an attempt waits for its connection.
+// such instant: the request's class is not idempotent by key, or no engine can have run any of its attempts. The
+// balancer observes the deduplication window too, but does not know how long an attempt waits for its connection.
 func retrySendDeadline(r *Request, class policy.Class) time.Duration {
 	first := r.firstPossibleRun()
 	if class.Effect != policy.IdempotentByKey || first == nil {
--- a/internal/lifecycle/client.go
+++ b/internal/lifecycle/client.go
@@ -21,6 +21,6 @@
 	Withdraw(a *Attempt) bool
 	// SetPriority changes the priority of an attempt in flight.
 	SetPriority(a *Attempt, priority int)
-	// UpdateEndpoint announces a new, changed or removed endpoint.
+	// UpdateEndpoint announces an endpoint that is new, may have changed, or is removed.
 	UpdateEndpoint(e Endpoint)
 }
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -25,8 +25,8 @@
 }
 
 // Dispatcher connects the balancer, which makes the decisions, with clients and engines. Separate types
-// hold the requests, the endpoints, the event queue and the guard; the Dispatcher passes each event
-// between them.
+// hold the requests, the endpoints and the queued events, and guard the invariants; the Dispatcher passes
+// each event between them.
 //
 // It is not safe for concurrent use: the goroutine of the event loop owns the Dispatcher, its balancer, its
 // requests and their attempts. Clients, engine clients and observers may call methods of the Dispatcher
@@ -166,8 +166,8 @@
 	d.abandonRemaining(r)
 }
 
-// abandonRemaining makes the balancer cancel the attempts of a completed request
-// that are still in flight.
+// abandonRemaining notifies the balancer that a completed request no longer needs a response. The balancer
+// then cancels the attempts of the request that are still in flight, if the settings permit this.
 func (d *Dispatcher) abandonRemaining(r *Request) {
 	d.handleEvent(policy.ClientDisconnected{RequestID: r.policyID})
 	d.releaseIfIdle(r)
@@ -210,7 +210,9 @@
 		if r.state == requestPending {
 			d.handleEvent(policy.DeadlineTimer(policyID))
 		}
-		if r.state == requestPending { // the balancer does not end a request whose response is being streamed
+		// A fallback: the only requests that the balancer does not end are those whose response is being
+		// streamed, and the Dispatcher never sends it a StreamStarted.
+		if r.state == requestPending {
 			d.respond(policyID, Response{Verdict: VerdictFailed})
 			d.abandonRemaining(r)
 		}
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -31,7 +31,8 @@
 	return t.byID[engineID].State == policy.EngineReady
 }
 
-// warmingUp reports whether an engine was warming up at an instant.
+// warmingUp reports whether an engine was warming up at an instant, according to its start in the endpoint
+// list.
 func (t *endpointTable) warmingUp(engineID string, at time.Duration) bool {
 	engine := t.byID[engineID]
 	return engine.StartKnown && at < engine.StartedAt+t.warmupTime
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -27,8 +27,8 @@
 	return g.check(pending, invariant.SendAfterCompletion, a) && g.check(engineReady, invariant.DrainedEndpoint, a)
 }
 
-// permitStart checks a new attempt against the earlier attempts of its request. The effect is that of the
-// request's class.
+// permitStart checks a new attempt against the earlier attempts of its request. effect is the effect of
+// the request's class.
 func (g *guard) permitStart(a *Attempt, effect policy.Effect) bool {
 	withinLimit := a.index < max(g.limits.MaxAttempts, 1)
 	noneInFlight := true
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -15,7 +15,7 @@
 	OrderKey          string        // requests with the same key run one at a time, in order; "": none
 	IdempotencyKey    string        // engines recognize duplicates by it; "": none
 	Statement         any           // as parsed by the front end, for an engine client of its protocol
-	Dataset           int64         // group of tables that it reads or writes
+	Dataset           int64         // data set, a group of tables, that it reads or writes
 	Deadline          time.Duration // instant at which the client gives up
 	EstimatedWork     time.Duration // summed over its threads; 0: unknown
 	EstimatedMemoryMB float64       // 0: unknown
@@ -49,9 +49,10 @@
 	requestReleased                      // no attempt is in flight, and the dispatcher has dropped it
 )
 
-// recordErrorDetail sets the error detail that the response passes on when an attempt has ended. It is the detail
-// of the latest attempt that may have run, even if that attempt has no detail. The detail of an attempt that never
-// ran is used only while the request cannot have had an effect; otherwise it would hide the possible effect.
+// recordErrorDetail updates the error detail that the response will pass on. It is called when an attempt has ended.
+// The error detail is that of the latest attempt that may have run, even if that attempt has none. The detail of an
+// attempt that never ran is used only while the request cannot have had an effect; otherwise it would hide the
+// possible effect.
 func (r *Request) recordErrorDetail(a *Attempt, detail any, mayHaveHadEffect bool) {
 	if a.state == attemptMayHaveRun || detail != nil && !mayHaveHadEffect {
 		r.lastErrorDetail = detail
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -29,7 +29,7 @@
 type Response struct {
 	Verdict          Verdict
 	RetryAfter       time.Duration // if rejected: the client may retry after this time; 0: not stated
-	DeadlinePassed   bool          // not served, and the deadline has passed or is less than the timer granularity away
+	DeadlinePassed   bool          // not served, and the deadline has passed or is at most the timer granularity away
 	Forwarded        bool          // at least one attempt was started
 	MayHaveHadEffect bool          // see Dispatcher.MayHaveHadEffect
 	Result           any           // the complete result, if served
--- a/internal/lifecycle/telemetry.go
+++ b/internal/lifecycle/telemetry.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// attemptEnded records the end of an attempt. engineWarmingUp is whether the attempt started during the engine's slow
-// start.
+// attemptEnded records the end of an attempt. engineWarmingUp is whether the engine was warming up when the attempt was
+// started.
 func (t *telemetry) attemptEnded(a *Attempt, elapsed time.Duration, engineWarmingUp bool) {
 	status := a.endStatus.String()
 	if t.debug {
