--- a/internal/metrics/catalog.go
+++ b/internal/metrics/catalog.go
@@ -14,11 +14,11 @@
 // Requests.
 var (
 	RequestsAccepted = declareVec("requests.accepted", LabelClass,
-		"Requests that have arrived completely; each gets one final response.")
+		"Requests that have arrived completely; each gets one final response, unless its client disconnects first.")
 	RequestsCompleted = declareVec2("requests.completed", LabelVerdict, LabelClass,
 		"Requests that got their final response.")
 	RequestsCompletedLate = declareVec("requests.completed-late", LabelClass,
-		"Rejected or failed requests whose deadline had passed.")
+		"Rejected or failed requests whose deadline had passed or was about to pass.")
 	RequestsDisconnected = declareVec("requests.disconnected", LabelClass,
 		"Requests whose client cancelled or closed its connection before the response.")
 	Rejections = declareVec("rejections", LabelReason,
@@ -40,7 +40,7 @@
 	AttemptsEnded = declareVec("attempts.ended", LabelStatus,
 		"Attempts ended.")
 	AttemptsEndedWarming = declareVec("attempts.ended-warming", LabelStatus,
-		"Attempts ended that were sent to an engine in slow start.")
+		"Attempts ended that were started while their engine was warming up.")
 	AttemptsLateEnd = declareVec("attempts.late-end", LabelStatus,
 		"Results of attempts that had ended already; they are ignored.")
 	AttemptsRetriedAfter = declareVec("attempts.retried-after", LabelStatus,
@@ -64,7 +64,7 @@
 	EngineConnectionsDuplicateResponses = declare("engine-connections.duplicate-responses",
 		"Duplicates of responses; they are ignored.")
 	EngineConnectionsCancelRequests = declare("engine-connections.cancel-requests",
-		"Cancel requests sent to PostgreSQL engines.")
+		"Cancellations of queries at PostgreSQL engines, whether or not a cancel request could be sent.")
 )
 
 // Client connections.
@@ -72,13 +72,13 @@
 	HTTPConnections = declare("http.connections",
 		"Client connections accepted.")
 	HTTPBadRequests = declare("http.bad-requests",
-		"Malformed or invalid requests; each closes its connection.")
+		"Malformed, invalid or incomplete requests; each closes its connection.")
 	HTTPReadTimeouts = declare("http.read-timeouts",
-		"Requests that were not complete within 2 s.")
+		"Requests that were not complete within 2 s, and new clients that sent nothing in that time.")
 	HTTPClosed = declareVec("http.closed", LabelCause,
 		"Client connections ended.")
 	HTTPEvicted = declare("http.evicted",
-		"Idle client connections closed to make a descriptor available.")
+		"Client connections closed to make a descriptor available: idle ones and those without a valid request.")
 	HTTPIdleClosed = declare("http.idle-closed",
 		"Client connections closed after 30 s without a request.")
 	PostgresConnections = declare("postgres.connections",
@@ -86,11 +86,11 @@
 	PostgresMalformed = declare("postgres.malformed",
 		"Malformed messages of clients; each closes its connection.")
 	PostgresStalled = declare("postgres.stalled",
-		"Messages of clients that were not complete in time; each closes its connection.")
+		"Messages of clients that stopped arriving before they were complete; each closes its connection.")
 	PostgresErrors = declareVec("postgres.errors", LabelSQLState,
-		"Errors sent to clients.")
+		"Errors sent to clients, except those that close the connection.")
 	PostgresCancelRequests = declare("postgres.cancel-requests",
-		"Cancel requests of clients.")
+		"Cancel requests of clients for a request in flight; all others are ignored.")
 	PostgresMayWrite = declare("postgres.may-write",
 		"Statements that may write though their class is idempotent.")
 )
