--- a/internal/logevent/catalog.go
+++ b/internal/logevent/catalog.go
@@ -11,7 +11,7 @@
 		"An error prevents the front end from starting; there is one line for each error.",
 		"file", "line", "field", "error")
 	ServerDisabled = declare("server.disabled", slog.LevelInfo,
-		"The deploy file does not name an address to listen on.",
+		"No front end was started: the deploy file has no listen address.",
 		"reason")
 	ShutdownStarted = declare("shutdown.started", slog.LevelInfo,
 		"SIGTERM or SIGINT has started the graceful shutdown.")
@@ -21,10 +21,10 @@
 	ReloadCompleted = declare("reload.completed", slog.LevelInfo,
 		"A reload by SIGHUP was carried out.")
 	ReloadFailed = declare("reload.failed", slog.LevelWarn,
-		"The file could not be used; the previous configuration stays in use.",
+		"The file of a reload by SIGHUP could not be used; the previous configuration stays in use.",
 		"error", "effect")
 	ReloadSkipped = declare("reload.skipped", slog.LevelInfo,
-		"Nothing in this configuration may change while the front end runs.",
+		"A reload by SIGHUP was skipped: no part of this configuration can be reloaded.",
 		"reason")
 	InvariantViolated = declare("invariant.violated", slog.LevelError,
 		"An invariant was violated, or a violation was prevented.",
@@ -34,7 +34,7 @@
 // Discovery.
 var (
 	EventBusMoved = declare("eventbus.moved", slog.LevelInfo,
-		"A reload by SIGHUP named another event bus.",
+		"A reload by SIGHUP named an event bus that the front end was not connected to.",
 		"from", "to", "last_event")
 	EventBusDisconnected = declare("eventbus.disconnected", slog.LevelWarn,
 		"The event bus closed the connection, sent no byte for 2.5 s, violated the protocol or cannot be reached.",
@@ -56,7 +56,7 @@
 		"An ejected engine serves again.",
 		"engine")
 	EngineConnectFailed = declare("engine.connect-failed", slog.LevelWarn,
-		"A connection to an engine was not established; refused connections are only counted.",
+		"A connection to an engine was not established; refused ones and those to PostgreSQL engines are only counted.",
 		"engine", "error")
 	EngineProtocolError = declare("engine.protocol-error", slog.LevelWarn,
 		"A response was malformed or incomplete; its connection was closed, which ended all attempts on it.",
@@ -75,7 +75,7 @@
 		"The snapshot could not be read in five attempts; learning starts again from zero.",
 		"file", "error")
 	ShapesSnapshotUnusable = declare("shapes.snapshot-unusable", slog.LevelWarn,
-		"The snapshot is damaged or of another version; it was renamed, and learning starts again from zero.",
+		"The snapshot is damaged or of another version; it was renamed if possible; learning starts again from zero.",
 		"file", "error", "renamed_to", "rename_error")
 )
 
