--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -18,7 +18,7 @@
 // are dropped and counted. AsyncWriter is safe for concurrent use.
 type AsyncWriter struct {
 	out    io.Writer
-	wakeUp chan struct{} // holds a value while lines wait
+	wakeUp chan struct{} // wakes up run; buffered, so that no signal is lost while run is busy
 
 	mu          sync.Mutex // guards the fields below
 	queue       [][]byte
