--- a/internal/logging/asyncwriter_test.go
+++ b/internal/logging/asyncwriter_test.go
@@ -17,10 +17,10 @@
 	out bytes.Buffer
 }
 
-func (g *blockingOutput) Write(p []byte) (int, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.out.Write(p) //nolint:wrapcheck // a bytes.Buffer returns no error
+func (o *blockingOutput) Write(p []byte) (int, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.out.Write(p) //nolint:wrapcheck // a bytes.Buffer returns no error
 }
 
 // Lines are written completely and in order. While the output blocks, Write does not block, the queue
