--- a/policy/admission.go
+++ b/policy/admission.go
@@ -10,13 +10,11 @@
 	minValueFactor  = 0.5 // smallest share of a limit, for requests of low value
 	maxValueFactor  = 1.5 // largest share of a limit, for requests of high value
 
-	// Bounds of the factor by which an estimate scales the expected work: a request with an extreme estimate
-	// must neither count as almost nothing nor fill a limit alone.
-	minWorkFactor = 0.1
-	maxWorkFactor = 30.0
-
-	// Bounds of the factor by which an estimate scales the weight in threads. They are narrower, since a
-	// request with more work runs longer but not on more threads.
+	// Bounds of the factor by which an estimate scales the expected work and the weight in threads: a request
+	// with an extreme estimate must neither count as almost nothing nor fill a limit alone. The bounds for
+	// the weight are narrower, since a request with more work runs longer but not on more threads.
+	minWorkFactor   = 0.1
+	maxWorkFactor   = 30.0
 	minWeightFactor = 0.25
 	maxWeightFactor = 2.0
 
--- a/policy/attemptrules.go
+++ b/policy/attemptrules.go
@@ -6,8 +6,9 @@
 )
 
 // attemptRules decides whether a request may have an attempt, and on which engines. The decision depends on
-// the limits of the deployment, the possible effects of earlier attempts, the retry budget, the ordering key
-// and slow start. The limiters decide whether an engine has capacity.
+// the limits of the deployment, the deadline, the zones and kinds of the class, the possible effects of
+// earlier attempts, the retry budget, the ordering key and slow start. The limiters decide whether an engine
+// has capacity.
 type attemptRules struct {
 	limits  *Limits
 	budget  retryBudget
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -12,8 +12,8 @@
 	minLimit              = 0.5              // threads; half of a one-thread request without an estimate
 	pressureLatency       = 0.8              // mean relative latency above which the limit applies
 	pressurePeriods       = 2                // control periods for which it applies after such a latency
-	overloadPeriods       = 4                // control periods for which it applies after the engine rejects
-	kneeSlowdown          = 1.6              // knee of the latency curve; the maximum shrinks above it
+	overloadPeriods       = 4                // control periods for which it applies after a rejection
+	kneeSlowdown          = 1.6              // knee of the latency curve; maxLimit shrinks above it
 	maxSlowdown           = 4 * kneeSlowdown // a greater slowdown of one response counts as this
 	slowdownWindow        = 20               // responses over which the slowdown is averaged
 	readmissionLimitShare = 0.25             // share of its initial limit at which a readmitted engine starts
@@ -26,7 +26,7 @@
 // initialLimit and maxLimit; fleet.reserve and fleet.release update backlog.
 type limiter struct {
 	initialLimit   float64       // threads
-	maxLimit       float64       // threads; always applies
+	maxLimit       float64       // threads; applies without pressure, and bounds limit at each control step
 	limit          float64       // threads; applies under pressure
 	alpha          float64       // estimated relative latency that each thread of the limit adds
 	backlog        float64       // threads of the requests in flight
@@ -84,7 +84,7 @@
 	l.pressuredUntil = now + overloadPeriods*controlPeriod
 }
 
-// underPressure reports whether limit applies; otherwise only maxLimit does.
+// underPressure reports whether limit applies; otherwise maxLimit does.
 func (l *limiter) underPressure(now time.Duration) bool { return now < l.pressuredUntil }
 
 // admits is the admission test: the backlog plus the weight must be within the limit. A request whose weight
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -8,7 +8,7 @@
 	errorWeight           = connectionFaultWeight / 2 // response with an error, or a served request
 	overdueWeight         = connectionFaultWeight / 4 // overdue response
 
-	faultDecayPeriods = 40  // control periods over which the fault rate decays without responses
+	faultDecayPeriods = 40  // control periods over which the fault rate decays, even without responses
 	ejectionFaultRate = 0.6 // an engine above it is ejected; two connection faults in a row exceed it
 )
 
@@ -17,7 +17,7 @@
 //	notEjected:          the engine is silent -> ejectedUntilActive
 //	any:                 fault rate above the threshold -> ejectedUntilServed
 //	ejectedUntilServed:  a request is served -> ejectedUntilActive
-//	ejectedUntilActive:  a progress report or a response -> notEjected
+//	ejectedUntilActive:  a progress report or a served request -> notEjected
 //	any:                 the engine restarts -> notEjected
 type ejection uint8
 
@@ -54,7 +54,8 @@
 }
 
 // recordConnectionFault records a connection fault and reports whether it counts in the fault rate. A
-// connection that breaks within a tick of the previous fault does not count; every failure to connect does.
+// connection that breaks within tickPeriod of the previous fault does not count; every failure to connect
+// does.
 func (o *outlierState) recordConnectionFault(now time.Duration, result Result) (counts bool) {
 	counts = now-o.connectionFaultAt >= tickPeriod || result == ResultConnectFailed
 	o.connectionFaultAt = now
@@ -84,7 +85,7 @@
 	return changed
 }
 
-// readmit ends an ejection for which any activity of the engine suffices, and reports whether it did so.
+// readmit ends the ejection of an engine that is ejectedUntilActive, and reports whether it did so.
 func (o *outlierState) readmit() (changed bool) {
 	if o.ejection != ejectedUntilActive {
 		return false
--- a/policy/selector.go
+++ b/policy/selector.go
@@ -57,7 +57,7 @@
 	return best, reason
 }
 
-// rejectReason reports whether the engine may not be sent the request, and the reason.
+// rejectReason returns why the engine may not take the request; rejected is false if it may.
 func (s *selector) rejectReason(
 	req *request, e *engine, limit float64, now time.Duration,
 ) (reason RejectReason, rejected bool) {
@@ -109,7 +109,9 @@
 	return score
 }
 
-// locality favours engines in this front end's zone and, among these, those that cache the data set.
+// locality returns the locality term of an engine's score, in threads. It favours engines in this front end's
+// zone and, among these, those that cache the data set. For a bulk load, or a request that waits for one, it
+// is lower on engines where a bulk load blocks the data set.
 func (s *selector) locality(req *request, e *engine, near bool, now time.Duration) float64 {
 	bonus := 0.0
 	if e.zone == s.zone {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -52,9 +52,9 @@
 
 // The values of DedupScope. ScopeCell is the zero value, since it is the most cautious.
 const (
-	ScopeCell DedupScope = iota
-	ScopeZone
-	ScopeAll
+	ScopeCell DedupScope = iota // engines with the same Engine.Cell
+	ScopeZone                   // engines in the same zone
+	ScopeAll                    // all engines
 )
 
 // Class is one class of requests.
@@ -93,7 +93,7 @@
 
 // Rules are the bounds that all attempts and responses must observe.
 type Rules struct {
-	ResponseSlack     time.Duration // longest delay of a final response after the deadline
+	ResponseSlack     time.Duration // longest delay of a final response after the deadline; not read by the balancer
 	DrainGrace        time.Duration // latest start of an attempt after the notice of a drain; not read by the balancer
 	WarmupCapacity    float64       // smallest share of its full capacity that an engine has when it starts
 	WarmupTime        time.Duration // an engine has its full capacity no later than this after its start
