--- a/policy/class.go
+++ b/policy/class.go
@@ -17,7 +17,7 @@
 	latencyMs      float64 // mean latency of a response
 	quickLatencyMs float64 // lowest recent mean latency
 	workMs         float64 // mean work of a request, of all threads
-	latencySpread  float64 // mean deviation of a latency from the expected one, as a share of the latter
+	latencySpread  float64 // mean deviation from the expected latency, as a share of it
 	estimateMs     float64 // mean estimate of the work; 0: no estimate so far
 	grantFactor    float64 // memory to grant, as a multiple of the estimate
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -26,7 +26,7 @@
 type loadReports struct {
 	threadsPerCore float64 // intended load: the most that an engine should have
 	swaps          bool    // an engine that grants more memory than it has slows down for all requests
-	mean           float64 // mean reported load; fleet.loadLevel adapts faster and is relative
+	mean           float64 // mean reported load; fleet.loadLevel adapts faster, in units of the intended load
 	fleet          *fleet
 	traffic        *trafficEstimate
 }
--- a/policy/outlierdetector.go
+++ b/policy/outlierdetector.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// outlierDetector ejects engines that are silent or that fail too often, and readmits them. It has attempts
-// retried on other engines if their engine is silent, their response is lost, or they are overdue.
+// outlierDetector ejects engines that are silent or that fail too often, and readmits them. It retries
+// attempts whose engine is silent, whose response is lost, or that are overdue.
 type outlierDetector struct {
 	silence  silenceDetector
 	actions  *actionList
@@ -25,7 +25,8 @@
 }
 
 // onActivity handles a progress report or a served response of an attempt: the attempt's class is not
-// stalled on its engine, and an engine that is ejectedUntilActive is readmitted.
+// stalled on its engine, an engine that is ejectedUntilActive is readmitted, and an assumed restart may be
+// withdrawn.
 func (d *outlierDetector) onActivity(a *attempt, now time.Duration) {
 	e := a.engine
 	e.lostResponses.reset(a.request.class)
@@ -36,8 +37,8 @@
 	e.slowStart.withdrawAssumption(now, a.sentAt, e.outlier.connectionFaultAt)
 }
 
-// blameErrors counts earlier errors on a request that was served as faults of the engines that returned
-// them. A request may cause errors itself, but this one did not, since another engine has served it.
+// blameErrors counts the errors of a request's earlier attempts as faults of the engines that returned them.
+// A request may cause errors itself, but this one did not, since another engine has served it.
 func (d *outlierDetector) blameErrors(req *request, servedBy *engine, now time.Duration) {
 	for _, earlier := range req.attempts {
 		if earlier.endedInError() && earlier.engine != servedBy {
--- a/policy/overloadcheck.go
+++ b/policy/overloadcheck.go
@@ -7,7 +7,7 @@
 )
 
 // The limit of a warming engine is n + a*sqrt(n) + b, where n is the number of requests of mean work that the
-// settings allow, and a and b are larger if n is below fewRequests.
+// settings allow within the overload window, and a and b are larger if n is below fewRequests.
 const (
 	fewRequests    = 30.0
 	fewRootFactor  = 3.0 // a
@@ -41,8 +41,8 @@
 }
 
 // checkOverload records a request that is sent to the engine, and reports whether the limit is exceeded.
-// A single request may exceed the limit, since it has to run somewhere. While the restart is only assumed,
-// nothing is recorded or checked.
+// A single request may exceed the limit, since it has to run somewhere. If the engine is not warming up, or
+// its restart is only assumed, nothing is recorded or checked.
 func (e *engine) checkOverload(now time.Duration, workMs, meanWorkMs float64) (report ReportOverload, exceeded bool) {
 	if !e.slowStart.active(now) || e.slowStart.restartAssumed {
 		e.overload.sent = nil
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// onStreamStarted notes that an attempt's response has begun.
+// onStreamStarted records that an attempt's response has begun.
 func (b *Balancer) onStreamStarted(ev StreamStarted) {
 	a := b.attempt(ev.RequestID, ev.Attempt)
 	if a == nil {
@@ -49,9 +49,9 @@
 	a.engine.outlier.lastHeardAt = b.now
 }
 
-// onBlocked retries a blocked attempt on another engine. If the settings have a retry budget, it does not,
-// since the budget is kept for faults. An attempt that waits for memory is retried only once: if two engines
-// lack memory, a third is not better.
+// onBlocked cancels a blocked attempt for a retry. It does nothing if the settings have a retry budget, since
+// the budget is kept for faults. An attempt that waits for memory is retried only once: if two engines lack
+// memory, a third is not better.
 func (b *Balancer) onBlocked(a *attempt, kind ProgressKind) {
 	req := a.request
 	permitted := kind == ProgressAwaitingLoad || len(req.attempts) == 1
@@ -63,7 +63,8 @@
 
 // onFraction projects an attempt's remaining time from the share of the work done. A first attempt that still
 // needs a multiple of the usual latency, or more time than is left, is cancelled for a retry if the retry has
-// time to finish. A second attempt is not: if it is slow too, the request itself is expensive.
+// time to finish. A second attempt is not: if it is slow too, the request itself is expensive. Without a
+// retry, a request that is unlikely to finish in time is rejected early if the client may send it again.
 func (b *Balancer) onFraction(a *attempt, done float64) {
 	req := a.request
 	usualMs := req.usualLatencyMs()
@@ -85,7 +86,7 @@
 }
 
 // observeSpill records the first report that an attempt lacks memory. It raises the class's grant factor
-// halfway to the memory needed, and by one step at least.
+// halfway to the memory needed, and by at least one step.
 func (a *attempt) observeSpill(missingMB float64) {
 	c := a.request.class
 	estimateMB := a.request.estimatedMemoryMB
--- a/policy/reportedstart.go
+++ b/policy/reportedstart.go
@@ -40,9 +40,9 @@
 	r.latest = start
 }
 
-// estimateStart converts a start that has just been reported to the balancer's clock. A start in the
-// future, or so long ago that the endpoint list would have reported it earlier, is treated as a start right
-// now: the engine's wall clock was stepped. The first endpoint list may name starts of any age.
+// estimateStart converts a newly reported start to the balancer's clock. A start in the future, or so long
+// ago that the endpoint list would have reported it earlier, is treated as a start right now: the engine's
+// wall clock was stepped. The first endpoint list may name starts of any age.
 func (r *slowStartRules) estimateStart(now, reported time.Duration) time.Duration {
 	if reported > now {
 		return now
--- a/policy/silence.go
+++ b/policy/silence.go
@@ -6,7 +6,7 @@
 	// Numbers of progress intervals in which no progress report of an attempt arrives.
 	silentIntervals       = 2.6  // after these the attempt is silent
 	lostResponseIntervals = 2.2  // after these its response is lost, if the engine reports other attempts
-	blockedLostIntervals  = 13.0 // the latter for a blocked attempt, which is reported less often
+	blockedLostIntervals  = 13.0 // the same for a blocked attempt, which is reported less often
 
 	overdueDeviations = 3.0 // mean deviations above the usual latency at which an attempt is overdue
 )
@@ -49,7 +49,7 @@
 
 // engineSilent reports whether an engine is silent, given the number of its silent attempts. At least one
 // attempt must be in flight there. With a single silent attempt, the engine must be silent for twice the
-// time, since only the response of that attempt may be lost.
+// timeout, since perhaps only the response of that attempt is lost.
 func (d *silenceDetector) engineSilent(e *engine, silentAttempts int, now time.Duration) bool {
 	silence := now - max(e.outlier.lastHeardAt, e.inFlight[0].sentAt, d.resumedAt)
 	return silentAttempts >= 2 && silence > d.timeout || silentAttempts == 1 && silence > 2*d.timeout
