--- a/policy/actions.go
+++ b/policy/actions.go
@@ -58,13 +58,13 @@
 	ReasonAttemptsExhausted
 	// ReasonEngineLimit: the request exceeds an engine's concurrency limit.
 	ReasonEngineLimit
-	// ReasonSlowStart: an engine is in slow start, and this balancer's share of its budget is spent.
+	// ReasonSlowStart: an engine is in slow start, and this front end's share of its budget is spent.
 	ReasonSlowStart
 	// ReasonFleetLimit: the request exceeds the concurrency limit of all engines together.
 	ReasonFleetLimit
 	// ReasonRetryFutile: an attempt failed or is too slow, and a retry would be too late or fail as well.
 	ReasonRetryFutile
-	// ReasonDeadline: the request's deadline has been reached.
+	// ReasonDeadline: the request has no final response when its DeadlineTimer fires.
 	ReasonDeadline
 )
 
@@ -126,9 +126,9 @@
 // EngineReadmitted tells the operators that an ejected engine takes requests again.
 type EngineReadmitted struct{ Engine string }
 
-// ReportOverload reports that this balancer alone has sent a warming engine more work than the engine can
-// handle from all balancers. The budget of slow start should prevent this, so it is a bug in this package. No
-// decision depends on it.
+// ReportOverload reports that this front end alone has sent a warming engine more work than the engine can
+// handle from all front ends together. The budget of slow start should prevent this, so it is a bug in this
+// package. No decision depends on it.
 type ReportOverload struct {
 	Engine string
 	Sent   float64 // requests of mean work within the overload window
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -22,18 +22,18 @@
 	firstEventAt time.Duration
 }
 
-// slowStart limits what this balancer sends to one engine while the engine warms up after a start: to
-// this balancer's share of the load that the engine can handle in that time. The budget is work per
+// slowStart limits what this front end sends to one engine while the engine warms up after a start: to
+// this front end's share of the load that the engine can handle in that time. The budget is work per
 // overload window. The cost of a request is its work divided by the budget, so its unit is one overload
-// window. The endpoint list reports restarts late, so a connection fault is treated as a restart until a
-// response of the engine shows that it did not restart.
+// window. The endpoint list reports restarts late, so a connection fault is treated as a restart. If a
+// connection broke, a response or progress report may still show that the engine did not restart.
 type slowStart struct {
 	rules            *slowStartRules
 	reported         reportedStart
 	startedAt        time.Duration // latest reported start, by this balancer's clock; math.MinInt64: unknown
-	noticedAt        time.Duration // when this balancer learned of the start
+	noticedAt        time.Duration // when this balancer learned of, or assumed, the start
 	endsAt           time.Duration
-	budgetSpentUntil time.Duration // this balancer's share of the budget is spent until then
+	budgetSpentUntil time.Duration // this front end's share of the budget is spent until then
 	firstSlot        float64       // the first large request waits for this random share, 0 to 1, of its cost
 
 	restartAssumed         bool          // the only evidence of a restart is a lost connection
@@ -74,8 +74,8 @@
 }
 
 // assumeRestart begins a slow start after a connection fault. If the connection could not be made, the
-// process was down. If it broke, the restart is only assumed: withdrawAssumption ends the slow start when
-// the engine responds sooner than a restarted process could.
+// process was down. If it broke, the restart is only assumed: withdrawAssumption ends the slow start if the
+// engine sends a response or progress report sooner than a restarted process could.
 func (s *slowStart) assumeRestart(now time.Duration, result Result, rng *rand.Rand) {
 	if result == ResultConnectFailed {
 		s.restartAssumed = false
@@ -86,8 +86,9 @@
 	s.begin(now, max(s.endsAt, now+s.rules.WarmupTime), rng)
 }
 
-// withdrawAssumption ends an assumed slow start when the engine responds, within minRestartTime of the
-// broken connection, to an attempt that was sent after it: only the connection was lost.
+// withdrawAssumption withdraws the assumption of a restart after a response or progress report, if the
+// attempt was sent after the connection fault and less than minRestartTime has passed since the fault: only
+// the connection was lost. The slow start then ends when it would have ended without the assumption.
 func (s *slowStart) withdrawAssumption(now, sentAt, connectionFaultAt time.Duration) {
 	if s.restartAssumed && sentAt > connectionFaultAt && now < connectionFaultAt+minRestartTime {
 		s.restartAssumed = false
@@ -102,7 +103,7 @@
 	return 1 - (1-s.rules.WarmupCapacity)*min(max(left, 0), 1)
 }
 
-// permits reports whether a request of this cost is within this balancer's share of the budget. A request
+// permits reports whether a request of this cost is within this front end's share of the budget. A request
 // that costs more than a burst is permitted once every `cost` windows. The first one waits for a slot that
 // is drawn at random, so that front ends do not send such requests at the same time.
 func (s *slowStart) permits(now time.Duration, cost float64) bool {
@@ -120,15 +121,15 @@
 	return permittedFrom <= now+time.Duration(max(0, slowStartBurst-cost)*float64(window))
 }
 
-// charge deducts the cost of a request that was sent to the engine from the budget.
+// charge deducts from the budget the cost of a request that was sent to the engine.
 func (s *slowStart) charge(now time.Duration, cost float64) {
 	spent := time.Duration(cost * float64(s.rules.OverloadWindow))
 	s.budgetSpentUntil = max(s.budgetSpentUntil, now) + spent
 }
 
-// cost returns the cost of a request of the expected work, in overload windows of this balancer's share of
-// the budget. The actual growth of the engine's capacity is unknown; cost assumes the square of the linear
-// growth, so that capacity comes late.
+// cost returns the cost of a request with the given expected work, in overload windows: the work divided by
+// this front end's share of the budget of one window. The actual growth of the engine's capacity is unknown.
+// To be cautious, cost assumes quadratic growth, which lags behind the linear growth of capacityShare.
 func (s *slowStart) cost(now time.Duration, workMs, cores, trafficShare float64) float64 {
 	rules := s.rules
 	grown := s.capacityShare(now) - rules.WarmupCapacity
@@ -146,7 +147,7 @@
 		e.slowStart.permits(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, traffic.share()))
 }
 
-// chargeSlowStart deducts a request that was sent to the engine from its budget if it is warming up.
+// chargeSlowStart charges a request that was sent to the engine to the budget if the engine is warming up.
 func (e *engine) chargeSlowStart(req *request, traffic *trafficEstimate, now time.Duration) {
 	if e.slowStart.active(now) {
 		e.slowStart.charge(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, traffic.share()))
