--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -27,20 +27,20 @@
 	started  bool // the first event has been handled
 	ticks    int
 
-	requests     map[uint64]*request // until they are completed and their attempts have ended
-	classes      map[string]*class
-	engines      engineTable
-	fleet        fleet
-	selector     selector
-	rules        attemptRules
-	attempts     attemptRunner
-	ordered      orderedRequests
-	slowStart    slowStartRules
-	outliers     outlierDetector
-	quotas       quotas
-	traffic      trafficEstimate
-	valueRanking valueRanking
-	load         loadReports
+	requests       map[uint64]*request // until they are completed and their attempts have ended
+	classes        map[string]*class
+	engines        engineTable
+	fleet          fleet
+	selector       selector
+	rules          attemptRules
+	attempts       attemptRunner
+	ordered        orderedRequests
+	slowStartRules slowStartRules
+	outliers       outlierDetector
+	quotas         quotas
+	traffic        trafficEstimate
+	valueRanking   valueRanking
+	load           loadReports
 }
 
 // Handle processes one event and returns actions with the actions of the event appended.
@@ -90,7 +90,7 @@
 // onFirstEvent starts the ticks and, if the endpoint list is not pushed, subscribes to it.
 func (b *Balancer) onFirstEvent(now time.Duration) {
 	b.started = true
-	b.slowStart.firstEventAt = now
+	b.slowStartRules.firstEventAt = now
 	b.actions.add(SetTimer{After: tickPeriod})
 	if b.settings.PullDiscovery {
 		b.actions.add(Subscribe{})
@@ -117,7 +117,7 @@
 	for _, e := range b.engines.all {
 		b.outliers.check(e, b.now)
 	}
-	b.admitQueued()
+	b.admitWaiting()
 	b.ticks++
 	if b.ticks%ticksPerPeriod == 0 {
 		b.endControlPeriod()
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -57,7 +57,7 @@
 	e := b.engines.byID[endpoint.ID]
 	added := e == nil
 	if added {
-		e = newEngine(endpoint.ID, &b.slowStart)
+		e = newEngine(endpoint.ID, &b.slowStartRules)
 		b.engines.add(e)
 	}
 	restarted := endpoint.StartKnown && e.slowStart.reported.differs(endpoint.StartedAt)
--- a/policy/new.go
+++ b/policy/new.go
@@ -23,7 +23,7 @@
 		b.classes[settings.Name] = newClass(settings)
 	}
 	b.traffic = newTrafficEstimate(settings.Replicas, b.quotas.total)
-	b.slowStart = slowStartRules{Rules: &b.settings.Rules}
+	b.slowStartRules = slowStartRules{Rules: &b.settings.Rules}
 	b.ordered = newOrderedRequests(settings.Rules.OrderSettleTime + settings.TimerGranularity)
 	b.rules = attemptRules{
 		limits:  &b.settings.Limits,
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -46,8 +46,8 @@
 	maps.DeleteFunc(o.queues, func(_ string, queue *keyQueue) bool { return queue.idle(now) })
 }
 
-// admitQueued admits waiting requests that are at the head of their ordering key, in order of arrival.
-func (b *Balancer) admitQueued() {
+// admitWaiting admits waiting requests that are at the head of their ordering key, in order of arrival.
+func (b *Balancer) admitWaiting() {
 	for _, req := range b.ordered.takeWaiting() {
 		switch {
 		case req.completed:
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -10,7 +10,7 @@
 	return h.balancer.quotas.charge(tenant, h.balancer.traffic.share(), h.now)
 }
 
-func TestQuotas_ForgiveUnevenArrivals(t *testing.T) {
+func TestQuotas_CountOnlyRequestsBeyondTheQuota(t *testing.T) {
 	s := settings()
 	s.Replicas = 200
 	s.Tenants = []Tenant{{Name: "t", Quota: 100, Share: 1}}
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestRetryBudget_CountsTheStricterWayAtTheEdgeOfItsWindow(t *testing.T) {
+func TestRetryBudget_IsStrictAtTheStartOfItsWindow(t *testing.T) {
 	rules := Rules{RetryBudgetWindow: time.Second}
 	budget := retryBudget{rules: &rules}
 	for at := time.Second; at <= 3*time.Second; at += time.Second {
--- a/policy/validate_test.go
+++ b/policy/validate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestNew_NamesTheFaultySetting(t *testing.T) {
+func TestNew_NamesTheInvalidSetting(t *testing.T) {
 	for _, c := range []struct {
 		field, problem string
 		breakSetting   func(*Settings)
