--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// A request with little value for its work is shed first, but an engine does so only under pressure.
+// A request with little value for its work may use a smaller share of an engine's limit, but only under pressure.
 func TestEngineLimitFor_ValueFactorAppliesOnlyUnderPressure(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1))
 	e := h.balancer.engines.byID["e"]
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// tick checks the engines for silence and their attempts for lost or overdue responses, admits queued
+// tick checks the engines for silence and their attempts for lost or overdue responses, admits waiting
 // requests and, once a control period, runs the control loops.
 func (b *Balancer) tick() {
 	b.actions.add(SetTimer{After: tickPeriod})
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -45,7 +45,7 @@
 		"key queues":                   len(b.ordered.queues),
 		"data sets":                    len(b.selector.affinity.popularity.counts),
 		"requests":                     len(b.requests),
-		"queued requests":              len(b.ordered.waiting),
+		"waiting requests":             len(b.ordered.waiting),
 		"blocked data sets":            blocked,
 	} {
 		if n > 300 {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -58,7 +58,7 @@
 			}
 		case CheckHealth:
 			if !m.settings.Limits.HealthChecks || m.states[a.Engine] != EngineReady {
-				m.fail("a health check of %s", a.Engine)
+				m.fail("health check of %s, which is not ready or must not be checked", a.Engine)
 			}
 		case Reject:
 			m.checkReject(m.complete(a.RequestID))
@@ -68,7 +68,7 @@
 	}
 }
 
-// complete records the final response of a request, of which there must be only one.
+// complete records the final response of a request. It fails the test if the request is unknown or has one already.
 func (m *model) complete(requestID uint64) *modelRequest {
 	m.t.Helper()
 	req := m.byID[requestID]
@@ -117,8 +117,8 @@
 	})
 }
 
-// checkEarlierAttempts checks that a retry is permitted after the earlier attempts: none is in flight, and those that
-// may have run are idempotent on the engine of the retry.
+// checkEarlierAttempts checks that a retry is permitted after the earlier attempts: none of them is in flight, and if
+// one of them may have run, the request may run again on the engine of the retry.
 func (m *model) checkEarlierAttempts(req *modelRequest, engine Engine) {
 	m.t.Helper()
 	class := req.class
--- a/policy/retrybudget_test.go
+++ b/policy/retrybudget_test.go
@@ -14,7 +14,7 @@
 	}
 	budget.expire(3 * time.Second)
 	if len(budget.arrivals) != 1 || len(budget.retries) != 2 {
-		t.Errorf("%d arrivals and %d retries, want 1 arrival after the edge and 2 retries from the edge on",
+		t.Errorf("%d arrivals and %d retries, want 1 and 2: exactly at the start of the window, only retries count",
 			len(budget.arrivals), len(budget.retries))
 	}
 }
--- a/policy/simulation_endpoints_test.go
+++ b/policy/simulation_endpoints_test.go
@@ -41,7 +41,8 @@
 }
 
 // nextListEvent changes an engine at random (it hangs, slows down, drains, is removed or starts again) and returns
-// the update of the endpoint list, or nil if the change does not affect the list.
+// the update of the endpoint list, or nil if the change does not affect the list. It may also change nothing and
+// return the full list or a failed update.
 func (s *simulation) nextListEvent() policy.Event {
 	s.after(time.Duration(200+s.random.IntN(1500))*time.Millisecond, s.nextListEvent)
 	e := s.engines[s.random.IntN(len(s.engines))]
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -131,6 +131,7 @@
 	warming.StartKnown = true
 	sent := func(ownInFlight float64, from time.Duration) (n int) {
 		h := newHarness(t, s)
+		// The reported start is older than a quarter of the warm-up time, so it is treated as a start right now.
 		h.advance(5 * time.Second).handle(EndpointsChanged{Mode: UpdateFull, Engines: []Engine{warming}})
 		h.advance(from - 5*time.Second)
 		for id := uint64(1); id <= 30; id++ {
@@ -149,7 +150,7 @@
 		t.Errorf("a balancer with a fifth of the traffic sent %d requests, one with a hundredth sent %d", heavy, even)
 	}
 	if later <= even {
-		t.Errorf("sent %d requests to an engine that is nearly warm, %d to one that has just started", later, even)
+		t.Errorf("sent %d requests from 4 s after the start on, %d right after the start", later, even)
 	}
 }
 
