--- a/internal/lab/workload/cost.go
+++ b/internal/lab/workload/cost.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// access describes the execution of a statement: the number of rows in each step.
+// access describes the execution of a statement by the number of rows in each step.
 type access struct {
-	indexed  float64 // read by an index
+	indexed  float64 // read through an index
 	scanned  float64 // read sequentially
 	joined   float64
 	sorted   float64
@@ -12,8 +12,8 @@
 	returned float64
 }
 
-// Unit costs in milliseconds on one core. They result in a median of about 120 ms for lookups and 2.7 s
-// for reports.
+// Unit costs in milliseconds on one core. They result in a median work of about 120 ms for lookups and
+// 2.7 s for reports.
 const (
 	baseMS        = 110
 	indexedRowMS  = 0.03
@@ -24,7 +24,8 @@
 	returnedRowMS = 0.004
 )
 
-// A share of the statements reaches a data set that is not in the engine's memory, which costs more.
+// uncachedShare is the share of the statements whose data set is not in the engine's memory. The work of
+// these statements is higher by uncachedFactor.
 const (
 	uncachedShare  = 0.15
 	uncachedFactor = 1.5
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -1,9 +1,10 @@
 // Package workload generates SQL statements with their true classes and costs. It models a database of
-// parts, wholesalers and districts with rows of ten years, and the programs that query it. New returns a
+// parts, wholesalers and districts with ten years of rows, and the programs that query it. New returns a
 // Generator, whose method Next returns one statement after the other.
 //
 // The cost of a statement depends on its execution (the number of rows, their access path and the
-// operations on them) and never on its text. Nothing that flaxrelay's classifier reads contributes to it.
+// operations on them) and never on its text. Nothing that flaxrelay's classifier reads contributes to the
+// cost.
 package workload
 
 import (
@@ -21,13 +22,13 @@
 	OneOffShare float64 // share of statements whose shape never recurs
 	HardShare   float64 // share of lookups whose values make them broad reports
 	WriteShare  float64 // share of statements that write and are not loads
-	// DriftFrom is the share of the statements after which the table of orders has grown by
-	// the factor DriftFactor. 0: it never grows.
+	// DriftFrom is the share of the statements after which the orders table is larger by DriftFactor.
+	// 0: the table never grows.
 	DriftFrom   float64
 	DriftFactor float64
-	// HintSigma is the scatter of hints, as a standard deviation of the natural logarithm.
-	// HintMissingShare is the share of statements without a hint. A hint depends on the usual
-	// cost of the shape and not on the values.
+	// HintSigma is the standard deviation of the natural logarithm of hints. HintMissingShare is the
+	// share of statements without a hint. A hint depends on the usual cost of the shape and not on the
+	// values.
 	HintSigma        float64
 	HintMissingShare float64
 }
@@ -35,7 +36,7 @@
 // DefaultTemplates is the number of recurring statement shapes if the options set none.
 const DefaultTemplates = 200
 
-// Known or estimated figures of the modeled deployment.
+// Parameters of the modeled deployment.
 const (
 	defaultOneOffShare      = 0.05
 	defaultHardShare        = 0.04
@@ -69,7 +70,7 @@
 	ClassWrite  = "write"
 )
 
-// ReportFromMS is the work in milliseconds from which a read-only statement is a report. The class is
+// ReportFromMS is the least work, in milliseconds, of a read-only statement that is a report. The class is
 // determined before the random scatter of the work.
 const ReportFromMS = 800
 
@@ -96,8 +97,8 @@
 	Key        int     // number of the bound value that is its idempotency key; 0: none
 }
 
-// Generator generates the statements of a workload. The same options give the same statements. It is
-// for one goroutine.
+// Generator generates the statements of a workload. The same options give the same statements. A Generator
+// is not safe for concurrent use.
 type Generator struct {
 	options           Options
 	random            *rand.Rand
@@ -112,7 +113,7 @@
 }
 
 const (
-	randomStream = 0x7265676973746572 // second word of the seed: distinct from other uses of it
+	randomStream = 0x7265676973746572 // second word of the PCG seed, different for each use of a seed
 	scatterSigma = 0.3                // of work and memory, as a standard deviation of the natural logarithm
 	minHintSigma = 1e-9               // the distribution rejects 0
 )
@@ -165,7 +166,7 @@
 	return g.fromTemplate(g.templates[index], index, growth)
 }
 
-// growth returns the factor by which the table of orders has grown so far.
+// growth returns the factor by which the orders table has grown so far.
 func (g *Generator) growth() float64 {
 	progress := float64(g.generated) / float64(g.total)
 	if g.options.DriftFrom > 0 && progress >= g.options.DriftFrom {
@@ -181,14 +182,14 @@
 	return g.finish(s, usualMS)
 }
 
-// hintBias is the factor by which the hints of the work of a class are wrong on average.
+// hintBias is the factor by which hints of the work are biased, by the class that a planner would expect.
 var hintBias = map[string]float64{ClassLookup: 0.45, ClassReport: 2.4, ClassLoad: 0.7, ClassWrite: 1}
 
 // priorityWeights are the priority weights of the classes.
 var priorityWeights = map[string]float64{ClassLookup: 1, ClassReport: 4, ClassLoad: 5, ClassWrite: 4}
 
 // finish scatters the work, and adds memory, hint and priority weight. usualMS is the work that a planner
-// would expect without the values.
+// would expect without knowing the values.
 func (g *Generator) finish(statement Statement, usualMS float64) Statement {
 	// Memory grows with a power of the work: referenceMemoryMB at referenceWorkMS.
 	const (
@@ -196,7 +197,7 @@
 		referenceMemoryMB = 6
 		referenceWorkMS   = 200
 		memoryExponent    = 0.7
-		memoryHintBias    = 1.2 // factor by which hints of the memory are wrong on average
+		memoryHintBias    = 1.2 // factor by which hints of the memory are biased
 	)
 	memory := referenceMemoryMB * math.Pow(statement.WorkMS/referenceWorkMS, memoryExponent)
 	statement.WorkMS *= g.scatter.Rand()
@@ -209,7 +210,7 @@
 	return statement
 }
 
-// hintedClass returns the class that a planner would expect without the values.
+// hintedClass returns the class that a planner would expect without knowing the values.
 func hintedClass(class string, usualMS float64) string {
 	switch {
 	case class == ClassLoad || class == ClassWrite:
--- a/internal/lab/workload/generator_test.go
+++ b/internal/lab/workload/generator_test.go
@@ -20,7 +20,7 @@
 	return statements
 }
 
-// The work and the class of a statement depend on its execution, and not on how a program writes it.
+// The work and the class of a statement depend on its execution, and not on how a program writes the text.
 func TestGenerator_CostDoesNotDependOnTheText(t *testing.T) {
 	for index := range familySpecs {
 		for _, hardShare := range []float64{0, 1} {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Only statements with broad values have a hard case, and all of those are reports.
+// Only statements with broad values are hard cases, and all hard cases are reports.
 func TestGenerator_HardCasesAreReports(t *testing.T) {
 	options := Defaults(1)
 	options.HardShare = 0.5
@@ -104,7 +104,7 @@
 	}
 }
 
-// Statements that occur once have table names of their own, and so shapes of their own.
+// Each statement of a one-off shape has a unique table name, and therefore a unique shape.
 func TestGenerator_OneOffShapesDoNotRecur(t *testing.T) {
 	tableName := regexp.MustCompile(`stock_\d+\.[a-z]+_\d+`)
 	seen := map[string]bool{}
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -15,7 +15,7 @@
 	dataSet   int     // number of its schema, stock_N
 	rows      float64 // current number of rows of the table
 	rowsOfOne float64 // rows of one usual part
-	broad     bool    // a lookup has values that make it a report, if its family has a hard case
+	broad     bool    // the values make a lookup a report, if its family has a hard case
 	hardCase  string  // the hard case of the family, or "" without broad values
 	tableName string
 	from      string // the table with its alias
@@ -72,8 +72,8 @@
 // dayColumn returns the name of the column that holds the day of a row.
 func (i *instance) dayColumn() string { return i.column(i.template.table.dayColumn) }
 
-// instantiate generates a statement of a template with drawn values. usualMS is the cost of the shape
-// with usual values, which a planner would estimate without the values.
+// instantiate generates a statement of a template with drawn values. usualMS is the work of the shape with
+// usual values, as a planner would estimate it without knowing the values.
 func (g *Generator) instantiate(t *template, growth float64) (statement Statement, usualMS float64) {
 	i := g.newInstance(t, growth)
 	if t.family == loadBatch {
@@ -88,7 +88,7 @@
 	statement.Class = ClassLookup
 	if statement.WorkMS >= ReportFromMS {
 		statement.Class = ClassReport
-		statement.HardCase = i.hardCase // not set for a lookup: broad values of a small table are no hard case
+		statement.HardCase = i.hardCase // not for a lookup, which is not a hard case: its table is small
 	}
 	return statement, usual.workMS()
 }
--- a/internal/lab/workload/lookups.go
+++ b/internal/lab/workload/lookups.go
@@ -94,8 +94,8 @@
 	return actual, usual
 }
 
-// generatePattern searches parts by a prefix; the hard case has a leading wildcard, for which no index
-// can be used.
+// generatePattern searches parts by a prefix; the hard case has a leading wildcard, which rules out the use
+// of an index.
 func generatePattern(i *instance) (actual, usual access) {
 	const (
 		prefixes          = 400 // one row in 400 has the prefix
@@ -122,7 +122,8 @@
 		lastDays     = 90
 		maxDistricts = 2
 		scanAbove    = 15 // number of districts above which a scan is cheaper than the index
-		// Rows that the index reads for each matching row, and a planner's estimate of it without the values.
+		// Rows read through the index for each matching row, and a planner's estimate of this number without
+		// knowing the values.
 		indexedRowsPerMatch      = 6
 		usualIndexedRowsPerMatch = 9
 	)
--- a/internal/lab/workload/reports.go
+++ b/internal/lab/workload/reports.go
@@ -1,6 +1,6 @@
 package workload
 
-// generateDistrictTotals sums the last months by district.
+// generateDistrictTotals sums the rows of the last months by district.
 func generateDistrictTotals(i *instance) (actual, usual access) {
 	const (
 		maxMonths    = 12
@@ -22,11 +22,11 @@
 	return actual, usual
 }
 
-// generateTopParts joins the table with the parts and finds the parts with most rows.
+// generateTopParts joins the table with the parts table and finds the parts with the most rows.
 func generateTopParts(i *instance) (actual, usual access) {
 	const (
 		limit        = 20
-		groupedOneIn = 4 // rows
+		groupedOneIn = 4 // one row in 4 is grouped
 	)
 	i.sql("SELECT p.name, max(%s), count(*) FROM %s JOIN stock_%d.parts p USING (part) WHERE p.kind = ",
 		i.column(i.template.columns[0]), i.from, i.dataSet)
@@ -40,7 +40,7 @@
 // generateRanking ranks the rows of each district.
 func generateRanking(i *instance) (actual, usual access) {
 	const (
-		sortedOneIn   = 2 // rows
+		sortedOneIn   = 2 // one row in 2 is sorted
 		returnedOneIn = 20
 	)
 	i.sql("SELECT %s, %s, rank() OVER (PARTITION BY %s ORDER BY %s) FROM %s",
@@ -49,10 +49,10 @@
 	return actual, actual
 }
 
-// generateDistinct finds the distinct rows of nearly all rows of the table.
+// generateDistinct finds the distinct values of the selected columns in nearly all rows of the table.
 func generateDistinct(i *instance) (actual, usual access) {
 	const (
-		sortedOneIn   = 3 // rows
+		sortedOneIn   = 3 // one row in 3 is sorted
 		returnedOneIn = 8
 	)
 	i.sql("SELECT DISTINCT %s FROM %s WHERE %s <> ", i.columns, i.from, i.column("part"))
--- a/internal/lab/workload/schema.go
+++ b/internal/lab/workload/schema.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Sizes of the database.
+// Sizes of the modeled database.
 const (
 	districtCount   = 77
 	wholesalerCount = 400
@@ -29,25 +29,26 @@
 	returnsTable   = &table{"returns", 20000, []string{"part", "district", "reason"}, "day"}
 )
 
-// The tables that statements of a family are about.
+// Lists from which the table of a template is drawn.
 var (
 	allTables = []*table{partsTable, stockTable, ordersTable, shipmentsTable, pricesTable, returnsTable}
-	// wholesalerTables have a column wholesaler.
+	// wholesalerTables have a wholesaler column.
 	wholesalerTables = []*table{stockTable, ordersTable, pricesTable}
-	// largeTables have so many rows that a statement that scans one is a report.
+	// largeTables have so many rows that scanning one of them makes a statement a report.
 	largeTables = []*table{ordersTable, shipmentsTable, pricesTable}
-	// largeDistrictTables have a column district as well.
+	// largeDistrictTables are the large tables with a district column.
 	largeDistrictTables = []*table{ordersTable, shipmentsTable}
 )
 
-// popularParts is the number of parts that every shop sells. Each has popularPartFactor times the
-// rows of another part.
+// popularParts is the number of parts that every shop sells. Each of them has popularPartFactor times as
+// many rows as any other part.
 const (
 	popularParts      = 12
 	popularPartFactor = 30
 )
 
-// part draws a part by popularity. rowFactor is its number of rows as a multiple of a usual part's.
+// part draws a part by popularity. rowFactor is the ratio of its number of rows to that of a part that is
+// not popular.
 func (g *Generator) part() (name string, rowFactor float64) {
 	number := int(g.partPopularity.Uint64())
 	rowFactor = 1
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -30,8 +30,9 @@
 	firstLoad   = loadBatch
 )
 
-// Shares of the kinds of template, and weights of their families. Over seeds 1 to 6, they result in 76 to
-// 84 % lookups, 10 to 19 % reports and 5 to 6 % loads, without hard cases, writes and shapes that occur once.
+// Shares of the templates that are lookups and reports, and weights of the families. Over seeds 1 to 6, they
+// result in 76 to 84 % lookups, 10 to 19 % reports and 5 to 6 % loads, if hard cases, writes and shapes that
+// occur once are not counted.
 const (
 	lookupTemplates = 0.72
 	reportTemplates = 0.2
@@ -40,8 +41,8 @@
 	loadWeight      = 0.65
 )
 
-// generateFunc writes the text of one statement. It returns the access with the statement's values and
-// with usual values.
+// generateFunc writes the text of one statement. It returns two accesses: actual for the values of the
+// statement, and usual for typical values.
 type generateFunc func(*instance) (actual, usual access)
 
 // familySpec describes how the statements of a family are generated.
@@ -101,7 +102,7 @@
 	t.aliased = random.IntN(aliasedOneIn) == 0
 	t.table = drawTable(random, allTables)
 	if tables := familySpecs[t.family].tables; tables != nil {
-		// The first draw is discarded. Without it, a seed would give other traffic than earlier versions.
+		// The first draw is discarded. It is kept because a seed must give the same traffic as in earlier versions.
 		t.table = drawTable(random, tables)
 	}
 	n := 1 + random.IntN(len(t.table.columns))
--- a/internal/lab/workload/text.go
+++ b/internal/lab/workload/text.go
@@ -20,7 +20,8 @@
 	formatBinary = 1
 )
 
-// textBuilder writes the text of a statement. The style decides whether values are literals or bound.
+// textBuilder writes the text of a statement and collects its bound values. The style determines whether a
+// value is a literal or bound.
 type textBuilder struct {
 	text      strings.Builder
 	style     valueStyle
@@ -30,7 +31,7 @@
 	types     []byte // four bytes each
 }
 
-// sql adds formatted text, whose keywords are in upper case in the format.
+// sql appends formatted SQL, in lower case if lowerCase is set. The format has its keywords in upper case.
 func (b *textBuilder) sql(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if b.lowerCase {
@@ -39,12 +40,12 @@
 	b.text.WriteString(text)
 }
 
-// literal adds formatted text unchanged.
+// literal appends formatted text without changing its case.
 func (b *textBuilder) literal(format string, args ...any) {
 	_, _ = fmt.Fprintf(&b.text, format, args...) // a strings.Builder returns no error
 }
 
-// bind adds a parameter with its value; nil is null.
+// bind appends a parameter and binds its value; nil is null.
 func (b *textBuilder) bind(value []byte, format byte, oid uint32) {
 	b.values = append(b.values, value)
 	b.formats = append(b.formats, 0, format)
@@ -52,7 +53,7 @@
 	b.literal("$%d", len(b.values))
 }
 
-// textValue adds a text.
+// textValue appends a value of type text.
 func (b *textBuilder) textValue(value string) {
 	if b.style == literalValues {
 		b.literal("'%s'", value)
@@ -61,7 +62,7 @@
 	b.bind([]byte(value), formatText, oidText)
 }
 
-// intValue adds a number.
+// intValue appends a value of type integer.
 func (b *textBuilder) intValue(value int) {
 	switch b.style {
 	case literalValues:
@@ -73,7 +74,7 @@
 	}
 }
 
-// The first modeled day is 2016-01-01; PostgreSQL's binary dates count from 2000-01-01.
+// The first modeled day is 2016-01-01. PostgreSQL's binary dates are numbers of days since 2000-01-01.
 const (
 	firstYear              = 2016
 	daysOfYear             = 365
@@ -81,8 +82,9 @@
 	daysFrom2000ToFirstDay = 16*daysOfYear + 4
 )
 
-// dayValue adds a date by its number, which counts from the first modeled day. Each month has 31 days,
-// and those past the 28th are written as the 28th, so that every date is valid.
+// dayValue appends a date, given as the number of days since the first modeled day. In dates that are
+// written as text, each month has 31 days, and the days after the 28th are written as the 28th, so that every
+// date is valid.
 func (b *textBuilder) dayValue(number int) {
 	const lastSafeDay = 28
 	year := firstYear + number/daysOfYear
@@ -99,7 +101,7 @@
 	}
 }
 
-// arrayValue adds a list of texts as one value.
+// arrayValue appends a list of texts as one value of an array type.
 func (b *textBuilder) arrayValue(list []string) {
 	switch b.style {
 	case literalValues:
