--- a/internal/lab/workload/generator_test.go
+++ b/internal/lab/workload/generator_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestGenerator_OrdersGrowOnceFromTheDriftOn(t *testing.T) {
+func TestGenerator_OrdersGrowOnceAtTheDrift(t *testing.T) {
 	for _, test := range []struct {
 		driftFrom float64
 		want      []float64
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -9,18 +9,18 @@
 // instance is one statement of a template while it is generated.
 type instance struct {
 	textBuilder
-	generator *Generator
-	random    *rand.Rand
-	template  *template
-	dataSet   int     // number of its schema, stock_N
-	rows      float64 // current number of rows of the table
-	rowsOfOne float64 // rows of one usual part
-	broad     bool    // the values make a lookup a report, if its family has a hard case
-	hardCase  string  // the hard case of the family, or "" without broad values
-	tableName string
-	from      string // the table with its alias
-	alias     string
-	columns   string // the selected columns
+	generator   *Generator
+	random      *rand.Rand
+	template    *template
+	dataSet     int     // number of its schema, stock_N
+	rows        float64 // current number of rows of the table
+	rowsPerPart float64 // of a part that is not popular
+	broad       bool    // the values make a lookup a report, if its family has a hard case
+	hardCase    string  // the hard case of the family, or "" without broad values
+	tableName   string
+	from        string // the table with its alias
+	alias       string
+	columns     string // the selected columns
 }
 
 // newInstance draws the data set, whether the values are broad, and the names.
@@ -33,7 +33,7 @@
 	if t.table == ordersTable {
 		i.rows *= growth
 	}
-	i.rowsOfOne = i.rows / partCount
+	i.rowsPerPart = i.rows / partCount
 	i.broad = g.random.Float64() < g.options.HardShare
 	i.drawNames()
 	return i
--- a/internal/lab/workload/lookups.go
+++ b/internal/lab/workload/lookups.go
@@ -17,23 +17,23 @@
 
 // generateByPart reads the rows of one part.
 func generateByPart(i *instance) (actual, usual access) {
-	part, rowFactor := i.generator.part()
+	part, rowFactor := i.generator.drawPart()
 	i.sql("SELECT %s FROM %s WHERE %s = ", i.columns, i.from, i.column("part"))
 	i.textValue(part)
-	rows := i.rowsOfOne * rowFactor
+	rows := i.rowsPerPart * rowFactor
 	actual = access{indexed: rows, returned: rows}
-	usual = access{indexed: i.rowsOfOne, returned: i.rowsOfOne}
+	usual = access{indexed: i.rowsPerPart, returned: i.rowsPerPart}
 	return actual, usual
 }
 
 // generateByPartAndWholesaler reads the row of one part at one wholesaler.
 func generateByPartAndWholesaler(i *instance) (actual, usual access) {
-	part, _ := i.generator.part()
+	part, _ := i.generator.drawPart()
 	i.sql("SELECT %s FROM %s WHERE %s = ", i.columns, i.from, i.column("part"))
 	i.textValue(part)
 	i.sql(" AND %s = ", i.column("wholesaler"))
 	i.intValue(i.random.IntN(wholesalerCount))
-	actual = access{indexed: i.rowsOfOne, returned: 1}
+	actual = access{indexed: i.rowsPerPart, returned: 1}
 	return actual, actual
 }
 
@@ -59,13 +59,13 @@
 		if item > 0 {
 			i.literal(", ")
 		}
-		part, _ := i.generator.part()
+		part, _ := i.generator.drawPart()
 		i.textValue(part)
 	}
 	i.literal(")")
 	parts := float64(n)
-	actual = access{indexed: parts*i.rowsOfOne + probeRows*parts, returned: parts * i.rowsOfOne}
-	usual = access{indexed: usualParts*i.rowsOfOne + usualProbeRows, returned: usualParts * i.rowsOfOne}
+	actual = access{indexed: parts*i.rowsPerPart + probeRows*parts, returned: parts * i.rowsPerPart}
+	usual = access{indexed: usualParts*i.rowsPerPart + usualProbeRows, returned: usualParts * i.rowsPerPart}
 	return actual, usual
 }
 
@@ -174,7 +174,7 @@
 
 // generateOptionalPart reads the rows of a part, or all rows if the part is null, which is the hard case.
 func generateOptionalPart(i *instance) (actual, usual access) {
-	part, _ := i.generator.part()
+	part, _ := i.generator.drawPart()
 	i.sql("SELECT %s FROM %s WHERE (", i.columns, i.from)
 	value := []byte(part)
 	if i.broad {
@@ -190,7 +190,7 @@
 	default:
 		i.sql("'%s' IS NULL OR %s = '%s')", part, i.column("part"), part)
 	}
-	usual = access{indexed: i.rowsOfOne, returned: i.rowsOfOne}
+	usual = access{indexed: i.rowsPerPart, returned: i.rowsPerPart}
 	if i.broad {
 		return access{scanned: i.rows, returned: i.rows}, usual
 	}
--- a/internal/lab/workload/reports.go
+++ b/internal/lab/workload/reports.go
@@ -10,12 +10,12 @@
 	months := 1 + i.random.IntN(maxMonths)
 	i.sql("SELECT %s, count(*), sum(%s) FROM %s WHERE %s >= ",
 		i.column("district"), i.column("n"), i.from, i.dayColumn())
-	i.dayValue(dayCount - daysOfMonth*months)
+	i.dayValue(dayCount - daysPerMonth*months)
 	i.sql(" AND %s < ", i.dayColumn())
 	i.dayValue(dayCount - 1)
 	i.sql(" GROUP BY %s ORDER BY 2 DESC", i.column("district"))
 	scanned := i.rows * scannedShare
-	grouped := i.rows * float64(daysOfMonth*months) / dayCount
+	grouped := i.rows * float64(daysPerMonth*months) / dayCount
 	usualGrouped := i.rows * usualDays / dayCount
 	actual = access{scanned: scanned, grouped: grouped, returned: districtCount}
 	usual = access{scanned: scanned, grouped: usualGrouped, returned: districtCount}
--- a/internal/lab/workload/schema.go
+++ b/internal/lab/workload/schema.go
@@ -47,9 +47,9 @@
 	popularPartFactor = 30
 )
 
-// part draws a part by popularity. rowFactor is the ratio of its number of rows to that of a part that is
+// drawPart draws a part by popularity. rowFactor is the ratio of its number of rows to that of a part that is
 // not popular.
-func (g *Generator) part() (name string, rowFactor float64) {
+func (g *Generator) drawPart() (name string, rowFactor float64) {
 	number := int(g.partPopularity.Uint64())
 	rowFactor = 1
 	if number < popularParts {
--- a/internal/lab/workload/text.go
+++ b/internal/lab/workload/text.go
@@ -77,9 +77,9 @@
 // The first modeled day is 2016-01-01. PostgreSQL's binary dates are numbers of days since 2000-01-01.
 const (
 	firstYear              = 2016
-	daysOfYear             = 365
-	daysOfMonth            = 31
-	daysFrom2000ToFirstDay = 16*daysOfYear + 4
+	daysPerYear            = 365
+	daysPerMonth           = 31
+	daysFrom2000ToFirstDay = 16*daysPerYear + 4
 )
 
 // dayValue appends a date, given as the number of days since the first modeled day. In dates that are
@@ -87,9 +87,9 @@
 // date is valid.
 func (b *textBuilder) dayValue(number int) {
 	const lastSafeDay = 28
-	year := firstYear + number/daysOfYear
-	month := 1 + number%daysOfYear/daysOfMonth
-	day := 1 + number%daysOfYear%daysOfMonth
+	year := firstYear + number/daysPerYear
+	month := 1 + number%daysPerYear/daysPerMonth
+	day := 1 + number%daysPerYear%daysPerMonth
 	date := fmt.Sprintf("%04d-%02d-%02d", year, month, min(day, lastSafeDay))
 	switch b.style {
 	case literalValues:
