--- a/internal/lab/traffic/arrivals.go
+++ b/internal/lab/traffic/arrivals.go
@@ -8,14 +8,14 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// ArrivalProcess is the arrival process of the statements.
+// ArrivalProcess is the random process of the arrival times of statements.
 type ArrivalProcess string
 
 // The arrival processes.
 const (
 	Poisson ArrivalProcess = "poisson"
 	Bursts  ArrivalProcess = "bursts" // on and off, with heavy-tailed pauses
-	Season  ArrivalProcess = "season" // days with a peak each, and a festival towards the end
+	Season  ArrivalProcess = "season" // with a daily peak, and a festival towards the end
 )
 
 // ArrivalProcessError reports an unknown arrival process.
@@ -23,7 +23,7 @@
 
 // Error implements error.
 func (e ArrivalProcessError) Error() string {
-	return fmt.Sprintf("arrivals: %q is none of poisson, bursts, season", string(e))
+	return fmt.Sprintf("arrivals: unknown process %q, want poisson, bursts or season", string(e))
 }
 
 // RateError reports a rate of arrivals that is not above 0.
@@ -36,7 +36,7 @@
 
 const microsPerSecond = 1e6
 
-// arrivals draws the arrival times of statements. It is for one goroutine.
+// arrivals draws the arrival times of statements. It is not safe for concurrent use.
 type arrivals struct {
 	process     ArrivalProcess
 	random      *rand.Rand
@@ -49,7 +49,7 @@
 }
 
 const (
-	arrivalStream = 0x6172726976616c73 // second word of the seed: distinct from other uses of it
+	arrivalStream = 0x6172726976616c73 // second word of the PCG seed, different for each use of a seed
 
 	// Bursts of 0.2 s on average, at four times the average rate, between pauses of 0.6 s on average.
 	burstRateFactor = 4
@@ -59,8 +59,9 @@
 	maxPause        = 30 // seconds
 )
 
-// Season varies the average rate by a factor, the sum of a sine curve for each day and of a bell curve
-// for a festival towards the end. Times are shares of the duration of the traffic.
+// Season multiplies the average rate by a factor, which is the sum of a daily sine curve and of a bell curve
+// for a festival towards the end. The time and the width of the festival are shares of the duration of the
+// traffic.
 const (
 	maxSeasonFactor = 3 // limits the sum of the two curves
 	seasonDays      = 10
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -1,11 +1,11 @@
 // Package traffic stores recorded traffic: statements with their values, hints and true
 // class and cost, each with its arrival time. Generate writes a file, and a Reader reads it.
 //
-// A file is "RWTRAFF" and a version byte, then blocks. A block is its length, the xxhash
-// of its bytes and the number of its records (4, 8 and 4 bytes, big-endian), then a zstd
-// frame of CBOR items: one Head in the first block, Records in the others. A block of
-// length 0 ends the file. It has the number of all records in place of the hash. A file
-// without it is truncated, which Reader reports after the complete records.
+// A file consists of "RWTRAFF", a version byte and blocks. A block has a header and a zstd frame of CBOR
+// items: one Head in the first block, Records in the others. The header contains the length of the frame,
+// its xxhash and the number of its records (4, 8 and 4 bytes, big-endian). A block of length 0 ends the
+// file. In its header, the number of all records takes the place of the hash. A file without this block is
+// truncated, which Reader reports after the complete records.
 package traffic
 
 import (
@@ -13,20 +13,20 @@
 	"errors"
 )
 
-// formatVersion is the version of files that is written and read.
+// formatVersion is the version of the files that are written and read.
 const formatVersion = 1
 
 const magic = "RWTRAFF"
 
-// Errors of files.
+// Errors in the content of a file.
 var (
 	ErrTruncated = errors.New("the file is truncated")
 	ErrDamaged   = errors.New("the file is damaged")
 	ErrForeign   = errors.New("not a traffic file")
-	ErrVersion   = errors.New("the file has another version")
+	ErrVersion   = errors.New("the version of the file is not supported")
 )
 
-// Limits of a block, in bytes. They protect against files whose headers claim too large blocks.
+// Limits of a block, in bytes. They protect against damaged headers that announce excessively large blocks.
 const (
 	maxCompressedBlock = 16 << 20
 	maxPlainBlock      = 64 << 20
--- a/internal/lab/traffic/generate.go
+++ b/internal/lab/traffic/generate.go
@@ -10,8 +10,8 @@
 // progressStep is the number of records after which Generate reports its progress.
 const progressStep = 1000
 
-// Generate writes the given number of statements of a workload. After every progressStep records it
-// calls progress with that number. progress may be nil.
+// Generate writes the given number of statements of a workload. After every progressStep records, it calls
+// progress with progressStep. progress may be nil.
 func Generate(
 	out io.Writer, options workload.Options, number int, rate float64, process ArrivalProcess, progress func(int),
 ) error {
@@ -41,8 +41,8 @@
 	return file.close()
 }
 
-// modelOptions formats the options for the head of a file. The names are part of the format and differ
-// from those of the fields.
+// modelOptions formats the options for the head of a file. The names in the text are part of the format and
+// differ from the names of the fields.
 func modelOptions(o workload.Options) string {
 	const format = "{Seed:%v Templates:%v OneOff:%v Hard:%v Writes:%v DriftAt:%v Drift:%v HintNoise:%v HintMissing:%v}"
 	return fmt.Sprintf(format, o.Seed, o.Templates, o.OneOffShare, o.HardShare, o.WriteShare,
--- a/internal/lab/traffic/reader.go
+++ b/internal/lab/traffic/reader.go
@@ -17,7 +17,7 @@
 	maxMapPairs      = 64
 )
 
-// Reader reads a file block by block. It is for one goroutine, and must be closed.
+// Reader reads a file block by block. It is not safe for concurrent use, and must be closed.
 type Reader struct {
 	Head Head
 
@@ -61,7 +61,7 @@
 		return ErrForeign
 	}
 	if version := start[len(magic)]; version != formatVersion {
-		return fmt.Errorf("%w: it is %d, only %d can be read", ErrVersion, version, formatVersion)
+		return fmt.Errorf("%w: found %d, want %d", ErrVersion, version, formatVersion)
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 		return fmt.Errorf("%w after %d records", ErrTruncated, r.records)
 	}
 	if xxhash.Sum64(compressed) != header.checksum {
-		return fmt.Errorf("%w: a block after %d records has another checksum", ErrDamaged, r.records)
+		return fmt.Errorf("%w: checksum mismatch in a block after %d records", ErrDamaged, r.records)
 	}
 	plain, err := r.decompressor.DecodeAll(compressed, nil)
 	if err != nil {
@@ -98,14 +98,14 @@
 // readEnd checks the block that ends the file.
 func (r *Reader) readEnd(header blockHeader) error {
 	if header.checksum != r.records || header.records != 0 {
-		return fmt.Errorf("%w: it should have %d records and has %d", ErrDamaged, header.checksum, r.records)
+		return fmt.Errorf("%w: want %d records, found %d", ErrDamaged, header.checksum, r.records)
 	}
 	r.ended = true
 	return io.EOF
 }
 
-// damagedBy returns an ErrDamaged that names the damaged part. It does not wrap the cause, since an
-// io.EOF in the chain would report a complete file.
+// damagedBy returns an ErrDamaged that names the damaged part. It does not wrap the cause, because callers
+// would take an io.EOF in the chain for the end of a complete file.
 func damagedBy(part string, cause error) error {
 	return fmt.Errorf("%w: %s: %s", ErrDamaged, part, cause.Error())
 }
@@ -129,5 +129,5 @@
 	return nil
 }
 
-// Close releases the reader's resources. It does not close the file.
+// Close releases the resources of the Reader. It does not close the underlying reader.
 func (r *Reader) Close() { r.decompressor.Close() }
--- a/internal/lab/traffic/stored_test.go
+++ b/internal/lab/traffic/stored_test.go
@@ -22,7 +22,7 @@
 	storedGolden = "testdata/season-seed7-100.golden"
 )
 
-// describe writes every field of a file, floats to their last digit.
+// describe formats every field of a file, floats with full precision.
 func describe(h Head, records []Record) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed=%d rate=%v comes=%s number=%d model=%s\n",
@@ -76,20 +76,20 @@
 	}
 }
 
-// A seed gives the same items as in an earlier version, to the byte: the keys of records and the
-// text of the head are part of the format.
+// For the same seed, the items are byte-identical to those of an earlier version: the keys of records and
+// the text of the head are part of the format.
 func TestGenerate_WritesTheSameItemsAsAnEarlierVersion(t *testing.T) {
 	want, err := os.ReadFile(storedFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(items(t, want), items(t, generate(t, Season, 100))) {
-		t.Error("the generator writes other items than it did")
+		t.Error("the items differ from those of the stored file")
 	}
 }
 
-// The generated traffic is the same to the byte as that of an earlier version, for every family of
-// statements. The digests are of its items for three seeds.
+// The generated traffic is byte-identical to that of an earlier version, for every family of statements. The
+// digests are of the items for three seeds.
 func TestGenerate_KeepsItsDigests(t *testing.T) {
 	const records, rate = 5000, 99
 	for seed, want := range map[uint64]string{
--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/lab/traffic/traffic_test.go
@@ -21,7 +21,7 @@
 	return b.Bytes()
 }
 
-// read returns the records of a file, and the error that ended it.
+// read returns the records of a file, and the error that ended the reading.
 func read(b []byte) (all []Record, err error) {
 	reader, err := NewReader(bytes.NewReader(b))
 	if err != nil {
@@ -37,12 +37,12 @@
 	}
 }
 
-// The same seed gives the same bytes, and the records that are read are those that were written.
+// The same seed gives the same bytes, and the records that are read equal those that were written.
 func TestGenerate_SameSeedGivesTheSameFileAndItsRecords(t *testing.T) {
 	for _, process := range []ArrivalProcess{Poisson, Bursts, Season} {
 		file := generate(t, process, 3000)
 		if !bytes.Equal(file, generate(t, process, 3000)) {
-			t.Errorf("%s: one seed, two files", process)
+			t.Errorf("%s: the same seed gave two different files", process)
 		}
 		all, err := read(file)
 		if !errors.Is(err, io.EOF) || len(all) != 3000 {
@@ -62,7 +62,7 @@
 			last = all[i].ArrivalMicros
 		}
 		if rate := 3000 / (float64(last) / 1e6); rate < 40 || rate > 250 {
-			t.Errorf("%s: %.0f a second, 99 wanted", process, rate)
+			t.Errorf("%s: %.0f statements per second, want about 99", process, rate)
 		}
 	}
 }
@@ -94,13 +94,13 @@
 	}
 }
 
-// Reading ends with an error for any input: io.EOF after a complete file, or the fault of the file.
+// Reading terminates with an error for any input: io.EOF after a complete file, or the error in the file.
 func FuzzReader_AlwaysEnds(f *testing.F) {
 	f.Add(generate(f, Poisson, 20))
 	f.Add([]byte("RWTRAFF\x01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if _, err := read(b); err == nil {
-			t.Fatal("a reader without an end")
+			t.Fatal("reading ended without an error")
 		}
 	})
 }
--- a/internal/lab/traffic/writer.go
+++ b/internal/lab/traffic/writer.go
@@ -10,10 +10,10 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// flushSize is the size of the items, in bytes, at which a block is written.
+// flushSize is the size of the uncompressed items, in bytes, at which a block is written.
 const flushSize = 512 << 10
 
-// writer writes a file. It is for one goroutine. A file without a call of close is truncated.
+// writer writes a file. It is not safe for concurrent use. The file is truncated unless close is called.
 type writer struct {
 	out          io.Writer
 	compressor   *zstd.Encoder
@@ -22,7 +22,7 @@
 	records      uint64       // number of records in all blocks
 }
 
-// newWriter begins a file.
+// newWriter starts a file with its head.
 func newWriter(out io.Writer, head Head) (*writer, error) {
 	compressor, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// close ends the file. It does not close the underlying writer.
+// close writes the block that ends the file. It does not close the underlying writer.
 func (w *writer) close() error {
 	if err := w.flush(); err != nil {
 		return err
