--- a/internal/lab/traffic/traffic_test.go
+++ b/internal/lab/traffic/traffic_test.go
@@ -22,7 +22,7 @@
 }
 
 // read returns the records of a file, and the error that ended the reading.
-func read(b []byte) (all []Record, err error) {
+func read(b []byte) (records []Record, err error) {
 	reader, err := NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, err
@@ -31,9 +31,9 @@
 	for {
 		var record Record
 		if err := reader.Next(&record); err != nil {
-			return all, err
+			return records, err
 		}
-		all = append(all, record)
+		records = append(records, record)
 	}
 }
 
@@ -44,22 +44,22 @@
 		if !bytes.Equal(file, generate(t, process, 3000)) {
 			t.Errorf("%s: the same seed gave two different files", process)
 		}
-		all, err := read(file)
-		if !errors.Is(err, io.EOF) || len(all) != 3000 {
-			t.Fatalf("%s: %d records, %v", process, len(all), err)
+		records, err := read(file)
+		if !errors.Is(err, io.EOF) || len(records) != 3000 {
+			t.Fatalf("%s: %d records, %v", process, len(records), err)
 		}
 		generator := workload.New(workload.Defaults(7), 3000)
 		last := int64(0)
-		for i := range all {
+		for i := range records {
 			want := RecordOf(generator.Next())
-			want.ArrivalMicros = all[i].ArrivalMicros
-			if diff := cmp.Diff(want, all[i]); diff != "" {
+			want.ArrivalMicros = records[i].ArrivalMicros
+			if diff := cmp.Diff(want, records[i]); diff != "" {
 				t.Fatalf("%s: record %d:\n%s", process, i, diff)
 			}
-			if all[i].ArrivalMicros < last {
+			if records[i].ArrivalMicros < last {
 				t.Fatalf("%s: record %d goes back in time", process, i)
 			}
-			last = all[i].ArrivalMicros
+			last = records[i].ArrivalMicros
 		}
 		if rate := 3000 / (float64(last) / 1e6); rate < 40 || rate > 250 {
 			t.Errorf("%s: %.0f statements per second, want about 99", process, rate)
@@ -95,7 +95,7 @@
 }
 
 // Reading terminates with an error for any input: io.EOF after a complete file, or the error in the file.
-func FuzzReader_AlwaysEnds(f *testing.F) {
+func FuzzReader_AlwaysTerminates(f *testing.F) {
 	f.Add(generate(f, Poisson, 20))
 	f.Add([]byte("RWTRAFF\x01"))
 	f.Fuzz(func(t *testing.T, b []byte) {
