--- a/internal/lab/experiment/accuracy.go
+++ b/internal/lab/experiment/accuracy.go
@@ -12,17 +12,17 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// accuracy compares classes and estimates with the true classes and costs. It may be used by one goroutine
-// at a time.
+// accuracy compares classes and estimates with the true classes and costs. It is not safe for concurrent
+// use.
 type accuracy struct {
-	counts Result // its counts are filled in with each record, the shares at the end
+	counts Result // only its counts are set; result fills in the shares and errors
 
 	right       float64 // number of statements whose class is right
-	hardRight   float64 // number of hard cases among them
-	rightWeight float64 // their priority weight
+	hardRight   float64 // number of hard cases whose class is right
+	rightWeight float64 // priority weight of the statements whose class is right
 	weight      float64 // priority weight of all statements
 	hinted      float64 // number of statements with a hint, without writes
-	hintRight   float64 // number of them whose class the hint determines
+	hintRight   float64 // number of hinted statements whose class would be right by the hint alone
 
 	estimateErrors  []float64
 	hintErrors      []float64
@@ -42,7 +42,7 @@
 	return &accuracy{classMeans: map[string]*runningMean{}}
 }
 
-// add compares one statement with the effect, class and estimate that it was given.
+// add compares one statement with the effect, class and estimate that the classifier determined for it.
 func (a *accuracy) add(record *traffic.Record, effect sqltext.Effect, class string, execution *stmtstats.Execution) {
 	isRight := class == record.Class
 	a.counts.Evaluated++
@@ -78,7 +78,7 @@
 	if record.HintWorkMS > 0 {
 		a.hintErrors = append(a.hintErrors, logError(record.HintWorkMS, record.WorkMS))
 		a.hinted++
-		// A load has its class by a rule and not by its cost.
+		// The class of a load is determined by a rule and not by the cost.
 		if record.Class == workload.ClassLoad || record.Class == classOfHint(record.HintWorkMS) {
 			a.hintRight++
 		}
@@ -99,7 +99,7 @@
 	mean.count++
 }
 
-// result returns the result without the figures of the cache.
+// result returns the result. Its figures of the cache are not set.
 func (a *accuracy) result() Result {
 	result := a.counts
 	result.RightByCount = a.right / float64(result.Evaluated)
@@ -112,7 +112,7 @@
 	return result
 }
 
-// classOfHint returns the class of a read-only statement by the hint alone.
+// classOfHint returns the class of a read-only statement that follows from the hint alone.
 func classOfHint(workMS float64) string {
 	if workMS > workload.ReportFromMS {
 		return workload.ClassReport
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -14,13 +14,13 @@
 
 // CostOptions configure the measurement of the CPU time that statement shapes add to flaxrelay.
 type CostOptions struct {
-	Root     string // the repository
-	Program  string // flaxrelay
+	Root     string // root directory of the repository
+	Program  string // path of the flaxrelay program
 	Clients  int
 	Requests int // in each round
-	Pairs    int // of one round without and one with statement shapes
+	Pairs    int // number of pairs of one round without and one with statement shapes
 	Seed     uint64
-	Prepared bool // prepare statements once and bind them many times, instead of a Query each
+	Prepared bool // prepare statements once and bind them many times, instead of sending a Query for each request
 }
 
 // CostRound is the result of one round.
@@ -31,18 +31,18 @@
 }
 
 const (
-	costStatements = 2000 // number of statements that the clients send in turn
+	costStatements = 2000 // number of different statements, which the clients send in turn
 	maxPrepared    = 200  // number of statements that a client prepares
 	costEngines    = 2
 	warmUpDivisor  = 5 // a round is warmed up with this fraction of its requests
 )
 
 // MeasureCost measures pairs of rounds without and with statement shapes, one after the other. Each round
-// starts its own front end, whose engines respond at once.
+// starts a new front end, whose engines respond at once.
 func MeasureCost(ctx context.Context, opts CostOptions) (without, with []CostRound, err error) {
 	statements := lookups(opts.Seed, costStatements, opts.Prepared)
 	for i := range 2 * opts.Pairs {
-		shapes := (i+i/2)%2 == 1 // off on, on off, off on, so that a drift of the machine affects both
+		shapes := (i+i/2)%2 == 1 // off on, on off, off on, so that a drift of the machine's speed affects both
 		round, err := costRound(ctx, opts, statements, shapes)
 		if err != nil {
 			return nil, nil, err
@@ -73,7 +73,7 @@
 	return statements
 }
 
-// costRound measures one process from its start to its end.
+// costRound starts a front end, measures it and stops it.
 func costRound(
 	ctx context.Context, opts CostOptions, statements []workload.Statement, shapes bool,
 ) (CostRound, error) {
@@ -99,7 +99,7 @@
 	if err != nil {
 		return CostRound{}, fmt.Errorf("log of a round: %w", err)
 	}
-	defer func() { _ = log.Close() }() // it is removed with its directory
+	defer func() { _ = log.Close() }() // an error does not matter, because the log is removed with its directory
 	process, err := harness.Start(opts.Program, log, "serve", "--postgres", environment.DeployFile)
 	if err != nil {
 		return CostRound{}, err
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -1,6 +1,6 @@
-// Package experiment evaluates the classifier of statements. It compares its results with recorded
-// traffic whose true classes and costs are known, floods its cache with shapes that never recur, and
-// measures the CPU time that it adds to flaxrelay.
+// Package experiment evaluates the classifier of statements. It runs the classifier on recorded traffic whose
+// true classes and costs are known, floods the classifier's cache with shapes that never recur, and measures
+// the CPU time that the classifier adds to flaxrelay.
 package experiment
 
 import (
@@ -11,7 +11,7 @@
 	"flaxrelay/internal/stmtstats"
 )
 
-// Variant is a way to run the classifier.
+// Variant is a configuration of the classifier to evaluate.
 type Variant struct {
 	Name   string
 	Config costmodel.Config
@@ -47,7 +47,7 @@
 // Result is the result of one variant on the evaluated part of one file.
 type Result struct {
 	Evaluated     int // number of statements
-	HardEvaluated int // number of hard cases among them
+	HardEvaluated int // number of hard cases among the evaluated statements
 
 	// Shares of the statements whose class is right.
 	RightByCount  float64
@@ -60,8 +60,8 @@
 	ReadsTakenAsWrites int // reads classified as writes
 
 	EstimateError  ErrorQuantiles
-	HintError      ErrorQuantiles // without the statements that have no hint
-	ClassMeanError ErrorQuantiles // of the mean work of the true class as an estimate
+	HintError      ErrorQuantiles // of the statements with a hint
+	ClassMeanError ErrorQuantiles // with the mean work of the true class as the estimate
 
 	Shapes  int     // in the cache at the end
 	Bytes   int     // of the cache at the end
@@ -69,7 +69,7 @@
 }
 
 // ErrorQuantiles are quantiles of the errors of estimates of the work. An error is |log2(estimate/true work)|.
-// Without estimates the quantiles are NaN.
+// If there are no estimates, the quantiles are NaN.
 type ErrorQuantiles struct {
 	Median float64
 	P90    float64
@@ -87,12 +87,12 @@
 
 // EvaluateOptions configure Evaluate.
 type EvaluateOptions struct {
-	TrainShare float64 // share of the records that is only learned; the others are evaluated and learned
+	TrainShare float64 // share of the records, from the first on, that are only learned and not evaluated
 	CacheBytes int     // limit of the cache
 }
 
-// Evaluate runs records through a variant in their order. Like a front end, it estimates each execution
-// and then learns its cost.
+// Evaluate runs records through a variant in their order. For each record, it estimates the execution and
+// then learns the cost, like a front end.
 func Evaluate(records []traffic.Record, v Variant, opts EvaluateOptions) (Result, error) {
 	store, err := stmtstats.New(stmtstats.Options{CostModel: v.Config, MaxBytes: opts.CacheBytes})
 	if err != nil {
@@ -126,11 +126,11 @@
 ) string {
 	switch {
 	case record.Class == workload.ClassLoad && record.Key > 0:
-		return workload.ClassLoad // the rule for INSERT INTO names the class and the key
+		return workload.ClassLoad // a rule for INSERT INTO sets the class and the key
 	case effect != sqltext.EffectReads:
 		return workload.ClassWrite
 	case execution.Estimate.Class != costmodel.NoClass:
 		return classes[execution.Estimate.Class].Name
 	}
-	return workload.ClassLookup // the default class, as nothing is known yet
+	return workload.ClassLookup // the default class, if there is no estimate yet
 }
--- a/internal/lab/experiment/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -6,9 +6,9 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// On traffic whose true classes are known, the classifier reaches its accuracy. Without parameters, the
-// prior or forgetting, some figure is worse. The variant without hints is only checked for writes, because
-// its figures are about the same on this traffic.
+// On traffic whose true classes are known, the classifier reaches the required accuracy. Without parameters,
+// the prior or forgetting, some figure is worse. The variant without hints is only checked for writes, because
+// its other figures are about the same as those of the complete classifier on this traffic.
 func TestEvaluate_AccuracyComesFromParametersPriorAndForgetting(t *testing.T) {
 	records := GenerateRecords(workload.Defaults(1), 12000)
 	results := map[string]Result{}
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -11,7 +11,7 @@
 	"flaxrelay/internal/stmtstats"
 )
 
-// FloodOptions describe a flood of shapes that never recur, among recurring shapes.
+// FloodOptions describe a flood of shapes that never recur, mixed with recurring shapes.
 type FloodOptions struct {
 	Seed           uint64
 	Recurring      int     // number of shapes that recur
@@ -23,14 +23,14 @@
 // FloodResult is the result for one cache.
 type FloodResult struct {
 	Lookups      int     // statements of recurring shapes in the second half, which is evaluated
-	HitRate      float64 // share of them whose shape was cached
+	HitRate      float64 // share of these lookups whose shape was cached
 	CachedShapes int     // shapes in the cache at the end
-	CountedBytes int     // bytes by the cache's own count
+	CountedBytes int     // size of the cache at the end by its own count
 	HeapBytes    int     // growth of the reachable heap
 	RSSBytes     int     // resident memory of the process at the end; 0: unknown
 }
 
-// ShapeCache is a kind of cache of shapes.
+// ShapeCache is a kind of cache for statement shapes.
 type ShapeCache struct {
 	Name string
 	open func(maxBytes int) (stmtstats.Cache, error)
@@ -45,7 +45,7 @@
 // TwoQueue returns a kind of cache to compare with TinyLFU.
 func TwoQueue() ShapeCache { return ShapeCache{"2q", stmtstats.New2Q} }
 
-const floodStream = 0x666c6f6f64 // second word of the seed: distinct from other uses of it
+const floodStream = 0x666c6f6f64 // second word of the PCG seed, different for each use of a seed
 
 // The cost of every statement of the flood.
 const (
@@ -53,7 +53,7 @@
 	floodMemoryMB = 10
 )
 
-// Flood runs a flood of statements through a cache of the kind.
+// Flood runs a flood of statements through a new cache of the given kind.
 func Flood(kind ShapeCache, opts FloodOptions) (FloodResult, error) {
 	before := heapInUse()
 	cache, err := kind.open(opts.CacheBytes)
@@ -111,7 +111,7 @@
 // recurringText returns a statement of the n-th recurring shape. Each shape has a different column list.
 func recurringText(n int) string {
 	const (
-		columns = 17 // of each of the two kinds, so that few columns give many lists
+		columns = 17 // the pairs of a column c and a column d give many lists from few columns
 		groups  = 30
 	)
 	return fmt.Sprintf("SELECT part, c%d, d%d FROM stock_%d.orders WHERE part = 'p-%05d' AND e%d > 4",
@@ -123,9 +123,9 @@
 	return fmt.Sprintf("SELECT t_%d.n FROM stock_3.scratch_%d t_%d WHERE t_%d.part = 'p-1'", n, salt, n, n)
 }
 
-// heapInUse returns the bytes of the heap that are reachable.
+// heapInUse returns the size of the reachable heap in bytes.
 func heapInUse() int {
-	// Objects with a finalizer are freed by a second collection.
+	// Objects with a finalizer are not freed before the second collection.
 	runtime.GC() //nolint:revive // the measurement is of reachable memory
 	runtime.GC() //nolint:revive // see above
 	var stats runtime.MemStats
--- a/internal/lab/experiment/flood_test.go
+++ b/internal/lab/experiment/flood_test.go
@@ -8,9 +8,9 @@
 
 // floodRuns is the number of floods through W-TinyLFU. The hit rate varies from run to run, because the
 // seed of the cache's hash function differs: the admission of one of the rarest recurring shapes
-// depends on the shapes that share its counters. Over 960 runs the mean was 0.972, the standard
-// deviation 0.007 and the least 0.932. The mean of five stayed above floodMeanHitRate in all but some 3
-// of 100,000 samples drawn from these runs.
+// depends on the shapes that share its counters. Over 960 runs, the mean was 0.972, the standard deviation
+// 0.007 and the minimum 0.932. Of 100,000 samples of five of these runs, about 3 had a mean that was not above
+// floodMeanHitRate.
 const (
 	floodRuns        = 5
 	floodMeanHitRate = 0.955
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -20,8 +20,8 @@
 	rejectedCode = "53000"
 	// retryPause is the pause after a rejection.
 	retryPause = 2 * time.Millisecond
-	// clientStride separates the statements with which the clients begin, so that they do not send the
-	// same statement at the same time.
+	// clientStride is the distance between the first statements of successive clients, so that the clients
+	// do not send the same statement at the same time.
 	clientStride = 97
 )
 
@@ -56,7 +56,7 @@
 		switch {
 		case err != nil:
 			return err
-		case rejected: // no engine is discovered yet, or load is shed
+		case rejected: // the front end has not discovered an engine yet, or it sheds load
 			time.Sleep(retryPause)
 		default:
 			served++
@@ -65,12 +65,12 @@
 	return nil
 }
 
-// client is one PostgreSQL client. It is for one goroutine.
+// client is one PostgreSQL client. It is not safe for concurrent use.
 type client struct {
 	conn     net.Conn
 	in       *bufio.Reader
 	out      []byte
-	prepared map[string]string // name of a prepared statement by its text
+	prepared map[string]string // names of prepared statements by their texts
 }
 
 func connect(ctx context.Context, addr string) (*client, error) {
@@ -152,7 +152,7 @@
 	return pgproto.AppendMessage(out, 'S')
 }
 
-// bindBody returns the body of a Bind after the names of its portal and statement.
+// bindBody returns the part of a Bind message that follows the names of the portal and the statement.
 func bindBody(s *workload.Statement) []byte {
 	const (
 		formatSize = 2
@@ -169,5 +169,5 @@
 		body = append(body, pgproto.Int32(len(value))...)
 		body = append(body, value...)
 	}
-	return append(body, 0, 0) // no result formats, which means text
+	return append(body, 0, 0) // no result formats: all results are text
 }
--- a/internal/lab/experiment/process.go
+++ b/internal/lab/experiment/process.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// ErrProcessTimes reports a /proc/PID/stat that does not have the form of proc(5).
-var ErrProcessTimes = errors.New("unknown form of /proc/PID/stat")
+// ErrProcessTimes reports a /proc/PID/stat that does not have the format of proc(5).
+var ErrProcessTimes = errors.New("unexpected format of /proc/PID/stat")
 
 // cpuTime returns the CPU time that a process has used, from proc(5).
 func cpuTime(pid int) (time.Duration, error) {
 	const (
 		tick        = 10 * time.Millisecond // USER_HZ is 100 on all platforms that Go runs on
-		userField   = 11                    // counted from the field after the name of the program
+		userField   = 11                    // index among the fields after the name of the program
 		systemField = 12
 	)
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -44,6 +44,6 @@
 	if len(fields) <= residentField {
 		return 0
 	}
-	pages, _ := strconv.Atoi(fields[residentField]) // 0 if it is not a number
+	pages, _ := strconv.Atoi(fields[residentField]) // 0 if the field is not a number
 	return pages * os.Getpagesize()
 }
