--- a/internal/lab/experiment/accuracy.go
+++ b/internal/lab/experiment/accuracy.go
@@ -83,20 +83,20 @@
 			a.hintRight++
 		}
 	}
-	if mean := a.classMeans[record.Class]; mean != nil {
-		a.classMeanErrors = append(a.classMeanErrors, logError(mean.mean(), record.WorkMS))
+	if classMean := a.classMeans[record.Class]; classMean != nil {
+		a.classMeanErrors = append(a.classMeanErrors, logError(classMean.mean(), record.WorkMS))
 	}
 }
 
 // learn adds the true work of a statement to the mean of its class.
 func (a *accuracy) learn(record *traffic.Record) {
-	mean := a.classMeans[record.Class]
-	if mean == nil {
-		mean = &runningMean{}
-		a.classMeans[record.Class] = mean
+	classMean := a.classMeans[record.Class]
+	if classMean == nil {
+		classMean = &runningMean{}
+		a.classMeans[record.Class] = classMean
 	}
-	mean.sum += record.WorkMS
-	mean.count++
+	classMean.sum += record.WorkMS
+	classMean.count++
 }
 
 // result returns the result. Its figures of the cache are not set.
