--- a/internal/lab/fake/consul.go
+++ b/internal/lab/fake/consul.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Instance is one registration in the catalog.
+// Instance is an instance of a service in the catalog.
 type Instance struct {
 	ID   string
 	Addr netip.AddrPort
@@ -29,17 +29,14 @@
 	Checks  []healthCheck `json:"Checks"`
 }
 
-// healthNode is the node of a healthEntry.
 type healthNode struct {
 	Node string `json:"Node"`
 }
 
-// healthService is the service of a healthEntry.
 type healthService struct {
 	ID string `json:"ID"`
 }
 
-// healthCheck is one check of a healthEntry.
 type healthCheck struct {
 	CheckID string `json:"CheckID"`
 	Status  string `json:"Status"`
@@ -52,8 +49,8 @@
 	onlyIndex = "1"
 )
 
-// ConsulHandler serves the catalog and the health of instances that never change. Like a blocking query
-// of the API, a query that names the only index is answered after its wait time.
+// ConsulHandler serves the catalog and the health of instances that never change. A query with the only
+// index is a blocking query, and is therefore answered after its wait time.
 func ConsulHandler(service string, instances []Instance) http.Handler {
 	var catalog []catalogEntry
 	var health []healthEntry
@@ -86,6 +83,6 @@
 			}
 		}
 		w.Header().Set("X-Consul-Index", onlyIndex)
-		_ = json.NewEncoder(w).Encode(body) // a client that has disconnected needs none
+		_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 	}
 }
--- a/internal/lab/fake/consul_test.go
+++ b/internal/lab/fake/consul_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The responses are those of Consul's API, to the byte.
+// The responses have the format of Consul's API, byte for byte.
 func TestConsulHandler_RespondsWithTheKeysOfTheAPI(t *testing.T) {
 	handler := ConsulHandler("s", []Instance{{ID: "i", Addr: netip.MustParseAddrPort("127.0.0.1:5")}})
 	for path, want := range map[string]string{
--- a/internal/lab/fake/endpointlist.go
+++ b/internal/lab/fake/endpointlist.go
@@ -1,6 +1,6 @@
 package fake
 
-// Target is an engine of the endpoint list, as a platform configuration names it.
+// Target is an engine of the endpoint list in a platform configuration.
 type Target struct {
 	UID          string `json:"uid"`
 	Endpoint     string `json:"endpoint"`
@@ -12,7 +12,7 @@
 	BootMS       int64  `json:"boot_ms"` // start in Unix milliseconds; 0: long ago
 }
 
-// KnownEvents are the events of the bus in a platform configuration.
+// KnownEvents are the events of the bus that a platform configuration contains.
 type KnownEvents struct {
 	LastEvent int          `json:"offset"` // number of the last event
 	Events    []KnownEvent `json:"batch"`
--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -13,7 +13,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// maxMessageLength limits a message of a front end, in bytes.
+// maxMessageLength limits a message from a front end, in bytes.
 const maxMessageLength = 1 << 20
 
 // oidText is the object id of PostgreSQL's type for text.
@@ -22,13 +22,13 @@
 // rowDescription is the body of a RowDescription with one column of text.
 var rowDescription = slices.Concat(
 	[]byte{0, 1}, pgproto.CString("asked"), // one column, with its name
-	[]byte{0, 0, 0, 0, 0, 0},                               // of no table
+	[]byte{0, 0, 0, 0, 0, 0},                               // not a column of a table
 	[]byte{0, 0, 0, oidText, 255, 255, 255, 255, 255, 255}, // its type, of variable size
 	[]byte{0, 0}, // in text
 )
 
-// ServePostgres serves the PostgreSQL wire protocol on a listener until that is closed. A connection
-// runs one statement at a time. Its result is one row with the text of the statement.
+// ServePostgres serves the PostgreSQL wire protocol on a listener until the listener is closed. A connection
+// runs one statement at a time. The result is one row with the text of the statement.
 func ServePostgres(listener net.Listener, work Work, log *slog.Logger) {
 	serveConnections(listener, func(conn net.Conn) {
 		c := &postgresConnection{conn: conn, work: work, log: log, prepared: map[string]string{}}
@@ -38,7 +38,7 @@
 	})
 }
 
-// postgresConnection is one connection of a front end. It is for one goroutine.
+// postgresConnection is a connection from a front end. It is not safe for concurrent use.
 type postgresConnection struct {
 	conn     net.Conn
 	work     Work
@@ -46,7 +46,7 @@
 	unread   []byte
 	unsent   []byte
 	query    string            // the query that was parsed, bound or described last
-	prepared map[string]string // queries by the names of their statements
+	prepared map[string]string // queries by the names of their prepared statements
 }
 
 // serve responds to the messages of the connection, one after the other.
@@ -85,10 +85,10 @@
 	return err == nil
 }
 
-// errNoStartup reports a connection that ended without a complete first message.
+// errNoStartup reports a connection that was closed before its first message was complete.
 var errNoStartup = errors.New("the front end disconnected before its startup message")
 
-// readStartup reads the first message. It may be a CancelRequest, after which no other follows.
+// readStartup reads the first message. A CancelRequest is the only message on its connection.
 func (c *postgresConnection) readStartup() (cancelRequest bool, err error) {
 	for {
 		code, _, n, err := pgproto.ParseStartup(c.unread)
@@ -124,7 +124,7 @@
 	c.queue(pgproto.ServerReadyForQuery, []byte{pgproto.TransactionIdle})
 }
 
-// queue adds a message to the unsent ones.
+// queue appends a message to unsent.
 func (c *postgresConnection) queue(kind byte, parts ...[]byte) {
 	c.unsent = pgproto.AppendMessage(c.unsent, kind, parts...)
 }
@@ -170,8 +170,8 @@
 
 var parameterPattern = regexp.MustCompile(`\$([0-9]+)`)
 
-// parameterDescription returns a ParameterDescription with as many text parameters as the statement
-// names.
+// parameterDescription returns the body of a ParameterDescription. Every parameter has the type text, and
+// the highest parameter number in the statement is the number of parameters.
 func parameterDescription(query string) []byte {
 	const maxParameters = 100
 	count := 0
--- a/internal/lab/fake/engine_test.go
+++ b/internal/lab/fake/engine_test.go
@@ -15,7 +15,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// waitLimit limits every wait.
+// waitLimit limits the time of all reads and writes on a connection.
 const waitLimit = 10 * time.Second
 
 // startEngine serves an engine whose statements take no time, except those that contain "endless", and
@@ -64,8 +64,7 @@
 	}
 }
 
-// The engine describes as many parameters as the statement names, and responds to an execution with the
-// statement.
+// The engine describes the parameters in the statement, and responds to an execution with the statement.
 func TestServePostgres_DescribesParametersAndEchoesTheStatement(t *testing.T) {
 	conn := startEngine(t, ServePostgres)
 	const statement = "SELECT $2, $1"
--- a/internal/lab/fake/eventbus.go
+++ b/internal/lab/fake/eventbus.go
@@ -10,17 +10,17 @@
 	// BusSubscriptionLength is the length in bytes of the first message on a connection: the number of the
 	// last event that the front end has received.
 	BusSubscriptionLength = 8
-	// BusHeartbeatInterval is the interval of the heartbeats, which is that of the real bus.
+	// BusHeartbeatInterval is the interval of the heartbeats. It equals the interval of the real bus.
 	BusHeartbeatInterval = time.Second
 )
 
-// BusFrameKind is the kind of a frame of the bus, by its number.
+// BusFrameKind is the number of a kind of frame.
 type BusFrameKind byte
 
 // The kinds of frames that fake buses send.
 const (
-	BusFrameHeartbeat BusFrameKind = 0 // has no records
-	BusFrameDelta     BusFrameKind = 2 // has the records of the engines that changed
+	BusFrameHeartbeat BusFrameKind = 0 // without records
+	BusFrameDelta     BusFrameKind = 2 // with the records of the engines that changed
 )
 
 // BusFrame encodes a frame: the length of the rest, the number of an event, the kind and the records.
@@ -30,8 +30,8 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
 }
 
-// ServeEventBus serves an event bus on a listener that publishes no events, only heartbeats. lastEvent is
-// the number in the heartbeats.
+// ServeEventBus serves an event bus on a listener until the listener is closed. The bus sends only
+// heartbeats and publishes no events. lastEvent is the event number in the heartbeats.
 func ServeEventBus(listener net.Listener, lastEvent uint64) {
 	serveConnections(listener, func(conn net.Conn) {
 		if _, err := conn.Read(make([]byte, BusSubscriptionLength)); err != nil {
--- a/internal/lab/fake/line_echo.go
+++ b/internal/lab/fake/line_echo.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// workParts is the number of equal parts of an engine's work. It reports its progress after each part
-// except the last.
+// workParts is the number of equal parts into which the execution of a statement is divided. The engine
+// reports its progress after each part except the last.
 const workParts = 4
 
-// ServeLineProtocol serves the platform's line protocol on a listener until that is closed. Its engine
-// reports its progress on each statement and responds with rows that contain the request.
+// ServeLineProtocol serves the platform's line protocol on a listener until the listener is closed. The
+// engine reports its progress on each statement and responds with rows that contain the request.
 func ServeLineProtocol(listener net.Listener, work Work, log *slog.Logger) {
 	ServeLineEngine(listener, &echoEngine{work: work, log: log})
 }
@@ -60,7 +60,8 @@
 	}
 }
 
-// echoRows are the rows of a result: the fields of the request and its statement on one line.
+// echoRows returns the rows of a result: one with the fields of the request, and one with its statement, in
+// which spaces replace tabs and line breaks.
 func echoRows(request LineRequest) string {
 	oneLine := strings.NewReplacer("\t", " ", "\n", " ", "\r", " ").Replace(request.Statement)
 	return fmt.Sprintf("fields\t%s\ttoy\nstatement\t%s\ttoy\n", request.Fields, oneLine)
--- a/internal/lab/fake/line_server.go
+++ b/internal/lab/fake/line_server.go
@@ -13,8 +13,7 @@
 // maxStatementLength limits a statement, in bytes. It equals the front end's limit.
 const maxStatementLength = 1 << 20
 
-// LineMessageKind is the kind of a message from an engine to a front end, by its word in the line
-// protocol.
+// LineMessageKind is the keyword of a kind of message from an engine to a front end.
 type LineMessageKind string
 
 // The kinds of messages from an engine to a front end.
@@ -60,11 +59,11 @@
 	// Cancelled is called once for a request that is cancelled, or whose connection ends, before
 	// LineExchange.Finish. It must not call methods of the exchange.
 	Cancelled(request LineRequest)
-	// Page returns a further page of a result, and whether the engine serves pages at all.
+	// Page returns a further page of a result. ok is false if the engine does not serve further pages.
 	Page(requestID, page string) (text string, ok bool)
 }
 
-// ServeLineEngine serves the platform's line protocol on a listener until that is closed. Requests
+// ServeLineEngine serves the platform's line protocol on a listener until the listener is closed. Requests
 // of one connection run at the same time and do not wait for each other.
 func ServeLineEngine(listener net.Listener, handler LineHandler) {
 	serveConnections(listener, func(conn net.Conn) {
@@ -72,7 +71,7 @@
 	})
 }
 
-// LineExchange is a request in flight and the way to respond to it.
+// LineExchange is a request in flight, with the methods to respond to it.
 type LineExchange struct {
 	Request LineRequest
 
@@ -80,18 +79,18 @@
 	cancel     context.CancelFunc
 }
 
-// Finish ends the request, calls record and returns true. For a request that was cancelled before, it
-// does nothing and returns false. A later cancellation has no effect. The connection sends nothing while
-// record runs, so record must not call methods of the exchange.
+// Finish ends the request, calls record and returns true. If the request was already cancelled, Finish does
+// nothing and returns false. A later cancellation has no effect. The connection sends nothing while record
+// runs, so record must not call methods of the exchange.
 func (x *LineExchange) Finish(record func()) bool {
 	return x.connection.finish(x.Request.ID, func(LineRequest) { record() })
 }
 
-// Send sends a message. It ignores errors, because a connection that has ended needs no message.
+// Send sends a message. It ignores write errors, because they mean that the connection has ended.
 func (x *LineExchange) Send(message string) { x.connection.send(message) }
 
-// lineConnection is one connection of a front end. One goroutine reads it; the requests in flight
-// write to it from theirs.
+// lineConnection is a connection from a front end. One goroutine reads from it. Each request in flight
+// writes to it from a separate goroutine.
 type lineConnection struct {
 	conn    net.Conn
 	handler LineHandler
@@ -158,8 +157,8 @@
 	}()
 }
 
-// finish removes a request from those in flight, cancels its context, calls record with it and returns
-// true. It returns false for a request that is not in flight.
+// finish removes a request from inFlight, cancels its context, calls record with the request and returns
+// true. If the request is not in flight, finish returns false.
 func (c *lineConnection) finish(id string, record func(LineRequest)) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,8 +172,8 @@
 	return true
 }
 
-// end closes the connection and then cancels the requests in flight. It closes first, because a blocked
-// write would otherwise keep mu locked.
+// end closes the connection and then cancels the requests in flight. The connection is closed first, because
+// a blocked write would otherwise keep mu locked.
 func (c *lineConnection) end() {
 	_ = c.conn.Close()
 	c.mu.Lock()
@@ -195,5 +194,5 @@
 func (c *lineConnection) send(message string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, _ = io.WriteString(c.conn, message) // a connection that has ended needs no message
+	_, _ = io.WriteString(c.conn, message) // an error means that the connection has ended
 }
--- a/internal/lab/fake/listener.go
+++ b/internal/lab/fake/listener.go
@@ -39,8 +39,8 @@
 	open map[net.Conn]bool
 }
 
-// serveConnections serves each connection of a listener on a separate goroutine until the listener
-// is closed, and then closes all of them. If accepting one connection fails, it continues with the next.
+// serveConnections serves each connection of a listener on a separate goroutine. When the listener is
+// closed, it closes all connections and returns. If accepting a connection fails, it continues with the next.
 func serveConnections(listener net.Listener, serve func(net.Conn)) {
 	all := &connections{open: map[net.Conn]bool{}}
 	defer all.close()
