--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -159,8 +159,8 @@
 		}
 		c.queue(pgproto.ServerRowDescription, rowDescription)
 	case pgproto.ClientExecute:
-		took, _ := c.work(c.query)
-		time.Sleep(took)
+		duration, _ := c.work(c.query)
+		time.Sleep(duration)
 		c.queue(pgproto.ServerDataRow, []byte{0, 1}, pgproto.Int32(len(c.query)), []byte(c.query)) // one column
 		c.queue(pgproto.ServerCommandComplete, pgproto.CString("SELECT 1"))
 	case pgproto.ClientSync:
--- a/internal/lab/fake/line_echo.go
+++ b/internal/lab/fake/line_echo.go
@@ -42,19 +42,20 @@
 // Handle implements LineHandler.
 func (e *echoEngine) Handle(ctx context.Context, exchange *LineExchange) {
 	request := exchange.Request
-	took, memoryMB := e.work(request.Statement)
+	duration, memoryMB := e.work(request.Statement)
 	for part := 1; part <= workParts; part++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(took / workParts):
+		case <-time.After(duration / workParts):
 		}
 		if part < workParts {
 			progress := fmt.Sprintf("res=p,num=%.2f", float64(part)/workParts)
 			exchange.Send(LineMessage(request.ID, MessageProgress, progress, ""))
 		}
 	}
-	cost := fmt.Sprintf("batches=1,cpu=%d,used=%.0f,gauges=util:0.1;queue:0;x1:0;x0:0", took.Milliseconds(), memoryMB)
+	cost := fmt.Sprintf("batches=1,cpu=%d,used=%.0f,gauges=util:0.1;queue:0;x1:0;x0:0",
+		duration.Milliseconds(), memoryMB)
 	if exchange.Finish(func() {}) {
 		exchange.Send(LineMessage(request.ID, MessageResult, cost, echoRows(request)))
 	}
--- a/internal/lab/fake/listener.go
+++ b/internal/lab/fake/listener.go
@@ -42,8 +42,8 @@
 // serveConnections serves each connection of a listener on a separate goroutine. When the listener is
 // closed, it closes all connections and returns. If accepting a connection fails, it continues with the next.
 func serveConnections(listener net.Listener, serve func(net.Conn)) {
-	all := &connections{open: map[net.Conn]bool{}}
-	defer all.close()
+	conns := &connections{open: map[net.Conn]bool{}}
+	defer conns.close()
 	for {
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -52,9 +52,9 @@
 		if err != nil {
 			continue
 		}
-		all.add(conn)
+		conns.add(conn)
 		go func() {
-			defer all.remove(conn)
+			defer conns.remove(conn)
 			serve(conn)
 		}()
 	}
--- a/internal/lab/fake/work.go
+++ b/internal/lab/fake/work.go
@@ -7,7 +7,7 @@
 )
 
 // Work returns the execution time of a statement and the memory that it uses, in MB.
-type Work func(statement string) (took time.Duration, memoryMB float64)
+type Work func(statement string) (duration time.Duration, memoryMB float64)
 
 // usualWork is the usual work of a kind of statement.
 type usualWork struct {
@@ -23,7 +23,7 @@
 
 // PlausibleWork is a Work with usual times for the kind of the statement: a second or two for a load or
 // an aggregate, and a fifth of a second for a lookup. The times differ slightly from text to text.
-func PlausibleWork(statement string) (took time.Duration, memoryMB float64) {
+func PlausibleWork(statement string) (duration time.Duration, memoryMB float64) {
 	usual := lookupWork
 	switch upper := strings.ToUpper(statement); {
 	case strings.Contains(upper, "INSERT"):
