--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/lab/fake"
 )
 
-// Files of the deploy directory, and the settings in them that the harness changes.
+// Files of the deploy directory, and the addresses in them that the harness replaces.
 const (
 	deployFile   = "postgres.toml"
 	settingsFile = "postgres-settings.json"
@@ -45,14 +45,14 @@
 	return nil
 }
 
-// writeConfig writes the platform configuration of the HTTP front end. It is the configuration of the
-// example with the addresses and engines of the harness.
+// writeConfig writes the platform configuration of the HTTP front end: the example configuration, with the
+// addresses and engines of the harness.
 func (e *Environment) writeConfig(opts Options, targets []fake.Target, bus string) error {
 	raw, err := os.ReadFile(filepath.Join(opts.Root, "examples/toy/config.json"))
 	if err != nil {
-		return fmt.Errorf("read the example configuration (run this from the repository's root): %w", err)
+		return fmt.Errorf("read the example configuration (run from the root of the repository): %w", err)
 	}
-	var config map[string]any // a map, since only three keys change
+	var config map[string]any // not a struct, because only three keys change
 	if err := json.Unmarshal(raw, &config); err != nil {
 		return fmt.Errorf("harness: %w", err)
 	}
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -1,6 +1,6 @@
 // Package harness runs flaxrelay against fake systems on loopback addresses. New starts the engines, the
-// event bus and Consul of package fake, and writes the files that name them. Build and Start make and run
-// a process of flaxrelay, which is passed one of these files.
+// event bus and Consul of package fake, and writes configuration files with their addresses. Build builds
+// flaxrelay, and Start starts a process of it, which is passed one of these files.
 package harness
 
 import (
@@ -22,8 +22,8 @@
 
 // Options configure an Environment.
 type Options struct {
-	Root         string // the repository, whose deploy files are used
-	Dir          string // for the written files
+	Root         string // root directory of the repository, whose deploy files are used
+	Dir          string // directory for the written files
 	Engines      int    // of each wire protocol
 	Work         fake.Work
 	HTTPAddr     string // at which the HTTP front end listens
@@ -32,11 +32,12 @@
 	Log          *slog.Logger
 }
 
-// Environment is the fake systems that flaxrelay works with, and the files for it. The caller must close it.
+// Environment consists of the fake systems that flaxrelay connects to, and of its configuration files. The
+// caller must close it.
 type Environment struct {
 	ConfigFile string // the platform configuration of the HTTP front end
-	DeployFile string // of the PostgreSQL front end
-	ShapesFile string // of statement shapes, for both
+	DeployFile string // the deploy file of the PostgreSQL front end
+	ShapesFile string // the settings of statement shapes, for both front ends
 
 	listeners []net.Listener // of the fake systems
 }
@@ -75,12 +76,12 @@
 		return err
 	}
 	go func() {
-		_ = http.Serve(consul, fake.ConsulHandler(catalogService, instances)) // it ends with its listener
+		_ = http.Serve(consul, fake.ConsulHandler(catalogService, instances)) // returns when the listener is closed
 	}()
 	return e.writeFiles(opts, targets, bus.Addr().String(), consul.Addr().String())
 }
 
-// Close ends the fake systems.
+// Close stops the fake systems.
 func (e *Environment) Close() {
 	for _, listener := range e.listeners {
 		_ = listener.Close()
@@ -97,8 +98,7 @@
 	return listener, nil
 }
 
-// startLineEngines starts the engines of the line protocol and returns their entries of the endpoint
-// list.
+// startLineEngines starts the engines of the line protocol and returns their entries in the endpoint list.
 func (e *Environment) startLineEngines(opts Options) ([]fake.Target, error) {
 	var targets []fake.Target
 	for i := range opts.Engines {
@@ -116,7 +116,7 @@
 	return targets, nil
 }
 
-// startPostgresEngines starts the engines of the PostgreSQL protocol and returns their entries of the
+// startPostgresEngines starts the engines of the PostgreSQL protocol and returns their entries in the
 // catalog.
 func (e *Environment) startPostgresEngines(opts Options) ([]fake.Instance, error) {
 	var instances []fake.Instance
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// shutdownTimeout limits a graceful shutdown. The limit that flaxrelay sets for itself is lower.
+	// shutdownTimeout limits a graceful shutdown. It is higher than flaxrelay's own limit.
 	shutdownTimeout = 8 * time.Second
 	// dialTimeout limits one attempt to connect.
 	dialTimeout = time.Second
@@ -35,7 +35,7 @@
 	build.Dir = root
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
-		return "", fmt.Errorf("build flaxrelay (run this from the repository's root, or name a program): %w", err)
+		return "", fmt.Errorf("build flaxrelay (run from the root of the repository, or pass a program): %w", err)
 	}
 	return program, nil
 }
@@ -43,12 +43,12 @@
 // FrontEnd is one process of flaxrelay. Its methods are safe for concurrent use.
 type FrontEnd struct {
 	Process *os.Process
-	Exited  <-chan error // receives the exit of the process once, nil for status 0
+	Exited  <-chan error // receives one error when the process exits, nil for exit status 0
 
-	done chan struct{} // closed when the process has ended
+	done chan struct{} // closed when the process has exited
 }
 
-// Start starts flaxrelay, without the environment variables that would change its settings.
+// Start starts flaxrelay. It clears the environment variables that would change the settings.
 func Start(program string, out io.Writer, args ...string) (*FrontEnd, error) {
 	cmd := exec.Command(program, args...)
 	cmd.Stdout = out
@@ -66,9 +66,9 @@
 	return f, nil
 }
 
-// Stop ends the process by a graceful shutdown. It kills the process after shutdownTimeout.
+// Stop shuts the process down gracefully. If the process does not exit within shutdownTimeout, Stop kills it.
 func (f *FrontEnd) Stop() {
-	_ = f.Process.Signal(syscall.SIGTERM) // fails if the process has already ended
+	_ = f.Process.Signal(syscall.SIGTERM) // fails if the process has already exited
 	select {
 	case <-f.done:
 	case <-time.After(shutdownTimeout):
@@ -93,9 +93,9 @@
 	}
 }
 
-// FreeAddr returns a loopback address at which nothing listens. Its host is drawn from 127.64.0.0/10,
-// which nothing else uses. On 127.0.0.1, another connection could occupy the port before the process for
-// which the address is drawn listens there.
+// FreeAddr returns a loopback address at which nothing listens. Its host is drawn from 127.64.0.0/10, which
+// nothing else uses. On 127.0.0.1, another connection could take the port before the caller's process listens
+// on it.
 func FreeAddr() (string, error) {
 	const (
 		minSecondByte    = 64 // of 127.64.0.0/10
--- a/internal/lab/harness/process_test.go
+++ b/internal/lab/harness/process_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A process can listen at the address even if another listener occupies its port on 127.0.0.1, which has
-// made tests flaky.
+// A process can listen at the address even if another listener takes the same port on 127.0.0.1. Addresses
+// on 127.0.0.1 made tests flaky for this reason.
 func TestFreeAddr_AddressStaysFreeWhileItsPortIsTaken(t *testing.T) {
 	address, err := FreeAddr()
 	if err != nil {
