--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the results of an experiment: a table in Markdown, the raw figures
-// as CSV and a chart as SVG. The same figures give the same bytes.
+// Package report formats and writes the results of an experiment: a table in Markdown, the raw figures as
+// CSV and a chart as SVG. The same figures give the same bytes.
 package report
 
 import (
@@ -67,13 +67,13 @@
 	return b.String(), nil
 }
 
-// Bars is a chart of groups of bars.
+// Bars is a grouped bar chart.
 type Bars struct {
 	Title  string
-	Axis   string      // label of the values
-	Groups []string    // names along the axis
-	Series []string    // names of the bars in a group
-	Values [][]float64 // by series, then by group
+	Axis   string      // label of the value axis
+	Groups []string    // names of the groups, along the other axis
+	Series []string    // names of the bars in a group, shown in the legend
+	Values [][]float64 // indexed by series, then by group
 }
 
 // SVG draws the chart.
@@ -125,7 +125,7 @@
 	fileMode      = 0o644
 )
 
-// Write writes the files of one experiment, by their names, into a directory.
+// Write writes the files of one experiment into a directory. The keys of files are the file names.
 func Write(dir string, files map[string][]byte) error {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return fmt.Errorf("results: %w", err)
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Fractions have three significant figures in both forms.
+// Floats have three significant figures in Markdown and CSV.
 func TestTable_WritesMarkdownAndCSV(t *testing.T) {
 	table := Table{Columns: []string{"name", "share", "n"}}
 	table.Add("first", 0.98765, 12)
@@ -20,7 +20,7 @@
 	}
 }
 
-// The same figures give the same bytes, so that a changed chart has other figures.
+// The same figures give the same bytes, so that a chart changes only if its figures do.
 func TestBars_SameFiguresGiveTheSameSVG(t *testing.T) {
 	bars := Bars{
 		Title: "t", Axis: "share", Groups: []string{"a", "b"}, Series: []string{"s"}, Values: [][]float64{{0.5, 1}},
@@ -30,6 +30,6 @@
 		t.Fatalf("%.60q, %v", first, err)
 	}
 	if second, err := bars.SVG(); err != nil || !bytes.Equal(first, second) {
-		t.Errorf("the same figures gave another chart, %v", err)
+		t.Errorf("the same figures gave a different chart, %v", err)
 	}
 }
