--- a/cmd/flaxlab/files.go
+++ b/cmd/flaxlab/files.go
@@ -5,6 +5,6 @@
 // closeReadFile closes a file that was only read. It ignores errors, since no data can be lost.
 func closeReadFile(file *os.File) { _ = file.Close() }
 
-// removeDirectory removes a temporary directory. If it can't be removed, the system cleans it up with its
-// other temporary files.
+// removeDirectory removes a temporary directory. It ignores errors, since the operating system cleans up
+// temporary files.
 func removeDirectory(path string) { _ = os.RemoveAll(path) }
--- a/cmd/flaxlab/flags_test.go
+++ b/cmd/flaxlab/flags_test.go
@@ -14,7 +14,7 @@
 	clitest.CheckNames(t, "flaxlab", &cli{}, "testdata/flags.golden")
 }
 
-// The flags of the workload have the defaults of workload.Defaults, which states them again.
+// The defaults of the workload flags equal those of workload.Defaults, which are defined separately.
 func TestWorkloadFlags_DefaultToTheModeledDeployment(t *testing.T) {
 	var grammar cli
 	parser, err := kong.New(&grammar)
--- a/cmd/flaxlab/program.go
+++ b/cmd/flaxlab/program.go
@@ -11,13 +11,13 @@
 // repositoryRoot is the directory that flaxlab runs in.
 const repositoryRoot = "."
 
-// programFlag names the program of the front end.
+// programFlag sets the path of the flaxrelay program.
 type programFlag struct {
-	Flaxrelay string `placeholder:"FILE" help:"The flaxrelay program; by default it is built here."`
+	Flaxrelay string `placeholder:"FILE" help:"The flaxrelay program; by default it is built from this directory."`
 }
 
-// frontEndProgram returns the path of the flag. Without the flag, it builds the program into a temporary
-// directory. The caller must call cleanUp.
+// frontEndProgram returns the path that the flag sets. Without the flag, it builds the program into a
+// temporary directory. The caller must call cleanUp.
 func (f *programFlag) frontEndProgram(ctx context.Context) (program string, cleanUp func(), err error) {
 	if f.Flaxrelay != "" {
 		return f.Flaxrelay, func() {}, nil
--- a/cmd/flaxlab/results.go
+++ b/cmd/flaxlab/results.go
@@ -9,13 +9,13 @@
 
 // experimentResults are the results of one experiment.
 type experimentResults struct {
-	name    string       // of the files
-	summary report.Table // what is printed
-	figures report.Table // all single measurements
+	name    string       // base name of the files
+	summary report.Table // printed
+	figures report.Table // each single measurement
 	chart   report.Bars
 }
 
-// publish prints the summary. It writes summary, figures and chart to the directory, unless that is "".
+// publish prints the summary. It writes summary, figures and chart to the directory, unless directory is "".
 func (r *experimentResults) publish(directory string) error {
 	markdown, err := r.summary.Markdown()
 	if err != nil {
--- a/cmd/flaxlab/sample.go
+++ b/cmd/flaxlab/sample.go
@@ -10,7 +10,7 @@
 // sample is a set of measurements in ascending order.
 type sample []float64
 
-// newSample returns the figure of each result as a sample.
+// newSample returns the sample of a figure of each result.
 func newSample[R any](results []R, figure func(R) float64) sample {
 	values := make(sample, len(results))
 	for i, result := range results {
@@ -25,8 +25,7 @@
 	return stat.Quantile(half, stat.Empirical, s, nil)
 }
 
-// spread formats the median with the least and the greatest value, each with the given number of
-// digits after the point.
+// spread formats the median with the minimum and the maximum, each with the given number of decimal places.
 func (s sample) spread(digits int) string {
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", digits, s.median(), digits, s[0], digits, s[len(s)-1])
 }
--- a/cmd/flaxlab/shapes.go
+++ b/cmd/flaxlab/shapes.go
@@ -7,7 +7,7 @@
 	Cost     costCommand     `cmd:"" help:"Measure the CPU time that shapes add to a request."`
 }
 
-// bytesPerKB and bytesPerMB turn counts of bytes into the units of the tables.
+// bytesPerKB and bytesPerMB convert bytes to the units of the tables.
 const (
 	bytesPerKB = 1 << 10
 	bytesPerMB = 1 << 20
--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -25,13 +25,13 @@
 // few minutes.
 const costTimeout = 20 * time.Minute
 
-// Digits after the point of CPU times in microseconds, and of their ratios.
+// Decimal places of CPU times in microseconds, and of their ratios.
 const (
 	cpuDigits   = 1
 	ratioDigits = 3
 )
 
-// costSeries are the two kinds of rounds.
+// costSeries are the names of the two kinds of rounds.
 var costSeries = []string{"without", "with shapes"}
 
 // Run measures pairs of rounds, without and with statement shapes.
@@ -65,7 +65,7 @@
 	return "shapes-cost-query"
 }
 
-// costResults summarizes the rounds without and with statement shapes, which ran in pairs.
+// costResults summarizes pairs of rounds: without[i] and with[i] are a pair.
 func costResults(name string, without, with []experiment.CostRound) *experimentResults {
 	results := &experimentResults{
 		name:    name,
@@ -91,7 +91,7 @@
 	return results
 }
 
-// addCostRounds adds the rounds of one series of the chart to all results.
+// addCostRounds adds the rounds of one series to the summary, the figures and the chart.
 func addCostRounds(results *experimentResults, seriesIndex int, rounds []experiment.CostRound) {
 	series := results.chart.Series[seriesIndex]
 	for i, round := range rounds {
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -14,7 +14,7 @@
 	Files  []string `arg:"" optional:"" name:"file" help:"Traffic files; by default they are generated from the seeds."`
 	Seeds  []uint64 `default:"1,2,3,4,5" help:"Seeds of generated workloads."`
 	Number int      `default:"20000" help:"Statements in each generated workload."`
-	Train  float64  `default:"0.5" help:"Share of the records that only trains and is not evaluated."`
+	Train  float64  `default:"0.5" help:"Share of the records that are only learned and not evaluated."`
 	Kbytes int      `default:"2048" help:"Cache size limit in KB."`
 	Out    string   `placeholder:"FOLDER" help:"Write table, figures and chart to shapes-evaluate.* there."`
 }
@@ -25,7 +25,7 @@
 	records []traffic.Record
 }
 
-// chartedShare is a share of right classes that is a series of bars in the chart.
+// chartedShare is a series of the chart: a share of the statements whose class is right.
 type chartedShare struct {
 	series string
 	share  func(experiment.Result) float64
@@ -37,7 +37,7 @@
 	{"hard cases", func(r experiment.Result) float64 { return r.RightHard }},
 }
 
-// shareDigits is the number of digits after the point in printed shares and errors.
+// shareDigits is the number of decimal places in printed shares and errors.
 const shareDigits = 3
 
 // Run evaluates every variant of the classifier on every recording.
@@ -48,7 +48,7 @@
 	}
 	results := newEvaluation()
 	variants := experiment.Variants()
-	var baseline []experiment.Result // of the first variant; hints and means of classes are the same in all
+	var baseline []experiment.Result // of the first variant; the figures of hints and class means are the same in all
 	for i, variant := range variants {
 		evaluated, err := c.evaluate(variant, recordings, &results.figures)
 		if err != nil {
@@ -63,7 +63,7 @@
 	return results.publish(c.Out)
 }
 
-// newEvaluation returns results without any figures yet.
+// newEvaluation returns results without any figures.
 func newEvaluation() *experimentResults {
 	results := &experimentResults{
 		name: "shapes-evaluate",
@@ -87,7 +87,7 @@
 	return results
 }
 
-// recordings reads the traffic files, or without files generates traffic from the seeds.
+// recordings reads the traffic files. Without files, it generates traffic from the seeds.
 func (c *evaluateCommand) recordings() ([]recording, error) {
 	var recordings []recording
 	for _, path := range c.Files {
@@ -143,7 +143,7 @@
 	return results, nil
 }
 
-// formatShare formats a share with the digits of the single figures.
+// formatShare formats a share for the table of single measurements, with more decimal places than the summary.
 func formatShare(share float64) string { return fmt.Sprintf("%.5f", share) }
 
 // addVariant adds one variant to the summary and the chart.
@@ -169,8 +169,8 @@
 	results.summary.Add(row...)
 }
 
-// addBaselines adds the figures of two other estimates: the client's hint alone, and the mean of the
-// true class.
+// addBaselines adds the figures of two estimates to compare with the classifier: the client's hint alone, and
+// the mean work of the true class.
 func addBaselines(summary *report.Table, results []experiment.Result) {
 	summary.Add("the client's hint",
 		spreadOf(results, func(r experiment.Result) float64 { return r.RightByHint }), "", "", "",
@@ -181,7 +181,7 @@
 		spreadOf(results, func(r experiment.Result) float64 { return r.ClassMeanError.P90 }))
 }
 
-// spreadOf formats one figure over all recordings.
+// spreadOf formats the spread of one figure over all recordings.
 func spreadOf(results []experiment.Result, figure func(experiment.Result) float64) string {
 	return newSample(results, figure).spread(shareDigits)
 }
--- a/cmd/flaxlab/soak.go
+++ b/cmd/flaxlab/soak.go
@@ -10,12 +10,12 @@
 	"flaxrelay/internal/lab/soak"
 )
 
-// soakCommand injects randomized faults into real front ends.
+// soakCommand injects random faults into real front ends.
 type soakCommand struct {
 	programFlag
 	Seed      uint64        `default:"1" help:"The first seed."`
 	Seeds     int           `default:"1" help:"Number of seeds, which run one after the other."`
-	Duration  time.Duration `default:"12s" help:"Time in which faults begin; they end later, as do the last requests."`
+	Duration  time.Duration `default:"12s" help:"Time in which faults begin; faults and requests may end later."`
 	FrontEnds int           `default:"6" help:"Front-end processes."`
 	Engines   int           `default:"12" help:"Engine processes."`
 	Clients   int           `default:"32" help:"Clients."`
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// options returns the options of the run with the seed.
+// options returns the options of the run with a seed.
 func (c *soakCommand) options(frontEndProgram, engineProgram string, seed uint64) soak.Options {
 	options := soak.Options{
 		FrontEndProgram: frontEndProgram,
@@ -75,8 +75,8 @@
 	return options
 }
 
-// report prints the result of a run. It removes the logs of a run without violations, unless a directory
-// was given.
+// report prints the result of a run. It removes the logs of a run without violations, unless the flag sets a
+// directory for logs.
 func (c *soakCommand) report(result *soak.Result) {
 	fmt.Print(result)
 	if len(result.Violations) > 0 {
--- a/cmd/flaxlab/traffic.go
+++ b/cmd/flaxlab/traffic.go
@@ -17,8 +17,8 @@
 	Stats    statsCommand    `cmd:"" help:"Summarize a file."`
 }
 
-// readRecords passes each record of a file to handle, which returns whether to continue. Of a truncated
-// file it passes the complete records, and then returns the error.
+// readRecords passes each record of a file to handle, which returns whether to continue. If the file is
+// truncated, readRecords passes the complete records and then returns an error.
 func readRecords(path string, handle func(*traffic.Record) (more bool)) (traffic.Head, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/flaxlab/traffic_generate.go
+++ b/cmd/flaxlab/traffic_generate.go
@@ -21,7 +21,7 @@
 	OneOff      float64 `default:"0.05" help:"Share of statements whose shape never recurs."`
 	Hard        float64 `default:"0.04" help:"Share of lookups whose values make them expensive reports."`
 	Writes      float64 `default:"0.02" help:"Share of statements that write and are not loads."`
-	DriftAt     float64 `default:"0.6" help:"Share of statements before the orders table grows; 0: it never does."`
+	DriftAt     float64 `default:"0.6" help:"Share of statements before the orders table grows; 0: it never grows."`
 	Drift       float64 `default:"3" help:"Factor by which the orders table grows."`
 	HintNoise   float64 `default:"0.7" help:"Standard deviation of the natural logarithm of hints."`
 	HintMissing float64 `default:"0.15" help:"Share of statements without a hint."`
@@ -81,7 +81,7 @@
 	return err
 }
 
-// firstError returns the first error that is not nil. Later errors are its consequences.
+// firstError returns the first error that is not nil. Later errors are consequences of the first.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/cmd/flaxlab/traffic_show.go
+++ b/cmd/flaxlab/traffic_show.go
@@ -10,7 +10,7 @@
 // showCommand prints the records of a traffic file.
 type showCommand struct {
 	File string `arg:"" help:"The file."`
-	From int    `default:"0" help:"Number of the first record to print, which counts from 0."`
+	From int    `default:"0" help:"Number of the first record to print, counted from 0."`
 	Most int    `default:"20" help:"Maximum number of records."`
 	Hard bool   `help:"Print only the hard cases."`
 }
@@ -30,10 +30,10 @@
 	return err
 }
 
-// maxStatementWidth is the length in bytes to which a statement is abbreviated.
+// maxStatementWidth is the length, in bytes, to which longer statements are abbreviated.
 const maxStatementWidth = 200
 
-// formatRecord describes a record in one line.
+// formatRecord formats a record as one line.
 func formatRecord(record *traffic.Record) string {
 	const ellipsis = "..."
 	statement := record.Statement
--- a/cmd/flaxlab/traffic_stats.go
+++ b/cmd/flaxlab/traffic_stats.go
@@ -21,8 +21,8 @@
 	File string `arg:"" help:"The file."`
 }
 
-// Run prints the classes of a file with their times, and its hard cases. If the file is truncated, it
-// summarizes the complete records.
+// Run prints the classes in a file with percentiles of their work, and the hard cases. If the file is
+// truncated, Run summarizes the complete records.
 func (c *statsCommand) Run() error {
 	stats := trafficStats{classes: map[string]*classStats{}, hardCases: map[string]int{}, recurring: map[int]struct{}{}}
 	head, err := readRecords(c.File, func(record *traffic.Record) bool {
@@ -42,18 +42,18 @@
 	microsecondsPerMS     = 1000
 )
 
-// trafficStats sums up the records of a file.
+// trafficStats summarizes the records of a file.
 type trafficStats struct {
 	classes        map[string]*classStats
 	hardCases      map[string]int
-	recurring      map[int]struct{} // templates
+	recurring      map[int]struct{} // the recurring templates
 	oneOff         int
 	total          int
 	statementBytes int
 	lastArrival    int64 // microseconds from the start
 }
 
-// classStats sums up the records of one class.
+// classStats summarizes the records of one class.
 type classStats struct {
 	count  float64
 	weight float64                 // sum of the priority weights
@@ -70,7 +70,7 @@
 	}
 	class.count++
 	class.weight += record.Weight
-	_ = class.work.RecordValue(max(int64(record.WorkMS*microsecondsPerMS), 1)) // it ignores more than maxWork
+	_ = class.work.RecordValue(max(int64(record.WorkMS*microsecondsPerMS), 1)) // fails above maxWork, which is ignored
 	if record.HardCase != "" {
 		class.hard++
 		s.hardCases[record.HardCase]++
@@ -106,7 +106,7 @@
 			class.workMS(median), class.workMS(p90), class.workMS(p99), class.hard)
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	// Errors of standard output are ignored, as those of fmt.Printf are.
+	// Errors of standard output are ignored, like those of fmt.Printf.
 	_, _ = io.WriteString(table, rows.String())
 	_ = table.Flush()
 }
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -27,17 +27,17 @@
 // maxEngines limits the fake engines of each protocol, so that their logs stay readable.
 const maxEngines = 16
 
-var errFrontEndEnded = errors.New("a front end has ended; its log says why")
+var errFrontEndEnded = errors.New("a front end has exited; see its log for the reason")
 
-// engineCountError reports a number of engines out of range.
+// engineCountError reports a number of engines that is out of range.
 type engineCountError struct{ count int }
 
 func (e *engineCountError) Error() string {
-	return fmt.Sprintf("--engines: %d is not from 1 to %d", e.count, maxEngines)
+	return fmt.Sprintf("--engines: %d is not in the range from 1 to %d", e.count, maxEngines)
 }
 
-// Run starts both front ends with fake engines and discovery, and prints commands to paste. It ends all of
-// them on Ctrl-C, after the time limit, or when a front end has ended.
+// Run starts both front ends with fake engines and discovery, and prints commands to paste. It stops all of
+// them on Ctrl-C, after the time limit, or when a front end has exited.
 func (c *tryCommand) Run() error {
 	if c.Engines < 1 || c.Engines > maxEngines {
 		return &engineCountError{count: c.Engines}
@@ -105,7 +105,7 @@
 `, c.HTTP, host, port)
 }
 
-// frontEnds are the running processes of flaxrelay, one of each protocol.
+// frontEnds are the running processes of flaxrelay, one for each protocol.
 type frontEnds struct {
 	http     *harness.FrontEnd // nil: not started
 	postgres *harness.FrontEnd // nil: not started
@@ -123,7 +123,7 @@
 	return err
 }
 
-// stop ends the front ends, in the reverse order of their starts.
+// stop stops the front ends, in the reverse order of their starts.
 func (f *frontEnds) stop() {
 	if f.postgres != nil {
 		f.postgres.Stop()
@@ -133,7 +133,8 @@
 	}
 }
 
-// awaitEnd waits until the context is done or a front end has ended. Only the latter is an error.
+// awaitEnd waits until the context is done or a front end has exited. It returns an error only if a front
+// end has exited.
 func (f *frontEnds) awaitEnd(ctx context.Context) error {
 	var err error
 	select {
--- a/cmd/flaxlab/try_test.go
+++ b/cmd/flaxlab/try_test.go
@@ -17,7 +17,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// Environment variables that make a test binary run the try command, and set the addresses of its
+// Environment variables that make the test binary run the try command, and that set the addresses of its
 // front ends.
 const (
 	tryVariable      = "FLAXLAB_TEST_TRY"
@@ -25,8 +25,8 @@
 	postgresVariable = "FLAXLAB_TEST_POSTGRES"
 )
 
-// Both front ends start with one command and respond to the requests of the instructions, and
-// everything ends on SIGINT.
+// Both front ends start with one command and respond to the requests that the instructions show. On SIGINT,
+// all processes exit.
 func TestTry_ServesBothProtocolsUntilInterrupted(t *testing.T) {
 	if os.Getenv(tryVariable) != "" {
 		runTry(t)
@@ -47,7 +47,7 @@
 			t.Fatal("the HTTP front end does not serve")
 		}
 	}
-	// The PostgreSQL front end learns of its engines a moment after it listens.
+	// The PostgreSQL front end discovers its engines a moment after it starts to listen.
 	for !servesPostgres(t, postgresAddress) {
 		if ctx.Err() != nil {
 			t.Fatal("the PostgreSQL front end does not serve")
@@ -83,7 +83,7 @@
 	}
 }
 
-// startTry runs the command in a process of its own, which logs to the file at the path.
+// startTry runs the command in a separate process, which logs to the file at logPath.
 func startTry(t *testing.T, httpAddress, postgresAddress string) (process *exec.Cmd, logPath string) {
 	t.Helper()
 	process = exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.v")
@@ -98,7 +98,7 @@
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = process.Process.Kill() }) // does nothing once it has ended
+	t.Cleanup(func() { _ = process.Process.Kill() }) // does nothing if the process has exited
 	return process, log.Name()
 }
 
@@ -146,9 +146,9 @@
 	if _, err := conn.Write(messages); err != nil {
 		t.Fatal(err)
 	}
-	response, _ := io.ReadAll(conn) // a truncated response lacks the tag
+	response, _ := io.ReadAll(conn) // a truncated response lacks the command tag, "SELECT 1"
 	return strings.Contains(string(response), "SELECT 1")
 }
 
-// closeQuietly closes what the test no longer needs.
+// closeQuietly closes c and ignores the error.
 func closeQuietly(c io.Closer) { _ = c.Close() }
