--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -91,11 +91,11 @@
 func (c *evaluateCommand) recordings() ([]recording, error) {
 	var recordings []recording
 	for _, path := range c.Files {
-		one, err := readRecording(path)
+		recorded, err := readRecording(path)
 		if err != nil {
 			return nil, err
 		}
-		recordings = append(recordings, one)
+		recordings = append(recordings, recorded)
 	}
 	if len(c.Files) > 0 {
 		return recordings, nil
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -27,7 +27,7 @@
 // maxEngines limits the fake engines of each protocol, so that their logs stay readable.
 const maxEngines = 16
 
-var errFrontEndEnded = errors.New("a front end has exited; see its log for the reason")
+var errFrontEndExited = errors.New("a front end has exited; see its log for the reason")
 
 // engineCountError reports a number of engines that is out of range.
 type engineCountError struct{ count int }
@@ -79,7 +79,7 @@
 		return err
 	}
 	c.printInstructions()
-	return running.awaitEnd(ctx)
+	return running.awaitExit(ctx)
 }
 
 // awaitListeners waits until both front ends accept connections.
@@ -133,9 +133,9 @@
 	}
 }
 
-// awaitEnd waits until the context is done or a front end has exited. It returns an error only if a front
+// awaitExit waits until the context is done or a front end has exited. It returns an error only if a front
 // end has exited.
-func (f *frontEnds) awaitEnd(ctx context.Context) error {
+func (f *frontEnds) awaitExit(ctx context.Context) error {
 	var err error
 	select {
 	case <-ctx.Done():
@@ -143,5 +143,5 @@
 	case err = <-f.http.Exited:
 	case err = <-f.postgres.Exited:
 	}
-	return errors.Join(errFrontEndEnded, err)
+	return errors.Join(errFrontEndExited, err)
 }
