--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -15,8 +15,8 @@
 	programFlag
 	Clients  int    `default:"8" help:"Number of client connections."`
 	Requests int    `default:"40000" help:"Requests in each round."`
-	Rounds   int    `default:"5" help:"Pairs of rounds, without shapes and with them."`
-	Prepared bool   `help:"Prepare statements once and bind them many times, instead of a Query each."`
+	Rounds   int    `default:"5" help:"Pairs of rounds, one without and one with shapes."`
+	Prepared bool   `help:"Prepare statements once and bind them many times, instead of a Query for each request."`
 	Seed     uint64 `default:"1" help:"Seed of the statements."`
 	Out      string `placeholder:"FOLDER" help:"Write shapes-cost-query.* or shapes-cost-prepared.* there."`
 }
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -25,7 +25,7 @@
 	Lookups      int     // statements of recurring shapes in the second half, which is evaluated
 	HitRate      float64 // share of these lookups whose shape was cached
 	CachedShapes int     // shapes in the cache at the end
-	CountedBytes int     // size of the cache at the end by its own count
+	CountedBytes int     // bytes in the cache at the end, as the cache counts them
 	HeapBytes    int     // growth of the reachable heap
 	RSSBytes     int     // resident memory of the process at the end; 0: unknown
 }
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -28,7 +28,7 @@
 // ErrNotListening reports that nothing listens at an address.
 var ErrNotListening = errors.New("nothing listens")
 
-// Build builds flaxrelay into a directory and returns its path.
+// Build builds flaxrelay into a directory and returns the path of the program.
 func Build(ctx context.Context, root, dir string) (string, error) {
 	program := filepath.Join(dir, "flaxrelay")
 	build := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/flaxrelay")
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -90,7 +90,7 @@
 		}
 		bars.Color = plotutil.Color(i)
 		bars.LineStyle.Width = 0
-		// The bars of a group are centered on its name.
+		// The bars of a group are centered on the name of the group.
 		bars.Offset = width * vg.Length(float64(i)-float64(len(c.Values)-1)/2)
 		chart.Add(bars)
 		chart.Legend.Add(c.Series[i], bars)
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -88,7 +88,7 @@
 	statement.Class = ClassLookup
 	if statement.WorkMS >= ReportFromMS {
 		statement.Class = ClassReport
-		statement.HardCase = i.hardCase // not for a lookup, which is not a hard case: its table is small
+		statement.HardCase = i.hardCase // not for a lookup: broad values of a small table are not a hard case
 	}
 	return statement, usual.workMS()
 }
--- a/internal/lab/workload/schema.go
+++ b/internal/lab/workload/schema.go
@@ -47,8 +47,7 @@
 	popularPartFactor = 30
 )
 
-// drawPart draws a part by popularity. rowFactor is the ratio of its number of rows to that of a part that is
-// not popular.
+// drawPart draws a part by popularity. rowFactor is popularPartFactor for a popular part, and 1 for any other.
 func (g *Generator) drawPart() (name string, rowFactor float64) {
 	number := int(g.partPopularity.Uint64())
 	rowFactor = 1
