--- a/cmd/flaxlab/results.go
+++ b/cmd/flaxlab/results.go
@@ -12,7 +12,7 @@
 	name    string       // base name of the files
 	summary report.Table // printed
 	figures report.Table // each single measurement
-	chart   report.Bars
+	chart   report.BarChart
 }
 
 // publish prints the summary. It writes summary, figures and chart to the directory, unless directory is "".
--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -71,7 +71,7 @@
 		name:    name,
 		summary: report.Table{Columns: []string{"", "CPU per request, us", "requests per second", "resident memory"}},
 		figures: report.Table{Columns: []string{"shapes", "round", "cpu_us", "rate", "kb"}},
-		chart: report.Bars{
+		chart: report.BarChart{
 			Title:  "CPU time of the front end for one request",
 			Axis:   "us",
 			Series: costSeries,
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -77,7 +77,7 @@
 			"median", "p90", "hint_median", "hint_p90", "mean_median", "mean_p90", "hint_class",
 			"shapes", "bytes", "hit_rate",
 		}},
-		chart: report.Bars{
+		chart: report.BarChart{
 			Title: "Classes right, median of the seeds", Axis: "share", Values: make([][]float64, len(chartedShares)),
 		},
 	}
--- a/cmd/flaxlab/shapes_flood.go
+++ b/cmd/flaxlab/shapes_flood.go
@@ -31,7 +31,7 @@
 		figures: report.Table{Columns: []string{
 			"cache", "seed", "lookups", "hit_rate", "cached_shapes", "counted_bytes", "heap_bytes", "rss_bytes",
 		}},
-		chart: report.Bars{
+		chart: report.BarChart{
 			Title:  fmt.Sprintf("Hit rate of recurring shapes among %d that occur once", c.OneOff),
 			Axis:   "share",
 			Series: []string{"hit rate"},
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -67,8 +67,8 @@
 	return b.String(), nil
 }
 
-// Bars is a grouped bar chart.
-type Bars struct {
+// BarChart is a grouped bar chart.
+type BarChart struct {
 	Title  string
 	Axis   string      // label of the value axis
 	Groups []string    // names of the groups, along the other axis
@@ -77,7 +77,7 @@
 }
 
 // SVG draws the chart.
-func (c *Bars) SVG() ([]byte, error) {
+func (c *BarChart) SVG() ([]byte, error) {
 	const allBarsWidth = 240 // points
 	chart := plot.New()
 	chart.Title.Text = c.Title
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -21,8 +21,8 @@
 }
 
 // The same figures give the same bytes, so that a chart changes only if its figures do.
-func TestBars_SameFiguresGiveTheSameSVG(t *testing.T) {
-	bars := Bars{
+func TestBarChart_SameFiguresGiveTheSameSVG(t *testing.T) {
+	bars := BarChart{
 		Title: "t", Axis: "share", Groups: []string{"a", "b"}, Series: []string{"s"}, Values: [][]float64{{0.5, 1}},
 	}
 	first, err := bars.SVG()
