--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -78,11 +78,11 @@
 // GenerateRecords generates the records of a workload in memory.
 func GenerateRecords(options workload.Options, number int) []traffic.Record {
 	generator := workload.New(options, number)
-	all := make([]traffic.Record, number)
-	for i := range all {
-		all[i] = traffic.RecordOf(generator.Next())
+	records := make([]traffic.Record, number)
+	for i := range records {
+		records[i] = traffic.RecordOf(generator.Next())
 	}
-	return all
+	return records
 }
 
 // EvaluateOptions configure Evaluate.
--- a/internal/lab/traffic/stored_test.go
+++ b/internal/lab/traffic/stored_test.go
@@ -56,7 +56,7 @@
 }
 
 // items returns the bytes of the CBOR items of all blocks.
-func items(t *testing.T, file []byte) (all []byte) {
+func items(t *testing.T, file []byte) (decoded []byte) {
 	t.Helper()
 	decompressor, err := zstd.NewReader(nil)
 	if err != nil {
@@ -66,10 +66,10 @@
 	for rest := file[len(magic)+1:]; ; {
 		length := binary.BigEndian.Uint32(rest)
 		if length == 0 {
-			return all
+			return decoded
 		}
 		end := blockHeaderLength + int(length)
-		if all, err = decompressor.DecodeAll(rest[blockHeaderLength:end], all); err != nil {
+		if decoded, err = decompressor.DecodeAll(rest[blockHeaderLength:end], decoded); err != nil {
 			t.Fatal(err)
 		}
 		rest = rest[end:]
