--- a/internal/lab/experiment/accuracy.go
+++ b/internal/lab/experiment/accuracy.go
@@ -114,7 +114,7 @@
 
 // classOfHint returns the class of a read-only statement that follows from the hint alone.
 func classOfHint(workMS float64) string {
-	if workMS > workload.ReportFromMS {
+	if workMS > workload.MinReportMS {
 		return workload.ClassReport
 	}
 	return workload.ClassLookup
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -23,7 +23,7 @@
 // classes returns the classes into which statements are classified.
 func classes() []costmodel.Class {
 	return []costmodel.Class{
-		{Name: workload.ClassLookup, MaxWorkMillis: workload.ReportFromMS},
+		{Name: workload.ClassLookup, MaxWorkMillis: workload.MinReportMS},
 		{Name: workload.ClassReport},
 	}
 }
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -70,9 +70,9 @@
 	ClassWrite  = "write"
 )
 
-// ReportFromMS is the least work, in milliseconds, of a read-only statement that is a report. The class is
+// MinReportMS is the least work, in milliseconds, of a read-only statement that is a report. The class is
 // determined before the random scatter of the work.
-const ReportFromMS = 800
+const MinReportMS = 800
 
 // Values of Statement.Template for statements without a recurring template.
 const (
@@ -215,7 +215,7 @@
 	switch {
 	case class == ClassLoad || class == ClassWrite:
 		return class
-	case usualMS > ReportFromMS:
+	case usualMS > MinReportMS:
 		return ClassReport
 	}
 	return ClassLookup
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -86,7 +86,7 @@
 		statement.WorkMS *= uncachedFactor
 	}
 	statement.Class = ClassLookup
-	if statement.WorkMS >= ReportFromMS {
+	if statement.WorkMS >= MinReportMS {
 		statement.Class = ClassReport
 		statement.HardCase = i.hardCase // not for a lookup: broad values of a small table are not a hard case
 	}
