--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -15,8 +15,8 @@
 	programFlag
 	Clients  int    `default:"8" help:"Number of client connections."`
 	Requests int    `default:"40000" help:"Requests in each round."`
-	Rounds   int    `default:"5" help:"Pairs of rounds, without shapes and with them."`
-	Prepared bool   `help:"Prepare statements once and bind them many times, instead of a Query each."`
+	Rounds   int    `default:"5" help:"Pairs of rounds, one without and one with shapes."`
+	Prepared bool   `help:"Prepare statements once and bind them many times, instead of a Query for each request."`
 	Seed     uint64 `default:"1" help:"Seed of the statements."`
 	Out      string `placeholder:"FOLDER" help:"Write shapes-cost-query.* or shapes-cost-prepared.* there."`
 }
@@ -25,13 +25,13 @@
 // few minutes.
 const costTimeout = 20 * time.Minute
 
-// Digits after the point of CPU times in microseconds, and of their ratios.
+// Decimal places of CPU times in microseconds, and of their ratios.
 const (
 	cpuDigits   = 1
 	ratioDigits = 3
 )
 
-// costSeries are the two kinds of rounds.
+// costSeries are the names of the two kinds of rounds.
 var costSeries = []string{"without", "with shapes"}
 
 // Run measures pairs of rounds, without and with statement shapes.
@@ -65,13 +65,13 @@
 	return "shapes-cost-query"
 }
 
-// costResults summarizes the rounds without and with statement shapes, which ran in pairs.
+// costResults summarizes pairs of rounds: without[i] and with[i] are a pair.
 func costResults(name string, without, with []experiment.CostRound) *experimentResults {
 	results := &experimentResults{
 		name:    name,
 		summary: report.Table{Columns: []string{"", "CPU per request, us", "requests per second", "resident memory"}},
 		figures: report.Table{Columns: []string{"shapes", "round", "cpu_us", "rate", "kb"}},
-		chart: report.Bars{
+		chart: report.BarChart{
 			Title:  "CPU time of the front end for one request",
 			Axis:   "us",
 			Series: costSeries,
@@ -91,7 +91,7 @@
 	return results
 }
 
-// addCostRounds adds the rounds of one series of the chart to all results.
+// addCostRounds adds the rounds of one series to the summary, the figures and the chart.
 func addCostRounds(results *experimentResults, seriesIndex int, rounds []experiment.CostRound) {
 	series := results.chart.Series[seriesIndex]
 	for i, round := range rounds {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the results of an experiment: a table in Markdown, the raw figures
-// as CSV and a chart as SVG. The same figures give the same bytes.
+// Package report formats and writes the results of an experiment: a table in Markdown, the raw figures as
+// CSV and a chart as SVG. The same figures give the same bytes.
 package report
 
 import (
@@ -67,17 +67,17 @@
 	return b.String(), nil
 }
 
-// Bars is a chart of groups of bars.
-type Bars struct {
+// BarChart is a grouped bar chart.
+type BarChart struct {
 	Title  string
-	Axis   string      // label of the values
-	Groups []string    // names along the axis
-	Series []string    // names of the bars in a group
-	Values [][]float64 // by series, then by group
+	Axis   string      // label of the value axis
+	Groups []string    // names of the groups, along the other axis
+	Series []string    // names of the bars in a group, shown in the legend
+	Values [][]float64 // indexed by series, then by group
 }
 
 // SVG draws the chart.
-func (c *Bars) SVG() ([]byte, error) {
+func (c *BarChart) SVG() ([]byte, error) {
 	const allBarsWidth = 240 // points
 	chart := plot.New()
 	chart.Title.Text = c.Title
@@ -90,7 +90,7 @@
 		}
 		bars.Color = plotutil.Color(i)
 		bars.LineStyle.Width = 0
-		// The bars of a group are centered on its name.
+		// The bars of a group are centered on the name of the group.
 		bars.Offset = width * vg.Length(float64(i)-float64(len(c.Values)-1)/2)
 		chart.Add(bars)
 		chart.Legend.Add(c.Series[i], bars)
@@ -125,7 +125,7 @@
 	fileMode      = 0o644
 )
 
-// Write writes the files of one experiment, by their names, into a directory.
+// Write writes the files of one experiment into a directory. The keys of files are the file names.
 func Write(dir string, files map[string][]byte) error {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return fmt.Errorf("results: %w", err)
