--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,12 +1,12 @@
 // Package config reads the files that configure a front end:
 //
 //   - LoadPlatform reads the platform's configuration (JSON), which contains the settings object.
-//   - CheckSettings validates a file with the settings object alone (JSON). The simulation adapter
-//     decodes the settings object too.
+//   - CheckSettings validates a file with the settings object alone (JSON). The simulator's messages
+//     contain the settings object too.
 //   - LoadPostgres reads the deploy file of the PostgreSQL front end (TOML).
 //   - LoadShapes reads the file of shape settings of the HTTP front end (TOML).
 //
-// A file is read in three steps, which have separate source files: decoding into types whose tags are
-// the keys of the file, translation into the types of other packages, and validation. Invalid files are
-// reported as FieldErrors with file, line and field.
+// A file is read in three steps: decoding into types whose tags are the keys of the file, translation
+// into the types of other packages, and validation. Invalid files are reported as FieldErrors with file,
+// line and field.
 package config
--- a/internal/config/location_test.go
+++ b/internal/config/location_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each line of the documents contains its own number.
+// The name of a key is the number of its line, except in the second table of the array [[four]].
 const (
 	tomlDocument = `one = 1
 [two]
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -21,7 +21,7 @@
 	Settings       Settings
 }
 
-// EndpointUpdate is a change of the endpoint list.
+// EndpointUpdate is the complete endpoint list, or a change of it.
 type EndpointUpdate struct {
 	Mode    policy.UpdateMode // UpdateFull or UpdateDelta
 	Engines []lifecycle.Endpoint
--- a/internal/config/platform_object.go
+++ b/internal/config/platform_object.go
@@ -40,7 +40,7 @@
 	Topology topologyObject `json:"topology"`
 }
 
-// topologyObject is a change of the endpoint list, or the complete list.
+// topologyObject is the complete endpoint list, or a change of it.
 type topologyObject struct {
 	Complete  bool             `json:"all"`
 	Endpoints []endpointObject `json:"targets"`
@@ -64,7 +64,7 @@
 	"terminated":  policy.EngineRemoved,
 }
 
-// translate returns the number of the last event and the changes of the endpoint list, and reports
+// translate returns the number of the last event and the updates of the endpoint list, and reports
 // invalid fields.
 func (o *knownEventsObject) translate(v *validator) (lastEvent uint64, updates []EndpointUpdate) {
 	lastEvent = o.LastEvent
@@ -77,7 +77,7 @@
 	return lastEvent, updates
 }
 
-// translate returns the change of the endpoint list, and reports invalid fields.
+// translate returns the update of the endpoint list, and reports invalid fields.
 func (o *topologyObject) translate(v *validator, path string) EndpointUpdate {
 	update := EndpointUpdate{Mode: policy.UpdateDelta}
 	if o.Complete {
@@ -105,7 +105,7 @@
 }
 
 // startTime converts the start time of an engine to a time of package policy, which also counts from
-// the Unix epoch. A start time of 0 means that the engine started long ago, at an unknown time.
+// the Unix epoch. A start time of 0 or less is unknown; 0 means that the engine started long ago.
 func startTime(unixMS float64) (at time.Duration, known bool) {
 	if unixMS <= 0 {
 		return 0, false
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -21,7 +21,7 @@
 }
 
 // UnmarshalJSON decodes the settings object, which is part of the platform's configuration and of the
-// simulator's first message.
+// message INIT of the simulator's protocol.
 func (s *Settings) UnmarshalJSON(raw []byte) error {
 	var object settingsObject
 	if err := json.Unmarshal(raw, &object); err != nil {
--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -45,7 +45,7 @@
 	Share float64 `json:"share"`
 }
 
-// goalObject contains the weights of the objective that the policy optimizes.
+// goalObject contains the weights of the parts of the service level.
 type goalObject struct {
 	Total       float64 `json:"whole"`
 	WorstClass  float64 `json:"worst-class"`
@@ -53,7 +53,7 @@
 	WorstWindow float64 `json:"worst-window"`
 }
 
-// penaltiesObject contains the penalties that side effects of decisions subtract from the objective.
+// penaltiesObject contains the points of the service level that each unit of a side effect costs.
 type penaltiesObject struct {
 	CrossZone   float64 `json:"cross-zone"`
 	Waste       float64 `json:"waste"`
--- a/internal/config/shapes_validate.go
+++ b/internal/config/shapes_validate.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// validateClass validates one class. It must have the name of an idempotent class of the settings. Its
-// limit must be above the limit of the previous class; the last class must have no limit.
+// validateClass validates one shape class. It must have the name of an idempotent class of the settings.
+// Its limit must be above 0 and above the limit of the previous shape class; the last must have no limit.
 func (s *Shapes) validateClass(v *validator, index int, prefix string, classes []policy.Class) {
 	shapeClass := &s.Classes[index]
 	class := findClass(classes, shapeClass.Name)
