--- a/internal/discovery/consul/decoding.go
+++ b/internal/discovery/consul/decoding.go
@@ -36,7 +36,7 @@
 	return r.ServiceID != "" && r.ServicePort >= 1 && r.ServicePort <= maxPort
 }
 
-// endpoint returns the engine without its state. Metadata of the service take precedence over
+// endpoint returns the engine without its state. The metadata of the service takes precedence over the
 // metadata of the node, and both take precedence over the options.
 func (r *registration) endpoint(opts Options) lifecycle.Endpoint {
 	host := cmp.Or(r.ServiceAddress, r.Address)
@@ -72,7 +72,7 @@
 func (e *healthEntry) engineID() string { return engineID(e.Node.Node, e.Service.ID) }
 
 // state returns the state of the engine: draining in maintenance mode; otherwise removed if a health
-// check is critical; otherwise draining if the metadata of the service say so; otherwise ready.
+// check is critical; otherwise draining if the metadata of the service says so; otherwise ready.
 func (e *healthEntry) state() policy.EngineState {
 	state := policy.EngineReady
 	if e.Service.Meta["draining"] == "true" {
--- a/internal/discovery/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -143,7 +143,7 @@
 	{healthPath, response("200 OK", "3", jsonList( // the index goes back: Consul was restored from a backup
 		health("n1", "e1", "", passing), health("n2", "e2", "", passing))), true},
 	{healthPath, response("200 OK", "0", jsonList(
-		health("n1", "e1", "", critical), health("n2", "e2", "", passing))), false},
+		health("n1", "e1", "", critical), health("n2", "e2", "", passing))), false}, // the query had index 0 too
 	{catalogPath, response("200 OK", "8", jsonList(secondEngine)), true},
 }
 
--- a/internal/discovery/consul/reconcile.go
+++ b/internal/discovery/consul/reconcile.go
@@ -49,8 +49,8 @@
 }
 
 // changedEndpoints returns the engines that are new or have changed, and the engines that are no longer
-// in the list, with the state removed. They are in the order of their ids. It also returns the list as a
-// map by id.
+// in the list, with the state removed, unless they had this state before. The returned engines are in the
+// order of their ids. changedEndpoints also returns the list as a map by id.
 func changedEndpoints(
 	before map[string]lifecycle.Endpoint, list []lifecycle.Endpoint,
 ) (changes []lifecycle.Endpoint, after map[string]lifecycle.Endpoint) {
--- a/internal/discovery/eventbus/frames_test.go
+++ b/internal/discovery/eventbus/frames_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Invalid frames are rejected and never read past their end.
+// An invalid frame is rejected, and no frame extends past the end of the input.
 func FuzzParseFrame_NeverReadsPastTheInput(f *testing.F) {
 	f.Add(encodeFrame(4, frameDelta, record{id: 7, port: 70}.encode()))
 	f.Add([]byte{0, 0, 0, 1, 0})
--- a/internal/discovery/eventbus/helpers_test.go
+++ b/internal/discovery/eventbus/helpers_test.go
@@ -74,8 +74,8 @@
 	t.Cleanup(func() { eventlooptest.Do(loop, watcher.Stop) }) // before the loop stops
 }
 
-// disconnects is a log handler for events eventbus.disconnected. It sends their errors to a channel: the
-// reason of each lost connection and of each failed attempt to connect.
+// disconnects is a log handler for the event eventbus.disconnected. It sends the error of each such event
+// to a channel: the reason of each lost connection and of each failed attempt to connect.
 type disconnects struct {
 	slog.Handler
 	reasons chan error
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -124,7 +124,7 @@
 func (w *Watcher) Start() { w.connect() }
 
 // MoveTo connects to the bus at another address and requests the events after the last processed
-// event. It does nothing if the watcher is already connected to this address.
+// event. It does nothing if the watcher is stopped or already connected to this address.
 func (w *Watcher) MoveTo(addr string) {
 	if w.state == stateStopped || addr == w.addr && w.state == stateConnected {
 		return
