--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -20,9 +20,9 @@
 	"faults":    {"ASK_LOAD", "SAY_LOG", "FORWARD", "SLEEP"},
 }
 
-// The host's responses to complete inputs are compared byte for byte. Together the inputs contain each
-// event of the protocol, and the responses each action that the host writes. The inputs contain the times
-// and the seeds, so the responses are the same every time.
+// The host's responses to complete inputs are compared byte for byte. Together the inputs contain every
+// message of the simulator, and the responses contain every action that the host writes. The inputs
+// contain the times and the seeds, so the responses are the same every time.
 func TestRun_MatchesGoldenBatches(t *testing.T) {
 	for name, actions := range goldenBatches {
 		t.Run(name, func(t *testing.T) {
@@ -45,8 +45,7 @@
 	}
 }
 
-// Together the inputs contain every event of the protocol.
-func TestGoldenBatches_ContainEveryEvent(t *testing.T) {
+func TestGoldenBatches_ContainEveryMessageOfTheSimulator(t *testing.T) {
 	var all []byte
 	for name := range goldenBatches {
 		in, err := os.ReadFile(filepath.Join("testdata", "golden", name+".in"))
@@ -55,12 +54,12 @@
 		}
 		all = append(all, in...)
 	}
-	for _, event := range []string{
+	for _, message := range []string{
 		"CLOCK", "OVER_TO_YOU", "INIT", "EXIT", "POOL", "PEERS_KNOWN", "REQ", "SETTLED", "INTERIM",
 		"HEAD_RECEIVED", "LAPSED", "TICK_DUE", "PROBED", "FROM_PEER",
 	} {
-		if !bytes.Contains(all, []byte(`["`+event+`"`)) {
-			t.Errorf("no input contains %s", event)
+		if !bytes.Contains(all, []byte(`["`+message+`"`)) {
+			t.Errorf("no input contains %s", message)
 		}
 	}
 }
