--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -8,8 +8,8 @@
 	"flaxrelay/policy"
 )
 
-// decodeEvent returns the event that a message to an instance contains, or nil if the policy module
-// has no event for the message.
+// decodeEvent returns the event that a message to an instance contains, or nil if the balancer has no
+// event for the message.
 func (h *Host) decodeEvent(target *instance, message *inputMessage) policy.Event {
 	switch message.name {
 	case messageEndpoints:
@@ -160,7 +160,7 @@
 }
 
 // decodeLoad decodes a load report, whose values are in the order of the names in the instance's
-// settings. Values that the policy module does not use are skipped.
+// settings. Values that the balancer does not use are skipped.
 func (in *instance) decodeLoad(message *inputMessage, report field[[]float64]) policy.LoadReport {
 	load := policy.UnreportedLoad()
 	values := report.optional(message)
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -1,5 +1,5 @@
-// Package simprotocol implements the simulator's line protocol for many instances of the policy module
-// in one process. It translates messages to events and actions to messages, and makes no decisions.
+// Package simprotocol implements the simulator's line protocol for many instances of policy.Balancer in
+// one process. It translates messages to events and actions to messages, and makes no decisions.
 //
 // Each line is a message: a JSON array that contains the name of the message and its fields. The
 // simulator sends batches. A batch begins with CLOCK, which contains the time, and ends with OVER_TO_YOU.
@@ -28,11 +28,11 @@
 	output       []byte          // the response to the open batch; its buffer is reused for the next batch
 }
 
-// instance is the policy module of one simulated front end.
+// instance is the balancer of one simulated front end.
 type instance struct {
 	balancer   *policy.Balancer
 	loadFields []string // names of the values in load reports, in order
-	broken     bool     // the module has panicked; further events are dropped
+	broken     bool     // the balancer has panicked; further events are dropped
 }
 
 // NewHost returns a host without instances.
@@ -72,8 +72,8 @@
 	h.output = h.handleEvent(id, target, now, event)
 }
 
-// handleEvent passes an event to the policy module and returns the output with the actions
-// appended. If the module panics, a BROKEN message is appended instead.
+// handleEvent passes an event to the balancer and returns the output with the actions appended. If the
+// balancer panics, a BROKEN message is appended instead.
 func (h *Host) handleEvent(id int64, target *instance, now time.Duration, event policy.Event) (output []byte) {
 	output = h.output
 	defer func() {
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// No input may make the policy module panic, and the text of each error is one line.
+// No input may make the balancer panic, and the text of each error is one line.
 func FuzzRun_NeverPanics(f *testing.F) {
 	seed, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
@@ -81,7 +81,7 @@
 		var out bytes.Buffer
 		err := NewHost().Run(bytes.NewReader(in), &out)
 		if bytes.Contains(out.Bytes(), []byte("BROKEN")) {
-			t.Fatalf("the module panicked: %s", out.String())
+			t.Fatalf("the balancer panicked: %s", out.String())
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
 			t.Fatalf("the error has several lines: %v", err)
--- a/internal/simprotocol/names.go
+++ b/internal/simprotocol/names.go
@@ -120,7 +120,8 @@
 	healthLoad   = field[[]float64]{4, "usage"}
 )
 
-// resultCodes maps the protocol's codes to the results of attempts and health checks.
+// resultCodes maps the protocol's codes to the results of attempts and health checks. Any other code is
+// policy.ResultUnknown.
 var resultCodes = map[int64]policy.Result{
 	200: policy.ResultServed,
 	502: policy.ResultFailed,
@@ -132,7 +133,7 @@
 	409: policy.ResultNotSent,
 }
 
-// Names of the values of load reports that the policy module uses.
+// Names of the values of load reports that the balancer uses.
 const (
 	loadCPUShare    = "cpu"
 	loadInFlight    = "active"
