--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -116,7 +116,7 @@
 	for i, row := range rows {
 		engine, err := decodeEngine(row)
 		if err != nil {
-			message.fail(engineTableRows.name, "entry %d: %v", i, err)
+			message.fail(engineTableRows.name, "row %d: %v", i, err)
 			return
 		}
 		engines[i] = engine
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -32,7 +32,7 @@
 		open + `["INIT",1]`:                   "batch 9: INIT: prng: missing",
 		open + `["INIT",1,2,{"balancers":0}]`: "Replicas",
 		open + `["POOL",16,[]]`:               "batch 9: POOL: table",
-		open + `["POOL",0,[["a","k","e"]]]`:   "entry 0: POOL: availability: missing",
+		open + `["POOL",0,[["a","k","e"]]]`:   "row 0: POOL: availability: missing",
 		open + `["CLOCK",1,2]`:                "batch 9: CLOCK: batch still open",
 		open:                                  "batch 9: input ended inside the batch",
 		`["TICK_DUE",1,1]`:                    "no batch is open",
