--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -66,8 +66,8 @@
 	shapesFile            // shape settings of the HTTP front end
 )
 
-// detectFileKind derives the kind of a file from its extension and its keys. Only deploy files have a
-// listen address or a Consul table; their extension does not matter.
+// detectFileKind derives the kind of a file from its extension and its keys. A file that is not JSON and
+// has a listen address or a Consul table is a deploy file; its extension need not be .toml.
 func detectFileKind(path string, raw []byte) fileKind {
 	extension := filepath.Ext(path)
 	switch {
--- a/cmd/flaxrelay/descriptors_test.go
+++ b/cmd/flaxrelay/descriptors_test.go
@@ -11,13 +11,12 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// smallTable is a limit on descriptors that is below the number of descriptors that clients and engines
-// together use.
+// smallTable is a limit on descriptors. The clients and the engines of the test together need more.
 const smallTable = 64
 
-// While the event bus is down, idle clients open as many connections as they can, and requests go to
-// more engines than there are descriptors. Requests and health checks still get responses, and
-// discovery has a descriptor to reconnect with when the bus returns.
+// While the event bus is down, idle clients open as many connections as they can, and requests go to as
+// many engines as there are descriptors. Requests and health checks still get responses, and discovery
+// has a descriptor to reconnect with when the bus returns.
 func TestDiscovery_ReconnectsWhenDescriptorsRunOut(t *testing.T) {
 	limitDescriptorsOfChild(t)
 	if serveInChild(t) {
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -3,8 +3,8 @@
 //
 // Without a command it serves the platform's HTTP protocol with the configuration file that $LB_CONFIG or
 // --config names. With --postgres it serves the PostgreSQL wire protocol with a deploy file. SIGHUP
-// reloads that file, SIGUSR1 prints the counters, and SIGTERM and SIGINT start a graceful shutdown. Other
-// commands validate files and inspect statement shapes.
+// reloads the configuration file or the deploy file, SIGUSR1 prints the counters, and SIGTERM and SIGINT
+// start a graceful shutdown. Other commands validate files and inspect statement shapes.
 package main
 
 import (
--- a/cmd/flaxrelay/postgres.go
+++ b/cmd/flaxrelay/postgres.go
@@ -71,8 +71,8 @@
 	watcher  *consul.Watcher
 }
 
-// reload reads the deploy file again and applies its statement rules, client limit and Consul service. If
-// reload returns an error, nothing has changed.
+// reload reads the deploy file again and applies its default class, write class, read-only functions,
+// statement rules, client limit and Consul service. If reload returns an error, nothing has changed.
 func (r *postgresReloader) reload(ctx context.Context) error {
 	next, err := config.LoadPostgres(r.path)
 	if err != nil {
--- a/cmd/flaxrelay/process_test.go
+++ b/cmd/flaxrelay/process_test.go
@@ -15,7 +15,7 @@
 	"flaxrelay/internal/logging"
 )
 
-// Environment variables that name the file which a process of startProcess serves.
+// Environment variables that name the file that a process started by startProcess serves.
 const (
 	configVariable   = "FLAXRELAY_TEST_CONFIG"
 	postgresVariable = "FLAXRELAY_TEST_POSTGRES"
--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -15,7 +15,7 @@
 )
 
 // startEventBus starts an event bus that responds to each subscription with one event of the given
-// number. The channel receives the event number that each subscription starts from.
+// number. For each subscription, the channel receives the number of the event after which it starts.
 func startEventBus(t *testing.T, eventNumber uint64) (address string, subscriptions <-chan uint64) {
 	t.Helper()
 	const (
@@ -85,7 +85,7 @@
 	}
 	s := startWithTwoBuses(t)
 	if got := <-s.firstSubscriptions; got != 1 {
-		t.Errorf("the first bus got a subscription from event %d", got)
+		t.Errorf("the first bus got a subscription after event %d, want 1", got)
 	}
 	for _, invalid := range []string{"{", configWithBus(t, "nowhere"), readFile(t, exampleConfig)} {
 		writeFile(t, s.path, invalid)
@@ -96,7 +96,7 @@
 	s.process.signal(syscall.SIGHUP)
 	s.process.awaitLog("eventbus.moved")
 	if got := <-s.secondSubscriptions; got != 7 {
-		t.Errorf("the second bus got a subscription from event %d, want the last event's number", got)
+		t.Errorf("the second bus got a subscription after event %d, want 7, the last event of the first bus", got)
 	}
 	s.process.shutDown("count reload.completed 1")
 }
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// finalFlushTime limits how long the program waits before it exits until the log is written.
+// finalFlushTime limits how long the program waits at its exit for the log to be written.
 const finalFlushTime = 500 * time.Millisecond
 
 // serveFiles are the paths of the files that configure a front end.
--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -37,8 +37,9 @@
 	Addr() string
 	// CloseListener stops accepting connections.
 	CloseListener()
-	// Drain closes each connection as soon as it has no request in flight. It is called some time after
-	// the start of a graceful shutdown.
+	// Drain closes each connection as soon as it has no request in flight. The HTTP front end also waits
+	// for requests that have arrived only in part and for results whose pages are being fetched. Drain is
+	// called some time after the start of a graceful shutdown.
 	Drain()
 	// Finish closes the connections that are still open, each as soon as its responses have been sent. It
 	// must be called after Dispatcher.CompleteAll.
--- a/cmd/flaxrelay/shutdown.go
+++ b/cmd/flaxrelay/shutdown.go
@@ -32,7 +32,7 @@
 // of the loop's clock.
 type shutdown struct {
 	server     *server
-	drainAt    time.Duration // the front end reads no further requests from this time on
+	drainAt    time.Duration // the front end closes its connections from this time on
 	completeAt time.Duration // pending requests get their final response at this time
 }
 
@@ -72,8 +72,8 @@
 	loop.Timers.Schedule(now+idlePollInterval, p.poll)
 }
 
-// finished reports whether the front end is idle and no request is pending, or the pending requests got
-// their final responses at least flushPeriod ago.
+// finished reports whether the front end is draining and idle with no request pending, or the pending
+// requests got their final responses at least flushPeriod ago.
 func (p *shutdown) finished(now time.Duration) bool {
 	if now >= p.completeAt+flushPeriod {
 		return true
--- a/cmd/flaxrelay/shutdown_test.go
+++ b/cmd/flaxrelay/shutdown_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// startServer runs a server of the HTTP protocol with one engine in this process. Replacements are
-// pairs of texts in the example configuration. The channel is closed when the server's loop ends.
+// startServer runs a server of the HTTP protocol with one engine in this process. Replacements are pairs
+// of texts, as for writeExampleConfig. The channel is closed when the server's loop ends.
 func startServer(t *testing.T, engine string, replacements ...string) (s *server, ended <-chan struct{}) {
 	t.Helper()
 	path := writeExampleConfig(t, append(replacements, exampleEngineAddress, engine)...)
