--- a/cmd/flaxrelay/shutdown_test.go
+++ b/cmd/flaxrelay/shutdown_test.go
@@ -64,7 +64,7 @@
 
 // The last bytes of the request arrive after the final responses of a graceful shutdown, just before the
 // shutdown ends.
-func TestGracefulShutdown_RequestThatCompletesAtItsEndGetsAResponse(t *testing.T) {
+func TestGracefulShutdown_RequestThatArrivesLastGetsAResponse(t *testing.T) {
 	engine := startEngine(t, func(net.Conn, string) {}) // never responds
 	s, ended := startServer(t, engine,
 		`"hard-limit-ms": 6000`, `"hard-limit-ms": 1000`,
