--- a/cmd/flaxrelay/check.go
+++ b/cmd/flaxrelay/check.go
@@ -11,7 +11,7 @@
 
 // checkCommand validates files.
 type checkCommand struct {
-	Files []string `arg:"" name:"file" help:"Settings (JSON), deploy files or shape settings (TOML)."`
+	Files []string `arg:"" name:"file" help:"Configuration or settings (JSON), deploy files or shape settings (TOML)."`
 }
 
 // Run prints all errors in the files. It returns errReported if there are any.
