--- a/internal/stmtstats/cache.go
+++ b/internal/stmtstats/cache.go
@@ -6,7 +6,7 @@
 	"flaxrelay/internal/decision/costmodel"
 )
 
-// Fingerprint identifies a shape within this process. The seeds of the hash are drawn when the process starts.
+// Fingerprint identifies a shape within one Store. The seeds of the hash are drawn when the Store is created.
 type Fingerprint = [2]uint64
 
 // CachedShape is the cached record of one shape. The cache owns it; the Store updates it in place.
--- a/internal/stmtstats/cache_lru.go
+++ b/internal/stmtstats/cache_lru.go
@@ -48,7 +48,7 @@
 // New2Q returns a 2Q cache (Johnson, Shasha, "2Q: A Low Overhead High Performance Buffer
 // Management Replacement Algorithm", 1994). Experiments compare it with W-TinyLFU.
 func New2Q(bytes int) (Cache, error) {
-	const minEntries = 2 // one for each of its queues
+	const minEntries = 2 // the queue of evicted keys has half as many entries and must not be empty
 	cache, err := lru.New2Q[Fingerprint, *CachedShape](max(entriesWithin(bytes), minEntries))
 	if err != nil {
 		return nil, fmt.Errorf("cache of shapes: %w", err)
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -5,8 +5,8 @@
 	"flaxrelay/internal/sqltext"
 )
 
-// Execution is one execution of a statement, from its estimate until its cost is learned. It must be used
-// only in the goroutine of its Store.
+// Execution is one execution of a statement, from its estimate until its cost is learned. It shares records with
+// its Store and must be used only in the goroutine that uses the Store.
 type Execution struct {
 	Estimate  costmodel.Estimate
 	statement *Statement
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -10,7 +10,7 @@
 	"flaxrelay/policy"
 )
 
-// Settings are the settings of a Service in a deploy file.
+// Settings configures a Service.
 type Settings struct {
 	CostModel         costmodel.Config
 	MaxBytes          int           // limit of the cache's size
@@ -36,8 +36,9 @@
 	executions executionPool
 }
 
-// NewService returns a service that continues from the snapshot, if there is one. If the snapshot can't be
-// used, the service logs that and renames the file to FILE.unusable.
+// NewService returns a service that continues from the snapshot, if there is one. If the snapshot file can't be
+// read, it is left as it is. If its contents can't be used, it is renamed to FILE.unusable. Both cases are logged,
+// and the service starts without statistics.
 func NewService(
 	settings Settings, classes []policy.Class, loop *eventloop.Loop, counters *metrics.Counters, log *slog.Logger,
 ) (*Service, error) {
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -91,7 +91,7 @@
 	s.learn(r, costmodel.Observation{WorkMillis: milliseconds(elapsed), LowerBound: true})
 }
 
-// Release reuses the execution of a finished request. It implements lifecycle.CostObserver.
+// Release returns the execution of a finished request to the pool. It implements lifecycle.CostObserver.
 func (s *Service) Release(r *lifecycle.Request) {
 	execution, ok := r.ObserverData.(*Execution)
 	if !ok {
--- a/internal/stmtstats/snapshot.go
+++ b/internal/stmtstats/snapshot.go
@@ -20,7 +20,7 @@
 )
 
 // Snapshot is the state of a Store in a form that can be stored. It contains no fingerprints, because
-// their seeds differ between processes: Restore computes them again.
+// their seeds differ between stores: Restore computes them again.
 type Snapshot struct {
 	Layout    int              `cbor:"1,keyasint"`
 	HashSeed  uint64           `cbor:"2,keyasint"` // seed of the hashes of values
--- a/internal/stmtstats/snapshot_format.go
+++ b/internal/stmtstats/snapshot_format.go
@@ -146,8 +146,8 @@
 	return snapshot, nil
 }
 
-// check returns an error if the snapshot has another layout, lacks the state of the model or contains numbers
-// that are not finite.
+// check returns an error if the snapshot has another layout, lacks the state of the model or contains a shape with
+// an invalid number. The numbers in the state of the model are checked by costmodel.Restore.
 func (s *Snapshot) check() error {
 	if s.Layout != costmodel.Layout {
 		return fmt.Errorf("%w: layout %d, want %d", ErrSnapshotVersion, s.Layout, costmodel.Layout)
--- a/internal/stmtstats/snapshot_stored_test.go
+++ b/internal/stmtstats/snapshot_stored_test.go
@@ -106,8 +106,8 @@
 	return item
 }
 
-// A stored snapshot that is decoded and encoded again gives the same CBOR item, so that no field name
-// has changed.
+// A stored snapshot that is decoded and encoded again gives the same CBOR item. A changed field name would change
+// the item.
 func TestStoredSnapshot_KeepsFieldNames(t *testing.T) {
 	stored, err := os.ReadFile(storedSnapshot)
 	if err != nil {
--- a/internal/stmtstats/store.go
+++ b/internal/stmtstats/store.go
@@ -11,7 +11,7 @@
 // Options configures a Store.
 type Options struct {
 	CostModel costmodel.Config
-	MaxBytes  int   // limit of the cache's size including its overhead; at least minBytes
+	MaxBytes  int   // limit of the cache's size including its overhead; at least minBytes; ignored if Cache is set
 	Cache     Cache // nil: a W-TinyLFU cache of MaxBytes
 }
 
