--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -11,7 +11,7 @@
 // # Estimates
 //
 // An estimate is an ensemble of four components. Each is weighted by the inverse of the
-// observed variance of its errors, which is the best linear combination of independent
+// observed variance of its errors, which gives the best linear combination of independent
 // unbiased estimators:
 //
 //   - the record of the shape, separately for each profile of the values (record.go);
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -18,9 +18,9 @@
 }
 
 const (
-	// wellKnownSamples is the number of executions at which a bucket counts as well known. Its record and
-	// the hint then suffice as components, and the model learns only from a sample of its executions while
-	// their cost is as expected. Most traffic belongs to such buckets.
+	// wellKnownSamples is the number of executions at which a bucket counts as well known. Its estimates then leave
+	// out the prior, because the other components suffice, and the model learns only from a sample of its executions
+	// while their cost is as expected. Most traffic belongs to such buckets.
 	wellKnownSamples = 200
 	// minTrackedSamples is the minimum number of observations for a Tracker of offsets or errors to be used.
 	minTrackedSamples = 2
@@ -61,7 +61,7 @@
 	return estimate
 }
 
-// estimateComponents sets all components except the shape's own record.
+// estimateComponents sets the components of the ensemble other than the shape's record.
 func (m *Model) estimateComponents(query *Query, bucket *Bucket, estimate *Estimate) {
 	record := query.Record
 	wellKnown := bucket != nil && bucket.Work.Samples >= wellKnownSamples
@@ -100,8 +100,8 @@
 	return componentOf(&m.prior.Errors, prediction), 0
 }
 
-// memory returns the expected memory in MB: an ensemble of the record, or else the usual memory of the
-// class, and the corrected hint. It returns 0 if none of them is known.
+// memory returns the expected memory in MB. It combines the corrected hint with the memory of the bucket or, if
+// that is unknown, with the usual memory of the class. It returns 0 if none of them is known.
 func (m *Model) memory(query *Query, bucket *Bucket) float64 {
 	var record, hint Component
 	class := m.classStatistics(query.KnownClass)
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -3,8 +3,9 @@
 import "math"
 
 // The errors that a component made for a shape hardly predict its errors on values that are new to the
-// shape. For such values, the estimate uses the errors that the component made on similar values over all
-// shapes. Otherwise a broad report would get the estimate of a lookup of the same shape.
+// shape. For such values, the estimate uses errors that the component made over all shapes: its errors on
+// similar values or, if too few of them are known, on values that were new to their shape. Otherwise a broad
+// report would get the estimate of a lookup of the same shape.
 
 const (
 	// newValueSamples is the number of executions of a bucket from which its values no longer count as
@@ -88,8 +89,8 @@
 	}
 }
 
-// learnSimilar updates the errors made on similar values and, if the values are new to the
-// shape, on new values. It must run before the record of the shape is updated.
+// learnSimilar updates the statistics of similar values and, if the values are new to the shape, the
+// errors made on new values. It must run before the record of the shape is updated.
 func (m *Model) learnSimilar(query *Query, expected *Estimate, log2Work float64) {
 	record := query.Record
 	if record.Work.Samples < minTrackedSamples {
--- a/internal/decision/costmodel/state_test.go
+++ b/internal/decision/costmodel/state_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A state or a record with a number that is not finite is rejected. The error names the number as the
-// stored form does.
+// A state or a record with a number that is not finite or too large is rejected. The error names the number as
+// the stored form does.
 func TestCheck_RejectsNumbersThatAreNotFinite(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
--- a/internal/decision/costmodel/tracker.go
+++ b/internal/decision/costmodel/tracker.go
@@ -99,7 +99,7 @@
 // steady reports whether the latest observations were as expected.
 func (t *Tracker) steady() bool { return t.Run >= -steadyRun && t.Run <= steadyRun }
 
-// variance returns the expected squared error of the median for one observation.
+// variance returns the expected squared error of the median as a prediction of one further observation.
 func (t *Tracker) variance() float64 {
 	const (
 		perMeanDeviation = 1.25 // standard deviation over mean absolute deviation of a normal distribution
