--- a/internal/decision/hotrestart/hotrestart.go
+++ b/internal/decision/hotrestart/hotrestart.go
@@ -3,6 +3,7 @@
 // In a hot restart, one process of flaxrelay (the predecessor) hands its listeners, its client
 // connections and its work over to a newer process (the successor), and reclaims them if the
 // hot restart fails.
+//
 // The package consists of two state machines without I/O, Predecessor and Successor. Their method
 // Step handles an event (a message of the other process, a change of a connection, a tick) and
 // returns actions, which the caller must carry out in order. The model test explores all
@@ -54,7 +55,7 @@
 // String implements fmt.Stringer.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Config limits a hot restart. The timeouts of a phase count from its start.
+// Config limits a hot restart. All times but HeartbeatTimeout count from the start of their phase.
 type Config struct {
 	HelloTimeout     time.Duration // until the successor's hello, including the time to read its program from disk
 	StateTimeout     time.Duration // until the successor has loaded the state and is ready
--- a/internal/decision/hotrestart/predecessor.go
+++ b/internal/decision/hotrestart/predecessor.go
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// startHotRestart starts a hot restart, unless one is in progress.
+// startHotRestart starts a hot restart, unless another one or a shutdown is in progress.
 func (p *Predecessor) startHotRestart(now time.Duration) []Action {
 	if p.phase != Idle || p.shutdownRequested {
 		return []Action{ReportResult{"another hot restart or a shutdown is in progress"}}
