--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -21,7 +21,7 @@
 type Verdict struct {
 	Effect Effect
 	Reason string // a short phrase
-	Word   string // the word that determined the effect, as written in the statement; "": no single word did
+	Word   string // the word, operator or function that determined the effect; "": none did on its own
 }
 
 // String returns the word and the reason.
@@ -32,8 +32,8 @@
 	return v.Word + ": " + v.Reason
 }
 
-// Functions is a set of read-only functions. Names are in lower case and qualified by their schema, unless the
-// schema is pg_catalog.
+// Functions is a set of read-only functions. Names are in lower case. A name includes the schema if statements do,
+// except for the schema pg_catalog.
 type Functions map[string]bool
 
 // has reports whether the set contains a function. For names in lower case, as most are, it does not allocate.
@@ -46,6 +46,9 @@
 //
 // Writes that the text does not show are not detected: a view or an operator that is based on a function that
 // writes, a cast that calls a function, and a function that is called with the syntax of a column (t.f).
+//
+// The text must contain a single statement, which FirstWord checks: the first words of further statements are not
+// examined, nor are any of their words after an EXPLAIN without ANALYZE.
 func EffectOf(stmt string, readOnly Functions) Verdict {
 	l := Lexer{Src: stmt}
 	classifier := effectClassifier{readOnly: readOnly}
--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -182,7 +182,8 @@
 }
 
 // classifyExplainOption classifies a word between EXPLAIN and its statement. ANALYZE in any form causes the
-// statement to be executed. A word that is not a known option begins the statement.
+// statement to be executed. Within the parentheses of the options, only a readingWord begins the statement. Outside
+// them, any word but VERBOSE does.
 func (c *effectClassifier) classifyExplainOption(text string, kind Kind, class keywordClass) {
 	name := unquoteIdentifier(text)
 	if strings.EqualFold(name, "analyze") || strings.EqualFold(name, "analyse") {
