--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -9,8 +9,8 @@
 	// typeWord: the word is a type or a built-in construct with a parenthesis after it. Such a word can't be the
 	// name of a function either.
 	typeWord
-	// infixWord: the word is an operator between two values. If a complete value precedes the word, a parenthesis
-	// after the word does not begin a call.
+	// infixWord: the word is an operator between two operands, or it is FILTER or OVER, which follow a call. After a
+	// complete operand or call, a parenthesis after the word does not begin a call.
 	infixWord
 	// writingWord: the word begins, or is part of, something that changes stored data.
 	writingWord
--- a/internal/sqltext/lexer.go
+++ b/internal/sqltext/lexer.go
@@ -57,8 +57,8 @@
 	';': Semicolon,
 }
 
-// scanPunctuation scans a token that begins with a character without a class: a double quote, a dollar sign,
-// a punctuation mark that may be part of a longer token, or an invalid character.
+// scanPunctuation scans a token that begins with a double quote, a dollar sign, a punctuation mark that may be part
+// of a longer token, or an invalid character.
 func (l *Lexer) scanPunctuation() Token {
 	src := l.Src
 	start := l.Pos
--- a/internal/sqltext/lexer_string.go
+++ b/internal/sqltext/lexer_string.go
@@ -104,7 +104,8 @@
 }
 
 // indexTag returns the position of the first occurrence of the tag at or after i. ok is false if the tag does not
-// occur. A tag has dollar signs only at its start and its end, so no byte is compared twice.
+// occur. A tag has dollar signs only at its start and its end, so the bytes that matched before a mismatch can be
+// skipped, and the search takes linear time.
 func indexTag(src string, i int, tag string) (index int, ok bool) {
 	for i+len(tag) <= len(src) {
 		if src[i] != '$' {
--- a/internal/sqltext/token.go
+++ b/internal/sqltext/token.go
@@ -67,7 +67,7 @@
 	UnicodeEscape
 	// InvalidCharacter means that the text contains a character that no lexical rule accepts, such as NUL.
 	InvalidCharacter
-	// NonASCII means that the text contains bytes above 0x7f. The positions of tokens are unreliable
-	// only if the text is also not valid UTF-8.
+	// NonASCII means that the text contains bytes above 0x7f outside comments. The positions of tokens are
+	// unreliable only if the text is also not valid UTF-8.
 	NonASCII
 )
