--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -10,7 +10,7 @@
 	RoleList            // the alternatives of a list (IN, ANY)
 	RoleLowerBound      // lower bound of a range
 	RoleUpperBound      // upper bound of a range
-	RolePattern         // pattern of LIKE, ILIKE, SIMILAR TO and the operators ~ and ~~
+	RolePattern         // pattern of LIKE, ILIKE and the operators ~, ~*, ~~ and ~~*; not of SIMILAR TO
 	RoleLimit           // number of rows
 	RoleInterval        // a duration, as in now() - interval '1 year'
 )
@@ -42,7 +42,7 @@
 // Features are the properties of a statement that indicate its cost.
 type Features struct {
 	Verb       Verb
-	Tables     int32 // names after FROM and JOIN
+	Tables     int32 // words FROM and JOIN
 	Joins      int32
 	Aggregates int32 // calls of aggregate functions
 	Windows    int32 // window functions: OVER
@@ -58,13 +58,13 @@
 
 // Analysis is the result of analyzing a statement. It is valid until the next analysis by the same Analyzer.
 type Analysis struct {
-	// Fingerprint identifies the normal form by two 64-bit hashes. Their seeds are specific to this process
-	// and secret, so that a client can't construct a statement whose fingerprint collides with that of another
-	// statement. Processes have different fingerprints for the same normal form.
+	// Fingerprint identifies the normal form by two 64-bit hashes. Their seeds are specific to the Analyzer and
+	// secret, so that a client can't construct a statement whose fingerprint collides with that of another
+	// statement. Two Analyzers compute different fingerprints for the same normal form.
 	Fingerprint [2]uint64
 	// NormalForm is the text of the statement without values, comments, and differences of case and spacing.
-	// Lists of alternatives and rows of VALUES are folded: those that equal the first one in this form are
-	// omitted. The number in the name of a schema is replaced by #, so that statements on different data sets
+	// Lists of alternatives and rows of VALUES are folded: elements and rows that equal the first one in this form
+	// are omitted. The number in the name of a schema is replaced by #, so that statements on different data sets
 	// have the same shape.
 	NormalForm []byte
 	// Truncated means that the normal form was too long and NormalForm holds only its last part. The
@@ -75,8 +75,8 @@
 	Slots      []Slot
 	Dataset    int64 // the number of the data set, as returned by DatasetOf
 	HasDataset bool  // the statement names a data set
-	// Restrictions is the number of comparisons between a name and a value. Such comparisons can narrow the
-	// result.
+	// Restrictions is the number of values and lists that can narrow the result: values that are compared with a
+	// name, lists of alternatives and intervals.
 	Restrictions int
 	// Unrestricted means that a condition is true for all rows, as in NULL IS NULL OR a = 1.
 	Unrestricted bool
--- a/internal/sqltext/analyzer.go
+++ b/internal/sqltext/analyzer.go
@@ -1,12 +1,13 @@
 package sqltext
 
-// Analyzer analyzes statements. It allocates only when its buffer grows. It is not safe for concurrent use.
+// Analyzer analyzes statements. It allocates only when its buffer grows, and for the classification of some names
+// that are not in lower case. It is not safe for concurrent use.
 type Analyzer struct {
 	hasher fingerprintHasher
 	buffer []byte // holds the normal form
 
-	// These fields are not part of analysisPass, which is cleared for each statement. Clearing them would
-	// take longer than the analysis of most statements.
+	// These fields are not part of analysisPass, which is cleared for each statement. Clearing slots and lists
+	// would take longer than the analysis of most statements.
 	slots      slotBuffer
 	lists      listStack
 	classifier classifier
--- a/internal/sqltext/doc.go
+++ b/internal/sqltext/doc.go
@@ -15,8 +15,9 @@
 // A caller that needs only one of the results can use a function instead: EffectOf, DatasetOf, FirstWord,
 // LeadingComment, SkipComments or HasTokenPrefix.
 //
-// All functions take time linear in the length of the text. They allocate memory only for results that are
-// new strings.
+// All functions take time linear in the length of the text. Most statements are analyzed without allocating
+// memory: the functions allocate only for the buffer of an Analyzer, for strings that differ from the text, such as a
+// name in lower case, and for copies of bound values.
 //
 // # Files
 //
@@ -37,7 +38,7 @@
 // # Lexical rules
 //
 // The rules are those of PostgreSQL's src/backend/parser/scan.l, as documented in chapter 4.1 ("Lexical
-// Structure") of the PostgreSQL manual. Where versions of PostgreSQL differ (a number followed by a letter, a
-// backslash before a quote), the package follows the interpretation that hides the least text from the
-// classifier.
+// Structure") of the PostgreSQL manual. Where the rules depend on the version of PostgreSQL (a number followed by a
+// letter) or on a setting (a backslash before a quote), the package follows the interpretation that hides the least
+// text from the classifier.
 package sqltext
--- a/internal/sqltext/golden_test.go
+++ b/internal/sqltext/golden_test.go
@@ -83,7 +83,7 @@
 }
 
 // describeStatement formats everything that the package returns for a statement, except the fingerprint, whose seeds
-// differ between processes.
+// are random.
 func describeStatement(stmt string) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "statement %q\n", stmt)
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -15,7 +15,7 @@
 type Profile struct {
 	Alternatives         int     // length of the longest list; 0: no list
 	Span                 float64 // width of the widest closed range, for dates in days; 0: none
-	HalfOpen             bool    // a range has only one bound
+	HalfOpen             bool    // a range has only one bound, or a bound that is not a number
 	Wildcard             Wildcard
 	RowLimit             float64 // number of rows; 0: none
 	DisabledRestrictions int     // restrictions that a null value disables
