--- a/internal/stmtstats/doc.go
+++ b/internal/stmtstats/doc.go
@@ -23,5 +23,6 @@
 //   - snapshot.go: the Snapshot of a Store. snapshot_format.go encodes it, and snapshot_file.go reads and
 //     replaces its file.
 //   - service.go: the Service. service_request.go has its methods for requests, service_restore.go
-//     restores its store from a snapshot, and snapshot_writer.go writes snapshots at intervals.
+//     restores its store from a snapshot, and snapshot_writer.go writes snapshots at intervals and on request.
+//     class_table.go looks up classes, and execution_pool.go reuses executions.
 package stmtstats
