--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Checks format, runs the linters, and runs the tests of all packages with the race detector. The
+# Checks the format, runs the linters, and runs the tests of all packages with the race detector. The
 # tests in KNOWN-RED.txt run at the end; their results are printed and do not count.
 set -eu
 cd "$(dirname "$0")"
--- a/tools/lint/run.sh
+++ b/tools/lint/run.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Checks format with gofumpt and runs golangci-lint. The go.mod of this folder sets their versions,
+# Checks the format with gofumpt and runs golangci-lint. The go.mod of this directory sets their versions,
 # and .golangci.yml at the root configures golangci-lint. Fails if either tool finds anything.
 # usage: run.sh [PACKAGE...], relative to the root; all packages by default
 set -eu
@@ -15,7 +15,7 @@
 go build -C tools/lint -o ../../bin/tools/ \
     github.com/golangci/golangci-lint/v2/cmd/golangci-lint mvdan.cc/gofumpt
 
-# One line for each Go file of a package, with tests and with files of other platforms.
+# Prints one line for each Go file of a package, including tests and files for other platforms.
 go_files_template='{{$dir := .Dir}}{{range .GoFiles}}{{$dir}}/{{.}}
 {{end}}{{range .CgoFiles}}{{$dir}}/{{.}}
 {{end}}{{range .TestGoFiles}}{{$dir}}/{{.}}
--- a/tools/rename/run.sh
+++ b/tools/rename/run.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
 # Renames an identifier and all its uses, in all packages and their tests, with gopls. The go.mod of
-# this directory sets its version. gopls refuses a rename that would change what another name means.
+# this directory sets its version. gopls refuses a rename that would make another name refer to a
+# different declaration.
 # usage: run.sh FILE:LINE:COLUMN NEW, with the file relative to the root and the column in bytes
 set -eu
 cd "$(dirname "$0")/../.."
