--- a/internal/clitest/clitest.go
+++ b/internal/clitest/clitest.go
@@ -1,4 +1,4 @@
-// Package clitest checks the command-line interface of a program. Only tests import it.
+// Package clitest checks the command-line interfaces of the programs. Only tests import it.
 package clitest
 
 import (
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// recorder is a test that records its failures and does not fail.
+// recorder is a testing.TB that records failures and does not fail the test.
 type recorder struct {
 	testing.TB
 	failures []string
@@ -26,7 +26,7 @@
 	runtime.Goexit()
 }
 
-// compare returns the failures of a comparison with the flag -update set as given.
+// compare runs Compare with the flag -update set to updates, and returns the failures that it reports.
 func compare(t *testing.T, path, got string, updates bool) []string {
 	t.Helper()
 	before := *update
@@ -44,15 +44,15 @@
 
 func TestCompare_NamesTheFirstDifferingLine(t *testing.T) {
 	for name, test := range map[string]struct{ got, want, failure string }{
-		"equal":              {"a\nb\n", "a\nb\n", ""},
-		"both empty":         {"", "", ""},
-		"another line":       {"a\nx\nc\n", "a\nb\nd\n", "line 2 (6 bytes, want 6)\n got: \"x\\n\"\nwant: \"b\\n\""},
-		"a line too many":    {"a\nb\n", "a\n", "line 2 (4 bytes, want 2)\n got: \"b\\n\"\nwant: (end of the text)"},
-		"a line missing":     {"a\n", "a\nb\n", "line 2 (2 bytes, want 4)\n got: (end of the text)\nwant: \"b\\n\""},
-		"no last line end":   {"a\nb", "a\nb\n", "line 2 (3 bytes, want 4)\n got: \"b\"\nwant: \"b\\n\""},
-		"another line end":   {"a\r\n", "a\n", "line 1 (3 bytes, want 2)\n got: \"a\\r\\n\"\nwant: \"a\\n\""},
-		"invalid UTF-8":      {"\xff", "\xfe", "line 1 (1 bytes, want 1)\n got: \"\\xff\"\nwant: \"\\xfe\""},
-		"an empty line more": {"a\n\n", "a\n", "line 2 (3 bytes, want 2)\n got: \"\\n\"\nwant: (end of the text)"},
+		"equal":                 {"a\nb\n", "a\nb\n", ""},
+		"both empty":            {"", "", ""},
+		"different line":        {"a\nx\nc\n", "a\nb\nd\n", "line 2 (6 bytes, want 6)\n got: \"x\\n\"\nwant: \"b\\n\""},
+		"extra line":            {"a\nb\n", "a\n", "line 2 (4 bytes, want 2)\n got: \"b\\n\"\nwant: (end of the text)"},
+		"missing line":          {"a\n", "a\nb\n", "line 2 (2 bytes, want 4)\n got: (end of the text)\nwant: \"b\\n\""},
+		"no last line ending":   {"a\nb", "a\nb\n", "line 2 (3 bytes, want 4)\n got: \"b\"\nwant: \"b\\n\""},
+		"different line ending": {"a\r\n", "a\n", "line 1 (3 bytes, want 2)\n got: \"a\\r\\n\"\nwant: \"a\\n\""},
+		"invalid UTF-8":         {"\xff", "\xfe", "line 1 (1 bytes, want 1)\n got: \"\\xff\"\nwant: \"\\xfe\""},
+		"extra empty line":      {"a\n\n", "a\n", "line 2 (3 bytes, want 2)\n got: \"\\n\"\nwant: (end of the text)"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "golden")
@@ -74,7 +74,7 @@
 		updates  bool
 		failures int
 	}{
-		{"a missing file", false, 1},
+		{"missing file", false, 1},
 		{"with -update", true, 0},
 		{"after -update", false, 0},
 	} {
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -81,7 +81,7 @@
 }
 
 // impureImports are packages that a decision package must not import, because they do I/O, log, or
-// draw random numbers.
+// generate random numbers.
 var impureImports = []string{
 	"net", "os", "syscall", "log", "log/slog", "math/rand", "math/rand/v2", "io", "hash/maphash",
 }
@@ -103,11 +103,11 @@
 	}
 }
 
-// checkImport reports an import that breaks a rule on layers, decisions, test support or lab packages.
+// checkImport fails the test if an import breaks a rule on layers, decisions, test support or lab packages.
 func checkImport(t *testing.T, pkg, path string) {
 	t.Helper()
 	if strings.HasPrefix(pkg, decisionPrefix) && slices.Contains(impureImports, path) {
-		t.Errorf("%s imports %s: decisions do no I/O and draw no random numbers", pkg, path)
+		t.Errorf("%s imports %s: decision packages must not do I/O, log, or generate random numbers", pkg, path)
 	}
 	imported, isInternal := strings.CutPrefix(path, modulePrefix)
 	if !isInternal {
@@ -120,9 +120,9 @@
 	layer := layerOf(pkg)
 	switch {
 	case strings.HasPrefix(imported, labPrefix) && !isLab && pkg != "cmd/flaxlab":
-		t.Errorf("%s imports %s: lab packages are not for serving", pkg, imported)
+		t.Errorf("%s imports %s: only lab packages and cmd/flaxlab may import lab packages", pkg, imported)
 	case isLab && strings.HasPrefix(imported, "cmd/"):
-		t.Errorf("%s imports %s", pkg, imported)
+		t.Errorf("%s imports %s: lab packages must not import commands", pkg, imported)
 	case !isLab && layer >= 0 && layerOf(imported) >= 0 && layerOf(imported) < layer:
 		t.Errorf("%s imports %s, which belongs to a higher layer", pkg, imported)
 	}
@@ -140,7 +140,7 @@
 		switch {
 		case strings.HasPrefix(dependency, modulePrefix+labPrefix),
 			strings.HasPrefix(dependency, "gonum.org/"),
-			dependency == "testing": // through a package of test helpers
+			dependency == "testing": // through a test support package
 			t.Errorf("a serving program depends on %s", dependency)
 		}
 	}
@@ -159,7 +159,7 @@
 			files++
 			text, err := os.ReadFile(path)
 			if err != nil {
-				return fmt.Errorf("read a source: %w", err)
+				return fmt.Errorf("read a source file: %w", err)
 			}
 			for number, line := range bytes.Split(text, []byte("\n")) {
 				if clockOrGoroutine.Match(line) {
