--- a/internal/pages/configuration_test.go
+++ b/internal/pages/configuration_test.go
@@ -28,16 +28,18 @@
 	"shapes key":        "Shapes",
 }
 
-// separateTypes have a table of their own. Where another type has such a field, the keys below it are not listed again.
+// separateTypes are listed in a separate table. If another type has a field of such a type, the keys below the field
+// are not listed again.
 var separateTypes = []string{"Settings", "Shapes"}
 
-// keySet contains the keys of a file, with the keys above them: "a.b", or "a[].b" for the elements of a list.
+// keySet contains the keys of a file. A key begins with the keys of the objects that contain it: "a.b", or "a[].b" for
+// the elements of a list.
 type keySet struct {
 	values  map[string]bool // keys of values
 	parents map[string]bool // keys of objects and of lists of objects
 }
 
-// structTypes returns the struct types that the Go files of a directory declare, by name. Tests are left out.
+// structTypes returns the struct types that the Go files of a directory declare, by name. Test files are skipped.
 func structTypes(t *testing.T, directory string) map[string]*ast.StructType {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(directory, "*.go"))
@@ -86,7 +88,7 @@
 	return keys
 }
 
-// addFields adds the keys of the fields of a struct type. The prefix is that of their keys.
+// addFields adds the keys of the fields of a struct type, each with the prefix before it.
 func (s *keySet) addFields(
 	t *testing.T, types map[string]*ast.StructType, definition *ast.StructType, prefix string,
 ) {
@@ -137,7 +139,7 @@
 // firstColumnKeys returns the code spans in the first column of the tables with the header.
 func firstColumnKeys(text, header string) map[string]bool {
 	keys := map[string]bool{}
-	isListed := false // the table in hand has the header
+	isListed := false // whether the current table has the header
 	isFirstRow := true
 	for line := range strings.Lines(text) {
 		line, isRow := strings.CutPrefix(strings.TrimSpace(line), "|")
@@ -160,7 +162,7 @@
 	return keys
 }
 
-// difference returns the keys that a page lacks, and those that it lists although the code does not know them.
+// difference returns the keys that a page lacks, and the keys that it lists and the code does not have.
 func (s *keySet) difference(listed map[string]bool) (missing, unknown []string) {
 	for _, key := range slices.Sorted(maps.Keys(s.values)) {
 		if !listed[key] {
@@ -189,13 +191,13 @@
 			t.Errorf("%s: the table with the column %q lacks %s", configurationPage, header, key)
 		}
 		for _, key := range unknown {
-			t.Errorf("%s: the table with the column %q lists %s, which the code does not know",
+			t.Errorf("%s: the table with the column %q lists %s, which the code does not have",
 				configurationPage, header, key)
 		}
 	}
 }
 
-// TestDifference_FindsMissingAndUnknownKeys runs the comparison on a page with known faults.
+// TestDifference_FindsMissingAndUnknownKeys runs the comparison on a page with known errors.
 func TestDifference_FindsMissingAndUnknownKeys(t *testing.T) {
 	const source = "package p\n\n" +
 		"type file struct {\n" +
--- a/internal/pages/glossary_test.go
+++ b/internal/pages/glossary_test.go
@@ -29,7 +29,7 @@
 // keysOf returns the code spans in the glossary's column of keys.
 func keysOf(glossary string) []string {
 	var keys []string
-	column := -1 // of the keys in the table in hand; -1: it has none
+	column := -1 // index of the key column in the current table; -1 if it has none
 	for line := range strings.Lines(glossary) {
 		line = strings.TrimSpace(line)
 		if !strings.HasPrefix(line, "|") {
@@ -54,7 +54,7 @@
 	return keys
 }
 
-// unknownKeys returns the keys of which a part is not among the words. Words are in lower case.
+// unknownKeys returns the keys that contain a word that is not in words. The words are in lower case.
 func unknownKeys(keys []string, words map[string]bool) []string {
 	var unknown []string
 	for _, key := range keys {
@@ -85,7 +85,7 @@
 	}
 }
 
-// readKeyWords returns the words of the string literals in keyDirectories, without those of tests.
+// readKeyWords returns the words of the string literals in keyDirectories. Test files are skipped.
 func readKeyWords(t *testing.T) map[string]bool {
 	t.Helper()
 	words := map[string]bool{}
@@ -109,7 +109,7 @@
 	return words
 }
 
-// TestGlossary_NamesKeysOfTheCode checks that the code knows each settings key and wire field of the glossary.
+// TestGlossary_NamesKeysOfTheCode checks that the code has each settings key and wire field of the glossary.
 func TestGlossary_NamesKeysOfTheCode(t *testing.T) {
 	glossary, err := os.ReadFile(filepath.Join(repositoryRoot, glossaryPage))
 	if err != nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestUnknownKeys_FindsKeysThatTheCodeLacks runs the check on a glossary with known faults.
+// TestUnknownKeys_FindsKeysThatTheCodeLacks runs the check on a glossary with known errors.
 func TestUnknownKeys_FindsKeysThatTheCodeLacks(t *testing.T) {
 	const source = "package p\n\n" +
 		"type object struct {\n\tContract struct{} `json:\"contract\"`\n\tWarmup float64 `json:\"cold-ms\"`\n}\n\n" +
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -16,7 +16,7 @@
 
 var (
 	link = regexp.MustCompile(`\]\(([^)\s]+)\)`)
-	// testMention matches the name of a test, or a prefix of names with a final asterisk.
+	// testMention matches the name of a test, or a prefix of such names that is followed by an asterisk.
 	testMention   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*\*?`)
 	fencedBlock   = regexp.MustCompile("(?ms)^```[^\n]*\n(.*?)^```")
 	indentedLine  = regexp.MustCompile(`(?m)^ {4}(.+)$`)
@@ -55,7 +55,7 @@
 	return broken
 }
 
-// missingPaths returns the words in code of the page that look like paths of the repository and do not exist.
+// missingPaths returns the words in the page's code that look like paths of the repository and do not exist.
 func (r *repository) missingPaths(p page) []string {
 	var missing []string
 	for _, word := range codeWords(p.text) {
@@ -66,8 +66,8 @@
 	return missing
 }
 
-// codeWords returns the words of the text's code spans and code blocks without the punctuation around them. Of an
-// assignment it returns only the value.
+// codeWords returns the words of the text's code spans and code blocks without the punctuation around them. For an
+// assignment, it returns only the value.
 func codeWords(text string) []string {
 	var words []string
 	add := func(code string) {
@@ -93,7 +93,7 @@
 	return words
 }
 
-// missingIdentifiers returns the Go identifiers in code of the page that are declared nowhere.
+// missingIdentifiers returns the Go identifiers in the page's code that the repository does not declare.
 func (r *repository) missingIdentifiers(p page) []string {
 	inHistory := func(prefix string) bool { return strings.HasPrefix(p.path, prefix) }
 	if slices.ContainsFunc(historyPages, inHistory) {
@@ -136,7 +136,7 @@
 	return missing
 }
 
-// TestPages_NameWhatExists checks every page of the repository.
+// TestPages_NameWhatExists checks the links, paths, tests and identifiers of every page of the repository.
 func TestPages_NameWhatExists(t *testing.T) {
 	read, pages := readRepository(t)
 	for _, p := range pages {
@@ -150,7 +150,7 @@
 			t.Errorf("%s: no test is named %s", p.path, name)
 		}
 		for _, name := range read.missingIdentifiers(p) {
-			t.Errorf("%s: %s is declared nowhere", p.path, name)
+			t.Errorf("%s: the identifier %s is not declared in the repository", p.path, name)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 	return unlinked
 }
 
-// TestReadme_LeadsToEveryPage checks that a new reader finds each page.
+// TestReadme_LeadsToEveryPage checks that a reader of the README finds each page in docs.
 func TestReadme_LeadsToEveryPage(t *testing.T) {
 	_, pages := readRepository(t)
 	index := slices.IndexFunc(pages, func(p page) bool { return p.path == "README.md" })
@@ -194,7 +194,7 @@
 	}
 }
 
-// TestChecks_ReportOnlyWhatIsMissing runs the checks on pages with known faults.
+// TestChecks_ReportOnlyWhatIsMissing runs the checks on pages with known errors.
 func TestChecks_ReportOnlyWhatIsMissing(t *testing.T) {
 	read := newRepository()
 	read.addFile("docs/guide.md", "# Set up\n\n## Who's on call, and when\n")
--- a/internal/pages/repository_test.go
+++ b/internal/pages/repository_test.go
@@ -163,7 +163,7 @@
 	return r.members[owner][name] || slices.ContainsFunc(r.embedded[owner], inEmbedded)
 }
 
-// anchorOf returns the fragment of links to the heading.
+// anchorOf returns the URL fragment that links to the heading.
 func anchorOf(title string) string {
 	keep := func(letter rune) rune {
 		switch {
