--- a/internal/pages/configuration_test.go
+++ b/internal/pages/configuration_test.go
@@ -94,7 +94,7 @@
 ) {
 	t.Helper()
 	for _, field := range definition.Fields.List {
-		name := keyOf(t, field)
+		name := fieldKey(t, field)
 		if name == "" {
 			continue
 		}
@@ -118,8 +118,8 @@
 	}
 }
 
-// keyOf returns the key of a field in JSON or TOML, or "" if it has none.
-func keyOf(t *testing.T, field *ast.Field) string {
+// fieldKey returns the key of a field in JSON or TOML, or "" if it has none.
+func fieldKey(t *testing.T, field *ast.Field) string {
 	t.Helper()
 	if field.Tag == nil {
 		return ""
@@ -139,7 +139,7 @@
 // firstColumnKeys returns the code spans in the first column of the tables with the header.
 func firstColumnKeys(text, header string) map[string]bool {
 	keys := map[string]bool{}
-	isListed := false // whether the current table has the header
+	hasHeader := false // whether the current table has the header
 	isFirstRow := true
 	for line := range strings.Lines(text) {
 		line, isRow := strings.CutPrefix(strings.TrimSpace(line), "|")
@@ -149,10 +149,10 @@
 		}
 		cell, _, _ := strings.Cut(line, "|")
 		if isFirstRow {
-			isListed = strings.TrimSpace(cell) == header
+			hasHeader = strings.TrimSpace(cell) == header
 			isFirstRow = false
 		}
-		if !isListed {
+		if !hasHeader {
 			continue
 		}
 		for _, match := range codeSpan.FindAllStringSubmatch(cell, -1) {
--- a/internal/pages/glossary_test.go
+++ b/internal/pages/glossary_test.go
@@ -26,8 +26,8 @@
 // keyWord matches a settings key without its parents, or a field of a message.
 var keyWord = regexp.MustCompile(`[\w-]+`)
 
-// keysOf returns the code spans in the glossary's column of keys.
-func keysOf(glossary string) []string {
+// glossaryKeys returns the code spans in the glossary's column of keys.
+func glossaryKeys(glossary string) []string {
 	var keys []string
 	column := -1 // index of the key column in the current table; -1 if it has none
 	for line := range strings.Lines(glossary) {
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	keys := keysOf(string(glossary))
+	keys := glossaryKeys(string(glossary))
 	if len(keys) == 0 {
 		t.Fatalf("%s has no table with the column %q", glossaryPage, keyColumn)
 	}
@@ -135,7 +135,7 @@
 		"| term | meaning |\n| --- | --- |\n| other | `not-a-key` |\n"
 	words := map[string]bool{}
 	addLiteralWords(words, []byte(source))
-	keys := keysOf(glossary)
+	keys := glossaryKeys(glossary)
 	wantKeys := []string{"contract.cold-ms", "Req-Id", "identity", "contract.fall_ms", "a-comment"}
 	if !slices.Equal(keys, wantKeys) {
 		t.Errorf("keys %q, want %q", keys, wantKeys)
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -138,18 +138,18 @@
 
 // TestPages_NameWhatExists checks the links, paths, tests and identifiers of every page of the repository.
 func TestPages_NameWhatExists(t *testing.T) {
-	read, pages := readRepository(t)
+	repo, pages := readRepository(t)
 	for _, p := range pages {
-		for _, target := range read.brokenLinks(p) {
+		for _, target := range repo.brokenLinks(p) {
 			t.Errorf("%s: the target of the link %s does not exist", p.path, target)
 		}
-		for _, word := range read.missingPaths(p) {
+		for _, word := range repo.missingPaths(p) {
 			t.Errorf("%s: the path %s does not exist", p.path, word)
 		}
-		for _, name := range read.missingTests(p) {
+		for _, name := range repo.missingTests(p) {
 			t.Errorf("%s: no test is named %s", p.path, name)
 		}
-		for _, name := range read.missingIdentifiers(p) {
+		for _, name := range repo.missingIdentifiers(p) {
 			t.Errorf("%s: the identifier %s is not declared in the repository", p.path, name)
 		}
 	}
@@ -196,13 +196,13 @@
 
 // TestChecks_ReportOnlyWhatIsMissing runs the checks on pages with known errors.
 func TestChecks_ReportOnlyWhatIsMissing(t *testing.T) {
-	read := newRepository()
-	read.addFile("docs/guide.md", "# Set up\n\n## Who's on call, and when\n")
-	read.addFile("docs/incidents/first.md", "# First\n")
-	read.addFile("internal/engine/client.go", "package engine\n\ntype Client struct {\n\tPool\n\tidleTime int\n}\n")
-	read.addFile("internal/engine/pool.go", "package engine\n\ntype Pool struct{}\n\nfunc (p *Pool) Dial() {}\n")
-	read.addFile("internal/engine/client_test.go", "package engine\n\nfunc TestClient_Dials(t *testing.T) {\n")
-	read.addFile("tools/lint/run.sh", "#!/bin/sh\n")
+	repo := newRepository()
+	repo.addFile("docs/guide.md", "# Set up\n\n## Who's on call, and when\n")
+	repo.addFile("docs/incidents/first.md", "# First\n")
+	repo.addFile("internal/engine/client.go", "package engine\n\ntype Client struct {\n\tPool\n\tidleTime int\n}\n")
+	repo.addFile("internal/engine/pool.go", "package engine\n\ntype Pool struct{}\n\nfunc (p *Pool) Dial() {}\n")
+	repo.addFile("internal/engine/client_test.go", "package engine\n\nfunc TestClient_Dials(t *testing.T) {\n")
+	repo.addFile("tools/lint/run.sh", "#!/bin/sh\n")
 
 	cases := []struct {
 		name  string
@@ -210,33 +210,33 @@
 		text  string
 		want  []string
 	}{
-		{"link to a page", read.brokenLinks, "[a](guide.md) [b](incidents/first.md) [c](incidents)", nil},
-		{"link elsewhere", read.brokenLinks, "[a](https://example.org/x.md)", nil},
-		{"link to a missing page", read.brokenLinks, "[a](absent.md)", []string{"absent.md"}},
-		{"link relative to the root", read.brokenLinks, "[a](docs/guide.md)", []string{"docs/guide.md"}},
-		{"link to a heading", read.brokenLinks, "[a](guide.md#whos-on-call-and-when)", nil},
-		{"link to a missing heading", read.brokenLinks, "[a](guide.md#first)", []string{"guide.md#first"}},
-		{"path", read.missingPaths, "`internal/engine/client.go` `tools/lint/`", nil},
-		{"path without its first elements", read.missingPaths, "`engine/client.go`, `client.go`", nil},
-		{"path with an asterisk", read.missingPaths, "`internal/engine/*` `*_test.go`", nil},
-		{"path of a command", read.missingPaths, "`sh tools/lint/run.sh ./internal/engine/...`", nil},
-		{"missing file", read.missingPaths, "`engine/conn.go`", []string{"engine/conn.go"}},
-		{"missing directory", read.missingPaths, "`internal/policy`", []string{"internal/policy"}},
-		{"missing file by name", read.missingPaths, "`conn.go`", []string{"conn.go"}},
-		{"missing path in a command", read.missingPaths, "`sh tools/run.sh`", []string{"tools/run.sh"}},
-		{"missing path in a block", read.missingPaths, "text\n\n    X=tools/x sh\n", []string{"tools/x"}},
-		{"missing path in a fence", read.missingPaths, "```\ntools/y\n```\n", []string{"tools/y"}},
-		{"end of a name only", read.missingPaths, "`ent.go`", []string{"ent.go"}},
-		{"other words", read.missingPaths, "`client.Dial`, `requests.accepted.*`, `text/plain`, `./...`", nil},
-		{"identifiers", read.missingIdentifiers, "`engine.Client`, `Client.idleTime`, `idleTime`", nil},
-		{"promoted method", read.missingIdentifiers, "`engine.Client.Dial`", nil},
-		{"method of another type", read.missingIdentifiers, "`Pool.idleTime`", []string{"Pool.idleTime"}},
-		{"missing method", read.missingIdentifiers, "`Client.Close`", []string{"Client.Close"}},
-		{"missing type", read.missingIdentifiers, "`engine.Conn`", []string{"engine.Conn"}},
-		{"missing function", read.missingIdentifiers, "`dialAgain`", []string{"dialAgain"}},
-		{"no identifiers", read.missingIdentifiers, "`http.closed`, `SIGTERM`, `Busy`, `client.go`, `Client`", nil},
-		{"test", read.missingTests, "TestClient_Dials, `TestClient_*`", nil},
-		{"missing tests", read.missingTests, "TestClient (TestPool_*)", []string{"TestClient", "TestPool_*"}},
+		{"link to a page", repo.brokenLinks, "[a](guide.md) [b](incidents/first.md) [c](incidents)", nil},
+		{"link elsewhere", repo.brokenLinks, "[a](https://example.org/x.md)", nil},
+		{"link to a missing page", repo.brokenLinks, "[a](absent.md)", []string{"absent.md"}},
+		{"link relative to the root", repo.brokenLinks, "[a](docs/guide.md)", []string{"docs/guide.md"}},
+		{"link to a heading", repo.brokenLinks, "[a](guide.md#whos-on-call-and-when)", nil},
+		{"link to a missing heading", repo.brokenLinks, "[a](guide.md#first)", []string{"guide.md#first"}},
+		{"path", repo.missingPaths, "`internal/engine/client.go` `tools/lint/`", nil},
+		{"path without its first elements", repo.missingPaths, "`engine/client.go`, `client.go`", nil},
+		{"path with an asterisk", repo.missingPaths, "`internal/engine/*` `*_test.go`", nil},
+		{"path of a command", repo.missingPaths, "`sh tools/lint/run.sh ./internal/engine/...`", nil},
+		{"missing file", repo.missingPaths, "`engine/conn.go`", []string{"engine/conn.go"}},
+		{"missing directory", repo.missingPaths, "`internal/policy`", []string{"internal/policy"}},
+		{"missing file by name", repo.missingPaths, "`conn.go`", []string{"conn.go"}},
+		{"missing path in a command", repo.missingPaths, "`sh tools/run.sh`", []string{"tools/run.sh"}},
+		{"missing path in a block", repo.missingPaths, "text\n\n    X=tools/x sh\n", []string{"tools/x"}},
+		{"missing path in a fence", repo.missingPaths, "```\ntools/y\n```\n", []string{"tools/y"}},
+		{"end of a name only", repo.missingPaths, "`ent.go`", []string{"ent.go"}},
+		{"other words", repo.missingPaths, "`client.Dial`, `requests.accepted.*`, `text/plain`, `./...`", nil},
+		{"identifiers", repo.missingIdentifiers, "`engine.Client`, `Client.idleTime`, `idleTime`", nil},
+		{"promoted method", repo.missingIdentifiers, "`engine.Client.Dial`", nil},
+		{"method of another type", repo.missingIdentifiers, "`Pool.idleTime`", []string{"Pool.idleTime"}},
+		{"missing method", repo.missingIdentifiers, "`Client.Close`", []string{"Client.Close"}},
+		{"missing type", repo.missingIdentifiers, "`engine.Conn`", []string{"engine.Conn"}},
+		{"missing function", repo.missingIdentifiers, "`dialAgain`", []string{"dialAgain"}},
+		{"no identifiers", repo.missingIdentifiers, "`http.closed`, `SIGTERM`, `Busy`, `client.go`, `Client`", nil},
+		{"test", repo.missingTests, "TestClient_Dials, `TestClient_*`", nil},
+		{"missing tests", repo.missingTests, "TestClient (TestPool_*)", []string{"TestClient", "TestPool_*"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/pages/repository_test.go
+++ b/internal/pages/repository_test.go
@@ -214,7 +214,7 @@
 // readRepository reads the files of this repository.
 func readRepository(t *testing.T) (*repository, []page) {
 	t.Helper()
-	read := newRepository()
+	repo := newRepository()
 	var pages []page
 	err := filepath.WalkDir(repositoryRoot, func(file string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -234,7 +234,7 @@
 				return err
 			}
 		}
-		read.addFile(name, string(text))
+		repo.addFile(name, string(text))
 		if isPage {
 			pages = append(pages, page{path: name, text: string(text)})
 		}
@@ -243,8 +243,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(pages) == 0 || len(read.tests) == 0 {
-		t.Fatalf("read %d pages and %d tests", len(pages), len(read.tests))
+	if len(pages) == 0 || len(repo.tests) == 0 {
+		t.Fatalf("read %d pages and %d tests", len(pages), len(repo.tests))
 	}
-	return read, pages
+	return repo, pages
 }
