--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -21,11 +21,11 @@
 	"flaxrelay/policy"
 )
 
-// defaultStreams is the number of requests in flight on one engine connection, unless a test sets another.
+// defaultStreams is the limit of requests in flight on one engine connection, unless a test sets another.
 const defaultStreams = 32
 
-// server is what the HTTP server and the PostgreSQL server have in common. Drain and Finish must be called on the
-// goroutine of the event loop.
+// server is implemented by the HTTP server and the PostgreSQL server. Drain and Finish must be called on the goroutine
+// of the event loop.
 type server interface {
 	Listen(address string) error
 	Addr() string
@@ -34,7 +34,8 @@
 	CloseListener()
 }
 
-// frontEnd is a proxy in the test's own process. The dispatcher belongs to the goroutine of the event loop.
+// frontEnd is a proxy that runs in the test's process. The dispatcher must be used only on the goroutine of the event
+// loop.
 type frontEnd struct {
 	t          testing.TB
 	loop       *eventloop.Loop
@@ -56,8 +57,8 @@
 // loadRule classifies each INSERT as a load whose idempotency key is its first value.
 var loadRule = pgserver.Rule{Prefix: "insert into", Class: "load", KeyParameter: 1}
 
-// newFrontEnd returns a front end that does not serve yet. It has the settings of the deploy directory, as the function
-// change, which may be nil, has changed them.
+// newFrontEnd returns a front end that does not serve yet. It has the settings of the deploy directory. If change is
+// not nil, newFrontEnd calls it to change these settings.
 func newFrontEnd(tb testing.TB, change func(*policy.Settings)) *frontEnd {
 	tb.Helper()
 	raw, err := os.ReadFile("../../deploy/postgres-settings.json")
@@ -90,7 +91,7 @@
 	return front
 }
 
-// startHTTP is serveHTTP of a new front end with the settings of the deploy directory.
+// startHTTP calls serveHTTP on a new front end with the settings of the deploy directory.
 func startHTTP(tb testing.TB, engines ...string) *frontEnd {
 	tb.Helper()
 	return newFrontEnd(tb, nil).serveHTTP(engines...)
@@ -106,7 +107,7 @@
 	return f
 }
 
-// startPostgres is servePostgres of a new front end with the settings of the deploy directory.
+// startPostgres calls servePostgres on a new front end with the settings of the deploy directory.
 func startPostgres(tb testing.TB, engines ...string) *frontEnd {
 	tb.Helper()
 	return newFrontEnd(tb, nil).servePostgres(engines...)
@@ -121,7 +122,7 @@
 	return f
 }
 
-// serve listens, and runs the event loop until the end of the test. The engines at the addresses are ready.
+// serve listens, runs the event loop until the end of the test, and adds the engines at the addresses as ready.
 func (f *frontEnd) serve(s server, engines []string) {
 	f.t.Helper()
 	if err := s.Listen(tcptest.AnyLoopbackPort); err != nil {
@@ -135,10 +136,10 @@
 	f.updateEndpoints(policy.EngineReady, engines...)
 }
 
-// checkAccounting checks, at the end of every test, that each accepted request had one final response or a client that
-// disconnected, and that each attempt that started had one end.
+// checkAccounting checks, at the end of every test, that each accepted request has one final response or a client that
+// disconnected, and that each started attempt ended once.
 func (f *frontEnd) checkAccounting() {
-	if f.dispatcher.Pending() > 0 { // cut off by the end of the test
+	if f.dispatcher.Pending() > 0 { // interrupted by the end of the test
 		return
 	}
 	accepted := f.counters.Sum("requests.accepted.")
@@ -153,7 +154,7 @@
 	}
 }
 
-// onLoop runs do on the loop's goroutine and waits for it.
+// onLoop runs do on the loop's goroutine and waits until it returns.
 func (f *frontEnd) onLoop(do func()) { eventlooptest.Do(f.loop, do) }
 
 // count returns the sum of the counters whose names begin with the prefix.
@@ -162,7 +163,7 @@
 	return sum
 }
 
-// awaitCount waits until the sum of the counters has reached a value.
+// awaitCount waits until the sum of the counters whose names begin with the prefix has reached a value.
 func (f *frontEnd) awaitCount(prefix string, atLeast int64) {
 	f.t.Helper()
 	if !poll(func() bool { return f.count(prefix) >= atLeast }) {
@@ -170,7 +171,7 @@
 	}
 }
 
-// assertCount checks the sum of the counters now.
+// assertCount checks the current sum of the counters whose names begin with the prefix.
 func (f *frontEnd) assertCount(prefix string, want int64) {
 	f.t.Helper()
 	if got := f.count(prefix); got != want {
@@ -178,7 +179,7 @@
 	}
 }
 
-// endpointAt returns an engine whose ID follows from its address.
+// endpointAt returns the endpoint of an engine whose ID is derived from its address.
 func endpointAt(addr string, state policy.EngineState) lifecycle.Endpoint {
 	return lifecycle.Endpoint{
 		Address: addr,
@@ -186,12 +187,12 @@
 	}
 }
 
-// updateEndpoints delivers an endpoint update with a new state of the engines at the addresses.
+// updateEndpoints delivers an endpoint update that sets the state of the engines at the addresses.
 func (f *frontEnd) updateEndpoints(state policy.EngineState, addrs ...string) {
 	f.applyUpdate(policy.UpdateDelta, state, addrs...)
 }
 
-// replaceEndpoints delivers an endpoint list that has the engines at the addresses and no other.
+// replaceEndpoints delivers an endpoint list that contains only the engines at the addresses.
 func (f *frontEnd) replaceEndpoints(addrs ...string) {
 	f.applyUpdate(policy.UpdateFull, policy.EngineReady, addrs...)
 }
@@ -204,7 +205,7 @@
 	f.onLoop(func() { f.dispatcher.UpdateEndpoints(mode, list) })
 }
 
-// awaitBuffered waits until the front end has received a number of bytes that it has not consumed.
+// awaitBuffered waits until the front end has received at least size bytes that it has not consumed.
 func (f *frontEnd) awaitBuffered(size int64) {
 	f.t.Helper()
 	if !poll(func() bool { return f.loop.BufferedBytes() >= size }) {
--- a/internal/e2e/golden_helpers_test.go
+++ b/internal/e2e/golden_helpers_test.go
@@ -11,11 +11,11 @@
 	"flaxrelay/internal/golden"
 )
 
-// longRun is the least number of equal bytes in a row that a transcript abbreviates.
+// longRun is the length in bytes from which a transcript abbreviates a run of equal bytes.
 const longRun = 40
 
-// transcript records the bytes of an exchange, for comparison with a golden file. Each
-// line holds the name of the connection, the direction and a quoted piece of the stream.
+// transcript records the bytes of an exchange, for comparison with a golden file. Each line contains the name of the
+// connection, the direction and a quoted piece of the stream.
 type transcript struct {
 	t    *testing.T
 	text strings.Builder
@@ -26,7 +26,7 @@
 	return &transcript{t: t}
 }
 
-// add records one piece; a run of one byte is written as its length and the byte.
+// add records one piece of the stream. A long run of equal bytes is written as its length and the byte.
 func (tr *transcript) add(connection, direction string, piece []byte) {
 	_, _ = fmt.Fprintf(&tr.text, "%s%s", connection, direction)
 	for len(piece) > 0 {
@@ -42,7 +42,8 @@
 	tr.text.WriteByte('\n')
 }
 
-// splitAtRun returns the bytes before the first long run of one byte, and the length of the run.
+// splitAtRun returns the bytes before the first long run of equal bytes, and the length of the run. Without a long run,
+// it returns the whole piece and 0.
 func splitAtRun(piece []byte) (plain []byte, run int) {
 	start := 0
 	for i := range piece {
@@ -79,7 +80,7 @@
 	golden.Compare(tr.t, filepath.Join("testdata", name+".golden"), []byte(tr.text.String()))
 }
 
-// readToEnd reads until the peer ends the connection.
+// readToEnd reads until the peer closes the connection.
 func readToEnd(t *testing.T, r io.Reader) []byte {
 	t.Helper()
 	rest, err := io.ReadAll(r)
--- a/internal/e2e/golden_http_helpers_test.go
+++ b/internal/e2e/golden_http_helpers_test.go
@@ -11,10 +11,9 @@
 	"strings"
 )
 
-// Two values of the HTTP front end differ from run to run, and only these are replaced in the
-// transcripts: the start time in the paths of further pages, and the value of Srv-Wait-Ms,
-// which has random jitter. The length of a response that holds such a path is checked against
-// its body and then recorded as that of the replaced body.
+// Two values of the HTTP front end differ between runs, and only these are replaced in the transcripts: the start time
+// in the paths of further pages, and the value of Srv-Wait-Ms, which has random jitter. The Content-Length of a
+// response with such a path is checked against the body, and is then recorded as the length of the recorded body.
 var (
 	startTime   = regexp.MustCompile(`/more/[0-9a-z]+-`)
 	waitValue   = regexp.MustCompile(`Srv-Wait-Ms: [1-9][0-9]{0,3}\r\n`)
@@ -31,13 +30,13 @@
 	more string // the path of further pages that the latest response named
 }
 
-// recordHTTP connects to an HTTP front end; the name precedes each line of the transcript.
+// recordHTTP connects to an HTTP front end. The name precedes each line of the connection in the transcript.
 func (tr *transcript) recordHTTP(name, addr string) *httpRecorder {
 	conn := dial(tr.t, addr)
 	return &httpRecorder{transcript: tr, name: name, conn: conn, in: bufio.NewReader(conn)}
 }
 
-// send writes bytes, in which MORE stands for the path that the latest response named.
+// send writes text, with MORE replaced by the path of further pages that the latest response named.
 func (r *httpRecorder) send(text string) {
 	r.t.Helper()
 	text = strings.ReplaceAll(text, "MORE", r.more)
@@ -47,7 +46,7 @@
 	}
 }
 
-// receive reads one response without the help of an HTTP client, which would hide its bytes.
+// receive reads one response. It uses no HTTP client, which would hide the bytes of the response.
 func (r *httpRecorder) receive() {
 	r.t.Helper()
 	var head []byte
@@ -91,7 +90,7 @@
 	r.event(r.name, "closed by the front end")
 }
 
-// disconnect closes the connection as the client does; all that has arrived is recorded.
+// disconnect half-closes the connection from the client's side, and records what arrives until the front end closes it.
 func (r *httpRecorder) disconnect() {
 	r.t.Helper()
 	closeWrite(r.t, r.conn)
@@ -99,10 +98,10 @@
 	r.event(r.name, "closed by the client")
 }
 
-// healthRequest is a health check with a header, as usual clients send it.
+// healthRequest is a health check with a Host header, as most clients send it.
 const healthRequest = "GET /health HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
-// goldenEngine is the script of an engine that responds by the table of the statement.
+// goldenEngine is the script of an engine whose response depends on the table of the statement.
 func goldenEngine(line string) string {
 	words := strings.Fields(line)
 	switch {
@@ -133,7 +132,7 @@
 	return doneReply(line, "a\t\"1\"\t\\x\nb\t\x01\té\n")
 }
 
-// goldenPage is a page of one long row that holds its number.
+// goldenPage returns a page with one long row that begins with the number of the page.
 func goldenPage(n int) string {
 	const cellLength = 5900 // so that the pages of a result need more than one response
 	return fmt.Sprintf("%d\t%s\tz\n", n, strings.Repeat(string(rune('a'+n)), cellLength))
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -11,9 +11,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// Two values of the PostgreSQL front end are random, and only these are replaced in the
-// transcripts: the secret of BackendKeyData, and the time in the hint when to retry, together
-// with the length of the message that holds it.
+// Two values of the PostgreSQL front end are random, and only these are replaced in the transcripts: the secret of
+// BackendKeyData, and the time in the hint when to retry. The length of the message with the hint is replaced too.
 var (
 	retryHint  = regexp.MustCompile(`Try again in [1-9][0-9]{0,3} ms\.`)
 	secretMark = []byte("<secret>")
@@ -28,8 +27,7 @@
 	keyData []byte // the body of the latest BackendKeyData: process number and secret
 }
 
-// recordPostgres connects to a PostgreSQL front end; the name precedes each line of the
-// transcript.
+// recordPostgres connects to a PostgreSQL front end. The name precedes each line of the connection in the transcript.
 func (tr *transcript) recordPostgres(name, addr string) *pgRecorder {
 	return &pgRecorder{transcript: tr, name: name, conn: dial(tr.t, addr)}
 }
@@ -52,7 +50,7 @@
 	return more
 }
 
-// receiveByte reads one byte, as the response to a request for encryption.
+// receiveByte reads one byte, such as the response to an encryption request.
 func (r *pgRecorder) receiveByte() {
 	r.t.Helper()
 	for len(r.unread) == 0 {
@@ -78,7 +76,7 @@
 	}
 }
 
-// compareBatches sends batches of messages to a front end with one engine, each after the response to the one before,
+// compareBatches sends batches of messages to a front end with one engine, each after the response to the previous one,
 // and compares the exchange with its golden file.
 func compareBatches(t *testing.T, engine func(pgRequest) []byte, batches [][][]byte, goldenName string) {
 	t.Helper()
@@ -107,7 +105,7 @@
 	}
 }
 
-// message records the next message if it is complete.
+// message records the next message and returns its kind and length. If the message is incomplete, both are 0.
 func (r *pgRecorder) message() (kind byte, n int) {
 	const (
 		headLength    = 5
@@ -136,10 +134,10 @@
 	return kind, n
 }
 
-// readToEnd records all that comes until the connection ends.
+// readToEnd records what arrives until the connection is closed.
 func (r *pgRecorder) readToEnd() {
 	r.t.Helper()
-	for r.readMore() { // readMore appends what has come
+	for r.readMore() { // readMore appends to unread
 		continue
 	}
 	for n := 1; n > 0; {
@@ -157,7 +155,7 @@
 	r.event(r.name, "closed by the front end")
 }
 
-// disconnect closes the connection as the client does; all that has arrived is recorded.
+// disconnect half-closes the connection from the client's side, and records what arrives until the front end closes it.
 func (r *pgRecorder) disconnect() {
 	r.t.Helper()
 	closeWrite(r.t, r.conn)
@@ -172,7 +170,7 @@
 	r.receiveUntilReady()
 }
 
-// recordCancel records a CancelRequest, with a mark in place of the secret.
+// recordCancel records a CancelRequest, with secretMark in place of the secret.
 func (tr *transcript) recordCancel(name, addr string, keyData []byte) {
 	tr.t.Helper()
 	recorder := tr.recordPostgres(name, addr)
@@ -185,7 +183,7 @@
 	recorder.recordClose()
 }
 
-// goldenPgEngine is the script of an engine that responds by the text of the statement.
+// goldenPgEngine is the script of an engine whose response depends on the text of the statement.
 func goldenPgEngine(request pgRequest) []byte {
 	switch {
 	case strings.Contains(request.query, "silent"):
--- a/internal/e2e/http_client_helpers_test.go
+++ b/internal/e2e/http_client_helpers_test.go
@@ -14,13 +14,13 @@
 const (
 	// requestID is the id of a request unless a test sets another.
 	requestID = "9b1f03aa5c7e2d41"
-	// defaultWait is the client's wait in milliseconds, in the text of a request.
+	// defaultWait is the client's wait in milliseconds unless a test sets another.
 	defaultWait = "2000"
 	// longWait is a client's wait in milliseconds that outlasts the scenario.
 	longWait = "8000"
-	// emptyResult is the response to a request that matched no rows, with its status.
+	// emptyResult is the status and the body of the response to a request that matched no rows.
 	emptyResult = `200 {"result":[]}`
-	// busyResult is the response to a rejected request.
+	// busyResult is the status and the body of the response to a rejected request.
 	busyResult = `503 {"fault":"Busy"}`
 	// bareHealthRequest is a health check without any header.
 	bareHealthRequest = "GET /health HTTP/1.1\r\n\r\n"
@@ -37,10 +37,10 @@
 		headers + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(statement), statement)
 }
 
-// withID returns the text of a request under another id.
+// withID returns the request with its id replaced.
 func withID(request, id string) string { return strings.Replace(request, requestID, id, 1) }
 
-// withWait returns the text of a request whose client waits for that many milliseconds.
+// withWait returns the request with the client's wait replaced.
 func withWait(request, milliseconds string) string {
 	return strings.Replace(request, defaultWait, milliseconds, 1)
 }
@@ -48,7 +48,7 @@
 // numberedID returns the n-th of a sequence of request ids.
 func numberedID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// httpClient is a client that keeps one connection.
+// httpClient is a client with one persistent connection.
 type httpClient struct {
 	t    *testing.T
 	conn net.Conn
@@ -108,17 +108,17 @@
 	}
 }
 
-// pageRow is the row that the pages of a long result repeat.
+// pageRow is the row that is repeated in the pages of a long result.
 const pageRow = `["x","y","z"]`
 
-// morePathOf returns the path of the further pages that a response names.
+// morePathOf returns the path of the further pages from a response. It reports whether there are further pages.
 func morePathOf(summary string) (path string, more bool) {
 	_, path, more = strings.Cut(summary, `"more":"`)
 	path, _, _ = strings.Cut(path, `"`)
 	return path, more
 }
 
-// countRows follows a response's pages and counts their rows.
+// countRows fetches the further pages of a response and returns the number of rows in all its pages.
 func (c *httpClient) countRows(summary string) (rows int) {
 	c.t.Helper()
 	const maxPages = 9
--- a/internal/e2e/line_engine_helpers_test.go
+++ b/internal/e2e/line_engine_helpers_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// seenCapacity is how many requests a scripted engine reports before it waits for the test.
+// seenCapacity is the number of requests that a scripted engine can report before it blocks until the test reads them.
 const seenCapacity = 100
 
-// startLineEngine starts an engine of the line protocol, which responds to each line as the script says. It reports
-// each line; the line of a request is followed by its statement.
+// startLineEngine starts an engine of the line protocol that responds to each line with the result of script. It sends
+// each line to seen, with the statement appended if the line begins a request.
 func startLineEngine(t *testing.T, script func(line string) (response string)) (addr string, seen chan string) {
 	t.Helper()
 	seen = make(chan string, seenCapacity)
@@ -59,29 +59,29 @@
 	return line + " " + string(statement[:length]), nil
 }
 
-// emptyReply is the script of an engine that serves each request with no rows.
+// emptyReply is the script of an engine that serves each request with an empty result.
 func emptyReply(line string) string { return doneReply(line, "") }
 
 // noReply is the script of an engine that never responds.
 func noReply(string) string { return "" }
 
-// doneReply responds to a line that names a request, and serves the request with one page.
+// doneReply returns the response that serves the request of a line with one page.
 func doneReply(line, page string) string { return servedResponse(strings.Fields(line)[1], page) }
 
-// servedResponse serves the request with one page.
+// servedResponse returns the response that serves the request with one page.
 func servedResponse(id, page string) string {
 	const fields = "batches=1,cpu=12.5,used=3,gauges=util:0.5;queue:0;x1:0;x0:0"
 	return fmt.Sprintf("%s DONE %s %d\r\n%s\r\n", id, fields, len(page), page)
 }
 
-// writeEmptyResult serves the request with no rows, and reports whether the connection accepts it.
+// writeEmptyResult serves the request with an empty result, and reports whether the response could be written.
 func writeEmptyResult(conn net.Conn, id string) bool {
 	_, err := io.WriteString(conn, servedResponse(id, ""))
 	return err == nil
 }
 
 // readRequestIDs calls handle with the id of each request that arrives on a connection of the line protocol, until the
-// connection ends or handle returns false.
+// connection is closed or handle returns false.
 func readRequestIDs(conn net.Conn, handle func(id string) (goOn bool)) {
 	for in := bufio.NewReader(conn); ; {
 		line, err := in.ReadString('\n')
--- a/internal/e2e/peer_helpers_test.go
+++ b/internal/e2e/peer_helpers_test.go
@@ -14,10 +14,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// waitLimit bounds every wait, so that a scenario that goes wrong ends and fails.
+// waitLimit bounds every wait, so that a test fails instead of hanging.
 const waitLimit = 10 * time.Second
 
-// assertEqual compares texts. Its report says what they are.
+// assertEqual fails the test if two texts differ. The failure message begins with what, a description of the texts.
 func assertEqual(t *testing.T, what, got, want string) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -41,7 +41,7 @@
 	select {
 	case value = <-values:
 	case <-time.After(waitLimit):
-		t.Fatalf("nothing came within %v", waitLimit)
+		t.Fatalf("received nothing within %v", waitLimit)
 	}
 	return value
 }
@@ -55,8 +55,8 @@
 	return discarded
 }
 
-// firstCall returns a function that reports whether it is called for the first time. Scripts of several connections
-// and engines may share it.
+// firstCall returns a function that returns true only on its first call. Scripts of several connections and engines may
+// share it.
 func firstCall() func() bool {
 	var called atomic.Bool
 	return func() bool { return called.CompareAndSwap(false, true) }
@@ -96,7 +96,7 @@
 func listenWithFullBacklog(t *testing.T, serve func(net.Conn)) (addr string, accept func()) {
 	t.Helper()
 	fd := bindLoopback(t)
-	const backlog = 0 // the kernel lets one connection wait all the same
+	const backlog = 0 // the kernel still queues one connection
 	if err := syscall.Listen(fd, backlog); err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 	}
 	_ = file.Close() // the listener has a duplicate of its descriptor
 	t.Cleanup(func() { _ = listener.Close() })
-	filler := dial(t, listener.Addr().String()).LocalAddr().String() // the connection that waits
+	filler := dial(t, listener.Addr().String()).LocalAddr().String() // fills the queue
 	return listener.Addr().String(), func() {
 		go acceptAll(listener, func(conn net.Conn) {
 			if conn.RemoteAddr().String() != filler {
@@ -117,7 +117,7 @@
 	}
 }
 
-// dial connects to an address until the test ends, for waitLimit at most.
+// dial connects to an address. The connection has a deadline of waitLimit and is closed at the end of the test.
 func dial(tb testing.TB, addr string) net.Conn {
 	tb.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -129,17 +129,17 @@
 	return conn
 }
 
-// tcpConn returns the TCP connection that the connection must be.
+// tcpConn returns a connection as a TCP connection. Any other type of connection fails the test.
 func tcpConn(t *testing.T, conn net.Conn) *net.TCPConn {
 	t.Helper()
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		t.Fatalf("a connection of type %T", conn)
+		t.Fatalf("%T is not a TCP connection", conn)
 	}
 	return tcp
 }
 
-// closeWrite half-closes a connection, so that its peer ends it too.
+// closeWrite half-closes a connection, so that its peer closes it too.
 func closeWrite(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := tcpConn(t, conn).CloseWrite(); err != nil {
@@ -147,5 +147,5 @@
 	}
 }
 
-// closeConnection, as the response of a scripted engine, makes it close the connection instead.
+// closeConnection, as the response of a scripted engine, makes the engine close the connection instead.
 const closeConnection = "close the connection"
--- a/internal/e2e/postgres_client_helpers_test.go
+++ b/internal/e2e/postgres_client_helpers_test.go
@@ -11,16 +11,16 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// maxClientMessage bounds a message that a scripted PostgreSQL client reads.
+// maxClientMessage limits the length in bytes of a message that a scripted PostgreSQL client reads.
 const maxClientMessage = 1 << 24
 
-// Statements of several tests.
+// Statements that several tests use.
 const (
 	selectPart = "SELECT part FROM stock_1.parts WHERE id = $1"
 	insertPart = "INSERT INTO stock_1.parts VALUES ($1)"
 )
 
-// pgClient is a PostgreSQL client that writes the messages it is given.
+// pgClient is a PostgreSQL client that sends messages unchanged.
 type pgClient struct {
 	t       *testing.T
 	conn    net.Conn
@@ -28,7 +28,7 @@
 	keyData []byte // the body of the latest BackendKeyData: process number and secret
 }
 
-// connectPostgres goes through a startup as the user desk with further parameters.
+// connectPostgres connects and completes the startup as the user desk with further parameters.
 func connectPostgres(t *testing.T, addr string, params ...string) *pgClient {
 	t.Helper()
 	client := &pgClient{t: t, conn: dial(t, addr)}
@@ -92,7 +92,7 @@
 	terminateMessage = pgproto.AppendMessage(nil, 'X')
 )
 
-// runUnnamed is a batch that parses, binds and executes one statement without a name.
+// runUnnamed returns a batch that parses, binds and executes one unnamed statement.
 func runUnnamed(text string, values ...string) [][]byte {
 	return [][]byte{parse("", text), bind("", "", values...), execute("", 0), syncMessage}
 }
@@ -106,8 +106,8 @@
 	}
 }
 
-// receiveUntil reads up to a message of the kind, or the end of the connection, and describes
-// what came: the kind of each message, with its tag, row or error code in brackets.
+// receiveUntil reads up to a message of the kind, or the end of the connection, and describes what it read: the kind of
+// each message, with its tag, row or error code in parentheses.
 func (c *pgClient) receiveUntil(last byte) string {
 	c.t.Helper()
 	var words []string
@@ -147,7 +147,7 @@
 }
 
 // readMoreOrFail appends what arrives to unread, and reports whether the connection is still open. It fails the test if
-// the connection was not closed by its peer but broke.
+// the connection ended with an error instead of being closed by its peer.
 func readMoreOrFail(t *testing.T, conn net.Conn, unread []byte) (appended []byte, more bool) {
 	t.Helper()
 	unread, err := readChunk(conn, unread)
@@ -180,7 +180,7 @@
 	case 'C':
 		word += "(" + strings.TrimRight(string(body), "\x00") + ")"
 	case 'D':
-		const beforeValue = 6 // the number of columns, and the value's length
+		const beforeValue = 6 // bytes: the number of columns, and the value's length
 		word += "(" + string(body[beforeValue:]) + ")"
 	case 'E':
 		e, err := pgproto.ParseError(body)
--- a/internal/e2e/postgres_engine_helpers_test.go
+++ b/internal/e2e/postgres_engine_helpers_test.go
@@ -10,15 +10,15 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// maxEngineMessage bounds a message that a scripted PostgreSQL engine reads.
+// maxEngineMessage limits the length in bytes of a message that a scripted PostgreSQL engine reads.
 const maxEngineMessage = 1 << 20
 
-// pgRequest has the messages that a scripted PostgreSQL engine received up to a Sync.
+// pgRequest describes the messages that a scripted PostgreSQL engine received up to a Sync.
 type pgRequest struct {
 	query    string
 	bind     string // the body of the Bind after its two names
 	describe bool
-	parsed   bool // the statement came with a Parse, and was not prepared before
+	parsed   bool // the batch has a Parse; otherwise its statement was prepared earlier
 }
 
 // cancelQuery is the query of the pgRequest that reports a CancelRequest.
@@ -38,21 +38,20 @@
 	)
 	// oneParameter is the body of a ParameterDescription with one parameter of text.
 	oneParameter = []byte{0, 1, 0, 0, 0, 25}
-	// describeReply responds to a Parse and a Describe of a statement.
+	// describeReply is the response to a Parse and a Describe of a statement.
 	describeReply = bytes.Join([][]byte{
 		parseComplete, pgproto.AppendMessage(nil, 't', oneParameter), pgproto.AppendMessage(nil, 'T', oneColumn),
 	}, nil)
 )
 
-// startPgEngine starts a PostgreSQL engine, which responds to each batch as the script says. A batch to which the
-// script returns nil has no response. The engine reports each batch, and each CancelRequest as a request with
-// cancelQuery.
+// startPgEngine starts a PostgreSQL engine that responds to each batch with the result of script. If script returns
+// nil, the engine does not respond. It sends each batch to seen, and each CancelRequest as a request with cancelQuery.
 func startPgEngine(t *testing.T, script func(pgRequest) []byte) (addr string, seen chan pgRequest) {
 	t.Helper()
 	return startSlowPgEngine(t, 0, script)
 }
 
-// startSlowPgEngine starts a PostgreSQL engine whose startup takes some time.
+// startSlowPgEngine starts a PostgreSQL engine that delays its response to a startup.
 func startSlowPgEngine(
 	t *testing.T, startupTime time.Duration, script func(pgRequest) []byte,
 ) (addr string, seen chan pgRequest) {
@@ -63,7 +62,7 @@
 		if !c.readStartup() {
 			return
 		}
-		time.Sleep(startupTime) // a step of the scenario in real time
+		time.Sleep(startupTime) // the scenario needs real time to pass
 		c.writeStartupReply()
 		c.serve()
 	}), seen
@@ -85,7 +84,7 @@
 	return err == nil
 }
 
-// readStartup reads the first message, and reports whether batches follow it. After a CancelRequest there are none.
+// readStartup reads the first message, and reports whether batches follow it. None follow a CancelRequest.
 func (c *pgEngineConn) readStartup() bool {
 	for {
 		code, _, n, _ := pgproto.ParseStartup(c.unread)
@@ -109,7 +108,7 @@
 	_, _ = c.conn.Write(append(out, readyForQuery...))
 }
 
-// serve responds to batches until the connection ends.
+// serve responds to batches until the connection is closed.
 func (c *pgEngineConn) serve() {
 	var request pgRequest
 	for {
@@ -159,7 +158,7 @@
 	if string(response) == closeConnection {
 		return false
 	}
-	if !request.parsed { // no ParseComplete then
+	if !request.parsed { // without a Parse there is no ParseComplete
 		response = bytes.TrimPrefix(response, parseComplete)
 	}
 	if response != nil {
@@ -168,7 +167,7 @@
 	return true
 }
 
-// pgRows responds to a batch with text rows of one column.
+// pgRows returns the response to a batch, with text rows of one column.
 func pgRows(rows ...string) []byte {
 	b := append(bytes.Clone(parseComplete), bindComplete...)
 	b = pgproto.AppendMessage(b, 'T', oneColumn)
@@ -186,5 +185,5 @@
 // noPgReply is the script of an engine that responds to no batch.
 func noPgReply(pgRequest) []byte { return nil }
 
-// oneRowReply responds to each batch with one row.
+// oneRowReply is the script of an engine that responds to each batch with one row.
 func oneRowReply(pgRequest) []byte { return pgRows("a") }
