--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -7,8 +7,8 @@
 	"flaxrelay/policy"
 )
 
-// If the settings name tenants, a tenant within its quota has the full limit. Requests without a tenant have the part
-// of the limit beyond the quotas.
+// If the settings name tenants, a tenant within its quota may use the full limit. Requests without a tenant may use
+// only the part of the limit that exceeds the quotas.
 func TestAdmission_TenantWithinItsQuotaHasTheFullLimit(t *testing.T) {
 	const requests = 80
 	const (
@@ -36,8 +36,8 @@
 	}
 }
 
-// Requests of one order key run one at a time, in the order of their arrival. The request of a
-// client that disconnects while the request is queued is not forwarded.
+// Requests with the same ordering key run one at a time, in the order of their arrival. If a client disconnects while
+// its request is queued, the request is not forwarded.
 func TestAdmission_RequestsOfOneOrderKeyRunOneAtATime(t *testing.T) {
 	running := make(chan string, seenCapacity)
 	finish := make(chan string)
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -12,9 +12,8 @@
 	"time"
 )
 
-// BenchmarkRequestThroughFrontEnd measures one request of a client that keeps its
-// connection: over loopback to the HTTP front end, through the dispatcher and the client of the
-// line protocol to an engine in this process, and back.
+// BenchmarkRequestThroughFrontEnd measures one request of a client with a persistent connection: over loopback to the
+// HTTP front end, through the dispatcher and the client of the line protocol to an engine in this process, and back.
 func BenchmarkRequestThroughFrontEnd(b *testing.B) {
 	conn := dial(b, startHTTP(b, startPromptEngine(b)).addr)
 	_ = conn.SetDeadline(time.Time{}) // the run may be long
@@ -36,9 +35,9 @@
 	}
 }
 
-// startPromptEngine is an engine of the line protocol that serves each request at once with one
-// row. It does not report the requests, which would be part of the measurement, and has no
-// deadline, since the run may be long.
+// startPromptEngine starts an engine of the line protocol that serves each request at once with one row. It does not
+// report the requests, because that would be part of the measurement. Its connections have no deadline, because the run
+// may be long.
 func startPromptEngine(b *testing.B) (addr string) {
 	b.Helper()
 	return listen(b, func(conn net.Conn) {
@@ -47,7 +46,7 @@
 	})
 }
 
-// servePromptly serves one connection until it ends.
+// servePromptly serves one connection until it is closed.
 func servePromptly(conn net.Conn) {
 	const row = "a\tb\tc\n"
 	in := bufio.NewReader(conn)
--- a/internal/e2e/client_disconnect_test.go
+++ b/internal/e2e/client_disconnect_test.go
@@ -9,8 +9,8 @@
 	"flaxrelay/policy"
 )
 
-// The attempt of a client that disconnects is cancelled. A late response to it on the same connection is not taken for
-// the response to the next request of that id.
+// If a client disconnects, its attempt is cancelled. A late response to the attempt on the same connection is not taken
+// for the response to the next request with the same id.
 func TestClientDisconnect_CancelsTheAttemptAndDiscardsItsLateResponse(t *testing.T) {
 	var first string
 	addr, seen := startLineEngine(t, func(line string) string {
@@ -30,13 +30,13 @@
 	client.close()
 	assertEqual(t, "the engine received", await(t, seen), "never_mind "+requestID)
 	got, _ := connectHTTP(t, front.addr).roundTrip(queryRequest("lookup", ""))
-	assertEqual(t, "the next request of that id", got, `200 {"result":[["fresh","",""]]}`)
+	assertEqual(t, "the next request with that id", got, `200 {"result":[["fresh","",""]]}`)
 	front.assertCount("engine-connections.dialed", 2) // a cancelled id is not used again on its connection
 }
 
 // A client disconnects while its attempt waits for a connection to the engine: the engine receives nothing of the
-// request once the connection is established, also if the settings permit no cancel. The request of another client is
-// served.
+// request once the connection is established, even if the settings do not permit cancellation. The request of another
+// client is served.
 func TestClientDisconnect_BeforeTheEngineConnectionIsUpSendsNothing(t *testing.T) {
 	for _, cancelPermitted := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelPermitted=%v", cancelPermitted), func(t *testing.T) {
--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -7,9 +7,9 @@
 	"flaxrelay/policy"
 )
 
-// At the limit of client connections, a new client evicts a connection that has not sent a complete request or, if
-// there is none, the connection that has been idle longest. A connection with a request in flight is never evicted, and
-// below the limit no connection is.
+// At the limit of client connections, a new client evicts a connection that has not sent a complete request. If every
+// connection has sent one, it evicts the connection that has been idle longest. A connection with a request in flight
+// is never evicted, and below the limit no connection is evicted.
 func TestConnectionLimit_EvictsTheLongestIdleClient(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := newFrontEnd(t, nil)
@@ -37,8 +37,8 @@
 	front.assertCount("requests.disconnected.", 0)
 }
 
-// At the limit of engine connections, a new one evicts the connection that has been idle longest. If all are in use, a
-// request is rejected at once and no connection is opened.
+// At the limit of engine connections, a new connection evicts the one that has been idle longest. If all connections
+// are in use, a request is rejected at once and no connection is opened.
 func TestConnectionLimit_EvictsTheLongestIdleEngineConnection(t *testing.T) {
 	first, _ := startLineEngine(t, emptyReply)
 	second, _ := startLineEngine(t, emptyReply)
@@ -59,7 +59,7 @@
 	assertEqual(t, "second", queryOnly(second), emptyResult)
 	front.assertCount("engine-connections.evicted", 0)
 	front.updateEndpoints(policy.EngineReady, unresponsive)
-	for n := range 2 { // each takes a connection of its own
+	for n := range 2 { // each needs a separate connection
 		connectHTTP(t, front.addr).send(withID(queryRequest("lookup", ""), numberedID(n+1)))
 		await(t, seen)
 	}
@@ -70,8 +70,8 @@
 	front.assertCount("engine-connections.dialed", dialed)
 }
 
-// evictAfterReading starts a front end that reads the text of a new client and, before it handles the text, evicts this
-// client's connection in favour of another client.
+// evictAfterReading starts a front end that reads the text of a new client and, before it handles the text, evicts the
+// connection of this client to accept another client.
 func evictAfterReading(t *testing.T, text string) (*frontEnd, *httpClient) {
 	t.Helper()
 	addr, _ := startLineEngine(t, emptyReply)
@@ -80,9 +80,9 @@
 	front.serveHTTP(addr)
 	client := connectHTTP(t, front.addr)
 	front.awaitCount("http.connections", 1)
-	const pastMinSilentTime = 30 * time.Millisecond // longer than a new connection is safe from an eviction
+	const pastMinSilentTime = 30 * time.Millisecond // longer than a new connection is protected from eviction
 	time.Sleep(pastMinSilentTime)
-	front.onLoop(func() { // the new client is accepted on the next turn, and before the text is handed on
+	front.onLoop(func() { // the next iteration of the loop accepts the new client before it handles the text
 		dial(t, front.addr)
 		time.Sleep(pastMinSilentTime)
 		front.deliver(client.conn, text)
@@ -96,7 +96,7 @@
 	assertEqual(t, "response", client.receive(), busyResult)
 }
 
-// Pipelined requests that were read just before the eviction of their connection all have a response, also the
+// Pipelined requests that were read just before the eviction of their connection all have a response, including the
 // incomplete request after them.
 func TestConnectionLimit_AllRequestsReadBeforeEvictionHaveResponses(t *testing.T) {
 	request := queryRequest("lookup", "")
--- a/internal/e2e/descriptor_limit_test.go
+++ b/internal/e2e/descriptor_limit_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// descriptorTestEnv marks the process that TestDescriptorLimit starts for the front end.
+	// descriptorTestEnv is set in the child process that a descriptor limit test starts for the front end.
 	descriptorTestEnv = "FLAXRELAY_DESCRIPTOR_TEST_CHILD"
-	// descriptorLimit bounds the descriptors of that process.
+	// descriptorLimit is the descriptor limit of the child process.
 	descriptorLimit = 40
-	// readyPrefix precedes the address in the line that the process prints.
+	// readyPrefix precedes the address in the line that the child process prints.
 	readyPrefix = "serving at "
 )
 
-// startLimitedFrontEnd starts an HTTP front end in a process with few descriptors, which runs the
-// named test and lives until the end of this one.
+// startLimitedFrontEnd starts an HTTP front end in a child process with few descriptors. The child process runs the
+// same test as its parent, and exits at the end of the test in the parent.
 func startLimitedFrontEnd(t *testing.T) (addr string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
@@ -45,7 +45,7 @@
 	return strings.TrimSpace(strings.TrimPrefix(line, readyPrefix))
 }
 
-// serveWithLimitedDescriptors serves in that process until its standard input ends.
+// serveWithLimitedDescriptors serves in the child process until its standard input is closed.
 func serveWithLimitedDescriptors(t *testing.T) {
 	t.Helper()
 	limit := syscall.Rlimit{Cur: descriptorLimit, Max: descriptorLimit}
@@ -56,8 +56,8 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// A full descriptor table neither ends the program nor disturbs the connected clients. Clients
-// that wait are served once others disconnect, and none is rejected.
+// If all descriptors are in use, the program keeps running and serves the connected clients. Clients that wait are
+// served once others disconnect, and no client is rejected.
 func TestDescriptorLimit_WaitingClientsAreServedOnceOthersDisconnect(t *testing.T) {
 	if os.Getenv(descriptorTestEnv) != "" {
 		serveWithLimitedDescriptors(t)
--- a/internal/e2e/discovery_test.go
+++ b/internal/e2e/discovery_test.go
@@ -8,8 +8,8 @@
 	"flaxrelay/policy"
 )
 
-// An engine begins to drain, or a full update no longer names it, while a request waits for its
-// connection: nothing is written when that comes up, and another engine serves the client.
+// An engine begins to drain, or a full update no longer names it, while a request waits for a connection to the engine:
+// nothing is written once the connection is established, and another engine serves the client.
 func TestDiscovery_RequestAwaitingConnectionMovesWhenEngineDrains(t *testing.T) {
 	for name, withdraw := range map[string]func(front *frontEnd, draining, other string){
 		"begins to drain": func(front *frontEnd, draining, _ string) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// A full update that no longer names an engine closes the connections to it: no request would
-// use them, and nothing else would close them.
+// A full update that no longer names an engine closes the connections to the engine: no request would use these
+// connections, and nothing else would close them.
 func TestDiscovery_FullUpdateClosesConnectionsToRemovedEngines(t *testing.T) {
 	removed, _ := startLineEngine(t, emptyReply)
 	remaining, _ := startLineEngine(t, emptyReply)
--- a/internal/e2e/engine_faults_test.go
+++ b/internal/e2e/engine_faults_test.go
@@ -11,22 +11,21 @@
 	"flaxrelay/policy"
 )
 
-// A malformed response of an engine ends its connection, and the client still has its one
-// response.
+// A malformed response of an engine closes its connection, and the client still gets exactly one response.
 func TestEngineFault_MalformedResponseIsAProtocolError(t *testing.T) {
 	for name, response := range map[string]string{
-		"no response line":    "nonsense\r\n",
-		"body too long":       requestID + " DONE - 99999999\r\n",
-		"body longer":         requestID + " DONE - 2\r\nabcd",
-		"unknown kind":        requestID + " HUH - 0\r\n\r\n",
-		"row without end":     requestID + " DONE batches=1 3\r\nabc\r\n",
-		"batches no number":   requestID + " DONE batches=x 0\r\n\r\n",
-		"line without end":    strings.Repeat("x", 3000),
-		"too few columns":     requestID + " DONE batches=1 4\r\na\tb\n\r\n",
-		"row is no text":      requestID + " DONE batches=1 6\r\na\tb\t\xff\n\r\n",
-		"no batches":          requestID + " DONE - 0\r\n\r\n",
-		"too many batches":    requestID + " DONE batches=65 0\r\n\r\n",
-		"length past 32 bits": requestID + " DONE batches=1 3000000000\r\n",
+		"no response line":            "nonsense\r\n",
+		"body too long":               requestID + " DONE - 99999999\r\n",
+		"body longer than its length": requestID + " DONE - 2\r\nabcd",
+		"unknown kind":                requestID + " HUH - 0\r\n\r\n",
+		"unterminated row":            requestID + " DONE batches=1 3\r\nabc\r\n",
+		"batches not a number":        requestID + " DONE batches=x 0\r\n\r\n",
+		"unterminated line":           strings.Repeat("x", 3000),
+		"too few columns":             requestID + " DONE batches=1 4\r\na\tb\n\r\n",
+		"row not text":                requestID + " DONE batches=1 6\r\na\tb\t\xff\n\r\n",
+		"no batches":                  requestID + " DONE - 0\r\n\r\n",
+		"too many batches":            requestID + " DONE batches=65 0\r\n\r\n",
+		"length past 32 bits":         requestID + " DONE batches=1 3000000000\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, _ := startLineEngine(t, func(string) string { return response })
@@ -42,7 +41,7 @@
 	}
 }
 
-// A duplicate of a response, or a response with an unknown id, does not end the connection or the other requests on it.
+// A duplicate response, or a response with an unknown id, ends neither the connection nor the other requests on it.
 func TestEngineFault_DuplicateResponsesKeepTheConnection(t *testing.T) {
 	addr, _ := startLineEngine(t, func(line string) string {
 		words := strings.Fields(line)
@@ -65,8 +64,8 @@
 	front.assertCount("engine-connections.dialed", 1)
 }
 
-// A response stalls in the middle while its connection stays open. The connection is closed soon, all attempts on it
-// end, and another connection serves both requests.
+// An engine stops sending in the middle of a response while its connection stays open. The front end soon closes the
+// connection, all attempts on it end, and another connection serves both requests.
 func TestEngineFault_StalledResponseEndsTheConnectionAndIsRetried(t *testing.T) {
 	stalled := false
 	addr, seen := startLineEngine(t, func(line string) string {
@@ -87,7 +86,7 @@
 	await(t, seen)
 	got, _ := two.roundTrip(withID(queryRequest("lookup", ""), numberedID(2)))
 	assertEqual(t, "the request whose response stalled", got, emptyResult)
-	assertEqual(t, "the other on that connection", one.receive(), emptyResult)
+	assertEqual(t, "the other request on that connection", one.receive(), emptyResult)
 	front.assertCount("attempts.ended.protocol-error", 2)
 }
 
@@ -95,7 +94,7 @@
 // treats as a stall.
 const dripInterval = 100 * time.Millisecond
 
-// writeEndlessResponse sends a response a byte at a time until the front end closes the connection.
+// writeEndlessResponse sends a response one byte at a time until the front end closes the connection.
 func writeEndlessResponse(conn net.Conn, id string) {
 	_, err := fmt.Fprintf(conn, "%s DONE batches=1 9000\r\n", id)
 	for ; err == nil; _, err = io.WriteString(conn, "a") {
@@ -103,8 +102,8 @@
 	}
 }
 
-// A response comes a byte at a time and never ends. Its connection is closed while the clients
-// still wait, and another engine, or the same one on a new connection, serves them.
+// A response arrives one byte at a time and never ends. Its connection is closed while the clients still wait, and
+// another engine, or the same engine on a new connection, serves them.
 func TestEngineFault_EndlessResponseEndsTheConnectionAndIsRetried(t *testing.T) {
 	isFirst := firstCall()
 	addr := listen(t, func(conn net.Conn) {
@@ -123,8 +122,8 @@
 	front.assertCount("attempts.ended.protocol-error", 1)
 }
 
-// An attempt times out at an engine that does not respond. It is cancelled there only if the settings permit that, and
-// the client has its one response in either case.
+// An attempt times out at an engine that does not respond. The engine receives a cancellation only if the settings
+// permit it, and the client gets exactly one response in either case.
 func TestEngineFault_TimeoutIsCancelledOnlyWherePermitted(t *testing.T) {
 	for cancelPermitted, wantCancels := range map[bool]int{true: 1, false: 0} {
 		t.Run(fmt.Sprintf("permitted=%v", cancelPermitted), func(t *testing.T) {
--- a/internal/e2e/graceful_shutdown_test.go
+++ b/internal/e2e/graceful_shutdown_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// rowResult is the response of the front end to a request that rowReply serves.
+// rowResult is the status and the body of the response to a request that rowReply serves.
 const rowResult = `200 {"result":[["a","b","c"]]}`
 
 // rowReply is the script of an engine that serves each request with one row.
 func rowReply(line string) string { return doneReply(line, "a\tb\tc\n") }
 
-// A request arrives on an idle connection at the moment at which a graceful shutdown closes idle
-// connections: it has one response, and its connection ends after it.
+// A request arrives on an idle connection just as a graceful shutdown closes idle connections: the request has one
+// response, after which its connection is closed.
 func TestGracefulShutdown_RequestInTransitIsServed(t *testing.T) {
 	const partLength = len("POST /rpc/lookup HTT")
 	addr, seen := startLineEngine(t, rowReply)
@@ -26,9 +26,9 @@
 		front.deliver(partial.conn, text[:partLength])
 		front.server.Drain()
 	})
-	assertEqual(t, "the request that arrived just before", complete.receive(), rowResult)
+	assertEqual(t, "the request that arrived just before the shutdown", complete.receive(), rowResult)
 	got, _ := partial.roundTrip(text[partLength:])
-	assertEqual(t, "the request of which a part had arrived", got, rowResult)
+	assertEqual(t, "the request that had arrived in part", got, rowResult)
 	for _, client := range []*httpClient{complete, partial, idle} {
 		client.assertClosed()
 	}
@@ -38,8 +38,7 @@
 	front.assertCount("requests.disconnected.", 0)
 }
 
-// Pipelined requests all have a response in a graceful shutdown: the connection closes after the
-// last one.
+// In a graceful shutdown, all pipelined requests have a response. The connection is closed after the last response.
 func TestGracefulShutdown_PipelinedRequestsAllHaveResponses(t *testing.T) {
 	addr, _ := startLineEngine(t, rowReply)
 	front := startHTTP(t, addr)
@@ -59,8 +58,7 @@
 	client.assertClosed()
 }
 
-// The end of a shutdown rejects each of the requests that a client has pipelined after a request in
-// flight.
+// At the end of a shutdown, each request that a client has pipelined after a request in flight is rejected.
 func TestGracefulShutdown_PipelinedRequestsAtItsEndAreRejected(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := startHTTP(t, addr)
--- a/internal/e2e/http_deadline_test.go
+++ b/internal/e2e/http_deadline_test.go
@@ -10,13 +10,13 @@
 	"flaxrelay/internal/frontend/httpserver"
 )
 
-// deadlineSlack is by how many milliseconds the time that an engine is given may exceed what the client has left.
+// deadlineSlack is the number of milliseconds by which the time given to an engine may exceed the client's time left.
 const deadlineSlack = 150
 
-// timeLeftField matches the time that a request line gives its engine, in milliseconds.
+// timeLeftField matches the field of a request line that gives the engine its time in milliseconds.
 var timeLeftField = regexp.MustCompile(`,ms=([0-9]+)`)
 
-// awaitTimeLeft waits until an engine receives the request, and returns the milliseconds that it was given.
+// awaitTimeLeft waits until an engine receives the request, and returns the milliseconds that the engine was given.
 func awaitTimeLeft(t *testing.T, seen <-chan string, id string) (milliseconds int) {
 	t.Helper()
 	line := await(t, seen)
@@ -35,8 +35,8 @@
 }
 
 // Two requests are pipelined on one connection, and the first times out at an engine that does not respond. The wait of
-// the second began with its last byte. It has passed when the first has its response, so that the second is rejected
-// at once and not forwarded.
+// the second request began with its last byte, and has passed when the first request has its response. The second
+// request is rejected at once and not forwarded.
 func TestHTTP_DeadlineOfPipelinedRequestRunsFromItsArrival(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := startHTTP(t, addr)
@@ -51,7 +51,7 @@
 	front.assertCount("attempts.started.", 1)
 }
 
-// Bytes of a later request are read while an earlier one is in flight. They do not move the deadline of the request
+// Bytes of a later request are read while an earlier request is in flight. They do not move the deadline of the request
 // between the two: its time runs from its own last byte.
 func TestHTTP_LaterBytesDoNotMoveTheDeadlineOfAPipelinedRequest(t *testing.T) {
 	const laterBytesAfter = 280 * time.Millisecond
@@ -65,14 +65,14 @@
 	time.Sleep(laterBytesAfter)
 	client.send("P")
 	assertEqual(t, "first response", client.receive(), busyResult)
-	// At least 300 of its 1000 ms were over.
+	// At least 300 ms of its 1000 ms have passed.
 	if left := awaitTimeLeft(t, seen, numberedID(2)); left > 700+deadlineSlack {
 		t.Errorf("the engine was given %d ms, want %d at most", left, 700+deadlineSlack)
 	}
 }
 
-// The time of a request also runs while it waits in the kernel for its connection to be accepted, from its last byte
-// on: accepts may fail for a while, and the place of an earlier client may be needed.
+// The time of a request runs from its last byte, even while the connection waits in the kernel to be accepted: accepts
+// may fail for a while, or an earlier client may have to disconnect first.
 func TestHTTP_DeadlineRunsWhileTheConnectionAwaitsItsAccept(t *testing.T) {
 	const waited = 600 * time.Millisecond
 	addr, seen := startLineEngine(t, noReply)
@@ -95,6 +95,6 @@
 	}
 	const mostLeft = 400 + deadlineSlack
 	if left := awaitTimeLeft(t, seen, requestID); left > mostLeft {
-		t.Errorf("the engine was given %d ms after a wait of %v, of 1000 ms in all", left, waited)
+		t.Errorf("the engine was given %d ms after %v of the 1000 ms had passed", left, waited)
 	}
 }
--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -8,8 +8,7 @@
 	"time"
 )
 
-// A request is forwarded with its id, class and idempotency key, and its rows arrive unchanged
-// and in order.
+// A request is forwarded with its id, class and idempotency key, and its rows are returned unchanged and in order.
 func TestHTTP_ForwardsRequestFieldsAndReturnsRowsInOrder(t *testing.T) {
 	addr, seen := startLineEngine(t, func(line string) string {
 		return requestID + " TELL res=p,num=0.5 0\r\n\r\n" + doneReply(line, "a\t\"1\"\t\\x\nb\t2\té\n")
@@ -23,7 +22,7 @@
 		"want " + requestID + " kind=load,ms=", ",token=k-1,", " 31 SELECT day FROM sales_17.orders",
 	} {
 		if !strings.Contains(line, part) {
-			t.Errorf("engine was asked %q, without %q", line, part)
+			t.Errorf("the engine received %q, without %q", line, part)
 		}
 	}
 	front.assertCount("attempts.progress", 1)
@@ -56,7 +55,7 @@
 	}
 }
 
-// An engine crashes between the first page and the rest. No row has been forwarded, so that another engine serves the
+// An engine crashes between the first page and the rest. No row has been forwarded yet, so another engine serves the
 // client, which fetches the long result page by page.
 func TestHTTP_CollectsPagesBeforeForwardingRows(t *testing.T) {
 	isFirstTurn := firstCall()
@@ -75,7 +74,7 @@
 	front.assertCount("attempts.started.", 2)
 }
 
-// A path has the status 404 once its result is deleted, and so has a path that an earlier process made.
+// The path of further pages has the status 404 once its result is deleted, and so has a path from an earlier process.
 func TestHTTP_PathWithoutAResultIsNotFound(t *testing.T) {
 	addr, _ := startLineEngine(t, longResultReply)
 	front := startHTTP(t, addr)
@@ -101,28 +100,28 @@
 	client.assertClosed()
 }
 
-// An invalid request has a status of its own, and is neither accepted nor forwarded.
+// An invalid request has the status for its error, and is neither accepted nor forwarded.
 func TestHTTP_InvalidRequestsAreRejectedWithoutAnAttempt(t *testing.T) {
 	addr, _ := startLineEngine(t, emptyReply)
 	front := startHTTP(t, addr)
 	for name, tt := range map[string]struct{ text, want string }{
-		"no HTTP":         {"hello\r\n\r\n", "400"},
-		"unknown class":   {queryRequest("nope", ""), "404"},
-		"unknown path":    {"GET /x HTTP/1.1\r\n\r\n", "404"},
-		"method":          {"GET /rpc/lookup HTTP/1.1\r\n\r\n", "405"},
-		"bad id":          {withID(queryRequest("lookup", ""), "xyz"), "400"},
-		"bad wait":        {withWait(queryRequest("lookup", ""), "NaN"), "400"},
-		"bad cost":        {queryRequest("lookup", "Req-Cost: -1\r\n"), "400"},
-		"load, no key":    {queryRequest("load", ""), "400"},
-		"key with comma":  {queryRequest("load", "Req-Token: a,b\r\n"), "400"},
-		"field twice":     {queryRequest("lookup", "Req-Id: "+requestID+"\r\n"), "400"},
-		"large body":      {"POST /rpc/lookup HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n", "413"},
-		"large head":      {"GET /" + strings.Repeat("x", 20000), "431"},
-		"chunked":         {"POST /rpc/lookup HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "501"},
-		"version":         {"GET /health HTTP/2.0\r\n\r\n", "505"},
-		"delete unknown":  {"DELETE /more/x/1 HTTP/1.1\r\n\r\n", "404"},
-		"health is fine":  {bareHealthRequest, "200"},
-		"more, odd paths": {"GET /more/ HTTP/1.1\r\n\r\n", "404"},
+		"not HTTP":           {"hello\r\n\r\n", "400"},
+		"unknown class":      {queryRequest("nope", ""), "404"},
+		"unknown path":       {"GET /x HTTP/1.1\r\n\r\n", "404"},
+		"method":             {"GET /rpc/lookup HTTP/1.1\r\n\r\n", "405"},
+		"bad id":             {withID(queryRequest("lookup", ""), "xyz"), "400"},
+		"bad wait":           {withWait(queryRequest("lookup", ""), "NaN"), "400"},
+		"bad cost":           {queryRequest("lookup", "Req-Cost: -1\r\n"), "400"},
+		"load without key":   {queryRequest("load", ""), "400"},
+		"key with comma":     {queryRequest("load", "Req-Token: a,b\r\n"), "400"},
+		"duplicate field":    {queryRequest("lookup", "Req-Id: "+requestID+"\r\n"), "400"},
+		"large body":         {"POST /rpc/lookup HTTP/1.1\r\nContent-Length: 9999999\r\n\r\n", "413"},
+		"large head":         {"GET /" + strings.Repeat("x", 20000), "431"},
+		"chunked":            {"POST /rpc/lookup HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "501"},
+		"version":            {"GET /health HTTP/2.0\r\n\r\n", "505"},
+		"delete unknown":     {"DELETE /more/x/1 HTTP/1.1\r\n\r\n", "404"},
+		"valid health check": {bareHealthRequest, "200"},
+		"more, no path":      {"GET /more/ HTTP/1.1\r\n\r\n", "404"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, _ := connectHTTP(t, front.addr).roundTrip(tt.text)
@@ -133,8 +132,8 @@
 }
 
 // Clients that send nothing, stall within a request, state a wrong length or send invalid bytes are disconnected or
-// have an error in time, and no request of theirs reaches an engine. The connection ends after the response to a
-// malformed request, and requests that follow it have none.
+// have an error response in time, and none of their requests reaches an engine. The connection is closed after the
+// response to a malformed request, and requests that follow it have no response.
 func TestHTTP_StalledAndMalformedClientsAreClosedInTime(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := newFrontEnd(t, nil)
@@ -145,21 +144,21 @@
 	await(t, seen)
 	good := withID(queryRequest("lookup", ""), numberedID(1))
 	cases := map[string]struct{ text, want string }{
-		"says nothing":            {"", ""},
-		"half a head":             {"POST /rpc/lookup HTTP/1.1\r\nReq-", "408"},
-		"half a body":             {good[:len(good)-5], "408"},
-		"length too small":        {good + "and more", "400"},
-		"no statement":            {"POST /rpc/lookup HTTP/1.1\r\nReq-Id: 0000000000000001\r\n\r\n", "411"},
-		"statement is no text":    {strings.Replace(good, "day", "d\xffy", 1), "400"},
-		"id of one in flight":     {strings.Replace(queryRequest("lookup", ""), "day", "sum", 1), "409"},
-		"waits for ever":          {withWait(good, "99999999999999999999999"), "400"},
-		"cost without bounds":     {strings.Replace(good, "Host", "Req-Cost: 1e9\r\nHost", 1), "400"},
-		"no memory":               {strings.Replace(good, "Host", "Req-Kb: 0\r\nHost", 1), "400"},
-		"empty figure":            {strings.Replace(good, "Host", "Req-Kb: \r\nHost", 1), "400"},
-		"odd retry":               {strings.Replace(good, "Host", "Req-Retry: x\r\nHost", 1), "400"},
-		"two lengths":             {strings.Replace(good, "Host", "Transfer-Encoding:\r\nHost", 1), "501"},
-		"a field behind a LF":     {strings.Replace(good, "backend", "b\nTransfer-Encoding: chunked", 1), "400"},
-		"the same again and more": {strings.Repeat(strings.Replace(good, "lookup", "nope", 1), 300), "404"},
+		"sends nothing":             {"", ""},
+		"half a head":               {"POST /rpc/lookup HTTP/1.1\r\nReq-", "408"},
+		"half a body":               {good[:len(good)-5], "408"},
+		"length too small":          {good + "and more", "400"},
+		"no statement":              {"POST /rpc/lookup HTTP/1.1\r\nReq-Id: 0000000000000001\r\n\r\n", "411"},
+		"statement not text":        {strings.Replace(good, "day", "d\xffy", 1), "400"},
+		"id of a request in flight": {strings.Replace(queryRequest("lookup", ""), "day", "sum", 1), "409"},
+		"wait too long":             {withWait(good, "99999999999999999999999"), "400"},
+		"cost too large":            {strings.Replace(good, "Host", "Req-Cost: 1e9\r\nHost", 1), "400"},
+		"zero memory":               {strings.Replace(good, "Host", "Req-Kb: 0\r\nHost", 1), "400"},
+		"empty memory":              {strings.Replace(good, "Host", "Req-Kb: \r\nHost", 1), "400"},
+		"retry not a number":        {strings.Replace(good, "Host", "Req-Retry: x\r\nHost", 1), "400"},
+		"length and encoding":       {strings.Replace(good, "Host", "Transfer-Encoding:\r\nHost", 1), "501"},
+		"field after a bare LF":     {strings.Replace(good, "backend", "b\nTransfer-Encoding: chunked", 1), "400"},
+		"many malformed requests":   {strings.Repeat(strings.Replace(good, "lookup", "nope", 1), 300), "404"},
 	}
 	const statusLinePrefix = "HTTP/1.1 "
 	clients := map[string]*httpClient{}
