--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A request that no engine could take is rejected.
+// Without engines, a request is rejected.
 func TestGoldenHTTP_RequestIsRejectedWithoutEngines(t *testing.T) {
 	recorder := newTranscript(t).recordHTTP("", startHTTP(t).addr)
 	recorder.roundTrip(queryRequest("lookup", ""))
@@ -63,7 +63,7 @@
 	recorder.compare("http/refused-no-engine")
 }
 
-// If the settings forbid a Retry-After, a rejection has no such field.
+// If the settings forbid a Retry-After, a rejection has no header field that says when to retry.
 func TestGoldenHTTP_RejectionHasNoRetryAfterWhereSettingsForbidIt(t *testing.T) {
 	front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.RetryAfter = false })
 	recorder := newTranscript(t).recordHTTP("", front.serveHTTP().addr)
@@ -72,7 +72,7 @@
 	recorder.compare("http/refused-unsaid")
 }
 
-// An engine is unresponsive until the client's wait is over.
+// An engine does not respond before the client's wait is over: the request fails.
 func TestGoldenHTTP_UnresponsiveEngineFailsTheRequest(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
 	recorder := newTranscript(t).recordHTTP("", startHTTP(t, addr).addr)
@@ -81,7 +81,8 @@
 	recorder.compare("http/failed-timeout")
 }
 
-// A malformed request has an error response and ends its connection: requests that follow it have none.
+// A malformed request has an error response, after which its connection is closed. Requests that follow it have no
+// response.
 func TestGoldenHTTP_MalformedRequestEndsItsConnection(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
 	good := queryRequest("lookup", "")
@@ -139,14 +140,14 @@
 		recorder.roundTrip(request)
 		recorders[name] = recorder
 	}
-	for name, recorder := range recorders { // the front end gives each client some time to read
+	for name, recorder := range recorders { // the front end delays each close, so that the client can read the response
 		recorder.recordClose()
 		recorder.compare("http/bad-" + name)
 	}
 	front.assertCount("requests.accepted.", 0)
 }
 
-// Requests that arrive in one piece have their responses one after the other, in their order.
+// Requests that arrive in one piece have their responses one after the other, in the order of the requests.
 func TestGoldenHTTP_PipelinedRequestsHaveResponsesInOrder(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
 	recorder := newTranscript(t).recordHTTP("", startHTTP(t, addr).addr)
@@ -178,7 +179,7 @@
 	}
 }
 
-// A second request of an id in flight is rejected, and the first goes on.
+// A second request with the id of a request in flight is rejected, and the first request continues.
 func TestGoldenHTTP_DuplicateOfAnIDInFlightIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	addr, seen := startLineEngine(t, func(line string) string {
@@ -200,7 +201,7 @@
 	tr.compare("http/bad-open-id")
 }
 
-// A graceful shutdown closes idle connections at once, and others after their responses.
+// A graceful shutdown closes idle connections at once, and other connections after their responses.
 func TestGoldenHTTP_GracefulShutdownClosesConnectionsAfterTheirResponses(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startLineEngine(t, func(line string) string {
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -8,7 +8,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// openPortal returns a batch that prepares the statement s, binds the portal p and goes on with further messages.
+// openPortal returns a batch that prepares the statement s and binds the portal p, with further messages after them.
 func openPortal(further ...[]byte) [][]byte {
 	return append([][]byte{parse("s", selectPart), bind("p", "s", "a")}, further...)
 }
@@ -26,14 +26,14 @@
 }
 
 // Each batch is sent in one piece and has a response up to ReadyForQuery. An empty batch only reads the response to a
-// message of an earlier one.
+// message of an earlier batch.
 func TestGoldenPostgres_EachPhaseRespondsToItsBatches(t *testing.T) {
 	message := func(kind byte, body string) []byte { return pgproto.AppendMessage(nil, kind, []byte(body)) }
 	const missing = "SELECT * FROM missing"
 	describeP := describe("P", "p")
 	bindMissing := [][]byte{parse("s", missing), bind("p", "s")}
 	for name, batches := range map[string][][][]byte{
-		// The description of a portal waits for the next message.
+		// The description of a portal is deferred until the next message.
 		"describe-other-execute": {openPortal(bind("q", "s", "b"), describeP, execute("q", 0), syncMessage)},
 		"describe-query":         {openPortal(describeP, query("SELECT 1")), {execute("p", 0), syncMessage}},
 		"describe-twice":         {openPortal(describeP, describeP, describe("S", "s"), syncMessage)},
@@ -89,7 +89,7 @@
 		},
 		"set-by-parse": {{parse("", "SET statement_timeout = '80ms'"), syncMessage}},
 
-		// A Query among the messages of a batch.
+		// A Query is sent within a batch, or in one piece with other Query messages.
 		"query-in-batch": {openPortal(query("SELECT 1")), {execute("p", 0), syncMessage}},
 		"query-error-in-batch": {
 			{parse("s", selectPart), query("BEGIN")},
@@ -99,7 +99,7 @@
 		"query-set-pipelined":   {{query("SET statement_timeout = 500"), query("SELECT 1"), query("")}, {}, {}},
 		"query-malformed-first": {{message('Q', "SELECT 1"), query("SELECT 2")}, {}},
 
-		// After an error everything up to Sync is skipped.
+		// After an error, all messages up to Sync are skipped.
 		"skipping-each-kind": {
 			append([][]byte{bind("", "none")}, openPortal(
 				describe("S", "s"), describeP, execute("p", 0), closeMessage("S", "s"), query("SELECT 1"),
@@ -117,7 +117,7 @@
 	}
 }
 
-// A description that no engine could give is rejected while its message is being served.
+// Without engines, a request is rejected synchronously, while the front end still handles its message.
 func TestGoldenPostgres_EachPhaseRejectsAtOnce(t *testing.T) {
 	recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
 	recorder.start()
@@ -143,12 +143,12 @@
 	cancelOfNone = pgproto.AppendStartup(nil, pgproto.CancelRequestCode, make([]byte, 8))
 )
 
-// The cases are startups in one piece with the messages after them, and startups with further options.
+// The cases are startups that are sent in one piece with the messages after them, and startups with further options.
 func TestGoldenPostgres_PipelinedStartupHasItsRecordedResponse(t *testing.T) {
 	noUser := startupMessage(pgproto.ProtocolVersion, "database", "register")
 	for name, tt := range map[string]struct {
 		first     [][]byte // sent in one piece
-		responses int      // number of ReadyForQuery that follow
+		responses int      // number of ReadyForQuery messages that follow
 		staysOpen bool
 	}{
 		"pipelined": {
@@ -233,7 +233,7 @@
 	front.assertCount("postgres.malformed", 0)
 }
 
-// The cases are a Terminate and messages that can't be framed, in each phase of a connection.
+// The cases are a Terminate and messages of an unknown kind, in each phase of a connection.
 func TestGoldenPostgres_EachPhaseEndsWithItsLastMessage(t *testing.T) {
 	unknownKind := []byte{'#', 0, 0, 0, 4}
 	for name, tt := range map[string]struct {
@@ -261,8 +261,8 @@
 	}
 }
 
-// A client that stops in the middle of a message is disconnected with an error, or without one in
-// its startup. A client that goes on in time is served.
+// A client that sends a message only in part is disconnected with an error, or without an error during its startup. A
+// client that sends the rest in time is served.
 func TestGoldenPostgres_EachPhaseEndsAStalledClient(t *testing.T) {
 	const partOfMessage = 5
 	tr := newTranscript(t)
@@ -273,7 +273,7 @@
 	resumed.start()
 	resumed.send(query("")[:partOfMessage])
 	front.awaitBuffered(partOfMessage)
-	front.onLoop(func() {}) // the connection has seen the part
+	front.onLoop(func() {}) // the loop has handled the part
 	resumed.send(query("")[partOfMessage:])
 	resumed.receiveUntilReady()
 	batch := tr.recordPostgres("batch", front.addr)
@@ -286,7 +286,7 @@
 	startup.recordClose()
 	batch.recordClose()
 	skipping.recordClose()
-	resumed.send(query("")) // after the time at which it would have stalled
+	resumed.send(query("")) // after the time at which it would have been disconnected
 	resumed.receiveUntilReady()
 	resumed.disconnect()
 	tr.compare("pgwire/phase-stalls")
@@ -295,12 +295,12 @@
 	front.assertCount("postgres.errors.", 1) // of the Bind
 }
 
-// A CancelRequest ends the request that its connection has in flight, and no other.
+// A CancelRequest ends the request in flight on its connection, and no other request.
 func TestGoldenPostgres_CancelRequestEndsTheRequestInFlightOfEachPhase(t *testing.T) {
 	const silent = "SELECT silent"
 	for name, tt := range map[string]struct {
-		messages  [][]byte // the first request that they make is cancelled
-		responses int      // number of ReadyForQuery that follow
+		messages  [][]byte // the first request among them is cancelled
+		responses int      // number of ReadyForQuery messages that follow
 	}{
 		"query":           {[][]byte{query(silent)}, 1},
 		"query-pipelined": {[][]byte{query(silent), query("SELECT 1")}, 2},
@@ -338,8 +338,8 @@
 	}
 }
 
-// A graceful shutdown closes each connection without a request in flight at once, and each other one after the
-// ReadyForQuery of its request.
+// A graceful shutdown closes a connection without a request in flight at once, and a connection with a request in
+// flight after the ReadyForQuery of the request.
 func TestGoldenPostgres_GracefulShutdownEndsEachPhase(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// A request that no engine could take is rejected, with a time after which to retry.
+// Without engines, a request is rejected with a time after which to retry.
 func TestGoldenPostgres_RejectionHasARetryHint(t *testing.T) {
 	recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
 	recorder.start()
@@ -144,8 +144,8 @@
 	recorder.compare("pgwire/refused")
 }
 
-// An engine is unresponsive until the statement's time is over: a statement that only reads has
-// timed out, and the outcome of one that may have run is unknown.
+// An engine does not respond before the statement's timeout: a statement that only reads has a timeout error, and a
+// statement that may write has an error that the outcome is unknown.
 func TestGoldenPostgres_TimeoutOfAWriteHasAnUnknownOutcome(t *testing.T) {
 	for name, text := range map[string]string{"timeout": "SELECT silent", "timeout-write": "UPDATE silent SET a = 1"} {
 		t.Run(name, func(t *testing.T) {
@@ -160,7 +160,7 @@
 	}
 }
 
-// The cases are messages that can't be framed, and a Terminate.
+// The cases are messages with an unknown kind or an invalid length, and a Terminate.
 func TestGoldenPostgres_MalformedMessageOrTerminateEndsTheConnection(t *testing.T) {
 	addr, _ := startPgEngine(t, goldenPgEngine)
 	for name, messages := range map[string][][]byte{
@@ -181,8 +181,8 @@
 	}
 }
 
-// A CancelRequest with the right secret ends the statement in flight on its connection. One with
-// a wrong secret is closed without a response, as the right one is.
+// A CancelRequest with the right secret ends the statement in flight on its connection. A CancelRequest with a wrong
+// secret has no effect. The connections of both are closed without a response.
 func TestGoldenPostgres_CancelRequestEndsTheStatementInFlight(t *testing.T) {
 	for name, text := range map[string]string{"cancel": "SELECT silent", "cancel-write": "UPDATE silent SET a = 1"} {
 		t.Run(name, func(t *testing.T) {
@@ -205,7 +205,7 @@
 	}
 }
 
-// A graceful shutdown notifies idle clients at once, and others after their responses.
+// A graceful shutdown notifies idle clients at once, and other clients after their responses.
 func TestGoldenPostgres_GracefulShutdownNotifiesClientsAfterTheirResponses(t *testing.T) {
 	release := make(chan struct{})
 	addr, seen := startPgEngine(t, func(request pgRequest) []byte {
--- a/internal/e2e/postgres_connection_limits_test.go
+++ b/internal/e2e/postgres_connection_limits_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A connection has a bounded number of prepared statements and of portals. After a Close another one can be opened.
+// A connection has a limited number of prepared statements and of portals. After a Close, another one can be opened.
 func TestPostgres_StatementsAndPortalsAreBounded(t *testing.T) {
 	const limit = 1000
 	addr, _ := startPgEngine(t, oneRowReply)
@@ -15,7 +15,7 @@
 		before [][]byte
 		open   func(name string) []byte
 		target string // of a Close
-		opened string // kind of the response to open
+		opened string // message kind of the response to open
 	}{
 		"statements": {
 			nil, func(name string) []byte { return parse(name, selectPart) }, "S", "1",
@@ -40,9 +40,10 @@
 	}
 }
 
-// The rows that are buffered for open portals have a budget. Each way in which a portal ends returns its rows to it.
+// The rows that are buffered for open portals are limited by a budget. A portal returns its rows to the budget however
+// it ends.
 func TestPostgres_EndedPortalReturnsItsRowsToTheBudget(t *testing.T) {
-	// In bytes: enough for the two rows that wait after one of three was fetched, and not for twice as many.
+	// In bytes: enough for the two rows that remain after one of three was fetched, and not enough for four rows.
 	const budget = 30
 	addr, _ := startPgEngine(t, goldenPgEngine)
 	fetchOne := func(portal string) [][]byte { return [][]byte{bind(portal, "s", "a"), execute(portal, 1)} }
@@ -94,7 +95,7 @@
 	assertEqual(t, "holder", holder.receiveUntil('s'), "1 2 D(a) s")
 	fetchOne = append(fetchOne, syncMessage)
 	other.send(fetchOne...)
-	assertEqual(t, "while the rows wait", other.receiveUntilReady(), "1 2 D(a) s E(53200) Z")
+	assertEqual(t, "while the rows are buffered", other.receiveUntilReady(), "1 2 D(a) s E(53200) Z")
 	if err := holder.conn.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +105,7 @@
 		response = other.receiveUntilReady()
 		return response == "1 2 D(a) s Z"
 	}) {
-		t.Errorf("the rows are still reserved after %v: %s", waitLimit, response)
+		t.Errorf("the rows still count towards the budget after %v: %s", waitLimit, response)
 	}
 }
 
--- a/internal/e2e/postgres_faults_test.go
+++ b/internal/e2e/postgres_faults_test.go
@@ -7,8 +7,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// Each kind of failure has one ErrorResponse with a code of its own, and the messages after it
-// are skipped up to Sync.
+// Each kind of failure has one ErrorResponse with the code of that failure, and the messages after it are skipped up to
+// Sync.
 func TestPostgres_EachFailureHasOneErrorResponse(t *testing.T) {
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
 		if strings.Contains(request.query, "missing") {
@@ -44,13 +44,13 @@
 		"engine's error": {
 			engines: withEngine, messages: runTwice("SELECT * FROM missing"), want: "1 2 E(42P01) Z", attempts: 1,
 		},
-		"simple": {
+		"engine's error by Query": {
 			engines: withEngine, messages: [][]byte{query("SELECT * FROM missing")}, want: "E(42P01) Z", attempts: 1,
 		},
-		"load, no key": {
+		"load without key": {
 			engines: withEngine, messages: runTwice("/* class=load */ SELECT f($1)", "k"), want: "1 E(22023) Z",
 		},
-		"load, null key": {
+		"load with null key": {
 			engines: withEngine, messages: runTwice(insertPart, ""),
 			want: "1 E(22004) Z",
 		},
@@ -95,14 +95,14 @@
 	}
 }
 
-// Peers stall with an open connection. A client that sends nothing is disconnected. A client that stops in the middle
-// of a message has an error first. An engine that stops in the middle of a message loses its connection, and another
-// engine serves the request.
+// Peers stall with an open connection. A client that sends nothing is disconnected. A client that sends a message only
+// in part has an error before it is disconnected. If an engine sends a message only in part, its connection is closed,
+// and another engine serves the request.
 func TestPostgres_StalledPeersAreDisconnected(t *testing.T) {
 	isFirst := firstCall()
 	script := func(pgRequest) []byte {
 		if isFirst() {
-			return []byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 200} // the ReadyForQuery falls within that message
+			return []byte{'1', 0, 0, 0, 4, '2', 0, 0, 0, 200} // the ReadyForQuery is read as part of the second message
 		}
 		return insertOneRow
 	}
--- a/internal/e2e/postgres_limits_test.go
+++ b/internal/e2e/postgres_limits_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Rows of some megabytes all reach a client that reads slowly, also when the front end closes
-// the connection after them. A result above the limit is an error.
+// Rows of several megabytes all reach a client that reads slowly, even if the front end closes the connection after the
+// rows. A result above the limit is an error.
 func TestPostgres_LargeResultReachesASlowClient(t *testing.T) {
 	row := strings.Repeat("x", 1300<<10)
 	rows := []string{row, row, row}
@@ -18,16 +18,16 @@
 	})
 	front := startPostgres(t, addr)
 	client := connectPostgres(t, front.addr)
-	_ = tcpConn(t, client.conn).SetReadBuffer(64 << 10) // else the kernel might buffer all of it
+	_ = tcpConn(t, client.conn).SetReadBuffer(64 << 10) // otherwise the kernel might buffer the whole result
 	client.send(query("SELECT more"))
 	assertEqual(t, "result above the limit", client.receiveUntilReady(), "E(54000) Z")
 	client.send(query("SELECT x"), terminateMessage)
-	front.awaitCount("requests.completed.served", 1) // by then all rows wait to be written
+	front.awaitCount("requests.completed.served", 1) // all rows are now waiting to be written
 	got := client.receiveUntilEnd()
 	assertEqual(t, "rows", strings.ReplaceAll(got, row, "x"), "T D(x) D(x) D(x) C(SELECT 3) Z end")
 }
 
-// A client pipelines far more than a buffer holds. The rest waits in the sockets, and every execution has its
+// A client pipelines far more than fits into a buffer. The rest waits in the sockets, and every execution has a
 // response.
 func TestPostgres_EveryPipelinedExecutionHasAResponse(t *testing.T) {
 	release := make(chan struct{})
@@ -64,8 +64,8 @@
 	}
 }
 
-// Clients that stop in the middle of long messages can't exhaust the memory. The client whose bytes exceed the budget
-// of all buffers is disconnected, and the others are served.
+// Clients that send only parts of long messages can't exhaust the memory. The client whose bytes exceed the budget of
+// all buffers is disconnected, and the other clients are served.
 func TestPostgres_BufferBudgetEndsTheClientThatExceedsIt(t *testing.T) {
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
@@ -89,5 +89,5 @@
 	assertEqual(t, "first client", first.receiveUntilReady(), "T D(a) C(SELECT 1) Z")
 	third := connectPostgres(t, front.addr)
 	third.send(long)
-	assertEqual(t, "a client after that", third.receiveUntilReady(), "T D(a) C(SELECT 1) Z")
+	assertEqual(t, "a later client", third.receiveUntilReady(), "T D(a) C(SELECT 1) Z")
 }
--- a/internal/e2e/postgres_session_test.go
+++ b/internal/e2e/postgres_session_test.go
@@ -9,8 +9,8 @@
 	"flaxrelay/policy"
 )
 
-// A prepared statement is bound many times, and each execution has one response with the rows,
-// formats and values of the engine.
+// A prepared statement is bound many times, and each execution has one response with the rows, formats and values of
+// the engine.
 func TestPostgres_PreparedStatementIsBoundManyTimes(t *testing.T) {
 	addr, seen := startPgEngine(t, func(request pgRequest) []byte {
 		if request.describe {
@@ -26,7 +26,7 @@
 	client.send(bind("", "s", "a"), describe("P", ""), execute("", 0), bind("", "s", "b"), execute("", 0), syncMessage)
 	assertEqual(t, "batch", client.receiveUntilReady(), "2 T D(chain a) C(SELECT 1) 2 D(chain b) C(SELECT 1) Z")
 	client.send(bind("", "s", "c", "too many"), execute("", 0), syncMessage)
-	assertEqual(t, "wrong count", client.receiveUntilReady(), "E(08P01) Z")
+	assertEqual(t, "wrong number of values", client.receiveUntilReady(), "E(08P01) Z")
 	for i, want := range []pgRequest{{describe: true, parsed: true}, {}, {}} {
 		got := await(t, seen)
 		if got.query != text || got.describe != want.describe || got.parsed != want.parsed {
@@ -36,8 +36,8 @@
 	front.assertCount("requests.accepted.", 3) // a description and two executions
 }
 
-// An engine has dropped a prepared statement: it is prepared again, and the client does not
-// notice. An error on a statement that was just prepared goes to the client.
+// If an engine has dropped a prepared statement, the front end prepares it again, and the client sees no error. An
+// error on a statement that was just prepared goes to the client.
 func TestPostgres_ForgottenStatementIsPreparedAgain(t *testing.T) {
 	forgets := false
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
@@ -58,8 +58,8 @@
 	assertEqual(t, "engine's own error", client.receiveUntilReady(), "1 2 E(0A000) Z")
 }
 
-// An engine drains while a portal is open: the portal's remaining rows come from the buffer, and
-// new statements go to another engine.
+// An engine drains while a portal is open: the portal's remaining rows come from the buffer, and new statements go to
+// another engine.
 func TestPostgres_OpenPortalSurvivesEngineDrain(t *testing.T) {
 	first, _ := startPgEngine(t, func(pgRequest) []byte { return pgRows("a", "b", "c") })
 	second, _ := startPgEngine(t, func(pgRequest) []byte { return pgRows("elsewhere") })
@@ -77,8 +77,7 @@
 	front.assertCount("attempts.started.", 2) // a portal runs once
 }
 
-// A client disconnects in the middle of a batch: the execution in flight is cancelled, and the
-// rest of the batch is not sent.
+// A client disconnects during a batch: the execution in flight is cancelled, and the rest of the batch is not sent.
 func TestPostgres_DisconnectCancelsAndSkipsTheRestOfTheBatch(t *testing.T) {
 	addr, seen := startPgEngine(t, noPgReply)
 	front := startPostgres(t, addr)
@@ -98,8 +97,8 @@
 	front.assertCount("requests.disconnected.", 1)
 }
 
-// A CancelRequest ends the statement in flight on its connection with one response, and only with
-// the right secret.
+// A CancelRequest with the right secret ends the statement in flight on its connection, which has one response. A
+// CancelRequest with a wrong secret has no effect.
 func TestPostgres_CancelRequestNeedsTheRightSecret(t *testing.T) {
 	addr, seen := startPgEngine(t, noPgReply)
 	front := startPostgres(t, addr)
@@ -115,7 +114,7 @@
 	front.assertCount("postgres.cancel-requests", 1)
 }
 
-// Encryption is declined with one byte, and the startup goes on without it.
+// Encryption is declined with one byte, and the startup continues without encryption.
 func TestPostgres_EncryptionIsDeclined(t *testing.T) {
 	front := startPostgres(t)
 	client := &pgClient{t: t, conn: dial(t, front.addr)}
@@ -130,7 +129,7 @@
 	assertEqual(t, "startup", client.receiveUntilReady(), "v R S S S S S S S K Z")
 }
 
-// A client sends a statement and disconnects before it is read: nothing is accepted.
+// A client sends a statement and disconnects before the event loop handles the statement: no request is accepted.
 func TestPostgres_DisconnectedClientsStatementIsDropped(t *testing.T) {
 	addr, _ := startPgEngine(t, noPgReply)
 	front := startPostgres(t, addr)
@@ -142,7 +141,7 @@
 		if err := client.conn.Close(); err != nil {
 			t.Error(err)
 		}
-		// The poller has read the statement, and the end of the connection, before the bytes of a later client.
+		// The poller reads the statement, and the end of the connection, before the bytes of a later client.
 		front.deliver(later, string(startupMessage(pgproto.ProtocolVersion, "user", "x")))
 	})
 	front.onLoop(func() {}) // the loop has handled the statement
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/policy"
 )
 
-// A load whose engine fails after it was sent may have run: within the deduplication window of
-// its key it is retried on another engine with the same key, and the client has one response.
+// A load that was sent to an engine that then fails may have run. Within the deduplication window of its key, it is
+// retried on another engine with the same key, and the client has one response.
 func TestPostgres_LoadIsRetriedWithItsIdempotencyKey(t *testing.T) {
 	isFirst := firstCall()
 	script := func(pgRequest) []byte {
@@ -45,7 +45,7 @@
 // A load may have run at an engine that failed. The connection to the next engine is established only after the
 // deduplication window of the load's key, so that the load is not retried.
 func TestPostgres_LoadIsNotRetriedAfterItsDedupWindow(t *testing.T) {
-	// The startup takes longer than the window in real time; both are steps of the scenario.
+	// The startup takes longer than the window. Both times pass in real time.
 	const (
 		window      = 300 * time.Millisecond
 		startupTime = 400 * time.Millisecond
@@ -73,7 +73,7 @@
 }
 
 // Engines run each statement and then close the connection. A statement that may write is not retried: it runs once,
-// and its client has the error for an unknown outcome. A statement that only reads is retried on other engines.
+// and its client has an error that the outcome is unknown. A statement that only reads is retried on other engines.
 func TestPostgres_WritesAreNotRetried(t *testing.T) {
 	var engines []string
 	var seen []chan pgRequest
@@ -103,12 +103,12 @@
 		"SELECT count(*) -- \r, setval('s', 1)",
 	} {
 		t.Run(text, func(t *testing.T) {
-			front := startPostgres(t, engines...) // a new one, which has seen no faults of the engines yet
+			front := startPostgres(t, engines...) // a new front end, which has observed no faults of the engines yet
 			client := connectPostgres(t, front.addr)
 			client.send(runUnnamed(text)...)
 			assertEqual(t, "response", client.receiveUntilReady(), "1 2 E(40003) Z")
 			if n := runs(); n != 1 {
-				t.Errorf("it ran %d times", n)
+				t.Errorf("the statement ran %d times, want once", n)
 			}
 		})
 	}
@@ -116,13 +116,12 @@
 	client.send(runUnnamed("SELECT 1")...)
 	client.receiveUntilReady()
 	if n := runs(); n < 2 {
-		t.Errorf("a reading statement ran %d times, want more than one", n)
+		t.Errorf("a statement that only reads ran %d times, want at least 2", n)
 	}
 }
 
-// An idempotent class, named by the client or by a rule, is rejected for a statement that may
-// write. A rule or a function that is declared read-only admits a statement in doubt, but not one
-// that evidently writes.
+// An idempotent class, named by the client or by a rule, is rejected for a statement that may write. A rule or a
+// function that is declared read-only permits a statement that may write, but not one that certainly writes.
 func TestPostgres_IdempotentClassIsRejectedForWrites(t *testing.T) {
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
@@ -160,9 +159,9 @@
 	front.assertCount("requests.accepted.write", 1)
 }
 
-// A write that was sent is never reported as if it had not run. If it fails for lack of a resource while it runs, it is
-// not retried. After a timeout or a cancel its outcome is unknown. An error while it runs is not mistaken for a dropped
-// prepared statement.
+// A write that was sent is never reported as if it had not run. If a write fails for lack of a resource while it runs,
+// it is not retried. After a timeout or a cancellation, the outcome of the write is unknown. An error while the write
+// runs is not mistaken for a dropped prepared statement.
 func TestPostgres_UncertainWriteIsNotReportedAsUndone(t *testing.T) {
 	running := make(chan bool, seenCapacity)
 	addr, seen := startPgEngine(t, func(request pgRequest) []byte {
--- a/internal/e2e/retry_test.go
+++ b/internal/e2e/retry_test.go
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", inet4.Port)
 }
 
-// A refused connection proves that nothing ran, so that even a load is retried on another engine. If there is no other
+// A refused connection proves that nothing ran, so even a load is retried on another engine. If there is no other
 // engine, the load is rejected at once, with a time after which to retry.
 func TestRetry_RefusedConnectionIsRetriedEvenForALoad(t *testing.T) {
 	load := queryRequest("load", "Req-Token: k\r\n")
@@ -50,8 +50,8 @@
 	assertEqual(t, "response", got, emptyResult)
 }
 
-// An engine resets an idle connection at the moment at which a request is to be written to it. No byte of the request
-// was sent, so that a non-idempotent request is retried.
+// An engine resets an idle connection just before a request is written to the connection. No byte of the request was
+// sent, so even a non-idempotent request is retried.
 func TestRetry_UnsentNonIdempotentRequestIsRetriedAfterReset(t *testing.T) {
 	conns := make(chan net.Conn, seenCapacity)
 	addr := listen(t, func(conn net.Conn) {
@@ -69,14 +69,14 @@
 	idle := tcpConn(t, await(t, conns))
 	front.onLoop(func() {
 		front.deliver(client.conn, queryRequest("lookup", "")) // the loop handles this before the reset
-		_ = idle.SetLinger(0)                                  // so that Close resets it
+		_ = idle.SetLinger(0)                                  // so that Close resets the connection
 		_ = idle.Close()
 	})
 	assertEqual(t, "response", client.receive(), emptyResult)
 	front.assertCount("attempts.ended.not-sent", 1)
 }
 
-// An engine sends a rejection twice. The retry has the id of the rejected attempt: the duplicate must not end the
+// An engine sends a rejection twice. The retry has the same id as the rejected attempt. The duplicate must not end the
 // retry, or a third attempt would be sent while the retry runs.
 func TestRetry_DuplicateRejectionDoesNotEndTheRetry(t *testing.T) {
 	attempts := 0
@@ -100,12 +100,12 @@
 	await(t, seen)
 	got, _ := connectHTTP(t, front.addr).roundTrip(withID(queryRequest("lookup", ""), other))
 	assertEqual(t, "response to the other request", got, emptyResult)
-	front.assertCount("attempts.started.lookup", 3) // two of the first request, one of the other
+	front.assertCount("attempts.started.lookup", 3) // two of the first request, one of the other request
 	front.assertCount("attempts.ended.overloaded", 1)
 }
 
-// Every status of an attempt has one result for the policy. Only a status that proves that nothing ran may count as not
-// sent.
+// Every status of an attempt maps to one result for the policy. Only a status that proves that nothing ran may map to
+// ResultNotSent.
 func TestRetry_OnlyStatusesThatProveNothingRanCountAsNotSent(t *testing.T) {
 	got := map[string]policy.Result{}
 	for status := lifecycle.StatusUnknown; status <= lifecycle.StatusIdleClosed; status++ {
--- a/internal/e2e/statement_shapes_test.go
+++ b/internal/e2e/statement_shapes_test.go
@@ -14,10 +14,9 @@
 )
 
 const (
-	// lookupLimit is the work in milliseconds from which a statement is a report.
+	// lookupLimit is the largest work of a lookup in milliseconds. A statement with more work is a report.
 	lookupLimit = 60
-	// reportTime is how long the engine works on a report. It is a step of the scenario in real
-	// time: well above lookupLimit.
+	// reportTime is how long the engine works on a report, in real time. It is well above lookupLimit.
 	reportTime = 150 * time.Millisecond
 )
 
@@ -38,9 +37,9 @@
 	return service
 }
 
-// A statement is a lookup with a short list and a report with a long list: the class follows the bound values, once a
-// few executions have been seen. A comment that names a class overrides it, and a statement that may write is never
-// classified by its shape.
+// A statement is a lookup with a short list and a report with a long list: its class depends on the bound values once a
+// few executions have been observed. A comment that names a class overrides this class. A statement that may write is
+// never classified by its shape.
 func TestStatementShapes_ClassFollowsBoundValues(t *testing.T) {
 	const (
 		longListLength = 78
@@ -90,8 +89,7 @@
 	front.assertCount("requests.accepted.write", 1)
 }
 
-// A damaged snapshot is set aside under another name. The front end starts without it, and its next snapshot is
-// complete.
+// A damaged snapshot is renamed. The front end starts without it, and the next snapshot of the front end is complete.
 func TestStatementShapes_DamagedSnapshotIsSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "shapes")
 	damaged := []byte("RWSHAPES no longer")
@@ -100,10 +98,10 @@
 	front := newFrontEnd(t, nil)
 	service := enableStatementShapes(t, front, stmtstats.Settings{SnapshotPath: path, SnapshotInterval: time.Hour})
 	if n := front.counters.Get(metrics.ShapesSnapshotUnusable); n != 1 {
-		t.Errorf("%d snapshots found unusable, want 1", n)
+		t.Errorf("%d unusable snapshots, want 1", n)
 	}
 	if got := readFile(t, path+".unusable"); got != string(damaged) {
-		t.Errorf("set aside: %q", got)
+		t.Errorf("the renamed snapshot contains %q", got)
 	}
 	front.servePostgres(addr)
 	client := connectPostgres(t, front.addr)
