--- a/internal/e2e/engine_faults_test.go
+++ b/internal/e2e/engine_faults_test.go
@@ -80,13 +80,13 @@
 		return fmt.Sprintf("%s DONE batches=1 0\r\n\r\n", words[1])
 	})
 	front := startHTTP(t, addr)
-	one := connectHTTP(t, front.addr)
-	two := connectHTTP(t, front.addr)
-	one.send(queryRequest("lookup", "")) // its id ends in 1
+	first := connectHTTP(t, front.addr)
+	second := connectHTTP(t, front.addr)
+	first.send(queryRequest("lookup", "")) // its id ends in 1
 	await(t, seen)
-	got, _ := two.roundTrip(withID(queryRequest("lookup", ""), numberedID(2)))
+	got, _ := second.roundTrip(withID(queryRequest("lookup", ""), numberedID(2)))
 	assertEqual(t, "the request whose response stalled", got, emptyResult)
-	assertEqual(t, "the other request on that connection", one.receive(), emptyResult)
+	assertEqual(t, "the other request on that connection", first.receive(), emptyResult)
 	front.assertCount("attempts.ended.protocol-error", 2)
 }
 
--- a/internal/e2e/golden_helpers_test.go
+++ b/internal/e2e/golden_helpers_test.go
@@ -30,21 +30,21 @@
 func (tr *transcript) add(connection, direction string, piece []byte) {
 	_, _ = fmt.Fprintf(&tr.text, "%s%s", connection, direction)
 	for len(piece) > 0 {
-		plain, run := splitAtRun(piece)
+		plain, runLength := splitAtRun(piece)
 		if len(plain) > 0 {
 			fmt.Fprintf(&tr.text, " %q", plain)
 		}
-		if run > 0 {
-			fmt.Fprintf(&tr.text, " %d*%q", run, piece[len(plain):len(plain)+1])
+		if runLength > 0 {
+			fmt.Fprintf(&tr.text, " %d*%q", runLength, piece[len(plain):len(plain)+1])
 		}
-		piece = piece[len(plain)+run:]
+		piece = piece[len(plain)+runLength:]
 	}
 	tr.text.WriteByte('\n')
 }
 
 // splitAtRun returns the bytes before the first long run of equal bytes, and the length of the run. Without a long run,
 // it returns the whole piece and 0.
-func splitAtRun(piece []byte) (plain []byte, run int) {
+func splitAtRun(piece []byte) (plain []byte, runLength int) {
 	start := 0
 	for i := range piece {
 		if piece[i] != piece[start] {
@@ -62,16 +62,16 @@
 	return piece, 0
 }
 
-// lines records text line by line.
-func (tr *transcript) lines(connection, direction string, text []byte) {
+// addLines records text line by line.
+func (tr *transcript) addLines(connection, direction string, text []byte) {
 	for line := range bytes.Lines(text) {
 		tr.add(connection, direction, line)
 	}
 }
 
-// event records an event other than a piece of a stream.
-func (tr *transcript) event(connection, what string) {
-	fmt.Fprintf(&tr.text, "%s# %s\n", connection, what)
+// addEvent records an event other than a piece of a stream.
+func (tr *transcript) addEvent(connection, description string) {
+	fmt.Fprintf(&tr.text, "%s# %s\n", connection, description)
 }
 
 // compare compares the transcript with its golden file.
--- a/internal/e2e/golden_http_helpers_test.go
+++ b/internal/e2e/golden_http_helpers_test.go
@@ -40,7 +40,7 @@
 func (r *httpRecorder) send(text string) {
 	r.t.Helper()
 	text = strings.ReplaceAll(text, "MORE", r.more)
-	r.lines(r.name, ">", startTime.ReplaceAll([]byte(text), []byte("/more/START-")))
+	r.addLines(r.name, ">", startTime.ReplaceAll([]byte(text), []byte("/more/START-")))
 	if _, err := io.WriteString(r.conn, text); err != nil {
 		r.t.Fatal(err)
 	}
@@ -72,8 +72,8 @@
 		body = startTime.ReplaceAll(body, []byte("/more/START-"))
 		head = lengthField.ReplaceAll(head, fmt.Appendf(nil, "Content-Length: %d\r\n", len(body)))
 	}
-	r.lines(r.name, "<", waitValue.ReplaceAll(head, []byte("Srv-Wait-Ms: FIGURE\r\n")))
-	r.lines(r.name, "<", body)
+	r.addLines(r.name, "<", waitValue.ReplaceAll(head, []byte("Srv-Wait-Ms: FIGURE\r\n")))
+	r.addLines(r.name, "<", body)
 }
 
 // roundTrip sends one request and reads its response.
@@ -86,16 +86,16 @@
 // recordClose reads until the front end closes the connection.
 func (r *httpRecorder) recordClose() {
 	r.t.Helper()
-	r.lines(r.name, "<", readToEnd(r.t, r.in))
-	r.event(r.name, "closed by the front end")
+	r.addLines(r.name, "<", readToEnd(r.t, r.in))
+	r.addEvent(r.name, "closed by the front end")
 }
 
 // disconnect half-closes the connection from the client's side, and records what arrives until the front end closes it.
 func (r *httpRecorder) disconnect() {
 	r.t.Helper()
 	closeWrite(r.t, r.conn)
-	r.lines(r.name, "<", readToEnd(r.t, r.in))
-	r.event(r.name, "closed by the client")
+	r.addLines(r.name, "<", readToEnd(r.t, r.in))
+	r.addEvent(r.name, "closed by the client")
 }
 
 // healthRequest is a health check with a Host header, as most clients send it.
--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -85,7 +85,7 @@
 // response.
 func TestGoldenHTTP_MalformedRequestEndsItsConnection(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
-	good := queryRequest("lookup", "")
+	valid := queryRequest("lookup", "")
 	with := func(header string) string { return queryRequest("lookup", header) }
 	front := startHTTP(t, addr)
 	recorders := map[string]*httpRecorder{}
@@ -96,14 +96,14 @@
 		"method-of-health":      "DELETE /health HTTP/1.1\r\n\r\n",
 		"method-of-more":        "POST /more/x-1/1 HTTP/1.1\r\nContent-Length: 1\r\n\r\nx",
 		"get-of-class":          "GET /rpc/lookup HTTP/1.1\r\n\r\n",
-		"no-id":                 strings.Replace(good, "Req-Id: "+requestID+"\r\n", "", 1),
-		"short-id":              strings.Replace(good, requestID, requestID[1:], 1),
-		"id-not-hex":            strings.Replace(good, requestID, "g"+requestID[1:], 1),
+		"no-id":                 strings.Replace(valid, "Req-Id: "+requestID+"\r\n", "", 1),
+		"short-id":              strings.Replace(valid, requestID, requestID[1:], 1),
+		"id-not-hex":            strings.Replace(valid, requestID, "g"+requestID[1:], 1),
 		"id-twice":              with("Req-Id: " + requestID + "\r\n"),
-		"no-wait":               strings.Replace(good, "Req-Wait-Ms: "+defaultWait+"\r\n", "", 1),
-		"wait-no-number":        strings.Replace(good, "2000", "NaN", 1),
-		"wait-zero":             strings.Replace(good, "2000", "0", 1),
-		"wait-too-long":         strings.Replace(good, "2000", "600001", 1),
+		"no-wait":               strings.Replace(valid, "Req-Wait-Ms: "+defaultWait+"\r\n", "", 1),
+		"wait-no-number":        strings.Replace(valid, "2000", "NaN", 1),
+		"wait-zero":             strings.Replace(valid, "2000", "0", 1),
+		"wait-too-long":         strings.Replace(valid, "2000", "600001", 1),
 		"length-no-number":      "POST /rpc/lookup HTTP/1.1\r\nContent-Length: x\r\n\r\n",
 		"length-negative":       "POST /rpc/lookup HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
 		"length-signed":         "POST /rpc/lookup HTTP/1.1\r\nContent-Length: +1\r\n\r\nx",
@@ -112,7 +112,7 @@
 		"length-zero":           "POST /rpc/lookup HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
 		"length-missing":        "POST /rpc/lookup HTTP/1.1\r\n\r\n",
 		"length-twice":          with("Content-Length: 1\r\n"),
-		"length-too-small":      good + " and more",
+		"length-too-small":      valid + " and more",
 		"length-and-encoding":   with("Transfer-Encoding: chunked\r\n"),
 		"encoding":              "POST /rpc/lookup HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"header-line-too-long":  "GET /health HTTP/1.1\r\nHost: " + strings.Repeat("x", 17000),
@@ -127,8 +127,8 @@
 		"header-folded":         "GET /health HTTP/1.1\r\nHost: a\r\n b\r\n\r\n",
 		"header-stray-lf":       "GET /health HTTP/1.1\r\nHost: a\nb: c\r\n\r\n",
 		"header-nul":            "GET /health HTTP/1.1\r\nHost: a\x00\r\n\r\n",
-		"statement-no-text":     strings.Replace(good, "day", "d\xffy", 1),
-		"statement-nul":         strings.Replace(good, "day", "d\x00y", 1),
+		"statement-no-text":     strings.Replace(valid, "day", "d\xffy", 1),
+		"statement-nul":         strings.Replace(valid, "day", "d\x00y", 1),
 		"retry-no-number":       with("Req-Retry: x\r\n"),
 		"cost-zero":             with("Req-Cost: 0\r\n"),
 		"memory-no-number":      with("Req-Kb: much\r\n"),
@@ -220,7 +220,7 @@
 	busy.send(queryRequest("lookup", ""))
 	front.awaitCount("attempts.started.", 2)
 	front.onLoop(front.server.Drain)
-	tr.event("", "the drain begins")
+	tr.addEvent("", "the drain begins")
 	idle.recordClose()
 	fetching.roundTrip("GET MORE HTTP/1.1\r\n\r\n")
 	fetching.roundTrip("GET MORE HTTP/1.1\r\n\r\n")
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -66,7 +66,7 @@
 func (r *pgRecorder) receiveMessage() {
 	r.t.Helper()
 	for {
-		_, n := r.message()
+		_, n := r.recordMessage()
 		if n > 0 {
 			return
 		}
@@ -95,7 +95,7 @@
 func (r *pgRecorder) receiveUntilReady() {
 	r.t.Helper()
 	for {
-		kind, n := r.message()
+		kind, n := r.recordMessage()
 		switch {
 		case n > 0 && kind == 'Z':
 			return
@@ -105,8 +105,8 @@
 	}
 }
 
-// message records the next message and returns its kind and length. If the message is incomplete, both are 0.
-func (r *pgRecorder) message() (kind byte, n int) {
+// recordMessage records the next message and returns its kind and length. If the message is incomplete, both are 0.
+func (r *pgRecorder) recordMessage() (kind byte, n int) {
 	const (
 		headLength    = 5
 		keyDataLength = 13
@@ -141,7 +141,7 @@
 		continue
 	}
 	for n := 1; n > 0; {
-		_, n = r.message()
+		_, n = r.recordMessage()
 	}
 	if len(r.unread) > 0 {
 		r.add(r.name, "<", r.unread)
@@ -152,7 +152,7 @@
 func (r *pgRecorder) recordClose() {
 	r.t.Helper()
 	r.readToEnd()
-	r.event(r.name, "closed by the front end")
+	r.addEvent(r.name, "closed by the front end")
 }
 
 // disconnect half-closes the connection from the client's side, and records what arrives until the front end closes it.
@@ -160,7 +160,7 @@
 	r.t.Helper()
 	closeWrite(r.t, r.conn)
 	r.readToEnd()
-	r.event(r.name, "closed by the client")
+	r.addEvent(r.name, "closed by the client")
 }
 
 // start records a plain startup.
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -139,8 +139,8 @@
 var (
 	// encryptionRequest asks for encryption, which is declined with one byte.
 	encryptionRequest = pgproto.AppendStartup(nil, pgproto.SSLRequestCode, nil)
-	// cancelOfNone is a CancelRequest for a connection that does not exist.
-	cancelOfNone = pgproto.AppendStartup(nil, pgproto.CancelRequestCode, make([]byte, 8))
+	// unmatchedCancel is a CancelRequest for a connection that does not exist.
+	unmatchedCancel = pgproto.AppendStartup(nil, pgproto.CancelRequestCode, make([]byte, 8))
 )
 
 // The cases are startups that are sent in one piece with the messages after them, and startups with further options.
@@ -165,7 +165,7 @@
 		},
 		"options-joined":     {first: [][]byte{deskStartup("options", "-cstatement_timeout=soon")}},
 		"options-long":       {first: [][]byte{deskStartup("options", "--statement-timeout=soon")}},
-		"cancel-pipelined":   {first: [][]byte{cancelOfNone, deskStartup()}},
+		"cancel-pipelined":   {first: [][]byte{unmatchedCancel, deskStartup()}},
 		"rejected-pipelined": {first: [][]byte{noUser, query("SELECT 1")}},
 		"twice":              {first: [][]byte{deskStartup(), deskStartup()}, responses: 1},
 	} {
@@ -206,7 +206,7 @@
 	recorder := newTranscript(t).recordPostgres("", startPostgres(t).addr)
 	recorder.send(encryptionRequest)
 	recorder.receiveByte()
-	recorder.send(cancelOfNone)
+	recorder.send(unmatchedCancel)
 	recorder.recordClose()
 	recorder.compare("pgwire/phase-startup-cancel-after-encryption")
 }
@@ -374,7 +374,7 @@
 	}
 	front.awaitCount("attempts.started.", int64(len(busy)))
 	front.onLoop(front.server.Drain)
-	tr.event("", "the drain begins")
+	tr.addEvent("", "the drain begins")
 	for _, recorder := range idle {
 		recorder.recordClose()
 	}
@@ -386,7 +386,7 @@
 	for range "12DDDC" {
 		unsynced.receiveMessage()
 	}
-	tr.event("", "the drain ends")
+	tr.addEvent("", "the drain ends")
 	front.onLoop(front.server.Finish)
 	unsynced.recordClose()
 	tr.compare("pgwire/phase-drain")
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -221,7 +221,7 @@
 	busy.send(query("SELECT part FROM stock_1.parts"))
 	front.awaitCount("attempts.started.", 1)
 	front.onLoop(front.server.Drain)
-	tr.event("", "the drain begins")
+	tr.addEvent("", "the drain begins")
 	idle.recordClose()
 	close(release)
 	busy.recordClose()
--- a/internal/e2e/http_deadline_test.go
+++ b/internal/e2e/http_deadline_test.go
@@ -93,8 +93,8 @@
 	for _, holder := range holders {
 		holder.close()
 	}
-	const mostLeft = 400 + deadlineSlack
-	if left := awaitTimeLeft(t, seen, requestID); left > mostLeft {
+	const maxLeft = 400 + deadlineSlack
+	if left := awaitTimeLeft(t, seen, requestID); left > maxLeft {
 		t.Errorf("the engine was given %d ms after %v of the 1000 ms had passed", left, waited)
 	}
 }
--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -65,9 +65,9 @@
 		}
 		return longResultReply(line)
 	}
-	one, _ := startLineEngine(t, script)
-	two, _ := startLineEngine(t, script)
-	front := startHTTP(t, one, two)
+	first, _ := startLineEngine(t, script)
+	second, _ := startLineEngine(t, script)
+	front := startHTTP(t, first, second)
 	client := connectHTTP(t, front.addr)
 	got, _ := client.roundTrip(queryRequest("report", ""))
 	client.assertLongResult(got)
@@ -142,23 +142,23 @@
 	inFlight := connectHTTP(t, front.addr)
 	inFlight.send(queryRequest("lookup", ""))
 	await(t, seen)
-	good := withID(queryRequest("lookup", ""), numberedID(1))
+	valid := withID(queryRequest("lookup", ""), numberedID(1))
 	cases := map[string]struct{ text, want string }{
 		"sends nothing":             {"", ""},
 		"half a head":               {"POST /rpc/lookup HTTP/1.1\r\nReq-", "408"},
-		"half a body":               {good[:len(good)-5], "408"},
-		"length too small":          {good + "and more", "400"},
+		"half a body":               {valid[:len(valid)-5], "408"},
+		"length too small":          {valid + "and more", "400"},
 		"no statement":              {"POST /rpc/lookup HTTP/1.1\r\nReq-Id: 0000000000000001\r\n\r\n", "411"},
-		"statement not text":        {strings.Replace(good, "day", "d\xffy", 1), "400"},
+		"statement not text":        {strings.Replace(valid, "day", "d\xffy", 1), "400"},
 		"id of a request in flight": {strings.Replace(queryRequest("lookup", ""), "day", "sum", 1), "409"},
-		"wait too long":             {withWait(good, "99999999999999999999999"), "400"},
-		"cost too large":            {strings.Replace(good, "Host", "Req-Cost: 1e9\r\nHost", 1), "400"},
-		"zero memory":               {strings.Replace(good, "Host", "Req-Kb: 0\r\nHost", 1), "400"},
-		"empty memory":              {strings.Replace(good, "Host", "Req-Kb: \r\nHost", 1), "400"},
-		"retry not a number":        {strings.Replace(good, "Host", "Req-Retry: x\r\nHost", 1), "400"},
-		"length and encoding":       {strings.Replace(good, "Host", "Transfer-Encoding:\r\nHost", 1), "501"},
-		"field after a bare LF":     {strings.Replace(good, "backend", "b\nTransfer-Encoding: chunked", 1), "400"},
-		"many malformed requests":   {strings.Repeat(strings.Replace(good, "lookup", "nope", 1), 300), "404"},
+		"wait too long":             {withWait(valid, "99999999999999999999999"), "400"},
+		"cost too large":            {strings.Replace(valid, "Host", "Req-Cost: 1e9\r\nHost", 1), "400"},
+		"zero memory":               {strings.Replace(valid, "Host", "Req-Kb: 0\r\nHost", 1), "400"},
+		"empty memory":              {strings.Replace(valid, "Host", "Req-Kb: \r\nHost", 1), "400"},
+		"retry not a number":        {strings.Replace(valid, "Host", "Req-Retry: x\r\nHost", 1), "400"},
+		"length and encoding":       {strings.Replace(valid, "Host", "Transfer-Encoding:\r\nHost", 1), "501"},
+		"field after a bare LF":     {strings.Replace(valid, "backend", "b\nTransfer-Encoding: chunked", 1), "400"},
+		"many malformed requests":   {strings.Repeat(strings.Replace(valid, "lookup", "nope", 1), 300), "404"},
 	}
 	const statusLinePrefix = "HTTP/1.1 "
 	clients := map[string]*httpClient{}
--- a/internal/e2e/line_engine_helpers_test.go
+++ b/internal/e2e/line_engine_helpers_test.go
@@ -82,7 +82,7 @@
 
 // readRequestIDs calls handle with the id of each request that arrives on a connection of the line protocol, until the
 // connection is closed or handle returns false.
-func readRequestIDs(conn net.Conn, handle func(id string) (goOn bool)) {
+func readRequestIDs(conn net.Conn, handle func(id string) (keepReading bool)) {
 	for in := bufio.NewReader(conn); ; {
 		line, err := in.ReadString('\n')
 		if err != nil {
--- a/internal/e2e/peer_helpers_test.go
+++ b/internal/e2e/peer_helpers_test.go
@@ -17,11 +17,11 @@
 // waitLimit bounds every wait, so that a test fails instead of hanging.
 const waitLimit = 10 * time.Second
 
-// assertEqual fails the test if two texts differ. The failure message begins with what, a description of the texts.
-func assertEqual(t *testing.T, what, got, want string) {
+// assertEqual fails the test if two texts differ. The failure message begins with the description.
+func assertEqual(t *testing.T, description, got, want string) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("%s (-want +got):\n%s", what, diff)
+		t.Errorf("%s (-want +got):\n%s", description, diff)
 	}
 }
 
--- a/internal/e2e/postgres_engine_helpers_test.go
+++ b/internal/e2e/postgres_engine_helpers_test.go
@@ -125,14 +125,14 @@
 			}
 			request = pgRequest{}
 		} else {
-			c.note(&request, kind, body)
+			c.addMessage(&request, kind, body)
 		}
 		c.unread = c.unread[n:]
 	}
 }
 
-// note adds a message to the request that the next Sync completes.
-func (c *pgEngineConn) note(request *pgRequest, kind byte, body []byte) {
+// addMessage adds a message to the request that the next Sync completes.
+func (c *pgEngineConn) addMessage(request *pgRequest, kind byte, body []byte) {
 	r := pgproto.Reader{Unread: body}
 	switch kind {
 	case 'P':
--- a/internal/e2e/postgres_faults_test.go
+++ b/internal/e2e/postgres_faults_test.go
@@ -106,9 +106,9 @@
 		}
 		return insertOneRow
 	}
-	one, _ := startPgEngine(t, script)
-	other, _ := startPgEngine(t, script)
-	front := startPostgres(t, one, other)
+	first, _ := startPgEngine(t, script)
+	second, _ := startPgEngine(t, script)
+	front := startPostgres(t, first, second)
 	silent := &pgClient{t: t, conn: dial(t, front.addr)}
 	stalled := connectPostgres(t, front.addr)
 	stalled.send(query("SELECT 1")[:7])
--- a/internal/e2e/postgres_session_test.go
+++ b/internal/e2e/postgres_session_test.go
@@ -39,12 +39,12 @@
 // If an engine has dropped a prepared statement, the front end prepares it again, and the client sees no error. An
 // error on a statement that was just prepared goes to the client.
 func TestPostgres_ForgottenStatementIsPreparedAgain(t *testing.T) {
-	forgets := false
+	dropsStatements := false
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
-		if forgets && !request.parsed {
+		if dropsStatements && !request.parsed {
 			return pgError("26000")
 		}
-		forgets = true
+		dropsStatements = true
 		if strings.Contains(request.query, "odd") {
 			return pgError("0A000")
 		}
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -50,9 +50,9 @@
 		window      = 300 * time.Millisecond
 		startupTime = 400 * time.Millisecond
 	)
-	asked, release := make(chan bool), make(chan bool)
+	received, release := make(chan bool), make(chan bool)
 	first, _ := startPgEngine(t, func(pgRequest) []byte {
-		asked <- true
+		received <- true
 		<-release
 		return pgError("XX000")
 	})
@@ -61,7 +61,7 @@
 	front := newFrontEnd(t, func(s *policy.Settings) { s.Classes[loadClass].DedupWindow = window }).servePostgres(first)
 	client := connectPostgres(t, front.addr)
 	client.send(runUnnamed(insertPart, "key")...)
-	await(t, asked)
+	await(t, received)
 	front.updateEndpoints(policy.EngineDraining, first)
 	front.updateEndpoints(policy.EngineReady, second)
 	close(release)
--- a/internal/e2e/statement_shapes_test.go
+++ b/internal/e2e/statement_shapes_test.go
@@ -42,9 +42,9 @@
 // never classified by its shape.
 func TestStatementShapes_ClassFollowsBoundValues(t *testing.T) {
 	const (
-		longListLength = 78
-		learned        = 8 // executions with each list before their classes are counted
-		counted        = 4
+		longListLength    = 78
+		warmupExecutions  = 8 // executions with each list before their classes are counted
+		countedExecutions = 4
 	)
 	longList := "{" + strings.Repeat("d,", longListLength-1) + "d}"
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
@@ -65,17 +65,17 @@
 		client.send(bind("", "s", list), execute("", 0), syncMessage)
 		assertEqual(t, "response", client.receiveUntilReady(), "2 D(a) C(SELECT 1) Z")
 	}
-	for range learned {
+	for range warmupExecutions {
 		executeWith("{d1,d2}")
 		executeWith(longList)
 	}
 	before := front.count("requests.accepted.report")
-	for range counted {
+	for range countedExecutions {
 		executeWith(longList)
 		executeWith("{d3}")
 	}
-	if n := front.count("requests.accepted.report") - before; n != counted {
-		t.Errorf("%d of %d long lists were classified as reports", n, counted)
+	if n := front.count("requests.accepted.report") - before; n != countedExecutions {
+		t.Errorf("%d of %d long lists were classified as reports", n, countedExecutions)
 	}
 	before = front.count("requests.accepted.lookup")
 	client.send(query("/* class=lookup */ "+strings.Replace(text, "$1", "'"+longList+"'", 1)), syncMessage)
