--- a/internal/e2e/engine_faults_test.go
+++ b/internal/e2e/engine_faults_test.go
@@ -64,7 +64,7 @@
 	front.assertCount("engine-connections.dialed", 1)
 }
 
-// An engine stops sending in the middle of a response while its connection stays open. The front end soon closes the
+// An engine stops sending before its response is complete, and its connection stays open. The front end soon closes the
 // connection, all attempts on it end, and another connection serves both requests.
 func TestEngineFault_StalledResponseEndsTheConnectionAndIsRetried(t *testing.T) {
 	stalled := false
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -32,7 +32,7 @@
 	return &pgRecorder{transcript: tr, name: name, conn: dial(tr.t, addr)}
 }
 
-// send writes messages, each of which is recorded as one piece.
+// send writes messages and records each message as one piece.
 func (r *pgRecorder) send(messages ...[]byte) {
 	r.t.Helper()
 	for _, message := range messages {
