--- a/internal/e2e/golden_helpers_test.go
+++ b/internal/e2e/golden_helpers_test.go
@@ -11,11 +11,11 @@
 	"flaxrelay/internal/golden"
 )
 
-// longRun is the least number of equal bytes in a row that a transcript abbreviates.
+// longRun is the length in bytes from which a transcript abbreviates a run of equal bytes.
 const longRun = 40
 
-// transcript records the bytes of an exchange, for comparison with a golden file. Each
-// line holds the name of the connection, the direction and a quoted piece of the stream.
+// transcript records the bytes of an exchange, for comparison with a golden file. Each line contains the name of the
+// connection, the direction and a quoted piece of the stream.
 type transcript struct {
 	t    *testing.T
 	text strings.Builder
@@ -26,24 +26,25 @@
 	return &transcript{t: t}
 }
 
-// add records one piece; a run of one byte is written as its length and the byte.
+// add records one piece of the stream. A long run of equal bytes is written as its length and the byte.
 func (tr *transcript) add(connection, direction string, piece []byte) {
 	_, _ = fmt.Fprintf(&tr.text, "%s%s", connection, direction)
 	for len(piece) > 0 {
-		plain, run := splitAtRun(piece)
+		plain, runLength := splitAtRun(piece)
 		if len(plain) > 0 {
 			fmt.Fprintf(&tr.text, " %q", plain)
 		}
-		if run > 0 {
-			fmt.Fprintf(&tr.text, " %d*%q", run, piece[len(plain):len(plain)+1])
+		if runLength > 0 {
+			fmt.Fprintf(&tr.text, " %d*%q", runLength, piece[len(plain):len(plain)+1])
 		}
-		piece = piece[len(plain)+run:]
+		piece = piece[len(plain)+runLength:]
 	}
 	tr.text.WriteByte('\n')
 }
 
-// splitAtRun returns the bytes before the first long run of one byte, and the length of the run.
-func splitAtRun(piece []byte) (plain []byte, run int) {
+// splitAtRun returns the bytes before the first long run of equal bytes, and the length of the run. Without a long run,
+// it returns the whole piece and 0.
+func splitAtRun(piece []byte) (plain []byte, runLength int) {
 	start := 0
 	for i := range piece {
 		if piece[i] != piece[start] {
@@ -61,16 +62,16 @@
 	return piece, 0
 }
 
-// lines records text line by line.
-func (tr *transcript) lines(connection, direction string, text []byte) {
+// addLines records text line by line.
+func (tr *transcript) addLines(connection, direction string, text []byte) {
 	for line := range bytes.Lines(text) {
 		tr.add(connection, direction, line)
 	}
 }
 
-// event records an event other than a piece of a stream.
-func (tr *transcript) event(connection, what string) {
-	fmt.Fprintf(&tr.text, "%s# %s\n", connection, what)
+// addEvent records an event other than a piece of a stream.
+func (tr *transcript) addEvent(connection, description string) {
+	fmt.Fprintf(&tr.text, "%s# %s\n", connection, description)
 }
 
 // compare compares the transcript with its golden file.
@@ -79,7 +80,7 @@
 	golden.Compare(tr.t, filepath.Join("testdata", name+".golden"), []byte(tr.text.String()))
 }
 
-// readToEnd reads until the peer ends the connection.
+// readToEnd reads until the peer closes the connection.
 func readToEnd(t *testing.T, r io.Reader) []byte {
 	t.Helper()
 	rest, err := io.ReadAll(r)
--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A request that no engine could take is rejected.
+// Without engines, a request is rejected.
 func TestGoldenHTTP_RequestIsRejectedWithoutEngines(t *testing.T) {
 	recorder := newTranscript(t).recordHTTP("", startHTTP(t).addr)
 	recorder.roundTrip(queryRequest("lookup", ""))
@@ -63,7 +63,7 @@
 	recorder.compare("http/refused-no-engine")
 }
 
-// If the settings forbid a Retry-After, a rejection has no such field.
+// If the settings forbid a Retry-After, a rejection has no header field that says when to retry.
 func TestGoldenHTTP_RejectionHasNoRetryAfterWhereSettingsForbidIt(t *testing.T) {
 	front := newFrontEnd(t, func(s *policy.Settings) { s.Limits.RetryAfter = false })
 	recorder := newTranscript(t).recordHTTP("", front.serveHTTP().addr)
@@ -72,7 +72,7 @@
 	recorder.compare("http/refused-unsaid")
 }
 
-// An engine is unresponsive until the client's wait is over.
+// An engine does not respond before the client's wait is over: the request fails.
 func TestGoldenHTTP_UnresponsiveEngineFailsTheRequest(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
 	recorder := newTranscript(t).recordHTTP("", startHTTP(t, addr).addr)
@@ -81,10 +81,11 @@
 	recorder.compare("http/failed-timeout")
 }
 
-// A malformed request has an error response and ends its connection: requests that follow it have none.
+// A malformed request has an error response, after which its connection is closed. Requests that follow it have no
+// response.
 func TestGoldenHTTP_MalformedRequestEndsItsConnection(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
-	good := queryRequest("lookup", "")
+	valid := queryRequest("lookup", "")
 	with := func(header string) string { return queryRequest("lookup", header) }
 	front := startHTTP(t, addr)
 	recorders := map[string]*httpRecorder{}
@@ -95,14 +96,14 @@
 		"method-of-health":      "DELETE /health HTTP/1.1\r\n\r\n",
 		"method-of-more":        "POST /more/x-1/1 HTTP/1.1\r\nContent-Length: 1\r\n\r\nx",
 		"get-of-class":          "GET /rpc/lookup HTTP/1.1\r\n\r\n",
-		"no-id":                 strings.Replace(good, "Req-Id: "+requestID+"\r\n", "", 1),
-		"short-id":              strings.Replace(good, requestID, requestID[1:], 1),
-		"id-not-hex":            strings.Replace(good, requestID, "g"+requestID[1:], 1),
+		"no-id":                 strings.Replace(valid, "Req-Id: "+requestID+"\r\n", "", 1),
+		"short-id":              strings.Replace(valid, requestID, requestID[1:], 1),
+		"id-not-hex":            strings.Replace(valid, requestID, "g"+requestID[1:], 1),
 		"id-twice":              with("Req-Id: " + requestID + "\r\n"),
-		"no-wait":               strings.Replace(good, "Req-Wait-Ms: "+defaultWait+"\r\n", "", 1),
-		"wait-no-number":        strings.Replace(good, "2000", "NaN", 1),
-		"wait-zero":             strings.Replace(good, "2000", "0", 1),
-		"wait-too-long":         strings.Replace(good, "2000", "600001", 1),
+		"no-wait":               strings.Replace(valid, "Req-Wait-Ms: "+defaultWait+"\r\n", "", 1),
+		"wait-no-number":        strings.Replace(valid, "2000", "NaN", 1),
+		"wait-zero":             strings.Replace(valid, "2000", "0", 1),
+		"wait-too-long":         strings.Replace(valid, "2000", "600001", 1),
 		"length-no-number":      "POST /rpc/lookup HTTP/1.1\r\nContent-Length: x\r\n\r\n",
 		"length-negative":       "POST /rpc/lookup HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
 		"length-signed":         "POST /rpc/lookup HTTP/1.1\r\nContent-Length: +1\r\n\r\nx",
@@ -111,7 +112,7 @@
 		"length-zero":           "POST /rpc/lookup HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
 		"length-missing":        "POST /rpc/lookup HTTP/1.1\r\n\r\n",
 		"length-twice":          with("Content-Length: 1\r\n"),
-		"length-too-small":      good + " and more",
+		"length-too-small":      valid + " and more",
 		"length-and-encoding":   with("Transfer-Encoding: chunked\r\n"),
 		"encoding":              "POST /rpc/lookup HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 		"header-line-too-long":  "GET /health HTTP/1.1\r\nHost: " + strings.Repeat("x", 17000),
@@ -126,8 +127,8 @@
 		"header-folded":         "GET /health HTTP/1.1\r\nHost: a\r\n b\r\n\r\n",
 		"header-stray-lf":       "GET /health HTTP/1.1\r\nHost: a\nb: c\r\n\r\n",
 		"header-nul":            "GET /health HTTP/1.1\r\nHost: a\x00\r\n\r\n",
-		"statement-no-text":     strings.Replace(good, "day", "d\xffy", 1),
-		"statement-nul":         strings.Replace(good, "day", "d\x00y", 1),
+		"statement-no-text":     strings.Replace(valid, "day", "d\xffy", 1),
+		"statement-nul":         strings.Replace(valid, "day", "d\x00y", 1),
 		"retry-no-number":       with("Req-Retry: x\r\n"),
 		"cost-zero":             with("Req-Cost: 0\r\n"),
 		"memory-no-number":      with("Req-Kb: much\r\n"),
@@ -139,14 +140,14 @@
 		recorder.roundTrip(request)
 		recorders[name] = recorder
 	}
-	for name, recorder := range recorders { // the front end gives each client some time to read
+	for name, recorder := range recorders { // the front end delays each close, so that the client can read the response
 		recorder.recordClose()
 		recorder.compare("http/bad-" + name)
 	}
 	front.assertCount("requests.accepted.", 0)
 }
 
-// Requests that arrive in one piece have their responses one after the other, in their order.
+// Requests that arrive in one piece have their responses one after the other, in the order of the requests.
 func TestGoldenHTTP_PipelinedRequestsHaveResponsesInOrder(t *testing.T) {
 	addr, _ := startLineEngine(t, goldenEngine)
 	recorder := newTranscript(t).recordHTTP("", startHTTP(t, addr).addr)
@@ -178,7 +179,7 @@
 	}
 }
 
-// A second request of an id in flight is rejected, and the first goes on.
+// A second request with the id of a request in flight is rejected, and the first request continues.
 func TestGoldenHTTP_DuplicateOfAnIDInFlightIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	addr, seen := startLineEngine(t, func(line string) string {
@@ -200,7 +201,7 @@
 	tr.compare("http/bad-open-id")
 }
 
-// A graceful shutdown closes idle connections at once, and others after their responses.
+// A graceful shutdown closes idle connections at once, and other connections after their responses.
 func TestGoldenHTTP_GracefulShutdownClosesConnectionsAfterTheirResponses(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startLineEngine(t, func(line string) string {
@@ -219,7 +220,7 @@
 	busy.send(queryRequest("lookup", ""))
 	front.awaitCount("attempts.started.", 2)
 	front.onLoop(front.server.Drain)
-	tr.event("", "the drain begins")
+	tr.addEvent("", "the drain begins")
 	idle.recordClose()
 	fetching.roundTrip("GET MORE HTTP/1.1\r\n\r\n")
 	fetching.roundTrip("GET MORE HTTP/1.1\r\n\r\n")
