--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -26,16 +26,17 @@
 	closeShutdown       closeReason = "shutdown"        // a graceful shutdown
 )
 
-// unused reports whether the connection has no request in flight, no result that its client fetches page by page, and
-// no unread bytes. It must not be called from OnData.
+// unused reports whether the connection is open and has no request in flight, no result that its client fetches page by
+// page, and no unread bytes. It must not be called from OnData.
 func (c *connection) unused() bool {
 	return c.state.awaitsRequest() && c.state != statePaging && c.reader.unread() == 0
 }
 
-// closeUnused closes the connection without a response, unless a request is in flight or bytes are unread. It first
-// reads the bytes that the socket holds, and reports whether it closed the connection. Every close from this side
-// without a response goes through closeUnused, so that no request that was read is lost. It must not be called from
-// OnData.
+// closeUnused reads the bytes that the socket holds, and closes the connection without a response if no bytes are
+// unread. It reports whether it closed the connection. Every close from this side without a response goes through
+// closeUnused, so that no request that was read is lost: a call while a request is in flight closes nothing and is
+// counted as a violation. Unlike unused, closeUnused ignores whether the client fetches a result page by page. It must
+// not be called from OnData.
 func (c *connection) closeUnused(reason closeReason) bool {
 	responded := c.state != stateInFlight
 	invariants := c.server.dispatcher.Invariants()
@@ -105,8 +106,8 @@
 	c.writeLast(rejectedResponse(c.server.dispatcher.RetryAfter()), reason)
 }
 
-// countClose counts the close of the connection by its reason. The error is that of the socket, or nil if either side
-// closed it.
+// countClose counts the close of the connection by its reason. err is the socket's error, or nil if either side closed
+// the socket.
 func (c *connection) countClose(err error) {
 	reason := c.closeReason
 	switch {
--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -12,8 +12,7 @@
 	"flaxrelay/internal/timerqueue"
 )
 
-// maxPendingWrite is the number of bytes that may wait to be sent to a client. While more wait, none of its requests
-// are read.
+// maxPendingWrite is how many bytes may wait to be sent to a client. While more wait, none of its requests are read.
 const maxPendingWrite = 256 << 10
 
 // connectionState determines what a connection may do next. Every connection starts in stateNew and ends in
@@ -154,7 +153,7 @@
 	c.reject(&statusError{http.StatusRequestTimeout, "the call was not whole in time"})
 }
 
-// forward passes a valid request to the dispatcher, which may respond before it returns.
+// forward passes a valid request to the dispatcher, which may respond before Accept returns.
 func (c *connection) forward(request *lifecycle.Request) {
 	c.request = request
 	c.state = stateInFlight
--- a/internal/frontend/httpserver/eviction.go
+++ b/internal/frontend/httpserver/eviction.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxIdleTime is how long a connection is kept after its last request. Clients close their idle connections
-	// earlier.
+	// maxIdleTime is how long a connection is kept after its last request or response. Clients close their idle
+	// connections earlier.
 	maxIdleTime = 30 * time.Second
 	// idleCheckInterval is the time between two checks for connections past maxIdleTime.
 	idleCheckInterval = maxIdleTime / 4
@@ -46,7 +46,8 @@
 // evictExcess evicts connections while too many are open: first those without a valid request, the oldest first, and
 // then those that have been idle for the longest time. This protects against clients that open hundreds of connections,
 // or keep them open after one request: other clients would find no descriptor left. If no connection can be evicted
-// yet, a timer calls evictExcess again. No other event would call it, since no connection is accepted at the limit.
+// yet, a timer calls evictExcess again. No other event would call it once the listener's limit is reached, since no
+// further connection is then accepted.
 func (e *evictor) evictExcess() {
 	for {
 		open, victim := e.findVictim()
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -72,7 +72,7 @@
 	return response{status: err.status, body: encodeError(err.message)}
 }
 
-// isClientError reports whether the response is due to an invalid request.
+// isClientError reports whether the status is a client error (4xx).
 func (r response) isClientError() bool {
 	return r.status >= http.StatusBadRequest && r.status < http.StatusInternalServerError
 }
--- a/internal/frontend/httpserver/scenario_test.go
+++ b/internal/frontend/httpserver/scenario_test.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// httpCounters returns the HTTP server's counters except that of accepted connections.
+// httpCounters returns the HTTP server's counters, without the counter of accepted connections.
 func (s *clientScenario) httpCounters() map[string]int {
 	s.t.Helper()
 	var printed bytes.Buffer
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -37,7 +37,7 @@
 	MaxClients       int                // limit of open connections; beyond it some are evicted, see evictor
 	MaxBufferedBytes int                // limit of bytes of results that are buffered for clients to fetch
 	Estimator        *stmtstats.Service // estimates costs by statement shape; nil: no estimates
-	ReadTimeout      time.Duration      // limit of the time until a first or partly read request is complete
+	ReadTimeout      time.Duration      // limit of the time until the first or a partly received request is complete
 }
 
 func (o Options) withDefaults() Options {
@@ -128,8 +128,8 @@
 	}
 }
 
-// Finish ends a graceful shutdown, once the dispatcher rejects all new requests. The dispatcher then rejects the
-// requests that have arrived completely, and the server rejects those that have arrived only in part.
+// Finish ends a graceful shutdown. It is called after Dispatcher.CompleteAll: the dispatcher then rejects the requests
+// that have arrived completely, and the server rejects those that have arrived only in part.
 func (s *Server) Finish() {
 	s.finishing = true
 	for c := range s.connections {
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -41,7 +41,8 @@
 
 // classify returns a statement's class. Its leading comment overrides the rules, and the rules override the default. A
 // statement that may write never gets an idempotent class. If its class is the default, it gets the class for writes
-// instead, which permits one attempt. If a comment or a rule names an idempotent class, classify returns an error.
+// instead, which permits one attempt. If a comment or a rule names an idempotent class, classify returns an error. A
+// statement whose text does not show its effect counts as one that may write, unless a rule declares it read-only.
 func (s *Server) classify(query string, parsed *stmtstats.Statement) (classification, *pgproto.Error) {
 	choice, failure := s.chooseClass(query)
 	if failure != nil {
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -19,7 +19,8 @@
 	maxUnread = maxMessage + 64<<10
 	// stallTimeout is how long a client may send nothing while a message is incomplete.
 	stallTimeout = 2 * time.Second
-	// maxPendingWrite is how many bytes may wait to be sent to a client before no more of its messages are read.
+	// maxPendingWrite is how many bytes may wait to be sent to a client. While more wait, none of its messages are
+	// read.
 	maxPendingWrite = 1 << 20
 )
 
@@ -34,7 +35,7 @@
 //	ready     -> in flight   message whose request is forwarded
 //	ready     -> skipping    error in a message that is not a Query
 //	in flight -> ready       response to a Query, or its CancelRequest
-//	in flight -> ready       result for a message of the extended query
+//	in flight -> ready       result for a message of the extended query protocol
 //	in flight -> skipping    error for such a message, or its CancelRequest
 //	skipping  -> ready       Sync
 //	skipping  -> skipping    any other message, which is ignored
@@ -42,8 +43,7 @@
 //	startup, ready, skipping -> closing  malformed message, or a client that stalls within a message
 //	any                      -> closing  client disconnected
 //
-// A graceful shutdown closes the connection at once unless a request is in flight, and otherwise after the next
-// ReadyForQuery.
+// A graceful shutdown closes the connection at once, or after the next ReadyForQuery if a request is in flight.
 type connectionState uint8
 
 const (
@@ -63,8 +63,9 @@
 func (s connectionState) awaitsMessage() bool { return s != stateInFlight && s != stateClosing }
 
 // connection is the connection of one client. It owns the socket and the state of the protocol, and passes each message
-// to its handler: startupPhase, simpleQuery or extendedQuery. A handler reads the message and either writes the
-// complete response to the output or returns an execution, which the connection forwards.
+// to its handler: startupPhase, simpleQuery or extendedQuery. A handler reads the message and writes the complete
+// response to the output. Instead it may return an error, which the connection sends, or an execution, which the
+// connection forwards.
 //
 // A connection must be used from the goroutine of the event loop only.
 type connection struct {
@@ -181,8 +182,8 @@
 	return nil
 }
 
-// sendReady sends the ReadyForQuery that ends the response to a Query or a Sync. In a graceful shutdown it also closes
-// the connection.
+// sendReady sends the ReadyForQuery that ends the startup or the response to a Query or a Sync. In a graceful shutdown
+// it also closes the connection.
 func (c *connection) sendReady() {
 	c.output.message(pgproto.ServerReadyForQuery, []byte{pgproto.TransactionIdle})
 	if c.server.draining {
--- a/internal/frontend/pgserver/extended_describe.go
+++ b/internal/frontend/pgserver/extended_describe.go
@@ -2,9 +2,9 @@
 
 import "flaxrelay/internal/pgproto"
 
-// describe sends the description of a statement at once, but delays that of a portal until the next message arrives.
-// That message is usually the first Execute of the portal, whose result includes the description, so that no separate
-// request to an engine is needed.
+// describe sends the description of a statement at once. The description of a portal stays pending until the next
+// message arrives: that message is usually the first Execute of the portal, whose result includes the description, so
+// that no separate request to an engine is needed.
 func (q *extendedQuery) describe(body []byte) (*execution, *pgproto.Error) {
 	kind, name, failure := readTarget(body, "Describe")
 	if failure != nil {
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -69,8 +69,8 @@
 	result.DataRows = nil
 }
 
-// sendRows sends rows of a portal that has run, at most maxRows of them if that is positive, and its completion after
-// the last row.
+// sendRows sends rows of a portal that has run, at most maxRows of them if that is positive. After exactly maxRows rows
+// it sends PortalSuspended, and otherwise the completion.
 func (p *portal) sendRows(output *messageWriter, maxRows int) *pgproto.Error {
 	if p.state == portalCompleted && p.result.RowDescription == nil {
 		return newError(codeObjectNotInState, "the portal has run and cannot be run again")
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -41,7 +41,7 @@
 	return e.onServed(result)
 }
 
-// forward passes an execution to the dispatcher, which may respond before it returns.
+// forward passes an execution to the dispatcher, which may respond before Accept returns.
 func (c *connection) forward(exec *execution) {
 	request := c.server.newRequest(exec, c)
 	c.request = request
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -93,7 +93,8 @@
 	return c
 }
 
-// SetOptions changes the options for statements that are prepared later and clients that connect later.
+// SetOptions changes the options for statements that are prepared later and clients that connect later. The limit of
+// buffered bytes applies at once, but only to rows that are buffered later.
 func (s *Server) SetOptions(options Options) {
 	if options.MaxBufferedBytes <= 0 {
 		options.MaxBufferedBytes = defaultMaxBufferedBytes
@@ -113,8 +114,8 @@
 	}
 }
 
-// Finish ends a graceful shutdown, once the dispatcher has responded to all requests: no request is in flight, so that
-// Drain closes all connections.
+// Finish ends a graceful shutdown. It is called after Dispatcher.CompleteAll, which has responded to all requests: no
+// request is in flight, so that Drain closes all connections.
 func (s *Server) Finish() { s.Drain() }
 
 // Idle reports whether no client is connected.
