--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -43,8 +43,8 @@
 // embeds it. It may be used only on the event loop's goroutine.
 type Client[P Protocol] struct {
 	Loop *eventloop.Loop
-	// Dispatcher is notified of the end of each attempt. Its clock must be Loop's, unless
-	// connections have no idle timeout.
+	// Dispatcher is notified of the end of each attempt. If connections have an idle timeout, its
+	// clock must be Loop's.
 	Dispatcher *lifecycle.Dispatcher
 	Counters   *metrics.Counters
 	Log        *slog.Logger
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -66,8 +66,8 @@
 	socket   *eventloop.Conn // nil in StateDialing and StateClosed
 	// closeStatus is the reason why this side has closed the connection. It is valid in StateClosing.
 	closeStatus lifecycle.AttemptStatus
-	// lastUsed is when an attempt last started or ended, by the dispatcher's clock. While an
-	// attempt is in flight, checkIdle advances it.
+	// lastUsed is when MarkUsed was last called, by the dispatcher's clock. The idle timeout counts
+	// from this time. While an attempt is in flight, each checkIdle calls MarkUsed.
 	lastUsed     time.Duration
 	messageTimer messageTimer
 }
@@ -93,7 +93,8 @@
 // MarkOpen records that the startup is complete.
 func (c *Connection[P]) MarkOpen() { c.state = StateOpen }
 
-// MarkUsed records that an attempt has started or ended.
+// MarkUsed sets the time of the latest use to now. The protocol calls it at least when an attempt
+// ends, and once before WatchIdle.
 func (c *Connection[P]) MarkUsed() { c.lastUsed = c.client.Dispatcher.Now() }
 
 // StopAccepting prevents new attempts on the connection.
--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -96,7 +96,7 @@
 }
 
 // HandleMessage handles the first response of in. It ignores a response for which there is no
-// stream, because its request was abandoned.
+// stream, because its request was abandoned or has ended.
 func (c *connection) HandleMessage(in []byte) (length int, err error) {
 	parsed, length, err := parseResponse(in)
 	if err != nil || length == 0 {
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -3,7 +3,7 @@
 //
 // New returns a Client, which is passed to Dispatcher.SetEngineClient. The statement of a request
 // is a *pgproto.Statement, and the result of a served request is a *pgproto.Result. If an engine
-// has ended an attempt with an error, its error detail is a *pgproto.Error.
+// has ended an attempt with an error, the error detail of the attempt is a *pgproto.Error.
 package pgclient
 
 import (
@@ -37,9 +37,9 @@
 type Options struct {
 	User             string
 	Database         string
-	ConnectTimeout   time.Duration // for the dial and the startup together
+	ConnectTimeout   time.Duration // for the dial and the startup together; 0: default
 	IdleTimeout      time.Duration // 0: idle connections stay open
-	MaxBufferedBytes int           // limit of the rows of all incomplete results
+	MaxBufferedBytes int           // limit of bytes of rows in all incomplete results; 0: default
 }
 
 // Client is a lifecycle.EngineClient for PostgreSQL engines. It may be used only on the event
