--- a/internal/frontend/httpserver/helpers_test.go
+++ b/internal/frontend/httpserver/helpers_test.go
@@ -107,20 +107,20 @@
 }
 
 // awaitCondition polls until the condition holds.
-func awaitCondition(t *testing.T, what string, condition func() bool) {
+func awaitCondition(t *testing.T, event string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitLimit); !condition(); runtime.Gosched() {
 		if time.Now().After(deadline) {
-			t.Errorf("waited %v for %s", waitLimit, what)
+			t.Errorf("waited %v for %s", waitLimit, event)
 			return
 		}
 	}
 }
 
 // awaitOnLoop polls on the goroutine of the event loop until the condition holds.
-func awaitOnLoop(t *testing.T, server *Server, what string, condition func() bool) {
+func awaitOnLoop(t *testing.T, server *Server, event string, condition func() bool) {
 	t.Helper()
-	awaitCondition(t, what, func() (met bool) {
+	awaitCondition(t, event, func() (met bool) {
 		eventlooptest.Do(server.loop, func() { met = condition() })
 		return met
 	})
