--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -15,9 +15,9 @@
 	pooled
 	// HandleConnected is called when the dial has succeeded.
 	HandleConnected()
-	// HandleMessage handles the first message of in and returns its length, or 0 if the
+	// HandleMessage handles the first message of in and returns its size, or 0 if the
 	// message is incomplete. After an error the connection is closed and nothing more is read.
-	HandleMessage(in []byte) (length int, err error)
+	HandleMessage(in []byte) (size int, err error)
 	// InFlight returns the number of attempts on the connection.
 	InFlight() int
 	// ResetStatus returns the status of the attempts that were in flight when the engine
--- a/internal/engine/framing.go
+++ b/internal/engine/framing.go
@@ -48,16 +48,16 @@
 // OnData passes each complete message of the buffer to the protocol. The event loop calls it.
 func (c *Connection[P]) OnData(_ *eventloop.Conn, in *eventloop.Buffer) {
 	for c.state != StateClosing {
-		length, err := c.protocol.HandleMessage(in.Bytes())
-		if length > 0 {
-			in.Consume(length)
+		size, err := c.protocol.HandleMessage(in.Bytes())
+		if size > 0 {
+			in.Consume(size)
 			c.messageTimer.messageRead()
 		}
 		if err != nil {
 			c.fail(err)
 			return
 		}
-		if length == 0 {
+		if size == 0 {
 			break
 		}
 	}
--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -97,15 +97,15 @@
 
 // HandleMessage handles the first response of in. It ignores a response for which there is no
 // stream, because its request was abandoned or has ended.
-func (c *connection) HandleMessage(in []byte) (length int, err error) {
-	parsed, length, err := parseResponse(in)
-	if err != nil || length == 0 {
+func (c *connection) HandleMessage(in []byte) (size int, err error) {
+	parsed, size, err := parseResponse(in)
+	if err != nil || size == 0 {
 		return 0, err
 	}
 	s := c.streams[parsed.requestID]
 	if s == nil {
 		c.client.Counters.Increment(metrics.EngineConnectionsLateResponses)
-		return length, nil
+		return size, nil
 	}
-	return length, s.handle(parsed)
+	return size, s.handle(parsed)
 }
--- a/internal/engine/lineclient/framing.go
+++ b/internal/engine/lineclient/framing.go
@@ -36,9 +36,9 @@
 	errBody   = fmt.Errorf("%w: the body is not followed by CR LF", errMalformedResponse)
 )
 
-// parseResponse returns the first response of b and its length in bytes, or a length of 0 if
+// parseResponse returns the first response of b and its size in bytes, or a size of 0 if
 // the response is incomplete.
-func parseResponse(b []byte) (parsed response, length int, err error) {
+func parseResponse(b []byte) (parsed response, size int, err error) {
 	line, complete, err := firstLine(b)
 	if err != nil || !complete {
 		return response{}, 0, err
--- a/internal/engine/lineclient/framing_test.go
+++ b/internal/engine/lineclient/framing_test.go
@@ -11,9 +11,9 @@
 func FuzzParseResponse(f *testing.F) {
 	f.Add([]byte("9b1f DONE batches=2,cpu=1.5,gauges=util:0.5;x 3\r\na\tb\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		parsed, length, err := parseResponse(b)
-		if length > len(b) || len(parsed.body) > length || err != nil && length != 0 {
-			t.Fatalf("length %d in %d bytes, body of %d bytes, error %v", length, len(b), len(parsed.body), err)
+		parsed, size, err := parseResponse(b)
+		if size > len(b) || len(parsed.body) > size || err != nil && size != 0 {
+			t.Fatalf("size %d in %d bytes, body of %d bytes, error %v", size, len(b), len(parsed.body), err)
 		}
 		if err != nil && !errors.Is(err, errMalformedResponse) {
 			t.Fatalf("%v does not wrap %q", err, errMalformedResponse)
@@ -42,9 +42,9 @@
 		"body end is cut":    {"9b1f DONE - 1\r\na\r", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, length, err := parseResponse([]byte(test.in))
-			if length != 0 || !errors.Is(err, test.want) {
-				t.Errorf("length %d and error %v, want 0 and %v", length, err, test.want)
+			_, size, err := parseResponse([]byte(test.in))
+			if size != 0 || !errors.Is(err, test.want) {
+				t.Errorf("size %d and error %v, want 0 and %v", size, err, test.want)
 			}
 		})
 	}
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -29,8 +29,8 @@
 	stallTimeout = 2 * time.Second
 	// defaultConnectTimeout applies if the options contain no ConnectTimeout.
 	defaultConnectTimeout = time.Second
-	// defaultBufferedBytes applies if the options contain no MaxBufferedBytes.
-	defaultBufferedBytes = 48 << 20
+	// defaultMaxBufferedBytes applies if the options contain no MaxBufferedBytes.
+	defaultMaxBufferedBytes = 48 << 20
 )
 
 // Options configure the connections to engines.
@@ -64,7 +64,7 @@
 		options.ConnectTimeout = defaultConnectTimeout
 	}
 	if options.MaxBufferedBytes <= 0 {
-		options.MaxBufferedBytes = defaultBufferedBytes
+		options.MaxBufferedBytes = defaultMaxBufferedBytes
 	}
 	limits := engine.Options{
 		ConnectTimeout:  options.ConnectTimeout,
--- a/internal/engine/pgclient/messages.go
+++ b/internal/engine/pgclient/messages.go
@@ -15,15 +15,15 @@
 }
 
 // HandleMessage handles the first message of in.
-func (c *connection) HandleMessage(in []byte) (length int, err error) {
-	kind, body, length, err := pgproto.ParseMessage(in, maxMessageBytes)
+func (c *connection) HandleMessage(in []byte) (size int, err error) {
+	kind, body, size, err := pgproto.ParseMessage(in, maxMessageBytes)
 	if err != nil {
 		return 0, fmt.Errorf("read a message: %w", err)
 	}
-	if length == 0 {
+	if size == 0 {
 		return 0, nil
 	}
-	return length, c.handle(message{kind: kind, body: body, raw: in[:length]})
+	return size, c.handle(message{kind: kind, body: body, raw: in[:size]})
 }
 
 // handle handles one message.
