--- a/internal/lab/soak/bus.go
+++ b/internal/lab/soak/bus.go
@@ -18,7 +18,7 @@
 	busNormal     busMode = iota
 	busDown               // open and new connections are closed at once
 	busSilent             // connections stay open and nothing is sent
-	busTruncating         // half of the next event is sent, and its connection closes
+	busTruncating         // each connection is closed after half of its next event
 )
 
 // busListener is a listener of the bus. The listener is closed before the connections that it has accepted.
@@ -150,7 +150,7 @@
 }
 
 // serve reads the subscription of a front end. It then sends the events that the front end has not received,
-// and a heartbeat each second, until ended is closed.
+// and a heartbeat after each second without a change of the bus, until ended is closed.
 func (b *eventBus) serve(conn net.Conn, ended <-chan struct{}) {
 	const overlap = 1 // number of events that are sent again although the front end has received them
 	lastEvent, err := readSubscription(conn)
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -20,12 +20,13 @@
 	remainingTimeSlack = 150 * time.Millisecond
 	// disconnectGrace is the time after the client's disconnect during which an attempt may still begin.
 	disconnectGrace = 100 * time.Millisecond
-	// notificationGraceAfterFault is the time from the start of a bus fault, such as a move to another
-	// address, until all front ends count as notified of the changes that were published during the
-	// fault.
+	// notificationGraceAfterFault is the shortest time from the start of a bus fault until all front ends
+	// count as notified of the changes that were published during the fault. It is also how long a move of
+	// the bus to another address counts as a bus fault, and how long after the publication of a change the
+	// start of a front end may delay the notification of the change.
 	notificationGraceAfterFault = 4 * time.Second
-	// notificationSlack is the time after the end of a bus fault, or after a front end has become ready,
-	// within which front ends are notified of the changes that they have missed.
+	// notificationSlack is the time after the end of a bus fault's span in the history, or after a front end
+	// has become ready, within which front ends are notified of the changes that they have missed.
 	notificationSlack = time.Second
 )
 
--- a/internal/lab/soak/checker_slowstart.go
+++ b/internal/lab/soak/checker_slowstart.go
@@ -7,8 +7,8 @@
 
 // slowStartLimit returns the largest number of requests of mean work that may be sent to an engine in one
 // overload window while the engine is warming up. The specification defines it as N + 2*sqrt(N) + 2, or as
-// N + 3*sqrt(N) + 3 if N is below 30, where N is the number of requests of mean work that amount to the
-// engine's capacity times the overload factor. The other terms allow for random variation.
+// N + 3*sqrt(N) + 3 if N is below 30, where N is the overload factor times the number of requests of mean
+// work that the engine can process in a window. The other terms allow for random variation.
 //
 // The front end's check at run time computes the same limit (overloadLimit in the package policy). This
 // function deliberately does not call that code: a checker that shared the code would share its errors.
--- a/internal/lab/soak/checker_slowstart_test.go
+++ b/internal/lab/soak/checker_slowstart_test.go
@@ -86,7 +86,7 @@
 		{"N 81.25 after 4 s: 101 at once", lookups(101, 4*time.Second), nil},
 		{"N 81.25 after 4 s: 102 at once", lookups(102, 4*time.Second), violated},
 		{"after the slow start", lookups(200, 8*time.Second), nil},
-		{"just before its end", lookups(200, 8*time.Second-ms), violated},
+		{"just before the end of the slow start", lookups(200, 8*time.Second-ms), violated},
 		{"within a window", inOrder(lookups(26, 0), addLookups(26, 999*ms)), violated},
 		{"in two windows", inOrder(lookups(26, 0), addLookups(26, time.Second)), nil},
 		{"before the notification", publishedLate, nil},
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -168,7 +168,7 @@
 	})
 }
 
-// A request that is not idempotent runs once. An attempt that the engine rejected has not run.
+// A request that is not idempotent runs at most once. An attempt that the engine rejected has not run.
 func TestCheck_ReportsASecondRunOfANonIdempotentRequest(t *testing.T) {
 	twoAttempts := func(class string, firstResponse responseKind) func(h *builtHistory) {
 		return func(h *builtHistory) {
@@ -263,19 +263,19 @@
 		{"ready again before", readyAgain(700*ms, 701*ms), nil},
 		{"ready again at the same time", readyAgain(701*ms, 701*ms), violated},
 		{"ready again after", readyAgain(702*ms, 701*ms), violated},
-		{"ready before the notification", readyAgain(-ms, 701*ms), violated},
+		{"ready before the publication", readyAgain(-ms, 701*ms), violated},
 		{"bus fault, 4 s after it began", busFault(-time.Second, 100*ms, 3600*ms), nil},
 		{"bus fault, later", busFault(-time.Second, 100*ms, 3601*ms), violated},
 		{"long bus fault, 1 s after its end", busFault(-time.Second, 5*time.Second, 6600*ms), nil},
 		{"long bus fault, later", busFault(-time.Second, 5*time.Second, 6601*ms), violated},
 		{"bus fault begins 100 ms later", busFault(100*ms, 200*ms, 4700*ms), nil},
 		{"bus fault begins 101 ms later", busFault(101*ms, 200*ms, 601*ms), violated},
-		{"bus fault ends with the notification", busFault(-time.Second, 0, 3600*ms), nil},
-		{"bus fault ends before it", busFault(-time.Second, -ms, 601*ms), violated},
+		{"bus fault ends at the publication", busFault(-time.Second, 0, 3600*ms), nil},
+		{"bus fault ends before the publication", busFault(-time.Second, -ms, 601*ms), violated},
 		{"front end started, 1 s later", started(2*time.Second, 3600*ms), nil},
 		{"front end started, later", started(2*time.Second, 3601*ms), violated},
 		{"front end started 3.999 s later", started(3999*ms, 5599*ms), nil},
 		{"front end started 4 s later", started(4*time.Second, 601*ms), violated},
-		{"front end started with the notification", started(0, 601*ms), violated},
+		{"front end started at the publication", started(0, 601*ms), violated},
 	})
 }
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -108,8 +108,9 @@
 	}
 }
 
-// readEvents records the events of a process in the history until the process exits. It closes listening
-// when the process listens. It runs on a separate goroutine.
+// readEvents records the events of a process in the history until the process exits. The history refers to
+// the process by the given name. readEvents closes listening when the process listens. It runs on a separate
+// goroutine.
 func (e *engine) readEvents(process string, output io.Reader, listening chan<- struct{}) {
 	events := json.NewDecoder(output)
 	for {
--- a/internal/lab/soak/engineprocess.go
+++ b/internal/lab/soak/engineprocess.go
@@ -23,7 +23,7 @@
 type engineOptions struct {
 	Addr                string  `json:"addr"`
 	Seed                uint64  `json:"seed"`
-	FaultyResponseShare float64 `json:"faulty_response_share"` // share of requests without a normal result
+	FaultyResponseShare float64 `json:"faulty_response_share"` // share of requests without a normal response
 }
 
 // engineEventKind is the kind of an event at an engine process.
--- a/internal/lab/soak/engineprocess_test.go
+++ b/internal/lab/soak/engineprocess_test.go
@@ -161,7 +161,7 @@
 	if len(got) != 3 || got[2].endedAt.Before(readFrom) {
 		t.Fatalf("the attempts are %+v", got)
 	}
-	got[2].endedAt = time.Time{} // was the end of the process
+	got[2].endedAt = time.Time{} // the end of the process, which is checked above
 	want := []attempt{
 		{
 			requestID: "served", engine: "s-00000005", class: classLookup, beganAt: at(1), remainingTime: 300 * ms,
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/lab/syscallfault"
 )
 
-// clockSteps are the errors of a wall clock from which a fault draws one.
+// clockSteps are the possible errors of a wall clock. A fault draws one of them.
 var clockSteps = []time.Duration{0, 0, 0, -5 * time.Second, -time.Hour, time.Hour}
 
 func drawClockStep(random *rand.Rand) time.Duration { return clockSteps[random.IntN(len(clockSteps))] }
@@ -76,7 +76,7 @@
 
 // engineReplacement describes the replacement of an engine by a successor.
 type engineReplacement struct {
-	drainTime  time.Duration // between the notifications of the draining and of the removal
+	drainTime  time.Duration // between the publications of the draining and of the removal
 	newAddress bool          // the successor listens at another address than the replaced engine
 	proxied    bool          // the successor is reached through a proxy
 	clockStep  time.Duration // error of the successor's clock
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// reloadLater makes a front end that has just started reload its configuration once settledProcess returns
-// its process.
+// reloadLater makes a front end that is not settled reload its configuration once settledProcess returns a
+// process that was not signalled to exit. After maxPolls polls, it gives up.
 func (r *run) reloadLater(f *frontEnd) {
 	const (
 		pollInterval = 100 * time.Millisecond
@@ -251,8 +251,8 @@
 	return nil
 }
 
-// stepClock steps the wall clock that a front end reads. The clock stays wrong until the next fault of the
-// front end.
+// stepClock steps the wall clock that a front end reads. The clock stays wrong until the next fault
+// that claims the front end.
 func (r *run) stepClock(random *rand.Rand) error {
 	const duration = 2 * time.Second
 	if f, ok := r.frontEndPool.claim(random); ok {
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -37,7 +37,7 @@
 
 var errNotReady = errors.New("not ready in time")
 
-// frontEnd is a front end whose process is restarted after each exit, under the same name and address.
+// frontEnd is a front end. Faults stop its process and start another under the same name and address.
 // During the workload, only the fault that has claimed the front end stops and starts it, and may read
 // process without mu. Clients read the state from their goroutines.
 type frontEnd struct {
@@ -54,7 +54,7 @@
 	processes   []*syscallfault.Process // all processes so far, the current one last
 	ready       bool                    // the current process serves
 	signalledAt time.Time               // when the current process was last sent SIGTERM or SIGKILL; zero: never
-	kills       []time.Time             // when a process was sent SIGKILL
+	kills       []time.Time             // when a process was sent SIGKILL, other than by terminate
 	readyTimes  []time.Time             // when each process became ready
 }
 
--- a/internal/lab/soak/frontendconfig.go
+++ b/internal/lab/soak/frontendconfig.go
@@ -19,7 +19,7 @@
 	Settings map[string]any   `json:"settings"`
 }
 
-// machineLimits limit the resources of its machine that a front end may use.
+// machineLimits limit the machine's resources that a front end may use.
 type machineLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
--- a/internal/lab/soak/frontendconfig_test.go
+++ b/internal/lab/soak/frontendconfig_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var decoded map[string]any // is encoded with sorted keys
+	var decoded map[string]any // a map is encoded with sorted keys
 	if err := json.Unmarshal(config, &decoded); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -12,7 +12,7 @@
 	outcomeServed       outcome = "served"
 	outcomeRejected     outcome = "rejected"
 	outcomeFailed       outcome = "failed"
-	outcomeDisconnected outcome = "disconnected" // the client closed its connection before the response
+	outcomeDisconnected outcome = "disconnected" // the client closed its connection without reading the response
 	outcomeExcused      outcome = "excused"      // no response, because the front end was killed
 	outcomeLost         outcome = "lost"         // the response was missing, late or incomplete
 )
@@ -24,7 +24,7 @@
 	frontEnd string
 	sentAt   time.Time     // when its last byte was written
 	wait     time.Duration // from sentAt to the client's deadline
-	endedAt  time.Time     // when the response was complete, or the client disconnected
+	endedAt  time.Time     // when the response was complete or found missing, or the client disconnected
 	outcome  outcome
 	detail   string
 
@@ -51,7 +51,7 @@
 	class         string
 	beganAt       time.Time     // when it arrived at the engine
 	remainingTime time.Duration // until the client's deadline, as given by the front end
-	endedAt       time.Time     // when its response was written, its connection ended or its engine was killed
+	endedAt       time.Time     // as recorded by endAttempt or endProcess; zero: in flight
 	response      responseKind
 	workTime      time.Duration
 
@@ -149,8 +149,9 @@
 	delayed  bool // the engine process may have noticed the end late
 }
 
-// endAttempt records the end of an attempt that is in flight at an engine process. It has no effect if the
-// attempt has already ended.
+// endAttempt records the end of an attempt that is in flight at an engine process: its response is about to be
+// written, it was cancelled, or its connection has ended. endAttempt has no effect if the attempt has already
+// ended.
 func (h *history) endAttempt(process, requestID string, end attemptEnd) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/soak/malformed.go
+++ b/internal/lab/soak/malformed.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// malformedResponseTimeout is the time within which a front end must respond to a malformed request or close
-// the connection: 3 s by the specification, plus slack for a busy machine.
+// malformedResponseTimeout limits the time until a front end closes the connection of a malformed request. By
+// the specification, it responds or closes the connection within 3 s; the rest is slack for a busy machine.
 const malformedResponseTimeout = 4 * time.Second
 
 // malformedRequests returns the malformed requests from which a client draws one. A change of their order
@@ -28,8 +28,8 @@
 	}
 }
 
-// sendMalformedRequest sends a malformed request on a new connection and checks that the front end responds
-// or closes the connection. The request is not part of the history.
+// sendMalformedRequest sends a malformed request on a new connection and checks that the front end closes the
+// connection, with or without a response. The request is not part of the history.
 func (c *client) sendMalformedRequest() {
 	target := c.run.pickFrontEnd(c.random)
 	if target == nil {
@@ -51,7 +51,7 @@
 	var netError net.Error
 	timedOut := errors.As(err, &netError) && netError.Timeout()
 	if timedOut && !target.killedWithin(startedAt, time.Now()) {
-		target.report(RuleMalformedRequest, "%s: neither a response nor a close within %v",
+		target.report(RuleMalformedRequest, "%s: the connection was not closed within %v",
 			target.name, malformedResponseTimeout)
 	}
 }
--- a/internal/lab/soak/pool.go
+++ b/internal/lab/soak/pool.go
@@ -7,10 +7,10 @@
 )
 
 // pool contains the front ends or the engines of a run. A fault claims the member that it affects, and a
-// member has at most one claim at a time. A share of the members always stays unclaimed, so that the run can
+// member has at most one claim at a time. A reserve of the members always stays unclaimed, so that the run can
 // serve requests. A pool is safe for concurrent use.
 type pool[M comparable] struct {
-	reserveDivisor int // at least one in reserveDivisor members stays unclaimed
+	reserveDivisor int // the reserve is the number of members divided by reserveDivisor, rounded down
 
 	mu      sync.Mutex // guards the fields below
 	members []M
--- a/internal/lab/soak/pool_test.go
+++ b/internal/lab/soak/pool_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A successor replaces the member at its position, and can be claimed.
+// A successor takes the position of the member that it replaces, and can be claimed.
 func TestPool_ReplacesAClaimedMember(t *testing.T) {
 	p := newPool[string](engineReserveDivisor)
 	for _, member := range []string{"a", "b", "c"} {
--- a/internal/lab/soak/processorwait.go
+++ b/internal/lab/soak/processorwait.go
@@ -61,8 +61,9 @@
 	}
 }
 
-// sample returns the longest wait of any thread in a group since the previous sample, summed over the groups. The sum
-// is at least as long as the delay of a request, because a request passes through one process of each group.
+// sample returns the longest wait of any thread in a group since the previous sample, summed over the groups. Groups
+// whose longest wait is below minProcessorWait do not count. Without this exception, the sum would be at least as long
+// as the delay of a request, because a request passes through one process of each group.
 func (s *waitSampler) sample() (sum time.Duration) {
 	current := map[int]time.Duration{}
 	for _, processes := range s.groups() {
--- a/internal/lab/soak/processorwait_test.go
+++ b/internal/lab/soak/processorwait_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The checker adds the processor waits between the two times that it compares to its tolerance.
+// The checker extends its tolerance by the processor waits between the two times that it compares.
 func TestCheck_AllowsForProcessorWaits(t *testing.T) {
 	waits := func(from, until, duration time.Duration) func(*builtHistory) {
 		return func(h *builtHistory) {
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -16,10 +16,10 @@
 	Directory string          // contains the logs
 	Outcomes  map[outcome]int // number of requests by outcome
 	Attempts  int
-	Faults    map[string]int            // number of scheduled faults that were started, by kind
+	Faults    map[string]int            // number of scheduled faults by kind, including faults without a target
 	Injected  map[syscallfault.Kind]int // number of injected faults of system calls, by kind
-	// ProcessorWait is how long processes waited for a processor in total, without waits as short as those on an idle
-	// machine. The checker allows for these waits.
+	// ProcessorWait is how long processes waited for a processor in total. Short waits, which occur on an idle machine
+	// too, do not count. The checker allows for the waits that count.
 	ProcessorWait time.Duration
 	Violations    []Violation
 }
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -1,7 +1,7 @@
 package soak
 
 // Rule is the name of a condition that must hold in every run. If the front end checks the same condition
-// at run time, the rule has the name of its invariant (docs/glossary.md).
+// at run time as an invariant, the rule has the name of the invariant (docs/glossary.md).
 type Rule string
 
 // The rules that the checker applies to the history after the run.
@@ -11,9 +11,9 @@
 	RuleResponse Rule = "response-deadline"
 	// RuleRetryLimit: a request has at most three attempts.
 	RuleRetryLimit Rule = "retry-limit"
-	// RuleSingleInFlight: one attempt of a request is in flight at a time.
+	// RuleSingleInFlight: at most one attempt of a request is in flight at a time.
 	RuleSingleInFlight Rule = "single-in-flight"
-	// RuleRetryIdempotency: a request that is not idempotent runs once.
+	// RuleRetryIdempotency: a request that is not idempotent runs at most once.
 	RuleRetryIdempotency Rule = "retry-idempotency"
 	// RuleSendAfterDisconnect: no attempt begins for a client that has disconnected.
 	RuleSendAfterDisconnect Rule = "send-after-completion"
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -32,7 +32,8 @@
 	firstClientStream = 1 // plus the number of the client
 )
 
-// At any time, at least one front end in two and one engine in three are not claimed by a fault.
+// At any time, at least half of the front ends and a third of the engines, rounded down, are not claimed by a
+// fault.
 const (
 	frontEndReserveDivisor = 2
 	engineReserveDivisor   = 3
@@ -43,7 +44,7 @@
 	options             Options
 	directory           string
 	settings            runSettings
-	faultyResponseShare float64 // of the requests that engines run
+	faultyResponseShare float64 // share of requests without a normal response from the engine
 	history             *history
 	bus                 *eventBus
 	startedAt           time.Time
@@ -53,7 +54,7 @@
 	enginePool   *pool[*engine]
 
 	faults  sync.WaitGroup // counts the faults in progress
-	busMove sync.Mutex     // serializes moves of the bus with the writes of all configurations
+	busMove sync.Mutex     // serializes moves of the bus, which write all configurations
 
 	mu           sync.Mutex // guards the fields below
 	random       *rand.Rand
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The classes of every run, by their effect.
+// The classes of every run, one for each effect.
 const (
 	classLookup = "lookup" // idempotent
 	classLoad   = "load"   // idempotent under its key
--- a/internal/lab/soak/settings_test.go
+++ b/internal/lab/soak/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The settings that vary from run to run are the first numbers drawn from the run's seed.
+// The first random numbers of the run's seed determine the settings that vary from run to run.
 func TestDrawRunSettings_FollowsFromTheSeed(t *testing.T) {
 	var got []runSettings
 	for seed := range uint64(4) {
