--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -119,10 +119,10 @@
 		}
 	}
 	// pair records an attempt from 20 ms to 170 ms, and an attempt that begins at the given time.
-	pair := func(earlierResponse responseKind, laterBegin time.Duration) func(h *builtHistory) {
+	pair := func(earlierResponse responseKind, laterStart time.Duration) func(h *builtHistory) {
 		return func(h *builtHistory) {
 			h.addServed("r", classLookup)
-			h.addAttempt("r", laterBegin, 300*ms, responseServed) // out of order: the checker sorts
+			h.addAttempt("r", laterStart, 300*ms, responseServed) // out of order: the checker sorts
 			h.addAttempt("r", 20*ms, 170*ms, earlierResponse)
 		}
 	}
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -98,10 +98,10 @@
 	const (
 		minWaitMS   = 300
 		waitRangeMS = 1200
-		seedBits    = 0xffff
+		seedMask    = 0xffff
 	)
 	c.sent++
-	id := fmt.Sprintf("%04x%04x%08x", c.run.options.Seed&seedBits, c.number, c.sent)
+	id := fmt.Sprintf("%04x%04x%08x", c.run.options.Seed&seedMask, c.number, c.sent)
 	class := classes[c.random.IntN(len(classes))]
 	wait := time.Duration(minWaitMS+c.random.IntN(waitRangeMS)) * time.Millisecond
 	return &request{id: id, class: class, wait: wait}, requestText(id, class, wait)
--- a/internal/lab/soak/faults_test.go
+++ b/internal/lab/soak/faults_test.go
@@ -13,12 +13,12 @@
 // Each fault draws its parameters from the random numbers of its seed, in a fixed order.
 func TestFaults_DrawTheirParametersFromTheSeed(t *testing.T) {
 	for seed, want := range []struct {
-		restart           engineRestart
-		replacement       engineReplacement
-		freezeTime        time.Duration
-		busFaultTime      time.Duration
-		systemCalls       syscallfault.Faults
-		systemCallsFailed time.Duration
+		restart             engineRestart
+		replacement         engineReplacement
+		freezeTime          time.Duration
+		busFaultTime        time.Duration
+		systemCalls         syscallfault.Faults
+		systemCallFaultTime time.Duration
 	}{
 		{
 			restart:      engineRestart{downtime: 178124971, notificationDelay: 405435246},
@@ -30,7 +30,7 @@
 				FailAccept: 0.295516845034011, FailSocket: 0.15795676316816315, FailConnect: 0.13725269975381013,
 				FailFile: 0.24861597867934546, ShortLength: 67,
 			},
-			systemCallsFailed: 588057985,
+			systemCallFaultTime: 588057985,
 		},
 		{
 			restart:      engineRestart{downtime: 797789174, notificationDelay: 61497057, clockStep: time.Hour},
@@ -42,7 +42,7 @@
 				FailConnect: 0.1487918892338335, FailFile: 0.210409202609982, TornFile: 0.16469024103266985,
 				ShortLength: 10,
 			},
-			systemCallsFailed: 1020294967,
+			systemCallFaultTime: 1020294967,
 		},
 		{
 			restart:      engineRestart{downtime: 152374332, notificationDelay: 595347738, clockStep: -5 * time.Second},
@@ -53,7 +53,7 @@
 				ShortWrite: 0.03608437566139531, ShortRead: 0.2423985255425321, FailAccept: 0.10593695354016122,
 				FailConnect: 0.20866948939892985, ShortLength: 71,
 			},
-			systemCallsFailed: 1096419587,
+			systemCallFaultTime: 1096419587,
 		},
 	} {
 		got := want
@@ -61,7 +61,7 @@
 		got.replacement = drawEngineReplacement(seeded(uint64(seed)))
 		got.freezeTime = drawFreezeTime(seeded(uint64(seed)))
 		got.busFaultTime = drawBusFaultTime(seeded(uint64(seed)))
-		got.systemCalls, got.systemCallsFailed = drawSystemCallFaults(seeded(uint64(seed)))
+		got.systemCalls, got.systemCallFaultTime = drawSystemCallFaults(seeded(uint64(seed)))
 		if got != want {
 			t.Errorf("seed %d: drew %+v, want %+v", seed, got, want)
 		}
--- a/internal/lab/soak/frontend_test.go
+++ b/internal/lab/soak/frontend_test.go
@@ -54,8 +54,8 @@
 // A process that ends without having been signalled to exit violates the rule.
 func TestWatch_ReportsAnEndWithoutASignal(t *testing.T) {
 	for name, c := range map[string]struct {
-		endingAt time.Time
-		violated []Rule
+		signalledAt time.Time
+		violated    []Rule
 	}{
 		"signalled":     {time.Now(), nil},
 		"not signalled": {time.Time{}, []Rule{RuleProcess}},
@@ -73,7 +73,7 @@
 			}
 			r := newTestRun("")
 			f := r.frontEnds[0]
-			f.signalledAt = c.endingAt
+			f.signalledAt = c.signalledAt
 			f.watch(process)
 			if !slices.Equal(violatedRules(r), c.violated) || f.ready {
 				t.Errorf("violated %q, want %q; ready %v", violatedRules(r), c.violated, f.ready)
--- a/internal/lab/soak/processorwait.go
+++ b/internal/lab/soak/processorwait.go
@@ -31,7 +31,7 @@
 	groups func() [][]int
 	// threadWaits returns how long each thread of a process has waited for a processor since the thread started, by
 	// thread id.
-	threadWaits func(process int) map[int]time.Duration
+	threadWaits func(pid int) map[int]time.Duration
 
 	previous map[int]time.Duration // the total wait of each thread in the last sample
 }
@@ -66,10 +66,10 @@
 // as the delay of a request, because a request passes through one process of each group.
 func (s *waitSampler) sample() (sum time.Duration) {
 	current := map[int]time.Duration{}
-	for _, processes := range s.groups() {
+	for _, pids := range s.groups() {
 		longest := time.Duration(0)
-		for _, process := range processes {
-			for thread, wait := range s.threadWaits(process) {
+		for _, pid := range pids {
+			for thread, wait := range s.threadWaits(pid) {
 				current[thread] = wait
 				longest = max(longest, wait-s.previous[thread])
 			}
@@ -83,8 +83,8 @@
 }
 
 // readThreadWaits implements waitSampler.threadWaits. It returns no threads for a process that has exited.
-func readThreadWaits(process int) map[int]time.Duration {
-	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", process)) // the pattern is valid
+func readThreadWaits(pid int) map[int]time.Duration {
+	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is valid
 	waits := map[int]time.Duration{}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
--- a/internal/lab/soak/processorwait_test.go
+++ b/internal/lab/soak/processorwait_test.go
@@ -80,7 +80,7 @@
 		3: {30: 400 * ms},
 	}
 	sampler := newWaitSampler(func() [][]int { return [][]int{{1, 2}, {3}} })
-	sampler.threadWaits = func(process int) map[int]time.Duration { return waits[process] }
+	sampler.threadWaits = func(pid int) map[int]time.Duration { return waits[pid] }
 	sampler.sample()
 	steps := []struct {
 		change func()
