--- a/internal/lab/faultproxy/faults.go
+++ b/internal/lab/faultproxy/faults.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// begin applies the effects that a fault has only at its start. Relays apply the lasting effects.
+// begin applies the effects that a fault has only at its start. acceptAll and the relays apply the lasting effects.
 func (p *Proxy) begin(fault Fault) {
 	switch fault.Kind {
 	case Stall, DropResponses, CorruptResponses:
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -26,7 +26,7 @@
 // Options configure a proxy.
 type Options struct {
 	Delay     time.Duration // of each direction
-	Jitter    time.Duration // largest addition to the delay, uniform from 0; the bytes stay in order
+	Jitter    time.Duration // a uniform random time below it is added to the delay; the bytes stay in order
 	Bandwidth int           // bytes per second of each direction; 0: no limit
 	Faults    []Fault
 	Seed      uint64
--- a/internal/lab/faultproxy/relay.go
+++ b/internal/lab/faultproxy/relay.go
@@ -72,8 +72,8 @@
 	end   bool
 }
 
-// copy relays one direction until the relay is closed. The reader sets the time at which each chunk is due,
-// and the writer waits for that time.
+// copy relays one direction until the sender closes it or the relay is closed. The reader sets the time at
+// which each chunk is due, and the writer waits for that time.
 func (r *relay) copy(from, to *net.TCPConn, dir direction) {
 	transit := make(chan chunk, maxChunksInTransit)
 	go r.read(from, dir, transit)
