--- a/internal/lab/syscallfault/faults.go
+++ b/internal/lab/syscallfault/faults.go
@@ -108,7 +108,7 @@
 	return true
 }
 
-// failWithOneOf draws the error that a call returns from the given errors. The caller must hold mu.
+// failWithOneOf draws one of the errors, which the call returns without being made. The caller must hold mu.
 func (i *injector) failWithOneOf(errors []unix.Errno) decision {
 	return decision{err: errors[i.random.IntN(len(errors))]}
 }
--- a/internal/lab/syscallfault/prepare.go
+++ b/internal/lab/syscallfault/prepare.go
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// systemCall is a system call that the tracer makes the program execute. All further arguments are 0.
+// systemCall is a system call that the tracer makes the program execute. The fourth and fifth arguments are 0.
 type systemCall struct {
 	number    uint64
 	arguments [3]uint64
--- a/internal/lab/syscallfault/tracer.go
+++ b/internal/lab/syscallfault/tracer.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// descriptorKind returns what a file descriptor of the program refers to. Standard output and error, which
-// are the program's log, count as descriptorOther.
+// descriptorKind returns what a file descriptor of the program refers to. Standard input, and standard output
+// and error, which are the program's log, count as descriptorOther.
 func (p *Process) descriptorKind(descriptor uint64) descriptorKind {
 	if descriptor <= uint64(syscall.Stderr) {
 		return descriptorOther
