--- a/internal/lab/soak/processorwait_test.go
+++ b/internal/lab/soak/processorwait_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The checker adds the processor waits between the two times that it compares to its tolerance.
+// The checker extends its tolerance by the processor waits between the two times that it compares.
 func TestCheck_AllowsForProcessorWaits(t *testing.T) {
 	waits := func(from, until, duration time.Duration) func(*builtHistory) {
 		return func(h *builtHistory) {
@@ -80,7 +80,7 @@
 		3: {30: 400 * ms},
 	}
 	sampler := newWaitSampler(func() [][]int { return [][]int{{1, 2}, {3}} })
-	sampler.threadWaits = func(process int) map[int]time.Duration { return waits[process] }
+	sampler.threadWaits = func(pid int) map[int]time.Duration { return waits[pid] }
 	sampler.sample()
 	steps := []struct {
 		change func()
