--- a/internal/eventloop/arrivallog.go
+++ b/internal/eventloop/arrivallog.go
@@ -6,7 +6,7 @@
 // send byte by byte.
 const arrivalPrecision = 10 * time.Millisecond
 
-// arrivalLog records when the bytes of a connection were read. Positions count the bytes since the connection began.
+// arrivalLog records when the bytes of a connection arrived. Positions count the bytes since the connection began.
 // It is not safe for concurrent use.
 type arrivalLog struct {
 	received int64     // bytes read so far
@@ -16,10 +16,10 @@
 // arrival is one read, or several within arrivalPrecision.
 type arrival struct {
 	end int64         // position of the last byte
-	at  time.Duration // time of the first of these reads, as of Loop.Now
+	at  time.Duration // arrival time of the first of these reads, by the clock of Loop.Now
 }
 
-// record records that n bytes were read.
+// record records that n bytes arrived at the given time.
 func (l *arrivalLog) record(n int, at time.Duration) {
 	l.received += int64(n)
 	if last := len(l.arrivals) - 1; last >= 0 && at-l.arrivals[last].at < arrivalPrecision {
@@ -29,7 +29,7 @@
 	l.arrivals = append(l.arrivals, arrival{end: l.received, at: at})
 }
 
-// timeOf returns when the byte at the position was read. The byte must not be forgotten.
+// timeOf returns when the byte at the position arrived. The byte must not have been forgotten.
 func (l *arrivalLog) timeOf(position int64) time.Duration {
 	for _, a := range l.arrivals {
 		if position <= a.end {
--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -28,8 +28,9 @@
 	b.arrivals.forget(b.position())
 }
 
-// ArrivedAt returns when the n-th byte that has not been consumed was read, as of Loop.Now. Bytes that are read later
-// do not change the result. n is at least 1 and at most Len.
+// ArrivedAt returns when the n-th byte that has not been consumed arrived, by the clock of Loop.Now. This is when the
+// byte was read, or about when the kernel received it if it may have waited there. Bytes that are read later do not
+// change the result. n is at least 1 and at most Len.
 func (b *Buffer) ArrivedAt(n int) time.Duration {
 	return b.arrivals.timeOf(b.position() + int64(n))
 }
@@ -37,7 +38,7 @@
 // position returns how many bytes of the connection have been consumed.
 func (b *Buffer) position() int64 { return b.arrivals.received - int64(b.Len()) }
 
-// append adds bytes that were read at the given time. If the memory is too small, it first moves the unconsumed bytes
+// append adds bytes that arrived at the given time. If the memory is too small, it first moves the unconsumed bytes
 // to the front.
 func (b *Buffer) append(received []byte, at time.Duration) {
 	if b.consumed > 0 && len(b.data)+len(received) > cap(b.data) {
--- a/internal/eventloop/buffer_test.go
+++ b/internal/eventloop/buffer_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// The time at which a byte was read does not change when other bytes are read or consumed.
+// The arrival time of a byte does not change when other bytes are read or consumed.
 func TestBuffer_KeepsTheArrivalTimeOfEachByte(t *testing.T) {
 	var b Buffer
 	b.append([]byte("first"), time.Second)
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// A connection is closed as idle only if no bytes have arrived on it. Bytes that have arrived and that the poller has
-// not read are delivered instead.
+// A connection is closed as idle only if all bytes that have arrived on it are consumed. Bytes that have arrived and
+// that the poller has not read are delivered instead.
 func TestCloseIfIdle_DeliversUnreadBytesInstead(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -7,8 +7,8 @@
 	// OnData is called after the buffer has grown, and after Conn.Redeliver. Bytes that it does not consume stay in the
 	// buffer. It must not call Conn.UnreadBytes or Conn.CloseIfIdle.
 	OnData(c *Conn, in *Buffer)
-	// OnClosed is called once, after the connection has ended. The error is nil if the peer ended the stream, or if
-	// the connection was closed from this side.
+	// OnClosed is called once, after the connection has ended, unless the loop has stopped by then. The error is nil
+	// if the peer ended the stream, or if the connection was closed from this side.
 	OnClosed(c *Conn, err error)
 }
 
@@ -85,8 +85,8 @@
 // OnData.
 func (c *Conn) UnreadBytes() int { return c.reader.unreadBytes() }
 
-// Close ends the connection once all written bytes have been sent. OnClosed is called on a later turn. OnData is not
-// called any more.
+// Close ends the connection once all written bytes have been sent and then either the peer has closed it or lingerTime
+// has passed, at the latest after maxFlushTime. OnClosed is called on a later turn. OnData is not called any more.
 func (c *Conn) Close() { c.closer.close() }
 
 // CloseAfterLinger ends the connection after lingerTime, in which pending bytes are sent and the peer can read the last
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -15,8 +15,8 @@
 )
 
 // Dial connects within the timeout and calls done on the loop's goroutine, with the connection or with an error. The
-// handler's methods are not called before done has returned. The read buffer of the connection holds up to readLimit
-// bytes, which must be at least the size of the largest message. The returned function cancels the dial; done is still
+// handler's methods are not called before done has returned. Reading pauses while readLimit or more bytes are unread;
+// readLimit must be at least the size of the largest message. The returned function cancels the dial; done is still
 // called. Dial may be called from any goroutine.
 func (l *Loop) Dial(
 	addr string, timeout time.Duration, readLimit int, h Handler, done func(*Conn, error),
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -36,9 +36,10 @@
 // # Goroutines
 //
 //   - The loop's goroutine calls handlers, runs timers and posted functions, writes to sockets, and resumes reading
-//     once the handler has made space in a full buffer. It alone changes the state of a connection's close.
-//   - The poller's goroutine reads the sockets that are readable, and sends the queued bytes of those that are
-//     writable. It calls no handler: it posts to the loop's goroutine.
+//     once the handler has made space in a full buffer. It reads a socket only before it closes an idle connection
+//     and after a failed write. It alone changes the state of a connection's close.
+//   - The poller's goroutine reads the sockets that are readable, sends the queued bytes of those that are writable,
+//     and closes those whose stream has ended or failed. It calls no handler: it posts to the loop's goroutine.
 //   - Each listener has a goroutine that accepts, and each dial has a goroutine that connects. They post the
 //     new socket.
 //
@@ -56,7 +57,7 @@
 //
 // They are locked in this order: reader.mu, then socket.mu, then poller.mu or taskQueue.mu. No other lock is taken
 // while one of the last two is held. No lock is held when a posted function starts, a timer fires or Handler.OnClosed
-// is called. The state of the close and the counters of bytes are atomic and need no lock.
+// is called. The state of the close and the counts of buffered and of pending bytes are atomic and need no lock.
 //
 // A method whose name ends in Locked must be called with the mutex of its type held.
 package eventloop
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -16,7 +16,7 @@
 )
 
 // localFailures are the errors of a call that failed because this machine lacked a resource, such as space in its
-// tables or buffers, or a port. They do not indicate a fault of the peer.
+// tables or buffers or a port, or because a signal interrupted the call. They do not indicate a fault of the peer.
 var localFailures = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.EINTR,
@@ -30,7 +30,7 @@
 // out or failed on this machine.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// IsLocalFailure reports whether a call failed because this machine lacked a resource.
+// IsLocalFailure reports whether a call failed because this machine lacked a resource or a signal interrupted the call.
 func IsLocalFailure(err error) bool { return isAny(err, localFailures) }
 
 // IsDescriptorExhausted reports whether a call failed because this process or the system has no file descriptor left.
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -18,7 +18,7 @@
 	// awaitTimeout limits a wait for something that is expected to happen.
 	awaitTimeout = 10 * time.Second
 
-	// readLimit is the size of the read buffer of each accepted connection.
+	// readLimit is the read limit of each accepted connection, in bytes.
 	readLimit = 64 << 10
 )
 
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -34,8 +34,8 @@
 }
 
 // Listen accepts connections at the address until the returned listener is closed. The function newHandler is called on
-// the loop's goroutine and returns the handler of each connection. The read buffer of a connection holds up to
-// readLimit bytes, which must be at least the size of the largest message.
+// the loop's goroutine and returns the handler of each connection. Reading a connection pauses while readLimit or more
+// of its bytes are unread; readLimit must be at least the size of the largest message.
 //
 // At most maxConnections accepted connections are open at a time (0: no limit). Further connections wait to be
 // accepted, so that clients cannot use up the descriptors that connections to engines need. Closing the listener
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -11,8 +11,8 @@
 	"flaxrelay/internal/tcptest"
 )
 
-// A connection that the kernel has accepted before the listener is closed is served, even if it had to wait for another
-// connection to end: its client may have sent a request by then.
+// A connection that the kernel has established before the listener is closed is served, even if it had to wait for
+// another connection to end: its client may have sent a request by then.
 func TestListenerClose_ServesTheBacklog(t *testing.T) {
 	l, _ := startLoop(t)
 	listener, accepted := listen(t, l, 1)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -73,7 +73,7 @@
 func (l *Loop) Post(f func()) { l.tasks.post(f) }
 
 // Run runs turns of the loop until Stop. Each turn runs the posted functions and then the timers that are due. Before
-// Run returns, it closes all connections and stops the poller.
+// Run returns, it closes all connections, without a call of Handler.OnClosed, and stops the poller.
 func (l *Loop) Run() {
 	wakeTimer := time.NewTimer(maxIdleWait)
 	defer wakeTimer.Stop()
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -17,7 +17,7 @@
 	// eventsPerWait is the largest number of events that one wait returns.
 	eventsPerWait = 256
 
-	// waitRetryDelay is the pause after a wait that failed for a transient reason.
+	// waitRetryDelay is the pause after a failed wait, unless a signal interrupted it.
 	waitRetryDelay = 10 * time.Millisecond
 
 	// wakeUpToken is the token of the poller's eventfd.
@@ -142,7 +142,7 @@
 
 // stop stops the poller's goroutine and waits until it has stopped, at most for the timeout.
 func (p *poller) stop(timeout time.Duration) {
-	const increment = "\x01\x00\x00\x00\x00\x00\x00\x00" // 1 as a 64-bit integer in the byte order of the machine
+	const increment = "\x01\x00\x00\x00\x00\x00\x00\x00" // a 64-bit integer that is positive in either byte order
 	for {
 		if _, err := unix.Write(p.wakeUp, []byte(increment)); !errors.Is(err, unix.EINTR) {
 			break
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// pauseLocked stops the poller's events until there is space in the buffer. If the read-ahead is limited, the poller
-// still reports the end of the stream. Otherwise the end is detected once the bytes before it are read.
+// pauseLocked stops the poller's events for reading until there is space in the buffer. If the read-ahead is limited,
+// the poller still reports the end of the stream. Otherwise the end is detected once the bytes before it are read.
 func (r *reader) pauseLocked() {
 	r.paused = true
 	if r.aheadLimited.Load() {
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// systemCalls are the system calls that a socket makes. Tests replace them to make calls fail.
+// systemCalls are the system calls by which a socket reads and writes. Tests replace them to make calls fail.
 type systemCalls struct {
 	read  func(descriptor int, p []byte) (int, error)
 	write func(descriptor int, p []byte) (int, error)
