--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -50,8 +50,8 @@
 	b.arrivals.record(len(received), at)
 }
 
-// clear empties the buffer. It releases memory beyond maxIdleBuffer, so that a connection does not keep the memory of
-// one large message until it ends.
+// clear empties the buffer. It releases the memory if the capacity exceeds maxIdleBuffer, so that a connection does not
+// keep the memory of one large message until it ends.
 func (b *Buffer) clear() {
 	b.consumed = 0
 	b.data = b.data[:0]
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -29,8 +29,8 @@
 //	any       a turn after the socket closes  closed      drop the read buffer, call Handler.OnClosed
 //
 // The handler is notified of the closed socket on a later turn of the loop, so that bytes which were read before are
-// delivered first. Close and CloseAfterLinger do nothing unless the connection is open. CloseIfIdle on a connection
-// in the state closing or lingering that has no unread bytes shuts the write side if no write is pending.
+// delivered first. Close and CloseAfterLinger do nothing unless the connection is open. If a closing or lingering
+// connection has neither unread bytes nor pending writes, CloseIfIdle shuts its write side.
 type connState int32
 
 const (
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -234,7 +234,7 @@
 	checkEnd(t, r, nil)
 }
 
-// Each close limits the time until the connection ends: to maxFlushTime if bytes are pending and to lingerTime
+// Each close method limits the time until the connection ends: to maxFlushTime if bytes are pending and to lingerTime
 // otherwise, and to lingerTime in any case for CloseAfterLinger.
 func TestClose_LastsNoLongerThanItsLimit(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -13,7 +13,7 @@
 }
 
 // Conn is one connection. It composes a reader, a writer and a closer over one socket; the package comment states the
-// goroutines and the lock rules. Its exported methods belong to the loop's goroutine.
+// goroutines and the lock rules. Its exported methods must be called on the loop's goroutine.
 type Conn struct {
 	// Set once, by adopt.
 	loop    *Loop
@@ -74,8 +74,8 @@
 // limit the read-ahead while a client's request is in flight.
 func (c *Conn) LimitReadAhead() { c.reader.aheadLimited.Store(true) }
 
-// LiftReadAheadLimit ends the effect of LimitReadAhead. Unless OnData calls it, Redeliver must be called after it:
-// reading that has paused resumes only after the next call of OnData.
+// LiftReadAheadLimit ends the effect of LimitReadAhead. Unless it is called from OnData, Redeliver must be called after
+// it: reading that has paused resumes only after the next call of OnData.
 func (c *Conn) LiftReadAheadLimit() { c.reader.aheadLimited.Store(false) }
 
 // Redeliver schedules another call of OnData, on a later turn, for the bytes that an earlier call left in the buffer.
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// dialRetryTime is how long a dial that fails locally is retried. It is short compared with the deadlines of
-	// requests.
+	// dialRetryTime is how long the transient failures of a dial are retried. It is short compared with the deadlines
+	// of requests.
 	dialRetryTime = 100 * time.Millisecond
 	// dialRetryDelay is the pause before the first retry. The pause doubles with each retry.
 	dialRetryDelay = 2 * time.Millisecond
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -51,7 +51,8 @@
 //   - reader.mu guards the read buffer of a connection. It is held during Handler.OnData, so that the poller cannot
 //     change the buffer meanwhile. OnData must therefore not call Conn.UnreadBytes or Conn.CloseIfIdle, which lock it.
 //   - socket.mu guards the descriptor of a socket, its send queue and the events that the poller waits for. It is held
-//     during each system call, so that no call uses a descriptor that has been closed and opened again.
+//     during each system call on the descriptor, so that no call uses the number of a closed descriptor, which the
+//     kernel may have reused.
 //   - poller.mu guards the poller's table of sockets.
 //   - taskQueue.mu guards the functions that wait for the loop's goroutine.
 //
--- a/internal/eventloop/eventlooptest/eventlooptest.go
+++ b/internal/eventloop/eventlooptest/eventlooptest.go
@@ -1,5 +1,5 @@
-// Package eventlooptest lets tests run an event loop and call functions on its goroutine. Only tests and the packages
-// that support them import it.
+// Package eventlooptest lets tests run an event loop and call functions on its goroutine. Only tests and their helper
+// packages import it.
 package eventlooptest
 
 import "testing"
@@ -11,8 +11,8 @@
 	Stop()
 }
 
-// Run runs the loop on a goroutine until the end of the test, which waits for it. The channel is closed when the loop's
-// Run returns.
+// Run runs the loop on a new goroutine. At the end of the test, it stops the loop and waits until the loop's Run has
+// returned. The channel is closed when the loop's Run returns.
 func Run(tb testing.TB, loop Loop) (ended <-chan struct{}) {
 	tb.Helper()
 	done := make(chan struct{})
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -72,7 +72,7 @@
 	return listener, recorders
 }
 
-// connect returns a connection to the listener, which need not have been accepted.
+// connect returns a connection to the listener. The loop may not have accepted the connection yet.
 func connect(t *testing.T, listener net.Listener) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", listener.Addr().String())
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -18,8 +18,8 @@
 	// because the listener stays readable then.
 	acceptRetryDelay = 20 * time.Millisecond
 
-	// maxConvertAttempts limits how often an accepted connection is converted. The pause between two attempts is
-	// acceptRetryDelay.
+	// maxConvertAttempts limits the attempts to convert an accepted connection to a socket. The pause between two
+	// attempts is acceptRetryDelay.
 	maxConvertAttempts = 250
 )
 
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// readSize is the size of one read, in bytes. A connection whose read-ahead is limited is still read up to this
-	// size.
+	// readSize is the size of one read, in bytes. It is also the number of unread bytes at which a connection whose
+	// read-ahead is limited is no longer read.
 	readSize = 32 << 10
 
 	// eventsPerWait is the largest number of events that one wait returns.
@@ -95,9 +95,9 @@
 // remove stops polling a socket. It must be called before the socket's descriptor is closed.
 //
 // Closing a descriptor also ends the kernel's wait for it. But epoll_wait holds references to sockets while it examines
-// them. A socket that is closed meanwhile stays open until that call returns, which may take a long time, and until
-// then its peer is not notified of the close. EPOLL_CTL_DEL returns only when epoll_wait holds no reference to the
-// socket.
+// them. A socket whose descriptor is closed meanwhile stays open until that call returns, which may take a long time,
+// and until then its peer is not notified of the close. EPOLL_CTL_DEL returns only when epoll_wait holds no reference
+// to the socket.
 func (p *poller) remove(s *socket) {
 	p.mu.Lock()
 	delete(p.sockets, s.token)
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -20,7 +20,7 @@
 // kernel holds the real system calls.
 var kernel = systemCalls{read: unix.Read, write: unix.Write}
 
-// The events for reading that a socket may wait for. The kernel reports errors and resets in any case.
+// The sets of events for reading that the poller may wait for. The kernel reports errors and resets in any case.
 const (
 	// readEvents are received bytes, and the end of the stream. The end is reported as soon as it has arrived, even
 	// while bytes before it are unread.
@@ -76,7 +76,7 @@
 	interest uint32 // the events that the poller waits for
 }
 
-// newSocket returns the socket of a descriptor, which it owns.
+// newSocket returns a socket that owns the descriptor.
 func newSocket(descriptor int) *socket {
 	return &socket{descriptor: descriptor, system: kernel, interest: readEvents}
 }
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -15,8 +15,8 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// faultySystemCalls makes the kernel's calls. At random, some are cut short, are interrupted, or fail with EAGAIN
-// although the socket is ready.
+// faultySystemCalls returns the real system calls with random faults: some calls are cut short, are interrupted, or
+// fail with EAGAIN although the socket is ready.
 func faultySystemCalls() systemCalls {
 	const shortSize = 60
 	random := rand.New(rand.NewPCG(1, 1))
@@ -38,7 +38,7 @@
 	}
 }
 
-// Reads and writes that are cut short, interrupted or fail with EAGAIN at any time delay bytes but do not lose any.
+// No bytes are lost, only delayed, if reads and writes are cut short, are interrupted or fail with EAGAIN at any time.
 func TestSocket_LosesNothingToFaultyCalls(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	sent := bytes.Repeat([]byte("0123456789abcdef"), 8<<10) // more than the socket accepts at once
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// A peer that reads too slowly ends its connection: the write that exceeds the limit fails.
+// A connection whose peer reads too slowly is ended: the write that exceeds the limit fails.
 func TestWrite_EndsAConnectionBeyondTheQueueLimit(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	eventlooptest.Do(l, func() {
