--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// A connection is closed as idle only if no bytes have arrived on it. Bytes that have arrived and that the poller has
-// not read are delivered instead.
+// A connection is closed as idle only if all bytes that have arrived on it are consumed. Bytes that have arrived and
+// that the poller has not read are delivered instead.
 func TestCloseIfIdle_DeliversUnreadBytesInstead(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -234,7 +234,7 @@
 	checkEnd(t, r, nil)
 }
 
-// Each close limits the time until the connection ends: to maxFlushTime if bytes are pending and to lingerTime
+// Each close method limits the time until the connection ends: to maxFlushTime if bytes are pending and to lingerTime
 // otherwise, and to lingerTime in any case for CloseAfterLinger.
 func TestClose_LastsNoLongerThanItsLimit(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -7,13 +7,13 @@
 	// OnData is called after the buffer has grown, and after Conn.Redeliver. Bytes that it does not consume stay in the
 	// buffer. It must not call Conn.UnreadBytes or Conn.CloseIfIdle.
 	OnData(c *Conn, in *Buffer)
-	// OnClosed is called once, after the connection has ended. The error is nil if the peer ended the stream, or if
-	// the connection was closed from this side.
+	// OnClosed is called once, after the connection has ended, unless the loop has stopped by then. The error is nil
+	// if the peer ended the stream, or if the connection was closed from this side.
 	OnClosed(c *Conn, err error)
 }
 
 // Conn is one connection. It composes a reader, a writer and a closer over one socket; the package comment states the
-// goroutines and the lock rules. Its exported methods belong to the loop's goroutine.
+// goroutines and the lock rules. Its exported methods must be called on the loop's goroutine.
 type Conn struct {
 	// Set once, by adopt.
 	loop    *Loop
@@ -74,8 +74,8 @@
 // limit the read-ahead while a client's request is in flight.
 func (c *Conn) LimitReadAhead() { c.reader.aheadLimited.Store(true) }
 
-// LiftReadAheadLimit ends the effect of LimitReadAhead. Unless OnData calls it, Redeliver must be called after it:
-// reading that has paused resumes only after the next call of OnData.
+// LiftReadAheadLimit ends the effect of LimitReadAhead. Unless it is called from OnData, Redeliver must be called after
+// it: reading that has paused resumes only after the next call of OnData.
 func (c *Conn) LiftReadAheadLimit() { c.reader.aheadLimited.Store(false) }
 
 // Redeliver schedules another call of OnData, on a later turn, for the bytes that an earlier call left in the buffer.
@@ -85,8 +85,8 @@
 // OnData.
 func (c *Conn) UnreadBytes() int { return c.reader.unreadBytes() }
 
-// Close ends the connection once all written bytes have been sent. OnClosed is called on a later turn. OnData is not
-// called any more.
+// Close ends the connection once all written bytes have been sent and then either the peer has closed it or lingerTime
+// has passed, at the latest after maxFlushTime. OnClosed is called on a later turn. OnData is not called any more.
 func (c *Conn) Close() { c.closer.close() }
 
 // CloseAfterLinger ends the connection after lingerTime, in which pending bytes are sent and the peer can read the last
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -36,9 +36,10 @@
 // # Goroutines
 //
 //   - The loop's goroutine calls handlers, runs timers and posted functions, writes to sockets, and resumes reading
-//     once the handler has made space in a full buffer. It alone changes the state of a connection's close.
-//   - The poller's goroutine reads the sockets that are readable, and sends the queued bytes of those that are
-//     writable. It calls no handler: it posts to the loop's goroutine.
+//     once the handler has made space in a full buffer. It reads a socket only before it closes an idle connection
+//     and after a failed write. It alone changes the state of a connection's close.
+//   - The poller's goroutine reads the sockets that are readable, sends the queued bytes of those that are writable,
+//     and closes those whose stream has ended or failed. It calls no handler: it posts to the loop's goroutine.
 //   - Each listener has a goroutine that accepts, and each dial has a goroutine that connects. They post the
 //     new socket.
 //
@@ -50,13 +51,14 @@
 //   - reader.mu guards the read buffer of a connection. It is held during Handler.OnData, so that the poller cannot
 //     change the buffer meanwhile. OnData must therefore not call Conn.UnreadBytes or Conn.CloseIfIdle, which lock it.
 //   - socket.mu guards the descriptor of a socket, its send queue and the events that the poller waits for. It is held
-//     during each system call, so that no call uses a descriptor that has been closed and opened again.
+//     during each system call on the descriptor, so that no call uses the number of a closed descriptor, which the
+//     kernel may have reused.
 //   - poller.mu guards the poller's table of sockets.
 //   - taskQueue.mu guards the functions that wait for the loop's goroutine.
 //
 // They are locked in this order: reader.mu, then socket.mu, then poller.mu or taskQueue.mu. No other lock is taken
 // while one of the last two is held. No lock is held when a posted function starts, a timer fires or Handler.OnClosed
-// is called. The state of the close and the counters of bytes are atomic and need no lock.
+// is called. The state of the close and the counts of buffered and of pending bytes are atomic and need no lock.
 //
 // A method whose name ends in Locked must be called with the mutex of its type held.
 package eventloop
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -18,7 +18,7 @@
 	// awaitTimeout limits a wait for something that is expected to happen.
 	awaitTimeout = 10 * time.Second
 
-	// readLimit is the size of the read buffer of each accepted connection.
+	// readLimit is the read limit of each accepted connection, in bytes.
 	readLimit = 64 << 10
 )
 
@@ -72,7 +72,7 @@
 	return listener, recorders
 }
 
-// connect returns a connection to the listener, which need not have been accepted.
+// connect returns a connection to the listener. The loop may not have accepted the connection yet.
 func connect(t *testing.T, listener net.Listener) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", listener.Addr().String())
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// readSize is the size of one read, in bytes. A connection whose read-ahead is limited is still read up to this
-	// size.
+	// readSize is the size of one read, in bytes. It is also the number of unread bytes at which a connection whose
+	// read-ahead is limited is no longer read.
 	readSize = 32 << 10
 
 	// eventsPerWait is the largest number of events that one wait returns.
 	eventsPerWait = 256
 
-	// waitRetryDelay is the pause after a wait that failed for a transient reason.
+	// waitRetryDelay is the pause after a failed wait, unless a signal interrupted it.
 	waitRetryDelay = 10 * time.Millisecond
 
 	// wakeUpToken is the token of the poller's eventfd.
@@ -95,9 +95,9 @@
 // remove stops polling a socket. It must be called before the socket's descriptor is closed.
 //
 // Closing a descriptor also ends the kernel's wait for it. But epoll_wait holds references to sockets while it examines
-// them. A socket that is closed meanwhile stays open until that call returns, which may take a long time, and until
-// then its peer is not notified of the close. EPOLL_CTL_DEL returns only when epoll_wait holds no reference to the
-// socket.
+// them. A socket whose descriptor is closed meanwhile stays open until that call returns, which may take a long time,
+// and until then its peer is not notified of the close. EPOLL_CTL_DEL returns only when epoll_wait holds no reference
+// to the socket.
 func (p *poller) remove(s *socket) {
 	p.mu.Lock()
 	delete(p.sockets, s.token)
@@ -142,7 +142,7 @@
 
 // stop stops the poller's goroutine and waits until it has stopped, at most for the timeout.
 func (p *poller) stop(timeout time.Duration) {
-	const increment = "\x01\x00\x00\x00\x00\x00\x00\x00" // 1 as a 64-bit integer in the byte order of the machine
+	const increment = "\x01\x00\x00\x00\x00\x00\x00\x00" // a 64-bit integer that is positive in either byte order
 	for {
 		if _, err := unix.Write(p.wakeUp, []byte(increment)); !errors.Is(err, unix.EINTR) {
 			break
