--- a/internal/lab/workload/cost.go
+++ b/internal/lab/workload/cost.go
@@ -25,7 +25,7 @@
 )
 
 // uncachedShare is the share of the statements whose data set is not in the engine's memory. The work of
-// these statements is higher by uncachedFactor.
+// these statements is multiplied by uncachedFactor.
 const (
 	uncachedShare  = 0.15
 	uncachedFactor = 1.5
--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -2,9 +2,9 @@
 // parts, wholesalers and districts with ten years of rows, and the programs that query it. New returns a
 // Generator, whose method Next returns one statement after the other.
 //
-// The cost of a statement depends on its execution (the number of rows, their access path and the
-// operations on them) and never on its text. Nothing that flaxrelay's classifier reads contributes to the
-// cost.
+// The cost of a statement is computed from its modeled execution (the number of rows, their access path and
+// the operations on them), which depends on the values. The cost does not depend on how the text is written,
+// nor on anything that flaxrelay's classifier derives from the text.
 package workload
 
 import (
@@ -20,15 +20,15 @@
 	Seed        uint64
 	Templates   int     // recurring statement shapes; 0: DefaultTemplates
 	OneOffShare float64 // share of statements whose shape never recurs
-	HardShare   float64 // share of lookups whose values make them broad reports
+	HardShare   float64 // share of lookups whose values make them reports, if their family has a hard case
 	WriteShare  float64 // share of statements that write and are not loads
-	// DriftFrom is the share of the statements after which the orders table is larger by DriftFactor.
-	// 0: the table never grows.
+	// DriftFrom is the share of the statements after which the orders table has DriftFactor times as many
+	// rows. 0: the table never grows.
 	DriftFrom   float64
 	DriftFactor float64
-	// HintSigma is the standard deviation of the natural logarithm of hints. HintMissingShare is the
-	// share of statements without a hint. A hint depends on the usual cost of the shape and not on the
-	// values.
+	// HintSigma is the standard deviation of the natural logarithm of the random factor of hints.
+	// HintMissingShare is the share of statements without a hint. A hint of the work depends on the usual
+	// work of the shape and not on the values. A hint of the memory depends on the true memory.
 	HintSigma        float64
 	HintMissingShare float64
 }
--- a/internal/lab/workload/lookups.go
+++ b/internal/lab/workload/lookups.go
@@ -15,7 +15,7 @@
 	hardNull      = "a null that switches the restriction off"
 )
 
-// generateByPart reads the rows of one part.
+// generateByPart generates a SELECT of the rows of one part.
 func generateByPart(i *instance) (actual, usual access) {
 	part, rowFactor := i.generator.drawPart()
 	i.sql("SELECT %s FROM %s WHERE %s = ", i.columns, i.from, i.column("part"))
@@ -26,7 +26,7 @@
 	return actual, usual
 }
 
-// generateByPartAndWholesaler reads the row of one part at one wholesaler.
+// generateByPartAndWholesaler generates a SELECT of the row of one part at one wholesaler.
 func generateByPartAndWholesaler(i *instance) (actual, usual access) {
 	part, _ := i.generator.drawPart()
 	i.sql("SELECT %s FROM %s WHERE %s = ", i.columns, i.from, i.column("part"))
@@ -37,7 +37,7 @@
 	return actual, actual
 }
 
-// generatePartList reads the rows of a list of parts; the hard case is a list of thousands.
+// generatePartList generates a SELECT of the rows of a list of parts; the hard case is a list of thousands.
 func generatePartList(i *instance) (actual, usual access) {
 	const (
 		probeRows       = 12 // rows that cost as much as the search for one part
@@ -69,7 +69,7 @@
 	return actual, usual
 }
 
-// generateDayRange reads the rows of some days; the hard case is a range of years.
+// generateDayRange generates a SELECT of the rows of some days; the hard case is a range of years.
 func generateDayRange(i *instance) (actual, usual access) {
 	const (
 		maxDays        = 3
@@ -94,8 +94,8 @@
 	return actual, usual
 }
 
-// generatePattern searches parts by a prefix; the hard case has a leading wildcard, which rules out the use
-// of an index.
+// generatePattern generates a SELECT of the rows whose part has a prefix; the hard case has a leading
+// wildcard, which rules out the use of an index.
 func generatePattern(i *instance) (actual, usual access) {
 	const (
 		prefixes          = 400 // one row in 400 has the prefix
@@ -116,7 +116,8 @@
 	return usual, usual
 }
 
-// generateDistricts reads the last days of some districts; the hard case names all of them.
+// generateDistricts generates a SELECT of the rows of some districts from the last days; the hard case names
+// all districts.
 func generateDistricts(i *instance) (actual, usual access) {
 	const (
 		lastDays     = 90
@@ -151,7 +152,7 @@
 	return actual, usual
 }
 
-// generateLatest reads the latest rows; the hard case has a limit above the table's size.
+// generateLatest generates a SELECT of the latest rows; the hard case has a limit above the table's size.
 func generateLatest(i *instance) (actual, usual access) {
 	const (
 		minLimit   = 10
@@ -172,7 +173,8 @@
 	return actual, usual
 }
 
-// generateOptionalPart reads the rows of a part, or all rows if the part is null, which is the hard case.
+// generateOptionalPart generates a SELECT of the rows of a part, or of all rows if the part is null, which is
+// the hard case.
 func generateOptionalPart(i *instance) (actual, usual access) {
 	part, _ := i.generator.drawPart()
 	i.sql("SELECT %s FROM %s WHERE (", i.columns, i.from)
--- a/internal/lab/workload/reports.go
+++ b/internal/lab/workload/reports.go
@@ -1,6 +1,7 @@
 package workload
 
-// generateDistrictTotals sums the rows of the last months by district.
+// generateDistrictTotals generates a SELECT that counts the rows of the last months and sums a column of
+// them, by district.
 func generateDistrictTotals(i *instance) (actual, usual access) {
 	const (
 		maxMonths    = 12
@@ -22,7 +23,8 @@
 	return actual, usual
 }
 
-// generateTopParts joins the table with the parts table and finds the parts with the most rows.
+// generateTopParts generates a SELECT that joins the table with the parts table and returns the parts with
+// the most rows.
 func generateTopParts(i *instance) (actual, usual access) {
 	const (
 		limit        = 20
@@ -37,7 +39,7 @@
 	return actual, actual
 }
 
-// generateRanking ranks the rows of each district.
+// generateRanking generates a SELECT that ranks the rows of each district.
 func generateRanking(i *instance) (actual, usual access) {
 	const (
 		sortedOneIn   = 2 // one row in 2 is sorted
@@ -49,7 +51,8 @@
 	return actual, actual
 }
 
-// generateDistinct finds the distinct values of the selected columns in nearly all rows of the table.
+// generateDistinct generates a SELECT of the distinct values of the selected columns. Its WHERE clause matches
+// all rows, because no part has the excluded name.
 func generateDistinct(i *instance) (actual, usual access) {
 	const (
 		sortedOneIn   = 3 // one row in 3 is sorted
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -31,7 +31,7 @@
 )
 
 // Shares of the templates that are lookups and reports, and weights of the families. Over seeds 1 to 6, they
-// result in 76 to 84 % lookups, 10 to 19 % reports and 5 to 6 % loads, if hard cases, writes and shapes that
+// result in 76 to 84 % lookups, 10 to 19 % reports and 4 to 6 % loads, if hard cases, writes and shapes that
 // occur once are not counted.
 const (
 	lookupTemplates = 0.72
@@ -79,7 +79,7 @@
 	valueStyles
 )
 
-// template is a statement as one program writes it.
+// template is a statement without its values, as one program writes it.
 type template struct {
 	family    family
 	table     *table
@@ -102,7 +102,8 @@
 	t.aliased = random.IntN(aliasedOneIn) == 0
 	t.table = drawTable(random, allTables)
 	if tables := familySpecs[t.family].tables; tables != nil {
-		// The first draw is discarded. It is kept because a seed must give the same traffic as in earlier versions.
+		// The table of the first draw is discarded. The draw itself is necessary, because a seed must give the
+		// same traffic as in earlier versions.
 		t.table = drawTable(random, tables)
 	}
 	n := 1 + random.IntN(len(t.table.columns))
