--- a/internal/lab/traffic/arrivals.go
+++ b/internal/lab/traffic/arrivals.go
@@ -11,7 +11,7 @@
 // ArrivalProcess is the random process of the arrival times of statements.
 type ArrivalProcess string
 
-// The arrival processes.
+// The arrival processes. On average, Poisson and Bursts have about the nominal rate, Season a lower one.
 const (
 	Poisson ArrivalProcess = "poisson"
 	Bursts  ArrivalProcess = "bursts" // on and off, with heavy-tailed pauses
@@ -42,8 +42,8 @@
 	random      *rand.Rand
 	exponential distuv.Exponential // with a mean of 1
 	pause       distuv.Pareto      // between bursts, in seconds
-	rate        float64            // statements a second on average
-	duration    float64            // of the traffic, in seconds
+	rate        float64            // nominal rate, in statements a second
+	duration    float64            // of the traffic at the nominal rate, in seconds
 	now         float64            // time of the last arrival, in seconds
 	burstLeft   float64            // remaining time of the current burst, in seconds
 }
@@ -51,7 +51,7 @@
 const (
 	arrivalStream = 0x6172726976616c73 // second word of the PCG seed, different for each use of a seed
 
-	// Bursts of 0.2 s on average, at four times the average rate, between pauses of 0.6 s on average.
+	// Bursts of 0.2 s on average, at four times the nominal rate, between pauses of 0.6 s on average.
 	burstRateFactor = 4
 	meanBurst       = 0.2 // seconds
 	minPause        = 0.2 // seconds
@@ -59,9 +59,9 @@
 	maxPause        = 30 // seconds
 )
 
-// Season multiplies the average rate by a factor, which is the sum of a daily sine curve and of a bell curve
-// for a festival towards the end. The time and the width of the festival are shares of the duration of the
-// traffic.
+// Season multiplies the nominal rate by a factor, which is the sum of a daily sine curve and of a bell curve
+// for a festival towards the end. The average factor is below 1. The time and the width of the festival are
+// shares of the duration of the traffic.
 const (
 	maxSeasonFactor = 3 // limits the sum of the two curves
 	seasonDays      = 10
@@ -126,7 +126,7 @@
 	}
 }
 
-// seasonFactor returns the current rate as a multiple of the average rate.
+// seasonFactor returns the current rate as a multiple of the nominal rate.
 func (a *arrivals) seasonFactor() float64 {
 	progress := a.now / a.duration
 	day := meanDayFactor + dayAmplitude*math.Sin(2*math.Pi*(seasonDays*progress-dayPhase))
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -36,7 +36,7 @@
 type Head struct {
 	Seed          uint64  `cbor:"1,keyasint"`
 	ModelOptions  string  `cbor:"2,keyasint"` // the options of the workload, as text
-	RatePerSecond float64 `cbor:"3,keyasint"` // statements a second on average
+	RatePerSecond float64 `cbor:"3,keyasint"` // nominal rate; see Season
 	Arrivals      string  `cbor:"4,keyasint"` // the arrival process: poisson, bursts or season
 	Records       int     `cbor:"5,keyasint"` // number of records
 }
--- a/internal/lab/traffic/generate.go
+++ b/internal/lab/traffic/generate.go
@@ -10,8 +10,9 @@
 // progressStep is the number of records after which Generate reports its progress.
 const progressStep = 1000
 
-// Generate writes the given number of statements of a workload. After every progressStep records, it calls
-// progress with progressStep. progress may be nil.
+// Generate writes the given number of statements of a workload, with arrival times at a nominal rate in
+// statements a second. After every progressStep records, it calls progress with progressStep. progress may be
+// nil.
 func Generate(
 	out io.Writer, options workload.Options, number int, rate float64, process ArrivalProcess, progress func(int),
 ) error {
