--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -31,10 +31,10 @@
 }
 
 const (
-	costStatements = 2000 // number of different statements, which the clients send in turn
-	maxPrepared    = 200  // number of statements that a client prepares
+	costStatements = 2000 // number of statements, which each client sends in a cycle
+	maxPrepared    = 200  // maximum number of statements that a client prepares
 	costEngines    = 2
-	warmUpDivisor  = 5 // a round is warmed up with this fraction of its requests
+	warmUpDivisor  = 5 // a round has this many times the requests of its warm-up
 )
 
 // MeasureCost measures pairs of rounds without and with statement shapes, one after the other. Each round
--- a/internal/lab/experiment/flood_test.go
+++ b/internal/lab/experiment/flood_test.go
@@ -34,8 +34,8 @@
 	return results
 }
 
-// During a flood of shapes that never recur, W-TinyLFU caches the recurring shapes and stays within its
-// limit.
+// During a flood of shapes that never recur, W-TinyLFU caches the recurring shapes, and no cache exceeds its
+// limit by more than 10 %.
 func TestFlood_TinyLFUKeepsRecurringShapesWithinItsBytes(t *testing.T) {
 	opts := FloodOptions{Seed: 1, Recurring: 200, OneOff: 60000, RecurringShare: 0.2, CacheBytes: 256 << 10}
 	kinds := append(slices.Repeat([]ShapeCache{TinyLFU()}, floodRuns), LRU(), TwoQueue())
