--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// readMore appends the bytes that arrive next to unread, and reports whether the front end is still
-// connected.
+// readMore reads from the connection and appends the bytes to unread. It returns false if the front end has
+// disconnected.
 func (c *postgresConnection) readMore() bool {
 	const chunkSize = 8192
 	chunk := make([]byte, chunkSize)
--- a/internal/lab/fake/line_server.go
+++ b/internal/lab/fake/line_server.go
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// maxStatementLength limits a statement, in bytes. It equals the front end's limit.
+// maxStatementLength limits a statement, in bytes. It is higher than the limit of the HTTP front end.
 const maxStatementLength = 1 << 20
 
 // LineMessageKind is the keyword of a kind of message from an engine to a front end.
@@ -56,8 +56,8 @@
 	// Handle executes a request and responds. It runs on a separate goroutine. The context ends when the
 	// request is cancelled or its connection ends.
 	Handle(ctx context.Context, exchange *LineExchange)
-	// Cancelled is called once for a request that is cancelled, or whose connection ends, before
-	// LineExchange.Finish. It must not call methods of the exchange.
+	// Cancelled is called once for a request if, before LineExchange.Finish, the request is cancelled or its
+	// connection ends. It must not call methods of the exchange.
 	Cancelled(request LineRequest)
 	// Page returns a further page of a result. ok is false if the engine does not serve further pages.
 	Page(requestID, page string) (text string, ok bool)
--- a/internal/lab/fake/work.go
+++ b/internal/lab/fake/work.go
@@ -22,7 +22,7 @@
 )
 
 // PlausibleWork is a Work with usual times for the kind of the statement: a second or two for a load or
-// an aggregate, and a fifth of a second for a lookup. The times differ slightly from text to text.
+// an aggregate, and a fifth of a second for a lookup. The time and the memory vary with the text, by up to 30 %.
 func PlausibleWork(statement string) (duration time.Duration, memoryMB float64) {
 	usual := lookupWork
 	switch upper := strings.ToUpper(statement); {
