--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -1,6 +1,6 @@
 // Package harness runs flaxrelay against fake systems on loopback addresses. New starts the engines, the
 // event bus and Consul of package fake, and writes configuration files with their addresses. Build builds
-// flaxrelay, and Start starts a process of it, which is passed one of these files.
+// flaxrelay, and Start starts a process of it. The caller passes the paths of the files as arguments.
 package harness
 
 import (
@@ -17,7 +17,8 @@
 // catalogService is the name of the engines' service in deploy/postgres.toml.
 const catalogService = "stock-engine"
 
-// onlyEvent is the number of the only event of the fake bus.
+// onlyEvent is the number of the only event, which the platform configuration contains. The fake bus
+// publishes no further events.
 const onlyEvent = 1
 
 // Options configure an Environment.
