--- a/cmd/flaxlab/traffic_generate.go
+++ b/cmd/flaxlab/traffic_generate.go
@@ -19,11 +19,11 @@
 	Number      int     `default:"20000" help:"Number of statements."`
 	Templates   int     `default:"200" help:"Number of recurring shapes."`
 	OneOff      float64 `default:"0.05" help:"Share of statements whose shape never recurs."`
-	Hard        float64 `default:"0.04" help:"Share of lookups whose values make them expensive reports."`
+	Hard        float64 `default:"0.04" help:"Share of lookups whose values make them reports."`
 	Writes      float64 `default:"0.02" help:"Share of statements that write and are not loads."`
 	DriftAt     float64 `default:"0.6" help:"Share of statements before the orders table grows; 0: it never grows."`
 	Drift       float64 `default:"3" help:"Factor by which the orders table grows."`
-	HintNoise   float64 `default:"0.7" help:"Standard deviation of the natural logarithm of hints."`
+	HintNoise   float64 `default:"0.7" help:"Standard deviation of the natural logarithm of a hint's random factor."`
 	HintMissing float64 `default:"0.15" help:"Share of statements without a hint."`
 }
 
@@ -45,7 +45,7 @@
 type generateCommand struct {
 	workloadFlags
 	File     string  `arg:"" help:"The file to write."`
-	Rate     float64 `default:"99" help:"Mean statements per second."`
+	Rate     float64 `default:"99" help:"Nominal statements per second; a season has fewer on average."`
 	Arrivals string  `name:"comes" enum:"poisson,bursts,season" default:"season" help:"Arrival process: ${enum}."`
 }
 
