--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -48,18 +48,19 @@
 	}
 	results := newEvaluation()
 	variants := experiment.Variants()
-	var baseline []experiment.Result // of the first variant; the figures of hints and class means are the same in all
+	// The results of the first variant. The figures of hints and class means are the same in all variants.
+	var firstResults []experiment.Result
 	for i, variant := range variants {
 		evaluated, err := c.evaluate(variant, recordings, &results.figures)
 		if err != nil {
 			return err
 		}
 		if i == 0 {
-			baseline = evaluated
+			firstResults = evaluated
 		}
 		addVariant(results, variant.Name, evaluated)
 	}
-	addBaselines(&results.summary, baseline)
+	addBaselines(&results.summary, firstResults)
 	return results.publish(c.Out)
 }
 
