--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -25,7 +25,7 @@
 	records []traffic.Record
 }
 
-// chartedShare is a series of the chart: a share of the statements whose class is right.
+// chartedShare is a series of the chart: the share of statements, or of hard cases, whose class is right.
 type chartedShare struct {
 	series string
 	share  func(experiment.Result) float64
