--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -12,7 +12,7 @@
 )
 
 // Two values of the PostgreSQL front end are random, and only these are replaced in the transcripts: the secret of
-// BackendKeyData, and the time in the hint when to retry. The length of the message with the hint is replaced too.
+// BackendKeyData, and the time in a retry hint. The length of a message with such a hint is replaced too.
 var (
 	retryHint  = regexp.MustCompile(`Try again in [1-9][0-9]{0,3} ms\.`)
 	secretMark = []byte("<secret>")
@@ -163,14 +163,15 @@
 	r.addEvent(r.name, "closed by the client")
 }
 
-// start records a plain startup.
+// start sends a startup of the user desk, with further parameters, and reads the response up to ReadyForQuery.
 func (r *pgRecorder) start(params ...string) {
 	r.t.Helper()
 	r.send(deskStartup(params...))
 	r.receiveUntilReady()
 }
 
-// recordCancel records a CancelRequest, with secretMark in place of the secret.
+// recordCancel sends a CancelRequest on a new connection and waits until the front end closes the connection. The
+// CancelRequest is recorded with secretMark in place of the secret.
 func (tr *transcript) recordCancel(name, addr string, keyData []byte) {
 	tr.t.Helper()
 	recorder := tr.recordPostgres(name, addr)
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -8,6 +8,9 @@
 	"flaxrelay/internal/pgproto"
 )
 
+// The tests of this file send messages in each phase of a connection: during its startup, within a batch, while the
+// description of a portal is deferred, while a request is in flight, and while messages are skipped after an error.
+
 // openPortal returns a batch that prepares the statement s and binds the portal p, with further messages after them.
 func openPortal(further ...[]byte) [][]byte {
 	return append([][]byte{parse("s", selectPart), bind("p", "s", "a")}, further...)
@@ -295,7 +298,7 @@
 	front.assertCount("postgres.errors.", 1) // of the Bind
 }
 
-// A CancelRequest ends the request in flight on its connection, and no other request.
+// A CancelRequest ends the request in flight on the connection that it identifies, and no other request.
 func TestGoldenPostgres_CancelRequestEndsTheRequestInFlightOfEachPhase(t *testing.T) {
 	const silent = "SELECT silent"
 	for name, tt := range map[string]struct {
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -7,7 +7,7 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// The cases are startups that are accepted, and startups that are rejected.
+// The cases are startups that are accepted, startups that are rejected, and CancelRequests that have no effect.
 func TestGoldenPostgres_EachStartupHasItsRecordedResponse(t *testing.T) {
 	encryption := func(code uint32) []byte { return pgproto.AppendStartup(nil, code, nil) }
 	cancel := func(body string) []byte {
@@ -181,8 +181,8 @@
 	}
 }
 
-// A CancelRequest with the right secret ends the statement in flight on its connection. A CancelRequest with a wrong
-// secret has no effect. The connections of both are closed without a response.
+// A CancelRequest with the right secret ends the statement in flight on the connection that it identifies. A
+// CancelRequest with a wrong secret has no effect. Each CancelRequest's own connection is closed without a response.
 func TestGoldenPostgres_CancelRequestEndsTheStatementInFlight(t *testing.T) {
 	for name, text := range map[string]string{"cancel": "SELECT silent", "cancel-write": "UPDATE silent SET a = 1"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/e2e/postgres_client_helpers_test.go
+++ b/internal/e2e/postgres_client_helpers_test.go
@@ -20,7 +20,7 @@
 	insertPart = "INSERT INTO stock_1.parts VALUES ($1)"
 )
 
-// pgClient is a PostgreSQL client that sends messages unchanged.
+// pgClient is a PostgreSQL client that sends the messages that a test encodes, which may be malformed.
 type pgClient struct {
 	t       *testing.T
 	conn    net.Conn
--- a/internal/e2e/postgres_connection_limits_test.go
+++ b/internal/e2e/postgres_connection_limits_test.go
@@ -83,7 +83,7 @@
 
 // A client that disconnects with an open portal returns the portal's rows to the budget.
 func TestPostgres_DisconnectedClientReturnsItsRowsToTheBudget(t *testing.T) {
-	const budget = 30
+	const budget = 30 // bytes: the remaining rows of one portal, and not of two
 	addr, _ := startPgEngine(t, goldenPgEngine)
 	front := newFrontEnd(t, nil)
 	front.pgOptions.MaxBufferedBytes = budget
--- a/internal/e2e/postgres_faults_test.go
+++ b/internal/e2e/postgres_faults_test.go
@@ -7,8 +7,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// Each kind of failure has one ErrorResponse with the code of that failure, and the messages after it are skipped up to
-// Sync.
+// Each kind of failure has one ErrorResponse with the code of that failure. The messages after it are skipped up to
+// Sync, or the connection is closed. An empty statement is not a failure.
 func TestPostgres_EachFailureHasOneErrorResponse(t *testing.T) {
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
 		if strings.Contains(request.query, "missing") {
--- a/internal/e2e/postgres_limits_test.go
+++ b/internal/e2e/postgres_limits_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Clients that send only parts of long messages can't exhaust the memory. The client whose bytes exceed the budget of
-// all buffers is disconnected, and the other clients are served.
+// Clients that send only parts of long messages can't exhaust the memory. The client whose bytes exceed the budget for
+// the read buffers of all connections is disconnected, and the other clients are served.
 func TestPostgres_BufferBudgetEndsTheClientThatExceedsIt(t *testing.T) {
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
--- a/internal/e2e/postgres_session_test.go
+++ b/internal/e2e/postgres_session_test.go
@@ -97,8 +97,8 @@
 	front.assertCount("requests.disconnected.", 1)
 }
 
-// A CancelRequest with the right secret ends the statement in flight on its connection, which has one response. A
-// CancelRequest with a wrong secret has no effect.
+// A CancelRequest with the right secret ends the statement in flight on the connection that it identifies, and the
+// statement has one response. A CancelRequest with a wrong secret has no effect.
 func TestPostgres_CancelRequestNeedsTheRightSecret(t *testing.T) {
 	addr, seen := startPgEngine(t, noPgReply)
 	front := startPostgres(t, addr)
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -43,7 +43,7 @@
 }
 
 // A load may have run at an engine that failed. The connection to the next engine is established only after the
-// deduplication window of the load's key, so that the load is not retried.
+// deduplication window of the load's key, so the load is not retried.
 func TestPostgres_LoadIsNotRetriedAfterItsDedupWindow(t *testing.T) {
 	// The startup takes longer than the window. Both times pass in real time.
 	const (
@@ -122,6 +122,7 @@
 
 // An idempotent class, named by the client or by a rule, is rejected for a statement that may write. A rule or a
 // function that is declared read-only permits a statement that may write, but not one that certainly writes.
+// Without a class for writes, a statement that may write is rejected.
 func TestPostgres_IdempotentClassIsRejectedForWrites(t *testing.T) {
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
