--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -7,8 +7,8 @@
 	"flaxrelay/policy"
 )
 
-// If the settings name tenants, a tenant within its quota may use the full limit. Requests without a tenant may use
-// only the part of the limit that exceeds the quotas.
+// If the settings name tenants, a tenant within its quota may use the full limit. Requests without a tenant have no
+// quota, and may use only a part of the limit.
 func TestAdmission_TenantWithinItsQuotaHasTheFullLimit(t *testing.T) {
 	const requests = 80
 	const (
@@ -28,7 +28,7 @@
 		}
 		started[header] = front.count("attempts.started.")
 	}
-	const minRatio = 1.5 // of the full limit to its part beyond the quotas
+	const minRatio = 1.5 // of the full limit to the part for requests beyond a quota
 	within := started[tenantHeader]
 	beyond := started[noHeader]
 	if float64(within) < minRatio*float64(beyond) {
--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -7,7 +7,7 @@
 	"flaxrelay/policy"
 )
 
-// At the limit of client connections, a new client evicts a connection that has not sent a complete request. If every
+// At the limit of client connections, a new client evicts a connection that has not sent a valid request. If every
 // connection has sent one, it evicts the connection that has been idle longest. A connection with a request in flight
 // is never evicted, and below the limit no connection is evicted.
 func TestConnectionLimit_EvictsTheLongestIdleClient(t *testing.T) {
@@ -82,7 +82,7 @@
 	front.awaitCount("http.connections", 1)
 	const pastMinSilentTime = 30 * time.Millisecond // longer than a new connection is protected from eviction
 	time.Sleep(pastMinSilentTime)
-	front.onLoop(func() { // the next iteration of the loop accepts the new client before it handles the text
+	front.onLoop(func() { // the next turn of the loop accepts the new client before it handles the text
 		dial(t, front.addr)
 		time.Sleep(pastMinSilentTime)
 		front.deliver(client.conn, text)
--- a/internal/e2e/engine_faults_test.go
+++ b/internal/e2e/engine_faults_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// A response arrives one byte at a time and never ends. Its connection is closed while the clients still wait, and
-// another engine, or the same engine on a new connection, serves them.
+// A response arrives one byte at a time and never ends. Its connection is closed while the client still waits, and the
+// engine serves the client on a new connection.
 func TestEngineFault_EndlessResponseEndsTheConnectionAndIsRetried(t *testing.T) {
 	isFirst := firstCall()
 	addr := listen(t, func(conn net.Conn) {
--- a/internal/e2e/golden_http_test.go
+++ b/internal/e2e/golden_http_test.go
@@ -7,7 +7,8 @@
 	"flaxrelay/policy"
 )
 
-// The cases are requests that an engine serves, and requests that are accepted and then rejected or failed.
+// The cases are requests that an engine serves, requests that are accepted and then rejected or failed, and requests
+// for which the front end needs no engine: health checks, and requests for the further pages of a result.
 func TestGoldenHTTP_EachRequestHasItsRecordedResponse(t *testing.T) {
 	const token = "Req-Token: k-1\r\n"
 	for name, requests := range map[string][]string{
--- a/internal/e2e/graceful_shutdown_test.go
+++ b/internal/e2e/graceful_shutdown_test.go
@@ -58,7 +58,7 @@
 	client.assertClosed()
 }
 
-// At the end of a shutdown, each request that a client has pipelined after a request in flight is rejected.
+// At the end of a shutdown, a request in flight and each request that its client has pipelined after it are rejected.
 func TestGracefulShutdown_PipelinedRequestsAtItsEndAreRejected(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := startHTTP(t, addr)
--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -29,6 +29,8 @@
 }
 
 const (
+	// rowsPerPage is the number of rows in a page of the engine. The front end combines several of these pages in each
+	// page of a response.
 	rowsPerPage       = 1000
 	pagesOfLongResult = 16
 	rowsOfLongResult  = pagesOfLongResult * rowsPerPage
