--- a/internal/clitest/clitest.go
+++ b/internal/clitest/clitest.go
@@ -11,9 +11,9 @@
 	"github.com/alecthomas/kong"
 )
 
-// CheckNames compares the names of a program's commands, flags and arguments, with their defaults,
-// enumerations and environment variables, with the golden file at the path. grammar is a pointer to
-// the struct that kong parses into.
+// CheckNames compares a program's command-line interface with the golden file at the path: the names
+// of its commands, flags and arguments, the defaults, enumerations and environment variables of the
+// flags, and which arguments are required. grammar is a pointer to the struct that kong parses into.
 func CheckNames(t *testing.T, program string, grammar any, goldenPath string) {
 	t.Helper()
 	parser, err := kong.New(grammar, kong.Name(program))
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -21,9 +21,9 @@
 	repositoryRoot = "../.."
 )
 
-// layers lists the packages from the top layer down. A name includes the package and all packages
-// below it. A name that ends in a slash includes only the packages below it. A package may import
-// packages of its own layer and of lower layers.
+// layers lists the packages from the top layer down. A name includes the package and the packages in
+// its subdirectories. A name that ends in a slash includes only those in subdirectories. A package may
+// import packages of its own layer and of lower layers.
 var layers = [][]string{
 	{"cmd/"},
 	{"internal/frontend/", "internal/simprotocol"},
@@ -86,8 +86,9 @@
 	"net", "os", "syscall", "log", "log/slog", "math/rand", "math/rand/v2", "io", "hash/maphash",
 }
 
-// TestImports_PointToLowerLayers also checks that decision packages import nothing for I/O or
-// randomness, and that no package of a serving program imports a lab package.
+// TestImports_PointToLowerLayers also checks that decision packages import nothing for I/O, logging or
+// randomness, that only tests import test support packages, that no package of a serving program
+// imports a lab package, and that no lab package imports a command.
 func TestImports_PointToLowerLayers(t *testing.T) {
 	for _, line := range goList(t, "-f", "{{.ImportPath}}: {{join .Imports \" \"}}", "./...") {
 		pkg, imports, _ := strings.Cut(line, ": ")
@@ -146,7 +147,8 @@
 	}
 }
 
-// clockOrGoroutine matches a read of the clock and the start of a goroutine.
+// clockOrGoroutine matches a call that reads the clock or waits for a time, and the start of a
+// goroutine with a function literal.
 var clockOrGoroutine = regexp.MustCompile(`time\.(Now|Since|After|Sleep|Tick)|\bgo func`)
 
 func TestDecisions_ReadNoClockAndStartNoGoroutine(t *testing.T) {
