--- a/internal/pages/configuration_test.go
+++ b/internal/pages/configuration_test.go
@@ -19,8 +19,8 @@
 	configPackage     = "internal/config"
 )
 
-// keyTables maps the header of each table of the configuration page to the type of internal/config that decodes its
-// keys.
+// keyTables maps the header of the first column of each table of keys in the configuration page to the type of
+// internal/config that decodes these keys.
 var keyTables = map[string]string{
 	"configuration key": "platformObject",
 	"settings key":      "settingsObject",
@@ -136,10 +136,10 @@
 	return name
 }
 
-// firstColumnKeys returns the code spans in the first column of the tables with the header.
+// firstColumnKeys returns the code spans in the first column of the tables in which this column has the header.
 func firstColumnKeys(text, header string) map[string]bool {
 	keys := map[string]bool{}
-	hasHeader := false // whether the current table has the header
+	hasHeader := false // whether the first column of the current table has the header
 	isFirstRow := true
 	for line := range strings.Lines(text) {
 		line, isRow := strings.CutPrefix(strings.TrimSpace(line), "|")
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -30,7 +30,7 @@
 // historyPages describe earlier versions of the code. The identifiers that they name need not exist any more.
 var historyPages = []string{"docs/postmortems.md", "docs/incidents/"}
 
-// page is a Markdown file.
+// page is a Markdown file, or KNOWN-RED.txt.
 type page struct {
 	path string
 	text string
@@ -112,8 +112,8 @@
 	return missing
 }
 
-// looksLikePath reports whether the word begins with the name of a directory of the repository, or has no slash and
-// one of pathExtensions.
+// looksLikePath reports whether the word begins with the name of a directory of the repository and a slash, or has no
+// slash and one of pathExtensions.
 func (r *repository) looksLikePath(word string) bool {
 	if !pathForm.MatchString(word) {
 		return false
--- a/internal/pages/repository_test.go
+++ b/internal/pages/repository_test.go
@@ -16,7 +16,8 @@
 
 const repositoryRoot = "../.."
 
-// skippedDirectories contain no sources. Git, builds and test runs write them.
+// skippedDirectories contain neither sources nor pages: the files of Git, the output of builds and test runs, and the
+// journal.
 var skippedDirectories = []string{".git", "bin", "found", "journal", "logs"}
 
 var (
@@ -28,7 +29,7 @@
 // separated by slashes.
 type repository struct {
 	paths          map[string]bool            // files and directories
-	directoryNames map[string]bool            // the last elements of all directories
+	directoryNames map[string]bool            // the last elements of the paths of all directories
 	headings       map[string][]string        // by the path of a page: the anchors of its headings
 	tests          map[string]bool            // names of test functions
 	identifiers    map[string]bool            // declared names, and the names of packages
@@ -130,7 +131,7 @@
 	}
 }
 
-// typeName returns the name of a receiver's or an embedded field's type, without its package.
+// typeName returns the name of a type without its package, pointer and type argument, or "" for a type of another form.
 func typeName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.Ident:
