--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -38,7 +38,7 @@
 
 // Requests with the same ordering key run one at a time, in the order of their arrival. If a client disconnects while
 // its request is queued, the request is not forwarded.
-func TestAdmission_RequestsOfOneOrderKeyRunOneAtATime(t *testing.T) {
+func TestAdmission_RequestsOfOneOrderingKeyRunOneAtATime(t *testing.T) {
 	running := make(chan string, seenCapacity)
 	finish := make(chan string)
 	addr := listen(t, func(conn net.Conn) {
--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -80,11 +80,11 @@
 	front.serveHTTP(addr)
 	client := connectHTTP(t, front.addr)
 	front.awaitCount("http.connections", 1)
-	const pastMinSilentTime = 30 * time.Millisecond // longer than a new connection is protected from eviction
-	time.Sleep(pastMinSilentTime)
+	const pastMinOpenTime = 30 * time.Millisecond // longer than a new connection is protected from eviction
+	time.Sleep(pastMinOpenTime)
 	front.onLoop(func() { // the next turn of the loop accepts the new client before it handles the text
 		dial(t, front.addr)
-		time.Sleep(pastMinSilentTime)
+		time.Sleep(pastMinOpenTime)
 		front.deliver(client.conn, text)
 	})
 	return front, client
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -176,8 +176,8 @@
 	tr.t.Helper()
 	recorder := tr.recordPostgres(name, addr)
 	message := pgproto.AppendStartup(nil, pgproto.CancelRequestCode, keyData)
-	const secretStart = 12 // after the length, the code and the process number
-	recorder.add(name, ">", append(bytes.Clone(message[:secretStart]), secretMark...))
+	const secretAt = 12 // after the length, the code and the process number
+	recorder.add(name, ">", append(bytes.Clone(message[:secretAt]), secretMark...))
 	if _, err := recorder.conn.Write(message); err != nil {
 		tr.t.Fatal(err)
 	}
--- a/internal/e2e/postgres_faults_test.go
+++ b/internal/e2e/postgres_faults_test.go
@@ -50,7 +50,7 @@
 		"load without key": {
 			engines: withEngine, messages: runTwice("/* class=load */ SELECT f($1)", "k"), want: "1 E(22023) Z",
 		},
-		"load with null key": {
+		"load with empty key": {
 			engines: withEngine, messages: runTwice(insertPart, ""),
 			want: "1 E(22004) Z",
 		},
--- a/internal/e2e/postgres_session_test.go
+++ b/internal/e2e/postgres_session_test.go
@@ -38,7 +38,7 @@
 
 // If an engine has dropped a prepared statement, the front end prepares it again, and the client sees no error. An
 // error on a statement that was just prepared goes to the client.
-func TestPostgres_ForgottenStatementIsPreparedAgain(t *testing.T) {
+func TestPostgres_DroppedStatementIsPreparedAgain(t *testing.T) {
 	dropsStatements := false
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
 		if dropsStatements && !request.parsed {
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -134,9 +134,9 @@
 		},
 	}
 	front.servePostgres(addr)
-	bare := newFrontEnd(t, nil)
-	bare.pgOptions = pgserver.Options{DefaultClass: "lookup"}
-	bare.servePostgres(addr)
+	noWriteClass := newFrontEnd(t, nil)
+	noWriteClass.pgOptions = pgserver.Options{DefaultClass: "lookup"}
+	noWriteClass.servePostgres(addr)
 	for _, tt := range []struct {
 		front      *frontEnd
 		text, want string
@@ -148,8 +148,8 @@
 		{front, "SELECT quiet() FOR UPDATE", "E(22023 hint) Z"},
 		{front, "SELECT stock.price_of(1)", "T D(a) C(SELECT 1) Z"},
 		{front, "SELECT f()", "T D(a) C(SELECT 1) Z"},
-		{bare, "DELETE FROM x", "E(0A000) Z"},
-		{bare, "SELECT 1", "T D(a) C(SELECT 1) Z"},
+		{noWriteClass, "DELETE FROM x", "E(0A000) Z"},
+		{noWriteClass, "SELECT 1", "T D(a) C(SELECT 1) Z"},
 	} {
 		t.Run(tt.text, func(t *testing.T) {
 			client := connectPostgres(t, tt.front.addr)
