--- a/internal/e2e/postgres_faults_test.go
+++ b/internal/e2e/postgres_faults_test.go
@@ -7,8 +7,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// Each kind of failure has one ErrorResponse with the code of that failure, and the messages after it are skipped up to
-// Sync.
+// Each kind of failure has one ErrorResponse with the code of that failure. The messages after it are skipped up to
+// Sync, or the connection is closed. An empty statement is not a failure.
 func TestPostgres_EachFailureHasOneErrorResponse(t *testing.T) {
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
 		if strings.Contains(request.query, "missing") {
@@ -50,7 +50,7 @@
 		"load without key": {
 			engines: withEngine, messages: runTwice("/* class=load */ SELECT f($1)", "k"), want: "1 E(22023) Z",
 		},
-		"load with null key": {
+		"load with empty key": {
 			engines: withEngine, messages: runTwice(insertPart, ""),
 			want: "1 E(22004) Z",
 		},
--- a/internal/e2e/postgres_session_test.go
+++ b/internal/e2e/postgres_session_test.go
@@ -38,7 +38,7 @@
 
 // If an engine has dropped a prepared statement, the front end prepares it again, and the client sees no error. An
 // error on a statement that was just prepared goes to the client.
-func TestPostgres_ForgottenStatementIsPreparedAgain(t *testing.T) {
+func TestPostgres_DroppedStatementIsPreparedAgain(t *testing.T) {
 	dropsStatements := false
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
 		if dropsStatements && !request.parsed {
@@ -97,8 +97,8 @@
 	front.assertCount("requests.disconnected.", 1)
 }
 
-// A CancelRequest with the right secret ends the statement in flight on its connection, which has one response. A
-// CancelRequest with a wrong secret has no effect.
+// A CancelRequest with the right secret ends the statement in flight on the connection that it identifies, and the
+// statement has one response. A CancelRequest with a wrong secret has no effect.
 func TestPostgres_CancelRequestNeedsTheRightSecret(t *testing.T) {
 	addr, seen := startPgEngine(t, noPgReply)
 	front := startPostgres(t, addr)
