--- a/policy/actions.go
+++ b/policy/actions.go
@@ -12,7 +12,7 @@
 type StartAttempt struct {
 	RequestID uint64
 	Engine    string
-	Timeout   time.Duration // after this the caller ends the attempt with ResultTimedOut; above 0
+	Timeout   time.Duration // the caller then ends the attempt with ResultTimedOut; above 0
 }
 
 // SetResources sets the memory and priority of a request's later attempts, and the priority of its attempts in
@@ -23,8 +23,8 @@
 	Priority  int     // 0 to 3, where 3 is the most urgent; 1 if engines ignore priorities
 }
 
-// CancelAttempt ends one attempt. An AttemptEnded with ResultCancelled follows, unless the attempt has ended
-// before; in this case the caller ignores the action.
+// CancelAttempt ends one attempt. An AttemptEnded with ResultCancelled follows. If the attempt has already
+// ended, the caller ignores the action.
 type CancelAttempt struct {
 	RequestID uint64
 	Attempt   int
@@ -42,7 +42,7 @@
 
 // RejectReason is the reason why a request was rejected. The order from ReasonNoEndpoint to ReasonSlowStart
 // matters: if no engine is chosen, each engine has one of these reasons, and the greatest of them is reported.
-// A lack of capacity at one engine thus takes precedence over the rules that exclude others.
+// A lack of capacity at one engine thus takes precedence over the rules that exclude other engines.
 type RejectReason uint8
 
 // The reasons of a Reject.
@@ -107,10 +107,10 @@
 
 // The reasons of an EngineEjected.
 const (
-	EjectedSilent           EjectionReason = iota // it sends neither responses nor progress reports
-	EjectedErrors                                 // it responds with errors to requests that other engines serve
-	EjectedConnectionFaults                       // connections to it fail or break
-	EjectedOverdue                                // its responses are overdue
+	EjectedSilent           EjectionReason = iota // the engine sends neither responses nor progress reports
+	EjectedErrors                                 // the engine returns errors for requests that others serve
+	EjectedConnectionFaults                       // connections to the engine fail or break
+	EjectedOverdue                                // the engine's responses are overdue
 )
 
 var ejectionReasonNames = [...]string{
@@ -127,8 +127,8 @@
 type EngineReadmitted struct{ Engine string }
 
 // ReportOverload reports that this front end alone has sent a warming engine more work than the engine can
-// handle from all front ends together. The budget of slow start should prevent this, so it is a bug in this
-// package. No decision depends on it.
+// handle from all front ends together. The budget of slow start should prevent such an overload, so the
+// report shows a bug in this package. No decision depends on the report.
 type ReportOverload struct {
 	Engine string
 	Sent   float64 // requests of mean work within the overload window
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -18,7 +18,7 @@
 // attempt is one execution of a request on an engine.
 type attempt struct {
 	request         *request
-	index           int // number among the request's attempts, from 0
+	index           int // number among the request's attempts, counted from 0
 	engine          *engine
 	sentAt          time.Duration
 	lastHeardAt     time.Duration // latest progress report; sentAt before the first report
@@ -38,8 +38,8 @@
 
 func (a *attempt) ended() bool { return a.phase == attemptEnded }
 
-// mayHaveRun reports whether the engine may have run the attempt. This is assumed until the attempt's result
-// shows that it never ran.
+// mayHaveRun reports whether the engine may have run the attempt. An attempt in flight always counts as one
+// that may have run.
 func (a *attempt) mayHaveRun() bool { return !a.ended() || a.result.MayHaveRun() }
 
 // endedInError reports whether the engine responded with an error.
--- a/policy/attemptrules.go
+++ b/policy/attemptrules.go
@@ -34,8 +34,8 @@
 		!req.mayHaveRun()
 }
 
-// permitsAttempt reports whether the request may have a first or another attempt. It counts an attempt in
-// flight as one that may have run; whether that attempt has to end first is checked by mayStart.
+// permitsAttempt reports whether the request may have its first or another attempt. An attempt in flight
+// counts as one that may have run. mayStart checks whether attempts in flight must end first.
 func (r *attemptRules) permitsAttempt(req *request, now time.Duration) bool {
 	attemptsLeft := len(req.attempts) < max(r.limits.MaxAttempts, 1)
 	if req.completed || !attemptsLeft {
--- a/policy/attemptrunner.go
+++ b/policy/attemptrunner.go
@@ -11,8 +11,8 @@
 	traffic  *trafficEstimate
 }
 
-// start sends the request to the engine if the rules permit it, and reports whether they do. No other
-// function sends requests to engines.
+// start sends the request to the engine and returns true, or returns false if the rules do not permit it. No
+// other function sends requests to engines.
 func (r *attemptRunner) start(req *request, e *engine, now time.Duration) (started bool) {
 	if !r.rules.mayStart(req, e, now) {
 		return false
@@ -42,7 +42,7 @@
 }
 
 // cancel cancels an attempt and reports whether it did so. It does nothing if the settings do not permit
-// cancellation, the attempt was cancelled before, it has ended, or its response has begun.
+// cancellation, or if the attempt is already cancelled, streaming or ended.
 func (r *attemptRunner) cancel(a *attempt) (cancelled bool) {
 	if a.cancelRequested || a.phase != attemptWaiting || !r.settings.Limits.Cancel {
 		return false
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -9,7 +9,7 @@
 	controlPeriod  = 500 * time.Millisecond         // between two runs of the control loops
 	ticksPerPeriod = 5                              // engines are checked for silence at each tick
 	tickPeriod     = controlPeriod / ticksPerPeriod // between two ticks
-	tickToken      = 0                              // token of the tick; DeadlineTimer uses all others
+	tickToken      = 0                              // token of the tick; DeadlineTimer uses all other tokens
 )
 
 // actionList collects the actions of the current event.
@@ -17,11 +17,11 @@
 
 func (l *actionList) add(a Action) { l.list = append(l.list, a) }
 
-// Balancer decides for one front end. It routes events to the types that own the state of each
-// concern, and collects their actions. It is not safe for concurrent use.
+// Balancer decides when and on which engine each request of one front end runs. It routes events to the types
+// that own the state of each concern, and collects their actions. It is not safe for concurrent use.
 type Balancer struct {
 	settings Settings
-	now      time.Duration // instant of the current event, never earlier than that of the previous event
+	now      time.Duration // instant of the current event; never decreases
 	actions  actionList    // of the current event
 	rng      *rand.Rand
 	started  bool // the first event has been handled
@@ -43,7 +43,7 @@
 	load           loadReports
 }
 
-// Handle processes one event and returns actions with the actions of the event appended.
+// Handle processes one event. It appends the resulting actions to the slice and returns the extended slice.
 func (b *Balancer) Handle(now time.Duration, event Event, actions []Action) []Action {
 	b.now = max(now, b.now)
 	b.actions.list = actions
--- a/policy/class.go
+++ b/policy/class.go
@@ -6,7 +6,7 @@
 	firstResponseWindow = 10     // responses over which a class's values are averaged at first
 	maxResponseWindow   = 50     // responses over which they are averaged later on
 	quickLatencyGrowth  = 1.0005 // growth of the quick latency with each response, so that old minima expire
-	maxDeviation        = 5.0    // a greater deviation counts as this: it would hide later overdue attempts
+	maxDeviation        = 5.0    // a greater deviation would hide later overdue attempts, and counts as this
 	objectiveToUsual    = 3      // assumed ratio of latency objective to usual latency before any response
 )
 
@@ -16,8 +16,8 @@
 	responses      int
 	latencyMs      float64 // mean latency of a response
 	quickLatencyMs float64 // lowest recent mean latency
-	workMs         float64 // mean work of a request, of all threads
-	latencySpread  float64 // mean deviation from the expected latency, as a share of it
+	workMs         float64 // mean work of a request, summed over its threads
+	latencySpread  float64 // mean deviation from the expected latency, as a share of that latency
 	estimateMs     float64 // mean estimate of the work; 0: no estimate so far
 	grantFactor    float64 // memory to grant, as a multiple of the estimate
 }
@@ -37,7 +37,8 @@
 	}
 }
 
-// observeEstimate records an estimate of work and returns its ratio to the mean estimate, which includes it.
+// observeEstimate updates the mean estimate of work with an estimate. It returns the ratio of this estimate
+// to the updated mean.
 func (c *class) observeEstimate(estimateMs float64) float64 {
 	c.estimateMs = ewmaSeeded(c.estimateMs, estimateMs, estimateWindow)
 	return estimateMs / c.estimateMs
@@ -63,8 +64,8 @@
 	return float64(min(firstResponseWindow+c.responses, maxResponseWindow))
 }
 
-// observeMemory records the memory that a request needed. In multiplicative steps, the grant factor follows
-// the grantCoverage quantile of the ratio of the memory needed to the estimate.
+// observeMemory records the memory that a request needed. It changes the grant factor in multiplicative
+// steps, so that the factor follows the grantCoverage quantile of the ratio of needed to estimated memory.
 func (c *class) observeMemory(estimateMB, neededMB float64, spilled bool) {
 	switch {
 	case !(estimateMB > 0): // no estimate, or NaN
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -2,17 +2,17 @@
 //
 // # Use
 //
-// The caller makes one Balancer with New, passes it every event with Handle, and performs the
+// The caller creates one Balancer with New, passes it every event with Handle, and performs the
 // actions that Handle returns, in their order:
 //
 //	balancer, err := policy.New(settings, seed)
 //	...
 //	actions = balancer.Handle(now, event, actions[:0])
 //
-// The inputs are in events.go, the outputs in actions.go, the configuration in settings.go.
-// All instants are durations since one origin, which the caller chooses. An event with an earlier instant than
-// the previous event is treated as simultaneous with that event. The first event starts a timer that repeats
-// every 100 ms, the tick; every fifth tick ends a control period.
+// The inputs are in events.go, the outputs in actions.go, the configuration in settings.go. All instants are
+// durations since one origin, which the caller chooses. An event with an earlier instant than the previous
+// event is treated as simultaneous with that event. The first event starts the tick, a timer that repeats
+// every 100 ms. Every fifth tick ends a control period.
 //
 // # What the caller must do
 //
@@ -20,20 +20,21 @@
 // request from 0, in the order of their StartAttempt actions. Events and actions refer to an attempt by this
 // number.
 //
-// Each attempt ends with exactly one AttemptEnded. The caller ends it with ResultTimedOut after the timeout of
-// its StartAttempt, and with ResultCancelled on a CancelAttempt, unless it has ended before. After a
-// StreamStarted the balancer neither cancels the attempt nor ends its request at the deadline.
+// Each attempt ends with exactly one AttemptEnded. Unless the attempt has already ended, the caller ends it
+// with ResultTimedOut after the timeout of its StartAttempt, and with ResultCancelled on a CancelAttempt.
+// After a StreamStarted the balancer neither cancels the attempt nor ends its request at the deadline.
 //
 // Each request ends with exactly one of these: an AttemptEnded with Completed set, a Reject, a Fail, or a
-// ClientDisconnected. Attempts of the request that are still in flight must then still get their AttemptEnded.
+// ClientDisconnected. If attempts of the request are still in flight then, the caller must still pass the
+// AttemptEnded of each.
 //
 // # How it works
 //
 // A Balancer is a pure state machine: it reads no clock, does no I/O and starts no goroutine. Its random
 // numbers come from one generator that New seeds. It is not safe for concurrent use.
 //
-// The Balancer routes events and composes the types below, each of which owns the state of one concern. The
-// files that contain decisions are listed under policy in deploy/balancer.toml. Where to look:
+// Each of the types below owns the state of one concern. The Balancer is composed of them and routes events
+// to them. The policy list in deploy/balancer.toml names the files that contain decisions. Where to look:
 //
 //   - balancer.go: routing of events, the periodic tick; new.go: composition of the types
 //   - admission.go: arrival of a request, its expected cost, rejection, completion
@@ -47,7 +48,7 @@
 //     attemptrunner.go: attemptRunner, which starts and cancels attempts
 //   - outlierdetector.go: outlierDetector, ejection and readmission; outlier.go: outlierState, the state for
 //     one engine; silence.go: silenceDetector; lostresponses.go: classes that are stalled on an engine
-//   - slowstart.go: slowStart, the budget of an engine that is warming up; reportedstart.go: when it started
+//   - slowstart.go: slowStart, the budget of an engine that is warming up; reportedstart.go: reported starts
 //   - quota.go: quotas of tenants; traffic.go: trafficEstimate, this front end's share of the traffic
 //   - ordering.go: orderedRequests, which runs the requests of one ordering key one at a time; keyqueue.go:
 //     their queues
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -39,8 +39,8 @@
 func (e *engine) available() bool { return e.state == EngineReady && !e.outlier.ejected() }
 
 // reset sets the initial limits of an engine that is new or has restarted, for this front end's share of the
-// traffic, and resets its outlier state. If the settings do not name the engine's kind, cores is zero, and
-// one core is assumed.
+// traffic, and resets its outlier state. cores is zero if the settings do not name the engine's kind; in that
+// case, one core is assumed.
 func (e *engine) reset(cores float64, target concurrencyTarget, share float64, now time.Duration) {
 	e.cores = max(cores, 1)
 	e.rescale(target, share, now)
--- a/policy/events.go
+++ b/policy/events.go
@@ -6,10 +6,10 @@
 // StreamStarted, ClientDisconnected, TimerFired or EndpointsChanged.
 type Event interface{ event() }
 
-// RequestArrived is a new request. The request is pending until its only final response, which is an
-// AttemptEnded with Completed set, a Reject or a Fail, or until a ClientDisconnected.
+// RequestArrived is a new request. The request is pending until a ClientDisconnected, or until its only final
+// response: an AttemptEnded with Completed set, a Reject or a Fail.
 type RequestArrived struct {
-	RequestID         uint64 // unique; a retry by the client has another one
+	RequestID         uint64 // unique; a retry by the client has another ID
 	Class             string
 	Tenant            string        // "": no tenant
 	OrderKey          string        // ordering key; "": no ordering key
@@ -48,8 +48,8 @@
 	Load      LoadReport
 }
 
-// LoadReport is an engine's report of its load, which is delayed and noisy. A figure that engines of the
-// deployment do not report is -1.
+// LoadReport is an engine's report of its load, which is delayed and noisy. A number is -1 if the engines of
+// the deployment do not report it.
 type LoadReport struct {
 	Reported    bool    // false: there was no report
 	CPUShare    float64 // share of its cores in use
@@ -59,10 +59,10 @@
 	DiskShare   float64 // share of its disks that is busy
 }
 
-// unreportedFigure is the value of a figure that is not reported.
+// unreportedFigure is the value of a number in a LoadReport that engines do not report.
 const unreportedFigure = -1
 
-// UnreportedLoad returns a report in which no figure is reported, for callers to fill in.
+// UnreportedLoad returns a LoadReport without any reported number, for callers to fill in.
 func UnreportedLoad() LoadReport {
 	return LoadReport{
 		CPUShare:    unreportedFigure,
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -23,7 +23,7 @@
 // concurrencyTarget is the most that an engine should have in flight, as derived from the settings alone.
 type concurrencyTarget struct {
 	threadsPerCore float64
-	maxThreads     float64 // threads of one request, in the class with the most
+	maxThreads     float64 // largest number of threads of one request, over all classes
 }
 
 func newConcurrencyTarget(s *Settings) concurrencyTarget {
@@ -84,7 +84,7 @@
 	return f.limiter.maxLimit * req.quotaFactor * req.valueFactor
 }
 
-// admits applies the admission test to the fleet.
+// admits reports whether the request passes the admission test of the fleet's limiter.
 func (f *fleet) admits(req *request, now time.Duration, rng *rand.Rand) bool {
 	return f.limiter.admits(req.weight, f.limitFor(req, now), rng)
 }
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -19,10 +19,10 @@
 	readmissionLimitShare = 0.25             // share of its initial limit at which a readmitted engine starts
 )
 
-// limiter is an adaptive concurrency limit, in threads: one for each engine, and one for the fleet. Once a
-// control period, a control loop adjusts the limit so that the mean latency meets its objective. The limit
-// applies only under pressure, that is for some periods after a period of high latency or after a full
-// engine rejected a request; at other times maxLimit applies. engine.rescale and fleet.rescale set
+// limiter is an adaptive concurrency limit, in threads: one for each engine, and one for the fleet. In each
+// control period, a control loop adjusts the limit so that the mean latency meets its objective. The limit is
+// under pressure for some periods after a period of high latency, or after a full engine rejected a request.
+// It applies only under pressure; at other times maxLimit applies. engine.rescale and fleet.rescale set
 // initialLimit and maxLimit; fleet.reserve and fleet.release update backlog.
 type limiter struct {
 	initialLimit   float64       // threads
@@ -31,8 +31,8 @@
 	alpha          float64       // estimated relative latency that each thread of the limit adds
 	backlog        float64       // threads of the requests in flight
 	slowdown       float64       // mean ratio of a latency to the quick latency of its class
-	latencySum     float64       // latencies in this period, each relative to its objective
-	samples        int           // latencies in latencySum
+	latencySum     float64       // sum of the latencies in this period, each relative to its objective
+	samples        int           // number of latencies in latencySum
 	pressuredUntil time.Duration // the limit is under pressure until then
 }
 
--- a/policy/load.go
+++ b/policy/load.go
@@ -6,13 +6,15 @@
 )
 
 const (
-	loadReportDecay    = 8 * controlPeriod // age at which a report counts 1/e; wide requests run for seconds
-	maxReportedPerCore = 50.0              // requests in flight per core; a higher report counts as this
-	fleetLevelWindow   = 5                 // reports over which the fleet's load level is averaged
-	meanLoadWindow     = 20                // reports over which the mean load is averaged
-	maxOverload        = 2                 // multiple of the intended load; a higher load counts as this
-	minCheckLevel      = 0.3               // load level at and below which health checks are least frequent
-	loadPenaltyFactor  = 0.25              // share of a difference in load that counts against an engine
+	// loadReportDecay is the age at which a report counts 1/e. Requests of many threads run for seconds.
+	loadReportDecay = 8 * controlPeriod
+
+	maxReportedPerCore = 50.0 // requests in flight per core; a higher report counts as this
+	fleetLevelWindow   = 5    // reports over which the fleet's load level is averaged
+	meanLoadWindow     = 20   // reports over which the mean load is averaged
+	maxOverload        = 2    // multiple of the intended load; a higher load counts as this
+	minCheckLevel      = 0.3  // load level at and below which health checks are least frequent
+	loadPenaltyFactor  = 0.25 // share of a difference in load that counts against an engine
 )
 
 // reportedLoad is the load that an engine has reported last.
@@ -26,7 +28,7 @@
 type loadReports struct {
 	threadsPerCore float64 // intended load: the most that an engine should have
 	swaps          bool    // an engine that grants more memory than it has slows down for all requests
-	mean           float64 // mean reported load; fleet.loadLevel adapts faster, in units of the intended load
+	mean           float64 // mean load; fleet.loadLevel is a faster mean, relative to threadsPerCore
 	fleet          *fleet
 	traffic        *trafficEstimate
 }
@@ -35,7 +37,7 @@
 // reported, from the busy cores. If engines swap, the load is at least the intended load times the share of
 // the memory that is granted.
 func (l *loadReports) record(e *engine, report LoadReport, now time.Duration) {
-	if !report.Reported || !(max(report.InFlight, report.CPUShare) >= 0) { // neither figure, or NaN
+	if !report.Reported || !(max(report.InFlight, report.CPUShare) >= 0) { // neither is reported, or NaN
 		return
 	}
 	load := l.threadsPerCore * report.CPUShare
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	datasetSpread    = 2.0 // number of engines near a data set per engine that its traffic would occupy
+	datasetSpread    = 2.0 // engines near a data set, as a multiple of the engines that its traffic occupies
 	popularityWindow = 256 // requests over which the popularity of data sets is counted
 
 	// Popularity starts from an even distribution, as if each of priorDatasets data sets had been requested
@@ -31,7 +31,7 @@
 type datasetAffinity struct {
 	zone       string
 	popularity decayingCounter
-	scores     []uint64 // scratch space of cutoff
+	scores     []uint64 // reused by each call of cutoff
 }
 
 func newDatasetAffinity(zone string) datasetAffinity {
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -8,7 +8,7 @@
 // orderedRequests runs the requests of one ordering key one at a time, in order of arrival. After an attempt
 // that may still run on its engine, it blocks the key until that attempt must have ended.
 type orderedRequests struct {
-	settleTime time.Duration // for which a key is blocked
+	settleTime time.Duration // how long a key is blocked
 	queues     keyQueues     // of all unfinished requests that have an ordering key
 	waiting    []*request    // not admitted yet, in order of arrival
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	maxEngineErrors  = 1 // a request with more errors of engines is itself considered faulty
+	maxEngineErrors  = 1 // with more errors from engines, the request itself is considered faulty
 	retryTimeDivisor = 4 // a retry needs more time than the class's mean latency divided by this
 )
 
-// onAttemptEnded ends an attempt. If the client still waits for a response and no other attempt is in
-// flight, it retries or responds.
+// onAttemptEnded ends an attempt. If the client still waits for a response and no other attempt is in flight,
+// onAttemptEnded retries the request or responds to it.
 func (b *Balancer) onAttemptEnded(end AttemptEnded) {
 	a := b.attempt(end.RequestID, end.Attempt)
 	if a == nil || a.ended() {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -12,7 +12,7 @@
 	ejectionFaultRate = 0.6 // an engine above it is ejected; two connection faults in a row exceed it
 )
 
-// ejection is whether an engine is ejected and, if so, what it takes to readmit it:
+// ejection is whether an engine is ejected and, if so, which events readmit it:
 //
 //	notEjected:          the engine is silent -> ejectedUntilActive
 //	any:                 fault rate above the threshold -> ejectedUntilServed
@@ -74,8 +74,8 @@
 	}
 }
 
-// eject ejects the engine into the given state, unless it is in a stricter one, and reports whether this
-// engine was not ejected before.
+// eject sets the engine's ejection to target, unless its present ejection is stricter. It reports whether the
+// engine was in service before.
 func (o *outlierState) eject(target ejection, now, probationInterval time.Duration) (changed bool) {
 	changed = o.ejection == notEjected
 	o.ejection = max(o.ejection, target)
--- a/policy/outlierdetector.go
+++ b/policy/outlierdetector.go
@@ -17,16 +17,17 @@
 	}
 }
 
-// eject ejects an engine into the given state. It adds an EngineEjected if the engine was not ejected before.
+// eject sets an engine's ejection to target, unless its present ejection is stricter. It adds an
+// EngineEjected if the engine was in service before.
 func (d *outlierDetector) eject(e *engine, target ejection, reason EjectionReason, now time.Duration) {
 	if e.outlier.eject(target, now, d.silence.probationInterval()) {
 		d.actions.add(EngineEjected{Engine: e.id, Reason: reason, InFlight: len(e.inFlight)})
 	}
 }
 
-// onActivity handles a progress report or a served response of an attempt: the attempt's class is not
-// stalled on its engine, an engine that is ejectedUntilActive is readmitted, and an assumed restart may be
-// withdrawn.
+// onActivity handles a progress report or a served response of an attempt. It resets the lost responses of
+// the attempt's class on the engine, readmits the engine if it is ejectedUntilActive, and may withdraw an
+// assumed restart.
 func (d *outlierDetector) onActivity(a *attempt, now time.Duration) {
 	e := a.engine
 	e.lostResponses.reset(a.request.class)
@@ -47,9 +48,9 @@
 	}
 }
 
-// check examines the attempts in flight at an engine and retries those whose response is lost or, if engines
-// send no progress reports, overdue. If the engine itself is silent, check ejects it and retries its
-// idempotent attempts elsewhere.
+// check examines the attempts in flight at an engine. It retries attempts whose response is lost. If engines
+// send no progress reports, it retries overdue attempts instead. If the engine itself is silent, check ejects
+// the engine and retries its idempotent attempts elsewhere.
 func (d *outlierDetector) check(e *engine, now time.Duration) {
 	if len(e.inFlight) == 0 {
 		return
--- a/policy/overloadcheck.go
+++ b/policy/overloadcheck.go
@@ -24,9 +24,9 @@
 
 // overloadCheck checks at run time that this front end alone does not send an engine in slow start more
 // work than the engine can handle from all front ends together. It does not affect decisions: the budget
-// of slowStart keeps each front end far below that limit. It holds what was sent within the overload window.
+// of slowStart keeps each front end far below that limit.
 type overloadCheck struct {
-	sent []sentWork
+	sent []sentWork // within the overload window
 }
 
 // record adds a request and returns the work sent within the window, as a number of requests of mean work.
@@ -57,7 +57,7 @@
 
 // overloadLimit returns how many requests of mean work a warming engine can handle within the overload
 // window, from all front ends together. The checker of internal/lab/soak deliberately computes the same
-// limit independently, so that a mistake in either shows.
+// limit independently, so that a mistake in either computation shows.
 func overloadLimit(rules *Rules, capacityShare, cores, meanWorkMs float64) float64 {
 	n := rules.OverloadFactor * capacityShare * cores * milliseconds(rules.OverloadWindow) / meanWorkMs
 	if n < fewRequests {
--- a/policy/progress.go
+++ b/policy/progress.go
@@ -1,9 +1,9 @@
 package policy
 
 const (
-	badPlanFactor     = 5.0   // remaining time, in usual latencies, above which plan or engine is at fault
+	badPlanFactor     = 5.0   // remaining time, in usual latencies, above which the plan or the engine is bad
 	hopelessShare     = 0.7   // share of the time left; a request that needs more is rejected early
-	retryTimeFactor   = 1.5   // usual latencies that must be left for a retry of a slow attempt
+	retryTimeFactor   = 1.5   // time that must be left to retry a slow attempt, in usual latencies
 	minProgress       = 0.001 // smallest share done; a lower report counts as this
 	slowAttemptWindow = 10    // cancelled slow attempts over which an engine's slowdown is averaged
 )
@@ -86,7 +86,7 @@
 }
 
 // observeSpill records the first report that an attempt lacks memory. It raises the class's grant factor
-// halfway to the memory needed, and by at least one step.
+// halfway to the factor that would have sufficed, and by at least one step.
 func (a *attempt) observeSpill(missingMB float64) {
 	c := a.request.class
 	estimateMB := a.request.estimatedMemoryMB
--- a/policy/reportedstart.go
+++ b/policy/reportedstart.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// maxStartAgeShare is the greatest age of a reported start that is believed, as a share of the warm-up
-	// time: the endpoint list reports a start a few seconds late at most, but the engine's wall clock may be
+	// maxStartAgeShare is the greatest age at which a reported start is believed, as a share of the warm-up
+	// time. The endpoint list reports a start a few seconds late at most, but the engine's wall clock may be
 	// wrong by any amount. At this age the budget, which assumes quadratic growth of the capacity, has
 	// hardly grown.
 	maxStartAgeShare = 0.25
-	// firstListPeriod is how long after the first event a reported start of any age is believed: it belongs
-	// to the first endpoint list, which may name starts of any age.
+	// firstListPeriod is how long after the first event a reported start of any age is believed: the start
+	// belongs to the first endpoint list, which may name starts of any age.
 	firstListPeriod = time.Second
 )
 
@@ -28,8 +28,8 @@
 	return reportedStart{latest: math.MinInt64, previous: math.MinInt64}
 }
 
-// differs reports whether a reported start is neither the latest nor the previous one. The previous one
-// comes from an endpoint list that is out of date.
+// differs reports whether a reported start is new, that is, neither the latest nor the previous start. An
+// endpoint list that is out of date reports the previous start.
 func (r *reportedStart) differs(start time.Duration) bool {
 	return start != r.latest && start != r.previous
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -13,13 +13,13 @@
 	dataset           int64
 	deadline          time.Duration
 	estimatedMemoryMB float64
-	expectedWorkMs    float64 // of all threads
+	expectedWorkMs    float64 // sum over all threads
 	weight            float64 // threads, as counted in backlogs
 	valueRank         float64 // log2 of priority weight divided by expected work, relative to the mean
-	quotaFactor       float64 // share of a limit that it may use, by its tenant's quota
-	valueFactor       float64 // share of a limit that it may use, by its value rank
+	quotaFactor       float64 // share of a limit that the request may use, by its tenant's quota
+	valueFactor       float64 // share of a limit that the request may use, by its value rank
 	attempts          []*attempt
-	completed         bool // it has its final response, or its client has disconnected
+	completed         bool // the final response was given, or the client has disconnected
 }
 
 func newRequest(c *class, ev RequestArrived) *request {
@@ -57,7 +57,8 @@
 	return milliseconds(now-from)+r.usualLatencyMs() < r.latencyObjectiveMs()
 }
 
-// isOrdered reports whether the request has an ordering key that its class observes.
+// isOrdered reports whether the request has an ordering key and its class is Ordered. A key has no effect in
+// other classes.
 func (r *request) isOrdered() bool { return r.class.Ordered && r.orderKey != "" }
 
 // engineErrors returns the number of attempts that ended in an error of the engine.
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -15,7 +15,7 @@
 
 func (r *retryBudget) limited() bool { return r.rules.RetryBudgetWindow > 0 }
 
-// observeArrival counts a request that has arrived.
+// observeArrival counts an arrival, which raises the budget by RetryBudgetRatio.
 func (r *retryBudget) observeArrival(now time.Duration) {
 	if r.limited() {
 		r.arrivals = append(r.arrivals, now)
--- a/policy/selector.go
+++ b/policy/selector.go
@@ -13,10 +13,10 @@
 	oversizePenalty     = 3.0 // subtracted for an engine that is too small for the request
 )
 
-// selector chooses the engine for a request's next attempt: among the engines that may take the request, the
-// one with the most spare capacity, adjusted by locality, reported load, faults and a random term. Scores
-// are in threads. The selector owns the popularity of data sets, sets when an engine may have its next
-// probation request, and only reads all other state.
+// selector chooses the engine for a request's next attempt. Of the engines that may take the request, it
+// chooses the one with the most spare capacity, adjusted by locality, reported load, faults and a random
+// term. Scores are in threads. The selector updates only the popularity of data sets and the instants of the
+// next probation requests. It only reads all other state.
 type selector struct {
 	zone     string // where this front end runs
 	rng      *rand.Rand
@@ -27,9 +27,9 @@
 	affinity datasetAffinity
 }
 
-// choose returns the engine for the request: the first engine that is due for a probation request or,
-// without such an engine, the one with the highest score. If no engine may take the request, it returns nil
-// and the reason, which is ReasonFleetLimit or the greatest of the reasons of all engines.
+// choose returns the first engine that is due for a probation request. If no engine is due, it returns the
+// engine with the highest score. If no engine may take the request, it returns nil and the reason, which is
+// ReasonFleetLimit or the greatest of the reasons of all engines.
 func (s *selector) choose(
 	req *request, engines []*engine, now time.Duration,
 ) (best *engine, reason RejectReason) {
@@ -101,7 +101,7 @@
 		score += slowStartPreference * req.weight
 	}
 	if slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.engine == e }) {
-		score -= e.limiter.maxLimit // a retry prefers any other engine
+		score -= e.limiter.maxLimit // a retry should go to another engine
 	}
 	if req.weight > limit {
 		score -= oversizePenalty * req.weight
@@ -110,8 +110,8 @@
 }
 
 // locality returns the locality term of an engine's score, in threads. It favours engines in this front end's
-// zone and, among these, those that cache the data set. For a bulk load, or a request that waits for one, it
-// is lower on engines where a bulk load blocks the data set.
+// zone and, among these, engines that cache the data set. For bulk loads, and for requests that wait for bulk
+// loads, the term is lower on engines where a bulk load blocks the data set.
 func (s *selector) locality(req *request, e *engine, near bool, now time.Duration) float64 {
 	bonus := 0.0
 	if e.zone == s.zone {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -19,7 +19,7 @@
 	Shortage         MemoryShortage // what an engine does when its grants exceed its memory
 	ReportsCost      bool           // responses state the work and memory that the request needed
 	ReportsLoad      bool           // engines report their load, in responses or to health checks
-	PullDiscovery    bool           // the endpoint list must be subscribed to, by Subscribe
+	PullDiscovery    bool           // the caller gets the endpoint list only after a Subscribe
 	TimerGranularity time.Duration  // granularity of the caller's timers
 	Rules            Rules
 	Limits           Limits
@@ -91,7 +91,7 @@
 	Share float64 // its share of the service; not read by the balancer
 }
 
-// Rules are the bounds that all attempts and responses must observe.
+// Rules are bounds for all attempts and responses.
 type Rules struct {
 	ResponseSlack     time.Duration // longest delay of a final response after the deadline; not read by the balancer
 	DrainGrace        time.Duration // latest start of an attempt after the notice of a drain; not read by the balancer
@@ -113,7 +113,7 @@
 	Cancel         bool          // CancelAttempt is permitted
 	HealthChecks   bool          // CheckHealth is permitted
 	RetryAfter     bool          // rejections state when to retry
-	MaxRetryAfter  time.Duration // the longest retry-after that clients observe
+	MaxRetryAfter  time.Duration // the longest retry-after that clients wait for
 	ConnectTimeout time.Duration // an attempt to connect fails within this; not read by the balancer
 }
 
--- a/policy/silence.go
+++ b/policy/silence.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// Numbers of progress intervals in which no progress report of an attempt arrives.
-	silentIntervals       = 2.6  // after these the attempt is silent
-	lostResponseIntervals = 2.2  // after these its response is lost, if the engine reports other attempts
+	// Numbers of progress intervals without a progress report of an attempt.
+	silentIntervals       = 2.6  // the attempt is then silent
+	lostResponseIntervals = 2.2  // its response is then lost, if the engine reports other attempts
 	blockedLostIntervals  = 13.0 // the same for a blocked attempt, which is reported less often
 
 	overdueDeviations = 3.0 // mean deviations above the usual latency at which an attempt is overdue
 )
 
-// silenceDetector finds attempts and engines that have stopped reporting. Pauses of this process itself,
-// which it detects by late ticks, do not count as silence.
+// silenceDetector finds attempts and engines that have stopped reporting. A late tick shows that this process
+// itself was paused. Such a pause does not count as silence.
 type silenceDetector struct {
 	progressInterval time.Duration // between progress reports of an attempt; 0: engines send none
-	timeout          time.Duration // an attempt is silent after it; also sets the probation interval
+	timeout          time.Duration // an attempt is silent after this; also sets the probation interval
 	lastTickAt       time.Duration
 	resumedAt        time.Duration // end of the latest pause of this process
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -22,9 +22,9 @@
 	firstEventAt time.Duration
 }
 
-// slowStart limits what this front end sends to one engine while the engine warms up after a start: to
-// this front end's share of the load that the engine can handle in that time. The budget is work per
-// overload window. The cost of a request is its work divided by the budget, so its unit is one overload
+// slowStart limits what this front end sends to one engine while the engine warms up after a start. The limit
+// is a budget of work per overload window: this front end's share of the load that the engine can handle in
+// that time. The cost of a request is its work divided by the budget, so the unit of the cost is one overload
 // window. The endpoint list reports restarts late, so a connection fault is treated as a restart. If a
 // connection broke, a response or progress report may still show that the engine did not restart.
 type slowStart struct {
@@ -86,9 +86,9 @@
 	s.begin(now, max(s.endsAt, now+s.rules.WarmupTime), rng)
 }
 
-// withdrawAssumption withdraws the assumption of a restart after a response or progress report, if the
-// attempt was sent after the connection fault and less than minRestartTime has passed since the fault: only
-// the connection was lost. The slow start then ends when it would have ended without the assumption.
+// withdrawAssumption handles a response or progress report of an attempt while a restart is only assumed. If
+// the attempt was sent after the connection fault and less than minRestartTime has passed since the fault,
+// only the connection was lost. The slow start then ends when it would have ended without the assumption.
 func (s *slowStart) withdrawAssumption(now, sentAt, connectionFaultAt time.Duration) {
 	if s.restartAssumed && sentAt > connectionFaultAt && now < connectionFaultAt+minRestartTime {
 		s.restartAssumed = false
@@ -104,8 +104,8 @@
 }
 
 // permits reports whether a request of this cost is within this front end's share of the budget. A request
-// that costs more than a burst is permitted once every `cost` windows. The first one waits for a slot that
-// is drawn at random, so that front ends do not send such requests at the same time.
+// that costs more than a burst is permitted once every `cost` windows. The first such request waits for
+// a slot that is drawn at random, so that front ends do not send such requests at the same time.
 func (s *slowStart) permits(now time.Duration, cost float64) bool {
 	window := s.rules.OverloadWindow
 	switch {
@@ -139,9 +139,9 @@
 	return slowStartCostFactor * workMs / budgetMs
 }
 
-// slowStartPermits reports whether the engine is not warming up or the request is within the budget. It
-// computes the share of the traffic only for an engine that is warming up, since it runs for every engine
-// and request.
+// slowStartPermits reports whether slow start permits the request. An engine that is warming up must have the
+// budget for it; any other engine permits every request. slowStartPermits runs for every engine and request,
+// so it computes the share of the traffic only for an engine that is warming up.
 func (e *engine) slowStartPermits(req *request, traffic *trafficEstimate, now time.Duration) bool {
 	return !e.slowStart.active(now) ||
 		e.slowStart.permits(now, e.slowStart.cost(now, req.expectedWorkMs, e.cores, traffic.share()))
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -16,8 +16,8 @@
 	periods          int
 	arrivals         int     // requests in the current control period, without retries by clients
 	arrivalRate      float64 // mean arrivals a second, without retries by clients
-	ownInFlight      float64 // mean unfinished requests, nearly all in flight, of this front end per engine
-	reportedInFlight float64 // mean requests in flight, of all front ends, that an engine reports
+	ownInFlight      float64 // mean unfinished requests of this front end per engine, nearly all in flight
+	reportedInFlight float64 // mean requests in flight that an engine reports, from all front ends
 	reports          float64 // load reports so far
 	meanWeight       float64 // mean threads of the attempts sent
 	meanWorkMs       float64 // mean expected work of the attempts sent
