--- a/policy/characterization_test.go
+++ b/policy/characterization_test.go
@@ -27,10 +27,10 @@
 	estimate bool    // arrivals have estimates of work and memory
 }
 
-// TestBalancer_DecisionsAreUnchanged simulates each scenario. It compares a digest with the one in the golden file.
+// TestBalancer_DecisionsAreUnchanged simulates each scenario, and compares a digest with the one in the golden file.
 // The digest covers all actions and, every ten events, all values that the balancer has learned, bit for bit. A change
-// of any decision, of the order of random draws or of a floating-point operation shows as a difference. The fields of
-// the actions for operators are left out.
+// of any decision, of the order of random draws or of a floating-point operation shows as a difference. The
+// digest leaves out the fields of EngineEjected and EngineReadmitted.
 func TestBalancer_DecisionsAreUnchanged(t *testing.T) {
 	var got bytes.Buffer
 	for _, s := range scenarios() {
--- a/policy/decisionfiles_test.go
+++ b/policy/decisionfiles_test.go
@@ -16,8 +16,8 @@
 	maxLineLength        = 110 // characters; a tab counts as four
 )
 
-// filesWithoutDecisions hold the interface, state and mechanisms, none of which contain decisions. A file with
-// decisions must be in the policy list of the deploy file.
+// filesWithoutDecisions hold the interface, state and mechanisms, but no decisions. A file with decisions must be in
+// the policy list of the deploy file.
 var filesWithoutDecisions = []string{
 	"actions.go", "attempt.go", "decayingcounter.go", "doc.go", "events.go", "ewma.go", "keyqueue.go", "new.go",
 	"overloadcheck.go", "request.go", "settings.go", "tokenbucket.go", "units.go", "validate.go",
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -16,8 +16,8 @@
 	actions  []Action
 }
 
-// settings returns the settings of a deployment with one class for each value of Effect, and a wide, an ordered
-// and a placed class.
+// settings returns the settings of a deployment. They have one class for each value of Effect, a class "wide" of many
+// threads, a class "ordered" for ordering keys, and a class "placed" that may run in only one zone.
 func settings() Settings {
 	return Settings{
 		Replicas: 2, Zone: "a", ProgressInterval: 500 * msec, TimerGranularity: 5 * msec,
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// A connection that breaks ends all attempts on it, which counts as one fault. A progress report of an attempt that
-// was sent later shows that the engine did not restart, if the report arrives sooner than a process starts. After a
-// failure to connect, the engine is treated as restarted.
+// If a connection breaks, all attempts on it end, but only one fault is counted. An attempt that is sent after the
+// break may report progress sooner than a restarted process could. This shows that the engine did not restart. After
+// a failure to connect, the engine is treated as restarted.
 func TestOutlierDetector_CountsABrokenConnectionOnce(t *testing.T) {
 	for _, c := range []struct {
 		result  Result
@@ -122,8 +122,8 @@
 	}
 }
 
-// If an engine reports other attempts but not this one, the response of this attempt is lost. The attempt is retried
-// if its class permits that. Waiting attempts are reported less often.
+// If an engine reports other attempts but not this one, the response of this attempt counts as lost. The attempt is
+// retried if its class permits a retry. Waiting attempts are reported less often.
 func TestLostResponse_IsRetried(t *testing.T) {
 	for _, c := range []struct {
 		class         string
@@ -158,8 +158,8 @@
 	return e.classStalled(h.balancer.classes[class], h.balancer.now)
 }
 
-// A class is stalled on an engine while another class runs there. The engine gets no requests of the stalled class for
-// a time, and then one request at a time until one of them reports progress.
+// A class may be stalled on an engine while another class runs there. For a time, the engine gets no requests of the
+// stalled class. Then it gets one such request at a time until one of them reports progress.
 func TestStalledClass_IsTriedOneRequestAtATime(t *testing.T) {
 	h := newHarness(t, settings(), readyEngine("e", "a", 1), readyEngine("f", "a", 1))
 	e := h.balancer.engines.byID["e"]
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// model tracks the actions of a balancer and checks each of them against the rules.
+// model records the actions of a balancer and checks each action against the rules.
 type model struct {
 	t        *testing.T
 	settings Settings
@@ -20,7 +20,7 @@
 	retries  []time.Duration
 }
 
-// modelRequest is the model's view of a request.
+// modelRequest is what the model records of a request.
 type modelRequest struct {
 	id        uint64
 	class     Class
@@ -30,7 +30,7 @@
 	completed bool
 }
 
-// modelAttempt is the model's view of an attempt.
+// modelAttempt is what the model records of an attempt.
 type modelAttempt struct {
 	engine      string
 	startedAt   time.Duration
@@ -183,8 +183,8 @@
 	}
 }
 
-// TestBalancer_KeepsTheRulesOnRandomEvents passes valid events in random order, some of them stale or duplicate, and
-// checks the actions against each rule.
+// TestBalancer_KeepsTheRulesOnRandomEvents passes valid events to balancers in random order, and checks the actions
+// against each rule. Some of the events are stale or duplicate.
 func TestBalancer_KeepsTheRulesOnRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		checkRandomEvents(t, seed)
@@ -197,7 +197,7 @@
 	s.Rules.RetryBudgetWindow = 2 * time.Second
 	s.Rules.RetryBudgetMin = 3
 	s.Rules.RetryBudgetRatio = 0.2
-	if seed%2 == 0 { // no progress reports but load reports: retries come in bursts, at ticks and after pauses
+	if seed%2 == 0 { // load reports in place of progress reports: retries come in bursts, at ticks and after pauses
 		s.ProgressInterval = 0
 		s.Priorities = true
 		s.MemoryGrants = true
@@ -301,7 +301,7 @@
 	}, nil))
 }
 
-// report passes a progress report and a load report, some of them for attempts or engines that do not exist.
+// report passes a progress report and a load report to the balancer. The attempt or the engine may not exist.
 func (m *model) report(b *Balancer, rng *rand.Rand) {
 	m.t.Helper()
 	req := m.requests[rng.IntN(len(m.requests))]
@@ -314,7 +314,7 @@
 	}, nil))
 }
 
-// finish lets the deadlines of all requests pass, after which each request must have its response.
+// finish lets the deadlines of all requests pass, and checks that each request then has its response.
 func (m *model) finish(b *Balancer) {
 	m.t.Helper()
 	for _, req := range m.requests {
--- a/policy/simulation_attempts_test.go
+++ b/policy/simulation_attempts_test.go
@@ -48,7 +48,7 @@
 	return time.Duration(float64(req.work)*crowding*e.slowdown/s.speed) + time.Millisecond
 }
 
-// reportProgress schedules the progress reports of an attempt, some of which report a wait or a spill.
+// reportProgress schedules the progress reports of an attempt. Some of them report a wait or a spill.
 func (s *simulation) reportProgress(req *simulatedRequest, n int, took time.Duration) {
 	id := req.arrival.RequestID
 	if s.settings.Classes[0].Name != req.arrival.Class && s.random.IntN(3) == 0 {
--- a/policy/simulation_endpoints_test.go
+++ b/policy/simulation_endpoints_test.go
@@ -7,8 +7,8 @@
 	"flaxrelay/policy"
 )
 
-// firstList adds the first engines and returns the list of them. Half of them report no start, as if they had started
-// long ago.
+// firstList adds the first engines and returns the endpoint list. For half of the engines, StartKnown is false: their
+// entries have no start time, as for engines that started long ago.
 func (s *simulation) firstList() policy.Event {
 	for range s.scenario.engines {
 		s.addEngine(len(s.engines)%2 == 0)
@@ -40,9 +40,9 @@
 	return list
 }
 
-// nextListEvent changes an engine at random (it hangs, slows down, drains, is removed or starts again) and returns
-// the update of the endpoint list, or nil if the change does not affect the list. It may also change nothing and
-// return the full list or a failed update.
+// nextListEvent changes an engine at random: the engine hangs, slows down, drains, is removed or starts again. It
+// returns the update of the endpoint list, or nil if the change does not affect the list. It may also change no
+// engine and return the full list or a failed update.
 func (s *simulation) nextListEvent() policy.Event {
 	s.after(time.Duration(200+s.random.IntN(1500))*time.Millisecond, s.nextListEvent)
 	e := s.engines[s.random.IntN(len(s.engines))]
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -24,8 +24,8 @@
 	at       time.Duration
 	sequence int // orders the events of one instant
 	event    policy.Event
-	// makeEvent, if it is not nil, is called in place of using event. It may change the simulation, and returns nil
-	// if the event has become obsolete.
+	// If makeEvent is not nil, its result replaces event. It is called when the event is due, and may change the
+	// simulation. It returns nil if the event has become obsolete.
 	makeEvent func() policy.Event
 }
 
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -157,8 +157,8 @@
 // burst is a number of requests that exceeds a warming engine's budget.
 const burst = 400
 
-// restartWithClockStep restarts a warm engine whose wall clock has been stepped, so that the start that the endpoint
-// list reports is wrong by the step. It returns how many requests of a burst are sent to the engine before the
+// restartWithClockStep restarts a warm engine whose wall clock has been stepped. The start that the endpoint list
+// reports is therefore wrong by the step. It returns how many requests of a burst are sent to the engine before the
 // restart, right after the restart, and after the warm-up.
 func restartWithClockStep(t *testing.T, step time.Duration) (before, atStart, afterwards int) {
 	t.Helper()
@@ -211,8 +211,8 @@
 	}
 }
 
-// sendBurst passes a burst of arrivals to the balancer, has each request that is sent served at once, and returns how
-// many were sent.
+// sendBurst passes a burst of arrivals to the balancer. Each request that is sent to the engine is served at once.
+// sendBurst returns how many requests were sent.
 func (h *harness) sendBurst() (sent int) {
 	first := uint64(1_000_000) + uint64(h.now)
 	for id := first; id < first+burst; id++ {
