--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -18,10 +18,10 @@
 )
 
 // Attempt is one execution of a request at one engine. The engine client reads the
-// exported fields and sets only ClientData; everything else belongs to the Dispatcher.
+// exported fields and sets only ClientData. The Dispatcher sets all other fields.
 type Attempt struct {
 	Request    *Request
-	Engine     string        // ID of the engine; a later engine may reuse the address of a removed one
+	Engine     string        // ID, not the address: a new engine may reuse the address of a removed one
 	Timeout    time.Duration // counted from StartedAt
 	StartedAt  time.Duration
 	MemoryMB   float64 // memory grant; 0: the engine decides
@@ -35,12 +35,12 @@
 	timeoutTimer *timerqueue.Timer
 }
 
-// attemptState is the state of an attempt, which leaves attemptInFlight exactly once:
+// attemptState is the state of an attempt. Each attempt leaves attemptInFlight exactly once:
 //
-//	attemptInFlight:  EndAttempt, with a status that proves it did not run -> attemptNeverRan
+//	attemptInFlight:  EndAttempt, with a status that proves that the attempt did not run -> attemptNeverRan
 //	attemptInFlight:  EndAttempt, with any other status -> attemptMayHaveRun
 //
-// A timeout, a cancellation and a withdrawal end an attempt without a response of its engine. A
+// A timeout, a cancellation and a withdrawal end an attempt without a response from its engine. A
 // response that arrives later has no effect.
 type attemptState uint8
 
@@ -53,13 +53,13 @@
 // AttemptReport is what an engine reported at the end of an attempt.
 type AttemptReport struct {
 	Result      any           // the complete result, for front ends of the same protocol
-	Work        time.Duration // that the query needed; 0: unknown
-	MemoryMB    float64       // that the query needed; 0: unknown
+	Work        time.Duration // work that the query needed; 0: unknown
+	MemoryMB    float64       // memory that the query needed; 0: unknown
 	Load        policy.LoadReport
 	ErrorDetail any // details of an engine error, for front ends of the same protocol
 }
 
-// Ended reports whether the attempt has ended.
+// Ended reports whether EndAttempt was called for the attempt. The engine may still run the attempt.
 func (a *Attempt) Ended() bool { return a.state != attemptInFlight }
 
 // DedupWindowClosed reports whether the attempt may no longer be written: an earlier
@@ -74,7 +74,7 @@
 	return a.StartedAt + max(a.Timeout, minAttemptTimeout)
 }
 
-// end records the end of the attempt.
+// end sets the final state and status of the attempt, and stops its timeout.
 func (a *Attempt) end(status AttemptStatus) {
 	a.Request.inFlight--
 	a.state = stateAfter(status)
@@ -110,7 +110,7 @@
 
 // retrySendDeadline returns the instant from which a request may no longer be written again, or 0 if there is no
 // such instant: the request's class is not idempotent by key, or no engine can have run any of its attempts. The
-// balancer observes the deduplication window too, but does not know how long an attempt waits for its connection.
+// balancer applies the deduplication window too, but does not know how long an attempt waits for its connection.
 func retrySendDeadline(r *Request, class policy.Class) time.Duration {
 	first := r.firstPossibleRun()
 	if class.Effect != policy.IdempotentByKey || first == nil {
@@ -135,7 +135,7 @@
 	d.engineClient.Start(attempt)
 }
 
-// EndAttempt ends an attempt. Only the first call for an attempt counts: an
+// EndAttempt ends an attempt. Only the first call for an attempt has an effect: an
 // engine's response may arrive after the attempt timed out or was cancelled.
 func (d *Dispatcher) EndAttempt(attempt *Attempt, status AttemptStatus, report AttemptReport) {
 	if attempt.Ended() {
--- a/internal/lifecycle/client.go
+++ b/internal/lifecycle/client.go
@@ -9,8 +9,8 @@
 // EngineClient sends attempts to engines. Its methods are called on the
 // goroutine that owns the Dispatcher.
 type EngineClient interface {
-	// Start begins an attempt. The engine client must report its end with
-	// Dispatcher.EndAttempt, which it may call before Start returns.
+	// Start begins an attempt. The engine client must report the end of the attempt with
+	// Dispatcher.EndAttempt. It may do so before Start returns.
 	Start(a *Attempt)
 	// Abandon gives up an attempt that has not ended. The Dispatcher itself ends the
 	// attempt; a later EndAttempt has no effect.
--- a/internal/lifecycle/dispatcher.go
+++ b/internal/lifecycle/dispatcher.go
@@ -25,8 +25,8 @@
 }
 
 // Dispatcher connects the balancer, which makes the decisions, with clients and engines. Separate types
-// hold the requests, the endpoints and the queued events, and guard the invariants; the Dispatcher passes
-// each event between them.
+// hold the requests, the endpoints and the queued events, and check the invariants. The Dispatcher passes
+// each event to these types.
 //
 // It is not safe for concurrent use: the goroutine of the event loop owns the Dispatcher, its balancer, its
 // requests and their attempts. Clients, engine clients and observers may call methods of the Dispatcher
@@ -210,8 +210,8 @@
 		if r.state == requestPending {
 			d.handleEvent(policy.DeadlineTimer(policyID))
 		}
-		// A fallback: the only requests that the balancer does not end are those whose response is being
-		// streamed, and the Dispatcher never sends it a StreamStarted.
+		// A fallback: the balancer ends every request unless a response is being streamed, and the Dispatcher
+		// never passes a StreamStarted to the balancer.
 		if r.state == requestPending {
 			d.respond(policyID, Response{Verdict: VerdictFailed})
 			d.abandonRemaining(r)
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -9,11 +9,11 @@
 	"flaxrelay/policy"
 )
 
-// Endpoint is an entry of the endpoint list: an engine, and its address, which the balancer
-// does not need.
+// Endpoint is an entry of the endpoint list: an engine and its address. The balancer does not
+// need the address.
 type Endpoint struct {
 	policy.Engine
-	Address string // on which the engine listens
+	Address string // the engine accepts connections at this address
 }
 
 // endpointTable is the endpoint list as last reported, without removed engines.
@@ -68,7 +68,7 @@
 		d.endpoints.set(e)
 	}
 	for id, e := range previous {
-		if _, listed := d.endpoints.byID[id]; !listed { // the engine client retires its connections
+		if _, listed := d.endpoints.byID[id]; !listed { // the engine client retires the engine's connections
 			e.State = policy.EngineRemoved
 			d.engineClient.UpdateEndpoint(e)
 		}
@@ -95,8 +95,8 @@
 	}
 }
 
-// byRequest orders attempts by the arrival of their request and then by their index, so that the order in
-// which they end does not depend on the iteration order of a map.
+// byRequest orders attempts by the arrival of their request and then by their index. The order in which
+// attempts are ended thus does not depend on the iteration order of a map.
 func byRequest(a, b *Attempt) int {
 	return cmp.Or(cmp.Compare(a.Request.policyID, b.Request.policyID), cmp.Compare(a.index, b.index))
 }
--- a/internal/lifecycle/fixture_test.go
+++ b/internal/lifecycle/fixture_test.go
@@ -21,8 +21,8 @@
 	timerGranularity = 5 * time.Millisecond
 )
 
-// fixture is a dispatcher with two engines. It is itself the dispatcher's EngineClient and CostObserver, and the Client
-// of all requests, and records their calls.
+// fixture is a dispatcher with two engines. It also implements the dispatcher's EngineClient and CostObserver, and the
+// Client of all requests. It records the calls of their methods.
 type fixture struct {
 	*lifecycle.Dispatcher
 	t           *testing.T
--- a/internal/lifecycle/guard.go
+++ b/internal/lifecycle/guard.go
@@ -21,14 +21,14 @@
 	invariants    *invariant.Checker
 }
 
-// permitSend checks an attempt whose request is about to be written.
+// permitSend reports whether the rules permit that the request of the attempt is written now.
 func (g *guard) permitSend(a *Attempt, engineReady bool) bool {
 	pending := !a.Ended() && !a.Request.completed()
 	return g.check(pending, invariant.SendAfterCompletion, a) && g.check(engineReady, invariant.DrainedEndpoint, a)
 }
 
-// permitStart checks a new attempt against the earlier attempts of its request. effect is the effect of
-// the request's class.
+// permitStart reports whether the rules permit a new attempt after the earlier attempts of its request.
+// effect is the effect of the request's class.
 func (g *guard) permitStart(a *Attempt, effect policy.Effect) bool {
 	withinLimit := a.index < max(g.limits.MaxAttempts, 1)
 	noneInFlight := true
@@ -41,7 +41,7 @@
 		g.check(safe, invariant.RetryIdempotency, a)
 }
 
-// check checks a rule for an attempt.
+// check returns whether the rule holds. If it does not hold, check reports a violation for the attempt.
 func (g *guard) check(holds bool, rule invariant.Rule, a *Attempt) bool {
 	if holds { // avoids the cost of creating the attributes
 		return true
@@ -59,9 +59,9 @@
 }
 
 // PermitSend reports whether an attempt's request may be written now. Engine clients must call it directly
-// before they write the request, and must end the attempt with StatusNotSent if it returns false. An attempt
-// whose timeout or deduplication window has passed is only counted; any other refusal means that an
-// invariant was violated.
+// before they write the request, and must end the attempt with StatusNotSent if it returns false. If the
+// attempt's timeout or deduplication window has passed, PermitSend only increments a counter. If it returns
+// false for any other reason, an invariant was violated.
 func (d *Dispatcher) PermitSend(a *Attempt) bool {
 	now := d.clock.Now()
 	if a.DedupWindowClosed(now) || now >= a.timeoutAt() {
--- a/internal/lifecycle/guard_test.go
+++ b/internal/lifecycle/guard_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// PermitSend permits an attempt that violates no rule. It counts a violation if an engine client tries to send an
+// PermitSend permits an attempt that keeps the rules. It counts a violation if an engine client tries to send an
 // attempt that it should have given up.
 func TestPermitSend_WithholdsAttemptsThatViolateARule(t *testing.T) {
 	f := newFixture(t)
--- a/internal/lifecycle/request.go
+++ b/internal/lifecycle/request.go
@@ -11,15 +11,15 @@
 type Request struct {
 	ID                string        // set by the client and forwarded unchanged; not necessarily unique
 	Class             string        // name of its class
-	Tenant            string        // whose quota it uses; "": none
-	OrderKey          string        // requests with the same key run one at a time, in order; "": none
-	IdempotencyKey    string        // engines recognize duplicates by it; "": none
+	Tenant            string        // tenant whose quota the request uses; "": none
+	OrderKey          string        // requests with the same key run one at a time, in order of arrival; "": none
+	IdempotencyKey    string        // engines recognize duplicates by this key; "": none
 	Statement         any           // as parsed by the front end, for an engine client of its protocol
-	Dataset           int64         // data set, a group of tables, that it reads or writes
+	Dataset           int64         // data set (a group of tables) that the request reads or writes
 	Deadline          time.Duration // instant at which the client gives up
-	EstimatedWork     time.Duration // summed over its threads; 0: unknown
+	EstimatedWork     time.Duration // sum over all threads; 0: unknown
 	EstimatedMemoryMB float64       // 0: unknown
-	ClientRetry       bool          // the client marked it as a retry
+	ClientRetry       bool          // the client marked the request as a retry
 	Client            Client        // receives the response
 	ObserverData      any           // opaque, for the CostObserver; nil: not observed
 
@@ -32,7 +32,7 @@
 	lastErrorDetail any // details of the latest engine error that the response may pass on
 }
 
-// requestState is the state of a request, which only advances:
+// requestState is the state of a request. A request never returns to an earlier state:
 //
 //	requestNew:        Dispatcher.Accept -> requestPending
 //	requestPending:    its response is given -> requestCompleted
@@ -45,14 +45,14 @@
 const (
 	requestNew       requestState = iota // not accepted yet
 	requestPending                       // accepted; awaits its response
-	requestCompleted                     // it has its response, or its client has disconnected
-	requestReleased                      // no attempt is in flight, and the dispatcher has dropped it
+	requestCompleted                     // the response was given, or the client has disconnected
+	requestReleased                      // no attempt is in flight, and the dispatcher has dropped the request
 )
 
 // recordErrorDetail updates the error detail that the response will pass on. It is called when an attempt has ended.
-// The error detail is that of the latest attempt that may have run, even if that attempt has none. The detail of an
-// attempt that never ran is used only while the request cannot have had an effect; otherwise it would hide the
-// possible effect.
+// An attempt that may have run always replaces the previous detail, even if detail is nil. An attempt that never ran
+// replaces it only by a detail that is not nil, and only while the request cannot have had an effect. After a possible
+// effect, the new detail would hide this effect.
 func (r *Request) recordErrorDetail(a *Attempt, detail any, mayHaveHadEffect bool) {
 	if a.state == attemptMayHaveRun || detail != nil && !mayHaveHadEffect {
 		r.lastErrorDetail = detail
--- a/internal/lifecycle/requests.go
+++ b/internal/lifecycle/requests.go
@@ -1,7 +1,7 @@
 package lifecycle
 
-// requestTable holds the accepted requests until they are released, keyed by the ID that identifies
-// them to the balancer, and counts the pending requests.
+// requestTable holds the accepted requests until they are released, and counts the pending requests. Its
+// keys are the IDs that identify the requests to the balancer.
 type requestTable struct {
 	lastID     uint64
 	byID       map[uint64]*Request
@@ -11,7 +11,7 @@
 
 func newRequestTable() requestTable { return requestTable{byID: map[uint64]*Request{}} }
 
-// add accepts a request.
+// add gives a new request its ID for the balancer, and marks the request as pending.
 func (t *requestTable) add(r *Request) {
 	t.lastID++
 	r.policyID = t.lastID
@@ -27,13 +27,13 @@
 	t.pending--
 }
 
-// release removes a completed request.
+// release removes a completed request that has no attempt in flight.
 func (t *requestTable) release(r *Request) {
 	r.state = requestReleased
 	delete(t.byID, r.policyID)
 }
 
-// attempt returns an attempt in flight of a request, or nil.
+// attempt returns an attempt of a request, or nil if there is no such attempt in flight.
 func (t *requestTable) attempt(policyID uint64, index int) *Attempt {
 	r := t.byID[policyID]
 	if r == nil || index < 0 || index >= len(r.attempts) || r.attempts[index].Ended() {
--- a/internal/lifecycle/telemetry.go
+++ b/internal/lifecycle/telemetry.go
@@ -25,7 +25,7 @@
 	return telemetry{clock: clock, counters: counters, logger: logger, debug: debug}
 }
 
-// logStep logs a step of a request.
+// logStep logs a step of a request with the request's ID.
 func (t *telemetry) logStep(event logevent.Event, r *Request, fields ...slog.Attr) {
 	event.Log(t.logger, append([]slog.Attr{slog.String("request", r.ID)}, fields...)...)
 }
