--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -10,7 +10,7 @@
 	"flaxrelay/internal/metrics"
 )
 
-// Rule names one rule. It is the last part of the name of the rule's counter.
+// Rule is the name of a rule. The name of the rule's counter ends with it.
 type Rule string
 
 // The rules.
@@ -49,8 +49,8 @@
 	return &Checker{counters: counters, log: log}
 }
 
-// Check counts a violation of the rule and logs it with the fields, unless the rule holds. It returns
-// holds.
+// Check returns holds. If holds is false, Check counts a violation of the rule and logs the violation with
+// the fields.
 func (c *Checker) Check(holds bool, rule Rule, fields ...slog.Attr) bool {
 	if !holds {
 		c.counters.Increment(metrics.InvariantsViolated.With(string(rule)))
--- a/internal/memorybudget/budget.go
+++ b/internal/memorybudget/budget.go
@@ -2,7 +2,7 @@
 // results.
 package memorybudget
 
-// Budget limits the number of bytes that its users may buffer in total. The zero value permits none. A
+// Budget limits the number of bytes that its users may buffer in total. The zero value permits no bytes. A
 // Budget is not safe for concurrent use.
 type Budget struct {
 	limit    int // bytes
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -64,8 +64,9 @@
 	t.callback = nil
 }
 
-// RunDue runs all timers that are due at or before now. Timers that their callbacks schedule wait for the next call of
-// RunDue, even if they are already due. Otherwise a timer that reschedules itself could block the caller forever.
+// RunDue runs all timers that are due at or before now. A timer that is scheduled by a callback waits for the next call
+// of RunDue, even if the timer is already due. Otherwise a timer that reschedules itself could block the caller
+// forever.
 func (q *Queue) RunDue(now time.Duration) {
 	lastBeforeRun := q.lastSequence
 	var postponed []*Timer
@@ -84,7 +85,7 @@
 		callback()
 	}
 	for _, t := range postponed {
-		if t.queue != nil { // not stopped since
+		if t.queue != nil { // not stopped by a later callback
 			q.tree.ReplaceOrInsert(t)
 		}
 	}
