--- a/internal/logevent/catalog.go
+++ b/internal/logevent/catalog.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// The process.
+// Events of the process.
 var (
 	ServerListening = declare("server.listening", slog.LevelInfo,
 		"The front end accepts requests.",
@@ -31,7 +31,7 @@
 		"rule", "request", "engine", "attempt", "reason", "late", "pending", "counted", "sent", "limit")
 )
 
-// Discovery.
+// Events of discovery.
 var (
 	EventBusMoved = declare("eventbus.moved", slog.LevelInfo,
 		"A reload by SIGHUP named an event bus that the front end was not connected to.",
@@ -47,7 +47,7 @@
 		"consul", "reason")
 )
 
-// Engines.
+// Events of engines.
 var (
 	EngineEjected = declare("engine.ejected", slog.LevelInfo,
 		"An engine was ejected as an outlier.",
@@ -63,7 +63,7 @@
 		"engine", "error")
 )
 
-// Statement statistics.
+// Events of statement statistics.
 var (
 	ShapesRestored = declare("shapes.restored", slog.LevelInfo,
 		"Statement statistics were read from the snapshot.",
@@ -79,7 +79,7 @@
 		"file", "error", "renamed_to", "rename_error")
 )
 
-// Steps of requests.
+// Events of requests, one for each step of a request.
 var (
 	RequestAccepted = declare("request.accepted", slog.LevelDebug,
 		"A request has arrived completely.",
--- a/internal/logevent/event.go
+++ b/internal/logevent/event.go
@@ -1,6 +1,6 @@
 // Package logevent declares the events that the programs write to their log. catalog.go lists all of
-// them; docs/operations.md explains them to operators. Each event is a variable. It must be logged only
-// with fields that its declaration lists, which a test of internal/observability checks:
+// them; docs/operations.md explains them to operators. Each event is a variable. An event must be logged
+// only with fields that its declaration lists; a test of internal/observability checks this:
 //
 //	logevent.EngineReadmitted.Log(logger, slog.String("engine", id))
 package logevent
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -14,8 +14,8 @@
 )
 
 // AsyncWriter writes lines on its own goroutine, so that Write never blocks. While the output blocks,
-// for example a pipe that nobody reads, lines are queued up to maxQueuedBytes; lines beyond this limit
-// are dropped and counted. AsyncWriter is safe for concurrent use.
+// for example a pipe that nobody reads, up to maxQueuedBytes of lines are queued; lines beyond this
+// limit are dropped and counted. AsyncWriter is safe for concurrent use.
 type AsyncWriter struct {
 	out    io.Writer
 	wakeUp chan struct{} // wakes up run; buffered, so that no signal is lost while run is busy
@@ -27,7 +27,7 @@
 	dropped     int64
 }
 
-// NewAsyncWriter returns a writer to the output. Its goroutine runs until the process exits.
+// NewAsyncWriter returns a writer to the output. The writer's goroutine runs until the process exits.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	w := &AsyncWriter{out: out, wakeUp: make(chan struct{}, 1)}
 	go w.run()
@@ -52,7 +52,7 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped, or failed to be written, so far.
+// Dropped returns how many lines so far were dropped because the queue was full, or because of a write error.
 func (w *AsyncWriter) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -15,8 +15,8 @@
 	eventBurst      = 20
 )
 
-// maxTrackedEvents limits the number of limiters, and so their memory. Package logevent declares far
-// fewer events. The rate of events beyond this number is not limited.
+// maxTrackedEvents limits the number of limiters, and so their memory. The rate of further events is not
+// limited, but package logevent declares far fewer events than this.
 const maxTrackedEvents = 1000
 
 // suppressedKey is the key of the field that gives the number of suppressed records.
--- a/internal/metrics/catalog.go
+++ b/internal/metrics/catalog.go
@@ -11,7 +11,7 @@
 	LabelSQLState = "SQLSTATE" // a PostgreSQL error code
 )
 
-// Requests.
+// Counters of requests.
 var (
 	RequestsAccepted = declareVec("requests.accepted", LabelClass,
 		"Requests that have arrived completely; each gets one final response, unless its client disconnects first.")
@@ -31,7 +31,7 @@
 // at that time are counted under the balancer's reason, if they are rejected.
 var RejectionsShutdown = Rejections.With("shutdown")
 
-// Attempts.
+// Counters of attempts.
 var (
 	AttemptsStarted = declareVec("attempts.started", LabelClass,
 		"Attempts started.")
@@ -51,7 +51,7 @@
 		"Progress reports of engines on attempts in flight.")
 )
 
-// Connections to engines.
+// Counters of connections to engines.
 var (
 	EngineConnectionsDialed = declare("engine-connections.dialed",
 		"Connections to engines that were dialed, established or not.")
@@ -67,7 +67,7 @@
 		"Cancellations of queries at PostgreSQL engines, whether or not a cancel request could be sent.")
 )
 
-// Client connections.
+// Counters of client connections.
 var (
 	HTTPConnections = declare("http.connections",
 		"Client connections accepted.")
@@ -95,7 +95,7 @@
 		"Statements that may write though their class is idempotent.")
 )
 
-// Discovery.
+// Counters of discovery.
 var (
 	DiscoveryUpdates = declare("discovery.updates",
 		"Changes of the endpoint list that were applied.")
@@ -109,7 +109,7 @@
 		"Failed queries to Consul.")
 )
 
-// Statement statistics.
+// Counters of statement statistics.
 var (
 	ShapesHits = declare("shapes.hits",
 		"Lookups of a statement shape that was cached; set when counters are printed.")
@@ -133,7 +133,7 @@
 		"Snapshots that could not be read in five attempts.")
 )
 
-// The process.
+// Counters of the process.
 var (
 	PolicyUnsupportedActions = declare("policy.unsupported-actions",
 		"Actions of the balancer that this program does not carry out.")
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,8 +1,8 @@
 // Package metrics declares the counters of the program and holds their values. catalog.go lists
 // all of them; docs/operations.md explains them to operators.
 //
-// Each counter is a variable. Each family of counters is a variable too, whose method With returns one
-// counter of the family:
+// Each counter is a variable. Each family of counters is a variable too; the method With of the family returns
+// one of its counters:
 //
 //	counters.Increment(metrics.HTTPConnections)
 //	counters.Increment(metrics.RequestsAccepted.With(class))
@@ -21,7 +21,7 @@
 // event loop owns it.
 type Counters struct {
 	counts   map[string]int64 // by name
-	reported map[string]int64 // as of the latest call of Deltas
+	reported map[string]int64 // values at the latest call of Deltas
 }
 
 // New returns counters that are all zero.
--- a/internal/metrics/declaration.go
+++ b/internal/metrics/declaration.go
@@ -11,14 +11,14 @@
 func (c Counter) Name() string { return c.name }
 
 // CounterVec identifies a family of counters that differ in the value of one label. The value is
-// the last part of their names.
+// the last part of the counter's name.
 type CounterVec struct{ prefix string }
 
 // With returns the counter for a value of the label.
 func (v CounterVec) With(value string) Counter { return Counter{name: v.prefix + value} }
 
 // CounterVec2 identifies a family of counters that differ in the values of two labels. The values
-// are the last two parts of their names.
+// are the last two parts of the counter's name.
 type CounterVec2 struct{ prefix string }
 
 // With returns the counter for a value of each label.
@@ -29,7 +29,7 @@
 // Declaration describes a counter or a family of counters of the catalog.
 type Declaration struct {
 	Name string // the name of a family ends with its labels, as in attempts.ended.STATUS
-	Help string // one sentence: what it counts
+	Help string // one sentence: what the counter counts
 }
 
 // declarations holds the catalog, in the order of catalog.go.
