--- a/internal/observability/page_test.go
+++ b/internal/observability/page_test.go
@@ -188,8 +188,8 @@
 	return names
 }
 
-// mentions reports whether a word of the page refers to the name. The word is the name itself, a
-// prefix of it followed by *, or the name of a family without its last label.
+// mentions reports whether a word of the page refers to the name. The word may be the name itself, a
+// prefix of the name followed by *, or the name of a family without its last label.
 func mentions(word, name string) bool {
 	if prefix, isPattern := strings.CutSuffix(word, "*"); isPattern {
 		return strings.HasPrefix(name, prefix)
--- a/internal/observability/sources_test.go
+++ b/internal/observability/sources_test.go
@@ -18,7 +18,7 @@
 const repositoryRoot = "../.."
 
 // servingDirectories contain the sources of the programs that serve requests, and of simadapter, which runs
-// their balancer for a simulator.
+// the same balancer for a simulator.
 var servingDirectories = []string{"cmd/flaxrelay", "cmd/simadapter", "internal", "policy"}
 
 // labDirectory contains sources that are not linked into the programs that serve requests.
