--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -27,11 +27,12 @@
 	result          Result       // set when the attempt ends
 	lastProgress    ProgressKind // kind of the latest progress report; 0 before the first report
 	cancelRequested bool
-	spilled         bool // it has reported a lack of memory
-	responseLost    bool // its response is considered lost
+	spilled         bool // the attempt has reported a lack of memory
+	responseLost    bool // the attempt's response is considered lost
 }
 
-// newAttempt returns the request's next attempt, which fleet.reserve adds to the request.
+// newAttempt returns the request's next attempt. It does not add the attempt to the request; fleet.reserve
+// does.
 func newAttempt(req *request, e *engine, now time.Duration) *attempt {
 	return &attempt{request: req, index: len(req.attempts), engine: e, sentAt: now, lastHeardAt: now}
 }
--- a/policy/class.go
+++ b/policy/class.go
@@ -4,7 +4,7 @@
 
 const (
 	firstResponseWindow = 10     // responses over which a class's values are averaged at first
-	maxResponseWindow   = 50     // responses over which they are averaged later on
+	maxResponseWindow   = 50     // responses over which these values are averaged later on
 	quickLatencyGrowth  = 1.0005 // growth of the quick latency with each response, so that old minima expire
 	maxDeviation        = 5.0    // a greater deviation would hide later overdue attempts, and counts as this
 	objectiveToUsual    = 3      // assumed ratio of latency objective to usual latency before any response
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -20,8 +20,8 @@
 	t.all = append(t.all, e)
 }
 
-// prune drops engines that are removed, idle and not warming up, and the expired bulk loads of the other
-// engines. An engine that is warming up stays, since it may be listed again with a partly spent budget.
+// prune drops engines that are removed, idle and not warming up. It also drops the expired bulk loads of all
+// other engines. An engine that is warming up stays, since it may be listed again with a partly spent budget.
 func (t *engineTable) prune(now time.Duration) {
 	obsolete := func(e *engine) bool {
 		return e.state == EngineRemoved && len(e.inFlight) == 0 && !e.slowStart.active(now)
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -71,7 +71,7 @@
 type bulkLoads map[int64]time.Duration
 
 // datasetBlocked reports whether a bulk load blocks the data set on the engine: a bulk load of this front end
-// is in flight there, or an attempt has recently reported that it waits for one.
+// is in flight there, or an attempt has recently reported that it waits for a bulk load.
 func (e *engine) datasetBlocked(dataset int64, now time.Duration) bool {
 	return now < e.bulkLoads[dataset] || slices.ContainsFunc(e.inFlight, func(a *attempt) bool {
 		return a.request.class.BulkLoad && a.request.dataset == dataset
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -70,7 +70,8 @@
 	// This factor is 1 without load reports. It falls as the reported load rises, down to 0 at full load, and
 	// exceeds 1 while the engines report little load.
 	headroom *= max((1-f.loadLevel)/assumedFreeShare, 0)
-	// How far the fleet is past the knee of the latency curve or past full load; 1 if it is past neither.
+	// pastKnee is how far the fleet is past the knee of the latency curve or past full load. It is 1 if the
+	// fleet is not past either of them.
 	pastKnee := max(limiter.slowdown/kneeSlowdown, f.loadLevel, 1)
 	limiter.maxLimit = (maxLimitFactor*limiter.initialLimit + headroom/pastKnee) / pastKnee
 }
--- a/policy/limiter.go
+++ b/policy/limiter.go
@@ -59,8 +59,8 @@
 }
 
 // controlStep returns limit and alpha after one period, given the mean latency relative to the objective. It
-// models the relative latency as alpha times the limit and aims at 1. By this model each step reduces the
-// deviation to closedLoopPole times its size.
+// models the relative latency as alpha times the limit, and aims at a relative latency of 1. By this model
+// each step reduces the deviation to closedLoopPole times its size.
 func controlStep(limit, alpha, meanLatency float64) (newLimit, newAlpha float64) {
 	deviation := 1 - meanLatency
 	newAlpha = max(alphaSmoothing*(meanLatency/limit)+(1-alphaSmoothing)*alpha, minAlpha)
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// wait adds the request to those that wait to be at the head of their ordering key.
+// wait keeps the request until it is at the head of its ordering key.
 func (o *orderedRequests) wait(req *request) { o.waiting = append(o.waiting, req) }
 
 // takeWaiting removes and returns the waiting requests.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -27,9 +27,9 @@
 	ejectedUntilServed
 )
 
-// outlierState is the state of outlier detection for one engine: when it was last heard from, and the share
-// of its latest attempts that failed. On probation, an ejected engine is sent only idempotent requests, one
-// at a time.
+// outlierState is the state of outlier detection for one engine: when the engine was last heard from, and the
+// share of its latest attempts that failed. On probation, an ejected engine is sent only idempotent requests,
+// one at a time.
 type outlierState struct {
 	ejection          ejection
 	faultRate         float64       // share of the latest attempts that failed
--- a/policy/resources.go
+++ b/policy/resources.go
@@ -14,7 +14,7 @@
 	grantDecrease = 1 - (1-grantCoverage)/10
 )
 
-// resources returns the memory and priority of the next attempt, and whether to set them: they are not set if
+// resources returns the memory and priority of the next attempt, and whether to set them. set is false if
 // there is no memory to grant and engines ignore priorities.
 func (r *attemptRunner) resources(req *request) (resources SetResources, set bool) {
 	resources = SetResources{RequestID: req.id, Priority: defaultPriority}
--- a/policy/retrybudget.go
+++ b/policy/retrybudget.go
@@ -39,8 +39,8 @@
 	return float64(len(r.retries)+1) <= budget
 }
 
-// expire drops the arrivals and retries before the start of the window. Exactly at the start, it drops
-// arrivals and keeps retries, so that the budget is never too large.
+// expire drops the arrivals and retries before the start of the window. It also drops
+// arrivals exactly at the start, but keeps such retries, so that the budget is never too large.
 func (r *retryBudget) expire(now time.Duration) {
 	start := now - r.rules.RetryBudgetWindow
 	r.arrivals = slices.DeleteFunc(r.arrivals, func(at time.Duration) bool { return at <= start })
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -60,11 +60,11 @@
 // Class is one class of requests.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // a response within this earns the full priority weight; above 0
+	LatencyObjective time.Duration // a response within this has the full priority weight; above 0
 	ObjectiveStretch float64       // the objective grows by this times the work per thread
 	Deadline         time.Duration // time after which a client gives up; above 0
-	PriorityWeight   float64       // what a response within the objective earns
-	LateWeight       float64       // share of the priority weight that a late response earns; not read by the balancer
+	PriorityWeight   float64       // value of a response within the objective
+	LateWeight       float64       // value of a late response, as a share of PriorityWeight; not read by the balancer
 	Threads          float64       // threads that a request runs on; 0: one
 	Effect           Effect
 	DedupScope       DedupScope    // for IdempotentByKey
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -34,7 +34,7 @@
 	noticedAt        time.Duration // when this balancer learned of, or assumed, the start
 	endsAt           time.Duration
 	budgetSpentUntil time.Duration // this front end's share of the budget is spent until then
-	firstSlot        float64       // the first large request waits for this random share, 0 to 1, of its cost
+	firstSlot        float64       // wait of the first large request, as a random share (0 to 1) of its cost
 
 	restartAssumed         bool          // the only evidence of a restart is a lost connection
 	endsAtBeforeAssumption time.Duration // endsAt before the restart was assumed
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -32,8 +32,8 @@
 }
 
 // share returns this front end's share of all traffic, at least the even share. If the settings have quotas,
-// it is the arrival rate divided by the sum of the quotas; otherwise it is the requests of this front end in
-// flight divided by the requests in flight that engines report.
+// the share is the arrival rate divided by the sum of the quotas. Without quotas, it is the number of this
+// front end's requests in flight divided by the number of requests in flight that engines report.
 func (t *trafficEstimate) share() float64 {
 	even := 1 / float64(t.replicas)
 	if t.totalQuota <= 0 {
