--- a/internal/lifecycle/attempt.go
+++ b/internal/lifecycle/attempt.go
@@ -108,8 +108,8 @@
 	return a
 }
 
-// retrySendDeadline returns the instant from which a request may no longer be written again, or 0 if there is no
-// such instant: the request's class is not idempotent by key, or no engine can have run any of its attempts. The
+// retrySendDeadline returns the instant from which no further attempt of a request may be written. It returns 0 if
+// the request's class is not idempotent by key, or if no engine can have run any of the request's attempts. The
 // balancer applies the deduplication window too, but does not know how long an attempt waits for its connection.
 func retrySendDeadline(r *Request, class policy.Class) time.Duration {
 	first := r.firstPossibleRun()
--- a/internal/lifecycle/observer.go
+++ b/internal/lifecycle/observer.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// CostObserver observes the cost of requests at their engines. It is notified only of
-// requests that have ObserverData.
+// CostObserver is notified of the cost of requests at their engines, but only for requests
+// that have ObserverData.
 type CostObserver interface {
 	// ObserveServed reports an attempt that was served.
 	ObserveServed(r *Request, report AttemptReport, elapsed time.Duration)
--- a/internal/lifecycle/response.go
+++ b/internal/lifecycle/response.go
@@ -11,7 +11,7 @@
 
 // The three verdicts. The zero value is the most cautious.
 const (
-	VerdictFailed   Verdict = iota // not served; an engine may have run it, or its statement caused an error
+	VerdictFailed   Verdict = iota // not served; an engine may have run the request, or its statement caused an error
 	VerdictRejected                // not served; a retry is harmless
 	VerdictServed
 )
--- a/internal/observability/sources_test.go
+++ b/internal/observability/sources_test.go
@@ -156,7 +156,7 @@
 	return "", false
 }
 
-// attributeKeys returns the keys of those arguments that are calls of attribute constructors of slog.
+// attributeKeys returns the keys of the arguments that call attribute constructors of slog, such as slog.String.
 func attributeKeys(arguments []ast.Expr) []string {
 	var keys []string
 	for _, argument := range arguments {
