--- a/internal/observability/sources_test.go
+++ b/internal/observability/sources_test.go
@@ -18,7 +18,7 @@
 const repositoryRoot = "../.."
 
 // servingDirectories contain the sources of the programs that serve requests, and of simadapter, which runs
-// their balancer for a simulator.
+// the same balancer for a simulator.
 var servingDirectories = []string{"cmd/flaxrelay", "cmd/simadapter", "internal", "policy"}
 
 // labDirectory contains sources that are not linked into the programs that serve requests.
@@ -156,7 +156,7 @@
 	return "", false
 }
 
-// attributeKeys returns the keys of those arguments that are calls of attribute constructors of slog.
+// attributeKeys returns the keys of the arguments that call attribute constructors of slog, such as slog.String.
 func attributeKeys(arguments []ast.Expr) []string {
 	var keys []string
 	for _, argument := range arguments {
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -18,7 +18,7 @@
 // attempt is one execution of a request on an engine.
 type attempt struct {
 	request         *request
-	index           int // number among the request's attempts, from 0
+	index           int // number among the request's attempts, counted from 0
 	engine          *engine
 	sentAt          time.Duration
 	lastHeardAt     time.Duration // latest progress report; sentAt before the first report
@@ -27,19 +27,20 @@
 	result          Result       // set when the attempt ends
 	lastProgress    ProgressKind // kind of the latest progress report; 0 before the first report
 	cancelRequested bool
-	spilled         bool // it has reported a lack of memory
-	responseLost    bool // its response is considered lost
+	spilled         bool // the attempt has reported a lack of memory
+	responseLost    bool // the attempt's response is considered lost
 }
 
-// newAttempt returns the request's next attempt, which fleet.reserve adds to the request.
+// newAttempt returns the request's next attempt. It does not add the attempt to the request; fleet.reserve
+// does.
 func newAttempt(req *request, e *engine, now time.Duration) *attempt {
 	return &attempt{request: req, index: len(req.attempts), engine: e, sentAt: now, lastHeardAt: now}
 }
 
 func (a *attempt) ended() bool { return a.phase == attemptEnded }
 
-// mayHaveRun reports whether the engine may have run the attempt. This is assumed until the attempt's result
-// shows that it never ran.
+// mayHaveRun reports whether the engine may have run the attempt. An attempt in flight always counts as one
+// that may have run.
 func (a *attempt) mayHaveRun() bool { return !a.ended() || a.result.MayHaveRun() }
 
 // endedInError reports whether the engine responded with an error.
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -39,8 +39,8 @@
 func (e *engine) available() bool { return e.state == EngineReady && !e.outlier.ejected() }
 
 // reset sets the initial limits of an engine that is new or has restarted, for this front end's share of the
-// traffic, and resets its outlier state. If the settings do not name the engine's kind, cores is zero, and
-// one core is assumed.
+// traffic, and resets its outlier state. cores is zero if the settings do not name the engine's kind; in that
+// case, one core is assumed.
 func (e *engine) reset(cores float64, target concurrencyTarget, share float64, now time.Duration) {
 	e.cores = max(cores, 1)
 	e.rescale(target, share, now)
@@ -71,7 +71,7 @@
 type bulkLoads map[int64]time.Duration
 
 // datasetBlocked reports whether a bulk load blocks the data set on the engine: a bulk load of this front end
-// is in flight there, or an attempt has recently reported that it waits for one.
+// is in flight there, or an attempt has recently reported that it waits for a bulk load.
 func (e *engine) datasetBlocked(dataset int64, now time.Duration) bool {
 	return now < e.bulkLoads[dataset] || slices.ContainsFunc(e.inFlight, func(a *attempt) bool {
 		return a.request.class.BulkLoad && a.request.dataset == dataset
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -23,7 +23,7 @@
 // concurrencyTarget is the most that an engine should have in flight, as derived from the settings alone.
 type concurrencyTarget struct {
 	threadsPerCore float64
-	maxThreads     float64 // threads of one request, in the class with the most
+	maxThreads     float64 // largest number of threads of one request, over all classes
 }
 
 func newConcurrencyTarget(s *Settings) concurrencyTarget {
@@ -70,7 +70,8 @@
 	// This factor is 1 without load reports. It falls as the reported load rises, down to 0 at full load, and
 	// exceeds 1 while the engines report little load.
 	headroom *= max((1-f.loadLevel)/assumedFreeShare, 0)
-	// How far the fleet is past the knee of the latency curve or past full load; 1 if it is past neither.
+	// pastKnee is how far the fleet is past the knee of the latency curve or past full load. It is 1 if the
+	// fleet is not past either of them.
 	pastKnee := max(limiter.slowdown/kneeSlowdown, f.loadLevel, 1)
 	limiter.maxLimit = (maxLimitFactor*limiter.initialLimit + headroom/pastKnee) / pastKnee
 }
@@ -84,7 +85,7 @@
 	return f.limiter.maxLimit * req.quotaFactor * req.valueFactor
 }
 
-// admits applies the admission test to the fleet.
+// admits reports whether the request passes the admission test of the fleet's limiter.
 func (f *fleet) admits(req *request, now time.Duration, rng *rand.Rand) bool {
 	return f.limiter.admits(req.weight, f.limitFor(req, now), rng)
 }
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -16,8 +16,8 @@
 	periods          int
 	arrivals         int     // requests in the current control period, without retries by clients
 	arrivalRate      float64 // mean arrivals a second, without retries by clients
-	ownInFlight      float64 // mean unfinished requests, nearly all in flight, of this front end per engine
-	reportedInFlight float64 // mean requests in flight, of all front ends, that an engine reports
+	ownInFlight      float64 // mean unfinished requests of this front end per engine, nearly all in flight
+	reportedInFlight float64 // mean requests in flight that an engine reports, from all front ends
 	reports          float64 // load reports so far
 	meanWeight       float64 // mean threads of the attempts sent
 	meanWorkMs       float64 // mean expected work of the attempts sent
@@ -32,8 +32,8 @@
 }
 
 // share returns this front end's share of all traffic, at least the even share. If the settings have quotas,
-// it is the arrival rate divided by the sum of the quotas; otherwise it is the requests of this front end in
-// flight divided by the requests in flight that engines report.
+// the share is the arrival rate divided by the sum of the quotas. Without quotas, it is the number of this
+// front end's requests in flight divided by the number of requests in flight that engines report.
 func (t *trafficEstimate) share() float64 {
 	even := 1 / float64(t.replicas)
 	if t.totalQuota <= 0 {
