--- a/internal/sqltext/analysis.go
+++ b/internal/sqltext/analysis.go
@@ -11,7 +11,7 @@
 	RoleLowerBound      // lower bound of a range
 	RoleUpperBound      // upper bound of a range
 	RolePattern         // pattern of LIKE, ILIKE and the operators ~, ~*, ~~ and ~~*; not of SIMILAR TO
-	RoleLimit           // number of rows
+	RoleLimit           // number of rows in LIMIT or FETCH
 	RoleInterval        // a duration, as in now() - interval '1 year'
 )
 
@@ -20,9 +20,9 @@
 	Role      Role
 	NullGuard bool   // the statement tests the value for null, as in $1 IS NULL OR a = $1
 	Column    uint32 // hash of the name that the value is compared with; 0: none
-	Parameter int32  // number of the parameter from 1; 0: a literal
-	From      int32  // start of the literal in the text
-	To        int32  // end of the literal
+	Parameter int32  // number of the parameter, counted from 1; 0: a literal
+	From      int32  // byte offset of the start of the literal in the text
+	To        int32  // byte offset of the end of the literal
 	Count     int32  // number of alternatives in a list of literals
 }
 
@@ -39,13 +39,13 @@
 	VerbExplain Verb = 'e'
 )
 
-// Features are the properties of a statement that indicate its cost.
+// Features are the properties of a statement that indicate its cost. The integers are counts.
 type Features struct {
 	Verb       Verb
 	Tables     int32 // words FROM and JOIN
 	Joins      int32
 	Aggregates int32 // calls of aggregate functions
-	Windows    int32 // window functions: OVER
+	Windows    int32 // window functions: words OVER
 	Groups     int32 // GROUP BY
 	Sorts      int32 // ORDER BY
 	Distincts  int32
@@ -63,8 +63,8 @@
 	// statement. Two Analyzers compute different fingerprints for the same normal form.
 	Fingerprint [2]uint64
 	// NormalForm is the text of the statement without values, comments, and differences of case and spacing.
-	// Lists of alternatives and rows of VALUES are folded: elements and rows that equal the first one in this form
-	// are omitted. The number in the name of a schema is replaced by #, so that statements on different data sets
+	// Lists of alternatives and rows of VALUES are folded: elements and rows whose normal form equals that of the first
+	// one are omitted. The number in the name of a schema is replaced by #, so that statements on different data sets
 	// have the same shape.
 	NormalForm []byte
 	// Truncated means that the normal form was too long and NormalForm holds only its last part. The
@@ -86,6 +86,6 @@
 // has the most cautious effect, EffectUnknown.
 type Classification struct {
 	Verdict            Verdict // as returned by EffectOf
-	FirstWord          string  // as returned by the function FirstWord, but not in upper case
+	FirstWord          string  // like the result of the function FirstWord, but as written in the text
 	MultipleStatements bool    // the text contains more than one statement
 }
--- a/internal/sqltext/binds.go
+++ b/internal/sqltext/binds.go
@@ -15,7 +15,8 @@
 	binaryFormat = 1 // the format code of binary values
 )
 
-// parameter returns the value of a parameter.
+// parameter returns the value of the parameter with the given number, counted from 1. The form of the value is
+// formUnbound if the execution has no such parameter.
 func (b *Binds) parameter(number int32) slotValue {
 	n := int(number)
 	if n < 1 || n > len(b.Values) {
@@ -76,7 +77,8 @@
 // maxPatternBytes limits the part of a bound pattern that is searched for the first wildcard.
 const maxPatternBytes = 64
 
-// pattern returns the pattern, or the beginning of a long one. It returns "" if no pattern is bound.
+// pattern returns the text of a value that is a LIKE pattern or a regular expression. A bound pattern is cut off after
+// maxPatternBytes. The text is "" if the parameter has no bound value.
 func (v *slotValue) pattern() string {
 	if v.form == formLiteral {
 		return unquote(v.literal)
@@ -84,8 +86,8 @@
 	return string(v.bound[:min(len(v.bound), maxPatternBytes)])
 }
 
-// listLength returns the number of alternatives of a list: the length of an array, or listed if the
-// statement lists the alternatives one by one.
+// listLength returns the number of alternatives of a list. For an array, this is the length of the array. If the
+// statement lists the alternatives one by one, the caller passes their number as listed.
 func (v *slotValue) listLength(listed int32) int {
 	switch {
 	case v.form == formText:
@@ -101,8 +103,8 @@
 // maxNumberBytes limits the length of a number in text form.
 const maxNumberBytes = 40
 
-// number returns the value as a number; dates and timestamps are returned as days since 2000-01-01. ok is false if
-// the value is none of these.
+// number returns the value as a number. Dates and timestamps are converted to days since 2000-01-01. ok is false for
+// all other values.
 func (v *slotValue) number() (x float64, ok bool) {
 	switch v.form {
 	case formLiteral:
--- a/internal/sqltext/bucket.go
+++ b/internal/sqltext/bucket.go
@@ -37,7 +37,7 @@
 // log2Bucket returns 0 if x is absent (not positive), and 1 if x is below 1. Otherwise it returns the base-2
 // logarithm of x, rounded down, plus one, but at most largest.
 func log2Bucket(x float64, largest uint32) uint32 {
-	const largestBucketFrom = 1 << 40 // values from here on are not converted to an integer
+	const largestBucketFrom = 1 << 40 // from this value on, x is not converted to an integer
 	switch {
 	case x <= 0:
 		return 0
--- a/internal/sqltext/dataset.go
+++ b/internal/sqltext/dataset.go
@@ -7,8 +7,8 @@
 
 // DatasetOf returns the number of the data set that a statement touches: the digits after the last underscore in
 // the name of the schema, such as 17 in sales_17.orders. Names in strings and comments are ignored. A name in the
-// position of a table (after FROM and the like) takes precedence over other names, since those may be columns of
-// an alias. ok is false if the statement names no data set.
+// position of a table (after FROM and the like) takes precedence over names elsewhere, since those may begin with the
+// alias of a table, as in o_1.day. ok is false if the statement names no data set.
 func DatasetOf(stmt string) (dataset int64, ok bool) {
 	l := Lexer{Src: stmt}
 	var finder datasetFinder
--- a/internal/sqltext/doc.go
+++ b/internal/sqltext/doc.go
@@ -30,15 +30,15 @@
 //     calls of functions, effect_cte.go recognizes the names of common table expressions, and readonly.go lists
 //     the functions and operators that are known to be read-only.
 //   - analysis.go and analyzer.go: the Analysis and how the Analyzer computes it. pass.go passes each token
-//     to the normal form (normalform.go, fingerprint.go), the features and the slots; the other pass files
-//     handle one kind of token or, in pass_lists.go, the folding of lists.
+//     to the normal form (normalform.go, fingerprint.go), the features and the slots. Each of the other pass files
+//     handles one kind of token, except pass_lists.go, which folds lists.
 //   - profile.go: the Profile of one execution. bucket.go packs a Profile into a number, binds.go finds the value
 //     of a slot, and the value files parse and hash that value.
 //
 // # Lexical rules
 //
 // The rules are those of PostgreSQL's src/backend/parser/scan.l, as documented in chapter 4.1 ("Lexical
-// Structure") of the PostgreSQL manual. Where the rules depend on the version of PostgreSQL (a number followed by a
-// letter) or on a setting (a backslash before a quote), the package follows the interpretation that hides the least
-// text from the classifier.
+// Structure") of the PostgreSQL manual. Some rules depend on the version of PostgreSQL, such as the rule for a letter
+// directly after a number. Others depend on a setting, such as the rule for a backslash before a quote. In these cases
+// the package follows the interpretation that hides the least text from the classifier.
 package sqltext
--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -21,7 +21,7 @@
 type Verdict struct {
 	Effect Effect
 	Reason string // a short phrase
-	Word   string // the word, operator or function that determined the effect; "": none did on its own
+	Word   string // the word, operator or function that determined the effect; "": no single one did
 }
 
 // String returns the word and the reason.
@@ -32,23 +32,24 @@
 	return v.Word + ": " + v.Reason
 }
 
-// Functions is a set of read-only functions. Names are in lower case. A name includes the schema if statements do,
-// except for the schema pg_catalog.
+// Functions is a set of read-only functions. Names are in lower case. If statements call a function with its schema,
+// the name here includes the schema too, unless the schema is pg_catalog.
 type Functions map[string]bool
 
 // has reports whether the set contains a function. For names in lower case, as most are, it does not allocate.
 func (f Functions) has(name string) bool { return f[name] || f[strings.ToLower(name)] }
 
-// EffectOf classifies a statement. It treats a statement as one that may write unless the statement is known to be
-// read-only: its first word begins a read-only statement, none of its words writes or locks rows, and all functions
-// and operators that it names are known to be read-only. readOnly lists read-only functions in addition to those of
+// EffectOf classifies a statement. A statement is classified as read-only only if its first word begins a read-only
+// statement, none of its words writes or locks rows, and all its functions and operators are known to be read-only.
+// Any other statement is treated as one that may write. readOnly lists read-only functions in addition to those of
 // PostgreSQL.
 //
 // Writes that the text does not show are not detected: a view or an operator that is based on a function that
 // writes, a cast that calls a function, and a function that is called with the syntax of a column (t.f).
 //
-// The text must contain a single statement, which FirstWord checks: the first words of further statements are not
-// examined, nor are any of their words after an EXPLAIN without ANALYZE.
+// The text must contain a single statement; FirstWord reports whether it contains more. In a further statement, a first
+// word such as CREATE or CALL is not detected. After an EXPLAIN without ANALYZE, no write in a further statement is
+// detected.
 func EffectOf(stmt string, readOnly Functions) Verdict {
 	l := Lexer{Src: stmt}
 	classifier := effectClassifier{readOnly: readOnly}
--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -5,7 +5,7 @@
 	"unicode/utf8"
 )
 
-// classifierPhase is the position of the classifier in a text. It also tells whether the statement will be executed.
+// classifierPhase is the position of the classifier in a text. It also shows whether the statement will be executed.
 //
 //	beforeFirstWord --EXPLAIN--> planOptions --first word of the statement--> planOnly
 //	beforeFirstWord --any other word--> executed
@@ -29,8 +29,8 @@
 // effectClassifier classifies a sequence of tokens.
 type effectClassifier struct {
 	readOnly Functions
-	// worst is the first verdict with an effect other than EffectReads; EffectWrites replaces EffectUnknown. Its
-	// reason is empty if there is no such verdict yet.
+	// worst is the first verdict whose effect is not EffectReads. A later verdict with EffectWrites replaces one with
+	// EffectUnknown. The reason is empty if there is no such verdict yet.
 	worst Verdict
 	phase classifierPhase
 	depth int // nesting depth of parentheses
@@ -87,7 +87,7 @@
 		if !isReadOnlyOperator(lexer.Text(t)) {
 			c.report(EffectUnknown, lexer.Text(t), "an operator that is not known")
 		}
-	default: // other tokens have no effect
+	default: // other tokens do not change the verdict
 	}
 	c.setPrevious(t, word, class, schema)
 }
--- a/internal/sqltext/effect_cte.go
+++ b/internal/sqltext/effect_cte.go
@@ -3,15 +3,17 @@
 // cteTracker tracks the lists of common table expressions (CTE) that follow WITH in a statement. It finds
 // the names of the expressions. A parenthesis after such a name contains columns and does not begin a call.
 type cteTracker struct {
-	// lists and nameExpected have one bit for each depth of parentheses, which depthBit returns. A bit of lists is
-	// set within a list. A bit of nameExpected is set if the next name at that depth begins an expression.
+	// The fields lists and nameExpected have one bit for each depth of parentheses; see depthBit. In lists, the bit is
+	// set while the tokens at that depth belong to the list after WITH. In nameExpected, the bit is set if the next
+	// name at that depth is the name of an expression.
 	lists        uint64
 	nameExpected uint64
 	afterName    bool // the previous token is the name of an expression
 }
 
-// depthBit returns the bit of a depth, or 0 if the depth is not tracked. At depths that are not tracked, a name with
-// columns is taken for a call, so that the statement is classified as one that may write.
+// depthBit returns the bit of a depth, or 0 if the depth is not tracked. At depths that are not tracked, the
+// name of an expression is taken for a call if columns follow it, so that the statement is classified as one that may
+// write.
 func depthBit(depth int) uint64 {
 	const trackedDepths = 64
 	if depth < 0 || depth >= trackedDepths {
@@ -27,7 +29,7 @@
 	c.nameExpected &^= bit
 }
 
-// addComma handles a comma. If it separates expressions of a list, the next name begins an expression.
+// addComma handles a comma. After a comma between expressions of a list, the next name is the name of an expression.
 func (c *cteTracker) addComma(depth int) {
 	bit := depthBit(depth)
 	if c.lists&bit != 0 {
@@ -35,7 +37,7 @@
 	}
 }
 
-// isNameExpected reports whether the next name at the depth begins an expression.
+// isNameExpected reports whether the next name at the depth is the name of an expression.
 func (c *cteTracker) isNameExpected(depth int) bool { return c.nameExpected&depthBit(depth) != 0 }
 
 // addWord handles a key word or a name.
--- a/internal/sqltext/effect_test.go
+++ b/internal/sqltext/effect_test.go
@@ -141,8 +141,8 @@
 	})
 }
 
-// A write is detected whatever the comments and white space between its words and the case of its letters, also
-// within a statement that is otherwise read-only.
+// A write is detected regardless of comments, white space and the case of letters, also within a statement that is
+// otherwise read-only.
 func TestEffectOf_DetectsDisguisedWrites(t *testing.T) {
 	writes := []string{
 		"DELETE FROM t", "UPDATE t SET a = 1", "INSERT INTO t VALUES ( 1 )", "SELECT a INTO x FROM t",
--- a/internal/sqltext/fingerprint.go
+++ b/internal/sqltext/fingerprint.go
@@ -6,7 +6,7 @@
 // safe for concurrent use.
 type fingerprintHasher struct {
 	seeds        [2]maphash.Seed
-	prefixHashes [2]maphash.Hash // of the parts of a long normal form that have been added so far
+	prefixHashes [2]maphash.Hash // hashes of the parts of a long normal form that were added so far
 }
 
 func newFingerprintHasher() fingerprintHasher {
--- a/internal/sqltext/keywords.go
+++ b/internal/sqltext/keywords.go
@@ -12,7 +12,7 @@
 	// infixWord: the word is an operator between two operands, or it is FILTER or OVER, which follow a call. After a
 	// complete operand or call, a parenthesis after the word does not begin a call.
 	infixWord
-	// writingWord: the word begins, or is part of, something that changes stored data.
+	// writingWord: the word begins a statement or a clause that changes stored data.
 	writingWord
 	// tableWord: the name of a table follows.
 	tableWord
--- a/internal/sqltext/lexer_string.go
+++ b/internal/sqltext/lexer_string.go
@@ -9,8 +9,8 @@
 )
 
 // skipString skips the rest of a string, whose opening quote is already scanned. A doubled or an escaped quote
-// is part of the string. The string continues after its closing quote if only white space with a line end and
-// -- comments separate that quote from another one.
+// is part of the string. The string continues after its closing quote if another quote follows on a later line and
+// only white space and -- comments are between the two quotes.
 func (l *Lexer) skipString(syntax stringSyntax) {
 	src := l.Src
 	i := l.Pos
@@ -46,8 +46,8 @@
 	l.Pos = len(src)
 }
 
-// stringContinuation returns the position at which a string continues whose closing quote is directly before i.
-// ok is false if the string does not continue.
+// stringContinuation returns the position at which a string continues. The closing quote of the string is directly
+// before i. ok is false if the string does not continue.
 func stringContinuation(src string, i int) (next int, ok bool) {
 	lineEnded := false
 	for i < len(src) {
--- a/internal/sqltext/normalform.go
+++ b/internal/sqltext/normalform.go
@@ -5,8 +5,8 @@
 	text      []byte
 	nameStart int // position in text of the name that was added last
 
-	// If the last token is the sign of a literal, signStart is its position in text and signOffset its position
-	// in the statement. Otherwise signStart is 0. The sign belongs to the literal after it.
+	// If the last token is the sign of the literal that follows, signStart is the position of the sign in text, and
+	// signOffset is the position of the sign in the statement. Otherwise signStart is 0.
 	signStart  int
 	signOffset int
 }
--- a/internal/sqltext/pass.go
+++ b/internal/sqltext/pass.go
@@ -81,7 +81,8 @@
 	return p.hasher.sumParts()
 }
 
-// maxPendingBytes is the length of the pending normal form above which it is hashed in parts.
+// maxPendingBytes is the length above which the pending part of the normal form is hashed at the next comma outside
+// folded lists. The pending part is the part that is not hashed yet.
 const maxPendingBytes = 16 << 10
 
 // hashPending hashes the normal form so far and empties its buffer, so that a long statement does not need a
--- a/internal/sqltext/pass_identifier.go
+++ b/internal/sqltext/pass_identifier.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// setVerb sets the verb. Any other verb replaces an earlier SELECT.
+// setVerb sets the verb if there is none yet. A verb other than SELECT also replaces SELECT.
 func (f *Features) setVerb(verb Verb) {
 	if f.Verb == 0 || f.Verb == VerbSelect && verb != VerbSelect {
 		f.Verb = verb
--- a/internal/sqltext/pass_lists.go
+++ b/internal/sqltext/pass_lists.go
@@ -94,8 +94,9 @@
 	}
 }
 
-// skipElements skips further plain values, all but the last one, in a list whose first element is a plain value.
-// The longest statements are those with lists of thousands of values.
+// skipElements skips the next elements of a list that are plain values with a comma after them. The last element has no
+// comma after it, so it is not skipped. The first element must be a plain value. Skipping matters because the longest
+// statements are those with lists of thousands of values.
 func (p *analysisPass) skipElements(list *foldedList) {
 	for {
 		next := p.lexer
@@ -129,7 +130,8 @@
 	return len(row) / bytesPerValue
 }
 
-// skipRows skips further rows that consist of as many plain values as the first row, all but the last of them.
+// skipRows skips the next rows that consist of as many plain values as the first row and have a comma after them. The
+// last row has no comma after it, so it is not skipped.
 func (p *analysisPass) skipRows(list *foldedList) {
 	for {
 		next := p.lexer
--- a/internal/sqltext/pass_value.go
+++ b/internal/sqltext/pass_value.go
@@ -85,8 +85,8 @@
 	p.result.Features.Limited = true
 }
 
-// markNullGuard handles IS, which is taken for the start of IS NULL: the statement tests a parameter before IS
-// for null. A literal NULL before IS makes the condition true for all rows.
+// markNullGuard handles IS, and takes every IS for the start of IS NULL. A parameter before IS is marked as tested for
+// null. A literal NULL before IS makes the condition true for all rows.
 func (p *analysisPass) markNullGuard() {
 	used := p.slots.used()
 	for i := range used {
--- a/internal/sqltext/profile.go
+++ b/internal/sqltext/profile.go
@@ -18,7 +18,7 @@
 	HalfOpen             bool    // a range has only one bound, or a bound that is not a number
 	Wildcard             Wildcard
 	RowLimit             float64 // number of rows; 0: none
-	DisabledRestrictions int     // restrictions that a null value disables
+	DisabledRestrictions int     // number of restrictions that null values disable
 	Unrestricted         bool    // nothing restricts the result
 	Rows                 int     // rows to write
 	Column               uint32  // hash of the column of the longest list or, if there is no list, of the widest range
@@ -55,7 +55,7 @@
 	return *profile
 }
 
-// hasNullGuard reports whether a null value of the parameter disables its restrictions.
+// hasNullGuard reports whether a null value of the parameter disables the restrictions by that parameter.
 func (a *Analysis) hasNullGuard(parameter int32) bool {
 	for i := range a.Slots {
 		if a.Slots[i].Parameter == parameter && a.Slots[i].NullGuard {
--- a/internal/sqltext/value_binary.go
+++ b/internal/sqltext/value_binary.go
@@ -52,8 +52,8 @@
 // finite returns a number and whether it is finite.
 func finite(x float64) (number float64, ok bool) { return x, !math.IsNaN(x) && !math.IsInf(x, 0) }
 
-// The header of an array in binary form consists of the number of dimensions, a flag and the type of the
-// elements, of four bytes each, and of eight bytes for each dimension.
+// An array in binary form begins with a header: the number of dimensions, a flag and the type of the elements, each
+// of four bytes, and then eight bytes for each dimension.
 const (
 	arrayHeaderBytes    = 12
 	arrayDimensionBytes = 8
