--- a/internal/stmtstats/cache.go
+++ b/internal/stmtstats/cache.go
@@ -34,7 +34,7 @@
 type Cache interface {
 	// Get returns the shape, or nil if it is not cached.
 	Get(fingerprint Fingerprint) *CachedShape
-	// Add offers a shape to the cache.
+	// Add adds a shape, unless the policy rejects it.
 	Add(fingerprint Fingerprint, shape *CachedShape)
 	// Len returns the number of cached shapes.
 	Len() int
--- a/internal/stmtstats/cache_tinylfu.go
+++ b/internal/stmtstats/cache_tinylfu.go
@@ -41,7 +41,7 @@
 
 // Bytes implements Cache.
 func (c tinyLFU) Bytes() int {
-	c.CleanUp() // pending evictions still count until then
+	c.CleanUp() // until then, the size includes entries whose eviction is pending
 	return int(c.WeightedSize())
 }
 
--- a/internal/stmtstats/execution.go
+++ b/internal/stmtstats/execution.go
@@ -10,7 +10,7 @@
 type Execution struct {
 	Estimate  costmodel.Estimate
 	statement *Statement
-	parsed    Statement // the target of statement, if the statement was parsed for this execution only
+	parsed    Statement // if the statement was parsed for this execution only, statement points here
 	query     costmodel.Query
 	cached    *CachedShape // nil: the shape was not cached when the execution was estimated
 }
--- a/internal/stmtstats/execution_pool.go
+++ b/internal/stmtstats/execution_pool.go
@@ -1,7 +1,7 @@
 package stmtstats
 
-// maxFreeExecutions is the maximum number of released executions in a pool, since there are seldom more
-// requests in flight. The garbage collector frees further executions.
+// maxFreeExecutions is the maximum number of released executions in a pool. More requests are seldom in
+// flight. The garbage collector frees the executions for which the pool has no room.
 const maxFreeExecutions = 512
 
 // executionPool reuses released executions, which saves an allocation for each request. It is not safe for
--- a/internal/stmtstats/service.go
+++ b/internal/stmtstats/service.go
@@ -32,7 +32,7 @@
 	counters *metrics.Counters
 	log      *slog.Logger
 
-	corrected  int64 // number of requests whose clients' estimates were replaced
+	corrected  int64 // number of requests for which the client's estimate was replaced
 	executions executionPool
 }
 
--- a/internal/stmtstats/service_request.go
+++ b/internal/stmtstats/service_request.go
@@ -23,7 +23,7 @@
 	s.estimateRequest(r, s.executions.get(), statement, binds)
 }
 
-// EstimateText parses a text, sets the request's data set and does the same as EstimateRequest.
+// EstimateText parses a text, sets the request's data set and then estimates the request as EstimateRequest does.
 func (s *Service) EstimateText(r *lifecycle.Request, text string) {
 	execution := s.executions.get()
 	execution.parsed.set(text, s.store.analyzer.Analyze(text))
--- a/internal/stmtstats/snapshot_writer_test.go
+++ b/internal/stmtstats/snapshot_writer_test.go
@@ -89,7 +89,7 @@
 		path       string
 		counted    metrics.Counter
 		notCounted metrics.Counter
-		log        string // of each write
+		log        string // what each write logs
 	}{
 		{
 			name: "written", path: filepath.Join(dir, "shapes"),
