--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -15,17 +15,18 @@
 // unbiased estimators:
 //
 //   - the record of the shape, separately for each profile of the values (record.go);
-//   - similar values: the deviation of executions with similar values from the usual cost of
-//     their shapes, over all shapes (similar.go);
-//   - the prior, a regression over features that learns from all shapes, corrected by its
-//     errors for this shape (prior.go, features.go);
-//   - the client's hint, corrected by its errors for this shape.
+//   - similar values: how far the costs of executions with similar values deviate from the usual
+//     costs of their shapes, over all shapes (similar.go);
+//   - the prior, a regression over features that learns from all shapes, corrected by the
+//     prior's errors for this shape (prior.go, features.go);
+//   - the client's hint, corrected by the errors of earlier hints for this shape.
 //
 // A frequent value whose cost differs from the cost of other values adds a correction to the
 // combined result (frequent.go).
 //
 // Work is measured in milliseconds on one core and memory in megabytes. Both are stored as
-// base-2 logarithms, since costs spread over orders of magnitude and errors count by ratio.
+// base-2 logarithms, since costs spread over orders of magnitude and what matters about an error
+// is the ratio of the estimate to the cost.
 // A single reported cost has little influence on later estimates; see Tracker.
 package costmodel
 
@@ -59,8 +60,8 @@
 	// classes before a bucket changes its class. A factor of 1 means no hysteresis; a lower
 	// value is replaced by DefaultHysteresis.
 	Hysteresis float64
-	// Independent options, each of which switches off one part of the model. Only experiments set them, to
-	// measure the contribution of that part.
+	// Each of these options switches off one part of the model, independently of the others. Only experiments
+	// set them, to measure what that part contributes.
 	NoParameters bool // ignores the values of executions: no profiles, similar values and frequent values
 	NoPrior      bool // leaves the prior out of estimates
 	NoForgetting bool // gives old observations the same weight as new ones
@@ -75,7 +76,7 @@
 	cfg   Config
 	prior *prior
 	state
-	noErrors Tracker // always empty; stands for the errors of a component if none are tracked
+	noErrors Tracker // always empty; used if the errors of a component are not tracked
 }
 
 // New returns a model without observations.
--- a/internal/decision/costmodel/ensemble.go
+++ b/internal/decision/costmodel/ensemble.go
@@ -4,8 +4,8 @@
 
 // Component is the estimate of one component of the ensemble, and its share of the result.
 type Component struct {
-	Log2Cost  float64 // the expected cost
-	Deviation float64 // its expected error, as a base-2 logarithm
+	Log2Cost  float64 // base-2 logarithm of the expected cost
+	Deviation float64 // expected error of Log2Cost
 	Samples   float64 // number of observations; 0: the component is not used
 	Weight    float64 // its share of the estimate, 0 to 1
 }
@@ -41,9 +41,10 @@
 }
 
 const (
-	// minHintSamples is the minimum number of known errors for the correction of a hint.
+	// minHintSamples is the number of known errors that are needed to correct a hint.
 	minHintSamples = 3
-	// uncorrectedHintDeviation is the expected error of a hint without known errors: a factor of four.
+	// uncorrectedHintDeviation is the expected error of a hint that is not corrected, as a base-2
+	// logarithm: a factor of four.
 	uncorrectedHintDeviation = 2
 )
 
--- a/internal/decision/costmodel/estimate.go
+++ b/internal/decision/costmodel/estimate.go
@@ -18,13 +18,13 @@
 }
 
 const (
-	// wellKnownSamples is the number of executions at which a bucket counts as well known. Its estimates then leave
-	// out the prior, because the other components suffice, and the model learns only from a sample of its executions
-	// while their cost is as expected. Most traffic belongs to such buckets.
+	// wellKnownSamples is the number of executions after which a bucket counts as well known. Estimates for a
+	// well-known bucket leave out the prior, because the other components suffice. While costs are as expected, the
+	// model learns only from a sample of the bucket's executions. Most traffic belongs to such buckets.
 	wellKnownSamples = 200
-	// minTrackedSamples is the minimum number of observations for a Tracker of offsets or errors to be used.
+	// minTrackedSamples is the number of observations from which a Tracker of offsets or errors is used.
 	minTrackedSamples = 2
-	// minClassMemorySamples is the minimum number of observations for the usual memory of a class to be used.
+	// minClassMemorySamples is the number of observations from which the usual memory of a class is used.
 	minClassMemorySamples = 3
 	// percentile90 is the 90th percentile of the standard normal distribution.
 	percentile90 = 1.28
@@ -90,8 +90,9 @@
 	errors.hint.adjust(&estimate.Hint, atypicality)
 }
 
-// priorComponent returns the prior's component, and the difference between the prior's prediction for
-// this execution and its usual predictions for the shape.
+// priorComponent returns the prior's component and the atypicality of the execution: the difference between
+// the prior's prediction for this execution and the prior's usual predictions for the shape. The atypicality is 0 if
+// too few errors of the prior are known for the shape.
 func (m *Model) priorComponent(query *Query) (component Component, atypicality float64) {
 	prediction := m.prior.predict(m.vectorOf(query))
 	if record := query.Record; record != nil && record.PriorError.Samples >= minTrackedSamples {
--- a/internal/decision/costmodel/frequent.go
+++ b/internal/decision/costmodel/frequent.go
@@ -3,15 +3,16 @@
 import "math"
 
 const (
-	// minFrequentSamples is the minimum number of observations of a value for the correction of its cost.
+	// minFrequentSamples is the number of observations of a value that are needed before estimates for the
+	// value are corrected.
 	minFrequentSamples = 6
-	// minFrequentOffset is the minimum deviation of a value's cost for its correction, as a base-2
-	// logarithm: a factor of 1.5.
+	// minFrequentOffset is the deviation that a value's cost must exceed before estimates for the value are
+	// corrected, as a base-2 logarithm: a factor of 1.5.
 	minFrequentOffset = 0.6
 )
 
-// frequentValueComponent returns the correction for the query's value. The correction has no samples, and
-// changes nothing, unless the value is frequent and its cost differs from the cost of other values.
+// frequentValueComponent returns the correction for the query's value. The correction is empty, and changes
+// nothing, unless the value is frequent and its cost differs from the cost of other values.
 func (m *Model) frequentValueComponent(query *Query) Component {
 	if m.cfg.NoParameters {
 		return Component{}
--- a/internal/decision/costmodel/learn.go
+++ b/internal/decision/costmodel/learn.go
@@ -9,7 +9,9 @@
 	priorSampleInterval  = 16
 )
 
-// learnSampleInterval is the sampling interval for executions of well-known buckets.
+// learnSampleInterval is the sampling interval for well-known buckets. While the costs of such a bucket are as
+// expected, the model learns from an execution only if the execution's number within the shape is a multiple of
+// the interval.
 const learnSampleInterval = 4
 
 // Learn updates the model with the cost of an execution. Implausible costs are ignored.
--- a/internal/decision/costmodel/record.go
+++ b/internal/decision/costmodel/record.go
@@ -3,22 +3,22 @@
 // maxBuckets is the maximum number of profiles that the record of one shape distinguishes.
 const maxBuckets = 8
 
-// ShapeRecord is the record of one shape. All trackers hold base-2 logarithms. Its size is
-// constant.
+// ShapeRecord is the record of one shape. All trackers hold base-2 logarithms. All records have the
+// same size.
 type ShapeRecord struct {
 	Executions      uint32             `cbor:"Seen"`   // number of executions, saturating
-	Work            Tracker            `cbor:"All"`    // cost, over all values
+	Work            Tracker            `cbor:"All"`    // cost of executions with any values
 	PriorError      Tracker            `cbor:"Offset"` // cost relative to the prior's prediction
-	PriorPrediction Tracker            `cbor:"Usual"`  // the prior's predictions for its executions
+	PriorPrediction Tracker            `cbor:"Usual"`  // the prior's predictions for executions of the shape
 	HintError       Tracker            `cbor:"Hint"`   // cost relative to the hint
-	MemoryHintError Tracker            `cbor:"Memory"` // memory relative to its hint
+	MemoryHintError Tracker            `cbor:"Memory"` // memory relative to the memory hint
 	Buckets         [maxBuckets]Bucket `cbor:"Buckets"`
 }
 
-// Bucket is the record of the executions of one shape whose values have the same coarse profile.
+// Bucket is the record of the executions of one shape that have the same coarse profile of their values.
 type Bucket struct {
 	Key      uint32  `cbor:"Key"`
-	LastUsed uint32  `cbor:"Used"` // the record's Executions when the bucket was last used
+	LastUsed uint32  `cbor:"Used"` // ShapeRecord.Executions when the bucket was last used
 	Work     Tracker `cbor:"Work"`
 	Memory   Tracker `cbor:"Memory"`
 	// ClassPlusOne is one more than the index of the class that was chosen last; 0: none yet.
--- a/internal/decision/costmodel/similar.go
+++ b/internal/decision/costmodel/similar.go
@@ -2,21 +2,25 @@
 
 import "math"
 
-// The errors that a component made for a shape hardly predict its errors on values that are new to the
-// shape. For such values, the estimate uses errors that the component made over all shapes: its errors on
-// similar values or, if too few of them are known, on values that were new to their shape. Otherwise a broad
-// report would get the estimate of a lookup of the same shape.
+// Values are new to a shape if few earlier executions of the shape belong to the bucket of these values. The
+// errors that the prior and the hint made for a shape hardly predict their errors for values that are new to the
+// shape. Estimates for new values are therefore corrected further, by errors over all shapes:
+//
+//   - by the errors for executions with similar values, if enough of them are known;
+//   - otherwise by the errors for executions whose values were new to their shape.
+//
+// Without this correction, a broad report would get the estimate of a lookup of the same shape.
 
 const (
-	// newValueSamples is the number of executions of a bucket from which its values no longer count as
-	// new to the shape.
+	// newValueSamples is the number of executions of a bucket after which the values in the bucket no longer
+	// count as new to the shape.
 	newValueSamples = 5
-	// similarValueSamples is the number of executions of a bucket from which the errors made on similar
-	// values are no longer used.
+	// similarValueSamples is the number of executions of a bucket after which the errors for executions with
+	// similar values are no longer used.
 	similarValueSamples = 10
 )
 
-// newValueErrors are the errors that the prior and the hint made on values new to a shape.
+// newValueErrors are the errors of the prior and the hint for executions whose values were new to their shape.
 type newValueErrors struct {
 	Prior Tracker `cbor:"Prior"`
 	Hint  Tracker `cbor:"Hint"`
@@ -31,8 +35,8 @@
 // atypicalityLevels is the number of levels that atypicalityLevel returns.
 const atypicalityLevels = 3
 
-// atypicalityLevel grades the difference between the prior's prediction for an execution and its usual
-// predictions for the shape.
+// atypicalityLevel returns 0, 1 or 2 for a small, moderate or strong difference between the prior's prediction
+// for an execution and the prior's usual predictions for the shape.
 func atypicalityLevel(atypicality float64) int {
 	const (
 		moderate = 0.7 // a base-2 logarithm: a factor of 1.6
@@ -76,8 +80,9 @@
 	return errors
 }
 
-// adjust corrects a component by the median of the tracked errors and raises its deviation to at least
-// their deviation. If too few errors are known, it raises the deviation by the atypicality instead.
+// adjust corrects a component by the median of the tracked errors. It also raises the component's deviation to the
+// deviation of the errors, if the errors deviate more. If too few errors are known, adjust only raises the
+// component's deviation by the atypicality.
 func (t *Tracker) adjust(component *Component, atypicality float64) {
 	switch {
 	case component.Samples == 0:
@@ -89,8 +94,9 @@
 	}
 }
 
-// learnSimilar updates the statistics of similar values and, if the values are new to the shape, the
-// errors made on new values. It must run before the record of the shape is updated.
+// learnSimilar updates the statistics of executions with values similar to the query's values. If the query's values
+// are new to its shape, learnSimilar also updates the newValueErrors. It must run before the record of the shape is
+// updated.
 func (m *Model) learnSimilar(query *Query, expected *Estimate, log2Work float64) {
 	record := query.Record
 	if record.Work.Samples < minTrackedSamples {
--- a/internal/decision/costmodel/space_saving.go
+++ b/internal/decision/costmodel/space_saving.go
@@ -18,10 +18,10 @@
 type valueStatistics struct {
 	Key   uint64 `cbor:"Key"`
 	Count uint32 `cbor:"Count"`
-	// Offset is the cost relative to the estimate, for a frequent value, or relative to the usual cost of
-	// the shapes, for similar values.
+	// For a frequent value, Offset is the cost relative to the estimate. For similar values, it is the cost
+	// relative to the usual cost of the shapes.
 	Offset Tracker `cbor:"Offset"`
-	// The errors that the prior and the hint made on similar values.
+	// The errors of the prior and the hint for executions with similar values.
 	PriorError Tracker `cbor:"Prior"`
 	HintError  Tracker `cbor:"Hint"`
 }
--- a/internal/decision/costmodel/state.go
+++ b/internal/decision/costmodel/state.go
@@ -20,7 +20,7 @@
 
 // state is the state of a model except for its prior.
 type state struct {
-	ByClass        [knownClasses]classStatistics     `cbor:"All"`   // for shapes with too few observations
+	ByClass        [knownClasses]classStatistics     `cbor:"All"`   // used for shapes with too few observations
 	FrequentValues spaceSaving                       `cbor:"Heavy"` // by Profile.Key
 	SimilarValues  spaceSaving                       `cbor:"Like"`  // by similarKey
 	NewValues      [atypicalityLevels]newValueErrors `cbor:"Fresh"` // by atypicalityLevel
--- a/internal/decision/hotrestart/actions.go
+++ b/internal/decision/hotrestart/actions.go
@@ -23,7 +23,7 @@
 	// KillSuccessor kills the successor. SuccessorExited follows.
 	KillSuccessor struct{}
 	// ReclaimConn makes the predecessor the owner of a connection again. Recover decides what happens to
-	// its request, after the kernel has reported how much of the response was written.
+	// the connection's request, after the kernel has reported how much of the response was written.
 	ReclaimConn struct {
 		Conn    ConnID
 		Request Request
--- a/internal/decision/hotrestart/events.go
+++ b/internal/decision/hotrestart/events.go
@@ -26,7 +26,7 @@
 	Tick struct{}
 )
 
-// Messages of the successor to the predecessor.
+// Messages from the successor to the predecessor.
 type (
 	// Hello identifies the successor. Problem is the reason why it can't take over, such as an invalid
 	// configuration or a limit that is too low; "" means that it can.
@@ -61,7 +61,7 @@
 	PredecessorExited struct{}
 )
 
-// Messages of the predecessor to the successor.
+// Messages from the predecessor to the successor.
 type (
 	// State carries the state of the predecessor.
 	State struct{}
--- a/internal/decision/hotrestart/hotrestart.go
+++ b/internal/decision/hotrestart/hotrestart.go
@@ -5,7 +5,7 @@
 // hot restart fails.
 //
 // The package consists of two state machines without I/O, Predecessor and Successor. Their method
-// Step handles an event (a message of the other process, a change of a connection, a tick) and
+// Step handles an event (a message from the other process, a change of a connection, a tick) and
 // returns actions, which the caller must carry out in order. The model test explores all
 // interleavings.
 //
@@ -17,11 +17,11 @@
 //     one that has exited.
 //   - The predecessor never closes the channel while both processes run. A read that reaches the end
 //     of the channel therefore proves to the successor that the predecessor has exited.
-//   - Once a descriptor has been sent over a unix socket, the kernel holds it, and it is received even
-//     if its sender exits at once (unix(7), SCM_RIGHTS).
+//   - Once a descriptor has been sent over a unix socket, the kernel holds it. The receiver gets it even
+//     if the sender exits at once (unix(7), SCM_RIGHTS).
 //
 // Therefore no acknowledgements are needed: the successor owns a connection as soon as the predecessor
-// has sent it, and the two never own it at the same time. A connection with a request in flight is
+// has sent it, and the two processes never own it at the same time. A connection with a request in flight is
 // transferred after the response.
 //
 // The phases of the predecessor:
--- a/internal/decision/hotrestart/predecessor.go
+++ b/internal/decision/hotrestart/predecessor.go
@@ -33,7 +33,7 @@
 	phaseStart    time.Duration
 	lastMessage   time.Duration // time of the successor's last message
 	successes     int           // successful responses of the successor during the probation
-	failures      int           // failed ones
+	failures      int           // failed responses of the successor during the probation
 	failureReason string        // reason of the rollback
 
 	shutdownRequested bool // a shutdown follows when the hot restart has ended
--- a/internal/decision/hotrestart/recovery.go
+++ b/internal/decision/hotrestart/recovery.go
@@ -30,14 +30,14 @@
 // Recoveries.
 const (
 	NoRecovery             Recovery = iota // there is no request, or its response was written completely
-	Retry                                  // forward it, with its key and the time of its first attempt, if any
-	ReportUnknownOutcome                   // respond at once that it may have run; a retry is not permitted
+	Retry                                  // forward it, with its key and the time of its first attempt if it has them
+	ReportUnknownOutcome                   // respond at once that the request may have run; a retry is not permitted
 	ReportDeadlineExceeded                 // its deadline has passed
 	CloseConnection                        // its response was written in part, so no other response is possible
 )
 
-// windowMargin is the minimum time that must remain of an idempotency window for a retry to be forwarded,
-// because the request must reach its engine within the window.
+// windowMargin limits retries: a retry is forwarded only if more than windowMargin of the idempotency window
+// remains, because the request must reach its engine within the window.
 const windowMargin = 50 * time.Millisecond
 
 // Recover decides what happens to a request of a process that has exited. written is the number of bytes of
--- a/internal/decision/hotrestart/successor.go
+++ b/internal/decision/hotrestart/successor.go
@@ -69,8 +69,9 @@
 	return nil
 }
 
-// handlePredecessorExit takes ownership at once or, while the state is being loaded, after it was loaded. A
-// process that has not received a state serves like one that was started without a predecessor.
+// handlePredecessorExit takes ownership at once, unless the state is still being loaded. In that case, Step takes
+// ownership at the event StateLoaded. A process that has not received a state serves like one that was started
+// without a predecessor.
 func (s *Successor) handlePredecessorExit() []Action {
 	s.orphaned = true
 	if s.owner || s.state == stateLoading {
--- a/internal/decision/hotrestart/world_steps_test.go
+++ b/internal/decision/hotrestart/world_steps_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// channelSteps adds the reading of the next message of each direction and of the channel's end, and the
-// report of the successor's exit.
+// channelSteps adds three kinds of steps: a process reads its next message, the successor reads the end of the
+// channel, and the successor's exit is reported.
 func (w world) channelSteps(f faults, add addStep) {
 	if w.successorAlive && w.started && len(w.toSuccessor) > 0 {
 		add("message to successor", func(n *world) {
@@ -188,8 +188,8 @@
 	return ""
 }
 
-// deadlock returns what can't complete in a state where only crashes are possible, or "" if nothing is left
-// incomplete.
+// deadlock is called for a state in which only crashes are possible. It returns what can no longer complete, or ""
+// if nothing is incomplete.
 func (w *world) deadlock() string {
 	if !w.predecessorAlive && !w.successorAlive {
 		return "" // no process is left that could respond
--- a/internal/decision/hotrestart/world_test.go
+++ b/internal/decision/hotrestart/world_test.go
@@ -142,7 +142,7 @@
 	next world
 }
 
-// isProgress reports whether the step is not a crash.
+// isProgress returns false for a crash and true for all other steps.
 func (s step) isProgress() bool {
 	return s.name != stepSuccessorCrashes && s.name != stepPredecessorCrashes
 }
