--- a/internal/sqltext/effect.go
+++ b/internal/sqltext/effect.go
@@ -44,8 +44,8 @@
 // Any other statement is treated as one that may write. readOnly lists read-only functions in addition to those of
 // PostgreSQL.
 //
-// Writes that the text does not show are not detected: a view or an operator that is based on a function that
-// writes, a cast that calls a function, and a function that is called with the syntax of a column (t.f).
+// Writes that the text does not show are not detected. They come from a function that a view, an operator or a cast
+// calls, or from a function that is called with the syntax of a column (t.f).
 //
 // The text must contain a single statement; FirstWord reports whether it contains more. In a further statement, a first
 // word such as CREATE or CALL is not detected. After an EXPLAIN without ANALYZE, no write in a further statement is
--- a/internal/sqltext/lexer_identifier.go
+++ b/internal/sqltext/lexer_identifier.go
@@ -113,7 +113,7 @@
 	return name
 }
 
-// hashQuotedName returns the hash of a quoted name, which equals that of the same name without quotes.
+// hashQuotedName returns the hash of a quoted name. The same name without quotes has the same hash.
 func hashQuotedName(name string) uint32 {
 	name = unquoteIdentifier(name)
 	return hashName(name, 0, len(name))
--- a/internal/sqltext/pass_lists.go
+++ b/internal/sqltext/pass_lists.go
@@ -44,7 +44,8 @@
 // innermost returns the innermost list. At least one list must be open.
 func (s *listStack) innermost() *foldedList { return &s.entries[s.count-1] }
 
-// beginAlternatives begins a list of alternatives. Its opening parenthesis or bracket must have been added already.
+// beginAlternatives begins a list of alternatives. The opening parenthesis or bracket of the list must have been added
+// already.
 func (p *analysisPass) beginAlternatives() {
 	list := newFoldedList(p.depth, len(p.normal.text))
 	if !p.slots.full() {
@@ -71,7 +72,7 @@
 	return !list.isRows && list.depth == p.depth
 }
 
-// trackElement ends the current element, or the list, if t ends it. At least one list must be open.
+// trackElement ends the current element or the whole list, if the token t does so. At least one list must be open.
 func (p *analysisPass) trackElement(t Token) {
 	list := p.lists.innermost()
 	switch {
