--- a/internal/sqltext/pass_lists.go
+++ b/internal/sqltext/pass_lists.go
@@ -44,7 +44,8 @@
 // innermost returns the innermost list. At least one list must be open.
 func (s *listStack) innermost() *foldedList { return &s.entries[s.count-1] }
 
-// beginAlternatives begins a list of alternatives. Its opening parenthesis or bracket must have been added already.
+// beginAlternatives begins a list of alternatives. The opening parenthesis or bracket of the list must have been added
+// already.
 func (p *analysisPass) beginAlternatives() {
 	list := newFoldedList(p.depth, len(p.normal.text))
 	if !p.slots.full() {
@@ -71,7 +72,7 @@
 	return !list.isRows && list.depth == p.depth
 }
 
-// trackElement ends the current element, or the list, if t ends it. At least one list must be open.
+// trackElement ends the current element or the whole list, if the token t does so. At least one list must be open.
 func (p *analysisPass) trackElement(t Token) {
 	list := p.lists.innermost()
 	switch {
@@ -94,8 +95,9 @@
 	}
 }
 
-// skipElements skips further plain values, all but the last one, in a list whose first element is a plain value.
-// The longest statements are those with lists of thousands of values.
+// skipElements skips the next elements of a list that are plain values with a comma after them. The last element has no
+// comma after it, so it is not skipped. The first element must be a plain value. Skipping matters because the longest
+// statements are those with lists of thousands of values.
 func (p *analysisPass) skipElements(list *foldedList) {
 	for {
 		next := p.lexer
@@ -129,7 +131,8 @@
 	return len(row) / bytesPerValue
 }
 
-// skipRows skips further rows that consist of as many plain values as the first row, all but the last of them.
+// skipRows skips the next rows that consist of as many plain values as the first row and have a comma after them. The
+// last row has no comma after it, so it is not skipped.
 func (p *analysisPass) skipRows(list *foldedList) {
 	for {
 		next := p.lexer
