--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -7,8 +7,8 @@
 type AttemptHandle interface {
 	// Written reports whether any part of the request has been written.
 	Written() bool
-	// Abandon removes the attempt, which has not ended, from its connection. A written request is
-	// cancelled if the protocol and the settings permit that.
+	// Abandon removes the attempt from its connection. The attempt must not have ended. A written
+	// request is cancelled if the protocol and the settings permit that.
 	Abandon()
 }
 
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -4,9 +4,10 @@
 //
 // The client of a protocol has two types. Its connection embeds a Connection, implements Protocol
 // and is dialed with Connection.Dial. Its client embeds a Client and adds the other methods of
-// lifecycle.EngineClient: Start uses FindEngine, puts the attempt on one of the engine's Connections
-// or dials another, and stores an AttemptHandle in the attempt. Each attempt ends with a call of
-// Dispatcher.EndAttempt, unless it is abandoned first. See lineclient and pgclient.
+// lifecycle.EngineClient. Start finds the engine with FindEngine, puts the attempt on one of the
+// engine's Connections or on a new one, and stores an AttemptHandle in the attempt. Each attempt
+// ends with a call of Dispatcher.EndAttempt, unless it is abandoned first. See lineclient and
+// pgclient.
 package engine
 
 import (
@@ -18,7 +19,7 @@
 	"flaxrelay/internal/metrics"
 )
 
-// Options are the limits of the connections of one client.
+// Options configure the connections of one client.
 type Options struct {
 	// ConnectTimeout limits the dial.
 	ConnectTimeout time.Duration
@@ -51,7 +52,8 @@
 
 	options Options
 	pool    *pool[P]
-	// accepting contains the connections that accept attempts, from the start of their dials.
+	// accepting contains the connections that accept attempts. A connection is added when its dial
+	// starts.
 	accepting map[*Connection[P]]struct{}
 }
 
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -9,7 +9,7 @@
 )
 
 // Protocol is the part of a connection that depends on the protocol. Each protocol's package
-// implements it with one type, which embeds a Connection: the Connection implements Retire, and
+// implements it with one type, which embeds a Connection. The Connection implements Retire, and
 // calls the other methods on the event loop's goroutine.
 type Protocol interface {
 	pooled
--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -91,9 +91,9 @@
 // Post schedules f on the event loop's goroutine, after the functions that were posted before.
 func (x *Exchange) Post(f func()) { x.loop.Post(f) }
 
-// BlockLoop blocks the event loop's goroutine while it runs whileBlocked on the test's. It then
-// runs next on the event loop's goroutine, before the loop handles the events that whileBlocked
-// caused.
+// BlockLoop blocks the event loop's goroutine, and meanwhile calls whileBlocked on the test's
+// goroutine. It then calls next on the event loop's goroutine, before the loop handles the events
+// that whileBlocked caused.
 func (x *Exchange) BlockLoop(whileBlocked, next func()) {
 	blocked := make(chan struct{})
 	release := make(chan struct{})
@@ -150,7 +150,7 @@
 func (x *Exchange) Start(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Start(attempt) }) }
 
 // StartThen starts the attempt and calls next in the same turn of the event loop. If the attempt
-// needs a dial, the dial is then still in progress.
+// needs a dial, the dial is still in progress when next is called.
 func (x *Exchange) StartThen(attempt *lifecycle.Attempt, next func()) {
 	x.Do(func() {
 		x.Client.Start(attempt)
@@ -172,7 +172,7 @@
 }
 
 // OnServed makes the event loop's goroutine call f when an attempt is served, before the client
-// handles the bytes after the response. It must be called in Do.
+// handles the bytes after the response. OnServed must be called in Do.
 func (x *Exchange) OnServed(f func()) { x.served.onServed = f }
 
 // AwaitEnd waits until the attempt has ended, and prints its status and its result.
--- a/internal/engine/framing.go
+++ b/internal/engine/framing.go
@@ -30,8 +30,8 @@
 // it again if the message is still incomplete.
 func (t *messageTimer) stop() { t.timer.Stop() }
 
-// start starts the timer, which must be stopped, when bytes of an incomplete message have
-// arrived. The timer expires StallTimeout later, or MessageTimeout after the first bytes of the
+// start starts the timer after bytes of an incomplete message have arrived. The timer must not be
+// running already. It expires StallTimeout later, or MessageTimeout after the first bytes of the
 // message if that is earlier.
 func (t *messageTimer) start(loop *eventloop.Loop, options Options, expired func()) {
 	now := loop.Now()
@@ -67,8 +67,8 @@
 	}
 }
 
-// fail closes the connection on a protocol error, because the start of the next message is
-// unknown. The attempts on it end with the connection.
+// fail closes the connection after a protocol error, because the start of the next message is
+// unknown. The close also ends the attempts on the connection.
 func (c *Connection[P]) fail(err error) {
 	if c.state != StateStartup && c.state != StateOpen {
 		return
--- a/internal/engine/lineclient/abandoned.go
+++ b/internal/engine/lineclient/abandoned.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// abandonedIDTTL is how long an abandoned id is not reused on its connection. Otherwise a late
-// response to the abandoned request would be taken for a response to the next request of this id.
+// abandonedIDTTL is how long an abandoned id is not reused on its connection. If the id were reused
+// earlier, a late response to the abandoned request would be taken for a response to the new
+// request.
 const abandonedIDTTL = 30 * time.Second
 
-// abandonedIDs are the ids of abandoned requests for which a response may still arrive on one
-// connection.
+// abandonedIDs are the ids of the requests that were abandoned on one connection. Responses to
+// these requests may still arrive.
 type abandonedIDs struct {
-	expiry      map[string]time.Duration // by id: when it may be used again, by the dispatcher's clock
+	expiry      map[string]time.Duration // by id: when the id may be used again, by the dispatcher's clock
 	oldestFirst []string                 // the keys of expiry, in the order of add
 }
 
--- a/internal/engine/lineclient/client.go
+++ b/internal/engine/lineclient/client.go
@@ -26,7 +26,7 @@
 	// pieces. Otherwise a response that never ends would block all others on its connection.
 	responseTimeout = 4 * stallTimeout
 	// idleFraction is the fraction of the engines' idle timeout after which this side closes an
-	// idle connection, so that it does not send a request while the engine closes the connection.
+	// idle connection, so that no request is sent while the engine closes the connection.
 	idleFraction = 0.8
 	// defaultConnectTimeout applies if the settings contain no connect timeout.
 	defaultConnectTimeout = 250 * time.Millisecond
@@ -37,9 +37,9 @@
 type Client struct {
 	*engine.Client[*connection]
 
-	// MaxConnections limits the connections that accept attempts, so that descriptors
-	// remain for discovery and for clients; 0: unlimited. At the limit, a new connection replaces
-	// an idle one, which is evicted. It must be set before the first Start.
+	// MaxConnections limits the connections that accept attempts, so that descriptors remain for
+	// discovery and for clients; 0: unlimited. At the limit, an idle connection is evicted before a
+	// new one is dialed. MaxConnections must be set before the first Start.
 	MaxConnections int
 
 	maxStreams int  // limit of the attempts in flight on one connection
@@ -92,7 +92,8 @@
 	conn.add(attempt)
 }
 
-// findConnection returns a connection to the engine that accepts a request with this id, or nil.
+// findConnection searches the connections to the engine for one that accepts a request with this
+// id. It returns nil if there is none.
 func (c *Client) findConnection(target *engine.Engine[*connection], id string) *connection {
 	now := c.Dispatcher.Now()
 	for _, conn := range target.Connections {
--- a/internal/engine/lineclient/connection.go
+++ b/internal/engine/lineclient/connection.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// HandleMessage handles the first response of in. It ignores a response for which there is no
-// stream, because its request was abandoned or has ended.
+// HandleMessage handles the first response of in. It ignores a response whose request has no
+// stream: the request was abandoned or has ended.
 func (c *connection) HandleMessage(in []byte) (size int, err error) {
 	parsed, size, err := parseResponse(in)
 	if err != nil || size == 0 {
--- a/internal/engine/lineclient/fields.go
+++ b/internal/engine/lineclient/fields.go
@@ -20,7 +20,7 @@
 	fieldMemory        = "used"    // of a result: memory in MB
 	fieldLoads         = "gauges"  // the load report: pairs name:value separated by semicolons
 	fieldProgressKind  = "res"     // of a progress response: progressFraction, progressSpilling or progressAwaiting
-	fieldProgressValue = "num"     // of a progress response: depends on its kind
+	fieldProgressValue = "num"     // of a progress response: its meaning depends on the kind
 )
 
 // value returns the value of the first field with this name.
@@ -68,8 +68,8 @@
 	return report
 }
 
-// setLoad sets the load of this name, and reports whether the name is known. An engine may use the
-// name in the wire protocol or the name in the settings.
+// setLoad sets the load of this name, and reports whether the name is known. Engines report a load
+// under its name in the wire protocol or under its name in the settings.
 func setLoad(report *policy.LoadReport, name string, value float64) bool {
 	switch name {
 	case "util", "cpu":
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -52,7 +52,7 @@
 		x.Abandon(x.start(id, multilineStatement))
 		x.RemoveEngineAndAwaitClose()
 	}},
-	"cancel-between-pages": {play: func(x exchange) { // pages that are not fetched yet are released
+	"cancel-between-pages": {play: func(x exchange) { // the result is released although its second page has not arrived
 		attempt := x.start(id, multilineStatement)
 		x.respondFirstPage(attempt)
 		x.Abandon(attempt)
@@ -114,7 +114,7 @@
 		}
 		x.write("t1 FIT - 0\r\n\r\n")
 		x.write(id + " FIT - 0\r\n\r\n")
-		x.write("ffffffffffffffff" + emptyResult) // to no request
+		x.write("ffffffffffffffff" + emptyResult) // the id belongs to no request
 		x.respond(attempt)
 		var progress int64
 		x.Do(func() { progress = x.Counters.Get(metrics.AttemptsProgress) })
@@ -159,7 +159,7 @@
 		x.Accept()
 		x.readCommand()
 		x.respond(next)
-		again := x.start(id, statement) // nothing was written for it: the id may be used
+		again := x.start(id, statement) // the withdrawn request was not written, so its id may be used
 		x.Do(func() {
 			if x.Client.Withdraw(again) {
 				x.T.Error("Withdraw succeeded although the request is written")
@@ -209,7 +209,7 @@
 	"closed-by-engine": {play: func(x exchange) {
 		served := x.start(id, statement)
 		lost := x.start(otherID, "SELECT 2")
-		x.write(id + emptyResult) // read and handled before the connection is closed
+		x.write(id + emptyResult) // the client reads and handles this before it detects the close
 		x.respondFirstPage(lost)
 		x.write(otherID + " MORE ba")
 		x.Disconnect()
@@ -223,7 +223,7 @@
 		x.BlockLoop(func() {
 			x.Reset()
 			time.Sleep(resetDelay)
-		}, func() { // the client has not been notified of the reset yet when it writes
+		}, func() { // the client writes before it is notified of the reset
 			x.Client.Start(unwritten)
 		})
 		x.AwaitEnd(unwritten)
@@ -233,7 +233,8 @@
 	"abandoned-after-protocol-error": {cancels: true, play: func(x exchange) {
 		served := x.start(id, statement)
 		abandoned := x.start(otherID, "SELECT 2")
-		// The close of the connection is posted after this, when the second response is read.
+		// The client closes the connection when it reads the second response. The call of Abandon
+		// is posted earlier, so it runs before the connection's OnClosed.
 		x.Do(func() {
 			x.OnServed(func() { x.Post(func() { x.Client.Abandon(abandoned) }) })
 		})
@@ -255,13 +256,13 @@
 	"evicted": {maxConnections: 1, play: func(x exchange) {
 		x.Abandon(x.start(id, statement))
 		busy := x.start(otherID, "SELECT 2")
-		unconnected := x.newAttempt(id, statement) // the id can't be used on the connection, which is busy
+		unconnected := x.newAttempt(id, statement) // the open connection is busy, and the id can't be used on it
 		x.Start(unconnected)
 		x.AwaitEnd(unconnected)
 		x.respond(busy)
 		again := x.newAttempt(id, statement)
 		x.Start(again)
-		x.AwaitClose() // of the idle connection
+		x.AwaitClose() // the idle connection is evicted
 		x.Accept()
 		x.readCommand()
 		x.respond(again)
--- a/internal/engine/lineclient/requests.go
+++ b/internal/engine/lineclient/requests.go
@@ -21,7 +21,7 @@
 // executeCommandSize is the usual size of an execute command without its statement, in bytes.
 const executeCommandSize = 160
 
-// executeCommand encodes an attempt's request, with the time until its timeout in milliseconds.
+// executeCommand encodes an attempt's request, with the milliseconds until the attempt's timeout.
 func executeCommand(attempt *lifecycle.Attempt, now time.Duration) []byte {
 	request := attempt.Request
 	statement, _ := request.Statement.(string)
@@ -61,7 +61,7 @@
 	return []byte(commandSetPriority + id + " " + strconv.Itoa(priority) + lineEnd)
 }
 
-// fetchCommands encodes one command for each page of a result after the first.
+// fetchCommands encodes one command for each page after the first.
 func fetchCommands(id string, pages int) []byte {
 	var b []byte
 	for page := 1; page < pages; page++ {
--- a/internal/engine/lineclient/responses.go
+++ b/internal/engine/lineclient/responses.go
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// handleFailure ends an attempt without a result. In streamFetching the status is StatusPagesLost:
-// the engine no longer has the pages.
+// handleFailure ends the attempt after a response that reports a failure. In streamFetching the
+// status is StatusPagesLost: the engine no longer has the pages.
 func (s *stream) handleFailure(received response, status lifecycle.AttemptStatus) {
 	if s.state == streamFetching {
 		status = lifecycle.StatusPagesLost
--- a/internal/engine/lineclient/stream.go
+++ b/internal/engine/lineclient/stream.go
@@ -37,9 +37,9 @@
 // Written reports whether the request is written.
 func (s *stream) Written() bool { return s.state != streamWaiting }
 
-// Abandon removes the stream, whose attempt has not ended, from its connection. A written request
-// is cancelled if the settings permit that. A result whose pages are being fetched is always
-// released instead, because the engine has no work to cancel.
+// Abandon removes the stream from its connection. The attempt must not have ended. A written
+// request is cancelled if the settings permit that. A result whose pages are being fetched is
+// always released instead, because the engine has no work to cancel.
 func (s *stream) Abandon() {
 	c := s.conn
 	id := s.attempt.Request.ID
--- a/internal/engine/pgclient/client.go
+++ b/internal/engine/pgclient/client.go
@@ -93,7 +93,8 @@
 	conn.add(attempt)
 }
 
-// findIdle returns an idle connection to the engine that accepts attempts, or nil.
+// findIdle searches the connections to the engine for an idle one that accepts attempts. It returns
+// nil if there is none.
 func findIdle(target *engine.Engine[*connection]) *connection {
 	for _, conn := range target.Connections {
 		if !conn.Retiring() && conn.exchange.idle() {
--- a/internal/engine/pgclient/connection.go
+++ b/internal/engine/pgclient/connection.go
@@ -7,9 +7,9 @@
 	"flaxrelay/internal/lifecycle"
 )
 
-// connection is one connection to an engine. It owns the exchange of the attempt on it, and is
-// the engine.AttemptHandle of that attempt. In engine.StateStartup it waits for the engine's
-// ReadyForQuery. It may be used only on the event loop's goroutine.
+// connection is one connection to an engine. It owns the exchange of its attempt, and is that
+// attempt's engine.AttemptHandle. In engine.StateStartup it waits for the engine's ReadyForQuery.
+// It may be used only on the event loop's goroutine.
 type connection struct {
 	engine.Connection[*connection]
 
@@ -54,9 +54,9 @@
 // Written reports whether the query of the connection's attempt is written.
 func (c *connection) Written() bool { return c.exchange.written() }
 
-// Abandon removes the attempt, which has not ended, from the connection. If its query is written,
-// the connection is closed and a CancelRequest is sent on another connection. If this connection
-// were reused, a CancelRequest that arrives late would cancel its next query.
+// Abandon removes the attempt from the connection. The attempt must not have ended. If its query is
+// written, the connection is closed and a CancelRequest is sent on another connection. If this
+// connection were reused, a CancelRequest that arrives late would cancel its next query.
 func (c *connection) Abandon() {
 	written := c.exchange.written()
 	c.removeAttempt()
@@ -65,14 +65,15 @@
 	}
 }
 
-// removeAttempt removes the attempt from the connection.
+// removeAttempt removes the attempt from the connection, and returns the bytes of its rows to the
+// budget.
 func (c *connection) removeAttempt() {
 	c.client.resultBudget.Release(len(c.exchange.result.DataRows))
 	c.exchange.attempt.ClientData = nil // the connection may get another attempt, which this one must not abandon
 	c.exchange.clear()
 }
 
-// finish removes the attempt from the connection and ends it.
+// finish removes the attempt from the connection and ends the attempt.
 func (c *connection) finish(status lifecycle.AttemptStatus, report lifecycle.AttemptReport) {
 	attempt := c.exchange.attempt
 	c.removeAttempt()
--- a/internal/engine/pgclient/errors.go
+++ b/internal/engine/pgclient/errors.go
@@ -45,7 +45,7 @@
 
 // The SQLSTATE codes that this client uses, under their names in PostgreSQL's documentation.
 const (
-	sqlStateFeatureNotSupported  = "0A000" // also if the result type of a prepared statement has changed
+	sqlStateFeatureNotSupported  = "0A000" // also sent if the result type of a prepared statement has changed
 	sqlStateInvalidStatementName = "26000"
 	sqlStateOutOfMemory          = "53200"
 	sqlStateProgramLimitExceeded = "54000"
@@ -88,9 +88,9 @@
 	return lifecycle.StatusStatementRejected
 }
 
-// errorStatus returns the status of an attempt whose response contains an ErrorResponse. An
-// engine that ran out of resources may have changed something outside its transaction, such as
-// a sequence. A statement that is not idempotent must therefore not be retried.
+// errorStatus returns the status of an attempt whose response contains an ErrorResponse. An engine
+// that ran out of resources may have changed something outside the transaction, such as a sequence.
+// A statement that is not idempotent must therefore not be retried.
 func (c *connection) errorStatus(statement *pgproto.Statement) lifecycle.AttemptStatus {
 	status := statusOf(c.exchange.errorResponse.Code)
 	class, _ := c.client.Dispatcher.Class(c.exchange.attempt.Request.Class)
@@ -100,8 +100,9 @@
 	return status
 }
 
-// handleError handles an ErrorResponse. The error ends the attempt at the end of the response.
-// An error during the startup or of severity FATAL closes the connection, which ends the attempt.
+// handleError handles an ErrorResponse. The attempt usually ends when the response is complete. An
+// error during the startup or of severity FATAL closes the connection, and the attempt ends with
+// the close.
 func (c *connection) handleError(body []byte) error {
 	response, err := pgproto.ParseError(body)
 	if err != nil {
@@ -121,7 +122,7 @@
 	switch {
 	case written && status == lifecycle.StatusTimeout, !written && status == lifecycle.StatusOverloaded:
 		return status
-	case written: // the statement may have run, for instance between its commit and CommandComplete
+	case written: // the statement may have run: the engine may have failed after the commit and before CommandComplete
 		return lifecycle.StatusEngineError
 	default: // the statement has not run
 		return lifecycle.StatusConnectionRefused
--- a/internal/engine/pgclient/exchange.go
+++ b/internal/engine/pgclient/exchange.go
@@ -32,7 +32,7 @@
 	state         exchangeState
 	attempt       *lifecycle.Attempt // nil: the connection is idle
 	result        *pgproto.Result    // nil: the connection is idle
-	prepared      preparation        // of the query's statement, once the query is written
+	prepared      preparation        // how the query refers to its statement; set when the query is written
 	complete      bool               // CommandComplete or EmptyQueryResponse has arrived
 	errorResponse *pgproto.Error     // the latest; nil: none
 }
@@ -42,7 +42,7 @@
 	return exchange{state: exchangePending, attempt: attempt, result: &pgproto.Result{}}
 }
 
-// idle reports whether there is no attempt.
+// idle reports whether the connection has no attempt.
 func (e *exchange) idle() bool { return e.attempt == nil }
 
 // written reports whether the query of the attempt was written. If the connection is idle, it
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -175,10 +175,10 @@
 		x.PrintConnections()
 	}},
 	"statement-not-forgotten": {play: func(x exchange) {
-		// This query has parsed the statement itself.
+		// The query that fails has parsed the statement itself, so the statement is not stale.
 		x.respond(x.connectAndStart(lookupStatement), errorResponse("ERROR", invalidStatementName), readyForQuery)
 		x.respond(x.startOnIdle(lookupStatement), emptyResponse...)
-		// The statement may have run.
+		// The error arrives after BindComplete, so the statement may have run.
 		attempt := x.startOnIdle(lookupStatement)
 		x.respond(attempt, bindComplete, errorResponse("ERROR", featureNotSupported), readyForQuery)
 		x.respond(x.startOnIdle(lookupStatement), reusedResponse...)
@@ -220,7 +220,7 @@
 		x.Disconnect()
 		x.AwaitEnd(attempt)
 		attempt = x.connectAndStart(lookupStatement)
-		x.Write(emptyResponse...) // read and handled before the connection is closed
+		x.Write(emptyResponse...) // the client reads and handles these before it detects the close
 		x.Disconnect()
 		x.AwaitEnd(attempt)
 		x.PrintConnections()
@@ -238,7 +238,7 @@
 	"buffer-budget": {
 		maxBufferedBytes: smallBudget,
 		play: func(x exchange) {
-			for range 2 { // the first attempt has released its part of the budget
+			for range 2 { // the second time, the budget is unused again: the first attempt has released its bytes
 				attempt := x.connectAndStart(lookupStatement)
 				x.respond(attempt, responseWithRows(3)...)
 				x.AwaitClose()
@@ -257,7 +257,7 @@
 			x.AwaitClose()
 			x.PrintConnections()
 		}
-		// On a connection on which no query was written.
+		// No query was written on these connections.
 		for _, code := range []string{adminShutdown, idleSessionTimeout} {
 			attempt := x.start(lookupStatement)
 			x.acceptPacket()
--- a/internal/engine/pgclient/prepared.go
+++ b/internal/engine/pgclient/prepared.go
@@ -40,7 +40,7 @@
 }
 
 // prepare returns the preparation for a query of the statement. A new statement does not stay
-// prepared if its key is too long or if there are maxPrepared already.
+// prepared if its key is too long or if maxPrepared statements are prepared already.
 func (p *preparedStatements) prepare(statement *pgproto.Statement) preparation {
 	key := statementKey(statement)
 	if name, ok := p.names[key]; ok {
--- a/internal/engine/pgclient/query.go
+++ b/internal/engine/pgclient/query.go
@@ -5,8 +5,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// writeQuery writes the query of the attempt, or ends the attempt if the dispatcher does not
-// permit it.
+// writeQuery writes the query of the attempt. If the dispatcher does not permit the query,
+// writeQuery ends the attempt.
 func (c *connection) writeQuery() {
 	attempt := c.exchange.attempt
 	statement, ok := attempt.Request.Statement.(*pgproto.Statement)
@@ -19,8 +19,8 @@
 	c.Write(encodeQuery(statement, c.exchange.prepared))
 }
 
-// encodeQuery returns the messages of one query: Parse, unless the statement is prepared; Bind,
-// Describe and Execute, or only Describe; Sync.
+// encodeQuery returns the messages of one query: first a Parse, unless the statement is prepared
+// already; then Bind, Describe and Execute, or only a Describe; and last a Sync.
 func encodeQuery(statement *pgproto.Statement, prepared preparation) []byte {
 	var query []byte
 	name := pgproto.CString(prepared.name)
--- a/internal/engine/pgclient/response.go
+++ b/internal/engine/pgclient/response.go
@@ -65,11 +65,11 @@
 	c.client.Dispatcher.EndAttempt(attempt, lifecycle.StatusResultTooLarge, report)
 }
 
-// completeResponse ends the attempt at the ReadyForQuery that ends its response.
+// completeResponse handles the ReadyForQuery that ends a response, and ends the attempt.
 func (c *connection) completeResponse() error {
 	statement, _ := c.exchange.attempt.Request.Statement.(*pgproto.Statement)
 	failure := c.exchange.errorResponse
-	// A Describe without an Execute has no CommandComplete.
+	// The response to a Describe without an Execute contains no CommandComplete.
 	described := statement.DescribeOnly && c.exchange.result.ParameterDescription != nil
 	switch {
 	case failure != nil && c.forgetStale(failure.Code):
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -15,9 +15,9 @@
 	Retire()
 }
 
-// pool owns the engines of the endpoint list with their connections. The key is the engine's
-// id, because a new engine may have the address of a removed one. It may be used only on the
-// event loop's goroutine.
+// pool owns the engines of the endpoint list with their connections. The engines are identified by
+// id and not by address, because a new engine may have the address of a removed one. The pool may
+// be used only on the event loop's goroutine.
 type pool[C pooled] struct{ engines map[string]*Engine[C] }
 
 // Engine is one engine of the endpoint list with its connections.
