--- a/internal/eventloop/arrivallog.go
+++ b/internal/eventloop/arrivallog.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// arrivalPrecision limits the time over which reads are recorded as one arrival. This limits the memory for peers that
-// send byte by byte.
+// arrivalPrecision is the time within which several reads are recorded as one arrival. This limits the memory for peers
+// that send byte by byte.
 const arrivalPrecision = 10 * time.Millisecond
 
 // arrivalLog records when the bytes of a connection arrived. Positions count the bytes since the connection began.
--- a/internal/eventloop/backlog.go
+++ b/internal/eventloop/backlog.go
@@ -20,9 +20,9 @@
 // errBacklogEmpty means that no connection waits to be accepted.
 var errBacklogEmpty = errors.New("no connection waits to be accepted")
 
-// Close implements net.Listener. It first accepts the connections of the backlog: the kernel has established them and
-// their clients may have sent a request, and closing the listener alone would reset them. It may be called from any
-// goroutine.
+// Close implements net.Listener. It first accepts the connections of the backlog. The kernel has established these
+// connections, and their clients may have sent requests. If only the listener were closed, the connections would be
+// reset. Close may be called from any goroutine.
 func (a *acceptor) Close() error {
 	a.acceptBacklog()
 	return a.Listener.Close()
--- a/internal/eventloop/buffer.go
+++ b/internal/eventloop/buffer.go
@@ -28,9 +28,9 @@
 	b.arrivals.forget(b.position())
 }
 
-// ArrivedAt returns when the n-th byte that has not been consumed arrived, by the clock of Loop.Now. This is when the
-// byte was read, or about when the kernel received it if it may have waited there. Bytes that are read later do not
-// change the result. n is at least 1 and at most Len.
+// ArrivedAt returns when the n-th byte that has not been consumed arrived, by the clock of Loop.Now. The result is the
+// time of the read. If the byte may have waited in the kernel, the result is about the time at which the kernel
+// received it. Bytes that are read later do not change the result. n is at least 1 and at most Len.
 func (b *Buffer) ArrivedAt(n int) time.Duration {
 	return b.arrivals.timeOf(b.position() + int64(n))
 }
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -85,8 +85,8 @@
 	return idle
 }
 
-// startClosingIfIdle reads what the socket holds, and changes the state if nothing is unread. It holds the reader's
-// mutex meanwhile, so that what the poller reads next is discarded.
+// startClosingIfIdle reads what the socket holds. If no bytes are unread and the connection is open, it changes the
+// state to closing. It holds the reader's mutex meanwhile, so that what the poller reads next is discarded.
 func (c *closer) startClosingIfIdle() (idle bool) {
 	c.reader.mu.Lock()
 	defer c.reader.mu.Unlock()
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// Bytes that were read just before Close are not delivered after it: the peer sees only the close, and may send the
-// bytes again.
+// Bytes that were read just before Close are not delivered after Close: the peer sees only that the connection is
+// closed, and may send the bytes again.
 func TestClose_DropsBytesReadJustBefore(t *testing.T) {
 	l, r, peer := connectedPair(t)
 	eventlooptest.Do(l, func() {
@@ -234,8 +234,8 @@
 	checkEnd(t, r, nil)
 }
 
-// Each close method limits the time until the connection ends: to maxFlushTime if bytes are pending and to lingerTime
-// otherwise, and to lingerTime in any case for CloseAfterLinger.
+// Each close method limits the time until the connection ends. CloseAfterLinger limits it to lingerTime. The other
+// methods limit it to maxFlushTime if bytes are pending, and to lingerTime otherwise.
 func TestClose_LastsNoLongerThanItsLimit(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -50,7 +50,7 @@
 	state := &c.closer.state
 	c.reader = reader{loop: l, socket: s, state: state, limit: readLimit}
 	c.reader.onData = func(in *Buffer) { c.handler.OnData(c, in) }
-	c.reader.bytesMayHaveWaited = true // for the connection to be accepted
+	c.reader.bytesMayHaveWaited = true // while the connection waited to be accepted
 	c.writer = writer{loop: l, socket: s, state: state, notifyCloser: c.closer.writesFlushed}
 	c.closer.loop = l
 	c.closer.socket = s
@@ -74,8 +74,8 @@
 // limit the read-ahead while a client's request is in flight.
 func (c *Conn) LimitReadAhead() { c.reader.aheadLimited.Store(true) }
 
-// LiftReadAheadLimit ends the effect of LimitReadAhead. Unless it is called from OnData, Redeliver must be called after
-// it: reading that has paused resumes only after the next call of OnData.
+// LiftReadAheadLimit ends the effect of LimitReadAhead. Reading that has paused resumes only at the end of a call of
+// OnData. A caller outside OnData must therefore also call Redeliver.
 func (c *Conn) LiftReadAheadLimit() { c.reader.aheadLimited.Store(false) }
 
 // Redeliver schedules another call of OnData, on a later turn, for the bytes that an earlier call left in the buffer.
@@ -85,8 +85,9 @@
 // OnData.
 func (c *Conn) UnreadBytes() int { return c.reader.unreadBytes() }
 
-// Close ends the connection once all written bytes have been sent and then either the peer has closed it or lingerTime
-// has passed, at the latest after maxFlushTime. OnClosed is called on a later turn. OnData is not called any more.
+// Close ends the connection. It first sends all written bytes. It then waits until the peer has closed the connection,
+// but at most for lingerTime. Both together take at most maxFlushTime. OnClosed is called on a later turn. OnData is
+// not called any more.
 func (c *Conn) Close() { c.closer.close() }
 
 // CloseAfterLinger ends the connection after lingerTime, in which pending bytes are sent and the peer can read the last
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -56,9 +56,10 @@
 //   - poller.mu guards the poller's table of sockets.
 //   - taskQueue.mu guards the functions that wait for the loop's goroutine.
 //
-// They are locked in this order: reader.mu, then socket.mu, then poller.mu or taskQueue.mu. No other lock is taken
-// while one of the last two is held. No lock is held when a posted function starts, a timer fires or Handler.OnClosed
-// is called. The state of the close and the counts of buffered and of pending bytes are atomic and need no lock.
+// The mutexes are locked in this order: reader.mu, then socket.mu, then poller.mu or taskQueue.mu. No other lock is
+// taken while one of the last two is held. No lock is held when a posted function starts, a timer fires or
+// Handler.OnClosed is called. The state of the close and the counts of buffered and of pending bytes are atomic and
+// need no lock.
 //
 // A method whose name ends in Locked must be called with the mutex of its type held.
 package eventloop
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -15,8 +15,9 @@
 	errNotTCP = errors.New("the connection is not a TCP connection")
 )
 
-// localFailures are the errors of a call that failed because this machine lacked a resource, such as space in its
-// tables or buffers or a port, or because a signal interrupted the call. They do not indicate a fault of the peer.
+// localFailures are the errors of a call that failed for a reason on this machine: a signal interrupted the call, or
+// this machine lacked a resource such as a table entry, buffer space or a port. These errors do not indicate a fault of
+// the peer.
 var localFailures = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
 	syscall.EINTR,
@@ -26,8 +27,8 @@
 // machine. If the errors persist, the peer counts as down.
 var routeFailures = []error{syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM}
 
-// IsConnectionRefused reports whether the peer's host answered the dial and refused it, as opposed to a dial that timed
-// out or failed on this machine.
+// IsConnectionRefused reports whether the peer's host answered the dial and refused it. It is false for a dial that
+// timed out or failed on this machine.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // IsLocalFailure reports whether a call failed because this machine lacked a resource or a signal interrupted the call.
@@ -38,7 +39,7 @@
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// isTransientDialFailure reports whether a failed dial is worth a retry at once.
+// isTransientDialFailure reports whether a failed dial may succeed if it is retried at once.
 func isTransientDialFailure(err error) bool { return IsLocalFailure(err) || isAny(err, routeFailures) }
 
 func isAny(err error, targets []error) bool {
--- a/internal/eventloop/eventlooptest/eventlooptest.go
+++ b/internal/eventloop/eventlooptest/eventlooptest.go
@@ -12,7 +12,7 @@
 }
 
 // Run runs the loop on a new goroutine. At the end of the test, it stops the loop and waits until the loop's Run has
-// returned. The channel is closed when the loop's Run returns.
+// returned. The returned channel is closed when the loop's Run returns.
 func Run(tb testing.TB, loop Loop) (ended <-chan struct{}) {
 	tb.Helper()
 	done := make(chan struct{})
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -14,8 +14,8 @@
 	// listenRetryDelay is the pause between two attempts to listen.
 	listenRetryDelay = 20 * time.Millisecond
 
-	// acceptRetryDelay is the pause after a failed accept. It prevents a busy loop while the descriptor table is full,
-	// because the listener stays readable then.
+	// acceptRetryDelay is the pause after a failed accept. While the descriptor table is full, the listener stays
+	// readable; without the pause, accepting would be a busy loop.
 	acceptRetryDelay = 20 * time.Millisecond
 
 	// maxConvertAttempts limits the attempts to convert an accepted connection to a socket. The pause between two
@@ -60,8 +60,8 @@
 	return a, nil
 }
 
-// listenWithRetries listens, and retries for listenRetryTime if this machine lacks a resource that a later attempt may
-// find. An address that this machine does not have is reported at once.
+// listenWithRetries listens. If this machine lacks a resource that may be available later, it retries for
+// listenRetryTime. An address that this machine does not have is reported at once.
 func (l *Loop) listenWithRetries(addr string) (net.Listener, error) {
 	for giveUpAt := time.Now().Add(listenRetryTime); ; time.Sleep(listenRetryDelay) {
 		listener, err := l.listen("tcp", addr)
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// readSize is the size of one read, in bytes. It is also the number of unread bytes at which a connection whose
-	// read-ahead is limited is no longer read.
+	// readSize is the size of one read, in bytes. A connection whose read-ahead is limited is no longer read once this
+	// many bytes are unread.
 	readSize = 32 << 10
 
 	// eventsPerWait is the largest number of events that one wait returns.
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -125,7 +125,7 @@
 
 // discardLocked counts bytes that arrived after Close and are dropped. They are read because a socket that is closed
 // with unread bytes resets the connection. It reports whether to read on. Reading ends once more than the size of a
-// full buffer has been discarded, because such a peer may continue to send at full speed.
+// full buffer has been discarded, because a peer that sends this much may continue at full speed.
 func (r *reader) discardLocked(n int) (readOn bool) {
 	r.discarded += n
 	if r.discarded > r.limit {
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -9,7 +9,7 @@
 )
 
 // If the budget of all buffers is exceeded, a connection that needs more than one read is closed, and its bytes are no
-// longer counted. A close by its handler meanwhile has no effect.
+// longer counted. If its handler also closes it before OnClosed is called, that has no effect.
 func TestBufferBudget_ClosesTheConnectionThatExceedsIt(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -209,9 +209,9 @@
 	}
 }
 
-// closeDescriptor closes the descriptor, and reports whether it was open. It first removes the socket from the poller,
-// for the reason given at poller.remove, and because a removal after the close might affect another socket: the kernel
-// reuses the number of a closed descriptor.
+// closeDescriptor closes the descriptor, and reports whether it was open. It first removes the socket from the poller.
+// One reason for this order is given at poller.remove. The other is that a removal after the close might affect another
+// socket, because the kernel reuses the number of a closed descriptor.
 func (s *socket) closeDescriptor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -220,8 +220,8 @@
 	}
 }
 
-// For a socket that cannot be polled, adopt returns the error and makes no handler: the handler would have to be
-// notified of the end.
+// For a socket that cannot be polled, adopt returns the error and does not call newHandler: a handler would expect a
+// call of OnClosed.
 func TestAdopt_ClosesASocketThatCannotBePolled(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	eventlooptest.Do(l, func() {
--- a/internal/eventloop/writer.go
+++ b/internal/eventloop/writer.go
@@ -28,8 +28,8 @@
 	return w.socket.write(data) == nil
 }
 
-// notifyWhenFlushed schedules calls of notifyCloser and of f, which may be nil, on a later turn, once nothing is
-// pending.
+// notifyWhenFlushed schedules the calls of notifyCloser and then of f on a later turn, once nothing is pending. f may
+// be nil.
 func (w *writer) notifyWhenFlushed(f func()) {
 	w.onFlushed = f
 	w.flushAwaited.Store(true)
