--- a/internal/frontend/httpserver/close.go
+++ b/internal/frontend/httpserver/close.go
@@ -34,7 +34,7 @@
 
 // closeUnused reads the bytes that the socket holds, and closes the connection without a response if no bytes are
 // unread. It reports whether it closed the connection. Every close from this side without a response goes through
-// closeUnused, so that no request that was read is lost: a call while a request is in flight closes nothing and is
+// closeUnused, so that no request that was read is lost. A call while a request is in flight closes nothing and is
 // counted as a violation. Unlike unused, closeUnused ignores whether the client fetches a result page by page. It must
 // not be called from OnData.
 func (c *connection) closeUnused(reason closeReason) bool {
@@ -51,8 +51,8 @@
 	return true
 }
 
-// write sends a response. If nothing more will be served after it, the response announces the close and the connection
-// is closed. It must not be called in stateClosing.
+// write sends a response. If this is the last response of the connection, the response announces the close and the
+// connection is then closed; see closesAfterResponse. write must not be called in stateClosing.
 func (c *connection) write(r response) {
 	if c.closesAfterResponse() {
 		c.writeLast(r, cmp.Or(c.closeReason, closeAfterResponse))
@@ -61,9 +61,9 @@
 	c.socket.Write(r.encode())
 }
 
-// closesAfterResponse reports whether the connection must be closed after the response that is about to be written: if
-// the client wants that, or if nothing is outstanding after the response and the connection is being evicted or the
-// server is draining.
+// closesAfterResponse reports whether the connection must be closed after the response that is about to be written.
+// This is the case if the client wants it. In an eviction or a graceful shutdown, it is also the case if the client has
+// no further page to fetch and no bytes are unread.
 func (c *connection) closesAfterResponse() bool {
 	if c.wantsClose {
 		return true
@@ -87,8 +87,7 @@
 }
 
 // reject responds to an invalid request and closes the connection. After a request that can't be parsed, the start of
-// the next one is unknown. The close also forces a client that keeps sending invalid requests to connect again for
-// each.
+// the next one is unknown. A client that keeps sending invalid requests must also connect again for each of them.
 func (c *connection) reject(err *statusError) {
 	c.server.counters.Increment(metrics.HTTPBadRequests)
 	c.writeLast(errorResponse(err), closeInvalidRequest)
--- a/internal/frontend/httpserver/connection.go
+++ b/internal/frontend/httpserver/connection.go
@@ -12,7 +12,8 @@
 	"flaxrelay/internal/timerqueue"
 )
 
-// maxPendingWrite is how many bytes may wait to be sent to a client. While more wait, none of its requests are read.
+// maxPendingWrite is how many bytes may wait to be sent to a client. While more wait, the client's requests are not
+// read.
 const maxPendingWrite = 256 << 10
 
 // connectionState determines what a connection may do next. Every connection starts in stateNew and ends in
@@ -30,38 +31,40 @@
 //	all but closing    the last response (writeLast)                      closing
 //	all                the client disconnected, or the connection broke   closing
 //
-// closeUnused closes a connection that has no unread bytes if its client sends no first request in time or is idle for
-// too long, if the connection is evicted, or in a graceful shutdown. The last response is the response to an invalid or
-// incomplete request, the response after which the client wants the connection closed, or, in eviction and graceful
-// shutdown, the response after which nothing is outstanding.
+// closeUnused closes a connection without unread bytes for one of these reasons: its client sent no first request in
+// time, its client was idle for too long, the connection is evicted, or the server shuts down gracefully.
 //
-// A request in flight is abandoned if its client disconnects or sends bytes after it that can't be a request. After
-// each response the next request is read.
+// The last response is one of these: the response to an invalid or incomplete request; the response after which the
+// client wants the connection closed; or, in an eviction or a graceful shutdown, the response after which nothing is
+// outstanding.
+//
+// A request in flight is abandoned if its client disconnects, or if the bytes after the request can't start another
+// one. After each response the next request is read.
 type connectionState uint8
 
 const (
-	// stateNew awaits the first request. Eviction closes connections in this state first: their clients have not made a
-	// valid request yet.
+	// stateNew: the connection waits for the first request. Connections in this state are evicted first, because their
+	// clients have not made a valid request yet.
 	stateNew connectionState = iota
-	// stateIdle awaits the next request of a client that has already made a valid one.
+	// stateIdle: the connection waits for the next request of a client that has already made a valid one.
 	stateIdle
-	// statePaging awaits the next request after a response that named a further page of its result.
+	// statePaging: the last response contained the path of a further page. The connection waits for the next request.
 	statePaging
-	// stateInFlight waits for the dispatcher's response to a request. No further request is served meanwhile.
+	// stateInFlight: a request waits for the dispatcher's response. No further request is served meanwhile.
 	stateInFlight
-	// stateEvicting rejects the requests that had arrived before the connection was evicted. The connection is closed
-	// after the last of these responses.
+	// stateEvicting: the requests that had arrived before the connection was evicted are rejected. The connection is
+	// closed after the last rejection.
 	stateEvicting
-	// stateClosing reads and writes nothing more.
+	// stateClosing: nothing more is read or written.
 	stateClosing
 )
 
 // awaitsRequest reports whether the next request may be read.
 func (s connectionState) awaitsRequest() bool { return s != stateInFlight && s != stateClosing }
 
-// connection is the connection of one client. It serves one request at a time and ensures that each has one response:
-// only closeUnused closes the connection without a response. A connection must be used from the goroutine of the event
-// loop only.
+// connection is the connection of one client. It serves one request at a time and ensures that each request has one
+// response: only closeUnused closes the connection without a response. A connection must be used from the goroutine of
+// the event loop only.
 type connection struct {
 	server *Server
 	socket *eventloop.Conn
--- a/internal/frontend/httpserver/connection_test.go
+++ b/internal/frontend/httpserver/connection_test.go
@@ -18,8 +18,8 @@
 	malformedRequest = "GET /health HTTP/1.1\r\nHost\r\n\r\n"
 )
 
-// In every state and for every way in which a connection can end, its client receives all responses, and one reason is
-// counted.
+// In every state and for every way in which a connection can end, its client receives all responses, and one reason for
+// the close is counted.
 func TestConnection_EndsWithAllResponsesAndOneReason(t *testing.T) {
 	const shortReadTimeout = 50 * time.Millisecond
 	var (
@@ -31,7 +31,7 @@
 		options      Options
 		prepare      func(s *clientScenario) // brings the new connection to the state of the case
 		run          func(s *clientScenario)
-		responses    []string // those that neither prepare nor run receives
+		responses    []string // the responses that are read after prepare and run
 		wantCounters map[string]int
 	}{
 		"new, closed by its client": {
--- a/internal/frontend/httpserver/eviction.go
+++ b/internal/frontend/httpserver/eviction.go
@@ -14,7 +14,7 @@
 	// idleCheckInterval is the time between two checks for connections past maxIdleTime.
 	idleCheckInterval = maxIdleTime / 4
 	// minIdleTime is how long a connection is idle before it may be evicted. A client that has just received a response
-	// may be about to send its next request, which could cross the close.
+	// may send its next request before it notices the close.
 	minIdleTime = 100 * time.Millisecond
 	// minOpenTime is how long a new connection is open before it may be evicted.
 	minOpenTime = 20 * time.Millisecond
@@ -43,11 +43,11 @@
 	e.loop.Timers.Schedule(now+idleCheckInterval, e.closeIdle)
 }
 
-// evictExcess evicts connections while too many are open: first those without a valid request, the oldest first, and
-// then those that have been idle for the longest time. This protects against clients that open hundreds of connections,
-// or keep them open after one request: other clients would find no descriptor left. If no connection can be evicted
-// yet, a timer calls evictExcess again. No other event would call it once the listener's limit is reached, since no
-// further connection is then accepted.
+// evictExcess evicts connections while too many are open. It starts with the connections without a valid request, the
+// oldest first. Next are those that have been idle for the longest time. This protects against clients that open
+// hundreds of connections, or keep them open after one request: other clients would find no descriptor left. If no
+// connection can be evicted yet, a timer calls evictExcess again. No other event would call it once the listener's
+// limit is reached, since no further connection is then accepted.
 func (e *evictor) evictExcess() {
 	for {
 		open, victim := e.findVictim()
--- a/internal/frontend/httpserver/parse.go
+++ b/internal/frontend/httpserver/parse.go
@@ -56,7 +56,7 @@
 	arrivedAt  time.Duration     // when its last byte was read, as of Loop.Now; set by requestReader
 }
 
-// parse reads the request at the start of the input and returns its size, which is 0 while it is incomplete.
+// parse reads the request at the start of the input and returns the size of the request, or 0 if it is incomplete.
 func parse(input []byte) (request httpRequest, size int, err *statusError) {
 	headSize := bytes.Index(input[:min(len(input), maxHead)], []byte(headEnd))
 	if headSize < 0 {
--- a/internal/frontend/httpserver/request.go
+++ b/internal/frontend/httpserver/request.go
@@ -41,7 +41,7 @@
 
 func (b *requestBuilder) removeInFlight(id string) { delete(b.inFlightIDs, id) }
 
-// build returns the dispatcher's request for a statement of the class. The client receives its response.
+// build returns the dispatcher's request for a statement of the class. The response is passed to client.
 func (b *requestBuilder) build(
 	className string, request httpRequest, client lifecycle.Client,
 ) (*lifecycle.Request, *statusError) {
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// setIdempotencyKey sets the key of a request whose class needs one: without a key, engines would not drop a duplicate
-// of the request.
+// setIdempotencyKey sets the key of a request whose class needs one. Without the key, engines would not drop a
+// duplicate of the request.
 func setIdempotencyKey(built *lifecycle.Request, class policy.Class, request httpRequest) *statusError {
 	if class.Effect != policy.IdempotentByKey {
 		return nil
--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -44,30 +44,31 @@
 	body       []byte
 }
 
-// emptyResponse confirms a request that has no result.
+// emptyResponse returns the response to a successful request that has no result.
 func emptyResponse() response { return response{status: http.StatusOK, body: []byte(emptyBody)} }
 
-// rowsResponse contains rows of a result, and the path of the next page unless that is empty.
+// rowsResponse returns a response with rows of a result, and with the path of the next page unless that is empty.
 func rowsResponse(rows lineclient.Rows, nextPath string) response {
 	return response{status: http.StatusOK, body: encodeRows(rows, nextPath)}
 }
 
-// resultNotFoundResponse responds to a path under which no result is buffered, as after a restart.
+// resultNotFoundResponse returns the response for a path under which no result is buffered, for example after a
+// restart.
 func resultNotFoundResponse() response {
 	return response{status: http.StatusNotFound, body: encodeError("nothing is held under this path")}
 }
 
-// rejectedResponse responds to a request that did not run.
+// rejectedResponse returns the response to a request that did not run.
 func rejectedResponse(retryAfter time.Duration) response {
 	return response{status: http.StatusServiceUnavailable, retryAfter: retryAfter, body: []byte(rejectedBody)}
 }
 
-// failedResponse responds to a request that may have run.
+// failedResponse returns the response to a request that may have run.
 func failedResponse() response {
 	return response{status: http.StatusInternalServerError, body: []byte(failedBody)}
 }
 
-// errorResponse responds to an invalid request.
+// errorResponse returns the response to an invalid request.
 func errorResponse(err *statusError) response {
 	return response{status: err.status, body: encodeError(err.message)}
 }
@@ -80,7 +81,7 @@
 // encode returns the response as it is sent.
 func (r response) encode() []byte { return r.encodeWith("") }
 
-// encodeLast returns the response as the last one of its connection: it announces the close.
+// encodeLast returns the response with a header field that announces the close of the connection.
 func (r response) encodeLast() []byte { return r.encodeWith("Connection: close\r\n") }
 
 // encodeWith returns the response with an additional header field, which ends with CRLF if it is not empty.
--- a/internal/frontend/httpserver/results.go
+++ b/internal/frontend/httpserver/results.go
@@ -25,7 +25,7 @@
 type resultStore struct {
 	timers     *timerqueue.Queue
 	instanceID string // distinguishes the paths of this process from those of an earlier one
-	sequence   uint64 // of the latest result
+	sequence   uint64 // number of the latest result, as in its path
 	byPath     map[string]*bufferedResult
 	budget     memorybudget.Budget
 }
--- a/internal/frontend/httpserver/server.go
+++ b/internal/frontend/httpserver/server.go
@@ -37,7 +37,7 @@
 	MaxClients       int                // limit of open connections; beyond it some are evicted, see evictor
 	MaxBufferedBytes int                // limit of bytes of results that are buffered for clients to fetch
 	Estimator        *stmtstats.Service // estimates costs by statement shape; nil: no estimates
-	ReadTimeout      time.Duration      // limit of the time until the first or a partly received request is complete
+	ReadTimeout      time.Duration      // limits the wait for the first request and for the rest of a partial one
 }
 
 func (o Options) withDefaults() Options {
@@ -53,8 +53,8 @@
 	return o
 }
 
-// Server accepts HTTP clients. Its methods must be called on the goroutine of the event loop, which owns it and its
-// connections; New and Listen may also be called before the loop runs.
+// Server accepts HTTP clients. Its methods must be called on the goroutine of the event loop, which owns the server and
+// its connections. New and Listen may also be called before the loop runs.
 type Server struct {
 	clientconn.Listener
 	loop       *eventloop.Loop
@@ -68,7 +68,7 @@
 	results     *resultStore
 
 	// Drain and Finish set these. Finish may be called first: if the deadlines of all classes are short, the final
-	// responses of a graceful shutdown are due before it would call Drain.
+	// responses of a graceful shutdown are due before Drain would be called.
 	draining  bool // connections are closed as soon as they are unused
 	finishing bool // the process is about to exit: partly received requests are rejected
 }
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -19,7 +19,7 @@
 type Rule struct {
 	Prefix       string // the words that the statements start with, after comments; letter case is ignored
 	Class        string
-	KeyParameter int  // the number of the parameter that contains the idempotency key, from 1; 0: none
+	KeyParameter int  // the number of the parameter that contains the idempotency key, counted from 1; 0: none
 	ReadOnly     bool // the operator declares the statements read-only; ignored if their text shows that they write
 }
 
@@ -27,7 +27,7 @@
 // key.
 type classification struct {
 	class        policy.Class
-	keyParameter int  // the number of the parameter that contains the idempotency key, from 1; 0: none
+	keyParameter int  // the number of the parameter that contains the idempotency key, counted from 1; 0: none
 	classByShape bool // no rule or comment names a class, so the statement shape may determine it
 }
 
@@ -40,9 +40,10 @@
 }
 
 // classify returns a statement's class. Its leading comment overrides the rules, and the rules override the default. A
-// statement that may write never gets an idempotent class. If its class is the default, it gets the class for writes
-// instead, which permits one attempt. If a comment or a rule names an idempotent class, classify returns an error. A
-// statement whose text does not show its effect counts as one that may write, unless a rule declares it read-only.
+// statement that may write never gets an idempotent class. If its class would be the idempotent default, it gets the
+// class for writes instead, which permits one attempt. If a comment or a rule names an idempotent class for such a
+// statement, classify returns an error. A statement whose text does not show its effect counts as one that may write,
+// unless a rule declares it read-only.
 func (s *Server) classify(query string, parsed *stmtstats.Statement) (classification, *pgproto.Error) {
 	choice, failure := s.chooseClass(query)
 	if failure != nil {
@@ -150,8 +151,8 @@
 	return string(values[parameter-1]), nil
 }
 
-// unsupportedCommands are the first words of statements that need a dedicated engine session: all clients share the
-// sessions of the engines.
+// unsupportedCommands are the first words of statements that need a dedicated engine session. They are not supported
+// because all clients share the sessions of the engines.
 var unsupportedCommands = map[string]bool{
 	"BEGIN": true, "START": true, "COMMIT": true, "END": true, "ROLLBACK": true, "ABORT": true, "SAVEPOINT": true,
 	"RELEASE": true, "COPY": true, "PREPARE": true, "EXECUTE": true, "DEALLOCATE": true, "DECLARE": true,
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -200,7 +200,7 @@
 	c.output.flushTo(c.socket)
 }
 
-// awaitsClient reports whether the connection waits for nothing but further bytes from the client.
+// awaitsClient reports whether the connection waits only for further bytes from the client.
 func (c *connection) awaitsClient() bool {
 	return c.state.awaitsMessage() && c.socket.PendingWrite() <= maxPendingWrite
 }
--- a/internal/frontend/pgserver/extended_describe.go
+++ b/internal/frontend/pgserver/extended_describe.go
@@ -2,9 +2,9 @@
 
 import "flaxrelay/internal/pgproto"
 
-// describe sends the description of a statement at once. The description of a portal stays pending until the next
-// message arrives: that message is usually the first Execute of the portal, whose result includes the description, so
-// that no separate request to an engine is needed.
+// describe serves a Describe. The description of a statement is sent without waiting for the next message. The
+// description of a portal stays pending until the next message arrives. That message is usually the first Execute of
+// the portal. The result of the Execute includes the description, so that no separate request to an engine is needed.
 func (q *extendedQuery) describe(body []byte) (*execution, *pgproto.Error) {
 	kind, name, failure := readTarget(body, "Describe")
 	if failure != nil {
@@ -28,9 +28,9 @@
 	})
 }
 
-// resolveDescribe sends a pending description, unless the next message is the first Execute of the portal. The kind and
-// the body are those of the next message, which must wait if resolveDescribe returns an execution: an engine has to
-// describe the statement first.
+// resolveDescribe sends a pending description, unless the next message is the first Execute of the portal. kind and
+// body are those of the next message. If resolveDescribe returns an execution, an engine has to describe the statement
+// first, and the next message must wait.
 func (q *extendedQuery) resolveDescribe(kind byte, body []byte) (*execution, *pgproto.Error) {
 	described := q.pendingDescribe
 	if described == nil || q.isFirstExecute(described, kind, body) {
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -21,8 +21,8 @@
 	output     *messageWriter
 	statements map[string]*statement
 	portals    portalSet
-	// pendingDescribe is the portal whose description has not been sent yet, because the next message may be its first
-	// Execute, whose result includes the description. It is nil if no description is pending.
+	// pendingDescribe is the portal whose description has not been sent yet: the next message may be the portal's first
+	// Execute, whose result includes the description. pendingDescribe is nil if no description is pending.
 	pendingDescribe *portal
 }
 
--- a/internal/frontend/pgserver/extended_query_test.go
+++ b/internal/frontend/pgserver/extended_query_test.go
@@ -36,16 +36,16 @@
 	return append(pgproto.CString(portal), pgproto.Int32(allRows)...)
 }
 
-// The description of a portal is not sent before the next message. The result of the portal's first Execute includes
-// it. The description is sent before any other message is served, and an engine may have to describe the statement
-// first.
+// The description of a portal is not sent before the next message arrives. If that message is the first Execute of the
+// portal, its result includes the description. Otherwise the description is sent before the message is served, and an
+// engine may have to describe the statement first.
 func TestExtendedQuery_PendingDescriptionIsResolvedByTheNextMessage(t *testing.T) {
 	for name, tt := range map[string]struct {
 		portal    string
 		described bool // an engine has described the statement before
 		kind      byte // of the next message
 		body      []byte
-		pending   bool // the description is left to the Execute
+		pending   bool // the description stays pending: the Execute's result will include it
 		forwarded bool // an engine has to describe the statement
 		want      string
 	}{
--- a/internal/frontend/pgserver/portal.go
+++ b/internal/frontend/pgserver/portal.go
@@ -69,8 +69,8 @@
 	result.DataRows = nil
 }
 
-// sendRows sends rows of a portal that has run, at most maxRows of them if that is positive. After exactly maxRows rows
-// it sends PortalSuspended, and otherwise the completion.
+// sendRows sends rows of a portal that has run. If maxRows is positive, it sends at most maxRows. After exactly maxRows
+// rows it sends PortalSuspended, and otherwise the completion.
 func (p *portal) sendRows(output *messageWriter, maxRows int) *pgproto.Error {
 	if p.state == portalCompleted && p.result.RowDescription == nil {
 		return newError(codeObjectNotInState, "the portal has run and cannot be run again")
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// takeRows removes the next rows, at most maxRows of them if that is positive, from the buffer and returns them and
-// their number.
+// takeRows removes the next rows from the buffer, and returns the rows and their number. If maxRows is positive, it
+// removes at most maxRows.
 func (p *portal) takeRows(maxRows int) (rows []byte, count int) {
 	size := 0
 	// The loop terminates because unsentRows contains only complete messages.
@@ -114,8 +114,8 @@
 	return verb + " " + strconv.Itoa(count)
 }
 
-// portalSet owns the open portals of a connection. Between two messages, the bytes of their unsent rows are reserved in
-// the budget, which all connections share.
+// portalSet owns the open portals of a connection. Between two messages, the bytes of the portals' unsent rows are
+// reserved in the budget, which all connections share.
 type portalSet struct {
 	byName map[string]*portal
 	budget *memorybudget.Budget
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -111,7 +111,7 @@
 // estimator's execution, too.
 func (s *Server) executionClass(exec *execution) (policy.Class, *stmtstats.Execution) {
 	if exec.message.DescribeOnly {
-		// A description does not run its statement, even if that would write.
+		// A description does not run the statement, even if the statement would write.
 		if class, ok := s.dispatcher.Class(s.options.DefaultClass); ok && class.Effect == policy.Idempotent {
 			return class, nil
 		}
--- a/internal/frontend/pgserver/server.go
+++ b/internal/frontend/pgserver/server.go
@@ -39,7 +39,7 @@
 	WriteClass        string             // the default class of statements that may write; "": they are rejected
 	ReadOnlyFunctions sqltext.Functions  // functions that the operators declare read-only
 	Rules             []Rule             // the first rule that matches a statement applies
-	Estimator         *stmtstats.Service // determines classes and estimates by statement shape; nil: off
+	Estimator         *stmtstats.Service // determines classes and estimates costs by statement shape; nil: off
 	MaxClients        int                // limit of open connections; 0: no limit
 	MaxBufferedBytes  int                // limit of bytes of rows in all open portals together; 0: default
 }
@@ -103,8 +103,9 @@
 	s.rowBudget.SetLimit(options.MaxBufferedBytes)
 }
 
-// Drain closes the connections in a graceful shutdown, each at once, or after its next ReadyForQuery if a request is in
-// flight. The last message is an ErrorResponse, which is also the response to unread messages.
+// Drain closes the connections in a graceful shutdown. It closes each connection at once, or after the next
+// ReadyForQuery if a request is in flight. The last message is an ErrorResponse, which is also the response to unread
+// messages.
 func (s *Server) Drain() {
 	s.draining = true
 	for _, c := range s.connections {
--- a/internal/frontend/pgserver/statement_timeout.go
+++ b/internal/frontend/pgserver/statement_timeout.go
@@ -47,8 +47,8 @@
 	return class.Deadline
 }
 
-// maxTimeoutBits is the maximum size in bits of the number before the unit of a timeout: PostgreSQL stores it as a
-// signed 32-bit integer.
+// maxTimeoutBits is the maximum size in bits of the number before the unit of a timeout: PostgreSQL stores the number
+// as a signed 32-bit integer.
 const maxTimeoutBits = 31
 
 // parseStatementTimeout parses a timeout in the syntax of PostgreSQL: a number of milliseconds, or a number with a
