--- a/internal/pgproto/fields.go
+++ b/internal/pgproto/fields.go
@@ -17,8 +17,8 @@
 // Int32 encodes a number in four bytes, in network byte order.
 func Int32(n int) []byte { return binary.BigEndian.AppendUint32(nil, uint32(n)) }
 
-// Reader reads the fields of a message body one after another. If a field is missing or truncated, it sets Malformed
-// and returns zero values from then on.
+// Reader reads the fields of a message body one after another. If a field is missing or truncated, the Reader sets
+// Malformed and returns zero values from then on.
 type Reader struct {
 	Unread    []byte // the rest of the body
 	Malformed bool
--- a/internal/pgproto/results.go
+++ b/internal/pgproto/results.go
@@ -24,8 +24,9 @@
 // formatSize is the size of a format code in bytes.
 const formatSize = int16Size
 
-// ApplyResultFormats returns a copy of the body of a RowDescription with the result formats of a Bind: the format codes
-// of no column, one for all columns, or one for each. The description of a statement does not specify formats.
+// ApplyResultFormats returns a copy of the body of a RowDescription, and sets the formats of the columns in the copy:
+// the description of a statement does not specify them. formats contains the format codes from a Bind: none, one for
+// all columns, or one for each column.
 func ApplyResultFormats(rowDescription, formats []byte) ([]byte, error) {
 	described := append([]byte{}, rowDescription...)
 	reader := Reader{Unread: described}
