--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -121,15 +121,15 @@
 	}})
 }
 
-// RestartEngine makes the endpoint list report a restart of the engine, which retires its
-// connections. It must be called in Do.
+// RestartEngine makes the endpoint list report a restart of the engine. The client then retires its
+// connections to the engine. RestartEngine must be called in Do.
 func (x *Exchange) RestartEngine() {
 	x.startedAt += time.Second
 	x.updateEndpoint(policy.EngineReady)
 }
 
-// RemoveEngine removes the engine from the endpoint list, which retires its connections. It must
-// be called in Do.
+// RemoveEngine removes the engine from the endpoint list. The client then retires its connections
+// to the engine. RemoveEngine must be called in Do.
 func (x *Exchange) RemoveEngine() { x.updateEndpoint(policy.EngineRemoved) }
 
 // RemoveEngineAndAwaitClose removes the engine from the endpoint list, and waits until the client
--- a/internal/engine/lineclient/fields.go
+++ b/internal/engine/lineclient/fields.go
@@ -15,7 +15,7 @@
 // The names of the fields that this client reads.
 const (
 	fieldPageCount     = "batches" // of a result: the number of its pages
-	fieldPageNumber    = "batch"   // of a page after the first
+	fieldPageNumber    = "batch"   // of a page after the first: its number
 	fieldWork          = "cpu"     // of a result: CPU time in milliseconds
 	fieldMemory        = "used"    // of a result: memory in MB
 	fieldLoads         = "gauges"  // the load report: pairs name:value separated by semicolons
--- a/internal/engine/lineclient/golden_test.go
+++ b/internal/engine/lineclient/golden_test.go
@@ -38,7 +38,7 @@
 		expired.Priority = 0
 		expired.Timeout = 0
 		x.startAttempt(expired)
-		for _, attempt := range []*lifecycle.Attempt{expired, full, plain} { // in any order
+		for _, attempt := range []*lifecycle.Attempt{expired, full, plain} { // responses may arrive in any order
 			x.respond(attempt)
 		}
 		x.RemoveEngineAndAwaitClose()
@@ -202,7 +202,7 @@
 		abandoned := x.start(otherID, "SELECT 2")
 		x.Do(x.RestartEngine)
 		x.respond(served)
-		x.Abandon(abandoned) // the last attempt on the connection, which closes after the cancel
+		x.Abandon(abandoned) // this was the last attempt: the connection is closed after the cancel
 		x.AwaitClose()
 		x.PrintConnections()
 	}},
--- a/internal/engine/pgclient/golden_test.go
+++ b/internal/engine/pgclient/golden_test.go
@@ -166,7 +166,7 @@
 	"retired-while-dialing-unused": {play: func(x exchange) {
 		attempt := x.newAttempt("lookup", lookupStatement)
 		x.StartThen(attempt, func() {
-			x.Client.Abandon(attempt) // not written: nothing is cancelled
+			x.Client.Abandon(attempt) // the query is not written: nothing is cancelled
 			x.RestartEngine()
 		})
 		x.acceptPacket()
@@ -194,7 +194,7 @@
 	"abandoned-before-startup": {play: func(x exchange) {
 		attempt := x.start(lookupStatement)
 		x.acceptPacket()
-		x.Abandon(attempt) // not written: nothing is cancelled, and the connection is used again
+		x.Abandon(attempt) // the query is not written: nothing is cancelled, and the connection is reused
 		x.startDuringStartup(statement("SELECT 2"))
 		x.RemoveEngineAndAwaitClose()
 		x.PrintConnections()
--- a/internal/engine/pgclient/prepared.go
+++ b/internal/engine/pgclient/prepared.go
@@ -26,7 +26,7 @@
 
 // preparedStatements are the statements that stay prepared on one connection.
 type preparedStatements struct {
-	names      map[string]string // of the statements, by key
+	names      map[string]string // names of the prepared statements, by key
 	lastNumber int               // number in the name of the latest statement
 }
 
@@ -63,10 +63,10 @@
 // forget makes the next query of the statement parse it again.
 func (p *preparedStatements) forget(prepared preparation) { delete(p.names, prepared.key) }
 
-// forgetStale reports whether the query failed because its statement, which an earlier query
-// had prepared, is stale: the engine has dropped it, or a table that it refers to has changed.
-// If so, it forgets the statement. The query may then be retried: both errors arrive before
-// BindComplete, so the statement has not run.
+// forgetStale reports whether the query failed because its statement is stale: an earlier query had
+// prepared it, and since then the engine has dropped it, or a table that it refers to has changed.
+// If so, forgetStale forgets the statement. The query may then be retried: both errors arrive
+// before BindComplete, so the statement has not run.
 func (c *connection) forgetStale(sqlState string) bool {
 	if c.exchange.prepared.needsParse || c.exchange.state == exchangeBound {
 		return false
