--- a/internal/eventloop/arrivallog.go
+++ b/internal/eventloop/arrivallog.go
@@ -10,7 +10,7 @@
 // It is not safe for concurrent use.
 type arrivalLog struct {
 	received int64     // bytes read so far
-	arrivals []arrival // in order of time; without arrivals whose bytes have all been forgotten
+	arrivals []arrival // in order of time; an arrival is dropped once all its bytes are forgotten
 }
 
 // arrival is one read, or several within arrivalPrecision.
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -90,8 +90,8 @@
 // not called any more.
 func (c *Conn) Close() { c.closer.close() }
 
-// CloseAfterLinger ends the connection after lingerTime, in which pending bytes are sent and the peer can read the last
-// response. Nothing more is read from the peer.
+// CloseAfterLinger ends the connection after lingerTime. Until then pending bytes are sent, and the peer can read the
+// last response. Nothing more is read from the peer.
 func (c *Conn) CloseAfterLinger() { c.closer.closeAfterLinger() }
 
 // CloseIfIdle reads what the socket holds, and then ends the connection as Close does if no bytes are unread. It
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -29,7 +29,7 @@
 
 	// The fields below are used only on the loop's goroutine.
 	data        []string
-	arrivedAt   []time.Duration // of the first byte of each element of data
+	arrivedAt   []time.Duration // arrival time of the first byte of each element of data
 	ignoresData bool            // OnData consumes nothing
 }
 
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// A read that started before its connection was closed may end after the close. Its bytes must neither count against
-// the buffer budget nor end the linger, in which the peer reads the last response.
+// A read that started before its connection was closed may end after the close. Its bytes must not count against the
+// buffer budget. They must not end the linger time either, in which the peer can read the last response.
 func TestRead_DiscardsBytesThatCrossAClose(t *testing.T) {
 	for name, closeConn := range map[string]func(*Conn){
 		"Close":            (*Conn).Close,
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -155,7 +155,7 @@
 			if accepts = !accepts; !accepts {
 				return -1, unix.EAGAIN
 			}
-			return min(len(p), size), nil // as if the peer had read as much
+			return min(len(p), size), nil // as if the peer had read this many bytes
 		})
 		r.conn.Write(make([]byte, 10*size)) // the queue never empties from here on
 		for range writes {
--- a/internal/eventloop/socket_write.go
+++ b/internal/eventloop/socket_write.go
@@ -48,7 +48,7 @@
 	return true
 }
 
-// tryWrite is write without failWrites, which must not be called while mu is held.
+// tryWrite is like write, but does not call failWrites: failWrites must not be called while mu is held.
 func (s *socket) tryWrite(data []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// tryFlush is flush without failWrites, which must not be called while mu is held.
+// tryFlush is like flush, but does not call failWrites: failWrites must not be called while mu is held.
 func (s *socket) tryFlush() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -7,7 +7,7 @@
 	"flaxrelay/internal/eventloop/eventlooptest"
 )
 
-// A function given to OnFlushed runs on a later turn, once all bytes are sent, and only once.
+// A function given to OnFlushed runs on a later turn, after all bytes are sent. It runs only once.
 func TestOnFlushed_RunsOnceAllBytesAreSent(t *testing.T) {
 	for _, test := range []struct {
 		name    string
