--- a/internal/frontend/httpserver/response.go
+++ b/internal/frontend/httpserver/response.go
@@ -84,7 +84,7 @@
 // encodeLast returns the response with a header field that announces the close of the connection.
 func (r response) encodeLast() []byte { return r.encodeWith("Connection: close\r\n") }
 
-// encodeWith returns the response with an additional header field, which ends with CRLF if it is not empty.
+// encodeWith returns the response with an additional header field. field is empty or ends with CRLF.
 func (r response) encodeWith(field string) []byte {
 	b := make([]byte, 0, usualHeadSize+len(r.body))
 	b = append(b, "HTTP/1.1 "...)
--- a/internal/frontend/httpserver/results.go
+++ b/internal/frontend/httpserver/results.go
@@ -96,8 +96,8 @@
 	return true
 }
 
-// page returns a page of a result and the path of the next page, which is "" for the last one. ok is false if there is
-// no such page.
+// page returns the page with this path, and the path of the next page or "" if this is the last one. ok is false if
+// there is no such page.
 func (s *resultStore) page(path string) (rows lineclient.Rows, nextPath string, ok bool) {
 	basePath := resultPath(path)
 	result := s.byPath[basePath]
--- a/internal/frontend/pgserver/classify.go
+++ b/internal/frontend/pgserver/classify.go
@@ -128,9 +128,9 @@
 
 func isDirectiveSeparator(char rune) bool { return char == ' ' || char == ',' || char == ';' }
 
-// idempotencyKey returns the key of an execution, which is one of the bound values, or "" if the class does not need a
-// key. It returns an error if the class needs a key and the execution lacks it: such an execution is never forwarded,
-// because engines could not drop a duplicate of it.
+// idempotencyKey returns the idempotency key of an execution, or "" if the class does not need a key. The key is one of
+// the bound values. If the class needs a key and the execution lacks it, idempotencyKey returns an error: such an
+// execution is never forwarded, because engines could not drop a duplicate of it.
 func (c classification) idempotencyKey(values [][]byte) (string, *pgproto.Error) {
 	if c.class.Effect != policy.IdempotentByKey {
 		return "", nil
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -34,9 +34,9 @@
 //	ready     -> ready       message that is served without an engine, or error in a Query
 //	ready     -> in flight   message whose request is forwarded
 //	ready     -> skipping    error in a message that is not a Query
-//	in flight -> ready       response to a Query, or its CancelRequest
+//	in flight -> ready       response to a Query, or CancelRequest for a Query
 //	in flight -> ready       result for a message of the extended query protocol
-//	in flight -> skipping    error for such a message, or its CancelRequest
+//	in flight -> skipping    error or CancelRequest for a message of the extended query protocol
 //	skipping  -> ready       Sync
 //	skipping  -> skipping    any other message, which is ignored
 //	ready, skipping          -> closing  Terminate
--- a/internal/frontend/pgserver/extended_query.go
+++ b/internal/frontend/pgserver/extended_query.go
@@ -45,7 +45,7 @@
 	return nil, nil
 }
 
-// sync ends the implicit transaction of a batch, which closes the portals.
+// sync ends the implicit transaction of a batch, and thereby closes all portals.
 func (q *extendedQuery) sync() {
 	q.portals.closeAll()
 }
--- a/internal/frontend/pgserver/request.go
+++ b/internal/frontend/pgserver/request.go
@@ -27,7 +27,7 @@
 	statement      *statement
 	message        *pgproto.Statement // the message to the engine
 	idempotencyKey string
-	binds          *sqltext.Binds // of a portal; nil for a Query and for a description
+	binds          *sqltext.Binds // the values bound to a portal; nil for a Query and for a description
 	// onServed writes the response to the client's message that led to the execution.
 	onServed func(*pgproto.Result) *pgproto.Error
 }
