--- a/internal/eventloop/arrivallog.go
+++ b/internal/eventloop/arrivallog.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// arrivalPrecision limits the time over which reads are recorded as one arrival. This limits the memory for peers that
-// send byte by byte.
+// arrivalPrecision is the time within which several reads are recorded as one arrival. This limits the memory for peers
+// that send byte by byte.
 const arrivalPrecision = 10 * time.Millisecond
 
 // arrivalLog records when the bytes of a connection arrived. Positions count the bytes since the connection began.
 // It is not safe for concurrent use.
 type arrivalLog struct {
 	received int64     // bytes read so far
-	arrivals []arrival // in order of time; without arrivals whose bytes have all been forgotten
+	arrivals []arrival // in order of time; an arrival is dropped once all its bytes are forgotten
 }
 
 // arrival is one read, or several within arrivalPrecision.
--- a/internal/eventloop/socket_test.go
+++ b/internal/eventloop/socket_test.go
@@ -155,7 +155,7 @@
 			if accepts = !accepts; !accepts {
 				return -1, unix.EAGAIN
 			}
-			return min(len(p), size), nil // as if the peer had read as much
+			return min(len(p), size), nil // as if the peer had read this many bytes
 		})
 		r.conn.Write(make([]byte, 10*size)) // the queue never empties from here on
 		for range writes {
@@ -220,8 +220,8 @@
 	}
 }
 
-// For a socket that cannot be polled, adopt returns the error and makes no handler: the handler would have to be
-// notified of the end.
+// For a socket that cannot be polled, adopt returns the error and does not call newHandler: a handler would expect a
+// call of OnClosed.
 func TestAdopt_ClosesASocketThatCannotBePolled(t *testing.T) {
 	l, r, _ := connectedPair(t)
 	eventlooptest.Do(l, func() {
--- a/internal/frontend/httpserver/results.go
+++ b/internal/frontend/httpserver/results.go
@@ -25,7 +25,7 @@
 type resultStore struct {
 	timers     *timerqueue.Queue
 	instanceID string // distinguishes the paths of this process from those of an earlier one
-	sequence   uint64 // of the latest result
+	sequence   uint64 // number of the latest result, as in its path
 	byPath     map[string]*bufferedResult
 	budget     memorybudget.Budget
 }
@@ -96,8 +96,8 @@
 	return true
 }
 
-// page returns a page of a result and the path of the next page, which is "" for the last one. ok is false if there is
-// no such page.
+// page returns the page with this path, and the path of the next page or "" if this is the last one. ok is false if
+// there is no such page.
 func (s *resultStore) page(path string) (rows lineclient.Rows, nextPath string, ok bool) {
 	basePath := resultPath(path)
 	result := s.byPath[basePath]
--- a/internal/frontend/pgserver/connection.go
+++ b/internal/frontend/pgserver/connection.go
@@ -34,9 +34,9 @@
 //	ready     -> ready       message that is served without an engine, or error in a Query
 //	ready     -> in flight   message whose request is forwarded
 //	ready     -> skipping    error in a message that is not a Query
-//	in flight -> ready       response to a Query, or its CancelRequest
+//	in flight -> ready       response to a Query, or CancelRequest for a Query
 //	in flight -> ready       result for a message of the extended query protocol
-//	in flight -> skipping    error for such a message, or its CancelRequest
+//	in flight -> skipping    error or CancelRequest for a message of the extended query protocol
 //	skipping  -> ready       Sync
 //	skipping  -> skipping    any other message, which is ignored
 //	ready, skipping          -> closing  Terminate
@@ -200,7 +200,7 @@
 	c.output.flushTo(c.socket)
 }
 
-// awaitsClient reports whether the connection waits for nothing but further bytes from the client.
+// awaitsClient reports whether the connection waits only for further bytes from the client.
 func (c *connection) awaitsClient() bool {
 	return c.state.awaitsMessage() && c.socket.PendingWrite() <= maxPendingWrite
 }
