--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -100,7 +100,7 @@
 	return FieldError{Problem: err.Error()}
 }
 
-// lineAt returns the line, from 1, at a byte offset.
+// lineAt returns the line at a byte offset. Lines are counted from 1.
 func lineAt(raw []byte, offset int64) int {
 	end := min(int(offset), len(raw))
 	return 1 + bytes.Count(raw[:end], []byte("\n"))
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,8 +1,8 @@
 // Package config reads the files that configure a front end:
 //
 //   - LoadPlatform reads the platform's configuration (JSON), which contains the settings object.
-//   - CheckSettings validates a file with the settings object alone (JSON). The simulator's messages
-//     contain the settings object too.
+//   - CheckSettings validates a file that contains only the settings object (JSON). The simulator's
+//     messages contain the settings object too.
 //   - LoadPostgres reads the deploy file of the PostgreSQL front end (TOML).
 //   - LoadShapes reads the file of shape settings of the HTTP front end (TOML).
 //
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -9,7 +9,7 @@
 // FieldError is an error in a configuration file.
 type FieldError struct {
 	File    string // path; "" if the text was not read from a file
-	Line    int    // from 1; 0: unknown
+	Line    int    // counted from 1; 0: unknown
 	Field   string // path of the field in the file, such as statement[0].class; "": unknown
 	Problem string // what is wrong and what is expected
 }
--- a/internal/config/json_location.go
+++ b/internal/config/json_location.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// jsonLine returns the line, from 1, of a field like known.batch[0].topology. If the field is missing
-// it returns the line of the innermost object or list on its path that exists, or 0 if none exists. The
-// text may be malformed after the field.
+// jsonLine returns the line of a field like known.batch[0].topology. Lines are counted from 1. If the
+// field is missing, jsonLine returns the line of the innermost object or list on its path that exists, or
+// 0 if none exists. The text may be malformed after the field.
 func jsonLine(raw []byte, field string) int {
 	locator := &jsonLocator{
 		raw:     raw,
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -9,15 +9,16 @@
 	"flaxrelay/policy"
 )
 
-// Platform is the platform's configuration of the HTTP front end.
+// Platform is the decoded configuration file of the HTTP front end. The platform is the environment that
+// runs the front end and the event bus.
 type Platform struct {
 	Listen         string           // address for clients; "": not configured
-	Seed           uint64           // of the balancer's random numbers
+	Seed           uint64           // seed of the balancer's random numbers
 	MemoryMB       int              // limit on memory; 0: not configured
 	MaxDescriptors int              // limit on descriptors; 0: not configured
 	EventBus       string           // address of the event bus; "": the endpoint list does not change
 	LastEvent      uint64           // number of the last known event
-	InitialUpdates []EndpointUpdate // of the endpoint list, up to the last known event
+	InitialUpdates []EndpointUpdate // updates of the endpoint list up to the last known event
 	Settings       Settings
 }
 
@@ -37,7 +38,7 @@
 	return parsePlatform(raw, path)
 }
 
-// parsePlatform decodes and validates a configuration. Errors name the path.
+// parsePlatform decodes and validates a configuration. The path is used only in errors.
 func parsePlatform(raw []byte, path string) (*Platform, error) {
 	v := &validator{file: path}
 	var object platformObject
--- a/internal/config/platform_object.go
+++ b/internal/config/platform_object.go
@@ -57,7 +57,7 @@
 	StartTimeMS float64 `json:"boot_ms"` // since the Unix epoch
 }
 
-// endpointStates are the states of engines by their names in the endpoint list.
+// endpointStates maps the names of states in the endpoint list to the states of engines.
 var endpointStates = map[string]policy.EngineState{
 	"in_service":  policy.EngineReady,
 	"terminating": policy.EngineDraining,
@@ -104,8 +104,9 @@
 	return endpoint
 }
 
-// startTime converts the start time of an engine to a time of package policy, which also counts from
-// the Unix epoch. A start time of 0 or less is unknown; 0 means that the engine started long ago.
+// startTime converts the start time of an engine to a time of package policy. Both times are counted
+// from the Unix epoch. A start time of 0 or less is unknown. In the endpoint list, 0 means that the
+// engine started long ago.
 func startTime(unixMS float64) (at time.Duration, known bool) {
 	if unixMS <= 0 {
 		return 0, false
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -20,16 +20,17 @@
 	MaxDescriptors int `toml:"sockets"`
 	MaxClients     int `toml:"most_clients"`
 
-	// Statements are the rules that assign classes to statements. The first that matches applies.
+	// Statements are the rules that assign classes to statements. The first rule that matches a
+	// statement applies.
 	Statements []StatementRule `toml:"statement"`
 	// DefaultClass is the class of statements that get no class from a rule or from their leading
 	// comment.
 	DefaultClass string `toml:"default_class"`
-	// WriteClass replaces an idempotent DefaultClass for statements that may write; "": firstWriteClass
-	// chooses it.
+	// WriteClass replaces an idempotent DefaultClass for statements that may write. If WriteClass is "",
+	// firstWriteClass chooses the class.
 	WriteClass string `toml:"write_class"`
 	// ReadOnlyFunctions are functions, besides those of pg_catalog, that write nothing. Their names
-	// include the schema if the statements do.
+	// include the schema if the statements include it.
 	ReadOnlyFunctions []string `toml:"read_only_functions"`
 
 	// User is the PostgreSQL role that the front end uses on engines.
@@ -48,7 +49,7 @@
 type StatementRule struct {
 	Prefix       string `toml:"starts"` // the words that the statements begin with
 	Class        string `toml:"class"`
-	KeyParameter int    `toml:"key"`       // number of the parameter, from 1; 0: none
+	KeyParameter int    `toml:"key"`       // number of the parameter, counted from 1; 0: none
 	ReadOnly     bool   `toml:"read_only"` // the operator declares that the statements write nothing
 }
 
--- a/internal/config/postgres_validate.go
+++ b/internal/config/postgres_validate.go
@@ -41,7 +41,7 @@
 }
 
 // firstWriteClass returns the name of the first class that has the effect non_idempotent and a name, or ""
-// if no class has both. It is the default of write_class.
+// if no class has both. The returned class is the default of write_class.
 func firstWriteClass(classes []policy.Class) string {
 	for i := range classes {
 		if classes[i].Effect == policy.NonIdempotent && classes[i].Name != "" {
@@ -66,7 +66,7 @@
 	}
 }
 
-// validate reports the invalid fields of the rule. The prefix precedes their names in errors.
+// validate reports the invalid fields of the rule. The prefix precedes the names of the fields in errors.
 func (r *StatementRule) validate(v *validator, prefix string, classes []policy.Class) {
 	class := findClass(classes, r.Class)
 	writes := sqltext.EffectOf(r.Prefix, nil).Effect == sqltext.EffectWrites
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,8 +13,8 @@
 type Settings struct {
 	Policy            policy.Settings
 	LoadFields        []string      // names of the values in a load report, in order
-	Zones             []string      // names by their index on the event bus
-	Kinds             []string      // names by their index on the event bus
+	Zones             []string      // names of zones; records of the event bus contain their indexes
+	Kinds             []string      // names of kinds; records of the event bus contain their indexes
 	MaxStreams        int           // maximum number of attempts in flight on one connection to an engine
 	ConnectTimeout    time.Duration // limit on the time to establish a connection to an engine
 	EngineIdleTimeout time.Duration // idle time after which engines close a connection
--- a/internal/config/settings_object.go
+++ b/internal/config/settings_object.go
@@ -53,7 +53,7 @@
 	WorstWindow float64 `json:"worst-window"`
 }
 
-// penaltiesObject contains the points of the service level that each unit of a side effect costs.
+// penaltiesObject contains the penalty for one unit of each side effect, in points of the service level.
 type penaltiesObject struct {
 	CrossZone   float64 `json:"cross-zone"`
 	Waste       float64 `json:"waste"`
@@ -61,7 +61,7 @@
 	HealthCheck float64 `json:"probe"`
 }
 
-// loadReportObject defines how engines report their load, and names the values of a report.
+// loadReportObject defines how engines report their load, and contains the names of the reported values.
 type loadReportObject struct {
 	Transport string   `json:"how"`
 	Names     []string `json:"names"`
@@ -95,8 +95,9 @@
 	Hedging          bool    `json:"second-copies"`
 }
 
-// extraObject describes engines beyond the common protocol. Its lists are parallel to the lists of
-// kinds or classes, and may be shorter.
+// extraObject contains properties of engines beyond the common protocol. The elements of its lists
+// belong to the kinds or classes that have the same index. The lists may be shorter than those of kinds
+// or classes.
 type extraObject struct {
 	CoresByKind        []float64 `json:"cores-by-kind"`
 	MemoryMBByKind     []float64 `json:"memory-by-kind-mb"`
--- a/internal/config/shapes.go
+++ b/internal/config/shapes.go
@@ -16,12 +16,12 @@
 	Enabled bool `toml:"enabled"`
 	// MemoryKB limits the size of the cache of shapes. It must be at most a quarter of memory_mb.
 	MemoryKB int `toml:"memory_kb"`
-	// Hysteresis is the factor by which the expected cost of a shape must be beyond the limit between
-	// two classes before the shape changes its class.
+	// Hysteresis is a factor. A shape changes its class only if its expected cost is beyond the limit
+	// between the two classes by this factor.
 	Hysteresis float64 `toml:"hysteresis"`
 	// CorrectEstimates replaces the estimates of clients with expected costs.
 	CorrectEstimates bool `toml:"correct_estimates"`
-	// Snapshot is the file that preserves the statistics across restarts; "": they are not saved.
+	// Snapshot is the file that preserves the statistics across restarts; "": no snapshot is written.
 	Snapshot string `toml:"snapshot"`
 	// SnapshotSeconds is the time between snapshots.
 	SnapshotSeconds float64 `toml:"snapshot_every_s"`
--- a/internal/config/shapes_validate.go
+++ b/internal/config/shapes_validate.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// validateClass validates one shape class. It must have the name of an idempotent class of the settings.
-// Its limit must be above 0 and above the limit of the previous shape class; the last must have no limit.
+// validateClass validates one shape class. The shape class must have the name of an idempotent class of
+// the settings. Its limit must be above 0 and above the limit of the previous shape class. The last shape
+// class must have no limit.
 func (s *Shapes) validateClass(v *validator, index int, prefix string, classes []policy.Class) {
 	shapeClass := &s.Classes[index]
 	class := findClass(classes, shapeClass.Name)
--- a/internal/config/toml_location.go
+++ b/internal/config/toml_location.go
@@ -9,7 +9,7 @@
 type tomlField struct {
 	path  string // such as statement[1].class
 	table string // "" for the top level
-	index int    // of the table in its array; 0 for a single table
+	index int    // index of the table in its array; 0 for a single table
 	key   string
 }
 
@@ -29,8 +29,8 @@
 	return field
 }
 
-// tomlLine returns the line, from 1, of a field in tables and arrays of tables. If the field is
-// missing it returns the line of its table, or 0 if the table is missing too.
+// tomlLine returns the line of a field in tables and arrays of tables. Lines are counted from 1. If the
+// field is missing, tomlLine returns the line of its table, or 0 if the table is missing too.
 func tomlLine(raw []byte, path string) int {
 	field := parseTOMLField(path)
 	position := tomlPosition{seen: map[string]int{}}
@@ -55,8 +55,8 @@
 // tomlPosition is the table of the current line while a TOML document is read line by line.
 type tomlPosition struct {
 	table string         // "" before the first table
-	index int            // of the table in its array; 0 for a single table
-	seen  map[string]int // number of tables of each array
+	index int            // index of the table in its array; 0 for a single table
+	seen  map[string]int // number of tables so far in each array
 }
 
 // enterTable moves the position into the table that starts at a line like [name] or [[name]].
