--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -5,7 +5,7 @@
 // Backoff computes the delays between attempts to reach a source. Each delay is twice the previous
 // delay, up to a maximum. It is not safe for concurrent use.
 type Backoff struct {
-	// Initial is the first delay, and the first after Reset, even if Max is less.
+	// Initial is the first delay, and the first delay after Reset. Max does not limit it.
 	Initial time.Duration
 	// Max limits all delays except the first.
 	Max time.Duration
--- a/internal/discovery/consul/golden_test.go
+++ b/internal/discovery/consul/golden_test.go
@@ -56,7 +56,7 @@
 	return agent
 }
 
-// hostHeader matches the only part of a request that differs between runs: the port.
+// hostHeader matches the header with the port, which is the only part of a request that differs between runs.
 var hostHeader = regexp.MustCompile(`(?m)^Host: 127\.0\.0\.1:[0-9]+\r$`)
 
 func (a *scriptedAgent) serve(conn net.Conn) {
@@ -122,7 +122,7 @@
 	nodeMaintenance = `{"CheckID":"_node_maintenance","Status":"critical"}`
 )
 
-// steps are the responses in the order in which they are sent. notified is whether the response makes
+// steps are the responses in the order in which they are sent. If notified is true, the response makes
 // the watcher notify the sink.
 var steps = []struct {
 	path, response string
--- a/internal/discovery/consul/reconcile.go
+++ b/internal/discovery/consul/reconcile.go
@@ -48,9 +48,10 @@
 	return current
 }
 
-// changedEndpoints returns the engines that are new or have changed, and the engines that are no longer
-// in the list, with the state removed, unless they had this state before. The returned engines are in the
-// order of their ids. changedEndpoints also returns the list as a map by id.
+// changedEndpoints compares the list with the engines before, which are a map by id. The changes are the
+// engines that are new or have changed, and the engines that are no longer in the list. The latter get the
+// state EngineRemoved, and are omitted if they had this state before. The changes are in the order of
+// their ids. changedEndpoints also returns the list as a map by id.
 func changedEndpoints(
 	before map[string]lifecycle.Endpoint, list []lifecycle.Endpoint,
 ) (changes []lifecycle.Endpoint, after map[string]lifecycle.Endpoint) {
--- a/internal/discovery/consul/watcher.go
+++ b/internal/discovery/consul/watcher.go
@@ -49,7 +49,7 @@
 	client   *client
 
 	opts          Options
-	cancelQueries context.CancelFunc            // ends the queries of the latest Watch
+	cancelQueries context.CancelFunc            // ends the queries of the latest call of Watch
 	registered    []registration                // nil until received
 	health        map[string]policy.EngineState // by id of the engine; nil until received
 	notified      map[string]lifecycle.Endpoint // the engines that the sink was notified of, by id
@@ -68,7 +68,7 @@
 	}
 }
 
-// Watch follows the service that the options name until the context is done or Watch is called again.
+// Watch follows the service in the options until the context is done or Watch is called again.
 // The sink keeps the engines of the previous service until both lists of the new service are
 // received. Watch must be called on the sink's goroutine and does not block.
 func (w *Watcher) Watch(ctx context.Context, opts Options) {
@@ -132,8 +132,8 @@
 		slog.Any("error", err), slog.Duration("retry_in", retryIn))
 }
 
-// nextIndex returns the index for the next query, given the index of the previous query and the index
-// that its response contained. It returns 0 if the index went back, because Consul's servers were
+// nextIndex returns the index for the next query. index is that of the previous query, and received is
+// that of its response. nextIndex returns 0 if the index went back. This happens when Consul's servers are
 // restored from a backup or replaced.
 func nextIndex(index, received uint64) uint64 {
 	if received < index {
--- a/internal/discovery/consul/watcher_test.go
+++ b/internal/discovery/consul/watcher_test.go
@@ -39,7 +39,7 @@
 	queries  []string
 }
 
-// update changes the agent's state and wakes the queries that wait for it.
+// update changes the agent's state and wakes the queries that wait for a change.
 func (a *fakeAgent) update(change func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -94,8 +94,8 @@
 		id, checkID, check)
 }
 
-// The engine is ready, in maintenance, critical, ready again and deregistered. Meanwhile queries fail,
-// and the index goes back as after a restore from a backup.
+// The engine is first ready, then in maintenance, critical, ready again and deregistered. Meanwhile
+// queries fail, and the index goes back as after a restore from a backup.
 func TestWatcher_NotifiesOfEachChangeOnce(t *testing.T) {
 	agent := &fakeAgent{index: 50, checks: map[string]string{"e1": "passing"}, changed: make(chan struct{})}
 	server := httptest.NewServer(agent)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
 // Package discovery contains the code that is common to the sources of the endpoint list. Each source is a
-// package in a subdirectory: eventbus and consul. It watches an external system and notifies one Sink,
-// which is the dispatcher, of the engines.
+// package in a subdirectory: eventbus and consul. A source watches an external system and notifies one
+// Sink, which is the dispatcher, of the engines.
 package discovery
 
 import (
--- a/internal/discovery/eventbus/frames.go
+++ b/internal/discovery/eventbus/frames.go
@@ -31,7 +31,7 @@
 type frame struct {
 	event   uint64 // number of the event
 	kind    frameKind
-	payload []byte // in the read buffer
+	payload []byte // part of the read buffer
 }
 
 // size returns the size of the encoded frame in bytes.
--- a/internal/discovery/eventbus/records.go
+++ b/internal/discovery/eventbus/records.go
@@ -42,7 +42,7 @@
 	kinds []string
 }
 
-// decode returns the engines of a payload in their order.
+// decode returns the engines of a payload in the order of their records.
 func (d *recordDecoder) decode(payload []byte) ([]lifecycle.Endpoint, error) {
 	if len(payload)%recordSize != 0 {
 		return nil, fmt.Errorf("%w: %d bytes", errPayloadLength, len(payload))
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -99,7 +99,7 @@
 	partialSince time.Duration
 }
 
-// New returns a watcher that notifies the sink. Start starts it.
+// New returns a watcher that notifies the sink. Start starts the watcher.
 func New(
 	loop *eventloop.Loop, sink discovery.Sink, opts Options, counters *metrics.Counters, log *slog.Logger,
 ) *Watcher {
@@ -246,8 +246,8 @@
 }
 
 // onPartialFrame restarts the idle timer when a part of a frame arrives, because the bus is alive. It
-// stops doing so maxFrameTimeouts idle timeouts after the first part, so that a frame that never
-// completes does not keep the connection open.
+// does so only for maxFrameTimeouts idle timeouts after the first part. Otherwise, a frame that never
+// completes would keep the connection open.
 func (w *Watcher) onPartialFrame() {
 	now := w.loop.Now()
 	if w.partialSince == 0 {
