--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -58,7 +58,7 @@
 }
 
 // Run responds to batches until the input ends. It returns nil if the input ends between batches, a
-// *BatchError if the input is invalid or cannot be read, and a wrapped error of out if a write fails.
+// *BatchError if the input is invalid or cannot be read, and the wrapped error of the write if a write fails.
 func (h *Host) Run(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, initialLineBuffer), maxLineLength)
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -135,7 +135,8 @@
 	progressAwaiting = 3 // the value is the awaited resource
 )
 
-// awaitingLoad is the value if an attempt waits for a bulk load. Any other value is a wait for memory.
+// awaitingLoad is the value if an attempt waits for a bulk load. Any other value means that the attempt
+// waits for memory.
 const awaitingLoad = 2
 
 func decodeProgress(message *inputMessage) policy.Event {
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -16,7 +16,7 @@
 	floatBits = 64
 )
 
-// outputLine is the output while its last message is incomplete. Each method but end appends one field.
+// outputLine is the output while its last message is incomplete. Each method except end appends one field.
 type outputLine []byte
 
 // beginLine appends the start of a message of an instance to the output.
@@ -50,7 +50,7 @@
 
 func (l outputLine) text(value string) outputLine {
 	encoded, err := json.Marshal(value)
-	if err != nil { // a string always encodes
+	if err != nil { // a string can always be encoded
 		panic(err)
 	}
 	return append(append(l, ','), encoded...)
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -11,7 +11,7 @@
 )
 
 // goldenBatches maps the name of each recorded input under testdata/golden to messages that the host must
-// write at least once in response. An update of the golden files that loses such a message fails the test.
+// write at least once in response. The test fails if an update of the golden files loses such a message.
 var goldenBatches = map[string][]string{
 	"queries":   {"ALLOT", "FORWARD", "ABORT_ATTEMPT", "SLEEP", "DROP_REQUEST"},
 	"loads":     {"ALLOT", "FORWARD", "SLEEP"},
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -16,7 +16,7 @@
 	"flaxrelay/policy"
 )
 
-// engineTableCount is the number of engine tables, which messages number from 0.
+// engineTableCount is the number of engine tables. In messages, the first table has the number 0.
 const engineTableCount = 16
 
 // Host owns the instances of one process and the engine tables that they share. It is not safe for
--- a/internal/simprotocol/message.go
+++ b/internal/simprotocol/message.go
@@ -27,7 +27,7 @@
 // err is the first error; if err is not nil, the decoded values must not be used.
 type inputMessage struct {
 	name   messageName
-	values []json.RawMessage // without the name
+	values []json.RawMessage // the elements of the line after the name
 	err    error
 }
 
@@ -56,8 +56,8 @@
 
 // field describes a value of type T in a message.
 type field[T any] struct {
-	index int    // in inputMessage.values
-	name  string // in errors
+	index int    // index of the value in inputMessage.values
+	name  string // name of the value in errors
 }
 
 // present reports whether the message has the value and it is not null.
