--- a/cmd/flaxrelay/completion.go
+++ b/cmd/flaxrelay/completion.go
@@ -45,7 +45,8 @@
 }
 
 // writeCompletionCases writes a branch of the case statement for the command and for each of its
-// subcommands. The path contains the names of the commands that lead to the command.
+// subcommands. The path contains the command's name after the names of the commands above it. For the program
+// itself, it is "".
 func writeCompletionCases(cases *strings.Builder, command *kong.Node, path string) {
 	var words []string
 	for _, child := range command.Children {
--- a/cmd/flaxrelay/http.go
+++ b/cmd/flaxrelay/http.go
@@ -67,7 +67,7 @@
 	return configuration, nil
 }
 
-// watchEventBus starts a watcher of the event bus. It requests the events after the last event in the
+// watchEventBus starts a watcher of the event bus. The watcher requests the events after the last event in the
 // configuration.
 func (s *server) watchEventBus(configuration *config.Platform) *eventbus.Watcher {
 	settings := &configuration.Settings
--- a/cmd/flaxrelay/log_test.go
+++ b/cmd/flaxrelay/log_test.go
@@ -37,7 +37,7 @@
 	}
 	p.signal(os.Kill)
 	p.drainLog()
-	_ = p.cmd.Wait() // killed
+	_ = p.cmd.Wait() // the process was killed, so the error is expected
 }
 
 func TestLog_WhoseReaderHasEndedDoesNotEndTheService(t *testing.T) {
--- a/cmd/flaxrelay/process_test.go
+++ b/cmd/flaxrelay/process_test.go
@@ -15,7 +15,7 @@
 	"flaxrelay/internal/logging"
 )
 
-// Environment variables that name the file that a process started by startProcess serves.
+// Environment variables of the processes that startProcess starts. The value is the path of the file to serve.
 const (
 	configVariable   = "FLAXRELAY_TEST_CONFIG"
 	postgresVariable = "FLAXRELAY_TEST_POSTGRES"
@@ -54,7 +54,7 @@
 	cmd *exec.Cmd
 	log *bufio.Scanner // reads logPipe
 
-	logPipe io.Closer // the reading end of the log
+	logPipe io.Closer // the reading end of the pipe for the log
 }
 
 // startProcess runs the calling test, which must call serveInChild, in a child process. The environment
--- a/cmd/flaxrelay/reload.go
+++ b/cmd/flaxrelay/reload.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// reloadRetryTime is how long after SIGHUP a reload is retried if its file cannot be read. When the
-	// event bus moves, the platform counts every event as received 4 s later, whether or not the front
-	// end has connected to the new address. The retries must end before that.
+	// reloadRetryTime is how long after SIGHUP a reload is retried if its file cannot be read. The
+	// retries must end within 4 s of a move of the event bus. After that time, the platform counts every
+	// event as received, whether or not the front end has connected to the new address.
 	reloadRetryTime = 3 * time.Second
 	// reloadRetryDelay is the time before each retry.
 	reloadRetryDelay = 50 * time.Millisecond
--- a/cmd/flaxrelay/reload_test.go
+++ b/cmd/flaxrelay/reload_test.go
@@ -15,11 +15,11 @@
 )
 
 // startEventBus starts an event bus that responds to each subscription with one event of the given
-// number. For each subscription, the channel receives the number of the event after which it starts.
+// number. For each subscription, the channel receives the number of the event after which the subscription starts.
 func startEventBus(t *testing.T, eventNumber uint64) (address string, subscriptions <-chan uint64) {
 	t.Helper()
 	const (
-		eventLength = 9 // of the number and the kind
+		eventLength = 9 // bytes of the number and the kind
 		emptyDelta  = 2 // the kind of an event with changed engines; this event has no engines
 	)
 	listener := tcptest.Listen(t, tcptest.AnyLoopbackPort)
@@ -57,7 +57,7 @@
 // twoBusSetup is a front end that watches the first of two event buses.
 type twoBusSetup struct {
 	process             *process
-	path                string // of the front end's configuration
+	path                string // path of the front end's configuration
 	firstSubscriptions  <-chan uint64
 	secondBus           string // address
 	secondSubscriptions <-chan uint64
@@ -77,8 +77,8 @@
 	}
 }
 
-// A reload with an invalid file is logged and changes nothing. A reload with a valid file moves the server
-// to the event bus in the file, where the server continues after the last event.
+// A reload with an invalid file is logged and changes nothing. After a reload with a valid file, the server
+// watches the event bus in the file and continues after the last event.
 func TestReload_MovesToTheNewEventBus(t *testing.T) {
 	if serveInChild(t) {
 		return
--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -23,7 +23,7 @@
 	frontEnd   frontEnd // nil if the deploy file turns the front end off
 	counters   *metrics.Counters
 	logger     *slog.Logger
-	output     *logging.AsyncWriter // of the log and the counters; nil: counters are not printed
+	output     *logging.AsyncWriter // output of the log and the counters; nil: counters are not printed
 	statistics *stmtstats.Service   // statement statistics; nil if they are off
 	reload     func() error         // applies the changed file; nil if no part of it can be reloaded
 	// reloadRetry retries a reload whose file could not be read; nil if no such reload has occurred.
--- a/cmd/flaxrelay/shapes_diff.go
+++ b/cmd/flaxrelay/shapes_diff.go
@@ -24,7 +24,7 @@
 	after      float64
 }
 
-// magnitude returns the absolute logarithm of the factor between before and after.
+// magnitude returns the absolute value of the logarithm of after / before.
 func (c workChange) magnitude() float64 { return math.Abs(math.Log(c.after / c.before)) }
 
 // snapshotDiff is the difference between two snapshots.
@@ -55,8 +55,8 @@
 	return t.print()
 }
 
-// compareSnapshots returns the difference between two snapshots. Changes by less than minFactor are
-// omitted.
+// compareSnapshots returns the difference between two snapshots. Changes by a factor of less than
+// minFactor are omitted.
 func compareSnapshots(before, after *stmtstats.Snapshot, minFactor float64) snapshotDiff {
 	remaining := make(map[string]*stmtstats.SavedShape, len(before.Shapes))
 	for i := range before.Shapes {
--- a/cmd/flaxrelay/shapes_explain.go
+++ b/cmd/flaxrelay/shapes_explain.go
@@ -55,8 +55,8 @@
 	return t.print()
 }
 
-// costModel returns a cost model with one class of read-only statements up to each bound, and a last
-// class without a limit.
+// costModel returns a cost model of read-only statements. It has one class for each bound, which is the limit
+// of that class, and a last class without a limit.
 func (c *explainCommand) costModel() costmodel.Config {
 	var model costmodel.Config
 	for i, bound := range c.Bounds {
--- a/cmd/flaxrelay/shutdown.go
+++ b/cmd/flaxrelay/shutdown.go
@@ -14,8 +14,8 @@
 	acceptPeriod = 500 * time.Millisecond
 	readPeriod   = 800 * time.Millisecond
 
-	// The earliest time at which the platform kills the process is killGrace plus the longest deadline
-	// of a request after SIGTERM. A deadline above maxKillDeadline counts as maxKillDeadline. Requests
+	// After SIGTERM, the platform waits at least killGrace plus the longest deadline of a request before
+	// it kills the process. A deadline above maxKillDeadline counts as maxKillDeadline. Requests
 	// that are still pending finalResponseLead before the kill get their final response at that time.
 	maxKillDeadline   = 3 * time.Second
 	killGrace         = 700 * time.Millisecond
@@ -24,7 +24,7 @@
 	// flushPeriod is the time for the last writes before the loop stops.
 	flushPeriod = 50 * time.Millisecond
 
-	// idlePollInterval is the time between two checks whether a request is still pending.
+	// idlePollInterval is the time between two checks of whether the shutdown is finished.
 	idlePollInterval = 20 * time.Millisecond
 )
 
@@ -72,8 +72,8 @@
 	loop.Timers.Schedule(now+idlePollInterval, p.poll)
 }
 
-// finished reports whether the front end is draining and idle with no request pending, or the pending
-// requests got their final responses at least flushPeriod ago.
+// finished reports whether the loop may stop. This is so if the front end is draining and idle and no
+// request is pending, or if the pending requests got their final responses at least flushPeriod ago.
 func (p *shutdown) finished(now time.Duration) bool {
 	if now >= p.completeAt+flushPeriod {
 		return true
