--- a/internal/e2e/admission_test.go
+++ b/internal/e2e/admission_test.go
@@ -28,7 +28,7 @@
 		}
 		started[header] = front.count("attempts.started.")
 	}
-	const minRatio = 1.5 // of the full limit to the part for requests beyond a quota
+	const minRatio = 1.5 // ratio of the full limit to the part of it for requests beyond a quota
 	within := started[tenantHeader]
 	beyond := started[noHeader]
 	if float64(within) < minRatio*float64(beyond) {
--- a/internal/e2e/client_disconnect_test.go
+++ b/internal/e2e/client_disconnect_test.go
@@ -34,8 +34,8 @@
 	front.assertCount("engine-connections.dialed", 2) // a cancelled id is not used again on its connection
 }
 
-// A client disconnects while its attempt waits for a connection to the engine: the engine receives nothing of the
-// request once the connection is established, even if the settings do not permit cancellation. The request of another
+// A client disconnects while its attempt waits for a connection to the engine. When the connection is established, the
+// engine receives no part of the request, even if the settings do not permit cancellation. The request of another
 // client is served.
 func TestClientDisconnect_BeforeTheEngineConnectionIsUpSendsNothing(t *testing.T) {
 	for _, cancelPermitted := range []bool{true, false} {
--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -49,7 +49,7 @@
 	front.settings.MaxStreams = 1
 	front.serveHTTP()
 	client := connectHTTP(t, front.addr)
-	queryOnly := func(addr string) string { // while no other engine is ready
+	queryOnly := func(addr string) string { // sends a request while no other engine is ready
 		front.updateEndpoints(policy.EngineReady, addr)
 		defer front.updateEndpoints(policy.EngineDraining, addr)
 		got, _ := client.roundTrip(queryRequest("lookup", ""))
@@ -70,8 +70,8 @@
 	front.assertCount("engine-connections.dialed", dialed)
 }
 
-// evictAfterReading starts a front end that reads the text of a new client and, before it handles the text, evicts the
-// connection of this client to accept another client.
+// evictAfterReading starts a front end, which reads the text of a new client. Before the front end handles the text, it
+// evicts the connection of this client to accept another client.
 func evictAfterReading(t *testing.T, text string) (*frontEnd, *httpClient) {
 	t.Helper()
 	addr, _ := startLineEngine(t, emptyReply)
--- a/internal/e2e/discovery_test.go
+++ b/internal/e2e/discovery_test.go
@@ -8,8 +8,8 @@
 	"flaxrelay/policy"
 )
 
-// An engine begins to drain, or a full update no longer names it, while a request waits for a connection to the engine:
-// nothing is written once the connection is established, and another engine serves the client.
+// While a request waits for a connection to an engine, the engine begins to drain, or a full update no longer names the
+// engine. Nothing is written to the connection once it is established, and another engine serves the client.
 func TestDiscovery_RequestAwaitingConnectionMovesWhenEngineDrains(t *testing.T) {
 	for name, withdraw := range map[string]func(front *frontEnd, draining, other string){
 		"begins to drain": func(front *frontEnd, draining, _ string) {
--- a/internal/e2e/engine_faults_test.go
+++ b/internal/e2e/engine_faults_test.go
@@ -65,7 +65,7 @@
 }
 
 // An engine stops sending before its response is complete, and its connection stays open. The front end soon closes the
-// connection, all attempts on it end, and another connection serves both requests.
+// connection, all attempts on it end, and both requests are served on another connection.
 func TestEngineFault_StalledResponseEndsTheConnectionAndIsRetried(t *testing.T) {
 	stalled := false
 	addr, seen := startLineEngine(t, func(line string) string {
--- a/internal/e2e/frontend_helpers_test.go
+++ b/internal/e2e/frontend_helpers_test.go
@@ -54,7 +54,7 @@
 	addr   string
 }
 
-// loadRule classifies each INSERT as a load whose idempotency key is its first value.
+// loadRule classifies each INSERT as a load. The idempotency key is the first parameter of the INSERT.
 var loadRule = pgserver.Rule{Prefix: "insert into", Class: "load", KeyParameter: 1}
 
 // newFrontEnd returns a front end that does not serve yet. It has the settings of the deploy directory. If change is
--- a/internal/e2e/golden_helpers_test.go
+++ b/internal/e2e/golden_helpers_test.go
@@ -11,7 +11,7 @@
 	"flaxrelay/internal/golden"
 )
 
-// longRun is the length in bytes from which a transcript abbreviates a run of equal bytes.
+// longRun is the minimum length, in bytes, of a run of equal bytes that a transcript abbreviates.
 const longRun = 40
 
 // transcript records the bytes of an exchange, for comparison with a golden file. Each line contains the name of the
--- a/internal/e2e/golden_http_helpers_test.go
+++ b/internal/e2e/golden_http_helpers_test.go
@@ -27,7 +27,7 @@
 	name string
 	conn net.Conn
 	in   *bufio.Reader
-	more string // the path of further pages that the latest response named
+	more string // the path of further pages in the latest response
 }
 
 // recordHTTP connects to an HTTP front end. The name precedes each line of the connection in the transcript.
@@ -36,7 +36,7 @@
 	return &httpRecorder{transcript: tr, name: name, conn: conn, in: bufio.NewReader(conn)}
 }
 
-// send writes text, with MORE replaced by the path of further pages that the latest response named.
+// send writes text, with MORE replaced by the path of further pages in the latest response.
 func (r *httpRecorder) send(text string) {
 	r.t.Helper()
 	text = strings.ReplaceAll(text, "MORE", r.more)
--- a/internal/e2e/golden_postgres_helpers_test.go
+++ b/internal/e2e/golden_postgres_helpers_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// compareBatches sends batches of messages to a front end with one engine, each after the response to the previous one,
-// and compares the exchange with its golden file.
+// compareBatches sends batches of messages to a front end with one engine. It sends each batch after the response to
+// the previous batch, and compares the exchange with its golden file.
 func compareBatches(t *testing.T, engine func(pgRequest) []byte, batches [][][]byte, goldenName string) {
 	t.Helper()
 	addr, _ := startPgEngine(t, engine)
@@ -163,7 +163,7 @@
 	r.addEvent(r.name, "closed by the client")
 }
 
-// start sends a startup of the user desk, with further parameters, and reads the response up to ReadyForQuery.
+// start sends a startup of the user "desk", with further parameters, and reads the response up to ReadyForQuery.
 func (r *pgRecorder) start(params ...string) {
 	r.t.Helper()
 	r.send(deskStartup(params...))
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -11,7 +11,8 @@
 // The tests of this file send messages in each phase of a connection: during its startup, within a batch, while the
 // description of a portal is deferred, while a request is in flight, and while messages are skipped after an error.
 
-// openPortal returns a batch that prepares the statement s and binds the portal p, with further messages after them.
+// openPortal returns a batch that prepares the statement s and binds the portal p. The further messages follow these
+// messages in the batch.
 func openPortal(further ...[]byte) [][]byte {
 	return append([][]byte{parse("s", selectPart), bind("p", "s", "a")}, further...)
 }
@@ -28,8 +29,8 @@
 	return goldenPgEngine(request)
 }
 
-// Each batch is sent in one piece and has a response up to ReadyForQuery. An empty batch only reads the response to a
-// message of an earlier batch.
+// Each batch is sent in one piece and has a response up to ReadyForQuery. For an empty batch, the test only reads the
+// response to a message of an earlier batch.
 func TestGoldenPostgres_EachPhaseRespondsToItsBatches(t *testing.T) {
 	message := func(kind byte, body string) []byte { return pgproto.AppendMessage(nil, kind, []byte(body)) }
 	const missing = "SELECT * FROM missing"
@@ -356,7 +357,7 @@
 		recorder := tr.recordPostgres(name, front.addr)
 		recorder.start()
 		recorder.send(messages...)
-		for range received { // the kinds of the messages before the drain
+		for range received { // received contains the kinds of the messages before the drain
 			recorder.receiveMessage()
 		}
 		return recorder
--- a/internal/e2e/golden_postgres_test.go
+++ b/internal/e2e/golden_postgres_test.go
@@ -144,8 +144,8 @@
 	recorder.compare("pgwire/refused")
 }
 
-// An engine does not respond before the statement's timeout: a statement that only reads has a timeout error, and a
-// statement that may write has an error that the outcome is unknown.
+// An engine does not respond before the statement's timeout. The client gets a timeout error for a statement that only
+// reads. For a statement that may write, the client gets the error that the outcome is unknown.
 func TestGoldenPostgres_TimeoutOfAWriteHasAnUnknownOutcome(t *testing.T) {
 	for name, text := range map[string]string{"timeout": "SELECT silent", "timeout-write": "UPDATE silent SET a = 1"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/e2e/http_client_helpers_test.go
+++ b/internal/e2e/http_client_helpers_test.go
@@ -26,7 +26,7 @@
 	bareHealthRequest = "GET /health HTTP/1.1\r\n\r\n"
 )
 
-// queryRequest returns the text of a request of the class that reads the orders.
+// queryRequest returns the text of a request of the class. The statement in the request reads the table orders.
 func queryRequest(class, headers string) string { return tableRequest(class, "orders", headers) }
 
 // tableRequest returns the text of a request whose statement reads the table.
@@ -111,7 +111,7 @@
 // pageRow is the row that is repeated in the pages of a long result.
 const pageRow = `["x","y","z"]`
 
-// morePathOf returns the path of the further pages from a response. It reports whether there are further pages.
+// morePathOf returns the path of the further pages in a response, and reports whether there are further pages.
 func morePathOf(summary string) (path string, more bool) {
 	_, path, more = strings.Cut(summary, `"more":"`)
 	path, _, _ = strings.Cut(path, `"`)
--- a/internal/e2e/http_deadline_test.go
+++ b/internal/e2e/http_deadline_test.go
@@ -34,9 +34,9 @@
 	return milliseconds
 }
 
-// Two requests are pipelined on one connection, and the first times out at an engine that does not respond. The wait of
-// the second request began with its last byte, and has passed when the first request has its response. The second
-// request is rejected at once and not forwarded.
+// Two requests are pipelined on one connection, and the first times out at an engine that does not respond. The
+// deadline of the second request is counted from its last byte. This deadline has passed when the first request gets
+// its response, so the second request is rejected at once and not forwarded.
 func TestHTTP_DeadlineOfPipelinedRequestRunsFromItsArrival(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := startHTTP(t, addr)
@@ -51,8 +51,8 @@
 	front.assertCount("attempts.started.", 1)
 }
 
-// Bytes of a later request are read while an earlier request is in flight. They do not move the deadline of the request
-// between the two: its time runs from its own last byte.
+// Two requests are pipelined, and the first byte of a third request is read while the first request is in flight. This
+// byte does not move the deadline of the second request, which is counted from the last byte of the second request.
 func TestHTTP_LaterBytesDoNotMoveTheDeadlineOfAPipelinedRequest(t *testing.T) {
 	const laterBytesAfter = 280 * time.Millisecond
 	addr, seen := startLineEngine(t, noReply)
@@ -65,14 +65,14 @@
 	time.Sleep(laterBytesAfter)
 	client.send("P")
 	assertEqual(t, "first response", client.receive(), busyResult)
-	// At least 300 ms of its 1000 ms have passed.
+	// At least 300 ms of the second request's 1000 ms have passed.
 	if left := awaitTimeLeft(t, seen, numberedID(2)); left > 700+deadlineSlack {
 		t.Errorf("the engine was given %d ms, want %d at most", left, 700+deadlineSlack)
 	}
 }
 
-// The time of a request runs from its last byte, even while the connection waits in the kernel to be accepted: accepts
-// may fail for a while, or an earlier client may have to disconnect first.
+// The deadline of a request is counted from its last byte, even if the connection still waits in the kernel to be
+// accepted. It may wait because accepts fail for a while, or because an earlier client must disconnect first.
 func TestHTTP_DeadlineRunsWhileTheConnectionAwaitsItsAccept(t *testing.T) {
 	const waited = 600 * time.Millisecond
 	addr, seen := startLineEngine(t, noReply)
--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -76,7 +76,7 @@
 	front.assertCount("attempts.started.", 2)
 }
 
-// The path of further pages has the status 404 once its result is deleted, and so has a path from an earlier process.
+// A request for further pages has the status 404 if the result has been deleted or the path is from an earlier process.
 func TestHTTP_PathWithoutAResultIsNotFound(t *testing.T) {
 	addr, _ := startLineEngine(t, longResultReply)
 	front := startHTTP(t, addr)
@@ -134,7 +134,7 @@
 }
 
 // Clients that send nothing, stall within a request, state a wrong length or send invalid bytes are disconnected or
-// have an error response in time, and none of their requests reaches an engine. The connection is closed after the
+// get an error response in time, and none of their requests reaches an engine. The connection is closed after the
 // response to a malformed request, and requests that follow it have no response.
 func TestHTTP_StalledAndMalformedClientsAreClosedInTime(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
@@ -169,7 +169,7 @@
 		clients[name].send(tt.text)
 	}
 	for name, tt := range cases {
-		responses, _ := io.ReadAll(clients[name].in) // up to the close
+		responses, _ := io.ReadAll(clients[name].in) // until the front end closes the connection
 		got, _ := strings.CutPrefix(string(responses), statusLinePrefix)
 		assertEqual(t, name, got[:min(len(got), len("400"))], tt.want)
 		if n := strings.Count(string(responses), statusLinePrefix); n > 1 {
--- a/internal/e2e/line_engine_helpers_test.go
+++ b/internal/e2e/line_engine_helpers_test.go
@@ -13,8 +13,8 @@
 // seenCapacity is the number of requests that a scripted engine can report before it blocks until the test reads them.
 const seenCapacity = 100
 
-// startLineEngine starts an engine of the line protocol that responds to each line with the result of script. It sends
-// each line to seen, with the statement appended if the line begins a request.
+// startLineEngine starts an engine of the line protocol that responds to each line with the result of script. The
+// engine sends each line to seen, with the statement appended if the line begins a request.
 func startLineEngine(t *testing.T, script func(line string) (response string)) (addr string, seen chan string) {
 	t.Helper()
 	seen = make(chan string, seenCapacity)
--- a/internal/e2e/peer_helpers_test.go
+++ b/internal/e2e/peer_helpers_test.go
@@ -147,5 +147,5 @@
 	}
 }
 
-// closeConnection, as the response of a scripted engine, makes the engine close the connection instead.
+// closeConnection is a response on which a scripted engine closes the connection instead of sending the text.
 const closeConnection = "close the connection"
--- a/internal/e2e/postgres_client_helpers_test.go
+++ b/internal/e2e/postgres_client_helpers_test.go
@@ -20,7 +20,7 @@
 	insertPart = "INSERT INTO stock_1.parts VALUES ($1)"
 )
 
-// pgClient is a PostgreSQL client that sends the messages that a test encodes, which may be malformed.
+// pgClient is a PostgreSQL client that sends messages as a test has encoded them. The messages may be malformed.
 type pgClient struct {
 	t       *testing.T
 	conn    net.Conn
@@ -28,7 +28,7 @@
 	keyData []byte // the body of the latest BackendKeyData: process number and secret
 }
 
-// connectPostgres connects and completes the startup as the user desk with further parameters.
+// connectPostgres connects and completes the startup as the user "desk", with further parameters.
 func connectPostgres(t *testing.T, addr string, params ...string) *pgClient {
 	t.Helper()
 	client := &pgClient{t: t, conn: dial(t, addr)}
@@ -37,7 +37,7 @@
 	return client
 }
 
-// deskStartup returns the first message of a connection of the user desk, with further parameters.
+// deskStartup returns the first message of a connection of the user "desk", with further parameters.
 func deskStartup(params ...string) []byte {
 	return startupMessage(pgproto.ProtocolVersion, append([]string{"user", "desk"}, params...)...)
 }
--- a/internal/e2e/postgres_connection_limits_test.go
+++ b/internal/e2e/postgres_connection_limits_test.go
@@ -14,8 +14,8 @@
 	for name, tt := range map[string]struct {
 		before [][]byte
 		open   func(name string) []byte
-		target string // of a Close
-		opened string // message kind of the response to open
+		target string // what a Close closes: a statement ("S") or a portal ("P")
+		opened string // kind of the message that responds to open
 	}{
 		"statements": {
 			nil, func(name string) []byte { return parse(name, selectPart) }, "S", "1",
@@ -40,10 +40,10 @@
 	}
 }
 
-// The rows that are buffered for open portals are limited by a budget. A portal returns its rows to the budget however
-// it ends.
+// A budget limits the rows that are buffered for open portals. When a portal ends, for any reason, its rows no longer
+// count towards the budget.
 func TestPostgres_EndedPortalReturnsItsRowsToTheBudget(t *testing.T) {
-	// In bytes: enough for the two rows that remain after one of three was fetched, and not enough for four rows.
+	// In bytes. The budget is enough for the two rows that remain after one of three was fetched, but not for four.
 	const budget = 30
 	addr, _ := startPgEngine(t, goldenPgEngine)
 	fetchOne := func(portal string) [][]byte { return [][]byte{bind(portal, "s", "a"), execute(portal, 1)} }
@@ -81,9 +81,9 @@
 	}
 }
 
-// A client that disconnects with an open portal returns the portal's rows to the budget.
+// After a client with an open portal disconnects, the portal's rows no longer count towards the budget.
 func TestPostgres_DisconnectedClientReturnsItsRowsToTheBudget(t *testing.T) {
-	const budget = 30 // bytes: the remaining rows of one portal, and not of two
+	const budget = 30 // bytes; enough for the remaining rows of one portal, but not of two
 	addr, _ := startPgEngine(t, goldenPgEngine)
 	front := newFrontEnd(t, nil)
 	front.pgOptions.MaxBufferedBytes = budget
--- a/internal/e2e/postgres_engine_helpers_test.go
+++ b/internal/e2e/postgres_engine_helpers_test.go
@@ -45,7 +45,8 @@
 )
 
 // startPgEngine starts a PostgreSQL engine that responds to each batch with the result of script. If script returns
-// nil, the engine does not respond. It sends each batch to seen, and each CancelRequest as a request with cancelQuery.
+// nil, the engine does not respond. The engine sends each batch to seen, and each CancelRequest as a request with
+// cancelQuery.
 func startPgEngine(t *testing.T, script func(pgRequest) []byte) (addr string, seen chan pgRequest) {
 	t.Helper()
 	return startSlowPgEngine(t, 0, script)
@@ -84,7 +85,7 @@
 	return err == nil
 }
 
-// readStartup reads the first message, and reports whether batches follow it. None follow a CancelRequest.
+// readStartup reads the first message, and reports whether batches follow it. No batches follow a CancelRequest.
 func (c *pgEngineConn) readStartup() bool {
 	for {
 		code, _, n, _ := pgproto.ParseStartup(c.unread)
@@ -182,7 +183,7 @@
 	return pgproto.AppendMessage(nil, 'E', (&pgproto.Error{Severity: "ERROR", Code: code, Message: "no"}).Body())
 }
 
-// noPgReply is the script of an engine that responds to no batch.
+// noPgReply is the script of an engine that does not respond to any batch.
 func noPgReply(pgRequest) []byte { return nil }
 
 // oneRowReply is the script of an engine that responds to each batch with one row.
--- a/internal/e2e/postgres_faults_test.go
+++ b/internal/e2e/postgres_faults_test.go
@@ -7,8 +7,8 @@
 	"flaxrelay/internal/pgproto"
 )
 
-// Each kind of failure has one ErrorResponse with the code of that failure. The messages after it are skipped up to
-// Sync, or the connection is closed. An empty statement is not a failure.
+// For each kind of failure, the client receives one ErrorResponse with the code of that failure. After the failure,
+// messages are skipped up to Sync, or the connection is closed. An empty statement is not a failure.
 func TestPostgres_EachFailureHasOneErrorResponse(t *testing.T) {
 	addr, _ := startPgEngine(t, func(request pgRequest) []byte {
 		if strings.Contains(request.query, "missing") {
@@ -96,8 +96,8 @@
 }
 
 // Peers stall with an open connection. A client that sends nothing is disconnected. A client that sends a message only
-// in part has an error before it is disconnected. If an engine sends a message only in part, its connection is closed,
-// and another engine serves the request.
+// in part receives an error before it is disconnected. If an engine sends a message only in part, its connection is
+// closed, and another engine serves the request.
 func TestPostgres_StalledPeersAreDisconnected(t *testing.T) {
 	isFirst := firstCall()
 	script := func(pgRequest) []byte {
--- a/internal/e2e/postgres_writes_test.go
+++ b/internal/e2e/postgres_writes_test.go
@@ -10,8 +10,8 @@
 	"flaxrelay/policy"
 )
 
-// A load that was sent to an engine that then fails may have run. Within the deduplication window of its key, it is
-// retried on another engine with the same key, and the client has one response.
+// An engine fails after a load was sent to it, so the load may have run. Within the deduplication window of its key,
+// the load is retried on another engine with the same key, and the client gets one response.
 func TestPostgres_LoadIsRetriedWithItsIdempotencyKey(t *testing.T) {
 	isFirst := firstCall()
 	script := func(pgRequest) []byte {
@@ -73,7 +73,7 @@
 }
 
 // Engines run each statement and then close the connection. A statement that may write is not retried: it runs once,
-// and its client has an error that the outcome is unknown. A statement that only reads is retried on other engines.
+// and its client gets the error that the outcome is unknown. A statement that only reads is retried on other engines.
 func TestPostgres_WritesAreNotRetried(t *testing.T) {
 	var engines []string
 	var seen []chan pgRequest
@@ -82,7 +82,7 @@
 		engines = append(engines, addr)
 		seen = append(seen, requests)
 	}
-	runs := func() (n int) { // since the previous call
+	runs := func() (n int) { // returns the number of requests that engines received since the previous call
 		for _, requests := range seen {
 			n += discardAll(requests)
 		}
@@ -120,9 +120,9 @@
 	}
 }
 
-// An idempotent class, named by the client or by a rule, is rejected for a statement that may write. A rule or a
-// function that is declared read-only permits a statement that may write, but not one that certainly writes.
-// Without a class for writes, a statement that may write is rejected.
+// An idempotent class, named by the client or by a rule, is rejected for a statement that may write. If the statement's
+// rule or function is declared read-only, the class is accepted, unless the statement certainly writes. Without a class
+// for writes, a statement that may write is rejected.
 func TestPostgres_IdempotentClassIsRejectedForWrites(t *testing.T) {
 	addr, _ := startPgEngine(t, oneRowReply)
 	front := newFrontEnd(t, nil)
--- a/internal/e2e/retry_test.go
+++ b/internal/e2e/retry_test.go
@@ -14,7 +14,7 @@
 )
 
 // addrWithoutListener returns an address at which connections are refused until the end of the test. A socket is bound
-// to it and does not listen, so that no other process gets the port.
+// to the address and does not listen, so that no other process gets the port.
 func addrWithoutListener(t *testing.T) string {
 	t.Helper()
 	fd := bindLoopback(t)
--- a/internal/e2e/statement_shapes_test.go
+++ b/internal/e2e/statement_shapes_test.go
@@ -37,9 +37,9 @@
 	return service
 }
 
-// A statement is a lookup with a short list and a report with a long list: its class depends on the bound values once a
-// few executions have been observed. A comment that names a class overrides this class. A statement that may write is
-// never classified by its shape.
+// After a few executions, the class of a statement depends on its bound values: with a short list the statement is a
+// lookup, and with a long list it is a report. A comment that names a class overrides this class. A statement that may
+// write is never classified by its shape.
 func TestStatementShapes_ClassFollowsBoundValues(t *testing.T) {
 	const (
 		longListLength    = 78
