--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
 // Package golden compares the output of a test with a golden file. Only tests and their helper
-// packages import it. With the flag -update, a test writes its golden files instead:
+// packages import it. With the flag -update, a test writes its golden files before the comparison:
 //
 //	go test ./internal/observability -update
 package golden
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// The modes of a golden file and of a directory for it that -update creates.
+// The modes of the golden files and directories that -update creates.
 const (
 	fileMode      = 0o644
 	directoryMode = 0o755
--- a/internal/layering/layering_test.go
+++ b/internal/layering/layering_test.go
@@ -22,7 +22,7 @@
 )
 
 // layers lists the packages from the top layer down. A name includes the package and the packages in
-// its subdirectories. A name that ends in a slash includes only those in subdirectories. A package may
+// its subdirectories. A name that ends in a slash includes only the packages in subdirectories. A package may
 // import packages of its own layer and of lower layers.
 var layers = [][]string{
 	{"cmd/"},
@@ -53,7 +53,7 @@
 	"internal/tcptest",
 }
 
-// layerOf returns the index of the package's layer in layers, or -1.
+// layerOf returns the index of the package's layer in layers, or -1 if no layer includes the package.
 func layerOf(pkg string) int {
 	return slices.IndexFunc(layers, func(names []string) bool {
 		return slices.ContainsFunc(names, func(name string) bool { return contains(name, pkg) })
--- a/internal/pages/configuration_test.go
+++ b/internal/pages/configuration_test.go
@@ -162,7 +162,7 @@
 	return keys
 }
 
-// difference returns the keys that a page lacks, and the keys that it lists and the code does not have.
+// difference returns the keys that a page lacks, and the keys that the page lists but the code does not have.
 func (s *keySet) difference(listed map[string]bool) (missing, unknown []string) {
 	for _, key := range slices.Sorted(maps.Keys(s.values)) {
 		if !listed[key] {
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -1,6 +1,7 @@
-// Package pages contains the tests of the repository's Markdown pages. The targets of their links must
-// exist, and so must the paths, tests, Go identifiers and settings keys that they name. The README must
-// lead to every page, and the configuration page must list every key.
+// Package pages contains the tests of the repository's Markdown pages. The tests check that the links in
+// the pages have targets that exist. They also check that the repository contains the paths, tests, Go
+// identifiers and settings keys that the pages name. The README must lead to every page, and the
+// configuration page must list every key.
 package pages
 
 import (
@@ -16,7 +17,7 @@
 
 var (
 	link = regexp.MustCompile(`\]\(([^)\s]+)\)`)
-	// testMention matches the name of a test, or a prefix of such names that is followed by an asterisk.
+	// testMention matches the name of a test, or a prefix of test names that is followed by an asterisk.
 	testMention   = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*\*?`)
 	fencedBlock   = regexp.MustCompile("(?ms)^```[^\n]*\n(.*?)^```")
 	indentedLine  = regexp.MustCompile(`(?m)^ {4}(.+)$`)
--- a/internal/pages/repository_test.go
+++ b/internal/pages/repository_test.go
@@ -30,11 +30,11 @@
 type repository struct {
 	paths          map[string]bool            // files and directories
 	directoryNames map[string]bool            // the last elements of the paths of all directories
-	headings       map[string][]string        // by the path of a page: the anchors of its headings
+	headings       map[string][]string        // anchors of the headings of each page, by the path of the page
 	tests          map[string]bool            // names of test functions
 	identifiers    map[string]bool            // declared names, and the names of packages
-	members        map[string]map[string]bool // by the name of a package or type: the names that it declares
-	embedded       map[string][]string        // by the name of a type: the types that it embeds
+	members        map[string]map[string]bool // names that each package or type declares, by its name
+	embedded       map[string][]string        // types that each type embeds, by its name
 }
 
 func newRepository() *repository {
@@ -178,8 +178,8 @@
 	return strings.Map(keep, strings.ToLower(title))
 }
 
-// hasPath reports whether the word is a path of the repository or the end of one, because pages name packages without
-// the directories above them. An asterisk matches any part of one element.
+// hasPath reports whether the word is a path of the repository or the end of such a path. The end is enough, because
+// pages name packages without the directories above them. An asterisk matches any part of one element.
 func (r *repository) hasPath(word string) bool {
 	if r.paths[word] {
 		return true
