--- a/cmd/flaxrelay/log_test.go
+++ b/cmd/flaxrelay/log_test.go
@@ -8,7 +8,7 @@
 )
 
 // startListening starts a front end with one engine in a child process. It returns the address of the
-// listener as soon as the log contains it, and does not read the rest of the log.
+// listener as soon as the address is in the log, and does not read the rest of the log.
 func startListening(t *testing.T) (p *process, address string) {
 	t.Helper()
 	path := writeExampleConfig(t, exampleEngineAddress, startEngine(t, respondWithoutRows))
--- a/cmd/flaxrelay/main.go
+++ b/cmd/flaxrelay/main.go
@@ -1,5 +1,5 @@
 // Command flaxrelay is a layer-7 proxy with admission control between query clients and engines. It
-// accepts requests, lets package policy decide where each one runs, and relays the responses.
+// accepts requests, lets package policy decide where each request runs, and relays the responses.
 //
 // Without a command it serves the platform's HTTP protocol with the configuration file that $LB_CONFIG or
 // --config names. With --postgres it serves the PostgreSQL wire protocol with a deploy file. SIGHUP
--- a/cmd/flaxrelay/process_test.go
+++ b/cmd/flaxrelay/process_test.go
@@ -33,8 +33,8 @@
 // inChild reports whether startProcess started this process.
 func inChild() bool { return childFiles() != serveFiles{} }
 
-// serveInChild reports whether startProcess started this process. If so, it serves until the process
-// is shut down. A test that starts a process must call it first.
+// serveInChild reports whether startProcess started this process. If so, serveInChild serves until the
+// process is shut down. A test that starts a process must call it first.
 func serveInChild(t *testing.T) bool {
 	t.Helper()
 	if !inChild() {
--- a/cmd/flaxrelay/serve.go
+++ b/cmd/flaxrelay/serve.go
@@ -57,8 +57,8 @@
 
 var errNothingToServe = errors.New("nothing to serve: set LB_CONFIG, --config or --postgres")
 
-// serve runs the front end that the files select until it has shut down. The logger writes to the output;
-// the counters are printed to the output too.
+// serve runs the front end that the files select, and returns when the front end has shut down. The logger
+// writes to the output; the counters are printed to the output too.
 func serve(files serveFiles, logger *slog.Logger, output *logging.AsyncWriter) error {
 	received := subscribeSignals() // first, because before this a signal ends the process at once
 	signal.Ignore(syscall.SIGPIPE) // the process must survive a write to a log pipe whose reader has exited
--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -53,7 +53,7 @@
 	return &server{counters: metrics.New(), logger: logger}
 }
 
-// listen sets up the server for the protocol that the files select and opens its listener.
+// listen opens the listener, after it has set up the server for the protocol that the files select.
 func (s *server) listen(ctx context.Context, files serveFiles) error {
 	switch {
 	case files.postgres != "":
--- a/cmd/flaxrelay/signals.go
+++ b/cmd/flaxrelay/signals.go
@@ -18,7 +18,7 @@
 }
 
 // handleSignals posts the action of each signal to the event loop. Only the first SIGTERM or SIGINT
-// starts a graceful shutdown; others are ignored.
+// starts a graceful shutdown; later ones are ignored.
 func (s *server) handleSignals(received <-chan os.Signal) {
 	shutdownStarted := false
 	for sig := range received {
--- a/internal/config/postgres.go
+++ b/internal/config/postgres.go
@@ -62,7 +62,7 @@
 	Kind    string `toml:"kind"` // kind of engines whose metadata has none
 }
 
-// LoadPostgres reads the deploy file of the PostgreSQL front end and the settings file that it names.
+// LoadPostgres reads the deploy file of the PostgreSQL front end, and the settings file that is named in it.
 // The returned error contains all errors in the files, with their lines and fields (see FieldErrorsOf).
 // If the front end is off, the deploy file is decoded but not validated.
 func LoadPostgres(path string) (*Postgres, error) {
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -29,8 +29,8 @@
 	// defaultIdleTimeout is how long a connection may go without receiving data. The bus sends a
 	// heartbeat every second.
 	defaultIdleTimeout = 2500 * time.Millisecond
-	// maxFrameTimeouts limits how long a frame may take to arrive in pieces, as a number of idle
-	// timeouts. The endpoint list of a large fleet may arrive slowly if the bus is busy.
+	// maxFrameTimeouts limits the time in which a frame may arrive in pieces. The unit is the idle
+	// timeout. The endpoint list of a large fleet may arrive slowly if the bus is busy.
 	maxFrameTimeouts = 8
 )
 
--- a/internal/discovery/eventbus/watcher_test.go
+++ b/internal/discovery/eventbus/watcher_test.go
@@ -144,8 +144,8 @@
 	discoverytest.Must(t, conn.Close())
 }
 
-// The watcher waits for a frame that arrives slowly and in pieces. If it closed the connection, a busy
-// bus would have to send the frame from the start repeatedly.
+// The watcher waits for a frame that arrives slowly and in pieces. If the watcher closed the connection, a
+// busy bus would have to send the frame from the start repeatedly.
 func TestWatcher_WaitsForAFrameThatArrivesInPieces(t *testing.T) {
 	const (
 		idleTimeout = 200 * time.Millisecond
--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -8,8 +8,8 @@
 )
 
 // At the limit of client connections, a new client evicts a connection that has not sent a valid request. If every
-// connection has sent one, it evicts the connection that has been idle longest. A connection with a request in flight
-// is never evicted, and below the limit no connection is evicted.
+// connection has sent a valid request, the new client evicts the connection that has been idle longest. A connection
+// with a request in flight is never evicted, and below the limit no connection is evicted.
 func TestConnectionLimit_EvictsTheLongestIdleClient(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := newFrontEnd(t, nil)
@@ -37,8 +37,8 @@
 	front.assertCount("requests.disconnected.", 0)
 }
 
-// At the limit of engine connections, a new connection evicts the one that has been idle longest. If all connections
-// are in use, a request is rejected at once and no connection is opened.
+// At the limit of engine connections, a new connection evicts the connection that has been idle longest. If all
+// connections are in use, a request is rejected at once and no connection is opened.
 func TestConnectionLimit_EvictsTheLongestIdleEngineConnection(t *testing.T) {
 	first, _ := startLineEngine(t, emptyReply)
 	second, _ := startLineEngine(t, emptyReply)
--- a/internal/e2e/http_test.go
+++ b/internal/e2e/http_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// An engine crashes between the first page and the rest. No row has been forwarded yet, so another engine serves the
-// client, which fetches the long result page by page.
+// An engine crashes after it has sent the first page of a result. No row has been forwarded yet, so another engine
+// serves the client, which fetches the long result page by page.
 func TestHTTP_CollectsPagesBeforeForwardingRows(t *testing.T) {
 	isFirstTurn := firstCall()
 	script := func(line string) string {
--- a/internal/e2e/retry_test.go
+++ b/internal/e2e/retry_test.go
@@ -100,7 +100,7 @@
 	await(t, seen)
 	got, _ := connectHTTP(t, front.addr).roundTrip(withID(queryRequest("lookup", ""), other))
 	assertEqual(t, "response to the other request", got, emptyResult)
-	front.assertCount("attempts.started.lookup", 3) // two of the first request, one of the other request
+	front.assertCount("attempts.started.lookup", 3) // two for the first request, one for the other request
 	front.assertCount("attempts.ended.overloaded", 1)
 }
 
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -89,8 +89,8 @@
 	})
 }
 
-// The host sends a health check if the settings permit it. It accepts a response that is late, that
-// reports a failure or that is from an unknown engine.
+// The host sends a health check if the settings permit health checks. The host accepts a response that is
+// late, that reports a failure or that is from an unknown engine.
 func TestRun_SendsHealthCheckAndAcceptsResponses(t *testing.T) {
 	batch, err := os.ReadFile("testdata/batch.in")
 	if err != nil {
--- a/internal/simprotocol/message.go
+++ b/internal/simprotocol/message.go
@@ -60,7 +60,7 @@
 	name  string // name of the value in errors
 }
 
-// present reports whether the message has the value and it is not null.
+// present reports whether the message contains the value and the value is not null.
 func (f field[T]) present(message *inputMessage) bool {
 	return f.index < len(message.values) && string(message.values[f.index]) != "null"
 }
--- a/internal/simprotocol/names.go
+++ b/internal/simprotocol/names.go
@@ -133,7 +133,7 @@
 	409: policy.ResultNotSent,
 }
 
-// Names of the values of load reports that the balancer uses.
+// Names of values in load reports. The balancer uses only these values.
 const (
 	loadCPUShare    = "cpu"
 	loadInFlight    = "active"
