--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -53,7 +53,7 @@
 	return &server{counters: metrics.New(), logger: logger}
 }
 
-// listen opens the listener, after it has set up the server for the protocol that the files select.
+// listen sets up the server for the protocol that the files select. It also opens the listener.
 func (s *server) listen(ctx context.Context, files serveFiles) error {
 	switch {
 	case files.postgres != "":
--- a/cmd/flaxrelay/shutdown.go
+++ b/cmd/flaxrelay/shutdown.go
@@ -8,7 +8,7 @@
 
 // The schedule of a graceful shutdown, counted from SIGTERM.
 const (
-	// acceptPeriod is the time until the listener is closed, and readPeriod the time until the server closes
+	// acceptPeriod is the time until the listener is closed. readPeriod is the time until the server closes
 	// its connections; see frontEnd.Drain. Clients connect for up to 0.4 s after SIGTERM, and send requests
 	// for 0.2 s more.
 	acceptPeriod = 500 * time.Millisecond
--- a/internal/discovery/consul/reconcile.go
+++ b/internal/discovery/consul/reconcile.go
@@ -48,10 +48,10 @@
 	return current
 }
 
-// changedEndpoints compares the list with the engines before, which are a map by id. The changes are the
-// engines that are new or have changed, and the engines that are no longer in the list. The latter get the
-// state EngineRemoved, and are omitted if they had this state before. The changes are in the order of
-// their ids. changedEndpoints also returns the list as a map by id.
+// changedEndpoints compares the list with the previous list; before and after contain the lists by id. The
+// changes are the engines that are new or have changed, and the engines that are no longer in the list. An
+// engine that is no longer in the list gets the state EngineRemoved, and is omitted if it had this state
+// before. The changes are in the order of their ids.
 func changedEndpoints(
 	before map[string]lifecycle.Endpoint, list []lifecycle.Endpoint,
 ) (changes []lifecycle.Endpoint, after map[string]lifecycle.Endpoint) {
