--- a/cmd/flaxrelay/server.go
+++ b/cmd/flaxrelay/server.go
@@ -23,7 +23,7 @@
 	frontEnd   frontEnd // nil if the deploy file turns the front end off
 	counters   *metrics.Counters
 	logger     *slog.Logger
-	output     *logging.AsyncWriter // of the log and the counters; nil: counters are not printed
+	output     *logging.AsyncWriter // output of the log and the counters; nil: counters are not printed
 	statistics *stmtstats.Service   // statement statistics; nil if they are off
 	reload     func() error         // applies the changed file; nil if no part of it can be reloaded
 	// reloadRetry retries a reload whose file could not be read; nil if no such reload has occurred.
@@ -53,7 +53,7 @@
 	return &server{counters: metrics.New(), logger: logger}
 }
 
-// listen sets up the server for the protocol that the files select and opens its listener.
+// listen sets up the server for the protocol that the files select. It also opens the listener.
 func (s *server) listen(ctx context.Context, files serveFiles) error {
 	switch {
 	case files.postgres != "":
--- a/internal/discovery/eventbus/watcher.go
+++ b/internal/discovery/eventbus/watcher.go
@@ -29,8 +29,8 @@
 	// defaultIdleTimeout is how long a connection may go without receiving data. The bus sends a
 	// heartbeat every second.
 	defaultIdleTimeout = 2500 * time.Millisecond
-	// maxFrameTimeouts limits how long a frame may take to arrive in pieces, as a number of idle
-	// timeouts. The endpoint list of a large fleet may arrive slowly if the bus is busy.
+	// maxFrameTimeouts limits the time in which a frame may arrive in pieces. The unit is the idle
+	// timeout. The endpoint list of a large fleet may arrive slowly if the bus is busy.
 	maxFrameTimeouts = 8
 )
 
@@ -99,7 +99,7 @@
 	partialSince time.Duration
 }
 
-// New returns a watcher that notifies the sink. Start starts it.
+// New returns a watcher that notifies the sink. Start starts the watcher.
 func New(
 	loop *eventloop.Loop, sink discovery.Sink, opts Options, counters *metrics.Counters, log *slog.Logger,
 ) *Watcher {
@@ -246,8 +246,8 @@
 }
 
 // onPartialFrame restarts the idle timer when a part of a frame arrives, because the bus is alive. It
-// stops doing so maxFrameTimeouts idle timeouts after the first part, so that a frame that never
-// completes does not keep the connection open.
+// does so only for maxFrameTimeouts idle timeouts after the first part. Otherwise, a frame that never
+// completes would keep the connection open.
 func (w *Watcher) onPartialFrame() {
 	now := w.loop.Now()
 	if w.partialSince == 0 {
--- a/internal/e2e/connection_limits_test.go
+++ b/internal/e2e/connection_limits_test.go
@@ -8,8 +8,8 @@
 )
 
 // At the limit of client connections, a new client evicts a connection that has not sent a valid request. If every
-// connection has sent one, it evicts the connection that has been idle longest. A connection with a request in flight
-// is never evicted, and below the limit no connection is evicted.
+// connection has sent a valid request, the new client evicts the connection that has been idle longest. A connection
+// with a request in flight is never evicted, and below the limit no connection is evicted.
 func TestConnectionLimit_EvictsTheLongestIdleClient(t *testing.T) {
 	addr, seen := startLineEngine(t, noReply)
 	front := newFrontEnd(t, nil)
@@ -37,8 +37,8 @@
 	front.assertCount("requests.disconnected.", 0)
 }
 
-// At the limit of engine connections, a new connection evicts the one that has been idle longest. If all connections
-// are in use, a request is rejected at once and no connection is opened.
+// At the limit of engine connections, a new connection evicts the connection that has been idle longest. If all
+// connections are in use, a request is rejected at once and no connection is opened.
 func TestConnectionLimit_EvictsTheLongestIdleEngineConnection(t *testing.T) {
 	first, _ := startLineEngine(t, emptyReply)
 	second, _ := startLineEngine(t, emptyReply)
@@ -49,7 +49,7 @@
 	front.settings.MaxStreams = 1
 	front.serveHTTP()
 	client := connectHTTP(t, front.addr)
-	queryOnly := func(addr string) string { // while no other engine is ready
+	queryOnly := func(addr string) string { // sends a request while no other engine is ready
 		front.updateEndpoints(policy.EngineReady, addr)
 		defer front.updateEndpoints(policy.EngineDraining, addr)
 		got, _ := client.roundTrip(queryRequest("lookup", ""))
@@ -70,8 +70,8 @@
 	front.assertCount("engine-connections.dialed", dialed)
 }
 
-// evictAfterReading starts a front end that reads the text of a new client and, before it handles the text, evicts the
-// connection of this client to accept another client.
+// evictAfterReading starts a front end, which reads the text of a new client. Before the front end handles the text, it
+// evicts the connection of this client to accept another client.
 func evictAfterReading(t *testing.T, text string) (*frontEnd, *httpClient) {
 	t.Helper()
 	addr, _ := startLineEngine(t, emptyReply)
--- a/internal/e2e/retry_test.go
+++ b/internal/e2e/retry_test.go
@@ -14,7 +14,7 @@
 )
 
 // addrWithoutListener returns an address at which connections are refused until the end of the test. A socket is bound
-// to it and does not listen, so that no other process gets the port.
+// to the address and does not listen, so that no other process gets the port.
 func addrWithoutListener(t *testing.T) string {
 	t.Helper()
 	fd := bindLoopback(t)
@@ -100,7 +100,7 @@
 	await(t, seen)
 	got, _ := connectHTTP(t, front.addr).roundTrip(withID(queryRequest("lookup", ""), other))
 	assertEqual(t, "response to the other request", got, emptyResult)
-	front.assertCount("attempts.started.lookup", 3) // two of the first request, one of the other request
+	front.assertCount("attempts.started.lookup", 3) // two for the first request, one for the other request
 	front.assertCount("attempts.ended.overloaded", 1)
 }
 
