--- a/internal/lab/workload/generator.go
+++ b/internal/lab/workload/generator.go
@@ -20,9 +20,12 @@
 	Seed        uint64
 	Templates   int     // recurring statement shapes; 0: DefaultTemplates
 	OneOffShare float64 // share of statements whose shape never recurs
-	HardShare   float64 // share of lookups whose values make them reports, if their family has a hard case
-	WriteShare  float64 // share of statements that write and are not loads
-	// DriftFrom is the share of the statements after which the orders table has DriftFactor times as many
+	// HardShare is the share of statements with broad values, such as a list of thousands of parts, in each
+	// family of lookups that has broad values. A statement is a hard case if its broad values make it a report,
+	// because its shape then does not determine its class.
+	HardShare  float64
+	WriteShare float64 // share of statements that write and are not loads
+	// DriftFrom is a share of the statements. After this share, the orders table has DriftFactor times as many
 	// rows. 0: the table never grows.
 	DriftFrom   float64
 	DriftFactor float64
@@ -70,8 +73,8 @@
 	ClassWrite  = "write"
 )
 
-// MinReportMS is the least work, in milliseconds, of a read-only statement that is a report. The class is
-// determined before the random scatter of the work.
+// MinReportMS is the work, in milliseconds, from which a read-only statement is a report and not a lookup. The
+// work is compared before random scatter is applied to it.
 const MinReportMS = 800
 
 // Values of Statement.Template for statements without a recurring template.
@@ -83,18 +86,18 @@
 // Statement is one statement with its true class and cost.
 type Statement struct {
 	Text       string
-	Values     [][]byte // bound; nil: null
+	Values     [][]byte // bound values; nil: null
 	Formats    []byte   // format codes as in a Bind message
 	Types      []byte   // object ids of the parameter types, four bytes each
 	Class      string
-	HardCase   string  // why its class is hard to determine, or ""
+	HardCase   string  // why the class is hard to determine; "": the statement is not a hard case
 	Template   int     // index of its template, TemplateOneOff or TemplateWrite
 	WorkMS     float64 // on one core
 	MemoryMB   float64
 	HintWorkMS float64 // 0: no hint
 	HintMB     float64
 	Weight     float64 // priority weight
-	Key        int     // number of the bound value that is its idempotency key; 0: none
+	Key        int     // number, from 1, of the bound value that is the idempotency key; 0: none
 }
 
 // Generator generates the statements of a workload. The same options give the same statements. A Generator
@@ -175,23 +178,24 @@
 	return 1
 }
 
-// fromTemplate generates a statement of a template with drawn values.
+// fromTemplate generates a statement of a template with random values.
 func (g *Generator) fromTemplate(t *template, index int, growth float64) Statement {
 	s, usualMS := g.instantiate(t, growth)
 	s.Template = index
 	return g.finish(s, usualMS)
 }
 
-// hintBias is the factor by which hints of the work are biased, by the class that a planner would expect.
+// hintBias contains the systematic errors of hints of the work: a factor for each class that a planner would
+// expect.
 var hintBias = map[string]float64{ClassLookup: 0.45, ClassReport: 2.4, ClassLoad: 0.7, ClassWrite: 1}
 
-// priorityWeights are the priority weights of the classes.
 var priorityWeights = map[string]float64{ClassLookup: 1, ClassReport: 4, ClassLoad: 5, ClassWrite: 4}
 
-// finish scatters the work, and adds memory, hint and priority weight. usualMS is the work that a planner
-// would expect without knowing the values.
+// finish applies random scatter to the work, and sets the memory, the hint and the priority weight. usualMS is
+// the work that a planner would expect without knowing the values.
 func (g *Generator) finish(statement Statement, usualMS float64) Statement {
-	// Memory grows with a power of the work: referenceMemoryMB at referenceWorkMS.
+	// Before scatter, the memory grows with the power memoryExponent of the work, and is referenceMemoryMB for a
+	// work of referenceWorkMS.
 	const (
 		minMemoryMB       = 2
 		referenceMemoryMB = 6
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -12,18 +12,18 @@
 	generator   *Generator
 	random      *rand.Rand
 	template    *template
-	dataSet     int     // number of its schema, stock_N
+	dataSet     int     // N in the name of its schema, stock_N
 	rows        float64 // current number of rows of the table
 	rowsPerPart float64 // of a part that is not popular
-	broad       bool    // the values make a lookup a report, if its family has a hard case
-	hardCase    string  // the hard case of the family, or "" without broad values
+	broad       bool    // whether to use the broad values of the family, if it has any
+	hardCase    string  // why broad values make the class hard to determine; "": no broad values
 	tableName   string
 	from        string // the table with its alias
 	alias       string
 	columns     string // the selected columns
 }
 
-// newInstance draws the data set, whether the values are broad, and the names.
+// newInstance draws the data set and the names, and decides at random whether the values are broad.
 func (g *Generator) newInstance(t *template, growth float64) *instance {
 	i := &instance{generator: g, random: g.random, template: t}
 	i.style = t.style
@@ -72,8 +72,8 @@
 // dayColumn returns the name of the column that holds the day of a row.
 func (i *instance) dayColumn() string { return i.column(i.template.table.dayColumn) }
 
-// instantiate generates a statement of a template with drawn values. usualMS is the work of the shape with
-// usual values, as a planner would estimate it without knowing the values.
+// instantiate generates a statement of a template with random values. usualMS is the work that a planner would
+// expect without knowing the values.
 func (g *Generator) instantiate(t *template, growth float64) (statement Statement, usualMS float64) {
 	i := g.newInstance(t, growth)
 	if t.family == loadBatch {
@@ -88,7 +88,7 @@
 	statement.Class = ClassLookup
 	if statement.WorkMS >= MinReportMS {
 		statement.Class = ClassReport
-		statement.HardCase = i.hardCase // not for a lookup: broad values of a small table are not a hard case
+		statement.HardCase = i.hardCase // a lookup on a small table stays a lookup even with broad values
 	}
 	return statement, usual.workMS()
 }
--- a/internal/lab/workload/lookups.go
+++ b/internal/lab/workload/lookups.go
@@ -37,7 +37,7 @@
 	return actual, actual
 }
 
-// generatePartList generates a SELECT of the rows of a list of parts; the hard case is a list of thousands.
+// generatePartList generates a SELECT of the rows of a few parts. With broad values, it lists thousands of parts.
 func generatePartList(i *instance) (actual, usual access) {
 	const (
 		probeRows       = 12 // rows that cost as much as the search for one part
@@ -69,7 +69,7 @@
 	return actual, usual
 }
 
-// generateDayRange generates a SELECT of the rows of some days; the hard case is a range of years.
+// generateDayRange generates a SELECT of the rows of a few days. With broad values, the range is several years.
 func generateDayRange(i *instance) (actual, usual access) {
 	const (
 		maxDays        = 3
@@ -94,8 +94,8 @@
 	return actual, usual
 }
 
-// generatePattern generates a SELECT of the rows whose part has a prefix; the hard case has a leading
-// wildcard, which rules out the use of an index.
+// generatePattern generates a SELECT of the rows whose part has a prefix. A broad pattern has a leading
+// wildcard, so that no index can be used.
 func generatePattern(i *instance) (actual, usual access) {
 	const (
 		prefixes          = 400 // one row in 400 has the prefix
@@ -116,8 +116,8 @@
 	return usual, usual
 }
 
-// generateDistricts generates a SELECT of the rows of some districts from the last days; the hard case names
-// all districts.
+// generateDistricts generates a SELECT of the rows of one or two districts in the last 90 days. With broad values,
+// it selects all districts.
 func generateDistricts(i *instance) (actual, usual access) {
 	const (
 		lastDays     = 90
@@ -152,7 +152,7 @@
 	return actual, usual
 }
 
-// generateLatest generates a SELECT of the latest rows; the hard case has a limit above the table's size.
+// generateLatest generates a SELECT of the latest rows. The broad limit is above the number of rows in the table.
 func generateLatest(i *instance) (actual, usual access) {
 	const (
 		minLimit   = 10
@@ -173,8 +173,8 @@
 	return actual, usual
 }
 
-// generateOptionalPart generates a SELECT of the rows of a part, or of all rows if the part is null, which is
-// the hard case.
+// generateOptionalPart generates a SELECT of the rows of a part, or of all rows if the part is null. The broad
+// value is null.
 func generateOptionalPart(i *instance) (actual, usual access) {
 	part, _ := i.generator.drawPart()
 	i.sql("SELECT %s FROM %s WHERE (", i.columns, i.from)
--- a/internal/lab/workload/reports.go
+++ b/internal/lab/workload/reports.go
@@ -1,7 +1,7 @@
 package workload
 
-// generateDistrictTotals generates a SELECT that counts the rows of the last months and sums a column of
-// them, by district.
+// generateDistrictTotals generates a SELECT that groups the rows of the last months by district. It counts the
+// rows of each district and sums one of their columns.
 func generateDistrictTotals(i *instance) (actual, usual access) {
 	const (
 		maxMonths    = 12
--- a/internal/lab/workload/template.go
+++ b/internal/lab/workload/template.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// family is a kind of statement that programs send. Lookups come first, then reports, then loads.
+// family is a kind of statement that programs send. The order of the families must be lookups, reports, loads.
 type family int
 
 const (
@@ -30,9 +30,9 @@
 	firstLoad   = loadBatch
 )
 
-// Shares of the templates that are lookups and reports, and weights of the families. Over seeds 1 to 6, they
-// result in 76 to 84 % lookups, 10 to 19 % reports and 4 to 6 % loads, if hard cases, writes and shapes that
-// occur once are not counted.
+// Shares of the templates that are lookups and reports, and weights of the families. Over seeds 1 to 6, the
+// statements are 76 to 84 % lookups, 10 to 19 % reports and 4 to 6 % loads. The percentages do not count hard
+// cases, writes and shapes that occur once.
 const (
 	lookupTemplates = 0.72
 	reportTemplates = 0.2
@@ -75,7 +75,7 @@
 const (
 	literalValues valueStyle = iota // written into the text
 	textValues                      // bound as text
-	binaryValues                    // bound, in binary form except for single texts
+	binaryValues                    // bound in binary form; values of type text are bound as text
 	valueStyles
 )
 
@@ -90,7 +90,7 @@
 	aliased   bool
 }
 
-// newTemplate draws a template.
+// newTemplate draws the family, the table, the columns and the style of a template.
 func newTemplate(random *rand.Rand) *template {
 	const (
 		lowerCaseOneIn = 2
--- a/internal/lab/workload/text.go
+++ b/internal/lab/workload/text.go
@@ -31,7 +31,7 @@
 	types     []byte // four bytes each
 }
 
-// sql appends formatted SQL, in lower case if lowerCase is set. The format has its keywords in upper case.
+// sql appends formatted SQL, in lower case if lowerCase is set. Keywords in the format must be in upper case.
 func (b *textBuilder) sql(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if b.lowerCase {
--- a/internal/lab/workload/writes.go
+++ b/internal/lab/workload/writes.go
@@ -9,7 +9,7 @@
 	usualLoadRows = 110
 )
 
-// load generates an INSERT of many rows. The first value is bound and is the idempotency key.
+// load generates an INSERT of many rows. Its only bound value is the idempotency key, which all rows contain.
 func (i *instance) load() (statement Statement, usualMS float64) {
 	const (
 		minRows     = 20
@@ -37,8 +37,8 @@
 	return statement, loadBaseMS + loadRowMS*usualLoadRows
 }
 
-// writeFormats are the formats of statements that change stored data. Some of them resemble lookups. Their
-// arguments are the number of a data set and the number of a part.
+// writeFormats are the formats of statements that change stored data. Some of them resemble lookups. The
+// arguments of each format are the number of a data set and the number of a part.
 var writeFormats = []string{
 	"DELETE FROM stock_%d.returns WHERE part = 'p-%05d'",
 	"UPDATE stock_%d.stock SET n = n - 1 WHERE part = 'p-%05d'",
