--- a/internal/lab/traffic/arrivals.go
+++ b/internal/lab/traffic/arrivals.go
@@ -11,25 +11,24 @@
 // ArrivalProcess is the random process of the arrival times of statements.
 type ArrivalProcess string
 
-// The arrival processes. On average, Poisson and Bursts have about the nominal rate, Season a lower one.
+// The arrival processes. The average rate of Poisson and Bursts is about the nominal rate. The average rate of
+// Season is lower.
 const (
 	Poisson ArrivalProcess = "poisson"
-	Bursts  ArrivalProcess = "bursts" // on and off, with heavy-tailed pauses
+	Bursts  ArrivalProcess = "bursts" // bursts with heavy-tailed pauses between them
 	Season  ArrivalProcess = "season" // with a daily peak, and a festival towards the end
 )
 
 // ArrivalProcessError reports an unknown arrival process.
 type ArrivalProcessError string
 
-// Error implements error.
 func (e ArrivalProcessError) Error() string {
 	return fmt.Sprintf("arrivals: unknown process %q, want poisson, bursts or season", string(e))
 }
 
-// RateError reports a rate of arrivals that is not above 0.
+// RateError reports a rate of arrivals that is 0, negative or not a number.
 type RateError float64
 
-// Error implements error.
 func (e RateError) Error() string {
 	return fmt.Sprintf("arrivals: the rate %g is not above 0", float64(e))
 }
@@ -79,7 +78,7 @@
 	default:
 		return nil, ArrivalProcessError(process)
 	}
-	if !(rate > 0) { // rate <= 0 would accept NaN
+	if !(rate > 0) { // not rate <= 0, which is false for NaN
 		return nil, RateError(rate)
 	}
 	random := rand.New(rand.NewPCG(seed, arrivalStream))
@@ -93,7 +92,7 @@
 	}, nil
 }
 
-// next returns the next arrival time in microseconds.
+// next returns the next arrival time, in microseconds since the start.
 func (a *arrivals) next() int64 {
 	switch a.process {
 	case Poisson:
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -3,9 +3,11 @@
 //
 // A file consists of "RWTRAFF", a version byte and blocks. A block has a header and a zstd frame of CBOR
 // items: one Head in the first block, Records in the others. The header contains the length of the frame,
-// its xxhash and the number of its records (4, 8 and 4 bytes, big-endian). A block of length 0 ends the
-// file. In its header, the number of all records takes the place of the hash. A file without this block is
-// truncated, which Reader reports after the complete records.
+// the xxhash of the frame and the number of records in the frame (4, 8 and 4 bytes, big-endian).
+//
+// The last block of a file has the length 0 and no frame. Its header contains the number of all records in
+// place of the hash. A file without this block is truncated. Reader returns the complete records of such a file,
+// and then reports the error.
 package traffic
 
 import (
@@ -13,7 +15,7 @@
 	"errors"
 )
 
-// formatVersion is the version of the files that are written and read.
+// formatVersion is the version of new files, and the only version that Reader accepts.
 const formatVersion = 1
 
 const magic = "RWTRAFF"
@@ -48,25 +50,25 @@
 	Values        [][]byte `cbor:"3,keyasint,omitempty"`
 	Formats       []byte   `cbor:"4,keyasint,omitempty"`
 	Types         []byte   `cbor:"5,keyasint,omitempty"`
-	HintWorkMS    float64  `cbor:"6,keyasint,omitempty"` // ms on one core; 0: none
+	HintWorkMS    float64  `cbor:"6,keyasint,omitempty"` // ms on one core; 0: no hint
 	HintMB        float64  `cbor:"7,keyasint,omitempty"`
-	Key           int      `cbor:"8,keyasint,omitempty"` // number of the value that is the idempotency key; 0: none
+	Key           int      `cbor:"8,keyasint,omitempty"` // number, from 1, of the idempotency key's value; 0: none
 
 	// The true class and cost of the statement, for the evaluation.
 
 	Class    string  `cbor:"20,keyasint"`
-	HardCase string  `cbor:"21,keyasint,omitempty"` // why its class is hard to determine, or ""
+	HardCase string  `cbor:"21,keyasint,omitempty"` // why the class is hard to determine; "": not a hard case
 	Template int     `cbor:"22,keyasint"`
 	WorkMS   float64 `cbor:"23,keyasint"` // ms on one core
 	MemoryMB float64 `cbor:"24,keyasint"`
 	Weight   float64 `cbor:"25,keyasint"` // priority weight
 }
 
-// blockHeader precedes each block.
+// blockHeader precedes the frame of each block.
 type blockHeader struct {
-	length   uint32 // of the compressed block; 0 at the end of the file
-	checksum uint64 // of the compressed block; at the end of the file, the number of all records
-	records  uint32
+	length   uint32 // of the frame, in bytes; 0 at the end of the file
+	checksum uint64 // of the frame; at the end of the file, the number of all records
+	records  uint32 // in the frame
 }
 
 // Layout of an encoded blockHeader.
--- a/internal/lab/traffic/generate.go
+++ b/internal/lab/traffic/generate.go
@@ -10,9 +10,9 @@
 // progressStep is the number of records after which Generate reports its progress.
 const progressStep = 1000
 
-// Generate writes the given number of statements of a workload, with arrival times at a nominal rate in
-// statements a second. After every progressStep records, it calls progress with progressStep. progress may be
-// nil.
+// Generate writes a file with the given number of statements of a workload. rate is the nominal rate of the
+// arrivals, in statements per second. After every progressStep records, Generate calls progress with
+// progressStep. progress may be nil.
 func Generate(
 	out io.Writer, options workload.Options, number int, rate float64, process ArrivalProcess, progress func(int),
 ) error {
@@ -50,7 +50,7 @@
 		o.DriftFrom, o.DriftFactor, o.HintSigma, o.HintMissingShare)
 }
 
-// RecordOf turns a statement of a workload into a record without its arrival time.
+// RecordOf returns the record of a statement, without an arrival time.
 func RecordOf(s workload.Statement) Record {
 	return Record{
 		Statement: s.Text, Values: s.Values, Formats: s.Formats, Types: s.Types,
--- a/internal/lab/traffic/reader.go
+++ b/internal/lab/traffic/reader.go
@@ -30,7 +30,7 @@
 	ended        bool          // the block that ends the file was read
 }
 
-// NewReader reads the head of a file.
+// NewReader reads the head of a file and returns a Reader for the records.
 func NewReader(in io.Reader) (*Reader, error) {
 	if err := readMagic(in); err != nil {
 		return nil, err
@@ -54,7 +54,7 @@
 	return r, nil
 }
 
-// readMagic reads the bytes before the first block.
+// readMagic reads and checks the magic bytes and the version, which precede the first block.
 func readMagic(in io.Reader) error {
 	start := make([]byte, len(magic)+1)
 	if _, err := io.ReadFull(in, start); err != nil || string(start[:len(magic)]) != magic {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// readEnd checks the block that ends the file.
+// readEnd checks the block that ends the file. It returns io.EOF if the block is correct.
 func (r *Reader) readEnd(header blockHeader) error {
 	if header.checksum != r.records || header.records != 0 {
 		return fmt.Errorf("%w: want %d records, found %d", ErrDamaged, header.checksum, r.records)
--- a/internal/lab/traffic/stored_test.go
+++ b/internal/lab/traffic/stored_test.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	storedFile   = "testdata/season-seed7-100.traffic" // must not be regenerated
+	storedFile   = "testdata/season-seed7-100.traffic" // from an earlier version; must not be regenerated
 	storedGolden = "testdata/season-seed7-100.golden"
 )
 
--- a/internal/lab/traffic/writer.go
+++ b/internal/lab/traffic/writer.go
@@ -13,7 +13,8 @@
 // flushSize is the size of the uncompressed items, in bytes, at which a block is written.
 const flushSize = 512 << 10
 
-// writer writes a file. It is not safe for concurrent use. The file is truncated unless close is called.
+// writer writes a file. close must be called: without the last block, the file counts as truncated. A writer is
+// not safe for concurrent use.
 type writer struct {
 	out          io.Writer
 	compressor   *zstd.Encoder
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// add adds a record.
+// add adds a record, and writes the current block once it has reached flushSize.
 func (w *writer) add(record *Record) error {
 	if err := w.addItem(record); err != nil {
 		return err
