--- a/internal/lab/experiment/accuracy.go
+++ b/internal/lab/experiment/accuracy.go
@@ -15,19 +15,19 @@
 // accuracy compares classes and estimates with the true classes and costs. It is not safe for concurrent
 // use.
 type accuracy struct {
-	counts Result // only its counts are set; result fills in the shares and errors
+	counts Result // without shares and errors, which the method result computes
 
 	right       float64 // number of statements whose class is right
 	hardRight   float64 // number of hard cases whose class is right
 	rightWeight float64 // priority weight of the statements whose class is right
 	weight      float64 // priority weight of all statements
-	hinted      float64 // number of statements with a hint, without writes
-	hintRight   float64 // number of hinted statements whose class would be right by the hint alone
+	hinted      float64 // number of statements with a hint, not counting writes
+	hintRight   float64 // number of these statements whose class would be right if only the hint determined it
 
 	estimateErrors  []float64
 	hintErrors      []float64
 	classMeanErrors []float64
-	classMeans      map[string]*runningMean // true work of the records so far, by class
+	classMeans      map[string]*runningMean // mean true work of the records so far, by class
 }
 
 // runningMean is the mean of the values so far.
@@ -42,7 +42,8 @@
 	return &accuracy{classMeans: map[string]*runningMean{}}
 }
 
-// add compares one statement with the effect, class and estimate that the classifier determined for it.
+// add compares the effect, the class and the estimate that the classifier determined for a statement with the
+// true class and cost of the statement.
 func (a *accuracy) add(record *traffic.Record, effect sqltext.Effect, class string, execution *stmtstats.Execution) {
 	isRight := class == record.Class
 	a.counts.Evaluated++
@@ -99,7 +100,7 @@
 	classMean.count++
 }
 
-// result returns the result. Its figures of the cache are not set.
+// result returns the counts, the shares and the errors. It does not set the fields that describe the cache.
 func (a *accuracy) result() Result {
 	result := a.counts
 	result.RightByCount = a.right / float64(result.Evaluated)
@@ -112,7 +113,7 @@
 	return result
 }
 
-// classOfHint returns the class of a read-only statement that follows from the hint alone.
+// classOfHint returns the class that a read-only statement has if only the hint determines it.
 func classOfHint(workMS float64) string {
 	if workMS > workload.MinReportMS {
 		return workload.ClassReport
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -12,13 +12,13 @@
 	"flaxrelay/internal/lab/workload"
 )
 
-// CostOptions configure the measurement of the CPU time that statement shapes add to flaxrelay.
+// CostOptions configure the measurement of the CPU time that flaxrelay spends on statement shapes.
 type CostOptions struct {
 	Root     string // root directory of the repository
 	Program  string // path of the flaxrelay program
 	Clients  int
-	Requests int // in each round
-	Pairs    int // number of pairs of one round without and one with statement shapes
+	Requests int // number of requests in each round
+	Pairs    int // number of pairs; a pair is one round without and one round with statement shapes
 	Seed     uint64
 	Prepared bool // prepare statements once and bind them many times, instead of sending a Query for each request
 }
@@ -31,18 +31,18 @@
 }
 
 const (
-	costStatements = 2000 // number of statements, which each client sends in a cycle
+	costStatements = 2000 // number of statements; after the last, a client starts again with the first
 	maxPrepared    = 200  // maximum number of statements that a client prepares
 	costEngines    = 2
-	warmUpDivisor  = 5 // a round has this many times the requests of its warm-up
+	warmUpDivisor  = 5 // the requests of a round divided by the requests of its warm-up
 )
 
-// MeasureCost measures pairs of rounds without and with statement shapes, one after the other. Each round
-// starts a new front end, whose engines respond at once.
+// MeasureCost measures the rounds of all pairs, one after the other. Each round starts a new front end, whose
+// engines respond at once. without[i] and with[i] are a pair.
 func MeasureCost(ctx context.Context, opts CostOptions) (without, with []CostRound, err error) {
 	statements := lookups(opts.Seed, costStatements, opts.Prepared)
 	for i := range 2 * opts.Pairs {
-		shapes := (i+i/2)%2 == 1 // off on, on off, off on, so that a drift of the machine's speed affects both
+		shapes := (i+i/2)%2 == 1 // off on, on off, off on: a drift of the machine's speed affects both kinds of round
 		round, err := costRound(ctx, opts, statements, shapes)
 		if err != nil {
 			return nil, nil, err
@@ -56,7 +56,8 @@
 	return without, with, nil
 }
 
-// lookups returns read-only statements of the workload, with their values written out or bound.
+// lookups returns lookups of the workload. If bound is true, all of them have bound values, and at most
+// maxPrepared of their texts differ. Otherwise, none of them has bound values.
 func lookups(seed uint64, count int, bound bool) []workload.Statement {
 	generator := workload.New(workload.Options{Seed: seed, Templates: workload.DefaultTemplates}, count)
 	var statements []workload.Statement
@@ -112,7 +113,7 @@
 	return measure(ctx, generator, opts.Requests, process.Process.Pid)
 }
 
-// measure generates load for a warm-up and then for the measured requests.
+// measure warms the front end up and then measures the given number of requests.
 func measure(ctx context.Context, generator loadGenerator, requests, pid int) (CostRound, error) {
 	if err := generator.run(ctx, requests/warmUpDivisor); err != nil {
 		return CostRound{}, err
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -11,7 +11,7 @@
 	"flaxrelay/internal/stmtstats"
 )
 
-// Variant is a configuration of the classifier to evaluate.
+// Variant is a named configuration of the classifier.
 type Variant struct {
 	Name   string
 	Config costmodel.Config
@@ -28,7 +28,8 @@
 	}
 }
 
-// Variants returns the complete classifier, and the classifier with each of its parts disabled.
+// Variants returns the variants to evaluate: the complete classifier, and one variant for each part that can be
+// disabled.
 func Variants() []Variant {
 	with := func(name string, change func(*costmodel.Config)) Variant {
 		config := costmodel.Config{Classes: classes()}
@@ -44,7 +45,7 @@
 	}
 }
 
-// Result is the result of one variant on the evaluated part of one file.
+// Result is the result of one variant for the evaluated part of the records.
 type Result struct {
 	Evaluated     int // number of statements
 	HardEvaluated int // number of hard cases among the evaluated statements
@@ -63,9 +64,9 @@
 	HintError      ErrorQuantiles // of the statements with a hint
 	ClassMeanError ErrorQuantiles // with the mean work of the true class as the estimate
 
-	Shapes  int     // in the cache at the end
-	Bytes   int     // of the cache at the end
-	HitRate float64 // of the cache, over all records
+	Shapes  int     // number of shapes in the cache at the end
+	Bytes   int     // size of the cache at the end
+	HitRate float64 // of the cache, for all records
 }
 
 // ErrorQuantiles are quantiles of the errors of estimates of the work. An error is |log2(estimate/true work)|.
@@ -87,12 +88,12 @@
 
 // EvaluateOptions configure Evaluate.
 type EvaluateOptions struct {
-	TrainShare float64 // share of the records, from the first on, that are only learned and not evaluated
+	TrainShare float64 // share of the records, at the start, that are learned but not evaluated
 	CacheBytes int     // limit of the cache
 }
 
-// Evaluate runs records through a variant in their order. For each record, it estimates the execution and
-// then learns the cost, like a front end.
+// Evaluate classifies the records in their order with a variant. For each record, it estimates the execution
+// and then learns the cost, like a front end.
 func Evaluate(records []traffic.Record, v Variant, opts EvaluateOptions) (Result, error) {
 	store, err := stmtstats.New(stmtstats.Options{CostModel: v.Config, MaxBytes: opts.CacheBytes})
 	if err != nil {
@@ -126,7 +127,7 @@
 ) string {
 	switch {
 	case record.Class == workload.ClassLoad && record.Key > 0:
-		return workload.ClassLoad // a rule for INSERT INTO sets the class and the key
+		return workload.ClassLoad // in a front end, a rule for INSERT INTO sets the class and the key
 	case effect != sqltext.EffectReads:
 		return workload.ClassWrite
 	case execution.Estimate.Class != costmodel.NoClass:
--- a/internal/lab/experiment/evaluate_test.go
+++ b/internal/lab/experiment/evaluate_test.go
@@ -9,7 +9,7 @@
 // On traffic whose true classes are known, the classifier reaches the required accuracy. Without parameters,
 // the share of hard cases whose class is right is lower by 0.5 or more. Without the prior or forgetting, the
 // p90 of the errors of the estimates is not lower. The variant without hints is only checked for writes,
-// because its other figures are about the same as those of the complete classifier on this traffic.
+// because its other results are about the same as those of the complete classifier on this traffic.
 func TestEvaluate_AccuracyComesFromParametersPriorAndForgetting(t *testing.T) {
 	records := GenerateRecords(workload.Defaults(1), 12000)
 	results := map[string]Result{}
--- a/internal/lab/experiment/flood.go
+++ b/internal/lab/experiment/flood.go
@@ -11,22 +11,23 @@
 	"flaxrelay/internal/stmtstats"
 )
 
-// FloodOptions describe a flood of shapes that never recur, mixed with recurring shapes.
+// FloodOptions describe a flood: statements whose shapes occur only once, mixed with statements of recurring
+// shapes.
 type FloodOptions struct {
 	Seed           uint64
 	Recurring      int     // number of shapes that recur
 	OneOff         int     // number of shapes that occur once
-	RecurringShare float64 // share of the statements that have recurring shapes
+	RecurringShare float64 // share of the statements with a recurring shape
 	CacheBytes     int     // limit of the cache
 }
 
 // FloodResult is the result for one cache.
 type FloodResult struct {
-	Lookups      int     // statements of recurring shapes in the second half, which is evaluated
+	Lookups      int     // number of statements with a recurring shape in the second half of the flood
 	HitRate      float64 // share of these lookups whose shape was cached
 	CachedShapes int     // shapes in the cache at the end
 	CountedBytes int     // bytes in the cache at the end, as the cache counts them
-	HeapBytes    int     // growth of the reachable heap
+	HeapBytes    int     // growth of the reachable heap during the flood
 	RSSBytes     int     // resident memory of the process at the end; 0: unknown
 }
 
@@ -39,10 +40,10 @@
 // TinyLFU returns the kind of cache that flaxrelay uses.
 func TinyLFU() ShapeCache { return ShapeCache{"w-tinylfu", stmtstats.NewTinyLFU} }
 
-// LRU returns a kind of cache to compare with TinyLFU.
+// LRU returns the least-recently-used kind of cache, for a comparison with TinyLFU.
 func LRU() ShapeCache { return ShapeCache{"lru", stmtstats.NewLRU} }
 
-// TwoQueue returns a kind of cache to compare with TinyLFU.
+// TwoQueue returns the 2Q kind of cache, for a comparison with TinyLFU.
 func TwoQueue() ShapeCache { return ShapeCache{"2q", stmtstats.New2Q} }
 
 const floodStream = 0x666c6f6f64 // second word of the PCG seed, different for each use of a seed
@@ -53,7 +54,7 @@
 	floodMemoryMB = 10
 )
 
-// Flood runs a flood of statements through a new cache of the given kind.
+// Flood measures how a new cache of the given kind handles a flood.
 func Flood(kind ShapeCache, opts FloodOptions) (FloodResult, error) {
 	before := heapInUse()
 	cache, err := kind.open(opts.CacheBytes)
@@ -74,8 +75,8 @@
 	return result, nil
 }
 
-// runFlood runs the statements through the store. It returns the lookups and the hit rate of the second
-// half, and leaves the other figures at 0.
+// runFlood estimates and learns each statement of the flood. It returns the lookups and the hit rate of the second
+// half, and leaves the other fields at 0.
 func runFlood(store *stmtstats.Store, opts FloodOptions) (result FloodResult) {
 	// Popularity of the recurring shapes, by Zipf's law: the k-th has a weight of (offset + k)^-exponent.
 	const (
@@ -111,7 +112,7 @@
 // recurringText returns a statement of the n-th recurring shape. Each shape has a different column list.
 func recurringText(n int) string {
 	const (
-		columns = 17 // the pairs of a column c and a column d give many lists from few columns
+		columns = 17 // each pair of a column c and a column d is another list
 		groups  = 30
 	)
 	return fmt.Sprintf("SELECT part, c%d, d%d FROM stock_%d.orders WHERE part = 'p-%05d' AND e%d > 4",
--- a/internal/lab/experiment/flood_test.go
+++ b/internal/lab/experiment/flood_test.go
@@ -9,8 +9,8 @@
 // floodRuns is the number of floods through W-TinyLFU. The hit rate varies from run to run, because the
 // seed of the cache's hash function differs: the admission of one of the rarest recurring shapes
 // depends on the shapes that share its counters. Over 960 runs, the mean was 0.972, the standard deviation
-// 0.007 and the minimum 0.932. Of 100,000 samples of five of these runs, about 3 had a mean that was not above
-// floodMeanHitRate.
+// 0.007 and the minimum 0.932. In 100,000 samples of five of these runs, the mean was at most
+// floodMeanHitRate in about 3 samples.
 const (
 	floodRuns        = 5
 	floodMeanHitRate = 0.955
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -44,7 +44,7 @@
 	return errors.Join(errs...)
 }
 
-// runClient sends the requests of one client, from the given statement on.
+// runClient sends the requests of one client. first is the index of its first statement.
 func (g loadGenerator) runClient(ctx context.Context, first, requests int) error {
 	client, err := connect(ctx, g.addr)
 	if err != nil {
@@ -70,7 +70,7 @@
 	conn     net.Conn
 	in       *bufio.Reader
 	out      []byte
-	prepared map[string]string // names of prepared statements by their texts
+	prepared map[string]string // names of the prepared statements, by text
 }
 
 func connect(ctx context.Context, addr string) (*client, error) {
@@ -105,9 +105,9 @@
 	return c.readUntilReady()
 }
 
-// readUntilReady reads a response up to its ReadyForQuery.
+// readUntilReady reads a response up to its ReadyForQuery. rejected is true if it contains rejectedCode.
 func (c *client) readUntilReady() (rejected bool, err error) {
-	const lengthSize = 4 // included in the length
+	const lengthSize = 4 // size of the length, which counts itself
 	head := make([]byte, 1+lengthSize)
 	for {
 		if _, err := io.ReadFull(c.in, head); err != nil {
@@ -133,8 +133,8 @@
 	}
 }
 
-// appendMessages appends the messages for one statement: a Query, or Bind, Execute and Sync, after a Parse
-// if the statement is not prepared yet.
+// appendMessages appends the messages for one statement. A statement without values needs only a Query. Any
+// other statement needs Bind, Execute and Sync, and before them a Parse if it is not prepared yet.
 func appendMessages(out []byte, s *workload.Statement, prepared map[string]string) []byte {
 	if len(s.Values) == 0 {
 		return pgproto.AppendMessage(out, 'Q', pgproto.CString(s.Text))
