--- a/internal/lab/fake/consul.go
+++ b/internal/lab/fake/consul.go
@@ -49,8 +49,8 @@
 	onlyIndex = "1"
 )
 
-// ConsulHandler serves the catalog and the health of instances that never change. A query with the only
-// index is a blocking query, and is therefore answered after its wait time.
+// ConsulHandler serves the catalog and the health of instances that never change. A query with onlyIndex is a
+// blocking query: the response is sent after the wait time of the query.
 func ConsulHandler(service string, instances []Instance) http.Handler {
 	var catalog []catalogEntry
 	var health []healthEntry
@@ -70,8 +70,8 @@
 	return mux
 }
 
-// blockingQuery responds with a body. If the query names the index, it first waits for the query's
-// wait time.
+// blockingQuery returns a handler that responds with body. If a query contains onlyIndex, the handler first
+// waits for the wait time of the query.
 func blockingQuery(body any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
--- a/internal/lab/fake/endpointlist.go
+++ b/internal/lab/fake/endpointlist.go
@@ -31,7 +31,7 @@
 	Targets  []Target `json:"targets"`
 }
 
-// KnownList returns the events up to the last one as a single event with the complete list.
+// KnownList returns one event that replaces all events up to lastEvent. The event contains the complete list.
 func KnownList(lastEvent int, targets []Target) KnownEvents {
 	event := KnownEvent{Number: lastEvent, Topology: Topology{Revision: lastEvent, All: true, Targets: targets}}
 	return KnownEvents{LastEvent: lastEvent, Events: []KnownEvent{event}}
--- a/internal/lab/fake/eventbus.go
+++ b/internal/lab/fake/eventbus.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// BusSubscriptionLength is the length in bytes of the first message on a connection: the number of the
-	// last event that the front end has received.
+	// BusSubscriptionLength is the length in bytes of the first message on a connection. The message is the
+	// number of the last event that the front end has received.
 	BusSubscriptionLength = 8
 	// BusHeartbeatInterval is the interval of the heartbeats. It equals the interval of the real bus.
 	BusHeartbeatInterval = time.Second
 )
 
-// BusFrameKind is the number of a kind of frame.
+// BusFrameKind is the kind of a frame, as a number in the frame.
 type BusFrameKind byte
 
 // The kinds of frames that fake buses send.
--- a/internal/lab/fake/line_server.go
+++ b/internal/lab/fake/line_server.go
@@ -25,7 +25,7 @@
 	MessageFailed   LineMessageKind = "BROKE"
 )
 
-// LineMessage returns a message about a request, with its fields and its body.
+// LineMessage returns a message about a request. The message has the given fields and body.
 func LineMessage(requestID string, kind LineMessageKind, fields, body string) string {
 	return fmt.Sprintf("%s %s %s %d\r\n%s\r\n", requestID, kind, fields, len(body), body)
 }
@@ -56,8 +56,8 @@
 	// Handle executes a request and responds. It runs on a separate goroutine. The context ends when the
 	// request is cancelled or its connection ends.
 	Handle(ctx context.Context, exchange *LineExchange)
-	// Cancelled is called once for a request if, before LineExchange.Finish, the request is cancelled or its
-	// connection ends. It must not call methods of the exchange.
+	// Cancelled is called once when a request is cancelled or its connection ends, unless LineExchange.Finish
+	// has already ended the request. It must not call methods of the exchange.
 	Cancelled(request LineRequest)
 	// Page returns a further page of a result. ok is false if the engine does not serve further pages.
 	Page(requestID, page string) (text string, ok bool)
@@ -80,8 +80,8 @@
 }
 
 // Finish ends the request, calls record and returns true. If the request was already cancelled, Finish does
-// nothing and returns false. A later cancellation has no effect. The connection sends nothing while record
-// runs, so record must not call methods of the exchange.
+// nothing and returns false. A cancellation after Finish has no effect. The connection is locked while record
+// runs: it sends nothing, and record must not call methods of the exchange.
 func (x *LineExchange) Finish(record func()) bool {
 	return x.connection.finish(x.Request.ID, func(LineRequest) { record() })
 }
@@ -99,7 +99,7 @@
 	inFlight map[string]*LineExchange // by request id
 }
 
-// serve reads the connection until it ends, which cancels all requests in flight.
+// serve reads from the connection until the connection ends, and then cancels all requests in flight.
 func (c *lineConnection) serve() {
 	defer c.end()
 	in := bufio.NewReader(c.conn)
@@ -124,7 +124,7 @@
 	}
 }
 
-// statementLengthError reports a statement whose length is not a number or out of range.
+// statementLengthError reports a statement length that is out of range or not a number.
 type statementLengthError struct{ word string }
 
 func (e *statementLengthError) Error() string {
--- a/internal/lab/fake/listener.go
+++ b/internal/lab/fake/listener.go
@@ -15,7 +15,6 @@
 	Addr string
 }
 
-// Error implements error.
 func (e *NotLoopbackError) Error() string {
 	return fmt.Sprintf("fake: %s is not a loopback address", e.Addr)
 }
@@ -39,8 +38,8 @@
 	open map[net.Conn]bool
 }
 
-// serveConnections serves each connection of a listener on a separate goroutine. When the listener is
-// closed, it closes all connections and returns. If accepting a connection fails, it continues with the next.
+// serveConnections serves each connection of a listener on a separate goroutine. After an error of Accept, it
+// accepts the next connection. When the listener is closed, serveConnections closes all connections and returns.
 func serveConnections(listener net.Listener, serve func(net.Conn)) {
 	conns := &connections{open: map[net.Conn]bool{}}
 	defer conns.close()
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -1,6 +1,7 @@
 // Package harness runs flaxrelay against fake systems on loopback addresses. New starts the engines, the
 // event bus and Consul of package fake, and writes configuration files with their addresses. Build builds
-// flaxrelay, and Start starts a process of it. The caller passes the paths of the files as arguments.
+// flaxrelay, and Start starts a process of flaxrelay. The caller passes the paths of the files to the process as
+// arguments.
 package harness
 
 import (
@@ -57,7 +58,7 @@
 	return environment, nil
 }
 
-// start starts the fake systems and writes the files.
+// start does the work of New. After an error, the caller must close the environment.
 func (e *Environment) start(opts Options) error {
 	targets, err := e.startLineEngines(opts)
 	if err != nil {
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -43,7 +43,7 @@
 // FrontEnd is one process of flaxrelay. Its methods are safe for concurrent use.
 type FrontEnd struct {
 	Process *os.Process
-	Exited  <-chan error // receives one error when the process exits, nil for exit status 0
+	Exited  <-chan error // receives one value when the process exits; nil: exit status 0
 
 	done chan struct{} // closed when the process has exited
 }
