--- a/internal/lab/faultproxy/faults.go
+++ b/internal/lab/faultproxy/faults.go
@@ -10,7 +10,7 @@
 
 // Kinds of fault. Responses are the bytes from the server to the client.
 const (
-	Stall            Kind = "stall"             // bytes of both directions are read, but written after the fault
+	Stall            Kind = "stall"             // bytes of both directions are read, and written when the fault ends
 	DropResponses    Kind = "drop-responses"    // responses are read and discarded; requests are relayed
 	CorruptResponses Kind = "corrupt-responses" // one byte of each chunk of the responses is changed
 	Disconnect       Kind = "disconnect"        // connections are closed, and new ones are reset
@@ -31,10 +31,10 @@
 type Fault struct {
 	Kind Kind
 	From time.Duration // since the start of the proxy
-	For  time.Duration // 0: until the proxy is closed; Reset and HalfClose happen once
+	For  time.Duration // 0: until the proxy is closed; no effect on Reset and HalfClose, which happen once
 }
 
-// activeAt reports whether the fault is active at a time since the start of the proxy.
+// activeAt reports whether the fault is active. elapsed is the time since the start of the proxy.
 func (f Fault) activeAt(elapsed time.Duration) bool {
 	return elapsed >= f.From && (f.For <= 0 || elapsed < f.From+f.For)
 }
@@ -45,7 +45,6 @@
 	Kind  Kind
 }
 
-// Error implements error.
 func (e *UnknownKindError) Error() string {
 	return fmt.Sprintf("faultproxy: fault %d: unknown kind %q", e.Index, e.Kind)
 }
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -26,7 +26,7 @@
 // Options configure a proxy.
 type Options struct {
 	Delay     time.Duration // of each direction
-	Jitter    time.Duration // a uniform random time below it is added to the delay; the bytes stay in order
+	Jitter    time.Duration // limit of a uniform random time that is added to Delay; the bytes stay in order
 	Bandwidth int           // bytes per second of each direction; 0: no limit
 	Faults    []Fault
 	Seed      uint64
@@ -52,7 +52,6 @@
 	Addr string
 }
 
-// Error implements error.
 func (e *NotLoopbackError) Error() string {
 	return fmt.Sprintf("faultproxy: %q is not a loopback address", e.Addr)
 }
@@ -141,7 +140,6 @@
 	return fmt.Sprintf("faultproxy: %T is not a TCP connection", e.conn)
 }
 
-// dialTCP connects to a server.
 func dialTCP(server string) (*net.TCPConn, error) {
 	conn, err := net.DialTimeout("tcp", server, serverDialTimeout)
 	if err != nil {
@@ -172,7 +170,7 @@
 	delete(p.relays, r)
 }
 
-// delay draws how long one chunk is in transit.
+// delay returns how long one chunk is in transit: Options.Delay and a random part of Options.Jitter.
 func (p *Proxy) delay() time.Duration {
 	if p.opts.Jitter <= 0 {
 		return p.opts.Delay
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -133,7 +133,7 @@
 		t.Errorf("the server received %q", got)
 	}
 	for {
-		change := conn.proxy.nextChange() // before the check, so that no change after it is missed
+		change := conn.proxy.nextChange() // before the check, so that no change after the check is missed
 		if !conn.proxy.active(DropResponses) {
 			break
 		}
--- a/internal/lab/faultproxy/relay.go
+++ b/internal/lab/faultproxy/relay.go
@@ -163,7 +163,7 @@
 		}
 	}
 	for {
-		change := r.proxy.nextChange() // before the check, so that no change after it is missed
+		change := r.proxy.nextChange() // before the check, so that no change after the check is missed
 		if !r.proxy.active(Stall) {
 			return true
 		}
--- a/internal/lab/syscallfault/faults.go
+++ b/internal/lab/syscallfault/faults.go
@@ -16,11 +16,11 @@
 	InterruptWrite float64 // writes to sockets return EINTR
 	ShortRead      float64 // reads from sockets return at most ShortLength bytes
 	InterruptRead  float64 // reads from sockets return EINTR
-	InterruptWait  float64 // waits of epoll return EINTR
+	InterruptWait  float64 // epoll_wait and epoll_pwait return EINTR
 	FailAccept     float64 // accept returns ECONNABORTED, ENFILE, EMFILE, ENOBUFS or EINTR
 	FailSocket     float64 // socket returns ENFILE, EMFILE or ENOBUFS
 	FailConnect    float64 // connect returns EADDRNOTAVAIL, ENETUNREACH or ENOBUFS
-	FailFile       float64 // writes to files and syncs return ENOSPC or EIO
+	FailFile       float64 // writes to files, and calls of fsync, return ENOSPC or EIO
 	TornFile       float64 // writes to files write half of their bytes
 	ShortLength    int     // in bytes; 0: defaultShortLength
 
@@ -88,7 +88,7 @@
 type descriptorKind int
 
 const (
-	descriptorOther descriptorKind = iota // no file descriptor, or a file descriptor without faults
+	descriptorOther descriptorKind = iota // no file descriptor, or one whose calls have no faults
 	descriptorSocket
 	descriptorFile // a regular file
 )
@@ -108,7 +108,7 @@
 	return true
 }
 
-// failWithOneOf draws one of the errors, which the call returns without being made. The caller must hold mu.
+// failWithOneOf returns the decision to skip the call and return one of the errors. The caller must hold mu.
 func (i *injector) failWithOneOf(errors []unix.Errno) decision {
 	return decision{err: errors[i.random.IntN(len(errors))]}
 }
--- a/internal/lab/syscallfault/filter.go
+++ b/internal/lab/syscallfault/filter.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// tracedCalls are the system calls that stop the program, besides reads of the wall clock.
+// tracedCalls are the system calls at which the program stops. It also stops at reads of the wall clock.
 var tracedCalls = []uint32{
 	unix.SYS_READ, unix.SYS_WRITE, unix.SYS_EPOLL_WAIT, unix.SYS_EPOLL_PWAIT,
 	unix.SYS_ACCEPT4, unix.SYS_SOCKET, unix.SYS_CONNECT, unix.SYS_FSYNC,
--- a/internal/lab/syscallfault/tracer.go
+++ b/internal/lab/syscallfault/tracer.go
@@ -22,8 +22,8 @@
 	err      error              // of the tracer; valid after ended
 }
 
-// Start starts a program under the faults. Standard output and error go to the given file. The random
-// numbers that decide which calls fail come from the seed, but the order of the calls depends on the
+// Start starts a program and injects the faults into it. Standard output and error go to the given file. The
+// seed determines the random numbers that decide which calls fail. The order of the calls depends on the
 // scheduling of the program's threads.
 func Start(path string, args, env []string, output *os.File, seed uint64, faults Faults) (*Process, error) {
 	p := &Process{injector: newInjector(seed, faults), ended: make(chan struct{})}
@@ -145,8 +145,8 @@
 	}
 }
 
-// descriptorKind returns what a file descriptor of the program refers to. Standard input, and standard output
-// and error, which are the program's log, count as descriptorOther.
+// descriptorKind returns what a file descriptor of the program refers to. Standard input, output and error count as
+// descriptorOther. Standard output and error are the program's log.
 func (p *Process) descriptorKind(descriptor uint64) descriptorKind {
 	if descriptor <= uint64(syscall.Stderr) {
 		return descriptorOther
@@ -163,9 +163,9 @@
 	return descriptorOther
 }
 
-// skipCall makes the call return a result without executing it.
+// skipCall makes the system call return a result. The kernel does not execute the call.
 func skipCall(thread int, registers *syscall.PtraceRegs, result int64) {
-	registers.Orig_rax = ^uint64(0) // no call has this number, so that the kernel executes none
+	registers.Orig_rax = ^uint64(0) // no call has this number, so the kernel executes none
 	registers.Rax = uint64(result)
 	_ = syscall.PtraceSetRegs(thread, registers)
 }
