--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report formats and writes the results of an experiment: a table in Markdown, the raw figures as
-// CSV and a chart as SVG. The same figures give the same bytes.
+// Package report formats and writes the results of an experiment: a table in Markdown, the single measurements
+// as CSV and a chart as SVG. The same values give the same bytes.
 package report
 
 import (
@@ -19,13 +19,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Table has named columns, and rows with one text for each column.
+// Table consists of named columns and rows. Each row has one text for each column.
 type Table struct {
 	Columns []string
 	Rows    [][]string
 }
 
-// Add adds a row. Cells of type float64 are written with three significant figures.
+// Add adds a row. Cells of type float64 are written with three significant digits.
 func (t *Table) Add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, cell := range cells {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Floats have three significant figures in Markdown and CSV.
+// Floats have three significant digits in Markdown and CSV.
 func TestTable_WritesMarkdownAndCSV(t *testing.T) {
 	table := Table{Columns: []string{"name", "share", "n"}}
 	table.Add("first", 0.98765, 12)
@@ -20,7 +20,7 @@
 	}
 }
 
-// The same figures give the same bytes, so that a chart changes only if its figures do.
+// The same values give the same bytes, so that a chart changes only if its values change.
 func TestBarChart_SameFiguresGiveTheSameSVG(t *testing.T) {
 	bars := BarChart{
 		Title: "t", Axis: "share", Groups: []string{"a", "b"}, Series: []string{"s"}, Values: [][]float64{{0.5, 1}},
