--- a/internal/lab/soak/bus.go
+++ b/internal/lab/soak/bus.go
@@ -18,7 +18,7 @@
 	busNormal     busMode = iota
 	busDown               // open and new connections are closed at once
 	busSilent             // connections stay open and nothing is sent
-	busTruncating         // each connection is closed after half of its next event
+	busTruncating         // each connection is closed after half of the next event has been sent
 )
 
 // busListener is a listener of the bus. The listener is closed before the connections that it has accepted.
@@ -34,7 +34,7 @@
 	listener  *busListener
 	mode      busMode
 	endpoints map[uint32]endpoint // by id
-	events    []endpoint          // the endpoint that each event changed, in its new state
+	events    []endpoint          // for each event, the changed endpoint in its new state
 	changed   chan struct{}       // closed and replaced when mode or events change
 }
 
@@ -114,8 +114,8 @@
 	return fake.KnownList(len(b.events), targets)
 }
 
-// accept serves each connection of a listener until the listener is closed. Unlike the servers of the
-// package fake, it leaves the accepted connections open at that point.
+// accept serves each connection of a listener until the listener is closed. It does not close the accepted
+// connections then, unlike the servers of the package fake.
 func (b *eventBus) accept(listener *busListener) {
 	for {
 		conn, err := listener.Accept()
@@ -149,8 +149,8 @@
 	return view
 }
 
-// serve reads the subscription of a front end. It then sends the events that the front end has not received,
-// and a heartbeat after each second without a change of the bus, until ended is closed.
+// serve reads the subscription of a front end. Until ended is closed, it then sends the events that the front end
+// has not received, and a heartbeat after each second without a change of the bus.
 func (b *eventBus) serve(conn net.Conn, ended <-chan struct{}) {
 	const overlap = 1 // number of events that are sent again although the front end has received them
 	lastEvent, err := readSubscription(conn)
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -12,21 +12,23 @@
 	// tolerance is the largest allowed difference between the times that two processes record for the
 	// same event.
 	tolerance = 100 * time.Millisecond
-	// reportedEndTolerance replaces tolerance if the earlier of two attempts ended with a response: an
-	// engine process reports that end before it writes the response.
+	// reportedEndTolerance replaces tolerance if the earlier of two attempts ended with a response, because an
+	// engine process reports such an end before it writes the response.
 	reportedEndTolerance = 5 * time.Millisecond
-	// remainingTimeSlack is by how much the time that an engine is given may exceed the client's
-	// remaining time.
+	// remainingTimeSlack is added to the client's remaining time. The sum is the longest time that an engine may
+	// be given.
 	remainingTimeSlack = 150 * time.Millisecond
 	// disconnectGrace is the time after the client's disconnect during which an attempt may still begin.
 	disconnectGrace = 100 * time.Millisecond
-	// notificationGraceAfterFault is the shortest time from the start of a bus fault until all front ends
-	// count as notified of the changes that were published during the fault. It is also how long a move of
-	// the bus to another address counts as a bus fault, and how long after the publication of a change the
-	// start of a front end may delay the notification of the change.
+	// notificationGraceAfterFault is used in three ways:
+	//   - After the start of a bus fault, at least this time passes until all front ends count as notified of the
+	//     changes that were published during the fault.
+	//   - A move of the bus to another address counts as a bus fault of this duration.
+	//   - A front end that becomes ready within this time after the publication of a change delays the
+	//     notification of the change.
 	notificationGraceAfterFault = 4 * time.Second
-	// notificationSlack is the time after the end of a bus fault's span in the history, or after a front end
-	// has become ready, within which front ends are notified of the changes that they have missed.
+	// notificationSlack is the time within which front ends are notified of the changes that they have missed.
+	// It begins at the end of a bus fault's span in the history, or when a front end becomes ready.
 	notificationSlack = time.Second
 )
 
@@ -89,8 +91,8 @@
 	}
 }
 
-// checkAttempt checks the remaining time that the engine of an attempt was given, and that the attempt did
-// not begin after its client had disconnected.
+// checkAttempt checks the remaining time that the engine was given, and that the attempt did not begin after the
+// client had disconnected.
 func (c *checker) checkAttempt(r *request, a *attempt) {
 	if a.delayed {
 		return
@@ -125,8 +127,8 @@
 	}
 }
 
-// processorWait returns how long processes of the run waited for a processor between two times. On a busy machine, the
-// times that clients and engines record are late by at most this duration, which is not an error of the front end.
+// processorWait returns how long processes of the run waited for a processor between two times. On a busy machine,
+// clients and engines may record times late by up to this duration. Such a delay is not an error of the front end.
 func (c *checker) processorWait(from, until time.Time) (sum time.Duration) {
 	for _, w := range c.history.processorWaits {
 		if w.from.Before(until) && w.until.After(from) {
@@ -136,7 +138,7 @@
 	return sum
 }
 
-// describeAttempts lists the attempts with their starts and ends relative to since.
+// describeAttempts lists the attempts. The starts and ends are given as times after since.
 func describeAttempts(attempts []*attempt, since time.Time) string {
 	var text strings.Builder
 	for _, a := range attempts {
--- a/internal/lab/soak/checker_slowstart.go
+++ b/internal/lab/soak/checker_slowstart.go
@@ -8,10 +8,10 @@
 // slowStartLimit returns the largest number of requests of mean work that may be sent to an engine in one
 // overload window while the engine is warming up. The specification defines it as N + 2*sqrt(N) + 2, or as
 // N + 3*sqrt(N) + 3 if N is below 30, where N is the overload factor times the number of requests of mean
-// work that the engine can process in a window. The other terms allow for random variation.
+// work that the engine can process in a window. The terms after N allow for random variation.
 //
 // The front end's check at run time computes the same limit (overloadLimit in the package policy). This
-// function deliberately does not call that code: a checker that shared the code would share its errors.
+// function deliberately does not call that code, because the checker would then have the same errors.
 func slowStartLimit(sinceStart time.Duration, meanWorkSeconds float64) float64 {
 	const (
 		minMeanWork        = 1e-3 // seconds
@@ -76,8 +76,8 @@
 	return sent
 }
 
-// meanWorkSeconds returns the mean work of the attempts with a work time, in seconds of one core, and at least
-// one millisecond.
+// meanWorkSeconds returns the mean work of the attempts with a work time, in seconds of one core. The result is
+// at least one millisecond.
 func (c *checker) meanWorkSeconds() float64 {
 	sum := 0.0
 	count := 0
--- a/internal/lab/soak/checker_test.go
+++ b/internal/lab/soak/checker_test.go
@@ -40,7 +40,7 @@
 
 func delayed(a *attempt) { a.delayed = true }
 
-// addServed records a request that was served, sent at the start of the run.
+// addServed records a served request that was sent at the start of the run.
 func (h *builtHistory) addServed(id, class string) *request {
 	r := &request{
 		id: id, class: class, frontEnd: "n1", sentAt: runStart, wait: time.Second, endedAt: after(100 * ms),
@@ -79,7 +79,7 @@
 	}
 }
 
-// Of all outcomes, only a lost request violates RuleResponse.
+// A lost request violates RuleResponse. No other outcome violates it.
 func TestCheck_ReportsALostRequest(t *testing.T) {
 	cases := []checkerCase{{name: "empty history", build: func(*builtHistory) {}}}
 	outcomes := []outcome{
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -12,8 +12,9 @@
 
 const (
 	dialTimeout = time.Second
-	// idleCloseRace is the time after sending a request during which a close of its connection counts as
-	// a race with the front end's close of the idle connection. The client may then send the request again.
+	// idleCloseRace is the time after a request is sent on an idle connection during which a close counts as an
+	// idle close: the front end may have closed the connection before the request arrived. The client then
+	// sends the request again, unless the front end was killed.
 	idleCloseRace = 50 * time.Millisecond
 	// clientIdleTime is the idle time after which a client closes its connection.
 	clientIdleTime = 4 * time.Second
@@ -21,8 +22,8 @@
 	maxPause = 120 * time.Millisecond
 )
 
-// How often a client deviates from sending a request and waiting for its response: once in this number of
-// requests.
+// Normally, a client sends a request and waits for the response. Each of these deviations occurs in one of this
+// many requests on average.
 const (
 	malformedRequestOneIn = 40
 	disconnectOneIn       = 20
--- a/internal/lab/soak/client_test.go
+++ b/internal/lab/soak/client_test.go
@@ -223,7 +223,8 @@
 	}
 }
 
-// A front end that neither responds to a malformed request nor closes the connection violates the rule.
+// A front end that neither responds to a malformed request nor closes the connection violates
+// RuleMalformedRequest.
 func TestSendMalformedRequest_ReportsSilence(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/lab/soak/engineprocess.go
+++ b/internal/lab/soak/engineprocess.go
@@ -23,7 +23,7 @@
 type engineOptions struct {
 	Addr                string  `json:"addr"`
 	Seed                uint64  `json:"seed"`
-	FaultyResponseShare float64 `json:"faulty_response_share"` // share of requests without a normal response
+	FaultyResponseShare float64 `json:"faulty_response_share"` // share of requests that get a faulty response or none
 }
 
 // engineEventKind is the kind of an event at an engine process.
@@ -176,7 +176,7 @@
 	{rejectAtOnce, 2}, {failAfterWork, 2}, {sendNoise, 1}, {truncateResult, 1}, {neverRespond, 1}, {duplicateResult, 1},
 }
 
-// behaviorFor returns the behavior for a random number from 0 to 1.
+// behaviorFor returns the behavior that a random number from 0 to 1 selects.
 func behaviorFor(randomNumber, faultyShare float64) responseBehavior {
 	const totalWeight = 8 // of faultyBehaviors
 	cumulativeWeight := 0.0
@@ -191,7 +191,7 @@
 
 // Handle implements fake.LineHandler: it waits for the work time of a request and responds.
 func (e *engineProcess) Handle(ctx context.Context, exchange *fake.LineExchange) {
-	const minWorkFactor = 0.5 // of the mean; the factor is uniform up to 1.5
+	const minWorkFactor = 0.5 // the work time is uniform from 0.5 to 1.5 times the mean
 	request := exchange.Request
 	workTime := time.Duration((minWorkFactor + e.randomFloat()) * float64(workTimes[request.Field("kind")]))
 	behavior := behaviorFor(e.randomFloat(), e.faultyResponseShare)
@@ -231,8 +231,8 @@
 	return fake.LineMessage(requestID, fake.MessageResult, strings.Join(fields, ","), resultPage(requestID, "0"))
 }
 
-// respond reports the end of an attempt and then sends the response, unless the attempt was
-// cancelled.
+// respond reports the end of an attempt and then sends the response. If the attempt was cancelled, respond does
+// neither.
 func (e *engineProcess) respond(
 	exchange *fake.LineExchange, kind responseKind, workTime time.Duration, message string,
 ) {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -157,7 +157,7 @@
 			return err
 		}
 		if process, _ := f.settledProcess(); process != nil {
-			_ = process.Signal(syscall.SIGHUP) // if the process has exited, the next one reads the file at its start
+			_ = process.Signal(syscall.SIGHUP) // a process that starts later reads the new file anyway
 		} else {
 			r.faults.Go(func() { r.reloadLater(f) })
 		}
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// reloadLater makes a front end that is not settled reload its configuration once settledProcess returns a
-// process that was not signalled to exit. After maxPolls polls, it gives up.
+// reloadLater is for a front end that is not settled. It polls until settledProcess returns a process that was not
+// signalled to exit, and then makes this process reload the configuration. After maxPolls polls, it gives up.
 func (r *run) reloadLater(f *frontEnd) {
 	const (
 		pollInterval = 100 * time.Millisecond
@@ -202,8 +202,8 @@
 	}
 }
 
-// backgroundFaults returns the system call faults of a front end while no scheduled fault changes them. The
-// rates are low, except for faults of files: files are seldom written.
+// backgroundFaults returns the system call faults that a front end has while no scheduled fault changes them. The
+// rates are low, except for faults of files, because files are seldom written.
 func backgroundFaults() syscallfault.Faults {
 	const (
 		socketFaultRate = 0.01
@@ -215,8 +215,8 @@
 	}
 }
 
-// drawSystemCallFaults draws the faults of a front end's system calls and their duration. Each of the kinds
-// occurs with a probability of one half.
+// drawSystemCallFaults draws the faults of a front end's system calls and the duration of the faults. Each kind of
+// fault occurs with a probability of one half.
 func drawSystemCallFaults(random *rand.Rand) (faults syscallfault.Faults, duration time.Duration) {
 	const (
 		minTime        = 300 * time.Millisecond
--- a/internal/lab/soak/frontend.go
+++ b/internal/lab/soak/frontend.go
@@ -20,13 +20,13 @@
 const (
 	// startTimeout limits the start of a front end or an engine.
 	startTimeout = 20 * time.Second
-	// newConnectionsEnd and openConnectionsEnd are the times after SIGTERM at which clients stop opening
-	// new connections, and stop sending requests on open connections.
-	newConnectionsEnd  = 300 * time.Millisecond
+	// newConnectionsEnd is the time after SIGTERM at which clients stop opening new connections.
+	newConnectionsEnd = 300 * time.Millisecond
+	// openConnectionsEnd is the time after SIGTERM at which clients stop sending requests on open connections.
 	openConnectionsEnd = 500 * time.Millisecond
-	// maxShutdownTime limits the part of a graceful shutdown in which pending requests complete.
+	// maxShutdownTime limits the first part of a graceful shutdown, in which pending requests complete.
 	maxShutdownTime = 3 * time.Second
-	// killGrace is the time after that part within which the process must exit. The platform may kill a
+	// killGrace is the time after the first part within which the process must exit. The platform may kill a
 	// process that is still running then.
 	killGrace = 700 * time.Millisecond
 	// exitSlack is the additional time that an exit may take on a busy machine.
@@ -38,8 +38,8 @@
 var errNotReady = errors.New("not ready in time")
 
 // frontEnd is a front end. Faults stop its process and start another under the same name and address.
-// During the workload, only the fault that has claimed the front end stops and starts it, and may read
-// process without mu. Clients read the state from their goroutines.
+// During the workload, only the fault that has claimed the front end stops and starts it. This fault may read
+// process without locking mu. Clients read the state from their goroutines.
 type frontEnd struct {
 	run          *run
 	name         string
@@ -160,16 +160,16 @@
 // acceptsRequests reports whether clients may send requests on open connections.
 func (f *frontEnd) acceptsRequests(now time.Time) bool { return f.servesFor(openConnectionsEnd, now) }
 
-// servesFor reports whether the front end is ready and either was not signalled to exit, or was signalled
-// less than afterSignal ago.
+// servesFor reports whether the front end is ready and still serves. After a signal to exit, it still serves for the
+// time afterSignal.
 func (f *frontEnd) servesFor(afterSignal time.Duration, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ready && (f.signalledAt.IsZero() || now.Before(f.signalledAt.Add(afterSignal)))
 }
 
-// settledProcess returns the process, and whether it was signalled to exit. It returns nil if the process
-// has not been ready for longer than settleTime.
+// settledProcess returns the process if it has been ready for longer than settleTime, and nil otherwise. exiting
+// reports whether the process was signalled to exit.
 func (f *frontEnd) settledProcess() (process *syscallfault.Process, exiting bool) {
 	const settleTime = time.Second
 	f.mu.Lock()
@@ -202,7 +202,7 @@
 	_ = f.process.Signal(signal) // fails if the process has already ended
 }
 
-// terminate sends SIGTERM and waits until the process has exited. If that takes too long, it records a
+// terminate sends SIGTERM and waits until the process has exited. If the exit takes too long, terminate records a
 // violation and kills the process.
 func (f *frontEnd) terminate() {
 	const limit = min(longestDeadline, maxShutdownTime) + killGrace + exitSlack
--- a/internal/lab/soak/frontend_test.go
+++ b/internal/lab/soak/frontend_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// A process that ends without having been signalled to exit violates the rule.
+// A process that ends without having been signalled to exit violates RuleProcess.
 func TestWatch_ReportsAnEndWithoutASignal(t *testing.T) {
 	for name, c := range map[string]struct {
 		signalledAt time.Time
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -74,8 +74,8 @@
 // contains reports whether the time lies in the span, both ends included.
 func (s span) contains(t time.Time) bool { return !t.Before(s.from) && !t.After(s.until) }
 
-// history records what clients, engine processes and the fault injector observe during a run. It is safe for
-// concurrent use.
+// history contains the requests, attempts and changes of a run, and all else that the checker needs. Clients, engine
+// processes and the fault injector add to it during the run. A history is safe for concurrent use.
 type history struct {
 	mu             sync.Mutex
 	requests       []*request
--- a/internal/lab/soak/processorwait.go
+++ b/internal/lab/soak/processorwait.go
@@ -12,7 +12,7 @@
 const (
 	// waitSampleInterval is the time between two samples of a waitSampler.
 	waitSampleInterval = 20 * time.Millisecond
-	// minProcessorWait is the shortest wait within a sample that counts. Shorter waits occur on an idle machine too.
+	// minProcessorWait is the shortest wait that counts in a sample. Shorter waits occur on an idle machine too.
 	minProcessorWait = 5 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 	return s
 }
 
-// run takes a sample at each interval and passes it to record unless it is 0, until stop is closed.
+// run takes a sample after each waitSampleInterval until stop is closed. It passes each sample above 0 to record.
 func (s *waitSampler) run(record func(processorWait), stop <-chan struct{}) {
 	from := time.Now()
 	for {
@@ -61,9 +61,9 @@
 	}
 }
 
-// sample returns the longest wait of any thread in a group since the previous sample, summed over the groups. Groups
-// whose longest wait is below minProcessorWait do not count. Without this exception, the sum would be at least as long
-// as the delay of a request, because a request passes through one process of each group.
+// sample determines the longest wait of a thread in each group since the previous sample, and returns the sum over the
+// groups. Waits below minProcessorWait do not count. Apart from such waits, the sum is at least as long as the delay of
+// a request, because a request passes through one process of each group.
 func (s *waitSampler) sample() (sum time.Duration) {
 	current := map[int]time.Duration{}
 	for _, pids := range s.groups() {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -32,8 +32,8 @@
 	firstClientStream = 1 // plus the number of the client
 )
 
-// At any time, at least half of the front ends and a third of the engines, rounded down, are not claimed by a
-// fault.
+// At any time, at least half of the front ends and at least a third of the engines, both rounded down, are
+// unclaimed.
 const (
 	frontEndReserveDivisor = 2
 	engineReserveDivisor   = 3
--- a/internal/lab/soak/settings.go
+++ b/internal/lab/soak/settings.go
@@ -21,7 +21,7 @@
 	classWrite:  60 * time.Millisecond,
 }
 
-// Settings of every run that the checker and the clients also use.
+// Settings that are the same in every run. The checker and the fault injector also use some of them.
 const (
 	longestDeadline = 2 * time.Second
 	drainGrace      = 500 * time.Millisecond
