--- a/cmd/flaxlab/main.go
+++ b/cmd/flaxlab/main.go
@@ -1,6 +1,6 @@
-// Command flaxlab generates traffic whose true classes and costs are known, evaluates the classifier of
-// statements on it, starts front ends with fake engines and discovery to try out, and injects faults into
-// real front ends. No program that serves requests depends on it.
+// Command flaxlab generates traffic whose true classes and costs are known, and evaluates the classifier of
+// statements on this traffic. It starts front ends with fake engines and discovery for manual tests, and injects
+// faults into real front ends. No program that serves requests depends on flaxlab.
 package main
 
 import (
--- a/cmd/flaxlab/program.go
+++ b/cmd/flaxlab/program.go
@@ -8,7 +8,7 @@
 	"flaxrelay/internal/lab/harness"
 )
 
-// repositoryRoot is the directory that flaxlab runs in.
+// repositoryRoot is the working directory, because flaxlab is run from the root of the repository.
 const repositoryRoot = "."
 
 // programFlag sets the path of the flaxrelay program.
--- a/cmd/flaxlab/results.go
+++ b/cmd/flaxlab/results.go
@@ -10,12 +10,13 @@
 // experimentResults are the results of one experiment.
 type experimentResults struct {
 	name    string       // base name of the files
-	summary report.Table // printed
-	figures report.Table // each single measurement
+	summary report.Table // also printed
+	figures report.Table // one row for each measurement
 	chart   report.BarChart
 }
 
-// publish prints the summary. It writes summary, figures and chart to the directory, unless directory is "".
+// publish prints the summary. It also writes the summary, the figures and the chart to files in the directory,
+// unless directory is "".
 func (r *experimentResults) publish(directory string) error {
 	markdown, err := r.summary.Markdown()
 	if err != nil {
--- a/cmd/flaxlab/sample.go
+++ b/cmd/flaxlab/sample.go
@@ -10,7 +10,7 @@
 // sample is a set of measurements in ascending order.
 type sample []float64
 
-// newSample returns the sample of a figure of each result.
+// newSample returns a sample with one value for each result. The function figure determines the value.
 func newSample[R any](results []R, figure func(R) float64) sample {
 	values := make(sample, len(results))
 	for i, result := range results {
--- a/cmd/flaxlab/shapes_cost.go
+++ b/cmd/flaxlab/shapes_cost.go
@@ -34,7 +34,7 @@
 // costSeries are the names of the two kinds of rounds.
 var costSeries = []string{"without", "with shapes"}
 
-// Run measures pairs of rounds, without and with statement shapes.
+// Run measures pairs of rounds without and with statement shapes, and publishes the results.
 func (c *costCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), costTimeout)
 	defer cancel()
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -40,7 +40,7 @@
 // shareDigits is the number of decimal places in printed shares and errors.
 const shareDigits = 3
 
-// Run evaluates every variant of the classifier on every recording.
+// Run evaluates every variant of the classifier on every recording, and publishes the results.
 func (c *evaluateCommand) Run() error {
 	recordings, err := c.recordings()
 	if err != nil {
@@ -48,7 +48,8 @@
 	}
 	results := newEvaluation()
 	variants := experiment.Variants()
-	// The results of the first variant. The figures of hints and class means are the same in all variants.
+	// The baselines need the results of only one variant, because the results for hints and class means are the
+	// same in all variants.
 	var firstResults []experiment.Result
 	for i, variant := range variants {
 		evaluated, err := c.evaluate(variant, recordings, &results.figures)
@@ -64,7 +65,7 @@
 	return results.publish(c.Out)
 }
 
-// newEvaluation returns results without any figures.
+// newEvaluation returns results with headings, but without rows and values.
 func newEvaluation() *experimentResults {
 	results := &experimentResults{
 		name: "shapes-evaluate",
@@ -120,7 +121,7 @@
 	return recording{seed: head.Seed, records: records}, nil
 }
 
-// evaluate runs one variant on every recording and adds a row to the figures for each.
+// evaluate evaluates one variant on every recording. It adds one row to figures for each recording.
 func (c *evaluateCommand) evaluate(
 	variant experiment.Variant, recordings []recording, figures *report.Table,
 ) ([]experiment.Result, error) {
@@ -170,8 +171,8 @@
 	results.summary.Add(row...)
 }
 
-// addBaselines adds the figures of two estimates to compare with the classifier: the client's hint alone, and
-// the mean work of the true class.
+// addBaselines adds two rows to the summary, for a comparison with the classifier. The first row is for estimates
+// by the client's hint alone, and the second for estimates by the mean work of the true class.
 func addBaselines(summary *report.Table, results []experiment.Result) {
 	summary.Add("the client's hint",
 		spreadOf(results, func(r experiment.Result) float64 { return r.RightByHint }), "", "", "",
@@ -182,7 +183,7 @@
 		spreadOf(results, func(r experiment.Result) float64 { return r.ClassMeanError.P90 }))
 }
 
-// spreadOf formats the spread of one figure over all recordings.
+// spreadOf formats the spread of one value over all recordings.
 func spreadOf(results []experiment.Result, figure func(experiment.Result) float64) string {
 	return newSample(results, figure).spread(shareDigits)
 }
--- a/cmd/flaxlab/shapes_flood.go
+++ b/cmd/flaxlab/shapes_flood.go
@@ -7,7 +7,7 @@
 	"flaxrelay/internal/lab/report"
 )
 
-// floodCommand floods the cache with shapes that never recur.
+// floodCommand measures how kinds of cache handle many statements whose shapes never recur.
 type floodCommand struct {
 	Seeds     []uint64 `default:"1,2,3,4,5" help:"Seeds, one run each."`
 	Recurring int      `default:"200" help:"Number of recurring shapes."`
@@ -20,7 +20,7 @@
 // floodedCaches are the kinds of cache that are compared.
 var floodedCaches = []experiment.ShapeCache{experiment.TinyLFU(), experiment.LRU(), experiment.TwoQueue()}
 
-// Run floods every cache once for each seed.
+// Run measures every kind of cache once for each seed, and publishes the results.
 func (c *floodCommand) Run() error {
 	results := &experimentResults{
 		name: "shapes-flood",
@@ -48,7 +48,7 @@
 	return results.publish(c.Out)
 }
 
-// flood floods a cache of one kind with every seed, and adds a row to the figures for each.
+// flood measures one kind of cache once for each seed. It adds one row to figures for each measurement.
 func (c *floodCommand) flood(cache experiment.ShapeCache, figures *report.Table) ([]experiment.FloodResult, error) {
 	var runs []experiment.FloodResult
 	for _, seed := range c.Seeds {
--- a/cmd/flaxlab/soak.go
+++ b/cmd/flaxlab/soak.go
@@ -25,7 +25,7 @@
 
 var errViolations = errors.New("rules were violated")
 
-// Run runs the seeds and fails if any of them violated a rule.
+// Run runs the seeds one after the other. It returns an error if any run violated a rule.
 func (c *soakCommand) Run() error {
 	program, cleanUp, err := c.frontEndProgram(context.Background())
 	if err != nil {
@@ -75,8 +75,8 @@
 	return options
 }
 
-// report prints the result of a run. It removes the logs of a run without violations, unless the flag sets a
-// directory for logs.
+// report prints the result of a run. It removes the logs of a run without violations, unless --folder sets a
+// directory for the logs.
 func (c *soakCommand) report(result *soak.Result) {
 	fmt.Print(result)
 	if len(result.Violations) > 0 {
--- a/cmd/flaxlab/traffic_stats.go
+++ b/cmd/flaxlab/traffic_stats.go
@@ -46,7 +46,7 @@
 type trafficStats struct {
 	classes        map[string]*classStats
 	hardCases      map[string]int
-	recurring      map[int]struct{} // the recurring templates
+	recurring      map[int]struct{} // numbers of the recurring templates
 	oneOff         int
 	total          int
 	statementBytes int
@@ -70,7 +70,7 @@
 	}
 	class.count++
 	class.weight += record.Weight
-	_ = class.work.RecordValue(max(int64(record.WorkMS*microsecondsPerMS), 1)) // fails above maxWork, which is ignored
+	_ = class.work.RecordValue(max(int64(record.WorkMS*microsecondsPerMS), 1)) // leaves out work above maxWork
 	if record.HardCase != "" {
 		class.hard++
 		s.hardCases[record.HardCase]++
--- a/cmd/flaxlab/try.go
+++ b/cmd/flaxlab/try.go
@@ -36,8 +36,8 @@
 	return fmt.Sprintf("--engines: %d is not in the range from 1 to %d", e.count, maxEngines)
 }
 
-// Run starts both front ends with fake engines and discovery, and prints commands to paste. It stops all of
-// them on Ctrl-C, after the time limit, or when a front end has exited.
+// Run starts both front ends with fake engines and discovery, and prints example requests. It stops the front
+// ends, the engines and discovery on Ctrl-C, after the time limit, or when a front end has exited.
 func (c *tryCommand) Run() error {
 	if c.Engines < 1 || c.Engines > maxEngines {
 		return &engineCountError{count: c.Engines}
