--- a/cmd/flaxlab/flags_test.go
+++ b/cmd/flaxlab/flags_test.go
@@ -14,7 +14,7 @@
 	clitest.CheckNames(t, "flaxlab", &cli{}, "testdata/flags.golden")
 }
 
-// The defaults of the workload flags equal those of workload.Defaults, which are defined separately.
+// The defaults of the workload flags equal workload.Defaults. The two are defined separately.
 func TestWorkloadFlags_DefaultToTheModeledDeployment(t *testing.T) {
 	var grammar cli
 	parser, err := kong.New(&grammar)
--- a/cmd/flaxlab/shapes_evaluate.go
+++ b/cmd/flaxlab/shapes_evaluate.go
@@ -19,7 +19,7 @@
 	Out    string   `placeholder:"FOLDER" help:"Write table, figures and chart to shapes-evaluate.* there."`
 }
 
-// recording is traffic with the seed that it was generated from.
+// recording is traffic with the seed from which the traffic was generated.
 type recording struct {
 	seed    uint64
 	records []traffic.Record
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -56,8 +56,8 @@
 	return without, with, nil
 }
 
-// lookups returns lookups of the workload. If bound is true, all of them have bound values, and at most
-// maxPrepared of their texts differ. Otherwise, none of them has bound values.
+// lookups returns lookups of the workload. If bound is true, all of them have bound values, and there are at most
+// maxPrepared different texts. Otherwise, none of them has bound values.
 func lookups(seed uint64, count int, bound bool) []workload.Statement {
 	generator := workload.New(workload.Options{Seed: seed, Templates: workload.DefaultTemplates}, count)
 	var statements []workload.Statement
--- a/internal/lab/experiment/evaluate.go
+++ b/internal/lab/experiment/evaluate.go
@@ -1,6 +1,6 @@
 // Package experiment evaluates the classifier of statements. It runs the classifier on recorded traffic whose
-// true classes and costs are known, floods the classifier's cache with shapes that never recur, and measures
-// the CPU time that the classifier adds to flaxrelay.
+// true classes and costs are known. It also measures how the classifier's cache handles many shapes that never
+// recur, and the CPU time that the classifier adds to flaxrelay.
 package experiment
 
 import (
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -105,7 +105,8 @@
 	return c.readUntilReady()
 }
 
-// readUntilReady reads a response up to its ReadyForQuery. rejected is true if it contains rejectedCode.
+// readUntilReady reads a response up to its ReadyForQuery. rejected is true if the response contains
+// rejectedCode.
 func (c *client) readUntilReady() (rejected bool, err error) {
 	const lengthSize = 4 // size of the length, which counts itself
 	head := make([]byte, 1+lengthSize)
--- a/internal/lab/fake/engine_postgres.go
+++ b/internal/lab/fake/engine_postgres.go
@@ -46,7 +46,7 @@
 	unread   []byte
 	unsent   []byte
 	query    string            // the query that was parsed, bound or described last
-	prepared map[string]string // queries by the names of their prepared statements
+	prepared map[string]string // query of each prepared statement, by name
 }
 
 // serve responds to the messages of the connection, one after the other.
--- a/internal/lab/fake/engine_test.go
+++ b/internal/lab/fake/engine_test.go
@@ -18,8 +18,8 @@
 // waitLimit limits the time of all reads and writes on a connection.
 const waitLimit = 10 * time.Second
 
-// startEngine serves an engine whose statements take no time, except those that contain "endless", and
-// connects to it.
+// startEngine starts an engine and connects to it. A statement that contains "endless" takes an hour, and any other
+// statement takes no time.
 func startEngine(t *testing.T, serve func(net.Listener, Work, *slog.Logger)) net.Conn {
 	t.Helper()
 	listener, err := Listen(AnyLoopbackPort)
--- a/internal/lab/fake/line_echo.go
+++ b/internal/lab/fake/line_echo.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// echoRows returns the rows of a result: one with the fields of the request, and one with its statement, in
-// which spaces replace tabs and line breaks.
+// echoRows returns the rows of a result: one with the fields of the request, and one with the statement. In the
+// statement, spaces replace tabs and line breaks.
 func echoRows(request LineRequest) string {
 	oneLine := strings.NewReplacer("\t", " ", "\n", " ", "\r", " ").Replace(request.Statement)
 	return fmt.Sprintf("fields\t%s\ttoy\nstatement\t%s\ttoy\n", request.Fields, oneLine)
--- a/internal/lab/fake/line_server.go
+++ b/internal/lab/fake/line_server.go
@@ -89,8 +89,8 @@
 // Send sends a message. It ignores write errors, because they mean that the connection has ended.
 func (x *LineExchange) Send(message string) { x.connection.send(message) }
 
-// lineConnection is a connection from a front end. One goroutine reads from it. Each request in flight
-// writes to it from a separate goroutine.
+// lineConnection is a connection from a front end. One goroutine reads from the connection. Each request in flight
+// has a separate goroutine that writes to the connection.
 type lineConnection struct {
 	conn    net.Conn
 	handler LineHandler
--- a/internal/lab/fake/work.go
+++ b/internal/lab/fake/work.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Work returns the execution time of a statement and the memory that it uses, in MB.
+// Work returns the execution time of a statement and the memory that the statement uses, in MB.
 type Work func(statement string) (duration time.Duration, memoryMB float64)
 
 // usualWork is the usual work of a kind of statement.
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("faultproxy: %q is not a loopback address", e.Addr)
 }
 
-// Listen starts a proxy in front of a server, both on loopback.
+// Listen starts a proxy in front of a server. Both listen at loopback addresses.
 func Listen(server string, opts Options) (*Proxy, error) {
 	for i, fault := range opts.Faults {
 		if !fault.Kind.known() {
@@ -180,7 +180,7 @@
 	return p.opts.Delay + time.Duration(p.random.Int64N(int64(p.opts.Jitter)))
 }
 
-// randomIndex draws an index below n.
+// randomIndex returns a random index below n.
 func (p *Proxy) randomIndex(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// Each fault has its effect while it is active.
+// Each kind of fault takes effect when the fault begins.
 func TestProxy_EachFaultHasItsEffect(t *testing.T) {
 	const (
 		from     = 100 * time.Millisecond
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -26,7 +26,7 @@
 type Options struct {
 	Root         string // root directory of the repository, whose deploy files are used
 	Dir          string // directory for the written files
-	Engines      int    // of each wire protocol
+	Engines      int    // number of engines for each wire protocol
 	Work         fake.Work
 	HTTPAddr     string // at which the HTTP front end listens
 	PostgresAddr string // at which the PostgreSQL front end listens
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -76,7 +76,7 @@
 	Values [][]float64 // indexed by series, then by group
 }
 
-// SVG draws the chart.
+// SVG returns the chart in SVG format.
 func (c *BarChart) SVG() ([]byte, error) {
 	const allBarsWidth = 240 // points
 	chart := plot.New()
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -110,8 +110,8 @@
 
 // checkOverlap checks that an attempt ended before the next attempt began.
 func (c *checker) checkOverlap(r *request, earlier, later *attempt) {
-	// An attempt that ends without a response right after its start was read from a connection that the
-	// front end had already closed.
+	// If an attempt ends without a response right after its start, the engine has read it from a connection that
+	// the front end had already closed.
 	readAfterClose := later.response == responseNone && !later.endedAt.IsZero() &&
 		later.endedAt.Sub(later.beganAt) < tolerance
 	if earlier.delayed || later.delayed || readAfterClose {
--- a/internal/lab/soak/checker_slowstart.go
+++ b/internal/lab/soak/checker_slowstart.go
@@ -62,7 +62,7 @@
 }
 
 // attemptsInSlowStart returns the attempts that began while the engine was warming up and after all front
-// ends had been notified of its start, sorted by their start.
+// ends had been notified of the engine's start. The attempts are sorted by their start.
 func (c *checker) attemptsInSlowStart(start engineChange) []*attempt {
 	notifiedAt := c.notifiedAt(start)
 	warmUpEnd := start.startedAt.Add(warmUpTime)
--- a/internal/lab/soak/checker_slowstart_test.go
+++ b/internal/lab/soak/checker_slowstart_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// addStart records a start of the engine at the start of the run, published at the given time.
+// addStart records that the engine started at the start of the run, and that this was published at the given time.
 func (h *builtHistory) addStart(published time.Duration) {
 	h.addChange(engineChange{engine: "s-1", state: stateReady, publishedAt: after(published), startedAt: runStart})
 }
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -22,16 +22,16 @@
 	maxPause = 120 * time.Millisecond
 )
 
-// Normally, a client sends a request and waits for the response. Each of these deviations occurs in one of this
-// many requests on average.
+// Deviations of a client from sending a request and waiting for the response. Each value n means one in n requests
+// on average.
 const (
 	malformedRequestOneIn = 40
 	disconnectOneIn       = 20
 	slowWriteOneIn        = 8
 )
 
-// Upper limits of a client's delay between the two parts of a request that it writes slowly, and of its
-// delay before it disconnects early.
+// Upper limits of two delays of a client: the delay between the two parts of a request that is written slowly, and
+// the delay before an early disconnect.
 const (
 	maxWriteDelayMS      = 60
 	maxDisconnectDelayMS = 50
@@ -94,7 +94,7 @@
 	return true
 }
 
-// newRequest draws a request, and returns it with its text.
+// newRequest returns a random request and its text.
 func (c *client) newRequest() (r *request, text string) {
 	const (
 		minWaitMS   = 300
@@ -139,8 +139,8 @@
 	}
 }
 
-// exchange sends a request on the open connection and waits until the request has ended. If it returns an
-// error, it has closed the connection and the request has no outcome yet.
+// exchange sends a request on the open connection and waits until the request has ended. If exchange returns
+// an error, it has closed the connection and the request has no outcome yet.
 func (c *client) exchange(req *request, text string) error {
 	req.frontEnd = c.target.name
 	if !c.write(req, text) {
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -15,7 +15,7 @@
 )
 
 // engine is an engine in the endpoint list, with its process. During the workload, only the fault that has
-// claimed the engine changes its fields and calls its methods. The exceptions are readEvents, which runs on
+// claimed the engine changes the engine's fields and calls its methods. The exceptions are readEvents, which runs on
 // a separate goroutine, and processID.
 type engine struct {
 	run      *run
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -41,7 +41,7 @@
 // engineRestart describes the restart of an engine.
 type engineRestart struct {
 	downtime          time.Duration
-	notificationDelay time.Duration // from the engine's start until the bus publishes it
+	notificationDelay time.Duration // from the engine's start until the bus publishes the start
 	clockStep         time.Duration // error of the engine's clock, which determines the published start
 }
 
--- a/internal/lab/soak/frontendconfig.go
+++ b/internal/lab/soak/frontendconfig.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// shapesConfigFormat is the format of the configuration of the statement statistics. Its argument is the path
-// of the snapshot.
+// shapesConfigFormat is the format of the configuration of the statement statistics. The argument of the format is
+// the path of the snapshot.
 const shapesConfigFormat = `enabled = true
 correct_estimates = true
 memory_kb = 256
--- a/internal/lab/soak/malformed.go
+++ b/internal/lab/soak/malformed.go
@@ -13,7 +13,7 @@
 // the specification, it responds or closes the connection within 3 s; the rest is slack for a busy machine.
 const malformedResponseTimeout = 4 * time.Second
 
-// malformedRequests returns the malformed requests from which a client draws one. A change of their order
+// malformedRequests returns the malformed requests from which a client draws one. A change of the order
 // changes the requests of every seed.
 func malformedRequests(id string) []string {
 	const tooLongPath = 40000
--- a/internal/lab/soak/pool.go
+++ b/internal/lab/soak/pool.go
@@ -34,8 +34,8 @@
 	return slices.Clone(p.members)
 }
 
-// claim draws an unclaimed member and claims it. If only the reserve is unclaimed, claim returns
-// false and draws no random number.
+// claim draws an unclaimed member and claims it. If only the reserve is unclaimed, claim returns false and
+// draws no random number.
 func (p *pool[M]) claim(random *rand.Rand) (member M, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/soak/schedule.go
+++ b/internal/lab/soak/schedule.go
@@ -17,7 +17,7 @@
 }
 
 // faultKinds are drawn with equal probability. A kind that is listed twice is drawn twice as often. A
-// change of their order changes the schedule of every seed.
+// change of the order changes the schedule of every seed.
 var faultKinds = []faultKind{
 	{"terminate a front end", (*run).terminateFrontEnd},
 	{"kill a front end", (*run).killFrontEnd},
--- a/internal/lab/traffic/arrivals.go
+++ b/internal/lab/traffic/arrivals.go
@@ -35,7 +35,7 @@
 
 const microsPerSecond = 1e6
 
-// arrivals draws the arrival times of statements. It is not safe for concurrent use.
+// arrivals generates the arrival times of statements. It is not safe for concurrent use.
 type arrivals struct {
 	process     ArrivalProcess
 	random      *rand.Rand
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -14,7 +14,7 @@
 	template    *template
 	dataSet     int     // N in the name of its schema, stock_N
 	rows        float64 // current number of rows of the table
-	rowsPerPart float64 // of a part that is not popular
+	rowsPerPart float64 // number of rows of a part that is not popular
 	broad       bool    // whether to use the broad values of the family, if it has any
 	hardCase    string  // why broad values make the class hard to determine; "": no broad values
 	tableName   string
