--- a/cmd/flaxlab/results.go
+++ b/cmd/flaxlab/results.go
@@ -7,7 +7,7 @@
 	"flaxrelay/internal/lab/report"
 )
 
-// experimentResults are the results of one experiment.
+// experimentResults are the results of one experiment, to be printed and written to files.
 type experimentResults struct {
 	name    string       // base name of the files
 	summary report.Table // also printed
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -108,7 +108,7 @@
 	return &request{id: id, class: class, wait: wait}, requestText(id, class, wait)
 }
 
-// requestText returns the bytes of a request.
+// requestText returns the text of an HTTP request. Only a load has an idempotency key.
 func requestText(id, class string, wait time.Duration) string {
 	statement := "SELECT day FROM sales_17.orders WHERE tag = '" + id + "'"
 	idempotencyKey := ""
@@ -119,7 +119,7 @@
 		"Content-Length: %d\r\n\r\n%s", class, id, wait.Milliseconds(), idempotencyKey, len(statement), statement)
 }
 
-// errNotSent reports a request that was not sent completely.
+// errNotSent reports a request that was not sent completely. Such a request is not recorded.
 var errNotSent = errors.New("request not sent completely")
 
 // sendRequest sends one request, waits until it has ended and records it. If the front end closes the idle
--- a/internal/lab/soak/engineprocess.go
+++ b/internal/lab/soak/engineprocess.go
@@ -125,7 +125,7 @@
 
 // Received implements fake.LineHandler.
 func (e *engineProcess) Received(request fake.LineRequest) {
-	// A front end always sends both fields. If one is missing, the checker sees its zero value.
+	// A front end always sends both fields. A missing field is reported as its zero value.
 	remainingMS, _ := strconv.Atoi(request.Field("ms"))
 	e.report(engineEvent{
 		Kind: eventAttemptBegan, RequestID: request.ID, Class: request.Field("kind"),
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -17,7 +17,7 @@
 	outcomeLost         outcome = "lost"         // the response was missing, late or incomplete
 )
 
-// request is one request of a client.
+// request is a request of a client, with its outcome.
 type request struct {
 	id       string
 	class    string
@@ -141,7 +141,6 @@
 	h.inFlight[process][a.requestID] = a
 }
 
-// attemptEnd describes the end of an attempt.
 type attemptEnd struct {
 	at       time.Time
 	response responseKind
--- a/internal/lab/syscallfault/faults.go
+++ b/internal/lab/syscallfault/faults.go
@@ -70,7 +70,7 @@
 	return &injector{random: rand.New(rand.NewPCG(seed, seed)), faults: faults, counts: map[Kind]int{}}
 }
 
-// set replaces the faults.
+// set replaces the faults for all later system calls.
 func (i *injector) set(faults Faults) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/lab/traffic/format.go
+++ b/internal/lab/traffic/format.go
@@ -43,7 +43,7 @@
 	Records       int     `cbor:"5,keyasint"` // number of records
 }
 
-// Record is one statement.
+// Record is one statement with its arrival time, hints, true class and true cost.
 type Record struct {
 	ArrivalMicros int64    `cbor:"1,keyasint"` // microseconds from the start
 	Statement     string   `cbor:"2,keyasint"`
