--- a/internal/lab/faultproxy/proxy_test.go
+++ b/internal/lab/faultproxy/proxy_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// Each fault has its effect while it is active.
+// Each kind of fault takes effect when the fault begins.
 func TestProxy_EachFaultHasItsEffect(t *testing.T) {
 	const (
 		from     = 100 * time.Millisecond
@@ -133,7 +133,7 @@
 		t.Errorf("the server received %q", got)
 	}
 	for {
-		change := conn.proxy.nextChange() // before the check, so that no change after it is missed
+		change := conn.proxy.nextChange() // before the check, so that no change after the check is missed
 		if !conn.proxy.active(DropResponses) {
 			break
 		}
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -12,8 +12,9 @@
 
 const (
 	dialTimeout = time.Second
-	// idleCloseRace is the time after sending a request during which a close of its connection counts as
-	// a race with the front end's close of the idle connection. The client may then send the request again.
+	// idleCloseRace is the time after a request is sent on an idle connection during which a close counts as an
+	// idle close: the front end may have closed the connection before the request arrived. The client then
+	// sends the request again, unless the front end was killed.
 	idleCloseRace = 50 * time.Millisecond
 	// clientIdleTime is the idle time after which a client closes its connection.
 	clientIdleTime = 4 * time.Second
@@ -21,16 +22,16 @@
 	maxPause = 120 * time.Millisecond
 )
 
-// How often a client deviates from sending a request and waiting for its response: once in this number of
-// requests.
+// Deviations of a client from sending a request and waiting for the response. Each value n means one in n requests
+// on average.
 const (
 	malformedRequestOneIn = 40
 	disconnectOneIn       = 20
 	slowWriteOneIn        = 8
 )
 
-// Upper limits of a client's delay between the two parts of a request that it writes slowly, and of its
-// delay before it disconnects early.
+// Upper limits of two delays of a client: the delay between the two parts of a request that is written slowly, and
+// the delay before an early disconnect.
 const (
 	maxWriteDelayMS      = 60
 	maxDisconnectDelayMS = 50
@@ -93,7 +94,7 @@
 	return true
 }
 
-// newRequest draws a request, and returns it with its text.
+// newRequest returns a random request and its text.
 func (c *client) newRequest() (r *request, text string) {
 	const (
 		minWaitMS   = 300
@@ -107,7 +108,7 @@
 	return &request{id: id, class: class, wait: wait}, requestText(id, class, wait)
 }
 
-// requestText returns the bytes of a request.
+// requestText returns the text of an HTTP request. Only a load has an idempotency key.
 func requestText(id, class string, wait time.Duration) string {
 	statement := "SELECT day FROM sales_17.orders WHERE tag = '" + id + "'"
 	idempotencyKey := ""
@@ -118,7 +119,7 @@
 		"Content-Length: %d\r\n\r\n%s", class, id, wait.Milliseconds(), idempotencyKey, len(statement), statement)
 }
 
-// errNotSent reports a request that was not sent completely.
+// errNotSent reports a request that was not sent completely. Such a request is not recorded.
 var errNotSent = errors.New("request not sent completely")
 
 // sendRequest sends one request, waits until it has ended and records it. If the front end closes the idle
@@ -138,8 +139,8 @@
 	}
 }
 
-// exchange sends a request on the open connection and waits until the request has ended. If it returns an
-// error, it has closed the connection and the request has no outcome yet.
+// exchange sends a request on the open connection and waits until the request has ended. If exchange returns
+// an error, it has closed the connection and the request has no outcome yet.
 func (c *client) exchange(req *request, text string) error {
 	req.frontEnd = c.target.name
 	if !c.write(req, text) {
--- a/internal/lab/soak/history.go
+++ b/internal/lab/soak/history.go
@@ -17,7 +17,7 @@
 	outcomeLost         outcome = "lost"         // the response was missing, late or incomplete
 )
 
-// request is one request of a client.
+// request is a request of a client, with its outcome.
 type request struct {
 	id       string
 	class    string
@@ -74,8 +74,8 @@
 // contains reports whether the time lies in the span, both ends included.
 func (s span) contains(t time.Time) bool { return !t.Before(s.from) && !t.After(s.until) }
 
-// history records what clients, engine processes and the fault injector observe during a run. It is safe for
-// concurrent use.
+// history contains the requests, attempts and changes of a run, and all else that the checker needs. Clients, engine
+// processes and the fault injector add to it during the run. A history is safe for concurrent use.
 type history struct {
 	mu             sync.Mutex
 	requests       []*request
@@ -141,7 +141,6 @@
 	h.inFlight[process][a.requestID] = a
 }
 
-// attemptEnd describes the end of an attempt.
 type attemptEnd struct {
 	at       time.Time
 	response responseKind
--- a/internal/lab/soak/pool.go
+++ b/internal/lab/soak/pool.go
@@ -34,7 +34,7 @@
 	return slices.Clone(p.members)
 }
 
-// claim draws an unclaimed member and claims it. If only the reserve is unclaimed, it returns false and
+// claim draws an unclaimed member and claims it. If only the reserve is unclaimed, claim returns false and
 // draws no random number.
 func (p *pool[M]) claim(random *rand.Rand) (member M, ok bool) {
 	p.mu.Lock()
