--- a/cmd/flaxrelay/signals.go
+++ b/cmd/flaxrelay/signals.go
@@ -7,7 +7,7 @@
 )
 
 // signalQueueLength is the capacity of the channel of signals. Package signal drops signals when the
-// channel is full. While one signal is handled, an operator sends far fewer signals than that.
+// channel is full. An operator sends far fewer than signalQueueLength signals while one signal is handled.
 const signalQueueLength = 16
 
 // subscribeSignals returns a channel that receives the signals that control the server.
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -114,7 +114,7 @@
  "is-load": [true], "parallelism": [39], "takes-priority": true, "tells-cost": true, "tells-every-ms": 40,
  "when-short": "swap", "yields-to-loads": [true]}}`
 
-// decodedSettings returns the settings of completeSettings.
+// decodedSettings returns the Settings that decoding completeSettings must yield.
 func decodedSettings() Settings {
 	const ms = time.Millisecond
 	return Settings{
--- a/internal/config/settings_policy.go
+++ b/internal/config/settings_policy.go
@@ -20,14 +20,14 @@
 	noClassesText = "there must be at least one class"
 )
 
-// effects maps the values of the key effect in the settings object to the effects of classes.
+// effects maps the values of the key "effect" in the settings object to the effects of classes.
 var effects = map[string]policy.Effect{
 	"read_like":       policy.Idempotent,
 	"idempotency_key": policy.IdempotentByKey,
 	"non_idempotent":  policy.NonIdempotent,
 }
 
-// dedupScopes maps the values of the key group in the settings object to scopes of deduplication.
+// dedupScopes maps the values of the key "group" in the settings object to scopes of deduplication.
 var dedupScopes = map[string]policy.DedupScope{
 	"all":  policy.ScopeAll,
 	"zone": policy.ScopeZone,
@@ -35,7 +35,7 @@
 	"":     policy.ScopeCell, // the default
 }
 
-// memoryShortages maps the values of the key when-short in the settings object to the behaviors of
+// memoryShortages maps the values of the key "when-short" in the settings object to the behaviors of
 // engines that are short of memory.
 var memoryShortages = map[string]policy.MemoryShortage{
 	"queue": policy.ShortageQueue,
--- a/internal/decision/costmodel/costmodel.go
+++ b/internal/decision/costmodel/costmodel.go
@@ -68,7 +68,8 @@
 	NoHint       bool // leaves the clients' hints out of estimates
 }
 
-// DefaultHysteresis is used if a configuration sets no hysteresis.
+// DefaultHysteresis applies if a configuration sets no hysteresis. It keeps a bucket from alternating between two
+// classes while its estimate varies around the limit between them.
 const DefaultHysteresis = 1.3
 
 // Model learns from executions and estimates others. It is not safe for concurrent use.
--- a/internal/decision/hotrestart/world_steps_test.go
+++ b/internal/decision/hotrestart/world_steps_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// addStep adds the state that results from a change as a possible next state.
+// addStep applies a change to a copy of the current state, and adds the copy to the possible next states.
 type addStep func(name string, change func(*world))
 
 // steps returns all possible next states. Crashes come last.
--- a/internal/e2e/golden_postgres_phases_test.go
+++ b/internal/e2e/golden_postgres_phases_test.go
@@ -296,7 +296,7 @@
 	tr.compare("pgwire/phase-stalls")
 	front.assertCount("postgres.stalled", 2)
 	front.assertCount("postgres.malformed", 0)
-	front.assertCount("postgres.errors.", 1) // of the Bind
+	front.assertCount("postgres.errors.", 1) // the Bind names an unknown statement
 }
 
 // A CancelRequest ends the request in flight on the connection that it identifies, and no other request.
--- a/internal/engine/enginetest/exchange.go
+++ b/internal/engine/enginetest/exchange.go
@@ -146,7 +146,7 @@
 	return &lifecycle.Attempt{Request: request, Engine: engineID, StartedAt: fixedClock{}.Now(), Timeout: timeout}
 }
 
-// Start starts the attempt.
+// Start calls Client.Start on the event loop's goroutine, and returns once Client.Start has returned.
 func (x *Exchange) Start(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Start(attempt) }) }
 
 // StartThen starts the attempt and calls next in the same turn of the event loop. If the attempt
@@ -158,7 +158,7 @@
 	})
 }
 
-// Abandon abandons the attempt.
+// Abandon calls Client.Abandon on the event loop's goroutine, and returns once Client.Abandon has returned.
 func (x *Exchange) Abandon(attempt *lifecycle.Attempt) { x.Do(func() { x.Client.Abandon(attempt) }) }
 
 // Withdraw withdraws the attempt, and ends the test if Client.Withdraw fails.
--- a/internal/frontend/httpserver/eviction.go
+++ b/internal/frontend/httpserver/eviction.go
@@ -22,8 +22,8 @@
 	evictionRetryDelay = minOpenTime
 )
 
-// evictor closes connections that are idle for too long, and connections whose descriptors new connections need. It
-// must be used from the goroutine of the event loop only.
+// evictor closes connections that are idle for too long. If too many connections are open, it also closes some of them
+// to free descriptors for new connections. It must be used from the goroutine of the event loop only.
 type evictor struct {
 	loop           *eventloop.Loop
 	counters       *metrics.Counters
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,7 +10,8 @@
 	"flaxrelay/internal/lab/syscallfault"
 )
 
-// clockSteps are the possible errors of a wall clock. A fault draws one of them.
+// clockSteps are the possible steps of a wall clock away from the true time. drawClockStep chooses one of them at
+// random. With probability 1/2 the step is 0, and the clock is correct.
 var clockSteps = []time.Duration{0, 0, 0, -5 * time.Second, -time.Hour, time.Hour}
 
 func drawClockStep(random *rand.Rand) time.Duration { return clockSteps[random.IntN(len(clockSteps))] }
--- a/internal/lab/workload/instance.go
+++ b/internal/lab/workload/instance.go
@@ -23,7 +23,9 @@
 	columns     string // the selected columns
 }
 
-// newInstance draws the data set and the names, and decides at random whether the values are broad.
+// newInstance returns a new statement of a template, without its text. It chooses the data set at random, sets the
+// names of the table and its columns, and decides with probability Options.HardShare that the values are broad, such
+// as a list of thousands of parts. The orders table has growth times its initial number of rows.
 func (g *Generator) newInstance(t *template, growth float64) *instance {
 	i := &instance{generator: g, random: g.random, template: t}
 	i.style = t.style
--- a/internal/observability/sources_test.go
+++ b/internal/observability/sources_test.go
@@ -175,8 +175,8 @@
 	return keys
 }
 
-// declaredVariables returns the counters or events that a package's catalog declares: their names,
-// keyed by the names of their variables.
+// declaredVariables returns the counters or events that a package's catalog declares. The map's keys are
+// the names of the Go variables, and its values are the names of the counters or events.
 func (files sourceFiles) declaredVariables(packageName string) map[string]string {
 	variables := map[string]string{}
 	for _, file := range files {
--- a/internal/sqltext/dataset.go
+++ b/internal/sqltext/dataset.go
@@ -30,7 +30,7 @@
 	previousKind   Kind
 }
 
-// addToken adds the next token and reports whether the result is final.
+// addToken updates the finder with the next token of the text, and reports whether the data set is final.
 func (f *datasetFinder) addToken(l *Lexer, t Token) (done bool) {
 	if f.certain {
 		return true
--- a/internal/sqltext/effect_classifier.go
+++ b/internal/sqltext/effect_classifier.go
@@ -29,8 +29,8 @@
 // effectClassifier classifies a sequence of tokens.
 type effectClassifier struct {
 	readOnly Functions
-	// worst is the first verdict whose effect is not EffectReads. A later verdict with EffectWrites replaces one with
-	// EffectUnknown. The reason is empty if there is no such verdict yet.
+	// worst is the first verdict recorded by report. If its effect is EffectUnknown, the first later verdict with
+	// EffectWrites replaces it. worst.Reason is empty until report is called.
 	worst Verdict
 	phase classifierPhase
 	depth int // nesting depth of parentheses
@@ -60,7 +60,7 @@
 	}
 }
 
-// addToken adds the next token.
+// addToken updates the verdict and the classifier's state with the next token of the text.
 func (c *effectClassifier) addToken(lexer *Lexer, t Token) {
 	word := t.keyword()
 	class := t.class()
--- a/internal/sqltext/pass.go
+++ b/internal/sqltext/pass.go
@@ -18,7 +18,7 @@
 	expected        expectedValue
 }
 
-// addToken adds the next token.
+// addToken updates the analysis with the next token of the statement.
 func (p *analysisPass) addToken(t Token) {
 	word := t.keyword()
 	class := t.class()
--- a/internal/sqltext/statement.go
+++ b/internal/sqltext/statement.go
@@ -31,7 +31,7 @@
 	multiple  bool
 }
 
-// addToken adds the next token.
+// addToken updates the tracker with the next token of the text.
 func (s *statementTracker) addToken(l *Lexer, t Token) {
 	switch {
 	case t.Kind == Semicolon:
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -53,8 +53,9 @@
 	ReasonNoEndpoint
 	// ReasonEjected: an engine is ready but ejected, or the request's class is stalled there.
 	ReasonEjected
-	// ReasonAttemptsExhausted: one of the attemptRules forbids the attempt, such as the number of attempts,
-	// the retry budget, idempotency, the zones and kinds of the class, its ordering or the deadline.
+	// ReasonAttemptsExhausted: one of the attemptRules forbids the attempt. These rules cover the number of
+	// attempts, the retry budget, idempotency, the zones and kinds of the class, its ordering, the deadline
+	// and more.
 	ReasonAttemptsExhausted
 	// ReasonEngineLimit: the request exceeds an engine's concurrency limit.
 	ReasonEngineLimit
--- a/policy/class.go
+++ b/policy/class.go
@@ -68,7 +68,7 @@
 // steps, so that the factor follows the grantCoverage quantile of the ratio of needed to estimated memory.
 func (c *class) observeMemory(estimateMB, neededMB float64, spilled bool) {
 	switch {
-	case !(estimateMB > 0): // no estimate, or NaN
+	case !(estimateMB > 0): // there is no estimate, or it is NaN
 	case neededMB > c.grantFactor*estimateMB:
 		c.grantFactor *= grantIncrease
 	case !spilled:
--- a/policy/load.go
+++ b/policy/load.go
@@ -35,9 +35,9 @@
 
 // record computes an engine's load from its report: from the requests in flight or, if these are not
 // reported, from the busy cores. If engines swap, the load is at least the intended load times the share of
-// the memory that is granted.
+// the memory that is granted. A report is ignored if it states neither number, or if one of the two is NaN.
 func (l *loadReports) record(e *engine, report LoadReport, now time.Duration) {
-	if !report.Reported || !(max(report.InFlight, report.CPUShare) >= 0) { // neither is reported, or NaN
+	if !report.Reported || !(max(report.InFlight, report.CPUShare) >= 0) { // a comparison with NaN is false
 		return
 	}
 	load := l.threadsPerCore * report.CPUShare
--- a/policy/lostresponses.go
+++ b/policy/lostresponses.go
@@ -18,8 +18,8 @@
 	return lostResponses{consecutive: map[*class]int{}, stalledUntil: map[*class]time.Duration{}}
 }
 
-// add counts a lost response of a class. After stalledAfterLost lost responses in a row, it stalls the class
-// until the given instant.
+// add counts a lost response of a class. If at least stalledAfterLost responses in a row were lost, the
+// engine gets no request of the class until the instant stalledUntil.
 func (l *lostResponses) add(c *class, stalledUntil time.Duration) {
 	l.consecutive[c]++
 	if l.consecutive[c] >= stalledAfterLost {
--- a/policy/overloadcheck.go
+++ b/policy/overloadcheck.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// The limit of a warming engine is n + a*sqrt(n) + b, where n is the number of requests of mean work that the
-// settings allow within the overload window, and a and b are larger if n is below fewRequests.
+// The limit of a warming engine is n + rootFactor*sqrt(n) + constant, where n is the number of requests of
+// mean work that the settings allow within the overload window. fewRootFactor and fewConstant apply if n is
+// below fewRequests, manyRootFactor and manyConstant otherwise.
 const (
 	fewRequests    = 30.0
-	fewRootFactor  = 3.0 // a
-	fewConstant    = 3.0 // b
+	fewRootFactor  = 3.0
+	fewConstant    = 3.0
 	manyRootFactor = 2.0
 	manyConstant   = 2.0
 )
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -30,7 +30,7 @@
 // MemoryShortage is what an engine does when its grants exceed its memory.
 type MemoryShortage uint8
 
-// The values of MemoryShortage.
+// The values of MemoryShortage. ShortageQueue is the zero value, since it is the default of the settings.
 const (
 	ShortageQueue MemoryShortage = iota // the request waits in the engine's queue
 	ShortageTrim                        // the request gets the remaining memory, and spills to disk
--- a/policy/tokenbucket_test.go
+++ b/policy/tokenbucket_test.go
@@ -13,12 +13,12 @@
 		permitted int
 	}{
 		{0, 0},
-		{500 * msec, 1},              // one token at two a second
-		{750 * msec, 0},              // half a token
-		{time.Second, 1},             // the other half
-		{time.Minute, capacity},      // full, at the capacity
-		{time.Minute + 250*msec, 0},  // half a token
-		{time.Minute + time.Hour, 3}, // full again
+		{500 * msec, 1},              // the rate of 2 tokens per second has added one token
+		{750 * msec, 0},              // the bucket holds half a token
+		{time.Second, 1},             // the bucket holds one token again
+		{time.Minute, capacity},      // the bucket is full
+		{time.Minute + 250*msec, 0},  // the bucket holds half a token
+		{time.Minute + time.Hour, 3}, // the bucket is full again
 	} {
 		permitted := 0
 		for range 10 {
